--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -182,5 +182,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/sender/src/config/golden.rs
@@ -0,0 +1,163 @@
+//! Configurations that work, compared with what the version before the renames read of them.
+
+use std::path::PathBuf;
+
+use rudderspindle_decide::interface::{Class, Discovery, Effect, KeyGroup, LateDecay, RateHint};
+use serde_json::{Map, json};
+
+use super::*;
+
+mod refused;
+
+const VALUES: &str = include_str!("../../tests/golden/config.values.json");
+const LEAST_VALUES: &str = include_str!("../../tests/golden/config.least.values.json");
+const CHOICES: &str = include_str!("../../tests/golden/config.choices.json");
+
+/// The whole configuration with another value at one place, and what one of the values read is then.
+#[derive(Deserialize)]
+struct Choice {
+    at: String,
+    value: Value,
+    key: String,
+    gives: Value,
+}
+
+fn golden(text: &str) -> Value {
+    serde_json::from_str(text).expect("a golden file")
+}
+
+fn file(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+/// The configuration in which every key stands.
+fn whole() -> Value {
+    golden(&std::fs::read_to_string(file("config.json")).expect("a file"))
+}
+
+/// Puts a value at a place, or takes away what stands there.
+fn put(config: &mut Value, at: &str, value: Option<Value>) {
+    let (parent, key) = at.rsplit_once('/').expect("a place");
+    match (config.pointer_mut(parent).expect("a parent"), value) {
+        (Value::Object(parent), Some(value)) => _ = parent.insert(key.to_owned(), value),
+        (Value::Object(parent), None) => _ = parent.remove(key).expect("a value"),
+        (parent, value) => parent[key.parse::<usize>().expect("an index")] = value.expect("a value"),
+    }
+}
+
+/// Reads a configuration as the program does, from a file.
+fn read(config: &Value) -> Result<Usable, String> {
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = folder.path().join("config.json");
+    std::fs::write(&path, config.to_string()).expect("a file");
+    Usable::read(&path).map_err(|error| error.to_string())
+}
+
+/// The values of a class, by the keys and words of the configuration.
+fn class(name: &str, class: &Class) -> Value {
+    let (effect, group, window) = match class.effect {
+        Effect::Safe => ("free", None, None),
+        Effect::Keyed { group: KeyGroup::All, window } => ("guarded", Some("all"), Some(window)),
+        Effect::Keyed { group: KeyGroup::Zone, window } => ("guarded", Some("zone"), Some(window)),
+        Effect::Keyed { group: KeyGroup::Route, window } => ("guarded", Some("cell"), Some(window)),
+        Effect::Unsafe => ("single_shot", None, None),
+    };
+    json!({"name": name, "credit": class.worth, "target": class.aim, "aim_stretch": class.aim_stretch,
+        "deadline": class.deadline, "late_worth": class.late_worth, "effect": effect, "group": group,
+        "window": window, "in_order": class.ordered})
+}
+
+/// The values that the decision module is given, by the keys and words of the configuration.
+fn settings(usable: &Usable) -> Value {
+    let (s, names) = (&usable.settings, &usable.names);
+    let (discovery, ask_within) = match s.discovery {
+        Discovery::Pushed => ("pushed", None),
+        Discovery::OnRequest { ask_within } => ("on_request", Some(ask_within)),
+    };
+    let weights = match s.rate_hint {
+        RateHint::None => "off",
+        RateHint::Nominal => "nominal",
+        RateHint::Rough => "rough",
+    };
+    let loses_worth = match s.late_decay {
+        LateDecay::Linear => "linear",
+        LateDecay::Halving => "halving",
+    };
+    let of_kinds = |value: fn(&rudderspindle_decide::interface::Kind) -> Value| -> Vec<Value> {
+        s.kinds.iter().map(value).collect()
+    };
+    json!({"az": s.zone, "azs": names.zones, "kinds": names.kinds, "peers_total": s.peers_total, "tick": s.tick,
+        "weights": weights, "discovery": discovery, "over_share_worth": s.over_share_worth,
+        "tariffs.cross_zone": s.cross_zone_price,
+        "projects.name": names.tenants,
+        "projects.quota_per_s": s.tenants.iter().map(|tenant| tenant.quota_per_s).collect::<Vec<_>>(),
+        "extra.calls_out": s.slots, "extra.bundle_max": of_kinds(|kind| kind.bundle_max.into()),
+        "extra.kind_apart": of_kinds(|kind| kind.routes_apart.into()), "extra.loses_worth": loses_worth,
+        "extra.fee_by_zone": s.zone_fees,
+        "limits.most_held": s.most_held, "limits.max_attempts": s.max_attempts,
+        "limits.max_retry_after": s.max_retry_after, "limits.retry_after": s.retry_after,
+        "limits.probing": s.probing, "limits.cancelling": s.cancelling,
+        "limits.max_streams": s.streams_per_connection, "limits.idle_close": s.idle_close,
+        "limits.connect_timeout": s.connect_timeout,
+        "rules.cold_from": s.cold_from, "rules.warm_within": s.warm_within,
+        "rules.fall_multiple": s.fall_multiple, "rules.tip_after": s.tip_after, "rules.turn_gap": s.turn_gap,
+        "rules.ask_within": ask_within})
+}
+
+/// What the configuration says of the sender itself, by its keys.
+fn own(config: &Config) -> Value {
+    let known = config.known.as_ref().map(|list| {
+        let members = list.members.iter().map(|member| {
+            json!({"id": member.id, "host_port": member.host_port, "locality": member.locality,
+                "flavor": member.flavor, "cell": member.cell, "phase": member.phase, "size": member.size})
+        });
+        json!({"revision": list.revision, "complete": list.complete, "members": members.collect::<Vec<_>>()})
+    });
+    let notes = config.notes();
+    json!({"listen": config.listen, "discovery": config.discovery, "control": config.control,
+        "seed": config.seed, "peers": config.peers, "peer_listen": config.peer_listen, "known": known,
+        "limits.disk_mb": config.limits.disk_mb,
+        "limits.sockets as connections of clients": config.limits.share(),
+        "limits.memory_mb as bytes for bodies": config.limits.body_bytes(),
+        "notes": notes.as_ref().map(|_| true), "notes.me": notes.as_ref().map(|notes| notes.me),
+        "notes.listen": notes.as_ref().map(|notes| notes.listen),
+        "notes.peers": notes.as_ref().map(|notes| &notes.peers)})
+}
+
+/// All that is read of a configuration.
+fn values(usable: &Usable) -> Value {
+    let mut all = Map::new();
+    let object = |value: Value| value.as_object().cloned().expect("an object");
+    all.extend(object(own(&usable.config)));
+    all.extend(object(settings(usable)).into_iter().map(|(key, value)| (format!("settings.{key}"), value)));
+    for (index, (name, of)) in usable.names.classes.iter().zip(&usable.settings.classes).enumerate() {
+        let of = object(class(name, of)).into_iter();
+        all.extend(of.map(|(key, value)| (format!("settings.lanes[{index}].{key}"), value)));
+    }
+    assert_eq!(usable.names.classes.len(), usable.settings.classes.len());
+    all.into()
+}
+
+#[test]
+fn a_configuration_with_every_key_gives_the_values_that_it_gave_before() {
+    let usable = Usable::read(&file("config.json")).expect("usable");
+    assert_eq!(values(&usable), golden(VALUES));
+}
+
+#[test]
+fn what_a_configuration_does_not_say_is_what_it_was_before() {
+    let usable = Usable::read(&file("config.least.json")).expect("usable");
+    assert_eq!(values(&usable), golden(LEAST_VALUES));
+}
+
+#[test]
+fn each_word_and_each_other_form_of_a_value_gives_what_it_gave_before() {
+    let choices: Vec<Choice> = serde_json::from_str(CHOICES).expect("a table");
+    assert!(choices.len() > 20);
+    for Choice { at, value, key, gives } in choices {
+        let mut config = whole();
+        put(&mut config, &at, Some(value.clone()));
+        let usable = read(&config).unwrap_or_else(|error| panic!("{at} {value}: {error}"));
+        assert_eq!(values(&usable).get(&key), Some(&gives), "{at} {value}");
+    }
+}
--- a/crates/sender/src/fleet_file.rs
+++ b/crates/sender/src/fleet_file.rs
@@ -202,5 +202,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -232,3 +232,6 @@
     }
     Ok(Some(serde_json::from_slice(&line)?))
 }
+
+#[cfg(test)]
+mod golden;
--- a/crates/sender/src/operator.rs
+++ b/crates/sender/src/operator.rs
@@ -133,6 +133,9 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
+
 #[cfg(test)]
 mod tests {
     use super::*;
