--- /dev/null
+++ b/crates/daemon/tests/golden/discovery.rs
@@ -0,0 +1,47 @@
+//! Requests as discovery gets them: the whole list, the watch, and what follows a new revision or a broken line.
+
+use crate::common::{Program, config, lasting, list};
+use crate::expected::assert_golden;
+use crate::normalise::known;
+use crate::recorder::{AtOnce, OPEN_ENDED, Recorded, Recorder};
+
+const DEADLINE_MS: f64 = 60_000.0;
+const WHOLE_LIST: &str = "GET /api/targets HTTP/1.1\r\n";
+
+/// The whole list is answered at once, as a start waits for it only shortly; watches are left to the test.
+fn whole_list(request: &str, list: &str) -> Option<AtOnce> {
+    request.starts_with(WHOLE_LIST).then(|| AtOnce::Closing(format!("{OPEN_ENDED}{list}")))
+}
+
+fn assert_request(golden: &str, request: &Recorded, discovery: &Recorder) {
+    assert_golden(golden, &known(&request.text(), &discovery.addr.to_string(), "DISCOVERY"));
+}
+
+/// The next request after one for the whole list, which is made again if its answer came too late for the start.
+async fn after_whole_list(discovery: &mut Recorder, whole_list: &Recorded) -> Recorded {
+    loop {
+        let request = discovery.next().await;
+        if request.text() != whole_list.text() {
+            return request;
+        }
+    }
+}
+
+#[tokio::test]
+async fn the_list_and_the_watches_are_asked_for_with_these_bytes() {
+    let mut discovery = Recorder::start_with(list(7, true, &[]).to_string(), whole_list).await;
+    let folder = lasting();
+    let _program = Program::start(&config(discovery.addr, &[], DEADLINE_MS), &folder.1).await;
+    let fetch = discovery.next().await;
+    assert_request("discovery_whole_list.txt", &fetch, &discovery);
+    let watch = after_whole_list(&mut discovery, &fetch).await;
+    assert_request("discovery_watch.txt", &watch, &discovery);
+    watch.write(&format!("{OPEN_ENDED}{}\n", list(8, false, &[])));
+    watch.close();
+    let again = discovery.next().await;
+    assert_request("discovery_watch_after_revision.txt", &again, &discovery);
+    // What cannot be read may have been a change: the whole list is wanted then.
+    again.write(&format!("{OPEN_ENDED}no list\n"));
+    let fetch_again = discovery.next().await;
+    assert_request("discovery_whole_list.txt", &fetch_again, &discovery);
+}
