--- /dev/null
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -0,0 +1,129 @@
+//! A folder with every kind of record in each of its variants, and records that were moved to make room.
+
+use std::path::Path;
+
+use bytes::Bytes;
+use rudderspindle_journal::{Message, Status, Trouble, wall_ms};
+
+use crate::support::*;
+
+/// A message with all that its record can hold.
+fn full_message() -> Message {
+    Message {
+        txn: "m-full-ü".into(),
+        class: "notice".into(),
+        tenant: "".into(),
+        destination: 65_535,
+        key: Some(Bytes::from_static(b"order-17")),
+        deadline: u64::MAX,
+        body: Bytes::from_static(&[0, 255, 10, 13, 128]),
+        attempts: 3,
+        may_have_run: Some(ran(100)),
+        out: Some(ran(200)),
+    }
+}
+
+/// What two processes write one after the other.
+fn write_every_record(folder: &Path) {
+    let mut store = open(folder);
+    store.take(message("m-new"));
+    store.take(full_message());
+    store.take(Message { key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") });
+    for txn in ["m-ran", "m-not-run", "m-cut", "delivered", "n-1", "n-2", "n-3", "acknowledged"] {
+        store.take(message(txn));
+    }
+    store.commit().expect("written");
+    for (txn, at) in [("m-ran", 1), ("m-not-run", 2), ("m-cut", 3), ("delivered", 4), ("n-1", 5)] {
+        store.attempt(&txn.into(), ran(at));
+    }
+    store.commit().expect("written");
+    store.outcome(&"m-ran".into(), 0, true);
+    store.outcome(&"m-not-run".into(), 0, false);
+    store.end(&"delivered".into(), None);
+    store.end(&"n-1".into(), Some(Status::Undeliverable));
+    store.end(&"n-2".into(), Some(Status::Deferred(None)));
+    store.end(&"n-3".into(), Some(Status::Deferred(Some(70_000))));
+    store.end(&"acknowledged".into(), Some(Status::Undeliverable));
+    store.settled(&"acknowledged".into());
+    store.attempt(&"m-ran".into(), ran(6));
+    store.commit().expect("written");
+    store.remember((7, "".into()), Some(Trouble::Down { wait: 0 }));
+    store.remember((7, "receiver-1".into()), Some(Trouble::Down { wait: 11_000 }));
+    store.remember((8, "receiver-2".into()), Some(Trouble::Cold { ago: -500, part: 0.25 }));
+    store.remember((9, "".into()), Some(Trouble::Cold { ago: 4_000, part: 1.0 }));
+    store.remember((10, "receiver-3".into()), Some(Trouble::Down { wait: 1 }));
+    store.remember((10, "receiver-3".into()), None);
+    store.commit().expect("written");
+    drop(store);
+    let mut store = open(folder);
+    store.attempt(&"m-not-run".into(), ran(7));
+    store.attempt(&"m-full-ü".into(), ran(8));
+    store.take(message("m-later"));
+    store.commit().expect("written");
+}
+
+#[test]
+fn a_folder_with_every_kind_of_record_tells_all_messages_notices_and_memories() {
+    let expected = Told {
+        open: vec![
+            Message { attempts: 1, may_have_run: Some(ran(3)), ..message("m-cut") },
+            Message { key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") },
+            Message { attempts: 4, out: None, ..full_message() },
+            message("m-later"),
+            message("m-new"),
+            Message { attempts: 2, may_have_run: Some(ran(7)), ..message("m-not-run") },
+            Message { attempts: 2, may_have_run: Some(ran(1)), ..message("m-ran") },
+        ],
+        owed: vec![
+            ("n-1".into(), Status::Undeliverable),
+            ("n-2".into(), Status::Deferred(None)),
+            ("n-3".into(), Status::Deferred(Some(70_000))),
+        ],
+        memories: vec![
+            (7, "".into(), Trouble::Down { wait: 0 }),
+            (7, "receiver-1".into(), Trouble::Down { wait: 11_000 }),
+            (8, "receiver-2".into(), Trouble::Cold { ago: -500, part: 0.25 }),
+            (9, "".into(), Trouble::Cold { ago: 4_000, part: 1.0 }),
+        ],
+        latest_attempt: ran(200).at,
+        reports: vec![],
+    };
+    assert_eq!(told(copy("every-record").path()), expected);
+}
+
+#[test]
+fn every_kind_of_record_written_anew_has_the_bytes_of_the_golden_folder() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let start = wall_ms();
+    write_every_record(folder.path());
+    let written = with_fixed_times(segments(folder.path()), &(start..=wall_ms()));
+    assert_eq!(written, golden_segments("every-record"));
+}
+
+/// An attempt that is still to come: the clock was set back, and all that is live moves to a new segment at once.
+fn write_an_attempt_to_come(folder: &Path) {
+    let mut store = open(folder);
+    store.take(Message { out: None, ..full_message() });
+    store.attempt(&"m-full-ü".into(), ran(4_000_000_000_000));
+    store.remember((8, "receiver-2".into()), Some(Trouble::Cold { ago: -500, part: 0.25 }));
+    store.commit().expect("written");
+}
+
+#[test]
+fn records_that_move_to_a_new_segment_have_the_bytes_of_the_golden_folder() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let start = wall_ms();
+    write_an_attempt_to_come(folder.path());
+    let written = with_fixed_times(segments(folder.path()), &(start..=wall_ms()));
+    assert_eq!(written, golden_segments("before-moving"));
+    let moved = copy("before-moving");
+    let expected = Told {
+        open: vec![Message { attempts: 4, out: None, ..full_message() }],
+        owed: vec![],
+        memories: vec![(8, "receiver-2".into(), Trouble::Cold { ago: -500, part: 0.25 })],
+        latest_attempt: ran(4_000_000_000_000).at,
+        reports: vec![],
+    };
+    assert_eq!(told(moved.path()), expected);
+    assert_eq!(segments(moved.path()), golden_segments("after-moving"));
+}
--- /dev/null
+++ b/crates/journal/tests/golden_folders/takeover.rs
@@ -0,0 +1,109 @@
+//! The segments of an owner and of its successor, which takes over from it.
+
+use std::path::Path;
+
+use rudderspindle_journal::{Message, Notice, Status, Store, TakenOver};
+
+use crate::support::*;
+
+/// The owner writes, its successor beside it, and then the owner again.
+fn write_side_by_side(folder: &Path) -> Store {
+    let mut owner = open(folder);
+    for txn in ["o-open", "o-ran", "o-notice", "o-delivered", "both"] {
+        owner.take(message(txn));
+    }
+    owner.attempt(&"o-ran".into(), ran(1));
+    owner.commit().expect("written");
+    let mut successor = open(folder);
+    assert!(owner.is_owner() && !successor.is_owner());
+    successor.take(message("s-open"));
+    successor.take(message("both"));
+    successor.attempt(&"both".into(), ran(2));
+    successor.commit().expect("written");
+    owner.end(&"o-notice".into(), Some(Status::Deferred(Some(70_000))));
+    owner.end(&"o-delivered".into(), None);
+    owner.commit().expect("written");
+    successor
+}
+
+/// The successor goes on as the owner.
+fn write_after_takeover(successor: &mut Store) {
+    successor.end(&"o-open".into(), Some(Status::Undeliverable));
+    successor.settled(&"o-notice".into());
+    successor.attempt(&"o-ran".into(), ran(3));
+    successor.outcome(&"both".into(), 0, false);
+    successor.commit().expect("written");
+}
+
+fn taken_over(mut over: TakenOver) -> TakenOver {
+    over.open.sort_by(|a, b| a.txn.cmp(&b.txn));
+    over.owed.sort_by(|a, b| a.txn.cmp(&b.txn));
+    over
+}
+
+fn ran_once(txn: &str, after: u64) -> Message {
+    Message { attempts: 1, may_have_run: Some(ran(after)), ..message(txn) }
+}
+
+#[test]
+fn segments_of_owner_and_successor_written_anew_have_the_bytes_of_the_golden_folders() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let mut successor = write_side_by_side(folder.path());
+    assert_eq!(segments(folder.path()), golden_segments("takeover-before"));
+    let over = successor.succeed().expect("readable").expect("the owner has ended");
+    let expected = TakenOver {
+        open: vec![message("o-open"), ran_once("o-ran", 1)],
+        owed: vec![Notice { txn: "o-notice".into(), status: Status::Deferred(Some(70_000)) }],
+    };
+    assert_eq!(taken_over(over), expected);
+    assert!(successor.is_owner());
+    write_after_takeover(&mut successor);
+    assert_eq!(segments(folder.path()), golden_segments("takeover-after"));
+}
+
+#[test]
+fn a_process_that_starts_alone_reads_both_sets_of_segments_in_their_order() {
+    let before = Told {
+        open: vec![ran_once("both", 2), message("o-open"), ran_once("o-ran", 1), message("s-open")],
+        owed: vec![("o-notice".into(), Status::Deferred(Some(70_000)))],
+        memories: vec![],
+        latest_attempt: ran(2).at,
+        reports: vec![],
+    };
+    assert_eq!(told(copy("takeover-before").path()), before);
+    let after = Told {
+        open: vec![
+            Message { attempts: 1, ..message("both") },
+            Message { attempts: 2, ..ran_once("o-ran", 1) },
+            message("s-open"),
+        ],
+        owed: vec![("o-open".into(), Status::Undeliverable)],
+        memories: vec![],
+        latest_attempt: ran(3).at,
+        reports: vec![],
+    };
+    assert_eq!(told(copy("takeover-after").path()), after);
+}
+
+#[test]
+fn a_successor_takes_over_what_the_golden_segments_owe_once_their_owner_has_ended() {
+    let folder = copy("takeover-after");
+    let owner = open(folder.path());
+    let mut successor = open(folder.path());
+    assert_eq!(successor.open_messages().count(), 0);
+    assert_eq!(successor.succeed().expect("readable"), None);
+    drop(owner);
+    let over = successor.succeed().expect("readable").expect("the owner has ended");
+    let expected = TakenOver {
+        open: vec![
+            Message { attempts: 1, ..message("both") },
+            Message { attempts: 2, ..ran_once("o-ran", 1) },
+            message("s-open"),
+        ],
+        owed: vec![Notice { txn: "o-open".into(), status: Status::Undeliverable }],
+    };
+    assert_eq!(taken_over(over), expected);
+    assert_eq!(successor.latest_attempt(), ran(3).at);
+    let names: Vec<String> = segments(folder.path()).into_keys().collect();
+    assert_eq!(names, ["journal-00000000", "journal-01000000", "journal-01000001", "journal-02000001"]);
+}
