--- a/crates/share/src/lib.rs
+++ b/crates/share/src/lib.rs
@@ -13,6 +13,8 @@
 mod envelope;
 mod fleet;
 mod gate;
+#[cfg(test)]
+mod golden;
 mod judgements;
 mod membership;
 mod note;
--- a/crates/share/src/note.rs
+++ b/crates/share/src/note.rs
@@ -122,6 +122,8 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/crates/share/src/rights/note.rs
+++ b/crates/share/src/rights/note.rs
@@ -78,3 +78,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod golden;
--- a/crates/share/src/views/note.rs
+++ b/crates/share/src/views/note.rs
@@ -144,3 +144,6 @@
 fn too_long<T: Serialize>(body: &T) -> bool {
     postcard::to_allocvec(body).is_ok_and(|bytes| bytes.len() > LONGEST_BODY)
 }
+
+#[cfg(test)]
+mod golden;
--- /dev/null
+++ b/crates/share/tests/golden_transcripts.rs
@@ -0,0 +1,156 @@
+//! Whole runs of a few senders: who tells whom what and when, and what each knows at the end, as the version before the
+//! renames had it.
+
+use std::fmt::Write;
+use std::fs;
+use std::path::Path;
+
+use rudderspindle_share::{Class, Fleet, Gate, Incarnation, Kind, Own, Post, Ramp, Receiver, Rights, Seen};
+use rudderspindle_share::{Letter, Views};
+
+const START: u64 = 1_700_000_000_000;
+const STEP: u64 = 10;
+
+/// Compares line by line with a golden file.
+fn assert_golden(file: &str, transcript: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let golden = fs::read_to_string(path).expect("a golden file");
+    for (number, (line, expected)) in transcript.lines().zip(golden.lines()).enumerate() {
+        assert_eq!(line, expected, "line {} of {file}", number + 1);
+    }
+    assert_eq!(transcript.lines().count(), golden.lines().count(), "lines of {file}");
+}
+
+/// Milliseconds since the start, sender, reader and datagram.
+fn write_letters(transcript: &mut String, now: u64, from: usize, letters: &[Letter]) {
+    for (to, datagram) in letters {
+        let hex: String = datagram.iter().map(|byte| format!("{byte:02x}")).collect();
+        writeln!(transcript, "{} {from} {to} {hex}", now - START).expect("written");
+    }
+}
+
+/// Whether the reader took the datagram in.
+fn write_heard(transcript: &mut String, reader: usize, taken_in: bool) {
+    let heard = if taken_in { "heard" } else { "dropped" };
+    writeln!(transcript, "{heard} by {reader}").expect("written");
+}
+
+/// Three gates, one of which refuses and one of which fails, at a sender that calls more the higher its number.
+fn gates(now: u64, sender: usize) -> [Own; 3] {
+    let called = (now - START) / 100 * (sender as u64 + 1);
+    let own = |destination, receiver| {
+        let gate = Gate::of(destination, receiver);
+        Own { gate, limit: 60.0, wanted: 20.0 * sender as f64, called, refused: 0, failed: 0 }
+    };
+    let refusing = Own { refused: called / 3, ..own(513, Some("receiver-1")) };
+    [own(7, None), refusing, Own { failed: called, limit: 30.0, ..own(8, None) }]
+}
+
+#[test]
+fn senders_that_share_limits_tell_and_know_the_same_as_before() {
+    let mut fleets: Vec<Fleet> =
+        (0..4).map(|me| Fleet::new(me, 4, Ramp { start: 0.28, growth: 0.15 })).collect();
+    let mut due: Vec<u64> = fleets.iter().map(|fleet| fleet.next_report(START)).collect();
+    let mut transcript = String::new();
+    for now in (START..START + 2_500).step_by(STEP as usize) {
+        for from in 0..fleets.len() {
+            let mut letters = Vec::new();
+            if due[from] <= now {
+                letters.extend(fleets[from].report(now, &gates(now, from)));
+                due[from] = fleets[from].next_report(now);
+            }
+            if fleets[from].next_sums().is_some_and(|at| at <= now) {
+                letters.extend(fleets[from].sums(now));
+            }
+            write_letters(&mut transcript, now, from, &letters);
+            for (to, datagram) in letters {
+                let heard = fleets[to].hear(now, from, &datagram);
+                write_heard(&mut transcript, to, heard.is_ok());
+            }
+        }
+    }
+    for (me, fleet) in fleets.iter_mut().enumerate() {
+        let rooms = fleet.rooms(START + 2_500).expect("word of others");
+        for own in gates(START + 2_500, me) {
+            let room = rooms.iter().find(|(gate, _)| *gate == own.gate).map(|(_, room)| *room);
+            let (wanted, open) = (fleet.wanted(own.gate), fleet.open(own.gate, own.limit));
+            writeln!(transcript, "{me} {room:.6?} {wanted:.6} {open:.6}").expect("written");
+        }
+    }
+    assert_golden("transcript-limits.txt", &transcript);
+}
+
+#[test]
+fn senders_that_lend_rights_tell_and_hold_the_same_as_before() {
+    let new = |me| Rights::new(me, 3, Incarnation(START - 1_000 + me as u64), START);
+    let mut tier: Vec<Rights> = (0..3).map(new).collect();
+    let mut due: Vec<u64> = tier.iter().map(|rights| rights.next_offer(START)).collect();
+    let mut transcript = String::new();
+    for now in (START..START + 5_000).step_by(STEP as usize) {
+        for from in 0..tier.len() {
+            let mut letters = Vec::new();
+            if due[from] <= now {
+                letters.extend(tier[from].offer(now, &gates(now, from)));
+                due[from] = tier[from].next_offer(now);
+            }
+            if tier[from].next_deal().is_some_and(|at| at <= now) {
+                letters.extend(tier[from].deal(now));
+            }
+            write_letters(&mut transcript, now, from, &letters);
+            for (to, datagram) in letters {
+                let heard = tier[to].hear(now, from, &datagram);
+                write_heard(&mut transcript, to, heard.is_ok());
+            }
+        }
+    }
+    for (me, rights) in tier.iter().enumerate() {
+        for own in gates(START, me) {
+            for open in [1.0, 0.5] {
+                let turns = rights.turns(START + 5_000, own.gate, open);
+                let turns: Vec<(u64, u64, u64)> =
+                    turns.iter().map(|turn| (turn.number, turn.from - START, turn.until - START)).collect();
+                writeln!(transcript, "{me} {open} {turns:?}").expect("written");
+            }
+        }
+    }
+    assert_golden("transcript-rights.txt", &transcript);
+}
+
+#[test]
+fn senders_that_share_counts_and_judgements_tell_and_know_the_same_as_before() {
+    let incarnation = Incarnation(START - 10_000);
+    let new = |me| Views::new(me, vec![0, 0, 0, 0, 1, 1], incarnation, incarnation.0, 100);
+    let mut views: Vec<Views> = (0..6).map(|me| new(me).expect("one of the tier")).collect();
+    let post = || Post::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
+    let mut posts: Vec<Post> = (0..6).map(|_| post()).collect();
+    let receivers = ["a", "b", "c"].map(|receiver| Receiver::of(7, receiver));
+    let mut transcript = String::new();
+    for now in (START..START + 6_000).step_by(100) {
+        for from in 0..views.len() {
+            views[from].counts().handed_in(now, (now / 300 % 4) as u16 * (from as u16 + 1));
+            let seen = if from < 4 { Seen::Failed } else { Seen::Answered };
+            views[from].judgements().saw(now, receivers[0], seen);
+            views[from].judgements().saw(now, receivers[1], Seen::Answered);
+            let letters = views[from].notes_due(now, &mut posts[from]);
+            write_letters(&mut transcript, now, from, &letters);
+            for (to, datagram) in letters {
+                let heard = views[to].hear(now, from, &datagram);
+                write_heard(&mut transcript, to, heard.is_ok());
+            }
+        }
+    }
+    let now = START + 6_000;
+    for (me, views) in views.iter_mut().enumerate() {
+        for tenant in 0..4 {
+            let read = views.counts().read(now, tenant, 5);
+            let (ends, heard) = ((read.least, read.most), (read.heard, read.at.map(|at| at - START)));
+            let room = views.room(now, tenant, 100.0);
+            writeln!(transcript, "{me} {tenant} {ends:?} {heard:?} {room:.6?}").expect("written");
+        }
+        let avoided = views.avoided(now, &receivers);
+        let avoided: Vec<bool> = receivers.iter().map(|receiver| avoided.contains(receiver)).collect();
+        let alive: Vec<bool> = (0..6).map(|number| views.roster().is_alive(number, now)).collect();
+        writeln!(transcript, "{me} avoids {avoided:?} hears {alive:?}").expect("written");
+    }
+    assert_golden("transcript-views.txt", &transcript);
+}
