--- /dev/null
+++ b/crates/http2/src/client/connections.rs
@@ -0,0 +1,164 @@
+//! The connections of an endpoint: their `h2` handles, kept in step with the [`ConnectionPool`].
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::task::{Context, Poll, Waker};
+use std::time::Duration;
+
+use bytes::Bytes;
+use h2::client::SendRequest;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+use crate::pool::{ConnectionAction, ConnectionId, ConnectionPool, Millis, Placement, PoolLimits};
+
+/// A connection as its calls use it.
+#[derive(Clone)]
+pub(super) struct ConnectionHandle {
+    /// Opens streams.
+    pub(super) sender: SendRequest<Bytes>,
+    /// Set when the gateway did not answer a PING in time.
+    pub(super) ping_timed_out: Rc<Cell<bool>>,
+    /// Makes the task of the connection poll the pool again.
+    pub(super) wake: Rc<Notify>,
+}
+
+impl ConnectionHandle {
+    pub(super) fn new(sender: SendRequest<Bytes>) -> Self {
+        Self { sender, ping_timed_out: Rc::default(), wake: Rc::default() }
+    }
+}
+
+/// The connections of an endpoint, shared by its calls and its connection tasks.
+pub(super) struct Connections {
+    /// Zero of the pool's clock.
+    epoch: Instant,
+    pool: RefCell<ConnectionPool>,
+    handles: RefCell<BTreeMap<ConnectionId, ConnectionHandle>>,
+    /// Connections that could not be established, since the endpoint was created.
+    failed_connects: Cell<u64>,
+    /// Notifies the calls that wait for a slot that they may find one now, or that connecting failed.
+    pub(super) changed: Notify,
+}
+
+impl Connections {
+    pub(super) fn new(limits: PoolLimits) -> Self {
+        Self {
+            epoch: Instant::now(),
+            pool: RefCell::new(ConnectionPool::new(limits)),
+            handles: RefCell::default(),
+            failed_connects: Cell::new(0),
+            changed: Notify::new(),
+        }
+    }
+
+    /// The current time on the pool's clock.
+    fn now(&self) -> Millis {
+        u64::try_from(self.epoch.elapsed().as_millis()).unwrap_or(u64::MAX)
+    }
+
+    /// The instant of a time on the pool's clock.
+    pub(super) fn instant(&self, at: Millis) -> Instant {
+        self.epoch + Duration::from_millis(at)
+    }
+
+    /// Copies into the pool what `h2` knows of each connection: its stream limit, and whether it takes no more streams.
+    pub(super) fn refresh(&self) {
+        let mut context = Context::from_waker(Waker::noop());
+        let mut pool = self.pool.borrow_mut();
+        for (&id, handle) in self.handles.borrow_mut().iter_mut() {
+            pool.set_max_streams(id, handle.sender.current_max_send_streams());
+            if let Poll::Ready(Err(_)) = handle.sender.poll_ready(&mut context) {
+                pool.start_draining(id);
+            }
+        }
+    }
+
+    /// See [`ConnectionPool::available_slots`].
+    pub(super) fn available_slots(&self) -> usize {
+        self.pool.borrow().available_slots()
+    }
+
+    /// See [`ConnectionPool::place_call`].
+    pub(super) fn place_call(&self) -> Placement {
+        self.pool.borrow().place_call()
+    }
+
+    /// The handle of a connection; `None` once the connection has ended.
+    pub(super) fn handle(&self, id: ConnectionId) -> Option<ConnectionHandle> {
+        self.handles.borrow().get(&id).cloned()
+    }
+
+    /// Connections that could not be established, since the endpoint was created.
+    pub(super) fn failed_connects(&self) -> u64 {
+        self.failed_connects.get()
+    }
+
+    /// Records that a connection is being opened.
+    pub(super) fn connect_started(&self) {
+        self.pool.borrow_mut().connect_started();
+    }
+
+    /// Records that the connection could not be established.
+    pub(super) fn connect_failed(&self) {
+        self.pool.borrow_mut().connect_failed();
+        self.failed_connects.set(self.failed_connects.get() + 1);
+        self.changed.notify_waiters();
+    }
+
+    /// Adds the connection that was established.
+    pub(super) fn insert(&self, handle: ConnectionHandle) -> ConnectionId {
+        let max_streams = handle.sender.current_max_send_streams();
+        let id = self.pool.borrow_mut().connect_succeeded(self.now(), max_streams);
+        self.handles.borrow_mut().insert(id, handle);
+        self.changed.notify_waiters();
+        id
+    }
+
+    /// Removes a connection that has ended.
+    pub(super) fn remove(&self, id: ConnectionId) {
+        self.handles.borrow_mut().remove(&id);
+        self.pool.borrow_mut().remove(id);
+        self.changed.notify_waiters();
+    }
+
+    /// Records that the gateway accepts no further streams on the connection.
+    pub(super) fn start_draining(&self, id: ConnectionId) {
+        self.pool.borrow_mut().start_draining(id);
+    }
+
+    /// Brings the pool up to date and asks it what must be done with the connection now.
+    pub(super) fn poll_action(&self, id: ConnectionId, data_received: bool) -> ConnectionAction {
+        let now = self.now();
+        if data_received {
+            self.pool.borrow_mut().data_received(id, now);
+        }
+        self.refresh();
+        self.changed.notify_waiters();
+        self.pool.borrow_mut().poll_action(id, now)
+    }
+
+    /// Takes a stream slot of the connection for a call.
+    pub(super) fn start_stream(&self, id: ConnectionId, handle: &ConnectionHandle) -> ActiveStream<'_> {
+        self.pool.borrow_mut().stream_started(id, self.now());
+        handle.wake.notify_one();
+        ActiveStream { connections: self, id, wake: handle.wake.clone() }
+    }
+}
+
+/// A stream slot in use; dropping it, as the end or the cancellation of a call does, frees the slot.
+pub(super) struct ActiveStream<'a> {
+    connections: &'a Connections,
+    id: ConnectionId,
+    wake: Rc<Notify>,
+}
+
+impl Drop for ActiveStream<'_> {
+    fn drop(&mut self) {
+        let now = self.connections.now();
+        self.connections.pool.borrow_mut().stream_finished(self.id, now);
+        self.connections.changed.notify_waiters();
+        self.wake.notify_one();
+    }
+}
--- a/crates/http2/src/lib.rs
+++ b/crates/http2/src/lib.rs
@@ -1,10 +1,21 @@
-//! Calls to HTTP/2 push gateways.
+//! Client for HTTP/2 push gateways that tells, for each failed call, whether the gateway may have executed it.
 //!
-//! [`ends`] says what each end of a stream means for the message on it: has it run? [`streams`] says on which connection
-//! of an endpoint a call goes, and when another one is opened or given up. Both are without I/O and clock. [`client`] is
-//! the thin part that moves bytes, over `h2`.
+//! - [`outcome`]: maps how a stream ended to whether the message on it was executed. No I/O, no clock.
+//! - [`retry_after`]: parses the `Retry-After` header. No I/O, no clock.
+//! - [`pool`]: state machine that assigns calls to the connections of one endpoint and decides when a connection is
+//!   opened, probed with a PING or closed. No I/O, no clock.
+//! - [`client`]: the driver that moves the bytes, on top of the `h2` crate.
+//!
+//! ```
+//! use rudderspindle_http2::outcome::{DeliveryOutcome, StreamOutcome};
+//!
+//! // A lost connection leaves open whether a complete request was executed; an incomplete one never was.
+//! assert_eq!(StreamOutcome::ConnectionLost.delivery(true), DeliveryOutcome::Interrupted);
+//! assert_eq!(StreamOutcome::ConnectionLost.delivery(false), DeliveryOutcome::NotExecuted);
+//! ```
 #![forbid(unsafe_code)]
 
 pub mod client;
-pub mod ends;
-pub mod streams;
+pub mod outcome;
+pub mod pool;
+pub mod retry_after;
--- /dev/null
+++ b/crates/http2/src/pool/limits.rs
@@ -0,0 +1,33 @@
+//! The limits of a connection pool.
+
+use super::Millis;
+
+/// Bounds on what the connections of one endpoint may cost.
+#[derive(Clone, Copy, Debug)]
+pub struct PoolLimits {
+    /// Maximum number of connections, draining ones included; 0 counts as 1.
+    pub max_connections: usize,
+    /// Maximum number of concurrent streams on a connection, even if the gateway allows more.
+    pub max_streams_per_connection: usize,
+    /// Time within which a connection must be established, in milliseconds.
+    pub connect_timeout: Millis,
+    /// Silence on a connection with active streams after which a PING is sent, in milliseconds.
+    pub keep_alive_interval: Millis,
+    /// Time within which a PING must be followed by any byte from the gateway, in milliseconds.
+    pub keep_alive_timeout: Millis,
+    /// Time after which a connection without active streams is closed, in milliseconds.
+    pub idle_timeout: Millis,
+}
+
+impl Default for PoolLimits {
+    fn default() -> Self {
+        Self {
+            max_connections: 2,
+            max_streams_per_connection: 100,
+            connect_timeout: 1_000,
+            keep_alive_interval: 1_000,
+            keep_alive_timeout: 1_000,
+            idle_timeout: 60_000,
+        }
+    }
+}
--- /dev/null
+++ b/crates/http2/tests/client/flow_control.rs
@@ -0,0 +1,95 @@
+//! Flow-control windows and the limit on concurrent streams.
+
+use std::time::Duration;
+
+use rudderspindle_http2::outcome::{DeliveryOutcome, StreamOutcome};
+use rudderspindle_http2::pool::PoolLimits;
+use tokio::task::yield_now;
+
+use crate::harness::{
+    CANCEL, INTERNAL_ERROR, LONG, REFUSED_STREAM, complete, incomplete, outcome, reset, response, run, start,
+};
+
+/// The deadline of calls that are never answered.
+const SHORT: Duration = Duration::from_millis(300);
+
+#[tokio::test]
+async fn a_request_that_the_window_holds_back_is_incomplete_and_never_executed() {
+    run(async {
+        let harness = start(PoolLimits::default()).await;
+        // The first request is sent before the gateway has announced its windows.
+        let first = harness.call(LONG);
+        let mut gateway = harness.accept_with_window(0).await;
+        let stream = gateway.request().await;
+        gateway.head(stream, 200, None, true).await;
+        assert_eq!(outcome(first).await, complete(response(200)));
+        let call = harness.call(SHORT);
+        assert_eq!(outcome(call).await, incomplete(StreamOutcome::DeadlineExceeded));
+        assert_eq!(gateway.reset_by_client().await, (3, CANCEL));
+        // With half of its body a request is still incomplete; with the rest it is complete.
+        let call = harness.call(SHORT);
+        assert_eq!(gateway.next().await.expect("a head").stream, 5);
+        gateway.window(5, 2).await;
+        assert_eq!(gateway.next().await.expect("a part").payload, b"te");
+        assert_eq!(outcome(call).await, incomplete(StreamOutcome::DeadlineExceeded));
+        gateway.reset_by_client().await;
+        let call = harness.call(LONG);
+        assert_eq!(gateway.next().await.expect("a head").stream, 7);
+        gateway.window(7, 2).await;
+        gateway.window(7, 2).await;
+        assert_eq!(gateway.request().await, 7);
+        gateway.head(7, 200, None, true).await;
+        assert_eq!(outcome(call).await, complete(response(200)));
+        // A request that is reset before it is complete.
+        let call = harness.call(LONG);
+        let stream = gateway.next().await.expect("a head").stream;
+        gateway.reset(stream, INTERNAL_ERROR).await;
+        let refused = outcome(call).await;
+        assert_eq!(refused, incomplete(reset(INTERNAL_ERROR)));
+        assert_eq!(refused.stream.delivery(refused.request_complete), DeliveryOutcome::NotExecuted);
+        assert_eq!(harness.connects(), 1);
+    })
+    .await;
+}
+
+/// The stream limit falls from 100 to 0 during a burst and rises to 3 again: it is never exceeded, and no further
+/// connection is opened to circumvent it.
+#[tokio::test]
+async fn a_stream_limit_that_falls_during_a_burst_is_respected_and_waiting_calls_start_when_it_rises() {
+    run(async {
+        let harness = start(PoolLimits { max_connections: 1, ..PoolLimits::default() }).await;
+        let mut calls: Vec<_> = (0..10).map(|_| harness.call(LONG)).collect();
+        let mut gateway = harness.accept().await;
+        let mut active = Vec::new();
+        for _ in 0..10 {
+            active.push(gateway.request().await);
+        }
+        gateway.allow(0).await;
+        gateway.head(active.remove(0), 200, None, true).await;
+        assert_eq!(outcome(calls.remove(0)).await.stream, response(200));
+        // The gateway refuses the streams beyond its limit: they were never executed.
+        for stream in active.drain(..) {
+            gateway.reset(stream, REFUSED_STREAM).await;
+            assert_eq!(outcome(calls.remove(0)).await.stream, reset(REFUSED_STREAM));
+        }
+        calls.extend((0..4).map(|_| harness.call(LONG)));
+        yield_now().await;
+        assert_eq!(harness.endpoint.available_slots(), 0);
+        gateway.allow(3).await;
+        for _ in 0..3 {
+            active.push(gateway.request().await);
+        }
+        assert_eq!(harness.endpoint.available_slots(), 0);
+        gateway.head(active.remove(0), 200, None, true).await;
+        // The fourth call has waited for this slot.
+        active.push(gateway.request().await);
+        for stream in active {
+            gateway.head(stream, 200, None, true).await;
+        }
+        for call in calls {
+            assert_eq!(outcome(call).await.stream, response(200));
+        }
+        assert_eq!(harness.connects(), 1);
+    })
+    .await;
+}
--- /dev/null
+++ b/crates/http2/tests/client/harness.rs
@@ -0,0 +1,138 @@
+//! An endpoint and the listener that it connects to.
+
+use std::cell::Cell;
+use std::io;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::Request;
+use rudderspindle_http2::client::{CallDeadlines, CallOutcome, Endpoint};
+use rudderspindle_http2::outcome::StreamOutcome;
+use rudderspindle_http2::pool::PoolLimits;
+use rudderspindle_standin::exact::soon;
+use rudderspindle_standin::frames::Frames;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::{JoinHandle, LocalSet, spawn_local};
+use tokio::time::Instant;
+
+/// Concurrent streams that the gateway allows if a test says nothing else.
+pub const MAX_STREAMS: u32 = 100;
+/// Initial flow-control window of a stream if a test says nothing else, in bytes (RFC 9113, 6.9.2).
+pub const WINDOW_SIZE: u32 = 65_535;
+/// Longer than any call takes that is answered.
+pub const LONG: Duration = Duration::from_secs(20);
+
+/// Error codes (RFC 9113, 7).
+pub const NO_ERROR: u32 = 0x0;
+pub const INTERNAL_ERROR: u32 = 0x2;
+pub const REFUSED_STREAM: u32 = 0x7;
+pub const CANCEL: u32 = 0x8;
+pub const ENHANCE_YOUR_CALM: u32 = 0xb;
+pub const HTTP_1_1_REQUIRED: u32 = 0xd;
+
+/// Opens a connection, and is the same type in all tests.
+pub type Connecting = Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
+
+/// The listener of a gateway, and the endpoint of a client that connects to it.
+pub struct Harness<Connect> {
+    pub endpoint: Rc<Endpoint<Connect>>,
+    listener: TcpListener,
+    connects: Rc<Cell<usize>>,
+}
+
+/// Starts listening; nothing is connected yet.
+pub async fn start(limits: PoolLimits) -> Harness<impl Fn() -> Connecting> {
+    let (listener, address) = listen().await;
+    let connects = Rc::new(Cell::new(0));
+    let count = connects.clone();
+    let endpoint = Endpoint::new(limits, move || -> Connecting {
+        count.set(count.get() + 1);
+        Box::pin(TcpStream::connect(address))
+    });
+    Harness { endpoint, listener, connects }
+}
+
+impl<Connect: Fn() -> Connecting + 'static> Harness<Connect> {
+    /// Accepts the next connection of the client.
+    pub async fn accept(&self) -> Frames {
+        self.accept_with_window(WINDOW_SIZE).await
+    }
+
+    /// Accepts the next connection of the client, with another initial window of each stream.
+    pub async fn accept_with_window(&self, window_size: u32) -> Frames {
+        let (transport, _) = soon("a connection", self.listener.accept()).await.expect("a connection");
+        Frames::accept(transport, MAX_STREAMS, window_size).await
+    }
+
+    /// Starts a call that may take so long.
+    pub fn call(&self, time: Duration) -> JoinHandle<CallOutcome> {
+        let (endpoint, deadlines) = (self.endpoint.clone(), deadlines(time));
+        spawn_local(async move { endpoint.call(request(), Bytes::from_static(b"text"), deadlines).await })
+    }
+
+    /// Checks that the next call opens a connection and is answered on it; returns the gateway's end of that.
+    pub async fn check_call_on_new_connection(&self) -> Frames {
+        let call = self.call(LONG);
+        let mut gateway = self.accept().await;
+        let stream = gateway.request().await;
+        gateway.head(stream, 200, None, true).await;
+        assert_eq!(outcome(call).await, complete(response(200)));
+        gateway
+    }
+
+    /// How many connections the client has tried to open.
+    pub fn connects(&self) -> usize {
+        self.connects.get()
+    }
+}
+
+/// Listens on a free port.
+pub async fn listen() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("an address");
+    (listener, address)
+}
+
+/// A request without its body.
+pub fn request() -> Request<()> {
+    Request::post("http://gw.example.org/drop").body(()).expect("a request")
+}
+
+/// Both deadlines so long from now.
+pub fn deadlines(time: Duration) -> CallDeadlines {
+    let deadline = Instant::now() + time;
+    CallDeadlines { response: deadline, request: deadline }
+}
+
+/// The outcome of a call that ends soon.
+pub async fn outcome(call: JoinHandle<CallOutcome>) -> CallOutcome {
+    soon("the end of a call", call).await.expect("a call")
+}
+
+/// The outcome of a call whose request was sent whole.
+pub fn complete(stream: StreamOutcome) -> CallOutcome {
+    CallOutcome { stream, request_complete: true }
+}
+
+/// The outcome of a call whose request was not sent whole.
+pub fn incomplete(stream: StreamOutcome) -> CallOutcome {
+    CallOutcome { stream, request_complete: false }
+}
+
+/// A response without `Retry-After`.
+pub fn response(status: u16) -> StreamOutcome {
+    StreamOutcome::Response { status, retry_after: None }
+}
+
+/// A stream that the gateway reset.
+pub fn reset(error_code: u32) -> StreamOutcome {
+    StreamOutcome::Reset { error_code }
+}
+
+/// Runs a test on a [`LocalSet`], which the client needs.
+pub async fn run(test: impl Future<Output = ()>) {
+    LocalSet::new().run_until(test).await;
+}
--- a/crates/rig/src/http2.rs
+++ b/crates/rig/src/http2.rs
@@ -21,9 +21,9 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use rudderspindle_http2::client::Endpoint;
-use rudderspindle_http2::ends::Meaning;
-use rudderspindle_http2::streams::Bounds;
+use rudderspindle_http2::client::{CallDeadlines, Endpoint};
+use rudderspindle_http2::outcome::DeliveryOutcome;
+use rudderspindle_http2::pool::PoolLimits;
 use rudderspindle_model::partner::Draw;
 use rudderspindle_standin::exact::soon;
 use rudderspindle_standin::frames::Frames;
@@ -152,14 +152,15 @@
                 count.set(count.get() + 1);
                 connect(addr)
             };
-            let endpoint = Endpoint::new(Bounds::default(), connect);
+            let endpoint = Endpoint::new(PoolLimits::default(), connect);
             let call = move |body| {
                 let endpoint = endpoint.clone();
                 async move {
                     let request = Request::post("http://gw.example.org/drop").body(()).expect("a request");
                     let until = Instant::now() + DEADLINE;
-                    let ended = endpoint.call(request, body, until, until).await;
-                    ended.end.means(ended.whole) == Meaning::Delivered
+                    let deadlines = CallDeadlines { response: until, request: until };
+                    let ended = endpoint.call(request, body, deadlines).await;
+                    ended.stream.delivery(ended.request_complete) == DeliveryOutcome::Delivered
                 }
             };
             offer(call, seed, time, bursts)
@@ -341,16 +342,17 @@
 async fn goaways() -> Result<Vec<f64>, RigError> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
-    let endpoint = Endpoint::new(Bounds::default(), move || connect(addr));
+    let endpoint = Endpoint::new(PoolLimits::default(), move || connect(addr));
     // Whoever came before the GOAWAY was read never ran, and goes again at once.
     let call = |again: bool| {
         let (endpoint, until) = (endpoint.clone(), Instant::now() + DEADLINE);
         spawn_local(async move {
             loop {
                 let request = Request::post("http://gw.example.org/drop").body(()).expect("a request");
-                let ended = endpoint.call(request, Bytes::from_static(b"text"), until, until).await;
-                let meaning = ended.end.means(ended.whole);
-                if !again || meaning != Meaning::NeverRan || Instant::now() >= until {
+                let deadlines = CallDeadlines { response: until, request: until };
+                let ended = endpoint.call(request, Bytes::from_static(b"text"), deadlines).await;
+                let meaning = ended.stream.delivery(ended.request_complete);
+                if !again || meaning != DeliveryOutcome::NotExecuted || Instant::now() >= until {
                     return meaning;
                 }
             }
@@ -377,7 +379,8 @@
         for call in out {
             meanings.push(call.await.map_err(io::Error::other)?);
         }
-        if meanings != [Meaning::Delivered, Meaning::Delivered, Meaning::NeverRan] {
+        if meanings != [DeliveryOutcome::Delivered, DeliveryOutcome::Delivered, DeliveryOutcome::NotExecuted]
+        {
             return Err(io::Error::other(format!("after a GOAWAY: {meanings:?}")).into());
         }
         gateway = Some(new);
