--- a/crates/http2/tests/client/flow_control.rs
+++ b/crates/http2/tests/client/flow_control.rs
@@ -1,28 +1,19 @@
 //! Flow-control windows and the limit on concurrent streams.
 
-use std::time::Duration;
-
 use rudderspindle_http2::outcome::{DeliveryOutcome, StreamOutcome};
 use rudderspindle_http2::pool::PoolLimits;
 use tokio::task::yield_now;
 
 use crate::harness::{
-    CANCEL, INTERNAL_ERROR, LONG, REFUSED_STREAM, complete, incomplete, outcome, reset, response, run, start,
+    CANCEL, INTERNAL_ERROR, LONG, REFUSED_STREAM, SHORT, complete, incomplete, outcome, reset, response, run,
+    start,
 };
 
-/// The deadline of calls that are never answered.
-const SHORT: Duration = Duration::from_millis(300);
-
 #[tokio::test]
 async fn a_request_that_the_window_holds_back_is_incomplete_and_never_executed() {
     run(async {
         let harness = start(PoolLimits::default()).await;
-        // The first request is sent before the gateway has announced its windows.
-        let first = harness.call(LONG);
-        let mut gateway = harness.accept_with_window(0).await;
-        let stream = gateway.request().await;
-        gateway.head(stream, 200, None, true).await;
-        assert_eq!(outcome(first).await, complete(response(200)));
+        let mut gateway = harness.accept_with_closed_windows().await;
         let call = harness.call(SHORT);
         assert_eq!(outcome(call).await, incomplete(StreamOutcome::DeadlineExceeded));
         assert_eq!(gateway.reset_by_client().await, (3, CANCEL));
--- a/crates/http2/tests/client/harness.rs
+++ b/crates/http2/tests/client/harness.rs
@@ -24,6 +24,8 @@
 pub const WINDOW_SIZE: u32 = 65_535;
 /// Longer than any call takes that is answered.
 pub const LONG: Duration = Duration::from_secs(20);
+/// The deadline of calls that are not answered before it.
+pub const SHORT: Duration = Duration::from_millis(300);
 
 /// Error codes (RFC 9113, 7).
 pub const NO_ERROR: u32 = 0x0;
@@ -61,15 +63,30 @@
         self.accept_with_window(WINDOW_SIZE).await
     }
 
-    /// Accepts the next connection of the client, with another initial window of each stream.
-    pub async fn accept_with_window(&self, window_size: u32) -> Frames {
+    /// Starts and answers a call, after which the client may send no body without a WINDOW_UPDATE for its stream.
+    pub async fn accept_with_closed_windows(&self) -> Frames {
+        // The first request is sent before the gateway has announced its windows.
+        let first = self.call(LONG);
+        let mut gateway = self.accept_with_window(0).await;
+        let stream = gateway.request().await;
+        gateway.head(stream, 200, None, true).await;
+        assert_eq!(outcome(first).await, complete(response(200)));
+        gateway
+    }
+
+    async fn accept_with_window(&self, window_size: u32) -> Frames {
         let (transport, _) = soon("a connection", self.listener.accept()).await.expect("a connection");
         Frames::accept(transport, MAX_STREAMS, window_size).await
     }
 
     /// Starts a call that may take so long.
     pub fn call(&self, time: Duration) -> JoinHandle<CallOutcome> {
-        let (endpoint, deadlines) = (self.endpoint.clone(), deadlines(time));
+        self.call_with_deadlines(deadlines(time))
+    }
+
+    /// Starts a call with deadlines of its own.
+    pub fn call_with_deadlines(&self, deadlines: CallDeadlines) -> JoinHandle<CallOutcome> {
+        let endpoint = self.endpoint.clone();
         spawn_local(async move { endpoint.call(request(), Bytes::from_static(b"text"), deadlines).await })
     }
 
--- a/crates/http2/tests/client/main.rs
+++ b/crates/http2/tests/client/main.rs
@@ -2,6 +2,7 @@
 //! of one stream does to the others.
 
 mod connections;
+mod deadlines;
 mod flow_control;
 mod goaway;
 mod harness;
