--- a/crates/rig/src/evening.rs
+++ b/crates/benchmarks/src/evening.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use indicatif::{ProgressBar, ProgressStyle};
-use rudderspindle_standin::evidence;
-use rudderspindle_standin::judge::{Accounting, Return, Verdict, judge};
-use rudderspindle_standin::program::Launch;
-use rudderspindle_standin::script::Script;
-use rudderspindle_standin::world::{Played, Stage, World};
+use rudderspindle_testkit::evidence;
+use rudderspindle_testkit::judge::{Accounting, Return, Verdict, judge};
+use rudderspindle_testkit::program::Launch;
+use rudderspindle_testkit::script::Script;
+use rudderspindle_testkit::world::{Played, Stage, World};
 
 use crate::report::Report;
 use crate::{Common, RigError};
--- a/crates/rig/src/fleet_limit.rs
+++ b/crates/benchmarks/src/fleet_limit.rs
@@ -5,7 +5,7 @@
 mod sum;
 
 use clap::{Args, ValueEnum};
-use rudderspindle_model::partner::{Limit, Notes, Outage, Scene, play};
+use rudderspindle_simulation::partner::{Limit, Notes, Outage, Scene, play};
 
 use crate::Common;
 use crate::report::Report;
--- a/crates/rig/src/fleet_limit/bounds.rs
+++ b/crates/benchmarks/src/fleet_limit/bounds.rs
@@ -2,8 +2,8 @@
 
 use std::ops::Range;
 
-use rudderspindle_model::leased::options;
-use rudderspindle_model::partner::{Bound, Notes, Scene, Seen, most_by_rights, play};
+use rudderspindle_simulation::leased::options;
+use rudderspindle_simulation::partner::{Bound, Notes, Scene, Seen, most_by_rights, play};
 
 use super::{FALLS_AT, FleetArguments, Held, Sum, strikes};
 use crate::report::Report;
--- a/crates/rig/src/fleet_limit/returns.rs
+++ b/crates/benchmarks/src/fleet_limit/returns.rs
@@ -3,7 +3,7 @@
 use std::ops::Range;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use rudderspindle_model::partner::{Limit, Notes, Outage, Push, Scene, Seen, play, while_warming};
+use rudderspindle_simulation::partner::{Limit, Notes, Outage, Push, Scene, Seen, play, while_warming};
 
 use crate::report::Report;
 
--- a/crates/rig/src/fleet_limit/sum.rs
+++ b/crates/benchmarks/src/fleet_limit/sum.rs
@@ -1,6 +1,6 @@
 //! What was counted in all rounds of one kind.
 
-use rudderspindle_model::partner::{Scene, Seen};
+use rudderspindle_simulation::partner::{Scene, Seen};
 
 use crate::report::Report;
 
--- a/crates/rig/src/fleet_list.rs
+++ b/crates/benchmarks/src/fleet_list.rs
@@ -1,9 +1,9 @@
 //! `rig fleet-list`: many senders that start together before one discovery in simulated time: when has each its list?
 
 use clap::Args;
-use rudderspindle_decide::interface::Discovery;
-use rudderspindle_model::lists::{self, Overload, Pauses, lists};
+use rudderspindle_policy::interface::Discovery;
 use rudderspindle_sender::Pace;
+use rudderspindle_simulation::lists::{self, Overload, Pauses, lists};
 
 use crate::Common;
 use crate::report::Report;
--- a/crates/rig/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -10,10 +10,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use rudderspindle_standin::agent::{Agent, Entry};
-use rudderspindle_standin::evidence::{Evidence, Rules};
-use rudderspindle_standin::program::Program;
-use rudderspindle_standin::script::Phase;
+use rudderspindle_testkit::agent::{Agent, Entry};
+use rudderspindle_testkit::evidence::{Evidence, Rules};
+use rudderspindle_testkit::program::Program;
+use rudderspindle_testkit::script::Phase;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -140,14 +140,14 @@
             "rules": {"cold_from": 0.17, "fall_multiple": 2.5, "tip_after": 3000.0, "warm_within": 9300.0}}});
     let folder = tempfile::tempdir()?;
     let mut program = Program::new("n0", &binary.into(), folder.path(), config, Some(CORE), &evidence)
-        .map_err(rudderspindle_standin::world::StageError::from)?;
-    program.start().await.map_err(rudderspindle_standin::world::StageError::from)?;
+        .map_err(rudderspindle_testkit::world::StageError::from)?;
+    program.start().await.map_err(rudderspindle_testkit::world::StageError::from)?;
     let addr = *program.address().borrow();
     let Some(addr) = addr else { return Err(RigError::NoSender) };
     let cpu = || program.cpu_us().unwrap_or(0);
     let peak = || program.peak_kib().unwrap_or(0);
     let measured = under_load(addr, receivers, load, seconds, cpu, peak).await;
-    program.kill().await.map_err(rudderspindle_standin::world::StageError::from)?;
+    program.kill().await.map_err(rudderspindle_testkit::world::StageError::from)?;
     Ok(measured)
 }
 
--- a/crates/rig/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -120,7 +120,7 @@
     #[error("{0}")]
     Io(#[from] std::io::Error),
     #[error("{0}")]
-    Stage(#[from] rudderspindle_standin::world::StageError),
+    Stage(#[from] rudderspindle_testkit::world::StageError),
     #[error(
         "there is no sender beside this program: build it with `cargo build --release`, or name it with --sender"
     )]
@@ -139,7 +139,7 @@
     }
 
     fn sender(&self) -> Result<PathBuf, RigError> {
-        let path = self.sender.clone().or_else(rudderspindle_standin::world::beside_this_program);
+        let path = self.sender.clone().or_else(rudderspindle_testkit::world::beside_this_program);
         path.filter(|path| path.is_file()).ok_or(RigError::NoSender)
     }
 }
--- a/crates/daemon/tests/evening/mod.rs
+++ b/crates/daemon/tests/evening/mod.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-use rudderspindle_standin::evidence::Line;
-use rudderspindle_standin::judge::{Verdict, judge};
-use rudderspindle_standin::program::Launch;
-use rudderspindle_standin::script::Script;
-use rudderspindle_standin::world::{Stage, World};
+use rudderspindle_testkit::evidence::Line;
+use rudderspindle_testkit::judge::{Verdict, judge};
+use rudderspindle_testkit::program::Launch;
+use rudderspindle_testkit::script::Script;
+use rudderspindle_testkit::world::{Stage, World};
 
 /// Plays it until the stand-ins were not late, three times at the most; no message is delivered for longer.
 pub async fn play(script: &str, longest: Duration) -> (Vec<Line>, Verdict) {
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -5,10 +5,10 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use rudderspindle_standin::judge::Verdict;
-use rudderspindle_standin::mesh::Mesh;
-use rudderspindle_standin::tier::Journal;
-use rudderspindle_standin::weather::Weather;
+use rudderspindle_testkit::judge::Verdict;
+use rudderspindle_testkit::mesh::Mesh;
+use rudderspindle_testkit::tier::Journal;
+use rudderspindle_testkit::weather::Weather;
 use tokio::time::sleep;
 
 use tier::{HEAD, SENDERS, table};
--- a/crates/daemon/tests/judgements.rs
+++ b/crates/daemon/tests/judgements.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use rudderspindle_standin::script::Outage;
+use rudderspindle_testkit::script::Outage;
 use tier::SENDERS;
 use tokio::time::sleep;
 
--- a/crates/daemon/tests/rights.rs
+++ b/crates/daemon/tests/rights.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use rudderspindle_standin::tier::{Journal, Tier};
-use rudderspindle_standin::weather::Weather;
+use rudderspindle_testkit::tier::{Journal, Tier};
+use rudderspindle_testkit::weather::Weather;
 use tier::{HEAD, Row, SENDERS};
 use tokio::time::sleep;
 
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -12,11 +12,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use rudderspindle_standin::evidence::Evidence;
-use rudderspindle_standin::judge::judge;
-use rudderspindle_standin::program::Launch;
-use rudderspindle_standin::script::{Script, ScriptError};
-use rudderspindle_standin::world::{Stage, StageError, World};
+use rudderspindle_testkit::evidence::Evidence;
+use rudderspindle_testkit::judge::judge;
+use rudderspindle_testkit::program::Launch;
+use rudderspindle_testkit::script::{Script, ScriptError};
+use rudderspindle_testkit::world::{Stage, StageError, World};
 use screen::Screen;
 use tally::Tally;
 use tokio::time::sleep;
--- a/crates/demo/src/page.rs
+++ b/crates/demo/src/page.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use rudderspindle_standin::judge::{Rule, Verdict};
+use rudderspindle_testkit::judge::{Rule, Verdict};
 
 use crate::tally::{Partner, Second, Span, Tally};
 
--- a/crates/demo/src/tally.rs
+++ b/crates/demo/src/tally.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use rudderspindle_standin::evidence::{Event, Life, Line};
-use rudderspindle_standin::script::Script;
+use rudderspindle_testkit::evidence::{Event, Life, Line};
+use rudderspindle_testkit::script::Script;
 
 /// A partner's figures in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/share/src/counts.rs
+++ b/crates/gossip/src/counts.rs
@@ -48,7 +48,7 @@
 /// registers for each sender and four panes; emptied as the epochs pass.
 ///
 /// ```
-/// use rudderspindle_share::{Counts, Incarnation};
+/// use rudderspindle_gossip::{Counts, Incarnation};
 /// let mut counts = Counts::new(0, 3, Incarnation(1), 0, 100);
 /// counts.handed_in(1_500, 7);
 /// let read = counts.read(5_000, 7, 1);
--- a/crates/share/src/counts/quota.rs
+++ b/crates/gossip/src/counts/quota.rs
@@ -23,7 +23,7 @@
 /// One tenant's bucket at one sender.
 ///
 /// ```
-/// use rudderspindle_share::Quota;
+/// use rudderspindle_gossip::Quota;
 /// let mut quota = Quota::new(0);
 /// let within = (0..20).filter(|_| quota.lets_in(0, 5.0)).count();
 /// assert_eq!(within, 10); // a burst of two seconds
--- a/crates/share/src/judgements.rs
+++ b/crates/gossip/src/judgements.rs
@@ -47,7 +47,7 @@
 /// its own, emptied by expiry; and what is judged by those, for ten seconds longer.
 ///
 /// ```
-/// use rudderspindle_share::{Judgements, Receiver, Word};
+/// use rudderspindle_gossip::{Judgements, Receiver, Word};
 /// let mut judgements = Judgements::new(0, vec![0; 6]); // six senders in one hall
 /// let gone = Receiver::of(3, "a:1");
 /// let word = Word { first: 500, last: 900, back: false };
--- a/crates/share/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -76,7 +76,7 @@
 /// The newest incarnation heard of each number: at most one entry for each of the tier, forgotten after [`FORGOTTEN`].
 ///
 /// ```
-/// use rudderspindle_share::{Incarnation, Roster, Standing};
+/// use rudderspindle_gossip::{Incarnation, Roster, Standing};
 /// let mut roster = Roster::new(3);
 /// assert_eq!(roster.admit(1, Incarnation(5_000), 6_000), Ok(Standing::Newer));
 /// assert_eq!(roster.admit(1, Incarnation(4_000), 6_000), Ok(Standing::Older));
--- a/crates/share/src/post.rs
+++ b/crates/gossip/src/post.rs
@@ -41,7 +41,7 @@
 /// before: see [`Post::longest_wait`].
 ///
 /// ```
-/// use rudderspindle_share::{Class, Kind, Post};
+/// use rudderspindle_gossip::{Class, Kind, Post};
 /// let mut post = Post::new(&[
 ///     (Kind::Report, Class { rank: 0, every: 500, cost: 2 }),
 ///     (Kind::Hot, Class { rank: 1, every: 1_000, cost: 1 }),
--- a/crates/share/src/views.rs
+++ b/crates/gossip/src/views.rs
@@ -38,7 +38,7 @@
 /// The tables of one sender, and what to tell whom. Beyond what its parts hold: whom to answer, for three rounds at most.
 ///
 /// ```
-/// use rudderspindle_share::{Class, Incarnation, Kind, Post, Views};
+/// use rudderspindle_gossip::{Class, Incarnation, Kind, Post, Views};
 /// let views = |me| Views::new(me, vec![0, 0], Incarnation(1), 0, 100).expect("one of the tier");
 /// let (mut a, mut b) = (views(0), views(1));
 /// let post = || Post::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
--- a/crates/share/tests/fleet_of_views/counts.rs
+++ b/crates/gossip/tests/fleet_of_views/counts.rs
@@ -2,7 +2,7 @@
 
 use super::world::{START, Sender, World};
 use proptest::prelude::*;
-use rudderspindle_share::{Counts, Incarnation};
+use rudderspindle_gossip::{Counts, Incarnation};
 
 /// What a sender reads against the truth, of the epochs that are over at all.
 fn check(world: &World, n: usize, tenant: u16, epochs: u64) -> Result<(), String> {
@@ -113,9 +113,9 @@
         world.senders[0].views.roster().newest(1).map(|(newest, _)| newest),
         Some(Incarnation(START + 3_000))
     );
-    let mut post = rudderspindle_share::Post::new(&[(
-        rudderspindle_share::Kind::Report,
-        rudderspindle_share::Class { rank: 0, every: 0, cost: 2 },
+    let mut post = rudderspindle_gossip::Post::new(&[(
+        rudderspindle_gossip::Kind::Report,
+        rudderspindle_gossip::Class { rank: 0, every: 0, cost: 2 },
     )]);
     let mut refused = 0;
     for later in 0..80 {
@@ -123,8 +123,8 @@
         for (to, note) in old.notes_due(now, &mut post) {
             let views = &mut world.senders[to].views;
             let heard = views.hear(now, 1, &note);
-            assert_eq!(heard, Err(rudderspindle_share::ViewsError::Older), "sender {to}");
-            assert_eq!(views.hear(now, 5, &note), Err(rudderspindle_share::ViewsError::Stranger));
+            assert_eq!(heard, Err(rudderspindle_gossip::ViewsError::Older), "sender {to}");
+            assert_eq!(views.hear(now, 5, &note), Err(rudderspindle_gossip::ViewsError::Stranger));
             refused += 1;
         }
     }
--- a/crates/share/tests/fleet_of_views/judgements.rs
+++ b/crates/gossip/tests/fleet_of_views/judgements.rs
@@ -1,7 +1,7 @@
 //! Judgements among many senders, by the notes that they send one another.
 
 use super::world::{START, World};
-use rudderspindle_share::{Receiver, Seen};
+use rudderspindle_gossip::{Receiver, Seen};
 
 /// Halls in turn.
 fn halls(senders: usize, of: usize) -> Vec<u16> {
--- a/crates/share/tests/fleet_of_views/world.rs
+++ b/crates/gossip/tests/fleet_of_views/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use rudderspindle_share::{Class, EPOCH, Incarnation, Kind, Post, Views};
+use rudderspindle_gossip::{Class, EPOCH, Incarnation, Kind, Post, Views};
 
 /// Messages a second of one sender at most.
 pub const MOST: u32 = 100;
--- a/crates/share/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -5,8 +5,8 @@
 use std::fs;
 use std::path::Path;
 
-use rudderspindle_share::{Class, Fleet, Gate, Incarnation, Kind, Own, Post, Ramp, Receiver, Rights, Seen};
-use rudderspindle_share::{Letter, Views};
+use rudderspindle_gossip::{Class, Fleet, Gate, Incarnation, Kind, Own, Post, Ramp, Receiver, Rights, Seen};
+use rudderspindle_gossip::{Letter, Views};
 
 const START: u64 = 1_700_000_000_000;
 const STEP: u64 = 10;
--- a/crates/share/tests/registers_model.rs
+++ b/crates/gossip/tests/registers_model.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use rudderspindle_share::{Counts, EPOCH, Incarnation, LAG, Pane, Register, Roster, Standing};
+use rudderspindle_gossip::{Counts, EPOCH, Incarnation, LAG, Pane, Register, Roster, Standing};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const SENDERS: usize = 3;
--- a/crates/hot/src/fair.rs
+++ b/crates/heavy-hitters/src/fair.rs
@@ -11,7 +11,7 @@
 /// wants or nothing is left (progressive filling). What is no number or under nothing counts as nothing.
 ///
 /// ```
-/// use rudderspindle_hot::{Key, max_min};
+/// use rudderspindle_heavy_hitters::{Key, max_min};
 /// let wants = [(Key::new(1), 1.0), (Key::new(2), 4.0), (Key::new(3), 50.0)].into();
 /// let parts = max_min(12.0, &wants);
 /// assert_eq!(parts.values().copied().collect::<Vec<f64>>(), [1.0, 4.0, 7.0]);
--- a/crates/hot/src/hottest.rs
+++ b/crates/heavy-hitters/src/hottest.rs
@@ -15,7 +15,7 @@
 /// The hottest streams as one sender counts, tells and hears them.
 ///
 /// ```
-/// use rudderspindle_hot::{Hottest, Names, Settings};
+/// use rudderspindle_heavy_hitters::{Hottest, Names, Settings};
 /// let (names, settings) = (Names::new([7; 16]), Settings::default());
 /// let mut hottest = Hottest::new(settings, 0, 1, 1, 1_000_000, true).expect("the settings are right");
 /// for now in 1_000_000..1_000_500 {
--- a/crates/hot/src/sketch.rs
+++ b/crates/heavy-hitters/src/sketch.rs
@@ -30,7 +30,7 @@
 /// The heaviest keys of a flow in fixed memory.
 ///
 /// ```
-/// use rudderspindle_hot::{Key, SpaceSaving};
+/// use rudderspindle_heavy_hitters::{Key, SpaceSaving};
 /// let mut sketch = SpaceSaving::new(2, 0);
 /// for (key, weight) in [(1, 5), (2, 1), (3, 1)] {
 ///     sketch.add(Key::new(key), weight);
--- a/crates/hot/src/streams.rs
+++ b/crates/heavy-hitters/src/streams.rs
@@ -41,7 +41,7 @@
 /// Turns names into keys under a key that all senders of the fleet have and nobody else.
 ///
 /// ```
-/// use rudderspindle_hot::Names;
+/// use rudderspindle_heavy_hitters::Names;
 /// let names = Names::new([7; 16]);
 /// assert_eq!(names.stream("narmada", "gate-1"), names.stream("narmada", "gate-1"));
 /// assert_ne!(names.stream("narmada", "gate-1"), names.stream("narmadag", "ate-1"));
--- a/crates/hot/tests/faults.rs
+++ b/crates/heavy-hitters/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use rudderspindle_hot::{HotError, Hottest, Key, Settings, adders};
+use rudderspindle_heavy_hitters::{HotError, Hottest, Key, Settings, adders};
 use world::{BEGIN_MS, STEP_MS, World, Zipf};
 
 const STORM: Key = Key::new(1 << 20);
--- a/crates/hot/tests/judge.rs
+++ b/crates/heavy-hitters/tests/judge.rs
@@ -1,7 +1,9 @@
 //! What makes a stream hot, and what ends it: views built by hand.
 
 use proptest::prelude::*;
-use rudderspindle_hot::{Answer, Heaviest, Judge, Key, PANES, Settings, Sum, View, Yours, repeated};
+use rudderspindle_heavy_hitters::{
+    Answer, Heaviest, Judge, Key, PANES, Settings, Sum, View, Yours, repeated,
+};
 
 const SENDERS: usize = 10;
 
--- a/crates/hot/tests/merge.rs
+++ b/crates/heavy-hitters/tests/merge.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
-use rudderspindle_hot::{Answer, Digest, HotError, Key, Merged, Panes, Settings, View};
+use rudderspindle_heavy_hitters::{Answer, Digest, HotError, Key, Merged, Panes, Settings, View};
 
 const SENDERS: usize = 6;
 const NOW: u64 = 100;
--- a/crates/hot/tests/world/mod.rs
+++ b/crates/heavy-hitters/tests/world/mod.rs
@@ -5,7 +5,7 @@
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
-use rudderspindle_hot::{Hottest, Key, Settings};
+use rudderspindle_heavy_hitters::{Hottest, Key, Settings};
 
 /// The world moves in steps of this, ms.
 pub const STEP_MS: u64 = 10;
--- a/crates/hot/tests/zipf.rs
+++ b/crates/heavy-hitters/tests/zipf.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use rudderspindle_hot::{Key, Settings};
+use rudderspindle_heavy_hitters::{Key, Settings};
 use world::{BEGIN_MS, STEP_MS, World, Zipf};
 
 const SENDERS: usize = 300;
--- a/crates/decide/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -22,7 +22,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use rudderspindle_share::{Flow, Room};
+use rudderspindle_gossip::{Flow, Room};
 
 use crate::alarm::Alarm;
 use crate::calls::{Call, Calls};
--- a/crates/decide/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,8 +5,8 @@
 //! since the last batch and carries out the actions that come back.
 //!
 //! ```
-//! use rudderspindle_decide::Sender;
-//! use rudderspindle_decide::interface::*;
+//! use rudderspindle_policy::Sender;
+//! use rudderspindle_policy::interface::*;
 //!
 //! # fn main() -> Result<(), SettingsError> {
 //! let notice = Class {
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use rudderspindle_decide::Sender;
-use rudderspindle_decide::interface::*;
-pub use rudderspindle_model::parts::{class, entry, list, outcome, settings};
+use rudderspindle_policy::Sender;
+use rudderspindle_policy::interface::*;
+pub use rudderspindle_simulation::parts::{class, entry, list, outcome, settings};
 
 pub fn message(id: u32, class: usize, destination: u16) -> Event {
     keyed_message(id, class, destination, 0)
--- a/crates/decide/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many senders before one partner with a limit that refused calls use up, in simulated time: what is harmless
 //! for one must not hurt when a hundred do it.
 
-use rudderspindle_model::partner::*;
+use rudderspindle_simulation::partner::*;
 
 /// An evening of 24 s without an outage, at so many times what the partner takes.
 fn evening(seed: u64, senders: usize, load: f64) -> Scene {
--- a/crates/decide/tests/replay/module.rs
+++ b/crates/policy/tests/replay/module.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use rudderspindle_decide::Sender;
-use rudderspindle_decide::interface::*;
-use rudderspindle_decide::settings;
+use rudderspindle_policy::Sender;
+use rudderspindle_policy::interface::*;
+use rudderspindle_policy::settings;
 
 use crate::exchange::{AttemptEnd, Belief, Change, Input, Limit, MessageInput, Output, RouteLine};
 use crate::host::Adapter;
--- a/crates/decide/tests/returns.rs
+++ b/crates/policy/tests/returns.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use rudderspindle_decide::interface::*;
-use rudderspindle_model::partner::*;
+use rudderspindle_policy::interface::*;
+use rudderspindle_simulation::partner::*;
 
 /// A sender beside another one, and its partner's routes at one gate.
 fn with_routes(routes: std::ops::RangeInclusive<u64>, kind: u16, seed: u64) -> Bench {
--- a/crates/decide/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -7,8 +7,8 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use rudderspindle_decide::Sender;
-use rudderspindle_decide::interface::*;
+use rudderspindle_policy::Sender;
+use rudderspindle_policy::interface::*;
 
 const SAFE: Effect = Effect::Safe;
 const KEYED_ALL: Effect = Effect::Keyed { group: KeyGroup::All, window: 4_000.0 };
--- a/crates/decide/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -2,7 +2,7 @@
 //! chance may add to them, 2 root N + 2. Counted are calls of senders that had been told of the outage, by a failure at the
 //! least: whoever was handed nothing in it cannot know. The whole table is `rig fleet-limit --returns`.
 
-use rudderspindle_model::partner::*;
+use rudderspindle_simulation::partner::*;
 
 const OUTAGES: [Outage; 5] = [
     Outage::Refuse,
--- a/crates/decide/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use rudderspindle_decide::interface::*;
+use rudderspindle_policy::interface::*;
 
 /// Answers every call `after` ms later with what `answer` says, for `span` ms; returns the calls by route.
 fn play(
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use rudderspindle_decide::interface::Settings;
-use rudderspindle_decide::settings::{self, Field, Names, ReadError};
+use rudderspindle_policy::interface::Settings;
+use rudderspindle_policy::settings::{self, Field, Names, ReadError};
 use serde::Deserialize;
 use serde_json::Value;
 
--- a/crates/sender/src/config/golden.rs
+++ b/crates/sender/src/config/golden.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use rudderspindle_decide::interface::{Class, Discovery, Effect, KeyGroup, LateDecay, RateHint};
+use rudderspindle_policy::interface::{Class, Discovery, Effect, KeyGroup, LateDecay, RateHint};
 use serde_json::{Map, json};
 
 use super::*;
@@ -83,7 +83,7 @@
         LateDecay::Linear => "linear",
         LateDecay::Halving => "halving",
     };
-    let of_kinds = |value: fn(&rudderspindle_decide::interface::Kind) -> Value| -> Vec<Value> {
+    let of_kinds = |value: fn(&rudderspindle_policy::interface::Kind) -> Value| -> Vec<Value> {
         s.kinds.iter().map(value).collect()
     };
     json!({"az": s.zone, "azs": names.zones, "kinds": names.kinds, "peers_total": s.peers_total, "tick": s.tick,
--- a/crates/sender/src/config/limits.rs
+++ b/crates/sender/src/config/limits.rs
@@ -1,7 +1,7 @@
 //! What the machine gives.
 
-use rudderspindle_decide::settings::{Field, Range, ReadError};
 use rudderspindle_journal::MAX_BODY;
+use rudderspindle_policy::settings::{Field, Range, ReadError};
 
 /// Descriptors that are neither clients' nor receivers': files, the listener, discovery, the runtime's.
 const OTHER_SOCKETS: usize = 40;
--- a/crates/sender/src/config/start_error.rs
+++ b/crates/sender/src/config/start_error.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use rudderspindle_decide::interface::SettingsError;
-use rudderspindle_decide::settings::ReadError;
+use rudderspindle_policy::interface::SettingsError;
+use rudderspindle_policy::settings::ReadError;
 
 /// Why a sender cannot start, or cannot use a configuration.
 #[derive(Debug, thiserror::Error)]
--- a/crates/sender/src/config/tests.rs
+++ b/crates/sender/src/config/tests.rs
@@ -1,4 +1,4 @@
-use rudderspindle_decide::settings::Field;
+use rudderspindle_policy::settings::Field;
 use serde_json::json;
 
 use super::{Config, Limits, senders};
--- a/crates/sender/src/discovery/tests/scripted.rs
+++ b/crates/sender/src/discovery/tests/scripted.rs
@@ -1,6 +1,6 @@
 //! A discovery that writes what it is told to, byte for byte, and a watch before it.
 
-use rudderspindle_decide::interface::Discovery;
+use rudderspindle_policy::interface::Discovery;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/sender/src/discovery/tests/silence.rs
+++ b/crates/sender/src/discovery/tests/silence.rs
@@ -1,6 +1,6 @@
 //! A watch that has fallen silent is broken and opened anew; one that has not goes on.
 
-use rudderspindle_decide::interface::Discovery;
+use rudderspindle_policy::interface::Discovery;
 
 use super::*;
 
--- a/crates/sender/src/doings.rs
+++ b/crates/sender/src/doings.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_decide::interface::Outcome;
-use rudderspindle_share::{Receiver, Seen};
+use rudderspindle_gossip::{Receiver, Seen};
+use rudderspindle_policy::interface::Outcome;
 
 use crate::event::{Doings, MOST_SEEN};
 
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -15,11 +15,11 @@
 
 use bytes::Bytes;
 use recovery::Recovered;
-use rudderspindle_decide::Sender;
-use rudderspindle_decide::interface::*;
-use rudderspindle_decide::settings::Names;
+use rudderspindle_gossip::{Gate, Receiver};
 use rudderspindle_journal::{self as journal, Notice, Ran, Status, Store, Txn};
-use rudderspindle_share::{Gate, Receiver};
+use rudderspindle_policy::Sender;
+use rudderspindle_policy::interface::*;
+use rudderspindle_policy::settings::Names;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -4,10 +4,10 @@
 
 /// Turns as the module is told them: from now, whatever the wall clock has done since.
 fn turns(
-    all: Vec<(DestinationId, Option<RouteId>, Vec<rudderspindle_share::Turn>)>,
+    all: Vec<(DestinationId, Option<RouteId>, Vec<rudderspindle_gossip::Turn>)>,
 ) -> impl Iterator<Item = Event> {
     let wall = journal::wall_ms() as Millis;
-    let turn = move |t: rudderspindle_share::Turn| Turn {
+    let turn = move |t: rudderspindle_gossip::Turn| Turn {
         number: t.number,
         from: t.from as Millis - wall,
         until: t.until as Millis - wall,
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -3,9 +3,9 @@
 
 use bytes::Bytes;
 use hyper::header::HeaderName;
-use rudderspindle_decide::interface::*;
+use rudderspindle_gossip::{Gate, Receiver, Seen};
 use rudderspindle_journal::Txn;
-use rudderspindle_share::{Gate, Receiver, Seen};
+use rudderspindle_policy::interface::*;
 use serde::Deserialize;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -54,7 +54,7 @@
     /// for how long.
     Rooms(Vec<(DestinationId, Option<RouteId>, f64, f64)>, Millis),
     /// Where rights are kept: the turns at each limit that are this sender's, ms since 1970.
-    Turns(Vec<(DestinationId, Option<RouteId>, Vec<rudderspindle_share::Turn>)>),
+    Turns(Vec<(DestinationId, Option<RouteId>, Vec<rudderspindle_gossip::Turn>)>),
     /// Receivers that others of this hall judge to be down.
     Avoid(Vec<RouteId>),
     /// What of each tenant's quota is this sender's, messages a second, where word of others has come.
--- a/crates/sender/src/inbound.rs
+++ b/crates/sender/src/inbound.rs
@@ -12,9 +12,9 @@
 
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use rudderspindle_decide::interface::*;
-use rudderspindle_decide::settings::Names;
 use rudderspindle_journal::MAX_BODY;
+use rudderspindle_policy::interface::*;
+use rudderspindle_policy::settings::Names;
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc, watch};
 use tokio::task::spawn_local;
--- a/crates/sender/src/inbound/tests.rs
+++ b/crates/sender/src/inbound/tests.rs
@@ -30,8 +30,8 @@
         let json = serde_json::json!({
             "extra": {"calls_out": 4}, "kinds": ["k"], "limits": {"max_attempts": 4, "most_held": 50},
             "lanes": [{"name": "safe", "effect": "free", "deadline": 9000.0}]});
-        let settings = rudderspindle_decide::settings::read(&json).expect("settings");
-        let names = rudderspindle_decide::settings::names(&json).expect("names");
+        let settings = rudderspindle_policy::settings::read(&json).expect("settings");
+        let names = rudderspindle_policy::settings::names(&json).expect("names");
         let (to_engine, inputs) = mpsc::channel(16);
         let (door, at_the_door) = watch::channel(Door::Open);
         let figures = Rc::new(Figures::new(&names.classes));
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -3,7 +3,7 @@
 //! The [`Service`] takes messages from clients over HTTP/1.1, writes them to its journal before it answers 202,
 //! lets the decision module say what is done with them, calls receivers, and owes each message its end. What
 //! happens reaches the engine as events (`event.rs`); ways in and out, membership and notices know those and
-//! not the engine. This crate decides nothing about messages: that is `rudderspindle-decide`'s.
+//! not the engine. This crate decides nothing about messages: that is `rudderspindle-policy`'s.
 //!
 //! ```no_run
 //! use rudderspindle_sender::{Service, Usable};
--- a/crates/sender/src/life.rs
+++ b/crates/sender/src/life.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::Path;
 
-use rudderspindle_share::Incarnation;
+use rudderspindle_gossip::Incarnation;
 
 /// The file in the state folder: the number as text, a block on disk.
 const FILE: &str = "incarnation";
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -37,7 +37,7 @@
         "extra": {"calls_out": 4}, "kinds": ["k"],
         "lanes": [{"name": "safe", "effect": "free", "deadline": 9000.0}],
         "limits": {"max_attempts": 4, "most_held": 50, "connect_timeout": 5000.0, "idle_close": 15000.0}});
-    let settings = rudderspindle_decide::settings::read(&json).expect("settings");
+    let settings = rudderspindle_policy::settings::read(&json).expect("settings");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let (to_engine, inputs) = mpsc::channel(16);
     let figures = Rc::new(Figures::new(&[]));
--- a/crates/sender/src/pace.rs
+++ b/crates/sender/src/pace.rs
@@ -18,7 +18,7 @@
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
-use rudderspindle_decide::interface::Discovery;
+use rudderspindle_policy::interface::Discovery;
 
 /// What discovery has counts as told so much later at the latest.
 const TOLD: Duration = Duration::from_secs(6);
--- a/crates/sender/src/pace/tests.rs
+++ b/crates/sender/src/pace/tests.rs
@@ -1,5 +1,5 @@
-use rudderspindle_decide::interface::Millis;
-use rudderspindle_model::lists::{self, Overload, Pauses, Played, lists};
+use rudderspindle_policy::interface::Millis;
+use rudderspindle_simulation::lists::{self, Overload, Pauses, Played, lists};
 
 use super::*;
 
--- a/crates/sender/src/peers.rs
+++ b/crates/sender/src/peers.rs
@@ -1,4 +1,4 @@
-//! Notes between senders over datagrams. What they say and mean is `rudderspindle-share`'s.
+//! Notes between senders over datagrams. What they say and mean is `rudderspindle-gossip`'s.
 
 mod shared;
 #[cfg(test)]
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rudderspindle_decide::interface::*;
+use rudderspindle_gossip::{Fleet, Gate, Incarnation, Kind, LONGEST_NOTE, Letter, Own, Ramp, Rights, open};
 use rudderspindle_journal::wall_ms;
-use rudderspindle_share::{Fleet, Gate, Incarnation, Kind, LONGEST_NOTE, Letter, Own, Ramp, Rights, open};
+use rudderspindle_policy::interface::*;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
@@ -136,9 +136,9 @@
 
     fn next_report(&self, wall: u64) -> u64 {
         let next = self.fleet.next_report(wall);
-        let pairs = rudderspindle_share::ROUND * WITH_RIGHTS;
-        let skipped = self.rights.is_some() && next % pairs >= rudderspindle_share::ROUND;
-        if skipped { next + rudderspindle_share::ROUND } else { next }
+        let pairs = rudderspindle_gossip::ROUND * WITH_RIGHTS;
+        let skipped = self.rights.is_some() && next % pairs >= rudderspindle_gossip::ROUND;
+        if skipped { next + rudderspindle_gossip::ROUND } else { next }
     }
 
     fn next_offer(&self, wall: u64) -> Option<u64> {
--- a/crates/sender/src/peers/shared.rs
+++ b/crates/sender/src/peers/shared.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use rudderspindle_decide::interface::{DestinationId, RouteId};
-use rudderspindle_share::{Class, Incarnation, Kind, Letter, Post, Receiver, Views, ViewsError};
+use rudderspindle_gossip::{Class, Incarnation, Kind, Letter, Post, Receiver, Views, ViewsError};
+use rudderspindle_policy::interface::{DestinationId, RouteId};
 
 use super::FLEET;
 use crate::event::{Doings, Input};
--- a/crates/sender/src/peers/tests.rs
+++ b/crates/sender/src/peers/tests.rs
@@ -1,6 +1,6 @@
 use std::cell::Cell;
 
-use rudderspindle_share::Gate;
+use rudderspindle_gossip::Gate;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use rudderspindle_gossip::Ramp;
 use rudderspindle_journal::{Store, wall_ms};
-use rudderspindle_share::Ramp;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
--- a/crates/model/src/leased.rs
+++ b/crates/simulation/src/leased.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_share::{Gate, Incarnation, Own, Rights};
+use rudderspindle_gossip::{Gate, Incarnation, Own, Rights};
 
 use crate::partner::Draw;
 use share::Share;
--- a/crates/model/src/partner.rs
+++ b/crates/simulation/src/partner.rs
@@ -8,7 +8,7 @@
 mod scene;
 mod seen;
 
-use rudderspindle_decide::interface::*;
+use rudderspindle_policy::interface::*;
 
 pub use draw::Draw;
 pub use play::play;
--- a/crates/model/src/partner/client.rs
+++ b/crates/simulation/src/partner/client.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use rudderspindle_decide::Sender;
-use rudderspindle_decide::interface::*;
-use rudderspindle_share::{Fleet, Gate, Letter, Own, Rights, RightsError};
+use rudderspindle_gossip::{Fleet, Gate, Letter, Own, Rights, RightsError};
+use rudderspindle_policy::Sender;
+use rudderspindle_policy::interface::*;
 
 use super::seen::Knows;
 
--- a/crates/model/src/partner/limit.rs
+++ b/crates/simulation/src/partner/limit.rs
@@ -1,6 +1,6 @@
 //! What the partner answers: its limit, and what strikes it.
 
-use rudderspindle_decide::interface::{Millis, Outcome};
+use rudderspindle_policy::interface::{Millis, Outcome};
 
 use super::draw::Draw;
 use super::scene::{Limit, Outage, Scene};
--- a/crates/model/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_decide::Sender;
-use rudderspindle_decide::interface::*;
-use rudderspindle_share::{Fleet, Incarnation, Ramp, Rights};
+use rudderspindle_gossip::{Fleet, Incarnation, Ramp, Rights};
+use rudderspindle_policy::Sender;
+use rudderspindle_policy::interface::*;
 
 use super::client::Client;
 use super::limit::Counter;
--- a/crates/model/src/partner/post.rs
+++ b/crates/simulation/src/partner/post.rs
@@ -1,7 +1,7 @@
 //! Notes between the senders of a scene.
 
-use rudderspindle_decide::interface::Millis;
-use rudderspindle_share::Letter;
+use rudderspindle_gossip::Letter;
+use rudderspindle_policy::interface::Millis;
 
 use super::TICK;
 use super::client::Client;
--- a/crates/model/src/partner/scene.rs
+++ b/crates/simulation/src/partner/scene.rs
@@ -1,6 +1,6 @@
 //! What is played: how many senders, what the partner takes, what strikes it.
 
-use rudderspindle_decide::interface::Millis;
+use rudderspindle_policy::interface::Millis;
 
 use super::draw::Draw;
 
--- a/crates/model/src/partner/seen.rs
+++ b/crates/simulation/src/partner/seen.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use rudderspindle_decide::interface::Millis;
+use rudderspindle_policy::interface::Millis;
 
 use super::{FALL_MULTIPLE, TIP_AFTER, warmth};
 
--- a/crates/model/src/parts.rs
+++ b/crates/simulation/src/parts.rs
@@ -1,6 +1,6 @@
 //! Settings, list entries and outcomes as tests and scenes use them.
 
-use rudderspindle_decide::interface::*;
+use rudderspindle_policy::interface::*;
 
 /// A class of worth 1, wanted within 2 s and given up after 10 s.
 pub fn class(effect: Effect) -> Class {
--- a/crates/model/tests/options.rs
+++ b/crates/simulation/tests/options.rs
@@ -1,7 +1,7 @@
 //! Rights that are given up before the note leaves, and shares by sums under a lease, in the same world.
 
-use rudderspindle_model::leased::options;
-use rudderspindle_model::partner::most_by_rights;
+use rudderspindle_simulation::leased::options;
+use rudderspindle_simulation::partner::most_by_rights;
 
 const SENDERS: usize = 12;
 const LIMIT: f64 = 60.0;
--- a/crates/model/tests/strict.rs
+++ b/crates/simulation/tests/strict.rs
@@ -1,6 +1,6 @@
 //! Thirty senders before one limit, each call of which needs a turn.
 
-use rudderspindle_model::partner::*;
+use rudderspindle_simulation::partner::*;
 
 const LIMIT: f64 = 60.0;
 
--- a/crates/drill/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, Read};
 
-use rudderspindle_decide::interface::*;
+use rudderspindle_policy::interface::*;
 
 /// What stands wrong in a frame.
 #[derive(Debug, PartialEq, Eq)]
--- a/crates/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -8,9 +8,9 @@
 use std::process::ExitCode;
 
 use frame::{Batch, Record, Reply};
-use rudderspindle_decide::Sender;
-use rudderspindle_decide::interface::*;
-use rudderspindle_decide::settings;
+use rudderspindle_policy::Sender;
+use rudderspindle_policy::interface::*;
+use rudderspindle_policy::settings;
 
 fn main() -> ExitCode {
     match run() {
--- a/crates/drill/tests/replay/main.rs
+++ b/crates/simulator-adapter/tests/replay/main.rs
@@ -4,20 +4,20 @@
 //! The simulated host is that of the decision module's own replay; here it has the wire's events only.
 
 // Some of what the host can tell has no frame on the wire.
-#[path = "../../../decide/tests/replay/exchange.rs"]
+#[path = "../../../policy/tests/replay/exchange.rs"]
 #[allow(dead_code)]
 mod exchange;
-#[path = "../../../decide/tests/replay/golden.rs"]
+#[path = "../../../policy/tests/replay/golden.rs"]
 mod golden;
-#[path = "../../../decide/tests/replay/host.rs"]
+#[path = "../../../policy/tests/replay/host.rs"]
 mod host;
-#[path = "../../../decide/tests/replay/inputs.rs"]
+#[path = "../../../policy/tests/replay/inputs.rs"]
 mod inputs;
-#[path = "../../../decide/tests/replay/module_only.rs"]
+#[path = "../../../policy/tests/replay/module_only.rs"]
 mod module_only;
-#[path = "../../../decide/tests/replay/partner.rs"]
+#[path = "../../../policy/tests/replay/partner.rs"]
 mod partner;
-#[path = "../../../decide/tests/replay/random.rs"]
+#[path = "../../../policy/tests/replay/random.rs"]
 mod random;
 mod wire;
 
@@ -28,11 +28,11 @@
 use host::Session;
 use wire::Process;
 
-const TOGETHER: &str = include_str!("../../../decide/tests/replay/settings/together.json");
-const APART: &str = include_str!("../../../decide/tests/replay/settings/apart.json");
-const FLEET: &str = include_str!("../../../decide/tests/replay/settings/fleet.json");
-const SCARCE: &str = include_str!("../../../decide/tests/replay/settings/scarce.json");
-const NARROW: &str = include_str!("../../../decide/tests/replay/settings/narrow.json");
+const TOGETHER: &str = include_str!("../../../policy/tests/replay/settings/together.json");
+const APART: &str = include_str!("../../../policy/tests/replay/settings/apart.json");
+const FLEET: &str = include_str!("../../../policy/tests/replay/settings/fleet.json");
+const SCARCE: &str = include_str!("../../../policy/tests/replay/settings/scarce.json");
+const NARROW: &str = include_str!("../../../policy/tests/replay/settings/narrow.json");
 
 const SESSIONS: [Session; 6] = [
     session("together", 1, &[TOGETHER, TOGETHER]),
--- a/crates/standin/src/judge.rs
+++ b/crates/testkit/src/judge.rs
@@ -199,8 +199,8 @@
 /// Judges a whole log.
 ///
 /// ```
-/// use rudderspindle_standin::evidence::{Event, Line, Rules, VERSION};
-/// use rudderspindle_standin::judge::judge;
+/// use rudderspindle_testkit::evidence::{Event, Line, Rules, VERSION};
+/// use rudderspindle_testkit::judge::judge;
 ///
 /// let world = Event::World { v: VERSION, classes: vec![], endpoints: vec![], rules: Rules::default() };
 /// let verdict = judge(&[Line { t: 0, event: world }]);
--- a/crates/standin/src/link.rs
+++ b/crates/testkit/src/link.rs
@@ -67,7 +67,7 @@
     /// What the sockets say.
     ///
     /// ```
-    /// # use rudderspindle_standin::link::{Fault, Link};
+    /// # use rudderspindle_testkit::link::{Fault, Link};
     /// # #[tokio::main(flavor = "current_thread")] async fn main() -> std::io::Result<()> {
     /// let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     /// let link = Link::start(listener.local_addr()?).await?;
--- a/crates/standin/src/mesh.rs
+++ b/crates/testkit/src/mesh.rs
@@ -71,7 +71,7 @@
     /// What the sockets say.
     ///
     /// ```
-    /// # use rudderspindle_standin::mesh::Mesh;
+    /// # use rudderspindle_testkit::mesh::Mesh;
     /// # #[tokio::main(flavor = "current_thread")] async fn main() -> std::io::Result<()> {
     /// let a = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
     /// let b = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
--- a/crates/standin/src/weather.rs
+++ b/crates/testkit/src/weather.rs
@@ -32,7 +32,7 @@
 /// A way from one sender to another, with chance of its own.
 ///
 /// ```
-/// # use rudderspindle_standin::weather::{Way, Weather};
+/// # use rudderspindle_testkit::weather::{Way, Weather};
 /// let mut way = Way::new(7, 0, 1);
 /// let foul = Weather { duplicate: 1.0, ..Weather::default() };
 /// // Both copies at once.
--- a/crates/standin/tests/judge.rs
+++ b/crates/testkit/tests/judge.rs
@@ -4,11 +4,11 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rudderspindle_standin::evidence::{
+use rudderspindle_testkit::evidence::{
     Class, Effect, Endpoint, Event, Group, Life, Line, Rules, VERSION, read, write,
 };
-use rudderspindle_standin::judge::{Rule, Verdict, judge};
-use rudderspindle_standin::script::Draw;
+use rudderspindle_testkit::judge::{Rule, Verdict, judge};
+use rudderspindle_testkit::script::Draw;
 
 /// A log that is written by hand: times in milliseconds.
 struct Log(Vec<Line>);
--- a/crates/standin/tests/mesh.rs
+++ b/crates/testkit/tests/mesh.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use rudderspindle_standin::mesh::{Counts, Mesh};
-use rudderspindle_standin::weather::Weather;
+use rudderspindle_testkit::mesh::{Counts, Mesh};
+use rudderspindle_testkit::weather::Weather;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
--- a/crates/standin/tests/wrong_senders.rs
+++ b/crates/testkit/tests/wrong_senders.rs
@@ -6,14 +6,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use rudderspindle_standin::agent::{Agent, Entry};
-use rudderspindle_standin::evidence::{Class, Effect, Event, Evidence, Group, Life, Rules};
-use rudderspindle_standin::judge::{Rule, Verdict, judge};
-use rudderspindle_standin::partner::Partner;
-use rudderspindle_standin::script::{
+use rudderspindle_testkit::agent::{Agent, Entry};
+use rudderspindle_testkit::evidence::{Class, Effect, Event, Evidence, Group, Life, Rules};
+use rudderspindle_testkit::judge::{Rule, Verdict, judge};
+use rudderspindle_testkit::partner::Partner;
+use rudderspindle_testkit::script::{
     EndpointPlan, Limit, Ms, Outage, PartnerPlan, PerSecond, Phase, Share, Tells,
 };
-use rudderspindle_standin::world::{endpoints, keep_time};
+use rudderspindle_testkit::world::{endpoints, keep_time};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
