--- a/crates/gossip/src/fleet.rs
+++ b/crates/gossip/src/fleet.rs
@@ -1,18 +1,18 @@
 //! What one sender tells and hears, round by round.
 
-mod adders;
+mod aggregators;
 mod alive;
 mod own;
 
 use std::collections::BTreeMap;
 
-use adders::Adders;
+use aggregators::Adders;
 use alive::Alive;
 pub use own::Own;
 use own::Seen;
 
-use crate::gate::Gate;
-use crate::note::{Note, NoteError, is_nothing};
+use crate::limit_id::Gate;
+use crate::message::{Note, NoteError, is_nothing};
 use crate::sums::{Collected, Level, Ramp, Sum};
 
 /// Length of a round, ms.
--- a/crates/gossip/src/fleet/alive.rs
+++ b/crates/gossip/src/fleet/alive.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::adders::MOST_ASKED;
+use super::aggregators::MOST_ASKED;
 
 /// By the sums of the last so many rounds it is reckoned who is alive...
 const ALIVE: u64 = 16;
--- a/crates/gossip/src/fleet/own.rs
+++ b/crates/gossip/src/fleet/own.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::gate::Gate;
+use crate::limit_id::Gate;
 use crate::sums::Sum;
 
 /// Counts are of this time, ms.
--- a/crates/gossip/src/fleet/tests.rs
+++ b/crates/gossip/src/fleet/tests.rs
@@ -1,7 +1,7 @@
-use super::adders::MOST_ASKED;
+use super::aggregators::MOST_ASKED;
 use super::alive::MOST_SUMS;
 use super::*;
-use crate::note::MOST_GATES;
+use crate::message::MOST_GATES;
 
 /// All may begin there at the same moment: until sums of a round that was told of a gate have come, it is as if each
 /// of the others wanted one call; and a sender that hears nothing goes on alone.
--- a/crates/gossip/src/views.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -6,18 +6,18 @@
 //! what it knows: registers added up with the names of whose they are, judgements by judge.
 
 mod error;
-mod note;
+mod message;
 mod tell;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::counts::{Counts, EPOCH, Interval, part};
+use crate::datagram_budget::Post;
 use crate::envelope::{Kind, open, read};
-use crate::judgements::{Judgements, Receiver};
 use crate::membership::{Incarnation, Roster, Standing};
-use crate::post::Post;
+use crate::outlier_detection::{Judgements, Receiver};
+use crate::tenant_usage::{Counts, EPOCH, Interval, part};
 pub use error::ViewsError;
-use note::{Aged, Judged, Report, View, epoch_of};
+use message::{Aged, Judged, Report, View, epoch_of};
 
 /// Senders of a tier at most: their bits take a fourth of a note.
 pub const MOST_SENDERS: usize = 512;
--- a/crates/gossip/src/views/note.rs
+++ b/crates/gossip/src/fleet_view/message.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::counts::{EPOCH, MOST_LISTED, Pane, Register};
 use crate::envelope::{EnvelopeError, Kind, LONGEST_BODY, bounded, seal};
-use crate::judgements::{MOST_TOLD, Receiver, Word};
+use crate::outlier_detection::{MOST_TOLD, Receiver, Word};
+use crate::tenant_usage::{EPOCH, MOST_LISTED, Pane, Register};
 
 /// Epochs of which a report tells, so that two lost ones are made up for.
 pub(super) const MOST_REGISTERS: usize = 3;
--- a/crates/gossip/src/views/tell.rs
+++ b/crates/gossip/src/fleet_view/tell.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::note::{Aged, Judged, MOST_JUDGES, MOST_PANES, MOST_RECEIVERS, MOST_REGISTERS};
-use super::note::{Report, ToldPane, ToldRegister, View, epoch_of};
+use super::message::{Aged, Judged, MOST_JUDGES, MOST_PANES, MOST_RECEIVERS, MOST_REGISTERS};
+use super::message::{Report, ToldPane, ToldRegister, View, epoch_of};
 use super::{Letter, Views};
 use crate::envelope::EnvelopeError;
-use crate::judgements::{Receiver, Word};
+use crate::outlier_detection::{Receiver, Word};
 
 /// Those that add up in a round where one did not answer, or there is word of a receiver that fails.
 const MOST_ASKED: usize = 2;
--- a/crates/gossip/src/views/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::counts::Register;
+use crate::datagram_budget::Class;
 use crate::envelope::{LONGEST_BODY, seal};
-use crate::judgements::Word;
-use crate::post::Class;
-use note::{MOST_JUDGES, MOST_RECEIVERS, ToldPane, ToldRegister};
+use crate::outlier_detection::Word;
+use crate::tenant_usage::Register;
+use message::{MOST_JUDGES, MOST_RECEIVERS, ToldPane, ToldRegister};
 use proptest::prelude::*;
 
 const NOW: u64 = 1_700_000_000_500;
@@ -114,7 +114,7 @@
             let register = Register { totals, rest: n[0], partial: b[0] % 2 == 0 };
             let aged = Aged::new(now / EPOCH, &Word { last: absurd, first: u64::from(n[0]), back: false });
             let note = if view {
-                let pane = crate::counts::Pane::of(&[(usize::from(b[1]), &register)], usize::from(b[2]));
+                let pane = crate::tenant_usage::Pane::of(&[(usize::from(b[1]), &register)], usize::from(b[2]));
                 let judges = vec![(u16::from(b[3]), aged); MOST_JUDGES];
                 let words = vec![Judged { receiver: Receiver::of(b[4].into(), "r"), judges }; MOST_RECEIVERS];
                 View { incarnation, round, panes: vec![ToldPane { back: b[5], pane }], words }.encode()
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -9,30 +9,30 @@
 //! No I/O and no clock: [`Fleet`] is given the time and the datagrams, and says which to send.
 #![forbid(unsafe_code)]
 
-mod counts;
+mod capacity;
+mod datagram_budget;
 mod envelope;
 mod fleet;
-mod gate;
+mod fleet_view;
 #[cfg(test)]
 mod golden;
-mod judgements;
+mod limit_id;
 mod membership;
-mod note;
-mod post;
-mod rights;
-mod room;
+mod message;
+mod outlier_detection;
+mod permits;
 mod sums;
-mod views;
+mod tenant_usage;
 
-pub use counts::{Counts, EPOCH, Interval, LAG, MOST_OF_ALL, Pane, Quota, Register, part};
+pub use capacity::{Flow, Room};
+pub use datagram_budget::{Class, Post};
 pub use envelope::{EnvelopeError, Kind, LONGEST_BODY, open, read, seal};
 pub use fleet::{Fleet, Letter, Own, ROUND};
-pub use gate::Gate;
-pub use judgements::{Judgements, Receiver, Seen, Word};
+pub use fleet_view::{MOST_SENDERS, STALE, Views, ViewsError};
+pub use limit_id::Gate;
 pub use membership::{Fate, Incarnation, Roster, Standing, TooFarAhead};
-pub use note::{LONGEST_NOTE, NoteError};
-pub use post::{Class, Post};
-pub use rights::{Rights, RightsError, Turn};
-pub use room::{Flow, Room};
+pub use message::{LONGEST_NOTE, NoteError};
+pub use outlier_detection::{Judgements, Receiver, Seen, Word};
+pub use permits::{Rights, RightsError, Turn};
 pub use sums::{Ramp, Sum};
-pub use views::{MOST_SENDERS, STALE, Views, ViewsError};
+pub use tenant_usage::{Counts, EPOCH, Interval, LAG, MOST_OF_ALL, Pane, Quota, Register, part};
--- a/crates/gossip/src/note.rs
+++ b/crates/gossip/src/message.rs
@@ -11,7 +11,7 @@
 //!
 //! All little endian. Figures are coded: up to 16 as they are, above that in steps of a twenty-fourth.
 
-use crate::gate::Gate;
+use crate::limit_id::Gate;
 use crate::sums::Sum;
 
 /// Bytes of a note at most, as the platform has it.
--- a/crates/gossip/src/rights.rs
+++ b/crates/gossip/src/permits.rs
@@ -8,12 +8,12 @@
 //! twice. Where `n` senders' clocks differ by `e` at the most, calls started in a span `s` are at the most
 //! `0.95 * limit * (s + VALID + 2 e) + 1`; while the list is changing, with the larger limit.
 
-mod dealer;
-mod dealers;
+mod allocator_selection;
 #[cfg(test)]
 mod exhaustive;
 mod held;
-mod note;
+mod message;
+mod permit_allocator;
 #[cfg(test)]
 mod refusals;
 mod rounds;
@@ -25,12 +25,12 @@
 
 use crate::envelope::EnvelopeError;
 use crate::fleet::{Letter, Own};
-use crate::gate::Gate;
+use crate::limit_id::Gate;
 use crate::membership::Incarnation;
-use dealer::Dealer;
-use dealers::Dealers;
+use allocator_selection::Dealers;
 use held::Held;
-use note::{Grant, MOST_GATES, MOST_TURNS, Offer, OfferEntry, RightsNote};
+use message::{Grant, MOST_GATES, MOST_TURNS, Offer, OfferEntry, RightsNote};
+use permit_allocator::Dealer;
 pub use rounds::ROUND;
 use rounds::{BACK, NOTE_LIVES, OFFERING, term};
 use schedule::Schedule;
--- a/crates/gossip/src/rights/held.rs
+++ b/crates/gossip/src/permits/held.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Turn;
-use super::note::{GrantEntry, MOST_TURNS};
+use super::message::{GrantEntry, MOST_TURNS};
 use super::rounds::{BACK, LEAD, ROUND, VALID, term};
 use super::schedule::Schedule;
 
--- a/crates/gossip/src/rights/dealer.rs
+++ b/crates/gossip/src/permits/permit_allocator.rs
@@ -4,10 +4,10 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::note::{Grant, GrantEntry, MOST_GATES, MOST_TURNS, Offer, OfferEntry, RightsNote};
+use super::message::{Grant, GrantEntry, MOST_GATES, MOST_TURNS, Offer, OfferEntry, RightsNote};
 use super::rounds::term;
 use super::schedule::Schedule;
-use crate::gate::Gate;
+use crate::limit_id::Gate;
 
 /// What came for one round: from each sender its first offer.
 type Offers = BTreeMap<usize, Offer>;
--- a/crates/gossip/src/rights/refusals.rs
+++ b/crates/gossip/src/permits/refusals.rs
@@ -1,6 +1,6 @@
 //! What rights refuse to be told, or to bring back.
 
-use super::note::GrantEntry;
+use super::message::GrantEntry;
 use super::rounds::VALID;
 use super::*;
 
--- a/crates/gossip/src/rights/schedule.rs
+++ b/crates/gossip/src/permits/schedule.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use crate::gate::Gate;
+use crate::limit_id::Gate;
 
 /// The part of a limit that is given out as turns: calls do not arrive as evenly as they start.
 const GIVEN: f64 = 0.95;
--- a/crates/gossip/src/rights/tests.rs
+++ b/crates/gossip/src/permits/tests.rs
@@ -53,7 +53,7 @@
         (0..).map(|n| DAWN + n * ROUND).find_map(|at| rights.offer(at + 300, &own)).expect("asked");
     let round = rights.offered;
     let entry =
-        note::GrantEntry { gate: gate.0, mark: Schedule::new(gate, 60.0, 3).mark(), gaps: vec![1, 1, 1] };
+        message::GrantEntry { gate: gate.0, mark: Schedule::new(gate, 60.0, 3).mark(), gaps: vec![1, 1, 1] };
     let grant = |incarnation, round| {
         let grant =
             Grant { round, incarnation: Incarnation(incarnation), heard: 7, entries: vec![entry.clone()] };
@@ -140,7 +140,7 @@
             let _ = rights.hear(wall, from, &offer.encode().expect("short enough"));
         }
         if let Some((dealer, _)) = asked {
-            let entry = |o: &Own| note::GrantEntry {
+            let entry = |o: &Own| message::GrantEntry {
                 gate: o.gate.0,
                 mark: Schedule::new(o.gate, 30.0, 9).mark(),
                 gaps: vec![0, 1, 2, u16::MAX, 1],
--- a/crates/gossip/src/sums.rs
+++ b/crates/gossip/src/sums.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::gate::Gate;
+use crate::limit_id::Gate;
 
 /// K of the drop formula: the design's default, as in the decision module.
 const K: f64 = 1.5;
--- a/crates/gossip/tests/fleet_of_views/main.rs
+++ b/crates/gossip/tests/fleet_view/main.rs
@@ -1,5 +1,5 @@
 //! Many senders' views, joined by a wire that loses, doubles, delays, cuts and replays.
 
-mod counts;
-mod judgements;
+mod outlier_detection;
+mod tenant_usage;
 mod world;
