--- a/crates/sender/src/operator.rs
+++ b/crates/sender/src/control.rs
@@ -19,10 +19,10 @@
 use tokio::time::timeout;
 
 use crate::accept::Acceptor;
-use crate::door::Door;
+use crate::admission_state::Door;
 use crate::event::Input;
-use crate::figures::Figures;
-use crate::linger;
+use crate::graceful_close;
+use crate::metrics::Figures;
 
 /// Connections that are open at once; beyond it the longest open one goes.
 const MOST_CALLERS: usize = 12;
@@ -83,7 +83,7 @@
                     // Who says nothing, or does not read the answer, is let go.
                     _ = timeout(CALL_TIME, this.serve(&mut stream)) => {}
                 }
-                linger::finish(&Rc::new(RefCell::new(stream)), close.notified()).await;
+                graceful_close::finish(&Rc::new(RefCell::new(stream)), close.notified()).await;
                 callers.borrow_mut().remove(&number);
             });
         }
--- a/crates/sender/src/operator/golden.rs
+++ b/crates/sender/src/control/golden.rs
@@ -1,7 +1,7 @@
 //! What operators are answered, compared with the answers of the version before the renames.
 
 use super::*;
-use crate::figures::{End, Standing};
+use crate::metrics::{End, Standing};
 
 const SERVING: &str = include_str!("../../tests/golden/control.serving.txt");
 const STOPPING: &str = include_str!("../../tests/golden/control.stopping.txt");
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -12,8 +12,8 @@
 
 use self::decoder::{DecodeError, Decoder, Item, LONGEST_LIST};
 use crate::event::{Input, List};
-use crate::pace::Pace;
 use crate::platform::{Driver, HttpError, connect};
+use crate::poll_schedule::Pace;
 
 mod decoder;
 
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -23,12 +23,12 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use crate::doings::Kept;
+use crate::activity::Kept;
 use crate::event::{Answer, Call, Doings, Input, List, Member, Report, STORY, Submission};
-use crate::figures::{End, Figures, Standing};
 use crate::handover::{self, Neighbour, Word};
+use crate::metrics::{End, Figures, Standing};
+use crate::notifications::Reports;
 use crate::outbound::{CallOut, Outbound, Route};
-use crate::reports::Reports;
 
 /// After SIGTERM, calls start for so long: what starts later may not finish.
 const STOP_SENDING: Duration = Duration::from_millis(2_000);
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::figures::Standing;
+use crate::metrics::Standing;
 
 /// The header that carries a message's key, on the way in and on the way out.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
--- a/crates/sender/src/linger.rs
+++ b/crates/sender/src/graceful_close.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::time::sleep;
 
-use crate::meter::Socket;
+use crate::write_progress::Socket;
 
 /// A peer that reads hears of the end within a round trip, and ends its side then. One that has not done so by now
 /// is as good as gone.
--- a/crates/sender/src/inbound.rs
+++ b/crates/sender/src/inbound.rs
@@ -21,12 +21,12 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::accept::Acceptor;
-use crate::door::Door;
+use crate::admission_state::Door;
+use crate::connection_slots::{ClientId, Places};
 use crate::event::Input;
-use crate::figures::Figures;
-use crate::linger;
-use crate::meter::{MAX_BUFFER, Metered};
-use crate::places::{ClientId, Places};
+use crate::graceful_close;
+use crate::metrics::Figures;
+use crate::write_progress::{MAX_BUFFER, Metered};
 use client::Client;
 
 /// How often the connections are looked over.
@@ -161,7 +161,7 @@
 
     /// For those that still do not go.
     fn abandon(&self) {
-        self.clients.borrow().values().for_each(|c| linger::abandon(&c.socket));
+        self.clients.borrow().values().for_each(|c| graceful_close::abandon(&c.socket));
     }
 
     async fn all_ended(&self) {
@@ -208,7 +208,7 @@
             let _ = self.host.send(Input::Withdrawn(number)).await;
         }
         self.places.borrow_mut().leaves(client.id, self.now());
-        linger::finish(&client.socket, client.hurry.notified()).await;
+        graceful_close::finish(&client.socket, client.hurry.notified()).await;
     }
 
     /// Answers requests until the connection has to end.
--- a/crates/sender/src/inbound/client.rs
+++ b/crates/sender/src/inbound/client.rs
@@ -9,9 +9,9 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::linger;
-use crate::meter::{Meter, Socket};
-use crate::places::ClientId;
+use crate::connection_slots::ClientId;
+use crate::graceful_close;
+use crate::write_progress::{Meter, Socket};
 
 /// So long after it connected a client's first request must have come, whole.
 const FIRST_REQUEST: Duration = Duration::from_millis(2_300);
@@ -62,7 +62,7 @@
 
     /// Whether bytes have come that were not read.
     pub(super) fn has_unread(&self) -> bool {
-        linger::has_unread(&self.socket)
+        graceful_close::has_unread(&self.socket)
     }
 
     /// A request has its answer; the next one may come.
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -13,7 +13,7 @@
 
 use super::*;
 use crate::event::{Answer, IDEMPOTENCY_KEY, Submission};
-use crate::figures::End;
+use crate::metrics::End;
 
 const X_TXN: HeaderName = HeaderName::from_static("x-txn");
 const X_ORG: HeaderName = HeaderName::from_static("x-org");
--- a/crates/sender/src/inbound/tests/closing.rs
+++ b/crates/sender/src/inbound/tests/closing.rs
@@ -88,7 +88,7 @@
         let (_newcomer, id) = world.resting().await;
         let open = |world: &World| world.inbound.clients.borrow().keys().copied().collect::<Vec<_>>();
         assert_eq!((open(&world), id), ((1..=8).collect(), 8), "the first to go is the first to be let go");
-        tokio::time::advance(linger::LONGEST).await;
+        tokio::time::advance(graceful_close::LONGEST).await;
         until(|| open(&world).len() == 1).await;
         assert_eq!(open(&world), [8]);
     };
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -32,31 +32,31 @@
 }
 
 mod accept;
+mod activity;
+mod admission_state;
 mod config;
+mod connection_slots;
+mod control;
 mod discovery;
-mod doings;
-mod door;
 mod engine;
 mod event;
 #[cfg(feature = "failpoints")]
 mod failpoint;
-mod figures;
 mod fleet_file;
+mod gossip;
+mod graceful_close;
 mod handover;
 mod inbound;
-mod life;
-mod linger;
-mod meter;
-mod operator;
+mod incarnation;
+mod metrics;
+mod notifications;
 mod outbound;
-mod pace;
-mod peers;
-mod places;
 mod platform;
-mod reports;
+mod poll_schedule;
 mod service;
+mod write_progress;
 
 pub use config::{StartError, Usable};
 pub use fleet_file::{Bound, FleetFile, FleetFileError, Share};
-pub use pace::Pace;
+pub use poll_schedule::Pace;
 pub use service::{Control, Service};
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -27,9 +27,9 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
 use crate::event::{Call, IDEMPOTENCY_KEY, Input, Report, STORY};
-use crate::figures::Figures;
 use crate::handover::{Neighbour, Word};
-use crate::meter::{MAX_BUFFER, Meter, Metered};
+use crate::metrics::Figures;
+use crate::write_progress::{MAX_BUFFER, Meter, Metered};
 use backoff::Waits;
 use exchange::Bounds;
 pub use outcome::LONGEST_WAIT;
--- a/crates/sender/src/platform.rs
+++ b/crates/sender/src/platform.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-use crate::meter::MAX_BUFFER;
+use crate::write_progress::MAX_BUFFER;
 
 /// What can go wrong with a request to the platform.
 #[derive(Debug, thiserror::Error)]
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -11,20 +11,20 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 
+use crate::admission_state::Door;
 use crate::config::{StartError, Usable};
+use crate::control::Operator;
 use crate::discovery;
-use crate::door::Door;
 use crate::engine::{Engine, Parts};
 use crate::event::{Input, List};
-use crate::figures::Figures;
+use crate::gossip::{FLEET, Peers, Together};
 use crate::handover::{self, Neighbour, Told};
 use crate::inbound::{self, Inbound};
-use crate::life;
-use crate::operator::Operator;
+use crate::incarnation;
+use crate::metrics::Figures;
+use crate::notifications::Reports;
 use crate::outbound::Outbound;
-use crate::pace::Pace;
-use crate::peers::{FLEET, Peers, Together};
-use crate::reports::Reports;
+use crate::poll_schedule::Pace;
 
 /// Inputs that may wait for the engine.
 const QUEUE: usize = 4096;
@@ -140,7 +140,7 @@
         spawn_local(async move { outbound.sweep().await });
         if let Some(notes) = notes {
             let life = if strict || together {
-                let life = life::begin(state, wall_ms());
+                let life = incarnation::begin(state, wall_ms());
                 Some(life.map_err(|error| StartError::State { path: state.to_owned(), error })?)
             } else {
                 None
--- a/crates/sender/src/meter.rs
+++ b/crates/sender/src/write_progress.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-use crate::figures::Figures;
+use crate::metrics::Figures;
 
 /// Bytes that a connection buffers of a head or a body at most, either way.
 pub(crate) const MAX_BUFFER: usize = 16 * 1024;
