--- a/crates/benchmarks/src/evening.rs
+++ b/crates/benchmarks/src/evening.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use indicatif::{ProgressBar, ProgressStyle};
-use rudderspindle_testkit::evidence;
-use rudderspindle_testkit::judge::{Accounting, Return, Verdict, judge};
+use rudderspindle_testkit::checker::{Accounting, Return, Verdict, check_events};
+use rudderspindle_testkit::event_log;
 use rudderspindle_testkit::program::Launch;
-use rudderspindle_testkit::script::Script;
+use rudderspindle_testkit::scenario::Script;
 use rudderspindle_testkit::world::{Played, Stage, World};
 
 use crate::report::Report;
@@ -59,7 +59,7 @@
         }
         let stage = Stage { launch: Launch::from(sender.as_path()), folder, longest: LONGEST };
         let played = World::set_up(&script, &stage).await?.play().await;
-        let verdict = judge(&played.lines);
+        let verdict = check_events(&played.lines);
         if let Some(keep) = &keep {
             keep_evidence(keep, seed, &played)?;
         }
@@ -186,5 +186,5 @@
 
 fn keep_evidence(keep: &Path, seed: u64, played: &Played) -> std::io::Result<()> {
     let file = std::fs::File::create(keep.join(format!("{seed}.jsonl")))?;
-    evidence::write(&played.lines, std::io::BufWriter::new(file))
+    event_log::write(&played.lines, std::io::BufWriter::new(file))
 }
--- a/crates/benchmarks/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -10,10 +10,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use rudderspindle_testkit::agent::{Agent, Entry};
-use rudderspindle_testkit::evidence::{Evidence, Rules};
+use rudderspindle_testkit::event_log::{Evidence, Rules};
+use rudderspindle_testkit::fake_discovery::{Agent, Entry};
 use rudderspindle_testkit::program::Program;
-use rudderspindle_testkit::script::Phase;
+use rudderspindle_testkit::scenario::Phase;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/daemon/tests/tier/mod.rs
+++ b/crates/daemon/tests/cluster/mod.rs
@@ -5,12 +5,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-use rudderspindle_testkit::judge::Verdict;
+use rudderspindle_testkit::checker::Verdict;
+use rudderspindle_testkit::cluster::{Journal, Tier};
+use rudderspindle_testkit::fault_schedule::Weather;
 use rudderspindle_testkit::program::Launch;
-use rudderspindle_testkit::script::Script;
-use rudderspindle_testkit::tier::{Journal, Tier};
+use rudderspindle_testkit::scenario::Script;
 use rudderspindle_testkit::usage::Usage;
-use rudderspindle_testkit::weather::Weather;
 use tempfile::TempDir;
 use tokio::time::sleep;
 
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-pub use rudderspindle_testkit::exact::*;
+pub use rudderspindle_testkit::scripted_peers::*;
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use tempfile::TempDir;
--- a/crates/daemon/tests/evening/mod.rs
+++ b/crates/daemon/tests/evening/mod.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-use rudderspindle_testkit::evidence::Line;
-use rudderspindle_testkit::judge::{Verdict, judge};
+use rudderspindle_testkit::checker::{Verdict, check_events};
+use rudderspindle_testkit::event_log::Line;
 use rudderspindle_testkit::program::Launch;
-use rudderspindle_testkit::script::Script;
+use rudderspindle_testkit::scenario::Script;
 use rudderspindle_testkit::world::{Stage, World};
 
 /// Plays it until the stand-ins were not late, three times at the most; no message is delivered for longer.
@@ -19,7 +19,7 @@
         let stage = Stage { launch, folder: folder.path().to_owned(), longest };
         let played = World::set_up(&script, &stage).await.expect("a world").play().await;
         assert_eq!(played.failed, Vec::<String>::new());
-        let verdict = judge(&played.lines);
+        let verdict = check_events(&played.lines);
         if !verdict.in_doubt() {
             return (played.lines, verdict);
         }
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -1,17 +1,17 @@
 //! Several senders, each a process, with notes between them and faults among them.
 
-mod tier;
+mod cluster;
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use rudderspindle_testkit::judge::Verdict;
-use rudderspindle_testkit::mesh::Mesh;
-use rudderspindle_testkit::tier::Journal;
-use rudderspindle_testkit::weather::Weather;
+use rudderspindle_testkit::checker::Verdict;
+use rudderspindle_testkit::cluster::Journal;
+use rudderspindle_testkit::datagram_proxy::Mesh;
+use rudderspindle_testkit::fault_schedule::Weather;
 use tokio::time::sleep;
 
-use tier::{HEAD, SENDERS, table};
+use cluster::{HEAD, SENDERS, table};
 
 /// Waits until something is so.
 async fn soon(what: &str, mut is: impl FnMut() -> bool) {
@@ -36,8 +36,8 @@
 /// Twelve processes hear one another; one is cut off, the others' notes suffer, one is killed, one stopped, and each is
 /// heard again.
 async fn play() -> Verdict {
-    let (mut tier, folder) = tier::tier(8, 1, None).await;
-    let logged = |text: &str| tier::logged(folder.path(), text);
+    let (mut tier, folder) = cluster::tier(8, 1, None).await;
+    let logged = |text: &str| cluster::logged(folder.path(), text);
     tier.load();
     for sender in 0..SENDERS {
         soon("each has told and heard", || heard(&tier.mesh, sender).0 > 1 && told(&tier.mesh, sender) > 1)
@@ -116,7 +116,7 @@
     // Late ends are no fault here: a process stopped for longer than its messages last cannot end them in time.
     let accounts = &verdict.accounting;
     assert_eq!((accounts.lost, accounts.doubled, accounts.open), (0, 0, 0), "{verdict}");
-    let strict = |row: &tier::Row| row.usage.worst <= 1.10 && row.usage.refused <= 0.05;
+    let strict = |row: &cluster::Row| row.usage.worst <= 1.10 && row.usage.refused <= 0.05;
     let over: Vec<String> = rows.iter().filter(|row| !strict(row)).map(ToString::to_string).collect();
     assert!(over.is_empty(), "over the limit or refused too often:\n{HEAD}\n{}", over.join("\n"));
     assert!(rows[0].usage.mean >= 0.90, "{}", rows[0]);
--- a/crates/daemon/tests/judgements.rs
+++ b/crates/daemon/tests/judgements.rs
@@ -1,12 +1,12 @@
 //! Twelve processes that tell one another of a receiver that fails: their halls avoid it, for as long as it does.
 
-mod tier;
+mod cluster;
 
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use rudderspindle_testkit::script::Outage;
-use tier::SENDERS;
+use cluster::SENDERS;
+use rudderspindle_testkit::scenario::Outage;
 use tokio::time::sleep;
 
 /// What a sender's log says when others' judgement takes a receiver away, and when it gives all back.
@@ -30,7 +30,7 @@
 #[tokio::test]
 async fn a_receiver_that_a_hall_sees_fail_is_avoided_by_all_of_it_and_used_again_when_it_is_back() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet.example.toml");
-    let (mut tier, folder) = tier::tier(28, 3, Some(&file)).await;
+    let (mut tier, folder) = cluster::tier(28, 3, Some(&file)).await;
     tier.load();
     sleep(Duration::from_secs(3)).await;
     assert_eq!(logs(folder.path(), 0, AVOIDED), 0, "nothing fails");
--- a/crates/daemon/tests/rights.rs
+++ b/crates/daemon/tests/rights.rs
@@ -1,13 +1,13 @@
 //! Twelve processes with rights to call, and faults among them: the limit holds, whoever hears nothing.
 
-mod tier;
+mod cluster;
 
 use std::path::Path;
 use std::time::Duration;
 
-use rudderspindle_testkit::tier::{Journal, Tier};
-use rudderspindle_testkit::weather::Weather;
-use tier::{HEAD, Row, SENDERS};
+use cluster::{HEAD, Row, SENDERS};
+use rudderspindle_testkit::cluster::{Journal, Tier};
+use rudderspindle_testkit::fault_schedule::Weather;
 use tokio::time::sleep;
 
 /// In any second so much of the limit at most may start: turns are 0.95 of it, each for a tenth of a second.
@@ -21,7 +21,7 @@
 
 /// The phases one after another, and whether the machine was too busy to tell anything.
 async fn play(file: &Path) -> (Vec<Row>, bool) {
-    let (mut tier, _folder) = tier::tier(19, 7, Some(file)).await;
+    let (mut tier, _folder) = cluster::tier(19, 7, Some(file)).await;
     let all: Vec<usize> = (0..SENDERS).collect();
     let half = &all[..SENDERS / 2];
     let mut rows = Vec::new();
--- a/crates/daemon/tests/troubles.rs
+++ b/crates/daemon/tests/troubles.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use rudderspindle_testkit::evidence::{Event, Line};
+use rudderspindle_testkit::event_log::{Event, Line};
 
 const TRAFFIC: &str = r#"
 seed = 8
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -12,10 +12,10 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use rudderspindle_testkit::evidence::Evidence;
-use rudderspindle_testkit::judge::judge;
+use rudderspindle_testkit::checker::check_events;
+use rudderspindle_testkit::event_log::Evidence;
 use rudderspindle_testkit::program::Launch;
-use rudderspindle_testkit::script::{Script, ScriptError};
+use rudderspindle_testkit::scenario::{Script, ScriptError};
 use rudderspindle_testkit::world::{Stage, StageError, World};
 use screen::Screen;
 use tally::Tally;
@@ -140,7 +140,7 @@
     show(&evidence, &mut seen, &mut tally, &mut screen);
     screen.table(&tally);
     let played = played.map_err(std::io::Error::other)?;
-    let verdict = judge(&played.lines);
+    let verdict = check_events(&played.lines);
     println!("\n{verdict}");
     for failed in &played.failed {
         println!("FAILED: {failed}");
--- a/crates/demo/src/page.rs
+++ b/crates/demo/src/page.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use rudderspindle_testkit::judge::{Rule, Verdict};
+use rudderspindle_testkit::checker::{Rule, Verdict};
 
 use crate::tally::{Partner, Second, Span, Tally};
 
--- a/crates/demo/src/tally.rs
+++ b/crates/demo/src/tally.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use rudderspindle_testkit::evidence::{Event, Life, Line};
-use rudderspindle_testkit::script::Script;
+use rudderspindle_testkit::event_log::{Event, Life, Line};
+use rudderspindle_testkit::scenario::Script;
 
 /// A partner's figures in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/http2/tests/client/connections.rs
+++ b/crates/http2/tests/client/connections.rs
@@ -10,7 +10,7 @@
 use rudderspindle_http2::client::Endpoint;
 use rudderspindle_http2::outcome::{DeliveryOutcome, StreamOutcome};
 use rudderspindle_http2::pool::PoolLimits;
-use rudderspindle_testkit::exact::soon;
+use rudderspindle_testkit::scripted_peers::soon;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
--- a/crates/testkit/src/judge.rs
+++ b/crates/testkit/src/checker.rs
@@ -7,7 +7,7 @@
 
 use serde::Serialize;
 
-use crate::evidence::{Class, Effect, Endpoint, Event, Group, Life, Line, Rules};
+use crate::event_log::{Class, Effect, Endpoint, Event, Group, Life, Line, Rules};
 
 /// A stand-in that was later than this puts the whole run in doubt, microseconds.
 pub const LATE_US: u64 = 50_000;
@@ -199,19 +199,19 @@
 /// Judges a whole log.
 ///
 /// ```
-/// use rudderspindle_testkit::evidence::{Event, Line, Rules, VERSION};
-/// use rudderspindle_testkit::judge::judge;
+/// use rudderspindle_testkit::event_log::{Event, Line, Rules, VERSION};
+/// use rudderspindle_testkit::checker::checker;
 ///
 /// let world = Event::World { v: VERSION, classes: vec![], endpoints: vec![], rules: Rules::default() };
-/// let verdict = judge(&[Line { t: 0, event: world }]);
+/// let verdict = check_events(&[Line { t: 0, event: world }]);
 /// assert!(verdict.clean());
 /// ```
-pub fn judge(lines: &[Line]) -> Verdict {
-    let mut judge = Judge::default();
+pub fn check_events(lines: &[Line]) -> Verdict {
+    let mut check_events = Judge::default();
     for (n, line) in lines.iter().enumerate() {
-        judge.take(n + 1, line);
+        check_events.take(n + 1, line);
     }
-    judge.finish(lines.last().map_or(0, |line| line.t))
+    check_events.finish(lines.last().map_or(0, |line| line.t))
 }
 
 /// What a wait or an outage holds for: an endpoint that is apart, or a partner.
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -10,8 +10,8 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::evidence::{Event, Evidence};
-use crate::script::{Draw, Script};
+use crate::event_log::{Event, Evidence};
+use crate::scenario::{Draw, Script};
 
 /// A client waits so long for its answer.
 const PATIENCE: Duration = Duration::from_millis(400);
--- a/crates/testkit/src/tier.rs
+++ b/crates/testkit/src/cluster.rs
@@ -13,14 +13,14 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-use crate::agent::Agent;
+use crate::checker::{Judge, Verdict};
 use crate::client::{self, Clients};
-use crate::evidence::{Evidence, Rules};
-use crate::judge::{Judge, Verdict};
-use crate::mesh::Mesh;
-use crate::partner::Partner;
+use crate::datagram_proxy::Mesh;
+use crate::event_log::{Evidence, Rules};
+use crate::fake_discovery::Agent;
+use crate::fake_receiver::Partner;
 use crate::program::{Launch, Program};
-use crate::script::{Outage, Script};
+use crate::scenario::{Outage, Script};
 use crate::usage::Usage;
 use crate::world::{StageError, classes, configuration, endpoints, entries, keep_time, name};
 
@@ -129,14 +129,14 @@
         }
         let end = Instant::now() + self.longest + AFTER;
         // Line by line as they come: to judge all of them again and again would make the stand-ins late.
-        let (mut judge, mut seen) = (Judge::default(), 0);
+        let (mut check_events, mut seen) = (Judge::default(), 0);
         loop {
             for line in self.evidence.lines_from(seen) {
                 seen += 1;
-                judge.take(seen, &line);
+                check_events.take(seen, &line);
             }
-            if judge.open() == 0 || Instant::now() > end {
-                return judge.finish(self.evidence.now());
+            if check_events.open() == 0 || Instant::now() > end {
+                return check_events.finish(self.evidence.now());
             }
             sleep(LOOK).await;
         }
--- a/crates/testkit/src/mesh.rs
+++ b/crates/testkit/src/datagram_proxy.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-use crate::weather::{Way, Weather};
+use crate::fault_schedule::{Way, Weather};
 
 /// Notes are 256 bytes at most; what is longer is carried as well, so that its receiver can refuse it.
 const LONGEST: usize = 2_048;
@@ -71,7 +71,7 @@
     /// What the sockets say.
     ///
     /// ```
-    /// # use rudderspindle_testkit::mesh::Mesh;
+    /// # use rudderspindle_testkit::datagram_proxy::Mesh;
     /// # #[tokio::main(flavor = "current_thread")] async fn main() -> std::io::Result<()> {
     /// let a = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
     /// let b = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
--- a/crates/testkit/src/evidence.rs
+++ b/crates/testkit/src/event_log.rs
@@ -2,7 +2,7 @@
 //!
 //! The first line is `world` and carries the version of the format. Every line has `t`, microseconds since the
 //! log began. Later work replays such logs: fields may be added, none changes its meaning within a version.
-//! `docs/operate/judge.md` lists the events.
+//! `docs/operate/check_events.md` lists the events.
 
 use std::io::{BufRead, Write};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/testkit/src/agent.rs
+++ b/crates/testkit/src/fake_discovery.rs
@@ -19,9 +19,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-use crate::evidence::{Event, Evidence};
+use crate::event_log::{Event, Evidence};
 use crate::listen;
-use crate::script::{AgentTrouble, Phase};
+use crate::scenario::{AgentTrouble, Phase};
 
 /// While nothing changes an empty line comes so often on a watch.
 const HEARTBEAT: Duration = Duration::from_secs(2);
--- a/crates/testkit/src/partner.rs
+++ b/crates/testkit/src/fake_receiver.rs
@@ -19,9 +19,9 @@
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio::time::{sleep, sleep_until};
 
-use crate::evidence::{Event, Evidence, Rules};
+use crate::event_log::{Event, Evidence, Rules};
 use crate::listen;
-use crate::script::{Draw, Limit, Outage, PartnerPlan};
+use crate::scenario::{Draw, Limit, Outage, PartnerPlan};
 
 /// What a call's body may hold.
 const MAX_BODY: usize = 64 * 1024;
@@ -553,7 +553,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::script::Ms;
+    use crate::scenario::Ms;
 
     #[test]
     fn a_span_takes_its_count_and_tells_how_long_it_lasts() {
--- a/crates/testkit/src/link.rs
+++ b/crates/testkit/src/fault_proxy.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::listen;
-use crate::script::{LinkTrouble, Ms};
+use crate::scenario::{LinkTrouble, Ms};
 
 /// Bytes that are carried at once.
 const PIECE: usize = 16 * 1024;
@@ -67,7 +67,7 @@
     /// What the sockets say.
     ///
     /// ```
-    /// # use rudderspindle_testkit::link::{Fault, Link};
+    /// # use rudderspindle_testkit::fault_proxy::{Fault, Link};
     /// # #[tokio::main(flavor = "current_thread")] async fn main() -> std::io::Result<()> {
     /// let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     /// let link = Link::start(listener.local_addr()?).await?;
--- a/crates/testkit/src/weather.rs
+++ b/crates/testkit/src/fault_schedule.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use crate::script::Draw;
+use crate::scenario::Draw;
 
 /// A note that is held back is late by so much more: a round of notes, 250 ms, and a little, so that the next of its
 /// way overtakes it.
@@ -32,7 +32,7 @@
 /// A way from one sender to another, with chance of its own.
 ///
 /// ```
-/// # use rudderspindle_testkit::weather::{Way, Weather};
+/// # use rudderspindle_testkit::fault_schedule::{Way, Weather};
 /// let mut way = Way::new(7, 0, 1);
 /// let foul = Weather { duplicate: 1.0, ..Weather::default() };
 /// // Both copies at once.
--- a/crates/testkit/src/frames.rs
+++ b/crates/testkit/src/frames.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::exact::soon;
+use crate::scripted_peers::soon;
 
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 const DATA: u8 = 0;
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -3,19 +3,19 @@
 //!
 //! Nothing that ships depends on this crate, and it knows nothing of how the sender works.
 
-pub mod agent;
+pub mod checker;
 pub mod client;
-pub mod evidence;
-pub mod exact;
+pub mod cluster;
+pub mod datagram_proxy;
+pub mod event_log;
+pub mod fake_discovery;
+pub mod fake_receiver;
+pub mod fault_proxy;
+pub mod fault_schedule;
 pub mod frames;
-pub mod judge;
-pub mod link;
 mod listen;
-pub mod mesh;
-pub mod partner;
 pub mod program;
-pub mod script;
-pub mod tier;
+pub mod scenario;
+pub mod scripted_peers;
 pub mod usage;
-pub mod weather;
 pub mod world;
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::client::Address;
-use crate::evidence::{Event, Evidence, Life};
+use crate::event_log::{Event, Evidence, Life};
 
 /// A sender is ready after so long, or never.
 const START: Duration = Duration::from_secs(20);
--- a/crates/testkit/src/usage.rs
+++ b/crates/testkit/src/usage.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 
-use crate::evidence::{Event, Line};
+use crate::event_log::{Event, Line};
 
 /// A second of the log's clock, by which a partner counts.
 const SECOND: u64 = 1_000_000;
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -8,14 +8,14 @@
 use tokio::sync::Mutex;
 use tokio::time::{sleep, sleep_until};
 
-use crate::agent::{Agent, Entry};
+use crate::checker::{Judge, LATE_US};
 use crate::client::{self, Clients, KEYED, SAFE, TENANTS};
-use crate::evidence::{Class, Effect, Endpoint, Event, Evidence, Group, Line, Rules};
-use crate::judge::{Judge, LATE_US};
-use crate::link::{Fault, Link};
-use crate::partner::{KEY_TIME, Partner};
+use crate::event_log::{Class, Effect, Endpoint, Event, Evidence, Group, Line, Rules};
+use crate::fake_discovery::{Agent, Entry};
+use crate::fake_receiver::{KEY_TIME, Partner};
+use crate::fault_proxy::{Fault, Link};
 use crate::program::{Launch, Program, ProgramError};
-use crate::script::{Happening, LinkTrouble, PartnerPlan, Phase, Script};
+use crate::scenario::{Happening, LinkTrouble, PartnerPlan, Phase, Script};
 
 /// How often it is looked whether this process keeps up.
 const BEAT: Duration = Duration::from_millis(10);
@@ -198,13 +198,13 @@
         self.clients.clone().run(planned, start).await;
         let end = Instant::now() + self.stage.longest + AFTER;
         // Line by line as they come: to judge all of them again and again would make the stand-ins late.
-        let (mut judge, mut seen) = (Judge::default(), 0);
+        let (mut check_events, mut seen) = (Judge::default(), 0);
         while Instant::now() < end {
             for line in self.evidence.lines_from(seen) {
                 seen += 1;
-                judge.take(seen, &line);
+                check_events.take(seen, &line);
             }
-            if judge.open() == 0 {
+            if check_events.open() == 0 {
                 break;
             }
             sleep(Duration::from_millis(250)).await;
--- a/crates/testkit/tests/judge.rs
+++ b/crates/testkit/tests/checker.rs
@@ -4,11 +4,11 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rudderspindle_testkit::evidence::{
+use rudderspindle_testkit::checker::{Rule, Verdict, check_events};
+use rudderspindle_testkit::event_log::{
     Class, Effect, Endpoint, Event, Group, Life, Line, Rules, VERSION, read, write,
 };
-use rudderspindle_testkit::judge::{Rule, Verdict, judge};
-use rudderspindle_testkit::script::Draw;
+use rudderspindle_testkit::scenario::Draw;
 
 /// A log that is written by hand: times in milliseconds.
 struct Log(Vec<Line>);
@@ -90,7 +90,7 @@
     }
 
     fn verdict(&self) -> Verdict {
-        judge(&self.0)
+        check_events(&self.0)
     }
 
     fn broken(&self) -> BTreeSet<Rule> {
--- a/crates/testkit/tests/mesh.rs
+++ b/crates/testkit/tests/datagram_proxy.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use rudderspindle_testkit::mesh::{Counts, Mesh};
-use rudderspindle_testkit::weather::Weather;
+use rudderspindle_testkit::datagram_proxy::{Counts, Mesh};
+use rudderspindle_testkit::fault_schedule::Weather;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
--- a/crates/testkit/tests/wrong_senders.rs
+++ b/crates/testkit/tests/wrong_senders.rs
@@ -6,11 +6,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use rudderspindle_testkit::agent::{Agent, Entry};
-use rudderspindle_testkit::evidence::{Class, Effect, Event, Evidence, Group, Life, Rules};
-use rudderspindle_testkit::judge::{Rule, Verdict, judge};
-use rudderspindle_testkit::partner::Partner;
-use rudderspindle_testkit::script::{
+use rudderspindle_testkit::checker::{Rule, Verdict, check_events};
+use rudderspindle_testkit::event_log::{Class, Effect, Event, Evidence, Group, Life, Rules};
+use rudderspindle_testkit::fake_discovery::{Agent, Entry};
+use rudderspindle_testkit::fake_receiver::Partner;
+use rudderspindle_testkit::scenario::{
     EndpointPlan, Limit, Ms, Outage, PartnerPlan, PerSecond, Phase, Share, Tells,
 };
 use rudderspindle_testkit::world::{endpoints, keep_time};
@@ -378,7 +378,7 @@
     while open.join_next().await.is_some() {}
     // Whatever is overdue by now will not come.
     sleep(Duration::from_millis(left.min(400) + 200)).await;
-    judge(&evidence.lines())
+    check_events(&evidence.lines())
 }
 
 /// The sender without a fault is clean, and each of these breaks that rule alone.
