--- a/crates/journal/src/claim.rs
+++ b/crates/journal/src/claim.rs
@@ -13,14 +13,14 @@
 
 /// A process's part in a folder.
 #[derive(Debug)]
-pub(crate) enum Claim {
+pub(crate) enum FolderLock {
     /// All of the folder is ours while this is held.
     Owner { _lock: File },
     /// Another process owns the folder: only what we write ourselves is ours. `owner` is not locked yet.
     Successor { owner: File, _lock: File },
 }
 
-impl Claim {
+impl FolderLock {
     /// The folder, if nobody has it, or else the place behind its owner.
     ///
     /// # Errors
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Makes a successor the owner, once [`Claim::is_vacant`] has said that it can be. Its place behind the owner is free.
+    /// Makes a successor the owner, once [`FolderLock::is_vacant`] has said that it can be. Its place behind the owner is free.
     pub fn succeed(&mut self) -> io::Result<()> {
         if let Self::Successor { owner, .. } = self {
             *self = Self::Owner { _lock: owner.try_clone()? };
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -58,7 +58,7 @@
 
 use std::rc::Rc;
 
-pub use memory::{Place, Trouble};
+pub use memory::{EndpointKey, OutageState};
 pub use message::{Message, Notice, Ran, Status, TakenOver, wall_ms};
 pub use store::Store;
 
--- a/crates/journal/src/memory.rs
+++ b/crates/journal/src/memory.rs
@@ -10,14 +10,14 @@
 
 /// What was believed of a partner, or of one of its receivers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum OutageState {
     /// In an outage; a wait that was told lasts for so many milliseconds, 0 if none.
     Down {
         /// What was left of it.
         wait: u64,
     },
     /// Back from one, so many milliseconds ago; below 0 if a wait must be over first.
-    Cold {
+    WarmingUp {
         /// How long ago.
         ago: i64,
         /// The part of the ramp that is this sender's.
@@ -26,31 +26,31 @@
 }
 
 /// A partner's number and a receiver's id; empty where it is the whole partner.
-pub type Place = (u16, Rc<str>);
+pub type EndpointKey = (u16, Rc<str>);
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Memory {
+pub(crate) struct OutageRecord {
     /// The segment that holds its last record.
     pub segment: u64,
     /// When it was written, in milliseconds of the wall clock since 1970.
     pub at: u64,
-    pub trouble: Trouble,
+    pub outage: OutageState,
 }
 
-impl Memory {
+impl OutageRecord {
     fn is_stale(&self, wall: u64) -> bool {
-        let wait = if let Trouble::Down { wait } = self.trouble { wait } else { 0 };
+        let wait = if let OutageState::Down { wait } = self.outage { wait } else { 0 };
         wall.saturating_sub(self.at) > wait.saturating_add(KEPT)
     }
 }
 
 /// The memories of a journal, by place.
 #[derive(Debug, Default)]
-pub(crate) struct Memories(BTreeMap<Place, Memory>);
+pub(crate) struct OutageRecords(BTreeMap<EndpointKey, OutageRecord>);
 
-impl Memories {
+impl OutageRecords {
     /// Puts a memory in place of the one before; `None` is none. The place that had to go for it, if any.
-    pub fn put(&mut self, place: Place, memory: Option<Memory>) {
+    pub fn put(&mut self, place: EndpointKey, memory: Option<OutageRecord>) {
         match memory {
             None => drop(self.0.remove(&place)),
             Some(memory) => drop(self.0.insert(place, memory)),
@@ -63,17 +63,17 @@
 
     /// What is still worth something at this time. A wall clock that was set back makes nothing last longer than it
     /// would have when it was written.
-    pub fn at(&self, wall: u64) -> impl Iterator<Item = (&Place, Trouble)> {
+    pub fn at(&self, wall: u64) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
         let fresh = self.0.iter().filter(move |(_, memory)| !memory.is_stale(wall));
         fresh.map(move |(place, memory)| {
             let since = wall.saturating_sub(memory.at);
-            let trouble = match memory.trouble {
-                Trouble::Down { wait } => Trouble::Down { wait: wait.saturating_sub(since) },
-                Trouble::Cold { ago, part } => {
-                    Trouble::Cold { ago: ago.saturating_add_unsigned(since), part }
+            let outage = match memory.outage {
+                OutageState::Down { wait } => OutageState::Down { wait: wait.saturating_sub(since) },
+                OutageState::WarmingUp { ago, part } => {
+                    OutageState::WarmingUp { ago: ago.saturating_add_unsigned(since), part }
                 }
             };
-            (place, trouble)
+            (place, outage)
         })
     }
 
@@ -87,7 +87,11 @@
     }
 
     /// Those of a segment, as they were written; stale ones are forgotten.
-    pub fn of_segment(&mut self, segment: u64, wall: u64) -> impl Iterator<Item = (&Place, &mut Memory)> {
+    pub fn of_segment(
+        &mut self,
+        segment: u64,
+        wall: u64,
+    ) -> impl Iterator<Item = (&EndpointKey, &mut OutageRecord)> {
         self.0.retain(|_, memory| memory.segment != segment || !memory.is_stale(wall));
         self.0.iter_mut().filter(move |(_, memory)| memory.segment == segment)
     }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use crate::memory::{Place, Trouble};
+use crate::memory::{EndpointKey, OutageState};
 use crate::message::{Message, Ran, Status};
 use crate::{MAX_BODY, Txn};
 
@@ -16,7 +16,7 @@
 pub(crate) const OUTCOME: u8 = 3;
 pub(crate) const ENDED: u8 = 4;
 pub(crate) const SETTLED: u8 = 5;
-pub(crate) const MEMORY: u8 = 6;
+pub(crate) const OUTAGE_RECORD: u8 = 6;
 
 /// Appends a record whose payload `fill` writes.
 pub(crate) fn put(batch: &mut Vec<u8>, tag: u8, fill: impl FnOnce(&mut Vec<u8>)) {
@@ -79,18 +79,18 @@
 
 pub(crate) fn put_memory(
     batch: &mut Vec<u8>,
-    (destination, receiver): &Place,
+    (destination, receiver): &EndpointKey,
     at: u64,
-    trouble: Option<Trouble>,
+    outage: Option<OutageState>,
 ) {
-    put(batch, MEMORY, |p| {
+    put(batch, OUTAGE_RECORD, |p| {
         put_text(p, receiver);
         p.extend(destination.to_le_bytes());
         p.extend(at.to_le_bytes());
-        let (tag, ms, part) = match trouble {
+        let (tag, ms, part) = match outage {
             None => (0, 0, 0.0),
-            Some(Trouble::Down { wait }) => (1, wait.min(i64::MAX as u64) as i64, 0.0),
-            Some(Trouble::Cold { ago, part }) => (2, ago, part),
+            Some(OutageState::Down { wait }) => (1, wait.min(i64::MAX as u64) as i64, 0.0),
+            Some(OutageState::WarmingUp { ago, part }) => (2, ago, part),
         };
         p.push(tag);
         p.extend(ms.to_le_bytes());
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 
 use crate::Txn;
-use crate::memory::{Memories, Memory, Trouble};
+use crate::memory::{OutageRecord, OutageRecords, OutageState};
 use crate::message::{Message, Status};
 use crate::record::*;
 use crate::segments::{Segment, path};
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Contents {
     pub entries: HashMap<Txn, Entry>,
-    pub memories: Memories,
+    pub outage_records: OutageRecords,
     /// When the latest attempt on record went out, in milliseconds of the wall clock since 1970; 0 if there is none.
     pub latest_attempt: u64,
 }
@@ -96,7 +96,7 @@
 }
 
 fn apply(payload: &[u8], segment: u64, contents: &mut Contents) -> Option<()> {
-    let Contents { entries, memories, latest_attempt } = contents;
+    let Contents { entries, outage_records, latest_attempt } = contents;
     let mut f = Fields(payload);
     let (tag, txn) = (f.u8()?, f.text()?);
     match tag {
@@ -147,17 +147,17 @@
             }
         }
         SETTLED => drop(entries.remove(&txn)),
-        MEMORY => {
+        OUTAGE_RECORD => {
             let (destination, at, tag) = (f.u16()?, f.u64()?, f.u8()?);
             let (ms, part) = (f.u64()? as i64, f64::from_bits(f.u64()?));
-            let trouble = match tag {
+            let outage = match tag {
                 0 => None,
-                1 => Some(Trouble::Down { wait: ms.try_into().ok()? }),
-                2 if (0.0..=1.0).contains(&part) => Some(Trouble::Cold { ago: ms, part }),
+                1 => Some(OutageState::Down { wait: ms.try_into().ok()? }),
+                2 if (0.0..=1.0).contains(&part) => Some(OutageState::WarmingUp { ago: ms, part }),
                 _ => return None,
             };
-            let memory = trouble.map(|trouble| Memory { segment, at, trouble });
-            memories.put((destination, txn), memory);
+            let memory = outage.map(|outage| OutageRecord { segment, at, outage });
+            outage_records.put((destination, txn), memory);
         }
         _ => return None,
     }
--- a/crates/journal/src/segments/tests.rs
+++ b/crates/journal/src/segments/tests.rs
@@ -10,13 +10,13 @@
 
 /// A file of which one write stops after so many bytes, as on a disk that is full, and which cannot be cut so often.
 #[derive(Debug)]
-struct Faulty {
+struct CorruptRecord {
     file: File,
     writes: Rc<Cell<Option<usize>>>,
     cuts_that_fail: Rc<Cell<usize>>,
 }
 
-impl Write for Faulty {
+impl Write for CorruptRecord {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match self.writes.get() {
             Some(0) => {
@@ -36,7 +36,7 @@
     }
 }
 
-impl Tail for Faulty {
+impl Tail for CorruptRecord {
     fn cut(&self, length: u64) -> io::Result<()> {
         if self.cuts_that_fail.get() == 0 {
             return self.file.set_len(length);
@@ -66,7 +66,7 @@
         let mut segments = Segments::begin(folder.path(), VecDeque::new(), 0).expect("a segment");
         let writes = Rc::new(Cell::new(None));
         let file = OpenOptions::new().append(true).open(path(folder.path(), 0)).expect("the segment");
-        segments.file = Box::new(Faulty {
+        segments.file = Box::new(CorruptRecord {
             file,
             writes: writes.clone(),
             cuts_that_fail: Rc::new(Cell::new(cuts_that_fail)),
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 
 use crate::Txn;
-use crate::claim::Claim;
-use crate::memory::{Memories, Memory, Place, Trouble};
+use crate::claim::FolderLock;
+use crate::memory::{EndpointKey, OutageRecord, OutageRecords, OutageState};
 use crate::message::{Message, Notice, Ran, Status, TakenOver, wall_ms};
 use crate::record::{ATTEMPT, OUTCOME, SETTLED, put, put_ended, put_memory, put_ran, put_taken, put_text};
 use crate::replay::{Contents, Entry, State, open_mut, read};
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Store {
     folder: PathBuf,
-    claim: Claim,
+    claim: FolderLock,
     /// What all files may hold, and what ours may: half of it while two processes write.
     disk: u64,
     budget: u64,
@@ -35,7 +35,7 @@
     facts: Vec<u8>,
     starts: Vec<u8>,
     entries: HashMap<Txn, Entry>,
-    memories: Memories,
+    outage_records: OutageRecords,
     latest_attempt: u64,
     /// Room that all entries need.
     live: u64,
@@ -49,7 +49,7 @@
     ///
     /// What the file system says; [`io::ErrorKind::ResourceBusy`] if two processes use the folder already.
     pub fn open(folder: &Path, budget: u64) -> io::Result<Self> {
-        let claim = Claim::of(folder)?;
+        let claim = FolderLock::of(folder)?;
         let numbers = numbers(folder)?;
         let mut contents = Contents::default();
         let (older, number, ours) = if claim.is_owner() {
@@ -59,7 +59,7 @@
             (VecDeque::new(), numbers.last().map_or(0, |n| n + GENERATION), budget / 2)
         };
         let segments = Segments::begin(folder, older, number)?;
-        let Contents { entries, memories, latest_attempt } = contents;
+        let Contents { entries, outage_records, latest_attempt } = contents;
         let live = entries.iter().map(|(txn, entry)| entry.room(txn)).sum();
         let folder = folder.to_owned();
         let mut store = Self {
@@ -71,7 +71,7 @@
             facts: Vec::new(),
             starts: Vec::new(),
             entries,
-            memories,
+            outage_records,
             latest_attempt,
             live,
         };
@@ -177,15 +177,15 @@
     }
 
     /// What to know of a partner, or a receiver, if this process ends: in place of what was to be known before.
-    pub fn remember(&mut self, place: Place, trouble: Option<Trouble>) {
+    pub fn remember(&mut self, place: EndpointKey, outage: Option<OutageState>) {
         let (segment, at) = (self.segments.current(), wall_ms());
-        put_memory(&mut self.facts, &place, at, trouble);
-        self.memories.put(place, trouble.map(|trouble| Memory { segment, at, trouble }));
+        put_memory(&mut self.facts, &place, at, outage);
+        self.outage_records.put(place, outage.map(|outage| OutageRecord { segment, at, outage }));
     }
 
     /// What is to be known of partners and receivers, as it is now.
-    pub fn memories(&self) -> impl Iterator<Item = (&Place, Trouble)> {
-        self.memories.at(wall_ms())
+    pub fn outage_records(&self) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
+        self.outage_records.at(wall_ms())
     }
 
     /// Writes the batch. After an error nothing was taken on or sent; what has come of messages is kept for
@@ -234,11 +234,13 @@
                     State::Owed(status) => put_ended(&mut moved, txn, Some(*status)),
                 }
             }
-            for (place, memory) in self.memories.of_segment(oldest, wall_ms()) {
-                put_memory(&mut moved, place, memory.at, Some(memory.trouble));
+            for (place, memory) in self.outage_records.of_segment(oldest, wall_ms()) {
+                put_memory(&mut moved, place, memory.at, Some(memory.outage));
             }
             self.segments.append(&moved, self.budget)?;
-            self.memories.of_segment(oldest, wall_ms()).for_each(|(_, memory)| memory.segment = current);
+            self.outage_records
+                .of_segment(oldest, wall_ms())
+                .for_each(|(_, memory)| memory.segment = current);
             self.entries.values_mut().filter(|e| e.segment == oldest).for_each(|e| e.segment = current);
             self.segments.remove_oldest()?;
         }
--- a/crates/journal/src/store/succession.rs
+++ b/crates/journal/src/store/succession.rs
@@ -41,7 +41,7 @@
         }
         self.latest_attempt = self.latest_attempt.max(contents.latest_attempt);
         // What we know ourselves is newer.
-        self.memories.add_older(contents.memories);
+        self.outage_records.add_older(contents.outage_records);
         if let Err(error) = self.make_room() {
             tracing::warn!("journal: no room could be made: {error}");
         }
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -192,10 +192,10 @@
 fn what_is_known_of_outages_outlasts_the_process_and_the_segments_that_it_was_written_to() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
-    let (shared, apart): (Place, Place) = ((7, "".into()), (8, "r1".into()));
-    store.remember(shared.clone(), Some(Trouble::Down { wait: 50_000 }));
-    store.remember(apart.clone(), Some(Trouble::Cold { ago: 100, part: 0.25 }));
-    store.remember((9, "".into()), Some(Trouble::Down { wait: 0 }));
+    let (shared, apart): (EndpointKey, EndpointKey) = ((7, "".into()), (8, "r1".into()));
+    store.remember(shared.clone(), Some(OutageState::Down { wait: 50_000 }));
+    store.remember(apart.clone(), Some(OutageState::WarmingUp { ago: 100, part: 0.25 }));
+    store.remember((9, "".into()), Some(OutageState::Down { wait: 0 }));
     store.remember((9, "".into()), None);
     store.commit().expect("written");
     // Until the first segment has been moved and removed.
@@ -209,8 +209,10 @@
     assert!(!path(folder.path(), 0).exists(), "the segment that held it is still there");
     drop(store);
     let store = Store::open(folder.path(), BUDGET).expect("a journal");
-    let known: Vec<(Place, Trouble)> = store.memories().map(|(p, t)| (p.clone(), t)).collect();
-    let [(first, Trouble::Down { wait }), (second, Trouble::Cold { ago, part })] = &known[..] else {
+    let known: Vec<(EndpointKey, OutageState)> =
+        store.outage_records().map(|(p, t)| (p.clone(), t)).collect();
+    let [(first, OutageState::Down { wait }), (second, OutageState::WarmingUp { ago, part })] = &known[..]
+    else {
         panic!("{known:?}")
     };
     assert_eq!((first, second, *part), (&shared, &apart, 0.25));
@@ -221,9 +223,14 @@
 fn a_memory_that_cannot_be_is_skipped() {
     let mut contents = Contents::default();
     let mut batch = Vec::new();
-    put_memory(&mut batch, &(7, "".into()), wall_ms(), Some(Trouble::Cold { ago: 0, part: 7.5 }));
-    put_memory(&mut batch, &(8, "".into()), wall_ms(), Some(Trouble::Cold { ago: 0, part: f64::NAN }));
-    put_memory(&mut batch, &(9, "".into()), wall_ms(), Some(Trouble::Down { wait: 5 }));
+    put_memory(&mut batch, &(7, "".into()), wall_ms(), Some(OutageState::WarmingUp { ago: 0, part: 7.5 }));
+    put_memory(
+        &mut batch,
+        &(8, "".into()),
+        wall_ms(),
+        Some(OutageState::WarmingUp { ago: 0, part: f64::NAN }),
+    );
+    put_memory(&mut batch, &(9, "".into()), wall_ms(), Some(OutageState::Down { wait: 5 }));
     assert_eq!(replay(&batch, 0, &mut contents), batch.len());
-    assert_eq!(contents.memories.at(wall_ms()).map(|(place, _)| place.0).collect::<Vec<_>>(), [9]);
+    assert_eq!(contents.outage_records.at(wall_ms()).map(|(place, _)| place.0).collect::<Vec<_>>(), [9]);
 }
--- a/crates/journal/tests/golden_folders/damage.rs
+++ b/crates/journal/tests/golden_folders/damage.rs
@@ -34,7 +34,7 @@
 fn expected(open: Vec<Message>, notices: &[&str], latest_attempt: u64, report: &str) -> Told {
     let owed = notices.iter().map(|txn| (txn.to_string(), Status::Undeliverable)).collect();
     let reports = Some(report.to_string()).filter(|report| !report.is_empty());
-    Told { open, owed, memories: vec![], latest_attempt, reports: reports.into_iter().collect() }
+    Told { open, owed, outage_records: vec![], latest_attempt, reports: reports.into_iter().collect() }
 }
 
 fn tried(txn: &str, ran_at: Option<u64>) -> Message {
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use bytes::Bytes;
-use rudderspindle_journal::{Message, Status, Trouble, wall_ms};
+use rudderspindle_journal::{Message, OutageState, Status, wall_ms};
 
 use crate::support::*;
 
@@ -47,11 +47,11 @@
     store.settled(&"acknowledged".into());
     store.attempt(&"m-ran".into(), ran(6));
     store.commit().expect("written");
-    store.remember((7, "".into()), Some(Trouble::Down { wait: 0 }));
-    store.remember((7, "receiver-1".into()), Some(Trouble::Down { wait: 11_000 }));
-    store.remember((8, "receiver-2".into()), Some(Trouble::Cold { ago: -500, part: 0.25 }));
-    store.remember((9, "".into()), Some(Trouble::Cold { ago: 4_000, part: 1.0 }));
-    store.remember((10, "receiver-3".into()), Some(Trouble::Down { wait: 1 }));
+    store.remember((7, "".into()), Some(OutageState::Down { wait: 0 }));
+    store.remember((7, "receiver-1".into()), Some(OutageState::Down { wait: 11_000 }));
+    store.remember((8, "receiver-2".into()), Some(OutageState::WarmingUp { ago: -500, part: 0.25 }));
+    store.remember((9, "".into()), Some(OutageState::WarmingUp { ago: 4_000, part: 1.0 }));
+    store.remember((10, "receiver-3".into()), Some(OutageState::Down { wait: 1 }));
     store.remember((10, "receiver-3".into()), None);
     store.commit().expect("written");
     drop(store);
@@ -79,11 +79,11 @@
             ("n-2".into(), Status::Deferred(None)),
             ("n-3".into(), Status::Deferred(Some(70_000))),
         ],
-        memories: vec![
-            (7, "".into(), Trouble::Down { wait: 0 }),
-            (7, "receiver-1".into(), Trouble::Down { wait: 11_000 }),
-            (8, "receiver-2".into(), Trouble::Cold { ago: -500, part: 0.25 }),
-            (9, "".into(), Trouble::Cold { ago: 4_000, part: 1.0 }),
+        outage_records: vec![
+            (7, "".into(), OutageState::Down { wait: 0 }),
+            (7, "receiver-1".into(), OutageState::Down { wait: 11_000 }),
+            (8, "receiver-2".into(), OutageState::WarmingUp { ago: -500, part: 0.25 }),
+            (9, "".into(), OutageState::WarmingUp { ago: 4_000, part: 1.0 }),
         ],
         latest_attempt: ran(200).at,
         reports: vec![],
@@ -105,7 +105,7 @@
     let mut store = open(folder);
     store.take(Message { out: None, ..full_message() });
     store.attempt(&"m-full-ü".into(), ran(4_000_000_000_000));
-    store.remember((8, "receiver-2".into()), Some(Trouble::Cold { ago: -500, part: 0.25 }));
+    store.remember((8, "receiver-2".into()), Some(OutageState::WarmingUp { ago: -500, part: 0.25 }));
     store.commit().expect("written");
 }
 
@@ -120,7 +120,7 @@
     let expected = Told {
         open: vec![Message { attempts: 4, out: None, ..full_message() }],
         owed: vec![],
-        memories: vec![(8, "receiver-2".into(), Trouble::Cold { ago: -500, part: 0.25 })],
+        outage_records: vec![(8, "receiver-2".into(), OutageState::WarmingUp { ago: -500, part: 0.25 })],
         latest_attempt: ran(4_000_000_000_000).at,
         reports: vec![],
     };
--- a/crates/journal/tests/golden_folders/support.rs
+++ b/crates/journal/tests/golden_folders/support.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-use rudderspindle_journal::{Message, Ran, Status, Store, Trouble};
+use rudderspindle_journal::{Message, OutageState, Ran, Status, Store};
 use tempfile::TempDir;
 use tracing::field::{Field, Visit};
 use tracing::span::{Attributes, Id, Record};
@@ -16,7 +16,7 @@
 /// Bytes of a record before its payload: its length and its CRC-32.
 const FRAME: usize = 8;
 /// The first byte of an outage memory's payload.
-const MEMORY: u8 = 6;
+const OUTAGE_RECORD: u8 = 6;
 /// When the outage memories of the golden folders were written, as far as they say, ms since 1970: the first day of 2100.
 /// What was written by a clock that is ahead does not age, so that these read the same on any day before.
 const MEMORIES_WRITTEN: u64 = 4_102_444_800_000;
@@ -29,7 +29,7 @@
 pub struct Told {
     pub open: Vec<Message>,
     pub owed: Vec<(String, Status)>,
-    pub memories: Vec<(u16, String, Trouble)>,
+    pub outage_records: Vec<(u16, String, OutageState)>,
     pub latest_attempt: u64,
     /// Warnings of damage.
     pub reports: Vec<String>,
@@ -73,10 +73,11 @@
     open.sort_by(|a, b| a.txn.cmp(&b.txn));
     let mut owed: Vec<(String, Status)> = store.owed().map(|n| (n.txn.to_string(), n.status)).collect();
     owed.sort_by(|a, b| a.0.cmp(&b.0));
-    let memories = store.memories();
-    let memories = memories.map(|((number, receiver), trouble)| (*number, receiver.to_string(), trouble));
-    let memories = memories.collect();
-    Told { open, owed, memories, latest_attempt: store.latest_attempt(), reports }
+    let outage_records = store.outage_records();
+    let outage_records =
+        outage_records.map(|((number, receiver), outage)| (*number, receiver.to_string(), outage));
+    let outage_records = outage_records.collect();
+    Told { open, owed, outage_records, latest_attempt: store.latest_attempt(), reports }
 }
 
 /// A message without a history.
@@ -121,7 +122,7 @@
 /// Segments whose outage memories were written at a time of the wall clock, as if at that of the golden folders.
 pub fn with_fixed_times(segments: Segments, written: &RangeInclusive<u64>) -> Segments {
     let fixed = |mut payload: Vec<u8>| {
-        if payload[0] == MEMORY {
+        if payload[0] == OUTAGE_RECORD {
             let name = u32::from_le_bytes(payload[1..5].try_into().expect("four bytes")) as usize;
             let at = 5 + name + 2;
             let time = u64::from_le_bytes(payload[at..at + 8].try_into().expect("eight bytes"));
--- a/crates/journal/tests/golden_folders/takeover.rs
+++ b/crates/journal/tests/golden_folders/takeover.rs
@@ -66,7 +66,7 @@
     let before = Told {
         open: vec![ran_once("both", 2), message("o-open"), ran_once("o-ran", 1), message("s-open")],
         owed: vec![("o-notice".into(), Status::Deferred(Some(70_000)))],
-        memories: vec![],
+        outage_records: vec![],
         latest_attempt: ran(2).at,
         reports: vec![],
     };
@@ -78,7 +78,7 @@
             message("s-open"),
         ],
         owed: vec![("o-open".into(), Status::Undeliverable)],
-        memories: vec![],
+        outage_records: vec![],
         latest_attempt: ran(3).at,
         reports: vec![],
     };
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -117,8 +117,8 @@
             Event::List(change) => self.list(change),
             Event::Message(message) => self.admit(message, &Past::default()),
             Event::Recovered(message, past) => self.admit(message, past),
-            Event::Remembered { destination, route, trouble } => self.recall(*destination, *route, *trouble),
-            Event::Waits { destination, route, wait } => {
+            Event::Remembered { destination, route, outage } => self.recall(*destination, *route, *outage),
+            Event::RetryAfter { destination, route, wait } => {
                 let Some(d) = self.destinations.get_mut(destination) else { return };
                 let gate = d.scope(*route).map(|scope| d.gate_of_mut(scope));
                 gate.into_iter().for_each(|gate| gate.wait_until = gate.wait_until.max(self.now + wait));
@@ -150,7 +150,7 @@
             Event::Outcome { .. } => self.outcome(event, actions),
             Event::Dropped(id) => self.finish(*id),
             Event::Wake(token) => self.alarm.rang(*token),
-            Event::Probed { .. } => {}
+            Event::HealthChecked { .. } => {}
         }
     }
 
--- a/crates/policy/src/decide/outages.rs
+++ b/crates/policy/src/decide/outages.rs
@@ -140,22 +140,22 @@
         let Some(d) = self.destinations.get_mut(&to) else { return };
         for scope in d.gates() {
             let (route, wait_until) = (d.name(scope), d.gate_of(scope).wait_until);
-            if let Some(trouble) = d.health_mut(scope).news(self.now, wait_until) {
-                actions.push(Action::Remember { destination: to, route, trouble });
+            if let Some(outage) = d.health_mut(scope).news(self.now, wait_until) {
+                actions.push(Action::Remember { destination: to, route, outage });
             }
         }
     }
 
-    pub(super) fn recall(&mut self, to: DestinationId, route: Option<RouteId>, trouble: Trouble) {
+    pub(super) fn recall(&mut self, to: DestinationId, route: Option<RouteId>, outage: OutageState) {
         let Some(mut d) = self.destinations.get_mut(&to).map(std::mem::take) else { return };
         if let Some(scope) = d.scope(route).filter(|_| d.apart || route.is_none()) {
-            if let Trouble::Down { wait } = trouble {
+            if let OutageState::Down { wait } = outage {
                 let (until, gate) = (self.now + wait, d.gate_of_mut(scope));
                 gate.wait_until = gate.wait_until.max(until);
                 d.health_mut(scope).failing_since = self.now;
                 self.rest(&mut d, scope, 0.0, false);
             }
-            if let Trouble::Cold { ago, part } = trouble {
+            if let OutageState::WarmingUp { ago, part } = outage {
                 // Somewhere between two calls.
                 let (since, draw) = (self.now - ago, self.chance.unit());
                 let first = self.next_in_slow_start(&d, scope, since, self.now, draw);
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -10,7 +10,7 @@
 
 pub(crate) use believed::{Health, State};
 
-use crate::interface::{Millis, Outcome, Trouble};
+use crate::interface::{Millis, OutageState, Outcome};
 
 /// Weight of the newest answer in the share of errors; above the line it is as cold as after an outage.
 const ERROR_WEIGHT: f64 = 0.25;
@@ -99,14 +99,16 @@
     }
 
     /// What a sender that begins anew must know, if that is no longer what was told last.
-    pub fn news(&mut self, now: Millis, wait_until: Millis) -> Option<Trouble> {
-        let (told, trouble) = match self.state {
-            State::Up => ((0, 0.0, 0.0), Trouble::None),
+    pub fn news(&mut self, now: Millis, wait_until: Millis) -> Option<OutageState> {
+        let (told, outage) = match self.state {
+            State::Up => ((0, 0.0, 0.0), OutageState::Healthy),
             State::Down { since, .. } => {
-                ((1, since, wait_until), Trouble::Down { wait: (wait_until - now).max(0.0) })
+                ((1, since, wait_until), OutageState::Down { wait: (wait_until - now).max(0.0) })
+            }
+            State::Cold { since, part } => {
+                ((2, since, 0.0), OutageState::WarmingUp { ago: now - since, part })
             }
-            State::Cold { since, part } => ((2, since, 0.0), Trouble::Cold { ago: now - since, part }),
         };
-        (std::mem::replace(&mut self.told, told) != told).then_some(trouble)
+        (std::mem::replace(&mut self.told, told) != told).then_some(outage)
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -10,7 +10,7 @@
 
 pub use action::{Action, Want};
 pub use checks::SettingsError;
-pub use event::{Event, Outcome, Trouble, Turn};
+pub use event::{Event, OutageState, Outcome, Turn};
 pub use list::{ListChange, Listing, Message, Past, PastRun, RouteEntry};
 pub use settings::{Class, Discovery, Effect, KeyGroup, Kind, LateDecay, RateHint, Settings, Tenant};
 
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,6 +1,6 @@
 //! What a sender wants done, and what it wants. No decision.
 
-use super::{DestinationId, MessageId, Millis, RouteId, Trouble};
+use super::{DestinationId, MessageId, Millis, OutageState, RouteId};
 
 /// What a sender wants of a limit, and what it has done to it so far.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -63,7 +63,7 @@
         attempt: u32,
     },
     /// Probe a route.
-    Probe {
+    HealthCheck {
         /// The route.
         route: RouteId,
     },
@@ -77,6 +77,6 @@
         /// The route, where routes are apart.
         route: Option<RouteId>,
         /// What is believed of it.
-        trouble: Trouble,
+        outage: OutageState,
     },
 }
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -5,16 +5,16 @@
 /// What is believed of a destination whose routes share a limit, or of a route that is apart, that a sender must
 /// still know if it begins anew: or it would send at full pace to what is down or cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum OutageState {
     /// Nothing is the matter with it.
-    None,
+    Healthy,
     /// It is in an outage; a wait that was told lasts for so long from now, 0 if none.
     Down {
         /// What is left of the wait.
         wait: Millis,
     },
     /// It came back from one.
-    Cold {
+    WarmingUp {
         /// So long ago; not above 0 if a wait must be over first.
         ago: Millis,
         /// The part of the ramp that is this sender's, from 0 to 1.
@@ -82,10 +82,10 @@
         /// The route, where routes are apart.
         route: Option<RouteId>,
         /// What was believed of it.
-        trouble: Trouble,
+        outage: OutageState,
     },
     /// Another process of this sender was told to wait: a destination, or one route where routes are apart.
-    Waits {
+    RetryAfter {
         /// The destination.
         destination: DestinationId,
         /// The route, where routes are apart.
@@ -151,7 +151,7 @@
     /// A wake-up asked for with [`Action::Wake`].
     Wake(u64),
     /// The result of a probe.
-    Probed {
+    HealthChecked {
         /// The route.
         route: RouteId,
         /// What came of it.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -124,7 +124,7 @@
     /// Whether advice to stay away is passed on.
     pub retry_after: bool,
     /// Whether routes may be probed.
-    pub probing: bool,
+    pub health_checks: bool,
     /// Whether attempts may be cancelled.
     pub cancelling: bool,
     /// Calls that one connection carries at once.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -31,7 +31,7 @@
 //!     max_attempts: 6,
 //!     max_retry_after: 3_000.0,
 //!     retry_after: true,
-//!     probing: false,
+//!     health_checks: false,
 //!     cancelling: true,
 //!     streams_per_connection: 1,
 //!     idle_close: 10_000.0,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -106,7 +106,7 @@
         max_attempts: limits.child("max_attempts").whole(1)?,
         max_retry_after: limits.child("max_retry_after").number_or(0.0, Range::ANY)?,
         retry_after: limits.child("retry_after").flag_or(false)?,
-        probing: limits.child("probing").flag_or(false)?,
+        health_checks: limits.child("probing").flag_or(false)?,
         cancelling: limits.child("cancelling").flag_or(false)?,
         streams_per_connection: limits.child("max_streams").whole_or(1, 0)? as usize,
         idle_close: limits.child("idle_close").number_or(0.0, Range::ANY)?,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -183,7 +183,10 @@
                 assert!(self.settings.cancelling, "cancelling is not allowed");
                 assert!((attempt as usize) < self.taken[&id].attempts.len(), "never sent");
             }
-            Action::Wake { .. } | Action::Probe { .. } | Action::Subscribe | Action::Remember { .. } => {}
+            Action::Wake { .. }
+            | Action::HealthCheck { .. }
+            | Action::Subscribe
+            | Action::Remember { .. } => {}
         }
     }
 
--- a/crates/policy/tests/replay/inputs.rs
+++ b/crates/policy/tests/replay/inputs.rs
@@ -125,7 +125,7 @@
             8..20 => {
                 let lines = &self.lines;
                 let route = lines[self.random.below(lines.len() as u64) as usize].route;
-                Some(Input::Probed { route, end: self.random.pick(&AttemptEnd::ALL[..8]) })
+                Some(Input::HealthChecked { route, end: self.random.pick(&AttemptEnd::ALL[..8]) })
             }
             20 => Some(Input::Wake { token: self.random.below(1_000) }),
             21 => Some(Input::Started { id, attempt }),
--- a/crates/policy/tests/replay/module.rs
+++ b/crates/policy/tests/replay/module.rs
@@ -74,18 +74,20 @@
         }
         Input::Dropped { id } => Event::Dropped(MessageId(id)),
         Input::Wake { token } => Event::Wake(token),
-        Input::Probed { route, end } => Event::Probed { route: RouteId(route), outcome: outcome(end) },
+        Input::HealthChecked { route, end } => {
+            Event::HealthChecked { route: RouteId(route), outcome: outcome(end) }
+        }
         Input::Recovered { message, attempts, ran } => {
             let ran = ran.map(|(ago, route, zone)| PastRun { ago, route: RouteId(route), zone });
             Event::Recovered(message_of(&message), Past { attempts, may_have_run: ran })
         }
         Input::Remembered { limit, belief } => {
             let (destination, route) = named(limit);
-            Event::Remembered { destination, route, trouble: trouble(belief) }
+            Event::Remembered { destination, route, outage: outage(belief) }
         }
         Input::Waits { limit, wait } => {
             let (destination, route) = named(limit);
-            Event::Waits { destination, route, wait }
+            Event::RetryAfter { destination, route, wait }
         }
         Input::Room { limit, calls, wanted, lasts } => {
             let (destination, route) = named(limit);
@@ -151,11 +153,11 @@
     }
 }
 
-fn trouble(belief: Belief) -> Trouble {
+fn outage(belief: Belief) -> OutageState {
     match belief {
-        Belief::Nothing => Trouble::None,
-        Belief::Down { wait } => Trouble::Down { wait },
-        Belief::Cold { ago, part } => Trouble::Cold { ago, part },
+        Belief::Nothing => OutageState::Healthy,
+        Belief::Down { wait } => OutageState::Down { wait },
+        Belief::Cold { ago, part } => OutageState::WarmingUp { ago, part },
     }
 }
 
@@ -166,7 +168,7 @@
         Action::Fail { id } => Output::Fail { id: id.0 },
         Action::Wake { delay, token } => Output::Wake { delay, token },
         Action::Cancel { id, attempt } => Output::Cancel { id: id.0, attempt },
-        Action::Probe { .. } => Output::Probe,
+        Action::HealthCheck { .. } => Output::Probe,
         Action::Subscribe => Output::Subscribe,
         Action::Remember { .. } => Output::Remember,
     }
@@ -191,14 +193,16 @@
         Action::Fail { id } => format!("fail {}", id.0),
         Action::Wake { delay, token } => format!("wake {} {token}", bits(delay)),
         Action::Cancel { id, attempt } => format!("cancel {} {attempt}", id.0),
-        Action::Probe { route } => format!("probe {}", route.0),
+        Action::HealthCheck { route } => format!("probe {}", route.0),
         Action::Subscribe => "subscribe".to_owned(),
-        Action::Remember { destination, route, trouble } => {
+        Action::Remember { destination, route, outage } => {
             let limit = limit_text(destination, route);
-            match trouble {
-                Trouble::None => format!("remember {limit} nothing"),
-                Trouble::Down { wait } => format!("remember {limit} down {}", bits(wait)),
-                Trouble::Cold { ago, part } => format!("remember {limit} cold {} {}", bits(ago), bits(part)),
+            match outage {
+                OutageState::Healthy => format!("remember {limit} nothing"),
+                OutageState::Down { wait } => format!("remember {limit} down {}", bits(wait)),
+                OutageState::WarmingUp { ago, part } => {
+                    format!("remember {limit} cold {} {}", bits(ago), bits(part))
+                }
             }
         }
     }
--- a/crates/policy/tests/returns.rs
+++ b/crates/policy/tests/returns.rs
@@ -202,8 +202,8 @@
             // Down within a told wait: it is heeded, and one trial asks when it is over.
             let mut b = with_routes(1..=1, kind, seed);
             let (open, destination) = (b.now + 4_000.0, DestinationId(0));
-            let remembered = |trouble| Event::Remembered { destination, route: scope, trouble };
-            let mut first = vec![remembered(Trouble::Down { wait: 4_000.0 })];
+            let remembered = |outage| Event::Remembered { destination, route: scope, outage };
+            let mut first = vec![remembered(OutageState::Down { wait: 4_000.0 })];
             first.extend(messages(0..80));
             let calls = play_calls(&mut b, first, 9_000.0, &mut BTreeMap::new(), |_, _| OK);
             assert!(calls.iter().all(|c| c.0 >= open), "seed {seed}: sent within the wait");
@@ -211,7 +211,7 @@
             // Cold for 1 s: it goes on with the ramp.
             let mut b = with_routes(1..=1, kind, seed);
             let now = b.now;
-            let mut first = vec![remembered(Trouble::Cold { ago: 1_000.0, part: 0.5 })];
+            let mut first = vec![remembered(OutageState::WarmingUp { ago: 1_000.0, part: 0.5 })];
             first.extend(messages(0..80));
             let calls = play_calls(&mut b, first, 2_000.0, &mut BTreeMap::new(), |_, _| OK);
             let bound = 1.0 + 1.35 * (ramp_of_one(3.0) - ramp_of_one(1.0));
@@ -226,9 +226,9 @@
     let mut told = Vec::new();
     let mut note = |actions: Vec<Action>| {
         for action in &actions {
-            if let Action::Remember { destination, route, trouble } = action {
+            if let Action::Remember { destination, route, outage } = action {
                 assert_eq!((*destination, *route), (DestinationId(0), None), "routes that share a gate");
-                told.push(*trouble);
+                told.push(*outage);
             }
         }
         sends(&actions)
@@ -245,9 +245,9 @@
     }
     let attempt = u32::from(first.iter().any(|f| f.0 == trial[0].0));
     note(b.step(50.0, &[outcome(trial[0].0, attempt, Outcome::Ok, 0.0)]));
-    assert!(matches!(told[0], Trouble::Down { wait } if wait == 9_000.0), "{told:?}");
+    assert!(matches!(told[0], OutageState::Down { wait } if wait == 9_000.0), "{told:?}");
     let cold = told.last().expect("it came back");
-    assert!(matches!(cold, Trouble::Cold { ago, part } if *ago == 0.0 && *part == 0.5), "{told:?}");
+    assert!(matches!(cold, OutageState::WarmingUp { ago, part } if *ago == 0.0 && *part == 0.5), "{told:?}");
     assert!(told.len() <= 1 + first.len(), "{told:?}");
 }
 
--- a/crates/sender/src/config/golden.rs
+++ b/crates/sender/src/config/golden.rs
@@ -96,7 +96,7 @@
         "extra.fee_by_zone": s.zone_fees,
         "limits.most_held": s.most_held, "limits.max_attempts": s.max_attempts,
         "limits.max_retry_after": s.max_retry_after, "limits.retry_after": s.retry_after,
-        "limits.probing": s.probing, "limits.cancelling": s.cancelling,
+        "limits.probing": s.health_checks, "limits.cancelling": s.cancelling,
         "limits.max_streams": s.streams_per_connection, "limits.idle_close": s.idle_close,
         "limits.connect_timeout": s.connect_timeout,
         "rules.cold_from": s.cold_from, "rules.warm_within": s.warm_within,
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -33,7 +33,9 @@
                 }
                 Input::Withdrawn(hand_in) => events.extend(self.withdraw(hand_in)),
                 Input::Outcome { id, attempt, report } => events.push(self.outcome(id, attempt, report)),
-                Input::Probed { route, outcome } => events.push(Event::Probed { route, outcome }),
+                Input::HealthChecked { route, outcome } => {
+                    events.push(Event::HealthChecked { route, outcome })
+                }
                 Input::List(list) => {
                     let entries = self.list(&list);
                     let change =
@@ -45,7 +47,7 @@
                     txns.iter().for_each(|txn| self.store.settled(txn));
                 }
                 Input::Successor(came) => self.successor(came),
-                Input::Waits { destination, receiver, ms } => {
+                Input::RetryAfter { destination, receiver, ms } => {
                     events.extend(self.heed(destination, receiver.as_deref(), ms));
                 }
                 Input::OutElsewhere(calls) => self.sender.share_slots(calls),
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -63,11 +63,11 @@
                     self.wakes.push((now + delay, token));
                 }
                 Action::Cancel { id, attempt } => self.cancel(id, attempt),
-                Action::Probe { route } => self.outbound.probe(route),
+                Action::HealthCheck { route } => self.outbound.probe(route),
                 // The watch is always on.
                 Action::Subscribe => {}
-                Action::Remember { destination, route, trouble } => {
-                    self.remember(destination, route, trouble);
+                Action::Remember { destination, route, outage } => {
+                    self.remember(destination, route, outage);
                 }
                 Action::Refuse { .. } | Action::Fail { .. } => {}
             }
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -133,7 +133,12 @@
     }
 
     /// What a later process must know of an outage goes on record with this batch.
-    pub(super) fn remember(&mut self, destination: DestinationId, route: Option<RouteId>, trouble: Trouble) {
+    pub(super) fn remember(
+        &mut self,
+        destination: DestinationId,
+        route: Option<RouteId>,
+        outage: OutageState,
+    ) {
         let receiver = match route {
             None => "".into(),
             Some(route) => match self.outbound.place(route) {
@@ -142,25 +147,29 @@
                 None => return,
             },
         };
-        let trouble = match trouble {
-            Trouble::None => None,
-            Trouble::Down { wait } => Some(journal::Trouble::Down { wait: wait as u64 }),
-            Trouble::Cold { ago, part } => Some(journal::Trouble::Cold { ago: ago as i64, part }),
+        let outage = match outage {
+            OutageState::Healthy => None,
+            OutageState::Down { wait } => Some(journal::OutageState::Down { wait: wait as u64 }),
+            OutageState::WarmingUp { ago, part } => {
+                Some(journal::OutageState::WarmingUp { ago: ago as i64, part })
+            }
         };
-        self.store.remember((destination.0, receiver), trouble);
+        self.store.remember((destination.0, receiver), outage);
     }
 
     /// What an earlier process knew of outages.
     pub(super) fn recall(&self) -> Vec<Event> {
-        let event = |((destination, receiver), trouble): (&journal::Place, journal::Trouble)| {
+        let event = |((destination, receiver), outage): (&journal::EndpointKey, journal::OutageState)| {
             let route = if receiver.is_empty() { None } else { Some(self.routes.get(receiver)?.route) };
-            let trouble = match trouble {
-                journal::Trouble::Down { wait } => Trouble::Down { wait: wait as Millis },
-                journal::Trouble::Cold { ago, part } => Trouble::Cold { ago: ago as Millis, part },
+            let outage = match outage {
+                journal::OutageState::Down { wait } => OutageState::Down { wait: wait as Millis },
+                journal::OutageState::WarmingUp { ago, part } => {
+                    OutageState::WarmingUp { ago: ago as Millis, part }
+                }
             };
-            Some(Event::Remembered { destination: DestinationId(*destination), route, trouble })
+            Some(Event::Remembered { destination: DestinationId(*destination), route, outage })
         };
-        self.store.memories().filter_map(event).collect()
+        self.store.outage_records().filter_map(event).collect()
     }
 }
 
--- a/crates/sender/src/engine/succession.rs
+++ b/crates/sender/src/engine/succession.rs
@@ -20,13 +20,15 @@
             return;
         }
         tracing::info!("handover: a successor has come");
-        for ((destination, receiver), trouble) in self.store.memories() {
-            let trouble = match trouble {
-                journal::Trouble::Down { wait } => handover::Trouble::Down { wait },
-                journal::Trouble::Cold { ago, part } => handover::Trouble::Cold { ago, part },
+        for ((destination, receiver), outage) in self.store.outage_records() {
+            let outage = match outage {
+                journal::OutageState::Down { wait } => handover::OutageState::Down { wait },
+                journal::OutageState::WarmingUp { ago, part } => {
+                    handover::OutageState::WarmingUp { ago, part }
+                }
             };
             let (destination, receiver) = (*destination, receiver.to_string());
-            self.neighbour.tell(Word::Trouble { destination, receiver, trouble });
+            self.neighbour.tell(Word::OutageState { destination, receiver, outage });
         }
         self.outbound.waits().into_iter().for_each(|word| self.neighbour.tell(word));
         self.told_out = self.calls.len();
@@ -37,17 +39,17 @@
     /// What a predecessor tells a process that begins: as if its own journal had said so, as far as it can be.
     pub fn hear(store: &mut Store, told: &[Word]) {
         for word in told {
-            if let Word::Trouble { destination, receiver, trouble } = word {
-                let trouble = match *trouble {
-                    handover::Trouble::Down { wait } => {
-                        journal::Trouble::Down { wait: wait.min(LONGEST_WAIT as u64) }
+            if let Word::OutageState { destination, receiver, outage } = word {
+                let outage = match *outage {
+                    handover::OutageState::Down { wait } => {
+                        journal::OutageState::Down { wait: wait.min(LONGEST_WAIT as u64) }
                     }
-                    handover::Trouble::Cold { ago, part } => {
+                    handover::OutageState::WarmingUp { ago, part } => {
                         let ago = ago.max(-(LONGEST_WAIT as i64));
-                        journal::Trouble::Cold { ago, part: part.clamp(0.0, 1.0) }
+                        journal::OutageState::WarmingUp { ago, part: part.clamp(0.0, 1.0) }
                     }
                 };
-                store.remember((*destination, receiver.as_str().into()), Some(trouble));
+                store.remember((*destination, receiver.as_str().into()), Some(outage));
             }
         }
     }
@@ -61,7 +63,7 @@
         };
         let (destination, wait) = (DestinationId(destination), wait.clamp(0.0, LONGEST_WAIT));
         self.outbound.heed(destination, route, wait);
-        Some(Event::Waits { destination, route, wait })
+        Some(Event::RetryAfter { destination, route, wait })
     }
 
     /// If the process that owned the journal has ended, what it owed is ours.
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -29,7 +29,7 @@
         attempt: u32,
         report: Report,
     },
-    Probed {
+    HealthChecked {
         route: RouteId,
         outcome: Outcome,
     },
@@ -39,7 +39,7 @@
     /// A process that will take over from this one has come, or the other of the two is gone.
     Successor(bool),
     /// The other process of this sender was told to wait.
-    Waits {
+    RetryAfter {
         destination: u16,
         receiver: Option<String>,
         ms: Millis,
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -41,7 +41,13 @@
     /// A successor's first: the version that it speaks.
     Hello(u32),
     /// What is known of a partner's outage, or of a receiver's.
-    Trouble { destination: u16, receiver: String, trouble: Trouble },
+    #[serde(rename = "trouble")]
+    OutageState {
+        destination: u16,
+        receiver: String,
+        #[serde(rename = "trouble")]
+        outage: OutageState,
+    },
     /// A receiver told to wait for so many milliseconds more: its whole partner, or (where routes are apart) it alone.
     Wait { destination: u16, receiver: Option<String>, ms: f64 },
     /// So many calls are out here now: the slots are the sender's, not each process's.
@@ -54,9 +60,9 @@
     /// What the engine of the process that hears it is told; nothing of what is said only at the start.
     pub fn input(self) -> Option<Input> {
         match self {
-            Self::Wait { destination, receiver, ms } => Some(Input::Waits { destination, receiver, ms }),
+            Self::Wait { destination, receiver, ms } => Some(Input::RetryAfter { destination, receiver, ms }),
             Self::Out(calls) => Some(Input::OutElsewhere(calls)),
-            Self::Hello(_) | Self::Trouble { .. } | Self::Room => None,
+            Self::Hello(_) | Self::OutageState { .. } | Self::Room => None,
         }
     }
 }
@@ -64,9 +70,15 @@
 /// As the journal keeps it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Trouble {
-    Down { wait: u64 },
-    Cold { ago: i64, part: f64 },
+pub enum OutageState {
+    Down {
+        wait: u64,
+    },
+    #[serde(rename = "cold")]
+    WarmingUp {
+        ago: i64,
+        part: f64,
+    },
 }
 
 /// The way to the other process; words to one that is gone are dropped.
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -18,8 +18,8 @@
 
 /// One value for each variant and each of its optional fields, there and not there, in the order of the file.
 fn words() -> Vec<Word> {
-    let trouble =
-        |receiver: &str, trouble| Word::Trouble { destination: 3, receiver: receiver.to_owned(), trouble };
+    let outage =
+        |receiver: &str, outage| Word::OutageState { destination: 3, receiver: receiver.to_owned(), outage };
     let wait = |receiver: Option<&str>, ms| Word::Wait {
         destination: 65_535,
         receiver: receiver.map(str::to_owned),
@@ -28,10 +28,10 @@
     vec![
         Word::Hello(1),
         Word::Hello(u32::MAX),
-        trouble("r1", Trouble::Down { wait: 1_500 }),
-        trouble("", Trouble::Down { wait: 0 }),
-        trouble("r1", Trouble::Cold { ago: 250, part: 0.25 }),
-        trouble("", Trouble::Cold { ago: -250, part: 1.0 }),
+        outage("r1", OutageState::Down { wait: 1_500 }),
+        outage("", OutageState::Down { wait: 0 }),
+        outage("r1", OutageState::WarmingUp { ago: 250, part: 0.25 }),
+        outage("", OutageState::WarmingUp { ago: -250, part: 1.0 }),
         wait(None, 0.0),
         wait(Some("r1"), 1_500.5),
         wait(Some(""), 5.0),
@@ -119,7 +119,7 @@
             theirs.write_all(lines.as_bytes()).await.expect("writable");
             let first = told.recv().await;
             assert!(
-                matches!(&first, Some(Input::Waits { destination: 3, receiver: Some(receiver), ms })
+                matches!(&first, Some(Input::RetryAfter { destination: 3, receiver: Some(receiver), ms })
                     if receiver == "r1" && *ms == 5.0),
                 "{line:?}: {first:?}"
             );
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -154,7 +154,7 @@
             let request =
                 |host: HeaderValue, _| Request::get("/-/healthy").header(HOST, host).body(Full::default());
             let (report, rest) = this.exchange(route, &bounds, &Notify::new(), None, request).await;
-            let _ = this.host.send(Input::Probed { route, outcome: report.outcome }).await;
+            let _ = this.host.send(Input::HealthChecked { route, outcome: report.outcome }).await;
             this.finish(route, rest).await;
         });
     }
--- a/crates/sender/src/outbound/tests/answers.rs
+++ b/crates/sender/src/outbound/tests/answers.rs
@@ -41,7 +41,9 @@
             assert_eq!(&head, b"GET /-/healthy HTT");
             let answer = format!("HTTP/1.1 {answer}\r\nContent-Length: 0\r\n\r\n");
             stream.write_all(answer.as_bytes()).await.expect("writable");
-            let Input::Probed { outcome: found, .. } = next(&mut inputs).await else { panic!("no probe") };
+            let Input::HealthChecked { outcome: found, .. } = next(&mut inputs).await else {
+                panic!("no probe")
+            };
             assert_eq!(found, outcome);
         }
     };
--- a/crates/simulation/src/partner.rs
+++ b/crates/simulation/src/partner.rs
@@ -77,11 +77,11 @@
 }
 
 /// What a host tells a sender that begins anew, so much later.
-pub fn aged(trouble: Trouble, by: Millis) -> Trouble {
-    match trouble {
-        Trouble::None => Trouble::None,
-        Trouble::Down { wait } => Trouble::Down { wait: (wait - by).max(0.0) },
-        Trouble::Cold { ago, part } => Trouble::Cold { ago: ago + by, part },
+pub fn aged(outage: OutageState, by: Millis) -> OutageState {
+    match outage {
+        OutageState::Healthy => OutageState::Healthy,
+        OutageState::Down { wait } => OutageState::Down { wait: (wait - by).max(0.0) },
+        OutageState::WarmingUp { ago, part } => OutageState::WarmingUp { ago: ago + by, part },
     }
 }
 
--- a/crates/simulation/src/partner/client.rs
+++ b/crates/simulation/src/partner/client.rs
@@ -24,7 +24,7 @@
     /// Messages that have no end yet: class, when they were handed in, attempts.
     pub open: BTreeMap<u32, (usize, Millis, u32)>,
     /// What it had its host remember, and when.
-    pub memories: BTreeMap<Option<RouteId>, (Millis, Trouble)>,
+    pub memories: BTreeMap<Option<RouteId>, (Millis, OutageState)>,
     pub starts: u64,
     /// Whether a call of its, in any of its lives, came to nothing in the outage.
     pub told: bool,
@@ -34,9 +34,9 @@
     /// What it knows of the outage as it calls that route.
     pub fn knows(&self, route: RouteId) -> Knows {
         let believed = |of: Option<RouteId>| self.memories.get(&of).map(|m| m.1);
-        let trouble = |of| believed(of).filter(|t| *t != Trouble::None);
-        match trouble(None).or(trouble(Some(route))) {
-            Some(Trouble::Down { .. }) => Knows::Down,
+        let outage = |of| believed(of).filter(|t| *t != OutageState::Healthy);
+        match outage(None).or(outage(Some(route))) {
+            Some(OutageState::Down { .. }) => Knows::Down,
             Some(_) => Knows::Cold,
             None if self.told => Knows::Failures,
             None => Knows::Nothing,
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -115,9 +115,9 @@
         for who in back.into_iter().flat_map(|(who, _)| who) {
             let (open, memories) = (self.clients[who].open.clone(), self.clients[who].memories.clone());
             let mut client = fresh(self.scene, who, self.clients[who].starts + 1, now);
-            for (&route, &(at, trouble)) in &memories {
-                let (trouble, destination) = (aged(trouble, now - at), DestinationId(0));
-                client.events.push(Event::Remembered { destination, route, trouble });
+            for (&route, &(at, outage)) in &memories {
+                let (outage, destination) = (aged(outage, now - at), DestinationId(0));
+                client.events.push(Event::Remembered { destination, route, outage });
             }
             (client.memories, client.told) = (memories, self.clients[who].told);
             for (id, (class, at, attempts)) in open {
@@ -227,8 +227,8 @@
                     struck: on && what != Outcome::Ok,
                 });
             }
-            Action::Remember { route, trouble, .. } => drop(client.memories.insert(route, (now, trouble))),
-            Action::Cancel { .. } | Action::Probe { .. } | Action::Subscribe => {}
+            Action::Remember { route, outage, .. } => drop(client.memories.insert(route, (now, outage))),
+            Action::Cancel { .. } | Action::HealthCheck { .. } | Action::Subscribe => {}
         }
     }
 }
--- a/crates/simulation/src/parts.rs
+++ b/crates/simulation/src/parts.rs
@@ -34,7 +34,7 @@
         max_attempts: 6,
         max_retry_after: 3_000.0,
         retry_after: true,
-        probing: false,
+        health_checks: false,
         cancelling: false,
         streams_per_connection: 1,
         idle_close: 10_000.0,
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -181,7 +181,7 @@
             let (instance, route, outcome) = (f.u32()?, f.route()?, outcome(f.u16()?)?);
             f.f64()?;
             f.load()?;
-            Record::Event { instance, event: Event::Probed { route, outcome } }
+            Record::Event { instance, event: Event::HealthChecked { route, outcome } }
         }
         17 => {
             let (instance, id, class, tenant) = (f.u32()?, MessageId(f.u32()?), f.u8()?, f.u32()?);
@@ -326,7 +326,7 @@
                 fields.extend(token.to_be_bytes());
                 84
             }
-            Action::Probe { route } => {
+            Action::HealthCheck { route } => {
                 fields.extend(address(route));
                 85
             }
--- a/crates/simulator-adapter/tests/replay/wire.rs
+++ b/crates/simulator-adapter/tests/replay/wire.rs
@@ -135,7 +135,7 @@
         }
         Input::Dropped { id } => record(26, &[&instance, &id.to_be_bytes()]),
         Input::Wake { token } => record(19, &[&instance, &token.to_be_bytes()]),
-        Input::Probed { route, end } => {
+        Input::HealthChecked { route, end } => {
             record(16, &[&instance, &address(*route), &code(*end), &unused, &load])
         }
         _ => unreachable!("the wire has no frame for {}", input.name()),
