--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use common::*;
-use rudderspindle_journal::{Message, Ran, Status, Store, wall_ms};
+use rudderspindle_journal::{Message, PossibleExecution, Status, Store, wall_ms};
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{UnixListener, UnixStream};
@@ -36,7 +36,7 @@
         deadline: wall_ms() + 50_000,
         body: text(),
         attempts: 0,
-        may_have_run: None,
+        possibly_executed: None,
         out: None,
     }
 }
@@ -84,7 +84,10 @@
         for (class, txn) in [("safe", "untried"), ("once", "tried"), ("safe", "ended"), ("safe", "over")] {
             owner.take(message(class, txn));
         }
-        owner.attempt(&"tried".into(), Ran { at: wall_ms(), receiver: "r1".into(), zone: "a".into() });
+        owner.attempt(
+            &"tried".into(),
+            PossibleExecution { at: wall_ms(), receiver: "r1".into(), zone: "a".into() },
+        );
         owner.commit().expect("written");
         owner.end(&"ended".into(), Some(Status::Undeliverable));
         owner.end(&"over".into(), None);
--- a/crates/daemon/tests/ready.rs
+++ b/crates/daemon/tests/ready.rs
@@ -27,7 +27,7 @@
             deadline: wall_ms() + 300_000,
             body: Bytes::from(vec![b'x'; body]),
             attempts: 0,
-            may_have_run: None,
+            possibly_executed: None,
             out: None,
         };
         if !store.has_room(message.room()) {
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use common::*;
-use rudderspindle_journal::{Message, Ran, Store, wall_ms};
+use rudderspindle_journal::{Message, PossibleExecution, Store, wall_ms};
 use serde_json::Value;
 
 const LONG: f64 = 60_000.0;
@@ -23,14 +23,14 @@
         deadline: wall_ms() + left_ms,
         body: Bytes::from_static(b"text"),
         attempts: 0,
-        may_have_run: None,
+        possibly_executed: None,
         out: None,
     }
 }
 
 /// An attempt to `r1`, of which no outcome is on record.
-fn ran(at: u64) -> Ran {
-    Ran { at, receiver: "r1".into(), zone: "a".into() }
+fn ran(at: u64) -> PossibleExecution {
+    PossibleExecution { at, receiver: "r1".into(), zone: "a".into() }
 }
 
 /// Writes a journal as an earlier process would have: messages, and when their one attempt went out, if one did.
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -14,7 +14,7 @@
 //! process that starts alone: a crash of either or both needs no care of its own.
 //!
 //! ```
-//! use rudderspindle_journal::{Message, Ran, Status, Store};
+//! use rudderspindle_journal::{Message, PossibleExecution, Status, Store};
 //!
 //! # fn main() -> std::io::Result<()> {
 //! # let folder = tempfile::tempdir()?;
@@ -28,12 +28,12 @@
 //!     deadline: rudderspindle_journal::wall_ms() + 20_000,
 //!     body: "text".into(),
 //!     attempts: 0,
-//!     may_have_run: None,
+//!     possibly_executed: None,
 //!     out: None,
 //! });
 //! // Only now may its client hear that it is taken on.
 //! journal.commit()?;
-//! journal.attempt(&"9b1f03aa".into(), Ran { at: 1, receiver: "r1".into(), zone: "left".into() });
+//! journal.attempt(&"9b1f03aa".into(), PossibleExecution { at: 1, receiver: "r1".into(), zone: "left".into() });
 //! // Only now may its first byte go out.
 //! journal.commit()?;
 //! drop(journal);
@@ -41,7 +41,7 @@
 //! // The process was killed: what came of the attempt is not known.
 //! let mut journal = Store::open(folder.path(), 3_000_000)?;
 //! let message = journal.open_messages().next().expect("it is still owed its end");
-//! assert_eq!(message.may_have_run.as_ref().map(|ran| ran.at), Some(1));
+//! assert_eq!(message.possibly_executed.as_ref().map(|ran| ran.at), Some(1));
 //! journal.end(&"9b1f03aa".into(), Some(Status::Undeliverable));
 //! journal.commit()?;
 //! # Ok(())
@@ -59,7 +59,7 @@
 use std::rc::Rc;
 
 pub use memory::{EndpointKey, OutageState};
-pub use message::{Message, Notice, Ran, Status, TakenOver, wall_ms};
+pub use message::{Message, Notice, PossibleExecution, Status, TakenOver, wall_ms};
 pub use store::Store;
 
 /// A message's id, as its client chose it.
--- a/crates/journal/src/message.rs
+++ b/crates/journal/src/message.rs
@@ -14,7 +14,7 @@
 
 /// Where and when an attempt went out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ran {
+pub struct PossibleExecution {
     /// Milliseconds of the wall clock since 1970.
     pub at: u64,
     /// The receiver's id.
@@ -43,9 +43,9 @@
     /// Attempts that were on record before their first byte.
     pub attempts: u32,
     /// The first attempt that is known to have run, or may have.
-    pub may_have_run: Option<Ran>,
+    pub possibly_executed: Option<PossibleExecution>,
     /// The attempt that has no outcome yet.
-    pub out: Option<Ran>,
+    pub out: Option<PossibleExecution>,
 }
 
 impl Message {
@@ -85,7 +85,7 @@
 impl Message {
     /// An attempt goes out. An earlier one that has no outcome was cut off by the end of its process, and may
     /// have run: nothing that comes of this one changes that.
-    pub(crate) fn begin(&mut self, attempt: u32, ran: Option<Ran>) {
+    pub(crate) fn begin(&mut self, attempt: u32, ran: Option<PossibleExecution>) {
         self.settle(true);
         self.attempts = self.attempts.max(attempt.saturating_add(1));
         self.out = ran;
@@ -93,14 +93,14 @@
 
     /// An attempt has ended. One that never was on record, as its batch could not be written, is not the one
     /// that is out. Outcomes of older journals do not say which they are of.
-    pub(crate) fn end(&mut self, attempt: Option<u32>, may_have_run: bool) {
+    pub(crate) fn end(&mut self, attempt: Option<u32>, possibly_executed: bool) {
         if attempt.is_none_or(|attempt| self.attempts == attempt.saturating_add(1)) {
-            self.settle(may_have_run);
+            self.settle(possibly_executed);
         }
     }
 
-    pub(crate) fn settle(&mut self, may_have_run: bool) {
-        let ran = self.out.take().filter(|_| may_have_run);
-        self.may_have_run = self.may_have_run.take().or(ran);
+    pub(crate) fn settle(&mut self, possibly_executed: bool) {
+        let ran = self.out.take().filter(|_| possibly_executed);
+        self.possibly_executed = self.possibly_executed.take().or(ran);
     }
 }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use crate::memory::{EndpointKey, OutageState};
-use crate::message::{Message, Ran, Status};
+use crate::message::{Message, PossibleExecution, Status};
 use crate::{MAX_BODY, Txn};
 
 /// Bytes of a record before its payload.
@@ -38,7 +38,7 @@
     put_bytes(p, text.as_bytes());
 }
 
-pub(crate) fn put_ran(p: &mut Vec<u8>, ran: Option<&Ran>) {
+pub(crate) fn put_ran(p: &mut Vec<u8>, ran: Option<&PossibleExecution>) {
     p.push(u8::from(ran.is_some()));
     if let Some(ran) = ran {
         p.extend(ran.at.to_le_bytes());
@@ -57,7 +57,7 @@
         put_bytes(p, m.key.as_deref().unwrap_or_default());
         p.extend(m.deadline.to_le_bytes());
         p.extend(m.attempts.to_le_bytes());
-        put_ran(p, m.may_have_run.as_ref());
+        put_ran(p, m.possibly_executed.as_ref());
         put_ran(p, m.out.as_ref());
         put_bytes(p, &m.body);
     });
@@ -134,10 +134,10 @@
     }
 
     /// `None` if unreadable, `Some(None)` if there is none.
-    pub fn ran(&mut self) -> Option<Option<Ran>> {
+    pub fn ran(&mut self) -> Option<Option<PossibleExecution>> {
         if self.u8()? == 0 {
             return Some(None);
         }
-        Some(Some(Ran { at: self.u64()?, receiver: self.text()?, zone: self.text()? }))
+        Some(Some(PossibleExecution { at: self.u64()?, receiver: self.text()?, zone: self.text()? }))
     }
 }
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -111,11 +111,11 @@
                 key: key.0.then(|| Bytes::copy_from_slice(key.1)),
                 deadline: f.u64()?,
                 attempts: f.u32()?,
-                may_have_run: f.ran()?,
+                possibly_executed: f.ran()?,
                 out: f.ran()?,
                 body: Bytes::copy_from_slice(f.bytes()?),
             };
-            let ran = message.may_have_run.iter().chain(&message.out).map(|ran| ran.at);
+            let ran = message.possibly_executed.iter().chain(&message.out).map(|ran| ran.at);
             *latest_attempt = ran.fold(*latest_attempt, u64::max);
             entries.insert(txn, Entry { segment, state: State::Open(message) });
         }
@@ -127,9 +127,9 @@
             }
         }
         OUTCOME => {
-            let (may_have_run, attempt) = (f.u8()? != 0, f.u32());
+            let (possibly_executed, attempt) = (f.u8()? != 0, f.u32());
             if let Some(message) = open_mut(entries, &txn) {
-                message.end(attempt, may_have_run);
+                message.end(attempt, possibly_executed);
             }
         }
         ENDED => {
--- a/crates/journal/src/segments/tests.rs
+++ b/crates/journal/src/segments/tests.rs
@@ -49,11 +49,11 @@
 fn record(txn: &str) -> Vec<u8> {
     let mut record = Vec::new();
     let body = vec![b'x'; 300].into();
-    let (may_have_run, out, key) = (None, None, None);
+    let (possibly_executed, out, key) = (None, None, None);
     let (class, tenant, destination) = ("safe".into(), "acme".into(), 7);
     let (txn, deadline, attempts) = (txn.into(), 5, 0);
     let message =
-        Message { txn, class, tenant, destination, key, deadline, body, attempts, may_have_run, out };
+        Message { txn, class, tenant, destination, key, deadline, body, attempts, possibly_executed, out };
     put_taken(&mut record, &message);
     record
 }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -9,7 +9,7 @@
 use crate::Txn;
 use crate::claim::FolderLock;
 use crate::memory::{EndpointKey, OutageRecord, OutageRecords, OutageState};
-use crate::message::{Message, Notice, Ran, Status, TakenOver, wall_ms};
+use crate::message::{Message, Notice, PossibleExecution, Status, TakenOver, wall_ms};
 use crate::record::{ATTEMPT, OUTCOME, SETTLED, put, put_ended, put_memory, put_ran, put_taken, put_text};
 use crate::replay::{Contents, Entry, State, open_mut, read};
 use crate::segments::{SEGMENT, Segments, numbers};
@@ -136,7 +136,7 @@
     }
 
     /// An attempt that is about to go out.
-    pub fn attempt(&mut self, txn: &Txn, ran: Ran) {
+    pub fn attempt(&mut self, txn: &Txn, ran: PossibleExecution) {
         let Some(message) = open_mut(&mut self.entries, txn) else { return };
         put(&mut self.starts, ATTEMPT, |p| {
             put_text(p, txn);
@@ -147,14 +147,14 @@
     }
 
     /// An attempt, counted from 0, has ended.
-    pub fn outcome(&mut self, txn: &Txn, attempt: u32, may_have_run: bool) {
+    pub fn outcome(&mut self, txn: &Txn, attempt: u32, possibly_executed: bool) {
         let Some(message) = open_mut(&mut self.entries, txn) else { return };
         put(&mut self.facts, OUTCOME, |p| {
             put_text(p, txn);
-            p.push(u8::from(may_have_run));
+            p.push(u8::from(possibly_executed));
             p.extend(attempt.to_le_bytes());
         });
-        message.end(Some(attempt), may_have_run);
+        message.end(Some(attempt), possibly_executed);
     }
 
     /// A message has ended; `owed` is the notice that its platform must get.
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -23,13 +23,13 @@
         deadline: 5,
         body: Bytes::from(vec![b'x'; size]),
         attempts: 0,
-        may_have_run: None,
+        possibly_executed: None,
         out: None,
     }
 }
 
-fn ran(at: u64) -> Ran {
-    Ran { at, receiver: "r1".into(), zone: "a".into() }
+fn ran(at: u64) -> PossibleExecution {
+    PossibleExecution { at, receiver: "r1".into(), zone: "a".into() }
 }
 
 /// What the journal says, in an order of its own.
@@ -73,7 +73,7 @@
     assert!(!removed.is_empty(), "nothing was ever removed");
     let expected = state(&store);
     assert_eq!(expected.0[0].attempts, 2);
-    assert_eq!(expected.0[0].may_have_run, Some(ran(1)));
+    assert_eq!(expected.0[0].possibly_executed, Some(ran(1)));
     assert_eq!(expected.0[0].out, Some(ran(2)));
     assert_eq!(expected.1, ["owed".into()] as [Txn; 1]);
     drop(store);
@@ -111,7 +111,7 @@
 /// The attempt of `txn` that counts as the first that may have run.
 fn first(store: &Store, txn: &str) -> Option<u64> {
     let message = store.open_messages().find(|m| &*m.txn == txn).expect("an open message");
-    message.may_have_run.as_ref().or(message.out.as_ref()).map(|ran| ran.at)
+    message.possibly_executed.as_ref().or(message.out.as_ref()).map(|ran| ran.at)
 }
 
 /// Cut by a kill, then one that never ran, then another kill: the first may have run all the same.
--- a/crates/journal/src/store/tests/succession.rs
+++ b/crates/journal/src/store/tests/succession.rs
@@ -33,7 +33,7 @@
     assert_eq!(over.owed, [Notice { txn: "m1".into(), status: Status::Undeliverable }]);
     assert_eq!(over.open.len(), 1);
     // Its attempt has no outcome, and never will have.
-    assert_eq!((&*over.open[0].txn, &over.open[0].may_have_run), ("m3", &Some(ran(2))));
+    assert_eq!((&*over.open[0].txn, &over.open[0].possibly_executed), ("m3", &Some(ran(2))));
     assert_eq!(successor.succeed().expect("readable"), None);
     let expected = state(&successor);
     assert_eq!((expected.0.len(), expected.1.len()), (2, 1));
--- a/crates/journal/tests/golden_folders/damage.rs
+++ b/crates/journal/tests/golden_folders/damage.rs
@@ -38,7 +38,7 @@
 }
 
 fn tried(txn: &str, ran_at: Option<u64>) -> Message {
-    Message { attempts: 1, may_have_run: ran_at.map(ran), ..message(txn) }
+    Message { attempts: 1, possibly_executed: ran_at.map(ran), ..message(txn) }
 }
 
 #[test]
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -18,7 +18,7 @@
         deadline: u64::MAX,
         body: Bytes::from_static(&[0, 255, 10, 13, 128]),
         attempts: 3,
-        may_have_run: Some(ran(100)),
+        possibly_executed: Some(ran(100)),
         out: Some(ran(200)),
     }
 }
@@ -66,13 +66,13 @@
 fn a_folder_with_every_kind_of_record_tells_all_messages_notices_and_memories() {
     let expected = Told {
         open: vec![
-            Message { attempts: 1, may_have_run: Some(ran(3)), ..message("m-cut") },
+            Message { attempts: 1, possibly_executed: Some(ran(3)), ..message("m-cut") },
             Message { key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") },
             Message { attempts: 4, out: None, ..full_message() },
             message("m-later"),
             message("m-new"),
-            Message { attempts: 2, may_have_run: Some(ran(7)), ..message("m-not-run") },
-            Message { attempts: 2, may_have_run: Some(ran(1)), ..message("m-ran") },
+            Message { attempts: 2, possibly_executed: Some(ran(7)), ..message("m-not-run") },
+            Message { attempts: 2, possibly_executed: Some(ran(1)), ..message("m-ran") },
         ],
         owed: vec![
             ("n-1".into(), Status::Undeliverable),
--- a/crates/journal/tests/golden_folders/support.rs
+++ b/crates/journal/tests/golden_folders/support.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-use rudderspindle_journal::{Message, OutageState, Ran, Status, Store};
+use rudderspindle_journal::{Message, OutageState, PossibleExecution, Status, Store};
 use tempfile::TempDir;
 use tracing::field::{Field, Visit};
 use tracing::span::{Attributes, Id, Record};
@@ -91,14 +91,14 @@
         deadline: 1_700_000_020_000,
         body: (&b"text"[..]).into(),
         attempts: 0,
-        may_have_run: None,
+        possibly_executed: None,
         out: None,
     }
 }
 
 /// An attempt so many milliseconds after a fixed time of 2023.
-pub fn ran(after: u64) -> Ran {
-    Ran { at: 1_700_000_000_000 + after, receiver: "receiver-1".into(), zone: "left".into() }
+pub fn ran(after: u64) -> PossibleExecution {
+    PossibleExecution { at: 1_700_000_000_000 + after, receiver: "receiver-1".into(), zone: "left".into() }
 }
 
 /// The payloads of whole records.
--- a/crates/journal/tests/golden_folders/takeover.rs
+++ b/crates/journal/tests/golden_folders/takeover.rs
@@ -42,7 +42,7 @@
 }
 
 fn ran_once(txn: &str, after: u64) -> Message {
-    Message { attempts: 1, may_have_run: Some(ran(after)), ..message(txn) }
+    Message { attempts: 1, possibly_executed: Some(ran(after)), ..message(txn) }
 }
 
 #[test]
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -36,7 +36,7 @@
 use crate::worth::Worth;
 use gate::{BURST, CUT_REST, REACH};
 use scope::Scope;
-use state::{Destination, Gate, Held, Ran, Route};
+use state::{Destination, ExecutionMark, Gate, Held, Route};
 
 /// So many senders each grow as if they were alone, and try what is down as often.
 const SHARERS: f64 = 3.0;
@@ -115,7 +115,7 @@
     fn take(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::List(change) => self.list(change),
-            Event::Message(message) => self.admit(message, &Past::default()),
+            Event::Message(message) => self.admit(message, &AttemptHistory::default()),
             Event::Recovered(message, past) => self.admit(message, past),
             Event::Remembered { destination, route, outage } => self.recall(*destination, *route, *outage),
             Event::RetryAfter { destination, route, wait } => {
--- a/crates/policy/src/decide/admission.rs
+++ b/crates/policy/src/decide/admission.rs
@@ -8,7 +8,7 @@
 const KEY_MARGIN: Millis = 50.0;
 
 impl Sender {
-    pub(super) fn admit(&mut self, message: &Message, past: &Past) {
+    pub(super) fn admit(&mut self, message: &Message, past: &AttemptHistory) {
         if self.messages.contains_key(&message.id) {
             return;
         }
@@ -22,8 +22,8 @@
         let key = if c.ordered { message.ordering_key } else { 0 };
         self.turns.join(key, message.id);
         let destination = message.destination;
-        let maybe_ran = past.may_have_run.map(|ran| (self.now - ran.ago, ran.route, ran.zone));
-        let past = Held { attempts: past.attempts, maybe_ran, ..Held::default() };
+        let possibly_executed = past.possibly_executed.map(|ran| (self.now - ran.ago, ran.route, ran.zone));
+        let past = Held { attempts: past.attempts, possibly_executed, ..Held::default() };
         self.messages.insert(message.id, Held { worth, destination, key, ..past });
         self.park(message.id);
         self.queue_up(destination);
@@ -33,7 +33,7 @@
     pub(super) fn park(&mut self, id: MessageId) {
         let Some(m) = self.messages.get_mut(&id) else { return };
         m.answer_at = m.worth.ends_at - 2.0 * self.settings.tick - END_MARGIN;
-        match (m.maybe_ran, self.settings.classes[m.worth.class].effect) {
+        match (m.possibly_executed, self.settings.classes[m.worth.class].effect) {
             (Some((at, ..)), Effect::Keyed { window, .. }) => {
                 m.answer_at = m.answer_at.min(at + window - KEY_MARGIN);
             }
--- a/crates/policy/src/decide/choice.rs
+++ b/crates/policy/src/decide/choice.rs
@@ -11,7 +11,7 @@
     /// No effect happens twice: whether the message's class and past allow another attempt there.
     pub(super) fn allowed(&self, id: MessageId, route: &Route) -> bool {
         let Some(m) = self.messages.get(&id) else { return false };
-        let Some((_, ran, zone)) = m.maybe_ran else { return true };
+        let Some((_, ran, zone)) = m.possibly_executed else { return true };
         match self.settings.classes[m.worth.class].effect {
             Effect::Safe => true,
             Effect::Keyed { group: KeyGroup::All, .. } => true,
--- a/crates/policy/src/decide/ends.rs
+++ b/crates/policy/src/decide/ends.rs
@@ -38,7 +38,7 @@
     }
 
     fn refusable(&self, m: &Held) -> bool {
-        let ran = m.maybe_ran.is_some() || m.out.is_some();
+        let ran = m.possibly_executed.is_some() || m.out.is_some();
         match self.settings.classes[m.worth.class].effect {
             Effect::Safe => true,
             Effect::Keyed { group, .. } => group == KeyGroup::All || !ran,
--- a/crates/policy/src/decide/gate.rs
+++ b/crates/policy/src/decide/gate.rs
@@ -35,7 +35,7 @@
 
     /// Whether an outcome tells of an outage by itself.
     pub(super) fn tells_of_outage(&mut self, now: Millis, outcome: Outcome, wait: Millis) -> bool {
-        let full = outcome == Outcome::Full;
+        let full = outcome == Outcome::Rejected;
         if full && self.turned.0 == 0 {
             self.turned.1 = now;
         }
--- a/crates/policy/src/decide/outages.rs
+++ b/crates/policy/src/decide/outages.rs
@@ -41,7 +41,7 @@
                 return;
             }
             let health = d.health_mut(scope);
-            if shut || outcome != Outcome::Full || health.is_down() {
+            if shut || outcome != Outcome::Rejected || health.is_down() {
                 health.note(sent_at, outcome);
             }
         }
--- a/crates/policy/src/decide/outcomes.rs
+++ b/crates/policy/src/decide/outcomes.rs
@@ -17,11 +17,11 @@
         let ran = self.settle(to, call, outcome, retry_after);
         self.remember(to, actions);
         let Some(m) = self.messages.get_mut(&id) else { return };
-        if outcome == Outcome::Spent {
+        if outcome == Outcome::AttemptsExhausted {
             m.attempts = self.settings.max_attempts;
         }
-        if outcome.may_have_run() && outcome != Outcome::Ok {
-            m.maybe_ran = m.maybe_ran.or(ran);
+        if outcome.possibly_executed() && outcome != Outcome::Ok {
+            m.possibly_executed = m.possibly_executed.or(ran);
             // Its key rests while the attempt may still be running.
             let running = outcome != Outcome::Error;
             if running {
@@ -29,7 +29,7 @@
             }
         }
         let unsafe_ran =
-            m.maybe_ran.is_some() && self.settings.classes[m.worth.class].effect == Effect::Unsafe;
+            m.possibly_executed.is_some() && self.settings.classes[m.worth.class].effect == Effect::Unsafe;
         if closed || m.over || outcome == Outcome::Ok {
             self.finish(id);
         } else if unsafe_ran || m.worth.ends_at <= self.now {
@@ -40,7 +40,13 @@
     }
 
     /// The call's share in an outcome: its slot, the wait told, and what its first outcome tells.
-    fn settle(&mut self, to: DestinationId, call: u64, outcome: Outcome, wait: Millis) -> Option<Ran> {
+    fn settle(
+        &mut self,
+        to: DestinationId,
+        call: u64,
+        outcome: Outcome,
+        wait: Millis,
+    ) -> Option<ExecutionMark> {
         let mut d = std::mem::take(self.destinations.get_mut(&to)?);
         let mut ran = None;
         let of = d.calls.get(call).map(|call| (call.route, call.sent_at, call.limited));
@@ -48,7 +54,7 @@
             && let Some(route) = d.routes.iter().position(|r| r.id == id)
         {
             ran = Some((sent_at, id, d.routes[route].zone));
-            if outcome == Outcome::Full && wait > 0.0 {
+            if outcome == Outcome::Rejected && wait > 0.0 {
                 // Each message of a call may bring the wait in a batch of its own: the last one counts. What
                 // was saved up is not sent at its end: others wait for the same moment.
                 let (again, shared) = (self.now + wait, d.shared_pace(Scope::Route(route), self.now));
@@ -65,7 +71,8 @@
             let (first, last) = d.calls.settle(call);
             d.routes[route].out -= usize::from(last);
             self.calls_out -= usize::from(last);
-            if first && !matches!(outcome, Outcome::Moot | Outcome::Spent | Outcome::Cancelled) {
+            if first && !matches!(outcome, Outcome::NotSent | Outcome::AttemptsExhausted | Outcome::Cancelled)
+            {
                 if outcome == Outcome::Ok && (limited || !d.waiting.is_empty()) {
                     let gate = d.gate_mut(route);
                     let alone = ((self.now - gate.cut_at) / REACH.long).min(1.0);
@@ -86,11 +93,11 @@
         let accept = matches!(outcome, Outcome::Ok | Outcome::Error);
         let gate = d.gate_mut(index);
         gate.window.count(now, 1.0, f64::from(u8::from(accept)));
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             gate.room.refused();
             gate.cut(now, fair * PACE_FLOOR);
         }
-        gate.room.failed += u64::from(!matches!(outcome, Outcome::Ok | Outcome::Full));
+        gate.room.failed += u64::from(!matches!(outcome, Outcome::Ok | Outcome::Rejected));
         let shut = gate.tells_of_outage(now, outcome, wait);
         self.note(d, index, sent_at, outcome, shut);
         for scope in d.scopes(index) {
@@ -98,7 +105,7 @@
             let tells = match outcome {
                 // Good answers among errors do not warm it.
                 Outcome::Ok => health.is_cold() && health.errs(),
-                Outcome::Full => shut || health.is_down(),
+                Outcome::Rejected => shut || health.is_down(),
                 _ => true,
             };
             if !shut && !health.concerns(sent_at) {
--- a/crates/policy/src/decide/state.rs
+++ b/crates/policy/src/decide/state.rs
@@ -63,10 +63,10 @@
     /// Number and call of the attempt that is out.
     pub(super) out: Option<(u32, u64)>,
     /// The first attempt that may have taken effect.
-    pub(super) maybe_ran: Option<Ran>,
+    pub(super) possibly_executed: Option<ExecutionMark>,
     pub(super) dropped: bool,
     pub(super) over: bool,
 }
 
 /// When, by which route and in which zone a message may have taken effect.
-pub(super) type Ran = (Millis, RouteId, u8);
+pub(super) type ExecutionMark = (Millis, RouteId, u8);
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -11,7 +11,7 @@
 pub use action::{Action, Want};
 pub use checks::SettingsError;
 pub use event::{Event, OutageState, Outcome, Turn};
-pub use list::{ListChange, Listing, Message, Past, PastRun, RouteEntry};
+pub use list::{AttemptHistory, ListChange, Listing, Message, PriorExecution, RouteEntry};
 pub use settings::{Class, Discovery, Effect, KeyGroup, Kind, LateDecay, RateHint, Settings, Tenant};
 
 /// A span or a point of time in milliseconds.
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -1,6 +1,6 @@
 //! What a sender is told. No decision.
 
-use super::{DestinationId, ListChange, Message, MessageId, Millis, Past, RouteId};
+use super::{AttemptHistory, DestinationId, ListChange, Message, MessageId, Millis, RouteId};
 
 /// What is believed of a destination whose routes share a limit, or of a route that is apart, that a sender must
 /// still know if it begins anew: or it would send at full pace to what is down or cold.
@@ -41,7 +41,7 @@
     /// The destination answered with an error; it may have taken effect.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have taken effect or may still.
     Timeout,
     /// No connection; it never ran.
@@ -51,17 +51,17 @@
     /// Called off; it may have taken effect.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Never sent: the message has had all its attempts. Its end is still owed.
-    Spent,
+    AttemptsExhausted,
 }
 
 impl Outcome {
     /// Whether the attempt may have taken effect, or may yet.
-    pub fn may_have_run(self) -> bool {
+    pub fn possibly_executed(self) -> bool {
         match self {
             Self::Ok | Self::Error | Self::Timeout | Self::Reset | Self::Cancelled => true,
-            Self::Full | Self::ConnectFailed | Self::Moot | Self::Spent => false,
+            Self::Rejected | Self::ConnectFailed | Self::NotSent | Self::AttemptsExhausted => false,
         }
     }
 }
@@ -74,7 +74,7 @@
     /// A message is handed in.
     Message(Message),
     /// A message taken on before a restart is still owed its end.
-    Recovered(Message, Past),
+    Recovered(Message, AttemptHistory),
     /// What was to be remembered over a restart, as it is now. Comes after the list.
     Remembered {
         /// The destination.
@@ -141,7 +141,7 @@
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
-        /// For [`Outcome::Full`]: the wait that was told; 0 for none.
+        /// For [`Outcome::Rejected`]: the wait that was told; 0 for none.
         retry_after: Millis,
         /// Whether the message is over.
         closed: bool,
--- a/crates/policy/src/interface/list.rs
+++ b/crates/policy/src/interface/list.rs
@@ -65,16 +65,16 @@
 
 /// What happened to a message before the sender came up, as its host has it on record.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Past {
+pub struct AttemptHistory {
     /// Attempts used. None of them is out any more.
     pub attempts: u32,
     /// The first attempt that may have taken effect.
-    pub may_have_run: Option<PastRun>,
+    pub possibly_executed: Option<PriorExecution>,
 }
 
 /// An attempt of the past that may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PastRun {
+pub struct PriorExecution {
     /// How long ago it was sent.
     pub ago: Millis,
     /// By which route; it may have left the list since.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -123,7 +123,7 @@
                 let Some(a) = t.attempts.get_mut(*attempt as usize) else { return };
                 a.outcome = Some(*outcome);
                 let line = &self.listed[&a.route];
-                if *outcome == Outcome::Full && *retry_after > 0.0 {
+                if *outcome == Outcome::Rejected && *retry_after > 0.0 {
                     let apart = self.settings.kinds[usize::from(line.kind)].routes_apart;
                     let wait = self.waits.entry((line.destination, apart.then_some(a.route))).or_default();
                     *wait = wait.max(self.now + retry_after);
@@ -167,7 +167,7 @@
             Action::Refuse { id, .. } => {
                 let t = self.taken.get_mut(&id).expect("taken");
                 assert!(!t.ended, "{id:?} ended twice");
-                let ran = t.attempts.iter().any(may_have_run);
+                let ran = t.attempts.iter().any(possibly_executed);
                 match self.settings.classes[t.message.class].effect {
                     Effect::Safe | Effect::Keyed { group: KeyGroup::All, .. } => {}
                     _ => assert!(!ran, "{id:?} was refused though it may have run"),
@@ -191,7 +191,7 @@
     }
 
     fn check_effect(&self, t: &Taken, line: &RouteEntry, within: Millis) {
-        for earlier in t.attempts.iter().filter(|a| may_have_run(a)) {
+        for earlier in t.attempts.iter().filter(|a| possibly_executed(a)) {
             match self.settings.classes[t.message.class].effect {
                 Effect::Safe => {}
                 Effect::Unsafe => panic!("an unsafe message was sent again"),
@@ -227,8 +227,8 @@
     }
 }
 
-fn may_have_run(a: &Try) -> bool {
-    !matches!(a.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot))
+fn possibly_executed(a: &Try) -> bool {
+    !matches!(a.outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
 }
 
 pub fn sends(actions: &[Action]) -> Vec<(u32, u64)> {
--- a/crates/policy/tests/replay/exchange.rs
+++ b/crates/policy/tests/replay/exchange.rs
@@ -40,8 +40,8 @@
     ConnectFailed,
     Reset,
     Cancelled,
-    Moot,
-    Spent,
+    NotSent,
+    AttemptsExhausted,
 }
 
 #[derive(Clone, Copy)]
@@ -105,8 +105,8 @@
         Self::ConnectFailed,
         Self::Reset,
         Self::Cancelled,
-        Self::Moot,
-        Self::Spent,
+        Self::NotSent,
+        Self::AttemptsExhausted,
     ];
 }
 
@@ -132,8 +132,8 @@
                 AttemptEnd::ConnectFailed => "input outcome connect-failed",
                 AttemptEnd::Reset => "input outcome reset",
                 AttemptEnd::Cancelled => "input outcome cancelled",
-                AttemptEnd::Moot => "input outcome moot",
-                AttemptEnd::Spent => "input outcome spent",
+                AttemptEnd::NotSent => "input outcome moot",
+                AttemptEnd::AttemptsExhausted => "input outcome spent",
             },
             Self::Dropped { .. } => "input dropped",
             Self::Wake { .. } => "input wake",
--- a/crates/policy/tests/replay/module.rs
+++ b/crates/policy/tests/replay/module.rs
@@ -78,8 +78,8 @@
             Event::HealthChecked { route: RouteId(route), outcome: outcome(end) }
         }
         Input::Recovered { message, attempts, ran } => {
-            let ran = ran.map(|(ago, route, zone)| PastRun { ago, route: RouteId(route), zone });
-            Event::Recovered(message_of(&message), Past { attempts, may_have_run: ran })
+            let ran = ran.map(|(ago, route, zone)| PriorExecution { ago, route: RouteId(route), zone });
+            Event::Recovered(message_of(&message), AttemptHistory { attempts, possibly_executed: ran })
         }
         Input::Remembered { limit, belief } => {
             let (destination, route) = named(limit);
@@ -143,13 +143,13 @@
     match end {
         AttemptEnd::Ok => Outcome::Ok,
         AttemptEnd::Error => Outcome::Error,
-        AttemptEnd::Full => Outcome::Full,
+        AttemptEnd::Full => Outcome::Rejected,
         AttemptEnd::Timeout => Outcome::Timeout,
         AttemptEnd::ConnectFailed => Outcome::ConnectFailed,
         AttemptEnd::Reset => Outcome::Reset,
         AttemptEnd::Cancelled => Outcome::Cancelled,
-        AttemptEnd::Moot => Outcome::Moot,
-        AttemptEnd::Spent => Outcome::Spent,
+        AttemptEnd::NotSent => Outcome::NotSent,
+        AttemptEnd::AttemptsExhausted => Outcome::AttemptsExhausted,
     }
 }
 
--- a/crates/policy/tests/replay/module_only.rs
+++ b/crates/policy/tests/replay/module_only.rs
@@ -113,5 +113,5 @@
     let out = host.instances[index].messages.iter_mut().find(|(_, kept)| kept.out.is_some());
     let found = out.map(|(id, kept)| (*id, kept.out.take().unwrap_or_default()));
     let (id, attempt) = found.unwrap_or((0, 0));
-    Input::Outcome { id, attempt, end: AttemptEnd::Spent, wait: 0, closed: false }
+    Input::Outcome { id, attempt, end: AttemptEnd::AttemptsExhausted, wait: 0, closed: false }
 }
--- a/crates/policy/tests/replay/partner.rs
+++ b/crates/policy/tests/replay/partner.rs
@@ -74,7 +74,7 @@
 
     pub fn answer(&mut self, now: u64, line: &RouteLine, timeout: f64, random: &mut Random) -> Answer {
         let Some(partner) = self.0.get_mut(&line.route) else {
-            return Answer { after: PER_MS, end: AttemptEnd::Moot, wait: 0 };
+            return Answer { after: PER_MS, end: AttemptEnd::NotSent, wait: 0 };
         };
         if partner.second != now / PER_SECOND {
             (partner.second, partner.calls) = (now / PER_SECOND, 0);
@@ -104,7 +104,7 @@
             0..15 => ended(usual, AttemptEnd::Error),
             15..25 => ended(usual, AttemptEnd::Reset),
             25..35 => ended(usual, AttemptEnd::Timeout),
-            35..45 => ended(quick, AttemptEnd::Moot),
+            35..45 => ended(quick, AttemptEnd::NotSent),
             45..55 => full(0),
             _ => ended(usual, AttemptEnd::Ok),
         },
--- a/crates/policy/tests/returns.rs
+++ b/crates/policy/tests/returns.rs
@@ -53,7 +53,7 @@
     for seed in 0..20 {
         let mut b = with_routes(1..=4, 0, seed);
         let open = b.now + 9_000.0;
-        let told = |now: Millis, _| if now < open { (10.0, Outcome::Full, open - now) } else { OK };
+        let told = |now: Millis, _| if now < open { (10.0, Outcome::Rejected, open - now) } else { OK };
         let calls = play_calls(&mut b, messages(0..80), 14_000.0, &mut BTreeMap::new(), told);
         assert_one_trial_and_one_ramp(&calls, open, &format!("seed {seed}"));
     }
@@ -69,7 +69,7 @@
             // Sent before it shut, and answered well when others have been told.
             _ if now < shut && std::mem::take(&mut slow) => (1_400.0, Outcome::Ok, 0.0),
             _ if now < shut => OK,
-            _ if now < open => (10.0, Outcome::Full, open - now),
+            _ if now < open => (10.0, Outcome::Rejected, open - now),
             _ => OK,
         };
         let calls = play_calls(&mut b, messages(0..100), 18_000.0, &mut BTreeMap::new(), answer);
@@ -172,7 +172,7 @@
     for seed in 0..20 {
         let mut b = with_routes(1..=2, 0, seed);
         let open = b.now + 9_000.0;
-        let untold = |now: Millis, _| if now < open { (10.0, Outcome::Full, 0.0) } else { OK };
+        let untold = |now: Millis, _| if now < open { (10.0, Outcome::Rejected, 0.0) } else { OK };
         let calls = play_calls(&mut b, messages(0..80), 13_000.0, &mut BTreeMap::new(), untold);
         assert_one_trial_and_one_ramp(&calls, open, &format!("seed {seed}"));
         // One call of each second is let in: a limit that others use up, not an outage.
@@ -184,7 +184,7 @@
                 let_in = second;
                 return OK;
             }
-            (10.0, Outcome::Full, 0.0)
+            (10.0, Outcome::Rejected, 0.0)
         };
         let calls = play_calls(&mut b, messages(0..80), 9_000.0, &mut BTreeMap::new(), limit);
         at_the_limit += calls.len();
@@ -236,7 +236,7 @@
     let first = note(b.step(5.0, &messages(0..3)));
     assert!(!first.is_empty());
     for (n, &(id, _)) in first.iter().enumerate() {
-        note(b.step(1.0, &[outcome(id, 0, Outcome::Full, 9_000.0 - n as f64)]));
+        note(b.step(1.0, &[outcome(id, 0, Outcome::Rejected, 9_000.0 - n as f64)]));
     }
     note(b.step(1_000.0, &[]));
     let mut trial = Vec::new();
@@ -255,8 +255,9 @@
 fn where_routes_are_apart_each_has_its_own_outage() {
     let mut b = with_routes(1..=2, 1, 3);
     let open = b.now + 9_000.0;
-    let answer =
-        |now: Millis, route| if route == 1 && now < open { (10.0, Outcome::Full, open - now) } else { OK };
+    let answer = |now: Millis, route| {
+        if route == 1 && now < open { (10.0, Outcome::Rejected, open - now) } else { OK }
+    };
     let calls = play_calls(&mut b, messages(0..60), 6_000.0, &mut BTreeMap::new(), answer);
     let second = calls.iter().filter(|c| c.2 == 2).count();
     assert!(second >= 25, "{second} by the other route in 6 s at a pace of 5 a second");
@@ -270,7 +271,7 @@
     for seed in 0..40 {
         let mut b = with_routes(1..=2, 0, seed);
         let open = b.now + 9_000.0;
-        let told = |now: Millis, _| if now < open { (10.0, Outcome::Full, open - now) } else { OK };
+        let told = |now: Millis, _| if now < open { (10.0, Outcome::Rejected, open - now) } else { OK };
         let calls = play_calls(&mut b, messages(0..40), 12_000.0, &mut BTreeMap::new(), told);
         first.extend(calls.iter().map(|c| c.0 - open).find(|&at| at >= 0.0));
     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -73,7 +73,7 @@
         b.step(0.0, &[list(vec![entry(1, 0, kind, 0), entry(2, 0, kind, 1)])]);
         let first = b.step(5.0, &[message(1, 0, 0)]);
         assert_eq!(sends(&first).len(), 1);
-        let mut done = b.step(50.0, &[outcome(1, 0, Outcome::Full, 2_000.0)]);
+        let mut done = b.step(50.0, &[outcome(1, 0, Outcome::Rejected, 2_000.0)]);
         done.extend(b.run(1_900.0));
         assert_eq!(!sends(&done).is_empty(), other_route, "kind {kind}");
     }
@@ -86,8 +86,8 @@
     b.step(0.0, &[list(vec![entry(1, 0, 2, 0)])]);
     let sent = b.step(5.0, &[message(1, 0, 0), message(2, 0, 0)]);
     assert_eq!(sends(&sent), [(1, 1), (2, 1)]);
-    b.step(50.0, &[outcome(1, 0, Outcome::Full, 1_000.0)]);
-    b.step(10.0, &[outcome(2, 0, Outcome::Full, 1_000.0)]);
+    b.step(50.0, &[outcome(1, 0, Outcome::Rejected, 1_000.0)]);
+    b.step(10.0, &[outcome(2, 0, Outcome::Rejected, 1_000.0)]);
     let done = b.run(980.0);
     assert!(sends(&done).is_empty(), "{done:?}");
 }
@@ -200,7 +200,7 @@
             for (sender, actions) in senders.iter_mut().zip(&mut all) {
                 sender.handle(f64::from(step) * 20.0, &events, actions);
             }
-            events = vec![outcome(step as u32 % 30, 0, Outcome::Full, 0.0)];
+            events = vec![outcome(step as u32 % 30, 0, Outcome::Rejected, 0.0)];
         }
         all
     };
@@ -276,12 +276,12 @@
     let outcomes = [
         Outcome::Ok,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::Timeout,
         Outcome::ConnectFailed,
         Outcome::Reset,
         Outcome::Cancelled,
-        Outcome::Moot,
+        Outcome::NotSent,
     ];
     let check = |steps: Vec<Step>| {
         let ordered = Class { ordered: true, ..class(KEYED_ALL) };
--- a/crates/policy/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -50,7 +50,7 @@
             }
             let mut answers = Vec::new();
             if !pending {
-                answers.extend((0..3).map(|i| outcome(i, 0, Outcome::Full, 0.0)));
+                answers.extend((0..3).map(|i| outcome(i, 0, Outcome::Rejected, 0.0)));
                 answers.extend((0..3).map(|i| Event::Dropped(MessageId(i))));
             }
             b.step(10.0, &answers);
@@ -74,7 +74,7 @@
         // Route 1 stands in the sender's zone and is preferred; route 2 is apart and farther.
         b.step(0.0, &[list(vec![entry(1, 0, 1, 0), entry(2, 0, 1, 1)])]);
         assert_eq!(sends(&b.step(5.0, &[message(1, 0, 0)])), [(1, 1)]);
-        b.step(5.0, &[outcome(1, 0, Outcome::Full, 0.0), Event::Dropped(MessageId(1))]);
+        b.step(5.0, &[outcome(1, 0, Outcome::Rejected, 0.0), Event::Dropped(MessageId(1))]);
         let done = sends(&b.step(500.0, &[message(2, 0, 0)]));
         assert_eq!(done.len(), 1, "one of the two takes it at once");
         diverted += usize::from(done[0].1 == 2);
@@ -131,7 +131,7 @@
     let mut events = vec![list(vec![line])];
     events.extend((0..50).map(|i| message(i, 0, 0)));
     let first = sends(&b.step(0.0, &events));
-    b.step(20.0, &[outcome(first[0].0, 0, Outcome::Full, 2_600.0)]);
+    b.step(20.0, &[outcome(first[0].0, 0, Outcome::Rejected, 2_600.0)]);
     // A wait that long comes from a route that is shut: from its end on there are trials only.
     let calls = play(&mut b, vec![], 8_600.0, |_, _| (30.0, Outcome::ConnectFailed));
     assert!((1..=5).contains(&calls.len()), "{} trials in 6 s, our part is 6 calls", calls.len());
@@ -144,7 +144,7 @@
     let mut events = vec![list(vec![entry(1, 0, 0, 0)])];
     events.extend((0..20).map(|i| message(i, 0, 0)));
     b.step(0.0, &events);
-    b.step(50.0, &[outcome(0, 0, Outcome::Full, 1_500.0)]);
+    b.step(50.0, &[outcome(0, 0, Outcome::Rejected, 1_500.0)]);
     assert!(sends(&b.run(1_480.0)).is_empty());
     for _ in 0..60 {
         let sent = sends(&b.step(10.0, &[])).len();
@@ -159,7 +159,7 @@
     let mut events = vec![list(vec![entry(1, 0, 0, 0)])];
     events.extend((0..90).map(|i| message(i, 0, 0)));
     let first = sends(&b.step(0.0, &events));
-    b.step(20.0, &[outcome(first[0].0, 0, Outcome::Full, 2_600.0)]);
+    b.step(20.0, &[outcome(first[0].0, 0, Outcome::Rejected, 2_600.0)]);
     let calls = play(&mut b, vec![], 9_000.0, |_, _| (50.0, Outcome::Ok));
     let back = calls[0].0;
     let early = calls.iter().filter(|c| c.0 <= back + 3_000.0).count();
@@ -190,7 +190,7 @@
         let mut b = Bench::new(s.clone(), seed);
         let line = RouteEntry { rate: 3.0, ..entry(1, 0, 0, 0) };
         calls +=
-            play(&mut b, vec![list(vec![line]), message(1, 0, 0)], 9_500.0, |_, _| (50.0, Outcome::Full))
+            play(&mut b, vec![list(vec![line]), message(1, 0, 0)], 9_500.0, |_, _| (50.0, Outcome::Rejected))
                 .len();
     }
     assert!((20..=60).contains(&calls), "{calls} calls for 20 messages, each refused for 9.5 s");
@@ -223,7 +223,7 @@
         let mut first = vec![list(vec![entry(1, 0, 0, 0)])];
         first.extend((0..80).map(|n| message(n, 0, 0)));
         let calls = play(&mut b, first, 8_000.0, |call, _| {
-            (100.0, if (2..12).contains(&call) { Outcome::Full } else { Outcome::Ok })
+            (100.0, if (2..12).contains(&call) { Outcome::Rejected } else { Outcome::Ok })
         });
         delivered += calls.len().saturating_sub(10);
     }
@@ -336,7 +336,7 @@
         for seed in 0..20 {
             let mut b = Bench::new(safe(), seed);
             b.step(0.0, &[list(vec![entry(1, 0, 0, 0)]), room(f64::INFINITY), message(1, 0, 0)]);
-            b.step(10.0, &[room(calls), outcome(1, 0, Outcome::Full, 1_000.0)]);
+            b.step(10.0, &[room(calls), outcome(1, 0, Outcome::Rejected, 1_000.0)]);
             let over = b.now + 1_000.0;
             // The refusal halved what that word left; this is the next one.
             b.step(250.0, &[room(calls)]);
--- a/crates/sender/src/activity.rs
+++ b/crates/sender/src/activity.rs
@@ -27,9 +27,9 @@
     /// A call to a receiver ended. One that was never sent, or called off, tells nothing of it.
     pub fn saw(&mut self, receiver: Option<Receiver>, outcome: Outcome) {
         let seen = match outcome {
-            Outcome::Ok | Outcome::Full => Seen::Answered,
+            Outcome::Ok | Outcome::Rejected => Seen::Answered,
             Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => Seen::Failed,
-            Outcome::Cancelled | Outcome::Moot | Outcome::Spent => return,
+            Outcome::Cancelled | Outcome::NotSent | Outcome::AttemptsExhausted => return,
         };
         if let Some(receiver) = receiver.filter(|_| self.kept) {
             self.seen.push_back((receiver, seen));
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use recovery::Recovered;
 use rudderspindle_gossip::{Gate, Receiver};
-use rudderspindle_journal::{self as journal, Notice, Ran, Status, Store, Txn};
+use rudderspindle_journal::{self as journal, Notice, PossibleExecution, Status, Store, Txn};
 use rudderspindle_policy::Sender;
 use rudderspindle_policy::interface::*;
 use rudderspindle_policy::settings::Names;
@@ -24,7 +24,7 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::activity::Kept;
-use crate::event::{Answer, Call, Doings, Input, List, Member, Report, STORY, Submission};
+use crate::event::{Answer, AttemptResult, Call, Doings, Input, List, Member, STORY, Submission};
 use crate::handover::{self, Neighbour, Word};
 use crate::metrics::{End, Figures, Standing};
 use crate::notifications::Reports;
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -31,7 +31,7 @@
         let destination = self.routes.get(&receiver).and_then(|known| known.destination);
         held.receiver = destination.map(|to| Receiver::of(to.0, &receiver));
         tracing::debug!(target: STORY, txn = &*held.txn, attempt, receiver = &*receiver, zone = &*zone, "attempt");
-        self.store.attempt(&held.txn, Ran { at: journal::wall_ms(), receiver, zone });
+        self.store.attempt(&held.txn, PossibleExecution { at: journal::wall_ms(), receiver, zone });
         let (txn, key, body) = (held.txn.clone(), held.key.clone(), held.body.clone());
         let patience = Duration::from_secs_f64(timeout.max(0.0) / 1_000.0);
         let until = if timeout == 0.0 { last } else { (now + patience).min(last) };
@@ -40,9 +40,9 @@
         Some(Call { id, attempt, route, txn, key, body, until, latest })
     }
 
-    pub(super) fn outcome(&mut self, id: MessageId, attempt: u32, report: Report) -> Event {
+    pub(super) fn outcome(&mut self, id: MessageId, attempt: u32, report: AttemptResult) -> Event {
         self.calls.remove(&id);
-        let Report { outcome, wait, closed } = report;
+        let AttemptResult { outcome, wait, closed } = report;
         let receiver = self.held.get_mut(&id).and_then(|held| held.receiver.take());
         self.doings.saw(receiver, outcome);
         if let Some(held) = self.held.get(&id) {
@@ -55,7 +55,7 @@
                 }
                 self.release(id);
             } else {
-                self.store.outcome(&held.txn, attempt, outcome.may_have_run());
+                self.store.outcome(&held.txn, attempt, outcome.possibly_executed());
             }
         }
         let closed = !self.held.contains_key(&id);
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -87,7 +87,7 @@
             }
             // An attempt that is not on record must not go out.
             for call in calls.drain(..) {
-                let report = Report::from(Outcome::Moot);
+                let report = AttemptResult::from(Outcome::NotSent);
                 let event = self.outcome(call.id, call.attempt, report);
                 self.carried.push(event);
             }
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -58,7 +58,7 @@
             deadline: journal::wall_ms() + left.as_millis() as u64,
             body: body.clone(),
             attempts: 0,
-            may_have_run: None,
+            possibly_executed: None,
             out: None,
         };
         let more = record.room();
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -13,7 +13,7 @@
     class: usize,
     pub ends_at: Instant,
     /// The attempt that may have run, as reckoned then.
-    may_have_run: Option<(Instant, PastRun)>,
+    possibly_executed: Option<(Instant, PriorExecution)>,
     message: journal::Message,
 }
 
@@ -43,13 +43,16 @@
             // Whatever the clock says, it has no longer than its class allows.
             let left =
                 message.deadline.saturating_sub(wall).min(self.settings.classes[class].deadline as u64);
-            let may_have_run = message.may_have_run.as_ref().map(|ran| {
+            let possibly_executed = message.possibly_executed.as_ref().map(|ran| {
                 // As long ago as can be, where the clock does not tell.
                 let ago = wall.saturating_sub(if set_back { 0 } else { ran.at }) as Millis;
-                (now, PastRun { ago, route: self.route(&ran.receiver, now), zone: self.zone(&ran.zone) })
+                (
+                    now,
+                    PriorExecution { ago, route: self.route(&ran.receiver, now), zone: self.zone(&ran.zone) },
+                )
             });
             let ends_at = now + Duration::from_millis(left);
-            self.backlog.push(Recovered { class, ends_at, may_have_run, message });
+            self.backlog.push(Recovered { class, ends_at, possibly_executed, message });
         }
         for (class, mut txns) in unknown {
             tracing::warn!(
@@ -95,19 +98,19 @@
         let Some(message) = self.store.open_message(&held.txn).cloned() else { return false };
         tracing::debug!(target: STORY, txn = &*held.txn, "put back");
         let (class, ends_at) = (held.class, held.ends_at);
-        self.backlog.push(Recovered { class, ends_at, may_have_run: None, message });
+        self.backlog.push(Recovered { class, ends_at, possibly_executed: None, message });
         self.sort_backlog();
         true
     }
 
     fn hand_over(&mut self, now: Instant, recovered: Recovered) -> Event {
-        let Recovered { class, ends_at, may_have_run, message: m } = recovered;
+        let Recovered { class, ends_at, possibly_executed, message: m } = recovered;
         let time_left = ends_at.saturating_duration_since(now).as_secs_f64() * 1_000.0;
-        tracing::debug!(target: STORY, txn = &*m.txn, attempts = m.attempts, ran = ?m.may_have_run, time_left,
+        tracing::debug!(target: STORY, txn = &*m.txn, attempts = m.attempts, ran = ?m.possibly_executed, time_left,
             "taken up again");
-        let may_have_run = may_have_run.map(|(then, ran)| {
+        let possibly_executed = possibly_executed.map(|(then, ran)| {
             let since = now.saturating_duration_since(then).as_secs_f64() * 1_000.0;
-            PastRun { ago: ran.ago + since, ..ran }
+            PriorExecution { ago: ran.ago + since, ..ran }
         });
         let tenant = self.names.tenants.iter().position(|name| **name == *m.tenant);
         let id = self.hold(Held {
@@ -129,7 +132,7 @@
             work_guess: None,
             destination: DestinationId(m.destination),
         };
-        Event::Recovered(message, Past { attempts: m.attempts, may_have_run })
+        Event::Recovered(message, AttemptHistory { attempts: m.attempts, possibly_executed })
     }
 
     /// What a later process must know of an outage goes on record with this batch.
--- a/crates/sender/src/engine/recovery/tests.rs
+++ b/crates/sender/src/engine/recovery/tests.rs
@@ -16,7 +16,7 @@
             deadline: journal::wall_ms() + left_ms,
             body: Bytes::from_static(b"text"),
             attempts: 0,
-            may_have_run: None,
+            possibly_executed: None,
             out: None,
         });
     }
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -27,7 +27,7 @@
     Outcome {
         id: MessageId,
         attempt: u32,
-        report: Report,
+        report: AttemptResult,
     },
     HealthChecked {
         route: RouteId,
@@ -122,7 +122,7 @@
 
 /// What came of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
+pub struct AttemptResult {
     pub outcome: Outcome,
     /// The wait told, in milliseconds; 0 for none.
     pub wait: Millis,
@@ -130,7 +130,7 @@
     pub closed: bool,
 }
 
-impl From<Outcome> for Report {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
         Self { outcome, wait: 0.0, closed: outcome == Outcome::Ok }
     }
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -26,7 +26,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
-use crate::event::{Call, IDEMPOTENCY_KEY, Input, Report, STORY};
+use crate::event::{AttemptResult, Call, IDEMPOTENCY_KEY, Input, STORY};
 use crate::handover::{Neighbour, Word};
 use crate::metrics::Figures;
 use crate::write_progress::{MAX_BUFFER, Meter, Metered};
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -25,7 +25,7 @@
 }
 
 impl Outbound {
-    pub(super) async fn call(&self, call: &Call, cancelled: &Notify) -> (Report, Option<Rest>) {
+    pub(super) async fn call(&self, call: &Call, cancelled: &Notify) -> (AttemptResult, Option<Rest>) {
         let request = |host: HeaderValue, patience: Duration| {
             let mut request = Request::post("/v1/messages")
                 .header(HOST, host)
@@ -49,8 +49,8 @@
         cancelled: &Notify,
         message: Option<&Txn>,
         request: impl Fn(HeaderValue, Duration) -> hyper::http::Result<Request<Full<Bytes>>>,
-    ) -> (Report, Option<Rest>) {
-        let moot = || (Outcome::Moot.into(), None);
+    ) -> (AttemptResult, Option<Rest>) {
+        let moot = || (Outcome::NotSent.into(), None);
         loop {
             let known = self.routes.borrow().get(&route).and_then(|r| Some((r.addr?, r.waits(route))));
             let Some((addr, waits)) = known else { return moot() };
@@ -146,13 +146,13 @@
         response: Response<Incoming>,
         sent: Sent,
         until: Instant,
-    ) -> Option<(Report, Option<Incoming>)> {
+    ) -> Option<(AttemptResult, Option<Incoming>)> {
         let report = answered(response.status(), response.headers());
         if !answers(sent, report.outcome) {
             return None;
         }
         let body = response.into_body();
-        if report.outcome.may_have_run() {
+        if report.outcome.possibly_executed() {
             return Some((report, Some(body)));
         }
         drain(body, until).await.then_some((report, None))
--- a/crates/sender/src/outbound/outcome.rs
+++ b/crates/sender/src/outbound/outcome.rs
@@ -1,5 +1,5 @@
 //! What came of a call, and so whether it may have run: the protocol's table 'Senders to receivers', row by row.
-//! [`Outcome::may_have_run`] tells of each outcome whether its call may have.
+//! [`Outcome::possibly_executed`] tells of each outcome whether its call may have.
 
 use super::*;
 
@@ -68,7 +68,7 @@
     match (sent, heard, end) {
         // Never: what is said before the last byte is no answer to this call. Our own doing tells nothing of
         // the receiver.
-        (Sent::Nothing | Sent::Part, _, End::Cancelled | End::Withheld) => Outcome::Moot,
+        (Sent::Nothing | Sent::Part, _, End::Cancelled | End::Withheld) => Outcome::NotSent,
         (Sent::Nothing | Sent::Part, _, End::Broken | End::TimedOut) => Outcome::ConnectFailed,
         // The first line has told already.
         (Sent::Whole, Heard::Ok, _) => Outcome::Ok,
@@ -83,18 +83,18 @@
 /// Whether an answer of this outcome is relied on with the call so far out. That it ran is not, if its last byte
 /// is still to go: the answer is to something else, and the call must not go on.
 pub(super) fn answers(sent: Sent, outcome: Outcome) -> bool {
-    sent == Sent::Whole || !outcome.may_have_run()
+    sent == Sent::Whole || !outcome.possibly_executed()
 }
 
 /// How a whole answer reads.
-pub(super) fn answered(status: StatusCode, headers: &HeaderMap) -> Report {
+pub(super) fn answered(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
     match status.as_u16() {
         200 => Outcome::Ok.into(),
-        429 => Report { wait: retry_after(headers), ..Outcome::Full.into() },
-        503 if headers.get(X_EGRESS_FULL).is_some_and(|v| v == "1") => Outcome::Moot.into(),
-        503 => Report { wait: retry_after(headers), ..Outcome::Full.into() },
-        504 => Outcome::Spent.into(),
-        410 => Report { closed: true, ..Outcome::Moot.into() },
+        429 => AttemptResult { wait: retry_after(headers), ..Outcome::Rejected.into() },
+        503 if headers.get(X_EGRESS_FULL).is_some_and(|v| v == "1") => Outcome::NotSent.into(),
+        503 => AttemptResult { wait: retry_after(headers), ..Outcome::Rejected.into() },
+        504 => Outcome::AttemptsExhausted.into(),
+        410 => AttemptResult { closed: true, ..Outcome::NotSent.into() },
         // 500, and whatever else is said: it may have run.
         _ => Outcome::Error.into(),
     }
--- a/crates/sender/src/outbound/tests/answers.rs
+++ b/crates/sender/src/outbound/tests/answers.rs
@@ -4,17 +4,17 @@
 
 #[tokio::test]
 async fn answers_read_as_the_protocol_says() {
-    let report = |outcome, wait, closed| Report { outcome, wait, closed };
+    let report = |outcome, wait, closed| AttemptResult { outcome, wait, closed };
     let cases = [
         ("200 OK", report(Outcome::Ok, 0.0, true)),
         ("500 No", report(Outcome::Error, 0.0, false)),
         ("404 No", report(Outcome::Error, 0.0, false)),
-        ("429 No\r\nX-Backoff-Ms: 250", report(Outcome::Full, 250.0, false)),
-        ("429 No\r\nX-Backoff-Ms: soon", report(Outcome::Full, 0.0, false)),
-        ("503 No", report(Outcome::Full, 0.0, false)),
-        ("503 No\r\nX-Egress-Full: 1", report(Outcome::Moot, 0.0, false)),
-        ("504 No", report(Outcome::Spent, 0.0, false)),
-        ("410 No", report(Outcome::Moot, 0.0, true)),
+        ("429 No\r\nX-Backoff-Ms: 250", report(Outcome::Rejected, 250.0, false)),
+        ("429 No\r\nX-Backoff-Ms: soon", report(Outcome::Rejected, 0.0, false)),
+        ("503 No", report(Outcome::Rejected, 0.0, false)),
+        ("503 No\r\nX-Egress-Full: 1", report(Outcome::NotSent, 0.0, false)),
+        ("504 No", report(Outcome::AttemptsExhausted, 0.0, false)),
+        ("410 No", report(Outcome::NotSent, 0.0, true)),
     ];
     let test = async {
         for (text, expected) in cases {
@@ -32,7 +32,7 @@
 #[tokio::test]
 async fn a_probe_tells_what_it_found() {
     let test = async {
-        for (answer, outcome) in [("200 OK", Outcome::Ok), ("503 No", Outcome::Full)] {
+        for (answer, outcome) in [("200 OK", Outcome::Ok), ("503 No", Outcome::Rejected)] {
             let (outbound, listener, mut inputs) = set_up().await;
             outbound.probe(ROUTE);
             let (mut stream, _) = listener.accept().await.expect("a connection");
@@ -58,7 +58,7 @@
         let (mut stream, _) = listener.accept().await.expect("a connection");
         answer(&mut stream, "429 No\r\nX-Backoff-Ms: 1e300").await;
         let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-        assert_eq!((report.outcome, report.wait), (Outcome::Full, LONGEST_WAIT));
+        assert_eq!((report.outcome, report.wait), (Outcome::Rejected, LONGEST_WAIT));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/outbound/tests/given_up.rs
+++ b/crates/sender/src/outbound/tests/given_up.rs
@@ -32,7 +32,7 @@
             (MIDDLING, false, Outcome::Timeout),
             (LARGE, false, Outcome::ConnectFailed),
             (MIDDLING, true, Outcome::Cancelled),
-            (LARGE, true, Outcome::Moot),
+            (LARGE, true, Outcome::NotSent),
         ] {
             let (outbound, listener, mut inputs) = set_up_narrow().await;
             let call = unread(size);
--- a/crates/sender/src/outbound/tests/late.rs
+++ b/crates/sender/src/outbound/tests/late.rs
@@ -16,7 +16,7 @@
                 outbound.wait(Waits::Destination(DestinationId(7)), 10_000.0);
             }
             let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-            assert_eq!(report, Outcome::Moot.into());
+            assert_eq!(report, Outcome::NotSent.into());
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -40,7 +40,7 @@
         outbound.start(Call { latest, ..call() });
         let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         // Not what a failure to connect would be: nothing is known of the receiver.
-        assert_eq!(report, Outcome::Moot.into());
+        assert_eq!(report, Outcome::NotSent.into());
         assert!(Instant::now() >= latest);
         // Nor does one go over a connection that is there, if its time was over before its task began.
         let (outbound, listener, mut inputs) = set_up().await;
@@ -53,7 +53,7 @@
         }
         outbound.start(Call { latest: Instant::now(), ..call() });
         let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-        assert_eq!(report, Outcome::Moot.into());
+        assert_eq!(report, Outcome::NotSent.into());
         assert!(stream.try_read(&mut [0; 1]).is_err(), "something of it went out");
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -14,14 +14,14 @@
             // Refused, never up, or broken before its last byte was written: never.
             for sent in [Sent::Nothing, Sent::Part] {
                 let outcome = unanswered(sent, heard, end);
-                assert!(!outcome.may_have_run(), "{sent:?} {heard:?} {end:?}");
+                assert!(!outcome.possibly_executed(), "{sent:?} {heard:?} {end:?}");
                 // Only what the receiver or the network did is held against the receiver.
                 let ours = matches!(end, End::Cancelled | End::Withheld);
-                assert_eq!(outcome == Outcome::Moot, ours, "{sent:?} {heard:?} {end:?}");
+                assert_eq!(outcome == Outcome::NotSent, ours, "{sent:?} {heard:?} {end:?}");
             }
             // After that it may have.
             let outcome = unanswered(Sent::Whole, heard, end);
-            assert!(outcome.may_have_run(), "{heard:?} {end:?}");
+            assert!(outcome.possibly_executed(), "{heard:?} {end:?}");
             assert_eq!(outcome == Outcome::Ok, heard == Heard::Ok, "{heard:?} {end:?}");
         }
     }
@@ -32,20 +32,23 @@
 }
 
 /// Whole answers: what they read as, and what an answer is that ends within them, with a byte at the least.
-fn answers() -> Vec<(&'static str, Report)> {
-    let full = |wait| Report { wait, ..Outcome::Full.into() };
+fn answers() -> Vec<(&'static str, AttemptResult)> {
+    let full = |wait| AttemptResult { wait, ..Outcome::Rejected.into() };
     vec![
         ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody", Outcome::Ok.into()),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", Outcome::Ok.into()),
         ("HTTP/1.1 500 No\r\nContent-Length: 4\r\n\r\nbody", Outcome::Error.into()),
         ("HTTP/1.1 429 No\r\nX-Backoff-Ms: 250\r\nContent-Length: 4\r\n\r\nbody", full(250.0)),
         ("HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", full(0.0)),
-        ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", Outcome::Spent.into()),
+        (
+            "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n",
+            Outcome::AttemptsExhausted.into(),
+        ),
     ]
 }
 
 /// Of an answer that is cut there: 200 counts once its first line is whole; that a call never ran only from a whole one.
-fn cut(text: &str, whole: Report, at: usize) -> Report {
+fn cut(text: &str, whole: AttemptResult, at: usize) -> AttemptResult {
     let head = text.find("HTTP/1.1 1").map_or(0, |_| "HTTP/1.1 100 Continue\r\n\r\n".len());
     match whole.outcome {
         _ if at == text.len() => whole,
@@ -58,7 +61,7 @@
 }
 
 /// Plays a receiver that writes its answer in these pieces and then ends the connection.
-async fn outcome_of(pieces: &[&[u8]], reset: bool) -> Report {
+async fn outcome_of(pieces: &[&[u8]], reset: bool) -> AttemptResult {
     let (outbound, listener, mut inputs) = set_up().await;
     outbound.start(call());
     let (mut stream, _) = listener.accept().await.expect("a connection");
@@ -130,7 +133,7 @@
         for (status, outcome) in [
             ("200 OK", Outcome::ConnectFailed),
             ("500 No", Outcome::ConnectFailed),
-            ("503 No", Outcome::Full),
+            ("503 No", Outcome::Rejected),
         ] {
             let (outbound, _, mut inputs) = set_up().await;
             let listener = narrow();
--- a/crates/simulation/src/partner/limit.rs
+++ b/crates/simulation/src/partner/limit.rs
@@ -30,7 +30,7 @@
         match scene.outage {
             Outage::Shut { tells } if on => {
                 let wait = if draw.unit() < tells { scene.until - now } else { 0.0 };
-                return (QUICK, Outcome::Full, wait);
+                return (QUICK, Outcome::Rejected, wait);
             }
             Outage::Refuse if on => return (QUICK, Outcome::ConnectFailed, 0.0),
             Outage::Silent if on => return (timeout, Outcome::Timeout, 0.0),
@@ -47,7 +47,7 @@
                 self.span = (now as u64, (left - 1.0).max(-scene.told * owed / 1_000.0));
                 if left < 1.0 {
                     seen.refused += 1;
-                    return (QUICK, Outcome::Full, *wait);
+                    return (QUICK, Outcome::Rejected, *wait);
                 }
                 return (scene.work, Outcome::Ok, 0.0);
             }
@@ -60,7 +60,7 @@
         if self.span.1 > scene.told.max(1.0) {
             seen.refused += 1;
             let left = (this + 1) as f64 * 1_000.0 - now;
-            return (QUICK, Outcome::Full, if draw.unit() < 0.3 { left } else { 0.0 });
+            return (QUICK, Outcome::Rejected, if draw.unit() < 0.3 { left } else { 0.0 });
         }
         let pace = if now >= scene.until { warmth(now - scene.until) } else { 1.0 };
         let work = (scene.work / 3.0 + draw.exponential(scene.work * 2.0 / 3.0)) / pace;
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -122,7 +122,7 @@
             (client.memories, client.told) = (memories, self.clients[who].told);
             for (id, (class, at, attempts)) in open {
                 let left = DEADLINE - (now - at);
-                let past = Past { attempts, may_have_run: None };
+                let past = AttemptHistory { attempts, possibly_executed: None };
                 if left > 0.0 {
                     client.events.push(Event::Recovered(handed_in(id, class, left), past));
                     client.open.insert(id, (class, at, attempts));
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -229,7 +229,7 @@
             let outcome = outcome(f.u16()?)?;
             f.route()?;
             f.load()?;
-            let retry_after = if outcome == Outcome::Full { f64::from(detail) } else { 0.0 };
+            let retry_after = if outcome == Outcome::Rejected { f64::from(detail) } else { 0.0 };
             Record::Event { instance, event: Event::Outcome { id, attempt, outcome, retry_after, closed } }
         }
         24 => {
@@ -279,12 +279,12 @@
     Ok(match code {
         200 => Outcome::Ok,
         500 => Outcome::Error,
-        503 => Outcome::Full,
+        503 => Outcome::Rejected,
         504 => Outcome::Timeout,
         502 => Outcome::ConnectFailed,
         598 => Outcome::Reset,
         499 => Outcome::Cancelled,
-        410 => Outcome::Moot,
+        410 => Outcome::NotSent,
         other => return Err(Malformed(format!("unknown outcome {other}"))),
     })
 }
--- a/crates/simulator-adapter/tests/replay/wire.rs
+++ b/crates/simulator-adapter/tests/replay/wire.rs
@@ -105,8 +105,8 @@
         AttemptEnd::ConnectFailed => 502,
         AttemptEnd::Reset => 598,
         AttemptEnd::Cancelled => 499,
-        AttemptEnd::Moot => 410,
-        AttemptEnd::Spent => unreachable!("the wire has no such outcome"),
+        AttemptEnd::NotSent => 410,
+        AttemptEnd::AttemptsExhausted => unreachable!("the wire has no such outcome"),
     };
     code.to_be_bytes()
 }
