--- a/crates/daemon/tests/calls.rs
+++ b/crates/daemon/tests/calls.rs
@@ -37,8 +37,8 @@
         Self { platform, listener, program, _folder: folder, _config: config }
     }
 
-    async fn hand_in(&self, class: &str, txn: &str) {
-        assert_eq!(self.program.hand_in(class, txn, text()).await.status(), 202);
+    async fn hand_in(&self, class: &str, message_id: &str) {
+        assert_eq!(self.program.hand_in(class, message_id, text()).await.status(), 202);
     }
 
     async fn accept(&self) -> TcpStream {
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -146,23 +146,23 @@
     }
 
     /// Hands a message for destination 7 in, as a client of its own.
-    pub async fn hand_in(&self, class: &str, txn: &str, body: Bytes) -> Response<Incoming> {
-        self.hand_in_within(class, txn, body, "60").await
+    pub async fn hand_in(&self, class: &str, message_id: &str, body: Bytes) -> Response<Incoming> {
+        self.hand_in_within(class, message_id, body, "60").await
     }
 
     pub async fn hand_in_within(
         &self,
         class: &str,
-        txn: &str,
+        message_id: &str,
         body: Bytes,
         left: &str,
     ) -> Response<Incoming> {
         let request = Request::post(format!("/{class}"))
-            .header("x-txn", txn)
+            .header("x-txn", message_id)
             .header("x-org", "acme")
             .header("x-remaining", left)
             .header("x-route-to", "dest=7")
-            .header("idempotency-key", format!("key-{txn}"));
+            .header("idempotency-key", format!("key-{message_id}"));
         self.request(request.body(Full::new(body)).expect("a request")).await.expect("an answer")
     }
 
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -34,7 +34,7 @@
     limit(&program, 128).await;
     let _idle = idle(&program, 200).await;
     assert_eq!(program.hand_in("once", "m1", Bytes::from_static(b"text")).await.status(), 202);
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
     assert_eq!(platform.report().await.0, [("m1".to_owned(), "undeliverable".to_owned())]);
 }
 
@@ -43,7 +43,7 @@
     let (_platform, mut receiver, mut program, _folder, _) = set_up(&[], LONG).await;
     assert_eq!(program.hand_in("safe", "m0", Bytes::from_static(b"text")).await.status(), 202);
     // The call leaves a connection that is kept for the next.
-    assert_eq!(receiver.call().await.txn, "m0");
+    assert_eq!(receiver.call().await.message_id, "m0");
     let open = std::fs::read_dir(format!("/proc/{}/fd", program.child.id().expect("it runs")));
     limit(&program, open.expect("a process").count() + 10).await;
     let _idle = idle(&program, 30).await;
@@ -51,7 +51,7 @@
     assert_eq!(program.hand_in("safe", "m1", Bytes::from_static(b"text")).await.status(), 202);
     // Not only once the idle ones' own time is up.
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
     program.terminate().await;
     let lines = program.rest_of_log().await;
     let said = lines.iter().filter(|line| line.contains("could not be accepted")).count();
--- a/crates/daemon/tests/golden/clients.rs
+++ b/crates/daemon/tests/golden/clients.rs
@@ -72,8 +72,8 @@
 #[tokio::test]
 async fn a_message_that_finds_no_room_is_refused_with_a_time_with_these_bytes() {
     let (_platform, _receiver, program, _folder) = small().await;
-    for txn in ["k1", "k2", "k3"] {
-        assert_eq!(program.hand_in("keyed", txn, BODY.into()).await.status(), 202, "{txn}");
+    for message_id in ["k1", "k2", "k3"] {
+        assert_eq!(program.hand_in("keyed", message_id, BODY.into()).await.status(), 202, "{message_id}");
     }
     assert_golden("client_refused_with_time.txt", &answer(&program, &good()).await);
 }
--- a/crates/daemon/tests/golden/notices.rs
+++ b/crates/daemon/tests/golden/notices.rs
@@ -72,8 +72,8 @@
         config["settings"]["lanes"][1]["credit"] = 5.0.into();
     };
     let (mut platform, _receiver, program, _folder) = set_up("DRAINING", small).await;
-    for (class, txn) in [("safe", "m1"), ("keyed", "m2"), ("keyed", "m3"), ("keyed", "m4")] {
-        assert_eq!(program.hand_in(class, txn, "text".into()).await.status(), 202, "{txn}");
+    for (class, message_id) in [("safe", "m1"), ("keyed", "m2"), ("keyed", "m3"), ("keyed", "m4")] {
+        assert_eq!(program.hand_in(class, message_id, "text".into()).await.status(), 202, "{message_id}");
     }
     assert_repeated("notice_deferred_with_time.txt", &mut platform).await;
 }
--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -22,13 +22,13 @@
     Bytes::from_static(b"text")
 }
 
-fn undeliverable(txn: &str) -> (String, String) {
-    (txn.to_owned(), "undeliverable".to_owned())
+fn undeliverable(message_id: &str) -> (String, String) {
+    (message_id.to_owned(), "undeliverable".to_owned())
 }
 
-fn message(class: &str, txn: &str) -> Message {
+fn message(class: &str, message_id: &str) -> Message {
     Message {
-        txn: txn.into(),
+        message_id: message_id.into(),
         class: class.into(),
         tenant: "acme".into(),
         destination: 7,
@@ -81,8 +81,10 @@
     for said in 0..=lines().len() {
         let (mut platform, [mut receiver, _], folder, config) = site(&[]).await;
         let mut owner = Store::open(&folder.1, 3_000_000).expect("a journal");
-        for (class, txn) in [("safe", "untried"), ("once", "tried"), ("safe", "ended"), ("safe", "over")] {
-            owner.take(message(class, txn));
+        for (class, message_id) in
+            [("safe", "untried"), ("once", "tried"), ("safe", "ended"), ("safe", "over")]
+        {
+            owner.take(message(class, message_id));
         }
         owner.attempt(
             &"tried".into(),
@@ -110,7 +112,7 @@
         let mut program = starting.await.expect("it starts");
         program.says("taken over: 2 messages, 1 notices").await;
         let call = receiver.call().await;
-        assert_eq!(call.txn, "untried", "{said} lines");
+        assert_eq!(call.message_id, "untried", "{said} lines");
         let after = call.at.duration_since(told);
         let heard = said >= 2;
         assert!(!heard || after > WAIT - Duration::from_millis(50), "{said} lines, called after {after:?}");
@@ -139,7 +141,7 @@
     old.says("a successor has come").await;
     receiver.then(&[Act::Say(429, Some(("x-backoff-ms", "1500")))]);
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
     let told = Instant::now();
     // What crosses the word is let through: only what comes later shows whether the new one has heard it.
     tokio::time::sleep(CROSSED).await;
@@ -147,7 +149,7 @@
     for _ in 0..2 {
         let call = receiver.call().await;
         let after = call.at.duration_since(told);
-        assert!(after > WAIT - Duration::from_millis(50), "{} came after {after:?}", call.txn);
+        assert!(after > WAIT - Duration::from_millis(50), "{} came after {after:?}", call.message_id);
     }
 }
 
@@ -157,7 +159,7 @@
     let (_platform, [mut receiver, _], folder, config) = site(&[Act::Hang]).await;
     let mut old = Program::start(&config, &folder.1).await;
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
     let mut before = None;
     for _ in 0..2 {
         let mut next = UnixStream::connect(socket(&folder.1)).await.expect("a connection");
@@ -176,7 +178,7 @@
     old.says("a successor has come").await;
     old.kill().await;
     new.says("taken over: 1 messages").await;
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
     assert!(receiver.nothing_called());
 }
 
@@ -186,21 +188,21 @@
     // Nobody acknowledges notices until the third one is there.
     platform.answer_reports(&[500; 1_000]);
     let mut old = Program::start(&config, &folder.1).await;
-    for (class, txn) in [("safe", "old-safe"), ("once", "old-once")] {
-        assert_eq!(old.hand_in(class, txn, text()).await.status(), 202);
-        assert_eq!(receiver.call().await.txn, txn);
+    for (class, message_id) in [("safe", "old-safe"), ("once", "old-once")] {
+        assert_eq!(old.hand_in(class, message_id, text()).await.status(), 202);
+        assert_eq!(receiver.call().await.message_id, message_id);
     }
     let new = Program::start(&config, &folder.1).await;
     old.says("a successor has come").await;
-    for (class, txn) in [("safe", "new-safe"), ("once", "new-once")] {
-        assert_eq!(new.hand_in(class, txn, text()).await.status(), 202);
-        assert_eq!(receiver.call().await.txn, txn);
+    for (class, message_id) in [("safe", "new-safe"), ("once", "new-once")] {
+        assert_eq!(new.hand_in(class, message_id, text()).await.status(), 202);
+        assert_eq!(receiver.call().await.message_id, message_id);
     }
     // In either order; the second one may have taken over what the first one held by then, or not.
     new.kill().await;
     old.kill().await;
     let third = Program::start(&config, &folder.1).await;
-    let mut again = [receiver.call().await.txn, receiver.call().await.txn];
+    let mut again = [receiver.call().await.message_id, receiver.call().await.message_id];
     again.sort();
     assert_eq!(again, ["new-safe", "old-safe"]);
     let mut seen = std::collections::BTreeSet::new();
@@ -211,7 +213,7 @@
     }
     assert_eq!(seen.into_iter().collect::<Vec<_>>(), [undeliverable("new-once"), undeliverable("old-once")]);
     assert_eq!(third.hand_in("safe", "m5", text()).await.status(), 202);
-    assert_eq!(receiver.call().await.txn, "m5");
+    assert_eq!(receiver.call().await.message_id, "m5");
     assert!(receiver.nothing_called());
 }
 
@@ -222,7 +224,7 @@
     let old = Program::start(&config, &folder.1).await;
     let (_, to_old) = platform.watch().await;
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
-    assert_eq!(first.call().await.txn, "m1");
+    assert_eq!(first.call().await.message_id, "m1");
     let mut new = Program::start(&config, &folder.1).await;
     let (_, to_new) = platform.watch().await;
     let drained = member("r1", first.addr, 7, "DRAINING");
@@ -233,13 +235,13 @@
     for (name, program) in [("old", &old), ("new", &new)] {
         // Until the change has come to it, messages go where they went.
         for n in 0.. {
-            let txn = format!("{name}-{n}");
-            assert_eq!(program.hand_in("safe", &txn, text()).await.status(), 202);
+            let message_id = format!("{name}-{n}");
+            assert_eq!(program.hand_in("safe", &message_id, text()).await.status(), 202);
             let call = tokio::select! {
-                call = first.call() => (1, call.txn),
-                call = second.call() => (2, call.txn),
+                call = first.call() => (1, call.message_id),
+                call = second.call() => (2, call.message_id),
             };
-            assert_eq!(call.1, txn);
+            assert_eq!(call.1, message_id);
             if call.0 == 2 {
                 break;
             }
@@ -248,6 +250,6 @@
     old.kill().await;
     new.says("taken over").await;
     // The end of the last one may not have been on record yet.
-    while second.call().await.txn != "m1" {}
+    while second.call().await.message_id != "m1" {}
     assert!(first.nothing_called());
 }
--- a/crates/daemon/tests/kills.rs
+++ b/crates/daemon/tests/kills.rs
@@ -38,7 +38,7 @@
     /// A further message, decided on after all that a start takes up, shows that nothing else is called or told.
     async fn nothing_more(&mut self, program: &Program) {
         assert_eq!(program.hand_in("safe", "last", text()).await.status(), 202);
-        assert_eq!(self.receiver.call().await.txn, "last");
+        assert_eq!(self.receiver.call().await.message_id, "last");
         assert!(self.receiver.nothing_called() && self.platform.nothing_reported());
     }
 }
@@ -47,8 +47,8 @@
     Bytes::from_static(b"text")
 }
 
-fn undeliverable(txn: &str) -> Vec<(String, String)> {
-    vec![(txn.to_owned(), "undeliverable".to_owned())]
+fn undeliverable(message_id: &str) -> Vec<(String, String)> {
+    vec![(message_id.to_owned(), "undeliverable".to_owned())]
 }
 
 fn raw(class: &str) -> Vec<u8> {
@@ -76,7 +76,7 @@
         site.nothing_more(&program).await;
         let mut client = program.raw(&raw(class)).await;
         assert_eq!(status(&mut client).await, Some(202));
-        assert_eq!(site.receiver.call().await.txn, "m1");
+        assert_eq!(site.receiver.call().await.message_id, "m1");
     }
 }
 
@@ -91,7 +91,7 @@
         if class == "once" {
             assert_eq!(site.platform.report().await.0, undeliverable("m1"));
         } else {
-            assert_eq!(site.receiver.call().await.txn, "m1");
+            assert_eq!(site.receiver.call().await.message_id, "m1");
         }
         site.nothing_more(&program).await;
     }
@@ -104,7 +104,7 @@
         let mut site = Site::new(&[Act::Say(429, Some(("x-backoff-ms", "20")))]).await;
         let mut program = site.until("attempt-1-recorded").await;
         assert_eq!(program.hand_in(class, "m1", text()).await.status(), 202);
-        assert_eq!(site.receiver.call().await.txn, "m1");
+        assert_eq!(site.receiver.call().await.message_id, "m1");
         program.says("failpoint reached").await;
         program.kill().await;
         assert!(site.receiver.nothing_called());
@@ -112,7 +112,7 @@
         if class == "once" {
             assert_eq!(site.platform.report().await.0, undeliverable("m1"));
         } else {
-            assert_eq!(site.receiver.call().await.txn, "m1");
+            assert_eq!(site.receiver.call().await.message_id, "m1");
         }
         site.nothing_more(&program).await;
     }
@@ -132,7 +132,7 @@
             assert_eq!(site.platform.report().await.0, undeliverable("m1"));
         } else {
             let again = site.receiver.call().await;
-            assert_eq!((&again.txn, &again.body), (&first.txn, &first.body));
+            assert_eq!((&again.message_id, &again.body), (&first.message_id, &first.body));
             assert_eq!(again.headers["idempotency-key"], first.headers["idempotency-key"]);
         }
         site.nothing_more(&program).await;
@@ -145,7 +145,7 @@
     let mut site = Site::new(&[Act::Break]).await;
     let mut program = site.until("acknowledged-before-record").await;
     assert_eq!(program.hand_in("once", "m1", text()).await.status(), 202);
-    assert_eq!(site.receiver.call().await.txn, "m1");
+    assert_eq!(site.receiver.call().await.message_id, "m1");
     assert_eq!(site.platform.report().await, (undeliverable("m1"), 204));
     program.says("failpoint reached").await;
     program.kill().await;
@@ -168,7 +168,7 @@
     config["discovery"] = silent.local_addr().expect("an address").to_string().into();
     let program = Program::start(&config, &site.folder.1).await;
     assert_eq!(program.hand_in("once", "m1", text()).await.status(), 202);
-    assert_eq!(site.receiver.call().await.txn, "m1");
+    assert_eq!(site.receiver.call().await.message_id, "m1");
     loop {
         let (mut stream, _) = soon("a connection", silent.accept()).await.expect("a connection");
         let mut seen = vec![0; 12];
--- a/crates/daemon/tests/operator.rs
+++ b/crates/daemon/tests/operator.rs
@@ -53,8 +53,8 @@
     let (_platform, mut receiver, program, _folder, control) =
         set_up(&[Act::Say(200, None), Act::Say(500, None), Act::Hang]).await;
     assert_eq!(call(control, "status\n").await, "done\n");
-    for (class, txn) in [("safe", "m1"), ("once", "m2"), ("safe", "m3")] {
-        let answer = program.hand_in(class, txn, Bytes::from_static(b"text")).await;
+    for (class, message_id) in [("safe", "m1"), ("once", "m2"), ("safe", "m3")] {
+        let answer = program.hand_in(class, message_id, Bytes::from_static(b"text")).await;
         assert_eq!(answer.status(), 202);
         receiver.call().await;
     }
@@ -76,7 +76,7 @@
 async fn a_drained_sender_serves_who_comes_lets_nobody_stay_and_comes_back() {
     let (_platform, mut receiver, program, _folder, control) = set_up(&[]).await;
     // One at rest, and one whose message is half-way when the drain begins.
-    let hand_in = |txn| raw_hand_in(txn, "Content-Length: 4", "text");
+    let hand_in = |message_id| raw_hand_in(message_id, "Content-Length: 4", "text");
     let mut rests = program.raw(&hand_in("m1")).await;
     assert_eq!(status(&mut rests).await, Some(202));
     let whole = hand_in("m2");
@@ -92,8 +92,8 @@
     fresh.write_all(&hand_in("m3")).await.expect("it is open");
     assert_eq!(status(&mut fresh).await, Some(202));
     rest(&mut fresh).await;
-    for txn in ["m1", "m2", "m3"] {
-        assert_eq!(receiver.call().await.txn, txn);
+    for message_id in ["m1", "m2", "m3"] {
+        assert_eq!(receiver.call().await.message_id, message_id);
     }
     assert_eq!(call(control, "active\n").await, "done\n");
     assert_eq!(ready(&program).await, 200);
--- a/crates/daemon/tests/ready.rs
+++ b/crates/daemon/tests/ready.rs
@@ -19,7 +19,7 @@
     let mut store = Store::open(state, DISK_MB * 1_000_000).expect("a journal");
     for n in 0.. {
         let message = Message {
-            txn: format!("m{n}").into(),
+            message_id: format!("m{n}").into(),
             class: "safe".into(),
             tenant: "acme".into(),
             destination: 7,
--- a/crates/daemon/tests/repeats.rs
+++ b/crates/daemon/tests/repeats.rs
@@ -17,8 +17,8 @@
     Bytes::from_static(b"text")
 }
 
-fn undeliverable(txn: &str) -> (String, String) {
-    (txn.to_owned(), "undeliverable".to_owned())
+fn undeliverable(message_id: &str) -> (String, String) {
+    (message_id.to_owned(), "undeliverable".to_owned())
 }
 
 /// An attempt that is never answered may have run. Its repeats come before the receivers of its zone forget the
@@ -72,7 +72,7 @@
     let (_, lines) = platform.watch().await;
     assert_eq!(program.hand_in("keyed", "m1", text()).await.status(), 202);
     let call = first.call().await;
-    assert_eq!(call.txn, "m1");
+    assert_eq!(call.message_id, "m1");
     // Its repeats can go to the slow one only.
     let moved = [member("r1", first.addr, 7, "DRAINING"), member("r2", addr, 7, "SERVING")];
     lines.send(list(8, false, &moved).to_string()).expect("a watch");
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -13,13 +13,13 @@
 const HOUR: u64 = 3_600_000;
 
 /// A message as an earlier process left it: of a class, with so much of its time left by the clock.
-fn left_behind(class: &str, txn: &str, left_ms: u64) -> Message {
+fn left_behind(class: &str, message_id: &str, left_ms: u64) -> Message {
     Message {
-        txn: txn.into(),
+        message_id: message_id.into(),
         class: class.into(),
         tenant: "acme".into(),
         destination: 7,
-        key: Some(Bytes::from(format!("key-{txn}"))),
+        key: Some(Bytes::from(format!("key-{message_id}"))),
         deadline: wall_ms() + left_ms,
         body: Bytes::from_static(b"text"),
         attempts: 0,
@@ -37,11 +37,11 @@
 fn write_journal(state: &Path, messages: Vec<(Message, Option<u64>)>) {
     let mut store = Store::open(state, 3_000_000).expect("a journal");
     for (message, attempt_at) in messages {
-        let txn = message.txn.clone();
+        let message_id = message.message_id.clone();
         store.take(message);
         store.commit().expect("written");
         if let Some(at) = attempt_at {
-            store.attempt(&txn, ran(at));
+            store.attempt(&message_id, ran(at));
             store.commit().expect("written");
         }
     }
@@ -59,14 +59,14 @@
     Bytes::from_static(b"text")
 }
 
-fn undeliverable(txn: &str) -> (String, String) {
-    (txn.to_owned(), "undeliverable".to_owned())
+fn undeliverable(message_id: &str) -> (String, String) {
+    (message_id.to_owned(), "undeliverable".to_owned())
 }
 
 /// A message that an earlier process handed in last shows that all before it has been decided on.
 async fn expect_only(receiver: &mut Receiver, txns: &[&str]) {
-    for txn in txns {
-        assert_eq!(receiver.call().await.txn, *txn);
+    for message_id in txns {
+        assert_eq!(receiver.call().await.message_id, *message_id);
     }
     assert!(receiver.nothing_called());
 }
@@ -144,7 +144,7 @@
     write_journal(&folder.1, untried(40));
     let _program = Program::start(&config, &folder.1).await;
     for n in 0..40 {
-        assert_eq!(receiver.call().await.txn, format!("m{n:03}"));
+        assert_eq!(receiver.call().await.message_id, format!("m{n:03}"));
     }
 }
 
@@ -157,7 +157,7 @@
     let _program = Program::start(&config, &folder.1).await;
     let mut seen = std::collections::BTreeSet::new();
     while seen.len() < 60 {
-        seen.insert(receiver.call().await.txn);
+        seen.insert(receiver.call().await.message_id);
     }
     assert!(platform.nothing_reported());
 }
@@ -179,7 +179,10 @@
     while ended.len() < 9 {
         ended.extend(platform.report().await.0);
     }
-    assert!(ended.iter().all(|(txn, status)| txn.starts_with('m') && status == "deferred"), "{ended:?}");
+    assert!(
+        ended.iter().all(|(message_id, status)| message_id.starts_with('m') && status == "deferred"),
+        "{ended:?}"
+    );
 }
 
 /// Both have all that they may hold.
@@ -203,7 +206,7 @@
     new.says("taken over").await;
     let mut seen = std::collections::BTreeSet::new();
     while seen.len() < 30 {
-        seen.insert(receiver.call().await.txn);
+        seen.insert(receiver.call().await.message_id);
     }
     assert!(platform.nothing_reported());
 }
--- a/crates/daemon/tests/sender.rs
+++ b/crates/daemon/tests/sender.rs
@@ -23,8 +23,8 @@
     files.into_iter().any(|file| file.windows(bytes.len()).any(|w| w == bytes))
 }
 
-fn undeliverable(txn: &str) -> (String, String) {
-    (txn.to_owned(), "undeliverable".to_owned())
+fn undeliverable(message_id: &str) -> (String, String) {
+    (message_id.to_owned(), "undeliverable".to_owned())
 }
 
 #[tokio::test]
@@ -35,7 +35,7 @@
     let sent = Bytes::from_iter(0..=255u8);
     assert_eq!(program.hand_in("keyed", "m1", sent.clone()).await.status(), 202);
     let call = receiver.call().await;
-    assert_eq!((call.txn.as_str(), call.body), ("m1", sent));
+    assert_eq!((call.message_id.as_str(), call.body), ("m1", sent));
     assert_eq!(call.headers["idempotency-key"], "key-m1");
     let left: f64 = call.headers["x-remaining"].to_str().expect("text").parse().expect("a number");
     assert!(left > 0.0 && left <= LONG / 1_000.0, "{left}");
@@ -46,15 +46,15 @@
 async fn a_kill_loses_nothing_and_repeats_only_what_may_be_repeated() {
     let (mut platform, mut receiver, program, folder, config) =
         set_up(&[Act::Hang, Act::Hang, Act::Hang], LONG).await;
-    for txn in ["safe", "keyed", "once"] {
-        assert_eq!(program.hand_in(txn, txn, body("text")).await.status(), 202);
-        assert_eq!(receiver.call().await.txn, txn);
+    for message_id in ["safe", "keyed", "once"] {
+        assert_eq!(program.hand_in(message_id, message_id, body("text")).await.status(), 202);
+        assert_eq!(receiver.call().await.message_id, message_id);
     }
     program.kill().await;
     let _program = Program::start(&config, &folder.1).await;
     // All three may have run: the unsafe one must not go again, and its client must hear of it.
     assert_eq!(platform.report().await, (vec![undeliverable("once")], 204));
-    let mut again = [receiver.call().await, receiver.call().await].map(|call| (call.txn, call.body));
+    let mut again = [receiver.call().await, receiver.call().await].map(|call| (call.message_id, call.body));
     again.sort();
     assert_eq!(again, [("keyed".to_owned(), body("text")), ("safe".to_owned(), body("text"))]);
     assert!(receiver.nothing_called() && platform.nothing_reported());
@@ -122,8 +122,8 @@
 #[tokio::test]
 async fn a_torn_or_damaged_journal_is_read_as_far_as_it_goes() {
     let (_platform, mut receiver, program, folder, config) = set_up(&[Act::Hang, Act::Hang], LONG).await;
-    for txn in ["m1", "m2"] {
-        program.hand_in("safe", txn, body("text")).await;
+    for message_id in ["m1", "m2"] {
+        program.hand_in("safe", message_id, body("text")).await;
         receiver.call().await;
     }
     program.kill().await;
@@ -139,9 +139,9 @@
     bytes.extend([200, 0, 0, 0, 1, 2, 3, 4, 5, 6]);
     std::fs::write(journal.path(), &bytes).expect("writable");
     let program = Program::start(&config, &folder.1).await;
-    assert_eq!(receiver.call().await.txn, "m2");
+    assert_eq!(receiver.call().await.message_id, "m2");
     program.hand_in("safe", "m3", body("text")).await;
-    assert_eq!(receiver.call().await.txn, "m3", "a damaged message is not sent");
+    assert_eq!(receiver.call().await.message_id, "m3", "a damaged message is not sent");
     assert_eq!(journal.metadata().expect("still there").len(), whole.len() as u64, "the tail is cut");
     program.kill().await;
     // Garbage alone is no reason to fail either.
@@ -161,9 +161,9 @@
     let large = Bytes::from(vec![b'x'; 60_000]);
     let mut taken = Vec::new();
     for n in 0..100 {
-        let txn = format!("m{n}");
-        match program.hand_in("safe", &txn, large.clone()).await.status().as_u16() {
-            202 => taken.push(txn),
+        let message_id = format!("m{n}");
+        match program.hand_in("safe", &message_id, large.clone()).await.status().as_u16() {
+            202 => taken.push(message_id),
             status => {
                 assert_eq!(status, 503);
                 break;
@@ -176,13 +176,13 @@
     let program = Program::start(&config, &folder.1).await;
     let mut seen = std::collections::BTreeSet::new();
     while seen.len() < taken.len() {
-        seen.insert(receiver.call().await.txn);
+        seen.insert(receiver.call().await.message_id);
         assert!(disk_use(&folder.1) <= budget);
     }
     // There is room again, and what is dead goes as the journal is written on.
     for n in 0..60 {
-        let txn = format!("n{n}");
-        while program.hand_in("safe", &txn, large.clone()).await.status() != 202 {
+        let message_id = format!("n{n}");
+        while program.hand_in("safe", &message_id, large.clone()).await.status() != 202 {
             receiver.call().await;
         }
         assert!(disk_use(&folder.1) <= budget);
@@ -196,8 +196,8 @@
     receiver.call().await;
     assert_eq!(platform.report().await.0, [undeliverable("m1")]);
     program.hand_in("safe", "m2", body("text")).await;
-    assert_eq!(receiver.call().await.txn, "m2");
-    assert_eq!(receiver.call().await.txn, "m2");
+    assert_eq!(receiver.call().await.message_id, "m2");
+    assert_eq!(receiver.call().await.message_id, "m2");
     assert!(receiver.nothing_called());
 }
 
@@ -236,9 +236,9 @@
 #[tokio::test]
 async fn a_kept_connection_that_the_receiver_closed_costs_no_attempt() {
     let (mut platform, mut receiver, program, _folder, _) = set_up(&[Act::SayAndClose; 5], LONG).await;
-    for txn in ["m1", "m2", "m3", "m4", "m5"] {
-        assert_eq!(program.hand_in("once", txn, body("text")).await.status(), 202);
-        assert_eq!(receiver.call().await.txn, txn);
+    for message_id in ["m1", "m2", "m3", "m4", "m5"] {
+        assert_eq!(program.hand_in("once", message_id, body("text")).await.status(), 202);
+        assert_eq!(receiver.call().await.message_id, message_id);
         // The receiver closes 5 ms after its answer; the sender has to have seen it by now.
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -252,8 +252,8 @@
     let (_platform, mut receiver, program, _folder, _) = set_up(&acts, LONG).await;
     program.hand_in("safe", "m1", body("text")).await;
     let told = receiver.call().await.at;
-    for txn in ["m2", "m3", "m4"] {
-        assert_eq!(program.hand_in("safe", txn, body("text")).await.status(), 202);
+    for message_id in ["m2", "m3", "m4"] {
+        assert_eq!(program.hand_in("safe", message_id, body("text")).await.status(), 202);
     }
     for _ in 0..4 {
         let waited = receiver.call().await.at - told;
@@ -274,15 +274,15 @@
     ];
     let (mut platform, mut receiver, program, _folder, _) = set_up(&acts, LONG).await;
     program.hand_in("once", "m1", body("text")).await;
-    assert_eq!(receiver.call().await.txn, "m1");
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
     program.hand_in("safe", "m2", body("text")).await;
-    assert_eq!(receiver.call().await.txn, "m2");
+    assert_eq!(receiver.call().await.message_id, "m2");
     assert_eq!(platform.report().await.0, [("m2".to_owned(), "deferred".to_owned())]);
     program.hand_in("safe", "m3", body("text")).await;
-    assert_eq!(receiver.call().await.txn, "m3");
+    assert_eq!(receiver.call().await.message_id, "m3");
     program.hand_in("safe", "m4", body("text")).await;
-    assert_eq!(receiver.call().await.txn, "m4");
+    assert_eq!(receiver.call().await.message_id, "m4");
     assert!(receiver.nothing_called() && platform.nothing_reported());
 }
 
@@ -335,7 +335,7 @@
     let now = [member("r1", first.addr, 7, "DRAINING"), member("r2", second.addr, 7, "SERVING")];
     *platform.list.lock().expect("a list") = Some(list(8, true, &now));
     let _program = Program::start(&config, &folder.1).await;
-    assert_eq!(second.call().await.txn, "m1");
+    assert_eq!(second.call().await.message_id, "m1");
     assert!(first.nothing_called());
 }
 
@@ -412,9 +412,9 @@
     // The unsafe one is waited for until its time is up, which is longer than a stop may take.
     let (mut platform, mut receiver, mut program, folder, config) =
         set_up(&[Act::Hang, Act::Hang], LONG).await;
-    for (class, txn) in [("keyed", "m1"), ("once", "m0")] {
-        program.hand_in(class, txn, body("text")).await;
-        assert_eq!(receiver.call().await.txn, txn);
+    for (class, message_id) in [("keyed", "m1"), ("once", "m0")] {
+        program.hand_in(class, message_id, body("text")).await;
+        assert_eq!(receiver.call().await.message_id, message_id);
     }
     let told = Instant::now();
     program.terminate().await;
@@ -423,14 +423,14 @@
     let answer = program.hand_in("safe", "m2", body("text")).await;
     assert_eq!(answer.status(), 202);
     assert_eq!(answer.headers()["connection"], "close");
-    assert_eq!(receiver.call().await.txn, "m2");
+    assert_eq!(receiver.call().await.message_id, "m2");
     let ready = Request::get("/-/ready").body(Full::default()).expect("a request");
     assert_eq!(program.request(ready).await.expect("an answer").status(), 503);
     assert_eq!(program.exit().await.code(), Some(0));
     assert!(told.elapsed() < Duration::from_millis(3_700), "{:?}", told.elapsed());
     let _program = Program::start(&config, &folder.1).await;
     assert_eq!(platform.report().await.0, [undeliverable("m0")]);
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
     assert!(receiver.nothing_called() && platform.nothing_reported());
 }
 
@@ -491,7 +491,7 @@
     let _ = soon("the end", stream.read_to_string(&mut answer)).await;
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
     assert_eq!(program.hand_in("safe", "last", body("text")).await.status(), 202);
-    assert_eq!(receiver.call().await.txn, "last");
+    assert_eq!(receiver.call().await.message_id, "last");
     assert!(receiver.nothing_called() && platform.nothing_reported());
     assert!(disk_use(&folder.1) <= 512);
 }
--- a/crates/daemon/tests/service.rs
+++ b/crates/daemon/tests/service.rs
@@ -34,7 +34,7 @@
         assert_eq!(status(&mut stream).await, Some(202));
         // Not only once the silent ones' own time is up.
         assert!(since.elapsed() < Duration::from_secs(1), "m{n}: {:?}", since.elapsed());
-        assert_eq!(receiver.call().await.txn, format!("m{n}"));
+        assert_eq!(receiver.call().await.message_id, format!("m{n}"));
         kept.push(stream);
     }
     let ready = Request::get("/-/ready").body(Full::default()).expect("a request");
@@ -51,7 +51,7 @@
     for n in 0..30 {
         let mut stream = program.raw(&raw_hand_in(&format!("m{n}"), "Content-Length: 4", "text")).await;
         assert_eq!(status(&mut stream).await, Some(202));
-        assert_eq!(receiver.call().await.txn, format!("m{n}"));
+        assert_eq!(receiver.call().await.message_id, format!("m{n}"));
         kept.push(stream);
     }
     // A quarter of the 44 places is for connections that rest.
@@ -82,7 +82,7 @@
     }
     early.write_all(&raw_hand_in("late", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut early).await, Some(202));
-    assert_eq!(receiver.call().await.txn, "late");
+    assert_eq!(receiver.call().await.message_id, "late");
 }
 
 #[tokio::test]
@@ -100,7 +100,7 @@
     }
     client.write_all(&raw_hand_in("m1", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut client).await, Some(202));
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
 }
 
 /// One that has come back is worth more than any number that asked once.
@@ -112,7 +112,7 @@
         client.write_all(&raw_hand_in(&format!("r{n}"), "Content-Length: 4", "text")).await.expect("kept");
         assert_eq!(status(&mut client).await, Some(202));
         rest_of_answer(&mut client).await;
-        assert_eq!(receiver.call().await.txn, format!("r{n}"));
+        assert_eq!(receiver.call().await.message_id, format!("r{n}"));
     }
     let mut once = Vec::new();
     for n in 0..200 {
@@ -122,7 +122,7 @@
     }
     client.write_all(&raw_hand_in("last", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut client).await, Some(202));
-    assert_eq!(receiver.call().await.txn, "last");
+    assert_eq!(receiver.call().await.message_id, "last");
 }
 
 #[tokio::test]
@@ -206,7 +206,7 @@
         assert!(!rest.contains("HTTP/1.1"), "{rest}");
     }
     program.hand_in("safe", "last", text()).await;
-    assert_eq!(receiver.call().await.txn, "last");
+    assert_eq!(receiver.call().await.message_id, "last");
 }
 
 // ---- Receivers -------------------------------------------------------------------------------------------
@@ -243,13 +243,17 @@
         "HTTP/1.1 20",
     ];
     for (n, case) in cases.iter().enumerate() {
-        let txn = format!("m{n}");
+        let message_id = format!("m{n}");
         spoiler.then(&[case.as_bytes()]);
         let since = Instant::now();
-        assert_eq!(program.hand_in("once", &txn, text()).await.status(), 202);
+        assert_eq!(program.hand_in("once", &message_id, text()).await.status(), 202);
         let (connection, called) = spoiler.call().await;
-        assert_eq!((connection, &called), (2 * n, &txn), "{case:?}: the connection before was used again");
-        assert_eq!(platform.report().await.0, [(txn, "undeliverable".to_owned())], "{case:?}");
+        assert_eq!(
+            (connection, &called),
+            (2 * n, &message_id),
+            "{case:?}: the connection before was used again"
+        );
+        assert_eq!(platform.report().await.0, [(message_id, "undeliverable".to_owned())], "{case:?}");
         assert!(since.elapsed() < Duration::from_secs(3), "{case:?}: {:?}", since.elapsed());
         // Otherwise so many in a row would make an outage.
         program.hand_in("once", "good", text()).await;
@@ -274,11 +278,11 @@
         "HTTP/1.1 103 Early\r\nX: y\r\n\r\nHTTP/1.1 200 OK\r\n:\r\n\r\n".to_owned(),
     ];
     for (n, case) in cases.iter().enumerate() {
-        let txn = format!("m{n}");
+        let message_id = format!("m{n}");
         spoiler.then(&[case.as_bytes()]);
-        program.hand_in("safe", &txn, text()).await;
+        program.hand_in("safe", &message_id, text()).await;
         // A message that may be repeated would be.
-        assert_eq!(spoiler.call().await, (n, txn), "{case:?}");
+        assert_eq!(spoiler.call().await, (n, message_id), "{case:?}");
         // Until it is known, the connection is not free; then it must be gone.
         tokio::time::sleep(Duration::from_millis(800)).await;
     }
@@ -331,7 +335,7 @@
     let (query, lines) = platform.watch().await;
     assert!(query.contains("watch=1") && query.contains("from=0"), "{query}");
     assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
-    assert_eq!(first.call().await.txn, "m1");
+    assert_eq!(first.call().await.message_id, "m1");
     // The first line of the watch brings the list.
     lines.send(whole.to_string()).expect("a watch");
     loop {
@@ -355,7 +359,7 @@
     let folder = lasting();
     let program = Program::start(&config, &folder.1).await;
     assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
-    assert_eq!(second.call().await.txn, "m1");
+    assert_eq!(second.call().await.message_id, "m1");
     assert!(first.nothing_called());
 }
 
@@ -398,7 +402,7 @@
     soon("the old watch ends", lines.closed()).await;
     assert_eq!(new.report().await.0[0].0, "m1");
     assert_eq!(program.hand_in("safe", "m2", text()).await.status(), 202);
-    assert_eq!(second.call().await.txn, "m2");
+    assert_eq!(second.call().await.message_id, "m2");
     assert!(first.nothing_called());
     // And a second time, with a list of its own again.
     let (mut third, mut last) = (Platform::start().await, Receiver::start(&[]).await);
@@ -408,7 +412,7 @@
     let _watch = third.watch().await;
     soon("the watch before ends", new_lines.closed()).await;
     assert_eq!(program.hand_in("safe", "m3", text()).await.status(), 202);
-    assert_eq!(last.call().await.txn, "m3");
+    assert_eq!(last.call().await.message_id, "m3");
     // A restart reads the new file. Its `known` is of an address that counted farther.
     program.kill().await;
     let program = Program::start(&config, &folder.1).await;
@@ -416,7 +420,7 @@
     assert!(query.contains("from=1"), "{query}");
     assert_eq!(program.hand_in("safe", "m4", text()).await.status(), 202);
     // The kill may have come before m3's delivery was on record.
-    while last.call().await.txn != "m4" {}
+    while last.call().await.message_id != "m4" {}
     assert!(second.nothing_called() && first.nothing_called());
 }
 
@@ -430,7 +434,7 @@
     program.says("configuration read again").await;
     soon("a connection", silent.accept()).await.expect("a connection");
     assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
 }
 
 // ---- Restarts --------------------------------------------------------------------------------------------
@@ -451,12 +455,12 @@
     assert_eq!(program.hand_in("safe", "new", text()).await.status(), 202);
     let mut missing: std::collections::BTreeSet<String> = (0..90).map(|n| format!("m{n}")).collect();
     missing.insert("new".to_owned());
-    missing.remove(&receiver.call().await.txn);
+    missing.remove(&receiver.call().await.message_id);
     // What was told to the process that was killed holds for the one after it.
     let waited = told.elapsed().as_millis();
     assert!(waited >= 5_900, "sent {waited} ms after a wait of 6 s was told");
     while !missing.is_empty() {
-        missing.remove(&receiver.call().await.txn);
+        missing.remove(&receiver.call().await.message_id);
     }
     assert!(platform.nothing_reported());
     program.child.start_kill().expect("it runs");
@@ -476,13 +480,13 @@
     let mut program = Program::start(&config, &folder.1).await;
     assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
     for _ in 0..2 {
-        assert_eq!(old.call().await.txn, "m1");
+        assert_eq!(old.call().await.message_id, "m1");
         // Its watch has begun, and brings nothing.
         platform.watch().await;
         program.kill().await;
         program = Program::start(&config, &folder.1).await;
     }
-    assert_eq!(old.call().await.txn, "m1");
+    assert_eq!(old.call().await.message_id, "m1");
     let (query, lines) = platform.watch().await;
     assert!(query.contains("from=0"), "{query}");
     lines.send(list(9, true, &[member("r2", new.addr, 7, "SERVING")]).to_string()).expect("a watch");
@@ -496,9 +500,9 @@
     soon("a call to the new receiver", heeded).await;
     while old.calls.try_recv().is_ok() {}
     for n in 0..5 {
-        let txn = format!("later{n}");
-        assert_eq!(program.hand_in("safe", &txn, text()).await.status(), 202);
-        while new.call().await.txn != txn {}
+        let message_id = format!("later{n}");
+        assert_eq!(program.hand_in("safe", &message_id, text()).await.status(), 202);
+        while new.call().await.message_id != message_id {}
     }
     assert!(old.nothing_called() && platform.nothing_reported());
 }
@@ -523,7 +527,7 @@
     for kill in 0..2 {
         for _ in &senders {
             let call = here.call().await;
-            keys.push((call.txn, call.headers["idempotency-key"].clone()));
+            keys.push((call.message_id, call.headers["idempotency-key"].clone()));
         }
         if kill == 1 {
             let mut elsewhere = member("r2", other.addr, 7, "SERVING");
@@ -548,14 +552,14 @@
 async fn a_receiver_replaced_at_its_address_keeps_no_call_and_repeats_none_that_may_not_be() {
     let (mut platform, mut receiver, program, _folder, _) = set_up(&[Act::Hang, Act::Hang], 6_000.0).await;
     let (_, lines) = platform.watch().await;
-    for txn in ["safe", "once"] {
-        assert_eq!(program.hand_in(txn, txn, text()).await.status(), 202);
-        assert_eq!(receiver.call().await.txn, txn);
+    for message_id in ["safe", "once"] {
+        assert_eq!(program.hand_in(message_id, message_id, text()).await.status(), 202);
+        assert_eq!(receiver.call().await.message_id, message_id);
     }
     let change = [member("r1", receiver.addr, 7, "GONE"), member("r9", receiver.addr, 7, "SERVING")];
     lines.send(list(8, false, &change).to_string()).expect("a watch");
     assert_eq!(program.hand_in("safe", "m3", text()).await.status(), 202);
-    let mut calls = [receiver.call().await.txn, receiver.call().await.txn];
+    let mut calls = [receiver.call().await.message_id, receiver.call().await.message_id];
     calls.sort();
     assert_eq!(calls, ["m3", "safe"]);
     assert_eq!(platform.report().await, (vec![("once".to_owned(), "undeliverable".to_owned())], 204));
@@ -586,7 +590,7 @@
     // It may be read or not: nobody listens to it any more.
     let _ = watch.write_all(rest.as_bytes()).await;
     assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
-    assert_eq!(known.call().await.txn, "m1");
+    assert_eq!(known.call().await.message_id, "m1");
     let heeded = async {
         while listed.nothing_called() {
             program.hand_in("safe", "probe", text()).await;
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -119,9 +119,9 @@
     for (n, config) in [whole, more, little].iter().enumerate() {
         let folder = lasting();
         let program = Program::start(config, &folder.1).await;
-        let txn = format!("m{n}");
-        assert_eq!(program.hand_in("safe", &txn, "text".into()).await.status(), 202, "{config}");
-        assert_eq!(receiver.call().await.txn, txn);
+        let message_id = format!("m{n}");
+        assert_eq!(program.hand_in("safe", &message_id, "text".into()).await.status(), 202, "{config}");
+        assert_eq!(receiver.call().await.message_id, message_id);
     }
 }
 
@@ -154,6 +154,6 @@
     let whole = raw_hand_in("m1", "Content-Length: 4", "text");
     tokio::io::AsyncWriteExt::write_all(&mut client, &whole).await.expect("writable");
     assert_eq!(status(&mut client).await, Some(202));
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
     child.kill().await.expect("it can be killed");
 }
--- a/crates/daemon/tests/shutdown.rs
+++ b/crates/daemon/tests/shutdown.rs
@@ -12,8 +12,8 @@
 
 const LONG: f64 = 60_000.0;
 
-fn request(txn: &str) -> Vec<u8> {
-    raw_hand_in(txn, "Content-Length: 4", "text")
+fn request(message_id: &str) -> Vec<u8> {
+    raw_hand_in(message_id, "Content-Length: 4", "text")
 }
 
 /// Bytes that have come to the other end of a client's connection and that nobody has read, as the system has it;
@@ -55,7 +55,7 @@
 async fn called(receiver: &mut Receiver, calls: usize) -> Vec<String> {
     let mut txns = Vec::new();
     while txns.len() < calls {
-        txns.push(receiver.call().await.txn);
+        txns.push(receiver.call().await.message_id);
     }
     txns.sort();
     txns
@@ -94,7 +94,7 @@
     let mut resting = program.raw(&request("first")).await;
     assert_eq!(status(&mut resting).await, Some(202));
     rest_of_answer(&mut resting).await;
-    assert_eq!(receiver.call().await.txn, "first");
+    assert_eq!(receiver.call().await.message_id, "first");
     program.signal("-STOP").await;
     let mut clients = vec![resting];
     for _ in 0..10 {
@@ -125,7 +125,7 @@
     program.says("stopping").await;
     program.terminate().await;
     assert_eq!(program.hand_in("safe", "m2", Bytes::from_static(b"text")).await.status(), 202);
-    assert_eq!(receiver.call().await.txn, "m2");
+    assert_eq!(receiver.call().await.message_id, "m2");
     program.terminate().await;
     assert_eq!(program.exit().await.code(), Some(0));
 }
@@ -135,7 +135,7 @@
 async fn sigterm_before_the_program_is_ready_ends_it_well_and_loses_nothing() {
     let (_platform, mut receiver, program, folder, mut config) = set_up(&[Act::Hang], LONG).await;
     assert_eq!(program.hand_in("safe", "m1", Bytes::from_static(b"text")).await.status(), 202);
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
     program.kill().await;
     let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let good = config["discovery"].clone();
@@ -150,7 +150,7 @@
     drop(asked);
     (config["discovery"], config["known"]) = (good, known);
     let _program = Program::start(&config, &folder.1).await;
-    assert_eq!(receiver.call().await.txn, "m1");
+    assert_eq!(receiver.call().await.message_id, "m1");
 }
 
 /// The program is held and then killed while it stops: with a call out, with a request that it has not read, and with
@@ -164,7 +164,7 @@
     program.says("stopping").await;
     let answer = program.hand_in("safe", "answered", Bytes::from_static(b"text")).await;
     assert_eq!(answer.status(), 202);
-    assert_eq!(receiver.call().await.txn, "answered");
+    assert_eq!(receiver.call().await.message_id, "answered");
     program.signal("-STOP").await;
     let bytes = request("unread");
     let mut unread = program.raw(&bytes).await;
@@ -174,10 +174,10 @@
         assert_eq!(status(client).await, None);
     }
     let program = Program::start(&config, &folder.1).await;
-    assert_eq!(receiver.call().await.txn, "answered");
+    assert_eq!(receiver.call().await.message_id, "answered");
     // Behind it in the journal there is nothing else.
     assert_eq!(program.hand_in("safe", "last", Bytes::from_static(b"text")).await.status(), 202);
-    assert_eq!(receiver.call().await.txn, "last");
+    assert_eq!(receiver.call().await.message_id, "last");
     assert!(receiver.nothing_called() && platform.nothing_reported());
 }
 
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -53,9 +53,9 @@
 async fn clients_notice_nothing_of_a_new_version_and_what_the_old_one_holds_passes_to_it() {
     let mut site = Site::new(&[Act::Hang, Act::Hang], 60_000.0).await;
     let mut old = site.start().await;
-    for (class, txn) in [("safe", "m1"), ("once", "m2")] {
-        assert_eq!(old.hand_in(class, txn, text()).await.status(), 202);
-        assert_eq!(site.receiver.call().await.txn, txn);
+    for (class, message_id) in [("safe", "m1"), ("once", "m2")] {
+        assert_eq!(old.hand_in(class, message_id, text()).await.status(), 202);
+        assert_eq!(site.receiver.call().await.message_id, message_id);
     }
     // One client has connected before the new process came, and one has begun to speak.
     let mut fresh = old.raw(b"").await;
@@ -63,25 +63,25 @@
     let mut slow = old.raw(&whole[..40]).await;
     // What was accepted is in the old process's hands.
     assert_eq!(old.hand_in("safe", "m3", text()).await.status(), 202);
-    assert_eq!(site.receiver.call().await.txn, "m3");
+    assert_eq!(site.receiver.call().await.message_id, "m3");
     let mut new = site.start().await;
     old.terminate().await;
     old.says("stopping").await;
-    for (stream, bytes, txn) in [
+    for (stream, bytes, message_id) in [
         (&mut slow, &whole[40..], "m4"),
         (&mut fresh, &raw_hand_in("m5", "Content-Length: 4", "text")[..], "m5"),
     ] {
         stream.write_all(bytes).await.expect("it is open");
-        assert_eq!(status(stream).await, Some(202), "{txn}");
-        assert_eq!(site.receiver.call().await.txn, txn);
+        assert_eq!(status(stream).await, Some(202), "{message_id}");
+        assert_eq!(site.receiver.call().await.message_id, message_id);
     }
     assert!(old.exit().await.success());
     new.says("taken over: 2 messages").await;
     // Both attempts may have run: the one that may be repeated is, the other one fails, once.
-    assert_eq!(site.receiver.call().await.txn, "m1");
+    assert_eq!(site.receiver.call().await.message_id, "m1");
     assert_eq!(notices(&mut site.platform, 1).await, [("m2".to_owned(), "undeliverable".to_owned())]);
     assert_eq!(new.hand_in("safe", "m6", text()).await.status(), 202);
-    assert_eq!(site.receiver.call().await.txn, "m6");
+    assert_eq!(site.receiver.call().await.message_id, "m6");
     // The next version finds the one that is the owner now.
     let mut newest = site.start().await;
     new.says("a successor has come").await;
@@ -97,11 +97,11 @@
     let mut site = Site::new(&[Act::Hang], 60_000.0).await;
     let old = site.start().await;
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
-    assert_eq!(site.receiver.call().await.txn, "m1");
+    assert_eq!(site.receiver.call().await.message_id, "m1");
     let mut new = site.start().await;
     old.kill().await;
     new.says("taken over: 1 messages").await;
-    assert_eq!(site.receiver.call().await.txn, "m1");
+    assert_eq!(site.receiver.call().await.message_id, "m1");
 }
 
 #[tokio::test]
@@ -119,7 +119,7 @@
     for _ in 0..2 {
         let call = site.receiver.call().await;
         let after = call.at.duration_since(told);
-        assert!(after > Duration::from_millis(1_450), "{} came after {after:?}", call.txn);
+        assert!(after > Duration::from_millis(1_450), "{} came after {after:?}", call.message_id);
     }
     // Told to the new one while the old one still has a message: it waits in the old one, or passes over.
     new.says("taken over").await;
@@ -139,7 +139,7 @@
         let after = call.at.duration_since(told);
         // The word passes between two processes: what crosses it is let through, as the protocol has it.
         let crossed = after < Duration::from_millis(100);
-        assert!(crossed || after > Duration::from_millis(1_450), "{} came after {after:?}", call.txn);
+        assert!(crossed || after > Duration::from_millis(1_450), "{} came after {after:?}", call.message_id);
     }
 }
 
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -20,7 +20,7 @@
 //! # let folder = tempfile::tempdir()?;
 //! let mut journal = Store::open(folder.path(), 3_000_000)?;
 //! journal.take(Message {
-//!     txn: "9b1f03aa".into(),
+//!     message_id: "9b1f03aa".into(),
 //!     class: "notice".into(),
 //!     tenant: "acme".into(),
 //!     destination: 7,
@@ -63,7 +63,7 @@
 pub use store::Store;
 
 /// A message's id, as its client chose it.
-pub type Txn = Rc<str>;
+pub type MessageId = Rc<str>;
 
 /// Bytes that a message's body may hold at most.
 pub const MAX_BODY: usize = 64 * 1024;
--- a/crates/journal/src/message.rs
+++ b/crates/journal/src/message.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use crate::Txn;
+use crate::MessageId;
 
 /// Milliseconds of the wall clock since 1970: the one clock that outlasts a process.
 pub fn wall_ms() -> u64 {
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Its id.
-    pub txn: Txn,
+    pub message_id: MessageId,
     /// Its class's name.
     pub class: Rc<str>,
     /// Its tenant's name; empty where there are none.
@@ -51,7 +51,7 @@
 impl Message {
     /// Room that taking it on needs: its record again with a history, and its notice.
     pub fn room(&self) -> u64 {
-        (self.body.len() + self.key.as_ref().map_or(0, Bytes::len) + 2 * self.txn.len() + 768) as u64
+        (self.body.len() + self.key.as_ref().map_or(0, Bytes::len) + 2 * self.message_id.len() + 768) as u64
     }
 }
 
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
     /// Its id.
-    pub txn: Txn,
+    pub message_id: MessageId,
     /// How it ended.
     pub status: Status,
 }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -4,7 +4,7 @@
 
 use crate::memory::{EndpointKey, OutageState};
 use crate::message::{Message, PossibleExecution, Status};
-use crate::{MAX_BODY, Txn};
+use crate::{MAX_BODY, MessageId};
 
 /// Bytes of a record before its payload.
 pub(crate) const FRAME: usize = 8;
@@ -49,7 +49,7 @@
 
 pub(crate) fn put_taken(batch: &mut Vec<u8>, m: &Message) {
     put(batch, TAKEN, |p| {
-        put_text(p, &m.txn);
+        put_text(p, &m.message_id);
         put_text(p, &m.class);
         put_text(p, &m.tenant);
         p.extend(m.destination.to_le_bytes());
@@ -63,9 +63,9 @@
     });
 }
 
-pub(crate) fn put_ended(batch: &mut Vec<u8>, txn: &Txn, owed: Option<Status>) {
+pub(crate) fn put_ended(batch: &mut Vec<u8>, message_id: &MessageId, owed: Option<Status>) {
     put(batch, ENDED, |p| {
-        put_text(p, txn);
+        put_text(p, message_id);
         let (tag, again) = match owed {
             None => (0, 0),
             Some(Status::Undeliverable) => (1, 0),
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 
-use crate::Txn;
+use crate::MessageId;
 use crate::memory::{OutageRecord, OutageRecords, OutageState};
 use crate::message::{Message, Status};
 use crate::record::*;
@@ -29,17 +29,17 @@
 /// What the records read so far say.
 #[derive(Debug, Default)]
 pub(crate) struct Contents {
-    pub entries: HashMap<Txn, Entry>,
+    pub entries: HashMap<MessageId, Entry>,
     pub outage_records: OutageRecords,
     /// When the latest attempt on record went out, in milliseconds of the wall clock since 1970; 0 if there is none.
     pub latest_attempt: u64,
 }
 
 impl Entry {
-    pub fn room(&self, txn: &Txn) -> u64 {
+    pub fn room(&self, message_id: &MessageId) -> u64 {
         match &self.state {
             State::Open(message) => message.room(),
-            State::Owed(_) => (txn.len() + FRAME + 16) as u64,
+            State::Owed(_) => (message_id.len() + FRAME + 16) as u64,
         }
     }
 }
@@ -66,8 +66,11 @@
     Ok(segments)
 }
 
-pub(crate) fn open_mut<'a>(entries: &'a mut HashMap<Txn, Entry>, txn: &Txn) -> Option<&'a mut Message> {
-    match entries.get_mut(txn).map(|e| &mut e.state) {
+pub(crate) fn open_mut<'a>(
+    entries: &'a mut HashMap<MessageId, Entry>,
+    message_id: &MessageId,
+) -> Option<&'a mut Message> {
+    match entries.get_mut(message_id).map(|e| &mut e.state) {
         Some(State::Open(message)) => Some(message),
         _ => None,
     }
@@ -98,13 +101,13 @@
 fn apply(payload: &[u8], segment: u64, contents: &mut Contents) -> Option<()> {
     let Contents { entries, outage_records, latest_attempt } = contents;
     let mut f = Fields(payload);
-    let (tag, txn) = (f.u8()?, f.text()?);
+    let (tag, message_id) = (f.u8()?, f.text()?);
     match tag {
         TAKEN => {
             let (class, tenant, destination) = (f.text()?, f.text()?, f.u16()?);
             let key = (f.u8()? != 0, f.bytes()?);
             let message = Message {
-                txn: txn.clone(),
+                message_id: message_id.clone(),
                 class,
                 tenant,
                 destination,
@@ -117,18 +120,18 @@
             };
             let ran = message.possibly_executed.iter().chain(&message.out).map(|ran| ran.at);
             *latest_attempt = ran.fold(*latest_attempt, u64::max);
-            entries.insert(txn, Entry { segment, state: State::Open(message) });
+            entries.insert(message_id, Entry { segment, state: State::Open(message) });
         }
         ATTEMPT => {
             let (number, ran) = (f.u32()?, f.ran()?);
             *latest_attempt = ran.iter().map(|ran| ran.at).fold(*latest_attempt, u64::max);
-            if let Some(message) = open_mut(entries, &txn) {
+            if let Some(message) = open_mut(entries, &message_id) {
                 message.begin(number, ran);
             }
         }
         OUTCOME => {
             let (possibly_executed, attempt) = (f.u8()? != 0, f.u32());
-            if let Some(message) = open_mut(entries, &txn) {
+            if let Some(message) = open_mut(entries, &message_id) {
                 message.end(attempt, possibly_executed);
             }
         }
@@ -142,11 +145,13 @@
                 _ => return None,
             };
             match status {
-                None => drop(entries.remove(&txn)),
-                Some(status) => drop(entries.insert(txn, Entry { segment, state: State::Owed(status) })),
+                None => drop(entries.remove(&message_id)),
+                Some(status) => {
+                    drop(entries.insert(message_id, Entry { segment, state: State::Owed(status) }))
+                }
             }
         }
-        SETTLED => drop(entries.remove(&txn)),
+        SETTLED => drop(entries.remove(&message_id)),
         OUTAGE_RECORD => {
             let (destination, at, tag) = (f.u16()?, f.u64()?, f.u8()?);
             let (ms, part) = (f.u64()? as i64, f64::from_bits(f.u64()?));
@@ -157,7 +162,7 @@
                 _ => return None,
             };
             let memory = outage.map(|outage| OutageRecord { segment, at, outage });
-            outage_records.put((destination, txn), memory);
+            outage_records.put((destination, message_id), memory);
         }
         _ => return None,
     }
--- a/crates/journal/src/segments/tests.rs
+++ b/crates/journal/src/segments/tests.rs
@@ -46,14 +46,24 @@
     }
 }
 
-fn record(txn: &str) -> Vec<u8> {
+fn record(message_id: &str) -> Vec<u8> {
     let mut record = Vec::new();
     let body = vec![b'x'; 300].into();
     let (possibly_executed, out, key) = (None, None, None);
     let (class, tenant, destination) = ("safe".into(), "acme".into(), 7);
-    let (txn, deadline, attempts) = (txn.into(), 5, 0);
-    let message =
-        Message { txn, class, tenant, destination, key, deadline, body, attempts, possibly_executed, out };
+    let (message_id, deadline, attempts) = (message_id.into(), 5, 0);
+    let message = Message {
+        message_id,
+        class,
+        tenant,
+        destination,
+        key,
+        deadline,
+        body,
+        attempts,
+        possibly_executed,
+        out,
+    };
     put_taken(&mut record, &message);
     record
 }
@@ -75,8 +85,8 @@
         writes.set(Some(150));
         let error = segments.append(&record("half"), u64::MAX).expect_err("the disk is full");
         assert_eq!(error.kind(), io::ErrorKind::StorageFull);
-        for txn in ["after", "and after"] {
-            segments.append(&record(txn), u64::MAX).expect("written");
+        for message_id in ["after", "and after"] {
+            segments.append(&record(message_id), u64::MAX).expect("written");
         }
         // Reading cuts.
         let on_disk = numbers(folder.path()).expect("readable").into_iter();
@@ -84,7 +94,7 @@
         let counted: u64 = segments.all.iter().map(|s| s.bytes).sum();
         let mut contents = Default::default();
         read(folder.path(), &numbers(folder.path()).expect("readable"), &mut contents).expect("readable");
-        let mut known: Vec<_> = contents.entries.keys().map(|txn| &**txn).collect();
+        let mut known: Vec<_> = contents.entries.keys().map(|message_id| &**message_id).collect();
         known.sort_unstable();
         assert_eq!(known, ["after", "and after", "before"], "{cuts_that_fail} cuts fail");
         assert_eq!(counted, on_disk, "{cuts_that_fail} cuts fail");
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::Txn;
+use crate::MessageId;
 use crate::claim::FolderLock;
 use crate::memory::{EndpointKey, OutageRecord, OutageRecords, OutageState};
 use crate::message::{Message, Notice, PossibleExecution, Status, TakenOver, wall_ms};
@@ -34,7 +34,7 @@
     /// unless it is written.
     facts: Vec<u8>,
     starts: Vec<u8>,
-    entries: HashMap<Txn, Entry>,
+    entries: HashMap<MessageId, Entry>,
     outage_records: OutageRecords,
     latest_attempt: u64,
     /// Room that all entries need.
@@ -60,7 +60,7 @@
         };
         let segments = Segments::begin(folder, older, number)?;
         let Contents { entries, outage_records, latest_attempt } = contents;
-        let live = entries.iter().map(|(txn, entry)| entry.room(txn)).sum();
+        let live = entries.iter().map(|(message_id, entry)| entry.room(message_id)).sum();
         let folder = folder.to_owned();
         let mut store = Self {
             folder,
@@ -91,8 +91,8 @@
     }
 
     /// A message that is still owed its end.
-    pub fn open_message(&self, txn: &Txn) -> Option<&Message> {
-        match &self.entries.get(txn)?.state {
+    pub fn open_message(&self, message_id: &MessageId) -> Option<&Message> {
+        match &self.entries.get(message_id)?.state {
             State::Open(message) => Some(message),
             State::Owed(_) => None,
         }
@@ -100,8 +100,8 @@
 
     /// Notices that have not been acknowledged.
     pub fn owed(&self) -> impl Iterator<Item = Notice> + '_ {
-        self.entries.iter().filter_map(|(txn, e)| match e.state {
-            State::Owed(status) => Some(Notice { txn: txn.clone(), status }),
+        self.entries.iter().filter_map(|(message_id, e)| match e.state {
+            State::Owed(status) => Some(Notice { message_id: message_id.clone(), status }),
             State::Open(_) => None,
         })
     }
@@ -113,8 +113,8 @@
     }
 
     /// Whether an id is still owed its end or a notice.
-    pub fn knows(&self, txn: &Txn) -> bool {
-        self.entries.contains_key(txn)
+    pub fn knows(&self, message_id: &MessageId) -> bool {
+        self.entries.contains_key(message_id)
     }
 
     /// Whether so much more can be taken on and still be kept for good.
@@ -131,15 +131,15 @@
     pub fn take(&mut self, message: Message) {
         put_taken(&mut self.starts, &message);
         self.live += message.room();
-        let (txn, segment) = (message.txn.clone(), self.segments.current());
-        self.entries.insert(txn, Entry { segment, state: State::Open(message) });
+        let (message_id, segment) = (message.message_id.clone(), self.segments.current());
+        self.entries.insert(message_id, Entry { segment, state: State::Open(message) });
     }
 
     /// An attempt that is about to go out.
-    pub fn attempt(&mut self, txn: &Txn, ran: PossibleExecution) {
-        let Some(message) = open_mut(&mut self.entries, txn) else { return };
+    pub fn attempt(&mut self, message_id: &MessageId, ran: PossibleExecution) {
+        let Some(message) = open_mut(&mut self.entries, message_id) else { return };
         put(&mut self.starts, ATTEMPT, |p| {
-            put_text(p, txn);
+            put_text(p, message_id);
             p.extend(message.attempts.to_le_bytes());
             put_ran(p, Some(&ran));
         });
@@ -147,10 +147,10 @@
     }
 
     /// An attempt, counted from 0, has ended.
-    pub fn outcome(&mut self, txn: &Txn, attempt: u32, possibly_executed: bool) {
-        let Some(message) = open_mut(&mut self.entries, txn) else { return };
+    pub fn outcome(&mut self, message_id: &MessageId, attempt: u32, possibly_executed: bool) {
+        let Some(message) = open_mut(&mut self.entries, message_id) else { return };
         put(&mut self.facts, OUTCOME, |p| {
-            put_text(p, txn);
+            put_text(p, message_id);
             p.push(u8::from(possibly_executed));
             p.extend(attempt.to_le_bytes());
         });
@@ -158,22 +158,22 @@
     }
 
     /// A message has ended; `owed` is the notice that its platform must get.
-    pub fn end(&mut self, txn: &Txn, owed: Option<Status>) {
-        let Some(entry) = self.entries.remove(txn) else { return };
-        self.live -= entry.room(txn);
-        put_ended(&mut self.facts, txn, owed);
+    pub fn end(&mut self, message_id: &MessageId, owed: Option<Status>) {
+        let Some(entry) = self.entries.remove(message_id) else { return };
+        self.live -= entry.room(message_id);
+        put_ended(&mut self.facts, message_id, owed);
         if let Some(status) = owed {
             let entry = Entry { segment: self.segments.current(), state: State::Owed(status) };
-            self.live += entry.room(txn);
-            self.entries.insert(txn.clone(), entry);
+            self.live += entry.room(message_id);
+            self.entries.insert(message_id.clone(), entry);
         }
     }
 
     /// A notice has been acknowledged.
-    pub fn settled(&mut self, txn: &Txn) {
-        let Some(entry) = self.entries.remove(txn) else { return };
-        self.live -= entry.room(txn);
-        put(&mut self.facts, SETTLED, |p| put_text(p, txn));
+    pub fn settled(&mut self, message_id: &MessageId) {
+        let Some(entry) = self.entries.remove(message_id) else { return };
+        self.live -= entry.room(message_id);
+        put(&mut self.facts, SETTLED, |p| put_text(p, message_id));
     }
 
     /// What to know of a partner, or a receiver, if this process ends: in place of what was to be known before.
@@ -209,9 +209,9 @@
     }
 
     /// Forgets a message whose batch could not be written.
-    pub fn forget(&mut self, txn: &Txn) {
-        if let Some(entry) = self.entries.remove(txn) {
-            self.live -= entry.room(txn);
+    pub fn forget(&mut self, message_id: &MessageId) {
+        if let Some(entry) = self.entries.remove(message_id) {
+            self.live -= entry.room(message_id);
         }
     }
 
@@ -228,10 +228,10 @@
             let oldest = self.segments.oldest();
             let current = self.segments.current();
             let mut moved = Vec::new();
-            for (txn, entry) in self.entries.iter_mut().filter(|(_, e)| e.segment == oldest) {
+            for (message_id, entry) in self.entries.iter_mut().filter(|(_, e)| e.segment == oldest) {
                 match &entry.state {
                     State::Open(message) => put_taken(&mut moved, message),
-                    State::Owed(status) => put_ended(&mut moved, txn, Some(*status)),
+                    State::Owed(status) => put_ended(&mut moved, message_id, Some(*status)),
                 }
             }
             for (place, memory) in self.outage_records.of_segment(oldest, wall_ms()) {
--- a/crates/journal/src/store/succession.rs
+++ b/crates/journal/src/store/succession.rs
@@ -28,16 +28,18 @@
         self.segments.put_before(older);
         self.budget = self.disk;
         let mut over = TakenOver::default();
-        for (txn, entry) in contents.entries {
-            if self.entries.contains_key(&txn) {
+        for (message_id, entry) in contents.entries {
+            if self.entries.contains_key(&message_id) {
                 continue;
             }
             match &entry.state {
                 State::Open(message) => over.open.push(message.clone()),
-                State::Owed(status) => over.owed.push(Notice { txn: txn.clone(), status: *status }),
+                State::Owed(status) => {
+                    over.owed.push(Notice { message_id: message_id.clone(), status: *status })
+                }
             }
-            self.live += entry.room(&txn);
-            self.entries.insert(txn, entry);
+            self.live += entry.room(&message_id);
+            self.entries.insert(message_id, entry);
         }
         self.latest_attempt = self.latest_attempt.max(contents.latest_attempt);
         // What we know ourselves is newer.
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -13,9 +13,9 @@
 
 const BUDGET: u64 = 3_000_000;
 
-fn message(txn: &str, size: usize) -> Message {
+fn message(message_id: &str, size: usize) -> Message {
     Message {
-        txn: txn.into(),
+        message_id: message_id.into(),
         class: "safe".into(),
         tenant: "acme".into(),
         destination: 7,
@@ -33,10 +33,10 @@
 }
 
 /// What the journal says, in an order of its own.
-fn state(store: &Store) -> (Vec<Message>, Vec<Txn>) {
+fn state(store: &Store) -> (Vec<Message>, Vec<MessageId>) {
     let mut open: Vec<Message> = store.open_messages().cloned().collect();
-    open.sort_by(|a, b| a.txn.cmp(&b.txn));
-    let mut owed: Vec<Txn> = store.owed().map(|n| n.txn).collect();
+    open.sort_by(|a, b| a.message_id.cmp(&b.message_id));
+    let mut owed: Vec<MessageId> = store.owed().map(|n| n.message_id).collect();
     owed.sort();
     (open, owed)
 }
@@ -62,10 +62,10 @@
             .map(|number| path(folder.path(), number))
             .map(|p| (p.clone(), fs::read(p).expect("readable")))
             .collect();
-        let txn: Txn = format!("m{n}").into();
-        store.take(message(&txn, 60_000));
+        let message_id: MessageId = format!("m{n}").into();
+        store.take(message(&message_id, 60_000));
         store.commit().expect("written");
-        store.end(&txn, None);
+        store.end(&message_id, None);
         store.commit().expect("written");
         assert!(store.segments.total() <= BUDGET);
         removed.extend(before.into_iter().filter(|(p, _)| !p.exists()));
@@ -75,7 +75,7 @@
     assert_eq!(expected.0[0].attempts, 2);
     assert_eq!(expected.0[0].possibly_executed, Some(ran(1)));
     assert_eq!(expected.0[0].out, Some(ran(2)));
-    assert_eq!(expected.1, ["owed".into()] as [Txn; 1]);
+    assert_eq!(expected.1, ["owed".into()] as [MessageId; 1]);
     drop(store);
     // The second attempt has no outcome, and the first counts already.
     let mut expected = expected;
@@ -108,9 +108,9 @@
     assert_eq!(state(&again), (vec![], vec!["m1".into()]));
 }
 
-/// The attempt of `txn` that counts as the first that may have run.
-fn first(store: &Store, txn: &str) -> Option<u64> {
-    let message = store.open_messages().find(|m| &*m.txn == txn).expect("an open message");
+/// The attempt of `message_id` that counts as the first that may have run.
+fn first(store: &Store, message_id: &str) -> Option<u64> {
+    let message = store.open_messages().find(|m| &*m.message_id == message_id).expect("an open message");
     message.possibly_executed.as_ref().or(message.out.as_ref()).map(|ran| ran.at)
 }
 
@@ -167,9 +167,9 @@
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
     assert_eq!(store.latest_attempt(), 0);
     let ahead = wall_ms() + 3_600_000;
-    for (txn, at) in [("over", ahead), ("open", ahead - 1)] {
-        store.take(message(txn, 10));
-        store.attempt(&txn.into(), ran(at));
+    for (message_id, at) in [("over", ahead), ("open", ahead - 1)] {
+        store.take(message(message_id, 10));
+        store.attempt(&message_id.into(), ran(at));
         store.commit().expect("written");
     }
     store.end(&"over".into(), None);
@@ -200,10 +200,10 @@
     store.commit().expect("written");
     // Until the first segment has been moved and removed.
     for n in 0..100 {
-        let txn: Txn = format!("m{n}").into();
-        store.take(message(&txn, 60_000));
+        let message_id: MessageId = format!("m{n}").into();
+        store.take(message(&message_id, 60_000));
         store.commit().expect("written");
-        store.end(&txn, None);
+        store.end(&message_id, None);
         store.commit().expect("written");
     }
     assert!(!path(folder.path(), 0).exists(), "the segment that held it is still there");
--- a/crates/journal/src/store/tests/model.rs
+++ b/crates/journal/src/store/tests/model.rs
@@ -57,7 +57,7 @@
 /// What the journal says must be what the model says, message by message.
 fn compare(store: &Store, model: &Model) -> Result<(), TestCaseError> {
     let open: BTreeMap<String, Option<u64>> =
-        store.open_messages().map(|m| (m.txn.to_string(), first(store, &m.txn))).collect();
+        store.open_messages().map(|m| (m.message_id.to_string(), first(store, &m.message_id))).collect();
     let expected: BTreeMap<String, Option<u64>> =
         model.iter().map(|(m, attempts)| (format!("m{m}"), first_in(attempts))).collect();
     prop_assert_eq!(open, expected);
@@ -181,7 +181,7 @@
                 compare(&store, &live)?;
                 // Numbers go on from what is on record.
                 for (m, attempts) in &mut live {
-                    let known = store.open_messages().find(|o| *o.txn == *format!("m{m}"));
+                    let known = store.open_messages().find(|o| *o.message_id == *format!("m{m}"));
                     let known = known.expect("a message").attempts as usize;
                     prop_assert!(known >= attempts.len());
                     attempts.resize(known, (u64::MAX, Some(false)));
--- a/crates/journal/src/store/tests/succession.rs
+++ b/crates/journal/src/store/tests/succession.rs
@@ -30,10 +30,10 @@
     owner.commit().expect("written");
     drop(owner);
     let over = successor.succeed().expect("readable").expect("the owner has ended");
-    assert_eq!(over.owed, [Notice { txn: "m1".into(), status: Status::Undeliverable }]);
+    assert_eq!(over.owed, [Notice { message_id: "m1".into(), status: Status::Undeliverable }]);
     assert_eq!(over.open.len(), 1);
     // Its attempt has no outcome, and never will have.
-    assert_eq!((&*over.open[0].txn, &over.open[0].possibly_executed), ("m3", &Some(ran(2))));
+    assert_eq!((&*over.open[0].message_id, &over.open[0].possibly_executed), ("m3", &Some(ran(2))));
     assert_eq!(successor.succeed().expect("readable"), None);
     let expected = state(&successor);
     assert_eq!((expected.0.len(), expected.1.len()), (2, 1));
@@ -48,8 +48,8 @@
     for steps in 0..5 {
         let folder = tempfile::tempdir().expect("a folder");
         let mut owner = open(&folder);
-        for txn in ["m1", "m2", "both"] {
-            owner.take(message(txn, 10));
+        for message_id in ["m1", "m2", "both"] {
+            owner.take(message(message_id, 10));
         }
         owner.commit().expect("written");
         let mut successor = open(&folder);
@@ -88,10 +88,10 @@
     let folder = tempfile::tempdir().expect("a folder");
     let fill = |store: &mut Store, from: u32, to: u32| {
         for n in from..to {
-            let txn = Txn::from(format!("{}-{n}", store.is_owner()));
-            store.take(message(&txn, 2_000));
+            let message_id = MessageId::from(format!("{}-{n}", store.is_owner()));
+            store.take(message(&message_id, 2_000));
             store.commit().expect("written");
-            store.end(&txn, None);
+            store.end(&message_id, None);
             store.commit().expect("written");
         }
     };
--- a/crates/journal/tests/golden_folders/damage.rs
+++ b/crates/journal/tests/golden_folders/damage.rs
@@ -12,8 +12,8 @@
 fn records() -> Vec<Vec<u8>> {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open(folder.path());
-    for txn in ["m-1", "m-2", "m-3"] {
-        store.take(message(txn));
+    for message_id in ["m-1", "m-2", "m-3"] {
+        store.take(message(message_id));
     }
     store.commit().expect("written");
     store.attempt(&"m-1".into(), ran(1));
@@ -32,13 +32,13 @@
 
 /// What is told where everything was read, but for what was lost.
 fn expected(open: Vec<Message>, notices: &[&str], latest_attempt: u64, report: &str) -> Told {
-    let owed = notices.iter().map(|txn| (txn.to_string(), Status::Undeliverable)).collect();
+    let owed = notices.iter().map(|message_id| (message_id.to_string(), Status::Undeliverable)).collect();
     let reports = Some(report.to_string()).filter(|report| !report.is_empty());
     Told { open, owed, outage_records: vec![], latest_attempt, reports: reports.into_iter().collect() }
 }
 
-fn tried(txn: &str, ran_at: Option<u64>) -> Message {
-    Message { attempts: 1, possibly_executed: ran_at.map(ran), ..message(txn) }
+fn tried(message_id: &str, ran_at: Option<u64>) -> Message {
+    Message { attempts: 1, possibly_executed: ran_at.map(ran), ..message(message_id) }
 }
 
 #[test]
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -10,7 +10,7 @@
 /// A message with all that its record can hold.
 fn full_message() -> Message {
     Message {
-        txn: "m-full-ü".into(),
+        message_id: "m-full-ü".into(),
         class: "notice".into(),
         tenant: "".into(),
         destination: 65_535,
@@ -29,12 +29,12 @@
     store.take(message("m-new"));
     store.take(full_message());
     store.take(Message { key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") });
-    for txn in ["m-ran", "m-not-run", "m-cut", "delivered", "n-1", "n-2", "n-3", "acknowledged"] {
-        store.take(message(txn));
+    for message_id in ["m-ran", "m-not-run", "m-cut", "delivered", "n-1", "n-2", "n-3", "acknowledged"] {
+        store.take(message(message_id));
     }
     store.commit().expect("written");
-    for (txn, at) in [("m-ran", 1), ("m-not-run", 2), ("m-cut", 3), ("delivered", 4), ("n-1", 5)] {
-        store.attempt(&txn.into(), ran(at));
+    for (message_id, at) in [("m-ran", 1), ("m-not-run", 2), ("m-cut", 3), ("delivered", 4), ("n-1", 5)] {
+        store.attempt(&message_id.into(), ran(at));
     }
     store.commit().expect("written");
     store.outcome(&"m-ran".into(), 0, true);
--- a/crates/journal/tests/golden_folders/support.rs
+++ b/crates/journal/tests/golden_folders/support.rs
@@ -70,8 +70,9 @@
     let store = tracing::subscriber::with_default(Warnings(warnings.clone()), || open(folder));
     let reports = warnings.lock().expect("no panic").clone();
     let mut open: Vec<Message> = store.open_messages().cloned().collect();
-    open.sort_by(|a, b| a.txn.cmp(&b.txn));
-    let mut owed: Vec<(String, Status)> = store.owed().map(|n| (n.txn.to_string(), n.status)).collect();
+    open.sort_by(|a, b| a.message_id.cmp(&b.message_id));
+    let mut owed: Vec<(String, Status)> =
+        store.owed().map(|n| (n.message_id.to_string(), n.status)).collect();
     owed.sort_by(|a, b| a.0.cmp(&b.0));
     let outage_records = store.outage_records();
     let outage_records =
@@ -81,9 +82,9 @@
 }
 
 /// A message without a history.
-pub fn message(txn: &str) -> Message {
+pub fn message(message_id: &str) -> Message {
     Message {
-        txn: txn.into(),
+        message_id: message_id.into(),
         class: "safe".into(),
         tenant: "acme".into(),
         destination: 513,
--- a/crates/journal/tests/golden_folders/takeover.rs
+++ b/crates/journal/tests/golden_folders/takeover.rs
@@ -9,8 +9,8 @@
 /// The owner writes, its successor beside it, and then the owner again.
 fn write_side_by_side(folder: &Path) -> Store {
     let mut owner = open(folder);
-    for txn in ["o-open", "o-ran", "o-notice", "o-delivered", "both"] {
-        owner.take(message(txn));
+    for message_id in ["o-open", "o-ran", "o-notice", "o-delivered", "both"] {
+        owner.take(message(message_id));
     }
     owner.attempt(&"o-ran".into(), ran(1));
     owner.commit().expect("written");
@@ -36,13 +36,13 @@
 }
 
 fn taken_over(mut over: TakenOver) -> TakenOver {
-    over.open.sort_by(|a, b| a.txn.cmp(&b.txn));
-    over.owed.sort_by(|a, b| a.txn.cmp(&b.txn));
+    over.open.sort_by(|a, b| a.message_id.cmp(&b.message_id));
+    over.owed.sort_by(|a, b| a.message_id.cmp(&b.message_id));
     over
 }
 
-fn ran_once(txn: &str, after: u64) -> Message {
-    Message { attempts: 1, possibly_executed: Some(ran(after)), ..message(txn) }
+fn ran_once(message_id: &str, after: u64) -> Message {
+    Message { attempts: 1, possibly_executed: Some(ran(after)), ..message(message_id) }
 }
 
 #[test]
@@ -53,7 +53,7 @@
     let over = successor.succeed().expect("readable").expect("the owner has ended");
     let expected = TakenOver {
         open: vec![message("o-open"), ran_once("o-ran", 1)],
-        owed: vec![Notice { txn: "o-notice".into(), status: Status::Deferred(Some(70_000)) }],
+        owed: vec![Notice { message_id: "o-notice".into(), status: Status::Deferred(Some(70_000)) }],
     };
     assert_eq!(taken_over(over), expected);
     assert!(successor.is_owner());
@@ -100,7 +100,7 @@
             Message { attempts: 2, ..ran_once("o-ran", 1) },
             message("s-open"),
         ],
-        owed: vec![Notice { txn: "o-open".into(), status: Status::Undeliverable }],
+        owed: vec![Notice { message_id: "o-open".into(), status: Status::Undeliverable }],
     };
     assert_eq!(taken_over(over), expected);
     assert_eq!(successor.latest_attempt(), ran(3).at);
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -54,7 +54,7 @@
     destinations: BTreeMap<DestinationId, Destination>,
     /// Destinations with messages that wait: only these are looked at.
     busy: BTreeSet<DestinationId>,
-    messages: BTreeMap<MessageId, Held>,
+    messages: BTreeMap<MessageHandle, Held>,
     calls_out: usize,
     /// Slots that another process of this sender uses.
     lent: usize,
--- a/crates/policy/src/decide/admission.rs
+++ b/crates/policy/src/decide/admission.rs
@@ -30,7 +30,7 @@
     }
 
     /// The message waits for a decision; its answer is due before its time is up, or when no attempt is left.
-    pub(super) fn park(&mut self, id: MessageId) {
+    pub(super) fn park(&mut self, id: MessageHandle) {
         let Some(m) = self.messages.get_mut(&id) else { return };
         m.answer_at = m.worth.ends_at - 2.0 * self.settings.tick - END_MARGIN;
         match (m.possibly_executed, self.settings.classes[m.worth.class].effect) {
--- a/crates/policy/src/decide/choice.rs
+++ b/crates/policy/src/decide/choice.rs
@@ -9,7 +9,7 @@
 
 impl Sender {
     /// No effect happens twice: whether the message's class and past allow another attempt there.
-    pub(super) fn allowed(&self, id: MessageId, route: &Route) -> bool {
+    pub(super) fn allowed(&self, id: MessageHandle, route: &Route) -> bool {
         let Some(m) = self.messages.get(&id) else { return false };
         let Some((_, ran, zone)) = m.possibly_executed else { return true };
         match self.settings.classes[m.worth.class].effect {
@@ -22,7 +22,7 @@
     }
 
     /// The first route, in order of preference, whose own draw lets the message through.
-    pub(super) fn choose(&mut self, d: &mut Destination, id: MessageId, open: &[usize]) -> Option<usize> {
+    pub(super) fn choose(&mut self, d: &mut Destination, id: MessageHandle, open: &[usize]) -> Option<usize> {
         let unsafe_class =
             self.settings.classes[self.messages.get(&id)?.worth.class].effect == Effect::Unsafe;
         let mut order: Vec<usize> = open.to_vec();
@@ -69,7 +69,7 @@
     pub(super) fn send(
         &mut self,
         d: &mut Destination,
-        bundle: Vec<MessageId>,
+        bundle: Vec<MessageHandle>,
         index: usize,
         actions: &mut Vec<Action>,
     ) {
@@ -113,7 +113,7 @@
     }
 
     /// An unsafe message gains nothing by an early time-out; others move on in time for another try.
-    fn timeout(&self, d: &Destination, id: MessageId, index: usize) -> Millis {
+    fn timeout(&self, d: &Destination, id: MessageHandle, index: usize) -> Millis {
         let Some(m) = self.messages.get(&id) else { return 0.0 };
         let left = m.worth.ends_at - self.now;
         let patient = d.overdue_after(index) * TIMEOUT_STRETCH;
--- a/crates/policy/src/decide/dispatch.rs
+++ b/crates/policy/src/decide/dispatch.rs
@@ -12,11 +12,12 @@
 impl Sender {
     /// The destinations in the order of their most urgent message; each sends while its gates let it.
     pub(super) fn dispatch(&mut self, busy: &[DestinationId], actions: &mut Vec<Action>) {
-        let mut order: Vec<(f64, DestinationId, VecDeque<MessageId>)> = Vec::new();
+        let mut order: Vec<(f64, DestinationId, VecDeque<MessageHandle>)> = Vec::new();
         for &id in busy {
             let Some(d) = self.destinations.get(&id) else { continue };
-            let claim = |m: &MessageId| self.messages.get(m).map(|h| (self.urgency(h), h.worth.aim_at, *m));
-            let mut queue: Vec<(f64, Millis, MessageId)> = d.waiting.iter().filter_map(claim).collect();
+            let claim =
+                |m: &MessageHandle| self.messages.get(m).map(|h| (self.urgency(h), h.worth.aim_at, *m));
+            let mut queue: Vec<(f64, Millis, MessageHandle)> = d.waiting.iter().filter_map(claim).collect();
             queue.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
             // What a call may carry counts: where slots are scarce, a call of many messages goes first.
             let loss = queue.iter().take(d.room).map(|c| c.0).sum();
@@ -38,7 +39,7 @@
         answers.chain(opens).fold(f64::INFINITY, f64::min)
     }
 
-    fn serve(&mut self, d: &mut Destination, mut queue: VecDeque<MessageId>, actions: &mut Vec<Action>) {
+    fn serve(&mut self, d: &mut Destination, mut queue: VecDeque<MessageHandle>, actions: &mut Vec<Action>) {
         // Departure (calls overdue, nothing heard since): a silent route is down before its time-outs come.
         let all = if d.apart { None } else { Some(Scope::All) };
         for scope in all.into_iter().chain((0..d.routes.len()).map(Scope::Route)) {
@@ -76,7 +77,7 @@
             let Some(route) = self.choose(d, message, &open) else { continue };
             let room = if d.down(route) { 1 } else { d.room };
             let mut bundle = vec![message];
-            let joins = |m: &MessageId| self.has_turn(*m) && self.allowed(*m, &d.routes[route]);
+            let joins = |m: &MessageHandle| self.has_turn(*m) && self.allowed(*m, &d.routes[route]);
             while bundle.len() < room && queue.front().is_some_and(joins) {
                 bundle.extend(queue.pop_front());
             }
@@ -103,7 +104,7 @@
     }
 
     /// Order is kept: a message of an ordering key goes only when it is first and the key is at rest.
-    fn has_turn(&self, id: MessageId) -> bool {
+    fn has_turn(&self, id: MessageHandle) -> bool {
         self.messages.get(&id).is_some_and(|m| self.turns.is_next(m.key, id, self.now))
     }
 }
--- a/crates/policy/src/decide/ends.rs
+++ b/crates/policy/src/decide/ends.rs
@@ -14,7 +14,7 @@
     }
 
     /// The message is over; its record stays while an attempt is out.
-    pub(super) fn finish(&mut self, id: MessageId) {
+    pub(super) fn finish(&mut self, id: MessageHandle) {
         let Some(m) = self.messages.get_mut(&id) else { return };
         m.over = true;
         if m.out.is_some() {
@@ -29,7 +29,7 @@
     }
 
     /// The final answer: refused where trying again is harmless, else failed.
-    pub(super) fn end(&mut self, id: MessageId, advice: Millis, actions: &mut Vec<Action>) {
+    pub(super) fn end(&mut self, id: MessageHandle, advice: Millis, actions: &mut Vec<Action>) {
         let Some(m) = self.messages.get(&id) else { return };
         let retry_after = if self.settings.retry_after { advice } else { 0.0 };
         let refuse = self.refusable(m);
@@ -49,8 +49,8 @@
     /// No message is lost: what waits is answered when its answer is due.
     pub(super) fn end_what_is_due(&mut self, busy: &[DestinationId], actions: &mut Vec<Action>) {
         let waiting = busy.iter().filter_map(|id| self.destinations.get(id)).flat_map(|d| &d.waiting);
-        let due = |id: &MessageId| self.messages.get(id).is_some_and(|m| m.answer_at <= self.now);
-        let ending: Vec<MessageId> = waiting.copied().filter(due).collect();
+        let due = |id: &MessageHandle| self.messages.get(id).is_some_and(|m| m.answer_at <= self.now);
+        let ending: Vec<MessageHandle> = waiting.copied().filter(due).collect();
         for id in ending {
             self.end(id, 0.0, actions);
         }
--- a/crates/policy/src/decide/state.rs
+++ b/crates/policy/src/decide/state.rs
@@ -12,7 +12,7 @@
     /// The gate of all routes, unless they are apart.
     pub(super) shared: Gate,
     /// Messages that may be decided on: not over and with no attempt out.
-    pub(super) waiting: Vec<MessageId>,
+    pub(super) waiting: Vec<MessageHandle>,
     pub(super) calls: Calls,
     pub(super) flow: Flow,
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -19,7 +19,7 @@
 
 /// A message, named by the host; never used again for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct MessageId(pub u32);
+pub struct MessageHandle(pub u32);
 
 /// One endpoint of a destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,6 +1,6 @@
 //! What a sender wants done, and what it wants. No decision.
 
-use super::{DestinationId, MessageId, Millis, OutageState, RouteId};
+use super::{DestinationId, MessageHandle, Millis, OutageState, RouteId};
 
 /// What a sender wants of a limit, and what it has done to it so far.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,7 +28,7 @@
     /// kind's `bundle_max` allows.
     Send {
         /// The message.
-        id: MessageId,
+        id: MessageHandle,
         /// Where to.
         route: RouteId,
         /// The attempt's time-out.
@@ -39,14 +39,14 @@
     /// End a message undelivered; the client may safely come again.
     Refuse {
         /// The message.
-        id: MessageId,
+        id: MessageHandle,
         /// How long the client should stay away; 0 for no advice.
         retry_after: Millis,
     },
     /// End a message as failed; nothing is promised.
     Fail {
         /// The message.
-        id: MessageId,
+        id: MessageHandle,
     },
     /// Ask for [`Event::Wake`] after a delay.
     Wake {
@@ -58,7 +58,7 @@
     /// Stop waiting for an attempt; it may have taken effect.
     Cancel {
         /// The message.
-        id: MessageId,
+        id: MessageHandle,
         /// Which attempt, counted from 0.
         attempt: u32,
     },
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -1,6 +1,6 @@
 //! What a sender is told. No decision.
 
-use super::{AttemptHistory, DestinationId, ListChange, Message, MessageId, Millis, RouteId};
+use super::{AttemptHistory, DestinationId, ListChange, Message, MessageHandle, Millis, RouteId};
 
 /// What is believed of a destination whose routes share a limit, or of a route that is apart, that a sender must
 /// still know if it begins anew: or it would send at full pace to what is down or cold.
@@ -129,14 +129,14 @@
     /// A streamed answer has begun; the attempt belongs to the client from here.
     Started {
         /// The message.
-        id: MessageId,
+        id: MessageHandle,
         /// Which attempt, counted from 0.
         attempt: u32,
     },
     /// An attempt is over.
     Outcome {
         /// The message.
-        id: MessageId,
+        id: MessageHandle,
         /// Which attempt, counted from 0.
         attempt: u32,
         /// How it ended.
@@ -147,7 +147,7 @@
         closed: bool,
     },
     /// Nobody wants the message any more. Attempts out are still reported.
-    Dropped(MessageId),
+    Dropped(MessageHandle),
     /// A wake-up asked for with [`Action::Wake`].
     Wake(u64),
     /// The result of a probe.
--- a/crates/policy/src/interface/list.rs
+++ b/crates/policy/src/interface/list.rs
@@ -1,6 +1,6 @@
 //! The list of routes, and what is handed in. No decision.
 
-use super::{DestinationId, MessageId, Millis, RouteId};
+use super::{DestinationId, MessageHandle, Millis, RouteId};
 
 /// What the list says of a route. It tells nothing of its health.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     /// Its id.
-    pub id: MessageId,
+    pub id: MessageHandle,
     /// Its class.
     pub class: usize,
     /// Its tenant, where there are any.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -58,7 +58,7 @@
 //!     rate: 5.0,
 //! };
 //! let message = Message {
-//!     id: MessageId(1),
+//!     id: MessageHandle(1),
 //!     class: 0,
 //!     tenant: 0,
 //!     ordering_key: 0,
@@ -69,11 +69,11 @@
 //! let batch = [Event::List(ListChange::Full(vec![route])), Event::Message(message)];
 //! let mut actions = Vec::new();
 //! sender.handle(1_000.0, &batch, &mut actions);
-//! assert!(matches!(actions[0], Action::Send { id: MessageId(1), route: RouteId(1), .. }));
+//! assert!(matches!(actions[0], Action::Send { id: MessageHandle(1), route: RouteId(1), .. }));
 //!
 //! // The host makes the call, and hands in what came of it with the next batch.
 //! let delivered =
-//!     Event::Outcome { id: MessageId(1), attempt: 0, outcome: Outcome::Ok, retry_after: 0.0, closed: true };
+//!     Event::Outcome { id: MessageHandle(1), attempt: 0, outcome: Outcome::Ok, retry_after: 0.0, closed: true };
 //! actions.clear();
 //! sender.handle(1_250.0, &[delivered], &mut actions);
 //! # Ok(())
--- a/crates/policy/src/turns.rs
+++ b/crates/policy/src/turns.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::interface::{MessageId, Millis};
+use crate::interface::{MessageHandle, Millis};
 
 /// The messages of each ordering key in the order they were taken. A key goes when its messages have and its
 /// rest is over.
@@ -11,35 +11,35 @@
 
 #[derive(Debug, Default)]
 struct Queue {
-    order: VecDeque<MessageId>,
+    order: VecDeque<MessageHandle>,
     /// Until when the key rests, for all but one of its messages.
     rest_until: Millis,
-    rest_for: Option<MessageId>,
+    rest_for: Option<MessageHandle>,
 }
 
 impl Turns {
     /// A message comes last; key 0 is no key.
-    pub fn join(&mut self, key: u64, id: MessageId) {
+    pub fn join(&mut self, key: u64, id: MessageHandle) {
         if key != 0 {
             self.0.entry(key).or_default().order.push_back(id);
         }
     }
 
-    pub fn leave(&mut self, key: u64, id: MessageId) {
+    pub fn leave(&mut self, key: u64, id: MessageHandle) {
         if let Some(queue) = self.0.get_mut(&key) {
             queue.order.retain(|&waiting| waiting != id);
         }
     }
 
     /// An attempt of this message may still be running: the key rests until then for all others.
-    pub fn rest(&mut self, key: u64, id: MessageId, until: Millis) {
+    pub fn rest(&mut self, key: u64, id: MessageHandle, until: Millis) {
         if let Some(queue) = self.0.get_mut(&key) {
             (queue.rest_until, queue.rest_for) = (until, Some(id));
         }
     }
 
     /// Whether it is first and its key is at rest no more.
-    pub fn is_next(&self, key: u64, id: MessageId, now: Millis) -> bool {
+    pub fn is_next(&self, key: u64, id: MessageHandle, now: Millis) -> bool {
         let Some(queue) = self.0.get(&key) else { return true };
         queue.order.front() == Some(&id) && (queue.rest_until <= now || queue.rest_for == Some(id))
     }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -13,7 +13,7 @@
 
 pub fn keyed_message(id: u32, class: usize, destination: u16, ordering_key: u64) -> Event {
     Event::Message(Message {
-        id: MessageId(id),
+        id: MessageHandle(id),
         class,
         tenant: 0,
         ordering_key,
@@ -41,11 +41,11 @@
     pub sender: Sender,
     pub now: Millis,
     settings: Settings,
-    taken: BTreeMap<MessageId, Taken>,
-    order: Vec<MessageId>,
+    taken: BTreeMap<MessageHandle, Taken>,
+    order: Vec<MessageHandle>,
     listed: BTreeMap<RouteId, RouteEntry>,
     waits: BTreeMap<(DestinationId, Option<RouteId>), Millis>,
-    rests: BTreeMap<u64, (Millis, MessageId)>,
+    rests: BTreeMap<u64, (Millis, MessageHandle)>,
 }
 
 impl Bench {
@@ -66,7 +66,7 @@
     /// Lets time pass and hands in a batch; what the sender does is checked and returned.
     pub fn step(&mut self, after: Millis, events: &[Event]) -> Vec<Action> {
         self.now += after;
-        let already_over: Vec<MessageId> =
+        let already_over: Vec<MessageHandle> =
             self.taken.iter().filter(|(_, t)| t.ended).map(|(&id, _)| id).collect();
         events.iter().for_each(|event| self.note(event));
         let mut actions = Vec::new();
@@ -145,7 +145,7 @@
         }
     }
 
-    fn check(&mut self, action: &Action, already_over: &[MessageId]) {
+    fn check(&mut self, action: &Action, already_over: &[MessageHandle]) {
         match *action {
             Action::Send { id, route, within, .. } => {
                 assert!(!already_over.contains(&id), "{id:?} was sent after its end");
@@ -208,7 +208,7 @@
         }
     }
 
-    fn check_turn(&self, id: MessageId) {
+    fn check_turn(&self, id: MessageHandle) {
         let message = &self.taken[&id].message;
         let key = message.ordering_key;
         if key == 0 || !self.settings.classes[message.class].ordered {
--- a/crates/policy/tests/replay/module.rs
+++ b/crates/policy/tests/replay/module.rs
@@ -67,12 +67,12 @@
     Some(match input.clone() {
         Input::List { change, lines } => Event::List(list(change, &lines)),
         Input::Message(message) => Event::Message(message_of(&message)),
-        Input::Started { id, attempt } => Event::Started { id: MessageId(id), attempt },
+        Input::Started { id, attempt } => Event::Started { id: MessageHandle(id), attempt },
         Input::Outcome { id, attempt, end, wait, closed } => {
-            let (id, outcome, retry_after) = (MessageId(id), outcome(end), f64::from(wait));
+            let (id, outcome, retry_after) = (MessageHandle(id), outcome(end), f64::from(wait));
             Event::Outcome { id, attempt, outcome, retry_after, closed }
         }
-        Input::Dropped { id } => Event::Dropped(MessageId(id)),
+        Input::Dropped { id } => Event::Dropped(MessageHandle(id)),
         Input::Wake { token } => Event::Wake(token),
         Input::HealthChecked { route, end } => {
             Event::HealthChecked { route: RouteId(route), outcome: outcome(end) }
@@ -129,7 +129,7 @@
 
 fn message_of(message: &MessageInput) -> Message {
     Message {
-        id: MessageId(message.id),
+        id: MessageHandle(message.id),
         class: usize::from(message.class),
         tenant: message.tenant as usize,
         ordering_key: message.ordering_key,
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -19,7 +19,7 @@
     let mut b = Bench::new(settings(vec![class(SAFE)]), 1);
     b.step(0.0, &[list(vec![]), message(1, 0, 7)]);
     let done = b.run(11_000.0);
-    assert_eq!(done, [Action::Refuse { id: MessageId(1), retry_after: 0.0 }]);
+    assert_eq!(done, [Action::Refuse { id: MessageHandle(1), retry_after: 0.0 }]);
     assert!(b.now < 11_000.0, "after its time: {}", b.now);
 }
 
@@ -28,7 +28,7 @@
     let mut b = Bench::new(settings(vec![class(Effect::Unsafe)]), 1);
     b.step(0.0, &[list(vec![entry(1, 0, 0, 0)]), message(1, 0, 0)]);
     let done = b.step(10_000.0, &[outcome(1, 0, Outcome::Timeout, 0.0)]);
-    assert!(done.contains(&Action::Fail { id: MessageId(1) }));
+    assert!(done.contains(&Action::Fail { id: MessageHandle(1) }));
 }
 
 #[test]
@@ -39,7 +39,7 @@
         let mut done = b.step(50.0, &[outcome(1, 0, seen, 0.0)]);
         done.extend(b.run(2_000.0));
         assert_eq!(!sends(&done).is_empty(), again, "{seen:?}");
-        assert_eq!(done.contains(&Action::Fail { id: MessageId(1) }), !again, "{seen:?}");
+        assert_eq!(done.contains(&Action::Fail { id: MessageHandle(1) }), !again, "{seen:?}");
     }
 }
 
@@ -100,7 +100,7 @@
         b.step(0.0, &[list(vec![entry(1, 0, 0, 0)]), keyed_message(1, 0, 0, 9), keyed_message(2, 0, 0, 9)]);
     assert_eq!(sends(&first), [(1, 1)]);
     let over = Event::Outcome {
-        id: MessageId(1),
+        id: MessageHandle(1),
         attempt: 0,
         outcome: Outcome::Timeout,
         retry_after: 0.0,
@@ -135,7 +135,7 @@
     for round in 0..10u64 {
         let routes = (round * 1_000..(round + 1) * 1_000).map(|r| entry(r, (r % 5_000) as u16, 0, 0));
         b.step(5.0, &[list(routes.collect()), keyed_message(round as u32, 0, 6_000, round + 1)]);
-        b.step(5.0, &[Event::Dropped(MessageId(round as u32))]);
+        b.step(5.0, &[Event::Dropped(MessageHandle(round as u32))]);
     }
     assert!(b.sender.remembered() >= 10_000, "routes away for a moment are remembered");
     b.step(30_000.0, &[list(vec![])]);
@@ -215,7 +215,7 @@
 #[test]
 fn unknown_names_are_ignored_and_settings_that_cannot_work_are_an_error() {
     let mut b = Bench::new(settings(vec![class(SAFE)]), 1);
-    let odd = [outcome(99, 0, Outcome::Ok, 0.0), Event::Dropped(MessageId(5)), Event::Wake(77)];
+    let odd = [outcome(99, 0, Outcome::Ok, 0.0), Event::Dropped(MessageHandle(5)), Event::Wake(77)];
     assert_eq!(b.step(0.0, &odd), []);
     assert_eq!(Sender::new(settings(vec![]), 1).err(), Some(SettingsError::NoClasses));
     let mut zero = settings(vec![class(Effect::Keyed { group: KeyGroup::All, window: 0.0 })]);
@@ -306,7 +306,7 @@
                     events.push(outcome(id, attempt, outcomes[usize::from(code)], f64::from(wait)));
                 }
                 Step::Drop { pick } if next > 0 => {
-                    events.push(Event::Dropped(MessageId((pick % next as usize) as u32)));
+                    events.push(Event::Dropped(MessageHandle((pick % next as usize) as u32)));
                 }
                 Step::List { route, listing } => {
                     let listing = [Listing::Gone, Listing::Ready, Listing::Draining][usize::from(listing)];
--- a/crates/policy/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -51,7 +51,7 @@
             let mut answers = Vec::new();
             if !pending {
                 answers.extend((0..3).map(|i| outcome(i, 0, Outcome::Rejected, 0.0)));
-                answers.extend((0..3).map(|i| Event::Dropped(MessageId(i))));
+                answers.extend((0..3).map(|i| Event::Dropped(MessageHandle(i))));
             }
             b.step(10.0, &answers);
             // Long enough for the pause to be over, not for the next.
@@ -74,7 +74,7 @@
         // Route 1 stands in the sender's zone and is preferred; route 2 is apart and farther.
         b.step(0.0, &[list(vec![entry(1, 0, 1, 0), entry(2, 0, 1, 1)])]);
         assert_eq!(sends(&b.step(5.0, &[message(1, 0, 0)])), [(1, 1)]);
-        b.step(5.0, &[outcome(1, 0, Outcome::Rejected, 0.0), Event::Dropped(MessageId(1))]);
+        b.step(5.0, &[outcome(1, 0, Outcome::Rejected, 0.0), Event::Dropped(MessageHandle(1))]);
         let done = sends(&b.step(500.0, &[message(2, 0, 0)]));
         assert_eq!(done.len(), 1, "one of the two takes it at once");
         diverted += usize::from(done[0].1 == 2);
@@ -109,8 +109,8 @@
             b.step(250.0, &[message(i, 0, 0)]);
         }
         // Failed connections count like refusals and leave the pace as it is.
-        let failed =
-            (0..3).flat_map(|i| [outcome(i, 0, Outcome::ConnectFailed, 0.0), Event::Dropped(MessageId(i))]);
+        let failed = (0..3)
+            .flat_map(|i| [outcome(i, 0, Outcome::ConnectFailed, 0.0), Event::Dropped(MessageHandle(i))]);
         b.step(10.0, &failed.collect::<Vec<_>>());
         let mut done = b.step(500.0, &[message(9, 0, 0)]);
         for _ in 0..120 {
@@ -301,7 +301,7 @@
 
 #[test]
 fn a_call_lost_by_itself_is_called_off_once_when_its_slot_is_wanted_and_only_then() {
-    let lost = Action::Cancel { id: MessageId(0), attempt: 0 };
+    let lost = Action::Cancel { id: MessageHandle(0), attempt: 0 };
     assert_eq!(called_off(10, true, Effect::Safe), [lost]);
     assert_eq!(called_off(10, false, Effect::Safe), []);
     assert_eq!(called_off(9, true, Effect::Safe), []);
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use recovery::Recovered;
 use rudderspindle_gossip::{Gate, Receiver};
-use rudderspindle_journal::{self as journal, Notice, PossibleExecution, Status, Store, Txn};
+use rudderspindle_journal::{self as journal, MessageId, Notice, PossibleExecution, Status, Store};
 use rudderspindle_policy::Sender;
 use rudderspindle_policy::interface::*;
 use rudderspindle_policy::settings::Names;
@@ -53,7 +53,7 @@
 /// A message that is owed its end.
 #[derive(Debug)]
 struct Held {
-    txn: Txn,
+    message_id: MessageId,
     class: usize,
     /// The hand-ins that it was taken on by, less those whose clients went unheard. While one is left, its
     /// client may have been told that the message is taken on: nothing may withdraw it.
@@ -76,7 +76,7 @@
 
 /// A message that was handed in with this batch.
 struct Fresh {
-    id: MessageId,
+    id: MessageHandle,
     class: usize,
     record: journal::Message,
     answer: oneshot::Sender<Answer>,
@@ -99,16 +99,16 @@
     origin: Instant,
     last_batch: Instant,
     stop: Option<Instant>,
-    held: HashMap<MessageId, Held>,
-    ids: HashMap<Txn, MessageId>,
-    hand_ins: HashMap<u64, MessageId>,
+    held: HashMap<MessageHandle, Held>,
+    ids: HashMap<MessageId, MessageHandle>,
+    hand_ins: HashMap<u64, MessageHandle>,
     next_id: u32,
     /// Receivers on the list, and for a while those that have left it.
     routes: HashMap<Rc<str>, Known>,
     next_route: u64,
     destinations: HashSet<DestinationId>,
     zones: Vec<String>,
-    calls: HashMap<MessageId, CallOut>,
+    calls: HashMap<MessageHandle, CallOut>,
     wakes: Vec<(Instant, u64)>,
     /// Inputs and events left for the next batch, and what the module has no room for yet, the best last.
     deferred: Vec<Input>,
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -14,7 +14,7 @@
     pub(super) fn attempt(
         &mut self,
         now: Instant,
-        id: MessageId,
+        id: MessageHandle,
         route: RouteId,
         timeout: Millis,
         within: Millis,
@@ -30,32 +30,32 @@
         held.attempts += 1;
         let destination = self.routes.get(&receiver).and_then(|known| known.destination);
         held.receiver = destination.map(|to| Receiver::of(to.0, &receiver));
-        tracing::debug!(target: STORY, txn = &*held.txn, attempt, receiver = &*receiver, zone = &*zone, "attempt");
-        self.store.attempt(&held.txn, PossibleExecution { at: journal::wall_ms(), receiver, zone });
-        let (txn, key, body) = (held.txn.clone(), held.key.clone(), held.body.clone());
+        tracing::debug!(target: STORY, message_id = &*held.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
+        self.store.attempt(&held.message_id, PossibleExecution { at: journal::wall_ms(), receiver, zone });
+        let (message_id, key, body) = (held.message_id.clone(), held.key.clone(), held.body.clone());
         let patience = Duration::from_secs_f64(timeout.max(0.0) / 1_000.0);
         let until = if timeout == 0.0 { last } else { (now + patience).min(last) };
         let within = Duration::try_from_secs_f64(within.max(0.0) / 1_000.0);
         let latest = within.map_or(held.ends_at, |within| now + within);
-        Some(Call { id, attempt, route, txn, key, body, until, latest })
+        Some(Call { id, attempt, route, message_id, key, body, until, latest })
     }
 
-    pub(super) fn outcome(&mut self, id: MessageId, attempt: u32, report: AttemptResult) -> Event {
+    pub(super) fn outcome(&mut self, id: MessageHandle, attempt: u32, report: AttemptResult) -> Event {
         self.calls.remove(&id);
         let AttemptResult { outcome, wait, closed } = report;
         let receiver = self.held.get_mut(&id).and_then(|held| held.receiver.take());
         self.doings.saw(receiver, outcome);
         if let Some(held) = self.held.get(&id) {
-            tracing::debug!(target: STORY, txn = &*held.txn, attempt, ?outcome, wait, "outcome");
+            tracing::debug!(target: STORY, message_id = &*held.message_id, attempt, ?outcome, wait, "outcome");
             if closed {
                 failpoint!("delivered-before-record");
-                self.store.end(&held.txn, None);
+                self.store.end(&held.message_id, None);
                 if outcome == Outcome::Ok {
                     self.figures.ended(held.class, End::Delivered);
                 }
                 self.release(id);
             } else {
-                self.store.outcome(&held.txn, attempt, outcome.possibly_executed());
+                self.store.outcome(&held.message_id, attempt, outcome.possibly_executed());
             }
         }
         let closed = !self.held.contains_key(&id);
@@ -64,7 +64,7 @@
 
     /// The call is asked to end. Its outcome comes from the call itself, as that of any other: the module sends
     /// the message again only then, so that no attempt's outcome is taken for that of another.
-    pub(super) fn cancel(&mut self, id: MessageId, attempt: u32) {
+    pub(super) fn cancel(&mut self, id: MessageHandle, attempt: u32) {
         self.calls.get(&id).filter(|call| call.attempt == attempt).into_iter().for_each(CallOut::cancel);
     }
 }
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -42,9 +42,9 @@
                         if list.complete { ListChange::Full(entries) } else { ListChange::Delta(entries) };
                     events.push(Event::List(change));
                 }
-                Input::Settled(txns) => {
+                Input::Settled(message_ids) => {
                     failpoint!("acknowledged-before-record");
-                    txns.iter().for_each(|txn| self.store.settled(txn));
+                    message_ids.iter().for_each(|message_id| self.store.settled(message_id));
                 }
                 Input::Successor(came) => self.successor(came),
                 Input::RetryAfter { destination, receiver, ms } => {
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -11,7 +11,7 @@
         refused: Vec<(oneshot::Sender<Answer>, Answer)>,
         actions: Vec<Action>,
     ) {
-        let mut ended: HashMap<MessageId, Status> = HashMap::new();
+        let mut ended: HashMap<MessageHandle, Status> = HashMap::new();
         for action in &actions {
             match *action {
                 Action::Refuse { id, retry_after } => {
@@ -35,7 +35,7 @@
                 };
                 answers.push((answer, word));
             } else {
-                tracing::debug!(target: STORY, txn = &*record.txn, class = &*record.class,
+                tracing::debug!(target: STORY, message_id = &*record.message_id, class = &*record.class,
                     to = record.destination, "taken on");
                 self.store.take(record);
                 taken.push((id, answer));
@@ -47,10 +47,10 @@
             if self.put_back(now, &held) {
                 continue;
             }
-            tracing::debug!(target: STORY, txn = &*held.txn, ?status, "ended");
-            self.store.end(&held.txn, Some(status));
+            tracing::debug!(target: STORY, message_id = &*held.message_id, ?status, "ended");
+            self.store.end(&held.message_id, Some(status));
             self.figures.ended(held.class, status.into());
-            notices.push(Notice { txn: held.txn, status });
+            notices.push(Notice { message_id: held.message_id, status });
         }
         let mut calls = Vec::new();
         for action in actions {
@@ -79,7 +79,7 @@
             tracing::warn!("journal: a batch could not be written: {error}");
             for (id, answer) in taken.drain(..) {
                 if let Some(held) = self.release(id) {
-                    self.store.forget(&held.txn);
+                    self.store.forget(&held.message_id);
                     self.carried.push(Event::Dropped(id));
                     self.figures.ended(held.class, End::Refused);
                 }
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -12,7 +12,8 @@
         fresh: &mut Vec<Fresh>,
         refused: &mut Vec<(oneshot::Sender<Answer>, Answer)>,
     ) -> Option<Message> {
-        let Submission { number, txn, class, tenant, destination, key, body, ends_at, answer } = submission;
+        let Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer } =
+            submission;
         if answer.is_closed() {
             return None;
         }
@@ -25,7 +26,7 @@
             refused.push((answer, if unknown { Answer::UnknownDestination } else { Answer::Refused(0.0) }));
             return None;
         }
-        if let Some(&id) = self.ids.get(&txn) {
+        if let Some(&id) = self.ids.get(&message_id) {
             // Handed in twice, taken on once, and owed to each client that hears so: to forget the earlier one
             // would let anybody who knows an id end its message by going away.
             let held = self.held.get_mut(&id).filter(|held| held.hand_ins.len() < MOST_HAND_INS);
@@ -42,7 +43,7 @@
             }
             return None;
         }
-        if self.store.knows(&txn) {
+        if self.store.knows(&message_id) {
             // Its notice is still owed: what acknowledges that must not end a new message of the same id.
             self.figures.ended(class, End::Refused);
             refused.push((answer, Answer::Refused(0.0)));
@@ -50,7 +51,7 @@
         }
         let left = ends_at.saturating_duration_since(now);
         let record = journal::Message {
-            txn: txn.clone(),
+            message_id: message_id.clone(),
             class: self.names.classes.get(class).map_or("", String::as_str).into(),
             tenant: self.names.tenants.get(tenant).map_or("", String::as_str).into(),
             destination: destination.0,
@@ -69,13 +70,13 @@
         }
         if !Store::fits_batch(*room + more) {
             let submission =
-                Submission { number, txn, class, tenant, destination, key, body, ends_at, answer };
+                Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer };
             self.deferred.push(Input::HandedIn(submission));
             return None;
         }
         *room += more;
         let id = self.hold(Held {
-            txn,
+            message_id,
             class,
             hand_ins: vec![number],
             key,
@@ -98,20 +99,20 @@
         })
     }
 
-    pub(super) fn hold(&mut self, held: Held) -> MessageId {
-        let mut id = MessageId(self.next_id);
+    pub(super) fn hold(&mut self, held: Held) -> MessageHandle {
+        let mut id = MessageHandle(self.next_id);
         while self.held.contains_key(&id) || self.calls.contains_key(&id) {
-            id = MessageId(id.0.wrapping_add(1));
+            id = MessageHandle(id.0.wrapping_add(1));
         }
         self.next_id = id.0.wrapping_add(1);
-        self.ids.insert(held.txn.clone(), id);
+        self.ids.insert(held.message_id.clone(), id);
         self.held.insert(id, held);
         id
     }
 
-    pub(super) fn release(&mut self, id: MessageId) -> Option<Held> {
+    pub(super) fn release(&mut self, id: MessageHandle) -> Option<Held> {
         let held = self.held.remove(&id)?;
-        self.ids.remove(&held.txn);
+        self.ids.remove(&held.message_id);
         for hand_in in &held.hand_ins {
             self.hand_ins.remove(hand_in);
         }
@@ -126,8 +127,8 @@
             return None;
         }
         let held = self.release(id)?;
-        tracing::debug!(target: STORY, txn = &*held.txn, "withdrawn");
-        self.store.end(&held.txn, None);
+        tracing::debug!(target: STORY, message_id = &*held.message_id, "withdrawn");
+        self.store.end(&held.message_id, None);
         Some(Event::Dropped(id))
     }
 }
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -22,7 +22,7 @@
     /// acknowledged. An attempt without an outcome may have run.
     pub(super) fn recover(&mut self, now: Instant, messages: Vec<journal::Message>, mut owed: Vec<Notice>) {
         // The journal's order is chance's.
-        owed.sort_unstable_by(|a, b| a.txn.cmp(&b.txn));
+        owed.sort_unstable_by(|a, b| a.message_id.cmp(&b.message_id));
         owed.into_iter().for_each(|notice| self.reports.push(notice));
         let wall = journal::wall_ms();
         let set_back = self.store.latest_attempt() > wall;
@@ -34,10 +34,10 @@
         if !messages.is_empty() {
             tracing::warn!("journal: {} messages taken up again", messages.len());
         }
-        let mut unknown = BTreeMap::<Rc<str>, Vec<Txn>>::new();
+        let mut unknown = BTreeMap::<Rc<str>, Vec<MessageId>>::new();
         for message in messages {
             let Some(class) = self.names.classes.iter().position(|name| **name == *message.class) else {
-                unknown.entry(message.class).or_default().push(message.txn);
+                unknown.entry(message.class).or_default().push(message.message_id);
                 continue;
             };
             // Whatever the clock says, it has no longer than its class allows.
@@ -54,15 +54,15 @@
             let ends_at = now + Duration::from_millis(left);
             self.backlog.push(Recovered { class, ends_at, possibly_executed, message });
         }
-        for (class, mut txns) in unknown {
+        for (class, mut message_ids) in unknown {
             tracing::warn!(
                 "journal: {} messages are of class {class}, which is no more: given up",
-                txns.len()
+                message_ids.len()
             );
-            txns.sort_unstable();
-            for txn in txns {
-                self.store.end(&txn, Some(Status::Undeliverable));
-                self.reports.push(Notice { txn, status: Status::Undeliverable });
+            message_ids.sort_unstable();
+            for message_id in message_ids {
+                self.store.end(&message_id, Some(Status::Undeliverable));
+                self.reports.push(Notice { message_id, status: Status::Undeliverable });
             }
         }
         self.sort_backlog();
@@ -73,7 +73,7 @@
         let worth = |recovered: &Recovered| self.settings.classes[recovered.class].worth;
         self.backlog.sort_unstable_by(|a, b| {
             let by_worth = worth(a).total_cmp(&worth(b));
-            by_worth.then(b.ends_at.cmp(&a.ends_at)).then(b.message.txn.cmp(&a.message.txn))
+            by_worth.then(b.ends_at.cmp(&a.ends_at)).then(b.message.message_id.cmp(&a.message.message_id))
         });
     }
 
@@ -95,8 +95,8 @@
         if !untried || held.ends_at.saturating_duration_since(now) < EARLY {
             return false;
         }
-        let Some(message) = self.store.open_message(&held.txn).cloned() else { return false };
-        tracing::debug!(target: STORY, txn = &*held.txn, "put back");
+        let Some(message) = self.store.open_message(&held.message_id).cloned() else { return false };
+        tracing::debug!(target: STORY, message_id = &*held.message_id, "put back");
         let (class, ends_at) = (held.class, held.ends_at);
         self.backlog.push(Recovered { class, ends_at, possibly_executed: None, message });
         self.sort_backlog();
@@ -106,7 +106,7 @@
     fn hand_over(&mut self, now: Instant, recovered: Recovered) -> Event {
         let Recovered { class, ends_at, possibly_executed, message: m } = recovered;
         let time_left = ends_at.saturating_duration_since(now).as_secs_f64() * 1_000.0;
-        tracing::debug!(target: STORY, txn = &*m.txn, attempts = m.attempts, ran = ?m.possibly_executed, time_left,
+        tracing::debug!(target: STORY, message_id = &*m.message_id, attempts = m.attempts, ran = ?m.possibly_executed, time_left,
             "taken up again");
         let possibly_executed = possibly_executed.map(|(then, ran)| {
             let since = now.saturating_duration_since(then).as_secs_f64() * 1_000.0;
@@ -114,7 +114,7 @@
         });
         let tenant = self.names.tenants.iter().position(|name| **name == *m.tenant);
         let id = self.hold(Held {
-            txn: m.txn,
+            message_id: m.message_id,
             class,
             hand_ins: vec![EARLIER_HAND_IN],
             key: m.key,
--- a/crates/sender/src/engine/recovery/tests.rs
+++ b/crates/sender/src/engine/recovery/tests.rs
@@ -8,7 +8,7 @@
     let mut store = Store::open(state, 3_000_000).expect("a journal");
     for n in 0..most {
         store.take(journal::Message {
-            txn: format!("found-{n}").into(),
+            message_id: format!("found-{n}").into(),
             class: "safe".into(),
             tenant: "".into(),
             destination: 8,
@@ -43,7 +43,7 @@
         tokio::time::advance(Duration::from_millis(4_001)).await;
         engine.batch(Vec::new());
         assert!(engine.backlog.is_empty());
-        let owed: Vec<Notice> = engine.store.owed().filter(|n| n.txn.starts_with("found-")).collect();
+        let owed: Vec<Notice> = engine.store.owed().filter(|n| n.message_id.starts_with("found-")).collect();
         assert_eq!(owed.len(), 45);
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -38,11 +38,12 @@
     (Engine::new(parts, &list, None).expect("an engine"), to_engine)
 }
 
-pub(super) fn submission(number: u64, txn: &str) -> (Input, oneshot::Receiver<Answer>) {
+pub(super) fn submission(number: u64, message_id: &str) -> (Input, oneshot::Receiver<Answer>) {
     let (answer, answered) = oneshot::channel();
-    let (txn, body) = (txn.into(), Bytes::from_static(b"text"));
+    let (message_id, body) = (message_id.into(), Bytes::from_static(b"text"));
     let (ends_at, destination) = (Instant::now() + Duration::from_secs(9), DestinationId(7));
-    let s = Submission { number, txn, class: 0, tenant: 0, destination, key: None, body, ends_at, answer };
+    let s =
+        Submission { number, message_id, class: 0, tenant: 0, destination, key: None, body, ends_at, answer };
     (Input::HandedIn(s), answered)
 }
 
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use hyper::header::HeaderName;
 use rudderspindle_gossip::{Gate, Receiver, Seen};
-use rudderspindle_journal::Txn;
+use rudderspindle_journal::MessageId;
 use rudderspindle_policy::interface::*;
 use serde::Deserialize;
 use tokio::sync::oneshot;
@@ -15,7 +15,7 @@
 /// The header that carries a message's key, on the way in and on the way out.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The log's target for what becomes of each message, under its id (`txn`).
+/// The log's target for what becomes of each message, under its id (`message_id`).
 pub(crate) const STORY: &str = "story";
 
 /// What the rest of the program tells the engine.
@@ -25,7 +25,7 @@
     /// The client of this hand-in has gone before it was answered.
     Withdrawn(u64),
     Outcome {
-        id: MessageId,
+        id: MessageHandle,
         attempt: u32,
         report: AttemptResult,
     },
@@ -35,7 +35,7 @@
     },
     List(List),
     /// Notices that the platform has.
-    Settled(Vec<Txn>),
+    Settled(Vec<MessageId>),
     /// A process that will take over from this one has come, or the other of the two is gone.
     Successor(bool),
     /// The other process of this sender was told to wait.
@@ -85,7 +85,7 @@
 pub struct Submission {
     /// Names this hand-in, also where two carry the same id.
     pub number: u64,
-    pub txn: Txn,
+    pub message_id: MessageId,
     pub class: usize,
     pub tenant: usize,
     pub destination: DestinationId,
@@ -108,10 +108,10 @@
 /// One call with a message.
 #[derive(Debug)]
 pub struct Call {
-    pub id: MessageId,
+    pub id: MessageHandle,
     pub attempt: u32,
     pub route: RouteId,
-    pub txn: Txn,
+    pub message_id: MessageId,
     pub key: Option<Bytes>,
     pub body: Bytes,
     /// When to stop waiting.
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -7,7 +7,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING};
 use hyper::{Method, Request, Response, StatusCode};
-use rudderspindle_journal::Txn;
+use rudderspindle_journal::MessageId;
 use tokio::sync::oneshot;
 use tokio::time::timeout_at;
 
@@ -72,7 +72,7 @@
         let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
         let class = self.names.classes.iter().position(|name| name == class);
         let class = class.ok_or_else(|| plain(StatusCode::NOT_FOUND, "unknown class"))?;
-        let txn = name(&head.headers, &X_TXN).ok_or_else(|| bad("bad X-Txn"))?;
+        let message_id = name(&head.headers, &X_TXN).ok_or_else(|| bad("bad X-Txn"))?;
         let tenant = match name(&head.headers, &X_ORG) {
             Some(tenant) => self.names.tenants.iter().position(|name| name == tenant),
             None => self.names.tenants.is_empty().then_some(0),
@@ -89,7 +89,7 @@
             return Err(bad("bad Idempotency-Key"));
         }
         let key = key.map(|key| Bytes::copy_from_slice(key.as_bytes()));
-        let txn = Txn::from(txn);
+        let message_id = MessageId::from(message_id);
         let body = {
             let Ok(_room) = self.bodies.try_acquire_many(length as u32) else {
                 return Ok(self.turn_away(class));
@@ -110,7 +110,8 @@
         let number = self.hand_ins.get();
         self.hand_ins.set(number + 1);
         let (answer, answered) = oneshot::channel();
-        let submission = Submission { number, txn, class, tenant, destination, key, body, ends_at, answer };
+        let submission =
+            Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer };
         if self.host.try_send(Input::HandedIn(submission)).is_err() {
             return Ok(self.turn_away(class));
         }
--- a/crates/sender/src/notifications.rs
+++ b/crates/sender/src/notifications.rs
@@ -90,7 +90,7 @@
                     self.queue.borrow_mut().retain(|(number, notice)| {
                         let open = !numbers.contains(number);
                         if !open {
-                            settled.push(notice.txn.clone());
+                            settled.push(notice.message_id.clone());
                         }
                         open
                     });
@@ -156,7 +156,7 @@
     };
     let mut lines = String::new();
     for (_, notice) in batch {
-        let id = &*notice.txn;
+        let id = &*notice.message_id;
         let line = match notice.status {
             Status::Undeliverable => serde_json::json!({ "id": id, "status": "undeliverable" }),
             Status::Deferred(None) => serde_json::json!({ "id": id, "status": "deferred" }),
--- a/crates/sender/src/notifications/tests.rs
+++ b/crates/sender/src/notifications/tests.rs
@@ -46,13 +46,15 @@
 }
 
 impl Sending {
-    fn push(&self, txn: &str) {
-        self.reports.push(Notice { txn: txn.into(), status: Status::Undeliverable });
+    fn push(&self, message_id: &str) {
+        self.reports.push(Notice { message_id: message_id.into(), status: Status::Undeliverable });
     }
 
     async fn settled(&mut self) -> Vec<String> {
         match soon("an acknowledgement", self.inputs.recv()).await {
-            Some(Input::Settled(txns)) => txns.iter().map(|txn| txn.to_string()).collect(),
+            Some(Input::Settled(message_ids)) => {
+                message_ids.iter().map(|message_id| message_id.to_string()).collect()
+            }
             other => panic!("{other:?}"),
         }
     }
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -18,7 +18,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use rudderspindle_journal::{MAX_BODY, Txn};
+use rudderspindle_journal::{MAX_BODY, MessageId};
 use rudderspindle_policy::interface::*;
 use socket2::SockRef;
 use tokio::net::TcpStream;
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -29,7 +29,7 @@
         let request = |host: HeaderValue, patience: Duration| {
             let mut request = Request::post("/v1/messages")
                 .header(HOST, host)
-                .header(X_TXN, &*call.txn)
+                .header(X_TXN, &*call.message_id)
                 .header(X_REMAINING, format!("{:.3}", patience.as_secs_f64()));
             if let Some(key) = &call.key {
                 request = request.header(IDEMPOTENCY_KEY, &**key);
@@ -38,7 +38,7 @@
         };
         let keyed_repeat = call.key.is_some() && call.attempt > 0;
         let bounds = Bounds { until: call.until, latest: call.latest, keyed_repeat };
-        self.exchange(call.route, &bounds, cancelled, Some(&call.txn), request).await
+        self.exchange(call.route, &bounds, cancelled, Some(&call.message_id), request).await
     }
 
     /// One request within its bounds, and the head of its answer; `message` is the one that a call is with, none for a probe.
@@ -47,7 +47,7 @@
         route: RouteId,
         &Bounds { until, latest, keyed_repeat }: &Bounds,
         cancelled: &Notify,
-        message: Option<&Txn>,
+        message: Option<&MessageId>,
         request: impl Fn(HeaderValue, Duration) -> hyper::http::Result<Request<Full<Bytes>>>,
     ) -> (AttemptResult, Option<Rest>) {
         let moot = || (Outcome::NotSent.into(), None);
@@ -110,7 +110,7 @@
                 }
                 Ok(response) => match self.believe(response, Sent::of(&meter), until).await {
                     Some((report, body)) => {
-                        tracing::debug!(target: STORY, txn = message.map(|txn| &**txn), %addr, kept,
+                        tracing::debug!(target: STORY, message_id = message.map(|message_id| &**message_id), %addr, kept,
                             outcome = ?report.outcome, wait = report.wait, "answered");
                         self.heed_told(waits, report.wait);
                         // Nothing more of a call that was turned away before its last byte.
@@ -122,7 +122,7 @@
                 Err(end) => end,
             };
             let (sent, heard) = (Sent::of(&meter), if late { Heard::Nothing } else { Heard::of(&meter) });
-            tracing::debug!(target: STORY, txn = message.map(|txn| &**txn), ?end, kept, ?sent, ?heard, "broken off");
+            tracing::debug!(target: STORY, message_id = message.map(|message_id| &**message_id), ?end, kept, ?sent, ?heard, "broken off");
             // A kept connection that the receiver closed, or that is not quiet, before a byte of this went out:
             // no attempt yet.
             if !(kept && end == End::Broken && sent == Sent::Nothing) {
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -47,9 +47,9 @@
 }
 
 fn call() -> Call {
-    let (id, until) = (MessageId(3), Instant::now() + Duration::from_secs(5));
-    let (txn, body) = ("m1".into(), Bytes::from_static(b"text"));
-    Call { id, attempt: 0, route: ROUTE, txn, key: None, body, until, latest: until }
+    let (id, until) = (MessageHandle(3), Instant::now() + Duration::from_secs(5));
+    let (message_id, body) = ("m1".into(), Bytes::from_static(b"text"));
+    Call { id, attempt: 0, route: ROUTE, message_id, key: None, body, until, latest: until }
 }
 
 async fn next(inputs: &mut mpsc::Receiver<Input>) -> Input {
--- a/crates/simulation/src/partner.rs
+++ b/crates/simulation/src/partner.rs
@@ -87,7 +87,7 @@
 
 fn handed_in(id: u32, class: usize, time_left: Millis) -> Message {
     Message {
-        id: MessageId(id),
+        id: MessageHandle(id),
         class,
         tenant: 0,
         ordering_key: 0,
--- a/crates/simulation/src/parts.rs
+++ b/crates/simulation/src/parts.rs
@@ -72,5 +72,5 @@
 /// What came of an attempt, with the wait told, ms.
 pub fn outcome(id: u32, attempt: u32, outcome: Outcome, retry_after: Millis) -> Event {
     let closed = outcome == Outcome::Ok;
-    Event::Outcome { id: MessageId(id), attempt, outcome, retry_after, closed }
+    Event::Outcome { id: MessageHandle(id), attempt, outcome, retry_after, closed }
 }
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -184,7 +184,7 @@
             Record::Event { instance, event: Event::HealthChecked { route, outcome } }
         }
         17 => {
-            let (instance, id, class, tenant) = (f.u32()?, MessageId(f.u32()?), f.u8()?, f.u32()?);
+            let (instance, id, class, tenant) = (f.u32()?, MessageHandle(f.u32()?), f.u8()?, f.u32()?);
             let (ordering_key, time_left, guess) = (f.u64()?, f.f64()?, f.f64()?);
             let destination = destination_of(f.f32()?)?;
             let options = f.u8()?;
@@ -223,7 +223,7 @@
             Record::Update { instance, kind, set: f.u32()? }
         }
         23 => {
-            let (instance, id) = (f.u32()?, MessageId(f.u32()?));
+            let (instance, id) = (f.u32()?, MessageHandle(f.u32()?));
             f.f64()?;
             let (attempt, detail, closed) = (u32::from(f.u8()?), f.u32()?, f.u8()? != 0);
             let outcome = outcome(f.u16()?)?;
@@ -238,7 +238,7 @@
             Record::Up { instance, seed, info: f.take(n)?.to_vec() }
         }
         25 => {
-            let (instance, id) = (f.u32()?, MessageId(f.u32()?));
+            let (instance, id) = (f.u32()?, MessageHandle(f.u32()?));
             f.f64()?;
             let attempt = u32::from(f.u8()?);
             f.route()?;
@@ -246,7 +246,7 @@
         }
         26 => {
             let instance = f.u32()?;
-            Record::Event { instance, event: Event::Dropped(MessageId(f.u32()?)) }
+            Record::Event { instance, event: Event::Dropped(MessageHandle(f.u32()?)) }
         }
         other => return Err(Malformed(format!("unknown record code {other}"))),
     };
--- a/crates/testkit/src/scripted_peers.rs
+++ b/crates/testkit/src/scripted_peers.rs
@@ -155,7 +155,7 @@
 #[derive(Debug)]
 pub struct Call {
     /// The message's id.
-    pub txn: String,
+    pub message_id: String,
     /// All headers.
     pub headers: HeaderMap,
     /// The body.
@@ -206,10 +206,10 @@
                         async move {
                             let (head, body) = request.into_parts();
                             let body = body.collect().await.map_err(|_| "cut short")?.to_bytes();
-                            let txn = head.headers.get("x-txn").and_then(|v| v.to_str().ok());
+                            let message_id = head.headers.get("x-txn").and_then(|v| v.to_str().ok());
                             let act = acts.lock().expect("a script").pop_front();
-                            let txn = txn.unwrap_or_default().to_owned();
-                            let call = Call { txn, headers: head.headers, body, at: Instant::now() };
+                            let message_id = message_id.unwrap_or_default().to_owned();
+                            let call = Call { message_id, headers: head.headers, body, at: Instant::now() };
                             let _ = call_to.send(call);
                             match act.unwrap_or(Act::Say(200, None)) {
                                 Act::Say(status, header) => {
@@ -291,8 +291,9 @@
                             continue;
                         }
                         let head = String::from_utf8_lossy(&seen).into_owned();
-                        let txn = head.lines().find_map(|l| l.strip_prefix("x-txn: ")).unwrap_or_default();
-                        let _ = call_to.send((number, txn.to_owned()));
+                        let message_id =
+                            head.lines().find_map(|l| l.strip_prefix("x-txn: ")).unwrap_or_default();
+                        let _ = call_to.send((number, message_id.to_owned()));
                         seen.clear();
                         let parts = script.lock().expect("a script").pop_front();
                         for part in parts.unwrap_or_else(|| vec![GOOD.to_vec()]) {
@@ -357,9 +358,9 @@
 }
 
 /// A hand-in as a client writes it.
-pub fn raw_hand_in(txn: &str, length: &str, body: &str) -> Vec<u8> {
+pub fn raw_hand_in(message_id: &str, length: &str, body: &str) -> Vec<u8> {
     format!(
-        "POST /safe HTTP/1.1\r\nHost: app.svc\r\nX-Txn: {txn}\r\nX-Org: acme\r\nX-Remaining: 60\r\n\
+        "POST /safe HTTP/1.1\r\nHost: app.svc\r\nX-Txn: {message_id}\r\nX-Org: acme\r\nX-Remaining: 60\r\n\
          X-Route-To: dest=7\r\n{length}\r\n\r\n{body}"
     )
     .into_bytes()
