--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -30,10 +30,10 @@
 use crate::health::{Health, State};
 use crate::interface::*;
 use crate::latency::Latency;
+use crate::priority_weight::PriorityWeight;
 use crate::quota::Quotas;
 use crate::turns::Turns;
 use crate::window::{Reach, Window};
-use crate::worth::Worth;
 use gate::{BURST, CUT_REST, REACH};
 use scope::Scope;
 use state::{Destination, ExecutionMark, Gate, Held, Route};
@@ -145,7 +145,7 @@
             Event::Quota { tenant, per_s } => self.quotas.tell(*tenant, *per_s),
             Event::Started { id, attempt } => {
                 let out = self.messages.get_mut(id).filter(|m| m.out.is_some_and(|out| out.0 == *attempt));
-                out.into_iter().for_each(|m| m.worth.ends_at = f64::INFINITY);
+                out.into_iter().for_each(|m| m.value.ends_at = f64::INFINITY);
             }
             Event::Outcome { .. } => self.outcome(event, actions),
             Event::Dropped(id) => self.finish(*id),
--- a/crates/policy/src/decide/admission.rs
+++ b/crates/policy/src/decide/admission.rs
@@ -14,17 +14,20 @@
         }
         let class = message.class.min(self.settings.classes.len() - 1);
         let c = &self.settings.classes[class];
-        let aim = (c.aim + c.aim_stretch * message.work_guess.unwrap_or(0.0)).min(c.deadline);
+        let latency_objective = (c.latency_objective
+            + c.latency_objective_stretch * message.work_guess.unwrap_or(0.0))
+        .min(c.deadline);
         let ends_at = self.now + message.time_left;
         let within = self.quotas.takes(self.now, &self.settings, message.tenant);
-        let whole = if within { c.worth } else { c.worth * self.settings.over_share_worth };
-        let worth = Worth { class, whole, aim_at: ends_at - c.deadline + aim, ends_at };
+        let whole = if within { c.value } else { c.value * self.settings.over_quota_value };
+        let value =
+            PriorityWeight { class, whole, aim_at: ends_at - c.deadline + latency_objective, ends_at };
         let key = if c.ordered { message.ordering_key } else { 0 };
         self.turns.join(key, message.id);
         let destination = message.destination;
         let possibly_executed = past.possibly_executed.map(|ran| (self.now - ran.ago, ran.route, ran.zone));
         let past = Held { attempts: past.attempts, possibly_executed, ..Held::default() };
-        self.messages.insert(message.id, Held { worth, destination, key, ..past });
+        self.messages.insert(message.id, Held { value, destination, key, ..past });
         self.park(message.id);
         self.queue_up(destination);
     }
@@ -32,12 +35,12 @@
     /// The message waits for a decision; its answer is due before its time is up, or when no attempt is left.
     pub(super) fn park(&mut self, id: MessageHandle) {
         let Some(m) = self.messages.get_mut(&id) else { return };
-        m.answer_at = m.worth.ends_at - 2.0 * self.settings.tick - END_MARGIN;
-        match (m.possibly_executed, self.settings.classes[m.worth.class].effect) {
-            (Some((at, ..)), Effect::Keyed { window, .. }) => {
+        m.answer_at = m.value.ends_at - 2.0 * self.settings.tick - END_MARGIN;
+        match (m.possibly_executed, self.settings.classes[m.value.class].effect) {
+            (Some((at, ..)), Effect::IdempotencyKey { window, .. }) => {
                 m.answer_at = m.answer_at.min(at + window - KEY_MARGIN);
             }
-            (Some(_), Effect::Unsafe) => m.answer_at = self.now,
+            (Some(_), Effect::NotIdempotent) => m.answer_at = self.now,
             _ => {}
         }
         if m.attempts >= self.settings.max_attempts {
--- a/crates/policy/src/decide/choice.rs
+++ b/crates/policy/src/decide/choice.rs
@@ -12,19 +12,19 @@
     pub(super) fn allowed(&self, id: MessageHandle, route: &Route) -> bool {
         let Some(m) = self.messages.get(&id) else { return false };
         let Some((_, ran, zone)) = m.possibly_executed else { return true };
-        match self.settings.classes[m.worth.class].effect {
-            Effect::Safe => true,
-            Effect::Keyed { group: KeyGroup::All, .. } => true,
-            Effect::Keyed { group: KeyGroup::Zone, .. } => zone == route.zone,
-            Effect::Keyed { group: KeyGroup::Route, .. } => ran == route.id,
-            Effect::Unsafe => false,
+        match self.settings.classes[m.value.class].effect {
+            Effect::Idempotent => true,
+            Effect::IdempotencyKey { group: KeyGroup::All, .. } => true,
+            Effect::IdempotencyKey { group: KeyGroup::Zone, .. } => zone == route.zone,
+            Effect::IdempotencyKey { group: KeyGroup::Route, .. } => ran == route.id,
+            Effect::NotIdempotent => false,
         }
     }
 
     /// The first route, in order of preference, whose own draw lets the message through.
     pub(super) fn choose(&mut self, d: &mut Destination, id: MessageHandle, open: &[usize]) -> Option<usize> {
         let unsafe_class =
-            self.settings.classes[self.messages.get(&id)?.worth.class].effect == Effect::Unsafe;
+            self.settings.classes[self.messages.get(&id)?.value.class].effect == Effect::NotIdempotent;
         let mut order: Vec<usize> = open.to_vec();
         order.retain(|&r| self.allowed(id, &d.routes[r]));
         // Healthy, near, idle, and last used: an open connection is likely there.
@@ -115,12 +115,12 @@
     /// An unsafe message gains nothing by an early time-out; others move on in time for another try.
     fn timeout(&self, d: &Destination, id: MessageHandle, index: usize) -> Millis {
         let Some(m) = self.messages.get(&id) else { return 0.0 };
-        let left = m.worth.ends_at - self.now;
+        let left = m.value.ends_at - self.now;
         let patient = d.overdue_after(index) * TIMEOUT_STRETCH;
-        let timeout = match self.settings.classes[m.worth.class].effect {
-            Effect::Unsafe => left,
-            Effect::Safe => patient,
-            Effect::Keyed { window, .. } => patient.min(window / 2.0),
+        let timeout = match self.settings.classes[m.value.class].effect {
+            Effect::NotIdempotent => left,
+            Effect::Idempotent => patient,
+            Effect::IdempotencyKey { window, .. } => patient.min(window / 2.0),
         };
         timeout.min(left)
     }
--- a/crates/policy/src/decide/dispatch.rs
+++ b/crates/policy/src/decide/dispatch.rs
@@ -16,7 +16,7 @@
         for &id in busy {
             let Some(d) = self.destinations.get(&id) else { continue };
             let claim =
-                |m: &MessageHandle| self.messages.get(m).map(|h| (self.urgency(h), h.worth.aim_at, *m));
+                |m: &MessageHandle| self.messages.get(m).map(|h| (self.urgency(h), h.value.aim_at, *m));
             let mut queue: Vec<(f64, Millis, MessageHandle)> = d.waiting.iter().filter_map(claim).collect();
             queue.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
             // What a call may carry counts: where slots are scarce, a call of many messages goes first.
@@ -95,7 +95,7 @@
         };
         let lost: Vec<u64> = d.calls.iter().filter(lost).map(|c| c.id).collect();
         for (id, m) in self.messages.iter().filter(|_| !lost.is_empty()) {
-            let patient = self.settings.classes[m.worth.class].effect != Effect::Unsafe;
+            let patient = self.settings.classes[m.value.class].effect != Effect::NotIdempotent;
             if let Some((attempt, _)) = m.out.filter(|out| patient && lost.contains(&out.1)) {
                 actions.push(Action::Cancel { id: *id, attempt });
             }
--- a/crates/policy/src/decide/ends.rs
+++ b/crates/policy/src/decide/ends.rs
@@ -10,7 +10,7 @@
 impl Sender {
     /// What is lost if the message waits on: the order in which messages go.
     pub(super) fn urgency(&self, m: &Held) -> f64 {
-        self.settings.earns(&m.worth, self.now) - self.settings.earns(&m.worth, self.now + LOOKAHEAD)
+        self.settings.earns(&m.value, self.now) - self.settings.earns(&m.value, self.now + LOOKAHEAD)
     }
 
     /// The message is over; its record stays while an attempt is out.
@@ -39,10 +39,10 @@
 
     fn refusable(&self, m: &Held) -> bool {
         let ran = m.possibly_executed.is_some() || m.out.is_some();
-        match self.settings.classes[m.worth.class].effect {
-            Effect::Safe => true,
-            Effect::Keyed { group, .. } => group == KeyGroup::All || !ran,
-            Effect::Unsafe => !ran,
+        match self.settings.classes[m.value.class].effect {
+            Effect::Idempotent => true,
+            Effect::IdempotencyKey { group, .. } => group == KeyGroup::All || !ran,
+            Effect::NotIdempotent => !ran,
         }
     }
 
@@ -59,10 +59,10 @@
     /// Near the most that may be held the least worth goes, early enough for its client to come again.
     pub(super) fn shed(&mut self, actions: &mut Vec<Action>) {
         while self.messages.len() > self.most_unshed() {
-            let worth = |m: &Held| self.settings.earns(&m.worth, self.now);
+            let value = |m: &Held| self.settings.earns(&m.value, self.now);
             let waiting = self.messages.iter().filter(|(_, m)| !m.over && m.out.is_none());
             let refusable = waiting.filter(|(_, m)| self.refusable(m));
-            let least = refusable.min_by(|a, b| worth(a.1).total_cmp(&worth(b.1)));
+            let least = refusable.min_by(|a, b| value(a.1).total_cmp(&value(b.1)));
             let Some((&id, _)) = least else { return };
             self.end(id, self.settings.max_retry_after / 2.0, actions);
         }
--- a/crates/policy/src/decide/figures.rs
+++ b/crates/policy/src/decide/figures.rs
@@ -33,7 +33,7 @@
     }
 
     pub(super) fn most_unshed(&self) -> usize {
-        (self.settings.most_held as f64 * SHED_AT) as usize
+        (self.settings.max_pending as f64 * SHED_AT) as usize
     }
 
     /// Routes on the list that take no ordinary calls of ours now: they drain, are down, or told to wait.
--- a/crates/policy/src/decide/outages.rs
+++ b/crates/policy/src/decide/outages.rs
@@ -84,7 +84,8 @@
     /// So many failures in a row make an outage out. Departure (no notes tell of all senders, and fewer calls
     /// are our part of those that push a partner over): it would be over before we had seen so many.
     fn down_run(&self, d: &Destination, scope: Scope) -> f64 {
-        let pushes = d.gate_of(scope).told * self.settings.tip_after / 1_000.0 * self.settings.fall_multiple;
+        let pushes = d.gate_of(scope).told * self.settings.overload_duration / 1_000.0
+            * self.settings.overload_multiple;
         let ours = (pushes * self.part(d, scope)).clamp(1.0, DOWN_RUN);
         if d.shared_pace(scope, self.now).is_some() { DOWN_RUN } else { ours }
     }
@@ -109,7 +110,7 @@
         let ready = d.routes.iter().filter(|r| r.listing == Listing::Ready).count();
         let sisters = if d.apart || scope == Scope::All { 1 } else { ready.max(1) };
         let ours = self.part(d, scope) * d.gate_of(scope).told / sisters as f64 / 1_000.0;
-        let (of, warm) = (|after| ours * self.settings.ramp(after), self.settings.warm_within);
+        let (of, warm) = (|after| ours * self.settings.ramp(after), self.settings.recovery_duration);
         // The first pause is long, and the room grows meanwhile; that it grows later is margin.
         let growth = if from > since { 0.0 } else { (of(warm) - of(0.0)) / warm.max(1.0) };
         let rate = of(from - since);
@@ -169,13 +170,13 @@
 impl Settings {
     /// The part of its limit that a destination may be sent by all, so long after its return.
     pub fn ramp(&self, since: Millis) -> f64 {
-        let warmth = self.cold_from + (1.0 - self.cold_from) * self.warm(since);
-        RAMP_PART * self.fall_multiple / self.rough() * warmth
+        let warmth = self.recovery_start_share + (1.0 - self.recovery_start_share) * self.warm(since);
+        RAMP_PART * self.overload_multiple / self.rough() * warmth
     }
 
     /// How far a destination is warm so long after its return: 1 when it is.
     pub(super) fn warm(&self, since: Millis) -> f64 {
-        (since / self.warm_within.max(1.0)).clamp(0.0, 1.0)
+        (since / self.recovery_duration.max(1.0)).clamp(0.0, 1.0)
     }
 
     pub(super) fn rough(&self) -> f64 {
--- a/crates/policy/src/decide/outcomes.rs
+++ b/crates/policy/src/decide/outcomes.rs
@@ -25,14 +25,14 @@
             // Its key rests while the attempt may still be running.
             let running = outcome != Outcome::Error;
             if running {
-                self.turns.rest(m.key, id, self.now + self.settings.turn_gap);
+                self.turns.rest(m.key, id, self.now + self.settings.ordering_key_pause);
             }
         }
-        let unsafe_ran =
-            m.possibly_executed.is_some() && self.settings.classes[m.worth.class].effect == Effect::Unsafe;
+        let unsafe_ran = m.possibly_executed.is_some()
+            && self.settings.classes[m.value.class].effect == Effect::NotIdempotent;
         if closed || m.over || outcome == Outcome::Ok {
             self.finish(id);
-        } else if unsafe_ran || m.worth.ends_at <= self.now {
+        } else if unsafe_ran || m.value.ends_at <= self.now {
             self.end(id, 0.0, actions);
         } else {
             self.park(id);
--- a/crates/policy/src/decide/state.rs
+++ b/crates/policy/src/decide/state.rs
@@ -54,7 +54,7 @@
 /// A message taken; kept until it is over and no attempt is out.
 #[derive(Debug, Default)]
 pub(super) struct Held {
-    pub(super) worth: Worth,
+    pub(super) value: PriorityWeight,
     pub(super) destination: DestinationId,
     pub(super) key: u64,
     /// While it waits: when its final answer is due.
--- a/crates/policy/src/interface/checks.rs
+++ b/crates/policy/src/interface/checks.rs
@@ -19,24 +19,25 @@
         let positive = |x: f64| x.is_finite() && x > 0.0;
         let natural = |x: f64| x.is_finite() && x >= 0.0;
         let classes = |f: &dyn Fn(&Class) -> bool| s.classes.iter().all(f);
-        let windows = classes(&|c| !matches!(c.effect, Effect::Keyed { window, .. } if !positive(window)));
+        let windows =
+            classes(&|c| !matches!(c.effect, Effect::IdempotencyKey { window, .. } if !positive(window)));
         for (name, fits) in [
             ("deadline", classes(&|c| positive(c.deadline))),
-            ("aim", classes(&|c| positive(c.aim))),
-            ("worth", classes(&|c| natural(c.worth))),
-            ("late_worth", classes(&|c| (0.0..=1.0).contains(&c.late_worth))),
+            ("aim", classes(&|c| positive(c.latency_objective))),
+            ("worth", classes(&|c| natural(c.value))),
+            ("late_worth", classes(&|c| (0.0..=1.0).contains(&c.late_value))),
             ("key window", windows),
             ("bundle_max", s.kinds.iter().all(|k| k.bundle_max > 0)),
             ("quota_per_s", s.tenants.iter().all(|t| natural(t.quota_per_s))),
             ("slots", s.slots > 0),
-            ("most_held", s.most_held > 0),
+            ("most_held", s.max_pending > 0),
             ("max_attempts", s.max_attempts > 0),
             ("peers_total", s.peers_total > 0),
-            ("cold_from", s.cold_from > 0.0 && s.cold_from <= 1.0),
-            ("warm_within", natural(s.warm_within)),
-            ("fall_multiple", positive(s.fall_multiple)),
-            ("tip_after", natural(s.tip_after)),
-            ("turn_gap", natural(s.turn_gap)),
+            ("cold_from", s.recovery_start_share > 0.0 && s.recovery_start_share <= 1.0),
+            ("warm_within", natural(s.recovery_duration)),
+            ("fall_multiple", positive(s.overload_multiple)),
+            ("tip_after", natural(s.overload_duration)),
+            ("turn_gap", natural(s.ordering_key_pause)),
             ("tick", natural(s.tick)),
         ] {
             if !fits {
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -6,16 +6,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
     /// Idempotent: may be repeated at will.
-    Safe,
+    Idempotent,
     /// Repeats of its key are discarded by the routes of one group for some time.
-    Keyed {
+    IdempotencyKey {
         /// The routes that share the memory of keys.
         group: KeyGroup,
         /// How long a key is remembered, counted from the send of the first attempt that may have run.
         window: Millis,
     },
     /// Must not take effect twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The routes of a destination that share one memory of keys.
@@ -42,15 +42,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Worth of a message delivered within its aim.
-    pub worth: f64,
+    pub value: f64,
     /// Delivered within this time it earns its full worth.
-    pub aim: Millis,
+    pub latency_objective: Millis,
     /// The aim grows by this multiple of the message's own work; 0 where it does not.
-    pub aim_stretch: f64,
+    pub latency_objective_stretch: f64,
     /// How long a message may be delivered, from its first hand-in.
     pub deadline: Millis,
     /// Share of the worth that is left at the deadline.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// What a repeat may do.
     pub effect: Effect,
     /// Whether messages with one ordering key go one at a time, in the order they were taken.
@@ -110,13 +110,13 @@
     /// Tenants, by index; some deployments have none.
     pub tenants: Vec<Tenant>,
     /// Worth of a message beyond its tenant's share, as a fraction of its class's.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// How worth falls after the aim.
     pub late_decay: LateDecay,
     /// Calls that may be out at once.
     pub slots: usize,
     /// Messages held at most, sent or not; more are turned away before the sender.
-    pub most_held: usize,
+    pub max_pending: usize,
     /// Attempts for a message at most.
     pub max_attempts: u32,
     /// Longest advice to stay away that a client honours.
@@ -142,15 +142,15 @@
     /// Price of a message that a route apart takes on, by zone.
     pub zone_fees: Vec<f64>,
     /// A returning destination has this share of its capacity or more.
-    pub cold_from: f64,
+    pub recovery_start_share: f64,
     /// And all of it after this at the latest.
-    pub warm_within: Millis,
+    pub recovery_duration: Millis,
     /// Sent more than this multiple of its present capacity
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this long, it falls over.
-    pub tip_after: Millis,
+    pub overload_duration: Millis,
     /// Rest of an ordering key after an attempt that may still be running.
-    pub turn_gap: Millis,
+    pub ordering_key_pause: Millis,
     /// Shortest time between two batches.
     pub tick: Millis,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -10,12 +10,12 @@
 //!
 //! # fn main() -> Result<(), SettingsError> {
 //! let notice = Class {
-//!     worth: 1.0,
-//!     aim: 4_000.0,
-//!     aim_stretch: 0.0,
+//!     value: 1.0,
+//!     latency_objective: 4_000.0,
+//!     latency_objective_stretch: 0.0,
 //!     deadline: 20_000.0,
-//!     late_worth: 0.3,
-//!     effect: Effect::Keyed { group: KeyGroup::All, window: 20_000.0 },
+//!     late_value: 0.3,
+//!     effect: Effect::IdempotencyKey { group: KeyGroup::All, window: 20_000.0 },
 //!     ordered: false,
 //! };
 //! let settings = Settings {
@@ -24,10 +24,10 @@
 //!     classes: vec![notice],
 //!     kinds: vec![Kind { bundle_max: 1, routes_apart: false }],
 //!     tenants: vec![],
-//!     over_share_worth: 1.0,
+//!     over_quota_value: 1.0,
 //!     late_decay: LateDecay::Linear,
 //!     slots: 16,
-//!     most_held: 200,
+//!     max_pending: 200,
 //!     max_attempts: 6,
 //!     max_retry_after: 3_000.0,
 //!     retry_after: true,
@@ -40,11 +40,11 @@
 //!     discovery: Discovery::Pushed,
 //!     cross_zone_price: 0.0,
 //!     zone_fees: vec![],
-//!     cold_from: 0.2,
-//!     warm_within: 12_000.0,
-//!     fall_multiple: 2.0,
-//!     tip_after: 3_000.0,
-//!     turn_gap: 0.0,
+//!     recovery_start_share: 0.2,
+//!     recovery_duration: 12_000.0,
+//!     overload_multiple: 2.0,
+//!     overload_duration: 3_000.0,
+//!     ordering_key_pause: 0.0,
 //!     tick: 5.0,
 //! };
 //! let mut sender = Sender::new(settings, 42)?;
@@ -89,10 +89,10 @@
 mod health;
 pub mod interface;
 mod latency;
+mod priority_weight;
 mod quota;
 pub mod settings;
 mod turns;
 mod window;
-mod worth;
 
 pub use decide::Sender;
--- a/crates/policy/src/worth.rs
+++ b/crates/policy/src/priority_weight.rs
@@ -4,7 +4,7 @@
 
 /// What one message earns, and by when.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Worth {
+pub(crate) struct PriorityWeight {
     pub class: usize,
     /// Within its aim.
     pub whole: f64,
@@ -14,8 +14,8 @@
 
 impl Settings {
     /// What it earns if it is delivered at `at`.
-    pub(crate) fn earns(&self, worth: &Worth, at: Millis) -> f64 {
-        let &Worth { class, whole, aim_at, ends_at } = worth;
+    pub(crate) fn earns(&self, value: &PriorityWeight, at: Millis) -> f64 {
+        let &PriorityWeight { class, whole, aim_at, ends_at } = value;
         if at > ends_at {
             return 0.0;
         }
@@ -25,8 +25,8 @@
         let (class, late) = (&self.classes[class], at - aim_at);
         whole
             * match self.late_decay {
-                LateDecay::Linear => 1.0 - (1.0 - class.late_worth) * late / (ends_at - aim_at),
-                LateDecay::Halving => 0.5f64.powf(late / class.aim).max(class.late_worth),
+                LateDecay::Linear => 1.0 - (1.0 - class.late_value) * late / (ends_at - aim_at),
+                LateDecay::Halving => 0.5f64.powf(late / class.latency_objective).max(class.late_value),
             }
     }
 }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -16,7 +16,7 @@
 const WAIT: Range = Range::new("a number of ms, 0 or more", |x| x >= 0.0);
 const NOT_NEGATIVE: Range = Range::new("a number, 0 or more", |x| x >= 0.0);
 const PART: Range = Range::new("a number from 0 to 1", |x| (0.0..=1.0).contains(&x));
-const COLD_FROM: Range = Range::new("a number above 0, 1 at the most,", |x| x > 0.0 && x <= 1.0);
+const RECOVERY_START_SHARE: Range = Range::new("a number above 0, 1 at the most,", |x| x > 0.0 && x <= 1.0);
 const MULTIPLE: Range = Range::new("a number above 0", |x| x > 0.0);
 
 /// What the settings call the things that the interface numbers, by index.
@@ -97,12 +97,12 @@
         classes,
         kinds,
         tenants: tenants(&root.child("projects"))?,
-        over_share_worth: root.child("over_share_worth").number_or(1.0, Range::ANY)?,
+        over_quota_value: root.child("over_share_worth").number_or(1.0, Range::ANY)?,
         late_decay: extra
             .child("loses_worth")
             .word_or(LateDecay::Linear, &[("linear", LateDecay::Linear), ("halving", LateDecay::Halving)])?,
         slots: extra.child("calls_out").whole(1)? as usize,
-        most_held: limits.child("most_held").whole(1)? as usize,
+        max_pending: limits.child("most_held").whole(1)? as usize,
         max_attempts: limits.child("max_attempts").whole(1)?,
         max_retry_after: limits.child("max_retry_after").number_or(0.0, Range::ANY)?,
         retry_after: limits.child("retry_after").flag_or(false)?,
@@ -118,11 +118,11 @@
         discovery: discovery(&root)?,
         cross_zone_price: root.child("tariffs").child("cross_zone").number_or(0.0, Range::ANY)?,
         zone_fees: extra.child("fee_by_zone").map(|fee| fee.number(Range::ANY))?,
-        cold_from: rules.child("cold_from").number_or(1.0, COLD_FROM)?,
-        warm_within: rules.child("warm_within").number_or(0.0, WAIT)?,
-        fall_multiple: rules.child("fall_multiple").number_or(1.0, MULTIPLE)?,
-        tip_after: rules.child("tip_after").number_or(0.0, WAIT)?,
-        turn_gap: rules.child("turn_gap").number_or(0.0, WAIT)?,
+        recovery_start_share: rules.child("cold_from").number_or(1.0, RECOVERY_START_SHARE)?,
+        recovery_duration: rules.child("warm_within").number_or(0.0, WAIT)?,
+        overload_multiple: rules.child("fall_multiple").number_or(1.0, MULTIPLE)?,
+        overload_duration: rules.child("tip_after").number_or(0.0, WAIT)?,
+        ordering_key_pause: rules.child("turn_gap").number_or(0.0, WAIT)?,
         tick: root.child("tick").number_or(0.0, WAIT)?,
     })
 }
@@ -160,10 +160,11 @@
 
 fn class(field: Field<'_>) -> Result<Class, ReadError> {
     // What may be done twice is never a guess: no default. `None` is a keyed one, which has more to tell.
-    let effects = [("free", Some(Effect::Safe)), ("guarded", None), ("single_shot", Some(Effect::Unsafe))];
+    let effects =
+        [("free", Some(Effect::Idempotent)), ("guarded", None), ("single_shot", Some(Effect::NotIdempotent))];
     let effect = match field.child("effect").word(&effects)? {
         Some(effect) => effect,
-        None => Effect::Keyed {
+        None => Effect::IdempotencyKey {
             group: field.child("group").word_or(
                 KeyGroup::Route,
                 &[("all", KeyGroup::All), ("zone", KeyGroup::Zone), ("cell", KeyGroup::Route)],
@@ -173,11 +174,11 @@
     };
     let deadline = field.child("deadline").number(SPAN)?;
     Ok(Class {
-        worth: field.child("credit").number_or(1.0, NOT_NEGATIVE)?,
-        aim: field.child("target").number_or(deadline, SPAN)?,
-        aim_stretch: field.child("aim_stretch").number_or(0.0, NOT_NEGATIVE)?,
+        value: field.child("credit").number_or(1.0, NOT_NEGATIVE)?,
+        latency_objective: field.child("target").number_or(deadline, SPAN)?,
+        latency_objective_stretch: field.child("aim_stretch").number_or(0.0, NOT_NEGATIVE)?,
         deadline,
-        late_worth: field.child("late_worth").number_or(0.0, PART)?,
+        late_value: field.child("late_worth").number_or(0.0, PART)?,
         effect,
         ordered: field.child("in_order").flag_or(false)?,
     })
--- a/crates/policy/src/settings/tests.rs
+++ b/crates/policy/src/settings/tests.rs
@@ -42,9 +42,9 @@
 fn what_is_left_out_or_unknown_or_written_another_way_is_no_reason_to_refuse() {
     // Window and group mean something in a keyed class only: the first one's window is 0.
     let settings = read(&whole()).expect("settings");
-    assert_eq!(settings.classes[0].effect, Effect::Safe);
-    assert_eq!(settings.classes[1].effect, Effect::Keyed { group: KeyGroup::Zone, window: 1000.0 });
-    assert_eq!((settings.classes[1].aim, settings.classes[1].worth), (9000.0, 1.0));
+    assert_eq!(settings.classes[0].effect, Effect::Idempotent);
+    assert_eq!(settings.classes[1].effect, Effect::IdempotencyKey { group: KeyGroup::Zone, window: 1000.0 });
+    assert_eq!((settings.classes[1].latency_objective, settings.classes[1].value), (9000.0, 1.0));
     let of = |pointer, value: Value| with(pointer, Some(value));
     for json in [
         of("/lanes/0/window", json!("none")),
@@ -64,7 +64,7 @@
         assert!(names(&json).is_ok(), "{json}");
     }
     let group = read(&with("/lanes/1/group", None)).expect("settings").classes[1].effect;
-    assert_eq!(group, Effect::Keyed { group: KeyGroup::Route, window: 1000.0 });
+    assert_eq!(group, Effect::IdempotencyKey { group: KeyGroup::Route, window: 1000.0 });
     for optional in [
         "/az",
         "/azs",
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -130,7 +130,7 @@
                 }
                 let ordered = self.settings.classes[t.message.class].ordered;
                 if ordered && matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-                    let rest = (self.now + self.settings.turn_gap, *id);
+                    let rest = (self.now + self.settings.ordering_key_pause, *id);
                     self.rests.insert(t.message.ordering_key, rest);
                 }
             }
@@ -169,7 +169,7 @@
                 assert!(!t.ended, "{id:?} ended twice");
                 let ran = t.attempts.iter().any(possibly_executed);
                 match self.settings.classes[t.message.class].effect {
-                    Effect::Safe | Effect::Keyed { group: KeyGroup::All, .. } => {}
+                    Effect::Idempotent | Effect::IdempotencyKey { group: KeyGroup::All, .. } => {}
                     _ => assert!(!ran, "{id:?} was refused though it may have run"),
                 }
                 t.ended = true;
@@ -193,9 +193,9 @@
     fn check_effect(&self, t: &Taken, line: &RouteEntry, within: Millis) {
         for earlier in t.attempts.iter().filter(|a| possibly_executed(a)) {
             match self.settings.classes[t.message.class].effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("an unsafe message was sent again"),
-                Effect::Keyed { group, window } => {
+                Effect::Idempotent => {}
+                Effect::NotIdempotent => panic!("an unsafe message was sent again"),
+                Effect::IdempotencyKey { group, window } => {
                     assert!(self.now + within <= earlier.sent_at + window, "may go after the key's window");
                     let first = &self.listed[&earlier.route];
                     match group {
--- a/crates/policy/tests/returns.rs
+++ b/crates/policy/tests/returns.rs
@@ -11,7 +11,7 @@
 
 /// A sender beside another one, and its partner's routes at one gate.
 fn with_routes(routes: std::ops::RangeInclusive<u64>, kind: u16, seed: u64) -> Bench {
-    let long = Class { deadline: 60_000.0, ..class(Effect::Safe) };
+    let long = Class { deadline: 60_000.0, ..class(Effect::Idempotent) };
     let mut s = settings(vec![long]);
     (s.peers_total, s.slots, s.max_attempts) = (2, 64, 100);
     let mut b = Bench::new(s, seed);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -10,9 +10,9 @@
 use rudderspindle_policy::Sender;
 use rudderspindle_policy::interface::*;
 
-const SAFE: Effect = Effect::Safe;
-const KEYED_ALL: Effect = Effect::Keyed { group: KeyGroup::All, window: 4_000.0 };
-const KEYED_ZONE: Effect = Effect::Keyed { group: KeyGroup::Zone, window: 4_000.0 };
+const SAFE: Effect = Effect::Idempotent;
+const KEYED_ALL: Effect = Effect::IdempotencyKey { group: KeyGroup::All, window: 4_000.0 };
+const KEYED_ZONE: Effect = Effect::IdempotencyKey { group: KeyGroup::Zone, window: 4_000.0 };
 
 #[test]
 fn a_message_without_any_route_is_refused_before_its_time_is_up() {
@@ -25,7 +25,7 @@
 
 #[test]
 fn the_time_out_at_the_deadline_is_answered() {
-    let mut b = Bench::new(settings(vec![class(Effect::Unsafe)]), 1);
+    let mut b = Bench::new(settings(vec![class(Effect::NotIdempotent)]), 1);
     b.step(0.0, &[list(vec![entry(1, 0, 0, 0)]), message(1, 0, 0)]);
     let done = b.step(10_000.0, &[outcome(1, 0, Outcome::Timeout, 0.0)]);
     assert!(done.contains(&Action::Fail { id: MessageHandle(1) }));
@@ -34,7 +34,7 @@
 #[test]
 fn an_unsafe_message_that_may_have_run_fails_and_is_not_sent_again() {
     for (seen, again) in [(Outcome::Error, false), (Outcome::Reset, false), (Outcome::ConnectFailed, true)] {
-        let mut b = Bench::new(settings(vec![class(Effect::Unsafe)]), 1);
+        let mut b = Bench::new(settings(vec![class(Effect::NotIdempotent)]), 1);
         b.step(0.0, &[list(vec![entry(1, 0, 0, 0)]), message(1, 0, 0)]);
         let mut done = b.step(50.0, &[outcome(1, 0, seen, 0.0)]);
         done.extend(b.run(2_000.0));
@@ -218,7 +218,7 @@
     let odd = [outcome(99, 0, Outcome::Ok, 0.0), Event::Dropped(MessageHandle(5)), Event::Wake(77)];
     assert_eq!(b.step(0.0, &odd), []);
     assert_eq!(Sender::new(settings(vec![]), 1).err(), Some(SettingsError::NoClasses));
-    let mut zero = settings(vec![class(Effect::Keyed { group: KeyGroup::All, window: 0.0 })]);
+    let mut zero = settings(vec![class(Effect::IdempotencyKey { group: KeyGroup::All, window: 0.0 })]);
     assert_eq!(Sender::new(zero.clone(), 1).err(), Some(SettingsError::OutOfRange("key window")));
     zero.classes = vec![class(SAFE)];
     zero.slots = 0;
@@ -285,7 +285,7 @@
     ];
     let check = |steps: Vec<Step>| {
         let ordered = Class { ordered: true, ..class(KEYED_ALL) };
-        let classes = vec![class(SAFE), class(KEYED_ZONE), class(Effect::Unsafe), ordered];
+        let classes = vec![class(SAFE), class(KEYED_ZONE), class(Effect::NotIdempotent), ordered];
         let mut b = Bench::new(settings(classes), 3);
         let mut out: Vec<(u32, u32, Millis)> = Vec::new();
         let mut attempts: BTreeMap<u32, u32> = BTreeMap::new();
--- a/crates/policy/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -23,7 +23,7 @@
 }
 
 fn safe() -> Settings {
-    settings(vec![class(Effect::Safe)])
+    settings(vec![class(Effect::Idempotent)])
 }
 
 #[test]
@@ -85,8 +85,8 @@
 
 #[test]
 fn what_loses_most_by_waiting_goes_first() {
-    let dear = Class { worth: 3.0, ..class(Effect::Safe) };
-    let mut b = Bench::new(settings(vec![class(Effect::Safe), dear]), 1);
+    let dear = Class { value: 3.0, ..class(Effect::Idempotent) };
+    let mut b = Bench::new(settings(vec![class(Effect::Idempotent), dear]), 1);
     let mut events = vec![list(vec![entry(1, 0, 0, 0)])];
     events.extend((0..10).map(|i| message(i, 0, 0)));
     events.extend((10..20).map(|i| message(i, 1, 0)));
@@ -302,11 +302,11 @@
 #[test]
 fn a_call_lost_by_itself_is_called_off_once_when_its_slot_is_wanted_and_only_then() {
     let lost = Action::Cancel { id: MessageHandle(0), attempt: 0 };
-    assert_eq!(called_off(10, true, Effect::Safe), [lost]);
-    assert_eq!(called_off(10, false, Effect::Safe), []);
-    assert_eq!(called_off(9, true, Effect::Safe), []);
+    assert_eq!(called_off(10, true, Effect::Idempotent), [lost]);
+    assert_eq!(called_off(10, false, Effect::Idempotent), []);
+    assert_eq!(called_off(9, true, Effect::Idempotent), []);
     // One that must not be repeated gains nothing by it.
-    assert_eq!(called_off(10, true, Effect::Unsafe), []);
+    assert_eq!(called_off(10, true, Effect::NotIdempotent), []);
 }
 
 /// What notes leave to a sender, for each call that it wants.
--- a/crates/sender/src/config/golden.rs
+++ b/crates/sender/src/config/golden.rs
@@ -56,14 +56,14 @@
 /// The values of a class, by the keys and words of the configuration.
 fn class(name: &str, class: &Class) -> Value {
     let (effect, group, window) = match class.effect {
-        Effect::Safe => ("free", None, None),
-        Effect::Keyed { group: KeyGroup::All, window } => ("guarded", Some("all"), Some(window)),
-        Effect::Keyed { group: KeyGroup::Zone, window } => ("guarded", Some("zone"), Some(window)),
-        Effect::Keyed { group: KeyGroup::Route, window } => ("guarded", Some("cell"), Some(window)),
-        Effect::Unsafe => ("single_shot", None, None),
+        Effect::Idempotent => ("free", None, None),
+        Effect::IdempotencyKey { group: KeyGroup::All, window } => ("guarded", Some("all"), Some(window)),
+        Effect::IdempotencyKey { group: KeyGroup::Zone, window } => ("guarded", Some("zone"), Some(window)),
+        Effect::IdempotencyKey { group: KeyGroup::Route, window } => ("guarded", Some("cell"), Some(window)),
+        Effect::NotIdempotent => ("single_shot", None, None),
     };
-    json!({"name": name, "credit": class.worth, "target": class.aim, "aim_stretch": class.aim_stretch,
-        "deadline": class.deadline, "late_worth": class.late_worth, "effect": effect, "group": group,
+    json!({"name": name, "credit": class.value, "target": class.latency_objective, "aim_stretch": class.latency_objective_stretch,
+        "deadline": class.deadline, "late_worth": class.late_value, "effect": effect, "group": group,
         "window": window, "in_order": class.ordered})
 }
 
@@ -87,20 +87,20 @@
         s.kinds.iter().map(value).collect()
     };
     json!({"az": s.zone, "azs": names.zones, "kinds": names.kinds, "peers_total": s.peers_total, "tick": s.tick,
-        "weights": weights, "discovery": discovery, "over_share_worth": s.over_share_worth,
+        "weights": weights, "discovery": discovery, "over_share_worth": s.over_quota_value,
         "tariffs.cross_zone": s.cross_zone_price,
         "projects.name": names.tenants,
         "projects.quota_per_s": s.tenants.iter().map(|tenant| tenant.quota_per_s).collect::<Vec<_>>(),
         "extra.calls_out": s.slots, "extra.bundle_max": of_kinds(|kind| kind.bundle_max.into()),
         "extra.kind_apart": of_kinds(|kind| kind.routes_apart.into()), "extra.loses_worth": loses_worth,
         "extra.fee_by_zone": s.zone_fees,
-        "limits.most_held": s.most_held, "limits.max_attempts": s.max_attempts,
+        "limits.most_held": s.max_pending, "limits.max_attempts": s.max_attempts,
         "limits.max_retry_after": s.max_retry_after, "limits.retry_after": s.retry_after,
         "limits.probing": s.health_checks, "limits.cancelling": s.cancelling,
         "limits.max_streams": s.streams_per_connection, "limits.idle_close": s.idle_close,
         "limits.connect_timeout": s.connect_timeout,
-        "rules.cold_from": s.cold_from, "rules.warm_within": s.warm_within,
-        "rules.fall_multiple": s.fall_multiple, "rules.tip_after": s.tip_after, "rules.turn_gap": s.turn_gap,
+        "rules.cold_from": s.recovery_start_share, "rules.warm_within": s.recovery_duration,
+        "rules.fall_multiple": s.overload_multiple, "rules.tip_after": s.overload_duration, "rules.turn_gap": s.ordering_key_pause,
         "rules.ask_within": ask_within})
 }
 
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -63,7 +63,7 @@
             out: None,
         };
         let more = record.room();
-        if self.held.len() >= self.settings.most_held || !self.store.has_room(*room + more) {
+        if self.held.len() >= self.settings.max_pending || !self.store.has_room(*room + more) {
             self.figures.ended(class, End::Refused);
             refused.push((answer, Answer::Refused(0.0)));
             return None;
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -70,9 +70,9 @@
 
     /// The best last.
     fn sort_backlog(&mut self) {
-        let worth = |recovered: &Recovered| self.settings.classes[recovered.class].worth;
+        let value = |recovered: &Recovered| self.settings.classes[recovered.class].value;
         self.backlog.sort_unstable_by(|a, b| {
-            let by_worth = worth(a).total_cmp(&worth(b));
+            let by_worth = value(a).total_cmp(&value(b));
             by_worth.then(b.ends_at.cmp(&a.ends_at)).then(b.message.message_id.cmp(&a.message.message_id))
         });
     }
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -84,7 +84,7 @@
         let left = left.filter(|left| left.is_finite() && *left >= 0.0);
         let left = left.ok_or_else(|| bad("bad X-Remaining"))?;
         let key = head.headers.get(IDEMPOTENCY_KEY);
-        let keyed = matches!(self.settings.classes[class].effect, Effect::Keyed { .. });
+        let keyed = matches!(self.settings.classes[class].effect, Effect::IdempotencyKey { .. });
         if key.is_some_and(|key| key.len() > MAX_NAME) || (keyed && key.is_none_or(HeaderValue::is_empty)) {
             return Err(bad("bad Idempotency-Key"));
         }
--- a/crates/simulation/src/partner.rs
+++ b/crates/simulation/src/partner.rs
@@ -19,14 +19,14 @@
 
 /// A scene goes on by so much at a time, ms.
 pub const TICK: Millis = 5.0;
-const WARM_WITHIN: Millis = 9_300.0;
-const COLD_FROM: f64 = 0.17;
-const FALL_MULTIPLE: f64 = 2.5;
-const TIP_AFTER: Millis = 3_000.0;
+const RECOVERY_DURATION: Millis = 9_300.0;
+const RECOVERY_START_SHARE: f64 = 0.17;
+const OVERLOAD_MULTIPLE: f64 = 2.5;
+const OVERLOAD_DURATION: Millis = 3_000.0;
 /// What a clip drop and a clip status are worth, when they are wanted, ms, and what is left of their worth at the end.
-const WORTH: [f64; 2] = [1.0, 3.0];
-const AIM: [Millis; 2] = [4_000.0, 2_000.0];
-const LATE_WORTH: f64 = 0.3;
+const VALUE: [f64; 2] = [1.0, 3.0];
+const LATENCY_OBJECTIVE: [Millis; 2] = [4_000.0, 2_000.0];
+const LATE_VALUE: f64 = 0.3;
 /// How long a message may be delivered, ms.
 const DEADLINE: Millis = 12_000.0;
 
@@ -41,20 +41,26 @@
 
 /// The settings of each sender.
 pub fn config(scene: &Scene) -> Settings {
-    let keyed = Effect::Keyed { group: KeyGroup::Zone, window: 15_000.0 };
+    let keyed = Effect::IdempotencyKey { group: KeyGroup::Zone, window: 15_000.0 };
     let of = |n: usize| {
-        let effect = if n == 0 { keyed } else { Effect::Safe };
-        Class { aim: AIM[n], deadline: DEADLINE, worth: WORTH[n], late_worth: LATE_WORTH, ..class(effect) }
+        let effect = if n == 0 { keyed } else { Effect::Idempotent };
+        Class {
+            latency_objective: LATENCY_OBJECTIVE[n],
+            deadline: DEADLINE,
+            value: VALUE[n],
+            late_value: LATE_VALUE,
+            ..class(effect)
+        }
     };
     Settings {
         peers_total: scene.peers,
         slots: 64,
-        most_held: 800,
+        max_pending: 800,
         max_attempts: 12,
-        cold_from: COLD_FROM,
-        warm_within: WARM_WITHIN,
-        fall_multiple: FALL_MULTIPLE,
-        tip_after: TIP_AFTER,
+        recovery_start_share: RECOVERY_START_SHARE,
+        recovery_duration: RECOVERY_DURATION,
+        overload_multiple: OVERLOAD_MULTIPLE,
+        overload_duration: OVERLOAD_DURATION,
         tick: TICK,
         ..settings(vec![of(0), of(1)])
     }
@@ -68,12 +74,12 @@
 
 /// The part of its pace that it has so long after its return.
 fn warmth(since: Millis) -> f64 {
-    (COLD_FROM + (1.0 - COLD_FROM) * since / WARM_WITHIN).min(1.0)
+    (RECOVERY_START_SHARE + (1.0 - RECOVERY_START_SHARE) * since / RECOVERY_DURATION).min(1.0)
 }
 
 /// What a partner of so many calls a second could answer while it warms up.
 pub fn while_warming(told: f64) -> f64 {
-    told * WARM_WITHIN / 1_000.0 * (COLD_FROM + 1.0) / 2.0
+    told * RECOVERY_DURATION / 1_000.0 * (RECOVERY_START_SHARE + 1.0) / 2.0
 }
 
 /// What a host tells a sender that begins anew, so much later.
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -11,7 +11,7 @@
 use super::post::{Post, wall};
 use super::scene::Bound;
 use super::seen::Knows;
-use super::{AIM, DEADLINE, Draw, LATE_WORTH, Scene, Seen, TICK, WARM_WITHIN, WORTH};
+use super::{DEADLINE, Draw, LATE_VALUE, LATENCY_OBJECTIVE, RECOVERY_DURATION, Scene, Seen, TICK, VALUE};
 use super::{aged, config, handed_in, listed};
 use crate::parts::outcome;
 
@@ -148,7 +148,7 @@
             self.clients[to].events.push(Event::Message(handed_in(id, class, DEADLINE)));
             self.clients[to].open.insert(id, (class, now, 0));
             (self.next_id, self.seen.asked) = (id + 1, self.seen.asked + 1);
-            self.seen.offered[class] += WORTH[class];
+            self.seen.offered[class] += VALUE[class];
         }
     }
 
@@ -166,11 +166,12 @@
                 && let Some((class, at, _)) = client.open.remove(&id.0)
             {
                 self.seen.delivered += 1;
-                let warming = self.scene.until..self.scene.until + WARM_WITHIN;
+                let warming = self.scene.until..self.scene.until + RECOVERY_DURATION;
                 self.seen.served += usize::from(warming.contains(&now));
-                self.seen.in_time += usize::from(now - at <= AIM[class]);
-                let late = ((now - at - AIM[class]) / (DEADLINE - AIM[class])).clamp(0.0, 1.0);
-                self.seen.earned[class] += WORTH[class] * (1.0 - late * (1.0 - LATE_WORTH));
+                self.seen.in_time += usize::from(now - at <= LATENCY_OBJECTIVE[class]);
+                let late = ((now - at - LATENCY_OBJECTIVE[class]) / (DEADLINE - LATENCY_OBJECTIVE[class]))
+                    .clamp(0.0, 1.0);
+                self.seen.earned[class] += VALUE[class] * (1.0 - late * (1.0 - LATE_VALUE));
             }
             client.events.push(d.event);
         }
@@ -210,7 +211,7 @@
                 let on = (scene.from..scene.until).contains(&now) && scene.struck.contains(&(route.0 - 1));
                 self.seen.starts.push(now);
                 self.seen.trials += usize::from(on);
-                if now >= scene.until && now < scene.until + WARM_WITHIN {
+                if now >= scene.until && now < scene.until + RECOVERY_DURATION {
                     let call = (now - scene.until, client.knows(route));
                     self.seen.push(&mut self.recent, call, scene.told);
                     self.seen.came.push((now - scene.until, n, route.0));
--- a/crates/simulation/src/partner/seen.rs
+++ b/crates/simulation/src/partner/seen.rs
@@ -4,7 +4,7 @@
 
 use rudderspindle_policy::interface::Millis;
 
-use super::{FALL_MULTIPLE, TIP_AFTER, warmth};
+use super::{OVERLOAD_DURATION, OVERLOAD_MULTIPLE, warmth};
 
 /// What a sender knows of an outage as it calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -104,11 +104,13 @@
     pub(super) fn push(&mut self, recent: &mut VecDeque<(Millis, Knows)>, call: (Millis, Knows), told: f64) {
         let since = call.0;
         recent.push_back(call);
-        while recent.front().is_some_and(|&(at, _)| at + TIP_AFTER < since) {
+        while recent.front().is_some_and(|&(at, _)| at + OVERLOAD_DURATION < since) {
             recent.pop_front();
         }
-        let can = told * TIP_AFTER / 1_000.0 * (warmth((since - TIP_AFTER).max(0.0)) + warmth(since)) / 2.0;
-        let mut push = Push { calls: [0; 4], n: FALL_MULTIPLE * can };
+        let can = told * OVERLOAD_DURATION / 1_000.0
+            * (warmth((since - OVERLOAD_DURATION).max(0.0)) + warmth(since))
+            / 2.0;
+        let mut push = Push { calls: [0; 4], n: OVERLOAD_MULTIPLE * can };
         recent.iter().for_each(|(_, knows)| push.calls[*knows as usize] += 1);
         let of: [fn(&Push) -> f64; 2] = [Push::ratio, Push::told_ratio];
         for (hardest, of) in self.push.iter_mut().zip(of) {
--- a/crates/simulation/src/parts.rs
+++ b/crates/simulation/src/parts.rs
@@ -5,11 +5,11 @@
 /// A class of worth 1, wanted within 2 s and given up after 10 s.
 pub fn class(effect: Effect) -> Class {
     Class {
-        worth: 1.0,
-        aim: 2_000.0,
-        aim_stretch: 0.0,
+        value: 1.0,
+        latency_objective: 2_000.0,
+        latency_objective_stretch: 0.0,
         deadline: 10_000.0,
-        late_worth: 0.3,
+        late_value: 0.3,
         effect,
         ordered: false,
     }
@@ -27,10 +27,10 @@
             Kind { bundle_max: 8, routes_apart: false },
         ],
         tenants: vec![],
-        over_share_worth: 0.2,
+        over_quota_value: 0.2,
         late_decay: LateDecay::Linear,
         slots: 20,
-        most_held: 100,
+        max_pending: 100,
         max_attempts: 6,
         max_retry_after: 3_000.0,
         retry_after: true,
@@ -43,11 +43,11 @@
         discovery: Discovery::Pushed,
         cross_zone_price: 0.0,
         zone_fees: vec![],
-        cold_from: 0.2,
-        warm_within: 10_000.0,
-        fall_multiple: 2.0,
-        tip_after: 3_000.0,
-        turn_gap: 500.0,
+        recovery_start_share: 0.2,
+        recovery_duration: 10_000.0,
+        overload_multiple: 2.0,
+        overload_duration: 3_000.0,
+        ordering_key_pause: 500.0,
         tick: 5.0,
     }
 }
