--- a/crates/gossip/src/capacity.rs
+++ b/crates/gossip/src/capacity.rs
@@ -18,12 +18,12 @@
 
 /// Messages that come.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Flow {
+pub struct ArrivalRate {
     messages: f64,
     at: Millis,
 }
 
-impl Flow {
+impl ArrivalRate {
     /// Takes in one more message.
     pub fn came(&mut self, now: Millis) {
         *self = Self { messages: self.expected(now, FLOW) + 1.0, at: now };
@@ -37,7 +37,7 @@
 
 /// Of one limit.
 #[derive(Clone, Debug, Default)]
-pub struct Room {
+pub struct CapacityShare {
     /// Calls a second for each call that is wanted, and until when that may be relied on.
     calls: f64,
     until: Millis,
@@ -55,7 +55,7 @@
     pub failed: u64,
 }
 
-impl Room {
+impl CapacityShare {
     /// Of a gate that no notes have told of yet: all senders may begin there at the same moment, as after a failure.
     pub fn unheard(now: Millis, limit: f64, senders: usize) -> Self {
         Self { calls: limit / senders as f64, until: now + FIRST_NOTES, ..Self::default() }
@@ -157,7 +157,7 @@
 
     #[test]
     fn what_notes_leave_is_dealt_out_by_need_and_only_while_they_are_fresh() {
-        let mut room = Room::default();
+        let mut room = CapacityShare::default();
         assert_eq!(room.pace(0.0, 5.0, 40.0), None);
         room.told(0.0, 0.5, 1_000.0, (5.0, 40.0), NONE);
         assert_eq!(room.pace(999.0, 5.0, 40.0), Some(2.5));
@@ -169,7 +169,7 @@
 
     #[test]
     fn a_turn_that_was_set_by_an_older_word_comes_as_much_sooner_or_later() {
-        let mut room = Room::default();
+        let mut room = CapacityShare::default();
         room.told(0.0, 0.1, 1_000.0, (1.0, 40.0), NONE);
         room.sent(0.0, room.pace(0.0, 1.0, 40.0));
         // Ten seconds at a tenth of a call a second: at four tenths what is left takes a quarter.
@@ -186,7 +186,7 @@
 
     #[test]
     fn a_first_message_waits_its_turn_only_where_notes_tell_of_a_gate() {
-        let mut room = Room::default();
+        let mut room = CapacityShare::default();
         room.told(0.0, f64::INFINITY, 1_000.0, (1.0, 40.0), NONE);
         assert_eq!(room.first_turn(0.0, 2.0, 0.5), None);
         room.told(0.0, 2.0, 1_000.0, (1.0, 40.0), NONE);
@@ -197,7 +197,7 @@
 
     #[test]
     fn a_refusal_halves_the_room_until_notes_tell_how_the_others_fare() {
-        let mut room = Room::default();
+        let mut room = CapacityShare::default();
         room.told(0.0, f64::INFINITY, 1_000.0, (4.0, 40.0), NONE);
         room.refused();
         assert_eq!(room.pace(1.0, 4.0, 40.0), Some(2.0));
@@ -207,16 +207,16 @@
 
     #[test]
     fn the_flow_follows_what_comes_within_a_second_or_two() {
-        let mut flow = Flow::default();
-        (0..100).for_each(|n| flow.came(f64::from(n) * 100.0));
-        let steady = flow.expected(9_900.0, 1_000.0);
+        let mut arrival_rate = ArrivalRate::default();
+        (0..100).for_each(|n| arrival_rate.came(f64::from(n) * 100.0));
+        let steady = arrival_rate.expected(9_900.0, 1_000.0);
         assert!((steady - 10.0).abs() < 1.0, "{steady} expected of ten a second");
-        assert!(flow.expected(14_000.0, 1_000.0) < 0.5);
+        assert!(arrival_rate.expected(14_000.0, 1_000.0) < 0.5);
     }
 
     #[test]
     fn a_call_uses_a_turn_up_and_one_that_is_told_again_stays_used() {
-        let mut room = Room::default().strict();
+        let mut room = CapacityShare::default().strict();
         assert_eq!(room.opens_at(0.0), f64::INFINITY);
         let turns = [(8, 50.0, 150.0), (7, 10.0, 110.0), (9, 200.0, 300.0)];
         room.deal(0.0, &turns);
--- a/crates/gossip/src/datagram_budget.rs
+++ b/crates/gossip/src/datagram_budget.rs
@@ -27,7 +27,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Turn {
+struct KindSchedule {
     class: Class,
     /// Since when one is wanted, ms.
     wanted: Option<u64>,
@@ -53,7 +53,7 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Post {
-    turns: BTreeMap<Kind, Turn>,
+    turns: BTreeMap<Kind, KindSchedule>,
     /// From when there is room again, ms.
     free: u64,
 }
@@ -61,7 +61,7 @@
 impl Post {
     /// Room for these kinds; the others have none.
     pub fn new(classes: &[(Kind, Class)]) -> Self {
-        let turn = |&(kind, class)| (kind, Turn { class, wanted: None, next: 0 });
+        let turn = |&(kind, class)| (kind, KindSchedule { class, wanted: None, next: 0 });
         Self { turns: classes.iter().map(turn).collect(), free: 0 }
     }
 
@@ -98,7 +98,7 @@
     /// asked whenever there is room: the time it gives way, what was begun, and each other kind once.
     pub fn longest_wait(&self, kind: Kind) -> Option<u64> {
         let rank = u64::from(self.turns.get(&kind)?.class.rank);
-        let room = |turn: &Turn| u64::from(turn.class.cost.max(1)) * GAP;
+        let room = |turn: &KindSchedule| u64::from(turn.class.cost.max(1)) * GAP;
         let begun = self.turns.values().map(room).max()?;
         let others = self.turns.iter().filter(|(other, _)| **other != kind).map(|(_, turn)| room(turn));
         Some(rank * AGING + begun + others.sum::<u64>())
--- a/crates/gossip/src/envelope.rs
+++ b/crates/gossip/src/envelope.rs
@@ -28,14 +28,15 @@
     /// The hottest streams.
     Hot,
     /// Rights that a sender gives up, and asks for.
-    Offer,
+    PermitOffer,
     /// Rights that it is lent.
-    Grant,
+    PermitGrant,
 }
 
 impl Kind {
     /// All of them, as they are numbered on the wire.
-    pub const ALL: [Self; 6] = [Self::Report, Self::View, Self::Rules, Self::Hot, Self::Offer, Self::Grant];
+    pub const ALL: [Self; 6] =
+        [Self::Report, Self::View, Self::Rules, Self::Hot, Self::PermitOffer, Self::PermitGrant];
 }
 
 /// Why a datagram is no note of a further kind, or a body is none.
--- a/crates/gossip/src/fleet.rs
+++ b/crates/gossip/src/fleet.rs
@@ -11,7 +11,7 @@
 pub use own::Own;
 use own::Seen;
 
-use crate::limit_id::Gate;
+use crate::limit_id::LimitId;
 use crate::message::{Note, NoteError, is_nothing};
 use crate::sums::{Collected, Level, Ramp, Sum};
 
@@ -34,7 +34,7 @@
     senders: usize,
     /// Whom of those drawn they are of.
     drawn: u64,
-    sums: BTreeMap<Gate, Sum>,
+    sums: BTreeMap<LimitId, Sum>,
 }
 
 impl Heard {
@@ -50,7 +50,7 @@
     me: usize,
     senders: usize,
     ramp: Ramp,
-    own: BTreeMap<Gate, Seen>,
+    own: BTreeMap<LimitId, Seen>,
     /// The round that was told last.
     told: Option<u64>,
     adders: Adders,
@@ -60,8 +60,8 @@
     heard: Option<Heard>,
     /// The round that the levels have taken in.
     taken_in: Option<u64>,
-    levels: BTreeMap<Gate, Level>,
-    rooms: Vec<(Gate, f64)>,
+    levels: BTreeMap<LimitId, Level>,
+    rooms: Vec<(LimitId, f64)>,
 }
 
 impl Fleet {
@@ -100,15 +100,15 @@
         for o in own {
             self.own.entry(o.gate).or_insert_with(|| Seen::new(wall / ROUND)).saw(wall, o);
         }
-        let listed = |gate: &Gate| own.iter().any(|o| o.gate == *gate);
+        let listed = |gate: &LimitId| own.iter().any(|o| o.gate == *gate);
         self.own.retain(|gate, _| listed(gate));
         self.levels.retain(|gate, _| listed(gate));
         let round = wall / ROUND;
         if self.told.replace(round) == Some(round) {
             return Vec::new();
         }
-        let gates: Vec<(Gate, Sum)> = self.own.iter().map(|(gate, seen)| (*gate, seen.sum())).collect();
-        let gates: Vec<(Gate, Sum)> = gates.into_iter().filter(|(_, sum)| !is_nothing(sum)).collect();
+        let gates: Vec<(LimitId, Sum)> = self.own.iter().map(|(gate, seen)| (*gate, seen.sum())).collect();
+        let gates: Vec<(LimitId, Sum)> = gates.into_iter().filter(|(_, sum)| !is_nothing(sum)).collect();
         let fresh = self.heard.as_ref().is_some_and(|heard| heard.round + 2 >= round);
         let mut letters = Vec::new();
         for n in self.adders.ask(round, self.me, fresh) {
@@ -169,8 +169,8 @@
             let (round, Collected { from, sums }) = entry.remove_entry();
             let senders = from.len();
             // A gate that this sender does not know may be near its limit, too.
-            let limit = |gate: &Gate| self.own.get(gate).map_or(0.0, |seen| seen.limit);
-            let near = |gate: &Gate, sum: &Sum| {
+            let limit = |gate: &LimitId| self.own.get(gate).map_or(0.0, |seen| seen.limit);
+            let near = |gate: &LimitId, sum: &Sum| {
                 let well = sum.refused + sum.failed == 0.0;
                 !well || sum.wanted.max(sum.called) > NEAR * limit(gate)
             };
@@ -195,13 +195,13 @@
     }
 
     /// The part of a limit that the partner is believed to take now, from 0 to 1, by the sums that [`Fleet::rooms`] took in last.
-    pub fn open(&self, gate: Gate, limit: f64) -> f64 {
+    pub fn open(&self, gate: LimitId, limit: f64) -> f64 {
         self.levels.get(&gate).map_or(1.0, |level| level.open(limit))
     }
 
     /// Calls that all senders want of a gate, by the sums that came last; 0 where these do not tell of it. Those whom the sums are not of count as the others, also such as are gone: parts of the
     /// fleet that hear only themselves must not each take the whole.
-    pub fn wanted(&self, gate: Gate) -> f64 {
+    pub fn wanted(&self, gate: LimitId) -> f64 {
         let Some(heard) = &self.heard else { return 0.0 };
         let Some(sum) = heard.sums.get(&gate) else { return 0.0 };
         sum.wanted * self.senders as f64 / heard.senders.max(1) as f64
@@ -209,7 +209,7 @@
 
     /// How many calls a second there are for each that is wanted: of each gate that is anywhere near its limit, by the
     /// sums that came last, and of each that is too new here for them to tell of. Nothing if none have come lately.
-    pub fn rooms(&mut self, wall: u64) -> Option<Vec<(Gate, f64)>> {
+    pub fn rooms(&mut self, wall: u64) -> Option<Vec<(LimitId, f64)>> {
         let now = wall / ROUND;
         let first = self.own.values().map(|seen| seen.since).min()?;
         let round = match &self.heard {
--- a/crates/gossip/src/fleet/own.rs
+++ b/crates/gossip/src/fleet/own.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::limit_id::Gate;
+use crate::limit_id::LimitId;
 use crate::sums::Sum;
 
 /// Counts are of this time, ms.
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Own {
     /// Which gate.
-    pub gate: Gate,
+    pub gate: LimitId,
     /// Its limit as told, calls a second from all senders together.
     pub limit: f64,
     /// Calls wanted now: what waits, and what comes before the next word.
--- a/crates/gossip/src/fleet/tests.rs
+++ b/crates/gossip/src/fleet/tests.rs
@@ -7,7 +7,7 @@
 /// of the others wanted one call; and a sender that hears nothing goes on alone.
 #[test]
 fn of_a_gate_that_is_new_there_is_an_equal_part_until_sums_can_tell_and_then_nothing() {
-    let gate = Gate::of(7, None);
+    let gate = LimitId::of(7, None);
     let own = [Own { gate, limit: 60.0, wanted: 1.0, called: 0, refused: 0, failed: 0 }];
     let mut fleet = Fleet::new(0, 300, Ramp { start: 0.3, growth: 0.1 });
     let start = 8 * ROUND;
@@ -24,7 +24,8 @@
     up: impl Fn(usize) -> bool,
     mut arrives: impl FnMut() -> bool,
 ) -> Vec<f64> {
-    let own = [Own { gate: Gate::of(7, None), limit: LIMIT, wanted: 1.0, called: 0, refused: 0, failed: 0 }];
+    let own =
+        [Own { gate: LimitId::of(7, None), limit: LIMIT, wanted: 1.0, called: 0, refused: 0, failed: 0 }];
     let mut means = Vec::new();
     for round in rounds {
         let start = round * ROUND;
@@ -86,7 +87,7 @@
     let sum = Sum { wanted: 9.0, called: 9.0, refused: 9.0, failed: 9.0 };
     for round in 1_000..7_000u64 {
         let own = (0..20).map(|n| Own {
-            gate: Gate::of((round / 50 * 7 + n) as u16, None),
+            gate: LimitId::of((round / 50 * 7 + n) as u16, None),
             limit: LIMIT,
             wanted: 1.0,
             called: round,
@@ -96,7 +97,7 @@
         fleet.report(round * ROUND, &own.collect::<Vec<_>>());
         for from in (round as usize % 40..SENDERS).step_by(7) {
             let told = (round + from as u64 % 4 - 2) as u32;
-            let gate = |n: u64| (Gate::of((round * 31 + n + from as u64) as u16, Some("liar")), sum);
+            let gate = |n: u64| (LimitId::of((round * 31 + n + from as u64) as u16, Some("liar")), sum);
             let drawn = (from % 2 == 0).then_some(round << (from % 60));
             let note = Note { drawn, round: told, senders: 9, gates: (0..40).map(gate).collect() };
             // Those of other rounds are dropped.
@@ -126,7 +127,7 @@
 #[test]
 fn bits_that_nobody_has_tell_nothing() {
     let mut fleet = Fleet::new(0, 3, Ramp { start: 0.3, growth: 0.1 });
-    let gate = Gate::of(7, None);
+    let gate = LimitId::of(7, None);
     let own = [Own { gate, limit: LIMIT, wanted: 20.0, called: 0, refused: 0, failed: 0 }];
     let sum = Sum { wanted: 60.0, ..Sum::default() };
     for round in 10..12u64 {
--- a/crates/gossip/src/golden.rs
+++ b/crates/gossip/src/golden.rs
@@ -26,8 +26,8 @@
         ("view", Kind::View),
         ("rules", Kind::Rules),
         ("hot", Kind::Hot),
-        ("offer", Kind::Offer),
-        ("grant", Kind::Grant),
+        ("offer", Kind::PermitOffer),
+        ("grant", Kind::PermitGrant),
     ];
     assert_eq!(names.map(|(_, kind)| kind), Kind::ALL);
     for (name, kind) in names {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -24,15 +24,15 @@
 mod sums;
 mod tenant_usage;
 
-pub use capacity::{Flow, Room};
+pub use capacity::{ArrivalRate, CapacityShare};
 pub use datagram_budget::{Class, Post};
 pub use envelope::{EnvelopeError, Kind, LONGEST_BODY, open, read, seal};
 pub use fleet::{Fleet, Letter, Own, ROUND};
 pub use fleet_view::{MOST_SENDERS, STALE, Views, ViewsError};
-pub use limit_id::Gate;
+pub use limit_id::LimitId;
 pub use membership::{Fate, Incarnation, Roster, Standing, TooFarAhead};
 pub use message::{LONGEST_NOTE, NoteError};
 pub use outlier_detection::{Judgements, Receiver, Seen, Word};
-pub use permits::{Rights, RightsError, Turn};
+pub use permits::{Permit, PermitError, PermitLedger};
 pub use sums::{Ramp, Sum};
 pub use tenant_usage::{Counts, EPOCH, Interval, LAG, MOST_OF_ALL, Pane, Quota, Register, part};
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -11,7 +11,7 @@
 //!
 //! All little endian. Figures are coded: up to 16 as they are, above that in steps of a twenty-fourth.
 
-use crate::limit_id::Gate;
+use crate::limit_id::LimitId;
 use crate::sums::Sum;
 
 /// Bytes of a note at most, as the platform has it.
@@ -54,7 +54,7 @@
     pub drawn: Option<u64>,
     pub round: u32,
     pub senders: u16,
-    pub gates: Vec<(Gate, Sum)>,
+    pub gates: Vec<(LimitId, Sum)>,
 }
 
 /// Codes from here on grow by a factor.
@@ -114,7 +114,7 @@
         let (drawn, entries) = bytes[HEAD..].split_at(head - HEAD);
         let drawn = drawn.try_into().ok().map(u64::from_le_bytes);
         let entry = |e: &[u8]| {
-            let gate = Gate(u32::from_le_bytes([e[0], e[1], e[2], 0]));
+            let gate = LimitId(u32::from_le_bytes([e[0], e[1], e[2], 0]));
             let [wanted, called, refused, failed] = [e[3], e[4], e[5], e[6]].map(figure);
             (gate, Sum { wanted, called, refused, failed })
         };
@@ -130,7 +130,7 @@
 
     fn note(gates: usize) -> Note {
         let sum = |n: usize| Sum { wanted: n as f64, called: 3.0, refused: 1.0, failed: 2.0 };
-        let gates = (0..gates).map(|n| (Gate::of(n as u16, None), sum(n))).collect();
+        let gates = (0..gates).map(|n| (LimitId::of(n as u16, None), sum(n))).collect();
         Note { drawn: Some(0x8000_0000_0000_0007), round: 70_000, senders: 300, gates }
     }
 
--- a/crates/gossip/src/message/golden.rs
+++ b/crates/gossip/src/message/golden.rs
@@ -5,20 +5,23 @@
 
 const FILE: &str = "limits.txt";
 
-fn report(gates: Vec<(Gate, Sum)>) -> Note {
+fn report(gates: Vec<(LimitId, Sum)>) -> Note {
     Note { drawn: None, round: 0x0102_0304, senders: 1, gates }
 }
 
-fn sums(gates: Vec<(Gate, Sum)>) -> Note {
+fn sums(gates: Vec<(LimitId, Sum)>) -> Note {
     Note { drawn: Some(0x8000_0000_0000_0a07), round: u32::MAX, senders: 513, gates }
 }
 
 /// Figures that are told exactly, those that weigh most first.
-fn small() -> Vec<(Gate, Sum)> {
+fn small() -> Vec<(LimitId, Sum)> {
     vec![
-        (Gate::of(513, Some("receiver-1")), Sum { wanted: 16.0, called: 15.0, refused: 14.0, failed: 13.0 }),
-        (Gate(0x00ab_cdef), Sum { wanted: 0.0, called: 4.0, refused: 3.0, failed: 2.0 }),
-        (Gate::of(7, None), Sum { wanted: 1.0, called: 0.0, refused: 0.0, failed: 0.0 }),
+        (
+            LimitId::of(513, Some("receiver-1")),
+            Sum { wanted: 16.0, called: 15.0, refused: 14.0, failed: 13.0 },
+        ),
+        (LimitId(0x00ab_cdef), Sum { wanted: 0.0, called: 4.0, refused: 3.0, failed: 2.0 }),
+        (LimitId::of(7, None), Sum { wanted: 1.0, called: 0.0, refused: 0.0, failed: 0.0 }),
     ]
 }
 
@@ -44,7 +47,7 @@
 #[test]
 fn large_figures_have_the_golden_codes_and_read_as_the_same_steps() {
     let [wanted, called, refused, failed] = LARGE.map(|(figure, _)| figure);
-    let gate = Gate(1);
+    let gate = LimitId(1);
     let bytes = datagram(FILE, "sums-large-figures");
     assert_eq!(sums(vec![(gate, Sum { wanted, called, refused, failed })]).encode(), bytes);
     let read = Note::decode(&bytes).expect("a note").gates;
@@ -57,7 +60,8 @@
 
 #[test]
 fn of_too_many_gates_those_that_weigh_most_are_in_the_golden_bytes() {
-    let gate = |n: u32| (Gate(n), Sum { wanted: f64::from(n % 13), called: 1.0, refused: 0.0, failed: 0.0 });
+    let gate =
+        |n: u32| (LimitId(n), Sum { wanted: f64::from(n % 13), called: 1.0, refused: 0.0, failed: 0.0 });
     let bytes = datagram(FILE, "report-of-sixty-gates");
     assert_eq!(report((0..60).map(gate).collect()).encode(), bytes);
     assert_eq!(Note::decode(&bytes).expect("a note").gates.len(), 34);
--- a/crates/gossip/src/permits.rs
+++ b/crates/gossip/src/permits.rs
@@ -25,19 +25,19 @@
 
 use crate::envelope::EnvelopeError;
 use crate::fleet::{Letter, Own};
-use crate::limit_id::Gate;
+use crate::limit_id::LimitId;
 use crate::membership::Incarnation;
-use allocator_selection::Dealers;
+use allocator_selection::AllocatorSelection;
 use held::Held;
-use message::{Grant, MOST_GATES, MOST_TURNS, Offer, OfferEntry, RightsNote};
-use permit_allocator::Dealer;
+use message::{MOST_GATES, MOST_TURNS, PermitGrant, PermitMessage, PermitOffer, PermitOfferEntry};
+use permit_allocator::PermitAllocator;
 pub use rounds::ROUND;
 use rounds::{BACK, NOTE_LIVES, OFFERING, term};
 use schedule::Schedule;
 
 /// A right to start one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn {
+pub struct Permit {
     /// Names it, at its gate.
     pub number: u64,
     /// From when on, ms since 1970.
@@ -49,7 +49,7 @@
 /// Why a note on rights was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
-pub enum RightsError {
+pub enum PermitError {
     /// It is no such note.
     #[error(transparent)]
     Envelope(#[from] EnvelopeError),
@@ -63,7 +63,7 @@
 
 /// One sender's rights. They begin anew with each process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Rights {
+pub struct PermitLedger {
     me: usize,
     senders: usize,
     incarnation: Incarnation,
@@ -73,12 +73,12 @@
     last: u64,
     /// Who was asked to deal, in rounds whose terms are not over.
     asked: BTreeMap<u64, usize>,
-    gates: BTreeMap<Gate, Held>,
-    dealers: Dealers,
-    dealer: Dealer,
+    gates: BTreeMap<LimitId, Held>,
+    dealers: AllocatorSelection,
+    dealer: PermitAllocator,
 }
 
-impl Rights {
+impl PermitLedger {
     /// Of sender number `me` of `senders`, in the process of that incarnation, from `wall` on (ms since 1970). An earlier
     /// process of the same sender has ended by then.
     pub fn new(me: usize, senders: usize, incarnation: Incarnation, wall: u64) -> Self {
@@ -91,8 +91,8 @@
             last: wall,
             asked: BTreeMap::new(),
             gates: BTreeMap::new(),
-            dealers: Dealers::new(senders),
-            dealer: Dealer::new(round),
+            dealers: AllocatorSelection::new(senders),
+            dealer: PermitAllocator::new(round),
         }
     }
 
@@ -143,26 +143,33 @@
         self.offered = round;
         let (dealer, is_there) = self.dealers.of(round)?;
         self.asked.insert(round, dealer);
-        let mut entries: Vec<OfferEntry> =
+        let mut entries: Vec<PermitOfferEntry> =
             own.iter().filter_map(|o| self.entry(o, round, wall, known_until, is_there)).collect();
         entries.sort_by_key(|entry| (std::cmp::Reverse((entry.asked, entry.lent)), entry.gate));
         entries.truncate(MOST_GATES);
         for entry in &entries {
-            if let Some(held) = self.gates.get_mut(&Gate(entry.gate)).filter(|_| entry.lent > 0) {
+            if let Some(held) = self.gates.get_mut(&LimitId(entry.gate)).filter(|_| entry.lent > 0) {
                 held.keep(round, held.own(self.me, round) - usize::from(entry.lent));
             }
         }
-        let offer = Offer { round, incarnation: self.incarnation, entries };
+        let offer = PermitOffer { round, incarnation: self.incarnation, entries };
         if dealer == self.me {
             self.dealer.take(round, self.me, offer);
             return None;
         }
         // One without room for itself goes nowhere: what it gave up is lost to this term.
-        RightsNote::Offer(offer).encode().ok().map(|note| (dealer, note))
+        PermitMessage::PermitOffer(offer).encode().ok().map(|note| (dealer, note))
     }
 
     /// What to offer at a gate: nothing where neither is anything left nor wanted.
-    fn entry(&self, o: &Own, round: u64, wall: u64, known_until: u64, gives: bool) -> Option<OfferEntry> {
+    fn entry(
+        &self,
+        o: &Own,
+        round: u64,
+        wall: u64,
+        known_until: u64,
+        gives: bool,
+    ) -> Option<PermitOfferEntry> {
         let held = self.gates.get(&o.gate)?;
         let coming = held.turns(self.me, wall, known_until).len() as f64;
         let need = (o.wanted - coming).round().max(0.0) as usize;
@@ -170,40 +177,40 @@
         let lent = if gives { mine.saturating_sub(need).min(usize::from(u16::MAX)) } else { 0 };
         let asked = need.saturating_sub(mine).min(usize::from(MOST_TURNS));
         let (mark, gate) = (held.schedule.mark(), o.gate.0);
-        (lent + asked > 0).then_some(OfferEntry { gate, mark, lent: lent as u16, asked: asked as u8 })
+        (lent + asked > 0).then_some(PermitOfferEntry { gate, mark, lent: lent as u16, asked: asked as u8 })
     }
 
     /// Takes in a note; whether there may be other turns now.
     ///
     /// # Errors
     ///
-    /// [`RightsError`] says why it was dropped; nothing has changed then.
-    pub fn hear(&mut self, wall: u64, from: usize, note: &[u8]) -> Result<bool, RightsError> {
+    /// [`PermitError`] says why it was dropped; nothing has changed then.
+    pub fn hear(&mut self, wall: u64, from: usize, note: &[u8]) -> Result<bool, PermitError> {
         self.look(wall);
         if from == self.me || from >= self.senders {
-            return Err(RightsError::Stranger);
+            return Err(PermitError::Stranger);
         }
-        match RightsNote::decode(note)? {
-            RightsNote::Offer(offer) => {
+        match PermitMessage::decode(note)? {
+            PermitMessage::PermitOffer(offer) => {
                 let counts = self.dealer.take(wall / ROUND, from, offer);
-                if counts { Ok(false) } else { Err(RightsError::Round) }
+                if counts { Ok(false) } else { Err(PermitError::Round) }
             }
             // Nobody but the one that was asked deals here.
-            RightsNote::Grant(grant) if self.asked.get(&grant.round) == Some(&from) => {
+            PermitMessage::PermitGrant(grant) if self.asked.get(&grant.round) == Some(&from) => {
                 if grant.incarnation != self.incarnation {
-                    return Err(RightsError::Round);
+                    return Err(PermitError::Round);
                 }
                 self.take(&grant);
                 Ok(true)
             }
-            RightsNote::Grant(_) => Err(RightsError::Round),
+            PermitMessage::PermitGrant(_) => Err(PermitError::Round),
         }
     }
 
-    fn take(&mut self, grant: &Grant) {
+    fn take(&mut self, grant: &PermitGrant) {
         self.dealers.heard(grant.round, grant.heard);
         for entry in grant.entries.iter().take(MOST_GATES) {
-            let held = self.gates.get_mut(&Gate(entry.gate));
+            let held = self.gates.get_mut(&LimitId(entry.gate));
             if let Some(held) = held.filter(|held| held.schedule.mark() == entry.mark) {
                 held.lend(grant.round, entry);
             }
@@ -219,7 +226,7 @@
         for (to, grant) in grants {
             if to == self.me {
                 self.take(&grant);
-            } else if let Ok(note) = RightsNote::Grant(grant).encode() {
+            } else if let Ok(note) = PermitMessage::PermitGrant(grant).encode() {
                 letters.push((to, note));
             }
         }
@@ -228,12 +235,12 @@
 
     /// The turns at a gate that this sender may still use. `open` is the part of the limit that the partner is believed
     /// to take, from 0 to 1: as many turns are left out, the same at every sender.
-    pub fn turns(&self, wall: u64, gate: Gate, open: f64) -> Vec<Turn> {
+    pub fn turns(&self, wall: u64, gate: LimitId, open: f64) -> Vec<Permit> {
         // What was given up is no longer in mind for a time long over.
         let Some(held) = self.gates.get(&gate).filter(|_| wall + BACK >= self.last) else {
             return Vec::new();
         };
-        let passes = |turn: &Turn| {
+        let passes = |turn: &Permit| {
             let draw = crc32fast::hash(&[turn.number, u64::from(gate.0)].map(u64::to_le_bytes).concat());
             f64::from(draw) < open * f64::from(u32::MAX)
         };
--- a/crates/gossip/src/permits/allocator_selection.rs
+++ b/crates/gossip/src/permits/allocator_selection.rs
@@ -10,13 +10,13 @@
 
 /// The senders that may deal: up to 64 are drawn, the same everywhere.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Dealers {
+pub(crate) struct AllocatorSelection {
     drawn: Vec<usize>,
     /// The last round in which somebody said that it had heard of it.
     heard: BTreeMap<usize, u64>,
 }
 
-impl Dealers {
+impl AllocatorSelection {
     pub fn new(senders: usize) -> Self {
         // Not by their numbers: those of a hall may follow one another, or come in turns.
         let mut drawn: Vec<usize> = (0..senders).collect();
--- a/crates/gossip/src/permits/exhaustive.rs
+++ b/crates/gossip/src/permits/exhaustive.rs
@@ -21,7 +21,7 @@
 const LOOK: u64 = VALID / 2;
 /// Rounds in which all hear all, before: whoever deals is known to be there then.
 const CALM: u64 = 4;
-const GATE: Gate = Gate(7);
+const GATE: LimitId = LimitId(7);
 
 type Process = (usize, Incarnation);
 /// From whom, to whom.
@@ -31,7 +31,7 @@
 struct State {
     wall: u64,
     /// None while no process of a sender runs.
-    rights: Vec<Option<Rights>>,
+    permits: Vec<Option<PermitLedger>>,
     begun: [u64; SENDERS],
     /// How much each clock was set back, ms.
     behind: [u64; SENDERS],
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     TimePasses,
-    Offer(usize),
+    PermitOffer(usize),
     Deal(usize),
     Hear(Note),
     Kill(usize),
@@ -65,10 +65,10 @@
 impl State {
     fn new(first: u64) -> Self {
         let wall = (first - CALM) * ROUND;
-        let rights = |n| Some(Rights::new(n, SENDERS, Incarnation(1), wall));
+        let permits = |n| Some(PermitLedger::new(n, SENDERS, Incarnation(1), wall));
         let mut state = Self {
             wall,
-            rights: (0..SENDERS).map(rights).collect(),
+            permits: (0..SENDERS).map(permits).collect(),
             begun: [1; SENDERS],
             behind: [0; SENDERS],
             faults: 0,
@@ -97,21 +97,21 @@
         // By the true time: whoever was set back wants another number in the same round.
         let wanted = if (self.wall / ROUND) as usize % SENDERS == n { 0.0 } else { 30.0 };
         let own = Own { gate: GATE, limit: LIMIT, wanted, called: 0, refused: 0, failed: 0 };
-        let letter = self.rights[n].as_mut().and_then(|rights| rights.offer(clock, &[own]));
+        let letter = self.permits[n].as_mut().and_then(|permits| permits.offer(clock, &[own]));
         self.wire.extend(letter.map(|(to, note)| (n, to, note)));
     }
 
     fn deal(&mut self, n: usize) {
         let clock = self.clock(n);
-        let letters = self.rights[n].as_mut().map_or(Vec::new(), |rights| rights.deal(clock));
+        let letters = self.permits[n].as_mut().map_or(Vec::new(), |permits| permits.deal(clock));
         self.wire.extend(letters.into_iter().map(|(to, note)| (n, to, note)));
     }
 
     fn hear(&mut self, (from, to, note): &Note) {
         let clock = self.clock(*to);
-        if let Some(rights) = &mut self.rights[*to] {
+        if let Some(permits) = &mut self.permits[*to] {
             // What comes too late, or twice, is dropped.
-            let _ = rights.hear(clock, *from, note);
+            let _ = permits.hear(clock, *from, note);
         }
     }
 
@@ -122,8 +122,8 @@
         }
         for n in 0..SENDERS {
             let clock = self.clock(n);
-            if let Some(rights) = &mut self.rights[n] {
-                rights.look(clock);
+            if let Some(permits) = &mut self.permits[n] {
+                permits.look(clock);
             }
         }
     }
@@ -132,7 +132,8 @@
     fn call(&mut self) {
         for n in 0..SENDERS {
             let (clock, process) = (self.clock(n), (n, Incarnation(self.begun[n])));
-            let turns = self.rights[n].as_ref().map_or(Vec::new(), |rights| rights.turns(clock, GATE, 1.0));
+            let turns =
+                self.permits[n].as_ref().map_or(Vec::new(), |permits| permits.turns(clock, GATE, 1.0));
             for turn in turns.iter().filter(|turn| turn.from <= clock) {
                 let first = *self.used.entry(turn.number).or_insert(process);
                 if first != process {
@@ -158,14 +159,14 @@
             actions.push(Action::TimePasses);
         }
         for n in 0..SENDERS {
-            if state.rights[n].is_none() {
+            if state.permits[n].is_none() {
                 actions.push(Action::Begin(n));
                 continue;
             }
             if state.wall.is_multiple_of(ROUND) {
                 actions.push(Action::Deal(n));
             } else if state.clock(n) / ROUND < self.first + self.rounds {
-                actions.push(Action::Offer(n));
+                actions.push(Action::PermitOffer(n));
             }
             if state.faults < self.faults {
                 actions.push(Action::SetBack(n));
@@ -180,17 +181,17 @@
         let mut state = last.clone();
         match action {
             Action::TimePasses => state.pass(),
-            Action::Offer(n) => state.offer(n),
+            Action::PermitOffer(n) => state.offer(n),
             Action::Deal(n) => state.deal(n),
             Action::Hear(note) => state.hear(&note),
             Action::Kill(n) => {
                 state.faults += 1;
-                state.rights[n] = None;
+                state.permits[n] = None;
             }
             Action::Begin(n) => {
                 state.begun[n] += 1;
                 let incarnation = Incarnation(state.begun[n]);
-                state.rights[n] = Some(Rights::new(n, SENDERS, incarnation, state.clock(n)));
+                state.permits[n] = Some(PermitLedger::new(n, SENDERS, incarnation, state.clock(n)));
             }
             Action::SetBack(n) => {
                 state.faults += 1;
--- a/crates/gossip/src/permits/held.rs
+++ b/crates/gossip/src/permits/held.rs
@@ -4,8 +4,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::Turn;
-use super::message::{GrantEntry, MOST_TURNS};
+use super::Permit;
+use super::message::{MOST_TURNS, PermitGrantEntry};
 use super::rounds::{BACK, LEAD, ROUND, VALID, term};
 use super::schedule::Schedule;
 
@@ -42,7 +42,7 @@
     }
 
     /// Takes in turns that were lent in a round; nothing that is not of that round's term counts.
-    pub fn lend(&mut self, round: u64, entry: &GrantEntry) {
+    pub fn lend(&mut self, round: u64, entry: &PermitGrantEntry) {
         let all = self.schedule.within(term(round));
         let mut turn = all.start;
         for (n, gap) in entry.gaps.iter().enumerate() {
@@ -62,15 +62,15 @@
     }
 
     /// The turns that may still be used, and that begin before such a time.
-    pub fn turns(&self, me: usize, now: u64, before: u64) -> Vec<Turn> {
+    pub fn turns(&self, me: usize, now: u64, before: u64) -> Vec<Permit> {
         let time = (now + 1).saturating_sub(VALID)..before;
         let own = self.schedule.of(me, time.clone()).filter(|&turn| self.is_kept(me, turn));
         let lent = self.lent.iter().copied().filter(|&turn| time.contains(&self.schedule.begins(turn)));
         let turn = |number| {
             let from = self.schedule.begins(number);
-            Turn { number, from, until: from + VALID }
+            Permit { number, from, until: from + VALID }
         };
-        let mut turns: Vec<Turn> = own.chain(lent).map(turn).collect();
+        let mut turns: Vec<Permit> = own.chain(lent).map(turn).collect();
         turns.sort_unstable_by_key(|turn| turn.number);
         turns.dedup();
         turns
--- a/crates/gossip/src/permits/message.rs
+++ b/crates/gossip/src/permits/message.rs
@@ -13,16 +13,16 @@
 
 /// One sender's offer for a round: what it gives up of its own turns, and what it wants of others'.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct Offer {
+pub(crate) struct PermitOffer {
     pub round: u64,
     pub incarnation: Incarnation,
     #[serde(deserialize_with = "bounded::<MOST_GATES, _, _>")]
-    pub entries: Vec<OfferEntry>,
+    pub entries: Vec<PermitOfferEntry>,
 }
 
 /// At one gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct OfferEntry {
+pub(crate) struct PermitOfferEntry {
     pub gate: u32,
     /// Of the schedule that it speaks of.
     pub mark: u16,
@@ -34,19 +34,19 @@
 
 /// What one sender is lent of a round's offers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Grant {
+pub(crate) struct PermitGrant {
     pub round: u64,
     /// The incarnation that offered: no other may use the turns.
     pub incarnation: Incarnation,
     /// Which of those drawn to deal offered in this round, a bit for each.
     pub heard: u64,
     #[serde(deserialize_with = "bounded::<MOST_GATES, _, _>")]
-    pub entries: Vec<GrantEntry>,
+    pub entries: Vec<PermitGrantEntry>,
 }
 
 /// At one gate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct GrantEntry {
+pub(crate) struct PermitGrantEntry {
     pub gate: u32,
     pub mark: u16,
     /// Turns, each by how many it lies after the one before, the first after the term's first.
@@ -56,24 +56,24 @@
 
 /// A note on rights.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum RightsNote {
-    Offer(Offer),
-    Grant(Grant),
+pub(crate) enum PermitMessage {
+    PermitOffer(PermitOffer),
+    PermitGrant(PermitGrant),
 }
 
-impl RightsNote {
+impl PermitMessage {
     /// A datagram; an error if it were too long.
     pub fn encode(&self) -> Result<Vec<u8>, EnvelopeError> {
         match self {
-            Self::Offer(offer) => seal(Kind::Offer, offer),
-            Self::Grant(grant) => seal(Kind::Grant, grant),
+            Self::PermitOffer(offer) => seal(Kind::PermitOffer, offer),
+            Self::PermitGrant(grant) => seal(Kind::PermitGrant, grant),
         }
     }
 
     pub fn decode(note: &[u8]) -> Result<Self, EnvelopeError> {
         match open(note)? {
-            (Kind::Offer, body) => read(body).map(Self::Offer),
-            (Kind::Grant, body) => read(body).map(Self::Grant),
+            (Kind::PermitOffer, body) => read(body).map(Self::PermitOffer),
+            (Kind::PermitGrant, body) => read(body).map(Self::PermitGrant),
             _ => Err(EnvelopeError::Kind(note[0])),
         }
     }
--- a/crates/gossip/src/permits/permit_allocator.rs
+++ b/crates/gossip/src/permits/permit_allocator.rs
@@ -4,31 +4,33 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::message::{Grant, GrantEntry, MOST_GATES, MOST_TURNS, Offer, OfferEntry, RightsNote};
+use super::message::{
+    MOST_GATES, MOST_TURNS, PermitGrant, PermitGrantEntry, PermitMessage, PermitOffer, PermitOfferEntry,
+};
 use super::rounds::term;
 use super::schedule::Schedule;
-use crate::limit_id::Gate;
+use crate::limit_id::LimitId;
 
 /// What came for one round: from each sender its first offer.
-type Offers = BTreeMap<usize, Offer>;
+type Offers = BTreeMap<usize, PermitOffer>;
 
 /// One sender as the dealer of some rounds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Dealer {
+pub(crate) struct PermitAllocator {
     /// Rounds up to this one are over: dealt, or some process of ours may have dealt them.
     closed: u64,
     /// This round's offers and, where clocks differ, the next one's.
     open: BTreeMap<u64, Offers>,
 }
 
-impl Dealer {
+impl PermitAllocator {
     /// One that begins in such a round, which another process of ours may have dealt in.
     pub fn new(round: u64) -> Self {
         Self { closed: round, open: BTreeMap::new() }
     }
 
     /// Takes a sender's offer in; whether it counts: it is of this round or the next one, and the sender's first.
-    pub fn take(&mut self, now: u64, from: usize, offer: Offer) -> bool {
+    pub fn take(&mut self, now: u64, from: usize, offer: PermitOffer) -> bool {
         let round = offer.round;
         if round <= self.closed || round < now || round > now + 1 || offer.entries.len() > MOST_GATES {
             return false;
@@ -51,15 +53,15 @@
         &mut self,
         now: u64,
         heard: impl Fn(usize) -> u64,
-        schedule: impl Fn(Gate) -> Option<Schedule>,
-    ) -> Vec<(usize, Grant)> {
+        schedule: impl Fn(LimitId) -> Option<Schedule>,
+    ) -> Vec<(usize, PermitGrant)> {
         let mut grants = Vec::new();
         while let Some(entry) = self.open.first_entry().filter(|entry| *entry.key() < now) {
             let (round, offers) = entry.remove_entry();
             // Whatever the clock does: no round is dealt twice.
             self.closed = self.closed.max(round);
             let bits = offers.keys().fold(0, |bits, &from| bits | heard(from));
-            let mut dealt: BTreeMap<usize, Vec<GrantEntry>> = BTreeMap::new();
+            let mut dealt: BTreeMap<usize, Vec<PermitGrantEntry>> = BTreeMap::new();
             for (gate, of) in by_gate(&offers) {
                 let Some(schedule) = schedule(gate) else { continue };
                 for (to, entry) in deal_gate(round, gate, &schedule, &of) {
@@ -70,7 +72,7 @@
                 let entries = dealt.remove(&to).unwrap_or_default();
                 grants.push((
                     to,
-                    fitting(Grant { round, incarnation: offer.incarnation, heard: bits, entries }),
+                    fitting(PermitGrant { round, incarnation: offer.incarnation, heard: bits, entries }),
                 ));
             }
         }
@@ -84,11 +86,11 @@
     }
 }
 
-fn by_gate(offers: &Offers) -> BTreeMap<Gate, Vec<(usize, OfferEntry)>> {
-    let mut gates: BTreeMap<Gate, Vec<(usize, OfferEntry)>> = BTreeMap::new();
+fn by_gate(offers: &Offers) -> BTreeMap<LimitId, Vec<(usize, PermitOfferEntry)>> {
+    let mut gates: BTreeMap<LimitId, Vec<(usize, PermitOfferEntry)>> = BTreeMap::new();
     for (&from, offer) in offers {
         for entry in &offer.entries {
-            let of = gates.entry(Gate(entry.gate)).or_default();
+            let of = gates.entry(LimitId(entry.gate)).or_default();
             // One that names a gate twice is heard once.
             if of.last().is_none_or(|last| last.0 != from) {
                 of.push((from, *entry));
@@ -101,10 +103,10 @@
 /// Turn by turn to those that ask, in an order that changes with the round, until all have what they asked for.
 fn deal_gate(
     round: u64,
-    gate: Gate,
+    gate: LimitId,
     schedule: &Schedule,
-    of: &[(usize, OfferEntry)],
-) -> Vec<(usize, GrantEntry)> {
+    of: &[(usize, PermitOfferEntry)],
+) -> Vec<(usize, PermitGrantEntry)> {
     let (mark, time) = (schedule.mark(), term(round));
     let sound = || of.iter().filter(|(_, entry)| entry.mark == mark);
     let mut pool: Vec<u64> = Vec::new();
@@ -133,14 +135,14 @@
     let entry = |turns: Vec<u64>| {
         let before = std::iter::once(first).chain(turns.iter().copied());
         let gaps = turns.iter().zip(before).map(|(turn, before)| (turn - before) as u16).collect();
-        GrantEntry { gate: gate.0, mark, gaps }
+        PermitGrantEntry { gate: gate.0, mark, gaps }
     };
     dealt.into_iter().map(|(to, turns)| (to, entry(turns))).collect()
 }
 
 /// Turns for which a note has no room are lost to this term.
-fn fitting(mut grant: Grant) -> Grant {
-    while RightsNote::Grant(grant.clone()).encode().is_err() {
+fn fitting(mut grant: PermitGrant) -> PermitGrant {
+    while PermitMessage::PermitGrant(grant.clone()).encode().is_err() {
         let longest = grant.entries.iter_mut().max_by_key(|entry| entry.gaps.len());
         match longest {
             Some(entry) if entry.gaps.len() > 1 => entry.gaps.truncate(entry.gaps.len() / 2),
--- a/crates/gossip/src/permits/schedule.rs
+++ b/crates/gossip/src/permits/schedule.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use crate::limit_id::Gate;
+use crate::limit_id::LimitId;
 
 /// The part of a limit that is given out as turns: calls do not arrive as evenly as they start.
 const GIVEN: f64 = 0.95;
@@ -20,7 +20,7 @@
 
 impl Schedule {
     /// Of a limit of so many calls a second; one that is no limit gives the fewest turns.
-    pub fn new(gate: Gate, limit: f64, senders: usize) -> Self {
+    pub fn new(gate: LimitId, limit: f64, senders: usize) -> Self {
         let step = 1e6 / (limit * GIVEN);
         let step = if step.is_nan() || step <= 0.0 { STEPS.1 } else { step.clamp(STEPS.0, STEPS.1) };
         Self { step: step.round() as u64, senders: senders.max(1) as u64, phase: u64::from(gate.0) }
@@ -64,7 +64,7 @@
     #[test]
     fn every_turn_has_one_owner_and_each_sender_one_in_so_many() {
         for (limit, senders) in [(60.0, 12), (0.3, 300), (1_000.0, 7), (75.0, 300)] {
-            let schedule = Schedule::new(Gate::of(7, None), limit, senders);
+            let schedule = Schedule::new(LimitId::of(7, None), limit, senders);
             let time = 1_700_000_000_123..1_700_000_020_456;
             let all = schedule.within(time.clone());
             let mut dealt: Vec<(u64, usize)> =
@@ -81,7 +81,7 @@
     #[test]
     fn a_limit_that_is_none_gives_the_fewest_turns() {
         for limit in [0.0, -3.0, f64::NAN] {
-            let schedule = Schedule::new(Gate::of(7, None), limit, 3);
+            let schedule = Schedule::new(LimitId::of(7, None), limit, 3);
             assert_eq!(schedule.within(0..3_600_001).count(), 2, "{limit}");
         }
     }
--- a/crates/gossip/src/permits/tests.rs
+++ b/crates/gossip/src/permits/tests.rs
@@ -46,32 +46,39 @@
 
 #[test]
 fn a_grant_of_another_or_for_an_earlier_process_is_none() {
-    let mut rights = Rights::new(0, 3, Incarnation(7), DAWN);
-    let gate = Gate::of(7, None);
+    let mut permits = PermitLedger::new(0, 3, Incarnation(7), DAWN);
+    let gate = LimitId::of(7, None);
     let own = [Own { gate, limit: 60.0, wanted: 30.0, called: 0, refused: 0, failed: 0 }];
     let (dealer, _) =
-        (0..).map(|n| DAWN + n * ROUND).find_map(|at| rights.offer(at + 300, &own)).expect("asked");
-    let round = rights.offered;
-    let entry =
-        message::GrantEntry { gate: gate.0, mark: Schedule::new(gate, 60.0, 3).mark(), gaps: vec![1, 1, 1] };
+        (0..).map(|n| DAWN + n * ROUND).find_map(|at| permits.offer(at + 300, &own)).expect("asked");
+    let round = permits.offered;
+    let entry = message::PermitGrantEntry {
+        gate: gate.0,
+        mark: Schedule::new(gate, 60.0, 3).mark(),
+        gaps: vec![1, 1, 1],
+    };
     let grant = |incarnation, round| {
-        let grant =
-            Grant { round, incarnation: Incarnation(incarnation), heard: 7, entries: vec![entry.clone()] };
-        RightsNote::Grant(grant).encode().expect("short enough")
+        let grant = PermitGrant {
+            round,
+            incarnation: Incarnation(incarnation),
+            heard: 7,
+            entries: vec![entry.clone()],
+        };
+        PermitMessage::PermitGrant(grant).encode().expect("short enough")
     };
     let (wall, turns) =
-        (round * ROUND + 450, |rights: &Rights| rights.turns(round * ROUND + 450, gate, 1.0).len());
-    let none = turns(&rights);
-    assert_eq!(rights.hear(wall, 3 - dealer, &grant(7, round)), Err(RightsError::Round));
-    assert_eq!(rights.hear(wall, dealer, &grant(6, round)), Err(RightsError::Round));
-    assert_eq!(rights.hear(wall, dealer, &grant(7, round - 1)), Err(RightsError::Round));
-    assert_eq!(turns(&rights), none);
-    assert_eq!(rights.hear(wall, dealer, &grant(7, round)), Ok(true));
+        (round * ROUND + 450, |permits: &PermitLedger| permits.turns(round * ROUND + 450, gate, 1.0).len());
+    let none = turns(&permits);
+    assert_eq!(permits.hear(wall, 3 - dealer, &grant(7, round)), Err(PermitError::Round));
+    assert_eq!(permits.hear(wall, dealer, &grant(6, round)), Err(PermitError::Round));
+    assert_eq!(permits.hear(wall, dealer, &grant(7, round - 1)), Err(PermitError::Round));
+    assert_eq!(turns(&permits), none);
+    assert_eq!(permits.hear(wall, dealer, &grant(7, round)), Ok(true));
     // One of three in a row is its own.
-    assert_eq!(turns(&rights), none + 2);
+    assert_eq!(turns(&permits), none + 2);
     // Doubled, it says nothing new.
-    assert_eq!(rights.hear(wall, dealer, &grant(7, round)), Ok(true));
-    assert_eq!(turns(&rights), none + 2);
+    assert_eq!(permits.hear(wall, dealer, &grant(7, round)), Ok(true));
+    assert_eq!(turns(&permits), none + 2);
 }
 
 proptest! {
@@ -106,24 +113,24 @@
 
     #[test]
     fn what_is_no_note_changes_nothing(bytes: Vec<u8>) {
-        let mut rights = Rights::new(0, 3, Incarnation(7), DAWN);
-        if let Err(error) = RightsNote::decode(&bytes) {
-            prop_assert_eq!(rights.hear(DAWN + 700, 1, &bytes), Err(RightsError::Envelope(error)));
+        let mut permits = PermitLedger::new(0, 3, Incarnation(7), DAWN);
+        if let Err(error) = PermitMessage::decode(&bytes) {
+            prop_assert_eq!(permits.hear(DAWN + 700, 1, &bytes), Err(PermitError::Envelope(error)));
         }
         // Also in an envelope that fits.
-        let _ = rights.hear(DAWN + 700, 1, &crate::envelope::seal(crate::envelope::Kind::Grant, &bytes).unwrap_or_default());
-        prop_assert!(rights.dealer.len() <= 1);
+        let _ = permits.hear(DAWN + 700, 1, &crate::envelope::seal(crate::envelope::Kind::PermitGrant, &bytes).unwrap_or_default());
+        prop_assert!(permits.dealer.len() <= 1);
     }
 }
 
 /// Gates come and go, and liars name what there is not, for half an hour.
 #[test]
 fn over_a_long_run_no_table_grows_beyond_its_bound() {
-    let mut rights = Rights::new(0, 9, Incarnation(7), DAWN);
+    let mut permits = PermitLedger::new(0, 9, Incarnation(7), DAWN);
     for round in 1..3_600u64 {
         let wall = DAWN + round * ROUND + 200;
         let own = (0..20).map(|n| Own {
-            gate: Gate::of((round / 40 * 3 + n) as u16, None),
+            gate: LimitId::of((round / 40 * 3 + n) as u16, None),
             limit: 30.0,
             wanted: 20.0,
             called: 0,
@@ -131,32 +138,34 @@
             failed: 0,
         });
         let own: Vec<Own> = own.collect();
-        let asked = rights.offer(wall, &own);
+        let asked = permits.offer(wall, &own);
         for from in 1..9 {
-            let entry = |n: u32| OfferEntry { gate: n, mark: 3, lent: u16::MAX, asked: u8::MAX };
+            let entry = |n: u32| PermitOfferEntry { gate: n, mark: 3, lent: u16::MAX, asked: u8::MAX };
             let entries = (0..MOST_GATES as u32).map(entry).collect();
             let round = (wall / ROUND).wrapping_add(from as u64 % 3);
-            let offer = RightsNote::Offer(Offer { round, incarnation: Incarnation(1), entries });
-            let _ = rights.hear(wall, from, &offer.encode().expect("short enough"));
+            let offer =
+                PermitMessage::PermitOffer(PermitOffer { round, incarnation: Incarnation(1), entries });
+            let _ = permits.hear(wall, from, &offer.encode().expect("short enough"));
         }
         if let Some((dealer, _)) = asked {
-            let entry = |o: &Own| message::GrantEntry {
+            let entry = |o: &Own| message::PermitGrantEntry {
                 gate: o.gate.0,
                 mark: Schedule::new(o.gate, 30.0, 9).mark(),
                 gaps: vec![0, 1, 2, u16::MAX, 1],
             };
             let entries = own.iter().take(12).map(entry).collect();
-            let grant = Grant { round: wall / ROUND, incarnation: Incarnation(7), heard: u64::MAX, entries };
-            rights
-                .hear(wall, dealer, &RightsNote::Grant(grant).encode().expect("short"))
+            let grant =
+                PermitGrant { round: wall / ROUND, incarnation: Incarnation(7), heard: u64::MAX, entries };
+            permits
+                .hear(wall, dealer, &PermitMessage::PermitGrant(grant).encode().expect("short"))
                 .expect("it was asked");
         }
-        assert!(rights.gates.len() <= 20 && rights.asked.len() <= 4 && rights.dealer.len() <= 16);
+        assert!(permits.gates.len() <= 20 && permits.asked.len() <= 4 && permits.dealer.len() <= 16);
         assert!(
-            rights.gates.values().all(|held| held.len() <= 30),
+            permits.gates.values().all(|held| held.len() <= 30),
             "{:?}",
-            rights.gates.values().map(Held::len)
+            permits.gates.values().map(Held::len)
         );
-        rights.deal(wall + ROUND);
+        permits.deal(wall + ROUND);
     }
 }
--- a/crates/gossip/src/permits/tests/tier.rs
+++ b/crates/gossip/src/permits/tests/tier.rs
@@ -35,10 +35,10 @@
 /// Senders before one gate, each with calls that wait; and every turn that was used.
 pub(super) struct Tier {
     pub(super) draw: Draw,
-    pub(super) gate: Gate,
+    pub(super) gate: LimitId,
     pub(super) limit: f64,
     pub(super) wall: u64,
-    pub(super) rights: Vec<Rights>,
+    pub(super) permits: Vec<PermitLedger>,
     /// Whether it runs, and how far its clock is off.
     pub(super) up: Vec<bool>,
     pub(super) off: Vec<i64>,
@@ -54,13 +54,13 @@
 
 impl Tier {
     pub(super) fn new(seed: u64, senders: usize, limit: f64, weather: Weather) -> Self {
-        let rights = (0..senders).map(|n| Rights::new(n, senders, Incarnation(1), DAWN)).collect();
+        let permits = (0..senders).map(|n| PermitLedger::new(n, senders, Incarnation(1), DAWN)).collect();
         Self {
             draw: Draw(seed),
-            gate: Gate::of(7, None),
+            gate: LimitId::of(7, None),
             limit,
             wall: DAWN,
-            rights,
+            permits,
             up: vec![true; senders],
             off: vec![0; senders],
             waiting: vec![0; senders],
@@ -78,8 +78,8 @@
 
     /// A process that has forgotten everything takes the place of the one before.
     pub(super) fn begin(&mut self, n: usize) {
-        let incarnation = Incarnation(self.rights[n].incarnation.0 + 1);
-        self.rights[n] = Rights::new(n, self.rights.len(), incarnation, self.clock(n));
+        let incarnation = Incarnation(self.permits[n].incarnation.0 + 1);
+        self.permits[n] = PermitLedger::new(n, self.permits.len(), incarnation, self.clock(n));
         self.up[n] = true;
     }
 
@@ -97,7 +97,7 @@
     /// `load` messages a second come for all.
     pub(super) fn step(&mut self, load: f64) {
         self.wall += STEP;
-        let senders = self.rights.len();
+        let senders = self.permits.len();
         let mut coming = load * STEP as f64 / 1_000.0;
         while coming > 0.0 {
             let to = self.draw.below(senders);
@@ -109,7 +109,7 @@
             if self.up[to] {
                 // What comes too late, or twice, is dropped.
                 let clock = self.clock(to);
-                let _ = self.rights[to].hear(clock, from, &body);
+                let _ = self.permits[to].hear(clock, from, &body);
             }
         }
         for n in (0..senders).filter(|n| self.up[*n]).collect::<Vec<_>>() {
@@ -119,16 +119,16 @@
 
     pub(super) fn act(&mut self, n: usize) {
         let (clock, limit, gate) = (self.clock(n), self.limit, self.gate);
-        let letters = self.rights[n].deal(clock);
+        let letters = self.permits[n].deal(clock);
         self.send(n, letters);
-        if self.rights[n].next_offer(clock - STEP) <= clock {
+        if self.permits[n].next_offer(clock - STEP) <= clock {
             let wanted = f64::from(self.waiting[n]);
             let own = Own { gate, limit, wanted, called: 0, refused: 0, failed: 0 };
-            let letter = self.rights[n].offer(clock, &[own]);
+            let letter = self.permits[n].offer(clock, &[own]);
             self.send(n, letter);
         }
-        let who = (n, self.rights[n].incarnation);
-        for turn in self.rights[n].turns(clock, gate, 1.0) {
+        let who = (n, self.permits[n].incarnation);
+        for turn in self.permits[n].turns(clock, gate, 1.0) {
             let mine = self.used.get(&turn.number) == Some(&who);
             if turn.from <= clock && self.waiting[n] > 0 && !mine {
                 let before = self.used.insert(turn.number, who);
--- a/crates/gossip/src/sums.rs
+++ b/crates/gossip/src/sums.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::limit_id::Gate;
+use crate::limit_id::LimitId;
 
 /// K of the drop formula: the design's default, as in the decision module.
 const K: f64 = 1.5;
@@ -57,12 +57,12 @@
 pub(crate) struct Collected {
     /// Who is in it.
     pub from: Vec<usize>,
-    pub sums: BTreeMap<Gate, Sum>,
+    pub sums: BTreeMap<LimitId, Sum>,
 }
 
 impl Collected {
     /// Adds a sender's report; `false` if it is in it already.
-    pub fn add(&mut self, from: usize, gates: &[(Gate, Sum)]) -> bool {
+    pub fn add(&mut self, from: usize, gates: &[(LimitId, Sum)]) -> bool {
         if self.from.contains(&from) {
             return false;
         }
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -5,7 +5,9 @@
 use std::fs;
 use std::path::Path;
 
-use rudderspindle_gossip::{Class, Fleet, Gate, Incarnation, Kind, Own, Post, Ramp, Receiver, Rights, Seen};
+use rudderspindle_gossip::{
+    Class, Fleet, Incarnation, Kind, LimitId, Own, PermitLedger, Post, Ramp, Receiver, Seen,
+};
 use rudderspindle_gossip::{Letter, Views};
 
 const START: u64 = 1_700_000_000_000;
@@ -39,7 +41,7 @@
 fn gates(now: u64, sender: usize) -> [Own; 3] {
     let called = (now - START) / 100 * (sender as u64 + 1);
     let own = |destination, receiver| {
-        let gate = Gate::of(destination, receiver);
+        let gate = LimitId::of(destination, receiver);
         Own { gate, limit: 60.0, wanted: 20.0 * sender as f64, called, refused: 0, failed: 0 }
     };
     let refusing = Own { refused: called / 3, ..own(513, Some("receiver-1")) };
@@ -82,9 +84,9 @@
 
 #[test]
 fn senders_that_lend_rights_tell_and_hold_the_same_as_before() {
-    let new = |me| Rights::new(me, 3, Incarnation(START - 1_000 + me as u64), START);
-    let mut tier: Vec<Rights> = (0..3).map(new).collect();
-    let mut due: Vec<u64> = tier.iter().map(|rights| rights.next_offer(START)).collect();
+    let new = |me| PermitLedger::new(me, 3, Incarnation(START - 1_000 + me as u64), START);
+    let mut tier: Vec<PermitLedger> = (0..3).map(new).collect();
+    let mut due: Vec<u64> = tier.iter().map(|permits| permits.next_offer(START)).collect();
     let mut transcript = String::new();
     for now in (START..START + 5_000).step_by(STEP as usize) {
         for from in 0..tier.len() {
@@ -103,10 +105,10 @@
             }
         }
     }
-    for (me, rights) in tier.iter().enumerate() {
+    for (me, permits) in tier.iter().enumerate() {
         for own in gates(START, me) {
             for open in [1.0, 0.5] {
-                let turns = rights.turns(START + 5_000, own.gate, open);
+                let turns = permits.turns(START + 5_000, own.gate, open);
                 let turns: Vec<(u64, u64, u64)> =
                     turns.iter().map(|turn| (turn.number, turn.from - START, turn.until - START)).collect();
                 writeln!(transcript, "{me} {open} {turns:?}").expect("written");
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -8,35 +8,35 @@
 
 mod admission;
 mod choice;
+mod demand;
 mod destination;
 mod dispatch;
 mod ends;
 mod figures;
-mod gate;
 mod list;
 mod outages;
 mod outcomes;
 mod scope;
 mod state;
-mod wants;
+mod throttle;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use rudderspindle_gossip::{Flow, Room};
+use rudderspindle_gossip::{ArrivalRate, CapacityShare};
 
-use crate::alarm::Alarm;
 use crate::calls::{Call, Calls};
-use crate::chance::Chance;
 use crate::health::{Health, State};
 use crate::interface::*;
+use crate::key_ordering::KeyOrdering;
 use crate::latency::Latency;
 use crate::priority_weight::PriorityWeight;
 use crate::quota::Quotas;
-use crate::turns::Turns;
-use crate::window::{Reach, Window};
-use gate::{BURST, CUT_REST, REACH};
+use crate::rng::Rng;
+use crate::wake_timer::WakeTimer;
+use crate::window::{Window, WindowBounds};
 use scope::Scope;
-use state::{Destination, ExecutionMark, Gate, Held, Route};
+use state::{Destination, ExecutionMark, PendingMessage, Route, Throttle};
+use throttle::{BURST, CUT_REST, REACH};
 
 /// So many senders each grow as if they were alone, and try what is down as often.
 const SHARERS: f64 = 3.0;
@@ -47,21 +47,21 @@
     settings: Settings,
     hears_notes: bool,
     keeps_rights: bool,
-    chance: Chance,
+    rng: Rng,
     /// The host's clock at the first batch: all times kept here count from it.
     started_at: Option<Millis>,
     now: Millis,
     destinations: BTreeMap<DestinationId, Destination>,
     /// Destinations with messages that wait: only these are looked at.
     busy: BTreeSet<DestinationId>,
-    messages: BTreeMap<MessageHandle, Held>,
+    messages: BTreeMap<MessageHandle, PendingMessage>,
     calls_out: usize,
     /// Slots that another process of this sender uses.
     lent: usize,
     next_call: u64,
-    turns: Turns,
+    turns: KeyOrdering,
     quotas: Quotas,
-    alarm: Alarm,
+    wake_timer: WakeTimer,
     ask_at: Option<Millis>,
 }
 
@@ -72,7 +72,7 @@
         Ok(Self {
             hears_notes: false,
             keeps_rights: false,
-            chance: Chance::new(seed),
+            rng: Rng::new(seed),
             started_at: None,
             now: 0.0,
             destinations: BTreeMap::new(),
@@ -81,9 +81,9 @@
             calls_out: 0,
             lent: 0,
             next_call: 0,
-            turns: Turns::default(),
+            turns: KeyOrdering::default(),
             quotas: Quotas::new(settings.tenants.len()),
-            alarm: Alarm::default(),
+            wake_timer: WakeTimer::default(),
             ask_at: matches!(settings.discovery, Discovery::OnRequest { .. }).then_some(0.0),
             settings,
         })
@@ -120,25 +120,27 @@
             Event::Remembered { destination, route, outage } => self.recall(*destination, *route, *outage),
             Event::RetryAfter { destination, route, wait } => {
                 let Some(d) = self.destinations.get_mut(destination) else { return };
-                let gate = d.scope(*route).map(|scope| d.gate_of_mut(scope));
-                gate.into_iter().for_each(|gate| gate.wait_until = gate.wait_until.max(self.now + wait));
+                let throttle = d.scope(*route).map(|scope| d.throttle_of_mut(scope));
+                throttle
+                    .into_iter()
+                    .for_each(|throttle| throttle.wait_until = throttle.wait_until.max(self.now + wait));
             }
-            Event::Room { destination, route, calls, wanted, lasts } => {
+            Event::Capacity { destination, route, calls, wanted, lasts } => {
                 let Some(d) = self.destinations.get_mut(destination) else { return };
                 let Some(scope) = d.scope(*route) else { return };
-                let (need, gate) = (d.need(scope, self.now), d.gate_of_mut(scope));
-                let turn = (gate.wait_until, gate.draw_at);
-                gate.room.all = *wanted;
-                gate.draw_at = gate.room.told(self.now, *calls, *lasts, need, turn);
+                let (need, throttle) = (d.need(scope, self.now), d.throttle_of_mut(scope));
+                let turn = (throttle.wait_until, throttle.draw_at);
+                throttle.room.all = *wanted;
+                throttle.draw_at = throttle.room.told(self.now, *calls, *lasts, need, turn);
             }
-            Event::Turns { destination, route, turns } => {
+            Event::Permits { destination, route, turns } => {
                 let Some(d) = self.destinations.get_mut(destination) else { return };
-                let gate = d.scope(*route).map(|scope| d.gate_of_mut(scope));
-                let turn = |t: &Turn| (t.number, self.now + t.from, self.now + t.until);
+                let throttle = d.scope(*route).map(|scope| d.throttle_of_mut(scope));
+                let turn = |t: &Permit| (t.number, self.now + t.from, self.now + t.until);
                 let turns: Vec<_> = turns.iter().map(turn).collect();
-                gate.into_iter().for_each(|gate| gate.room.deal(self.now, &turns));
+                throttle.into_iter().for_each(|throttle| throttle.room.deal(self.now, &turns));
             }
-            Event::Avoid(judged) => {
+            Event::EjectedReceivers(judged) => {
                 let routes = self.destinations.values_mut().flat_map(|d| &mut d.routes);
                 routes.for_each(|r| r.judged = judged.contains(&r.id));
             }
@@ -149,7 +151,7 @@
             }
             Event::Outcome { .. } => self.outcome(event, actions),
             Event::Dropped(id) => self.finish(*id),
-            Event::Wake(token) => self.alarm.rang(*token),
+            Event::Wake(token) => self.wake_timer.rang(*token),
             Event::HealthChecked { .. } => {}
         }
     }
@@ -164,6 +166,6 @@
         self.busy.retain(|id| self.destinations.get(id).is_some_and(|d| !d.waiting.is_empty()));
         let looks = self.busy.iter().filter_map(|id| self.destinations.get(id)).map(|d| self.next_look(d));
         let at = looks.chain(self.turns.rests(self.now)).chain(self.ask_at).fold(f64::INFINITY, f64::min);
-        actions.extend(self.alarm.set(self.now, at, self.settings.tick));
+        actions.extend(self.wake_timer.set(self.now, at, self.settings.tick));
     }
 }
--- a/crates/policy/src/decide/admission.rs
+++ b/crates/policy/src/decide/admission.rs
@@ -26,8 +26,8 @@
         self.turns.join(key, message.id);
         let destination = message.destination;
         let possibly_executed = past.possibly_executed.map(|ran| (self.now - ran.ago, ran.route, ran.zone));
-        let past = Held { attempts: past.attempts, possibly_executed, ..Held::default() };
-        self.messages.insert(message.id, Held { value, destination, key, ..past });
+        let past = PendingMessage { attempts: past.attempts, possibly_executed, ..PendingMessage::default() };
+        self.messages.insert(message.id, PendingMessage { value, destination, key, ..past });
         self.park(message.id);
         self.queue_up(destination);
     }
--- a/crates/policy/src/decide/choice.rs
+++ b/crates/policy/src/decide/choice.rs
@@ -31,13 +31,13 @@
         order.sort_by_key(|&index| {
             let (r, now) = (&d.routes[index], self.now);
             // A failure of late sends the next call to a sister: one of hundreds rarely sees four in a row.
-            let ill = d.down(index) || (r.gate.health.failing() && now - r.used_at < REACH.short);
+            let ill = d.down(index) || (r.throttle.health.failing() && now - r.used_at < REACH.short);
             let far = r.zone != self.settings.zone;
             // Where all are down, each is asked in turn.
             let asked = if d.shared.health.is_down() { r.used_at as u64 } else { 0 };
             // Departure (several others of our hall judge it to be down): sound ones go first.
             let ill = r.judged || ill;
-            let worse = (d.down(index), ill, r.gate.health.state != State::Up);
+            let worse = (d.down(index), ill, r.throttle.health.state != State::Up);
             (worse, asked, far, r.out, Reverse(r.used_at as u64), r.id)
         });
         for index in order {
@@ -50,18 +50,18 @@
             }
             let overdue = d.overdue(index, self.now).count();
             let shared = d.shared_pace(Scope::Route(index), self.now).is_some();
-            let gate = d.gate_mut(index);
-            if gate.draw_at > self.now {
+            let throttle = d.throttle_mut(index);
+            if throttle.draw_at > self.now {
                 continue;
             }
             // Departure (notes tell of all senders): their pace is what the formula lets through of all.
-            if shared || self.chance.unit() >= gate.drop_probability(self.now, overdue) {
+            if shared || self.rng.unit() >= throttle.drop_probability(self.now, overdue) {
                 return Some(index);
             }
             // Departure (a message draws again): it is one request, or random losses would close the gate.
             let again = self.messages.get_mut(&id).is_some_and(|m| std::mem::replace(&mut m.dropped, true));
-            gate.window.count(self.now, if again { 0.0 } else { 1.0 }, 0.0);
-            gate.draw_at = self.now + self.chance.pause(1_000.0 / gate.pace);
+            throttle.window.count(self.now, if again { 0.0 } else { 1.0 }, 0.0);
+            throttle.draw_at = self.now + self.rng.pause(1_000.0 / throttle.pace);
         }
         None
     }
@@ -75,11 +75,11 @@
     ) {
         let now = self.now;
         let shared = d.shared_pace(Scope::Route(index), now);
-        let gate = d.gate_mut(index);
-        gate.room.sent(now, shared);
-        let limited = gate.draw_at > now - BURST;
-        gate.draw_at =
-            gate.draw_at.max(now - BURST) + self.chance.pause(1_000.0 / shared.unwrap_or(gate.pace));
+        let throttle = d.throttle_mut(index);
+        throttle.room.sent(now, shared);
+        let limited = throttle.draw_at > now - BURST;
+        throttle.draw_at =
+            throttle.draw_at.max(now - BURST) + self.rng.pause(1_000.0 / shared.unwrap_or(throttle.pace));
         d.waiting.retain(|id| !bundle.contains(id));
         for scope in d.scopes(index) {
             match d.health(scope).state {
@@ -87,7 +87,7 @@
                 // One trial at a time: one that is overdue no longer counts.
                 State::Down { .. } => self.rest(d, scope, d.overdue_after(index), false),
                 State::Cold { since, .. } => {
-                    let draw = self.chance.pause(1.0);
+                    let draw = self.rng.pause(1.0);
                     let ramp_at = self.next_in_slow_start(d, scope, since, now, draw);
                     let health = d.health_mut(scope);
                     health.ramp_at = ramp_at;
--- a/crates/policy/src/decide/wants.rs
+++ b/crates/policy/src/decide/demand.rs
@@ -9,15 +9,19 @@
     /// Calls wanted of a limit now, what waits and what will come dealt out by the limits; and the limit.
     pub(super) fn need(&self, scope: Scope, now: Millis) -> (f64, f64) {
         let ready = self.routes.iter().filter(|r| r.listing == Listing::Ready);
-        let limit = self.gate_of(scope).told;
-        let all = if self.apart { ready.map(|r| r.gate.told).sum() } else { limit };
-        ((self.waiting.len() as f64 + self.flow.expected(now, UNTOLD)) * limit / f64::max(all, limit), limit)
+        let limit = self.throttle_of(scope).told;
+        let all = if self.apart { ready.map(|r| r.throttle.told).sum() } else { limit };
+        (
+            (self.waiting.len() as f64 + self.arrival_rate.expected(now, UNTOLD)) * limit
+                / f64::max(all, limit),
+            limit,
+        )
     }
 
     /// The pace that the fleet's notes leave to this sender, while they are fresh.
     pub(super) fn shared_pace(&self, scope: Scope, now: Millis) -> Option<f64> {
         let (wanted, limit) = self.need(scope, now);
-        self.gate_of(scope).room.pace(now, wanted, limit)
+        self.throttle_of(scope).room.pace(now, wanted, limit)
     }
 }
 
@@ -35,12 +39,12 @@
     /// A message has come: the first one at a destination takes its turn among all senders'.
     pub(super) fn queue_up(&mut self, to: DestinationId) {
         let Some(mut d) = self.destinations.get_mut(&to).map(std::mem::take) else { return };
-        d.flow.came(self.now);
+        d.arrival_rate.came(self.now);
         let first = d.waiting.len() == 1;
-        for scope in d.gates().filter(|_| first) {
+        for scope in d.throttles().filter(|_| first) {
             let Some(pace) = d.shared_pace(scope, self.now) else { continue };
-            let (draw, gate) = (self.chance.unit(), d.gate_of_mut(scope));
-            gate.draw_at = gate.room.first_turn(self.now, pace, draw).unwrap_or(gate.draw_at);
+            let (draw, throttle) = (self.rng.unit(), d.throttle_of_mut(scope));
+            throttle.draw_at = throttle.room.first_turn(self.now, pace, draw).unwrap_or(throttle.draw_at);
         }
         self.destinations.insert(to, d);
     }
--- a/crates/policy/src/decide/destination.rs
+++ b/crates/policy/src/decide/destination.rs
@@ -14,12 +14,12 @@
     pub(super) fn most(&self, scope: Scope, holds: impl Fn(&Health) -> bool) -> bool {
         let Scope::All = scope else { return holds(self.health(scope)) };
         let ready = || self.routes.iter().filter(|r| r.listing == Listing::Ready);
-        ready().filter(|r| holds(&r.gate.health)).count() * 2 > ready().count()
+        ready().filter(|r| holds(&r.throttle.health)).count() * 2 > ready().count()
     }
 
     /// A call out for longer than is usual there.
     pub(super) fn overdue_after(&self, route: usize) -> Millis {
-        self.gate(route).latency.within(OVERDUE_DEVIATIONS).max(OVERDUE_FLOOR)
+        self.throttle(route).latency.within(OVERDUE_DEVIATIONS).max(OVERDUE_FLOOR)
     }
 
     /// Out, and not for longer than usual.
@@ -41,7 +41,9 @@
     /// Calls overdue with nothing heard of the route since they were sent.
     pub(super) fn unheard(&self, route: usize, now: Millis) -> usize {
         let r = &self.routes[route];
-        self.overdue(route, now).filter(|c| c.route == r.id && c.sent_at >= r.gate.health.answered_at).count()
+        self.overdue(route, now)
+            .filter(|c| c.route == r.id && c.sent_at >= r.throttle.health.answered_at)
+            .count()
     }
 
     /// Whether so many calls are unheard that a route, or most routes of a shared gate, must be down.
@@ -53,7 +55,7 @@
                 let ready = |r: &usize| self.routes[*r].listing == Listing::Ready;
                 let ready: Vec<usize> = (0..self.routes.len()).filter(ready).collect();
                 let unheard = |&r: &usize| self.unheard(r, now);
-                let quiet = |r: &&usize| unheard(r) > 0 || self.routes[**r].gate.health.is_down();
+                let quiet = |r: &&usize| unheard(r) > 0 || self.routes[**r].throttle.health.is_down();
                 ready.iter().map(unheard).sum::<usize>() >= SILENT_CALLS
                     && ready.iter().filter(quiet).count() * 2 > ready.len()
             }
@@ -62,8 +64,8 @@
 
     /// From when on a route could take a call, as far as its gate and health are concerned.
     pub(super) fn opens_at(&self, index: usize, now: Millis) -> Millis {
-        let (route, gate) = (&self.routes[index], self.gate(index));
-        let mut at = if self.down(index) { f64::NEG_INFINITY } else { gate.draw_at };
+        let (route, throttle) = (&self.routes[index], self.throttle(index));
+        let mut at = if self.down(index) { f64::NEG_INFINITY } else { throttle.draw_at };
         for scope in self.scopes(index) {
             let health = self.health(scope);
             at = at.max(match health.state {
@@ -73,7 +75,7 @@
             });
         }
         // Departure (rights are kept): whatever else holds, a call needs a turn.
-        at = at.max(gate.room.opens_at(now));
-        if route.listing == Listing::Ready { at.max(gate.wait_until) } else { f64::INFINITY }
+        at = at.max(throttle.room.opens_at(now));
+        if route.listing == Listing::Ready { at.max(throttle.wait_until) } else { f64::INFINITY }
     }
 }
--- a/crates/policy/src/decide/dispatch.rs
+++ b/crates/policy/src/decide/dispatch.rs
@@ -49,7 +49,7 @@
             d.health_mut(scope).failing_since = self.now;
             self.rest(d, scope, 0.0, true);
             if scope == Scope::All {
-                d.routes.iter_mut().for_each(|r| r.gate.health.clear());
+                d.routes.iter_mut().for_each(|r| r.throttle.health.clear());
             }
         }
         if self.settings.cancelling && !queue.is_empty() && self.calls_out + self.lent >= self.settings.slots
--- a/crates/policy/src/decide/ends.rs
+++ b/crates/policy/src/decide/ends.rs
@@ -9,7 +9,7 @@
 
 impl Sender {
     /// What is lost if the message waits on: the order in which messages go.
-    pub(super) fn urgency(&self, m: &Held) -> f64 {
+    pub(super) fn urgency(&self, m: &PendingMessage) -> f64 {
         self.settings.earns(&m.value, self.now) - self.settings.earns(&m.value, self.now + LOOKAHEAD)
     }
 
@@ -37,7 +37,7 @@
         self.finish(id);
     }
 
-    fn refusable(&self, m: &Held) -> bool {
+    fn refusable(&self, m: &PendingMessage) -> bool {
         let ran = m.possibly_executed.is_some() || m.out.is_some();
         match self.settings.classes[m.value.class].effect {
             Effect::Idempotent => true,
@@ -59,7 +59,7 @@
     /// Near the most that may be held the least worth goes, early enough for its client to come again.
     pub(super) fn shed(&mut self, actions: &mut Vec<Action>) {
         while self.messages.len() > self.most_unshed() {
-            let value = |m: &Held| self.settings.earns(&m.value, self.now);
+            let value = |m: &PendingMessage| self.settings.earns(&m.value, self.now);
             let waiting = self.messages.iter().filter(|(_, m)| !m.over && m.out.is_none());
             let refusable = waiting.filter(|(_, m)| self.refusable(m));
             let least = refusable.min_by(|a, b| value(a.1).total_cmp(&value(b.1)));
--- a/crates/policy/src/decide/figures.rs
+++ b/crates/policy/src/decide/figures.rs
@@ -5,18 +5,18 @@
 
 impl Sender {
     /// What is wanted of each limit, and what was done to it so far.
-    pub fn wants(&self) -> Vec<Want> {
+    pub fn demands(&self) -> Vec<Demand> {
         let of = |(&destination, d): (&DestinationId, &Destination)| {
             let listed = |scope: &Scope| match scope {
                 Scope::Route(index) => d.routes[*index].listing == Listing::Ready,
                 Scope::All => true,
             };
-            let wants = d.gates().filter(listed).map(|scope| {
-                let ((wanted, limit), room) = (d.need(scope, self.now), &d.gate_of(scope).room);
-                let Room { called, refused, failed, .. } = *room;
-                Want { destination, route: d.name(scope), limit, wanted, called, refused, failed }
+            let demands = d.throttles().filter(listed).map(|scope| {
+                let ((wanted, limit), room) = (d.need(scope, self.now), &d.throttle_of(scope).room);
+                let CapacityShare { called, refused, failed, .. } = *room;
+                Demand { destination, route: d.name(scope), limit, wanted, called, refused, failed }
             });
-            wants.collect::<Vec<_>>()
+            demands.collect::<Vec<_>>()
         };
         self.destinations.iter().flat_map(of).collect()
     }
@@ -39,7 +39,7 @@
     /// Routes on the list that take no ordinary calls of ours now: they drain, are down, or told to wait.
     pub fn avoided(&self) -> usize {
         let avoided = |d: &Destination, r: usize| match d.routes[r].listing {
-            Listing::Ready => d.down(r) || d.gate(r).wait_until > self.now,
+            Listing::Ready => d.down(r) || d.throttle(r).wait_until > self.now,
             listing => listing == Listing::Draining,
         };
         self.destinations.values().map(|d| (0..d.routes.len()).filter(|&r| avoided(d, r)).count()).sum()
--- a/crates/policy/src/decide/list.rs
+++ b/crates/policy/src/decide/list.rs
@@ -16,7 +16,7 @@
     pub(super) fn list(&mut self, change: &ListChange) {
         let (ListChange::Full(entries) | ListChange::Cached(entries) | ListChange::Delta(entries)) = change
         else {
-            let pause = self.chance.pause(ASK_PAUSE);
+            let pause = self.rng.pause(ASK_PAUSE);
             self.ask_at =
                 matches!(self.settings.discovery, Discovery::OnRequest { .. }).then_some(self.now + pause);
             return;
@@ -54,17 +54,18 @@
         let known = self.settings.rate_hint != RateHint::None && entry.rate > 0.0;
         let told = if known { entry.rate } else { UNHINTED_RATE };
         let longest = self.settings.classes.iter().fold(1.0, |most: f64, c| most.max(c.deadline));
-        let mut gate = Gate::new(told, self.settings.peers_total, UNHURRIED / longest, self.now - CUT_REST);
+        let mut throttle =
+            Throttle::new(told, self.settings.peers_total, UNHURRIED / longest, self.now - CUT_REST);
         if self.hears_notes {
-            gate.room = Room::unheard(self.now, told, self.settings.peers_total);
+            throttle.room = CapacityShare::unheard(self.now, told, self.settings.peers_total);
         }
         if self.keeps_rights {
-            gate.room = gate.room.strict();
+            throttle.room = throttle.room.strict();
         }
         if d.routes.is_empty() {
-            d.shared = gate.clone();
+            d.shared = throttle.clone();
         }
         let (id, zone, listing) = (entry.route, entry.zone, entry.listing);
-        d.routes.push(Route { id, zone, listing, gate, ..Route::default() });
+        d.routes.push(Route { id, zone, listing, throttle, ..Route::default() });
     }
 }
--- a/crates/policy/src/decide/outages.rs
+++ b/crates/policy/src/decide/outages.rs
@@ -33,9 +33,9 @@
             if outcome == Outcome::Ok && health.proves_return(sent_at) {
                 // Departure (an outage was seen): from the first answer on the ramp bounds what it gets, but
                 // no earlier than the wait that was told is over.
-                let since = self.now.max(d.gate(index).wait_until);
+                let since = self.now.max(d.throttle(index).wait_until);
                 self.begin_cold(d, scope, since, sent_at);
-                d.gate_mut(index).window.clear();
+                d.throttle_mut(index).window.clear();
             } else if !shut && !health.concerns(sent_at) {
                 // It was sent before the outage: nothing that it says of any route is new.
                 return;
@@ -62,14 +62,14 @@
         } else {
             if run < DOWN_RUN {
                 // Departure (as for `run`): until more is known it is tried no faster than our part allows.
-                let pause = self.chance.pause(1_000.0 / (d.gate_of(scope).told * self.part(d, scope)));
-                let gate = d.gate_of_mut(scope);
-                gate.draw_at = gate.draw_at.max(self.now + pause);
+                let pause = self.rng.pause(1_000.0 / (d.throttle_of(scope).told * self.part(d, scope)));
+                let throttle = d.throttle_of_mut(scope);
+                throttle.draw_at = throttle.draw_at.max(self.now + pause);
             }
             return false;
         }
         if scope == Scope::All {
-            d.routes.iter_mut().for_each(|r| r.gate.health.clear());
+            d.routes.iter_mut().for_each(|r| r.throttle.health.clear());
         }
         true
     }
@@ -77,14 +77,14 @@
     /// Our part of a destination in an outage: the parts of all senders add up to one. It is our share of
     /// what all want, where notes tell of that, and an equal one else.
     fn part(&self, d: &Destination, scope: Scope) -> f64 {
-        let told = d.gate_of(scope).room.part(self.now, d.need(scope, self.now).0);
+        let told = d.throttle_of(scope).room.part(self.now, d.need(scope, self.now).0);
         told.unwrap_or(1.0 / self.settings.peers_total as f64)
     }
 
     /// So many failures in a row make an outage out. Departure (no notes tell of all senders, and fewer calls
     /// are our part of those that push a partner over): it would be over before we had seen so many.
     fn down_run(&self, d: &Destination, scope: Scope) -> f64 {
-        let pushes = d.gate_of(scope).told * self.settings.overload_duration / 1_000.0
+        let pushes = d.throttle_of(scope).told * self.settings.overload_duration / 1_000.0
             * self.settings.overload_multiple;
         let ours = (pushes * self.part(d, scope)).clamp(1.0, DOWN_RUN);
         if d.shared_pace(scope, self.now).is_some() { DOWN_RUN } else { ours }
@@ -92,7 +92,7 @@
 
     /// It is cold. The call that told of it was the first one of slow start: the next comes a pause after it.
     fn begin_cold(&mut self, d: &mut Destination, scope: Scope, since: Millis, sent_at: Millis) {
-        let (part, draw) = (self.part(d, scope), self.chance.pause(1.0));
+        let (part, draw) = (self.part(d, scope), self.rng.pause(1.0));
         let first = self.next_in_slow_start(d, scope, since, sent_at, draw);
         d.health_mut(scope).cold(since, part, first);
     }
@@ -109,7 +109,7 @@
         // A destination has at least this share of its capacity then.
         let ready = d.routes.iter().filter(|r| r.listing == Listing::Ready).count();
         let sisters = if d.apart || scope == Scope::All { 1 } else { ready.max(1) };
-        let ours = self.part(d, scope) * d.gate_of(scope).told / sisters as f64 / 1_000.0;
+        let ours = self.part(d, scope) * d.throttle_of(scope).told / sisters as f64 / 1_000.0;
         let (of, warm) = (|after| ours * self.settings.ramp(after), self.settings.recovery_duration);
         // The first pause is long, and the room grows meanwhile; that it grows later is margin.
         let growth = if from > since { 0.0 } else { (of(warm) - of(0.0)) / warm.max(1.0) };
@@ -120,18 +120,18 @@
 
     /// It is down; the next trial comes after a pause, `least` at the least.
     pub(super) fn rest(&mut self, d: &mut Destination, scope: Scope, least: Millis, silent: bool) {
-        let (gate, equal) = (d.gate_of(scope), d.gate_of(scope).told * self.part(d, scope));
+        let (throttle, equal) = (d.throttle_of(scope), d.throttle_of(scope).told * self.part(d, scope));
         let begin = 1_000.0 / (equal * self.settings.ramp(0.0));
         // Together no more than what it bears when it is cold.
         let mean = (TRIAL_CALLS * self.sharers() * 1_000.0 / equal).min(begin * RAMP_PART).max(TRIAL_PAUSE);
         // At the end of a told wait there is room, until others have taken it: no better moment for a trial.
         // All who were told come then, and it is cold, or kept full by refused calls: together they ask no
         // faster than the ramp begins.
-        let (told, apart) = (gate.wait_until, begin.min(TRIAL_SPREAD * self.sharers()));
+        let (told, apart) = (throttle.wait_until, begin.min(TRIAL_SPREAD * self.sharers()));
         let trial_at = if told > self.now {
-            told + apart * self.chance.unit()
+            told + apart * self.rng.unit()
         } else {
-            self.now + self.chance.pause(mean).max(least)
+            self.now + self.rng.pause(mean).max(least)
         };
         d.health_mut(scope).rest(self.now, trial_at, silent);
     }
@@ -139,8 +139,8 @@
     /// Has its host keep what a sender that begins anew must know of outages here, where that has changed.
     pub(super) fn remember(&mut self, to: DestinationId, actions: &mut Vec<Action>) {
         let Some(d) = self.destinations.get_mut(&to) else { return };
-        for scope in d.gates() {
-            let (route, wait_until) = (d.name(scope), d.gate_of(scope).wait_until);
+        for scope in d.throttles() {
+            let (route, wait_until) = (d.name(scope), d.throttle_of(scope).wait_until);
             if let Some(outage) = d.health_mut(scope).news(self.now, wait_until) {
                 actions.push(Action::Remember { destination: to, route, outage });
             }
@@ -151,14 +151,14 @@
         let Some(mut d) = self.destinations.get_mut(&to).map(std::mem::take) else { return };
         if let Some(scope) = d.scope(route).filter(|_| d.apart || route.is_none()) {
             if let OutageState::Down { wait } = outage {
-                let (until, gate) = (self.now + wait, d.gate_of_mut(scope));
-                gate.wait_until = gate.wait_until.max(until);
+                let (until, throttle) = (self.now + wait, d.throttle_of_mut(scope));
+                throttle.wait_until = throttle.wait_until.max(until);
                 d.health_mut(scope).failing_since = self.now;
                 self.rest(&mut d, scope, 0.0, false);
             }
             if let OutageState::WarmingUp { ago, part } = outage {
                 // Somewhere between two calls.
-                let (since, draw) = (self.now - ago, self.chance.unit());
+                let (since, draw) = (self.now - ago, self.rng.unit());
                 let first = self.next_in_slow_start(&d, scope, since, self.now, draw);
                 d.health_mut(scope).cold(since, part, first);
             }
--- a/crates/policy/src/decide/outcomes.rs
+++ b/crates/policy/src/decide/outcomes.rs
@@ -58,12 +58,12 @@
                 // Each message of a call may bring the wait in a batch of its own: the last one counts. What
                 // was saved up is not sent at its end: others wait for the same moment.
                 let (again, shared) = (self.now + wait, d.shared_pace(Scope::Route(route), self.now));
-                let gate = d.gate_mut(route);
-                let times = f64::from(gate.turned.0 + 1).min(self.sharers());
-                let mean = 500.0 * times / gate.pace.max(gate.start);
-                let pause = self.chance.pause(shared.map_or(mean, |pace| gate.room.turn(pace)));
-                gate.wait_until = gate.wait_until.max(again);
-                gate.draw_at = gate.draw_at.max(again + pause);
+                let throttle = d.throttle_mut(route);
+                let times = f64::from(throttle.turned.0 + 1).min(self.sharers());
+                let mean = 500.0 * times / throttle.pace.max(throttle.start);
+                let pause = self.rng.pause(shared.map_or(mean, |pace| throttle.room.turn(pace)));
+                throttle.wait_until = throttle.wait_until.max(again);
+                throttle.draw_at = throttle.draw_at.max(again + pause);
             }
             if outcome == Outcome::Ok {
                 d.calls.pass(id, sent_at);
@@ -74,11 +74,13 @@
             if first && !matches!(outcome, Outcome::NotSent | Outcome::AttemptsExhausted | Outcome::Cancelled)
             {
                 if outcome == Outcome::Ok && (limited || !d.waiting.is_empty()) {
-                    let gate = d.gate_mut(route);
-                    let alone = ((self.now - gate.cut_at) / REACH.long).min(1.0);
-                    let gain =
-                        PACE_GAIN * gate.haste * self.settings.rough() * self.sharers().powf(alone - 1.0);
-                    gate.pace = (gate.pace + gain * gate.told).min(gate.told);
+                    let throttle = d.throttle_mut(route);
+                    let alone = ((self.now - throttle.cut_at) / REACH.long).min(1.0);
+                    let gain = PACE_GAIN
+                        * throttle.time_scale
+                        * self.settings.rough()
+                        * self.sharers().powf(alone - 1.0);
+                    throttle.pace = (throttle.pace + gain * throttle.told).min(throttle.told);
                 }
                 self.judge(&mut d, route, sent_at, outcome, wait);
             }
@@ -89,16 +91,16 @@
 
     /// What a call's outcome tells of its gate and its route.
     fn judge(&mut self, d: &mut Destination, index: usize, sent_at: Millis, outcome: Outcome, wait: Millis) {
-        let (now, fair) = (self.now, d.gate(index).told / self.settings.peers_total as f64);
+        let (now, fair) = (self.now, d.throttle(index).told / self.settings.peers_total as f64);
         let accept = matches!(outcome, Outcome::Ok | Outcome::Error);
-        let gate = d.gate_mut(index);
-        gate.window.count(now, 1.0, f64::from(u8::from(accept)));
+        let throttle = d.throttle_mut(index);
+        throttle.window.count(now, 1.0, f64::from(u8::from(accept)));
         if outcome == Outcome::Rejected {
-            gate.room.refused();
-            gate.cut(now, fair * PACE_FLOOR);
+            throttle.room.refused();
+            throttle.cut(now, fair * PACE_FLOOR);
         }
-        gate.room.failed += u64::from(!matches!(outcome, Outcome::Ok | Outcome::Rejected));
-        let shut = gate.tells_of_outage(now, outcome, wait);
+        throttle.room.failed += u64::from(!matches!(outcome, Outcome::Ok | Outcome::Rejected));
+        let shut = throttle.tells_of_outage(now, outcome, wait);
         self.note(d, index, sent_at, outcome, shut);
         for scope in d.scopes(index) {
             let health = d.health(scope);
@@ -117,8 +119,8 @@
             }
         }
         if outcome == Outcome::Ok {
-            let gate = d.gate_mut(index);
-            gate.latency.took(now - sent_at);
+            let throttle = d.throttle_mut(index);
+            throttle.latency.took(now - sent_at);
         }
     }
 }
--- a/crates/policy/src/decide/scope.rs
+++ b/crates/policy/src/decide/scope.rs
@@ -1,6 +1,6 @@
 //! Which gate and whose health stand for a route, or for all that share a limit. No decision.
 
-use super::{Destination, Gate};
+use super::{Destination, Throttle};
 use crate::health::Health;
 use crate::interface::RouteId;
 
@@ -12,12 +12,12 @@
 }
 
 impl Destination {
-    pub(super) fn gate(&self, route: usize) -> &Gate {
-        if self.apart { &self.routes[route].gate } else { &self.shared }
+    pub(super) fn throttle(&self, route: usize) -> &Throttle {
+        if self.apart { &self.routes[route].throttle } else { &self.shared }
     }
 
-    pub(super) fn gate_mut(&mut self, route: usize) -> &mut Gate {
-        if self.apart { &mut self.routes[route].gate } else { &mut self.shared }
+    pub(super) fn throttle_mut(&mut self, route: usize) -> &mut Throttle {
+        if self.apart { &mut self.routes[route].throttle } else { &mut self.shared }
     }
 
     /// Whose health counts for a route, the widest first.
@@ -26,7 +26,7 @@
     }
 
     /// All that have a gate of their own.
-    pub(super) fn gates(&self) -> impl Iterator<Item = Scope> + use<> {
+    pub(super) fn throttles(&self) -> impl Iterator<Item = Scope> + use<> {
         let routes = if self.apart { self.routes.len() } else { 0 };
         (!self.apart).then_some(Scope::All).into_iter().chain((0..routes).map(Scope::Route))
     }
@@ -42,19 +42,23 @@
     }
 
     pub(super) fn health(&self, scope: Scope) -> &Health {
-        if let Scope::Route(index) = scope { &self.routes[index].gate.health } else { &self.shared.health }
+        if let Scope::Route(index) = scope {
+            &self.routes[index].throttle.health
+        } else {
+            &self.shared.health
+        }
     }
 
     pub(super) fn health_mut(&mut self, scope: Scope) -> &mut Health {
         let Scope::Route(index) = scope else { return &mut self.shared.health };
-        &mut self.routes[index].gate.health
+        &mut self.routes[index].throttle.health
     }
 
-    pub(super) fn gate_of(&self, scope: Scope) -> &Gate {
-        if let Scope::Route(index) = scope { self.gate(index) } else { &self.shared }
+    pub(super) fn throttle_of(&self, scope: Scope) -> &Throttle {
+        if let Scope::Route(index) = scope { self.throttle(index) } else { &self.shared }
     }
 
-    pub(super) fn gate_of_mut(&mut self, scope: Scope) -> &mut Gate {
-        if let Scope::Route(index) = scope { self.gate_mut(index) } else { &mut self.shared }
+    pub(super) fn throttle_of_mut(&mut self, scope: Scope) -> &mut Throttle {
+        if let Scope::Route(index) = scope { self.throttle_mut(index) } else { &mut self.shared }
     }
 }
--- a/crates/policy/src/decide/state.rs
+++ b/crates/policy/src/decide/state.rs
@@ -10,16 +10,16 @@
     pub(super) apart: bool,
     pub(super) routes: Vec<Route>,
     /// The gate of all routes, unless they are apart.
-    pub(super) shared: Gate,
+    pub(super) shared: Throttle,
     /// Messages that may be decided on: not over and with no attempt out.
     pub(super) waiting: Vec<MessageHandle>,
     pub(super) calls: Calls,
-    pub(super) flow: Flow,
+    pub(super) arrival_rate: ArrivalRate,
 }
 
 /// Where requests and accepts are counted.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Gate {
+pub(super) struct Throttle {
     pub(super) window: Window,
     pub(super) wait_until: Millis,
     pub(super) draw_at: Millis,
@@ -27,21 +27,21 @@
     pub(super) told: f64,
     pub(super) start: f64,
     pub(super) pace: f64,
-    pub(super) haste: f64,
+    pub(super) time_scale: f64,
     pub(super) cut_at: Millis,
     pub(super) latency: Latency,
     /// Refusals since the last call that was let in, and when the first of them was.
     pub(super) turned: (u32, Millis),
     /// Of its route, or of all routes that share it.
     pub(super) health: Health,
-    pub(super) room: Room,
+    pub(super) room: CapacityShare,
 }
 
 /// An endpoint. Dropped some time after it is gone, when no call is out to it.
 #[derive(Debug, Default)]
 pub(super) struct Route {
     pub(super) id: RouteId,
-    pub(super) gate: Gate,
+    pub(super) throttle: Throttle,
     pub(super) zone: u8,
     pub(super) listing: Listing,
     pub(super) gone_at: Option<Millis>,
@@ -53,7 +53,7 @@
 
 /// A message taken; kept until it is over and no attempt is out.
 #[derive(Debug, Default)]
-pub(super) struct Held {
+pub(super) struct PendingMessage {
     pub(super) value: PriorityWeight,
     pub(super) destination: DestinationId,
     pub(super) key: u64,
--- a/crates/policy/src/decide/gate.rs
+++ b/crates/policy/src/decide/throttle.rs
@@ -5,7 +5,7 @@
 /// K of the drop formula (no unit): the design's default.
 const K: f64 = 1.5;
 /// The count window, ms: one sender of hundreds sees a partner rarely. The source keeps two minutes.
-pub(super) const REACH: Reach = Reach { short: 6_000.0, long: 20_000.0, few: 12.0 };
+pub(super) const REACH: WindowBounds = WindowBounds { short: 6_000.0, long: 20_000.0, min_samples: 12.0 };
 /// What a gate saves up while it rests and may then send at once, in ms of its pace.
 pub(super) const BURST: Millis = 500.0;
 /// The pace after a refusal, as a share of what it was: what the drop formula lets through, within these.
@@ -20,15 +20,15 @@
 const SHUT_RUN: u32 = 4;
 const SHUT_SPAN: Millis = 2_000.0;
 
-impl Gate {
-    pub(super) fn new(told: f64, peers: usize, haste: f64, cut_at: Millis) -> Self {
+impl Throttle {
+    pub(super) fn new(told: f64, peers: usize, time_scale: f64, cut_at: Millis) -> Self {
         let start = (told / peers as f64).max(START_PACE).min(told);
-        Self { told, start, pace: start, haste: haste.max(1.0), cut_at, ..Self::default() }
+        Self { told, start, pace: start, time_scale: time_scale.max(1.0), cut_at, ..Self::default() }
     }
 
     /// Requests and accepts of the window; with nothing in it the pace is that of a new gate again.
     fn counts(&mut self, now: Millis) -> (f64, f64) {
-        let counts = self.window.sums(now, self.haste, REACH);
+        let counts = self.window.sums(now, self.time_scale, REACH);
         self.pace = if counts.is_some() { self.pace } else { self.start };
         counts.unwrap_or_default()
     }
@@ -59,7 +59,7 @@
         }
         self.cut_at = now;
         let (requests, accepts) = self.counts(now);
-        let span = self.window.span(now).max(REACH.short / self.haste);
+        let span = self.window.span(now).max(REACH.short / self.time_scale);
         let sent = (requests * 1_000.0 / span).max(self.start);
         let share = (K * accepts / requests.max(1.0)).clamp(PACE_CUT.0, PACE_CUT.1);
         self.pace = (self.pace.min(sent) * share).max(floor);
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -8,9 +8,9 @@
 mod list;
 mod settings;
 
-pub use action::{Action, Want};
+pub use action::{Action, Demand};
 pub use checks::SettingsError;
-pub use event::{Event, OutageState, Outcome, Turn};
+pub use event::{Event, OutageState, Outcome, Permit};
 pub use list::{AttemptHistory, ListChange, Listing, Message, PriorExecution, RouteEntry};
 pub use settings::{Class, Discovery, Effect, KeyGroup, Kind, LateDecay, RateHint, Settings, Tenant};
 
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -4,7 +4,7 @@
 
 /// What a sender wants of a limit, and what it has done to it so far.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Want {
+pub struct Demand {
     /// The destination.
     pub destination: DestinationId,
     /// The route, where routes are apart.
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -24,7 +24,7 @@
 
 /// A right to start one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turn {
+pub struct Permit {
     /// Names it at its limit; one that is told again and was used stays used.
     pub number: u64,
     /// How long from now it begins; below 0 where it has begun.
@@ -95,7 +95,7 @@
     },
     /// How much of a limit there is for this sender, as all senders' wants have it: a destination's, or that of one
     /// route where routes are apart.
-    Room {
+    Capacity {
         /// The destination.
         destination: DestinationId,
         /// The route, where routes are apart.
@@ -108,16 +108,16 @@
         lasts: Millis,
     },
     /// Where rights are kept: the turns at a limit that this sender may use, in place of those told before.
-    Turns {
+    Permits {
         /// The destination.
         destination: DestinationId,
         /// The route, where routes are apart.
         route: Option<RouteId>,
         /// One for each call.
-        turns: Vec<Turn>,
+        turns: Vec<Permit>,
     },
     /// Receivers that others judge to be down, in place of those told before: others of their partner go first.
-    Avoid(Vec<RouteId>),
+    EjectedReceivers(Vec<RouteId>),
     /// What of a tenant's quota over all senders is this sender's, by the fleet's counts: messages a second; nothing where
     /// no word of others has come.
     Quota {
--- a/crates/policy/src/turns.rs
+++ b/crates/policy/src/key_ordering.rs
@@ -7,7 +7,7 @@
 /// The messages of each ordering key in the order they were taken. A key goes when its messages have and its
 /// rest is over.
 #[derive(Debug, Default)]
-pub(crate) struct Turns(BTreeMap<u64, Queue>);
+pub(crate) struct KeyOrdering(BTreeMap<u64, Queue>);
 
 #[derive(Debug, Default)]
 struct Queue {
@@ -17,7 +17,7 @@
     rest_for: Option<MessageHandle>,
 }
 
-impl Turns {
+impl KeyOrdering {
     /// A message comes last; key 0 is no key.
     pub fn join(&mut self, key: u64, id: MessageHandle) {
         if key != 0 {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -82,17 +82,17 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod alarm;
 mod calls;
-mod chance;
 mod decide;
 mod health;
 pub mod interface;
+mod key_ordering;
 mod latency;
 mod priority_weight;
 mod quota;
+mod rng;
 pub mod settings;
-mod turns;
+mod wake_timer;
 mod window;
 
 pub use decide::Sender;
--- a/crates/policy/src/chance.rs
+++ b/crates/policy/src/rng.rs
@@ -10,9 +10,9 @@
 
 /// Draws, the same for a seed each time.
 #[derive(Debug)]
-pub(crate) struct Chance(ChaCha8Rng);
+pub(crate) struct Rng(ChaCha8Rng);
 
-impl Chance {
+impl Rng {
     pub fn new(seed: u64) -> Self {
         Self(ChaCha8Rng::seed_from_u64(seed))
     }
--- a/crates/policy/src/alarm.rs
+++ b/crates/policy/src/wake_timer.rs
@@ -4,12 +4,12 @@
 
 /// When the next one is due, and its token; older tokens ring for nobody.
 #[derive(Debug, Default)]
-pub(crate) struct Alarm {
+pub(crate) struct WakeTimer {
     at: Option<Millis>,
     token: u64,
 }
 
-impl Alarm {
+impl WakeTimer {
     pub fn rang(&mut self, token: u64) {
         self.at.take_if(|_| token == self.token);
     }
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -6,12 +6,12 @@
 
 /// How far back a window reaches.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Reach {
+pub(crate) struct WindowBounds {
     /// At least, ms.
     pub short: Millis,
-    /// And up to this, ms, while it holds fewer requests than `few`.
+    /// And up to this, ms, while it holds fewer requests than `min_samples`.
     pub long: Millis,
-    pub few: f64,
+    pub min_samples: f64,
 }
 
 /// Requests and accepts of late. What is in it grows with the calls of one reach and is dropped as it is read.
@@ -33,11 +33,11 @@
     }
 
     /// Drops what is too old, time running so many times as fast; requests and accepts of the rest, if there is any.
-    pub fn sums(&mut self, now: Millis, haste: f64, reach: Reach) -> Option<(f64, f64)> {
+    pub fn sums(&mut self, now: Millis, time_scale: f64, reach: WindowBounds) -> Option<(f64, f64)> {
         while let Some(&(from, requests, accepts)) = self.events.front() {
-            let few = self.sum.0 - requests < reach.few;
-            let age = (now - from) * haste;
-            if age < reach.short || (few && age < reach.long) {
+            let min_samples = self.sum.0 - requests < reach.min_samples;
+            let age = (now - from) * time_scale;
+            if age < reach.short || (min_samples && age < reach.long) {
                 return Some(self.sum);
             }
             self.sum = (self.sum.0 - requests, self.sum.1 - accepts);
@@ -58,7 +58,7 @@
 
     #[test]
     fn the_window_reaches_farther_back_while_it_holds_few_requests() {
-        let reach = Reach { short: 100.0, long: 300.0, few: 2.0 };
+        let reach = WindowBounds { short: 100.0, long: 300.0, min_samples: 2.0 };
         let mut window = Window::default();
         for at in [0.0, 150.0, 250.0] {
             window.count(at, 1.0, 1.0);
--- a/crates/policy/tests/replay/host.rs
+++ b/crates/policy/tests/replay/host.rs
@@ -24,7 +24,7 @@
     /// Whether it has the events that the wire has no frame for.
     pub module_only: bool,
     /// Whether rights are kept: no call without a turn.
-    pub rights: bool,
+    pub permits: bool,
     /// Whether partners are sound but for calls that hang, and most messages go to one destination.
     pub steady: bool,
 }
--- a/crates/policy/tests/replay/main.rs
+++ b/crates/policy/tests/replay/main.rs
@@ -31,12 +31,12 @@
     session("apart", 102, &[APART, APART]),
     session("fleet", 103, &[FLEET, FLEET]),
     session("scarce", 104, &[SCARCE, SCARCE]),
-    Session { rights: true, ..session("rights", 105, &[TOGETHER, APART, FLEET]) },
+    Session { permits: true, ..session("rights", 105, &[TOGETHER, APART, FLEET]) },
     Session { steady: true, batches: 4_000, ..session("narrow", 107, &[NARROW, NARROW]) },
 ];
 
 const fn session(name: &'static str, seed: u64, settings: &'static [&'static str]) -> Session {
-    Session { name, seed, batches: 2_000, settings, module_only: true, rights: false, steady: false }
+    Session { name, seed, batches: 2_000, settings, module_only: true, permits: false, steady: false }
 }
 
 static RECORDINGS: LazyLock<Vec<Recording>> =
--- a/crates/policy/tests/replay/module.rs
+++ b/crates/policy/tests/replay/module.rs
@@ -89,16 +89,16 @@
             let (destination, route) = named(limit);
             Event::RetryAfter { destination, route, wait }
         }
-        Input::Room { limit, calls, wanted, lasts } => {
+        Input::CapacityShare { limit, calls, wanted, lasts } => {
             let (destination, route) = named(limit);
-            Event::Room { destination, route, calls, wanted, lasts }
+            Event::Capacity { destination, route, calls, wanted, lasts }
         }
         Input::Turns { limit, turns } => {
             let (destination, route) = named(limit);
-            let turn = |(number, from, until)| Turn { number, from, until };
-            Event::Turns { destination, route, turns: turns.into_iter().map(turn).collect() }
+            let turn = |(number, from, until)| Permit { number, from, until };
+            Event::Permits { destination, route, turns: turns.into_iter().map(turn).collect() }
         }
-        Input::Avoid { routes } => Event::Avoid(routes.into_iter().map(RouteId).collect()),
+        Input::Avoid { routes } => Event::EjectedReceivers(routes.into_iter().map(RouteId).collect()),
         Input::Quota { tenant, per_s } => Event::Quota { tenant, per_s },
         Input::Up { .. } | Input::PowerOff | Input::Peer => return None,
         Input::HearNotes | Input::KeepRights | Input::ShareSlots { .. } => return None,
@@ -210,7 +210,7 @@
 
 fn figures(sender: &Sender) -> String {
     let mut text = format!("figures {} {} {}\n", sender.remembered(), sender.room(), sender.avoided());
-    for want in sender.wants() {
+    for want in sender.demands() {
         let (limit, wanted) = (bits(want.limit), bits(want.wanted));
         let counts = format!("{} {} {}", want.called, want.refused, want.failed);
         text += &format!("want {} {limit} {wanted} {counts}\n", limit_text(want.destination, want.route));
--- a/crates/policy/tests/replay/module_only.rs
+++ b/crates/policy/tests/replay/module_only.rs
@@ -9,7 +9,7 @@
     if host.random.per_mille(600) {
         inputs.push(Input::HearNotes);
     }
-    if host.session.rights {
+    if host.session.permits {
         inputs.push(Input::KeepRights);
     }
 }
@@ -32,7 +32,7 @@
 
 /// Everything of the kind for an instance in this batch.
 pub fn new_inputs(host: &mut Host<'_>, index: usize, inputs: &mut Vec<Input>) {
-    if host.session.rights && host.random.per_mille(400) {
+    if host.session.permits && host.random.per_mille(400) {
         inputs.push(turns(host));
     }
     match host.random.below(1_000) {
@@ -81,7 +81,7 @@
     let calls =
         if host.random.per_mille(300) { f64::INFINITY } else { host.random.between(1, 64) as f64 / 16.0 };
     let wanted = host.random.below(30) as f64;
-    Input::Room { limit, calls, wanted, lasts: host.random.between(200, 2_500) as f64 }
+    Input::CapacityShare { limit, calls, wanted, lasts: host.random.between(200, 2_500) as f64 }
 }
 
 fn turns(host: &mut Host<'_>) -> Input {
--- a/crates/policy/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -311,7 +311,7 @@
 
 /// What notes leave to a sender, for each call that it wants.
 fn room(calls: f64) -> Event {
-    Event::Room { destination: DestinationId(0), route: None, calls, wanted: 0.0, lasts: 20_000.0 }
+    Event::Capacity { destination: DestinationId(0), route: None, calls, wanted: 0.0, lasts: 20_000.0 }
 }
 
 /// Nothing waits, and yet it wants what will come within the half second until the next notes.
@@ -323,10 +323,10 @@
         b.step(100.0, &[message(n, 0, 0)]);
         b.step(0.0, &[outcome(n, 0, Outcome::Ok, 0.0)]);
     }
-    let wanted = b.sender.wants()[0].wanted;
+    let wanted = b.sender.demands()[0].wanted;
     assert!((4.0..6.0).contains(&wanted), "{wanted} wanted of ten a second that come");
     b.step(5_000.0, &[]);
-    assert!(b.sender.wants()[0].wanted < 0.1);
+    assert!(b.sender.demands()[0].wanted < 0.1);
 }
 
 /// All who were told a wait come back when it ends: each takes the turn that notes leave to it.
--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -38,7 +38,7 @@
 enum Call {
     Status,
     Stats,
-    Turn(Door),
+    SetAdmission(Door),
 }
 
 impl Call {
@@ -46,8 +46,8 @@
         match line.trim() {
             "status" => Some(Self::Status),
             "stats" => Some(Self::Stats),
-            "standby" => Some(Self::Turn(Door::Standby)),
-            "active" => Some(Self::Turn(Door::Open)),
+            "standby" => Some(Self::SetAdmission(Door::Standby)),
+            "active" => Some(Self::SetAdmission(Door::Open)),
             _ => None,
         }
     }
@@ -109,7 +109,7 @@
                 self.look().await;
                 format!("{}\nend\n", self.figures.to_json())
             }
-            Some(Call::Turn(to)) => {
+            Some(Call::SetAdmission(to)) => {
                 // Not borrowed while it is replaced: that waits for itself.
                 let before = *self.door.borrow();
                 let now = before.turned(to);
@@ -143,7 +143,7 @@
     #[test]
     fn calls_are_read_whole_words_and_nothing_else() {
         assert_eq!(Call::read("status\r\n"), Some(Call::Status));
-        assert_eq!(Call::read("standby\n"), Some(Call::Turn(Door::Standby)));
+        assert_eq!(Call::read("standby\n"), Some(Call::SetAdmission(Door::Standby)));
         assert_eq!(Call::read("stand by\n"), None);
         assert_eq!(Call::read("STATS\n"), None);
     }
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -15,7 +15,7 @@
 
 use bytes::Bytes;
 use recovery::Recovered;
-use rudderspindle_gossip::{Gate, Receiver};
+use rudderspindle_gossip::{LimitId, Receiver};
 use rudderspindle_journal::{self as journal, MessageId, Notice, PossibleExecution, Status, Store};
 use rudderspindle_policy::Sender;
 use rudderspindle_policy::interface::*;
@@ -131,7 +131,7 @@
     /// Whether other senders will tell this one what they want.
     pub notes: bool,
     /// Whether calls need turns.
-    pub rights: bool,
+    pub permits: bool,
     /// Whether what it sees and takes on goes into notes.
     pub views: bool,
     pub inputs: mpsc::Receiver<Input>,
@@ -145,13 +145,13 @@
     /// [`SettingsError`] if the settings cannot work.
     pub fn new(parts: Parts, known: &List, fetched: Option<&List>) -> Result<Self, SettingsError> {
         let Parts { settings, names, seed, store, outbound, reports, .. } = parts;
-        let Parts { figures, neighbour, shared_door, notes, rights, views, inputs, .. } = parts;
+        let Parts { figures, neighbour, shared_door, notes, permits, views, inputs, .. } = parts;
         let now = Instant::now();
         let mut sender = Sender::new(settings.clone(), seed)?;
         if notes {
             sender.hear_notes();
         }
-        if rights {
+        if permits {
             sender.keep_rights();
         }
         let mut engine = Self {
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -4,17 +4,17 @@
 
 /// Turns as the module is told them: from now, whatever the wall clock has done since.
 fn turns(
-    all: Vec<(DestinationId, Option<RouteId>, Vec<rudderspindle_gossip::Turn>)>,
+    all: Vec<(DestinationId, Option<RouteId>, Vec<rudderspindle_gossip::Permit>)>,
 ) -> impl Iterator<Item = Event> {
     let wall = journal::wall_ms() as Millis;
-    let turn = move |t: rudderspindle_gossip::Turn| Turn {
+    let turn = move |t: rudderspindle_gossip::Permit| Permit {
         number: t.number,
         from: t.from as Millis - wall,
         until: t.until as Millis - wall,
     };
     all.into_iter().map(move |(destination, route, turns)| {
         let turns = turns.into_iter().map(turn).collect();
-        Event::Turns { destination, route, turns }
+        Event::Permits { destination, route, turns }
     })
 }
 
@@ -55,9 +55,9 @@
                     self.succeed(now);
                     let _ = asker.send(self.store.is_owner());
                 }
-                Input::Wants(asker) => drop(asker.send(self.doings())),
-                Input::Rooms(rooms, lasts) => {
-                    let room = |(destination, route, calls, wanted)| Event::Room {
+                Input::Demands(asker) => drop(asker.send(self.doings())),
+                Input::CapacityShares(rooms, lasts) => {
+                    let room = |(destination, route, calls, wanted)| Event::Capacity {
                         destination,
                         route,
                         calls,
@@ -66,12 +66,12 @@
                     };
                     events.extend(rooms.into_iter().map(room));
                 }
-                Input::Avoid(routes) => events.push(Event::Avoid(routes)),
+                Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
                 Input::Quotas(all) => {
                     let quota = |(tenant, per_s)| Event::Quota { tenant, per_s };
                     events.extend(all.into_iter().enumerate().map(quota));
                 }
-                Input::Turns(all) => events.extend(turns(all)),
+                Input::Permits(all) => events.extend(turns(all)),
                 // Nobody may wait for it any more.
                 Input::Look(asker) => drop(asker.send(self.standing())),
                 Input::Stop => self.stop = self.stop.or(Some(now)),
--- a/crates/sender/src/engine/standing.rs
+++ b/crates/sender/src/engine/standing.rs
@@ -6,18 +6,18 @@
     /// What notes tell of this sender.
     pub(super) fn doings(&mut self) -> Doings {
         let listed = if self.doings.is_kept() { self.listed() } else { Vec::new() };
-        Doings { wants: self.wants(), listed, ..self.doings.take() }
+        Doings { demands: self.demands(), listed, ..self.doings.take() }
     }
 
-    pub(super) fn wants(&self) -> Vec<(Gate, Want)> {
-        let named = |want: Want| {
+    pub(super) fn demands(&self) -> Vec<(LimitId, Demand)> {
+        let named = |want: Demand| {
             let receiver = match want.route {
                 Some(route) => Some(self.outbound.place(route)?.0),
                 None => None,
             };
-            Some((Gate::of(want.destination.0, receiver.as_deref()), want))
+            Some((LimitId::of(want.destination.0, receiver.as_deref()), want))
         };
-        self.sender.wants().into_iter().filter_map(named).collect()
+        self.sender.demands().into_iter().filter_map(named).collect()
     }
 
     pub(super) fn standing(&self) -> Standing {
--- a/crates/sender/src/engine/succession.rs
+++ b/crates/sender/src/engine/succession.rs
@@ -33,7 +33,7 @@
         self.outbound.waits().into_iter().for_each(|word| self.neighbour.tell(word));
         self.told_out = self.calls.len();
         self.neighbour.tell(Word::Out(self.told_out));
-        self.neighbour.tell(Word::Room);
+        self.neighbour.tell(Word::FreeSpace);
     }
 
     /// What a predecessor tells a process that begins: as if its own journal had said so, as far as it can be.
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -28,7 +28,7 @@
         neighbour,
         shared_door: false,
         notes: false,
-        rights: false,
+        permits: false,
         views: false,
         inputs,
     };
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use hyper::header::HeaderName;
-use rudderspindle_gossip::{Gate, Receiver, Seen};
+use rudderspindle_gossip::{LimitId, Receiver, Seen};
 use rudderspindle_journal::MessageId;
 use rudderspindle_policy::interface::*;
 use serde::Deserialize;
@@ -49,14 +49,14 @@
     /// Take the journal over, if the process that owns it has ended; whether it is ours is answered.
     Succeed(oneshot::Sender<bool>),
     /// What is wanted of each limit, and what has been seen and taken on since the last time?
-    Wants(oneshot::Sender<Doings>),
+    Demands(oneshot::Sender<Doings>),
     /// What notes leave of limits to this sender: calls a second for each that is wanted, how many all senders want, and
     /// for how long.
-    Rooms(Vec<(DestinationId, Option<RouteId>, f64, f64)>, Millis),
+    CapacityShares(Vec<(DestinationId, Option<RouteId>, f64, f64)>, Millis),
     /// Where rights are kept: the turns at each limit that are this sender's, ms since 1970.
-    Turns(Vec<(DestinationId, Option<RouteId>, Vec<rudderspindle_gossip::Turn>)>),
+    Permits(Vec<(DestinationId, Option<RouteId>, Vec<rudderspindle_gossip::Permit>)>),
     /// Receivers that others of this hall judge to be down.
-    Avoid(Vec<RouteId>),
+    EjectedReceivers(Vec<RouteId>),
     /// What of each tenant's quota is this sender's, messages a second, where word of others has come.
     Quotas(Vec<Option<f64>>),
     /// How does the engine stand?
@@ -68,7 +68,7 @@
 /// What a sender wants and does, for its notes.
 #[derive(Debug, Default)]
 pub struct Doings {
-    pub wants: Vec<(Gate, Want)>,
+    pub demands: Vec<(LimitId, Demand)>,
     /// How calls ended since the last time, oldest first; of the last [`MOST_SEEN`] only.
     pub seen: Vec<(Receiver, Seen)>,
     /// Messages taken on since the last time, by tenant.
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -8,7 +8,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rudderspindle_gossip::{Fleet, Gate, Incarnation, Kind, LONGEST_NOTE, Letter, Own, Ramp, Rights, open};
+use rudderspindle_gossip::{
+    Fleet, Incarnation, Kind, LONGEST_NOTE, Letter, LimitId, Own, PermitLedger, Ramp, open,
+};
 use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::*;
 use tokio::net::UdpSocket;
@@ -48,17 +50,17 @@
     notes: Notes,
     fleet: Fleet,
     together: Together,
-    rights: Option<Rights>,
+    permits: Option<PermitLedger>,
     shared: Option<Shared>,
     /// The gates as last told by the host, and the part of each that is believed to be open.
-    gates: Vec<(Gate, DestinationId, Option<RouteId>, f64)>,
+    gates: Vec<(LimitId, DestinationId, Option<RouteId>, f64)>,
 }
 
 impl Peers {
     /// A sender whose notes come and go as told, and whose partners return from an outage like that.
     pub(crate) fn new(notes: Notes, ramp: Ramp, together: Together) -> Self {
         let fleet = Fleet::new(notes.me, notes.peers.len(), ramp);
-        Self { notes, fleet, together, rights: None, shared: None, gates: Vec::new() }
+        Self { notes, fleet, together, permits: None, shared: None, gates: Vec::new() }
     }
 
     /// Tells and hears, until the host is gone.
@@ -89,7 +91,7 @@
         let (me, senders, wall) = (self.notes.me, self.notes.peers.len(), wall_ms());
         if let Some(life) = self.together.life {
             let Together { file, quotas, .. } = &self.together;
-            self.rights = file.share().is_strict().then(|| Rights::new(me, senders, life, wall));
+            self.permits = file.share().is_strict().then(|| PermitLedger::new(me, senders, life, wall));
             match Shared::new(file, me, senders, quotas, life, wall) {
                 Ok(shared) => self.shared = shared,
                 Err(error) => tracing::warn!(target: FLEET, "going without counts and judgements: {error}"),
@@ -99,7 +101,7 @@
         let mut buffer = [0; LONGEST_NOTE + 1];
         let (mut report_at, mut offer_at) = (self.next_report(wall), self.next_offer(wall));
         loop {
-            let dealing = self.rights.as_ref().and_then(Rights::next_deal);
+            let dealing = self.permits.as_ref().and_then(PermitLedger::next_deal);
             let look = self.shared.as_ref().map(|_| wall_ms() / LOOK * LOOK + LOOK);
             let due = [Some(report_at), self.fleet.next_sums(), dealing, offer_at, look];
             let next = due.into_iter().flatten().min().unwrap_or(report_at);
@@ -113,7 +115,7 @@
                 }
                 () = sleep(Duration::from_millis(next.saturating_sub(wall_ms()))) => {
                     let mut letters = self.fleet.sums(wall_ms());
-                    letters.extend(self.rights.iter_mut().flat_map(|rights| rights.deal(wall_ms())));
+                    letters.extend(self.permits.iter_mut().flat_map(|permits| permits.deal(wall_ms())));
                     letters.extend(self.shared.iter_mut().flat_map(|shared| shared.notes_due(wall_ms())));
                     if wall_ms() >= report_at {
                         let Some(report) = self.report(&host).await else { return };
@@ -137,20 +139,20 @@
     fn next_report(&self, wall: u64) -> u64 {
         let next = self.fleet.next_report(wall);
         let pairs = rudderspindle_gossip::ROUND * WITH_RIGHTS;
-        let skipped = self.rights.is_some() && next % pairs >= rudderspindle_gossip::ROUND;
+        let skipped = self.permits.is_some() && next % pairs >= rudderspindle_gossip::ROUND;
         if skipped { next + rudderspindle_gossip::ROUND } else { next }
     }
 
     fn next_offer(&self, wall: u64) -> Option<u64> {
-        self.rights.as_ref().map(|rights| rights.next_offer(wall))
+        self.permits.as_ref().map(|permits| permits.next_offer(wall))
     }
 
     /// Takes in a datagram; whether there may be other turns now.
     fn hear(&mut self, from: usize, note: &[u8]) -> bool {
         let wall = wall_ms();
-        let heard = match (open(note).map(|(kind, _)| kind), &mut self.rights, &mut self.shared) {
-            (Ok(Kind::Offer | Kind::Grant), Some(rights), _) => {
-                rights.hear(wall, from, note).map_err(|error| error.to_string())
+        let heard = match (open(note).map(|(kind, _)| kind), &mut self.permits, &mut self.shared) {
+            (Ok(Kind::PermitOffer | Kind::PermitGrant), Some(permits), _) => {
+                permits.hear(wall, from, note).map_err(|error| error.to_string())
             }
             (Ok(Kind::Report | Kind::View), _, Some(shared)) => {
                 shared.hear(wall, from, note).map(|()| false).map_err(|error| error.to_string())
@@ -165,54 +167,55 @@
     }
 
     /// What the host wants and does; what others make of that goes back to it.
-    async fn wants(&mut self, host: &mpsc::Sender<Input>) -> Option<(Vec<(Gate, Want)>, Vec<Own>)> {
+    async fn demands(&mut self, host: &mpsc::Sender<Input>) -> Option<(Vec<(LimitId, Demand)>, Vec<Own>)> {
         let (asker, doings) = oneshot::channel();
-        host.send(Input::Wants(asker)).await.ok()?;
+        host.send(Input::Demands(asker)).await.ok()?;
         let doings: Doings = doings.await.ok()?;
         let told = self.shared.as_mut().map(|shared| shared.exchange(wall_ms(), &doings));
         for input in told.into_iter().flatten() {
             host.send(input).await.ok()?;
         }
-        let wants = doings.wants;
-        let own = wants.iter().map(|(gate, want)| {
-            let Want { limit, wanted, called, refused, failed, .. } = *want;
+        let demands = doings.demands;
+        let own = demands.iter().map(|(gate, want)| {
+            let Demand { limit, wanted, called, refused, failed, .. } = *want;
             Own { gate: *gate, limit, wanted, called, refused, failed }
         });
         let own = own.collect();
-        Some((wants, own))
+        Some((demands, own))
     }
 
     /// What to tell of this sender; its host hears what there is for it. Nothing once that is gone.
     async fn report(&mut self, host: &mpsc::Sender<Input>) -> Option<Vec<Letter>> {
-        let (wants, own) = self.wants(host).await?;
+        let (demands, own) = self.demands(host).await?;
         let letters = self.fleet.report(wall_ms(), &own);
         let rooms = self.fleet.rooms(wall_ms());
         let open = |gate, limit| if rooms.is_some() { self.fleet.open(gate, limit) } else { 1.0 };
-        let of = |(gate, want): &(Gate, Want)| (*gate, want.destination, want.route, open(*gate, want.limit));
-        self.gates = wants.iter().map(of).collect();
+        let of =
+            |(gate, want): &(LimitId, Demand)| (*gate, want.destination, want.route, open(*gate, want.limit));
+        self.gates = demands.iter().map(of).collect();
         let Some(rooms) = rooms else { return Some(letters) };
         let near: HashMap<_, _> = rooms.iter().copied().collect();
-        let room = |(gate, want): &(_, Want)| {
+        let room = |(gate, want): &(_, Demand)| {
             let calls = near.get(gate).copied().unwrap_or(f64::INFINITY);
             (want.destination, want.route, calls, self.fleet.wanted(*gate))
         };
-        host.send(Input::Rooms(wants.iter().map(room).collect(), LASTS)).await.ok()?;
+        host.send(Input::CapacityShares(demands.iter().map(room).collect(), LASTS)).await.ok()?;
         Some(letters)
     }
 
     /// What to offer of this sender's rights; its host hears its turns first. Nothing once that is gone.
     async fn offer(&mut self, host: &mpsc::Sender<Input>) -> Option<Option<Letter>> {
-        let (_, own) = self.wants(host).await?;
-        let letter = self.rights.as_mut().and_then(|rights| rights.offer(wall_ms(), &own));
+        let (_, own) = self.demands(host).await?;
+        let letter = self.permits.as_mut().and_then(|permits| permits.offer(wall_ms(), &own));
         self.tell_turns(host).await.then_some(letter)
     }
 
     /// The host hears the turns that it may use; `false` once it is gone.
     async fn tell_turns(&self, host: &mpsc::Sender<Input>) -> bool {
-        let Some(rights) = &self.rights else { return true };
+        let Some(permits) = &self.permits else { return true };
         let wall = wall_ms();
         let turns =
-            |&(gate, destination, route, open): &_| (destination, route, rights.turns(wall, gate, open));
-        host.send(Input::Turns(self.gates.iter().map(turns).collect())).await.is_ok()
+            |&(gate, destination, route, open): &_| (destination, route, permits.turns(wall, gate, open));
+        host.send(Input::Permits(self.gates.iter().map(turns).collect())).await.is_ok()
     }
 }
--- a/crates/sender/src/gossip/shared.rs
+++ b/crates/sender/src/gossip/shared.rs
@@ -78,7 +78,7 @@
             if avoided != self.avoided {
                 tracing::info!(target: FLEET, receivers = avoided.len(), "receivers that others judge to be down");
                 self.avoided.clone_from(&avoided);
-                told.push(Input::Avoid(avoided));
+                told.push(Input::EjectedReceivers(avoided));
             }
         }
         if !self.quotas.is_empty() {
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -1,6 +1,6 @@
 use std::cell::Cell;
 
-use rudderspindle_gossip::Gate;
+use rudderspindle_gossip::LimitId;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
@@ -8,10 +8,10 @@
 
 const LIMIT: f64 = 60.0;
 
-fn want(wanted: f64) -> (Gate, Want) {
+fn want(wanted: f64) -> (LimitId, Demand) {
     let destination = DestinationId(7);
-    let want = Want { destination, route: None, limit: LIMIT, wanted, called: 0, refused: 0, failed: 0 };
-    (Gate::of(7, None), want)
+    let want = Demand { destination, route: None, limit: LIMIT, wanted, called: 0, refused: 0, failed: 0 };
+    (LimitId::of(7, None), want)
 }
 
 /// Three senders on loopback; the second field of each is what its host hears.
@@ -39,10 +39,10 @@
     // One that had heard and was silent from then on would leave the last one alone.
     while heard.get() < 3 {
         match timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input") {
-            Input::Wants(asker) => {
-                drop(asker.send(Doings { wants: vec![want(wanted)], ..Doings::default() }));
+            Input::Demands(asker) => {
+                drop(asker.send(Doings { demands: vec![want(wanted)], ..Doings::default() }));
             }
-            Input::Rooms(rooms, _) => {
+            Input::CapacityShares(rooms, _) => {
                 if let Some((_, _, calls, _)) = rooms.first().filter(|room| room.2 < 0.9)
                     && room.replace(*calls).is_none()
                 {
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -53,7 +53,8 @@
     /// So many calls are out here now: the slots are the sender's, not each process's.
     Out(usize),
     /// The successor has half of the disk, and has been told all that was known.
-    Room,
+    #[serde(rename = "room")]
+    FreeSpace,
 }
 
 impl Word {
@@ -62,7 +63,7 @@
         match self {
             Self::Wait { destination, receiver, ms } => Some(Input::RetryAfter { destination, receiver, ms }),
             Self::Out(calls) => Some(Input::OutElsewhere(calls)),
-            Self::Hello(_) | Self::OutageState { .. } | Self::Room => None,
+            Self::Hello(_) | Self::OutageState { .. } | Self::FreeSpace => None,
         }
     }
 }
@@ -142,7 +143,7 @@
     let mut reader = BufReader::new(reader);
     write(&mut writer, &Word::Hello(VERSION)).await?;
     while let Some(word) = read(&mut reader).await? {
-        if word == Word::Room {
+        if word == Word::FreeSpace {
             told.room = true;
             return Ok((reader, writer));
         }
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -38,7 +38,7 @@
         wait(Some("a \"b\"\n\u{e9}"), 1e300),
         Word::Out(0),
         Word::Out(4_096),
-        Word::Room,
+        Word::FreeSpace,
     ]
 }
 
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -110,7 +110,7 @@
             neighbour: neighbour.clone(),
             shared_door,
             notes: notes.is_some(),
-            rights: strict,
+            permits: strict,
             views: together && notes.is_some(),
             inputs,
         };
--- a/crates/simulation/src/leased.rs
+++ b/crates/simulation/src/leased.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_gossip::{Gate, Incarnation, Own, Rights};
+use rudderspindle_gossip::{Incarnation, LimitId, Own, PermitLedger};
 
 use crate::partner::Draw;
 use share::Share;
@@ -42,8 +42,8 @@
 
 /// Rights, and the turns that were used.
 struct Owner {
-    rights: Rights,
-    gate: Gate,
+    permits: PermitLedger,
+    gate: LimitId,
     limit: f64,
     used: BTreeMap<u64, u64>,
 }
@@ -52,22 +52,22 @@
     type Note = Vec<u8>;
 
     fn tell(&mut self, wall: u64, wanted: f64) -> Vec<(usize, Vec<u8>)> {
-        let mut letters = self.rights.deal(wall);
-        if self.rights.next_offer(wall - STEP) <= wall {
+        let mut letters = self.permits.deal(wall);
+        if self.permits.next_offer(wall - STEP) <= wall {
             let own = Own { gate: self.gate, limit: self.limit, wanted, called: 0, refused: 0, failed: 0 };
-            letters.extend(self.rights.offer(wall, &[own]));
+            letters.extend(self.permits.offer(wall, &[own]));
         }
         letters
     }
 
     fn hear(&mut self, wall: u64, from: usize, note: Vec<u8>) {
         // What comes too late is dropped.
-        let _ = self.rights.hear(wall, from, &note);
+        let _ = self.permits.hear(wall, from, &note);
     }
 
     fn call(&mut self, wall: u64) -> bool {
         self.used.retain(|_, until| *until > wall);
-        let turns = self.rights.turns(wall, self.gate, 1.0);
+        let turns = self.permits.turns(wall, self.gate, 1.0);
         let free = turns.iter().find(|turn| turn.from <= wall && !self.used.contains_key(&turn.number));
         free.is_some_and(|turn| self.used.insert(turn.number, turn.until).is_none())
     }
@@ -76,9 +76,9 @@
 /// So many senders before a limit, calls a second, with so many messages a second over it for senders that change, and
 /// with that share of the notes lost: by rights, and by shares under a lease.
 pub fn options(senders: usize, limit: f64, load: f64, lost: f64, seed: u64) -> [Figures; 2] {
-    let gate = Gate::of(0, None);
-    let rights = |n| Rights::new(n, senders, Incarnation(1), DAWN);
-    let owner = |n| Owner { rights: rights(n), gate, limit, used: BTreeMap::new() };
+    let gate = LimitId::of(0, None);
+    let permits = |n| PermitLedger::new(n, senders, Incarnation(1), DAWN);
+    let owner = |n| Owner { permits: permits(n), gate, limit, used: BTreeMap::new() };
     let share = |n| Share::new(n, senders, limit);
     [
         play((0..senders).map(owner).collect(), limit, load, lost, seed),
--- a/crates/simulation/src/leased/share.rs
+++ b/crates/simulation/src/leased/share.rs
@@ -18,7 +18,7 @@
 
 /// A note.
 pub(super) enum Word {
-    Wants { round: u64, wanted: f64 },
+    Demands { round: u64, wanted: f64 },
     Sum { round: u64, wanted: f64, senders: usize },
 }
 
@@ -83,7 +83,7 @@
             if adds_up == self.me {
                 self.collected.insert(self.me, self.told.1);
             } else {
-                letters.push((adds_up, Word::Wants { round, wanted: self.told.1 }));
+                letters.push((adds_up, Word::Demands { round, wanted: self.told.1 }));
             }
         }
         let before = self.phase.floor();
@@ -96,10 +96,10 @@
 
     fn hear(&mut self, wall: u64, from: usize, note: Word) {
         match note {
-            Word::Wants { round, wanted } if round == wall / ROUND => {
+            Word::Demands { round, wanted } if round == wall / ROUND => {
                 self.collected.insert(from, wanted);
             }
-            Word::Wants { .. } => {}
+            Word::Demands { .. } => {}
             Word::Sum { round, wanted, senders } => self.take(round, wanted, senders),
         }
     }
--- a/crates/simulation/src/partner/client.rs
+++ b/crates/simulation/src/partner/client.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use rudderspindle_gossip::{Fleet, Gate, Letter, Own, Rights, RightsError};
+use rudderspindle_gossip::{Fleet, Letter, LimitId, Own, PermitError, PermitLedger};
 use rudderspindle_policy::Sender;
 use rudderspindle_policy::interface::*;
 
@@ -12,9 +12,9 @@
     pub sender: Sender,
     pub fleet: Fleet,
     /// Where each call needs a turn.
-    pub rights: Option<Rights>,
+    pub permits: Option<PermitLedger>,
     /// The part of each limit that the partner is believed to take, as notes tell; all of it where they do not.
-    pub takes: BTreeMap<Gate, f64>,
+    pub takes: BTreeMap<LimitId, f64>,
     /// How far its clock is ahead, ms.
     pub ahead: u64,
     /// Whether its process runs.
@@ -44,33 +44,33 @@
     }
 }
 
-fn gate(want: &Want) -> Gate {
-    Gate::of(want.destination.0, want.route.map(|r| r.0.to_string()).as_deref())
+fn gate(want: &Demand) -> LimitId {
+    LimitId::of(want.destination.0, want.route.map(|r| r.0.to_string()).as_deref())
 }
 
-fn own(wants: &[Want]) -> Vec<Own> {
-    let own = |want: &Want| {
-        let Want { limit, wanted, called, refused, failed, .. } = *want;
+fn own(demands: &[Demand]) -> Vec<Own> {
+    let own = |want: &Demand| {
+        let Demand { limit, wanted, called, refused, failed, .. } = *want;
         Own { gate: gate(want), limit, wanted, called, refused, failed }
     };
-    wants.iter().map(own).collect()
+    demands.iter().map(own).collect()
 }
 
 impl Client {
     /// What its host does once a round of sums.
     pub fn report(&mut self, wall: u64) -> Vec<Letter> {
-        let wants = self.sender.wants();
-        let letters = self.fleet.report(wall, &own(&wants));
+        let demands = self.sender.demands();
+        let letters = self.fleet.report(wall, &own(&demands));
         self.takes.clear();
         if let Some(rooms) = self.fleet.rooms(wall) {
             self.takes =
-                wants.iter().map(|want| (gate(want), self.fleet.open(gate(want), want.limit))).collect();
-            for want in &wants {
+                demands.iter().map(|want| (gate(want), self.fleet.open(gate(want), want.limit))).collect();
+            for want in &demands {
                 let room = rooms.iter().find(|(named, _)| *named == gate(want));
                 let calls = room.map_or(f64::INFINITY, |room| room.1);
                 let (destination, route) = (want.destination, want.route);
                 let wanted = self.fleet.wanted(gate(want));
-                self.events.push(Event::Room { destination, route, calls, wanted, lasts: 1_000.0 });
+                self.events.push(Event::Capacity { destination, route, calls, wanted, lasts: 1_000.0 });
             }
         }
         letters
@@ -78,12 +78,12 @@
 
     /// What its host does for its rights, `tick` ms after it last did.
     pub fn keep_rights(&mut self, wall: u64, tick: u64) -> Vec<Letter> {
-        let Some(rights) = &mut self.rights else { return Vec::new() };
-        let deals = rights.next_deal().is_some_and(|at| at <= wall);
-        let mut letters = if deals { rights.deal(wall) } else { Vec::new() };
-        let offers = rights.next_offer(wall - tick) <= wall;
+        let Some(permits) = &mut self.permits else { return Vec::new() };
+        let deals = permits.next_deal().is_some_and(|at| at <= wall);
+        let mut letters = if deals { permits.deal(wall) } else { Vec::new() };
+        let offers = permits.next_offer(wall - tick) <= wall;
         if offers {
-            letters.extend(rights.offer(wall, &own(&self.sender.wants())));
+            letters.extend(permits.offer(wall, &own(&self.sender.demands())));
         }
         if deals || offers {
             self.tell_turns(wall);
@@ -92,25 +92,25 @@
     }
 
     /// Takes in a note on rights.
-    pub fn hear_rights(&mut self, wall: u64, from: usize, note: &[u8]) -> Result<(), RightsError> {
-        if self.rights.as_mut().map_or(Ok(false), |rights| rights.hear(wall, from, note))? {
+    pub fn hear_rights(&mut self, wall: u64, from: usize, note: &[u8]) -> Result<(), PermitError> {
+        if self.permits.as_mut().map_or(Ok(false), |permits| permits.hear(wall, from, note))? {
             self.tell_turns(wall);
         }
         Ok(())
     }
 
     fn tell_turns(&mut self, wall: u64) {
-        let Some(rights) = &self.rights else { return };
+        let Some(permits) = &self.permits else { return };
         let from_now = |at: u64| at as f64 - wall as f64;
-        for want in &self.sender.wants() {
+        for want in &self.sender.demands() {
             let open = self.takes.get(&gate(want)).copied().unwrap_or(1.0);
-            let turns = rights.turns(wall, gate(want), open).into_iter().map(|turn| Turn {
+            let turns = permits.turns(wall, gate(want), open).into_iter().map(|turn| Permit {
                 number: turn.number,
                 from: from_now(turn.from),
                 until: from_now(turn.until),
             });
             let (destination, route) = (want.destination, want.route);
-            self.events.push(Event::Turns { destination, route, turns: turns.collect() });
+            self.events.push(Event::Permits { destination, route, turns: turns.collect() });
         }
     }
 }
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_gossip::{Fleet, Incarnation, Ramp, Rights};
+use rudderspindle_gossip::{Fleet, Incarnation, PermitLedger, Ramp};
 use rudderspindle_policy::Sender;
 use rudderspindle_policy::interface::*;
 
@@ -87,11 +87,11 @@
         sender.keep_rights();
     }
     let ahead = (scene.clocks as f64 * Draw::new(scene.seed ^ (0xc10c + n as u64)).unit()).round() as u64;
-    let rights = || Rights::new(n, scene.senders, Incarnation(starts + 1), wall(now, ahead));
+    let permits = || PermitLedger::new(n, scene.senders, Incarnation(starts + 1), wall(now, ahead));
     Client {
         sender,
         fleet: Fleet::new(n, scene.senders, Ramp { start, growth: later - start }),
-        rights: strict.then(rights),
+        permits: strict.then(permits),
         takes: BTreeMap::new(),
         ahead,
         up: true,
--- a/crates/simulation/src/partner/post.rs
+++ b/crates/simulation/src/partner/post.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum About {
     Sums,
-    Rights,
+    PermitLedger,
 }
 
 /// A note on its way.
@@ -59,7 +59,7 @@
             // One that comes too late is dropped, as it would be.
             match about {
                 About::Sums => drop(client.fleet.hear(wall, from, &note)),
-                About::Rights => drop(client.hear_rights(wall, from, &note)),
+                About::PermitLedger => drop(client.hear_rights(wall, from, &note)),
             }
         }
         for (n, client) in clients.iter_mut().enumerate().filter(|(_, client)| client.up) {
@@ -71,7 +71,7 @@
             }
             self.take(notes, now, n, About::Sums, letters);
             let letters = client.keep_rights(wall, TICK as u64);
-            self.take(notes, now, n, About::Rights, letters);
+            self.take(notes, now, n, About::PermitLedger, letters);
         }
     }
 
--- a/crates/simulator-adapter/tests/replay/main.rs
+++ b/crates/simulator-adapter/tests/replay/main.rs
@@ -44,7 +44,7 @@
 ];
 
 const fn session(name: &'static str, seed: u64, settings: &'static [&'static str]) -> Session {
-    Session { name, seed, batches: 1_500, settings, module_only: false, rights: false, steady: false }
+    Session { name, seed, batches: 1_500, settings, module_only: false, permits: false, steady: false }
 }
 
 static RECORDINGS: LazyLock<Vec<Recording>> = LazyLock::new(|| SESSIONS.iter().map(play).collect());
