--- a/crates/gossip/src/datagram_budget.rs
+++ b/crates/gossip/src/datagram_budget.rs
@@ -38,11 +38,11 @@
 /// Says which kind of note may go out next. As many entries as kinds.
 ///
 /// What is wanted waits `rank * AGING` while others may come before it, and from then on only for those that wanted to
-/// before: see [`Post::longest_wait`].
+/// before: see [`DatagramBudget::longest_wait`].
 ///
 /// ```
-/// use rudderspindle_gossip::{Class, Kind, Post};
-/// let mut post = Post::new(&[
+/// use rudderspindle_gossip::{Class, Kind, DatagramBudget};
+/// let mut post = DatagramBudget::new(&[
 ///     (Kind::Report, Class { rank: 0, every: 500, cost: 2 }),
 ///     (Kind::Hot, Class { rank: 1, every: 1_000, cost: 1 }),
 /// ]);
@@ -52,13 +52,13 @@
 /// assert!(!post.take(Kind::Hot, 499) && post.take(Kind::Hot, 500));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Post {
+pub struct DatagramBudget {
     turns: BTreeMap<Kind, KindSchedule>,
     /// From when there is room again, ms.
     free: u64,
 }
 
-impl Post {
+impl DatagramBudget {
     /// Room for these kinds; the others have none.
     pub fn new(classes: &[(Kind, Class)]) -> Self {
         let turn = |&(kind, class)| (kind, KindSchedule { class, wanted: None, next: 0 });
@@ -119,7 +119,7 @@
         ) {
             let class = |&(rank, every, cost)| Class { rank, every, cost };
             let listed: Vec<_> = Kind::ALL.into_iter().zip(classes.iter().map(class)).collect();
-            let mut post = Post::new(&listed);
+            let mut post = DatagramBudget::new(&listed);
             let (mut sent, mut waiting) = (Vec::new(), BTreeMap::new());
             for now in (0..30_000).step_by(10) {
                 let asked = wants.iter().filter(|(_, at)| at / 10 * 10 == now).map(|(n, _)| *n);
--- a/crates/gossip/src/envelope.rs
+++ b/crates/gossip/src/envelope.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Deserializer, Serialize};
 
 /// Bytes of a body at most: a note has 256, of which 8 are left to envelopes and 8 to what comes to want room.
-pub const LONGEST_BODY: usize = 240;
+pub const MAX_BODY_LEN: usize = 240;
 /// Version and kind, and the check.
 const HEAD: usize = 3;
 /// The first of the further kinds on the wire; those of limits are below.
@@ -44,7 +44,7 @@
 #[non_exhaustive]
 pub enum EnvelopeError {
     /// Too short, or too long.
-    #[error("a note has {HEAD} bytes and a body of up to {LONGEST_BODY}; this has {0} in all")]
+    #[error("a note has {HEAD} bytes and a body of up to {MAX_BODY_LEN}; this has {0} in all")]
     Length(usize),
     /// Another version, or nothing of ours.
     #[error("kind {0:#04x} is not known")]
@@ -61,10 +61,10 @@
 ///
 /// # Errors
 ///
-/// [`EnvelopeError::Length`] where the body is longer than [`LONGEST_BODY`].
+/// [`EnvelopeError::Length`] where the body is longer than [`MAX_BODY_LEN`].
 pub fn seal<T: Serialize>(kind: Kind, body: &T) -> Result<Vec<u8>, EnvelopeError> {
     let body = postcard::to_allocvec(body).map_err(|_| EnvelopeError::Body)?;
-    if body.len() > LONGEST_BODY {
+    if body.len() > MAX_BODY_LEN {
         return Err(EnvelopeError::Length(HEAD + body.len()));
     }
     let check = crc32fast::hash(&body).to_le_bytes();
@@ -83,7 +83,7 @@
         note.split_first_chunk::<HEAD>().ok_or(EnvelopeError::Length(note.len()))?;
     let kind = first.checked_sub(FIRST).and_then(|n| Kind::ALL.get(usize::from(n)));
     let kind = *kind.ok_or(EnvelopeError::Kind(first))?;
-    if body.len() > LONGEST_BODY {
+    if body.len() > MAX_BODY_LEN {
         return Err(EnvelopeError::Length(note.len()));
     }
     if crc32fast::hash(body).to_le_bytes()[..2] != [low, high] {
--- a/crates/gossip/src/fleet.rs
+++ b/crates/gossip/src/fleet.rs
@@ -6,13 +6,13 @@
 
 use std::collections::BTreeMap;
 
-use aggregators::Adders;
+use aggregators::Aggregators;
 use alive::Alive;
 pub use own::Own;
 use own::Seen;
 
 use crate::limit_id::LimitId;
-use crate::message::{Note, NoteError, is_nothing};
+use crate::message::{GossipError, GossipMessage, is_nothing};
 use crate::sums::{Collected, Level, Ramp, Sum};
 
 /// Length of a round, ms.
@@ -25,7 +25,7 @@
 /// Sums tell of gates of whose limit more than this part is wanted or called, and of those that refuse or fail.
 const NEAR: f64 = 0.5;
 /// A note, and the number of the sender that it goes to.
-pub type Letter = (usize, Vec<u8>);
+pub type OutgoingDatagram = (usize, Vec<u8>);
 
 /// The sums that were heard last.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
     own: BTreeMap<LimitId, Seen>,
     /// The round that was told last.
     told: Option<u64>,
-    adders: Adders,
+    aggregators: Aggregators,
     alive: Alive,
     /// What others had us add up, by round: this one and its neighbours.
     collected: BTreeMap<u64, Collected>,
@@ -73,7 +73,7 @@
             ramp,
             own: BTreeMap::new(),
             told: None,
-            adders: Adders::new(senders),
+            aggregators: Aggregators::new(senders),
             alive: Alive::new(senders),
             collected: BTreeMap::new(),
             heard: None,
@@ -96,7 +96,7 @@
     }
 
     /// Takes in what this sender does at each of its gates, and says what to tell whom in this round.
-    pub fn report(&mut self, wall: u64, own: &[Own]) -> Vec<Letter> {
+    pub fn report(&mut self, wall: u64, own: &[Own]) -> Vec<OutgoingDatagram> {
         for o in own {
             self.own.entry(o.gate).or_insert_with(|| Seen::new(wall / ROUND)).saw(wall, o);
         }
@@ -110,44 +110,45 @@
         let gates: Vec<(LimitId, Sum)> = self.own.iter().map(|(gate, seen)| (*gate, seen.sum())).collect();
         let gates: Vec<(LimitId, Sum)> = gates.into_iter().filter(|(_, sum)| !is_nothing(sum)).collect();
         let fresh = self.heard.as_ref().is_some_and(|heard| heard.round + 2 >= round);
-        let mut letters = Vec::new();
-        for n in self.adders.ask(round, self.me, fresh) {
+        let mut datagrams = Vec::new();
+        for n in self.aggregators.ask(round, self.me, fresh) {
             if n == self.me {
                 self.collected.entry(round).or_default().add(self.me, &gates);
             } else {
-                let note = Note { drawn: None, round: round as u32, senders: 1, gates: gates.clone() };
-                letters.push((n, note.encode()));
+                let note =
+                    GossipMessage { drawn: None, round: round as u32, senders: 1, gates: gates.clone() };
+                datagrams.push((n, note.encode()));
             }
         }
-        letters
+        datagrams
     }
 
     /// Takes in a datagram of another sender.
     ///
     /// # Errors
     ///
-    /// [`NoteError`] says why it was dropped; nothing has changed then.
-    pub fn hear(&mut self, wall: u64, from: usize, bytes: &[u8]) -> Result<(), NoteError> {
+    /// [`GossipError`] says why it was dropped; nothing has changed then.
+    pub fn hear(&mut self, wall: u64, from: usize, bytes: &[u8]) -> Result<(), GossipError> {
         if from == self.me || from >= self.senders {
-            return Err(NoteError::Stranger);
+            return Err(GossipError::UnknownSender);
         }
-        let note = Note::decode(bytes)?;
+        let note = GossipMessage::decode(bytes)?;
         let now = wall / ROUND;
         // The round of those near this one that ends so.
         let Some(round) = now.checked_add_signed(i64::from(note.round.wrapping_sub(now as u32) as i32))
         else {
-            return Err(NoteError::Round);
+            return Err(GossipError::Round);
         };
         if let Some(drawn) = note.drawn {
             let senders = usize::from(note.senders);
             let better = self.heard.as_ref().is_none_or(|heard| heard.is_less_than(round, senders));
             if round > now || round + HEEDED < now {
-                return Err(NoteError::Round);
+                return Err(GossipError::Round);
             }
-            self.adders.answered(from);
+            self.aggregators.answered(from);
             let drawn = self.alive.saw(round, drawn);
             if !better {
-                return Err(NoteError::Round);
+                return Err(GossipError::Round);
             }
             self.heard = Some(Heard { round, senders, drawn, sums: note.gates.into_iter().collect() });
             return Ok(());
@@ -155,15 +156,15 @@
         // Clocks differ by less than a round; what comes after its round's sums have gone is too late.
         let open = round == now || round == now + 1 || self.collected.contains_key(&round);
         if !open || !self.collected.entry(round).or_default().add(from, &note.gates) {
-            return Err(NoteError::Round);
+            return Err(GossipError::Round);
         }
-        self.adders.answered(from);
+        self.aggregators.answered(from);
         Ok(())
     }
 
     /// The sums that others wait for, once their round is over.
-    pub fn sums(&mut self, wall: u64) -> Vec<Letter> {
-        let mut letters = Vec::new();
+    pub fn sums(&mut self, wall: u64) -> Vec<OutgoingDatagram> {
+        let mut datagrams = Vec::new();
         while let Some(entry) = self.collected.first_entry().filter(|entry| (entry.key() + 1) * ROUND <= wall)
         {
             let (round, Collected { from, sums }) = entry.remove_entry();
@@ -177,11 +178,12 @@
             let gates = sums.into_iter().filter(|(gate, sum)| near(gate, sum)).collect();
             let told = u16::try_from(senders).unwrap_or(u16::MAX);
             let drawn = self.alive.bits(&from);
-            let bytes = Note { drawn: Some(drawn), round: round as u32, senders: told, gates }.encode();
+            let bytes =
+                GossipMessage { drawn: Some(drawn), round: round as u32, senders: told, gates }.encode();
             let better = self.heard.as_ref().is_none_or(|heard| heard.is_less_than(round, senders));
             if from.contains(&self.me)
                 // We heed what the others read.
-                && let Ok(note) = Note::decode(&bytes)
+                && let Ok(note) = GossipMessage::decode(&bytes)
             {
                 self.alive.saw(round, drawn);
                 if better {
@@ -189,9 +191,9 @@
                         Some(Heard { round, senders, drawn, sums: note.gates.into_iter().collect() });
                 }
             }
-            letters.extend(from.into_iter().filter(|&n| n != self.me).map(|n| (n, bytes.clone())));
+            datagrams.extend(from.into_iter().filter(|&n| n != self.me).map(|n| (n, bytes.clone())));
         }
-        letters
+        datagrams
     }
 
     /// The part of a limit that the partner is believed to take now, from 0 to 1, by the sums that [`Fleet::rooms`] took in last.
--- a/crates/gossip/src/fleet/aggregators.rs
+++ b/crates/gossip/src/fleet/aggregators.rs
@@ -9,7 +9,7 @@
 
 /// The senders that one sender asks.
 #[derive(Debug)]
-pub(crate) struct Adders {
+pub(crate) struct Aggregators {
     senders: usize,
     /// Who was asked in the last round.
     asked: Vec<usize>,
@@ -19,7 +19,7 @@
     silent: BTreeMap<usize, u64>,
 }
 
-impl Adders {
+impl Aggregators {
     pub fn new(senders: usize) -> Self {
         Self { senders, asked: Vec::new(), missed: 0, silent: BTreeMap::new() }
     }
--- a/crates/gossip/src/fleet/tests.rs
+++ b/crates/gossip/src/fleet/tests.rs
@@ -32,8 +32,8 @@
         for (at, sums) in [(start + 100, false), (start + ROUND, true)] {
             let mut post = Vec::new();
             for (n, fleet) in fleets.iter_mut().enumerate().filter(|(n, _)| up(*n)) {
-                let letters = if sums { fleet.sums(at) } else { fleet.report(at, &own) };
-                post.extend(letters.into_iter().map(|(to, note)| (n, to, note)));
+                let datagrams = if sums { fleet.sums(at) } else { fleet.report(at, &own) };
+                post.extend(datagrams.into_iter().map(|(to, note)| (n, to, note)));
             }
             for (from, to, note) in post {
                 if up(to) && arrives() {
@@ -99,14 +99,14 @@
             let told = (round + from as u64 % 4 - 2) as u32;
             let gate = |n: u64| (LimitId::of((round * 31 + n + from as u64) as u16, Some("liar")), sum);
             let drawn = (from % 2 == 0).then_some(round << (from % 60));
-            let note = Note { drawn, round: told, senders: 9, gates: (0..40).map(gate).collect() };
+            let note = GossipMessage { drawn, round: told, senders: 9, gates: (0..40).map(gate).collect() };
             // Those of other rounds are dropped.
             let _ = fleet.hear(round * ROUND + 100, from, &note.encode());
         }
         fleet.rooms(round * ROUND + 200);
         assert!(fleet.own.len() <= 20 && fleet.levels.len() <= 20 && fleet.rooms.len() <= 20);
         assert!(fleet.own.values().all(|seen| seen.len() <= 6));
-        let (silent, asked) = fleet.adders.len();
+        let (silent, asked) = fleet.aggregators.len();
         assert!(fleet.collected.len() <= 3 && silent < SENDERS && asked <= MOST_ASKED);
         assert!(
             fleet.collected.values().all(|c| c.from.len() <= SENDERS && c.sums.len() <= SENDERS * MOST_GATES)
@@ -133,7 +133,7 @@
     for round in 10..12u64 {
         fleet.report(round * ROUND, &own);
         let drawn = Some(if round == 10 { u64::MAX } else { 0b111 });
-        let note = Note { drawn, round: round as u32, senders: 3, gates: vec![(gate, sum)] };
+        let note = GossipMessage { drawn, round: round as u32, senders: 3, gates: vec![(gate, sum)] };
         fleet.hear((round + 1) * ROUND, 1, &note.encode()).expect("sums");
     }
     let rooms = fleet.rooms(12 * ROUND).expect("sums have come");
--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -11,16 +11,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::datagram_budget::Post;
+use crate::datagram_budget::DatagramBudget;
 use crate::envelope::{Kind, open, read};
 use crate::membership::{Incarnation, Roster, Standing};
-use crate::outlier_detection::{Judgements, Receiver};
-use crate::tenant_usage::{Counts, EPOCH, Interval, part};
-pub use error::ViewsError;
-use message::{Aged, Judged, Report, View, epoch_of};
+use crate::outlier_detection::{OutlierDetector, Receiver};
+use crate::tenant_usage::{EPOCH, Interval, TenantUsage, part};
+pub use error::FleetViewError;
+use message::{Aged, Ejection, Report, View, epoch_of};
 
 /// Senders of a tier at most: their bits take a fourth of a note.
-pub const MOST_SENDERS: usize = 512;
+pub const MAX_SENDERS: usize = 512;
 /// Reports are sent from this moment of a round on, ms: the answers of the last one have come by then.
 const FIRST: u64 = 200;
 /// ...and within so long, ms: a second one and the way have the rest.
@@ -33,15 +33,15 @@
 pub const STALE: u64 = 5_000;
 
 /// A note, and the number of the sender that it goes to.
-type Letter = (usize, Vec<u8>);
+type OutgoingDatagram = (usize, Vec<u8>);
 
 /// The tables of one sender, and what to tell whom. Beyond what its parts hold: whom to answer, for three rounds at most.
 ///
 /// ```
-/// use rudderspindle_gossip::{Class, Incarnation, Kind, Post, Views};
-/// let views = |me| Views::new(me, vec![0, 0], Incarnation(1), 0, 100).expect("one of the tier");
+/// use rudderspindle_gossip::{Class, Incarnation, Kind, DatagramBudget, FleetView};
+/// let views = |me| FleetView::new(me, vec![0, 0], Incarnation(1), 0, 100).expect("one of the tier");
 /// let (mut a, mut b) = (views(0), views(1));
-/// let post = || Post::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
+/// let post = || DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
 /// let (mut post_a, mut post_b) = (post(), post());
 /// a.counts().handed_in(10_000, 7);
 /// for now in (10_000..14_000).step_by(100) {
@@ -56,13 +56,13 @@
 /// assert_eq!((read.least, read.most, read.heard), (1, 1, 2));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Views {
+pub struct FleetView {
     me: usize,
     halls: Vec<u16>,
     incarnation: Incarnation,
     roster: Roster,
-    counts: Counts,
-    judgements: Judgements,
+    counts: TenantUsage,
+    judgements: OutlierDetector,
     /// The round that was begun last, and whom it has still to be told.
     round: Option<u64>,
     to_tell: Vec<usize>,
@@ -76,34 +76,34 @@
     heard_in_hall: usize,
 }
 
-impl Views {
+impl FleetView {
     /// Sender number `me` of a tier whose senders are in these halls, by their numbers. `incarnation`, `whole_from` and
-    /// `most_per_s` are as [`Counts::new`] has them.
+    /// `most_per_s` are as [`TenantUsage::new`] has them.
     ///
     /// # Errors
     ///
-    /// [`ViewsError::TooMany`], and [`ViewsError::Stranger`] if `me` is none of the tier.
+    /// [`FleetViewError::TooMany`], and [`FleetViewError::UnknownSender`] if `me` is none of the tier.
     pub fn new(
         me: usize,
         halls: Vec<u16>,
         incarnation: Incarnation,
         whole_from: u64,
         most_per_s: u32,
-    ) -> Result<Self, ViewsError> {
+    ) -> Result<Self, FleetViewError> {
         let senders = halls.len();
-        if senders > MOST_SENDERS {
-            return Err(ViewsError::TooMany(senders));
+        if senders > MAX_SENDERS {
+            return Err(FleetViewError::TooMany(senders));
         }
         if me >= senders {
-            return Err(ViewsError::Stranger);
+            return Err(FleetViewError::UnknownSender);
         }
         let heard_in_hall = halls.iter().filter(|hall| **hall == halls[me]).count();
         Ok(Self {
             me,
             incarnation,
             roster: Roster::new(senders),
-            counts: Counts::new(me, senders, incarnation, whole_from, most_per_s),
-            judgements: Judgements::new(me, halls.clone()),
+            counts: TenantUsage::new(me, senders, incarnation, whole_from, most_per_s),
+            judgements: OutlierDetector::new(me, halls.clone()),
             halls,
             round: None,
             to_tell: Vec::new(),
@@ -119,13 +119,13 @@
         &self.roster
     }
 
-    /// What tenants hand in; [`Counts::handed_in`] is told of each message.
-    pub fn counts(&mut self) -> &mut Counts {
+    /// What tenants hand in; [`TenantUsage::handed_in`] is told of each message.
+    pub fn counts(&mut self) -> &mut TenantUsage {
         &mut self.counts
     }
 
-    /// Judgements; [`Judgements::saw`] is told of each call.
-    pub fn judgements(&mut self) -> &mut Judgements {
+    /// Judgements; [`OutlierDetector::saw`] is told of each call.
+    pub fn judgements(&mut self) -> &mut OutlierDetector {
         &mut self.judgements
     }
 
@@ -145,12 +145,12 @@
 
     /// The notes that are due, to be asked for a few times in a round: answers to those that told us in a round that is
     /// over, and our report as soon as the post has room for it.
-    pub fn notes_due(&mut self, now: u64, post: &mut Post) -> Vec<Letter> {
+    pub fn notes_due(&mut self, now: u64, post: &mut DatagramBudget) -> Vec<OutgoingDatagram> {
         let round = now / EPOCH;
-        let mut letters = Vec::new();
+        let mut datagrams = Vec::new();
         while let Some(entry) = self.told_by.first_entry().filter(|entry| *entry.key() < round) {
             let (of, askers) = entry.remove_entry();
-            letters.extend(self.answers(now, of, &askers));
+            datagrams.extend(self.answers(now, of, &askers));
             self.viewed = self.viewed.max(of);
         }
         // A clock that went back leaves rounds that are far off now.
@@ -161,7 +161,7 @@
             self.to_tell.clear();
             if now % EPOCH >= moment {
                 self.round = Some(round);
-                self.to_tell = self.adders(now, round);
+                self.to_tell = self.aggregators(now, round);
                 self.count_hall(now, round);
             }
         }
@@ -171,44 +171,44 @@
                 break;
             }
             self.to_tell.remove(0);
-            letters.extend(self.report(now, round).ok().map(|note| (to, note)));
+            datagrams.extend(self.report(now, round).ok().map(|note| (to, note)));
         }
-        letters
+        datagrams
     }
 
     /// Takes in a datagram of another sender.
     ///
     /// # Errors
     ///
-    /// [`ViewsError`] says why it was dropped; nothing has changed then.
-    pub fn hear(&mut self, now: u64, from: usize, bytes: &[u8]) -> Result<(), ViewsError> {
+    /// [`FleetViewError`] says why it was dropped; nothing has changed then.
+    pub fn hear(&mut self, now: u64, from: usize, bytes: &[u8]) -> Result<(), FleetViewError> {
         if from == self.me || from >= self.halls.len() {
-            return Err(ViewsError::Stranger);
+            return Err(FleetViewError::UnknownSender);
         }
         match open(bytes)? {
             (Kind::Report, body) => self.hear_report(now, from, read(body)?),
             (Kind::View, body) => self.hear_view(now, from, read(body)?),
-            (other, _) => Err(ViewsError::Kind(other)),
+            (other, _) => Err(FleetViewError::Kind(other)),
         }
     }
 
     /// Of an incarnation that counts.
-    fn admit(&mut self, now: u64, from: usize, incarnation: u64) -> Result<Incarnation, ViewsError> {
+    fn admit(&mut self, now: u64, from: usize, incarnation: u64) -> Result<Incarnation, FleetViewError> {
         let incarnation = Incarnation(incarnation);
         match self.roster.admit(from, incarnation, now)? {
-            Standing::Older => return Err(ViewsError::Older),
+            Standing::Older => return Err(FleetViewError::Older),
             Standing::Newer => self.judgements.forget(from),
             Standing::Same => {}
         }
         Ok(incarnation)
     }
 
-    fn hear_report(&mut self, now: u64, from: usize, report: Report) -> Result<(), ViewsError> {
+    fn hear_report(&mut self, now: u64, from: usize, report: Report) -> Result<(), FleetViewError> {
         // Clocks differ by less than a round; what comes after its round's answers have gone is too late.
         if report.round < self.open_from.max((now / EPOCH).saturating_sub(1))
             || report.round > now / EPOCH + 1
         {
-            return Err(ViewsError::Round);
+            return Err(FleetViewError::Round);
         }
         let incarnation = self.admit(now, from, report.incarnation)?;
         for told in report.registers {
@@ -223,9 +223,9 @@
         Ok(())
     }
 
-    fn hear_view(&mut self, now: u64, from: usize, view: View) -> Result<(), ViewsError> {
+    fn hear_view(&mut self, now: u64, from: usize, view: View) -> Result<(), FleetViewError> {
         if view.round > now / EPOCH || view.round + HEEDED < now / EPOCH {
-            return Err(ViewsError::Round);
+            return Err(FleetViewError::Round);
         }
         self.admit(now, from, view.incarnation)?;
         for told in &view.panes {
@@ -234,7 +234,7 @@
             }
         }
         let mut words = Vec::new();
-        for Judged { receiver, judges } in view.words {
+        for Ejection { receiver, judges } in view.words {
             let judge = |(judge, aged): (u16, Aged)| (receiver, usize::from(judge), aged.word(view.round));
             words.extend(judges.into_iter().map(judge));
         }
--- a/crates/gossip/src/fleet_view/error.rs
+++ b/crates/gossip/src/fleet_view/error.rs
@@ -1,13 +1,13 @@
 //! Why a datagram does not count, or views cannot be.
 
-use super::MOST_SENDERS;
+use super::MAX_SENDERS;
 use crate::envelope::{EnvelopeError, Kind};
 use crate::membership::TooFarAhead;
 
 /// Why a datagram does not count; nothing has changed then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
-pub enum ViewsError {
+pub enum FleetViewError {
     /// It is no note of a further kind.
     #[error(transparent)]
     Envelope(#[from] EnvelopeError),
@@ -19,7 +19,7 @@
     Round,
     /// From nobody of the tier, or from ourselves.
     #[error("it comes from no other sender of the tier")]
-    Stranger,
+    UnknownSender,
     /// Of a process that was replaced.
     #[error("it comes from an older process under that number")]
     Older,
@@ -27,6 +27,6 @@
     #[error(transparent)]
     TooFarAhead(#[from] TooFarAhead),
     /// The tier has more senders than a note has bits for.
-    #[error("a tier of {0} senders; notes have room for {MOST_SENDERS}")]
+    #[error("a tier of {0} senders; notes have room for {MAX_SENDERS}")]
     TooMany(usize),
 }
--- a/crates/gossip/src/fleet_view/message.rs
+++ b/crates/gossip/src/fleet_view/message.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::envelope::{EnvelopeError, Kind, LONGEST_BODY, bounded, seal};
+use crate::envelope::{EnvelopeError, Kind, MAX_BODY_LEN, bounded, seal};
 use crate::outlier_detection::{MOST_TOLD, Receiver, Word};
-use crate::tenant_usage::{EPOCH, MOST_LISTED, Pane, Register};
+use crate::tenant_usage::{EPOCH, MOST_LISTED, Register, WindowSlice};
 
 /// Epochs of which a report tells, so that two lost ones are made up for.
 pub(super) const MOST_REGISTERS: usize = 3;
@@ -47,7 +47,7 @@
 
 /// A register as it is told, `back` epochs before the last one that was over when the round began.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct ToldRegister {
+pub(super) struct AnnouncedRegister {
     pub back: u8,
     #[serde(deserialize_with = "bounded::<MOST_LISTED, _, _>")]
     totals: Vec<(u16, u32)>,
@@ -55,7 +55,7 @@
     partial: bool,
 }
 
-impl ToldRegister {
+impl AnnouncedRegister {
     pub fn new(back: u8, register: Register) -> Self {
         let Register { totals, rest, partial } = register;
         Self { back, totals: totals.into_iter().collect(), rest, partial }
@@ -73,14 +73,14 @@
     pub incarnation: u64,
     pub round: u64,
     #[serde(deserialize_with = "bounded::<MOST_REGISTERS, _, _>")]
-    pub registers: Vec<ToldRegister>,
+    pub registers: Vec<AnnouncedRegister>,
     #[serde(deserialize_with = "bounded::<MOST_TOLD, _, _>")]
     pub words: Vec<(Receiver, Aged)>,
 }
 
 /// What is told of one receiver: by judge.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Judged {
+pub(super) struct Ejection {
     pub receiver: Receiver,
     #[serde(deserialize_with = "bounded::<MOST_JUDGES, _, _>")]
     pub judges: Vec<(u16, Aged)>,
@@ -88,9 +88,9 @@
 
 /// A pane as it is told, so many epochs back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct ToldPane {
+pub(super) struct AnnouncedWindowSlice {
     pub back: u8,
-    pub pane: Pane,
+    pub pane: WindowSlice,
 }
 
 /// What all that told it counted, and judged in the reader's hall.
@@ -99,9 +99,9 @@
     pub incarnation: u64,
     pub round: u64,
     #[serde(deserialize_with = "bounded::<MOST_PANES, _, _>")]
-    pub panes: Vec<ToldPane>,
+    pub panes: Vec<AnnouncedWindowSlice>,
     #[serde(deserialize_with = "bounded::<MOST_RECEIVERS, _, _>")]
-    pub words: Vec<Judged>,
+    pub words: Vec<Ejection>,
 }
 
 /// The epoch that is so far back from a round.
@@ -142,7 +142,7 @@
 }
 
 fn too_long<T: Serialize>(body: &T) -> bool {
-    postcard::to_allocvec(body).is_ok_and(|bytes| bytes.len() > LONGEST_BODY)
+    postcard::to_allocvec(body).is_ok_and(|bytes| bytes.len() > MAX_BODY_LEN)
 }
 
 #[cfg(test)]
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -7,8 +7,8 @@
 const FILE: &str = "views.txt";
 const ROUND: u64 = 1_700_000_000;
 
-fn told_register(back: u8, totals: &[(u16, u32)]) -> ToldRegister {
-    ToldRegister { back, totals: totals.to_vec(), rest: 9, partial: back == 1 }
+fn told_register(back: u8, totals: &[(u16, u32)]) -> AnnouncedRegister {
+    AnnouncedRegister { back, totals: totals.to_vec(), rest: 9, partial: back == 1 }
 }
 
 fn aged(ago: u8, back: bool) -> Aged {
@@ -32,22 +32,25 @@
 }
 
 /// Of nine senders: three whole, one in part.
-fn pane(more: u32) -> Pane {
+fn pane(more: u32) -> WindowSlice {
     let register = |tenant: u16, total: u32, rest: u32, partial: bool| {
         let totals = [(7, 1), (tenant, total)].into_iter().collect();
         Register { totals, rest, partial }
     };
     let [a, b, c] = [register(513, 70_000, 2, false), register(8, 5, 4, false), register(9, 3, 0, false)];
     let d = register(513, more, 1, true);
-    Pane::of(&[(0, &a), (3, &b), (8, &c), (5, &d)], 9)
+    WindowSlice::of(&[(0, &a), (3, &b), (8, &c), (5, &d)], 9)
 }
 
 fn view() -> View {
-    let judged = |receiver, judges: &[(u16, Aged)]| Judged { receiver, judges: judges.to_vec() };
+    let judged = |receiver, judges: &[(u16, Aged)]| Ejection { receiver, judges: judges.to_vec() };
     View {
         incarnation: u64::MAX,
         round: ROUND - 1,
-        panes: vec![ToldPane { back: 0, pane: pane(1) }, ToldPane { back: 2, pane: pane(2) }],
+        panes: vec![
+            AnnouncedWindowSlice { back: 0, pane: pane(1) },
+            AnnouncedWindowSlice { back: 2, pane: pane(2) },
+        ],
         words: vec![
             judged(Receiver::of(513, "receiver-1"), &[(1, aged(3, false)), (511, aged(4, true))]),
             judged(Receiver::of(7, ""), &[(300, aged(0, false))]),
@@ -85,9 +88,9 @@
     assert_eq!(long.encode().expect("it fits"), datagram(FILE, "report-without-room"));
     let register = Register { totals: totals.into_iter().collect(), rest: 9, partial: false };
     let of_many: Vec<(usize, &Register)> = (0..300).map(|n| (n, &register)).collect();
-    let told = |back| ToldPane { back, pane: Pane::of(&of_many, 512) };
+    let told = |back| AnnouncedWindowSlice { back, pane: WindowSlice::of(&of_many, 512) };
     let judges: Vec<(u16, Aged)> = (300..304).map(|judge| (judge, aged(9, false))).collect();
-    let judged = |n| Judged { receiver: Receiver::of(n, "receiver"), judges: judges.clone() };
+    let judged = |n| Ejection { receiver: Receiver::of(n, "receiver"), judges: judges.clone() };
     let panes = (0..3).map(told).collect();
     let long = View { panes, words: (0..6).map(judged).collect(), ..view() };
     assert_eq!(long.encode().expect("it fits"), datagram(FILE, "view-without-room"));
--- a/crates/gossip/src/fleet_view/tell.rs
+++ b/crates/gossip/src/fleet_view/tell.rs
@@ -2,18 +2,18 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::message::{Aged, Judged, MOST_JUDGES, MOST_PANES, MOST_RECEIVERS, MOST_REGISTERS};
-use super::message::{Report, ToldPane, ToldRegister, View, epoch_of};
-use super::{Letter, Views};
+use super::message::{Aged, Ejection, MOST_JUDGES, MOST_PANES, MOST_RECEIVERS, MOST_REGISTERS};
+use super::message::{AnnouncedRegister, AnnouncedWindowSlice, Report, View, epoch_of};
+use super::{FleetView, OutgoingDatagram};
 use crate::envelope::EnvelopeError;
 use crate::outlier_detection::{Receiver, Word};
 
 /// Those that add up in a round where one did not answer, or there is word of a receiver that fails.
 const MOST_ASKED: usize = 2;
 
-impl Views {
+impl FleetView {
     /// Who adds up a round: the first of an order that is drawn anew for each, the same at every sender.
-    pub(super) fn adders(&self, now: u64, round: u64) -> Vec<usize> {
+    pub(super) fn aggregators(&self, now: u64, round: u64) -> Vec<usize> {
         let rank =
             |n: &usize| crc32fast::hash(&[round.to_le_bytes(), (*n as u64 | 1 << 32).to_le_bytes()].concat());
         let mut order: Vec<(u32, usize)> = (0..self.halls.len()).map(|n| (rank(&n), n)).collect();
@@ -38,7 +38,7 @@
     pub(super) fn report(&self, now: u64, round: u64) -> Result<Vec<u8>, EnvelopeError> {
         let register = |back| {
             let own = self.counts.own(now, epoch_of(round, back)?)?;
-            Some(ToldRegister::new(back, own))
+            Some(AnnouncedRegister::new(back, own))
         };
         let registers = (0..MOST_REGISTERS as u8).filter_map(register).collect();
         let words = self.judgements.tell(now);
@@ -47,25 +47,31 @@
     }
 
     /// The same for all askers of a hall.
-    pub(super) fn answers(&self, now: u64, round: u64, askers: &BTreeSet<usize>) -> Vec<Letter> {
-        let pane = |back| Some(ToldPane { back, pane: self.counts.pane(now, epoch_of(round, back)?)? });
-        let panes: Vec<ToldPane> = (0..MOST_PANES as u8).filter_map(pane).collect();
+    pub(super) fn answers(&self, now: u64, round: u64, askers: &BTreeSet<usize>) -> Vec<OutgoingDatagram> {
+        let pane =
+            |back| Some(AnnouncedWindowSlice { back, pane: self.counts.pane(now, epoch_of(round, back)?)? });
+        let panes: Vec<AnnouncedWindowSlice> = (0..MOST_PANES as u8).filter_map(pane).collect();
         let known = self.judgements.known(now);
         let mut by_hall: BTreeMap<u16, Option<Vec<u8>>> = BTreeMap::new();
-        let mut letters = Vec::new();
+        let mut datagrams = Vec::new();
         for &asker in askers {
             let Some(&hall) = self.halls.get(asker) else { continue };
             let note = by_hall.entry(hall).or_insert_with(|| {
                 let (panes, words) = (panes.clone(), self.words(round, hall, &known));
                 View { incarnation: self.incarnation.0, round, panes, words }.encode().ok()
             });
-            letters.extend(note.clone().map(|note| (asker, note)));
+            datagrams.extend(note.clone().map(|note| (asker, note)));
         }
-        letters
+        datagrams
     }
 
     /// What the senders of a hall judge, those receivers first that most of them judge down.
-    fn words(&self, round: u64, hall: u16, known: &BTreeMap<Receiver, BTreeMap<usize, Word>>) -> Vec<Judged> {
+    fn words(
+        &self,
+        round: u64,
+        hall: u16,
+        known: &BTreeMap<Receiver, BTreeMap<usize, Word>>,
+    ) -> Vec<Ejection> {
         let mut words = Vec::new();
         for (receiver, judges) in known {
             let own = judges.iter().filter(|(judge, _)| self.halls.get(**judge) == Some(&hall));
@@ -76,7 +82,7 @@
             let judges: Vec<(u16, Aged)> =
                 told.map(|(judge, word)| (*judge as u16, Aged::new(round, word))).collect();
             if !judges.is_empty() {
-                words.push((std::cmp::Reverse(down), Judged { receiver: *receiver, judges }));
+                words.push((std::cmp::Reverse(down), Ejection { receiver: *receiver, judges }));
             }
         }
         words.sort_by_key(|(down, judged)| (*down, judged.receiver));
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 use crate::datagram_budget::Class;
-use crate::envelope::{LONGEST_BODY, seal};
+use crate::envelope::{MAX_BODY_LEN, seal};
 use crate::outlier_detection::Word;
 use crate::tenant_usage::Register;
-use message::{MOST_JUDGES, MOST_RECEIVERS, ToldPane, ToldRegister};
+use message::{AnnouncedRegister, AnnouncedWindowSlice, MOST_JUDGES, MOST_RECEIVERS};
 use proptest::prelude::*;
 
 const NOW: u64 = 1_700_000_000_500;
 const ROUND: u64 = NOW / EPOCH;
 
-fn views(me: usize, senders: usize) -> Views {
+fn views(me: usize, senders: usize) -> FleetView {
     let halls = (0..senders).map(|n| (n % 3) as u16).collect();
-    Views::new(me, halls, Incarnation(NOW - 60_000), NOW - 60_000, u32::MAX).expect("one of the tier")
+    FleetView::new(me, halls, Incarnation(NOW - 60_000), NOW - 60_000, u32::MAX).expect("one of the tier")
 }
 
 fn word(ago: u64) -> Word {
@@ -22,29 +22,32 @@
 fn what_does_not_fit_a_note_is_left_out_and_the_rest_reads_as_it_was_written() {
     let totals: BTreeMap<u16, u32> = (0..40).map(|n| (60_000 + n, u32::MAX / 512 - u32::from(n))).collect();
     let register = Register { totals, rest: 9, partial: false };
-    let mut adder = views(0, MOST_SENDERS);
-    for n in 1..MOST_SENDERS {
-        assert!(adder.counts.hear(NOW, n, Incarnation(1), ROUND - 1, &register));
+    let mut aggregator = views(0, MAX_SENDERS);
+    for n in 1..MAX_SENDERS {
+        assert!(aggregator.counts.hear(NOW, n, Incarnation(1), ROUND - 1, &register));
         let words: Vec<_> = (0..8).map(|r| (Receiver::of(r, "r"), n, word(n as u64))).collect();
-        adder.judgements.hear(NOW, n, &words);
+        aggregator.judgements.hear(NOW, n, &words);
     }
-    let letters = adder.answers(NOW, ROUND, &(1..4).collect());
-    assert_eq!(letters.len(), 3);
-    for (to, note) in letters {
+    let datagrams = aggregator.answers(NOW, ROUND, &(1..4).collect());
+    assert_eq!(datagrams.len(), 3);
+    for (to, note) in datagrams {
         assert!(note.len() <= 256, "{} bytes", note.len());
-        let mut reader = views(to, MOST_SENDERS);
+        let mut reader = views(to, MAX_SENDERS);
         reader.hear(NOW, 0, &note).expect("a view");
         let read = reader.counts.read((ROUND + 3) * EPOCH, 60_000, 1);
-        assert_eq!(read.heard, MOST_SENDERS);
+        assert_eq!(read.heard, MAX_SENDERS);
         assert!(read.most >= u64::from(u32::MAX / 512) * 511, "{read:?}");
         assert!(reader.judgements.is_alert(NOW), "its judgements came along");
     }
-    let own = |back| ToldRegister::new(back, register.clone().shortened());
+    let own = |back| AnnouncedRegister::new(back, register.clone().shortened());
     let words = (0..8).map(|n| (Receiver::of(n, "r"), Aged::new(ROUND, &word(0)))).collect();
     let registers = (0..3).map(own).collect();
     let report = Report { incarnation: u64::MAX, round: u64::MAX, registers, words };
     assert!(report.encode().expect("it fits").len() <= 256);
-    assert!(matches!(Views::new(0, vec![0; 513], Incarnation(1), 0, 1), Err(ViewsError::TooMany(513))));
+    assert!(matches!(
+        FleetView::new(0, vec![0; 513], Incarnation(1), 0, 1),
+        Err(FleetViewError::TooMany(513))
+    ));
 }
 
 #[test]
@@ -65,15 +68,15 @@
     let view =
         |round| View { incarnation: 1, round, panes: vec![], words: vec![] }.encode().expect("it fits");
     let mut reader = views(0, 5);
-    reader.notes_due(NOW, &mut Post::new(&[]));
+    reader.notes_due(NOW, &mut DatagramBudget::new(&[]));
     for round in [0, ROUND - 60, ROUND - 1, ROUND + 2, u64::MAX] {
-        assert_eq!(reader.hear(NOW, 1, &report(round, 1)), Err(ViewsError::Round), "{round}");
+        assert_eq!(reader.hear(NOW, 1, &report(round, 1)), Err(FleetViewError::Round), "{round}");
     }
     for round in [0, ROUND - 4, ROUND + 1, u64::MAX] {
-        assert_eq!(reader.hear(NOW, 1, &view(round)), Err(ViewsError::Round), "{round}");
+        assert_eq!(reader.hear(NOW, 1, &view(round)), Err(FleetViewError::Round), "{round}");
     }
     let absurd = reader.hear(NOW, 1, &report(ROUND, u64::MAX));
-    assert!(matches!(absurd, Err(ViewsError::TooFarAhead(_))), "{absurd:?}");
+    assert!(matches!(absurd, Err(FleetViewError::TooFarAhead(_))), "{absurd:?}");
     assert!(reader.roster.fate(1).is_none() && reader.told_by.is_empty());
     assert_eq!(reader.hear(NOW, 1, &report(ROUND, 1)), Ok(()));
 }
@@ -81,7 +84,7 @@
 #[test]
 fn what_an_earlier_process_of_a_judge_said_is_void_from_the_first_word_of_the_next() {
     let all = [Receiver::of(1, "a"), Receiver::of(1, "b")];
-    let mut reader = Views::new(0, vec![0; 9], Incarnation(1), 0, 10).expect("one of the tier");
+    let mut reader = FleetView::new(0, vec![0; 9], Incarnation(1), 0, 10).expect("one of the tier");
     let report = |incarnation, words| {
         Report { incarnation, round: ROUND, registers: vec![], words }.encode().expect("it fits")
     };
@@ -90,7 +93,7 @@
     assert_eq!(reader.avoided(NOW, &all), [all[0]]);
     reader.hear(NOW, 2, &report(2, vec![])).expect("a report");
     assert!(reader.avoided(NOW, &all).is_empty());
-    assert_eq!(reader.hear(NOW, 2, &told), Err(ViewsError::Older));
+    assert_eq!(reader.hear(NOW, 2, &told), Err(FleetViewError::Older));
     assert!(reader.avoided(NOW, &all).is_empty());
 }
 
@@ -105,7 +108,7 @@
     ) {
         let mut reader = views(0, 10);
         let class = Class { rank: 0, every: 0, cost: 2 };
-        let mut post = Post::new(&[(Kind::Report, class)]);
+        let mut post = DatagramBudget::new(&[(Kind::Report, class)]);
         for (later, from, view, absurd, n, b) in notes {
             let now = NOW + later;
             let round = if n[0] % 4 == 0 { absurd } else { now / EPOCH };
@@ -114,13 +117,13 @@
             let register = Register { totals, rest: n[0], partial: b[0] % 2 == 0 };
             let aged = Aged::new(now / EPOCH, &Word { last: absurd, first: u64::from(n[0]), back: false });
             let note = if view {
-                let pane = crate::tenant_usage::Pane::of(&[(usize::from(b[1]), &register)], usize::from(b[2]));
+                let pane = crate::tenant_usage::WindowSlice::of(&[(usize::from(b[1]), &register)], usize::from(b[2]));
                 let judges = vec![(u16::from(b[3]), aged); MOST_JUDGES];
-                let words = vec![Judged { receiver: Receiver::of(b[4].into(), "r"), judges }; MOST_RECEIVERS];
-                View { incarnation, round, panes: vec![ToldPane { back: b[5], pane }], words }.encode()
+                let words = vec![Ejection { receiver: Receiver::of(b[4].into(), "r"), judges }; MOST_RECEIVERS];
+                View { incarnation, round, panes: vec![AnnouncedWindowSlice { back: b[5], pane }], words }.encode()
             } else {
                 let words = vec![(Receiver::of(b[4].into(), "r"), aged); 8];
-                let registers = vec![ToldRegister::new(b[5], register)];
+                let registers = vec![AnnouncedRegister::new(b[5], register)];
                 Report { incarnation, round, registers, words }.encode()
             };
             let _ = reader.hear(now, from, &note.expect("it fits"));
@@ -133,7 +136,7 @@
         for body in noise {
             for kind in [Kind::Report, Kind::View] {
                 let mut note = seal(kind, &[0_u8; 0]).expect("it fits");
-                note.extend(body.iter().take(LONGEST_BODY));
+                note.extend(body.iter().take(MAX_BODY_LEN));
                 let check = crc32fast::hash(&note[3..]).to_le_bytes();
                 note[1..3].copy_from_slice(&check[..2]);
                 let _ = reader.hear(NOW, 1, &note);
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -15,13 +15,13 @@
 use crate::sums::Sum;
 
 /// Bytes of a note at most, as the platform has it.
-pub const LONGEST_NOTE: usize = 256;
+pub const MAX_MESSAGE_LEN: usize = 256;
 const HEAD: usize = 9;
 /// Which of the senders that are drawn are in the sums.
 const DRAWN: usize = 8;
 const ENTRY: usize = 7;
 /// Gates that a note has room for.
-pub(crate) const MOST_GATES: usize = (LONGEST_NOTE - HEAD - DRAWN) / ENTRY;
+pub(crate) const MOST_GATES: usize = (MAX_MESSAGE_LEN - HEAD - DRAWN) / ENTRY;
 /// Version 2; the first one told of no failed calls.
 const REPORT: u8 = 0x61;
 const SUMS: u8 = 0x62;
@@ -29,9 +29,11 @@
 /// Why a datagram is no note, or none that counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
-pub enum NoteError {
+pub enum GossipError {
     /// Too short, too long, or cut within an entry.
-    #[error("a note has 9 (sums: 17) to {LONGEST_NOTE} bytes, seven for each gate after those; this has {0}")]
+    #[error(
+        "a note has 9 (sums: 17) to {MAX_MESSAGE_LEN} bytes, seven for each gate after those; this has {0}"
+    )]
     Length(usize),
     /// Another version, or nothing of ours.
     #[error("kind {0:#04x} is not known; 0x61 and 0x62 are")]
@@ -44,12 +46,12 @@
     Round,
     /// From nobody of the tier, or from ourselves.
     #[error("it comes from no other sender of the tier")]
-    Stranger,
+    UnknownSender,
 }
 
 /// What a note holds.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Note {
+pub(crate) struct GossipMessage {
     /// In sums: which of the senders that are drawn they are of. Nothing in one sender's report.
     pub drawn: Option<u64>,
     pub round: u32,
@@ -77,7 +79,7 @@
     [sum.wanted, sum.called, sum.refused, sum.failed].iter().all(|&figure| code(figure) == 0)
 }
 
-impl Note {
+impl GossipMessage {
     /// The gates where most is wanted, refused and failed go first; those for which there is no room are left out.
     pub(crate) fn encode(mut self) -> Vec<u8> {
         let weight = |sum: &Sum| sum.wanted + sum.refused + sum.failed;
@@ -95,19 +97,19 @@
         bytes
     }
 
-    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, NoteError> {
+    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, GossipError> {
         let length = bytes.len();
         let sums = match bytes.first() {
             None | Some(&REPORT) => false,
             Some(&SUMS) => true,
-            Some(&other) => return Err(NoteError::Kind(other)),
+            Some(&other) => return Err(GossipError::Kind(other)),
         };
         let head = if sums { HEAD + DRAWN } else { HEAD };
-        if !(head..=LONGEST_NOTE).contains(&length) || !(length - head).is_multiple_of(ENTRY) {
-            return Err(NoteError::Length(length));
+        if !(head..=MAX_MESSAGE_LEN).contains(&length) || !(length - head).is_multiple_of(ENTRY) {
+            return Err(GossipError::Length(length));
         }
         if crc32fast::hash(&bytes[3..]).to_le_bytes()[..2] != bytes[1..3] {
-            return Err(NoteError::Check);
+            return Err(GossipError::Check);
         }
         let round = u32::from_le_bytes([bytes[3], bytes[4], bytes[5], bytes[6]]);
         let senders = u16::from_le_bytes([bytes[7], bytes[8]]);
@@ -128,21 +130,21 @@
 mod tests {
     use super::*;
 
-    fn note(gates: usize) -> Note {
+    fn note(gates: usize) -> GossipMessage {
         let sum = |n: usize| Sum { wanted: n as f64, called: 3.0, refused: 1.0, failed: 2.0 };
         let gates = (0..gates).map(|n| (LimitId::of(n as u16, None), sum(n))).collect();
-        Note { drawn: Some(0x8000_0000_0000_0007), round: 70_000, senders: 300, gates }
+        GossipMessage { drawn: Some(0x8000_0000_0000_0007), round: 70_000, senders: 300, gates }
     }
 
     #[test]
     fn a_note_reads_as_it_was_written_and_the_gates_that_matter_most_fit() {
         let few = note(3);
-        let mut read = Note::decode(&few.clone().encode()).expect("a note");
+        let mut read = GossipMessage::decode(&few.clone().encode()).expect("a note");
         read.gates.reverse();
         assert_eq!(read, few);
         let bytes = note(100).encode();
-        assert!(bytes.len() <= LONGEST_NOTE, "{}", bytes.len());
-        let read = Note::decode(&bytes).expect("a note");
+        assert!(bytes.len() <= MAX_MESSAGE_LEN, "{}", bytes.len());
+        let read = GossipMessage::decode(&bytes).expect("a note");
         assert_eq!(read.gates.len(), MOST_GATES);
         let least = read.gates.iter().map(|(_, sum)| sum.wanted).fold(f64::INFINITY, f64::min);
         assert!(least >= 55.0, "a gate with {least} wanted was written, one with more was not");
@@ -166,16 +168,16 @@
     fn what_is_cut_damaged_too_long_or_of_another_version_is_no_note() {
         let good = note(2).encode();
         for length in 0..good.len() {
-            assert!(Note::decode(&good[..length]).is_err(), "{length} bytes of it");
+            assert!(GossipMessage::decode(&good[..length]).is_err(), "{length} bytes of it");
         }
         for byte in 0..good.len() {
             let mut bad = good.clone();
             bad[byte] ^= 0x10;
-            assert!(Note::decode(&bad).is_err(), "byte {byte} changed");
+            assert!(GossipMessage::decode(&bad).is_err(), "byte {byte} changed");
         }
-        assert_eq!(Note::decode(&[0x61; 262]), Err(NoteError::Length(262)));
+        assert_eq!(GossipMessage::decode(&[0x61; 262]), Err(GossipError::Length(262)));
         let mut other = good.clone();
         other[0] = 0x51;
-        assert_eq!(Note::decode(&other), Err(NoteError::Kind(0x51)));
+        assert_eq!(GossipMessage::decode(&other), Err(GossipError::Kind(0x51)));
     }
 }
--- a/crates/gossip/src/message/golden.rs
+++ b/crates/gossip/src/message/golden.rs
@@ -5,12 +5,12 @@
 
 const FILE: &str = "limits.txt";
 
-fn report(gates: Vec<(LimitId, Sum)>) -> Note {
-    Note { drawn: None, round: 0x0102_0304, senders: 1, gates }
+fn report(gates: Vec<(LimitId, Sum)>) -> GossipMessage {
+    GossipMessage { drawn: None, round: 0x0102_0304, senders: 1, gates }
 }
 
-fn sums(gates: Vec<(LimitId, Sum)>) -> Note {
-    Note { drawn: Some(0x8000_0000_0000_0a07), round: u32::MAX, senders: 513, gates }
+fn sums(gates: Vec<(LimitId, Sum)>) -> GossipMessage {
+    GossipMessage { drawn: Some(0x8000_0000_0000_0a07), round: u32::MAX, senders: 513, gates }
 }
 
 /// Figures that are told exactly, those that weigh most first.
@@ -40,7 +40,7 @@
     for (name, note) in cases {
         let bytes = datagram(FILE, name);
         assert_eq!(note.clone().encode(), bytes, "{name}");
-        assert_eq!(Note::decode(&bytes), Ok(note), "{name}");
+        assert_eq!(GossipMessage::decode(&bytes), Ok(note), "{name}");
     }
 }
 
@@ -50,7 +50,7 @@
     let gate = LimitId(1);
     let bytes = datagram(FILE, "sums-large-figures");
     assert_eq!(sums(vec![(gate, Sum { wanted, called, refused, failed })]).encode(), bytes);
-    let read = Note::decode(&bytes).expect("a note").gates;
+    let read = GossipMessage::decode(&bytes).expect("a note").gates;
     let [(of, sum)] = read[..] else { panic!("one gate, not {read:?}") };
     assert_eq!(of, gate);
     for (read, (_, told)) in [sum.wanted, sum.called, sum.refused, sum.failed].into_iter().zip(LARGE) {
@@ -64,5 +64,5 @@
         |n: u32| (LimitId(n), Sum { wanted: f64::from(n % 13), called: 1.0, refused: 0.0, failed: 0.0 });
     let bytes = datagram(FILE, "report-of-sixty-gates");
     assert_eq!(report((0..60).map(gate).collect()).encode(), bytes);
-    assert_eq!(Note::decode(&bytes).expect("a note").gates.len(), 34);
+    assert_eq!(GossipMessage::decode(&bytes).expect("a note").gates.len(), 34);
 }
--- a/crates/gossip/src/outlier_detection.rs
+++ b/crates/gossip/src/outlier_detection.rs
@@ -47,8 +47,8 @@
 /// its own, emptied by expiry; and what is judged by those, for ten seconds longer.
 ///
 /// ```
-/// use rudderspindle_gossip::{Judgements, Receiver, Word};
-/// let mut judgements = Judgements::new(0, vec![0; 6]); // six senders in one hall
+/// use rudderspindle_gossip::{OutlierDetector, Receiver, Word};
+/// let mut judgements = OutlierDetector::new(0, vec![0; 6]); // six senders in one hall
 /// let gone = Receiver::of(3, "a:1");
 /// let word = Word { first: 500, last: 900, back: false };
 /// for judge in 1..=3 {
@@ -58,7 +58,7 @@
 /// assert!(judgements.avoided(3_100, 6, &[gone, Receiver::of(3, "b:1")]).is_empty());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Judgements {
+pub struct OutlierDetector {
     me: usize,
     /// The hall of each sender, by its number.
     halls: Vec<u16>,
@@ -69,7 +69,7 @@
     held: BTreeMap<Receiver, (u64, u64)>,
 }
 
-impl Judgements {
+impl OutlierDetector {
     /// Sender number `me` of a tier whose senders are in these halls.
     pub fn new(me: usize, halls: Vec<u16>) -> Self {
         Self { me, halls, sights: BTreeMap::new(), words: BTreeMap::new(), held: BTreeMap::new() }
--- a/crates/gossip/src/outlier_detection/tests.rs
+++ b/crates/gossip/src/outlier_detection/tests.rs
@@ -12,9 +12,9 @@
 }
 
 /// Ten senders in a hall, five in another, of which this is number 0; the word of each of these judges, told by itself.
-fn heard(judges: &[usize], receiver: Receiver, word: Word, now: u64) -> Judgements {
+fn heard(judges: &[usize], receiver: Receiver, word: Word, now: u64) -> OutlierDetector {
     let halls = (0..15).map(|n| u16::from(n >= 10)).collect();
-    let mut judgements = Judgements::new(0, halls);
+    let mut judgements = OutlierDetector::new(0, halls);
     judges.iter().for_each(|judge| judgements.hear(now, *judge, &[(receiver, *judge, word)]));
     judgements
 }
@@ -97,7 +97,7 @@
 fn the_reader_looks_for_itself_after_a_while_and_goes_by_that() {
     let all = receivers(2);
     let mut judgements = heard(&[], all[0], down(T, T), T);
-    let told = |judgements: &mut Judgements, now: u64| {
+    let told = |judgements: &mut OutlierDetector, now: u64| {
         (1..=3).for_each(|n| judgements.hear(now, n, &[(all[0], n, down(T, now))]));
         judgements.avoided(now, 10, &all)
     };
--- a/crates/gossip/src/permits.rs
+++ b/crates/gossip/src/permits.rs
@@ -24,7 +24,7 @@
 use std::collections::BTreeMap;
 
 use crate::envelope::EnvelopeError;
-use crate::fleet::{Letter, Own};
+use crate::fleet::{OutgoingDatagram, Own};
 use crate::limit_id::LimitId;
 use crate::membership::Incarnation;
 use allocator_selection::AllocatorSelection;
@@ -58,7 +58,7 @@
     Round,
     /// From nobody of the tier, or from ourselves.
     #[error("it comes from no other sender of the tier")]
-    Stranger,
+    UnknownSender,
 }
 
 /// One sender's rights. They begin anew with each process.
@@ -121,7 +121,7 @@
     }
 
     /// Once a round: gives up what this sender will not need, and asks for what it lacks.
-    pub fn offer(&mut self, wall: u64, own: &[Own]) -> Option<Letter> {
+    pub fn offer(&mut self, wall: u64, own: &[Own]) -> Option<OutgoingDatagram> {
         self.look(wall);
         let round = wall / ROUND;
         // Of what was given up before, where the clock was set back, a gate knows nothing.
@@ -188,7 +188,7 @@
     pub fn hear(&mut self, wall: u64, from: usize, note: &[u8]) -> Result<bool, PermitError> {
         self.look(wall);
         if from == self.me || from >= self.senders {
-            return Err(PermitError::Stranger);
+            return Err(PermitError::UnknownSender);
         }
         match PermitMessage::decode(note)? {
             PermitMessage::PermitOffer(offer) => {
@@ -218,19 +218,19 @@
     }
 
     /// Deals out what was offered in rounds that are over.
-    pub fn deal(&mut self, wall: u64) -> Vec<Letter> {
+    pub fn deal(&mut self, wall: u64) -> Vec<OutgoingDatagram> {
         self.look(wall);
         let schedule = |gate| self.gates.get(&gate).map(|held: &Held| held.schedule);
         let grants = self.dealer.deal(wall / ROUND, |n| self.dealers.bit(n), schedule);
-        let mut letters = Vec::new();
+        let mut datagrams = Vec::new();
         for (to, grant) in grants {
             if to == self.me {
                 self.take(&grant);
             } else if let Ok(note) = PermitMessage::PermitGrant(grant).encode() {
-                letters.push((to, note));
+                datagrams.push((to, note));
             }
         }
-        letters
+        datagrams
     }
 
     /// The turns at a gate that this sender may still use. `open` is the part of the limit that the partner is believed
--- a/crates/gossip/src/permits/exhaustive.rs
+++ b/crates/gossip/src/permits/exhaustive.rs
@@ -97,14 +97,14 @@
         // By the true time: whoever was set back wants another number in the same round.
         let wanted = if (self.wall / ROUND) as usize % SENDERS == n { 0.0 } else { 30.0 };
         let own = Own { gate: GATE, limit: LIMIT, wanted, called: 0, refused: 0, failed: 0 };
-        let letter = self.permits[n].as_mut().and_then(|permits| permits.offer(clock, &[own]));
-        self.wire.extend(letter.map(|(to, note)| (n, to, note)));
+        let datagram = self.permits[n].as_mut().and_then(|permits| permits.offer(clock, &[own]));
+        self.wire.extend(datagram.map(|(to, note)| (n, to, note)));
     }
 
     fn deal(&mut self, n: usize) {
         let clock = self.clock(n);
-        let letters = self.permits[n].as_mut().map_or(Vec::new(), |permits| permits.deal(clock));
-        self.wire.extend(letters.into_iter().map(|(to, note)| (n, to, note)));
+        let datagrams = self.permits[n].as_mut().map_or(Vec::new(), |permits| permits.deal(clock));
+        self.wire.extend(datagrams.into_iter().map(|(to, note)| (n, to, note)));
     }
 
     fn hear(&mut self, (from, to, note): &Note) {
--- a/crates/gossip/src/permits/message.rs
+++ b/crates/gossip/src/permits/message.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::envelope::{EnvelopeError, Kind, LONGEST_BODY, bounded, open, read, seal};
+use crate::envelope::{EnvelopeError, Kind, MAX_BODY_LEN, bounded, open, read, seal};
 use crate::membership::Incarnation;
 
 /// Gates that an offer has room for: 4 bytes for the name, 3 for the mark and 2 for each number at the most.
-pub(crate) const MOST_GATES: usize = (LONGEST_BODY - 16) / 11;
+pub(crate) const MOST_GATES: usize = (MAX_BODY_LEN - 16) / 11;
 /// Turns that a sender asks for at one gate, at most: what a note has room for.
 pub(crate) const MOST_TURNS: u8 = 60;
 const MOST_GAPS: usize = MOST_TURNS as usize;
--- a/crates/gossip/src/permits/tests/tier.rs
+++ b/crates/gossip/src/permits/tests/tier.rs
@@ -83,8 +83,8 @@
         self.up[n] = true;
     }
 
-    pub(super) fn send(&mut self, from: usize, letters: impl IntoIterator<Item = Letter>) {
-        for (to, body) in letters {
+    pub(super) fn send(&mut self, from: usize, datagrams: impl IntoIterator<Item = OutgoingDatagram>) {
+        for (to, body) in datagrams {
             for _ in 0..1 + usize::from(self.draw.unit() < self.weather.doubled) {
                 let at = self.wall + 1 + (self.weather.late * self.draw.unit()) as u64;
                 if self.draw.unit() >= self.weather.lost && self.part[from] == self.part[to] {
@@ -119,13 +119,13 @@
 
     pub(super) fn act(&mut self, n: usize) {
         let (clock, limit, gate) = (self.clock(n), self.limit, self.gate);
-        let letters = self.permits[n].deal(clock);
-        self.send(n, letters);
+        let datagrams = self.permits[n].deal(clock);
+        self.send(n, datagrams);
         if self.permits[n].next_offer(clock - STEP) <= clock {
             let wanted = f64::from(self.waiting[n]);
             let own = Own { gate, limit, wanted, called: 0, refused: 0, failed: 0 };
-            let letter = self.permits[n].offer(clock, &[own]);
-            self.send(n, letter);
+            let datagram = self.permits[n].offer(clock, &[own]);
+            self.send(n, datagram);
         }
         let who = (n, self.permits[n].incarnation);
         for turn in self.permits[n].turns(clock, gate, 1.0) {
--- a/crates/gossip/src/tenant_usage.rs
+++ b/crates/gossip/src/tenant_usage.rs
@@ -12,10 +12,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::membership::Incarnation;
-pub use quota::{MOST_OF_ALL, Quota, part};
+pub use quota::{MAX_USAGE, Quota, part};
 pub(crate) use register::MOST_LISTED;
 use register::most_of;
-pub use register::{Pane, Register};
+pub use register::{Register, WindowSlice};
 
 /// Length of an epoch, ms of the shared wall clock.
 pub const EPOCH: u64 = 1_000;
@@ -48,24 +48,24 @@
 /// registers for each sender and four panes; emptied as the epochs pass.
 ///
 /// ```
-/// use rudderspindle_gossip::{Counts, Incarnation};
-/// let mut counts = Counts::new(0, 3, Incarnation(1), 0, 100);
+/// use rudderspindle_gossip::{TenantUsage, Incarnation};
+/// let mut counts = TenantUsage::new(0, 3, Incarnation(1), 0, 100);
 /// counts.handed_in(1_500, 7);
 /// let read = counts.read(5_000, 7, 1);
 /// assert_eq!((read.least, read.most, read.heard), (1, 201, 1)); // 100 at most from each of two unheard
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Counts {
+pub struct TenantUsage {
     me: usize,
     senders: usize,
     incarnation: Incarnation,
     whole_from: u64,
     most: u64,
     registers: BTreeMap<u64, BTreeMap<(usize, Incarnation), Register>>,
-    panes: BTreeMap<u64, Vec<(usize, Pane)>>,
+    panes: BTreeMap<u64, Vec<(usize, WindowSlice)>>,
 }
 
-impl Counts {
+impl TenantUsage {
     /// Sender number `me` of `senders`, under that incarnation. Up to `whole_from`, ms since 1970, another process may
     /// have taken on, or takes on beside it, under its number: epochs that began by then are partial. One sender, with
     /// all its processes, takes on `most_per_s` messages a second at most.
@@ -133,25 +133,25 @@
     }
 
     /// What this sender, with all that told it, knows of an epoch that is over.
-    pub fn pane(&self, now: u64, epoch: u64) -> Option<Pane> {
+    pub fn pane(&self, now: u64, epoch: u64) -> Option<WindowSlice> {
         let own = self.own(now, epoch);
         let me = (self.me, self.incarnation);
         let told = self.registers.get(&epoch).into_iter().flatten();
         let others = told.filter(|(name, _)| **name != me).map(|((from, _), register)| (*from, register));
         let all: Vec<(usize, &Register)> = others.chain(own.iter().map(|own| (self.me, own))).collect();
-        (epoch < now / EPOCH && !all.is_empty()).then(|| Pane::of(&all, self.senders))
+        (epoch < now / EPOCH && !all.is_empty()).then(|| WindowSlice::of(&all, self.senders))
     }
 
     /// Takes in a pane that another sender added up; `false` if it is of no epoch that is over and remembered, or says
     /// what cannot be.
-    pub fn hear_pane(&mut self, now: u64, from: usize, epoch: u64, pane: &Pane) -> bool {
+    pub fn hear_pane(&mut self, now: u64, from: usize, epoch: u64, pane: &WindowSlice) -> bool {
         self.forget(now);
         let known = from < self.senders && from != self.me && Self::remembers(now, epoch);
         if !known || !pane.is_possible(self.senders, self.most) {
             return false;
         }
         let panes = self.panes.entry(epoch).or_default();
-        match panes.iter_mut().find(|(adder, _)| *adder == from) {
+        match panes.iter_mut().find(|(aggregator, _)| *aggregator == from) {
             Some((_, before)) => *before = before.clone().max(pane.clone()),
             None => panes.push((from, pane.clone())),
         }
@@ -202,7 +202,7 @@
     fn read_epoch(&self, now: u64, tenant: u16, epoch: u64) -> Interval {
         let direct = self.pane(now, epoch).unwrap_or_default();
         let told = self.panes.get(&epoch).into_iter().flatten().map(|(_, pane)| pane);
-        let panes: Vec<&Pane> = told.chain([&direct]).collect();
+        let panes: Vec<&WindowSlice> = told.chain([&direct]).collect();
         let ends = panes.iter().map(|pane| pane.ends(tenant, self.senders, self.most));
         let least = ends.clone().map(|(least, _)| least).max().unwrap_or_default();
         let most = most_of(&panes, tenant, self.senders, self.most);
--- a/crates/gossip/src/tenant_usage/quota.rs
+++ b/crates/gossip/src/tenant_usage/quota.rs
@@ -11,7 +11,7 @@
 pub const LEAST_BURST: f64 = 4.0;
 /// All parts of a quota together, at most, in quotas: parts by traffic come to one at most, since each is taken of what
 /// all handed in at most; and nobody has less than an equal part, which comes to one at most again.
-pub const MOST_OF_ALL: f64 = 2.0;
+pub const MAX_USAGE: f64 = 2.0;
 
 /// The part of a quota of the whole fleet that one of `senders` may let in, 0 to 1, where `own` of what the reading is of
 /// was handed in here: in proportion, and an equal part at least.
@@ -72,7 +72,7 @@
                 part(*own_here, &all, own.len())
             });
             let all: f64 = parts.sum();
-            prop_assert!(all <= MOST_OF_ALL + 1e-9, "{all}");
+            prop_assert!(all <= MAX_USAGE + 1e-9, "{all}");
             prop_assert!(all >= 1.0 - 1e-9, "{all}: what an equal part each has is always there");
         }
     }
--- a/crates/gossip/src/tenant_usage/register.rs
+++ b/crates/gossip/src/tenant_usage/register.rs
@@ -47,7 +47,7 @@
 
 /// The registers of many senders for one epoch, added up.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Pane {
+pub struct WindowSlice {
     /// A bit for each sender that is in it whole: the lowest of the first byte is number 0's.
     #[serde(deserialize_with = "crate::envelope::bounded::<64, _, _>")]
     whole: Vec<u8>,
@@ -59,7 +59,7 @@
     rest: u32,
 }
 
-impl Pane {
+impl WindowSlice {
     /// Adds up registers, each of a name (sender and incarnation) of its own, of a tier of `senders`.
     pub(crate) fn of(registers: &[(usize, &Register)], senders: usize) -> Self {
         let mut whole = vec![0_u8; senders.div_ceil(8)];
@@ -141,7 +141,7 @@
 /// At most so much a tenant handed in to all of a tier, by several panes of one epoch: each by itself, and each together
 /// with those after it that have senders whom those before have not. What two have in common counts twice in that, which is
 /// too much at worst; of whom none tells, `most` each.
-pub(crate) fn most_of(panes: &[&Pane], tenant: u16, senders: usize, most: u64) -> u64 {
+pub(crate) fn most_of(panes: &[&WindowSlice], tenant: u16, senders: usize, most: u64) -> u64 {
     let from = |first: usize| {
         let (mut seen, mut told, mut least_most) = (BTreeSet::new(), 0_u64, u64::MAX);
         for pane in &panes[first..] {
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -2,14 +2,14 @@
 
 use super::world::{START, Sender, World};
 use proptest::prelude::*;
-use rudderspindle_gossip::{Counts, Incarnation};
+use rudderspindle_gossip::{Incarnation, TenantUsage};
 
 /// What a sender reads against the truth, of the epochs that are over at all.
 fn check(world: &World, n: usize, tenant: u16, epochs: u64) -> Result<(), String> {
     let mut views = world.senders[n].views.clone();
     let clock = world.clock(n);
     let read = views.counts().read(clock, tenant, epochs);
-    let of = Counts::read_epochs(clock, epochs);
+    let of = TenantUsage::read_epochs(clock, epochs);
     let truth: u64 = of.filter_map(|epoch| world.truth.get(&(epoch, tenant))).sum();
     let holds = read.least <= truth && truth <= read.most;
     if holds { Ok(()) } else { Err(format!("sender {n} reads {read:?} of {truth} over {epochs} epochs")) }
@@ -113,7 +113,7 @@
         world.senders[0].views.roster().newest(1).map(|(newest, _)| newest),
         Some(Incarnation(START + 3_000))
     );
-    let mut post = rudderspindle_gossip::Post::new(&[(
+    let mut post = rudderspindle_gossip::DatagramBudget::new(&[(
         rudderspindle_gossip::Kind::Report,
         rudderspindle_gossip::Class { rank: 0, every: 0, cost: 2 },
     )]);
@@ -123,8 +123,8 @@
         for (to, note) in old.notes_due(now, &mut post) {
             let views = &mut world.senders[to].views;
             let heard = views.hear(now, 1, &note);
-            assert_eq!(heard, Err(rudderspindle_gossip::ViewsError::Older), "sender {to}");
-            assert_eq!(views.hear(now, 5, &note), Err(rudderspindle_gossip::ViewsError::Stranger));
+            assert_eq!(heard, Err(rudderspindle_gossip::FleetViewError::Older), "sender {to}");
+            assert_eq!(views.hear(now, 5, &note), Err(rudderspindle_gossip::FleetViewError::UnknownSender));
             refused += 1;
         }
     }
--- a/crates/gossip/tests/fleet_view/world.rs
+++ b/crates/gossip/tests/fleet_view/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use rudderspindle_gossip::{Class, EPOCH, Incarnation, Kind, Post, Views};
+use rudderspindle_gossip::{Class, DatagramBudget, EPOCH, FleetView, Incarnation, Kind};
 
 /// Messages a second of one sender at most.
 pub const MOST: u32 = 100;
@@ -12,8 +12,8 @@
 const LOGGED: usize = 4_000;
 
 pub struct Sender {
-    pub views: Views,
-    post: Post,
+    pub views: FleetView,
+    post: DatagramBudget,
     kept: Option<Incarnation>,
     /// Its clock is ahead by so much, ms.
     pub ahead: i64,
@@ -41,12 +41,12 @@
     seed: u64,
 }
 
-fn post() -> Post {
-    Post::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })])
+fn post() -> DatagramBudget {
+    DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })])
 }
 
-fn views(me: usize, halls: &[u16], incarnation: Incarnation) -> Views {
-    Views::new(me, halls.to_vec(), incarnation, incarnation.0, MOST).expect("one of the tier")
+fn views(me: usize, halls: &[u16], incarnation: Incarnation) -> FleetView {
+    FleetView::new(me, halls.to_vec(), incarnation, incarnation.0, MOST).expect("one of the tier")
 }
 
 impl World {
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -6,9 +6,9 @@
 use std::path::Path;
 
 use rudderspindle_gossip::{
-    Class, Fleet, Incarnation, Kind, LimitId, Own, PermitLedger, Post, Ramp, Receiver, Seen,
+    Class, DatagramBudget, Fleet, Incarnation, Kind, LimitId, Own, PermitLedger, Ramp, Receiver, Seen,
 };
-use rudderspindle_gossip::{Letter, Views};
+use rudderspindle_gossip::{FleetView, OutgoingDatagram};
 
 const START: u64 = 1_700_000_000_000;
 const STEP: u64 = 10;
@@ -24,8 +24,8 @@
 }
 
 /// Milliseconds since the start, sender, reader and datagram.
-fn write_letters(transcript: &mut String, now: u64, from: usize, letters: &[Letter]) {
-    for (to, datagram) in letters {
+fn write_letters(transcript: &mut String, now: u64, from: usize, datagrams: &[OutgoingDatagram]) {
+    for (to, datagram) in datagrams {
         let hex: String = datagram.iter().map(|byte| format!("{byte:02x}")).collect();
         writeln!(transcript, "{} {from} {to} {hex}", now - START).expect("written");
     }
@@ -56,16 +56,16 @@
     let mut transcript = String::new();
     for now in (START..START + 2_500).step_by(STEP as usize) {
         for from in 0..fleets.len() {
-            let mut letters = Vec::new();
+            let mut datagrams = Vec::new();
             if due[from] <= now {
-                letters.extend(fleets[from].report(now, &gates(now, from)));
+                datagrams.extend(fleets[from].report(now, &gates(now, from)));
                 due[from] = fleets[from].next_report(now);
             }
             if fleets[from].next_sums().is_some_and(|at| at <= now) {
-                letters.extend(fleets[from].sums(now));
+                datagrams.extend(fleets[from].sums(now));
             }
-            write_letters(&mut transcript, now, from, &letters);
-            for (to, datagram) in letters {
+            write_letters(&mut transcript, now, from, &datagrams);
+            for (to, datagram) in datagrams {
                 let heard = fleets[to].hear(now, from, &datagram);
                 write_heard(&mut transcript, to, heard.is_ok());
             }
@@ -90,16 +90,16 @@
     let mut transcript = String::new();
     for now in (START..START + 5_000).step_by(STEP as usize) {
         for from in 0..tier.len() {
-            let mut letters = Vec::new();
+            let mut datagrams = Vec::new();
             if due[from] <= now {
-                letters.extend(tier[from].offer(now, &gates(now, from)));
+                datagrams.extend(tier[from].offer(now, &gates(now, from)));
                 due[from] = tier[from].next_offer(now);
             }
             if tier[from].next_deal().is_some_and(|at| at <= now) {
-                letters.extend(tier[from].deal(now));
+                datagrams.extend(tier[from].deal(now));
             }
-            write_letters(&mut transcript, now, from, &letters);
-            for (to, datagram) in letters {
+            write_letters(&mut transcript, now, from, &datagrams);
+            for (to, datagram) in datagrams {
                 let heard = tier[to].hear(now, from, &datagram);
                 write_heard(&mut transcript, to, heard.is_ok());
             }
@@ -121,10 +121,10 @@
 #[test]
 fn senders_that_share_counts_and_judgements_tell_and_know_the_same_as_before() {
     let incarnation = Incarnation(START - 10_000);
-    let new = |me| Views::new(me, vec![0, 0, 0, 0, 1, 1], incarnation, incarnation.0, 100);
-    let mut views: Vec<Views> = (0..6).map(|me| new(me).expect("one of the tier")).collect();
-    let post = || Post::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
-    let mut posts: Vec<Post> = (0..6).map(|_| post()).collect();
+    let new = |me| FleetView::new(me, vec![0, 0, 0, 0, 1, 1], incarnation, incarnation.0, 100);
+    let mut views: Vec<FleetView> = (0..6).map(|me| new(me).expect("one of the tier")).collect();
+    let post = || DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
+    let mut posts: Vec<DatagramBudget> = (0..6).map(|_| post()).collect();
     let receivers = ["a", "b", "c"].map(|receiver| Receiver::of(7, receiver));
     let mut transcript = String::new();
     for now in (START..START + 6_000).step_by(100) {
@@ -133,9 +133,9 @@
             let seen = if from < 4 { Seen::Failed } else { Seen::Answered };
             views[from].judgements().saw(now, receivers[0], seen);
             views[from].judgements().saw(now, receivers[1], Seen::Answered);
-            let letters = views[from].notes_due(now, &mut posts[from]);
-            write_letters(&mut transcript, now, from, &letters);
-            for (to, datagram) in letters {
+            let datagrams = views[from].notes_due(now, &mut posts[from]);
+            write_letters(&mut transcript, now, from, &datagrams);
+            for (to, datagram) in datagrams {
                 let heard = views[to].hear(now, from, &datagram);
                 write_heard(&mut transcript, to, heard.is_ok());
             }
--- a/crates/gossip/tests/registers_model.rs
+++ b/crates/gossip/tests/registers_model.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use rudderspindle_gossip::{Counts, EPOCH, Incarnation, LAG, Pane, Register, Roster, Standing};
+use rudderspindle_gossip::{EPOCH, Incarnation, LAG, Register, Roster, Standing, TenantUsage, WindowSlice};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const SENDERS: usize = 3;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Word {
     Register(Vec<(u16, u32)>, u32, bool),
-    Pane(Pane),
+    WindowSlice(WindowSlice),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -36,7 +36,7 @@
 struct State {
     now: u64,
     kills: u32,
-    counts: Vec<Counts>,
+    counts: Vec<TenantUsage>,
     rosters: Vec<Roster>,
     incarnations: Vec<Incarnation>,
     /// By epoch and sender.
@@ -64,7 +64,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let incarnations: Vec<Incarnation> = vec![Incarnation(1); SENDERS];
-        let counts = |me| Counts::new(me, SENDERS, incarnations[me], 0, MOST);
+        let counts = |me| TenantUsage::new(me, SENDERS, incarnations[me], 0, MOST);
         vec![State {
             now: EPOCH,
             kills: 0,
@@ -92,7 +92,7 @@
         }
         for note in &state.wire {
             let hears = match note.word {
-                Word::Pane(_) => [Some(READER), None],
+                Word::WindowSlice(_) => [Some(READER), None],
                 Word::Register(..) => [Some(READER), Some(ADDER)],
             };
             let hears = hears.into_iter().flatten().filter(|n| *n != note.from);
@@ -116,13 +116,15 @@
                 state.wire.insert(Note { from, incarnation: state.incarnations[from], epoch, word });
             }
             Action::AddUp => {
-                let (from, word) = (ADDER, Word::Pane(state.counts[ADDER].pane(now, epoch)?));
+                let (from, word) = (ADDER, Word::WindowSlice(state.counts[ADDER].pane(now, epoch)?));
                 state.wire.insert(Note { from, incarnation: state.incarnations[from], epoch, word });
             }
             Action::Hear(n, note) => {
                 if state.rosters[n].admit(note.from, note.incarnation, now) != Ok(Standing::Older) {
                     match note.word {
-                        Word::Pane(pane) => state.counts[n].hear_pane(now, note.from, note.epoch, &pane),
+                        Word::WindowSlice(pane) => {
+                            state.counts[n].hear_pane(now, note.from, note.epoch, &pane)
+                        }
                         Word::Register(totals, rest, partial) => {
                             let register = Register { totals: totals.into_iter().collect(), rest, partial };
                             state.counts[n].hear(now, note.from, note.incarnation, note.epoch, &register)
@@ -135,7 +137,7 @@
                 state.now += 600;
                 let kept = kept.then_some(state.incarnations[n]);
                 state.incarnations[n] = Incarnation::next(kept, state.now);
-                state.counts[n] = Counts::new(n, SENDERS, state.incarnations[n], state.now, MOST);
+                state.counts[n] = TenantUsage::new(n, SENDERS, state.incarnations[n], state.now, MOST);
                 state.rosters[n] = Roster::new(SENDERS);
             }
         }
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use rudderspindle_gossip::{
-    Fleet, Incarnation, Kind, LONGEST_NOTE, Letter, LimitId, Own, PermitLedger, Ramp, open,
+    Fleet, Incarnation, Kind, LimitId, MAX_MESSAGE_LEN, OutgoingDatagram, Own, PermitLedger, Ramp, open,
 };
 use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::*;
@@ -98,7 +98,7 @@
             }
         }
         // One byte more than a note may have tells one that is too long.
-        let mut buffer = [0; LONGEST_NOTE + 1];
+        let mut buffer = [0; MAX_MESSAGE_LEN + 1];
         let (mut report_at, mut offer_at) = (self.next_report(wall), self.next_offer(wall));
         loop {
             let dealing = self.permits.as_ref().and_then(PermitLedger::next_deal);
@@ -114,20 +114,20 @@
                     }
                 }
                 () = sleep(Duration::from_millis(next.saturating_sub(wall_ms()))) => {
-                    let mut letters = self.fleet.sums(wall_ms());
-                    letters.extend(self.permits.iter_mut().flat_map(|permits| permits.deal(wall_ms())));
-                    letters.extend(self.shared.iter_mut().flat_map(|shared| shared.notes_due(wall_ms())));
+                    let mut datagrams = self.fleet.sums(wall_ms());
+                    datagrams.extend(self.permits.iter_mut().flat_map(|permits| permits.deal(wall_ms())));
+                    datagrams.extend(self.shared.iter_mut().flat_map(|shared| shared.notes_due(wall_ms())));
                     if wall_ms() >= report_at {
                         let Some(report) = self.report(&host).await else { return };
-                        letters.extend(report);
+                        datagrams.extend(report);
                         report_at = self.next_report(wall_ms());
                     }
                     if offer_at.is_some_and(|at| wall_ms() >= at) {
                         let Some(offer) = self.offer(&host).await else { return };
-                        letters.extend(offer);
+                        datagrams.extend(offer);
                         offer_at = self.next_offer(wall_ms());
                     }
-                    for (to, note) in letters {
+                    for (to, note) in datagrams {
                         // One that cannot go now is as good as lost on its way.
                         let _ = self.notes.peers.get(to).map(|addr| socket.try_send_to(&note, *addr));
                     }
@@ -185,29 +185,29 @@
     }
 
     /// What to tell of this sender; its host hears what there is for it. Nothing once that is gone.
-    async fn report(&mut self, host: &mpsc::Sender<Input>) -> Option<Vec<Letter>> {
+    async fn report(&mut self, host: &mpsc::Sender<Input>) -> Option<Vec<OutgoingDatagram>> {
         let (demands, own) = self.demands(host).await?;
-        let letters = self.fleet.report(wall_ms(), &own);
+        let datagrams = self.fleet.report(wall_ms(), &own);
         let rooms = self.fleet.rooms(wall_ms());
         let open = |gate, limit| if rooms.is_some() { self.fleet.open(gate, limit) } else { 1.0 };
         let of =
             |(gate, want): &(LimitId, Demand)| (*gate, want.destination, want.route, open(*gate, want.limit));
         self.gates = demands.iter().map(of).collect();
-        let Some(rooms) = rooms else { return Some(letters) };
+        let Some(rooms) = rooms else { return Some(datagrams) };
         let near: HashMap<_, _> = rooms.iter().copied().collect();
         let room = |(gate, want): &(_, Demand)| {
             let calls = near.get(gate).copied().unwrap_or(f64::INFINITY);
             (want.destination, want.route, calls, self.fleet.wanted(*gate))
         };
         host.send(Input::CapacityShares(demands.iter().map(room).collect(), LASTS)).await.ok()?;
-        Some(letters)
+        Some(datagrams)
     }
 
     /// What to offer of this sender's rights; its host hears its turns first. Nothing once that is gone.
-    async fn offer(&mut self, host: &mpsc::Sender<Input>) -> Option<Option<Letter>> {
+    async fn offer(&mut self, host: &mpsc::Sender<Input>) -> Option<Option<OutgoingDatagram>> {
         let (_, own) = self.demands(host).await?;
-        let letter = self.permits.as_mut().and_then(|permits| permits.offer(wall_ms(), &own));
-        self.tell_turns(host).await.then_some(letter)
+        let datagram = self.permits.as_mut().and_then(|permits| permits.offer(wall_ms(), &own));
+        self.tell_turns(host).await.then_some(datagram)
     }
 
     /// The host hears the turns that it may use; `false` once it is gone.
--- a/crates/sender/src/gossip/shared.rs
+++ b/crates/sender/src/gossip/shared.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use rudderspindle_gossip::{Class, Incarnation, Kind, Letter, Post, Receiver, Views, ViewsError};
+use rudderspindle_gossip::{
+    Class, DatagramBudget, FleetView, FleetViewError, Incarnation, Kind, OutgoingDatagram, Receiver,
+};
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
 use super::FLEET;
@@ -17,8 +19,8 @@
 /// One sender's views, and what of them its host has been told.
 #[derive(Debug)]
 pub(crate) struct Shared {
-    views: Views,
-    post: Post,
+    views: FleetView,
+    post: DatagramBudget,
     judges: bool,
     /// Messages a second of each tenant over all senders; empty where quotas stay each sender's own.
     quotas: Vec<f64>,
@@ -30,7 +32,7 @@
     ///
     /// # Errors
     ///
-    /// [`ViewsError`] for a tier that is too large.
+    /// [`FleetViewError`] for a tier that is too large.
     pub fn new(
         file: &FleetFile,
         me: usize,
@@ -38,20 +40,20 @@
         quotas: &[f64],
         life: Incarnation,
         wall: u64,
-    ) -> Result<Option<Self>, ViewsError> {
+    ) -> Result<Option<Self>, FleetViewError> {
         let share = file.share();
         if !share.judges() && !share.counts() {
             return Ok(None);
         }
         // An earlier process has taken on under this number until now.
-        let views = Views::new(me, file.halls(senders), life, wall, share.most_per_s())?;
+        let views = FleetView::new(me, file.halls(senders), life, wall, share.most_per_s())?;
         let quotas = if share.counts() { quotas.to_vec() } else { Vec::new() };
-        let post = Post::new(&[(Kind::Report, REPORTS)]);
+        let post = DatagramBudget::new(&[(Kind::Report, REPORTS)]);
         Ok(Some(Self { views, post, judges: share.judges(), quotas, avoided: Vec::new() }))
     }
 
     /// The notes that are due.
-    pub fn notes_due(&mut self, wall: u64) -> Vec<Letter> {
+    pub fn notes_due(&mut self, wall: u64) -> Vec<OutgoingDatagram> {
         self.views.notes_due(wall, &mut self.post)
     }
 
@@ -59,8 +61,8 @@
     ///
     /// # Errors
     ///
-    /// [`ViewsError`] says why it was dropped.
-    pub fn hear(&mut self, wall: u64, from: usize, note: &[u8]) -> Result<(), ViewsError> {
+    /// [`FleetViewError`] says why it was dropped.
+    pub fn hear(&mut self, wall: u64, from: usize, note: &[u8]) -> Result<(), FleetViewError> {
         self.views.hear(wall, from, note)
     }
 
--- a/crates/simulation/src/leased.rs
+++ b/crates/simulation/src/leased.rs
@@ -52,12 +52,12 @@
     type Note = Vec<u8>;
 
     fn tell(&mut self, wall: u64, wanted: f64) -> Vec<(usize, Vec<u8>)> {
-        let mut letters = self.permits.deal(wall);
+        let mut datagrams = self.permits.deal(wall);
         if self.permits.next_offer(wall - STEP) <= wall {
             let own = Own { gate: self.gate, limit: self.limit, wanted, called: 0, refused: 0, failed: 0 };
-            letters.extend(self.permits.offer(wall, &[own]));
+            datagrams.extend(self.permits.offer(wall, &[own]));
         }
-        letters
+        datagrams
     }
 
     fn hear(&mut self, wall: u64, from: usize, note: Vec<u8>) {
--- a/crates/simulation/src/leased/share.rs
+++ b/crates/simulation/src/leased/share.rs
@@ -65,14 +65,14 @@
     type Note = Word;
 
     fn tell(&mut self, wall: u64, wanted: f64) -> Vec<(usize, Word)> {
-        let mut letters = Vec::new();
+        let mut datagrams = Vec::new();
         let round = wall / ROUND;
         if wall % ROUND < STEP && !self.collected.is_empty() {
             let collected = std::mem::take(&mut self.collected);
             let (round, wanted, senders) = (round - 1, collected.values().sum(), collected.len());
             self.take(round, wanted, senders);
             let others = collected.into_keys().filter(|to| *to != self.me);
-            letters.extend(others.map(|to| (to, Word::Sum { round, wanted, senders })));
+            datagrams.extend(others.map(|to| (to, Word::Sum { round, wanted, senders })));
         }
         let moment = 100 + self.me as u64 * 300 / self.senders as u64;
         if round > self.told.0 && wall % ROUND >= moment {
@@ -83,7 +83,7 @@
             if adds_up == self.me {
                 self.collected.insert(self.me, self.told.1);
             } else {
-                letters.push((adds_up, Word::Demands { round, wanted: self.told.1 }));
+                datagrams.push((adds_up, Word::Demands { round, wanted: self.told.1 }));
             }
         }
         let before = self.phase.floor();
@@ -91,7 +91,7 @@
         if self.phase.floor() > before {
             self.due_until = wall + VALID;
         }
-        letters
+        datagrams
     }
 
     fn hear(&mut self, wall: u64, from: usize, note: Word) {
--- a/crates/simulation/src/partner/client.rs
+++ b/crates/simulation/src/partner/client.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use rudderspindle_gossip::{Fleet, Letter, LimitId, Own, PermitError, PermitLedger};
+use rudderspindle_gossip::{Fleet, LimitId, OutgoingDatagram, Own, PermitError, PermitLedger};
 use rudderspindle_policy::Sender;
 use rudderspindle_policy::interface::*;
 
@@ -58,9 +58,9 @@
 
 impl Client {
     /// What its host does once a round of sums.
-    pub fn report(&mut self, wall: u64) -> Vec<Letter> {
+    pub fn report(&mut self, wall: u64) -> Vec<OutgoingDatagram> {
         let demands = self.sender.demands();
-        let letters = self.fleet.report(wall, &own(&demands));
+        let datagrams = self.fleet.report(wall, &own(&demands));
         self.takes.clear();
         if let Some(rooms) = self.fleet.rooms(wall) {
             self.takes =
@@ -73,22 +73,22 @@
                 self.events.push(Event::Capacity { destination, route, calls, wanted, lasts: 1_000.0 });
             }
         }
-        letters
+        datagrams
     }
 
     /// What its host does for its rights, `tick` ms after it last did.
-    pub fn keep_rights(&mut self, wall: u64, tick: u64) -> Vec<Letter> {
+    pub fn keep_rights(&mut self, wall: u64, tick: u64) -> Vec<OutgoingDatagram> {
         let Some(permits) = &mut self.permits else { return Vec::new() };
         let deals = permits.next_deal().is_some_and(|at| at <= wall);
-        let mut letters = if deals { permits.deal(wall) } else { Vec::new() };
+        let mut datagrams = if deals { permits.deal(wall) } else { Vec::new() };
         let offers = permits.next_offer(wall - tick) <= wall;
         if offers {
-            letters.extend(permits.offer(wall, &own(&self.sender.demands())));
+            datagrams.extend(permits.offer(wall, &own(&self.sender.demands())));
         }
         if deals || offers {
             self.tell_turns(wall);
         }
-        letters
+        datagrams
     }
 
     /// Takes in a note on rights.
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -8,7 +8,7 @@
 
 use super::client::Client;
 use super::limit::Counter;
-use super::post::{Post, wall};
+use super::post::{DatagramBudget, wall};
 use super::scene::Bound;
 use super::seen::Knows;
 use super::{DEADLINE, Draw, LATE_VALUE, LATENCY_OBJECTIVE, RECOVERY_DURATION, Scene, Seen, TICK, VALUE};
@@ -32,7 +32,7 @@
     now: Millis,
     draw: Draw,
     clients: Vec<Client>,
-    post: Post,
+    post: DatagramBudget,
     due: Vec<Due>,
     counter: Counter,
     /// Calls of the fall time.
@@ -51,7 +51,7 @@
         now: 0.0,
         draw: Draw::new(scene.seed),
         clients: (0..scene.senders).map(|n| fresh(scene, n, 0, 0.0)).collect(),
-        post: Post::new(scene.seed ^ 0x9057),
+        post: DatagramBudget::new(scene.seed ^ 0x9057),
         due: Vec::new(),
         counter: Counter::default(),
         recent: VecDeque::new(),
--- a/crates/simulation/src/partner/post.rs
+++ b/crates/simulation/src/partner/post.rs
@@ -1,6 +1,6 @@
 //! Notes between the senders of a scene.
 
-use rudderspindle_gossip::Letter;
+use rudderspindle_gossip::OutgoingDatagram;
 use rudderspindle_policy::interface::Millis;
 
 use super::TICK;
@@ -26,7 +26,7 @@
 }
 
 /// Carries notes, and loses some.
-pub(super) struct Post {
+pub(super) struct DatagramBudget {
     draw: Draw,
     notes: Vec<OnItsWay>,
 }
@@ -41,7 +41,7 @@
     DAWN + now as u64 + ahead
 }
 
-impl Post {
+impl DatagramBudget {
     pub fn new(seed: u64) -> Self {
         Self { draw: Draw::new(seed), notes: Vec::new() }
     }
@@ -65,18 +65,25 @@
         for (n, client) in clients.iter_mut().enumerate().filter(|(_, client)| client.up) {
             let wall = wall(now, client.ahead);
             let sums_due = client.fleet.next_sums().is_some_and(|at| at <= wall);
-            let mut letters = if sums_due { client.fleet.sums(wall) } else { Vec::new() };
+            let mut datagrams = if sums_due { client.fleet.sums(wall) } else { Vec::new() };
             if client.fleet.next_report(wall - TICK as u64) <= wall {
-                letters.extend(client.report(wall));
+                datagrams.extend(client.report(wall));
             }
-            self.take(notes, now, n, About::Sums, letters);
-            let letters = client.keep_rights(wall, TICK as u64);
-            self.take(notes, now, n, About::PermitLedger, letters);
+            self.take(notes, now, n, About::Sums, datagrams);
+            let datagrams = client.keep_rights(wall, TICK as u64);
+            self.take(notes, now, n, About::PermitLedger, datagrams);
         }
     }
 
-    fn take(&mut self, notes: &Notes, now: Millis, from: usize, about: About, letters: Vec<Letter>) {
-        for (to, note) in letters {
+    fn take(
+        &mut self,
+        notes: &Notes,
+        now: Millis,
+        from: usize,
+        about: About,
+        datagrams: Vec<OutgoingDatagram>,
+    ) {
+        for (to, note) in datagrams {
             let lost = notes.cut.contains(&now) || self.draw.unit() < notes.lost;
             let arrives = now + UNDER_WAY.0 + (UNDER_WAY.1 - UNDER_WAY.0) * self.draw.unit();
             if !lost {
