--- a/crates/benchmarks/src/fleet_list.rs
+++ b/crates/benchmarks/src/fleet_list.rs
@@ -2,7 +2,7 @@
 
 use clap::Args;
 use rudderspindle_policy::interface::Discovery;
-use rudderspindle_sender::Pace;
+use rudderspindle_sender::PollSchedule;
 use rudderspindle_simulation::lists::{self, Overload, Pauses, lists};
 
 use crate::Common;
@@ -36,7 +36,7 @@
         for round in 0..common.rounds {
             let discovery = Discovery::OnRequest { ask_within: ASK_WITHIN };
             let seed = seed.wrapping_add(round).wrapping_mul(10_000);
-            let pace = |n: usize| Pace::new(discovery, peers, seed.wrapping_add(n as u64)).pauses();
+            let pace = |n: usize| PollSchedule::new(discovery, peers, seed.wrapping_add(n as u64)).pauses();
             let paces = (0..senders).map(|n| Box::new(pace(n)) as Pauses).collect();
             let cost = f64::from(fleet.request_ms) / 1_000.0;
             let queue = lists::Discovery { cost, overload: Overload::WorksOff, silent_until: 0.0 };
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -16,7 +16,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use rudderspindle_sender::{Control, FleetFile, FleetFileError, Service, StartError, Usable};
+use rudderspindle_sender::{Control, FleetFile, FleetFileError, Service, StartError, ValidatedConfig};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 
@@ -25,7 +25,7 @@
     #[error("{0} is not set")]
     Unset(&'static str),
     #[error(transparent)]
-    Door(#[from] inherited::DoorError),
+    AdmissionState(#[from] inherited::DoorError),
     #[error("RELAY_CONTROL is {0:?}, not an address and a port")]
     Control(String),
     #[error(transparent)]
@@ -60,12 +60,12 @@
     // Before anything else: until it is heeded, a signal ends the program.
     let hangup = signal(SignalKind::hangup())?;
     let terminate = signal(SignalKind::terminate())?;
-    let mut usable = Usable::read(path)?.with_fleet(fleet()?);
+    let mut config = ValidatedConfig::read(path)?.with_fleet(fleet()?);
     if let Some(control) = control()? {
-        usable = usable.with_control(control);
+        config = config.with_control(control);
     }
-    let fleet = usable.fleet().clone();
-    let service = Service::start(usable, state, inherited::door()?).await?;
+    let fleet = config.fleet().clone();
+    let service = Service::start(config, state, inherited::door()?).await?;
     tracing::info!("listening on {}", service.local_addr());
     spawn_local(reread(hangup, path.to_owned(), fleet, service.control()));
     spawn_local(stop(terminate, service.control()));
@@ -92,14 +92,14 @@
 /// in force from then on, the fleet's file from the next start.
 async fn reread(mut hangup: Signal, path: PathBuf, in_force: FleetFile, control: Control) {
     while hangup.recv().await.is_some() {
-        let read = || Ok::<_, Error>((Usable::read(&path)?, fleet()?));
+        let read = || Ok::<_, Error>((ValidatedConfig::read(&path)?, fleet()?));
         match read() {
-            Ok((usable, fleet)) => {
+            Ok((config, fleet)) => {
                 if fleet != in_force {
                     tracing::info!(target: "fleet", "the fleet's file has changed: in force from the next start");
                 }
-                tracing::info!("configuration read again: discovery at {}", usable.discovery());
-                control.configure(&usable);
+                tracing::info!("configuration read again: discovery at {}", config.discovery());
+                control.configure(&config);
             }
             Err(error) => tracing::error!("configuration left as it was: {error}"),
         }
--- a/crates/sender/src/activity.rs
+++ b/crates/sender/src/activity.rs
@@ -5,17 +5,17 @@
 use rudderspindle_gossip::{Receiver, Seen};
 use rudderspindle_policy::interface::Outcome;
 
-use crate::event::{Doings, MOST_SEEN};
+use crate::event::{ActivityReport, MAX_CALL_RESULTS};
 
 /// Emptied with each report; nothing is kept where no notes tell of it.
 #[derive(Debug)]
-pub(crate) struct Kept {
+pub(crate) struct ActivityLog {
     kept: bool,
     seen: VecDeque<(Receiver, Seen)>,
     taken_on: BTreeMap<u16, u32>,
 }
 
-impl Kept {
+impl ActivityLog {
     pub fn new(kept: bool) -> Self {
         Self { kept, seen: VecDeque::new(), taken_on: BTreeMap::new() }
     }
@@ -33,7 +33,7 @@
         };
         if let Some(receiver) = receiver.filter(|_| self.kept) {
             self.seen.push_back((receiver, seen));
-            if self.seen.len() > MOST_SEEN {
+            if self.seen.len() > MAX_CALL_RESULTS {
                 self.seen.pop_front();
             }
         }
@@ -48,12 +48,12 @@
     }
 
     /// All of it, but for what is wanted.
-    pub fn take(&mut self) -> Doings {
+    pub fn take(&mut self) -> ActivityReport {
         let seen = std::mem::take(&mut self.seen).into();
-        Doings {
+        ActivityReport {
             seen,
             taken_on: std::mem::take(&mut self.taken_on).into_iter().collect(),
-            ..Doings::default()
+            ..ActivityReport::default()
         }
     }
 }
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -117,14 +117,14 @@
 
 /// A configuration that can work, with its settings in the decision module's terms.
 #[derive(Debug)]
-pub struct Usable {
+pub struct ValidatedConfig {
     pub(crate) config: Config,
     pub(crate) settings: Settings,
     pub(crate) names: Names,
     pub(crate) fleet: FleetFile,
 }
 
-impl Usable {
+impl ValidatedConfig {
     /// Reads a configuration and checks it.
     ///
     /// # Errors
--- a/crates/sender/src/config/golden.rs
+++ b/crates/sender/src/config/golden.rs
@@ -46,11 +46,11 @@
 }
 
 /// Reads a configuration as the program does, from a file.
-fn read(config: &Value) -> Result<Usable, String> {
+fn read(config: &Value) -> Result<ValidatedConfig, String> {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
     std::fs::write(&path, config.to_string()).expect("a file");
-    Usable::read(&path).map_err(|error| error.to_string())
+    ValidatedConfig::read(&path).map_err(|error| error.to_string())
 }
 
 /// The values of a class, by the keys and words of the configuration.
@@ -68,8 +68,8 @@
 }
 
 /// The values that the decision module is given, by the keys and words of the configuration.
-fn settings(usable: &Usable) -> Value {
-    let (s, names) = (&usable.settings, &usable.names);
+fn settings(config: &ValidatedConfig) -> Value {
+    let (s, names) = (&config.settings, &config.names);
     let (discovery, ask_within) = match s.discovery {
         Discovery::Pushed => ("pushed", None),
         Discovery::OnRequest { ask_within } => ("on_request", Some(ask_within)),
@@ -125,29 +125,29 @@
 }
 
 /// All that is read of a configuration.
-fn values(usable: &Usable) -> Value {
+fn values(config: &ValidatedConfig) -> Value {
     let mut all = Map::new();
     let object = |value: Value| value.as_object().cloned().expect("an object");
-    all.extend(object(own(&usable.config)));
-    all.extend(object(settings(usable)).into_iter().map(|(key, value)| (format!("settings.{key}"), value)));
-    for (index, (name, of)) in usable.names.classes.iter().zip(&usable.settings.classes).enumerate() {
+    all.extend(object(own(&config.config)));
+    all.extend(object(settings(config)).into_iter().map(|(key, value)| (format!("settings.{key}"), value)));
+    for (index, (name, of)) in config.names.classes.iter().zip(&config.settings.classes).enumerate() {
         let of = object(class(name, of)).into_iter();
         all.extend(of.map(|(key, value)| (format!("settings.lanes[{index}].{key}"), value)));
     }
-    assert_eq!(usable.names.classes.len(), usable.settings.classes.len());
+    assert_eq!(config.names.classes.len(), config.settings.classes.len());
     all.into()
 }
 
 #[test]
 fn a_configuration_with_every_key_gives_the_values_that_it_gave_before() {
-    let usable = Usable::read(&file("config.json")).expect("usable");
-    assert_eq!(values(&usable), golden(VALUES));
+    let config = ValidatedConfig::read(&file("config.json")).expect("usable");
+    assert_eq!(values(&config), golden(VALUES));
 }
 
 #[test]
 fn what_a_configuration_does_not_say_is_what_it_was_before() {
-    let usable = Usable::read(&file("config.least.json")).expect("usable");
-    assert_eq!(values(&usable), golden(LEAST_VALUES));
+    let config = ValidatedConfig::read(&file("config.least.json")).expect("usable");
+    assert_eq!(values(&config), golden(LEAST_VALUES));
 }
 
 #[test]
@@ -157,7 +157,7 @@
     for Choice { at, value, key, gives } in choices {
         let mut config = whole();
         put(&mut config, &at, Some(value.clone()));
-        let usable = read(&config).unwrap_or_else(|error| panic!("{at} {value}: {error}"));
-        assert_eq!(values(&usable).get(&key), Some(&gives), "{at} {value}");
+        let config = read(&config).unwrap_or_else(|error| panic!("{at} {value}: {error}"));
+        assert_eq!(values(&config).get(&key), Some(&gives), "{at} {value}");
     }
 }
--- a/crates/sender/src/config/golden/refused.rs
+++ b/crates/sender/src/config/golden/refused.rs
@@ -98,7 +98,7 @@
 fn a_file_that_is_missing_or_no_json_is_named_with_the_cause_and_the_place() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
-    let said = || Usable::read(&path).expect_err("refused").to_string();
+    let said = || ValidatedConfig::read(&path).expect_err("refused").to_string();
     let begins = format!("{}: ", path.display());
     assert_eq!(said(), format!("{begins}No such file or directory (os error 2)"));
     for (text, place) in [
--- a/crates/sender/src/connection_slots.rs
+++ b/crates/sender/src/connection_slots.rs
@@ -44,7 +44,7 @@
 
 /// The connections that hold a place.
 #[derive(Debug)]
-pub struct Places {
+pub struct ConnectionSlots {
     resting_most: usize,
     clients: HashMap<ClientId, Client>,
     /// Those in each state but `Asking`, the longest in it first.
@@ -54,7 +54,7 @@
     leaving: BTreeSet<(Duration, ClientId)>,
 }
 
-impl Places {
+impl ConnectionSlots {
     /// Nobody holds any of `total` places yet.
     pub fn new(total: usize) -> Self {
         Self {
--- a/crates/sender/src/connection_slots/tests.rs
+++ b/crates/sender/src/connection_slots/tests.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn resting_connections_hold_a_quarter_and_the_longest_at_rest_goes_first() {
-    let mut places = Places::new(16);
+    let mut places = ConnectionSlots::new(16);
     for id in 0..4 {
         places.connected(id, from(1), at(id));
         assert_eq!(places.answered(id, at(10 + id), nobody), None);
@@ -37,7 +37,7 @@
 
 #[test]
 fn an_answer_never_ends_its_own_connection() {
-    let mut places = Places::new(4);
+    let mut places = ConnectionSlots::new(4);
     places.connected(0, from(1), at(0));
     places.answered(0, at(1), nobody);
     places.asks(0, at(2));
@@ -48,7 +48,7 @@
 
 #[test]
 fn the_address_with_most_silent_newcomers_gives_up_its_longest_silent_one() {
-    let mut places = Places::new(16);
+    let mut places = ConnectionSlots::new(16);
     places.connected(0, from(1), at(0));
     places.connected(1, from(2), at(1));
     places.connected(2, from(2), at(2));
@@ -64,7 +64,7 @@
 
 #[test]
 fn young_newcomers_go_after_those_that_rest_and_open_requests_never() {
-    let mut places = Places::new(16);
+    let mut places = ConnectionSlots::new(16);
     places.connected(0, from(1), at(0));
     places.asks(0, at(1));
     places.connected(1, from(1), at(100));
@@ -87,7 +87,7 @@
     fn the_sets_hold_each_connection_once(
         steps in prop::collection::vec((0..5u8, 0..12u64, 0..200u64), 1..200),
     ) {
-        let (mut places, mut now) = (Places::new(12), Duration::ZERO);
+        let (mut places, mut now) = (ConnectionSlots::new(12), Duration::ZERO);
         for (what, id, later) in steps {
             now += at(later);
             match what {
--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -19,10 +19,10 @@
 use tokio::time::timeout;
 
 use crate::accept::Acceptor;
-use crate::admission_state::Door;
+use crate::admission_state::AdmissionState;
 use crate::event::Input;
 use crate::graceful_close;
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 
 /// Connections that are open at once; beyond it the longest open one goes.
 const MOST_CALLERS: usize = 12;
@@ -38,7 +38,7 @@
 enum Call {
     Status,
     Stats,
-    SetAdmission(Door),
+    SetAdmission(AdmissionState),
 }
 
 impl Call {
@@ -46,8 +46,8 @@
         match line.trim() {
             "status" => Some(Self::Status),
             "stats" => Some(Self::Stats),
-            "standby" => Some(Self::SetAdmission(Door::Standby)),
-            "active" => Some(Self::SetAdmission(Door::Open)),
+            "standby" => Some(Self::SetAdmission(AdmissionState::Drained)),
+            "active" => Some(Self::SetAdmission(AdmissionState::Accepting)),
             _ => None,
         }
     }
@@ -55,13 +55,13 @@
 
 /// What answers operators.
 #[derive(Debug)]
-pub struct Operator {
-    pub figures: Rc<Figures>,
-    pub door: watch::Sender<Door>,
+pub struct ControlListener {
+    pub metrics: Rc<Metrics>,
+    pub door: watch::Sender<AdmissionState>,
     pub host: mpsc::Sender<Input>,
 }
 
-impl Operator {
+impl ControlListener {
     /// Answers for good.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let callers: Rc<RefCell<BTreeMap<u64, Rc<Notify>>>> = Rc::default();
@@ -107,14 +107,14 @@
             Some(Call::Status) => "done\n".to_owned(),
             Some(Call::Stats) => {
                 self.look().await;
-                format!("{}\nend\n", self.figures.to_json())
+                format!("{}\nend\n", self.metrics.to_json())
             }
             Some(Call::SetAdmission(to)) => {
                 // Not borrowed while it is replaced: that waits for itself.
                 let before = *self.door.borrow();
                 let now = before.turned(to);
                 if self.door.send_replace(now) != now {
-                    tracing::info!("control: the clients' door was {before:?} and is {now:?}");
+                    tracing::info!(from = ?before, to = ?now, "admission state changed");
                 }
                 if now == to { "done\n".to_owned() } else { "error stopping\n".to_owned() }
             }
@@ -125,10 +125,10 @@
     /// Has the engine say how it stands, if it can soon.
     async fn look(&self) {
         let (standing, said) = oneshot::channel();
-        if self.host.try_send(Input::Look(standing)).is_ok()
+        if self.host.try_send(Input::QueryStatus(standing)).is_ok()
             && let Ok(Ok(standing)) = timeout(LOOK_TIME, said).await
         {
-            self.figures.stand(standing);
+            self.metrics.stand(standing);
         }
     }
 }
@@ -143,7 +143,7 @@
     #[test]
     fn calls_are_read_whole_words_and_nothing_else() {
         assert_eq!(Call::read("status\r\n"), Some(Call::Status));
-        assert_eq!(Call::read("standby\n"), Some(Call::SetAdmission(Door::Standby)));
+        assert_eq!(Call::read("standby\n"), Some(Call::SetAdmission(AdmissionState::Drained)));
         assert_eq!(Call::read("stand by\n"), None);
         assert_eq!(Call::read("STATS\n"), None);
     }
--- a/crates/sender/src/control/golden.rs
+++ b/crates/sender/src/control/golden.rs
@@ -1,32 +1,32 @@
 //! What operators are answered, compared with the answers of the version before the renames.
 
 use super::*;
-use crate::metrics::{End, Standing};
+use crate::metrics::{End, EngineStatus};
 
 const SERVING: &str = include_str!("../../tests/golden/control.serving.txt");
 const STOPPING: &str = include_str!("../../tests/golden/control.stopping.txt");
 
 /// Figures in which no two numbers are alike.
-fn figures() -> Figures {
-    let figures = Figures::new(&["keyed".to_owned(), "a \"b\"".to_owned(), "plain".to_owned()]);
+fn metrics() -> Metrics {
+    let metrics = Metrics::new(&["keyed".to_owned(), "a \"b\"".to_owned(), "plain".to_owned()]);
     let ends = [(0, End::Delivered, 1), (0, End::Refused, 2), (0, End::Failed, 3), (2, End::Delivered, 4)];
     for (class, end, times) in ends {
-        (0..times).for_each(|_| figures.ended(class, end));
+        (0..times).for_each(|_| metrics.ended(class, end));
     }
-    (0..5).for_each(|_| figures.relayed());
-    figures.client(true);
-    figures.stand(Standing { open_requests: 6, registry_entries: 7, out_of_rotation: 8 });
-    figures
+    (0..5).for_each(|_| metrics.relayed());
+    metrics.client(true);
+    metrics.stand(EngineStatus { open_requests: 6, registry_entries: 7, out_of_rotation: 8 });
+    metrics
 }
 
 /// An operator's side whose door stands so, and what its engine is asked.
-fn operator(door: Door) -> (Operator, mpsc::Receiver<Input>) {
+fn operator(door: AdmissionState) -> (ControlListener, mpsc::Receiver<Input>) {
     let (host, asked) = mpsc::channel(4);
-    (Operator { figures: Rc::new(figures()), door: watch::channel(door).0, host }, asked)
+    (ControlListener { metrics: Rc::new(metrics()), door: watch::channel(door).0, host }, asked)
 }
 
 /// Each call after a `> `, and its answer.
-async fn transcript(operator: &Operator, calls: &[&str]) -> String {
+async fn transcript(operator: &ControlListener, calls: &[&str]) -> String {
     let mut text = String::new();
     for call in calls {
         let answer = operator.answer(Call::read(call)).await;
@@ -37,10 +37,10 @@
 
 #[tokio::test]
 async fn a_sender_that_serves_answers_each_call_as_before() {
-    let (operator, mut asked) = operator(Door::Open);
+    let (operator, mut asked) = operator(AdmissionState::Accepting);
     let engine = async {
-        while let Some(Input::Look(standing)) = asked.recv().await {
-            let now = Standing { open_requests: 60, registry_entries: 70, out_of_rotation: 80 };
+        while let Some(Input::QueryStatus(standing)) = asked.recv().await {
+            let now = EngineStatus { open_requests: 60, registry_entries: 70, out_of_rotation: 80 };
             standing.send(now).expect("somebody asks");
         }
     };
@@ -55,7 +55,7 @@
 /// The engine has ended, too: the figures are those that it told last.
 #[tokio::test]
 async fn a_sender_that_stops_answers_each_call_as_before() {
-    for door in [Door::Stopping, Door::Leaving] {
+    for door in [AdmissionState::Stopping, AdmissionState::HandingOver] {
         let (operator, asked) = operator(door);
         drop(asked);
         let text = transcript(&operator, &["status", "stats", "standby", "active", "status"]).await;
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -13,7 +13,7 @@
 use self::decoder::{DecodeError, Decoder, Item, LONGEST_LIST};
 use crate::event::{Input, List};
 use crate::platform::{Driver, HttpError, connect};
-use crate::poll_schedule::Pace;
+use crate::poll_schedule::PollSchedule;
 
 mod decoder;
 
@@ -92,7 +92,7 @@
 pub async fn watch(
     mut addr: watch::Receiver<SocketAddr>,
     revision: Option<u64>,
-    mut pace: Pace,
+    mut pace: PollSchedule,
     host: mpsc::Sender<Input>,
 ) {
     let mut pause = pace.at_start();
--- a/crates/sender/src/discovery/tests/scripted.rs
+++ b/crates/sender/src/discovery/tests/scripted.rs
@@ -84,7 +84,7 @@
 pub(super) fn begin(discovery: Discovery, at: SocketAddr, revision: Option<u64>) -> Watched {
     let (address, watched) = watch::channel(at);
     let (host, inputs) = mpsc::channel(16);
-    spawn_local(super::watch(watched, revision, Pace::new(discovery, 1, 1), host));
+    spawn_local(super::watch(watched, revision, PollSchedule::new(discovery, 1, 1), host));
     Watched { address, inputs }
 }
 
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -23,11 +23,11 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use crate::activity::Kept;
-use crate::event::{Answer, AttemptResult, Call, Doings, Input, List, Member, STORY, Submission};
-use crate::handover::{self, Neighbour, Word};
-use crate::metrics::{End, Figures, Standing};
-use crate::notifications::Reports;
+use crate::activity::ActivityLog;
+use crate::event::{ActivityReport, Answer, AttemptResult, Call, Input, List, Member, STORY, Submission};
+use crate::handover::{self, HandoverMessage, PeerProcess};
+use crate::metrics::{End, EngineStatus, Metrics};
+use crate::notifications::Notifications;
 use crate::outbound::{CallOut, Outbound, Route};
 
 /// After SIGTERM, calls start for so long: what starts later may not finish.
@@ -44,20 +44,20 @@
 /// away from a list that lags, and must not come back as one without a past.
 const KEEP_GONE: Duration = Duration::from_secs(70);
 /// Clients that may hand in one message at the same time; more are refused.
-const MOST_HAND_INS: usize = 4;
+const MAX_SUBMISSIONS: usize = 4;
 /// Stands for clients that an earlier process answered: they are heard for good.
-const EARLIER_HAND_IN: u64 = u64::MAX;
+const EARLIER_SUBMISSION: u64 = u64::MAX;
 /// Inputs of one batch at most.
-const MOST_INPUTS: usize = 4096;
+const MAX_INPUTS: usize = 4096;
 
 /// A message that is owed its end.
 #[derive(Debug)]
-struct Held {
+struct TrackedMessage {
     message_id: MessageId,
     class: usize,
     /// The hand-ins that it was taken on by, less those whose clients went unheard. While one is left, its
     /// client may have been told that the message is taken on: nothing may withdraw it.
-    hand_ins: Vec<u64>,
+    submissions: Vec<u64>,
     key: Option<Bytes>,
     body: Bytes,
     ends_at: Instant,
@@ -68,14 +68,14 @@
 
 /// What a receiver's id stands for.
 #[derive(Debug)]
-struct Known {
+struct KnownReceiver {
     route: RouteId,
     destination: Option<DestinationId>,
     gone_at: Option<Instant>,
 }
 
 /// A message that was handed in with this batch.
-struct Fresh {
+struct NewSubmission {
     id: MessageHandle,
     class: usize,
     record: journal::Message,
@@ -88,9 +88,9 @@
     names: Names,
     store: Store,
     outbound: Rc<Outbound>,
-    reports: Rc<Reports>,
-    figures: Rc<Figures>,
-    neighbour: Rc<Neighbour>,
+    reports: Rc<Notifications>,
+    metrics: Rc<Metrics>,
+    peer_process: Rc<PeerProcess>,
     /// Calls out, as the neighbour was last told.
     told_out: usize,
     /// Whether clients come by a listener that a successor has, too.
@@ -99,12 +99,12 @@
     origin: Instant,
     last_batch: Instant,
     stop: Option<Instant>,
-    held: HashMap<MessageHandle, Held>,
+    held: HashMap<MessageHandle, TrackedMessage>,
     ids: HashMap<MessageId, MessageHandle>,
-    hand_ins: HashMap<u64, MessageHandle>,
+    submissions: HashMap<u64, MessageHandle>,
     next_id: u32,
     /// Receivers on the list, and for a while those that have left it.
-    routes: HashMap<Rc<str>, Known>,
+    routes: HashMap<Rc<str>, KnownReceiver>,
     next_route: u64,
     destinations: HashSet<DestinationId>,
     zones: Vec<String>,
@@ -114,19 +114,19 @@
     deferred: Vec<Input>,
     backlog: Vec<Recovered>,
     carried: Vec<Event>,
-    doings: Kept,
+    activity: ActivityLog,
 }
 
 /// What an engine is made of.
-pub struct Parts {
+pub struct EngineDependencies {
     pub settings: Settings,
     pub names: Names,
     pub seed: u64,
     pub store: Store,
     pub outbound: Rc<Outbound>,
-    pub reports: Rc<Reports>,
-    pub figures: Rc<Figures>,
-    pub neighbour: Rc<Neighbour>,
+    pub reports: Rc<Notifications>,
+    pub metrics: Rc<Metrics>,
+    pub peer_process: Rc<PeerProcess>,
     pub shared_door: bool,
     /// Whether other senders will tell this one what they want.
     pub notes: bool,
@@ -143,9 +143,14 @@
     /// # Errors
     ///
     /// [`SettingsError`] if the settings cannot work.
-    pub fn new(parts: Parts, known: &List, fetched: Option<&List>) -> Result<Self, SettingsError> {
-        let Parts { settings, names, seed, store, outbound, reports, .. } = parts;
-        let Parts { figures, neighbour, shared_door, notes, permits, views, inputs, .. } = parts;
+    pub fn new(
+        parts: EngineDependencies,
+        known: &List,
+        fetched: Option<&List>,
+    ) -> Result<Self, SettingsError> {
+        let EngineDependencies { settings, names, seed, store, outbound, reports, .. } = parts;
+        let EngineDependencies { metrics, peer_process, shared_door, notes, permits, views, inputs, .. } =
+            parts;
         let now = Instant::now();
         let mut sender = Sender::new(settings.clone(), seed)?;
         if notes {
@@ -162,8 +167,8 @@
             store,
             outbound,
             reports,
-            figures,
-            neighbour,
+            metrics,
+            peer_process,
             told_out: 0,
             shared_door,
             inputs,
@@ -172,7 +177,7 @@
             stop: None,
             held: HashMap::new(),
             ids: HashMap::new(),
-            hand_ins: HashMap::new(),
+            submissions: HashMap::new(),
             next_id: 0,
             routes: HashMap::new(),
             next_route: 0,
@@ -182,7 +187,7 @@
             deferred: Vec::new(),
             backlog: Vec::new(),
             carried: Vec::new(),
-            doings: Kept::new(views),
+            activity: ActivityLog::new(views),
         };
         let entries = engine.list(known);
         engine.carried.push(Event::List(ListChange::Cached(entries)));
@@ -206,13 +211,13 @@
             let mut inputs = std::mem::take(&mut self.deferred);
             if inputs.is_empty() {
                 tokio::select! {
-                    n = self.inputs.recv_many(&mut inputs, MOST_INPUTS) => if n == 0 { return },
+                    n = self.inputs.recv_many(&mut inputs, MAX_INPUTS) => if n == 0 { return },
                     () = sleep_until(due) => {}
                 }
             }
             let tick = Duration::from_secs_f64(self.settings.tick.max(0.0) / 1_000.0);
             sleep_until(self.last_batch + tick).await;
-            while inputs.len() < MOST_INPUTS {
+            while inputs.len() < MAX_INPUTS {
                 let Ok(input) = self.inputs.try_recv() else { break };
                 inputs.push(input);
             }
@@ -240,7 +245,7 @@
         let idle = self.calls.is_empty() && self.reports.is_idle();
         let done = idle && (self.held.is_empty() || since >= STOP_SENDING);
         // Those whose request is still coming are heard: they would have to begin again elsewhere.
-        let heard = self.figures.clients() == 0;
+        let heard = self.metrics.clients() == 0;
         let first = if self.shared_door { Duration::ZERO } else { STOP_FIRST };
         since >= STOP_LAST || (done && heard && since >= first)
     }
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -44,14 +44,14 @@
         self.calls.remove(&id);
         let AttemptResult { outcome, wait, closed } = report;
         let receiver = self.held.get_mut(&id).and_then(|held| held.receiver.take());
-        self.doings.saw(receiver, outcome);
+        self.activity.saw(receiver, outcome);
         if let Some(held) = self.held.get(&id) {
             tracing::debug!(target: STORY, message_id = &*held.message_id, attempt, ?outcome, wait, "outcome");
             if closed {
                 failpoint!("delivered-before-record");
                 self.store.end(&held.message_id, None);
                 if outcome == Outcome::Ok {
-                    self.figures.ended(held.class, End::Delivered);
+                    self.metrics.ended(held.class, End::Delivered);
                 }
                 self.release(id);
             } else {
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -27,7 +27,7 @@
         let (mut room, mut refused) = (0, Vec::new());
         for input in inputs {
             match input {
-                Input::HandedIn(submission) => {
+                Input::Submitted(submission) => {
                     let message = self.admit(submission, now, &mut room, &mut fresh, &mut refused);
                     events.extend(message.map(Event::Message));
                 }
@@ -42,7 +42,7 @@
                         if list.complete { ListChange::Full(entries) } else { ListChange::Delta(entries) };
                     events.push(Event::List(change));
                 }
-                Input::Settled(message_ids) => {
+                Input::NotificationsAcknowledged(message_ids) => {
                     failpoint!("acknowledged-before-record");
                     message_ids.iter().for_each(|message_id| self.store.settled(message_id));
                 }
@@ -50,12 +50,12 @@
                 Input::RetryAfter { destination, receiver, ms } => {
                     events.extend(self.heed(destination, receiver.as_deref(), ms));
                 }
-                Input::OutElsewhere(calls) => self.sender.share_slots(calls),
-                Input::Succeed(asker) => {
+                Input::PeerCallsInFlight(calls) => self.sender.share_slots(calls),
+                Input::TakeOver(asker) => {
                     self.succeed(now);
                     let _ = asker.send(self.store.is_owner());
                 }
-                Input::Demands(asker) => drop(asker.send(self.doings())),
+                Input::Demands(asker) => drop(asker.send(self.activity())),
                 Input::CapacityShares(rooms, lasts) => {
                     let room = |(destination, route, calls, wanted)| Event::Capacity {
                         destination,
@@ -73,7 +73,7 @@
                 }
                 Input::Permits(all) => events.extend(turns(all)),
                 // Nobody may wait for it any more.
-                Input::Look(asker) => drop(asker.send(self.standing())),
+                Input::QueryStatus(asker) => drop(asker.send(self.standing())),
                 Input::Stop => self.stop = self.stop.or(Some(now)),
             }
         }
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -7,7 +7,7 @@
     pub(super) fn carry_out(
         &mut self,
         now: Instant,
-        fresh: Vec<Fresh>,
+        fresh: Vec<NewSubmission>,
         refused: Vec<(oneshot::Sender<Answer>, Answer)>,
         actions: Vec<Action>,
     ) {
@@ -25,10 +25,10 @@
         // What is ended with the batch that brought it was never taken on: its client hears it at once.
         let mut answers = refused;
         let mut taken = Vec::new();
-        for Fresh { id, class, record, answer } in fresh {
+        for NewSubmission { id, class, record, answer } in fresh {
             if let Some(status) = ended.remove(&id) {
                 self.release(id);
-                self.figures.ended(class, status.into());
+                self.metrics.ended(class, status.into());
                 let word = match status {
                     Status::Undeliverable => Answer::Failed,
                     Status::Deferred(again) => Answer::Refused(again.unwrap_or(0) as Millis),
@@ -49,7 +49,7 @@
             }
             tracing::debug!(target: STORY, message_id = &*held.message_id, ?status, "ended");
             self.store.end(&held.message_id, Some(status));
-            self.figures.ended(held.class, status.into());
+            self.metrics.ended(held.class, status.into());
             notices.push(Notice { message_id: held.message_id, status });
         }
         let mut calls = Vec::new();
@@ -81,7 +81,7 @@
                 if let Some(held) = self.release(id) {
                     self.store.forget(&held.message_id);
                     self.carried.push(Event::Dropped(id));
-                    self.figures.ended(held.class, End::Refused);
+                    self.metrics.ended(held.class, End::Refused);
                 }
                 answers.push((answer, Answer::Refused(0.0)));
             }
@@ -108,9 +108,9 @@
             let id = call.id;
             self.calls.insert(id, self.outbound.start(call));
         }
-        if self.neighbour.is_there() && self.told_out != self.calls.len() {
+        if self.peer_process.is_there() && self.told_out != self.calls.len() {
             self.told_out = self.calls.len();
-            self.neighbour.tell(Word::Out(self.told_out));
+            self.peer_process.tell(HandoverMessage::Out(self.told_out));
         }
     }
 }
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -9,7 +9,7 @@
         submission: Submission,
         now: Instant,
         room: &mut u64,
-        fresh: &mut Vec<Fresh>,
+        fresh: &mut Vec<NewSubmission>,
         refused: &mut Vec<(oneshot::Sender<Answer>, Answer)>,
     ) -> Option<Message> {
         let Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer } =
@@ -21,7 +21,7 @@
             // Before any list has come, nothing can be said of it.
             let unknown = !self.destinations.is_empty();
             if !unknown {
-                self.figures.ended(class, End::Refused);
+                self.metrics.ended(class, End::Refused);
             }
             refused.push((answer, if unknown { Answer::UnknownDestination } else { Answer::Refused(0.0) }));
             return None;
@@ -29,15 +29,15 @@
         if let Some(&id) = self.ids.get(&message_id) {
             // Handed in twice, taken on once, and owed to each client that hears so: to forget the earlier one
             // would let anybody who knows an id end its message by going away.
-            let held = self.held.get_mut(&id).filter(|held| held.hand_ins.len() < MOST_HAND_INS);
+            let held = self.held.get_mut(&id).filter(|held| held.submissions.len() < MAX_SUBMISSIONS);
             match held.filter(|_| fresh.iter().all(|f| f.id != id)) {
                 Some(held) => {
-                    held.hand_ins.push(number);
-                    self.hand_ins.insert(number, id);
+                    held.submissions.push(number);
+                    self.submissions.insert(number, id);
                     refused.push((answer, Answer::Accepted));
                 }
                 None => {
-                    self.figures.ended(class, End::Refused);
+                    self.metrics.ended(class, End::Refused);
                     refused.push((answer, Answer::Refused(0.0)));
                 }
             }
@@ -45,7 +45,7 @@
         }
         if self.store.knows(&message_id) {
             // Its notice is still owed: what acknowledges that must not end a new message of the same id.
-            self.figures.ended(class, End::Refused);
+            self.metrics.ended(class, End::Refused);
             refused.push((answer, Answer::Refused(0.0)));
             return None;
         }
@@ -64,30 +64,30 @@
         };
         let more = record.room();
         if self.held.len() >= self.settings.max_pending || !self.store.has_room(*room + more) {
-            self.figures.ended(class, End::Refused);
+            self.metrics.ended(class, End::Refused);
             refused.push((answer, Answer::Refused(0.0)));
             return None;
         }
         if !Store::fits_batch(*room + more) {
             let submission =
                 Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer };
-            self.deferred.push(Input::HandedIn(submission));
+            self.deferred.push(Input::Submitted(submission));
             return None;
         }
         *room += more;
-        let id = self.hold(Held {
+        let id = self.hold(TrackedMessage {
             message_id,
             class,
-            hand_ins: vec![number],
+            submissions: vec![number],
             key,
             body,
             ends_at,
             attempts: 0,
             receiver: None,
         });
-        self.hand_ins.insert(number, id);
-        self.doings.took(tenant);
-        fresh.push(Fresh { id, class, record, answer });
+        self.submissions.insert(number, id);
+        self.activity.took(tenant);
+        fresh.push(NewSubmission { id, class, record, answer });
         Some(Message {
             id,
             class,
@@ -99,7 +99,7 @@
         })
     }
 
-    pub(super) fn hold(&mut self, held: Held) -> MessageHandle {
+    pub(super) fn hold(&mut self, held: TrackedMessage) -> MessageHandle {
         let mut id = MessageHandle(self.next_id);
         while self.held.contains_key(&id) || self.calls.contains_key(&id) {
             id = MessageHandle(id.0.wrapping_add(1));
@@ -110,20 +110,20 @@
         id
     }
 
-    pub(super) fn release(&mut self, id: MessageHandle) -> Option<Held> {
+    pub(super) fn release(&mut self, id: MessageHandle) -> Option<TrackedMessage> {
         let held = self.held.remove(&id)?;
         self.ids.remove(&held.message_id);
-        for hand_in in &held.hand_ins {
-            self.hand_ins.remove(hand_in);
+        for hand_in in &held.submissions {
+            self.submissions.remove(hand_in);
         }
         Some(held)
     }
 
     pub(super) fn withdraw(&mut self, hand_in: u64) -> Option<Event> {
-        let id = self.hand_ins.remove(&hand_in)?;
+        let id = self.submissions.remove(&hand_in)?;
         let held = self.held.get_mut(&id)?;
-        held.hand_ins.retain(|&number| number != hand_in);
-        if !held.hand_ins.is_empty() {
+        held.submissions.retain(|&number| number != hand_in);
+        if !held.submissions.is_empty() {
             return None;
         }
         let held = self.release(id)?;
--- a/crates/sender/src/engine/list.rs
+++ b/crates/sender/src/engine/list.rs
@@ -60,7 +60,7 @@
         }
         let route = RouteId(self.next_route);
         self.next_route += 1;
-        let known = Known { route, destination: None, gone_at: Some(now) };
+        let known = KnownReceiver { route, destination: None, gone_at: Some(now) };
         self.routes.insert(receiver.into(), known);
         route
     }
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -90,8 +90,8 @@
 
     /// One that an earlier process took on, and that no call has been made for, is not given up for want of room: it
     /// waits until there is some again.
-    pub(super) fn put_back(&mut self, now: Instant, held: &Held) -> bool {
-        let untried = held.attempts == 0 && held.hand_ins.contains(&EARLIER_HAND_IN);
+    pub(super) fn put_back(&mut self, now: Instant, held: &TrackedMessage) -> bool {
+        let untried = held.attempts == 0 && held.submissions.contains(&EARLIER_SUBMISSION);
         if !untried || held.ends_at.saturating_duration_since(now) < EARLY {
             return false;
         }
@@ -113,10 +113,10 @@
             PriorExecution { ago: ran.ago + since, ..ran }
         });
         let tenant = self.names.tenants.iter().position(|name| **name == *m.tenant);
-        let id = self.hold(Held {
+        let id = self.hold(TrackedMessage {
             message_id: m.message_id,
             class,
-            hand_ins: vec![EARLIER_HAND_IN],
+            submissions: vec![EARLIER_SUBMISSION],
             key: m.key,
             body: m.body,
             ends_at,
--- a/crates/sender/src/engine/standing.rs
+++ b/crates/sender/src/engine/standing.rs
@@ -4,9 +4,9 @@
 
 impl Engine {
     /// What notes tell of this sender.
-    pub(super) fn doings(&mut self) -> Doings {
-        let listed = if self.doings.is_kept() { self.listed() } else { Vec::new() };
-        Doings { demands: self.demands(), listed, ..self.doings.take() }
+    pub(super) fn activity(&mut self) -> ActivityReport {
+        let listed = if self.activity.is_kept() { self.listed() } else { Vec::new() };
+        ActivityReport { demands: self.demands(), listed, ..self.activity.take() }
     }
 
     pub(super) fn demands(&self) -> Vec<(LimitId, Demand)> {
@@ -20,8 +20,8 @@
         self.sender.demands().into_iter().filter_map(named).collect()
     }
 
-    pub(super) fn standing(&self) -> Standing {
-        Standing {
+    pub(super) fn standing(&self) -> EngineStatus {
+        EngineStatus {
             open_requests: self.held.len() + self.backlog.len(),
             registry_entries: self.routes.values().filter(|known| known.gone_at.is_none()).count(),
             out_of_rotation: self.sender.avoided(),
--- a/crates/sender/src/engine/succession.rs
+++ b/crates/sender/src/engine/succession.rs
@@ -28,18 +28,18 @@
                 }
             };
             let (destination, receiver) = (*destination, receiver.to_string());
-            self.neighbour.tell(Word::OutageState { destination, receiver, outage });
+            self.peer_process.tell(HandoverMessage::OutageState { destination, receiver, outage });
         }
-        self.outbound.waits().into_iter().for_each(|word| self.neighbour.tell(word));
+        self.outbound.waits().into_iter().for_each(|word| self.peer_process.tell(word));
         self.told_out = self.calls.len();
-        self.neighbour.tell(Word::Out(self.told_out));
-        self.neighbour.tell(Word::FreeSpace);
+        self.peer_process.tell(HandoverMessage::Out(self.told_out));
+        self.peer_process.tell(HandoverMessage::FreeSpace);
     }
 
     /// What a predecessor tells a process that begins: as if its own journal had said so, as far as it can be.
-    pub fn hear(store: &mut Store, told: &[Word]) {
+    pub fn hear(store: &mut Store, told: &[HandoverMessage]) {
         for word in told {
-            if let Word::OutageState { destination, receiver, outage } = word {
+            if let HandoverMessage::OutageState { destination, receiver, outage } = word {
                 let outage = match *outage {
                     handover::OutageState::Down { wait } => {
                         journal::OutageState::Down { wait: wait.min(LONGEST_WAIT as u64) }
--- a/crates/sender/src/engine/succession/tests.rs
+++ b/crates/sender/src/engine/succession/tests.rs
@@ -30,8 +30,11 @@
         (2, handover::OutageState::WarmingUp { ago: i64::MIN, part: 7.5 }),
         (3, handover::OutageState::WarmingUp { ago: 5, part: -1.0 }),
     ];
-    let words =
-        told.map(|(destination, outage)| Word::OutageState { destination, receiver: "".into(), outage });
+    let words = told.map(|(destination, outage)| HandoverMessage::OutageState {
+        destination,
+        receiver: "".into(),
+        outage,
+    });
     Engine::hear(&mut store, &words);
     for (place, outage) in store.outage_records() {
         let fits = match outage {
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -11,21 +11,21 @@
     let settings = rudderspindle_policy::settings::read(&json).expect("settings");
     let names = rudderspindle_policy::settings::names(&json).expect("names");
     let (to_engine, inputs) = mpsc::channel(16);
-    let figures = Rc::new(Figures::new(&names.classes));
-    let neighbour = Rc::new(Neighbour::default());
+    let metrics = Rc::new(Metrics::new(&names.classes));
+    let peer_process = Rc::new(PeerProcess::default());
     let outbound =
-        Rc::new(Outbound::new(&settings, 8, figures.clone(), neighbour.clone(), to_engine.clone()));
+        Rc::new(Outbound::new(&settings, 8, metrics.clone(), peer_process.clone(), to_engine.clone()));
     let store = Store::open(state, 3_000_000).expect("a journal");
     let reports = Rc::default();
-    let parts = Parts {
+    let parts = EngineDependencies {
         settings,
         names,
         seed: 1,
         store,
         outbound,
         reports,
-        figures,
-        neighbour,
+        metrics,
+        peer_process,
         shared_door: false,
         notes: false,
         permits: false,
@@ -44,7 +44,7 @@
     let (ends_at, destination) = (Instant::now() + Duration::from_secs(9), DestinationId(7));
     let s =
         Submission { number, message_id, class: 0, tenant: 0, destination, key: None, body, ends_at, answer };
-    (Input::HandedIn(s), answered)
+    (Input::Submitted(s), answered)
 }
 
 /// A client that knows an open message's id could end it by going away, though another had its 202.
@@ -53,19 +53,19 @@
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let (mut engine, _inputs) = engine(folder.path());
-        for number in 1..=MOST_HAND_INS as u64 + 1 {
+        for number in 1..=MAX_SUBMISSIONS as u64 + 1 {
             let (input, answered) = submission(number, "m1");
             engine.batch(vec![input]);
-            let more = number > MOST_HAND_INS as u64;
+            let more = number > MAX_SUBMISSIONS as u64;
             let expected = if more { Answer::Refused(0.0) } else { Answer::Accepted };
             assert_eq!(answered.await, Ok(expected));
         }
-        for number in 2..=MOST_HAND_INS as u64 + 1 {
+        for number in 2..=MAX_SUBMISSIONS as u64 + 1 {
             engine.batch(vec![Input::Withdrawn(number)]);
             assert!(engine.held.len() == 1 && engine.store.knows(&"m1".into()), "ended by {number}");
         }
         engine.batch(vec![Input::Withdrawn(1)]);
-        assert!(engine.held.is_empty() && engine.hand_ins.is_empty() && !engine.store.knows(&"m1".into()));
+        assert!(engine.held.is_empty() && engine.submissions.is_empty() && !engine.store.knows(&"m1".into()));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
@@ -95,7 +95,7 @@
             tokio::time::advance(Duration::from_millis(500)).await;
             engine.batch(Vec::new());
             let maps = engine.routes.len() + engine.destinations.len() + engine.held.len() + engine.ids.len();
-            let maps = maps + engine.hand_ins.len() + engine.calls.len() + engine.wakes.len();
+            let maps = maps + engine.submissions.len() + engine.calls.len() + engine.wakes.len();
             after.push(maps + engine.outbound.remembered() + engine.sender.remembered());
         }
         let (half, end) = (after[599], after[1_199]);
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -94,7 +94,7 @@
         let (mut engine, inputs) = engine(folder.path());
         let listener = receiver(&mut engine).await;
         let mut stream = call(&mut engine, &listener, 1).await;
-        while inputs.try_send(Input::OutElsewhere(0)).is_ok() {}
+        while inputs.try_send(Input::PeerCallsInFlight(0)).is_ok() {}
         let answer = b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 30000\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(answer).await.expect("writable");
         // The wait is noted before the outcome is told.
--- a/crates/sender/src/engine/tests/deadline.rs
+++ b/crates/sender/src/engine/tests/deadline.rs
@@ -14,10 +14,10 @@
         let (mut engine, _inputs) = engine(folder.path());
         let listener = receiver(&mut engine).await;
         let (input, answered) = submission(1, "m1");
-        let Input::HandedIn(mut message) = input else { panic!("no message") };
+        let Input::Submitted(mut message) = input else { panic!("no message") };
         let ends_at = Instant::now() + Duration::from_millis(500);
         message.ends_at = ends_at;
-        engine.batch(vec![Input::HandedIn(message)]);
+        engine.batch(vec![Input::Submitted(message)]);
         assert_eq!(answered.await, Ok(Answer::Accepted));
         let (mut stream, _) = soon(listener.accept()).await.expect("a connection");
         let text = String::from_utf8(request(&mut stream).await).expect("text");
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::metrics::Standing;
+use crate::metrics::EngineStatus;
 
 /// The header that carries a message's key, on the way in and on the way out.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
@@ -21,7 +21,7 @@
 /// What the rest of the program tells the engine.
 #[derive(Debug)]
 pub enum Input {
-    HandedIn(Submission),
+    Submitted(Submission),
     /// The client of this hand-in has gone before it was answered.
     Withdrawn(u64),
     Outcome {
@@ -35,7 +35,7 @@
     },
     List(List),
     /// Notices that the platform has.
-    Settled(Vec<MessageId>),
+    NotificationsAcknowledged(Vec<MessageId>),
     /// A process that will take over from this one has come, or the other of the two is gone.
     Successor(bool),
     /// The other process of this sender was told to wait.
@@ -45,11 +45,11 @@
         ms: Millis,
     },
     /// So many calls of the other process of this sender are out.
-    OutElsewhere(usize),
+    PeerCallsInFlight(usize),
     /// Take the journal over, if the process that owns it has ended; whether it is ours is answered.
-    Succeed(oneshot::Sender<bool>),
+    TakeOver(oneshot::Sender<bool>),
     /// What is wanted of each limit, and what has been seen and taken on since the last time?
-    Demands(oneshot::Sender<Doings>),
+    Demands(oneshot::Sender<ActivityReport>),
     /// What notes leave of limits to this sender: calls a second for each that is wanted, how many all senders want, and
     /// for how long.
     CapacityShares(Vec<(DestinationId, Option<RouteId>, f64, f64)>, Millis),
@@ -60,16 +60,16 @@
     /// What of each tenant's quota is this sender's, messages a second, where word of others has come.
     Quotas(Vec<Option<f64>>),
     /// How does the engine stand?
-    Look(oneshot::Sender<Standing>),
+    QueryStatus(oneshot::Sender<EngineStatus>),
     /// SIGTERM.
     Stop,
 }
 
 /// What a sender wants and does, for its notes.
 #[derive(Debug, Default)]
-pub struct Doings {
+pub struct ActivityReport {
     pub demands: Vec<(LimitId, Demand)>,
-    /// How calls ended since the last time, oldest first; of the last [`MOST_SEEN`] only.
+    /// How calls ended since the last time, oldest first; of the last [`MAX_CALL_RESULTS`] only.
     pub seen: Vec<(Receiver, Seen)>,
     /// Messages taken on since the last time, by tenant.
     pub taken_on: Vec<(u16, u32)>,
@@ -78,7 +78,7 @@
 }
 
 /// Ends of calls that are kept between two reports.
-pub(crate) const MOST_SEEN: usize = 4_096;
+pub(crate) const MAX_CALL_RESULTS: usize = 4_096;
 
 /// A message handed in, and where its answer goes.
 #[derive(Debug)]
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -18,7 +18,7 @@
 use tokio::time::sleep;
 
 use crate::config::Notes;
-use crate::event::{Doings, Input};
+use crate::event::{ActivityReport, Input};
 use crate::fleet_file::FleetFile;
 use shared::{LOOK, Shared};
 
@@ -36,7 +36,7 @@
 
 /// What the operator's file asks for, beyond sums.
 #[derive(Debug, Default)]
-pub(crate) struct Together {
+pub(crate) struct FleetSettings {
     pub file: FleetFile,
     /// Messages a second of each tenant over all senders.
     pub quotas: Vec<f64>,
@@ -46,19 +46,19 @@
 
 /// One sender's place among its fellows.
 #[derive(Debug)]
-pub(crate) struct Peers {
+pub(crate) struct GossipTask {
     notes: Notes,
     fleet: Fleet,
-    together: Together,
+    together: FleetSettings,
     permits: Option<PermitLedger>,
     shared: Option<Shared>,
     /// The gates as last told by the host, and the part of each that is believed to be open.
     gates: Vec<(LimitId, DestinationId, Option<RouteId>, f64)>,
 }
 
-impl Peers {
+impl GossipTask {
     /// A sender whose notes come and go as told, and whose partners return from an outage like that.
-    pub(crate) fn new(notes: Notes, ramp: Ramp, together: Together) -> Self {
+    pub(crate) fn new(notes: Notes, ramp: Ramp, together: FleetSettings) -> Self {
         let fleet = Fleet::new(notes.me, notes.peers.len(), ramp);
         Self { notes, fleet, together, permits: None, shared: None, gates: Vec::new() }
     }
@@ -90,7 +90,7 @@
         // Who has the address is alone with this number: an earlier process has ended.
         let (me, senders, wall) = (self.notes.me, self.notes.peers.len(), wall_ms());
         if let Some(life) = self.together.life {
-            let Together { file, quotas, .. } = &self.together;
+            let FleetSettings { file, quotas, .. } = &self.together;
             self.permits = file.share().is_strict().then(|| PermitLedger::new(me, senders, life, wall));
             match Shared::new(file, me, senders, quotas, life, wall) {
                 Ok(shared) => self.shared = shared,
@@ -168,14 +168,14 @@
 
     /// What the host wants and does; what others make of that goes back to it.
     async fn demands(&mut self, host: &mpsc::Sender<Input>) -> Option<(Vec<(LimitId, Demand)>, Vec<Own>)> {
-        let (asker, doings) = oneshot::channel();
+        let (asker, activity) = oneshot::channel();
         host.send(Input::Demands(asker)).await.ok()?;
-        let doings: Doings = doings.await.ok()?;
-        let told = self.shared.as_mut().map(|shared| shared.exchange(wall_ms(), &doings));
+        let activity: ActivityReport = activity.await.ok()?;
+        let told = self.shared.as_mut().map(|shared| shared.exchange(wall_ms(), &activity));
         for input in told.into_iter().flatten() {
             host.send(input).await.ok()?;
         }
-        let demands = doings.demands;
+        let demands = activity.demands;
         let own = demands.iter().map(|(gate, want)| {
             let Demand { limit, wanted, called, refused, failed, .. } = *want;
             Own { gate: *gate, limit, wanted, called, refused, failed }
--- a/crates/sender/src/gossip/shared.rs
+++ b/crates/sender/src/gossip/shared.rs
@@ -8,7 +8,7 @@
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
 use super::FLEET;
-use crate::event::{Doings, Input};
+use crate::event::{ActivityReport, Input};
 use crate::fleet_file::FleetFile;
 
 /// How often it is looked whether notes are due, ms: a few times in the part of a round in which they go.
@@ -67,16 +67,16 @@
     }
 
     /// Takes in what the host did, and says what it is to be told.
-    pub fn exchange(&mut self, wall: u64, doings: &Doings) -> Vec<Input> {
-        for &(receiver, seen) in &doings.seen {
+    pub fn exchange(&mut self, wall: u64, activity: &ActivityReport) -> Vec<Input> {
+        for &(receiver, seen) in &activity.seen {
             self.views.judgements().saw(wall, receiver, seen);
         }
-        for &(tenant, messages) in &doings.taken_on {
+        for &(tenant, messages) in &activity.taken_on {
             (0..messages).for_each(|_| self.views.counts().handed_in(wall, tenant));
         }
         let mut told = Vec::new();
         if self.judges {
-            let avoided = self.judged(wall, &doings.listed);
+            let avoided = self.judged(wall, &activity.listed);
             if avoided != self.avoided {
                 tracing::info!(target: FLEET, receivers = avoided.len(), "receivers that others judge to be down");
                 self.avoided.clone_from(&avoided);
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -25,8 +25,12 @@
         let (listen, peers) = (peers[me], peers.clone());
         let (host, inputs) = mpsc::channel(16);
         spawn_local(
-            Peers::new(Notes { me, listen, peers }, Ramp { start: 0.3, growth: 0.1 }, Together::default())
-                .converse(socket, host),
+            GossipTask::new(
+                Notes { me, listen, peers },
+                Ramp { start: 0.3, growth: 0.1 },
+                FleetSettings::default(),
+            )
+            .converse(socket, host),
         );
         (listen, inputs)
     };
@@ -40,7 +44,7 @@
     while heard.get() < 3 {
         match timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input") {
             Input::Demands(asker) => {
-                drop(asker.send(Doings { demands: vec![want(wanted)], ..Doings::default() }));
+                drop(asker.send(ActivityReport { demands: vec![want(wanted)], ..ActivityReport::default() }));
             }
             Input::CapacityShares(rooms, _) => {
                 if let Some((_, _, calls, _)) = rooms.first().filter(|room| room.2 < 0.9)
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -37,7 +37,7 @@
 /// What one process tells the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum HandoverMessage {
     /// A successor's first: the version that it speaks.
     Hello(u32),
     /// What is known of a partner's outage, or of a receiver's.
@@ -57,12 +57,12 @@
     FreeSpace,
 }
 
-impl Word {
+impl HandoverMessage {
     /// What the engine of the process that hears it is told; nothing of what is said only at the start.
     pub fn input(self) -> Option<Input> {
         match self {
             Self::Wait { destination, receiver, ms } => Some(Input::RetryAfter { destination, receiver, ms }),
-            Self::Out(calls) => Some(Input::OutElsewhere(calls)),
+            Self::Out(calls) => Some(Input::PeerCallsInFlight(calls)),
             Self::Hello(_) | Self::OutageState { .. } | Self::FreeSpace => None,
         }
     }
@@ -84,16 +84,16 @@
 
 /// The way to the other process; words to one that is gone are dropped.
 #[derive(Debug, Default)]
-pub struct Neighbour(RefCell<Option<mpsc::Sender<Word>>>);
+pub struct PeerProcess(RefCell<Option<mpsc::Sender<HandoverMessage>>>);
 
-impl Neighbour {
+impl PeerProcess {
     /// Whether there is one.
     pub fn is_there(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(|to| !to.is_closed())
     }
 
     /// Tells it, if it is there.
-    pub fn tell(&self, word: Word) {
+    pub fn tell(&self, word: HandoverMessage) {
         if let Some(to) = &*self.0.borrow() {
             // One that reads nothing for so long is as good as gone.
             let _ = to.try_send(word);
@@ -108,26 +108,30 @@
         }
     }
 
-    fn meet(&self, to: mpsc::Sender<Word>) {
+    fn meet(&self, to: mpsc::Sender<HandoverMessage>) {
         *self.0.borrow_mut() = Some(to);
     }
 }
 
 /// What a predecessor told at the start.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct HandoverState {
     /// Troubles and waits, in the order in which they were told.
-    pub words: Vec<Word>,
+    pub words: Vec<HandoverMessage>,
     /// Whether it left half of the disk.
     pub room: bool,
 }
 
 /// Asks the process that owns the folder for what it knows, and goes on listening to it. Without an answer in
 /// time a successor does without.
-pub async fn introduce(folder: &Path, neighbour: &Rc<Neighbour>, host: &mpsc::Sender<Input>) -> Told {
-    let mut told = Told::default();
+pub async fn introduce(
+    folder: &Path,
+    peer_process: &Rc<PeerProcess>,
+    host: &mpsc::Sender<Input>,
+) -> HandoverState {
+    let mut told = HandoverState::default();
     match timeout(PATIENCE, ask(folder, &mut told)).await {
-        Ok(Ok((reader, writer))) => link(reader, writer, neighbour, host),
+        Ok(Ok((reader, writer))) => link(reader, writer, peer_process, host),
         Ok(Err(error)) => tracing::warn!("handover: {error}; going on without what the older process knows"),
         Err(_) => {
             tracing::warn!("handover: the older process does not answer; going on without what it knows")
@@ -138,12 +142,12 @@
 
 type Reader = BufReader<OwnedReadHalf>;
 
-async fn ask(folder: &Path, told: &mut Told) -> io::Result<(Reader, OwnedWriteHalf)> {
+async fn ask(folder: &Path, told: &mut HandoverState) -> io::Result<(Reader, OwnedWriteHalf)> {
     let (reader, mut writer) = UnixStream::connect(folder.join(SOCKET)).await?.into_split();
     let mut reader = BufReader::new(reader);
-    write(&mut writer, &Word::Hello(VERSION)).await?;
+    write(&mut writer, &HandoverMessage::Hello(VERSION)).await?;
     while let Some(word) = read(&mut reader).await? {
-        if word == Word::FreeSpace {
+        if word == HandoverMessage::FreeSpace {
             told.room = true;
             return Ok((reader, writer));
         }
@@ -153,7 +157,7 @@
 }
 
 /// Waits for successors, for good; one at a time. What they say goes to the host.
-pub async fn expect(folder: PathBuf, neighbour: Rc<Neighbour>, host: mpsc::Sender<Input>) {
+pub async fn expect(folder: PathBuf, peer_process: Rc<PeerProcess>, host: mpsc::Sender<Input>) {
     let path = folder.join(SOCKET);
     // What an earlier process left there is nobody's: the folder is ours.
     let _ = std::fs::remove_file(&path);
@@ -172,7 +176,7 @@
             greetings.join_next().await;
         }
         match listener.accept().await {
-            Ok((stream, _)) => drop(greetings.spawn_local(greet(stream, neighbour.clone(), host.clone()))),
+            Ok((stream, _)) => drop(greetings.spawn_local(greet(stream, peer_process.clone(), host.clone()))),
             Err(_) => sleep(ACCEPT_PAUSE).await,
         }
     }
@@ -180,18 +184,18 @@
 
 /// A successor, if the connection says so, is told what is known. There is one at a time: one that comes while another
 /// is there has seen that one's lock free, and waits until its connection has ended here, too.
-async fn greet(stream: UnixStream, neighbour: Rc<Neighbour>, host: mpsc::Sender<Input>) {
+async fn greet(stream: UnixStream, peer_process: Rc<PeerProcess>, host: mpsc::Sender<Input>) {
     let (reader, writer) = stream.into_split();
     let mut reader = BufReader::new(reader);
     match timeout(PATIENCE, read(&mut reader)).await {
-        Ok(Ok(Some(Word::Hello(VERSION)))) => {}
+        Ok(Ok(Some(HandoverMessage::Hello(VERSION)))) => {}
         Ok(Ok(Some(word))) => return tracing::warn!("handover: turned away: {word:?}"),
         _ => return tracing::warn!("handover: a connection said nothing that is understood"),
     }
-    if timeout(PATIENCE, neighbour.gone()).await.is_err() {
+    if timeout(PATIENCE, peer_process.gone()).await.is_err() {
         return tracing::warn!("handover: turned away: another successor is there");
     }
-    link(reader, writer, &neighbour, &host);
+    link(reader, writer, &peer_process, &host);
     let _ = host.send(Input::Successor(true)).await;
 }
 
@@ -199,12 +203,12 @@
 fn link(
     mut reader: Reader,
     mut writer: OwnedWriteHalf,
-    neighbour: &Rc<Neighbour>,
+    peer_process: &Rc<PeerProcess>,
     host: &mpsc::Sender<Input>,
 ) {
     let (to, mut words) = mpsc::channel(QUEUE);
-    neighbour.meet(to);
-    let (host, neighbour) = (host.clone(), neighbour.clone());
+    peer_process.meet(to);
+    let (host, peer_process) = (host.clone(), peer_process.clone());
     spawn_local(async move {
         let hear = async {
             while let Ok(Some(word)) = read(&mut reader).await {
@@ -225,19 +229,19 @@
             () = hear => {}
             () = say => {}
         }
-        neighbour.0.borrow_mut().take();
+        peer_process.0.borrow_mut().take();
         let _ = host.send(Input::Successor(false)).await;
     });
 }
 
-async fn write(writer: &mut OwnedWriteHalf, word: &Word) -> io::Result<()> {
+async fn write(writer: &mut OwnedWriteHalf, word: &HandoverMessage) -> io::Result<()> {
     let mut line = serde_json::to_vec(word)?;
     line.push(b'\n');
     writer.write_all(&line).await
 }
 
 /// The next word; `None` at the end.
-async fn read(reader: &mut Reader) -> io::Result<Option<Word>> {
+async fn read(reader: &mut Reader) -> io::Result<Option<HandoverMessage>> {
     let mut line = Vec::new();
     reader.take(LONGEST_WORD).read_until(b'\n', &mut line).await?;
     if line.is_empty() {
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -17,17 +17,20 @@
 }
 
 /// One value for each variant and each of its optional fields, there and not there, in the order of the file.
-fn words() -> Vec<Word> {
-    let outage =
-        |receiver: &str, outage| Word::OutageState { destination: 3, receiver: receiver.to_owned(), outage };
-    let wait = |receiver: Option<&str>, ms| Word::Wait {
+fn words() -> Vec<HandoverMessage> {
+    let outage = |receiver: &str, outage| HandoverMessage::OutageState {
+        destination: 3,
+        receiver: receiver.to_owned(),
+        outage,
+    };
+    let wait = |receiver: Option<&str>, ms| HandoverMessage::Wait {
         destination: 65_535,
         receiver: receiver.map(str::to_owned),
         ms,
     };
     vec![
-        Word::Hello(1),
-        Word::Hello(u32::MAX),
+        HandoverMessage::Hello(1),
+        HandoverMessage::Hello(u32::MAX),
         outage("r1", OutageState::Down { wait: 1_500 }),
         outage("", OutageState::Down { wait: 0 }),
         outage("r1", OutageState::WarmingUp { ago: 250, part: 0.25 }),
@@ -36,9 +39,9 @@
         wait(Some("r1"), 1_500.5),
         wait(Some(""), 5.0),
         wait(Some("a \"b\"\n\u{e9}"), 1e300),
-        Word::Out(0),
-        Word::Out(4_096),
-        Word::FreeSpace,
+        HandoverMessage::Out(0),
+        HandoverMessage::Out(4_096),
+        HandoverMessage::FreeSpace,
     ]
 }
 
@@ -47,7 +50,7 @@
 }
 
 /// What is read of bytes after which the connection ends.
-async fn read_of(bytes: &[u8]) -> io::Result<Vec<Word>> {
+async fn read_of(bytes: &[u8]) -> io::Result<Vec<HandoverMessage>> {
     let (mut theirs, ours) = connection();
     theirs.write_all(bytes).await?;
     drop(theirs);
@@ -97,7 +100,7 @@
     // The longest line has 2048 bytes with its end.
     let of_length = |length: usize| format!("{{\"out\":{}7}}\n", " ".repeat(length - 10));
     assert_eq!(of_length(2_048).len(), 2_048);
-    assert_eq!(read_of(of_length(2_048).as_bytes()).await.expect("messages"), [Word::Out(7)]);
+    assert_eq!(read_of(of_length(2_048).as_bytes()).await.expect("messages"), [HandoverMessage::Out(7)]);
     assert!(read_of(of_length(2_050).as_bytes()).await.is_err());
     // A line that the other process did not write whole, and the end.
     assert!(read_of(b"{\"out\":").await.is_err());
@@ -111,9 +114,9 @@
             let (mut theirs, ours) = connection();
             let (reader, writer) = ours.into_split();
             let (host, mut told) = mpsc::channel(8);
-            let neighbour = Rc::new(Neighbour::default());
-            link(BufReader::new(reader), writer, &neighbour, &host);
-            assert!(neighbour.is_there());
+            let peer_process = Rc::new(PeerProcess::default());
+            link(BufReader::new(reader), writer, &peer_process, &host);
+            assert!(peer_process.is_there());
             let wait = "{\"wait\":{\"destination\":3,\"receiver\":\"r1\",\"ms\":5.0}}";
             let lines = format!("{{\"hello\":1}}\n\"room\"\n{wait}\n{{\"out\":7}}\n{line}\n{{\"out\":8}}\n");
             theirs.write_all(lines.as_bytes()).await.expect("writable");
@@ -123,9 +126,9 @@
                     if receiver == "r1" && *ms == 5.0),
                 "{line:?}: {first:?}"
             );
-            assert!(matches!(told.recv().await, Some(Input::OutElsewhere(7))), "{line:?}");
+            assert!(matches!(told.recv().await, Some(Input::PeerCallsInFlight(7))), "{line:?}");
             assert!(matches!(told.recv().await, Some(Input::Successor(false))), "{line:?}");
-            assert!(!neighbour.is_there(), "{line:?}");
+            assert!(!peer_process.is_there(), "{line:?}");
             drop(host);
             assert!(told.recv().await.is_none(), "{line:?}");
         }
@@ -140,10 +143,10 @@
         for line in REFUSED.lines().chain(others) {
             let (mut theirs, ours) = connection();
             let (host, mut told) = mpsc::channel(8);
-            let neighbour = Rc::new(Neighbour::default());
+            let peer_process = Rc::new(PeerProcess::default());
             theirs.write_all(format!("{line}\n").as_bytes()).await.expect("writable");
-            greet(ours, neighbour.clone(), host).await;
-            assert!(!neighbour.is_there(), "{line:?}");
+            greet(ours, peer_process.clone(), host).await;
+            assert!(!peer_process.is_there(), "{line:?}");
             assert!(told.recv().await.is_none(), "{line:?}");
             let mut answer = Vec::new();
             theirs.read_to_end(&mut answer).await.expect("an end");
@@ -161,11 +164,11 @@
 #[tokio::test]
 async fn a_successor_that_is_told_a_line_it_does_not_understand_goes_on_with_what_came_before_it() {
     let test = async {
-        let out = Word::Out(7);
+        let out = HandoverMessage::Out(7);
         for (line, room) in REFUSED.lines().map(|line| (line, false)).chain([("\"room\"", true)]) {
             let folder = tempfile::tempdir().expect("a folder");
             let listener = UnixListener::bind(folder.path().join("handover")).expect("a socket");
-            let neighbour = Rc::new(Neighbour::default());
+            let peer_process = Rc::new(PeerProcess::default());
             let (host, _told) = mpsc::channel(8);
             let older = async {
                 let (mut stream, _) = listener.accept().await.expect("a successor");
@@ -175,9 +178,9 @@
                 assert_eq!(&greeting, b"{\"hello\":1}\n");
                 stream
             };
-            let (told, _stream) = tokio::join!(introduce(folder.path(), &neighbour, &host), older);
+            let (told, _stream) = tokio::join!(introduce(folder.path(), &peer_process, &host), older);
             assert_eq!((told.words, told.room), (vec![out.clone()], room), "{line:?}");
-            assert_eq!(neighbour.is_there(), room, "{line:?}");
+            assert_eq!(peer_process.is_there(), room, "{line:?}");
         }
     };
     LocalSet::new().run_until(test).await;
--- a/crates/sender/src/inbound.rs
+++ b/crates/sender/src/inbound.rs
@@ -21,11 +21,11 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::accept::Acceptor;
-use crate::admission_state::Door;
-use crate::connection_slots::{ClientId, Places};
+use crate::admission_state::AdmissionState;
+use crate::connection_slots::{ClientId, ConnectionSlots};
 use crate::event::Input;
 use crate::graceful_close;
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 use crate::write_progress::{MAX_BUFFER, Metered};
 use client::Client;
 
@@ -55,17 +55,17 @@
     settings: Settings,
     names: Names,
     host: mpsc::Sender<Input>,
-    hand_ins: Cell<u64>,
+    submissions: Cell<u64>,
     sockets: Arc<Semaphore>,
     /// The open connections, by the order in which they came, and which of them keep their places.
     clients: RefCell<BTreeMap<ClientId, Rc<Client>>>,
-    places: RefCell<Places>,
+    places: RefCell<ConnectionSlots>,
     /// What times in `places` count from.
     origin: Instant,
     /// Bytes that all bodies which have not come whole may still take up.
     bodies: Arc<Semaphore>,
-    figures: Rc<Figures>,
-    door: watch::Receiver<Door>,
+    metrics: Rc<Metrics>,
+    door: watch::Receiver<AdmissionState>,
     /// Whenever a connection has ended.
     ended: Notify,
 }
@@ -75,21 +75,21 @@
         settings: Settings,
         names: Names,
         limits: Limits,
-        figures: Rc<Figures>,
+        metrics: Rc<Metrics>,
         host: mpsc::Sender<Input>,
-        door: watch::Receiver<Door>,
+        door: watch::Receiver<AdmissionState>,
     ) -> Self {
         Self {
             settings,
             names,
             host,
-            hand_ins: Cell::new(0),
+            submissions: Cell::new(0),
             sockets: Arc::new(Semaphore::new(limits.sockets)),
             clients: RefCell::default(),
-            places: RefCell::new(Places::new(limits.sockets)),
+            places: RefCell::new(ConnectionSlots::new(limits.sockets)),
             origin: Instant::now(),
             bodies: Arc::new(Semaphore::new(limits.body_bytes.max(MAX_BODY))),
-            figures,
+            metrics,
             door,
             ended: Notify::new(),
         }
@@ -103,20 +103,20 @@
         for number in 0.. {
             let (stream, peer) = tokio::select! {
                 biased;
-                _ = door.wait_for(|door| *door == Door::Leaving) => return,
+                _ = door.wait_for(|door| *door == AdmissionState::HandingOver) => return,
                 accepted = acceptor.next(|| self.make_room()) => accepted,
             };
             let permit = self.place().await;
             let client = Rc::new(Client::new(number, stream));
             self.clients.borrow_mut().insert(number, client.clone());
             self.places.borrow_mut().connected(number, peer.ip(), self.now());
-            self.figures.client(true);
+            self.metrics.client(true);
             let this = self.clone();
             spawn_local(async move {
                 this.serve(&client).await;
                 this.clients.borrow_mut().remove(&number);
                 this.places.borrow_mut().left(number);
-                this.figures.client(false);
+                this.metrics.client(false);
                 drop((client, permit));
                 this.ended.notify_one();
             });
@@ -176,7 +176,7 @@
 
     /// Whether a client's next request has begun to come.
     fn coming(&self, id: ClientId) -> bool {
-        self.client(id).is_some_and(|client| client.owed.meter.heard().is_some())
+        self.client(id).is_some_and(|client| client.owed.write_progress.heard().is_some())
     }
 
     /// Whether bytes of a client have come that were not read: a request may be among them.
@@ -215,7 +215,7 @@
     async fn converse(&self, client: &Client) {
         let mut door = self.door.clone();
         door.mark_changed();
-        let io = Metered::new(client.socket.clone(), client.owed.meter.clone());
+        let io = Metered::new(client.socket.clone(), client.owed.write_progress.clone());
         let service = service_fn(|request| self.answer(request, client));
         let mut connection =
             pin!(http1::Builder::new().max_buf_size(MAX_BUFFER).serve_connection(io, service));
@@ -228,7 +228,7 @@
                 _ = connection.as_mut() => return,
                 // A request that is coming is heard first; its answer ends the connection.
                 Ok(()) = door.changed() => {
-                    let open = *door.borrow_and_update() == Door::Open;
+                    let open = *door.borrow_and_update() == AdmissionState::Accepting;
                     if !open && client.at_rest() && !client.has_unread() {
                         connection.as_mut().graceful_shutdown();
                     }
--- a/crates/sender/src/inbound/client.rs
+++ b/crates/sender/src/inbound/client.rs
@@ -11,7 +11,7 @@
 
 use crate::connection_slots::ClientId;
 use crate::graceful_close;
-use crate::write_progress::{Meter, Socket};
+use crate::write_progress::{Socket, WriteProgress};
 
 /// So long after it connected a client's first request must have come, whole.
 const FIRST_REQUEST: Duration = Duration::from_millis(2_300);
@@ -70,12 +70,12 @@
         self.asked.set(false);
         self.known.set(true);
         self.rests_since.set(Instant::now());
-        self.owed.meter.listen();
+        self.owed.write_progress.listen();
     }
 
     /// When the request that is coming, or that may come, must be there.
     pub(super) fn due(&self) -> Instant {
-        match self.owed.meter.heard() {
+        match self.owed.write_progress.heard() {
             _ if !self.known.get() => self.rests_since.get() + FIRST_REQUEST,
             Some(at) => at + NEXT_REQUEST,
             None => self.rests_since.get() + KEPT,
@@ -84,7 +84,7 @@
 
     /// Whether it has had an answer, and nothing of a further request has come.
     pub(super) fn at_rest(&self) -> bool {
-        self.known.get() && !self.asked.get() && self.owed.meter.heard().is_none()
+        self.known.get() && !self.asked.get() && self.owed.write_progress.heard().is_none()
     }
 
     pub(super) fn overdue(&self, now: Instant) -> bool {
@@ -98,7 +98,7 @@
     pub(super) number: Cell<Option<u64>>,
     /// Whether the meter counts the 202.
     ready: Cell<bool>,
-    pub(super) meter: Rc<Meter>,
+    pub(super) write_progress: Rc<WriteProgress>,
 }
 
 impl OwedAnswer {
@@ -108,12 +108,12 @@
     }
 
     pub(super) fn accept(&self) {
-        self.meter.reset();
+        self.write_progress.reset();
         self.ready.set(true);
     }
 
     /// The hand-in whose client has heard nothing.
     pub(super) fn unheard(&self) -> Option<u64> {
-        self.number.get().filter(|_| !(self.ready.get() && self.meter.started()))
+        self.number.get().filter(|_| !(self.ready.get() && self.write_progress.started()))
     }
 }
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -32,7 +32,9 @@
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let mut answer = match (request.method(), request.uri().path()) {
             // A process that leaves clients to its successor is one with it: both are the sender, which is ready.
-            (&Method::GET, READY) if matches!(*self.door.borrow(), Door::Standby | Door::Stopping) => {
+            (&Method::GET, READY)
+                if matches!(*self.door.borrow(), AdmissionState::Drained | AdmissionState::Stopping) =>
+            {
                 plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")
             }
             (&Method::GET, READY) => plain(StatusCode::OK, "ready"),
@@ -42,7 +44,7 @@
             },
             _ => plain(StatusCode::METHOD_NOT_ALLOWED, "POST only"),
         };
-        if answer.status().is_client_error() || *self.door.borrow() != Door::Open {
+        if answer.status().is_client_error() || *self.door.borrow() != AdmissionState::Accepting {
             // What follows on the connection of a client that cannot be understood may be the rest of a body.
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -107,12 +109,12 @@
         // A message's time counts from its last byte. Its class bounds what a client can ask for.
         let left = left.min(self.settings.classes[class].deadline / 1_000.0);
         let ends_at = Instant::now() + Duration::from_secs_f64(left);
-        let number = self.hand_ins.get();
-        self.hand_ins.set(number + 1);
+        let number = self.submissions.get();
+        self.submissions.set(number + 1);
         let (answer, answered) = oneshot::channel();
         let submission =
             Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer };
-        if self.host.try_send(Input::HandedIn(submission)).is_err() {
+        if self.host.try_send(Input::Submitted(submission)).is_err() {
             return Ok(self.turn_away(class));
         }
         owed.hand_in(number);
@@ -131,7 +133,7 @@
 
     /// Refused before the engine has heard of it.
     fn turn_away(&self, class: usize) -> Reply {
-        self.figures.ended(class, End::Refused);
+        self.metrics.ended(class, End::Refused);
         self.refusal(0.0)
     }
 
--- a/crates/sender/src/inbound/tests.rs
+++ b/crates/sender/src/inbound/tests.rs
@@ -22,7 +22,7 @@
     inbound: Rc<Inbound>,
     addr: SocketAddr,
     inputs: mpsc::Receiver<Input>,
-    door: watch::Sender<Door>,
+    door: watch::Sender<AdmissionState>,
 }
 
 impl World {
@@ -33,12 +33,12 @@
         let settings = rudderspindle_policy::settings::read(&json).expect("settings");
         let names = rudderspindle_policy::settings::names(&json).expect("names");
         let (to_engine, inputs) = mpsc::channel(16);
-        let (door, at_the_door) = watch::channel(Door::Open);
-        let figures = Rc::new(Figures::new(&names.classes));
+        let (door, at_the_door) = watch::channel(AdmissionState::Accepting);
+        let metrics = Rc::new(Metrics::new(&names.classes));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         let limits = Limits { sockets: PLACES, body_bytes: MAX_BODY };
-        let inbound = Rc::new(Inbound::new(settings, names, limits, figures, to_engine, at_the_door));
+        let inbound = Rc::new(Inbound::new(settings, names, limits, metrics, to_engine, at_the_door));
         spawn_local(inbound.clone().run(listener));
         Self { inbound, addr, inputs, door }
     }
@@ -77,7 +77,9 @@
             assert_eq!(client.peek(&mut first).await.expect("no reset"), 1, "it ended without an answer");
         };
         let taken = async {
-            let Some(Input::HandedIn(submission)) = self.inputs.recv().await else { panic!("not handed in") };
+            let Some(Input::Submitted(submission)) = self.inputs.recv().await else {
+                panic!("not handed in")
+            };
             submission.answer.send(Answer::Accepted).expect("it waits");
             std::future::pending::<()>().await
         };
@@ -130,7 +132,7 @@
         let mut world = World::set_up().await;
         let mut client = world.client().await;
         client.write_all(REQUEST).await.expect("writable");
-        let Input::HandedIn(submission) = world.input().await else { panic!("not handed in") };
+        let Input::Submitted(submission) = world.input().await else { panic!("not handed in") };
         drop(client);
         let Input::Withdrawn(number) = world.input().await else { panic!("not withdrawn") };
         assert_eq!(number, submission.number);
@@ -144,7 +146,7 @@
         let mut world = World::set_up().await;
         let mut client = world.client().await;
         client.write_all(REQUEST).await.expect("writable");
-        let Input::HandedIn(submission) = world.input().await else { panic!("not handed in") };
+        let Input::Submitted(submission) = world.input().await else { panic!("not handed in") };
         submission.answer.send(Answer::Accepted).expect("it waits");
         let mut head = [0; 12];
         client.read_exact(&mut head).await.expect("an answer");
--- a/crates/sender/src/inbound/tests/closing.rs
+++ b/crates/sender/src/inbound/tests/closing.rs
@@ -8,7 +8,7 @@
         let mut world = World::set_up().await;
         let (mut client, id) = world.resting().await;
         world.slip_in(&client, id, REQUEST);
-        world.door.send_replace(Door::Stopping);
+        world.door.send_replace(AdmissionState::Stopping);
         world.takes_on(&mut client).await;
         assert_eq!(client.read(&mut [0; 1]).await.expect("no reset"), 0);
     };
@@ -108,7 +108,7 @@
             clients.push(client);
         }
         until(|| inbound.clients.borrow().len() == 3 && !inputs.is_empty() && inbound.coming(1)).await;
-        door.send_replace(Door::Stopping);
+        door.send_replace(AdmissionState::Stopping);
         drop(inputs);
         let end = spawn_local({
             let inbound = inbound.clone();
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -6,12 +6,12 @@
 //! not the engine. This crate decides nothing about messages: that is `rudderspindle-policy`'s.
 //!
 //! ```no_run
-//! use rudderspindle_sender::{Service, Usable};
+//! use rudderspindle_sender::{Service, ValidatedConfig};
 //!
 //! # async fn example() -> Result<(), rudderspindle_sender::StartError> {
 //! // Within a tokio LocalSet:
-//! let usable = Usable::read("config.json".as_ref())?;
-//! let service = Service::start(usable, "state".as_ref(), None).await?;
+//! let config = ValidatedConfig::read("config.json".as_ref())?;
+//! let service = Service::start(config, "state".as_ref(), None).await?;
 //! println!("listening on {}", service.local_addr());
 //! let control = service.control();
 //! tokio::task::spawn_local(async move {
@@ -56,7 +56,7 @@
 mod service;
 mod write_progress;
 
-pub use config::{StartError, Usable};
+pub use config::{StartError, ValidatedConfig};
 pub use fleet_file::{Bound, FleetFile, FleetFileError, Share};
-pub use poll_schedule::Pace;
+pub use poll_schedule::PollSchedule;
 pub use service::{Control, Service};
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -28,7 +28,7 @@
 
 /// How the engine stands at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Standing {
+pub struct EngineStatus {
     /// Messages taken on that have not ended.
     pub open_requests: usize,
     /// Receivers in the list.
@@ -39,7 +39,7 @@
 
 /// The counts of one process.
 #[derive(Debug)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<String>,
     /// Delivered, refused, failed; for each class.
     ends: RefCell<Vec<[u64; 3]>>,
@@ -48,7 +48,7 @@
     /// Clients' connections that are open.
     clients: Cell<usize>,
     /// What the engine said last.
-    standing: Cell<Standing>,
+    standing: Cell<EngineStatus>,
 }
 
 /// One line for each reader, in its order.
@@ -59,10 +59,10 @@
     faulted: BTreeMap<&'a str, u64>,
     relayed: u64,
     #[serde(flatten)]
-    standing: Standing,
+    standing: EngineStatus,
 }
 
-impl Figures {
+impl Metrics {
     /// Nothing has happened yet; `classes` by index.
     pub fn new(classes: &[String]) -> Self {
         Self {
@@ -98,7 +98,7 @@
     }
 
     /// The engine says how it stands.
-    pub fn stand(&self, standing: Standing) {
+    pub fn stand(&self, standing: EngineStatus) {
         self.standing.set(standing);
     }
 
@@ -126,15 +126,15 @@
 
     #[test]
     fn each_end_counts_once_for_its_class_and_none_for_a_class_that_is_no_more() {
-        let figures = Figures::new(&["drop".to_owned(), "status".to_owned()]);
-        figures.ended(0, End::Delivered);
-        figures.ended(1, Status::Deferred(Some(5)).into());
-        figures.ended(1, Status::Undeliverable.into());
-        figures.ended(2, End::Delivered);
-        figures.relayed();
-        figures.stand(Standing { open_requests: 3, registry_entries: 2, out_of_rotation: 1 });
+        let metrics = Metrics::new(&["drop".to_owned(), "status".to_owned()]);
+        metrics.ended(0, End::Delivered);
+        metrics.ended(1, Status::Deferred(Some(5)).into());
+        metrics.ended(1, Status::Undeliverable.into());
+        metrics.ended(2, End::Delivered);
+        metrics.relayed();
+        metrics.stand(EngineStatus { open_requests: 3, registry_entries: 2, out_of_rotation: 1 });
         assert_eq!(
-            figures.to_json(),
+            metrics.to_json(),
             r#"{"fulfilled":{"drop":1,"status":0},"throttled":{"drop":0,"status":1},"faulted":{"drop":0,"status":1},"relayed":1,"open_requests":3,"registry_entries":2,"out_of_rotation":1}"#
         );
     }
--- a/crates/sender/src/notifications.rs
+++ b/crates/sender/src/notifications.rs
@@ -28,14 +28,14 @@
 
 /// Notices not yet acknowledged. No longer than the journal has room for.
 #[derive(Debug, Default)]
-pub struct Reports {
+pub struct Notifications {
     /// Each with a number of its own: an id may come back.
     queue: RefCell<VecDeque<(u64, Notice)>>,
     pushed: Cell<u64>,
     more: Notify,
 }
 
-impl Reports {
+impl Notifications {
     pub fn push(&self, notice: Notice) {
         let number = self.pushed.get();
         self.pushed.set(number + 1);
@@ -95,7 +95,7 @@
                         open
                     });
                     requests = Requests { kept: Some(connection), ..Requests::default() };
-                    if host.send(Input::Settled(settled)).await.is_err() {
+                    if host.send(Input::NotificationsAcknowledged(settled)).await.is_err() {
                         return;
                     }
                 }
--- a/crates/sender/src/notifications/tests.rs
+++ b/crates/sender/src/notifications/tests.rs
@@ -29,7 +29,7 @@
 }
 
 struct Sending {
-    reports: Rc<Reports>,
+    reports: Rc<Notifications>,
     inputs: mpsc::Receiver<Input>,
     _address: watch::Sender<SocketAddr>,
 }
@@ -37,7 +37,7 @@
 fn begin(at: SocketAddr) -> Sending {
     let (_address, watched) = watch::channel(at);
     let (host, inputs) = mpsc::channel(16);
-    let reports = Rc::new(Reports::default());
+    let reports = Rc::new(Notifications::default());
     spawn_local({
         let reports = reports.clone();
         async move { reports.run(watched, host).await }
@@ -52,7 +52,7 @@
 
     async fn settled(&mut self) -> Vec<String> {
         match soon("an acknowledgement", self.inputs.recv()).await {
-            Some(Input::Settled(message_ids)) => {
+            Some(Input::NotificationsAcknowledged(message_ids)) => {
                 message_ids.iter().map(|message_id| message_id.to_string()).collect()
             }
             other => panic!("{other:?}"),
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -27,9 +27,9 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
 use crate::event::{AttemptResult, Call, IDEMPOTENCY_KEY, Input, STORY};
-use crate::handover::{Neighbour, Word};
-use crate::metrics::Figures;
-use crate::write_progress::{MAX_BUFFER, Meter, Metered};
+use crate::handover::{HandoverMessage, PeerProcess};
+use crate::metrics::Metrics;
+use crate::write_progress::{MAX_BUFFER, Metered, WriteProgress};
 use backoff::Waits;
 use exchange::Bounds;
 pub use outcome::LONGEST_WAIT;
@@ -65,9 +65,9 @@
     sockets: Arc<Semaphore>,
     connect_timeout: Duration,
     idle_time: Duration,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     /// Hears of every wait that is told.
-    neighbour: Rc<Neighbour>,
+    peer_process: Rc<PeerProcess>,
     host: mpsc::Sender<Input>,
 }
 
@@ -75,8 +75,8 @@
     pub fn new(
         settings: &Settings,
         sockets: usize,
-        figures: Rc<Figures>,
-        neighbour: Rc<Neighbour>,
+        metrics: Rc<Metrics>,
+        peer_process: Rc<PeerProcess>,
         host: mpsc::Sender<Input>,
     ) -> Self {
         let idle_close = Duration::from_secs_f64(settings.idle_close.max(0.0) / 1_000.0);
@@ -87,8 +87,8 @@
             sockets: Arc::new(Semaphore::new(sockets)),
             connect_timeout: Duration::from_secs_f64(settings.connect_timeout.max(1.0) / 1_000.0),
             idle_time: idle_close.saturating_sub(IDLE_MARGIN).max(idle_close / 2),
-            figures,
-            neighbour,
+            metrics,
+            peer_process,
             host,
         }
     }
@@ -125,7 +125,7 @@
             tokio::time::sleep(SWEEP).await;
             let now = Instant::now();
             self.idle.borrow_mut().retain(|_, idle| {
-                idle.retain(|c| c.usable(now, self.idle_time));
+                idle.retain(|c| c.config(now, self.idle_time));
                 !idle.is_empty()
             });
             self.waits.borrow_mut().retain(|_, until| *until > now);
--- a/crates/sender/src/outbound/backoff.rs
+++ b/crates/sender/src/outbound/backoff.rs
@@ -42,20 +42,26 @@
     }
 
     /// Every wait that is not over, as one process tells it the other.
-    pub fn waits(&self) -> Vec<Word> {
+    pub fn waits(&self) -> Vec<HandoverMessage> {
         let now = Instant::now();
         let left = |until: Instant| until.saturating_duration_since(now).as_secs_f64() * 1_000.0;
         self.waits.borrow().iter().map(|(waits, until)| self.word(*waits, left(*until))).collect()
     }
 
-    pub(super) fn word(&self, waits: Waits, ms: Millis) -> Word {
+    pub(super) fn word(&self, waits: Waits, ms: Millis) -> HandoverMessage {
         match waits {
-            Waits::Destination(DestinationId(destination)) => Word::Wait { destination, receiver: None, ms },
+            Waits::Destination(DestinationId(destination)) => {
+                HandoverMessage::Wait { destination, receiver: None, ms }
+            }
             Waits::Route(route) => {
                 let routes = self.routes.borrow();
                 let route = routes.get(&route);
                 let destination = route.map_or(0, |r| r.destination.0);
-                Word::Wait { destination, receiver: Some(route.map_or("", |r| &*r.receiver).to_owned()), ms }
+                HandoverMessage::Wait {
+                    destination,
+                    receiver: Some(route.map_or("", |r| &*r.receiver).to_owned()),
+                    ms,
+                }
             }
         }
     }
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -84,10 +84,10 @@
                 self.keep(route, connection);
                 return moot();
             };
-            let meter = connection.meter.clone();
-            meter.reset();
+            let write_progress = connection.write_progress.clone();
+            write_progress.reset();
             if message.is_some() {
-                meter.count_in(self.figures.clone());
+                write_progress.count_in(self.metrics.clone());
             }
             if keyed_repeat {
                 connection.limit_unacknowledged(Some(latest.saturating_duration_since(Instant::now())));
@@ -95,33 +95,34 @@
             let answer = tokio::select! {
                 biased;
                 answer = connection.sender.send_request(request) => answer.map_err(|_| End::Broken),
-                () = meter.head_without_end(HEAD_TIME) => Err(End::Broken),
+                () = write_progress.head_without_end(HEAD_TIME) => Err(End::Broken),
                 () = sleep_until(until) => Err(End::TimedOut),
-                () = meter.incomplete_at(latest) => Err(End::TimedOut),
+                () = write_progress.incomplete_at(latest) => Err(End::TimedOut),
                 () = cancelled.notified() => Err(End::Cancelled),
             };
             // The timer rings up to a tick late, and the answer of that tick stands first.
-            let late = meter.heard().is_some_and(|at| at >= until);
+            let late = write_progress.heard().is_some_and(|at| at >= until);
             let end = match answer {
                 Ok(response) if late => {
                     // What it tells of the partner holds all the same.
                     self.heed_told(waits, answered(response.status(), response.headers()).wait);
                     End::TimedOut
                 }
-                Ok(response) => match self.believe(response, Sent::of(&meter), until).await {
+                Ok(response) => match self.believe(response, Sent::of(&write_progress), until).await {
                     Some((report, body)) => {
                         tracing::debug!(target: STORY, message_id = message.map(|message_id| &**message_id), %addr, kept,
                             outcome = ?report.outcome, wait = report.wait, "answered");
                         self.heed_told(waits, report.wait);
                         // Nothing more of a call that was turned away before its last byte.
-                        let rest = (Sent::of(&meter) == Sent::Whole).then_some((connection, body));
+                        let rest = (Sent::of(&write_progress) == Sent::Whole).then_some((connection, body));
                         return (report, rest);
                     }
                     None => End::Broken,
                 },
                 Err(end) => end,
             };
-            let (sent, heard) = (Sent::of(&meter), if late { Heard::Nothing } else { Heard::of(&meter) });
+            let (sent, heard) =
+                (Sent::of(&write_progress), if late { Heard::Nothing } else { Heard::of(&write_progress) });
             tracing::debug!(target: STORY, message_id = message.map(|message_id| &**message_id), ?end, kept, ?sent, ?heard, "broken off");
             // A kept connection that the receiver closed, or that is not quiet, before a byte of this went out:
             // no attempt yet.
@@ -135,7 +136,7 @@
     fn heed_told(&self, waits: Waits, wait: Millis) {
         if wait > 0.0 {
             self.wait(waits, wait);
-            self.neighbour.tell(self.word(waits, wait));
+            self.peer_process.tell(self.word(waits, wait));
         }
     }
 
--- a/crates/sender/src/outbound/outcome.rs
+++ b/crates/sender/src/outbound/outcome.rs
@@ -30,8 +30,8 @@
 }
 
 impl Sent {
-    pub(super) fn of(meter: &Meter) -> Self {
-        match (meter.started(), meter.complete()) {
+    pub(super) fn of(write_progress: &WriteProgress) -> Self {
+        match (write_progress.started(), write_progress.complete()) {
             (_, true) => Self::Whole,
             (true, false) => Self::Part,
             (false, false) => Self::Nothing,
@@ -40,10 +40,10 @@
 }
 
 impl Heard {
-    pub(super) fn of(meter: &Meter) -> Self {
-        match meter.heard() {
+    pub(super) fn of(write_progress: &WriteProgress) -> Self {
+        match write_progress.heard() {
             None => Self::Nothing,
-            Some(_) if meter.says_ok() => Self::Ok,
+            Some(_) if write_progress.says_ok() => Self::Ok,
             Some(_) => Self::Spoilt,
         }
     }
--- a/crates/sender/src/outbound/pool.rs
+++ b/crates/sender/src/outbound/pool.rs
@@ -14,7 +14,7 @@
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&route)?;
         while let Some(mut connection) = kept.pop() {
-            if connection.usable(now, self.idle_time) {
+            if connection.config(now, self.idle_time) {
                 connection.at_rest = false;
                 return Some(connection);
             }
@@ -54,10 +54,10 @@
             // Whatever ends a connection with a call on it, be it this process's death, what the system still
             // holds of the call goes with it: later it would run after it was given up.
             let _ = stream.set_zero_linger();
-            let meter = Rc::new(Meter::of_answers());
+            let write_progress = Rc::new(WriteProgress::of_answers());
             let stream = Rc::new(RefCell::new(stream));
             let socket = Rc::downgrade(&stream);
-            let io = Metered::new(stream, meter.clone());
+            let io = Metered::new(stream, write_progress.clone());
             let (sender, connection) =
                 http1::Builder::new().max_buf_size(MAX_BUFFER).handshake(io).await.ok()?;
             let task = spawn_local(async move {
@@ -67,7 +67,7 @@
             });
             let (idle_since, at_rest) = (Instant::now(), false);
             let limited = false;
-            Some(Connection { sender, addr, meter, socket, task, idle_since, at_rest, limited })
+            Some(Connection { sender, addr, write_progress, socket, task, idle_since, at_rest, limited })
         };
         timeout_at(until, open).await.ok().flatten().ok_or(End::Broken)
     }
@@ -86,7 +86,7 @@
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     addr: SocketAddr,
-    pub(super) meter: Rc<Meter>,
+    pub(super) write_progress: Rc<WriteProgress>,
     /// Its task owns it.
     pub(super) socket: Weak<RefCell<TcpStream>>,
     task: JoinHandle<()>,
@@ -97,7 +97,7 @@
 }
 
 impl Connection {
-    pub(super) fn usable(&self, now: Instant, idle_time: Duration) -> bool {
+    pub(super) fn config(&self, now: Instant, idle_time: Duration) -> bool {
         !self.sender.is_closed() && now - self.idle_since < idle_time
     }
 
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -40,8 +40,8 @@
     let settings = rudderspindle_policy::settings::read(&json).expect("settings");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let (to_engine, inputs) = mpsc::channel(16);
-    let figures = Rc::new(Figures::new(&[]));
-    let outbound = Rc::new(Outbound::new(&settings, sockets, figures, Rc::default(), to_engine));
+    let metrics = Rc::new(Metrics::new(&[]));
+    let outbound = Rc::new(Outbound::new(&settings, sockets, metrics, Rc::default(), to_engine));
     outbound.list(ROUTE, route(listener.local_addr().expect("an address"), Listing::Ready));
     (outbound, listener, inputs)
 }
--- a/crates/sender/src/outbound/tests/given_up.rs
+++ b/crates/sender/src/outbound/tests/given_up.rs
@@ -40,7 +40,7 @@
             let (mut stream, _) = listener.accept().await.expect("a connection");
             stream.readable().await.expect("the first bytes");
             if cancelled {
-                let relayed = || outbound.figures.to_json().contains("\"relayed\":1,");
+                let relayed = || outbound.metrics.to_json().contains("\"relayed\":1,");
                 while expected == Outcome::Cancelled && !relayed() {
                     tokio::task::yield_now().await;
                 }
--- a/crates/sender/src/outbound/tests/kept.rs
+++ b/crates/sender/src/outbound/tests/kept.rs
@@ -15,7 +15,7 @@
         }
         let kept = outbound.kept(ROUTE).expect("it is kept");
         let old = Instant::now() + Duration::from_secs(13);
-        assert!(kept.usable(Instant::now(), outbound.idle_time) && !kept.usable(old, outbound.idle_time));
+        assert!(kept.config(Instant::now(), outbound.idle_time) && !kept.config(old, outbound.idle_time));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -63,12 +63,12 @@
 
 /// The pauses between one sender's requests for the list.
 #[derive(Debug)]
-pub struct Pace {
+pub struct PollSchedule {
     rng: ChaCha8Rng,
     way: Way,
 }
 
-impl Pace {
+impl PollSchedule {
     /// Of one among `peers` senders, by the ways of their discovery.
     pub fn new(discovery: Discovery, peers: usize, seed: u64) -> Self {
         let round = COST.saturating_mul(u32::try_from(peers).unwrap_or(u32::MAX)).min(LONGEST_ROUND);
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -9,7 +9,7 @@
 const FLEETS: [usize; 5] = [1, 30, 100, 300, usize::MAX];
 
 fn paced(senders: usize, seed: u64) -> Vec<Pauses> {
-    let pauses = |n| Pace::new(ON_REQUEST, senders, seed * 1_000 + n as u64).pauses();
+    let pauses = |n| PollSchedule::new(ON_REQUEST, senders, seed * 1_000 + n as u64).pauses();
     (0..senders).map(|n| Box::new(pauses(n)) as Pauses).collect()
 }
 
@@ -26,7 +26,7 @@
 fn however_often_requests_fail_what_is_new_is_told_before_it_counts_as_told() {
     for ask_within in [ASK_WITHIN, 2_000.0, 0.0] {
         for peers in FLEETS {
-            let mut pace = Pace::new(Discovery::OnRequest { ask_within }, peers, 1);
+            let mut pace = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
             let patience = pace.patience();
             // An answer that comes as late as one may is still heard.
             assert!(patience > ANSWER);
@@ -50,7 +50,7 @@
 fn a_start_is_no_later_than_its_sender_has_to_ask() {
     for (ask_within, at_start) in [(ASK_WITHIN, 3_750), (2_000.0, 1_800), (0.0, 3_750)] {
         for peers in [100, 300, usize::MAX] {
-            let mut pace = Pace::new(Discovery::OnRequest { ask_within }, peers, 1);
+            let mut pace = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
             let latest = (0..1_000).map(|_| pace.at_start()).max();
             assert!(latest <= Some(Duration::from_millis(at_start)), "{peers}, {ask_within}: {latest:?}");
         }
@@ -62,7 +62,7 @@
 fn what_a_silent_watch_has_missed_is_told_before_it_counts_as_told() {
     let silent = Duration::from_secs(3);
     for peers in FLEETS {
-        let mut pace = Pace::new(ON_REQUEST, peers, 1);
+        let mut pace = PollSchedule::new(ON_REQUEST, peers, 1);
         let latest = (0..1_000).map(|_| pace.after(silent)).max().expect("a pause");
         assert!(silent + latest + ANSWER + MARGIN <= TOLD, "{peers}: {latest:?}");
     }
@@ -72,7 +72,7 @@
 #[test]
 fn where_changes_are_pushed_nobody_waits_for_a_turn_and_no_pause_grows() {
     for peers in FLEETS {
-        let mut pace = Pace::new(Discovery::Pushed, peers, 1);
+        let mut pace = PollSchedule::new(Discovery::Pushed, peers, 1);
         assert!(!pace.takes_turns());
         assert_eq!(pace.at_start(), Duration::ZERO);
         for _ in 0..100 {
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_few_ask_at_once_and_again_after_pauses_that_double() {
-    let mut pace = Pace::new(ON_REQUEST, 3, 1);
+    let mut pace = PollSchedule::new(ON_REQUEST, 3, 1);
     assert_eq!(pace.at_start(), Duration::ZERO);
     let pauses: Vec<u128> = (0..6).map(|_| pace.after(Duration::ZERO).as_millis()).collect();
     assert_eq!(pauses, [50, 100, 200, 400, 800, 1_000]);
@@ -101,7 +101,7 @@
 fn pauses_are_longer_after_refusals_in_a_queue_but_no_longer_than_four_times_what_a_sender_has() {
     for (ask_within, failed) in [(ASK_WITHIN, 20), (2_000.0, 8), (0.0, 20)] {
         for peers in [100, 300, usize::MAX] {
-            let mut pace = Pace::new(Discovery::OnRequest { ask_within }, peers, 1);
+            let mut pace = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
             let latest = (0..100).map(|_| pace.after_refusal(QUEUED)).max();
             assert!(latest <= Some(Duration::from_secs(failed)), "{peers}, {ask_within}: {latest:?}");
             assert!(latest > Some(GAP), "{peers}, {ask_within}: {latest:?}");
@@ -157,7 +157,7 @@
 fn senders_whose_watches_end_together_do_not_ask_together() {
     for spent in [Duration::from_secs(3), Duration::ZERO] {
         let senders = 300;
-        let pause = |n| Pace::new(ON_REQUEST, senders, n).after(spent).as_millis() / 100;
+        let pause = |n| PollSchedule::new(ON_REQUEST, senders, n).after(spent).as_millis() / 100;
         let pauses: Vec<u128> = (0..senders as u64).map(pause).collect();
         let most = (0..60).map(|at| pauses.iter().filter(|&&pause| pause == at).count()).max().expect("some");
         assert!(most * 5 <= senders, "{most} of {senders} within a tenth of a second, {spent:?}");
@@ -181,7 +181,7 @@
 /// What the turns are for: the same pauses for all, as a sender alone makes them, never get through a queue.
 #[test]
 fn a_hundred_that_ask_as_if_they_were_alone_starve_each_other() {
-    let alone = |_| Box::new(Pace::new(ON_REQUEST, 1, 0).pauses()) as Pauses;
+    let alone = |_| Box::new(PollSchedule::new(ON_REQUEST, 1, 0).pauses()) as Pauses;
     let discovery = lists::Discovery { cost: 0.1, overload: Overload::WorksOff, silent_until: 0.0 };
     let played = lists(discovery, (0..100).map(alone).collect());
     let starved = played.got.iter().filter(|at| at.is_none()).count();
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -11,20 +11,20 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 
-use crate::admission_state::Door;
-use crate::config::{StartError, Usable};
-use crate::control::Operator;
+use crate::admission_state::AdmissionState;
+use crate::config::{StartError, ValidatedConfig};
+use crate::control::ControlListener;
 use crate::discovery;
-use crate::engine::{Engine, Parts};
+use crate::engine::{Engine, EngineDependencies};
 use crate::event::{Input, List};
-use crate::gossip::{FLEET, Peers, Together};
-use crate::handover::{self, Neighbour, Told};
+use crate::gossip::{FLEET, FleetSettings, GossipTask};
+use crate::handover::{self, HandoverState, PeerProcess};
 use crate::inbound::{self, Inbound};
 use crate::incarnation;
-use crate::metrics::Figures;
-use crate::notifications::Reports;
+use crate::metrics::Metrics;
+use crate::notifications::Notifications;
 use crate::outbound::Outbound;
-use crate::poll_schedule::Pace;
+use crate::poll_schedule::PollSchedule;
 
 /// Inputs that may wait for the engine.
 const QUEUE: usize = 4096;
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug)]
 pub struct Control {
     to_engine: mpsc::Sender<Input>,
-    door: watch::Sender<Door>,
+    door: watch::Sender<AdmissionState>,
     discovery: watch::Sender<SocketAddr>,
-    neighbour: Rc<Neighbour>,
+    peer_process: Rc<PeerProcess>,
     shared_door: bool,
 }
 
@@ -60,11 +60,11 @@
     ///
     /// [`StartError`] if the journal or an address cannot be had.
     pub async fn start(
-        usable: Usable,
+        config: ValidatedConfig,
         state: &Path,
         door: Option<std::net::TcpListener>,
     ) -> Result<Self, StartError> {
-        let Usable { config, settings, names, fleet } = usable;
+        let ValidatedConfig { config, settings, names, fleet } = config;
         // First of all: who cannot listen leaves the folder alone.
         let shared_door = door.is_some();
         let listener = clients(door, config.listen).await?;
@@ -82,32 +82,37 @@
         let mut store = Store::open(state, budget)
             .map_err(|error| StartError::Journal { path: state.to_owned(), error })?;
         let (to_engine, inputs) = mpsc::channel(QUEUE);
-        let neighbour = Rc::new(Neighbour::default());
+        let peer_process = Rc::new(PeerProcess::default());
         let told = if store.is_owner() {
-            spawn_local(handover::expect(state.to_owned(), neighbour.clone(), to_engine.clone()));
-            Told::default()
+            spawn_local(handover::expect(state.to_owned(), peer_process.clone(), to_engine.clone()));
+            HandoverState::default()
         } else {
-            let told = handover::introduce(state, &neighbour, &to_engine).await;
+            let told = handover::introduce(state, &peer_process, &to_engine).await;
             Engine::hear(&mut store, &told.words);
-            spawn_local(succeed(state.to_owned(), neighbour.clone(), to_engine.clone()));
+            spawn_local(succeed(state.to_owned(), peer_process.clone(), to_engine.clone()));
             told
         };
-        let (door, at_the_door) = watch::channel(Door::Open);
-        let figures = Rc::new(Figures::new(&names.classes));
-        let outbound =
-            Rc::new(Outbound::new(&settings, share, figures.clone(), neighbour.clone(), to_engine.clone()));
-        let reports = Rc::new(Reports::default());
+        let (door, at_the_door) = watch::channel(AdmissionState::Accepting);
+        let metrics = Rc::new(Metrics::new(&names.classes));
+        let outbound = Rc::new(Outbound::new(
+            &settings,
+            share,
+            metrics.clone(),
+            peer_process.clone(),
+            to_engine.clone(),
+        ));
+        let reports = Rc::new(Notifications::default());
         let seed = u64::from_str_radix(&config.seed, 16).unwrap_or_default();
         let known = config.known.unwrap_or(List { revision: 0, complete: true, members: Vec::new() });
-        let parts = Parts {
+        let parts = EngineDependencies {
             settings: settings.clone(),
             names: names.clone(),
             seed,
             store,
             outbound: outbound.clone(),
             reports: reports.clone(),
-            figures: figures.clone(),
-            neighbour: neighbour.clone(),
+            metrics: metrics.clone(),
+            peer_process: peer_process.clone(),
             shared_door,
             notes: notes.is_some(),
             permits: strict,
@@ -122,7 +127,7 @@
         let start = settings.ramp(0.0);
         let ramp = Ramp { start, growth: settings.ramp(1_000.0) - start };
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
-        let pace = Pace::new(settings.discovery, settings.peers_total, seed);
+        let pace = PollSchedule::new(settings.discovery, settings.peers_total, seed);
         let fetched = if pace.takes_turns() { None } else { discovery::fetch(config.discovery).await };
         let revision = if pace.takes_turns() { Some(0) } else { fetched.as_ref().map(|list| list.revision) };
         let engine = Engine::new(parts, &known, fetched.as_ref())?;
@@ -146,21 +151,21 @@
                 None
             };
             tracing::info!(target: FLEET, senders = notes.peers.len(), strict, "limits are shared by notes");
-            let together = Together { file: fleet, quotas, life };
-            spawn_local(Peers::new(notes, ramp, together).run(to_engine.clone()));
+            let together = FleetSettings { file: fleet, quotas, life };
+            spawn_local(GossipTask::new(notes, ramp, together).run(to_engine.clone()));
         }
         let limits = inbound::Limits { sockets: share, body_bytes: config.limits.body_bytes() };
         let inbound =
-            Rc::new(Inbound::new(settings, names, limits, figures.clone(), to_engine.clone(), at_the_door));
+            Rc::new(Inbound::new(settings, names, limits, metrics.clone(), to_engine.clone(), at_the_door));
         spawn_local(inbound.clone().run(listener));
         if let Some(listener) = control {
             if let Ok(addr) = listener.local_addr() {
                 tracing::info!("operators: listening on {addr}");
             }
-            let operator = Operator { figures, door: door.clone(), host: to_engine.clone() };
+            let operator = ControlListener { metrics, door: door.clone(), host: to_engine.clone() };
             spawn_local(Rc::new(operator).run(listener));
         }
-        let control = Control { to_engine, door, discovery, neighbour, shared_door };
+        let control = Control { to_engine, door, discovery, peer_process, shared_door };
         Ok(Self { engine, inbound, control, addr })
     }
 
@@ -187,14 +192,18 @@
     /// Stops the service: it goes on answering for a while, lets calls finish, and leaves the rest to the
     /// journal. [`Service::run`] then ends within 3.5 s.
     pub async fn stop(&self) {
-        let succeeded = self.shared_door && self.neighbour.is_there();
-        self.door.send_replace(if succeeded { Door::Leaving } else { Door::Stopping });
+        let succeeded = self.shared_door && self.peer_process.is_there();
+        self.door.send_replace(if succeeded {
+            AdmissionState::HandingOver
+        } else {
+            AdmissionState::Stopping
+        });
         let _ = self.to_engine.send(Input::Stop).await;
     }
 
     /// Puts what of a new configuration takes effect at once in force: the address of discovery.
-    pub fn configure(&self, usable: &Usable) {
-        let to = usable.discovery();
+    pub fn configure(&self, config: &ValidatedConfig) {
+        let to = config.discovery();
         self.discovery.send_if_modified(|addr| std::mem::replace(addr, to) != to);
     }
 }
@@ -214,15 +223,15 @@
 }
 
 /// Has the engine look until the journal is ours; then the next successor may come.
-async fn succeed(state: PathBuf, neighbour: Rc<Neighbour>, host: mpsc::Sender<Input>) {
+async fn succeed(state: PathBuf, peer_process: Rc<PeerProcess>, host: mpsc::Sender<Input>) {
     loop {
         tokio::time::sleep(SUCCEED).await;
         let (owner, is_owner) = oneshot::channel();
-        if host.send(Input::Succeed(owner)).await.is_err() {
+        if host.send(Input::TakeOver(owner)).await.is_err() {
             return;
         }
         if is_owner.await.unwrap_or(false) {
-            return handover::expect(state, neighbour, host).await;
+            return handover::expect(state, peer_process, host).await;
         }
     }
 }
--- a/crates/sender/src/write_progress.rs
+++ b/crates/sender/src/write_progress.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-use crate::metrics::Figures;
+use crate::metrics::Metrics;
 
 /// Bytes that a connection buffers of a head or a body at most, either way.
 pub(crate) const MAX_BUFFER: usize = 16 * 1024;
@@ -25,7 +25,7 @@
 
 /// What has passed over a connection for the message at hand.
 #[derive(Debug, Default)]
-pub(crate) struct Meter {
+pub(crate) struct WriteProgress {
     written: Cell<u64>,
     complete: Cell<bool>,
     /// When its first byte came in, not counting 1xx answers.
@@ -33,12 +33,12 @@
     /// On the way to a receiver: the head of its answer, as far as it matters.
     answer: Option<RefCell<Vec<u8>>>,
     /// Where a message is counted once its last byte is written, if this one still has to be.
-    uncounted: RefCell<Option<Rc<Figures>>>,
+    uncounted: RefCell<Option<Rc<Metrics>>>,
     /// Whenever something has come in.
     more: Notify,
 }
 
-impl Meter {
+impl WriteProgress {
     /// One that also keeps the head of each answer.
     pub(crate) fn of_answers() -> Self {
         Self { answer: Some(RefCell::default()), ..Self::default() }
@@ -53,8 +53,8 @@
     }
 
     /// The message at hand is counted once its last byte is written.
-    pub(crate) fn count_in(&self, figures: Rc<Figures>) {
-        *self.uncounted.borrow_mut() = Some(figures);
+    pub(crate) fn count_in(&self, metrics: Rc<Metrics>) {
+        *self.uncounted.borrow_mut() = Some(metrics);
     }
 
     /// What comes in from here on is the next message's.
@@ -142,18 +142,18 @@
 /// A stream that keeps its meter.
 pub(crate) struct Metered {
     socket: Socket,
-    meter: Rc<Meter>,
+    write_progress: Rc<WriteProgress>,
 }
 
 impl Metered {
-    pub(crate) fn new(socket: Socket, meter: Rc<Meter>) -> Self {
-        Self { socket, meter }
+    pub(crate) fn new(socket: Socket, write_progress: Rc<WriteProgress>) -> Self {
+        Self { socket, write_progress }
     }
 
     /// Before the first byte of a request: what has come behind the last answer, a second copy or noise, would
     /// be read as the answer to this one; and a connection that has ended would lose it.
     fn check_quiet(&self) -> std::io::Result<()> {
-        if self.meter.answer.is_none() || self.meter.started() {
+        if self.write_progress.answer.is_none() || self.write_progress.started() {
             return Ok(());
         }
         match SockRef::from(&*self.socket.borrow()).peek(&mut [MaybeUninit::uninit(); 1]) {
@@ -166,7 +166,7 @@
 
     fn count(&self, result: &Poll<std::io::Result<usize>>) {
         if let Poll::Ready(Ok(n)) = result {
-            self.meter.written.set(self.meter.written.get() + *n as u64);
+            self.write_progress.written.set(self.write_progress.written.get() + *n as u64);
         }
     }
 }
@@ -183,7 +183,7 @@
         let mut read = ReadBuf::new(&mut bytes[..room]);
         ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_read(cx, &mut read))?;
         buf.put_slice(read.filled());
-        self.meter.note(read.filled());
+        self.write_progress.note(read.filled());
         Poll::Ready(Ok(()))
     }
 }
@@ -214,10 +214,10 @@
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
         // hyper flushes only once all that it has encoded is written, and it encodes a message with a ready
         // body as a whole: after the first byte, a flush means that the last one is written too.
-        if self.meter.started() {
-            self.meter.complete.set(true);
-            if let Some(figures) = self.meter.uncounted.borrow_mut().take() {
-                figures.relayed();
+        if self.write_progress.started() {
+            self.write_progress.complete.set(true);
+            if let Some(metrics) = self.write_progress.uncounted.borrow_mut().take() {
+                metrics.relayed();
             }
         }
         Pin::new(&mut *self.socket.borrow_mut()).poll_flush(cx)
--- a/crates/sender/tests/service.rs
+++ b/crates/sender/tests/service.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use rudderspindle_sender::{Service, StartError, Usable};
+use rudderspindle_sender::{Service, StartError, ValidatedConfig};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::{LocalSet, spawn_local};
@@ -27,8 +27,8 @@
 async fn it_answers_until_it_is_told_to_stop() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
-        let usable = Usable::read(&configuration(folder.path(), settings())).expect("usable");
-        let service = Service::start(usable, folder.path(), None).await.expect("it starts");
+        let config = ValidatedConfig::read(&configuration(folder.path(), settings())).expect("usable");
+        let service = Service::start(config, folder.path(), None).await.expect("it starts");
         let (addr, control) = (service.local_addr(), service.control());
         let running = spawn_local(service.run());
         let mut client = TcpStream::connect(addr).await.expect("a connection");
@@ -48,8 +48,8 @@
 async fn when_it_has_run_each_client_has_its_end() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
-        let usable = Usable::read(&configuration(folder.path(), settings())).expect("usable");
-        let service = Service::start(usable, folder.path(), None).await.expect("it starts");
+        let config = ValidatedConfig::read(&configuration(folder.path(), settings())).expect("usable");
+        let service = Service::start(config, folder.path(), None).await.expect("it starts");
         let (addr, control) = (service.local_addr(), service.control());
         let running = spawn_local(service.run());
         let mut first = TcpStream::connect(addr).await.expect("a connection");
@@ -75,8 +75,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut ordered = settings();
     ordered["lanes"][0]["in_order"] = true.into();
-    let error = Usable::read(&configuration(folder.path(), ordered)).expect_err("no key to keep order by");
+    let error =
+        ValidatedConfig::read(&configuration(folder.path(), ordered)).expect_err("no key to keep order by");
     assert!(matches!(&error, StartError::Ordered(name) if name == "c"), "{error}");
-    let error = Usable::read(folder.path().join("nothing").as_path()).expect_err("no file");
+    let error = ValidatedConfig::read(folder.path().join("nothing").as_path()).expect_err("no file");
     assert!(error.to_string().contains("nothing"), "{error}");
 }
