--- a/crates/benchmarks/src/evening.rs
+++ b/crates/benchmarks/src/evening.rs
@@ -7,8 +7,8 @@
 use rudderspindle_testkit::checker::{Accounting, Return, Verdict, check_events};
 use rudderspindle_testkit::event_log;
 use rudderspindle_testkit::program::Launch;
-use rudderspindle_testkit::scenario::Script;
-use rudderspindle_testkit::world::{Played, Stage, World};
+use rudderspindle_testkit::scenario::Scenario;
+use rudderspindle_testkit::world::{Played, TestEnvironment, World};
 
 use crate::report::Report;
 use crate::{Common, RigError};
@@ -30,7 +30,7 @@
 }
 
 impl Having {
-    fn holds(self, script: &Script) -> bool {
+    fn holds(self, script: &Scenario) -> bool {
         match self {
             Self::SharedOutage => script.has_shared_outage(),
             Self::Takeover => script.has_takeover(),
@@ -41,14 +41,19 @@
 /// An evening that was played, and how often it was too late to be judged.
 struct Round {
     seed: u64,
-    script: Script,
+    script: Scenario,
     played: Played,
     verdict: Verdict,
     tries: u64,
 }
 
 /// Plays an evening, again if the stand-ins were late.
-async fn play(seed: u64, script: Script, sender: PathBuf, keep: Option<PathBuf>) -> Result<Round, RigError> {
+async fn play(
+    seed: u64,
+    script: Scenario,
+    sender: PathBuf,
+    keep: Option<PathBuf>,
+) -> Result<Round, RigError> {
     let mut tries = 0;
     loop {
         let folder = tempfile::tempdir()?;
@@ -57,7 +62,7 @@
         if folder.exists() {
             std::fs::remove_dir_all(&folder)?;
         }
-        let stage = Stage { launch: Launch::from(sender.as_path()), folder, longest: LONGEST };
+        let stage = TestEnvironment { launch: Launch::from(sender.as_path()), folder, longest: LONGEST };
         let played = World::set_up(&script, &stage).await?.play().await;
         let verdict = check_events(&played.lines);
         if let Some(keep) = &keep {
@@ -82,8 +87,8 @@
     bar.enable_steady_tick(Duration::from_millis(500));
     let (mut late, mut peak_kib) = (0, 0);
     let mut returns: Vec<Return> = Vec::new();
-    let draw = |seed| (seed, Script::evening(seed, common.seconds.unwrap_or(SECONDS)));
-    let wanted = |script: &Script| having.is_none_or(|having| having.holds(script));
+    let draw = |seed| (seed, Scenario::evening(seed, common.seconds.unwrap_or(SECONDS)));
+    let wanted = |script: &Scenario| having.is_none_or(|having| having.holds(script));
     let scripts = (first..=u64::MAX).map(draw).filter(|(_, script)| wanted(script));
     let mut scripts = scripts.take(common.rounds as usize);
     let mut playing = tokio::task::JoinSet::new();
@@ -170,7 +175,7 @@
     total.calls_refused += a.calls_refused;
 }
 
-fn print_round(seed: u64, script: &Script, played: &Played, verdict: &Verdict) {
+fn print_round(seed: u64, script: &Scenario, played: &Played, verdict: &Verdict) {
     let per_s = script.traffic.per_s.get();
     println!("evening {seed}: {} partners, {per_s:.0} messages a second", script.partners.len());
     for happening in &script.happenings {
--- a/crates/benchmarks/src/http2.rs
+++ b/crates/benchmarks/src/http2.rs
@@ -135,7 +135,7 @@
         LocalSet::new().block_on(&runtime, async {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let _ = tell.send(listener.local_addr()?);
-            let partner = Rc::new(Partner::new(workers, work, seed));
+            let partner = Rc::new(FakeReceiver::new(workers, work, seed));
             tokio::select! {
                 served = partner.serve(listener, http2) => served,
                 _ = stopped => Ok(()),
@@ -275,13 +275,13 @@
 }
 
 /// A partner that works on so many calls at once, the same over either protocol.
-struct Partner {
+struct FakeReceiver {
     workers: Semaphore,
     work: f64,
     draw: RefCell<Draw>,
 }
 
-impl Partner {
+impl FakeReceiver {
     fn new(workers: usize, work: f64, seed: u64) -> Self {
         Self { workers: Semaphore::new(workers), work, draw: RefCell::new(Draw::new(seed)) }
     }
--- a/crates/benchmarks/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -10,8 +10,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use rudderspindle_testkit::event_log::{Evidence, Rules};
-use rudderspindle_testkit::fake_discovery::{Agent, Entry};
+use rudderspindle_testkit::event_log::{EventLog, Rules};
+use rudderspindle_testkit::fake_discovery::{Entry, FakeDiscovery};
 use rudderspindle_testkit::program::Program;
 use rudderspindle_testkit::scenario::Phase;
 use serde_json::json;
@@ -116,7 +116,7 @@
     seed: u64,
     seconds: Duration,
 ) -> Result<Measured, RigError> {
-    let evidence = Evidence::begin(Vec::new(), Vec::new(), Rules::default());
+    let evidence = EventLog::begin(Vec::new(), Vec::new(), Rules::default());
     let entry = |(n, addr): (usize, &SocketAddr)| Entry {
         id: format!("r{n}"),
         addr: *addr,
@@ -127,7 +127,7 @@
         per_s: 1e6,
     };
     let entries = receivers.addrs.iter().enumerate().map(entry).collect();
-    let agent = Agent::start("n0", entries, &evidence).await?;
+    let agent = FakeDiscovery::start("n0", entries, &evidence).await?;
     let config = json!({"discovery": agent.addr().to_string(), "seed": format!("{seed:x}"),
         "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 8192, "disk_mb": 64}, "known": agent.list(),
         "settings": {"azs": ["hall-a"], "kinds": ["any-size"], "peers_total": 1, "tick": load.tick_ms, "weights": "nominal",
@@ -140,14 +140,14 @@
             "rules": {"cold_from": 0.17, "fall_multiple": 2.5, "tip_after": 3000.0, "warm_within": 9300.0}}});
     let folder = tempfile::tempdir()?;
     let mut program = Program::new("n0", &binary.into(), folder.path(), config, Some(CORE), &evidence)
-        .map_err(rudderspindle_testkit::world::StageError::from)?;
-    program.start().await.map_err(rudderspindle_testkit::world::StageError::from)?;
+        .map_err(rudderspindle_testkit::world::EnvironmentError::from)?;
+    program.start().await.map_err(rudderspindle_testkit::world::EnvironmentError::from)?;
     let addr = *program.address().borrow();
     let Some(addr) = addr else { return Err(RigError::NoSender) };
     let cpu = || program.cpu_us().unwrap_or(0);
     let peak = || program.peak_kib().unwrap_or(0);
     let measured = under_load(addr, receivers, load, seconds, cpu, peak).await;
-    program.kill().await.map_err(rudderspindle_testkit::world::StageError::from)?;
+    program.kill().await.map_err(rudderspindle_testkit::world::EnvironmentError::from)?;
     Ok(measured)
 }
 
--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -120,7 +120,7 @@
     #[error("{0}")]
     Io(#[from] std::io::Error),
     #[error("{0}")]
-    Stage(#[from] rudderspindle_testkit::world::StageError),
+    TestEnvironment(#[from] rudderspindle_testkit::world::EnvironmentError),
     #[error(
         "there is no sender beside this program: build it with `cargo build --release`, or name it with --sender"
     )]
--- a/crates/daemon/tests/calls.rs
+++ b/crates/daemon/tests/calls.rs
@@ -19,7 +19,7 @@
 
 /// A sender before a receiver that the test plays itself, byte for byte.
 struct Played {
-    platform: Platform,
+    platform: FakePlatform,
     listener: TcpListener,
     program: Program,
     _folder: Folder,
@@ -28,7 +28,7 @@
 
 impl Played {
     async fn start(listener: TcpListener) -> Self {
-        let platform = Platform::start().await;
+        let platform = FakePlatform::start().await;
         let addr = listener.local_addr().expect("an address");
         let config = config(platform.addr, &[member("r1", addr, 7, "SERVING")], LONG);
         *platform.list.lock().expect("a list") = Some(config["known"].clone());
--- a/crates/daemon/tests/cluster/mod.rs
+++ b/crates/daemon/tests/cluster/mod.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use rudderspindle_testkit::checker::Verdict;
-use rudderspindle_testkit::cluster::{Journal, Tier};
-use rudderspindle_testkit::fault_schedule::Weather;
+use rudderspindle_testkit::cluster::{Cluster, Journal};
+use rudderspindle_testkit::fault_schedule::LinkFaults;
 use rudderspindle_testkit::program::Launch;
-use rudderspindle_testkit::scenario::Script;
+use rudderspindle_testkit::scenario::Scenario;
 use rudderspindle_testkit::usage::Usage;
 use tempfile::TempDir;
 use tokio::time::sleep;
@@ -23,7 +23,7 @@
 
 /// So many senders that are handed 90 messages a second for so long, and what keeps their folder. A file of the
 /// operator's for the fleet, if any.
-pub async fn tier(seconds: u16, seed: u64, fleet_file: Option<&Path>) -> (Tier, TempDir) {
+pub async fn tier(seconds: u16, seed: u64, fleet_file: Option<&Path>) -> (Cluster, TempDir) {
     let script = format!(
         r#"
 seed = {seed}
@@ -53,13 +53,13 @@
 endpoints = [{{ id = "p1-0", hall = "hall-a" }}, {{ id = "p1-1", hall = "hall-b" }}]
 "#
     );
-    let script = Script::parse(&script, Path::new("fleet.toml")).expect("a script");
+    let script = Scenario::parse(&script, Path::new("fleet.toml")).expect("a script");
     let mut launch = Launch::from(Path::new(env!("CARGO_BIN_EXE_rudderspindle")));
     // Notes that a sender drops are told there.
     launch.variables.push(("RELAY_LOG".to_owned(), "info,notes=debug".to_owned()));
     launch.variables.extend(fleet_file.map(|path| ("RELAY_FLEET".to_owned(), path.display().to_string())));
     let folder = tempfile::tempdir().expect("a folder");
-    let tier = Tier::start(&script, &launch, folder.path(), LONGEST).await.expect("senders");
+    let tier = Cluster::start(&script, &launch, folder.path(), LONGEST).await.expect("senders");
     (tier, folder)
 }
 
@@ -120,7 +120,7 @@
     tier.mesh.heal();
     row("they are joined again", tier.phase(secs(4)).await);
 
-    tier.mesh.set(&all, &all, &Weather { drop: 0.5, ..Weather::default() });
+    tier.mesh.set(&all, &all, &LinkFaults { drop: 0.5, ..LinkFaults::default() });
     row("half of all notes lost", tier.phase(secs(10)).await);
     tier.mesh.heal();
 
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -20,8 +20,8 @@
 use tokio::process::{Child, ChildStderr, Command};
 
 /// A platform, one receiver for destination 7 and a sender, with a deadline for its messages.
-pub async fn set_up(acts: &[Act], deadline: f64) -> (Platform, Receiver, Program, Folder, Value) {
-    let (platform, receiver) = (Platform::start().await, Receiver::start(acts).await);
+pub async fn set_up(acts: &[Act], deadline: f64) -> (FakePlatform, Receiver, Program, Folder, Value) {
+    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
     let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], deadline);
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
     let folder = lasting();
--- a/crates/daemon/tests/evening/mod.rs
+++ b/crates/daemon/tests/evening/mod.rs
@@ -7,16 +7,16 @@
 use rudderspindle_testkit::checker::{Verdict, check_events};
 use rudderspindle_testkit::event_log::Line;
 use rudderspindle_testkit::program::Launch;
-use rudderspindle_testkit::scenario::Script;
-use rudderspindle_testkit::world::{Stage, World};
+use rudderspindle_testkit::scenario::Scenario;
+use rudderspindle_testkit::world::{TestEnvironment, World};
 
 /// Plays it until the stand-ins were not late, three times at the most; no message is delivered for longer.
 pub async fn play(script: &str, longest: Duration) -> (Vec<Line>, Verdict) {
-    let script = Script::parse(script, Path::new("test.toml")).expect("a script");
+    let script = Scenario::parse(script, Path::new("test.toml")).expect("a script");
     for _ in 0..3 {
         let folder = tempfile::tempdir().expect("a folder");
         let launch = Launch::from(Path::new(env!("CARGO_BIN_EXE_rudderspindle")));
-        let stage = Stage { launch, folder: folder.path().to_owned(), longest };
+        let stage = TestEnvironment { launch, folder: folder.path().to_owned(), longest };
         let played = World::set_up(&script, &stage).await.expect("a world").play().await;
         assert_eq!(played.failed, Vec::<String>::new());
         let verdict = check_events(&played.lines);
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -7,8 +7,8 @@
 
 use rudderspindle_testkit::checker::Verdict;
 use rudderspindle_testkit::cluster::Journal;
-use rudderspindle_testkit::datagram_proxy::Mesh;
-use rudderspindle_testkit::fault_schedule::Weather;
+use rudderspindle_testkit::datagram_proxy::DatagramProxy;
+use rudderspindle_testkit::fault_schedule::LinkFaults;
 use tokio::time::sleep;
 
 use cluster::{HEAD, SENDERS, table};
@@ -23,13 +23,13 @@
 }
 
 /// Notes that have come to a sender, and that came to nothing on their way to it.
-fn heard(mesh: &Mesh, to: usize) -> (u64, u64) {
+fn heard(mesh: &DatagramProxy, to: usize) -> (u64, u64) {
     let counts = (0..SENDERS).map(|from| mesh.counts(from, to));
     counts.fold((0, 0), |sum, counts| (sum.0 + counts.passed, sum.1 + counts.dropped))
 }
 
 /// Notes that a sender has sent.
-fn told(mesh: &Mesh, from: usize) -> u64 {
+fn told(mesh: &DatagramProxy, from: usize) -> u64 {
     (0..SENDERS).map(|to| mesh.counts(from, to)).map(|counts| counts.sent).sum()
 }
 
@@ -47,7 +47,7 @@
 
     // One hears nothing any more, and is heard; the foul weather of the others is nobody's undoing.
     let others: Vec<usize> = (1..SENDERS).collect();
-    let foul = Weather {
+    let foul = LinkFaults {
         drop: 0.1,
         delay: Duration::from_millis(1)..Duration::from_millis(40),
         duplicate: 0.2,
--- a/crates/daemon/tests/golden/clients.rs
+++ b/crates/daemon/tests/golden/clients.rs
@@ -4,7 +4,7 @@
 use tokio::io::AsyncReadExt;
 
 use crate::common::{
-    Act, Folder, Platform, Program, Receiver, config, lasting, member, raw_hand_in, set_up, soon,
+    Act, FakePlatform, Folder, Program, Receiver, config, lasting, member, raw_hand_in, set_up, soon,
 };
 use crate::expected::{assert_golden, printable, section};
 use crate::normalise::date;
@@ -45,8 +45,8 @@
 }
 
 /// A sender that three messages may wait at, and whose only receiver takes none; `keyed` is worth more than `safe`.
-async fn small() -> (Platform, Receiver, Program, Folder) {
-    let (platform, receiver) = (Platform::start().await, Receiver::start(&[]).await);
+async fn small() -> (FakePlatform, Receiver, Program, Folder) {
+    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let mut config: Value = config(platform.addr, &[member("r1", receiver.addr, 7, "DRAINING")], DEADLINE_MS);
     config["settings"]["limits"]["most_held"] = 4.into();
     config["settings"]["lanes"][1]["credit"] = 5.0.into();
--- a/crates/daemon/tests/golden/control.rs
+++ b/crates/daemon/tests/golden/control.rs
@@ -6,15 +6,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::common::{Act, Folder, Platform, Program, Receiver, config, lasting, member, soon};
+use crate::common::{Act, FakePlatform, Folder, Program, Receiver, config, lasting, member, soon};
 use crate::expected::{assert_golden, printable, section};
 use crate::normalise::number_kinds;
 
 const DEADLINE_MS: f64 = 60_000.0;
 
 /// A sender with a control listener, and where that is.
-async fn set_up(acts: &[Act]) -> (Platform, Receiver, Program, Folder, SocketAddr) {
-    let (platform, receiver) = (Platform::start().await, Receiver::start(acts).await);
+async fn set_up(acts: &[Act]) -> (FakePlatform, Receiver, Program, Folder, SocketAddr) {
+    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
     let mut config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], DEADLINE_MS);
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
     config["control"] = json!("127.0.0.1:0");
--- a/crates/daemon/tests/golden/log_errors.rs
+++ b/crates/daemon/tests/golden/log_errors.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use tokio::process::Command;
 
-use crate::common::{Platform, Program, config, lasting, soon};
+use crate::common::{FakePlatform, Program, config, lasting, soon};
 use crate::expected::{assert_golden, section};
 use crate::normalise::known;
 
@@ -104,7 +104,7 @@
 
 #[tokio::test]
 async fn a_third_program_on_one_folder_ends_with_this_line() {
-    let (platform, folder) = (Platform::start().await, lasting());
+    let (platform, folder) = (FakePlatform::start().await, lasting());
     let config = config(platform.addr, &[], DEADLINE_MS);
     let _first = Program::start(&config, &folder.1).await;
     let _second = Program::start(&config, &folder.1).await;
--- a/crates/daemon/tests/golden/log_lines.rs
+++ b/crates/daemon/tests/golden/log_lines.rs
@@ -5,7 +5,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::common::{
-    Act, Folder, Platform, Receiver, config, lasting, list, member, raw_hand_in, soon, status,
+    Act, FakePlatform, Folder, Receiver, config, lasting, list, member, raw_hand_in, soon, status,
 };
 use crate::expected::assert_golden;
 use crate::logged::Logged;
@@ -14,8 +14,8 @@
 const DEADLINE_MS: f64 = 60_000.0;
 
 /// A platform and a receiver, a folder and a configuration.
-async fn site(acts: &[Act]) -> (Platform, Receiver, Folder, Value) {
-    let (platform, receiver) = (Platform::start().await, Receiver::start(acts).await);
+async fn site(acts: &[Act]) -> (FakePlatform, Receiver, Folder, Value) {
+    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
     let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], DEADLINE_MS);
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
     (platform, receiver, lasting(), config)
--- a/crates/daemon/tests/golden/receivers.rs
+++ b/crates/daemon/tests/golden/receivers.rs
@@ -1,7 +1,7 @@
 //! Requests as receivers get them: first and repeated attempts, with and without an idempotency key.
 
 use crate::common::{
-    Folder, Platform, Program, config, lasting, member, raw_hand_in, rest_of_answer, status,
+    FakePlatform, Folder, Program, config, lasting, member, raw_hand_in, rest_of_answer, status,
 };
 use crate::expected::assert_golden;
 use crate::normalise::{known, remaining_time};
@@ -10,8 +10,8 @@
 const DEADLINE_MS: f64 = 60_000.0;
 
 /// A platform, a receiver that is recorded and a sender.
-async fn set_up() -> (Platform, Recorder, Program, Folder) {
-    let (platform, receiver) = (Platform::start().await, Recorder::start().await);
+async fn set_up() -> (FakePlatform, Recorder, Program, Folder) {
+    let (platform, receiver) = (FakePlatform::start().await, Recorder::start().await);
     let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], DEADLINE_MS);
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
     let folder = lasting();
--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -42,8 +42,8 @@
 }
 
 /// A platform, receivers `r1` and `r2` of which `r1` alone is listed, a folder, and a configuration.
-async fn site(acts: &[Act]) -> (Platform, [Receiver; 2], Folder, Value) {
-    let platform = Platform::start().await;
+async fn site(acts: &[Act]) -> (FakePlatform, [Receiver; 2], Folder, Value) {
+    let platform = FakePlatform::start().await;
     let receivers = [Receiver::start(acts).await, Receiver::start(&[]).await];
     let config = config(platform.addr, &[member("r1", receivers[0].addr, 7, "SERVING")], LONG);
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
@@ -51,7 +51,7 @@
 }
 
 /// So many notices, in the order of their ids.
-async fn notices(platform: &mut Platform, most: usize) -> Vec<(String, String)> {
+async fn notices(platform: &mut FakePlatform, most: usize) -> Vec<(String, String)> {
     let mut all = Vec::new();
     while all.len() < most {
         all.extend(platform.report().await.0);
--- a/crates/daemon/tests/kills.rs
+++ b/crates/daemon/tests/kills.rs
@@ -11,7 +11,7 @@
 const CLASSES: [&str; 3] = ["safe", "keyed", "once"];
 
 struct Site {
-    platform: Platform,
+    platform: FakePlatform,
     receiver: Receiver,
     folder: Folder,
     config: Value,
@@ -19,7 +19,7 @@
 
 impl Site {
     async fn new(acts: &[Act]) -> Self {
-        let (platform, receiver) = (Platform::start().await, Receiver::start(acts).await);
+        let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
         let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], LONG);
         *platform.list.lock().expect("a list") = Some(config["known"].clone());
         Self { platform, receiver, folder: lasting(), config }
--- a/crates/daemon/tests/operator.rs
+++ b/crates/daemon/tests/operator.rs
@@ -16,8 +16,8 @@
 const LONG: f64 = 60_000.0;
 
 /// A sender with a control listener, and where that is.
-async fn set_up(acts: &[Act]) -> (Platform, Receiver, Program, Folder, SocketAddr) {
-    let (platform, receiver) = (Platform::start().await, Receiver::start(acts).await);
+async fn set_up(acts: &[Act]) -> (FakePlatform, Receiver, Program, Folder, SocketAddr) {
+    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
     let mut config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], LONG);
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
     config["control"] = json!("127.0.0.1:0");
--- a/crates/daemon/tests/repeats.rs
+++ b/crates/daemon/tests/repeats.rs
@@ -25,7 +25,7 @@
 /// key, and to no other zone; then the message ends.
 #[tokio::test]
 async fn repeats_come_within_the_window_and_only_where_the_key_is_known() {
-    let platform = Platform::start().await;
+    let platform = FakePlatform::start().await;
     let mut known = Receiver::start(&[Act::Hang; 8]).await;
     let mut elsewhere = Receiver::start(&[]).await;
     let mut far = member("r2", elsewhere.addr, 7, "SERVING");
@@ -55,7 +55,7 @@
 /// The repeat's connection does not come up before the window is over: nothing of it goes when it does.
 #[tokio::test]
 async fn a_repeat_whose_connection_comes_up_after_the_window_does_not_go() {
-    let platform = Platform::start().await;
+    let platform = FakePlatform::start().await;
     let mut first = Receiver::start(&[Act::Hang; 8]).await;
     // With one connection that nobody accepts the queue is full, and the next one's SYN is dropped.
     let slow = TcpSocket::new_v4().expect("a socket");
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -48,8 +48,8 @@
 }
 
 /// A platform and a receiver for destination 7 that the platform lists, a folder, and a configuration.
-async fn site(acts: &[Act], deadline: f64) -> (Platform, Receiver, Folder, Value) {
-    let (platform, receiver) = (Platform::start().await, Receiver::start(acts).await);
+async fn site(acts: &[Act], deadline: f64) -> (FakePlatform, Receiver, Folder, Value) {
+    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
     let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], deadline);
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
     (platform, receiver, lasting(), config)
--- a/crates/daemon/tests/rights.rs
+++ b/crates/daemon/tests/rights.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use cluster::{HEAD, Row, SENDERS};
-use rudderspindle_testkit::cluster::{Journal, Tier};
-use rudderspindle_testkit::fault_schedule::Weather;
+use rudderspindle_testkit::cluster::{Cluster, Journal};
+use rudderspindle_testkit::fault_schedule::LinkFaults;
 use tokio::time::sleep;
 
 /// In any second so much of the limit at most may start: turns are 0.95 of it, each for a tenth of a second.
@@ -15,7 +15,7 @@
 /// Refused for each delivered, at the most.
 const REFUSED: f64 = 0.05;
 
-async fn phase(tier: &mut Tier, name: &'static str, ms: u64) -> Row {
+async fn phase(tier: &mut Cluster, name: &'static str, ms: u64) -> Row {
     Row { phase: name, usage: tier.phase(Duration::from_millis(ms)).await }
 }
 
@@ -31,13 +31,13 @@
     tier.mesh.cut(&all, half);
     rows.push(phase(&mut tier, "half hear nothing, and are heard", 4_000).await);
     tier.mesh.heal();
-    let foul = Weather {
+    let foul = LinkFaults {
         drop: 0.5,
         duplicate: 0.3,
         reorder: 0.3,
         delay: Duration::from_millis(1)..Duration::from_millis(120),
         replay_after: Some(Duration::from_millis(700)),
-        ..Weather::default()
+        ..LinkFaults::default()
     };
     tier.mesh.set(&all, &all, &foul);
     rows.push(phase(&mut tier, "half of all notes lost, the others late, doubled, replayed", 4_000).await);
--- a/crates/daemon/tests/sender.rs
+++ b/crates/daemon/tests/sender.rs
@@ -152,7 +152,7 @@
 
 #[tokio::test]
 async fn a_full_journal_refuses_and_never_outgrows_its_budget() {
-    let (platform, receiver) = (Platform::start().await, Receiver::start(&[Act::Hang; 16]).await);
+    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(&[Act::Hang; 16]).await);
     let mut receiver = receiver;
     let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], LONG);
     let folder = lasting();
@@ -212,7 +212,7 @@
     socket.listen(16).expect("a listener");
     socket.set_nonblocking(true).expect("non-blocking");
     let listener = tokio::net::TcpListener::from_std(socket.into()).expect("a listener");
-    let platform = Platform::start().await;
+    let platform = FakePlatform::start().await;
     let addr = listener.local_addr().expect("an address");
     let config = config(platform.addr, &[member("r1", addr, 7, "SERVING")], LONG);
     let folder = lasting();
@@ -390,7 +390,7 @@
 /// A start with no list at all must not turn clients away for good.
 #[tokio::test]
 async fn without_any_list_a_message_is_refused_and_not_failed() {
-    let platform = Platform::start().await;
+    let platform = FakePlatform::start().await;
     let folder = lasting();
     let program = Program::start(&config(platform.addr, &[], LONG), &folder.1).await;
     assert_eq!(program.hand_in("safe", "m1", body("text")).await.status(), 503);
--- a/crates/daemon/tests/service.rs
+++ b/crates/daemon/tests/service.rs
@@ -212,8 +212,8 @@
 // ---- Receivers -------------------------------------------------------------------------------------------
 
 /// A platform, a receiver that answers as told and a sender.
-async fn spoilt() -> (Platform, Spoiler, Program, Folder) {
-    let (platform, spoiler) = (Platform::start().await, Spoiler::start().await);
+async fn spoilt() -> (FakePlatform, MalformedResponder, Program, Folder) {
+    let (platform, spoiler) = (FakePlatform::start().await, MalformedResponder::start().await);
     let members = [member("r1", spoiler.addr, 7, "SERVING")];
     let config = config(platform.addr, &members, LONG);
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
@@ -322,7 +322,7 @@
 /// At a start of many at once the whole list would be a second request of each to a discovery that is short of time.
 #[tokio::test]
 async fn one_of_many_senders_starts_with_its_known_list_and_makes_one_request_a_watch() {
-    let (mut platform, mut first) = (Platform::start().await, Receiver::start(&[]).await);
+    let (mut platform, mut first) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let mut second = Receiver::start(&[]).await;
     let mut config = config(platform.addr, &[member("r1", first.addr, 7, "SERVING")], LONG);
     config["settings"]["peers_total"] = 20.into();
@@ -351,7 +351,7 @@
 /// goes on calling receivers that are gone.
 #[tokio::test]
 async fn one_of_many_senders_with_agents_of_their_own_begins_with_the_list_that_its_agent_has() {
-    let (platform, mut first) = (Platform::start().await, Receiver::start(&[]).await);
+    let (platform, mut first) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let mut second = Receiver::start(&[]).await;
     let mut config = config(platform.addr, &[member("r1", first.addr, 7, "SERVING")], LONG);
     config["settings"]["peers_total"] = 300.into();
@@ -366,7 +366,7 @@
 // ---- New configurations ----------------------------------------------------------------------------------
 
 /// The configuration with discovery elsewhere.
-fn moved(config: &serde_json::Value, to: &Platform) -> serde_json::Value {
+fn moved(config: &serde_json::Value, to: &FakePlatform) -> serde_json::Value {
     let mut config = config.clone();
     config["discovery"] = to.addr.to_string().into();
     config
@@ -393,7 +393,7 @@
     }
     assert!(!lines.is_closed());
     // Revisions start anew there, and the list names another receiver.
-    let (mut new, mut second) = (Platform::start().await, Receiver::start(&[]).await);
+    let (mut new, mut second) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let whole = list(1, true, &[member("r2", second.addr, 7, "SERVING")]);
     *new.list.lock().expect("a list") = Some(whole);
     program.configure(&moved(&config, &new).to_string(), &folder.1).await;
@@ -405,7 +405,7 @@
     assert_eq!(second.call().await.message_id, "m2");
     assert!(first.nothing_called());
     // And a second time, with a list of its own again.
-    let (mut third, mut last) = (Platform::start().await, Receiver::start(&[]).await);
+    let (mut third, mut last) = (FakePlatform::start().await, Receiver::start(&[]).await);
     *third.list.lock().expect("a list") = Some(list(1, true, &[member("r3", last.addr, 7, "SERVING")]));
     let config = moved(&config, &third);
     program.configure(&config.to_string(), &folder.1).await;
@@ -471,7 +471,7 @@
 /// the list that it knew, and once the late one has come nothing goes where that does not lead.
 #[tokio::test]
 async fn a_list_that_comes_late_to_a_sender_restarted_twice_is_heeded_from_then_on() {
-    let (mut platform, mut old) = (Platform::start().await, Receiver::start(&[Act::Hang; 2]).await);
+    let (mut platform, mut old) = (FakePlatform::start().await, Receiver::start(&[Act::Hang; 2]).await);
     let mut new = Receiver::start(&[]).await;
     let mut config = config(platform.addr, &[member("r1", old.addr, 7, "SERVING")], 60_000.0);
     config["settings"]["peers_total"] = 20.into();
@@ -511,7 +511,7 @@
 /// in one hall: there both may ask again, and in the other neither may, however little the two know of one another.
 #[tokio::test]
 async fn two_senders_that_hold_one_message_over_two_kills_keep_to_the_hall_that_knows_its_key() {
-    let (mut platform, mut here) = (Platform::start().await, Receiver::start(&[Act::Hang; 4]).await);
+    let (mut platform, mut here) = (FakePlatform::start().await, Receiver::start(&[Act::Hang; 4]).await);
     let mut other = Receiver::start(&[]).await;
     let mut config = config(platform.addr, &[member("r1", here.addr, 7, "SERVING")], 9_000.0);
     config["settings"]["peers_total"] = 300.into();
@@ -570,7 +570,7 @@
 #[tokio::test]
 async fn half_a_list_counts_for_nothing_once_discovery_has_moved() {
     let old = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let (mut new, mut known) = (Platform::start().await, Receiver::start(&[]).await);
+    let (mut new, mut known) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let (mut stray, mut listed) = (Receiver::start(&[]).await, Receiver::start(&[]).await);
     let members = [member("r1", known.addr, 7, "SERVING")];
     let mut config = config(old.local_addr().expect("an address"), &members, 60_000.0);
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -102,7 +102,7 @@
 /// Numbers as other programs write them, what nobody knows, and no more than has to be there.
 #[tokio::test]
 async fn a_configuration_that_says_little_or_more_than_is_known_still_works() {
-    let (platform, mut receiver) = (Platform::start().await, Receiver::start(&[]).await);
+    let (platform, mut receiver) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let members = [member("r1", receiver.addr, 7, "SERVING")];
     let whole = config(platform.addr, &members, LONG);
     *platform.list.lock().expect("a list") = Some(whole["known"].clone());
@@ -127,7 +127,7 @@
 
 #[tokio::test]
 async fn on_sighup_each_such_configuration_is_one_line_and_changes_nothing() {
-    let (platform, mut receiver) = (Platform::start().await, Receiver::start(&[]).await);
+    let (platform, mut receiver) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let good = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], LONG);
     *platform.list.lock().expect("a list") = Some(good["known"].clone());
     let (_folder, state) = lasting();
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -12,7 +12,7 @@
 
 /// What both processes of a sender have in common.
 struct Site {
-    platform: Platform,
+    platform: FakePlatform,
     receiver: Receiver,
     door: socket2::Socket,
     folder: Folder,
@@ -21,7 +21,7 @@
 
 impl Site {
     async fn new(acts: &[Act], deadline: f64) -> Self {
-        let (platform, receiver) = (Platform::start().await, Receiver::start(acts).await);
+        let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
         let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], deadline);
         *platform.list.lock().expect("a list") = Some(config["known"].clone());
         Self { platform, receiver, door: kept_door(), folder: lasting(), config }
@@ -40,7 +40,7 @@
 }
 
 /// The status that a notice tells, by id.
-async fn notices(platform: &mut Platform, most: usize) -> Vec<(String, String)> {
+async fn notices(platform: &mut FakePlatform, most: usize) -> Vec<(String, String)> {
     let mut all = Vec::new();
     while all.len() < most {
         all.extend(platform.report().await.0);
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 use rudderspindle_testkit::checker::check_events;
-use rudderspindle_testkit::event_log::Evidence;
+use rudderspindle_testkit::event_log::EventLog;
 use rudderspindle_testkit::program::Launch;
-use rudderspindle_testkit::scenario::{Script, ScriptError};
-use rudderspindle_testkit::world::{Stage, StageError, World};
+use rudderspindle_testkit::scenario::{Scenario, ScenarioError};
+use rudderspindle_testkit::world::{EnvironmentError, TestEnvironment, World};
 use screen::Screen;
 use tally::Tally;
 use tokio::time::sleep;
@@ -33,8 +33,8 @@
 #[derive(Debug)]
 enum DemoError {
     Usage(String),
-    Script(ScriptError),
-    Stage(StageError),
+    Scenario(ScenarioError),
+    TestEnvironment(EnvironmentError),
     Io(std::io::Error),
 }
 
@@ -44,8 +44,8 @@
             Self::Usage(what) => {
                 write!(f, "{what}; usage: rudderspindle-demo [--report FILE.html] [--script FILE.toml]")
             }
-            Self::Script(error) => error.fmt(f),
-            Self::Stage(error) => error.fmt(f),
+            Self::Scenario(error) => error.fmt(f),
+            Self::TestEnvironment(error) => error.fmt(f),
             Self::Io(error) => error.fmt(f),
         }
     }
@@ -101,17 +101,17 @@
 /// Whether nothing was lost or doubled and no rule broken.
 async fn run(arguments: &Arguments) -> Result<bool, DemoError> {
     let script = match &arguments.script {
-        Some(path) => Script::read(path),
-        None => Script::parse(EVENING, Path::new("evening.toml")),
+        Some(path) => Scenario::read(path),
+        None => Scenario::parse(EVENING, Path::new("evening.toml")),
     };
-    let script = script.map_err(DemoError::Script)?;
+    let script = script.map_err(DemoError::Scenario)?;
     let folder = tempfile::tempdir()?;
     let launch = Launch {
         program: std::env::current_exe()?,
         arguments: vec![SENDER.to_owned()],
         variables: Vec::new(),
     };
-    let stage = Stage { launch, folder: folder.path().to_owned(), longest: LONGEST };
+    let stage = TestEnvironment { launch, folder: folder.path().to_owned(), longest: LONGEST };
     println!(
         "{} senders, {} partners, {:.0} messages a second for {} s",
         script.senders,
@@ -119,7 +119,7 @@
         script.traffic.per_s.get(),
         script.seconds
     );
-    let world = World::set_up(&script, &stage).await.map_err(DemoError::Stage)?;
+    let world = World::set_up(&script, &stage).await.map_err(DemoError::TestEnvironment)?;
     let evidence = world.evidence();
     let mut playing = tokio::spawn(world.play());
     let (mut screen, mut tally) = (Screen::new(), Tally::new(&script));
@@ -154,7 +154,7 @@
 }
 
 /// Takes in what is new in the evidence, a line on the screen for each thing that happened.
-fn show(evidence: &Evidence, seen: &mut usize, tally: &mut Tally, screen: &mut Screen) {
+fn show(evidence: &EventLog, seen: &mut usize, tally: &mut Tally, screen: &mut Screen) {
     let lines = evidence.lines_from(*seen);
     *seen += lines.len();
     for line in &lines {
--- a/crates/demo/src/page.rs
+++ b/crates/demo/src/page.rs
@@ -4,7 +4,7 @@
 
 use rudderspindle_testkit::checker::{Rule, Verdict};
 
-use crate::tally::{Partner, Second, Span, Tally};
+use crate::tally::{FakeReceiver, Second, Span, Tally};
 
 /// The plot's size, in its own units.
 const WIDTH: f64 = 900.0;
@@ -92,7 +92,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-fn plot(partner: &Partner, end_us: u64) -> String {
+fn plot(partner: &FakeReceiver, end_us: u64) -> String {
     let end = end_us.max(1) as f64;
     let most = partner.seconds.iter().flat_map(|s| SERIES.map(|(.., of)| of(s))).max().unwrap_or(0);
     // A round figure above all of them.
--- a/crates/demo/src/tally.rs
+++ b/crates/demo/src/tally.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use rudderspindle_testkit::event_log::{Event, Life, Line};
-use rudderspindle_testkit::scenario::Script;
+use rudderspindle_testkit::scenario::Scenario;
 
 /// A partner's figures in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 
 /// A partner through the evening.
 #[derive(Clone, Debug, Default)]
-pub struct Partner {
+pub struct FakeReceiver {
     /// Its name.
     pub name: String,
     /// Second by second.
@@ -37,7 +37,7 @@
     struck: usize,
 }
 
-impl Partner {
+impl FakeReceiver {
     /// Whether it is in an outage now.
     pub fn is_out(&self) -> bool {
         self.struck > 0
@@ -48,7 +48,7 @@
 #[derive(Debug, Default)]
 pub struct Tally {
     /// By number.
-    pub partners: BTreeMap<u16, Partner>,
+    pub partners: BTreeMap<u16, FakeReceiver>,
     of_endpoint: HashMap<String, u16>,
     of_message: HashMap<String, (u16, bool)>,
     of_call: HashMap<u64, (String, u16)>,
@@ -56,10 +56,10 @@
 
 impl Tally {
     /// Nothing has happened yet.
-    pub fn new(script: &Script) -> Self {
+    pub fn new(script: &Scenario) -> Self {
         let mut tally = Self::default();
         for plan in &script.partners {
-            let partner = Partner { name: plan.name.clone(), ..Partner::default() };
+            let partner = FakeReceiver { name: plan.name.clone(), ..FakeReceiver::default() };
             tally.partners.insert(plan.number, partner);
             for endpoint in &plan.endpoints {
                 tally.of_endpoint.insert(endpoint.id.clone(), plan.number);
@@ -171,7 +171,7 @@
     #[test]
     fn what_is_held_rises_and_falls_with_what_is_taken_on_and_ends() {
         let script =
-            Script::parse(include_str!("evening.toml"), Path::new("evening.toml")).expect("a script");
+            Scenario::parse(include_str!("evening.toml"), Path::new("evening.toml")).expect("a script");
         let mut tally = Tally::new(&script);
         let mut at = |ms: u64, event| tally.take(&Line { t: ms * 1_000, event });
         for (n, txn) in ["m1", "m2"].into_iter().enumerate() {
--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -59,7 +59,7 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// Which one.
     pub rule: Rule,
     /// By what.
@@ -127,7 +127,7 @@
     /// Where the messages went.
     pub accounting: Accounting,
     /// Every rule broken, in the order of the log.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// How late a stand-in was at the most, microseconds.
     pub late_us: u64,
     /// Every return from an outage, in the order of the log.
@@ -172,7 +172,7 @@
         writeln!(f, "doubled            {:>7}", a.doubled)?;
         writeln!(f, "calls              {:>7}   refused {}", a.calls, a.calls_refused)?;
         for rule in Rule::ALL {
-            let breaches: Vec<&Breach> = self.breaches.iter().filter(|b| b.rule == rule).collect();
+            let breaches: Vec<&Violation> = self.breaches.iter().filter(|b| b.rule == rule).collect();
             let word = if breaches.is_empty() { "kept" } else { "BROKEN" };
             writeln!(f, "{rule:<36} {word}")?;
             for breach in breaches.iter().take(5) {
@@ -207,7 +207,7 @@
 /// assert!(verdict.clean());
 /// ```
 pub fn check_events(lines: &[Line]) -> Verdict {
-    let mut check_events = Judge::default();
+    let mut check_events = Checker::default();
     for (n, line) in lines.iter().enumerate() {
         check_events.take(n + 1, line);
     }
@@ -218,7 +218,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Gate {
     Endpoint(String),
-    Partner(u16),
+    FakeReceiver(u16),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -312,7 +312,7 @@
 
 /// Reads a log line by line.
 #[derive(Debug, Default)]
-pub struct Judge {
+pub struct Checker {
     rules: Rules,
     classes: Vec<Class>,
     endpoints: HashMap<String, Endpoint>,
@@ -335,7 +335,7 @@
     ms * 1_000
 }
 
-impl Judge {
+impl Checker {
     /// Takes in one line; `n` is its number, from 1. Lines come in the order of their times.
     pub fn take(&mut self, n: usize, line: &Line) {
         let t = line.t;
@@ -419,7 +419,7 @@
             match message.end {
                 Some((_, at, end)) if due.is_some_and(|due| at > due) => {
                     let by = (at - due.unwrap_or(at)) / 1_000;
-                    breaches.push(Breach {
+                    breaches.push(Violation {
                         rule: Rule::Lost,
                         what: format!("{txn} has its end {by} ms too late"),
                         lines: vec![message.line, heard, end],
@@ -427,7 +427,7 @@
                 }
                 None if due.is_some_and(|due| t > due) => {
                     account.lost += 1;
-                    breaches.push(Breach {
+                    breaches.push(Violation {
                         rule: Rule::Lost,
                         what: format!("{txn} was taken on and has no end"),
                         lines: vec![message.line, heard],
@@ -462,7 +462,7 @@
     }
 
     fn breach(&mut self, rule: Rule, what: String, lines: Vec<usize>) {
-        self.verdict.breaches.push(Breach { rule, what, lines });
+        self.verdict.breaches.push(Violation { rule, what, lines });
     }
 
     // ---- Messages ----------------------------------------------------------------------------------------
@@ -668,7 +668,7 @@
             };
             if proven {
                 let what = format!("{} has two attempts out", first.txn);
-                breaches.push(Breach { rule: Rule::Doubled, what, lines: vec![first.line, second.line] });
+                breaches.push(Violation { rule: Rule::Doubled, what, lines: vec![first.line, second.line] });
             }
             false
         });
@@ -778,7 +778,7 @@
         let members = self.gates.get(&gate).map_or(0, BTreeSet::len);
         let (name, shared) = match &gate {
             Gate::Endpoint(id) => (id.clone(), false),
-            Gate::Partner(number) => (format!("partner {number}"), true),
+            Gate::FakeReceiver(number) => (format!("partner {number}"), true),
         };
         let outage = self.outages.entry(gate).or_default();
         if on {
@@ -871,5 +871,5 @@
 }
 
 fn gate_of(endpoint: &Endpoint) -> Gate {
-    if endpoint.apart { Gate::Endpoint(endpoint.id.clone()) } else { Gate::Partner(endpoint.partner) }
+    if endpoint.apart { Gate::Endpoint(endpoint.id.clone()) } else { Gate::FakeReceiver(endpoint.partner) }
 }
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -10,8 +10,8 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::event_log::{Event, Evidence};
-use crate::scenario::{Draw, Script};
+use crate::event_log::{Event, EventLog};
+use crate::scenario::{Draw, Scenario};
 
 /// A client waits so long for its answer.
 const PATIENCE: Duration = Duration::from_millis(400);
@@ -60,7 +60,7 @@
 
 /// All that clients will hand in: the same for the same script. `longest` bounds how long a message may be
 /// delivered, so that an evening has an end.
-pub fn plan(script: &Script, longest: Duration) -> Vec<Planned> {
+pub fn plan(script: &Scenario, longest: Duration) -> Vec<Planned> {
     let mut draw = Draw::new(script.seed ^ 0x636c_6965_6e74);
     let traffic = &script.traffic;
     let total: f64 = script.partners.iter().map(|p| p.weight).sum();
@@ -115,7 +115,7 @@
 pub struct Clients {
     senders: Vec<(String, Address)>,
     kept: Vec<Mutex<Vec<(TcpStream, Instant)>>>,
-    evidence: Evidence,
+    evidence: EventLog,
 }
 
 /// What a client hears.
@@ -133,7 +133,7 @@
 
 impl Clients {
     /// Clients of these senders.
-    pub fn new(senders: Vec<(String, Address)>, evidence: &Evidence) -> Arc<Self> {
+    pub fn new(senders: Vec<(String, Address)>, evidence: &EventLog) -> Arc<Self> {
         let kept = senders.iter().map(|_| Mutex::default()).collect();
         Arc::new(Self { senders, kept, evidence: evidence.clone() })
     }
@@ -331,7 +331,7 @@
 
     #[test]
     fn a_plan_is_the_same_for_the_same_script_and_brings_what_it_says() {
-        let script = Script::evening(3, 60);
+        let script = Scenario::evening(3, 60);
         let planned = plan(&script, Duration::from_secs(12));
         assert_eq!(planned, plan(&script, Duration::from_secs(12)));
         let expected = script.traffic.per_s.get() * 60.0;
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -13,16 +13,16 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-use crate::checker::{Judge, Verdict};
+use crate::checker::{Checker, Verdict};
 use crate::client::{self, Clients};
-use crate::datagram_proxy::Mesh;
-use crate::event_log::{Evidence, Rules};
-use crate::fake_discovery::Agent;
-use crate::fake_receiver::Partner;
+use crate::datagram_proxy::DatagramProxy;
+use crate::event_log::{EventLog, Rules};
+use crate::fake_discovery::FakeDiscovery;
+use crate::fake_receiver::FakeReceiver;
 use crate::program::{Launch, Program};
-use crate::scenario::{Outage, Script};
+use crate::scenario::{Outage, Scenario};
 use crate::usage::Usage;
-use crate::world::{StageError, classes, configuration, endpoints, entries, keep_time, name};
+use crate::world::{EnvironmentError, classes, configuration, endpoints, entries, keep_time, name};
 
 /// So long after the last message's time is up nothing is waited for any more.
 const AFTER: Duration = Duration::from_millis(2_500);
@@ -38,49 +38,49 @@
     Empty,
 }
 
-/// Senders that run, their partner, and clients when told. Only a script's first partner counts in [`Tier::usage`].
+/// Senders that run, their partner, and clients when told. Only a script's first partner counts in [`Cluster::usage`].
 #[derive(Debug)]
-pub struct Tier {
+pub struct Cluster {
     /// The links between them.
-    pub mesh: Mesh,
-    script: Script,
+    pub mesh: DatagramProxy,
+    script: Scenario,
     longest: Duration,
     folder: PathBuf,
-    evidence: Evidence,
+    evidence: EventLog,
     programs: Vec<Program>,
     clients: Arc<Clients>,
     load: Option<JoinHandle<()>>,
     // They stand as long as it does.
-    _agents: Vec<Agent>,
-    partners: Vec<Arc<Partner>>,
+    _agents: Vec<FakeDiscovery>,
+    partners: Vec<Arc<FakeReceiver>>,
     _tasks: JoinSet<()>,
 }
 
-impl Tier {
+impl Cluster {
     /// Starts all of a script's senders, with notes between them. What happens is the caller's to say: the script's
     /// own happenings are not played. `folder` is empty; a message may be delivered for `longest` at most.
     ///
     /// # Errors
     ///
-    /// [`StageError`] if a part of it cannot be had.
+    /// [`EnvironmentError`] if a part of it cannot be had.
     pub async fn start(
-        script: &Script,
+        script: &Scenario,
         launch: &Launch,
         folder: &Path,
         longest: Duration,
-    ) -> Result<Self, StageError> {
+    ) -> Result<Self, EnvironmentError> {
         let (classes, rules) = (classes(longest), Rules::default());
-        let evidence = Evidence::begin(classes.clone(), endpoints(&script.partners), rules.clone());
+        let evidence = EventLog::begin(classes.clone(), endpoints(&script.partners), rules.clone());
         let names: Vec<String> = (0..script.senders).map(name).collect();
         let mut partners = Vec::new();
         for plan in &script.partners {
-            partners.push(Arc::new(Partner::start(plan, &names, &rules, script.seed, &evidence).await?));
+            partners.push(Arc::new(FakeReceiver::start(plan, &names, &rules, script.seed, &evidence).await?));
         }
         let doors = doors(script.senders)?;
-        let mesh = Mesh::start(&doors, script.seed).await?;
+        let mesh = DatagramProxy::start(&doors, script.seed).await?;
         let (mut agents, mut programs, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
         for (me, name) in names.iter().enumerate() {
-            let agent = Agent::start(name, entries(&partners, &[], me, name), &evidence).await?;
+            let agent = FakeDiscovery::start(name, entries(&partners, &[], me, name), &evidence).await?;
             let mut config = configuration(&agent, &classes, &rules, names.len(), me);
             config["peer_listen"] = json!(doors[me]);
             config["peers"] = json!(mesh.peers(me));
@@ -111,7 +111,7 @@
     }
 
     /// The log while it is written.
-    pub fn evidence(&self) -> &Evidence {
+    pub fn evidence(&self) -> &EventLog {
         &self.evidence
     }
 
@@ -129,7 +129,7 @@
         }
         let end = Instant::now() + self.longest + AFTER;
         // Line by line as they come: to judge all of them again and again would make the stand-ins late.
-        let (mut check_events, mut seen) = (Judge::default(), 0);
+        let (mut check_events, mut seen) = (Checker::default(), 0);
         loop {
             for line in self.evidence.lines_from(seen) {
                 seen += 1;
@@ -147,7 +147,7 @@
     /// # Errors
     ///
     /// If it cannot be waited for.
-    pub async fn kill(&mut self, sender: usize) -> Result<(), StageError> {
+    pub async fn kill(&mut self, sender: usize) -> Result<(), EnvironmentError> {
         Ok(self.programs[sender].kill().await?)
     }
 
@@ -156,7 +156,7 @@
     /// # Errors
     ///
     /// If it does not start, or its folder cannot be emptied.
-    pub async fn start_again(&mut self, sender: usize, journal: Journal) -> Result<(), StageError> {
+    pub async fn start_again(&mut self, sender: usize, journal: Journal) -> Result<(), EnvironmentError> {
         if journal == Journal::Empty {
             let state = self.folder.join(name(sender)).join("state");
             std::fs::remove_dir_all(&state)?;
@@ -170,7 +170,7 @@
     /// # Errors
     ///
     /// If it cannot be told.
-    pub async fn pause(&self, sender: usize) -> Result<(), StageError> {
+    pub async fn pause(&self, sender: usize) -> Result<(), EnvironmentError> {
         self.signal(sender, "-STOP").await
     }
 
@@ -179,11 +179,11 @@
     /// # Errors
     ///
     /// If it cannot be told.
-    pub async fn go_on(&self, sender: usize) -> Result<(), StageError> {
+    pub async fn go_on(&self, sender: usize) -> Result<(), EnvironmentError> {
         self.signal(sender, "-CONT").await
     }
 
-    async fn signal(&self, sender: usize, signal: &str) -> Result<(), StageError> {
+    async fn signal(&self, sender: usize, signal: &str) -> Result<(), EnvironmentError> {
         let Some(pid) = self.programs[sender].pid() else { return Ok(()) };
         let told = Command::new("kill").args([signal, &pid.to_string()]).status().await?;
         if told.success() {
--- a/crates/testkit/src/datagram_proxy.rs
+++ b/crates/testkit/src/datagram_proxy.rs
@@ -11,16 +11,16 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-use crate::fault_schedule::{Way, Weather};
+use crate::fault_schedule::{LinkFaults, Way};
 
 /// Notes are 256 bytes at most; what is longer is carried as well, so that its receiver can refuse it.
 const LONGEST: usize = 2_048;
 /// Notes that one way holds back at most, a minute's replays of a busy sender and more; others are dropped.
-const MOST_HELD: usize = 4_096;
+const MAX_HELD: usize = 4_096;
 
 /// What a way has done with notes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct DatagramCounts {
     /// Notes that came from the sender.
     pub sent: u64,
     /// Notes written to the receiver, each copy counted.
@@ -36,9 +36,9 @@
 #[derive(Debug)]
 struct State {
     way: Way,
-    weather: Weather,
+    weather: LinkFaults,
     cut: bool,
-    counts: Counts,
+    counts: DatagramCounts,
 }
 
 impl State {
@@ -54,7 +54,7 @@
 
 /// Links between senders, which stand until it is dropped.
 #[derive(Debug)]
-pub struct Mesh {
+pub struct DatagramProxy {
     doors: Vec<SocketAddr>,
     /// Where the first sees the second.
     seen: BTreeMap<(usize, usize), SocketAddr>,
@@ -63,7 +63,7 @@
     _tasks: JoinSet<()>,
 }
 
-impl Mesh {
+impl DatagramProxy {
     /// Links between senders with notes at `doors`, by number, in calm weather. `seed` decides what is left to chance.
     ///
     /// # Errors
@@ -71,11 +71,11 @@
     /// What the sockets say.
     ///
     /// ```
-    /// # use rudderspindle_testkit::datagram_proxy::Mesh;
+    /// # use rudderspindle_testkit::datagram_proxy::DatagramProxy;
     /// # #[tokio::main(flavor = "current_thread")] async fn main() -> std::io::Result<()> {
     /// let a = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
     /// let b = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
-    /// let mesh = Mesh::start(&[a.local_addr()?, b.local_addr()?], 1).await?;
+    /// let mesh = DatagramProxy::start(&[a.local_addr()?, b.local_addr()?], 1).await?;
     /// a.send_to(b"hello", mesh.peers(0)[1]).await?;
     /// let (_, from) = b.recv_from(&mut [0; 256]).await?;
     /// assert_eq!(from, mesh.peers(1)[0]);
@@ -114,7 +114,7 @@
     }
 
     /// The weather from now on for what each of `from` sends to each of `to`.
-    pub fn set(&self, from: &[usize], to: &[usize], weather: &Weather) {
+    pub fn set(&self, from: &[usize], to: &[usize], weather: &LinkFaults) {
         self.each(from, to, |state| state.weather = weather.clone());
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// What became of notes from one sender to another; nothing, if there is no such way.
-    pub fn counts(&self, from: usize, to: usize) -> Counts {
+    pub fn counts(&self, from: usize, to: usize) -> DatagramCounts {
         self.ways.get(&(from, to)).map(|state| locked(state).counts).unwrap_or_default()
     }
 }
@@ -174,7 +174,7 @@
                 for (late, note) in copies {
                     if late.is_zero() {
                         pass(&far, &note, &state).await;
-                    } else if held.len() < MOST_HELD {
+                    } else if held.len() < MAX_HELD {
                         number += 1;
                         held.insert((Instant::now() + late, number), note);
                     } else {
--- a/crates/testkit/src/event_log.rs
+++ b/crates/testkit/src/event_log.rs
@@ -366,7 +366,7 @@
 
 /// The log while it is written. Clones write to the same one.
 #[derive(Clone, Debug)]
-pub struct Evidence(Arc<Inner>);
+pub struct EventLog(Arc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
@@ -374,7 +374,7 @@
     lines: Mutex<(Vec<Line>, u64)>,
 }
 
-impl Evidence {
+impl EventLog {
     /// A log that begins now.
     pub fn begin(classes: Vec<Class>, endpoints: Vec<Endpoint>, rules: Rules) -> Self {
         let world = Event::World { v: VERSION, classes, endpoints, rules };
--- a/crates/testkit/src/fake_discovery.rs
+++ b/crates/testkit/src/fake_discovery.rs
@@ -19,9 +19,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-use crate::event_log::{Event, Evidence};
+use crate::event_log::{Event, EventLog};
 use crate::listen;
-use crate::scenario::{AgentTrouble, Phase};
+use crate::scenario::{DiscoveryFault, Phase};
 
 /// While nothing changes an empty line comes so often on a watch.
 const HEARTBEAT: Duration = Duration::from_secs(2);
@@ -99,7 +99,7 @@
 #[derive(Debug)]
 struct Shared {
     sender: String,
-    evidence: Evidence,
+    evidence: EventLog,
     state: Mutex<State>,
     /// While it is silent, nothing is answered and nothing told.
     silent: watch::Sender<bool>,
@@ -121,18 +121,18 @@
 
 /// An agent that runs until it is dropped.
 #[derive(Debug)]
-pub struct Agent {
+pub struct FakeDiscovery {
     place: Mutex<Place>,
     shared: Arc<Shared>,
 }
 
-impl Agent {
+impl FakeDiscovery {
     /// Starts an agent for a sender with a first list.
     ///
     /// # Errors
     ///
     /// What the sockets say.
-    pub async fn start(sender: &str, entries: Vec<Entry>, evidence: &Evidence) -> std::io::Result<Self> {
+    pub async fn start(sender: &str, entries: Vec<Entry>, evidence: &EventLog) -> std::io::Result<Self> {
         let (changes, watches, told) = Default::default();
         let state = State { revision: 1, changes, entries, watches, notices: Notices::Taken, told };
         let (sender, evidence, silent) = (sender.to_owned(), evidence.clone(), watch::channel(false).0);
@@ -191,18 +191,18 @@
     }
 
     /// Something befalls it, or is over.
-    pub fn suffer(&self, trouble: AgentTrouble, on: bool, evidence: &Evidence) {
+    pub fn suffer(&self, trouble: DiscoveryFault, on: bool, evidence: &EventLog) {
         let notices = |how| self.answer_notices(if on { how } else { Notices::Taken });
         let kind = match trouble {
-            AgentTrouble::Silent => {
+            DiscoveryFault::Silent => {
                 self.silence(on);
                 "silent"
             }
-            AgentTrouble::RefusesNotices => {
+            DiscoveryFault::RefusesNotices => {
                 notices(Notices::Refused);
                 "refuses_notices"
             }
-            AgentTrouble::IgnoresNotices => {
+            DiscoveryFault::IgnoresNotices => {
                 notices(Notices::Ignored);
                 "ignores_notices"
             }
--- a/crates/testkit/src/fake_receiver.rs
+++ b/crates/testkit/src/fake_receiver.rs
@@ -19,9 +19,9 @@
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio::time::{sleep, sleep_until};
 
-use crate::event_log::{Event, Evidence, Rules};
+use crate::event_log::{Event, EventLog, Rules};
 use crate::listen;
-use crate::scenario::{Draw, Limit, Outage, PartnerPlan};
+use crate::scenario::{Draw, Limit, Outage, ReceiverPlan};
 
 /// What a call's body may hold.
 const MAX_BODY: usize = 64 * 1024;
@@ -183,7 +183,7 @@
 
 /// A partner that runs until it is dropped.
 #[derive(Debug)]
-pub struct Partner {
+pub struct FakeReceiver {
     shared: Arc<Shared>,
     endpoints: Vec<Arc<Endpoint>>,
     addrs: HashMap<(String, String), SocketAddr>,
@@ -192,9 +192,9 @@
 
 #[derive(Debug)]
 struct Shared {
-    plan: PartnerPlan,
+    plan: ReceiverPlan,
     rules: Rules,
-    evidence: Evidence,
+    evidence: EventLog,
     keys: Mutex<HashMap<String, Keys>>,
 }
 
@@ -202,18 +202,18 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Partner {
+impl FakeReceiver {
     /// Starts a partner for these senders; `seed` decides what its script leaves to chance.
     ///
     /// # Errors
     ///
     /// What the sockets say.
     pub async fn start(
-        plan: &PartnerPlan,
+        plan: &ReceiverPlan,
         senders: &[String],
         rules: &Rules,
         seed: u64,
-        evidence: &Evidence,
+        evidence: &EventLog,
     ) -> std::io::Result<Self> {
         let (plan, rules, evidence) = (plan.clone(), rules.clone(), evidence.clone());
         let shared = Arc::new(Shared { plan, rules, evidence, keys: Mutex::default() });
@@ -263,7 +263,7 @@
     }
 
     /// Its plan.
-    pub fn plan(&self) -> &PartnerPlan {
+    pub fn plan(&self) -> &ReceiverPlan {
         &self.shared.plan
     }
 
@@ -402,7 +402,7 @@
 
 /// Notes that a call was cut off unless it is told otherwise first.
 struct Open {
-    evidence: Evidence,
+    evidence: EventLog,
     call: u64,
     answered: bool,
 }
--- a/crates/testkit/src/fault_proxy.rs
+++ b/crates/testkit/src/fault_proxy.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::listen;
-use crate::scenario::{LinkTrouble, Ms};
+use crate::scenario::{LinkFault, Ms};
 
 /// Bytes that are carried at once.
 const PIECE: usize = 16 * 1024;
@@ -34,32 +34,32 @@
     pub trickle: Option<Duration>,
 }
 
-impl From<LinkTrouble> for Fault {
-    fn from(trouble: LinkTrouble) -> Self {
+impl From<LinkFault> for Fault {
+    fn from(trouble: LinkFault) -> Self {
         let ms = |ms: Ms| Duration::from_millis(ms.get());
         let none = Self::default();
         match trouble {
-            LinkTrouble::Delay { ms: delay } => Self { delay: ms(delay), ..none },
-            LinkTrouble::LoseBack => Self { lose_back: true, ..none },
-            LinkTrouble::BlackHole => Self { black_hole: true, ..none },
-            LinkTrouble::CutAfter { bytes } => Self { cut_after: Some(bytes.into()), ..none },
-            LinkTrouble::HalfCloseAfter { bytes } => Self { half_close_after: Some(bytes.into()), ..none },
-            LinkTrouble::Trickle { pause_ms } => Self { trickle: Some(ms(pause_ms)), ..none },
-            LinkTrouble::Reset => none,
+            LinkFault::Delay { ms: delay } => Self { delay: ms(delay), ..none },
+            LinkFault::LoseBack => Self { lose_back: true, ..none },
+            LinkFault::BlackHole => Self { black_hole: true, ..none },
+            LinkFault::CutAfter { bytes } => Self { cut_after: Some(bytes.into()), ..none },
+            LinkFault::HalfCloseAfter { bytes } => Self { half_close_after: Some(bytes.into()), ..none },
+            LinkFault::Trickle { pause_ms } => Self { trickle: Some(ms(pause_ms)), ..none },
+            LinkFault::Reset => none,
         }
     }
 }
 
 /// A link that stands until it is dropped.
 #[derive(Debug)]
-pub struct Link {
+pub struct FaultProxy {
     addr: SocketAddr,
     fault: watch::Sender<Fault>,
     resets: watch::Sender<u64>,
     _task: tokio::task::JoinSet<()>,
 }
 
-impl Link {
+impl FaultProxy {
     /// A link to `to` without faults.
     ///
     /// # Errors
@@ -67,10 +67,10 @@
     /// What the sockets say.
     ///
     /// ```
-    /// # use rudderspindle_testkit::fault_proxy::{Fault, Link};
+    /// # use rudderspindle_testkit::fault_proxy::{Fault, FaultProxy};
     /// # #[tokio::main(flavor = "current_thread")] async fn main() -> std::io::Result<()> {
     /// let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
-    /// let link = Link::start(listener.local_addr()?).await?;
+    /// let link = FaultProxy::start(listener.local_addr()?).await?;
     /// // Whoever connects to link.addr() reaches the listener; from now on 50 ms later, each way.
     /// link.set(Fault { delay: std::time::Duration::from_millis(50), ..Fault::default() });
     /// # Ok(())
@@ -205,9 +205,9 @@
     use super::*;
     use tokio::time::timeout;
 
-    async fn pair(fault: Fault) -> (Link, TcpStream, TcpStream) {
+    async fn pair(fault: Fault) -> (FaultProxy, TcpStream, TcpStream) {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let link = Link::start(listener.local_addr().expect("an address")).await.expect("a link");
+        let link = FaultProxy::start(listener.local_addr().expect("an address")).await.expect("a link");
         link.set(fault);
         let near = TcpStream::connect(link.addr()).await.expect("a connection");
         let (far, _) = listener.accept().await.expect("the other end");
--- a/crates/testkit/src/fault_schedule.rs
+++ b/crates/testkit/src/fault_schedule.rs
@@ -14,7 +14,7 @@
 
 /// How notes fare on a way. Shares are from 0 (never, as by default) to 1 (always).
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct LinkFaults {
     /// Share that is lost.
     pub drop: f64,
     /// How late each is: evenly between the two; by the first, if the second is not above it.
@@ -32,9 +32,9 @@
 /// A way from one sender to another, with chance of its own.
 ///
 /// ```
-/// # use rudderspindle_testkit::fault_schedule::{Way, Weather};
+/// # use rudderspindle_testkit::fault_schedule::{Way, LinkFaults};
 /// let mut way = Way::new(7, 0, 1);
-/// let foul = Weather { duplicate: 1.0, ..Weather::default() };
+/// let foul = LinkFaults { duplicate: 1.0, ..LinkFaults::default() };
 /// // Both copies at once.
 /// assert_eq!(way.carry(b"note", &foul), [(Default::default(), b"note".to_vec()), (Default::default(), b"note".to_vec())]);
 /// ```
@@ -49,7 +49,7 @@
     }
 
     /// What comes out at the other end for a note that goes in, and how much later; nothing, if it is lost.
-    pub fn carry(&mut self, note: &[u8], weather: &Weather) -> Vec<(Duration, Vec<u8>)> {
+    pub fn carry(&mut self, note: &[u8], weather: &LinkFaults) -> Vec<(Duration, Vec<u8>)> {
         let draw = &mut self.0;
         let lost = draw.chance(weather.drop);
         let span = weather.delay.end.saturating_sub(weather.delay.start);
@@ -83,44 +83,45 @@
 
     #[test]
     fn each_trouble_befalls_its_share_of_the_notes_and_no_others() {
-        let outcomes = |weather: &Weather| {
+        let outcomes = |weather: &LinkFaults| {
             let mut way = Way::new(1, 2, 3);
             (0..4_000).map(|_| way.carry(b"a note", weather)).collect::<Vec<Copies>>()
         };
         let whole = (Duration::ZERO, b"a note".to_vec());
-        let one_in_four = |weather: Weather, befallen: fn(&Copies) -> bool| {
+        let one_in_four = |weather: LinkFaults, befallen: fn(&Copies) -> bool| {
             let (hit, spared): (Vec<Copies>, Vec<Copies>) =
                 outcomes(&weather).into_iter().partition(befallen);
             assert!(spared.iter().all(|copies| copies[..] == [whole.clone()]), "{weather:?}");
             assert!((900..1_100).contains(&hit.len()), "{} of 4000: {weather:?}", hit.len());
         };
-        let calm = Weather::default;
-        one_in_four(Weather { drop: 0.25, ..calm() }, Vec::is_empty);
-        one_in_four(Weather { duplicate: 0.25, ..calm() }, |o| o.len() == 2 && o[0] == o[1]);
-        one_in_four(Weather { reorder: 0.25, ..calm() }, |o| o.len() == 1 && o[0].0 == HELD_BACK);
-        one_in_four(Weather { damage: 0.25, ..calm() }, |o| {
+        let calm = LinkFaults::default;
+        one_in_four(LinkFaults { drop: 0.25, ..calm() }, Vec::is_empty);
+        one_in_four(LinkFaults { duplicate: 0.25, ..calm() }, |o| o.len() == 2 && o[0] == o[1]);
+        one_in_four(LinkFaults { reorder: 0.25, ..calm() }, |o| o.len() == 1 && o[0].0 == HELD_BACK);
+        one_in_four(LinkFaults { damage: 0.25, ..calm() }, |o| {
             o[0].1.len() == 6 && o[0].1.iter().zip(b"a note").filter(|(a, b)| a != b).count() == 1
         });
-        let late = outcomes(&Weather { delay: 10 * MS..30 * MS, ..calm() });
+        let late = outcomes(&LinkFaults { delay: 10 * MS..30 * MS, ..calm() });
         assert!(late.iter().all(|o| o.len() == 1 && (10 * MS..30 * MS).contains(&o[0].0)));
         assert!(late.iter().any(|o| o[0].0 < 12 * MS) && late.iter().any(|o| o[0].0 > 28 * MS));
-        let again = outcomes(&Weather { replay_after: Some(60_000 * MS), ..calm() });
+        let again = outcomes(&LinkFaults { replay_after: Some(60_000 * MS), ..calm() });
         assert!(again.iter().all(|o| o[..] == [whole.clone(), (60_000 * MS, whole.1.clone())]));
     }
 
     #[test]
     fn what_befalls_a_note_hangs_on_its_way_and_its_number_and_not_on_what_the_weather_was() {
-        let foul = Weather { drop: 0.5, damage: 0.5, delay: Duration::ZERO..99 * MS, ..Weather::default() };
-        let after = |before: &Weather, (from, to)| {
+        let foul =
+            LinkFaults { drop: 0.5, damage: 0.5, delay: Duration::ZERO..99 * MS, ..LinkFaults::default() };
+        let after = |before: &LinkFaults, (from, to)| {
             let mut way = Way::new(9, from, to);
             (0..50).for_each(|_| drop(way.carry(b"another", before)));
             (0..50).map(|_| way.carry(b"a note", &foul)).collect::<Vec<_>>()
         };
-        let wild = Weather { duplicate: 0.7, drop: 1.0, reorder: 0.2, ..Weather::default() };
-        assert_eq!(after(&Weather::default(), (1, 2)), after(&wild, (1, 2)));
+        let wild = LinkFaults { duplicate: 0.7, drop: 1.0, reorder: 0.2, ..LinkFaults::default() };
+        assert_eq!(after(&LinkFaults::default(), (1, 2)), after(&wild, (1, 2)));
         assert_ne!(after(&wild, (1, 2)), after(&wild, (2, 1)));
         // Nothing to change in it, and nothing breaks.
-        let damage = Weather { damage: 1.0, ..Weather::default() };
+        let damage = LinkFaults { damage: 1.0, ..LinkFaults::default() };
         assert_eq!(Way::new(0, 0, 0).carry(b"", &damage), [(Duration::ZERO, Vec::new())]);
     }
 }
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::client::Address;
-use crate::event_log::{Event, Evidence, Life};
+use crate::event_log::{Event, EventLog, Life};
 
 /// A sender is ready after so long, or never.
 const START: Duration = Duration::from_secs(20);
@@ -76,7 +76,7 @@
     /// The clients' listening socket, if it outlasts the processes.
     door: Option<Socket>,
     ready: watch::Sender<Option<SocketAddr>>,
-    evidence: Evidence,
+    evidence: EventLog,
 }
 
 impl Program {
@@ -92,7 +92,7 @@
         folder: &Path,
         mut config: Value,
         cpu: Option<usize>,
-        evidence: &Evidence,
+        evidence: &EventLog,
     ) -> Result<Self, ProgramError> {
         // Free now, and so most likely also in a moment; kept over restarts.
         let addr = StdListener::bind("127.0.0.1:0")?.local_addr()?;
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -111,7 +111,7 @@
 /// A partner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PartnerPlan {
+pub struct ReceiverPlan {
     /// Its number, as messages name it.
     pub number: u16,
     /// A name for people.
@@ -220,7 +220,7 @@
         /// Which sender's, from 0.
         sender: usize,
         /// How.
-        trouble: AgentTrouble,
+        trouble: DiscoveryFault,
     },
     /// The agent beside a sender moves to another address, and its sender gets SIGHUP.
     Move {
@@ -240,7 +240,7 @@
         /// The partner's number.
         partner: u16,
         /// How.
-        trouble: LinkTrouble,
+        trouble: LinkFault,
     },
     /// A sender is told to stop, and started again when it has.
     Restart {
@@ -263,7 +263,7 @@
 /// What befalls the agent beside a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AgentTrouble {
+pub enum DiscoveryFault {
     /// Discovery says nothing; notices are still taken.
     Silent,
     /// Notices are answered with 500.
@@ -275,7 +275,7 @@
 /// What befalls the links between a sender and a partner's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
-pub enum LinkTrouble {
+pub enum LinkFault {
     /// Everything is so late, each way.
     Delay {
         /// By how much.
@@ -350,7 +350,7 @@
 /// A world and what happens in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Script {
+pub struct Scenario {
     /// What chance decides is decided by it.
     pub seed: u64,
     /// How long clients come.
@@ -362,7 +362,7 @@
     /// Clients' traffic.
     pub traffic: Traffic,
     /// Partners.
-    pub partners: Vec<PartnerPlan>,
+    pub partners: Vec<ReceiverPlan>,
     /// What happens.
     #[serde(default)]
     pub happenings: Vec<Happening>,
@@ -370,7 +370,7 @@
 
 /// A script that cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum ScriptError {
+pub enum ScenarioError {
     /// The file cannot be read.
     #[error("{path}: {error}")]
     Io {
@@ -397,15 +397,15 @@
     },
 }
 
-impl Script {
+impl Scenario {
     /// Reads a script.
     ///
     /// # Errors
     ///
-    /// [`ScriptError`] names the file, the line and the field.
-    pub fn read(path: &Path) -> Result<Self, ScriptError> {
+    /// [`ScenarioError`] names the file, the line and the field.
+    pub fn read(path: &Path) -> Result<Self, ScenarioError> {
         let text = std::fs::read_to_string(path)
-            .map_err(|error| ScriptError::Io { path: path.to_owned(), error })?;
+            .map_err(|error| ScenarioError::Io { path: path.to_owned(), error })?;
         Self::parse(&text, path)
     }
 
@@ -413,13 +413,13 @@
     ///
     /// # Errors
     ///
-    /// As [`Script::read`].
-    pub fn parse(text: &str, path: &Path) -> Result<Self, ScriptError> {
+    /// As [`Scenario::read`].
+    pub fn parse(text: &str, path: &Path) -> Result<Self, ScenarioError> {
         let script: Self = toml::from_str(text)
-            .map_err(|error| ScriptError::Toml { path: path.to_owned(), error: Box::new(error) })?;
+            .map_err(|error| ScenarioError::Toml { path: path.to_owned(), error: Box::new(error) })?;
         match script.inconsistency() {
             None => Ok(script),
-            Some(what) => Err(ScriptError::Inconsistent { path: path.to_owned(), what }),
+            Some(what) => Err(ScenarioError::Inconsistent { path: path.to_owned(), what }),
         }
     }
 
@@ -488,7 +488,7 @@
     }
 }
 
-impl Script {
+impl Scenario {
     /// Whether a partner whose endpoints share one limit is shut, or refuses connections, as a whole.
     pub fn has_shared_outage(&self) -> bool {
         let shared = |number: u16| self.partners.iter().any(|p| p.number == number && !p.apart);
@@ -542,8 +542,8 @@
         Ms(self.whole(low, high))
     }
 
-    fn evening(&mut self, seed: u64, seconds: u16) -> Script {
-        let partners: Vec<PartnerPlan> = (0..self.whole(4, 7) as u16).map(|n| self.partner(n)).collect();
+    fn evening(&mut self, seed: u64, seconds: u16) -> Scenario {
+        let partners: Vec<ReceiverPlan> = (0..self.whole(4, 7) as u16).map(|n| self.partner(n)).collect();
         let limits: f64 = partners
             .iter()
             .map(|p| p.per_s.get() * if p.apart { p.endpoints.len() as f64 } else { 1.0 })
@@ -584,7 +584,7 @@
             let (at_ms, for_ms) = (self.ms(end / 6, end / 2), self.ms(end / 5, end / 2));
             happenings.push(Happening::Stale { at_ms, for_ms, late_ms: self.ms(500, 3_000) });
         }
-        let mut script = Script {
+        let mut script = Scenario {
             seed,
             seconds,
             senders: 2,
@@ -611,12 +611,12 @@
     }
 
     /// Troubles of the agents and of the links, some of them on most evenings.
-    fn platform_and_links(&mut self, script: &mut Script, end: u64) {
+    fn platform_and_links(&mut self, script: &mut Scenario, end: u64) {
         if self.chance(0.5) {
             let trouble = match self.whole(0, 3) {
-                0 => AgentTrouble::Silent,
-                1 => AgentTrouble::RefusesNotices,
-                _ => AgentTrouble::IgnoresNotices,
+                0 => DiscoveryFault::Silent,
+                1 => DiscoveryFault::RefusesNotices,
+                _ => DiscoveryFault::IgnoresNotices,
             };
             let (at_ms, for_ms) = (self.ms(end / 6, end * 3 / 4), self.ms(1_000, 5_000));
             let sender = self.whole(0, 2) as usize;
@@ -628,13 +628,13 @@
         }
         if self.chance(0.6) {
             let trouble = match self.whole(0, 7) {
-                0 => LinkTrouble::Delay { ms: self.ms(5, 120) },
-                1 => LinkTrouble::LoseBack,
-                2 => LinkTrouble::BlackHole,
-                3 => LinkTrouble::CutAfter { bytes: self.whole(1, 2_000) as u32 },
-                4 => LinkTrouble::HalfCloseAfter { bytes: self.whole(1, 2_000) as u32 },
-                5 => LinkTrouble::Trickle { pause_ms: self.ms(1, 3) },
-                _ => LinkTrouble::Reset,
+                0 => LinkFault::Delay { ms: self.ms(5, 120) },
+                1 => LinkFault::LoseBack,
+                2 => LinkFault::BlackHole,
+                3 => LinkFault::CutAfter { bytes: self.whole(1, 2_000) as u32 },
+                4 => LinkFault::HalfCloseAfter { bytes: self.whole(1, 2_000) as u32 },
+                5 => LinkFault::Trickle { pause_ms: self.ms(1, 3) },
+                _ => LinkFault::Reset,
             };
             let (at_ms, for_ms) = (self.ms(end / 6, end * 3 / 4), self.ms(1_000, 8_000));
             let sender = self.whole(0, 2) as usize;
@@ -643,7 +643,7 @@
         }
     }
 
-    fn partner(&mut self, n: u16) -> PartnerPlan {
+    fn partner(&mut self, n: u16) -> ReceiverPlan {
         let endpoints = (0..self.whole(1, 5))
             .map(|e| EndpointPlan {
                 id: format!("p{n}-{e}"),
@@ -656,7 +656,7 @@
         } else {
             Limit::Span { span_ms: Ms(if apart { 2_000 } else { 1_000 }) }
         };
-        PartnerPlan {
+        ReceiverPlan {
             number: n + 1,
             name: format!("partner-{}", n + 1),
             endpoints,
@@ -675,7 +675,7 @@
         }
     }
 
-    fn outage(&mut self, partner: &PartnerPlan, end: u64) -> Happening {
+    fn outage(&mut self, partner: &ReceiverPlan, end: u64) -> Happening {
         let outage = match self.whole(0, 6) {
             0 => Outage::Refuse,
             1 => Outage::Shut,
@@ -700,13 +700,13 @@
 
     #[test]
     fn an_evening_is_the_same_for_the_same_seed_and_survives_its_file() {
-        let drawn = Script::evening(7, 40);
-        assert_eq!(drawn, Script::evening(7, 40));
-        assert_ne!(drawn, Script::evening(8, 40));
+        let drawn = Scenario::evening(7, 40);
+        assert_eq!(drawn, Scenario::evening(7, 40));
+        assert_ne!(drawn, Scenario::evening(8, 40));
         for seed in 0..200 {
-            let script = Script::evening(seed, 40);
+            let script = Scenario::evening(seed, 40);
             let text = toml::to_string(&script).expect("it can be written");
-            let read = Script::parse(&text, Path::new("evening.toml")).expect("it can be read");
+            let read = Scenario::parse(&text, Path::new("evening.toml")).expect("it can be read");
             assert_eq!(read.partners.len(), script.partners.len());
             assert_eq!(read.happenings, script.happenings);
         }
@@ -714,7 +714,7 @@
 
     #[test]
     fn a_figure_that_cannot_be_read_is_named_with_its_line_and_field() {
-        let good = toml::to_string(&Script::evening(7, 40)).expect("it can be written");
+        let good = toml::to_string(&Scenario::evening(7, 40)).expect("it can be written");
         let bad = [
             ("status_share", "status_share = 1.5", "1.5 is not a share from 0 to 1"),
             ("list_late_ms", "list_late_ms = 99999999", "99999999 ms are more than an hour"),
@@ -726,7 +726,7 @@
             let at = good.lines().position(|l| l.starts_with(field)).expect("the field");
             let text: Vec<&str> =
                 good.lines().enumerate().map(|(n, l)| if n == at { line } else { l }).collect();
-            let error = Script::parse(&text.join("\n"), Path::new("bad.toml")).expect_err(line).to_string();
+            let error = Scenario::parse(&text.join("\n"), Path::new("bad.toml")).expect_err(line).to_string();
             assert!(error.contains("bad.toml") && error.contains(expected), "{error}");
             let told = error.contains(&format!("line {}", at + 1)) || field == "senders";
             assert!(told, "no line in {error}");
@@ -735,10 +735,10 @@
 
     #[test]
     fn what_names_something_that_is_not_there_is_refused() {
-        let mut script = Script::evening(7, 40);
+        let mut script = Scenario::evening(7, 40);
         script.happenings = vec![Happening::Kill { at_ms: Ms(5), sender: 9, back_ms: Ms(5) }];
         let text = toml::to_string(&script).expect("it can be written");
-        let error = Script::parse(&text, Path::new("bad.toml")).expect_err("no such sender").to_string();
+        let error = Scenario::parse(&text, Path::new("bad.toml")).expect_err("no such sender").to_string();
         assert!(error.contains("happenings[0]: there is no sender 9"), "{error}");
     }
 }
--- a/crates/testkit/src/scripted_peers.rs
+++ b/crates/testkit/src/scripted_peers.rs
@@ -36,7 +36,7 @@
 
 /// Discovery and the place for notices.
 #[derive(Debug)]
-pub struct Platform {
+pub struct FakePlatform {
     /// Where it is.
     pub addr: SocketAddr,
     /// Each watch: its query, and where its lines go. Dropping that ends it.
@@ -69,7 +69,7 @@
     reply
 }
 
-impl Platform {
+impl FakePlatform {
     /// Starts one that has no list yet.
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -262,7 +262,7 @@
 
 /// A receiver that writes what it is told to, byte for byte, and keeps the connection open.
 #[derive(Debug)]
-pub struct Spoiler {
+pub struct MalformedResponder {
     /// Where it is.
     pub addr: SocketAddr,
     /// Each call: the number of its connection, and its id.
@@ -270,7 +270,7 @@
     answers: Arc<Mutex<VecDeque<Vec<Vec<u8>>>>>,
 }
 
-impl Spoiler {
+impl MalformedResponder {
     /// Starts one whose answers are good until told otherwise. All bodies must end in `text`.
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -8,14 +8,14 @@
 use tokio::sync::Mutex;
 use tokio::time::{sleep, sleep_until};
 
-use crate::checker::{Judge, LATE_US};
+use crate::checker::{Checker, LATE_US};
 use crate::client::{self, Clients, KEYED, SAFE, TENANTS};
-use crate::event_log::{Class, Effect, Endpoint, Event, Evidence, Group, Line, Rules};
-use crate::fake_discovery::{Agent, Entry};
-use crate::fake_receiver::{KEY_TIME, Partner};
-use crate::fault_proxy::{Fault, Link};
+use crate::event_log::{Class, Effect, Endpoint, Event, EventLog, Group, Line, Rules};
+use crate::fake_discovery::{Entry, FakeDiscovery};
+use crate::fake_receiver::{FakeReceiver, KEY_TIME};
+use crate::fault_proxy::{Fault, FaultProxy};
 use crate::program::{Launch, Program, ProgramError};
-use crate::scenario::{Happening, LinkTrouble, PartnerPlan, Phase, Script};
+use crate::scenario::{Happening, LinkFault, Phase, ReceiverPlan, Scenario};
 
 /// How often it is looked whether this process keeps up.
 const BEAT: Duration = Duration::from_millis(10);
@@ -24,7 +24,7 @@
 
 /// How a script is played.
 #[derive(Clone, Debug)]
-pub struct Stage {
+pub struct TestEnvironment {
     /// How a sender is started.
     pub launch: Launch,
     /// An empty folder for configurations, journals and logs.
@@ -51,8 +51,8 @@
 }
 
 /// The endpoints of partners, as the judge knows them.
-pub fn endpoints(partners: &[PartnerPlan]) -> Vec<Endpoint> {
-    let of = |plan: &PartnerPlan| {
+pub fn endpoints(partners: &[ReceiverPlan]) -> Vec<Endpoint> {
+    let of = |plan: &ReceiverPlan| {
         let (partner, apart, per_s) = (plan.number, plan.apart, plan.per_s.get());
         let endpoints = plan.endpoints.iter();
         let endpoints = endpoints.map(move |e| Endpoint {
@@ -68,7 +68,13 @@
 }
 
 /// A sender's configuration in a world with these classes and rules; discovery and known list are its agent's.
-pub fn configuration(agent: &Agent, classes: &[Class], rules: &Rules, senders: usize, me: usize) -> Value {
+pub fn configuration(
+    agent: &FakeDiscovery,
+    classes: &[Class],
+    rules: &Rules,
+    senders: usize,
+    me: usize,
+) -> Value {
     let lane = |c: &Class| {
         let (effect, group) = match c.effect {
             Effect::Safe => ("free", "all"),
@@ -100,7 +106,7 @@
 
 /// What cannot be staged.
 #[derive(Debug, thiserror::Error)]
-pub enum StageError {
+pub enum EnvironmentError {
     /// Sockets or files of the stand-ins.
     #[error("{0}")]
     Io(#[from] std::io::Error),
@@ -125,11 +131,11 @@
 /// A world that has been set up.
 #[derive(Debug)]
 pub struct World {
-    script: Script,
-    stage: Stage,
-    evidence: Evidence,
-    partners: Vec<Arc<Partner>>,
-    agents: Vec<Arc<Agent>>,
+    script: Scenario,
+    stage: TestEnvironment,
+    evidence: EventLog,
+    partners: Vec<Arc<FakeReceiver>>,
+    agents: Vec<Arc<FakeDiscovery>>,
     programs: Vec<Arc<Mutex<Program>>>,
     clients: Arc<Clients>,
     links: Vec<Arc<LinkBetween>>,
@@ -141,7 +147,7 @@
     sender: usize,
     partner: u16,
     endpoint: String,
-    link: Link,
+    link: FaultProxy,
 }
 
 impl World {
@@ -149,19 +155,20 @@
     ///
     /// # Errors
     ///
-    /// [`StageError`] if a part of it cannot be had.
-    pub async fn set_up(script: &Script, stage: &Stage) -> Result<Self, StageError> {
+    /// [`EnvironmentError`] if a part of it cannot be had.
+    pub async fn set_up(script: &Scenario, stage: &TestEnvironment) -> Result<Self, EnvironmentError> {
         let (classes, rules) = (classes(stage.longest), Rules::default());
-        let evidence = Evidence::begin(classes.clone(), endpoints(&script.partners), rules.clone());
+        let evidence = EventLog::begin(classes.clone(), endpoints(&script.partners), rules.clone());
         let names: Vec<String> = (0..script.senders).map(name).collect();
         let mut partners = Vec::new();
         for plan in &script.partners {
-            partners.push(Arc::new(Partner::start(plan, &names, &rules, script.seed, &evidence).await?));
+            partners.push(Arc::new(FakeReceiver::start(plan, &names, &rules, script.seed, &evidence).await?));
         }
         let (mut agents, mut programs, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
         let links = links(script, &partners, &names).await?;
         for (me, name) in names.iter().enumerate() {
-            let agent = Arc::new(Agent::start(name, entries(&partners, &links, me, name), &evidence).await?);
+            let agent =
+                Arc::new(FakeDiscovery::start(name, entries(&partners, &links, me, name), &evidence).await?);
             let config = configuration(&agent, &classes, &rules, names.len(), me);
             let folder = stage.folder.join(name);
             let mut program = Program::new(name, &stage.launch, &folder, config, None, &evidence)?;
@@ -180,7 +187,7 @@
     }
 
     /// The log while it is written.
-    pub fn evidence(&self) -> Evidence {
+    pub fn evidence(&self) -> EventLog {
         self.evidence.clone()
     }
 
@@ -198,7 +205,7 @@
         self.clients.clone().run(planned, start).await;
         let end = Instant::now() + self.stage.longest + AFTER;
         // Line by line as they come: to judge all of them again and again would make the stand-ins late.
-        let (mut check_events, mut seen) = (Judge::default(), 0);
+        let (mut check_events, mut seen) = (Checker::default(), 0);
         while Instant::now() < end {
             for line in self.evidence.lines_from(seen) {
                 seen += 1;
@@ -354,22 +361,22 @@
 }
 
 impl LinkBetween {
-    fn suffer(&self, trouble: LinkTrouble, on: bool, evidence: &Evidence) {
+    fn suffer(&self, trouble: LinkFault, on: bool, evidence: &EventLog) {
         let (kind, hides) = match trouble {
             // A little late is within what the judge allows on every limit.
-            LinkTrouble::Delay { ms } => ("delay", ms.get() > 20),
-            LinkTrouble::LoseBack => ("lose_back", true),
-            LinkTrouble::BlackHole => ("black_hole", true),
-            LinkTrouble::CutAfter { .. } => ("cut_after", false),
-            LinkTrouble::HalfCloseAfter { .. } => ("half_close_after", false),
+            LinkFault::Delay { ms } => ("delay", ms.get() > 20),
+            LinkFault::LoseBack => ("lose_back", true),
+            LinkFault::BlackHole => ("black_hole", true),
+            LinkFault::CutAfter { .. } => ("cut_after", false),
+            LinkFault::HalfCloseAfter { .. } => ("half_close_after", false),
             // Answers come, but long after they were written.
-            LinkTrouble::Trickle { .. } => ("trickle", true),
-            LinkTrouble::Reset => ("reset", false),
+            LinkFault::Trickle { .. } => ("trickle", true),
+            LinkFault::Reset => ("reset", false),
         };
         let (sender, endpoint, kind) = (name(self.sender), self.endpoint.clone(), kind.to_owned());
         evidence.note(Event::Link { sender, endpoint, kind, hides, on });
         self.link.set(if on { trouble.into() } else { Fault::default() });
-        if on && trouble == LinkTrouble::Reset {
+        if on && trouble == LinkFault::Reset {
             self.link.reset();
         }
     }
@@ -382,8 +389,8 @@
 
 /// Links where the script has something befall them.
 async fn links(
-    script: &Script,
-    partners: &[Arc<Partner>],
+    script: &Scenario,
+    partners: &[Arc<FakeReceiver>],
     names: &[String],
 ) -> std::io::Result<Vec<Arc<LinkBetween>>> {
     let mut links: Vec<Arc<LinkBetween>> = Vec::new();
@@ -393,7 +400,7 @@
         for endpoint in &partner.plan().endpoints {
             let there = links.iter().any(|l| l.sender == sender && l.endpoint == endpoint.id);
             let Some(addr) = partner.addr(&names[sender], &endpoint.id).filter(|_| !there) else { continue };
-            let (link, endpoint) = (Link::start(addr).await?, endpoint.id.clone());
+            let (link, endpoint) = (FaultProxy::start(addr).await?, endpoint.id.clone());
             links.push(Arc::new(LinkBetween { sender, partner: number, endpoint, link }));
         }
     }
@@ -402,7 +409,7 @@
 
 /// What a sender's list holds when nothing has happened yet.
 pub(crate) fn entries(
-    partners: &[Arc<Partner>],
+    partners: &[Arc<FakeReceiver>],
     links: &[Arc<LinkBetween>],
     me: usize,
     sender: &str,
@@ -429,7 +436,7 @@
 }
 
 /// Notes when this process falls behind, until it is dropped: what it then does late is not the sender's fault.
-pub async fn keep_time(evidence: Evidence) {
+pub async fn keep_time(evidence: EventLog) {
     let mut next = Instant::now();
     loop {
         next += BEAT;
--- a/crates/testkit/tests/datagram_proxy.rs
+++ b/crates/testkit/tests/datagram_proxy.rs
@@ -2,14 +2,14 @@
 
 use std::time::{Duration, Instant};
 
-use rudderspindle_testkit::datagram_proxy::{Counts, Mesh};
-use rudderspindle_testkit::fault_schedule::Weather;
+use rudderspindle_testkit::datagram_proxy::{DatagramCounts, DatagramProxy};
+use rudderspindle_testkit::fault_schedule::LinkFaults;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
 struct Three {
     senders: Vec<UdpSocket>,
-    mesh: Mesh,
+    mesh: DatagramProxy,
 }
 
 impl Three {
@@ -19,7 +19,7 @@
             senders.push(UdpSocket::bind("127.0.0.1:0").await.expect("a port"));
         }
         let doors: Vec<_> = senders.iter().map(|s| s.local_addr().expect("an address")).collect();
-        let mesh = Mesh::start(&doors, seed).await.expect("a mesh");
+        let mesh = DatagramProxy::start(&doors, seed).await.expect("a mesh");
         Self { senders, mesh }
     }
 
@@ -36,7 +36,7 @@
         (from, buffer[..length].to_vec())
     }
 
-    async fn until(&self, from: usize, to: usize, is: impl Fn(Counts) -> bool) {
+    async fn until(&self, from: usize, to: usize, is: impl Fn(DatagramCounts) -> bool) {
         let end = Instant::now() + Duration::from_secs(20);
         while !is(self.mesh.counts(from, to)) {
             assert!(Instant::now() < end, "{:?}", self.mesh.counts(from, to));
@@ -65,7 +65,7 @@
 #[tokio::test]
 async fn a_cut_holds_in_its_direction_alone_until_it_is_healed_and_for_what_is_on_its_way() {
     let three = Three::start(2).await;
-    let late = Weather { delay: Duration::from_millis(50)..Duration::ZERO, ..Weather::default() };
+    let late = LinkFaults { delay: Duration::from_millis(50)..Duration::ZERO, ..LinkFaults::default() };
     three.mesh.set(&[0], &[1], &late);
     three.send(0, 1, b"on its way").await;
     three.until(0, 1, |c| c.sent == 1).await;
@@ -85,27 +85,27 @@
 #[tokio::test]
 async fn foul_weather_reaches_the_receiver_as_told_and_changes_while_it_runs() {
     let three = Three::start(3).await;
-    let set = |weather: Weather| three.mesh.set(&[0], &[1], &weather);
-    set(Weather { drop: 1.0, ..Weather::default() });
+    let set = |weather: LinkFaults| three.mesh.set(&[0], &[1], &weather);
+    set(LinkFaults { drop: 1.0, ..LinkFaults::default() });
     three.send(0, 1, b"lost").await;
     three.until(0, 1, |c| c.dropped == 1).await;
-    set(Weather { damage: 1.0, ..Weather::default() });
+    set(LinkFaults { damage: 1.0, ..LinkFaults::default() });
     three.send(0, 1, b"damaged").await;
     let (_, damaged) = three.next(1).await;
     assert_eq!(damaged.iter().zip(b"damaged").filter(|(a, b)| a != b).count(), 1);
-    set(Weather { duplicate: 1.0, ..Weather::default() });
+    set(LinkFaults { duplicate: 1.0, ..LinkFaults::default() });
     three.send(0, 1, b"twice").await;
     assert_eq!([three.next(1).await.1, three.next(1).await.1], [b"twice", b"twice"]);
     let since = Instant::now();
     let (delay, again) = (Duration::from_millis(30), Duration::from_millis(60));
-    set(Weather { delay: delay..delay, replay_after: Some(again), ..Weather::default() });
+    set(LinkFaults { delay: delay..delay, replay_after: Some(again), ..LinkFaults::default() });
     three.send(0, 1, b"late").await;
     assert_eq!(three.next(1).await.1, b"late");
     assert!(since.elapsed() >= delay);
     assert_eq!(three.next(1).await.1, b"late");
     assert!(since.elapsed() >= delay + again);
     // Both are held back, and then one alone is, which the next one overtakes.
-    set(Weather { reorder: 1.0, ..Weather::default() });
+    set(LinkFaults { reorder: 1.0, ..LinkFaults::default() });
     three.send(0, 1, b"first").await;
     three.send(0, 1, b"second").await;
     three.send(2, 1, b"calm").await;
@@ -114,7 +114,7 @@
     let sent = three.mesh.counts(0, 1).sent;
     three.send(0, 1, b"held back").await;
     three.until(0, 1, |c| c.sent > sent).await;
-    set(Weather::default());
+    set(LinkFaults::default());
     three.send(0, 1, b"overtakes").await;
     let order = [three.next(1).await.1, three.next(1).await.1];
     assert_eq!(order, [b"overtakes", b"held back"]);
@@ -123,7 +123,7 @@
 /// Which of a hundred notes to a sender arrive where half are lost, with others talking or not.
 async fn arrived(to: usize, others: bool) -> Vec<u8> {
     let three = Three::start(4).await;
-    three.mesh.set(&[0, 1, 2], &[0, 1, 2], &Weather { drop: 0.5, ..Weather::default() });
+    three.mesh.set(&[0, 1, 2], &[0, 1, 2], &LinkFaults { drop: 0.5, ..LinkFaults::default() });
     for n in 0..100 {
         if others {
             three.send(to, 0, b"x").await;
--- a/crates/testkit/tests/wrong_senders.rs
+++ b/crates/testkit/tests/wrong_senders.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use rudderspindle_testkit::checker::{Rule, Verdict, check_events};
-use rudderspindle_testkit::event_log::{Class, Effect, Event, Evidence, Group, Life, Rules};
-use rudderspindle_testkit::fake_discovery::{Agent, Entry};
-use rudderspindle_testkit::fake_receiver::Partner;
+use rudderspindle_testkit::event_log::{Class, Effect, Event, EventLog, Group, Life, Rules};
+use rudderspindle_testkit::fake_discovery::{Entry, FakeDiscovery};
+use rudderspindle_testkit::fake_receiver::FakeReceiver;
 use rudderspindle_testkit::scenario::{
-    EndpointPlan, Limit, Ms, Outage, PartnerPlan, PerSecond, Phase, Share, Tells,
+    EndpointPlan, Limit, Ms, Outage, PerSecond, Phase, ReceiverPlan, Share, Tells,
 };
 use rudderspindle_testkit::world::{endpoints, keep_time};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -68,10 +68,10 @@
     ]
 }
 
-fn plan(per_s: f64, work_ms: u64) -> PartnerPlan {
+fn plan(per_s: f64, work_ms: u64) -> ReceiverPlan {
     let ms = |ms| Ms::try_from(ms).expect("in range");
     let endpoint = |id: &str, hall: &str| EndpointPlan { id: id.to_owned(), hall: hall.to_owned() };
-    PartnerPlan {
+    ReceiverPlan {
         number: 1,
         name: "partner".to_owned(),
         endpoints: vec![endpoint("e0", "hall-a"), endpoint("e1", "hall-b")],
@@ -126,7 +126,7 @@
 }
 
 impl Small {
-    fn start(fault: Fault, agent: &Agent, partner: &Partner) -> Arc<Self> {
+    fn start(fault: Fault, agent: &FakeDiscovery, partner: &FakeReceiver) -> Arc<Self> {
         let route = |e: &EndpointPlan| {
             let addr = partner.addr("n0", &e.id).expect("an address");
             Route { id: e.id.clone(), addr, hall: e.hall.clone(), drained: None }
@@ -313,7 +313,7 @@
 
 /// What is handed in, and what befalls the partner.
 struct Scene {
-    plan: PartnerPlan,
+    plan: ReceiverPlan,
     /// Class, how many, how far apart in milliseconds, and for how long each may be delivered.
     messages: (&'static str, usize, u64, u64),
     outage: Option<(Outage, u64)>,
@@ -322,9 +322,10 @@
 
 /// Plays a scene with a small sender.
 async fn play(scene: &Scene, fault: Fault) -> Verdict {
-    let evidence = Evidence::begin(classes(), endpoints(std::slice::from_ref(&scene.plan)), rules());
+    let evidence = EventLog::begin(classes(), endpoints(std::slice::from_ref(&scene.plan)), rules());
     let senders = ["n0".to_owned()];
-    let partner = Partner::start(&scene.plan, &senders, &rules(), 1, &evidence).await.expect("a partner");
+    let partner =
+        FakeReceiver::start(&scene.plan, &senders, &rules(), 1, &evidence).await.expect("a partner");
     let partner = Arc::new(partner);
     let entry = |e: &EndpointPlan| Entry {
         id: e.id.clone(),
@@ -336,7 +337,7 @@
         per_s: scene.plan.per_s.get(),
     };
     let entries = scene.plan.endpoints.iter().map(entry).collect();
-    let agent = Agent::start("n0", entries, &evidence).await.expect("an agent");
+    let agent = FakeDiscovery::start("n0", entries, &evidence).await.expect("an agent");
     let sender = Small::start(fault, &agent, &partner);
     let mut clock = tokio::task::JoinSet::new();
     clock.spawn(keep_time(evidence.clone()));
@@ -408,7 +409,7 @@
     Outage::Errors { share: Share::try_from(1.0).expect("in range") }
 }
 
-fn scene(plan: PartnerPlan, messages: (&'static str, usize, u64, u64)) -> Scene {
+fn scene(plan: ReceiverPlan, messages: (&'static str, usize, u64, u64)) -> Scene {
     Scene { plan, messages, outage: None, drain_after: None }
 }
 
