--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -37,7 +37,7 @@
         body: text(),
         attempts: 0,
         possibly_executed: None,
-        out: None,
+        in_flight: None,
     }
 }
 
@@ -84,15 +84,15 @@
         for (class, message_id) in
             [("safe", "untried"), ("once", "tried"), ("safe", "ended"), ("safe", "over")]
         {
-            owner.take(message(class, message_id));
+            owner.accept(message(class, message_id));
         }
-        owner.attempt(
+        owner.start_attempt(
             &"tried".into(),
             PossibleExecution { at: wall_ms(), receiver: "r1".into(), zone: "a".into() },
         );
         owner.commit().expect("written");
-        owner.end(&"ended".into(), Some(Status::Undeliverable));
-        owner.end(&"over".into(), None);
+        owner.complete(&"ended".into(), Some(Status::Undeliverable));
+        owner.complete(&"over".into(), None);
         owner.commit().expect("written");
         let listener = UnixListener::bind(socket(&folder.1)).expect("a socket");
         let starting = tokio::spawn({
--- a/crates/daemon/tests/ready.rs
+++ b/crates/daemon/tests/ready.rs
@@ -28,12 +28,12 @@
             body: Bytes::from(vec![b'x'; body]),
             attempts: 0,
             possibly_executed: None,
-            out: None,
+            in_flight: None,
         };
-        if !store.has_room(message.room()) {
+        if !store.has_space_for(message.reserved_bytes()) {
             return n;
         }
-        store.take(message);
+        store.accept(message);
         store.commit().expect("written");
     }
     unreachable!("it has no end")
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -24,7 +24,7 @@
         body: Bytes::from_static(b"text"),
         attempts: 0,
         possibly_executed: None,
-        out: None,
+        in_flight: None,
     }
 }
 
@@ -38,10 +38,10 @@
     let mut store = Store::open(state, 3_000_000).expect("a journal");
     for (message, attempt_at) in messages {
         let message_id = message.message_id.clone();
-        store.take(message);
+        store.accept(message);
         store.commit().expect("written");
         if let Some(at) = attempt_at {
-            store.attempt(&message_id, ran(at));
+            store.start_attempt(&message_id, ran(at));
             store.commit().expect("written");
         }
     }
--- /dev/null
+++ b/crates/journal/src/entries.rs
@@ -0,0 +1,144 @@
+//! The journal's messages by id, with the segment that holds each one's latest complete record.
+
+use std::collections::HashMap;
+
+use crate::MessageId;
+use crate::message::{Message, Notice, Status, TakenOver};
+use crate::record::FRAME_LEN;
+
+/// Bytes that are reserved for a notification's record besides its frame and its id.
+const NOTIFICATION_OVERHEAD: usize = 16;
+
+/// A message that is not complete, or a notification that is not acknowledged.
+#[derive(Debug)]
+pub(crate) struct Entry {
+    /// The segment that holds the latest record from which the entry can be restored.
+    pub segment: u64,
+    /// What is pending.
+    pub state: EntryState,
+}
+
+/// What is pending for a message.
+#[derive(Debug)]
+pub(crate) enum EntryState {
+    /// Its delivery.
+    Message(Message),
+    /// The acknowledgement of its notification.
+    Notification(Status),
+}
+
+impl Entry {
+    fn message(&self) -> Option<&Message> {
+        match &self.state {
+            EntryState::Message(message) => Some(message),
+            EntryState::Notification(_) => None,
+        }
+    }
+
+    fn message_mut(&mut self) -> Option<&mut Message> {
+        match &mut self.state {
+            EntryState::Message(message) => Some(message),
+            EntryState::Notification(_) => None,
+        }
+    }
+
+    fn reserved_bytes(&self, message_id: &MessageId) -> u64 {
+        match &self.state {
+            EntryState::Message(message) => message.reserved_bytes(),
+            EntryState::Notification(_) => (message_id.len() + FRAME_LEN + NOTIFICATION_OVERHEAD) as u64,
+        }
+    }
+}
+
+/// All entries of a journal, and the space reserved for them.
+#[derive(Debug, Default)]
+pub(crate) struct Entries {
+    by_id: HashMap<MessageId, Entry>,
+    reserved_bytes: u64,
+}
+
+impl Entries {
+    /// Journal space that is reserved for all entries, in bytes.
+    pub fn reserved_bytes(&self) -> u64 {
+        self.reserved_bytes
+    }
+
+    /// Whether there is an entry of this message.
+    pub fn contains(&self, message_id: &str) -> bool {
+        self.by_id.contains_key(message_id)
+    }
+
+    /// Adds an entry, in place of an earlier one of the same message.
+    pub fn insert(&mut self, message_id: MessageId, entry: Entry) {
+        self.remove(&message_id);
+        self.reserved_bytes += entry.reserved_bytes(&message_id);
+        self.by_id.insert(message_id, entry);
+    }
+
+    /// Removes an entry; false if there is none.
+    pub fn remove(&mut self, message_id: &MessageId) -> bool {
+        let Some(entry) = self.by_id.remove(message_id) else { return false };
+        self.reserved_bytes -= entry.reserved_bytes(message_id);
+        true
+    }
+
+    /// The messages that are not complete, in no particular order.
+    pub fn pending_messages(&self) -> impl Iterator<Item = &Message> {
+        self.by_id.values().filter_map(Entry::message)
+    }
+
+    /// A message, if it is not complete.
+    pub fn pending_message(&self, message_id: &MessageId) -> Option<&Message> {
+        self.by_id.get(message_id)?.message()
+    }
+
+    /// A message, if it is not complete.
+    pub fn pending_message_mut(&mut self, message_id: &MessageId) -> Option<&mut Message> {
+        self.by_id.get_mut(message_id)?.message_mut()
+    }
+
+    /// The notifications that are not acknowledged, in no particular order.
+    pub fn pending_notifications(&self) -> impl Iterator<Item = Notice> + '_ {
+        self.by_id.iter().filter_map(|(message_id, entry)| match entry.state {
+            EntryState::Notification(status) => Some(Notice { message_id: message_id.clone(), status }),
+            EntryState::Message(_) => None,
+        })
+    }
+
+    /// The entries whose latest complete record is in a segment, in no particular order.
+    pub fn in_segment(&self, segment: u64) -> impl Iterator<Item = (&MessageId, &Entry)> {
+        self.by_id.iter().filter(move |(_, entry)| entry.segment == segment)
+    }
+
+    /// Notes that the records of one segment were written again to another.
+    pub fn move_segment(&mut self, from: u64, to: u64) {
+        let moved = self.by_id.values_mut().filter(|entry| entry.segment == from);
+        moved.for_each(|entry| entry.segment = to);
+    }
+
+    /// Marks the attempts in flight as possibly executed: their process has ended without an outcome.
+    pub fn interrupt_attempts(&mut self) {
+        let messages = self.by_id.values_mut().filter_map(Entry::message_mut);
+        messages.for_each(|message| message.settle_in_flight(true));
+    }
+
+    /// Adds the entries of an earlier process, and returns them. For an id that both know the present entry is kept: the
+    /// earlier process's message is complete.
+    pub fn add_older(&mut self, older: Self) -> TakenOver {
+        let mut taken_over = TakenOver::default();
+        for (message_id, entry) in older.by_id {
+            if self.contains(&message_id) {
+                continue;
+            }
+            match &entry.state {
+                EntryState::Message(message) => taken_over.pending_messages.push(message.clone()),
+                EntryState::Notification(status) => {
+                    let notification = Notice { message_id: message_id.clone(), status: *status };
+                    taken_over.pending_notifications.push(notification);
+                }
+            }
+            self.insert(message_id, entry);
+        }
+        taken_over
+    }
+}
--- /dev/null
+++ b/crates/journal/src/folder_lock.rs
@@ -0,0 +1,111 @@
+//! File locks that let at most two processes use a journal folder: its owner and the owner's successor.
+//!
+//! The operating system releases a lock as soon as its holder has ended, in whichever way.
+
+use std::fs::{File, OpenOptions, TryLockError};
+use std::path::{Path, PathBuf};
+
+use crate::JournalError;
+
+/// Name of the file that the owner locks.
+const OWNER_LOCK_FILE: &str = "lock";
+/// Name of the file that the successor locks until it becomes the owner.
+const SUCCESSOR_LOCK_FILE: &str = "lock-next";
+
+/// The role of this process in a journal folder, held until it is dropped.
+#[derive(Debug)]
+pub(crate) enum FolderLock {
+    /// This process owns all segments in the folder.
+    Owner {
+        /// Keeps the owner's lock.
+        _lock: LockFile,
+    },
+    /// Another process owns the folder: this one owns only the segments that it writes.
+    Successor {
+        /// The owner's lock file, which is not locked by this process yet.
+        owner: LockFile,
+        /// Keeps the successor's lock.
+        _lock: LockFile,
+    },
+}
+
+impl FolderLock {
+    /// Takes the role of the owner if it is free, else that of its successor.
+    ///
+    /// # Errors
+    ///
+    /// [`JournalError::FolderInUse`] if both roles are taken; [`JournalError::Io`] if the lock files cannot be used.
+    pub fn acquire(folder: &Path) -> Result<Self, JournalError> {
+        let owner = LockFile::open(folder.join(OWNER_LOCK_FILE))?;
+        if owner.try_lock()? {
+            return Ok(Self::Owner { _lock: owner });
+        }
+        let successor = LockFile::open(folder.join(SUCCESSOR_LOCK_FILE))?;
+        if !successor.try_lock()? {
+            return Err(JournalError::FolderInUse);
+        }
+        Ok(Self::Successor { owner, _lock: successor })
+    }
+
+    /// Whether this process is the owner.
+    pub fn is_owner(&self) -> bool {
+        matches!(self, Self::Owner { .. })
+    }
+
+    /// Locks the owner's file if the owner has ended; false while it runs, and for the owner itself.
+    ///
+    /// Once it returned true no other process can become the owner.
+    ///
+    /// # Errors
+    ///
+    /// [`JournalError::Io`] if the lock file cannot be used.
+    pub fn try_lock_as_owner(&self) -> Result<bool, JournalError> {
+        match self {
+            Self::Owner { .. } => Ok(false),
+            Self::Successor { owner, .. } => owner.try_lock(),
+        }
+    }
+
+    /// Makes a successor that holds the owner's lock the owner, and releases the successor's lock.
+    ///
+    /// To be called after [`FolderLock::try_lock_as_owner`] returned true.
+    ///
+    /// # Errors
+    ///
+    /// [`JournalError::Io`] if the lock file's descriptor cannot be duplicated.
+    pub fn become_owner(&mut self) -> Result<(), JournalError> {
+        if let Self::Successor { owner, .. } = self {
+            *self = Self::Owner { _lock: owner.try_clone()? };
+        }
+        Ok(())
+    }
+}
+
+/// An open lock file; a lock on it is released when its last clone is dropped.
+#[derive(Debug)]
+pub(crate) struct LockFile {
+    file: File,
+    path: PathBuf,
+}
+
+impl LockFile {
+    fn open(path: PathBuf) -> Result<Self, JournalError> {
+        let opened = OpenOptions::new().create(true).append(true).open(&path);
+        let file = opened.map_err(JournalError::at(&path))?;
+        Ok(Self { file, path })
+    }
+
+    /// Whether the lock was free and is held now.
+    fn try_lock(&self) -> Result<bool, JournalError> {
+        match self.file.try_lock() {
+            Ok(()) => Ok(true),
+            Err(TryLockError::WouldBlock) => Ok(false),
+            Err(TryLockError::Error(error)) => Err(JournalError::at(&self.path)(error)),
+        }
+    }
+
+    fn try_clone(&self) -> Result<Self, JournalError> {
+        let file = self.file.try_clone().map_err(JournalError::at(&self.path))?;
+        Ok(Self { file, path: self.path.clone() })
+    }
+}
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,25 +1,24 @@
-//! The sender's own journal in the folder that outlasts its process.
+//! Write-ahead journal of accepted messages, in a folder that outlasts its process.
 //!
-//! Append-only segments, `journal-<number>`. A record is its payload's length (u32) and CRC-32 (u32), little
-//! endian, then the payload: a tag and fields. What a process wrote outlasts it without a sync, so a kill
-//! leaves at most one torn record at the end of the last segment.
+//! The journal is a sequence of append-only segments, `journal-<number>`, of checksummed records. What a process has
+//! written survives its end without a sync: a kill leaves at most one torn record, at the end of the last segment.
 //!
-//! Room is made by writing what is still live in the oldest segment again, at the end, and deleting that
-//! segment afterwards. A kill between the two leaves the same facts twice, which reading takes as once.
-//! Because the oldest goes first, a message's end never disappears before its beginning.
+//! Space is freed by compaction: what is still pending in the oldest segment is written again at the end, and the segment
+//! is deleted afterwards. A kill between the two leaves the same records twice, which replay reads as once. As the
+//! oldest segment goes first, the completion of a message never disappears before its acceptance.
 //!
-//! Two processes may use one folder while the second takes over from the first. Whoever holds the lock owns the
-//! journal; the other, its successor, writes segments under far higher numbers and reads none of the older ones
-//! until their owner has ended ([`Store::succeed`]). Read in the order of their numbers they tell the same to a
-//! process that starts alone: a crash of either or both needs no care of its own.
+//! Two processes may use one folder while the second takes over from the first. The holder of the lock owns the journal;
+//! its successor writes segments with far higher numbers, and reads none of the older ones until the owner has ended
+//! ([`Store::take_over`]). Replayed in the order of their numbers the segments restore the same state in a process that
+//! starts alone: a crash of either process, or of both, needs no special care.
 //!
 //! ```
 //! use rudderspindle_journal::{Message, PossibleExecution, Status, Store};
 //!
-//! # fn main() -> std::io::Result<()> {
+//! # fn main() -> Result<(), Box<dyn std::error::Error>> {
 //! # let folder = tempfile::tempdir()?;
 //! let mut journal = Store::open(folder.path(), 3_000_000)?;
-//! journal.take(Message {
+//! journal.accept(Message {
 //!     message_id: "9b1f03aa".into(),
 //!     class: "notice".into(),
 //!     tenant: "acme".into(),
@@ -29,41 +28,43 @@
 //!     body: "text".into(),
 //!     attempts: 0,
 //!     possibly_executed: None,
-//!     out: None,
+//!     in_flight: None,
 //! });
-//! // Only now may its client hear that it is taken on.
+//! // Only now may its client be told that it is accepted.
 //! journal.commit()?;
-//! journal.attempt(&"9b1f03aa".into(), PossibleExecution { at: 1, receiver: "r1".into(), zone: "left".into() });
-//! // Only now may its first byte go out.
+//! journal.start_attempt(&"9b1f03aa".into(), PossibleExecution { at: 1, receiver: "r1".into(), zone: "left".into() });
+//! // Only now may the first byte of the attempt be sent.
 //! journal.commit()?;
 //! drop(journal);
 //!
-//! // The process was killed: what came of the attempt is not known.
+//! // The process was killed: the outcome of the attempt is not known.
 //! let mut journal = Store::open(folder.path(), 3_000_000)?;
-//! let message = journal.open_messages().next().expect("it is still owed its end");
-//! assert_eq!(message.possibly_executed.as_ref().map(|ran| ran.at), Some(1));
-//! journal.end(&"9b1f03aa".into(), Some(Status::Undeliverable));
+//! let message = journal.pending_messages().next().expect("it is not complete");
+//! assert_eq!(message.possibly_executed.as_ref().map(|execution| execution.at), Some(1));
+//! journal.complete(&"9b1f03aa".into(), Some(Status::Undeliverable));
 //! journal.commit()?;
 //! # Ok(())
 //! # }
 //! ```
 
-mod claim;
-mod memory;
+mod entries;
+mod error;
+mod folder_lock;
 mod message;
+mod message_id;
+mod outage_records;
 mod record;
 mod replay;
 mod segments;
 mod store;
+mod wall_clock;
 
-use std::rc::Rc;
-
-pub use memory::{EndpointKey, OutageState};
-pub use message::{Message, Notice, PossibleExecution, Status, TakenOver, wall_ms};
+pub use error::JournalError;
+pub use message::{Message, Notice, PossibleExecution, Status, TakenOver};
+pub use message_id::MessageId;
+pub use outage_records::{EndpointKey, OutageState};
 pub use store::Store;
+pub use wall_clock::wall_ms;
 
-/// A message's id, as its client chose it.
-pub type MessageId = Rc<str>;
-
-/// Bytes that a message's body may hold at most.
+/// Maximum length of a message's body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
--- a/crates/journal/src/message.rs
+++ b/crates/journal/src/message.rs
@@ -1,106 +1,108 @@
-//! Messages that were taken on, and how they end.
+//! Accepted messages with their attempt history, and the notifications of those that were not delivered.
 
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::Bytes;
 
 use crate::MessageId;
 
-/// Milliseconds of the wall clock since 1970: the one clock that outlasts a process.
-pub fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_millis() as u64
-}
+/// Bytes that are reserved for a message besides its body, its key and twice its id.
+const RECORD_OVERHEAD: usize = 768;
 
-/// Where and when an attempt went out.
+/// When and to which receiver an attempt was sent that may have been executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PossibleExecution {
-    /// Milliseconds of the wall clock since 1970.
+    /// When it was sent, in milliseconds of the wall clock since 1970.
     pub at: u64,
     /// The receiver's id.
     pub receiver: Rc<str>,
-    /// Its zone's name.
+    /// The name of the receiver's zone.
     pub zone: Rc<str>,
 }
 
-/// A message taken on, with its history.
+/// An accepted message with its attempt history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Its id.
     pub message_id: MessageId,
-    /// Its class's name.
+    /// The name of its class.
     pub class: Rc<str>,
-    /// Its tenant's name; empty where there are none.
+    /// The name of its tenant; empty where tenants are not used.
     pub tenant: Rc<str>,
     /// The number of its destination.
     pub destination: u16,
-    /// What its receivers know a repeat by, as the client gave it.
+    /// Its idempotency key, as the client gave it.
     pub key: Option<Bytes>,
-    /// When its time is up, in milliseconds of the wall clock since 1970.
+    /// Its deadline, in milliseconds of the wall clock since 1970.
     pub deadline: u64,
-    /// What goes on unchanged, [`MAX_BODY`] bytes at most.
+    /// Its body, which is forwarded unchanged: at most [`MAX_BODY`](crate::MAX_BODY) bytes.
     pub body: Bytes,
-    /// Attempts that were on record before their first byte.
+    /// Attempts that were recorded, each before its first byte was sent.
     pub attempts: u32,
-    /// The first attempt that is known to have run, or may have.
+    /// The earliest attempt that was executed, or may have been.
     pub possibly_executed: Option<PossibleExecution>,
-    /// The attempt that has no outcome yet.
-    pub out: Option<PossibleExecution>,
+    /// The latest attempt, while its outcome is not known.
+    pub in_flight: Option<PossibleExecution>,
 }
 
 impl Message {
-    /// Room that taking it on needs: its record again with a history, and its notice.
-    pub fn room(&self) -> u64 {
-        (self.body.len() + self.key.as_ref().map_or(0, Bytes::len) + 2 * self.message_id.len() + 768) as u64
+    /// Upper bound of the journal space that the message needs until it is acknowledged, in bytes: its record, once
+    /// written again with its attempt history, and its notification.
+    pub fn reserved_bytes(&self) -> u64 {
+        let key_len = self.key.as_ref().map_or(0, Bytes::len);
+        (self.body.len() + key_len + 2 * self.message_id.len() + RECORD_OVERHEAD) as u64
+    }
+
+    /// Records that attempt number `attempt`, counted from 0, is sent.
+    ///
+    /// An earlier attempt without an outcome was interrupted by the end of its process and may have been executed,
+    /// whatever the outcome of this one.
+    pub(crate) fn start_attempt(&mut self, attempt: u32, execution: Option<PossibleExecution>) {
+        self.settle_in_flight(true);
+        self.attempts = self.attempts.max(attempt.saturating_add(1));
+        self.in_flight = execution;
+    }
+
+    /// Records the outcome of an attempt. `None` is the attempt in flight: older journals do not store its number.
+    ///
+    /// The outcome of an attempt that was never recorded, as its batch could not be written, is ignored: it is not
+    /// the attempt in flight.
+    pub(crate) fn finish_attempt(&mut self, attempt: Option<u32>, possibly_executed: bool) {
+        if attempt.is_none_or(|attempt| self.attempts == attempt.saturating_add(1)) {
+            self.settle_in_flight(possibly_executed);
+        }
+    }
+
+    /// Ends the attempt in flight, if there is one. The earliest possible execution is kept.
+    pub(crate) fn settle_in_flight(&mut self, possibly_executed: bool) {
+        let execution = self.in_flight.take().filter(|_| possibly_executed);
+        self.possibly_executed = self.possibly_executed.take().or(execution);
     }
 }
 
-/// How a message that was taken on and not delivered ended.
+/// A pending notification: the final status of an accepted message that was not delivered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Notice {
-    /// Its id.
+    /// The message's id.
     pub message_id: MessageId,
-    /// How it ended.
+    /// Its final status.
     pub status: Status,
 }
 
-/// The end of a message that was not delivered.
+/// The final status of a message that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Failed: nothing is promised.
+    /// It failed for good.
     Undeliverable,
-    /// The client may come again, after so many milliseconds if told.
+    /// The client may submit it again, after so many milliseconds if they are given.
     Deferred(Option<u64>),
 }
 
-/// What an owner that has ended still owed.
+/// The unfinished work of an owner that has ended, as its successor takes it over.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct TakenOver {
-    /// Messages that are owed their end, with their history.
-    pub open: Vec<Message>,
-    /// Notices that have not been acknowledged.
-    pub owed: Vec<Notice>,
-}
-
-impl Message {
-    /// An attempt goes out. An earlier one that has no outcome was cut off by the end of its process, and may
-    /// have run: nothing that comes of this one changes that.
-    pub(crate) fn begin(&mut self, attempt: u32, ran: Option<PossibleExecution>) {
-        self.settle(true);
-        self.attempts = self.attempts.max(attempt.saturating_add(1));
-        self.out = ran;
-    }
-
-    /// An attempt has ended. One that never was on record, as its batch could not be written, is not the one
-    /// that is out. Outcomes of older journals do not say which they are of.
-    pub(crate) fn end(&mut self, attempt: Option<u32>, possibly_executed: bool) {
-        if attempt.is_none_or(|attempt| self.attempts == attempt.saturating_add(1)) {
-            self.settle(possibly_executed);
-        }
-    }
-
-    pub(crate) fn settle(&mut self, possibly_executed: bool) {
-        let ran = self.out.take().filter(|_| possibly_executed);
-        self.possibly_executed = self.possibly_executed.take().or(ran);
-    }
+    /// Messages that are not complete, with their attempt history.
+    pub pending_messages: Vec<Message>,
+    /// Notifications that have not been acknowledged.
+    pub pending_notifications: Vec<Notice>,
 }
--- /dev/null
+++ b/crates/journal/src/outage_records.rs
@@ -0,0 +1,130 @@
+//! Outage states that a restarted sender resumes from: one record for each endpoint in an outage or recovering from one.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// How long a record stays valid beyond the wait that it holds, in milliseconds: by then the endpoint has recovered, or
+/// its state is known anew.
+const RECORD_LIFETIME_MS: u64 = 60_000;
+/// Maximum number of records; the oldest is evicted. Together they fill less than a segment.
+const MAX_RECORDS: usize = 1_000;
+
+/// The recorded state of a destination, or of one of its receivers.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum OutageState {
+    /// In an outage.
+    Down {
+        /// What is left of the announced Retry-After, in milliseconds; 0 if there was none.
+        wait: u64,
+    },
+    /// In the recovery ramp after an outage.
+    WarmingUp {
+        /// Milliseconds since the ramp began; negative while a wait must pass first.
+        ago: i64,
+        /// This sender's share of the ramp, from 0 to 1.
+        part: f64,
+    },
+}
+
+/// A destination, or one of its receivers.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct EndpointKey {
+    /// The destination's number.
+    pub destination: u16,
+    /// The receiver's id; empty for the destination as a whole.
+    pub receiver: Rc<str>,
+}
+
+impl EndpointKey {
+    /// The key of one receiver, or of the whole destination if `receiver` is empty.
+    pub fn new(destination: u16, receiver: impl Into<Rc<str>>) -> Self {
+        Self { destination, receiver: receiver.into() }
+    }
+}
+
+/// The latest record of an endpoint's state.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct OutageRecord {
+    /// The segment that holds the record.
+    pub segment: u64,
+    /// When the state was recorded, in milliseconds of the wall clock since 1970.
+    pub recorded_at: u64,
+    /// The state at that time.
+    pub outage: OutageState,
+}
+
+impl OutageRecord {
+    fn is_expired(&self, now_ms: u64) -> bool {
+        let wait = if let OutageState::Down { wait } = self.outage { wait } else { 0 };
+        now_ms.saturating_sub(self.recorded_at) > wait.saturating_add(RECORD_LIFETIME_MS)
+    }
+
+    /// The state after the time since it was recorded has passed. If the wall clock was set back no time has passed.
+    fn state_at(&self, now_ms: u64) -> OutageState {
+        let elapsed = now_ms.saturating_sub(self.recorded_at);
+        match self.outage {
+            OutageState::Down { wait } => OutageState::Down { wait: wait.saturating_sub(elapsed) },
+            OutageState::WarmingUp { ago, part } => {
+                OutageState::WarmingUp { ago: ago.saturating_add_unsigned(elapsed), part }
+            }
+        }
+    }
+}
+
+/// The outage records of a journal, by endpoint: at most [`MAX_RECORDS`].
+#[derive(Debug, Default)]
+pub(crate) struct OutageRecords(BTreeMap<EndpointKey, OutageRecord>);
+
+impl OutageRecords {
+    /// Replaces the record of an endpoint; `None` removes it.
+    pub fn set(&mut self, endpoint: EndpointKey, record: Option<OutageRecord>) {
+        match record {
+            Some(record) => self.0.insert(endpoint, record),
+            None => self.0.remove(&endpoint),
+        };
+        if self.0.len() > MAX_RECORDS {
+            self.evict_oldest();
+        }
+    }
+
+    fn evict_oldest(&mut self) {
+        let by_age = self.0.iter().min_by_key(|(_, record)| record.recorded_at);
+        if let Some(oldest) = by_age.map(|(endpoint, _)| endpoint.clone()) {
+            self.0.remove(&oldest);
+        }
+    }
+
+    /// The states that are valid at this time of the wall clock, in the order of their endpoints.
+    pub fn states_at(&self, now_ms: u64) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
+        let valid = self.0.iter().filter(move |(_, record)| !record.is_expired(now_ms));
+        valid.map(move |(endpoint, record)| (endpoint, record.state_at(now_ms)))
+    }
+
+    /// Adds records of an earlier process, for endpoints that have none yet.
+    pub fn add_older(&mut self, older: Self) {
+        for (endpoint, record) in older.0 {
+            if !self.0.contains_key(&endpoint) {
+                self.set(endpoint, Some(record));
+            }
+        }
+    }
+
+    /// Removes the records in a segment that have expired.
+    pub fn remove_expired(&mut self, segment: u64, now_ms: u64) {
+        self.0.retain(|_, record| record.segment != segment || !record.is_expired(now_ms));
+    }
+
+    /// The records in a segment, in the order of their endpoints.
+    pub fn in_segment(&self, segment: u64) -> impl Iterator<Item = (&EndpointKey, &OutageRecord)> {
+        self.0.iter().filter(move |(_, record)| record.segment == segment)
+    }
+
+    /// Notes that the records of one segment were written again to another.
+    pub fn move_segment(&mut self, from: u64, to: u64) {
+        let moved = self.0.values_mut().filter(|record| record.segment == from);
+        moved.for_each(|record| record.segment = to);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/journal/src/record/encode.rs
@@ -0,0 +1,126 @@
+//! Encoding of records: each function appends one record to a batch.
+
+use super::{FRAME_LEN, RecordKind, notification_code, outage_code};
+use crate::MessageId;
+use crate::message::{Message, PossibleExecution, Status};
+use crate::outage_records::{EndpointKey, OutageState};
+
+/// Appends a record whose fields `write_fields` writes.
+pub(crate) fn append_record(batch: &mut Vec<u8>, kind: RecordKind, write_fields: impl FnOnce(&mut Vec<u8>)) {
+    let start = batch.len();
+    batch.extend([0; FRAME_LEN]);
+    batch.push(kind as u8);
+    write_fields(batch);
+    let (frame, payload) = batch[start..].split_at_mut(FRAME_LEN);
+    frame[..4].copy_from_slice(&(payload.len() as u32).to_le_bytes());
+    frame[4..].copy_from_slice(&crc32fast::hash(payload).to_le_bytes());
+}
+
+/// Appends a message with its attempt history.
+pub(crate) fn append_accepted(batch: &mut Vec<u8>, message: &Message) {
+    append_record(batch, RecordKind::Accepted, |payload| {
+        write_text(payload, &message.message_id);
+        write_text(payload, &message.class);
+        write_text(payload, &message.tenant);
+        payload.extend(message.destination.to_le_bytes());
+        payload.push(u8::from(message.key.is_some()));
+        write_bytes(payload, message.key.as_deref().unwrap_or_default());
+        payload.extend(message.deadline.to_le_bytes());
+        payload.extend(message.attempts.to_le_bytes());
+        write_execution(payload, message.possibly_executed.as_ref());
+        write_execution(payload, message.in_flight.as_ref());
+        write_bytes(payload, &message.body);
+    });
+}
+
+/// Appends that attempt number `attempt`, counted from 0, is about to be sent.
+pub(crate) fn append_attempt_started(
+    batch: &mut Vec<u8>,
+    message_id: &MessageId,
+    attempt: u32,
+    execution: &PossibleExecution,
+) {
+    append_record(batch, RecordKind::AttemptStarted, |payload| {
+        write_text(payload, message_id);
+        payload.extend(attempt.to_le_bytes());
+        write_execution(payload, Some(execution));
+    });
+}
+
+/// Appends the outcome of attempt number `attempt`, counted from 0.
+pub(crate) fn append_attempt_finished(
+    batch: &mut Vec<u8>,
+    message_id: &MessageId,
+    attempt: u32,
+    possibly_executed: bool,
+) {
+    append_record(batch, RecordKind::AttemptFinished, |payload| {
+        write_text(payload, message_id);
+        payload.push(u8::from(possibly_executed));
+        payload.extend(attempt.to_le_bytes());
+    });
+}
+
+/// Appends that a message is complete, and its pending notification if there is one.
+pub(crate) fn append_completed(batch: &mut Vec<u8>, message_id: &MessageId, notification: Option<Status>) {
+    let (code, retry_after_ms) = match notification {
+        None => (notification_code::NONE, 0),
+        Some(Status::Undeliverable) => (notification_code::UNDELIVERABLE, 0),
+        Some(Status::Deferred(None)) => (notification_code::DEFERRED, 0),
+        Some(Status::Deferred(Some(retry_after_ms))) => {
+            (notification_code::DEFERRED_WITH_WAIT, retry_after_ms)
+        }
+    };
+    append_record(batch, RecordKind::Completed, |payload| {
+        write_text(payload, message_id);
+        payload.push(code);
+        payload.extend(retry_after_ms.to_le_bytes());
+    });
+}
+
+/// Appends that the notification of a message was acknowledged.
+pub(crate) fn append_acknowledged(batch: &mut Vec<u8>, message_id: &MessageId) {
+    append_record(batch, RecordKind::Acknowledged, |payload| write_text(payload, message_id));
+}
+
+/// Appends the outage state of an endpoint at a time of the wall clock; `None` is healthy.
+pub(crate) fn append_outage(
+    batch: &mut Vec<u8>,
+    endpoint: &EndpointKey,
+    recorded_at: u64,
+    outage: Option<OutageState>,
+) {
+    let (code, duration_ms, part) = match outage {
+        None => (outage_code::HEALTHY, 0, 0.0),
+        Some(OutageState::Down { wait }) => (outage_code::DOWN, wait.min(i64::MAX as u64) as i64, 0.0),
+        Some(OutageState::WarmingUp { ago, part }) => (outage_code::WARMING_UP, ago, part),
+    };
+    append_record(batch, RecordKind::Outage, |payload| {
+        write_text(payload, &endpoint.receiver);
+        payload.extend(endpoint.destination.to_le_bytes());
+        payload.extend(recorded_at.to_le_bytes());
+        payload.push(code);
+        payload.extend(duration_ms.to_le_bytes());
+        payload.extend(part.to_le_bytes());
+    });
+}
+
+/// Writes text, preceded by its length.
+pub(crate) fn write_text(payload: &mut Vec<u8>, text: &str) {
+    write_bytes(payload, text.as_bytes());
+}
+
+fn write_bytes(payload: &mut Vec<u8>, bytes: &[u8]) {
+    payload.extend((bytes.len() as u32).to_le_bytes());
+    payload.extend(bytes);
+}
+
+/// Writes whether there is an execution, then its fields.
+fn write_execution(payload: &mut Vec<u8>, execution: Option<&PossibleExecution>) {
+    payload.push(u8::from(execution.is_some()));
+    if let Some(execution) = execution {
+        payload.extend(execution.at.to_le_bytes());
+        write_text(payload, &execution.receiver);
+        write_text(payload, &execution.zone);
+    }
+}
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -1,170 +1,119 @@
-//! What the records of segments say, read in their order.
+//! Replay: restores the state of a journal from its segments.
 
-use std::collections::{HashMap, VecDeque};
+use std::collections::VecDeque;
 use std::fs::{self, OpenOptions};
-use std::io;
 use std::path::Path;
 
-use bytes::Bytes;
+use crate::entries::{Entries, Entry, EntryState};
+use crate::message::PossibleExecution;
+use crate::outage_records::{OutageRecord, OutageRecords};
+use crate::record::{FRAME_LEN, FieldReader, MAX_PAYLOAD_LEN, Record};
+use crate::segments::{Segment, segment_path};
+use crate::{JournalError, Message};
 
-use crate::MessageId;
-use crate::memory::{OutageRecord, OutageRecords, OutageState};
-use crate::message::{Message, Status};
-use crate::record::*;
-use crate::segments::{Segment, path};
-
-/// What an id stands for, and the segment that holds its last full record.
-#[derive(Debug)]
-pub(crate) struct Entry {
-    pub segment: u64,
-    pub state: State,
-}
-
-#[derive(Debug)]
-pub(crate) enum State {
-    Open(Message),
-    Owed(Status),
-}
-
-/// What the records read so far say.
+/// The state that the replayed records add up to.
 #[derive(Debug, Default)]
-pub(crate) struct Contents {
-    pub entries: HashMap<MessageId, Entry>,
+pub(crate) struct ReplayedState {
+    /// Messages and notifications that are pending.
+    pub entries: Entries,
+    /// The outage states of endpoints.
     pub outage_records: OutageRecords,
-    /// When the latest attempt on record went out, in milliseconds of the wall clock since 1970; 0 if there is none.
+    /// When the latest recorded attempt was sent, in milliseconds of the wall clock since 1970; 0 if there is none.
     pub latest_attempt: u64,
 }
 
-impl Entry {
-    pub fn room(&self, message_id: &MessageId) -> u64 {
-        match &self.state {
-            State::Open(message) => message.room(),
-            State::Owed(_) => (message_id.len() + FRAME + 16) as u64,
-        }
-    }
-}
-
-/// Reads segments of processes that have ended, and cuts what is torn.
-pub(crate) fn read(folder: &Path, numbers: &[u64], contents: &mut Contents) -> io::Result<VecDeque<Segment>> {
+/// Replays the segments of processes that have ended, in the order of their numbers, and truncates torn tails.
+///
+/// # Errors
+///
+/// [`JournalError::Io`] if a segment cannot be read or truncated.
+pub(crate) fn replay_segments(
+    folder: &Path,
+    numbers: &[u64],
+    state: &mut ReplayedState,
+) -> Result<VecDeque<Segment>, JournalError> {
     let mut segments = VecDeque::new();
     for &number in numbers {
-        let path = path(folder, number);
-        let bytes = fs::read(&path)?;
-        let end = replay(&bytes, number, contents);
+        let path = segment_path(folder, number);
+        let bytes = fs::read(&path).map_err(JournalError::at(&path))?;
+        let end = replay_segment(&bytes, number, state);
         if end < bytes.len() {
             tracing::warn!("journal: segment {number} ends in {} torn bytes: cut", bytes.len() - end);
-            OpenOptions::new().write(true).open(&path)?.set_len(end as u64)?;
+            truncate(&path, end as u64)?;
         }
         segments.push_back(Segment { number, bytes: end as u64 });
     }
-    // Nothing of an earlier process is out any more.
-    for entry in contents.entries.values_mut() {
-        if let State::Open(message) = &mut entry.state {
-            message.settle(true);
-        }
-    }
+    state.entries.interrupt_attempts();
     Ok(segments)
 }
 
-pub(crate) fn open_mut<'a>(
-    entries: &'a mut HashMap<MessageId, Entry>,
-    message_id: &MessageId,
-) -> Option<&'a mut Message> {
-    match entries.get_mut(message_id).map(|e| &mut e.state) {
-        Some(State::Open(message)) => Some(message),
-        _ => None,
-    }
+fn truncate(path: &Path, length: u64) -> Result<(), JournalError> {
+    let file = OpenOptions::new().write(true).open(path).map_err(JournalError::at(path))?;
+    file.set_len(length).map_err(JournalError::at(path))
 }
 
-/// Takes in a segment; returns where its last whole record ends.
-pub(crate) fn replay(bytes: &[u8], segment: u64, contents: &mut Contents) -> usize {
-    let mut at = 0;
-    while let Some((frame, rest)) = bytes[at..].split_at_checked(FRAME) {
-        let mut fields = Fields(frame);
-        let (Some(length), Some(sum)) = (fields.u32(), fields.u32()) else { break };
+/// Replays the records of one segment; returns the end of its last complete record. Corrupt records are skipped.
+pub(crate) fn replay_segment(bytes: &[u8], segment: u64, state: &mut ReplayedState) -> usize {
+    let mut offset = 0;
+    while let Some((frame, rest)) = bytes[offset..].split_at_checked(FRAME_LEN) {
+        let mut frame = FieldReader::new(frame);
+        let (Some(length), Some(checksum)) = (frame.u32(), frame.u32()) else { break };
         let length = length as usize;
-        if length > MAX_PAYLOAD {
-            tracing::warn!("journal: segment {segment} is damaged at byte {at}: the rest of it is lost");
+        if length > MAX_PAYLOAD_LEN {
+            tracing::warn!("journal: segment {segment} is damaged at byte {offset}: the rest of it is lost");
             break;
         }
         let Some(payload) = rest.get(..length) else { break };
-        if crc32fast::hash(payload) != sum {
-            tracing::warn!("journal: segment {segment} has a damaged record at byte {at}: skipped");
-        } else if apply(payload, segment, contents).is_none() {
-            tracing::warn!("journal: segment {segment} has an unreadable record at byte {at}: skipped");
+        if crc32fast::hash(payload) != checksum {
+            tracing::warn!("journal: segment {segment} has a damaged record at byte {offset}: skipped");
+        } else if let Some(record) = Record::decode(payload) {
+            state.apply(record, segment);
+        } else {
+            tracing::warn!("journal: segment {segment} has an unreadable record at byte {offset}: skipped");
         }
-        at += FRAME + length;
+        offset += FRAME_LEN + length;
     }
-    at
+    offset
 }
 
-fn apply(payload: &[u8], segment: u64, contents: &mut Contents) -> Option<()> {
-    let Contents { entries, outage_records, latest_attempt } = contents;
-    let mut f = Fields(payload);
-    let (tag, message_id) = (f.u8()?, f.text()?);
-    match tag {
-        TAKEN => {
-            let (class, tenant, destination) = (f.text()?, f.text()?, f.u16()?);
-            let key = (f.u8()? != 0, f.bytes()?);
-            let message = Message {
-                message_id: message_id.clone(),
-                class,
-                tenant,
-                destination,
-                key: key.0.then(|| Bytes::copy_from_slice(key.1)),
-                deadline: f.u64()?,
-                attempts: f.u32()?,
-                possibly_executed: f.ran()?,
-                out: f.ran()?,
-                body: Bytes::copy_from_slice(f.bytes()?),
-            };
-            let ran = message.possibly_executed.iter().chain(&message.out).map(|ran| ran.at);
-            *latest_attempt = ran.fold(*latest_attempt, u64::max);
-            entries.insert(message_id, Entry { segment, state: State::Open(message) });
-        }
-        ATTEMPT => {
-            let (number, ran) = (f.u32()?, f.ran()?);
-            *latest_attempt = ran.iter().map(|ran| ran.at).fold(*latest_attempt, u64::max);
-            if let Some(message) = open_mut(entries, &message_id) {
-                message.begin(number, ran);
-            }
-        }
-        OUTCOME => {
-            let (possibly_executed, attempt) = (f.u8()? != 0, f.u32());
-            if let Some(message) = open_mut(entries, &message_id) {
-                message.end(attempt, possibly_executed);
+impl ReplayedState {
+    fn apply(&mut self, record: Record, segment: u64) {
+        match record {
+            Record::Accepted(message) => self.apply_accepted(message, segment),
+            Record::AttemptStarted { message_id, attempt, execution } => {
+                self.note_attempt(execution.as_ref());
+                if let Some(message) = self.entries.pending_message_mut(&message_id) {
+                    message.start_attempt(attempt, execution);
+                }
             }
-        }
-        ENDED => {
-            let (tag, again) = (f.u8()?, f.u64()?);
-            let status = match tag {
-                0 => None,
-                1 => Some(Status::Undeliverable),
-                2 => Some(Status::Deferred(None)),
-                3 => Some(Status::Deferred(Some(again))),
-                _ => return None,
-            };
-            match status {
-                None => drop(entries.remove(&message_id)),
-                Some(status) => {
-                    drop(entries.insert(message_id, Entry { segment, state: State::Owed(status) }))
+            Record::AttemptFinished { message_id, attempt, possibly_executed } => {
+                if let Some(message) = self.entries.pending_message_mut(&message_id) {
+                    message.finish_attempt(attempt, possibly_executed);
                 }
             }
+            Record::Completed { message_id, notification: None } | Record::Acknowledged { message_id } => {
+                self.entries.remove(&message_id);
+            }
+            Record::Completed { message_id, notification: Some(status) } => {
+                self.entries.insert(message_id, Entry { segment, state: EntryState::Notification(status) });
+            }
+            Record::Outage { endpoint, recorded_at, outage } => {
+                let record = outage.map(|outage| OutageRecord { segment, recorded_at, outage });
+                self.outage_records.set(endpoint, record);
+            }
         }
-        SETTLED => drop(entries.remove(&message_id)),
-        OUTAGE_RECORD => {
-            let (destination, at, tag) = (f.u16()?, f.u64()?, f.u8()?);
-            let (ms, part) = (f.u64()? as i64, f64::from_bits(f.u64()?));
-            let outage = match tag {
-                0 => None,
-                1 => Some(OutageState::Down { wait: ms.try_into().ok()? }),
-                2 if (0.0..=1.0).contains(&part) => Some(OutageState::WarmingUp { ago: ms, part }),
-                _ => return None,
-            };
-            let memory = outage.map(|outage| OutageRecord { segment, at, outage });
-            outage_records.put((destination, message_id), memory);
+    }
+
+    fn apply_accepted(&mut self, message: Message, segment: u64) {
+        self.note_attempt(message.possibly_executed.as_ref());
+        self.note_attempt(message.in_flight.as_ref());
+        let message_id = message.message_id.clone();
+        self.entries.insert(message_id, Entry { segment, state: EntryState::Message(message) });
+    }
+
+    fn note_attempt(&mut self, execution: Option<&PossibleExecution>) {
+        if let Some(execution) = execution {
+            self.latest_attempt = self.latest_attempt.max(execution.at);
         }
-        _ => return None,
     }
-    Some(())
 }
--- a/crates/journal/src/segments.rs
+++ b/crates/journal/src/segments.rs
@@ -1,4 +1,4 @@
-//! The files that records are written to, oldest first.
+//! The segment files that records are appended to, oldest first.
 
 use std::collections::VecDeque;
 use std::fmt::Debug;
@@ -6,139 +6,183 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Size from which a new segment is begun; longer than any record, and the most that a batch takes on. So a
-/// segment holds less than two of these and some short records.
-pub(crate) const SEGMENT: u64 = 128 * 1024;
-/// What the platform counts a file in.
-const BLOCK: u64 = 512;
+use crate::JournalError;
 
-/// The file that is written to; in tests one that fails on cue.
-trait Tail: Write + Debug {
-    /// Cuts what lies behind so many bytes.
-    fn cut(&self, length: u64) -> io::Result<()>;
+/// Size at which the next segment is started, in bytes: longer than any record, and the most that the new messages of a
+/// batch add. A segment therefore holds less than two of these and some short records.
+pub(crate) const SEGMENT_SIZE: u64 = 128 * 1024;
+/// Block size in which the platform accounts for disk usage, in bytes.
+const BLOCK_SIZE: u64 = 512;
+/// Start of a segment's file name; its number follows.
+const FILE_NAME_PREFIX: &str = "journal-";
+
+/// The file that records are appended to; tests use one that fails on demand.
+trait SegmentFile: Write + Debug {
+    /// Truncates the file to a length in bytes.
+    fn truncate(&self, length: u64) -> io::Result<()>;
 }
 
-impl Tail for File {
-    fn cut(&self, length: u64) -> io::Result<()> {
+impl SegmentFile for File {
+    fn truncate(&self, length: u64) -> io::Result<()> {
         self.set_len(length)
     }
 }
 
+/// One segment on disk.
 #[derive(Debug)]
 pub(crate) struct Segment {
+    /// Its number; segments are replayed in the order of their numbers.
     pub number: u64,
+    /// Its length, in bytes.
     pub bytes: u64,
 }
 
-/// Segments that this process owns; the last one is written to.
+/// The segments that this process owns: the last one is appended to. There is always at least one.
 #[derive(Debug)]
 pub(crate) struct Segments {
     folder: PathBuf,
     all: VecDeque<Segment>,
-    file: Box<dyn Tail>,
-    /// Whether the last one may end in half a record, as a write to it failed and it could not be cut.
-    torn: bool,
+    file: Box<dyn SegmentFile>,
+    /// Whether the last segment may end in half a record: a write to it failed, and it could not be truncated.
+    has_torn_tail: bool,
 }
 
 impl Segments {
-    /// Begins a new segment behind older ones.
-    pub fn begin(folder: &Path, mut older: VecDeque<Segment>, number: u64) -> io::Result<Self> {
+    /// Starts a new segment behind older ones.
+    ///
+    /// # Errors
+    ///
+    /// [`JournalError::Io`] if its file cannot be created.
+    pub fn start(folder: &Path, mut older: VecDeque<Segment>, number: u64) -> Result<Self, JournalError> {
         let file = create(folder, number)?;
         older.push_back(Segment { number, bytes: 0 });
-        Ok(Self { folder: folder.to_owned(), all: older, file: Box::new(file), torn: false })
+        Ok(Self { folder: folder.to_owned(), all: older, file: Box::new(file), has_torn_tail: false })
     }
 
-    /// Puts the segments of a process that has ended before ours.
-    pub fn put_before(&mut self, mut older: VecDeque<Segment>) {
+    /// Puts the segments of a process that has ended in front.
+    pub fn prepend(&mut self, mut older: VecDeque<Segment>) {
         older.append(&mut self.all);
         self.all = older;
     }
 
+    /// Number of segments.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
+    /// The number of the oldest segment.
     pub fn oldest(&self) -> u64 {
-        self.all.front().map_or(0, |s| s.number)
+        self.all.front().map_or(0, |segment| segment.number)
     }
 
+    /// The number of the segment that is appended to.
     pub fn current(&self) -> u64 {
-        self.all.back().map_or(0, |s| s.number)
+        self.all.back().map_or(0, |segment| segment.number)
     }
 
-    /// What all of them take of the disk.
-    pub fn total(&self) -> u64 {
-        self.all.iter().map(|s| s.bytes.next_multiple_of(BLOCK)).sum()
+    /// Disk usage of all segments, in bytes.
+    pub fn disk_usage(&self) -> u64 {
+        self.all.iter().map(|segment| segment.bytes.next_multiple_of(BLOCK_SIZE)).sum()
     }
 
-    /// Writes a batch, if all segments together stay within the budget.
-    pub fn append(&mut self, bytes: &[u8], budget: u64) -> io::Result<()> {
-        if self.total() + bytes.len() as u64 + 2 * BLOCK > budget {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal has no room"));
+    /// Appends records, if all segments together stay within the budget. After an error nothing was appended.
+    ///
+    /// # Errors
+    ///
+    /// [`JournalError::Full`] if the records do not fit; [`JournalError::Io`] if they cannot be written.
+    pub fn append(&mut self, records: &[u8], budget: u64) -> Result<(), JournalError> {
+        if self.disk_usage() + records.len() as u64 + 2 * BLOCK_SIZE > budget {
+            return Err(JournalError::Full);
         }
-        if self.torn {
-            self.leave_torn_tail()?;
+        if self.has_torn_tail {
+            self.recover_torn_tail()?;
         }
+        self.write(records)?;
+        self.start_next_if_full();
+        Ok(())
+    }
+
+    fn write(&mut self, records: &[u8]) -> Result<(), JournalError> {
         let Some(segment) = self.all.back_mut() else { return Ok(()) };
-        if let Err(error) = self.file.write_all(bytes) {
-            // Half a record in the middle would hide what follows it.
-            self.torn = self.file.cut(segment.bytes).is_err();
-            return Err(error);
-        }
-        segment.bytes += bytes.len() as u64;
-        if segment.bytes >= SEGMENT
-            && let Err(error) = self.begin_next()
-        {
-            // What was to be written is written: this segment just grows longer.
-            tracing::warn!("journal: no new segment could be begun: {error}");
+        if let Err(error) = self.file.write_all(records) {
+            // Half a record in the middle would hide the records behind it.
+            self.has_torn_tail = self.file.truncate(segment.bytes).is_err();
+            return Err(JournalError::at(&segment_path(&self.folder, segment.number))(error));
         }
+        segment.bytes += records.len() as u64;
         Ok(())
     }
 
-    /// Writes nothing behind half a record: either it can be cut now, or it ends its segment, where reading cuts it.
-    fn leave_torn_tail(&mut self) -> io::Result<()> {
-        let (number, bytes) = self.all.back().map_or((0, 0), |s| (s.number, s.bytes));
-        if self.file.cut(bytes).is_err() {
-            self.begin_next()?;
-            let taken = fs::metadata(path(&self.folder, number)).map_or(bytes, |file| file.len());
-            self.all.iter_mut().filter(|s| s.number == number).for_each(|s| s.bytes = taken);
+    /// Keeps new records from following half a record: it is truncated now, or else ends its segment, where replay
+    /// truncates it.
+    fn recover_torn_tail(&mut self) -> Result<(), JournalError> {
+        let Some(torn) = self.all.back() else { return Ok(()) };
+        let number = torn.number;
+        let complete_bytes = torn.bytes;
+        if self.file.truncate(complete_bytes).is_err() {
+            self.start_next()?;
+            let path = segment_path(&self.folder, number);
+            let bytes_on_disk = fs::metadata(path).map_or(complete_bytes, |file| file.len());
+            let torn = self.all.iter_mut().filter(|segment| segment.number == number);
+            torn.for_each(|segment| segment.bytes = bytes_on_disk);
         }
-        self.torn = false;
+        self.has_torn_tail = false;
         Ok(())
     }
 
-    fn begin_next(&mut self) -> io::Result<()> {
+    fn start_next_if_full(&mut self) {
+        let is_full = self.all.back().is_some_and(|segment| segment.bytes >= SEGMENT_SIZE);
+        if is_full && let Err(error) = self.start_next() {
+            tracing::warn!(%error, "journal: no new segment could be started, the present one keeps growing");
+        }
+    }
+
+    fn start_next(&mut self) -> Result<(), JournalError> {
         let number = self.current() + 1;
         self.file = Box::new(create(&self.folder, number)?);
         self.all.push_back(Segment { number, bytes: 0 });
         Ok(())
     }
 
-    pub fn remove_oldest(&mut self) -> io::Result<()> {
-        fs::remove_file(path(&self.folder, self.oldest()))?;
+    /// Deletes the oldest segment.
+    ///
+    /// # Errors
+    ///
+    /// [`JournalError::Io`] if its file cannot be deleted.
+    pub fn remove_oldest(&mut self) -> Result<(), JournalError> {
+        let path = segment_path(&self.folder, self.oldest());
+        fs::remove_file(&path).map_err(JournalError::at(&path))?;
         self.all.pop_front();
         Ok(())
     }
 }
 
-pub(crate) fn path(folder: &Path, number: u64) -> PathBuf {
-    folder.join(format!("journal-{number:08}"))
+/// The file of a segment.
+pub(crate) fn segment_path(folder: &Path, number: u64) -> PathBuf {
+    folder.join(format!("{FILE_NAME_PREFIX}{number:08}"))
 }
 
-/// The numbers of the segments in a folder, in their order.
-pub(crate) fn numbers(folder: &Path) -> io::Result<Vec<u64>> {
-    let mut numbers: Vec<u64> = Vec::new();
-    for entry in fs::read_dir(folder)? {
-        let name = entry?.file_name();
-        let number = name.to_str().and_then(|n| n.strip_prefix("journal-")).and_then(|n| n.parse().ok());
-        numbers.extend::<Option<u64>>(number);
+/// The numbers of the segments in a folder, ascending.
+///
+/// # Errors
+///
+/// [`JournalError::Io`] if the folder cannot be read.
+pub(crate) fn segment_numbers(folder: &Path) -> Result<Vec<u64>, JournalError> {
+    let mut numbers = Vec::new();
+    for entry in fs::read_dir(folder).map_err(JournalError::at(folder))? {
+        let name = entry.map_err(JournalError::at(folder))?.file_name();
+        let number = name.to_str().and_then(|name| name.strip_prefix(FILE_NAME_PREFIX));
+        if let Some(number) = number.and_then(|number| number.parse().ok()) {
+            numbers.push(number);
+        }
     }
     numbers.sort_unstable();
     Ok(numbers)
 }
 
-fn create(folder: &Path, number: u64) -> io::Result<File> {
-    OpenOptions::new().append(true).create_new(true).open(path(folder, number))
+fn create(folder: &Path, number: u64) -> Result<File, JournalError> {
+    let path = segment_path(folder, number);
+    OpenOptions::new().append(true).create_new(true).open(&path).map_err(JournalError::at(&path))
 }
 
 #[cfg(test)]
--- a/crates/journal/src/segments/tests.rs
+++ b/crates/journal/src/segments/tests.rs
@@ -1,30 +1,32 @@
-//! Writes that fail half-way.
+//! Writes that fail part-way.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use super::*;
 use crate::message::Message;
-use crate::record::put_taken;
-use crate::replay::read;
+use crate::record::append_accepted;
+use crate::replay::{ReplayedState, replay_segments};
 
-/// A file of which one write stops after so many bytes, as on a disk that is full, and which cannot be cut so often.
+/// A file of which one write stops after so many bytes, as on a full disk, and whose first truncations fail.
 #[derive(Debug)]
-struct CorruptRecord {
+struct FailingFile {
     file: File,
-    writes: Rc<Cell<Option<usize>>>,
-    cuts_that_fail: Rc<Cell<usize>>,
+    /// Bytes that are written before one write fails; `None` if none fails.
+    bytes_until_failure: Rc<Cell<Option<usize>>>,
+    /// How many truncations fail.
+    failing_truncations: Cell<usize>,
 }
 
-impl Write for CorruptRecord {
+impl Write for FailingFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        match self.writes.get() {
+        match self.bytes_until_failure.get() {
             Some(0) => {
-                self.writes.set(None);
+                self.bytes_until_failure.set(None);
                 Err(io::ErrorKind::StorageFull.into())
             }
             Some(left) => {
-                self.writes.set(Some(0));
+                self.bytes_until_failure.set(Some(0));
                 self.file.write(&bytes[..left])
             }
             None => self.file.write(bytes),
@@ -36,67 +38,68 @@
     }
 }
 
-impl Tail for CorruptRecord {
-    fn cut(&self, length: u64) -> io::Result<()> {
-        if self.cuts_that_fail.get() == 0 {
+impl SegmentFile for FailingFile {
+    fn truncate(&self, length: u64) -> io::Result<()> {
+        if self.failing_truncations.get() == 0 {
             return self.file.set_len(length);
         }
-        self.cuts_that_fail.set(self.cuts_that_fail.get() - 1);
-        Err(io::Error::other("it cannot be cut"))
+        self.failing_truncations.set(self.failing_truncations.get() - 1);
+        Err(io::Error::other("it cannot be truncated"))
     }
 }
 
 fn record(message_id: &str) -> Vec<u8> {
     let mut record = Vec::new();
-    let body = vec![b'x'; 300].into();
-    let (possibly_executed, out, key) = (None, None, None);
-    let (class, tenant, destination) = ("safe".into(), "acme".into(), 7);
-    let (message_id, deadline, attempts) = (message_id.into(), 5, 0);
     let message = Message {
-        message_id,
-        class,
-        tenant,
-        destination,
-        key,
-        deadline,
-        body,
-        attempts,
-        possibly_executed,
-        out,
+        message_id: message_id.into(),
+        class: "safe".into(),
+        tenant: "acme".into(),
+        destination: 7,
+        key: None,
+        deadline: 5,
+        body: vec![b'x'; 300].into(),
+        attempts: 0,
+        possibly_executed: None,
+        in_flight: None,
     };
-    put_taken(&mut record, &message);
+    append_accepted(&mut record, &message);
     record
 }
 
-/// The cut may succeed at once, before the next batch, or never.
+/// The truncation may succeed at once, before the next batch, or never.
 #[test]
-fn half_a_record_of_a_write_that_failed_hides_nothing_that_is_written_later() {
-    for cuts_that_fail in 0..=2 {
+fn a_torn_record_of_a_failed_write_hides_no_record_that_is_written_later() {
+    for failing_truncations in 0..=2 {
         let folder = tempfile::tempdir().expect("a folder");
-        let mut segments = Segments::begin(folder.path(), VecDeque::new(), 0).expect("a segment");
-        let writes = Rc::new(Cell::new(None));
-        let file = OpenOptions::new().append(true).open(path(folder.path(), 0)).expect("the segment");
-        segments.file = Box::new(CorruptRecord {
+        let mut segments = Segments::start(folder.path(), VecDeque::new(), 0).expect("a segment");
+        let bytes_until_failure = Rc::new(Cell::new(None));
+        let file = OpenOptions::new().append(true).open(segment_path(folder.path(), 0)).expect("the segment");
+        segments.file = Box::new(FailingFile {
             file,
-            writes: writes.clone(),
-            cuts_that_fail: Rc::new(Cell::new(cuts_that_fail)),
+            bytes_until_failure: bytes_until_failure.clone(),
+            failing_truncations: Cell::new(failing_truncations),
         });
         segments.append(&record("before"), u64::MAX).expect("written");
-        writes.set(Some(150));
+        bytes_until_failure.set(Some(150));
         let error = segments.append(&record("half"), u64::MAX).expect_err("the disk is full");
-        assert_eq!(error.kind(), io::ErrorKind::StorageFull);
+        let JournalError::Io { path, source } = error else { panic!("{error}") };
+        assert_eq!(source.kind(), io::ErrorKind::StorageFull);
+        assert_eq!(path, segment_path(folder.path(), 0));
         for message_id in ["after", "and after"] {
             segments.append(&record(message_id), u64::MAX).expect("written");
         }
-        // Reading cuts.
-        let on_disk = numbers(folder.path()).expect("readable").into_iter();
-        let on_disk: u64 = on_disk.map(|n| path(folder.path(), n).metadata().expect("a file").len()).sum();
-        let counted: u64 = segments.all.iter().map(|s| s.bytes).sum();
-        let mut contents = Default::default();
-        read(folder.path(), &numbers(folder.path()).expect("readable"), &mut contents).expect("readable");
-        let mut known: Vec<_> = contents.entries.keys().map(|message_id| &**message_id).collect();
+        // Before the replay, which truncates.
+        let numbers = segment_numbers(folder.path()).expect("readable");
+        let files = numbers.iter().map(|&number| segment_path(folder.path(), number));
+        let on_disk: u64 = files.map(|file| file.metadata().expect("a file").len()).sum();
+        let counted: u64 = segments.all.iter().map(|segment| segment.bytes).sum();
+        let mut state = ReplayedState::default();
+        replay_segments(folder.path(), &numbers, &mut state).expect("readable");
+        let mut known: Vec<&str> =
+            state.entries.pending_messages().map(|message| &*message.message_id).collect();
         known.sort_unstable();
-        assert_eq!(known, ["after", "and after", "before"], "{cuts_that_fail} cuts fail");
-        assert_eq!(counted, on_disk, "{cuts_that_fail} cuts fail");
+        assert_eq!(known, ["after", "and after", "before"], "{failing_truncations} truncations fail");
+        assert_eq!(state.entries.pending_notifications().count(), 0);
+        assert_eq!(counted, on_disk, "{failing_truncations} truncations fail");
     }
 }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -1,250 +1,226 @@
-//! The journal: what is on record, and the batch that is to be.
+//! The journal of a process: the state on record, and the batch of records that is written next.
 
-mod succession;
+mod compaction;
+mod takeover;
 
-use std::collections::{HashMap, VecDeque};
-use std::io;
+use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 
-use crate::MessageId;
-use crate::claim::FolderLock;
-use crate::memory::{EndpointKey, OutageRecord, OutageRecords, OutageState};
-use crate::message::{Message, Notice, PossibleExecution, Status, TakenOver, wall_ms};
-use crate::record::{ATTEMPT, OUTCOME, SETTLED, put, put_ended, put_memory, put_ran, put_taken, put_text};
-use crate::replay::{Contents, Entry, State, open_mut, read};
-use crate::segments::{SEGMENT, Segments, numbers};
-
-/// Kept free between batches: for one batch (with short records), and for one segment that is moved.
-const RESERVE: u64 = 5 * SEGMENT;
-/// What is taken on stays so far below that moving it always frees enough.
-const HEADROOM: u64 = 8 * SEGMENT;
-/// A successor's segments are numbered so far behind those of the owner, which goes on writing for a while.
-const GENERATION: u64 = 1_000_000;
-
-/// The journal and what it says.
+use crate::entries::{Entries, Entry, EntryState};
+use crate::folder_lock::FolderLock;
+use crate::message::{Message, Notice, PossibleExecution, Status};
+use crate::outage_records::{EndpointKey, OutageRecord, OutageRecords, OutageState};
+use crate::record::{
+    append_accepted, append_acknowledged, append_attempt_finished, append_attempt_started, append_completed,
+    append_outage,
+};
+use crate::replay::{ReplayedState, replay_segments};
+use crate::segments::{SEGMENT_SIZE, Segment, Segments, segment_numbers};
+use crate::{JournalError, MessageId, wall_ms};
+
+/// Space that is kept free between batches, in bytes: for one batch (with short records), and for one segment that is
+/// moved.
+const RESERVE: u64 = 5 * SEGMENT_SIZE;
+/// Part of the budget that is not used for pending entries, in bytes, so that compaction always frees enough.
+const HEADROOM: u64 = 8 * SEGMENT_SIZE;
+/// How far the numbers of a successor's segments are ahead of the owner's, which goes on writing for a while.
+const SUCCESSOR_NUMBER_OFFSET: u64 = 1_000_000;
+
+/// A journal in a folder, opened by one process.
+///
+/// Changes are visible at once and durable after the next [`Store::commit`].
 #[derive(Debug)]
 pub struct Store {
     folder: PathBuf,
-    claim: FolderLock,
-    /// What all files may hold, and what ours may: half of it while two processes write.
-    disk: u64,
+    lock: FolderLock,
+    /// Maximum disk usage of all processes' segments, in bytes.
+    disk_budget: u64,
+    /// Maximum disk usage of this process's segments, in bytes: half of `disk_budget` while two processes write.
     budget: u64,
     segments: Segments,
-    /// The batch: what has come of messages, and then what is taken on and sent, which has not happened
-    /// unless it is written.
-    facts: Vec<u8>,
-    starts: Vec<u8>,
-    entries: HashMap<MessageId, Entry>,
+    /// The batch's records of what has happened already: kept for the next batch if they cannot be written.
+    retained_records: Vec<u8>,
+    /// The batch's records of what may happen only once they are written: dropped if they cannot be.
+    provisional_records: Vec<u8>,
+    entries: Entries,
     outage_records: OutageRecords,
+    /// In milliseconds of the wall clock since 1970; 0 if there is none.
     latest_attempt: u64,
-    /// Room that all entries need.
-    live: u64,
 }
 
 impl Store {
-    /// Reads the journal in `folder`, cuts a torn tail and begins a new segment. If another process owns it,
-    /// nothing is read, and half of the `budget` (bytes of all files together) is ours until [`Store::succeed`].
+    /// Opens the journal in `folder`: replays it, truncates a torn tail and starts a new segment. `disk_budget` is the
+    /// maximum disk usage of all segments together, in bytes.
+    ///
+    /// If another process owns the folder nothing is replayed, and half of the budget is this process's until
+    /// [`Store::take_over`].
     ///
     /// # Errors
     ///
-    /// What the file system says; [`io::ErrorKind::ResourceBusy`] if two processes use the folder already.
-    pub fn open(folder: &Path, budget: u64) -> io::Result<Self> {
-        let claim = FolderLock::of(folder)?;
-        let numbers = numbers(folder)?;
-        let mut contents = Contents::default();
-        let (older, number, ours) = if claim.is_owner() {
-            let next = numbers.last().map_or(0, |n| n + 1);
-            (read(folder, &numbers, &mut contents)?, next, budget)
-        } else {
-            (VecDeque::new(), numbers.last().map_or(0, |n| n + GENERATION), budget / 2)
-        };
-        let segments = Segments::begin(folder, older, number)?;
-        let Contents { entries, outage_records, latest_attempt } = contents;
-        let live = entries.iter().map(|(message_id, entry)| entry.room(message_id)).sum();
-        let folder = folder.to_owned();
-        let mut store = Self {
-            folder,
-            claim,
-            disk: budget,
-            budget: ours,
-            segments,
-            facts: Vec::new(),
-            starts: Vec::new(),
-            entries,
-            outage_records,
-            latest_attempt,
-            live,
-        };
-        // Times that have not come yet tell each later start, too, that the clock was set back: they go with the
-        // segments that hold them.
-        let most = if latest_attempt > wall_ms() { 0 } else { ours.saturating_sub(RESERVE) };
-        store.make_room_to(most)?;
+    /// [`JournalError::FolderInUse`] if two processes use the folder already; [`JournalError::Io`] if it cannot be
+    /// read or written.
+    pub fn open(folder: &Path, disk_budget: u64) -> Result<Self, JournalError> {
+        let lock = FolderLock::acquire(folder)?;
+        let numbers = segment_numbers(folder)?;
+        if !lock.is_owner() {
+            let number = numbers.last().map_or(0, |last| last + SUCCESSOR_NUMBER_OFFSET);
+            let segments = Segments::start(folder, VecDeque::<Segment>::new(), number)?;
+            return Ok(Self::new(folder, lock, disk_budget, segments, ReplayedState::default()));
+        }
+        let mut state = ReplayedState::default();
+        let older = replay_segments(folder, &numbers, &mut state)?;
+        let number = numbers.last().map_or(0, |last| last + 1);
+        let segments = Segments::start(folder, older, number)?;
+        let mut store = Self::new(folder, lock, disk_budget, segments, state);
+        store.compact_at_start()?;
         Ok(store)
     }
 
-    /// Messages that are still owed their end.
-    pub fn open_messages(&self) -> impl Iterator<Item = &Message> {
-        self.entries.values().filter_map(|e| match &e.state {
-            State::Open(message) => Some(message),
-            State::Owed(_) => None,
-        })
+    fn new(
+        folder: &Path,
+        lock: FolderLock,
+        disk_budget: u64,
+        segments: Segments,
+        state: ReplayedState,
+    ) -> Self {
+        let budget = if lock.is_owner() { disk_budget } else { disk_budget / 2 };
+        Self {
+            folder: folder.to_owned(),
+            lock,
+            disk_budget,
+            budget,
+            segments,
+            retained_records: Vec::new(),
+            provisional_records: Vec::new(),
+            entries: state.entries,
+            outage_records: state.outage_records,
+            latest_attempt: state.latest_attempt,
+        }
     }
 
-    /// A message that is still owed its end.
-    pub fn open_message(&self, message_id: &MessageId) -> Option<&Message> {
-        match &self.entries.get(message_id)?.state {
-            State::Open(message) => Some(message),
-            State::Owed(_) => None,
-        }
+    /// The messages that are not complete, in no particular order.
+    pub fn pending_messages(&self) -> impl Iterator<Item = &Message> {
+        self.entries.pending_messages()
     }
 
-    /// Notices that have not been acknowledged.
-    pub fn owed(&self) -> impl Iterator<Item = Notice> + '_ {
-        self.entries.iter().filter_map(|(message_id, e)| match e.state {
-            State::Owed(status) => Some(Notice { message_id: message_id.clone(), status }),
-            State::Open(_) => None,
-        })
+    /// A message, if it is not complete.
+    pub fn pending_message(&self, message_id: &MessageId) -> Option<&Message> {
+        self.entries.pending_message(message_id)
     }
 
-    /// When the latest attempt of an earlier process went out, in milliseconds of the wall clock since 1970; 0 if none
-    /// is on record. If that is still to come, the clock was set back, and no time on record tells how long ago it was.
+    /// The notifications that are not acknowledged, in no particular order.
+    pub fn pending_notifications(&self) -> impl Iterator<Item = Notice> + '_ {
+        self.entries.pending_notifications()
+    }
+
+    /// When the latest attempt of an earlier process was sent, in milliseconds of the wall clock since 1970; 0 if none
+    /// is on record.
+    ///
+    /// If it lies in the future, the clock was set back and no time on record tells how long ago it was.
     pub fn latest_attempt(&self) -> u64 {
         self.latest_attempt
     }
 
-    /// Whether an id is still owed its end or a notice.
-    pub fn knows(&self, message_id: &MessageId) -> bool {
-        self.entries.contains_key(message_id)
+    /// Whether a message is not complete, or its notification is not acknowledged.
+    pub fn contains(&self, message_id: &MessageId) -> bool {
+        self.entries.contains(message_id)
     }
 
-    /// Whether so much more can be taken on and still be kept for good.
-    pub fn has_room(&self, more: u64) -> bool {
-        self.live + more <= self.budget.saturating_sub(HEADROOM)
+    /// Whether that many more bytes can be reserved for messages, see [`Message::reserved_bytes`].
+    pub fn has_space_for(&self, bytes: u64) -> bool {
+        self.entries.reserved_bytes() + bytes <= self.budget.saturating_sub(HEADROOM)
     }
 
-    /// Whether a batch of so many bytes can be written at once.
+    /// Whether the new messages of a batch can reserve that many bytes together.
     pub fn fits_batch(bytes: u64) -> bool {
-        bytes <= SEGMENT
-    }
-
-    /// A message is taken on, once the batch is written.
-    pub fn take(&mut self, message: Message) {
-        put_taken(&mut self.starts, &message);
-        self.live += message.room();
-        let (message_id, segment) = (message.message_id.clone(), self.segments.current());
-        self.entries.insert(message_id, Entry { segment, state: State::Open(message) });
-    }
-
-    /// An attempt that is about to go out.
-    pub fn attempt(&mut self, message_id: &MessageId, ran: PossibleExecution) {
-        let Some(message) = open_mut(&mut self.entries, message_id) else { return };
-        put(&mut self.starts, ATTEMPT, |p| {
-            put_text(p, message_id);
-            p.extend(message.attempts.to_le_bytes());
-            put_ran(p, Some(&ran));
-        });
-        message.begin(message.attempts, Some(ran));
-    }
-
-    /// An attempt, counted from 0, has ended.
-    pub fn outcome(&mut self, message_id: &MessageId, attempt: u32, possibly_executed: bool) {
-        let Some(message) = open_mut(&mut self.entries, message_id) else { return };
-        put(&mut self.facts, OUTCOME, |p| {
-            put_text(p, message_id);
-            p.push(u8::from(possibly_executed));
-            p.extend(attempt.to_le_bytes());
-        });
-        message.end(Some(attempt), possibly_executed);
-    }
-
-    /// A message has ended; `owed` is the notice that its platform must get.
-    pub fn end(&mut self, message_id: &MessageId, owed: Option<Status>) {
-        let Some(entry) = self.entries.remove(message_id) else { return };
-        self.live -= entry.room(message_id);
-        put_ended(&mut self.facts, message_id, owed);
-        if let Some(status) = owed {
-            let entry = Entry { segment: self.segments.current(), state: State::Owed(status) };
-            self.live += entry.room(message_id);
-            self.entries.insert(message_id.clone(), entry);
+        bytes <= SEGMENT_SIZE
+    }
+
+    /// Accepts a message. Its client may be answered only after the commit.
+    pub fn accept(&mut self, message: Message) {
+        append_accepted(&mut self.provisional_records, &message);
+        let message_id = message.message_id.clone();
+        self.insert(message_id, EntryState::Message(message));
+    }
+
+    /// Records the next attempt of a message. Its first byte may be sent only after the commit.
+    pub fn start_attempt(&mut self, message_id: &MessageId, execution: PossibleExecution) {
+        let Some(message) = self.entries.pending_message_mut(message_id) else { return };
+        let attempt = message.attempts;
+        append_attempt_started(&mut self.provisional_records, message_id, attempt, &execution);
+        message.start_attempt(attempt, Some(execution));
+    }
+
+    /// Records the outcome of attempt number `attempt`, counted from 0.
+    pub fn finish_attempt(&mut self, message_id: &MessageId, attempt: u32, possibly_executed: bool) {
+        let Some(message) = self.entries.pending_message_mut(message_id) else { return };
+        append_attempt_finished(&mut self.retained_records, message_id, attempt, possibly_executed);
+        message.finish_attempt(Some(attempt), possibly_executed);
+    }
+
+    /// Completes a message. A `notification` is pending until it is acknowledged.
+    pub fn complete(&mut self, message_id: &MessageId, notification: Option<Status>) {
+        if !self.entries.remove(message_id) {
+            return;
+        }
+        append_completed(&mut self.retained_records, message_id, notification);
+        if let Some(status) = notification {
+            self.insert(message_id.clone(), EntryState::Notification(status));
         }
     }
 
-    /// A notice has been acknowledged.
-    pub fn settled(&mut self, message_id: &MessageId) {
-        let Some(entry) = self.entries.remove(message_id) else { return };
-        self.live -= entry.room(message_id);
-        put(&mut self.facts, SETTLED, |p| put_text(p, message_id));
+    /// Records that a notification was acknowledged.
+    pub fn acknowledge(&mut self, message_id: &MessageId) {
+        if self.entries.remove(message_id) {
+            append_acknowledged(&mut self.retained_records, message_id);
+        }
     }
 
-    /// What to know of a partner, or a receiver, if this process ends: in place of what was to be known before.
-    pub fn remember(&mut self, place: EndpointKey, outage: Option<OutageState>) {
-        let (segment, at) = (self.segments.current(), wall_ms());
-        put_memory(&mut self.facts, &place, at, outage);
-        self.outage_records.put(place, outage.map(|outage| OutageRecord { segment, at, outage }));
+    /// Records the outage state of an endpoint in place of the earlier one; `None` is healthy.
+    pub fn record_outage(&mut self, endpoint: EndpointKey, outage: Option<OutageState>) {
+        let segment = self.segments.current();
+        let recorded_at = wall_ms();
+        append_outage(&mut self.retained_records, &endpoint, recorded_at, outage);
+        let record = outage.map(|outage| OutageRecord { segment, recorded_at, outage });
+        self.outage_records.set(endpoint, record);
     }
 
-    /// What is to be known of partners and receivers, as it is now.
+    /// The outage states as they are now, in the order of their endpoints.
     pub fn outage_records(&self) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
-        self.outage_records.at(wall_ms())
+        self.outage_records.states_at(wall_ms())
     }
 
-    /// Writes the batch. After an error nothing was taken on or sent; what has come of messages is kept for
-    /// the next batch.
-    pub fn commit(&mut self) -> io::Result<()> {
-        if self.facts.is_empty() && self.starts.is_empty() {
+    /// Writes the batch.
+    ///
+    /// # Errors
+    ///
+    /// [`JournalError::Full`] or [`JournalError::Io`] if it cannot be written. No message of the batch was accepted then
+    /// and no attempt started: the caller has to [`discard`](Store::discard) these messages. Outcomes, completions,
+    /// acknowledgements and outage states are kept for the next batch.
+    pub fn commit(&mut self) -> Result<(), JournalError> {
+        if self.retained_records.is_empty() && self.provisional_records.is_empty() {
             return Ok(());
         }
-        let facts = self.facts.len();
-        let mut batch = std::mem::take(&mut self.facts);
-        batch.append(&mut self.starts);
+        let retained_len = self.retained_records.len();
+        let mut batch = std::mem::take(&mut self.retained_records);
+        batch.append(&mut self.provisional_records);
         if let Err(error) = self.segments.append(&batch, self.budget) {
-            batch.truncate(facts);
-            self.facts = batch;
+            batch.truncate(retained_len);
+            self.retained_records = batch;
             return Err(error);
         }
-        if let Err(error) = self.make_room() {
-            tracing::warn!("journal: no room could be made: {error}");
-        }
+        self.compact_or_warn();
         Ok(())
     }
 
     /// Forgets a message whose batch could not be written.
-    pub fn forget(&mut self, message_id: &MessageId) {
-        if let Some(entry) = self.entries.remove(message_id) {
-            self.live -= entry.room(message_id);
-        }
+    pub fn discard(&mut self, message_id: &MessageId) {
+        self.entries.remove(message_id);
     }
 
-    fn make_room(&mut self) -> io::Result<()> {
-        self.make_room_to(self.budget.saturating_sub(RESERVE))
-    }
-
-    /// Moves what is live out of the oldest segments until no more than so much is used.
-    fn make_room_to(&mut self, most: u64) -> io::Result<()> {
-        for _ in 1..self.segments.len() {
-            if self.segments.total() <= most {
-                break;
-            }
-            let oldest = self.segments.oldest();
-            let current = self.segments.current();
-            let mut moved = Vec::new();
-            for (message_id, entry) in self.entries.iter_mut().filter(|(_, e)| e.segment == oldest) {
-                match &entry.state {
-                    State::Open(message) => put_taken(&mut moved, message),
-                    State::Owed(status) => put_ended(&mut moved, message_id, Some(*status)),
-                }
-            }
-            for (place, memory) in self.outage_records.of_segment(oldest, wall_ms()) {
-                put_memory(&mut moved, place, memory.at, Some(memory.outage));
-            }
-            self.segments.append(&moved, self.budget)?;
-            self.outage_records
-                .of_segment(oldest, wall_ms())
-                .for_each(|(_, memory)| memory.segment = current);
-            self.entries.values_mut().filter(|e| e.segment == oldest).for_each(|e| e.segment = current);
-            self.segments.remove_oldest()?;
-        }
-        Ok(())
+    fn insert(&mut self, message_id: MessageId, state: EntryState) {
+        let segment = self.segments.current();
+        self.entries.insert(message_id, Entry { segment, state });
     }
 }
 
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -1,15 +1,17 @@
-//! The store's cases one by one.
+//! Restarts, compaction, failed commits and outage records.
 
 mod model;
-mod succession;
+mod takeover;
 
 use std::fs;
+use std::path::PathBuf;
 
 use bytes::Bytes;
 
 use super::*;
-use crate::replay::replay;
-use crate::segments::path;
+use crate::record::{RecordKind, append_record, write_text};
+use crate::replay::replay_segment;
+use crate::segments::segment_path;
 
 const BUDGET: u64 = 3_000_000;
 
@@ -24,7 +26,7 @@
         body: Bytes::from(vec![b'x'; size]),
         attempts: 0,
         possibly_executed: None,
-        out: None,
+        in_flight: None,
     }
 }
 
@@ -32,54 +34,54 @@
     PossibleExecution { at, receiver: "r1".into(), zone: "a".into() }
 }
 
-/// What the journal says, in an order of its own.
+/// The pending messages and the ids of the pending notifications, each in the order of their ids.
 fn state(store: &Store) -> (Vec<Message>, Vec<MessageId>) {
-    let mut open: Vec<Message> = store.open_messages().cloned().collect();
-    open.sort_by(|a, b| a.message_id.cmp(&b.message_id));
-    let mut owed: Vec<MessageId> = store.owed().map(|n| n.message_id).collect();
-    owed.sort();
-    (open, owed)
+    let mut messages: Vec<Message> = store.pending_messages().cloned().collect();
+    messages.sort_by(|a, b| a.message_id.cmp(&b.message_id));
+    let mut notifications: Vec<MessageId> = store.pending_notifications().map(|n| n.message_id).collect();
+    notifications.sort();
+    (messages, notifications)
 }
 
 #[test]
-fn a_kill_while_room_is_made_loses_nothing_and_revives_nothing() {
+fn a_kill_during_compaction_loses_no_pending_message_and_revives_no_completed_one() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
-    store.take(message("kept", 1_000));
-    store.attempt(&"kept".into(), ran(1));
-    store.take(message("owed", 10));
-    store.take(message("over", 10));
+    store.accept(message("pending", 1_000));
+    store.start_attempt(&"pending".into(), ran(1));
+    store.accept(message("notified", 10));
+    store.accept(message("completed", 10));
     store.commit().expect("written");
-    store.outcome(&"kept".into(), 0, true);
-    store.attempt(&"kept".into(), ran(2));
-    store.end(&"owed".into(), Some(Status::Deferred(Some(70))));
-    store.end(&"over".into(), None);
+    store.finish_attempt(&"pending".into(), 0, true);
+    store.start_attempt(&"pending".into(), ran(2));
+    store.complete(&"notified".into(), Some(Status::Deferred(Some(70))));
+    store.complete(&"completed".into(), None);
     store.commit().expect("written");
     let mut removed = Vec::new();
     for n in 0..100 {
-        // What a kill before the removal of the oldest segments would have left there.
-        let before: Vec<(PathBuf, Vec<u8>)> = (numbers(folder.path()).expect("readable").into_iter())
-            .map(|number| path(folder.path(), number))
-            .map(|p| (p.clone(), fs::read(p).expect("readable")))
+        // What a kill before the oldest segments were deleted would have left.
+        let before: Vec<(PathBuf, Vec<u8>)> = (segment_numbers(folder.path()).expect("readable").into_iter())
+            .map(|number| segment_path(folder.path(), number))
+            .map(|path| (path.clone(), fs::read(path).expect("readable")))
             .collect();
         let message_id: MessageId = format!("m{n}").into();
-        store.take(message(&message_id, 60_000));
+        store.accept(message(&message_id, 60_000));
         store.commit().expect("written");
-        store.end(&message_id, None);
+        store.complete(&message_id, None);
         store.commit().expect("written");
-        assert!(store.segments.total() <= BUDGET);
-        removed.extend(before.into_iter().filter(|(p, _)| !p.exists()));
+        assert!(store.segments.disk_usage() <= BUDGET);
+        removed.extend(before.into_iter().filter(|(path, _)| !path.exists()));
     }
     assert!(!removed.is_empty(), "nothing was ever removed");
     let expected = state(&store);
     assert_eq!(expected.0[0].attempts, 2);
     assert_eq!(expected.0[0].possibly_executed, Some(ran(1)));
-    assert_eq!(expected.0[0].out, Some(ran(2)));
-    assert_eq!(expected.1, ["owed".into()] as [MessageId; 1]);
+    assert_eq!(expected.0[0].in_flight, Some(ran(2)));
+    assert_eq!(expected.1, ["notified".into()] as [MessageId; 1]);
     drop(store);
-    // The second attempt has no outcome, and the first counts already.
+    // The second attempt has no outcome, but an earlier possible execution is known already.
     let mut expected = expected;
-    expected.0[0].out = None;
+    expected.0[0].in_flight = None;
     let again = Store::open(folder.path(), BUDGET).expect("a journal");
     assert_eq!(state(&again), expected);
     drop(again);
@@ -91,16 +93,16 @@
 }
 
 #[test]
-fn a_batch_that_cannot_be_written_takes_nothing_on_and_forgets_no_end() {
+fn a_failed_commit_accepts_no_message_and_keeps_every_completion() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
-    store.take(message("m1", 10));
+    store.accept(message("m1", 10));
     store.commit().expect("written");
     store.budget = 0;
-    store.end(&"m1".into(), Some(Status::Undeliverable));
-    store.take(message("m2", 10));
+    store.complete(&"m1".into(), Some(Status::Undeliverable));
+    store.accept(message("m2", 10));
     assert!(store.commit().is_err());
-    store.forget(&"m2".into());
+    store.discard(&"m2".into());
     store.budget = BUDGET;
     store.commit().expect("written");
     drop(store);
@@ -108,129 +110,137 @@
     assert_eq!(state(&again), (vec![], vec!["m1".into()]));
 }
 
-/// The attempt of `message_id` that counts as the first that may have run.
-fn first(store: &Store, message_id: &str) -> Option<u64> {
-    let message = store.open_messages().find(|m| &*m.message_id == message_id).expect("an open message");
-    message.possibly_executed.as_ref().or(message.out.as_ref()).map(|ran| ran.at)
+/// When the earliest possible execution of a pending message was sent.
+fn first_execution(store: &Store, message_id: &str) -> Option<u64> {
+    let message = store.pending_message(&message_id.into()).expect("a pending message");
+    let execution = message.possibly_executed.as_ref().or(message.in_flight.as_ref());
+    execution.map(|execution| execution.at)
 }
 
-/// Cut by a kill, then one that never ran, then another kill: the first may have run all the same.
+/// An attempt interrupted by a kill, then one that was not executed, then another kill.
 #[test]
-fn an_attempt_cut_by_a_kill_may_have_run_whatever_comes_of_later_ones() {
+fn an_attempt_interrupted_by_a_kill_stays_possibly_executed_whatever_the_later_outcomes() {
     for written in [true, false] {
         let folder = tempfile::tempdir().expect("a folder");
         let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
-        store.take(message("m1", 10));
-        store.attempt(&"m1".into(), ran(1));
+        store.accept(message("m1", 10));
+        store.start_attempt(&"m1".into(), ran(1));
         store.commit().expect("written");
         drop(store);
         let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
-        assert_eq!(first(&store, "m1"), Some(1));
-        store.attempt(&"m1".into(), ran(2));
+        assert_eq!(first_execution(&store, "m1"), Some(1));
+        store.start_attempt(&"m1".into(), ran(2));
         if !written {
-            // The second attempt is not on record, and so has not gone out; that it never ran is.
+            // The second attempt is not on record and so was not sent; its outcome is recorded all the same.
             store.budget = 0;
-            store.commit().expect_err("no room");
+            store.commit().expect_err("no space");
             store.budget = BUDGET;
         }
-        store.outcome(&"m1".into(), 1, false);
+        store.finish_attempt(&"m1".into(), 1, false);
         store.commit().expect("written");
-        assert_eq!(first(&store, "m1"), Some(1), "in memory, written: {written}");
+        assert_eq!(first_execution(&store, "m1"), Some(1), "in memory, written: {written}");
         drop(store);
         let store = Store::open(folder.path(), BUDGET).expect("a journal");
-        assert_eq!(first(&store, "m1"), Some(1), "after a restart, written: {written}");
+        assert_eq!(first_execution(&store, "m1"), Some(1), "after a restart, written: {written}");
     }
 }
 
-/// A record of an outcome as written before outcomes told which attempt they are of.
+/// Older versions did not store which attempt an outcome is of.
 #[test]
-fn an_outcome_without_a_number_is_still_read() {
+fn an_outcome_without_an_attempt_number_is_that_of_the_attempt_in_flight() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
-    store.take(message("m1", 10));
-    store.attempt(&"m1".into(), ran(1));
+    store.accept(message("m1", 10));
+    store.start_attempt(&"m1".into(), ran(1));
     store.commit().expect("written");
-    put(&mut store.facts, OUTCOME, |p| {
-        put_text(p, "m1");
-        p.push(0);
+    append_record(&mut store.retained_records, RecordKind::AttemptFinished, |payload| {
+        write_text(payload, "m1");
+        payload.push(0);
     });
     store.commit().expect("written");
     drop(store);
     let store = Store::open(folder.path(), BUDGET).expect("a journal");
-    assert_eq!(first(&store, "m1"), None);
+    assert_eq!(first_execution(&store, "m1"), None);
 }
 
-/// A clock that was ahead for a while, or has been set back since.
+/// The clock was ahead for a while, or has been set back since.
 #[test]
-fn a_time_that_has_not_come_yet_is_told_to_one_start_unless_a_message_still_has_it() {
+fn an_attempt_in_the_future_is_reported_to_one_start_unless_a_pending_message_still_has_it() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
     assert_eq!(store.latest_attempt(), 0);
     let ahead = wall_ms() + 3_600_000;
-    for (message_id, at) in [("over", ahead), ("open", ahead - 1)] {
-        store.take(message(message_id, 10));
-        store.attempt(&message_id.into(), ran(at));
+    for (message_id, at) in [("completed", ahead), ("pending", ahead - 1)] {
+        store.accept(message(message_id, 10));
+        store.start_attempt(&message_id.into(), ran(at));
         store.commit().expect("written");
     }
-    store.end(&"over".into(), None);
+    store.complete(&"completed".into(), None);
     store.commit().expect("written");
     for expected in [ahead, ahead - 1] {
         drop(store);
         store = Store::open(folder.path(), BUDGET).expect("a journal");
         assert_eq!(store.latest_attempt(), expected);
-        assert_eq!(first(&store, "open"), Some(ahead - 1));
+        assert_eq!(first_execution(&store, "pending"), Some(ahead - 1));
     }
-    store.end(&"open".into(), None);
+    store.complete(&"pending".into(), None);
     store.commit().expect("written");
     drop(store);
-    // The start before this one has left no record of it but those of its own.
+    // The start before this one removed the segments with that time.
     drop(Store::open(folder.path(), BUDGET).expect("a journal"));
     assert_eq!(Store::open(folder.path(), BUDGET).expect("a journal").latest_attempt(), 0);
 }
 
 #[test]
-fn what_is_known_of_outages_outlasts_the_process_and_the_segments_that_it_was_written_to() {
+fn outage_records_outlast_their_process_and_the_compaction_of_their_segment() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
-    let (shared, apart): (EndpointKey, EndpointKey) = ((7, "".into()), (8, "r1".into()));
-    store.remember(shared.clone(), Some(OutageState::Down { wait: 50_000 }));
-    store.remember(apart.clone(), Some(OutageState::WarmingUp { ago: 100, part: 0.25 }));
-    store.remember((9, "".into()), Some(OutageState::Down { wait: 0 }));
-    store.remember((9, "".into()), None);
+    let destination = EndpointKey::new(7, "");
+    let receiver = EndpointKey::new(8, "r1");
+    store.record_outage(destination.clone(), Some(OutageState::Down { wait: 50_000 }));
+    store.record_outage(receiver.clone(), Some(OutageState::WarmingUp { ago: 100, part: 0.25 }));
+    store.record_outage(EndpointKey::new(9, ""), Some(OutageState::Down { wait: 0 }));
+    store.record_outage(EndpointKey::new(9, ""), None);
     store.commit().expect("written");
-    // Until the first segment has been moved and removed.
+    // Until the first segment has been compacted.
     for n in 0..100 {
         let message_id: MessageId = format!("m{n}").into();
-        store.take(message(&message_id, 60_000));
+        store.accept(message(&message_id, 60_000));
         store.commit().expect("written");
-        store.end(&message_id, None);
+        store.complete(&message_id, None);
         store.commit().expect("written");
     }
-    assert!(!path(folder.path(), 0).exists(), "the segment that held it is still there");
+    assert!(!segment_path(folder.path(), 0).exists(), "the segment that held them is still there");
     drop(store);
     let store = Store::open(folder.path(), BUDGET).expect("a journal");
     let known: Vec<(EndpointKey, OutageState)> =
-        store.outage_records().map(|(p, t)| (p.clone(), t)).collect();
+        store.outage_records().map(|(endpoint, outage)| (endpoint.clone(), outage)).collect();
     let [(first, OutageState::Down { wait }), (second, OutageState::WarmingUp { ago, part })] = &known[..]
     else {
         panic!("{known:?}")
     };
-    assert_eq!((first, second, *part), (&shared, &apart, 0.25));
+    assert_eq!((first, second, *part), (&destination, &receiver, 0.25));
     assert!((40_000..=50_000).contains(wait) && (100..10_000).contains(ago), "{known:?}");
 }
 
 #[test]
-fn a_memory_that_cannot_be_is_skipped() {
-    let mut contents = Contents::default();
+fn an_outage_record_with_an_impossible_share_is_skipped() {
+    let mut state = ReplayedState::default();
     let mut batch = Vec::new();
-    put_memory(&mut batch, &(7, "".into()), wall_ms(), Some(OutageState::WarmingUp { ago: 0, part: 7.5 }));
-    put_memory(
+    append_outage(
         &mut batch,
-        &(8, "".into()),
+        &EndpointKey::new(7, ""),
+        wall_ms(),
+        Some(OutageState::WarmingUp { ago: 0, part: 7.5 }),
+    );
+    append_outage(
+        &mut batch,
+        &EndpointKey::new(8, ""),
         wall_ms(),
         Some(OutageState::WarmingUp { ago: 0, part: f64::NAN }),
     );
-    put_memory(&mut batch, &(9, "".into()), wall_ms(), Some(OutageState::Down { wait: 5 }));
-    assert_eq!(replay(&batch, 0, &mut contents), batch.len());
-    assert_eq!(contents.outage_records.at(wall_ms()).map(|(place, _)| place.0).collect::<Vec<_>>(), [9]);
+    append_outage(&mut batch, &EndpointKey::new(9, ""), wall_ms(), Some(OutageState::Down { wait: 5 }));
+    assert_eq!(replay_segment(&batch, 0, &mut state), batch.len());
+    let destinations = state.outage_records.states_at(wall_ms()).map(|(endpoint, _)| endpoint.destination);
+    assert_eq!(destinations.collect::<Vec<_>>(), [9]);
 }
--- /dev/null
+++ b/crates/journal/src/store/tests/model/run.rs
@@ -0,0 +1,178 @@
+//! A process that plays the steps of a history on its journal.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use proptest::prelude::*;
+
+use super::*;
+
+/// A step that waits for the next batch, and when it was taken.
+type Waiting = (Step, u64);
+
+/// A process with its journal, and what the model says of both.
+pub(super) struct Run {
+    folder: tempfile::TempDir,
+    pub store: Store,
+    /// The state of the process.
+    live: Model,
+    /// The state on disk.
+    written: Model,
+    /// Steps that are kept for the next batch if this one cannot be written.
+    retained: Vec<Waiting>,
+    /// Steps that are undone if the batch cannot be written.
+    provisional: Vec<Waiting>,
+    /// Messages whose completion is not written yet.
+    completed: BTreeSet<usize>,
+}
+
+impl Run {
+    /// Little more than the reserve: old segments are compacted all the time.
+    const BUDGET: u64 = 10 * SEGMENT_SIZE;
+
+    pub fn new() -> Self {
+        let folder = tempfile::tempdir().expect("a folder");
+        let store = Store::open(folder.path(), Self::BUDGET).expect("a journal");
+        Self {
+            folder,
+            store,
+            live: Model::new(),
+            written: Model::new(),
+            retained: Vec::new(),
+            provisional: Vec::new(),
+            completed: BTreeSet::new(),
+        }
+    }
+
+    /// Takes a step if the engine could take it in this state.
+    pub fn play(mut self, step: Step, now: u64) -> Result<Self, TestCaseError> {
+        if !self.is_possible(step) || !apply_to(&mut self.live, step, now) {
+            return Ok(self);
+        }
+        match step {
+            Step::Accept { message, size } => self.accept(message, size, now),
+            Step::StartAttempt { message } => {
+                self.store.start_attempt(&message_id(message), ran(now));
+                self.provisional.push((step, now));
+            }
+            Step::FinishAttempt { message, possibly_executed } => {
+                let attempt = self.live[&message].len() as u32 - 1;
+                self.store.finish_attempt(&message_id(message), attempt, possibly_executed);
+                self.retained.push((step, now));
+            }
+            Step::Complete { message } => {
+                self.store.complete(&message_id(message), None);
+                self.completed.insert(message);
+                self.retained.push((step, now));
+            }
+            Step::Commit => self.commit()?,
+            Step::FailedCommit => self.failed_commit()?,
+            Step::Kill => return self.kill(),
+        }
+        Ok(self)
+    }
+
+    fn is_possible(&self, step: Step) -> bool {
+        match step {
+            // An id is not used again before its completion is written.
+            Step::Accept { message, .. } => !self.completed.contains(&message),
+            // Only a message on record is attempted, and only an attempt that was sent has an outcome.
+            Step::StartAttempt { message } => self.written.contains_key(&message),
+            Step::FinishAttempt { message, .. } | Step::Complete { message } => {
+                !self.provisional.iter().any(|(waiting, _)| match *waiting {
+                    Step::Accept { message: other, .. } | Step::StartAttempt { message: other } => {
+                        other == message
+                    }
+                    _ => false,
+                })
+            }
+            Step::Commit | Step::FailedCommit | Step::Kill => true,
+        }
+    }
+
+    fn accept(&mut self, message: usize, size: usize, now: u64) {
+        let record = crate::store::tests::message(&message_id(message), size);
+        if !self.store.has_space_for(record.reserved_bytes()) {
+            self.live.remove(&message);
+            return;
+        }
+        self.store.accept(record);
+        self.provisional.push((Step::Accept { message, size }, now));
+    }
+
+    fn commit(&mut self) -> Result<(), TestCaseError> {
+        self.store.commit().expect("written");
+        for (step, taken_at) in self.retained.drain(..).chain(self.provisional.drain(..)) {
+            apply_to(&mut self.written, step, taken_at);
+        }
+        self.completed.clear();
+        compare(&self.store, &self.live)
+    }
+
+    fn failed_commit(&mut self) -> Result<(), TestCaseError> {
+        if self.retained.is_empty() && self.provisional.is_empty() {
+            return Ok(());
+        }
+        self.store.budget = 0;
+        self.store.commit().expect_err("no space");
+        self.store.budget = Self::BUDGET;
+        for (step, _) in self.provisional.drain(..) {
+            match step {
+                Step::Accept { message, .. } => {
+                    self.live.remove(&message);
+                    self.store.discard(&message_id(message));
+                }
+                Step::StartAttempt { message } => {
+                    let attempts = self.live.get_mut(&message).expect("a message");
+                    let attempt = attempts.len() as u32 - 1;
+                    // It keeps its number, as in the engine, and was not executed.
+                    let last = attempts.last_mut().expect("an attempt");
+                    last.possibly_executed = Some(false);
+                    self.store.finish_attempt(&message_id(message), attempt, false);
+                }
+                _ => {}
+            }
+        }
+        compare(&self.store, &self.live)
+    }
+
+    /// The process ends, and another one opens the journal.
+    fn kill(mut self) -> Result<Self, TestCaseError> {
+        drop(self.store);
+        for attempt in self.written.values_mut().flatten() {
+            attempt.possibly_executed = attempt.possibly_executed.or(Some(true));
+        }
+        let store = Store::open(self.folder.path(), Self::BUDGET).expect("a journal");
+        compare(&store, &self.written)?;
+        // Attempt numbers continue from those on record.
+        for (message, attempts) in &mut self.written {
+            let known = store.pending_message(&message_id(*message)).expect("a message");
+            let known_attempts = known.attempts as usize;
+            prop_assert!(known_attempts >= attempts.len());
+            let not_executed = Attempt { sent_at: u64::MAX, possibly_executed: Some(false) };
+            attempts.resize(known_attempts, not_executed);
+        }
+        Ok(Self {
+            folder: self.folder,
+            store,
+            live: self.written.clone(),
+            written: self.written,
+            retained: Vec::new(),
+            provisional: Vec::new(),
+            completed: BTreeSet::new(),
+        })
+    }
+}
+
+/// Checks that journal and model have the same pending messages with the same earliest possible execution.
+fn compare(store: &Store, model: &Model) -> Result<(), TestCaseError> {
+    let pending: BTreeMap<String, Option<u64>> = store
+        .pending_messages()
+        .map(|message| (message.message_id.to_string(), first_execution(store, &message.message_id)))
+        .collect();
+    let expected: BTreeMap<String, Option<u64>> = model
+        .iter()
+        .map(|(message, attempts)| (message_id(*message).to_string(), first_execution_in(attempts)))
+        .collect();
+    prop_assert_eq!(pending, expected);
+    Ok(())
+}
--- /dev/null
+++ b/crates/journal/src/store/tests/takeover.rs
@@ -0,0 +1,127 @@
+//! An owner and its successor in one folder.
+
+use super::*;
+
+fn open(folder: &tempfile::TempDir) -> Store {
+    Store::open(folder.path(), BUDGET).expect("a journal")
+}
+
+#[test]
+fn a_successor_leaves_the_owners_segments_alone_and_takes_over_once_the_owner_has_ended() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let mut owner = open(&folder);
+    owner.accept(message("m1", 10));
+    owner.accept(message("completed", 10));
+    owner.start_attempt(&"m1".into(), ran(1));
+    owner.commit().expect("written");
+    let mut successor = open(&folder);
+    assert!(owner.is_owner() && !successor.is_owner());
+    assert_eq!(state(&successor), (vec![], vec![]));
+    assert_eq!(successor.take_over().expect("readable"), None);
+    let third = Store::open(folder.path(), BUDGET).expect_err("there are two");
+    assert!(matches!(third, JournalError::FolderInUse), "{third:?}");
+    // Both go on writing.
+    successor.accept(message("m2", 10));
+    successor.commit().expect("written");
+    owner.complete(&"completed".into(), None);
+    owner.complete(&"m1".into(), Some(Status::Undeliverable));
+    owner.accept(message("m3", 10));
+    owner.start_attempt(&"m3".into(), ran(2));
+    owner.commit().expect("written");
+    drop(owner);
+    let over = successor.take_over().expect("readable").expect("the owner has ended");
+    assert_eq!(
+        over.pending_notifications,
+        [Notice { message_id: "m1".into(), status: Status::Undeliverable }]
+    );
+    assert_eq!(over.pending_messages.len(), 1);
+    // Its attempt has no outcome and never will have one.
+    assert_eq!(
+        (&*over.pending_messages[0].message_id, &over.pending_messages[0].possibly_executed),
+        ("m3", &Some(ran(2)))
+    );
+    assert_eq!(successor.take_over().expect("readable"), None);
+    let expected = state(&successor);
+    assert_eq!((expected.0.len(), expected.1.len()), (2, 1));
+    drop(successor);
+    assert_eq!(state(&open(&folder)), expected);
+}
+
+/// Whichever of the two ends first, and also if both end before the takeover: nothing is lost, and for an id that both
+/// know the successor's entry counts.
+#[test]
+fn a_crash_of_owner_and_successor_at_any_point_leaves_the_same_as_a_restart() {
+    for steps in 0..5 {
+        let folder = tempfile::tempdir().expect("a folder");
+        let mut owner = open(&folder);
+        for message_id in ["m1", "m2", "both"] {
+            owner.accept(message(message_id, 10));
+        }
+        owner.commit().expect("written");
+        let mut successor = open(&folder);
+        successor.accept(message("m3", 10));
+        successor.accept(message("both", 10));
+        successor.start_attempt(&"both".into(), ran(7));
+        successor.commit().expect("written");
+        let mut owner = Some(owner);
+        let mut expected_messages = 4;
+        let mut expected_notifications = 0;
+        for step in 0..steps {
+            match step {
+                0 => drop(owner.take()),
+                1 => assert!(successor.take_over().expect("readable").is_some()),
+                2 => {
+                    successor.complete(&"m1".into(), None);
+                    expected_messages -= 1;
+                }
+                _ => {
+                    successor.complete(&"m2".into(), Some(Status::Deferred(None)));
+                    expected_messages -= 1;
+                    expected_notifications += 1;
+                }
+            }
+            successor.commit().expect("written");
+        }
+        drop(successor);
+        drop(owner);
+        let again = open(&folder);
+        let (messages, notifications) = state(&again);
+        assert_eq!(messages.len(), expected_messages, "after {steps} steps");
+        assert_eq!(notifications.len(), expected_notifications, "after {steps} steps");
+        assert_eq!(first_execution(&again, "both"), Some(7));
+    }
+}
+
+#[test]
+fn two_writing_processes_stay_within_the_disk_budget_and_one_alone_uses_all_of_it_again() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let fill = |store: &mut Store, from: u32, to: u32| {
+        for n in from..to {
+            let message_id = MessageId::from(format!("{}-{n}", store.is_owner()));
+            store.accept(message(&message_id, 2_000));
+            store.commit().expect("written");
+            store.complete(&message_id, None);
+            store.commit().expect("written");
+        }
+    };
+    let mut owner = open(&folder);
+    fill(&mut owner, 0, 2_000);
+    assert!(owner.segments.disk_usage() > BUDGET / 2, "{}", owner.segments.disk_usage());
+    owner.share_disk(true).expect("compacted");
+    let mut successor = open(&folder);
+    for n in 0..10 {
+        fill(&mut owner, 2_000 + n * 200, 2_200 + n * 200);
+        fill(&mut successor, n * 200, 200 + n * 200);
+        assert!(owner.segments.disk_usage() + successor.segments.disk_usage() <= BUDGET);
+    }
+    owner.share_disk(false).expect("compacted");
+    assert_eq!(owner.budget, BUDGET);
+    drop(owner);
+    assert!(successor.take_over().expect("readable").is_some());
+    fill(&mut successor, 3_000, 5_000);
+    assert!(
+        (BUDGET / 2..=BUDGET).contains(&successor.segments.disk_usage()),
+        "{}",
+        successor.segments.disk_usage()
+    );
+}
--- a/crates/journal/tests/golden_folders/damage.rs
+++ b/crates/journal/tests/golden_folders/damage.rs
@@ -13,15 +13,15 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open(folder.path());
     for message_id in ["m-1", "m-2", "m-3"] {
-        store.take(message(message_id));
+        store.accept(message(message_id));
     }
     store.commit().expect("written");
-    store.attempt(&"m-1".into(), ran(1));
-    store.attempt(&"m-2".into(), ran(2));
+    store.start_attempt(&"m-1".into(), ran(1));
+    store.start_attempt(&"m-2".into(), ran(2));
     store.commit().expect("written");
-    store.outcome(&"m-1".into(), 0, true);
-    store.outcome(&"m-2".into(), 0, false);
-    store.end(&"m-3".into(), Some(Status::Undeliverable));
+    store.finish_attempt(&"m-1".into(), 0, true);
+    store.finish_attempt(&"m-2".into(), 0, false);
+    store.complete(&"m-3".into(), Some(Status::Undeliverable));
     store.commit().expect("written");
     payloads(&segments(folder.path())[SEGMENT]).iter().map(|payload| record(payload)).collect()
 }
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use bytes::Bytes;
-use rudderspindle_journal::{Message, OutageState, Status, wall_ms};
+use rudderspindle_journal::{EndpointKey, Message, OutageState, Status, wall_ms};
 
 use crate::support::*;
 
@@ -19,46 +19,49 @@
         body: Bytes::from_static(&[0, 255, 10, 13, 128]),
         attempts: 3,
         possibly_executed: Some(ran(100)),
-        out: Some(ran(200)),
+        in_flight: Some(ran(200)),
     }
 }
 
 /// What two processes write one after the other.
 fn write_every_record(folder: &Path) {
     let mut store = open(folder);
-    store.take(message("m-new"));
-    store.take(full_message());
-    store.take(Message { key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") });
+    store.accept(message("m-new"));
+    store.accept(full_message());
+    store.accept(Message { key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") });
     for message_id in ["m-ran", "m-not-run", "m-cut", "delivered", "n-1", "n-2", "n-3", "acknowledged"] {
-        store.take(message(message_id));
+        store.accept(message(message_id));
     }
     store.commit().expect("written");
     for (message_id, at) in [("m-ran", 1), ("m-not-run", 2), ("m-cut", 3), ("delivered", 4), ("n-1", 5)] {
-        store.attempt(&message_id.into(), ran(at));
+        store.start_attempt(&message_id.into(), ran(at));
     }
     store.commit().expect("written");
-    store.outcome(&"m-ran".into(), 0, true);
-    store.outcome(&"m-not-run".into(), 0, false);
-    store.end(&"delivered".into(), None);
-    store.end(&"n-1".into(), Some(Status::Undeliverable));
-    store.end(&"n-2".into(), Some(Status::Deferred(None)));
-    store.end(&"n-3".into(), Some(Status::Deferred(Some(70_000))));
-    store.end(&"acknowledged".into(), Some(Status::Undeliverable));
-    store.settled(&"acknowledged".into());
-    store.attempt(&"m-ran".into(), ran(6));
+    store.finish_attempt(&"m-ran".into(), 0, true);
+    store.finish_attempt(&"m-not-run".into(), 0, false);
+    store.complete(&"delivered".into(), None);
+    store.complete(&"n-1".into(), Some(Status::Undeliverable));
+    store.complete(&"n-2".into(), Some(Status::Deferred(None)));
+    store.complete(&"n-3".into(), Some(Status::Deferred(Some(70_000))));
+    store.complete(&"acknowledged".into(), Some(Status::Undeliverable));
+    store.acknowledge(&"acknowledged".into());
+    store.start_attempt(&"m-ran".into(), ran(6));
     store.commit().expect("written");
-    store.remember((7, "".into()), Some(OutageState::Down { wait: 0 }));
-    store.remember((7, "receiver-1".into()), Some(OutageState::Down { wait: 11_000 }));
-    store.remember((8, "receiver-2".into()), Some(OutageState::WarmingUp { ago: -500, part: 0.25 }));
-    store.remember((9, "".into()), Some(OutageState::WarmingUp { ago: 4_000, part: 1.0 }));
-    store.remember((10, "receiver-3".into()), Some(OutageState::Down { wait: 1 }));
-    store.remember((10, "receiver-3".into()), None);
+    store.record_outage(EndpointKey::new(7, ""), Some(OutageState::Down { wait: 0 }));
+    store.record_outage(EndpointKey::new(7, "receiver-1"), Some(OutageState::Down { wait: 11_000 }));
+    store.record_outage(
+        EndpointKey::new(8, "receiver-2"),
+        Some(OutageState::WarmingUp { ago: -500, part: 0.25 }),
+    );
+    store.record_outage(EndpointKey::new(9, ""), Some(OutageState::WarmingUp { ago: 4_000, part: 1.0 }));
+    store.record_outage(EndpointKey::new(10, "receiver-3"), Some(OutageState::Down { wait: 1 }));
+    store.record_outage(EndpointKey::new(10, "receiver-3"), None);
     store.commit().expect("written");
     drop(store);
     let mut store = open(folder);
-    store.attempt(&"m-not-run".into(), ran(7));
-    store.attempt(&"m-full-ü".into(), ran(8));
-    store.take(message("m-later"));
+    store.start_attempt(&"m-not-run".into(), ran(7));
+    store.start_attempt(&"m-full-ü".into(), ran(8));
+    store.accept(message("m-later"));
     store.commit().expect("written");
 }
 
@@ -68,7 +71,7 @@
         open: vec![
             Message { attempts: 1, possibly_executed: Some(ran(3)), ..message("m-cut") },
             Message { key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") },
-            Message { attempts: 4, out: None, ..full_message() },
+            Message { attempts: 4, in_flight: None, ..full_message() },
             message("m-later"),
             message("m-new"),
             Message { attempts: 2, possibly_executed: Some(ran(7)), ..message("m-not-run") },
@@ -103,9 +106,12 @@
 /// An attempt that is still to come: the clock was set back, and all that is live moves to a new segment at once.
 fn write_an_attempt_to_come(folder: &Path) {
     let mut store = open(folder);
-    store.take(Message { out: None, ..full_message() });
-    store.attempt(&"m-full-ü".into(), ran(4_000_000_000_000));
-    store.remember((8, "receiver-2".into()), Some(OutageState::WarmingUp { ago: -500, part: 0.25 }));
+    store.accept(Message { in_flight: None, ..full_message() });
+    store.start_attempt(&"m-full-ü".into(), ran(4_000_000_000_000));
+    store.record_outage(
+        EndpointKey::new(8, "receiver-2"),
+        Some(OutageState::WarmingUp { ago: -500, part: 0.25 }),
+    );
     store.commit().expect("written");
 }
 
@@ -118,7 +124,7 @@
     assert_eq!(written, golden_segments("before-moving"));
     let moved = copy("before-moving");
     let expected = Told {
-        open: vec![Message { attempts: 4, out: None, ..full_message() }],
+        open: vec![Message { attempts: 4, in_flight: None, ..full_message() }],
         owed: vec![],
         outage_records: vec![(8, "receiver-2".into(), OutageState::WarmingUp { ago: -500, part: 0.25 })],
         latest_attempt: ran(4_000_000_000_000).at,
--- a/crates/journal/tests/golden_folders/support.rs
+++ b/crates/journal/tests/golden_folders/support.rs
@@ -69,15 +69,15 @@
     let warnings = Arc::new(Mutex::new(Vec::new()));
     let store = tracing::subscriber::with_default(Warnings(warnings.clone()), || open(folder));
     let reports = warnings.lock().expect("no panic").clone();
-    let mut open: Vec<Message> = store.open_messages().cloned().collect();
+    let mut open: Vec<Message> = store.pending_messages().cloned().collect();
     open.sort_by(|a, b| a.message_id.cmp(&b.message_id));
     let mut owed: Vec<(String, Status)> =
-        store.owed().map(|n| (n.message_id.to_string(), n.status)).collect();
+        store.pending_notifications().map(|n| (n.message_id.to_string(), n.status)).collect();
     owed.sort_by(|a, b| a.0.cmp(&b.0));
     let outage_records = store.outage_records();
-    let outage_records =
-        outage_records.map(|((number, receiver), outage)| (*number, receiver.to_string(), outage));
-    let outage_records = outage_records.collect();
+    let outage_records = outage_records
+        .map(|(endpoint, outage)| (endpoint.destination, endpoint.receiver.to_string(), outage))
+        .collect();
     Told { open, owed, outage_records, latest_attempt: store.latest_attempt(), reports }
 }
 
@@ -93,7 +93,7 @@
         body: (&b"text"[..]).into(),
         attempts: 0,
         possibly_executed: None,
-        out: None,
+        in_flight: None,
     }
 }
 
--- a/crates/journal/tests/golden_folders/takeover.rs
+++ b/crates/journal/tests/golden_folders/takeover.rs
@@ -10,34 +10,34 @@
 fn write_side_by_side(folder: &Path) -> Store {
     let mut owner = open(folder);
     for message_id in ["o-open", "o-ran", "o-notice", "o-delivered", "both"] {
-        owner.take(message(message_id));
+        owner.accept(message(message_id));
     }
-    owner.attempt(&"o-ran".into(), ran(1));
+    owner.start_attempt(&"o-ran".into(), ran(1));
     owner.commit().expect("written");
     let mut successor = open(folder);
     assert!(owner.is_owner() && !successor.is_owner());
-    successor.take(message("s-open"));
-    successor.take(message("both"));
-    successor.attempt(&"both".into(), ran(2));
+    successor.accept(message("s-open"));
+    successor.accept(message("both"));
+    successor.start_attempt(&"both".into(), ran(2));
     successor.commit().expect("written");
-    owner.end(&"o-notice".into(), Some(Status::Deferred(Some(70_000))));
-    owner.end(&"o-delivered".into(), None);
+    owner.complete(&"o-notice".into(), Some(Status::Deferred(Some(70_000))));
+    owner.complete(&"o-delivered".into(), None);
     owner.commit().expect("written");
     successor
 }
 
 /// The successor goes on as the owner.
 fn write_after_takeover(successor: &mut Store) {
-    successor.end(&"o-open".into(), Some(Status::Undeliverable));
-    successor.settled(&"o-notice".into());
-    successor.attempt(&"o-ran".into(), ran(3));
-    successor.outcome(&"both".into(), 0, false);
+    successor.complete(&"o-open".into(), Some(Status::Undeliverable));
+    successor.acknowledge(&"o-notice".into());
+    successor.start_attempt(&"o-ran".into(), ran(3));
+    successor.finish_attempt(&"both".into(), 0, false);
     successor.commit().expect("written");
 }
 
 fn taken_over(mut over: TakenOver) -> TakenOver {
-    over.open.sort_by(|a, b| a.message_id.cmp(&b.message_id));
-    over.owed.sort_by(|a, b| a.message_id.cmp(&b.message_id));
+    over.pending_messages.sort_by(|a, b| a.message_id.cmp(&b.message_id));
+    over.pending_notifications.sort_by(|a, b| a.message_id.cmp(&b.message_id));
     over
 }
 
@@ -50,10 +50,13 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut successor = write_side_by_side(folder.path());
     assert_eq!(segments(folder.path()), golden_segments("takeover-before"));
-    let over = successor.succeed().expect("readable").expect("the owner has ended");
+    let over = successor.take_over().expect("readable").expect("the owner has ended");
     let expected = TakenOver {
-        open: vec![message("o-open"), ran_once("o-ran", 1)],
-        owed: vec![Notice { message_id: "o-notice".into(), status: Status::Deferred(Some(70_000)) }],
+        pending_messages: vec![message("o-open"), ran_once("o-ran", 1)],
+        pending_notifications: vec![Notice {
+            message_id: "o-notice".into(),
+            status: Status::Deferred(Some(70_000)),
+        }],
     };
     assert_eq!(taken_over(over), expected);
     assert!(successor.is_owner());
@@ -90,17 +93,17 @@
     let folder = copy("takeover-after");
     let owner = open(folder.path());
     let mut successor = open(folder.path());
-    assert_eq!(successor.open_messages().count(), 0);
-    assert_eq!(successor.succeed().expect("readable"), None);
+    assert_eq!(successor.pending_messages().count(), 0);
+    assert_eq!(successor.take_over().expect("readable"), None);
     drop(owner);
-    let over = successor.succeed().expect("readable").expect("the owner has ended");
+    let over = successor.take_over().expect("readable").expect("the owner has ended");
     let expected = TakenOver {
-        open: vec![
+        pending_messages: vec![
             Message { attempts: 1, ..message("both") },
             Message { attempts: 2, ..ran_once("o-ran", 1) },
             message("s-open"),
         ],
-        owed: vec![Notice { message_id: "o-open".into(), status: Status::Undeliverable }],
+        pending_notifications: vec![Notice { message_id: "o-open".into(), status: Status::Undeliverable }],
     };
     assert_eq!(taken_over(over), expected);
     assert_eq!(successor.latest_attempt(), ran(3).at);
--- a/crates/sender/src/config/start_error.rs
+++ b/crates/sender/src/config/start_error.rs
@@ -3,6 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+use rudderspindle_journal::JournalError;
 use rudderspindle_policy::interface::SettingsError;
 use rudderspindle_policy::settings::ReadError;
 
@@ -48,7 +49,7 @@
         /// The folder.
         path: PathBuf,
         /// What went wrong.
-        error: std::io::Error,
+        error: JournalError,
     },
     /// What must outlast the process cannot be kept.
     #[error("the folder {path} keeps nothing: {error}")]
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -198,7 +198,10 @@
             engine.carried.push(Event::List(ListChange::Full(entries)));
         }
         engine.carried.extend(engine.recall());
-        let (open, owed) = (engine.store.open_messages().cloned().collect(), engine.store.owed().collect());
+        let (open, owed) = (
+            engine.store.pending_messages().cloned().collect(),
+            engine.store.pending_notifications().collect(),
+        );
         engine.recover(now, open, owed);
         engine.batch(Vec::new());
         Ok(engine)
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -31,7 +31,8 @@
         let destination = self.routes.get(&receiver).and_then(|known| known.destination);
         held.receiver = destination.map(|to| Receiver::of(to.0, &receiver));
         tracing::debug!(target: STORY, message_id = &*held.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
-        self.store.attempt(&held.message_id, PossibleExecution { at: journal::wall_ms(), receiver, zone });
+        self.store
+            .start_attempt(&held.message_id, PossibleExecution { at: journal::wall_ms(), receiver, zone });
         let (message_id, key, body) = (held.message_id.clone(), held.key.clone(), held.body.clone());
         let patience = Duration::from_secs_f64(timeout.max(0.0) / 1_000.0);
         let until = if timeout == 0.0 { last } else { (now + patience).min(last) };
@@ -49,13 +50,13 @@
             tracing::debug!(target: STORY, message_id = &*held.message_id, attempt, ?outcome, wait, "outcome");
             if closed {
                 failpoint!("delivered-before-record");
-                self.store.end(&held.message_id, None);
+                self.store.complete(&held.message_id, None);
                 if outcome == Outcome::Ok {
                     self.metrics.ended(held.class, End::Delivered);
                 }
                 self.release(id);
             } else {
-                self.store.outcome(&held.message_id, attempt, outcome.possibly_executed());
+                self.store.finish_attempt(&held.message_id, attempt, outcome.possibly_executed());
             }
         }
         let closed = !self.held.contains_key(&id);
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -44,7 +44,7 @@
                 }
                 Input::NotificationsAcknowledged(message_ids) => {
                     failpoint!("acknowledged-before-record");
-                    message_ids.iter().for_each(|message_id| self.store.settled(message_id));
+                    message_ids.iter().for_each(|message_id| self.store.acknowledge(message_id));
                 }
                 Input::Successor(came) => self.successor(came),
                 Input::RetryAfter { destination, receiver, ms } => {
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -37,7 +37,7 @@
             } else {
                 tracing::debug!(target: STORY, message_id = &*record.message_id, class = &*record.class,
                     to = record.destination, "taken on");
-                self.store.take(record);
+                self.store.accept(record);
                 taken.push((id, answer));
             }
         }
@@ -48,7 +48,7 @@
                 continue;
             }
             tracing::debug!(target: STORY, message_id = &*held.message_id, ?status, "ended");
-            self.store.end(&held.message_id, Some(status));
+            self.store.complete(&held.message_id, Some(status));
             self.metrics.ended(held.class, status.into());
             notices.push(Notice { message_id: held.message_id, status });
         }
@@ -79,7 +79,7 @@
             tracing::warn!("journal: a batch could not be written: {error}");
             for (id, answer) in taken.drain(..) {
                 if let Some(held) = self.release(id) {
-                    self.store.forget(&held.message_id);
+                    self.store.discard(&held.message_id);
                     self.carried.push(Event::Dropped(id));
                     self.metrics.ended(held.class, End::Refused);
                 }
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -43,7 +43,7 @@
             }
             return None;
         }
-        if self.store.knows(&message_id) {
+        if self.store.contains(&message_id) {
             // Its notice is still owed: what acknowledges that must not end a new message of the same id.
             self.metrics.ended(class, End::Refused);
             refused.push((answer, Answer::Refused(0.0)));
@@ -60,10 +60,10 @@
             body: body.clone(),
             attempts: 0,
             possibly_executed: None,
-            out: None,
+            in_flight: None,
         };
-        let more = record.room();
-        if self.held.len() >= self.settings.max_pending || !self.store.has_room(*room + more) {
+        let more = record.reserved_bytes();
+        if self.held.len() >= self.settings.max_pending || !self.store.has_space_for(*room + more) {
             self.metrics.ended(class, End::Refused);
             refused.push((answer, Answer::Refused(0.0)));
             return None;
@@ -128,7 +128,7 @@
         }
         let held = self.release(id)?;
         tracing::debug!(target: STORY, message_id = &*held.message_id, "withdrawn");
-        self.store.end(&held.message_id, None);
+        self.store.complete(&held.message_id, None);
         Some(Event::Dropped(id))
     }
 }
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -61,7 +61,7 @@
             );
             message_ids.sort_unstable();
             for message_id in message_ids {
-                self.store.end(&message_id, Some(Status::Undeliverable));
+                self.store.complete(&message_id, Some(Status::Undeliverable));
                 self.reports.push(Notice { message_id, status: Status::Undeliverable });
             }
         }
@@ -95,7 +95,7 @@
         if !untried || held.ends_at.saturating_duration_since(now) < EARLY {
             return false;
         }
-        let Some(message) = self.store.open_message(&held.message_id).cloned() else { return false };
+        let Some(message) = self.store.pending_message(&held.message_id).cloned() else { return false };
         tracing::debug!(target: STORY, message_id = &*held.message_id, "put back");
         let (class, ends_at) = (held.class, held.ends_at);
         self.backlog.push(Recovered { class, ends_at, possibly_executed: None, message });
@@ -157,12 +157,13 @@
                 Some(journal::OutageState::WarmingUp { ago: ago as i64, part })
             }
         };
-        self.store.remember((destination.0, receiver), outage);
+        self.store.record_outage(journal::EndpointKey::new(destination.0, receiver), outage);
     }
 
     /// What an earlier process knew of outages.
     pub(super) fn recall(&self) -> Vec<Event> {
-        let event = |((destination, receiver), outage): (&journal::EndpointKey, journal::OutageState)| {
+        let event = |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| {
+            let receiver = &endpoint.receiver;
             let route = if receiver.is_empty() { None } else { Some(self.routes.get(receiver)?.route) };
             let outage = match outage {
                 journal::OutageState::Down { wait } => OutageState::Down { wait: wait as Millis },
@@ -170,7 +171,7 @@
                     OutageState::WarmingUp { ago: ago as Millis, part }
                 }
             };
-            Some(Event::Remembered { destination: DestinationId(*destination), route, outage })
+            Some(Event::Remembered { destination: DestinationId(endpoint.destination), route, outage })
         };
         self.store.outage_records().filter_map(event).collect()
     }
--- a/crates/sender/src/engine/recovery/tests.rs
+++ b/crates/sender/src/engine/recovery/tests.rs
@@ -7,7 +7,7 @@
 fn leave_behind(state: &std::path::Path, most: usize, left_ms: u64) {
     let mut store = Store::open(state, 3_000_000).expect("a journal");
     for n in 0..most {
-        store.take(journal::Message {
+        store.accept(journal::Message {
             message_id: format!("found-{n}").into(),
             class: "safe".into(),
             tenant: "".into(),
@@ -17,7 +17,7 @@
             body: Bytes::from_static(b"text"),
             attempts: 0,
             possibly_executed: None,
-            out: None,
+            in_flight: None,
         });
     }
     store.commit().expect("written");
@@ -37,13 +37,14 @@
             engine.batch(vec![input]);
         }
         assert!(engine.backlog.len() > 30, "{} were shed", engine.backlog.len());
-        assert!((0..45).all(|n| engine.store.open_message(&format!("found-{n}").into()).is_some()));
+        assert!((0..45).all(|n| engine.store.pending_message(&format!("found-{n}").into()).is_some()));
         assert_eq!(engine.standing().open_requests, engine.held.len() + engine.backlog.len());
         // The list still does not know where they go: each ends when its time is up.
         tokio::time::advance(Duration::from_millis(4_001)).await;
         engine.batch(Vec::new());
         assert!(engine.backlog.is_empty());
-        let owed: Vec<Notice> = engine.store.owed().filter(|n| n.message_id.starts_with("found-")).collect();
+        let owed: Vec<Notice> =
+            engine.store.pending_notifications().filter(|n| n.message_id.starts_with("found-")).collect();
         assert_eq!(owed.len(), 45);
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/engine/succession.rs
+++ b/crates/sender/src/engine/succession.rs
@@ -13,21 +13,21 @@
             // It is the owner that is gone; its journal's lock says when it has ended.
             return;
         }
-        if let Err(error) = self.store.share(came) {
+        if let Err(error) = self.store.share_disk(came) {
             tracing::warn!("journal: no room could be made for a successor: {error}");
         }
         if !came {
             return;
         }
         tracing::info!("handover: a successor has come");
-        for ((destination, receiver), outage) in self.store.outage_records() {
+        for (endpoint, outage) in self.store.outage_records() {
             let outage = match outage {
                 journal::OutageState::Down { wait } => handover::OutageState::Down { wait },
                 journal::OutageState::WarmingUp { ago, part } => {
                     handover::OutageState::WarmingUp { ago, part }
                 }
             };
-            let (destination, receiver) = (*destination, receiver.to_string());
+            let (destination, receiver) = (endpoint.destination, endpoint.receiver.to_string());
             self.peer_process.tell(HandoverMessage::OutageState { destination, receiver, outage });
         }
         self.outbound.waits().into_iter().for_each(|word| self.peer_process.tell(word));
@@ -49,7 +49,8 @@
                         journal::OutageState::WarmingUp { ago, part: part.clamp(0.0, 1.0) }
                     }
                 };
-                store.remember((*destination, receiver.as_str().into()), Some(outage));
+                let endpoint = journal::EndpointKey::new(*destination, receiver.as_str());
+                store.record_outage(endpoint, Some(outage));
             }
         }
     }
@@ -68,15 +69,15 @@
 
     /// If the process that owned the journal has ended, what it owed is ours.
     pub(super) fn succeed(&mut self, now: Instant) {
-        match self.store.succeed() {
+        match self.store.take_over() {
             Ok(None) => {}
             Ok(Some(over)) => {
                 tracing::info!(
                     "handover: taken over: {} messages, {} notices",
-                    over.open.len(),
-                    over.owed.len()
+                    over.pending_messages.len(),
+                    over.pending_notifications.len()
                 );
-                self.recover(now, over.open, over.owed);
+                self.recover(now, over.pending_messages, over.pending_notifications);
             }
             Err(error) => tracing::warn!("handover: the older journal cannot be read yet: {error}"),
         }
--- a/crates/sender/src/engine/succession/tests.rs
+++ b/crates/sender/src/engine/succession/tests.rs
@@ -38,7 +38,7 @@
     Engine::hear(&mut store, &words);
     for (place, outage) in store.outage_records() {
         let fits = match outage {
-            journal::OutageState::Down { wait } => place.0 == 1 && wait <= 60_000,
+            journal::OutageState::Down { wait } => place.destination == 1 && wait <= 60_000,
             journal::OutageState::WarmingUp { ago, part } => ago >= -60_000 && (0.0..=1.0).contains(&part),
         };
         assert!(fits, "{place:?}: {outage:?}");
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -62,10 +62,12 @@
         }
         for number in 2..=MAX_SUBMISSIONS as u64 + 1 {
             engine.batch(vec![Input::Withdrawn(number)]);
-            assert!(engine.held.len() == 1 && engine.store.knows(&"m1".into()), "ended by {number}");
+            assert!(engine.held.len() == 1 && engine.store.contains(&"m1".into()), "ended by {number}");
         }
         engine.batch(vec![Input::Withdrawn(1)]);
-        assert!(engine.held.is_empty() && engine.submissions.is_empty() && !engine.store.knows(&"m1".into()));
+        assert!(
+            engine.held.is_empty() && engine.submissions.is_empty() && !engine.store.contains(&"m1".into())
+        );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -78,7 +78,7 @@
         for _ in 0..3 {
             batch(&mut engine);
         }
-        assert!(engine.held.is_empty() && !engine.store.knows(&"m1".into()), "it is still owed its end");
+        assert!(engine.held.is_empty() && !engine.store.contains(&"m1".into()), "it is still owed its end");
         assert!(engine.calls.is_empty(), "it went again");
         assert_eq!(engine.sender.remembered(), before, "the module still has it");
     };
@@ -106,7 +106,7 @@
         })
         .await;
         batch(&mut engine);
-        let ran: Vec<_> = engine.store.open_messages().map(|m| m.possibly_executed.is_some()).collect();
+        let ran: Vec<_> = engine.store.pending_messages().map(|m| m.possibly_executed.is_some()).collect();
         assert_eq!(ran, [false]);
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -123,7 +123,7 @@
         cancel(&mut engine);
         until(|| {
             batch(&mut engine);
-            engine.store.open_messages().all(|m| m.possibly_executed.is_some())
+            engine.store.pending_messages().all(|m| m.possibly_executed.is_some())
         })
         .await;
         // Its end, by a reset or not.
--- a/crates/sender/src/engine/tests/deadline.rs
+++ b/crates/sender/src/engine/tests/deadline.rs
@@ -31,7 +31,7 @@
             engine.held.is_empty()
         })
         .await;
-        let owed: Vec<_> = engine.store.owed().map(|notice| notice.message_id).collect();
+        let owed: Vec<_> = engine.store.pending_notifications().map(|notice| notice.message_id).collect();
         assert_eq!(owed, ["m1".into()]);
     };
     tokio::task::LocalSet::new().run_until(test).await;
