--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,6 +1,6 @@
-//! One real sender as a program: its variables, its log and its signals.
+//! The sender as a program: its environment variables, its log and its signals.
 //!
-//! A library only so that another program can be a sender, too (the demo starts itself as one):
+//! It is a library so that another program can run as a sender, too: the demo executes itself as one.
 //!
 //! ```no_run
 //! // With RELAY_CONFIG and RELAY_STATE set:
@@ -9,37 +9,40 @@
 //! }
 //! ```
 
-mod inherited;
-mod log;
+mod environment;
+mod inherited_listener;
+mod logging;
+mod signals;
 
-use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use rudderspindle_sender::{Control, FleetFile, FleetFileError, Service, StartError, ValidatedConfig};
-use tokio::signal::unix::{Signal, SignalKind, signal};
-use tokio::task::{LocalSet, spawn_local};
+use rudderspindle_sender::{FleetFileError, Service, StartError, ValidatedConfig};
+use tokio::task::LocalSet;
 
+use crate::environment::EnvironmentError;
+use crate::inherited_listener::InheritedListenerError;
+use crate::signals::Signals;
+
+/// Why the program ended with a failure.
 #[derive(Debug, thiserror::Error)]
-enum Error {
-    #[error("{0} is not set")]
-    Unset(&'static str),
+enum ProgramError {
+    #[error(transparent)]
+    Environment(#[from] EnvironmentError),
     #[error(transparent)]
-    AdmissionState(#[from] inherited::DoorError),
-    #[error("RELAY_CONTROL is {0:?}, not an address and a port")]
-    Control(String),
+    InheritedListener(#[from] InheritedListenerError),
     #[error(transparent)]
     Fleet(#[from] FleetFileError),
     #[error(transparent)]
     Start(#[from] StartError),
-    #[error("{0}")]
+    #[error(transparent)]
     Runtime(#[from] std::io::Error),
 }
 
-/// Runs until SIGTERM has been dealt with; why it could not is one line of the log.
+/// Runs a sender until it has shut down after SIGTERM. A failure is one line of the log.
 pub fn main() -> ExitCode {
-    log::to_standard_error();
-    match start() {
+    logging::init();
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!("rudderspindle: {error}");
@@ -48,66 +51,32 @@
     }
 }
 
-fn start() -> Result<(), Error> {
-    inherited::translate()?;
-    let variable = |name| std::env::var_os(name).map(PathBuf::from).ok_or(Error::Unset(name));
-    let (path, state) = (variable("RELAY_CONFIG")?, variable("RELAY_STATE")?);
+fn run() -> Result<(), ProgramError> {
+    inherited_listener::execute_again_if_inherited()?;
+    let config_path = environment::config_path()?;
+    let state_folder = environment::state_folder()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, run(&path, &state))
+    LocalSet::new().block_on(&runtime, serve(config_path, &state_folder))
 }
 
-async fn run(path: &Path, state: &Path) -> Result<(), Error> {
-    // Before anything else: until it is heeded, a signal ends the program.
-    let hangup = signal(SignalKind::hangup())?;
-    let terminate = signal(SignalKind::terminate())?;
-    let mut config = ValidatedConfig::read(path)?.with_fleet(fleet()?);
-    if let Some(control) = control()? {
-        config = config.with_control(control);
-    }
+async fn serve(config_path: PathBuf, state_folder: &Path) -> Result<(), ProgramError> {
+    // Before anything else: a signal ends the process until its handler is registered.
+    let signals = Signals::register()?;
+    let config = read_config(&config_path)?;
     let fleet = config.fleet().clone();
-    let service = Service::start(config, state, inherited::door()?).await?;
+    let listener = inherited_listener::take_inherited_listener()?;
+    let service = Service::start(config, state_folder, listener).await?;
     tracing::info!("listening on {}", service.local_addr());
-    spawn_local(reread(hangup, path.to_owned(), fleet, service.control()));
-    spawn_local(stop(terminate, service.control()));
+    signals.handle(config_path, fleet, service.control());
     service.run().await;
     Ok(())
 }
 
-/// How senders act together, if the variable names a file of the operator's.
-fn fleet() -> Result<FleetFile, FleetFileError> {
-    let path = std::env::var_os("RELAY_FLEET").filter(|path| !path.is_empty());
-    path.map_or_else(|| Ok(FleetFile::default()), |path| FleetFile::read(Path::new(&path)))
-}
-
-/// Where operators call, if the variable says so.
-fn control() -> Result<Option<SocketAddr>, Error> {
-    let Some(text) = std::env::var_os("RELAY_CONTROL").filter(|text| !text.is_empty()) else {
-        return Ok(None);
-    };
-    let text = text.to_string_lossy().into_owned();
-    text.parse().map(Some).map_err(|_| Error::Control(text))
-}
-
-/// On each SIGHUP both files are read again, and nothing changes unless both can be used. The configuration's `discovery` is
-/// in force from then on, the fleet's file from the next start.
-async fn reread(mut hangup: Signal, path: PathBuf, in_force: FleetFile, control: Control) {
-    while hangup.recv().await.is_some() {
-        let read = || Ok::<_, Error>((ValidatedConfig::read(&path)?, fleet()?));
-        match read() {
-            Ok((config, fleet)) => {
-                if fleet != in_force {
-                    tracing::info!(target: "fleet", "the fleet's file has changed: in force from the next start");
-                }
-                tracing::info!("configuration read again: discovery at {}", config.discovery());
-                control.configure(&config);
-            }
-            Err(error) => tracing::error!("configuration left as it was: {error}"),
-        }
-    }
-}
-
-async fn stop(mut terminate: Signal, control: Control) {
-    terminate.recv().await;
-    tracing::info!("stopping");
-    control.stop().await;
+/// The configuration with all that the environment adds to it.
+fn read_config(path: &Path) -> Result<ValidatedConfig, ProgramError> {
+    let config = ValidatedConfig::read(path)?.with_fleet(environment::read_fleet_file()?);
+    Ok(match environment::control_address()? {
+        Some(address) => config.with_control(address),
+        None => config,
+    })
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `rudderspindle`: one real sender.
+//! The program `rudderspindle`: one sender.
 
 fn main() -> std::process::ExitCode {
     rudderspindle::main()
--- /dev/null
+++ b/crates/daemon/src/signals.rs
@@ -0,0 +1,80 @@
+//! Signals: SIGHUP reads the configuration again, SIGTERM shuts down gracefully.
+
+use std::path::{Path, PathBuf};
+
+use rudderspindle_sender::{Control, FleetFile, FleetFileError, StartError, ValidatedConfig};
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::task::spawn_local;
+
+use crate::environment::read_fleet_file;
+
+/// Registered signal handlers. From their registration on a signal no longer ends the process.
+#[derive(Debug)]
+pub(crate) struct Signals {
+    hangup: Signal,
+    terminate: Signal,
+}
+
+/// Why a configuration cannot be put into force.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    #[error(transparent)]
+    Config(#[from] StartError),
+    #[error(transparent)]
+    Fleet(#[from] FleetFileError),
+}
+
+impl Signals {
+    /// Registers the handlers.
+    ///
+    /// # Errors
+    ///
+    /// What the operating system reports.
+    pub fn register() -> std::io::Result<Self> {
+        let hangup = signal(SignalKind::hangup())?;
+        let terminate = signal(SignalKind::terminate())?;
+        Ok(Self { hangup, terminate })
+    }
+
+    /// Handles signals in two tasks, which the process's `LocalSet` owns and ends with. `fleet_in_force` is the fleet
+    /// file that the service was started with.
+    pub fn handle(self, config_path: PathBuf, fleet_in_force: FleetFile, control: Control) {
+        spawn_local(reload_on_hangup(self.hangup, config_path, fleet_in_force, control.clone()));
+        spawn_local(stop_on_terminate(self.terminate, control));
+    }
+}
+
+/// Reads both files again on each SIGHUP, and changes nothing unless both can be used. The configuration's `discovery`
+/// takes effect at once, the fleet file at the next start.
+async fn reload_on_hangup(
+    mut hangup: Signal,
+    config_path: PathBuf,
+    fleet_in_force: FleetFile,
+    control: Control,
+) {
+    while hangup.recv().await.is_some() {
+        match read_files(&config_path) {
+            Ok((config, fleet)) => {
+                if fleet != fleet_in_force {
+                    tracing::info!(target: "fleet", "the fleet's file has changed: in force from the next start");
+                }
+                tracing::info!("configuration read again: discovery at {}", config.discovery());
+                control.configure(&config);
+            }
+            Err(error) => tracing::error!("configuration left as it was: {error}"),
+        }
+    }
+}
+
+fn read_files(config_path: &Path) -> Result<(ValidatedConfig, FleetFile), ReloadError> {
+    let config = ValidatedConfig::read(config_path)?;
+    let fleet = read_fleet_file()?;
+    Ok((config, fleet))
+}
+
+/// Stops the service on SIGTERM.
+async fn stop_on_terminate(mut terminate: Signal, control: Control) {
+    terminate.recv().await;
+    tracing::info!("stopping");
+    control.stop().await;
+}
