--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -15,7 +15,7 @@
     append_outage,
 };
 use crate::replay::{ReplayedState, replay_segments};
-use crate::segments::{SEGMENT_SIZE, Segment, Segments, segment_numbers};
+use crate::segments::{SEGMENT_SIZE, Segments, segment_numbers};
 use crate::{JournalError, MessageId, wall_ms};
 
 /// Space that is kept free between batches, in bytes: for one batch (with short records), and for one segment that is
@@ -64,7 +64,7 @@
         let numbers = segment_numbers(folder)?;
         if !lock.is_owner() {
             let number = numbers.last().map_or(0, |last| last + SUCCESSOR_NUMBER_OFFSET);
-            let segments = Segments::start(folder, VecDeque::<Segment>::new(), number)?;
+            let segments = Segments::start(folder, VecDeque::new(), number)?;
             return Ok(Self::new(folder, lock, disk_budget, segments, ReplayedState::default()));
         }
         let mut state = ReplayedState::default();
