--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -13,7 +13,7 @@
 
 use crate::datagram_budget::DatagramBudget;
 use crate::envelope::{Kind, open, read};
-use crate::membership::{Incarnation, Roster, Standing};
+use crate::membership::{Incarnation, IncarnationOrder, MembershipList};
 use crate::outlier_detection::{OutlierDetector, Receiver};
 use crate::tenant_usage::{EPOCH, Interval, TenantUsage, part};
 pub use error::FleetViewError;
@@ -60,7 +60,7 @@
     me: usize,
     halls: Vec<u16>,
     incarnation: Incarnation,
-    roster: Roster,
+    members: MembershipList,
     counts: TenantUsage,
     judgements: OutlierDetector,
     /// The round that was begun last, and whom it has still to be told.
@@ -101,7 +101,7 @@
         Ok(Self {
             me,
             incarnation,
-            roster: Roster::new(senders),
+            members: MembershipList::new(senders),
             counts: TenantUsage::new(me, senders, incarnation, whole_from, most_per_s),
             judgements: OutlierDetector::new(me, halls.clone()),
             halls,
@@ -115,8 +115,8 @@
     }
 
     /// Who is there.
-    pub fn roster(&self) -> &Roster {
-        &self.roster
+    pub fn members(&self) -> &MembershipList {
+        &self.members
     }
 
     /// What tenants hand in; [`TenantUsage::handed_in`] is told of each message.
@@ -195,10 +195,10 @@
     /// Of an incarnation that counts.
     fn admit(&mut self, now: u64, from: usize, incarnation: u64) -> Result<Incarnation, FleetViewError> {
         let incarnation = Incarnation(incarnation);
-        match self.roster.admit(from, incarnation, now)? {
-            Standing::Older => return Err(FleetViewError::Older),
-            Standing::Newer => self.judgements.forget(from),
-            Standing::Same => {}
+        match self.members.record_message(from, incarnation, now)? {
+            IncarnationOrder::Older => return Err(FleetViewError::Older),
+            IncarnationOrder::Newer => self.judgements.forget(from),
+            IncarnationOrder::Current => {}
         }
         Ok(incarnation)
     }
--- a/crates/gossip/src/fleet_view/error.rs
+++ b/crates/gossip/src/fleet_view/error.rs
@@ -2,7 +2,7 @@
 
 use super::MAX_SENDERS;
 use crate::envelope::{EnvelopeError, Kind};
-use crate::membership::TooFarAhead;
+use crate::membership::IncarnationTooFarAhead;
 
 /// Why a datagram does not count; nothing has changed then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -25,7 +25,7 @@
     Older,
     /// Of an incarnation that cannot be.
     #[error(transparent)]
-    TooFarAhead(#[from] TooFarAhead),
+    IncarnationTooFarAhead(#[from] IncarnationTooFarAhead),
     /// The tier has more senders than a note has bits for.
     #[error("a tier of {0} senders; notes have room for {MAX_SENDERS}")]
     TooMany(usize),
--- a/crates/gossip/src/fleet_view/tell.rs
+++ b/crates/gossip/src/fleet_view/tell.rs
@@ -29,7 +29,7 @@
             return;
         }
         let mut heard = self.counts.heard(now);
-        heard.extend((0..self.halls.len()).filter(|n| self.roster.is_alive(*n, now)));
+        heard.extend((0..self.halls.len()).filter(|n| self.members.is_alive(*n, now)));
         heard.insert(self.me);
         let hall = self.halls.get(self.me);
         self.heard_in_hall = heard.into_iter().filter(|n| self.halls.get(*n) == hall).count();
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -76,8 +76,8 @@
         assert_eq!(reader.hear(NOW, 1, &view(round)), Err(FleetViewError::Round), "{round}");
     }
     let absurd = reader.hear(NOW, 1, &report(ROUND, u64::MAX));
-    assert!(matches!(absurd, Err(FleetViewError::TooFarAhead(_))), "{absurd:?}");
-    assert!(reader.roster.fate(1).is_none() && reader.told_by.is_empty());
+    assert!(matches!(absurd, Err(FleetViewError::IncarnationTooFarAhead(_))), "{absurd:?}");
+    assert!(reader.members.last_event(1).is_none() && reader.told_by.is_empty());
     assert_eq!(reader.hear(NOW, 1, &report(ROUND, 1)), Ok(()));
 }
 
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -30,7 +30,9 @@
 pub use fleet::{Fleet, OutgoingDatagram, Own, ROUND};
 pub use fleet_view::{FleetView, FleetViewError, MAX_SENDERS, STALE};
 pub use limit_id::LimitId;
-pub use membership::{Fate, Incarnation, Roster, Standing, TooFarAhead};
+pub use membership::{
+    Incarnation, IncarnationOrder, IncarnationTooFarAhead, MemberEvent, MembershipList, NewestIncarnation,
+};
 pub use message::{GossipError, MAX_MESSAGE_LEN};
 pub use outlier_detection::{OutlierDetector, Receiver, Seen, Word};
 pub use permits::{Permit, PermitError, PermitLedger};
--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -1,153 +1,159 @@
-//! Who of the tier is there, and as which process: by incarnations that only grow.
+//! Fleet membership: the newest process known under each sender number, ordered by incarnation.
 //!
-//! Invariant: of each sender's number only the newest incarnation counts, from the moment it is heard.
+//! Invariant: of each sender number only the newest incarnation counts, from the first message received from it.
+//! All times are milliseconds since 1970.
+
+mod incarnation;
 
 use std::collections::BTreeMap;
 
-use serde::{Deserialize, Serialize};
-
-/// Who was not heard for so long counts as gone, ms: ten rounds of notes without a word.
-pub const SILENT: u64 = 10_000;
-/// After so long without a word a number's incarnation is forgotten, ms: whoever comes back with an empty folder and a
-/// clock that went back is not shut out for good. Longer than the oldest note that is still let in.
-pub const FORGOTTEN: u64 = 600_000;
-/// So far ahead of the reader's clock an incarnation may be, ms: far more than clocks differ, little enough for a
-/// number to be usable again after a minute when its clock was wrong at a start.
-pub const AHEAD: u64 = 60_000;
-/// What an older incarnation says so long after a newer one was heard was no late note, ms: both are alive.
-pub const LATE: u64 = 3_000;
-
-/// One life of a sender, from a start of its process to its end: larger than all before under its number.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Incarnation(pub u64);
-
-impl Incarnation {
-    /// The one to start with, from the one `kept` in the state folder and the wall clock, ms since 1970; it is kept
-    /// before it is first told. With an empty folder the clock alone tells. A kept one that is larger than the
-    /// clock (which went back) is gone one beyond.
-    pub fn next(kept: Option<Self>, wall_ms: u64) -> Self {
-        Self(kept.map_or(wall_ms, |kept| wall_ms.max(kept.0.saturating_add(1))))
-    }
-}
+pub use incarnation::{Incarnation, IncarnationTooFarAhead};
+
+/// A sender from which nothing was received for this long counts as dead, ms: ten rounds of datagrams.
+pub const SILENCE_TIMEOUT: u64 = 10_000;
+/// After this long without a message a number's incarnation is forgotten, ms.
+///
+/// A process that returns with an empty state folder and a clock that was set back is therefore not locked out for
+/// good. Longer than the oldest datagram that is still accepted.
+pub const FORGET_TIMEOUT: u64 = 600_000;
+/// Longest delay after which a message of a replaced incarnation may still be a late datagram, ms.
+///
+/// When one arrives later than this after the newer incarnation was first seen, both processes are running.
+pub const MAX_DATAGRAM_DELAY: u64 = 3_000;
 
-/// How what was heard stands to the newest incarnation of its number.
+/// How the incarnation of a received message compares to the newest one known of its sender number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// A process that was replaced: it counts no more.
+pub enum IncarnationOrder {
+    /// A process that was replaced: its messages do not count.
     Older,
-    /// The one known.
-    Same,
-    /// One that was not heard before: what was known of the number's earlier ones is void.
+    /// The newest incarnation known.
+    Current,
+    /// An incarnation that is new here: what was known of the number's earlier ones is void.
     Newer,
 }
 
-/// What last happened under a number.
+/// The last change that was observed under a sender number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Fate {
-    /// It was heard for the first time, or for the first time since it was forgotten.
-    Started,
-    /// The same process was silent, and goes on: stopped, or cut off.
-    WentOn,
-    /// Another process came under the number.
-    Back,
-    /// An older process was heard long after a newer one: two run at once.
-    RanTwice,
+pub enum MemberEvent {
+    /// Its first message since this process started, or since the number was forgotten.
+    Joined,
+    /// The same process sends again after [`SILENCE_TIMEOUT`]: it was paused, or partitioned.
+    Resumed,
+    /// Another process took the number over.
+    Restarted,
+    /// A replaced process still sends after [`MAX_DATAGRAM_DELAY`]: two run under one number.
+    DuplicateDetected,
 }
 
-/// An incarnation further ahead of the reader's clock than [`AHEAD`]: a liar, or a clock that is wrong.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("incarnation {told} is over {AHEAD} ms ahead of the clock, which says {now}")]
-pub struct TooFarAhead {
-    /// What was told.
-    pub told: u64,
-    /// The reader's clock, ms since 1970.
-    pub now: u64,
+/// The newest incarnation of a sender number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NewestIncarnation {
+    /// The incarnation.
+    pub incarnation: Incarnation,
+    /// When its last message was received, ms since 1970.
+    pub last_received: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Member {
     incarnation: Incarnation,
-    /// When this incarnation was first heard, ms.
-    since: u64,
-    heard: u64,
-    fate: Fate,
+    /// When the first message of this incarnation was received.
+    first_received: u64,
+    last_received: u64,
+    last_event: MemberEvent,
+}
+
+impl Member {
+    fn new(incarnation: Incarnation, now: u64, last_event: MemberEvent) -> Self {
+        Self { incarnation, first_received: now, last_received: now, last_event }
+    }
+
+    fn record_older(&mut self, now: u64) -> IncarnationOrder {
+        if now > self.first_received.saturating_add(MAX_DATAGRAM_DELAY) {
+            self.last_event = MemberEvent::DuplicateDetected;
+        }
+        IncarnationOrder::Older
+    }
+
+    fn record_current(&mut self, now: u64) -> IncarnationOrder {
+        if now > self.last_received.saturating_add(SILENCE_TIMEOUT) {
+            self.last_event = MemberEvent::Resumed;
+        }
+        self.last_received = self.last_received.max(now);
+        IncarnationOrder::Current
+    }
 }
 
-/// The newest incarnation heard of each number: at most one entry for each of the tier, forgotten after [`FORGOTTEN`].
+/// The newest incarnation of each sender number: at most one entry for each sender, removed after [`FORGET_TIMEOUT`].
 ///
 /// ```
-/// use rudderspindle_gossip::{Incarnation, Roster, Standing};
-/// let mut roster = Roster::new(3);
-/// assert_eq!(roster.admit(1, Incarnation(5_000), 6_000), Ok(Standing::Newer));
-/// assert_eq!(roster.admit(1, Incarnation(4_000), 6_000), Ok(Standing::Older));
-/// assert!(roster.is_alive(1, 6_500) && !roster.is_alive(1, 17_000));
+/// use rudderspindle_gossip::{Incarnation, IncarnationOrder, MembershipList};
+/// let mut members = MembershipList::new(3);
+/// assert_eq!(members.record_message(1, Incarnation(5_000), 6_000), Ok(IncarnationOrder::Newer));
+/// assert_eq!(members.record_message(1, Incarnation(4_000), 6_000), Ok(IncarnationOrder::Older));
+/// assert!(members.is_alive(1, 6_500) && !members.is_alive(1, 17_000));
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Roster {
+pub struct MembershipList {
     senders: usize,
     members: BTreeMap<usize, Member>,
 }
 
-impl Roster {
-    /// Nobody was heard yet of a tier of so many.
+impl MembershipList {
+    /// An empty list for a fleet of `senders`.
     pub fn new(senders: usize) -> Self {
         Self { senders, members: BTreeMap::new() }
     }
 
-    /// Takes in that a number was heard under an incarnation, and says whether what it said counts. A number beyond
-    /// the tier is always `Older`: nothing it says counts.
+    /// Records that a message of sender number `from` arrived, and says whether its content counts.
+    ///
+    /// A number beyond the fleet's size is always [`IncarnationOrder::Older`].
     ///
     /// # Errors
     ///
-    /// [`TooFarAhead`]; nothing has changed then.
-    pub fn admit(
+    /// [`IncarnationTooFarAhead`]; the list is unchanged then.
+    pub fn record_message(
         &mut self,
         from: usize,
         incarnation: Incarnation,
         now: u64,
-    ) -> Result<Standing, TooFarAhead> {
-        if incarnation.0 > now.saturating_add(AHEAD) {
-            return Err(TooFarAhead { told: incarnation.0, now });
-        }
-        self.members.retain(|_, member| member.heard.saturating_add(FORGOTTEN) > now);
+    ) -> Result<IncarnationOrder, IncarnationTooFarAhead> {
+        incarnation.check_clock(now)?;
+        self.members.retain(|_, member| member.last_received.saturating_add(FORGET_TIMEOUT) > now);
         if from >= self.senders {
-            return Ok(Standing::Older);
+            return Ok(IncarnationOrder::Older);
         }
         let Some(member) = self.members.get_mut(&from) else {
-            let started = Member { incarnation, since: now, heard: now, fate: Fate::Started };
-            self.members.insert(from, started);
-            return Ok(Standing::Newer);
+            self.members.insert(from, Member::new(incarnation, now, MemberEvent::Joined));
+            return Ok(IncarnationOrder::Newer);
         };
         if incarnation < member.incarnation {
-            if now > member.since.saturating_add(LATE) {
-                member.fate = Fate::RanTwice;
-            }
-            return Ok(Standing::Older);
+            return Ok(member.record_older(now));
         }
         if incarnation > member.incarnation {
-            *member = Member { incarnation, since: now, heard: now, fate: Fate::Back };
-            return Ok(Standing::Newer);
+            *member = Member::new(incarnation, now, MemberEvent::Restarted);
+            return Ok(IncarnationOrder::Newer);
         }
-        if now > member.heard.saturating_add(SILENT) {
-            member.fate = Fate::WentOn;
-        }
-        member.heard = member.heard.max(now);
-        Ok(Standing::Same)
+        Ok(member.record_current(now))
     }
 
-    /// Whether the number was heard within [`SILENT`]; if not but [`Roster::fate`] knows it, it died, stopped or is cut off.
+    /// Whether a message of the sender number was received within [`SILENCE_TIMEOUT`].
+    ///
+    /// Where it was not, but [`MembershipList::last_event`] knows the number, the process died, is paused or partitioned.
     pub fn is_alive(&self, number: usize, now: u64) -> bool {
-        self.members.get(&number).is_some_and(|member| member.heard.saturating_add(SILENT) > now)
+        let member = self.members.get(&number);
+        member.is_some_and(|member| member.last_received.saturating_add(SILENCE_TIMEOUT) > now)
     }
 
-    /// What last happened under the number; nothing if it was never heard, or is forgotten.
-    pub fn fate(&self, number: usize) -> Option<Fate> {
-        self.members.get(&number).map(|member| member.fate)
+    /// The last change under the sender number; `None` if nothing was received from it, or it is forgotten.
+    pub fn last_event(&self, number: usize) -> Option<MemberEvent> {
+        self.members.get(&number).map(|member| member.last_event)
     }
 
-    /// The newest incarnation heard, and when it was heard last, ms since 1970.
-    pub fn newest(&self, number: usize) -> Option<(Incarnation, u64)> {
-        self.members.get(&number).map(|member| (member.incarnation, member.heard))
+    /// The newest incarnation known of the sender number.
+    pub fn newest(&self, number: usize) -> Option<NewestIncarnation> {
+        let member = self.members.get(&number)?;
+        Some(NewestIncarnation { incarnation: member.incarnation, last_received: member.last_received })
     }
 }
 
--- a/crates/gossip/src/membership/tests.rs
+++ b/crates/gossip/src/membership/tests.rs
@@ -1,57 +1,66 @@
 use super::*;
+use crate::membership::incarnation::MAX_CLOCK_LEAD;
 
-const T: u64 = 1_700_000_000_000;
+const START: u64 = 1_700_000_000_000;
 
 #[test]
-fn an_incarnation_grows_though_the_clock_went_back_or_nothing_was_kept() {
-    let first = Incarnation::next(None, T);
-    assert_eq!(first, Incarnation(T));
-    let second = Incarnation::next(Some(first), T - 5_000);
+fn an_incarnation_grows_though_the_clock_went_back_or_nothing_was_stored() {
+    let first = Incarnation::next(None, START);
+    assert_eq!(first, Incarnation(START));
+    let second = Incarnation::next(Some(first), START - 5_000);
     assert!(second > first);
-    assert!(Incarnation::next(Some(second), T + 9) > second);
-    assert!(Incarnation::next(None, T + 600) > first, "an empty folder 0.6 s later");
+    assert!(Incarnation::next(Some(second), START + 9) > second);
+    assert!(Incarnation::next(None, START + 600) > first, "an empty folder 0.6 s later");
 }
 
 #[test]
-fn what_an_older_one_says_counts_no_more_and_two_at_once_are_told_from_a_late_note() {
-    let mut roster = Roster::new(2);
-    assert_eq!(roster.admit(0, Incarnation(T), T), Ok(Standing::Newer));
-    assert_eq!(roster.fate(0), Some(Fate::Started));
-    assert_eq!(roster.admit(0, Incarnation(T + 600), T + 700), Ok(Standing::Newer));
-    assert_eq!(roster.admit(0, Incarnation(T), T + 800), Ok(Standing::Older));
-    assert_eq!(roster.fate(0), Some(Fate::Back), "a note that was late says nothing");
-    assert_eq!(roster.admit(0, Incarnation(T), T + 5_000), Ok(Standing::Older));
-    assert_eq!(roster.fate(0), Some(Fate::RanTwice));
-    assert_eq!(roster.newest(0), Some((Incarnation(T + 600), T + 700)), "the older one keeps nobody alive");
+fn messages_of_an_older_incarnation_do_not_count_and_a_duplicate_process_is_no_late_datagram() {
+    let mut members = MembershipList::new(2);
+    assert_eq!(members.record_message(0, Incarnation(START), START), Ok(IncarnationOrder::Newer));
+    assert_eq!(members.last_event(0), Some(MemberEvent::Joined));
+    let restarted = members.record_message(0, Incarnation(START + 600), START + 700);
+    assert_eq!(restarted, Ok(IncarnationOrder::Newer));
+    assert_eq!(members.record_message(0, Incarnation(START), START + 800), Ok(IncarnationOrder::Older));
+    assert_eq!(members.last_event(0), Some(MemberEvent::Restarted), "a late datagram changes nothing");
+    assert_eq!(members.record_message(0, Incarnation(START), START + 5_000), Ok(IncarnationOrder::Older));
+    assert_eq!(members.last_event(0), Some(MemberEvent::DuplicateDetected));
+    let newest = NewestIncarnation { incarnation: Incarnation(START + 600), last_received: START + 700 };
+    assert_eq!(members.newest(0), Some(newest), "the older one keeps nobody alive");
 }
 
 #[test]
-fn who_died_is_told_from_who_stopped_and_went_on() {
-    let mut roster = Roster::new(2);
-    roster.admit(0, Incarnation(T), T).expect("in time");
-    assert!(roster.is_alive(0, T + SILENT - 1));
-    assert!(!roster.is_alive(0, T + SILENT) && roster.fate(0).is_some(), "died, or stopped");
-    assert!(!roster.is_alive(1, T) && roster.fate(1).is_none(), "never heard");
-    assert_eq!(roster.admit(0, Incarnation(T), T + 30_000), Ok(Standing::Same));
-    assert_eq!(roster.fate(0), Some(Fate::WentOn));
+fn a_dead_sender_is_distinguished_from_one_that_paused_and_resumed() {
+    let mut members = MembershipList::new(2);
+    members.record_message(0, Incarnation(START), START).expect("in time");
+    assert!(members.is_alive(0, START + SILENCE_TIMEOUT - 1));
+    assert!(
+        !members.is_alive(0, START + SILENCE_TIMEOUT) && members.last_event(0).is_some(),
+        "dead, or paused"
+    );
+    assert!(!members.is_alive(1, START) && members.last_event(1).is_none(), "never received from");
+    assert_eq!(members.record_message(0, Incarnation(START), START + 30_000), Ok(IncarnationOrder::Current));
+    assert_eq!(members.last_event(0), Some(MemberEvent::Resumed));
 }
 
 #[test]
-fn a_liar_or_a_wrong_clock_shuts_no_number_out_for_good() {
-    let mut roster = Roster::new(2);
-    for absurd in [u64::MAX, T + AHEAD + 1] {
-        assert_eq!(roster.admit(0, Incarnation(absurd), T), Err(TooFarAhead { told: absurd, now: T }));
+fn a_forged_incarnation_or_a_wrong_clock_locks_no_number_out_for_good() {
+    let mut members = MembershipList::new(2);
+    for absurd in [u64::MAX, START + MAX_CLOCK_LEAD + 1] {
+        assert_eq!(
+            members.record_message(0, Incarnation(absurd), START),
+            Err(IncarnationTooFarAhead { announced: absurd, now: START })
+        );
     }
-    assert_eq!(roster.fate(0), None);
-    roster.admit(0, Incarnation(T + AHEAD), T).expect("just near enough");
-    assert_eq!(roster.admit(0, Incarnation(T), T + 1_000), Ok(Standing::Older));
+    assert_eq!(members.last_event(0), None);
+    members.record_message(0, Incarnation(START + MAX_CLOCK_LEAD), START).expect("just near enough");
+    assert_eq!(members.record_message(0, Incarnation(START), START + 1_000), Ok(IncarnationOrder::Older));
     assert_eq!(
-        roster.admit(0, Incarnation(T), T + FORGOTTEN),
-        Ok(Standing::Newer),
+        members.record_message(0, Incarnation(START), START + FORGET_TIMEOUT),
+        Ok(IncarnationOrder::Newer),
         "forgotten after a while"
     );
     for number in 0..10_000 {
-        let _ = roster.admit(number, Incarnation(T), T + FORGOTTEN);
+        let _ = members.record_message(number, Incarnation(START), START + FORGET_TIMEOUT);
     }
-    assert_eq!(roster.members.len(), 2, "no more entries than senders");
+    assert_eq!(members.members.len(), 2, "no more entries than senders");
 }
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -110,7 +110,7 @@
     world.restart(1, true);
     world.run(3_000, |_| {});
     assert_eq!(
-        world.senders[0].views.roster().newest(1).map(|(newest, _)| newest),
+        world.senders[0].views.members().newest(1).map(|newest| newest.incarnation),
         Some(Incarnation(START + 3_000))
     );
     let mut post = rudderspindle_gossip::DatagramBudget::new(&[(
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -151,7 +151,7 @@
         }
         let avoided = views.avoided(now, &receivers);
         let avoided: Vec<bool> = receivers.iter().map(|receiver| avoided.contains(receiver)).collect();
-        let alive: Vec<bool> = (0..6).map(|number| views.roster().is_alive(number, now)).collect();
+        let alive: Vec<bool> = (0..6).map(|number| views.members().is_alive(number, now)).collect();
         writeln!(transcript, "{me} avoids {avoided:?} hears {alive:?}").expect("written");
     }
     assert_golden("transcript-views.txt", &transcript);
--- a/crates/gossip/tests/registers_model.rs
+++ b/crates/gossip/tests/registers_model.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use rudderspindle_gossip::{EPOCH, Incarnation, LAG, Register, Roster, Standing, TenantUsage, WindowSlice};
+use rudderspindle_gossip::{
+    EPOCH, Incarnation, IncarnationOrder, LAG, MembershipList, Register, TenantUsage, WindowSlice,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const SENDERS: usize = 3;
@@ -37,7 +39,7 @@
     now: u64,
     kills: u32,
     counts: Vec<TenantUsage>,
-    rosters: Vec<Roster>,
+    members: Vec<MembershipList>,
     incarnations: Vec<Incarnation>,
     /// By epoch and sender.
     truth: Vec<[u32; SENDERS]>,
@@ -69,7 +71,7 @@
             now: EPOCH,
             kills: 0,
             counts: (0..SENDERS).map(counts).collect(),
-            rosters: vec![Roster::new(SENDERS); SENDERS],
+            members: vec![MembershipList::new(SENDERS); SENDERS],
             truth: vec![[0; SENDERS]; EPOCHS as usize],
             wire: BTreeSet::new(),
             incarnations,
@@ -120,7 +122,9 @@
                 state.wire.insert(Note { from, incarnation: state.incarnations[from], epoch, word });
             }
             Action::Hear(n, note) => {
-                if state.rosters[n].admit(note.from, note.incarnation, now) != Ok(Standing::Older) {
+                if state.members[n].record_message(note.from, note.incarnation, now)
+                    != Ok(IncarnationOrder::Older)
+                {
                     match note.word {
                         Word::WindowSlice(pane) => {
                             state.counts[n].hear_pane(now, note.from, note.epoch, &pane)
@@ -138,7 +142,7 @@
                 let kept = kept.then_some(state.incarnations[n]);
                 state.incarnations[n] = Incarnation::next(kept, state.now);
                 state.counts[n] = TenantUsage::new(n, SENDERS, state.incarnations[n], state.now, MOST);
-                state.rosters[n] = Roster::new(SENDERS);
+                state.members[n] = MembershipList::new(SENDERS);
             }
         }
         Some(state)
