--- a/crates/gossip/src/envelope.rs
+++ b/crates/gossip/src/envelope.rs
@@ -1,167 +1,126 @@
-//! The envelope of further kinds of note: a byte for version and kind, the low half of the CRC-32 of what follows, and
-//! a body that `postcard` encodes.
+//! The envelope that the fleet view and the permit protocol put around their messages.
 //!
-//! Invariant: what is not whole, known and within its bounds is an error before anything is made of it.
+//! | bytes | content |
+//! | --- | --- |
+//! | 1 | format version and [`Kind`] |
+//! | 2 | checksum: the low half of the body's CRC-32, little-endian |
+//! | up to [`MAX_BODY_LEN`] | the body, encoded with `postcard` |
+//!
+//! Invariant: a datagram that is truncated, damaged, unknown or out of bounds is rejected before anything is done with
+//! its content.
+
+mod bounded_list;
 
-use std::fmt;
-use std::marker::PhantomData;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
 
-use serde::de::{DeserializeOwned, Error as _, SeqAccess, Visitor};
-use serde::{Deserialize, Deserializer, Serialize};
+pub(crate) use bounded_list::bounded;
 
-/// Bytes of a body at most: a note has 256, of which 8 are left to envelopes and 8 to what comes to want room.
+/// Maximum length of a body, in bytes: a datagram has 256, of which 8 are reserved for envelopes and 8 for later use.
 pub const MAX_BODY_LEN: usize = 240;
-/// Version and kind, and the check.
-const HEAD: usize = 3;
-/// The first of the further kinds on the wire; those of limits are below.
-const FIRST: u8 = 0x70;
+/// Length of the header, in bytes: version and kind, then the checksum.
+const HEADER_LEN: usize = 3;
+/// Leading byte of the first [`Kind`]; lower ones belong to the demand messages.
+const FIRST_KIND: u8 = 0x70;
 
-/// A kind of note beyond those of limits.
+/// The kind of message in an envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// What a sender counted and judged, to the one that adds up.
+    /// A sender's own usage and votes, sent to the round's aggregator.
     Report,
-    /// The answer: what all that reported counted and judged.
-    View,
-    /// Rules of the operator.
+    /// The aggregator's answer: usage and votes of all senders that reported to it.
+    Summary,
+    /// Rules that the operator set.
     Rules,
-    /// The hottest streams.
+    /// The keys with the most traffic.
     Hot,
-    /// Rights that a sender gives up, and asks for.
+    /// Permits that a sender releases, and how many it requests.
     PermitOffer,
-    /// Rights that it is lent.
+    /// Permits that are granted to a sender.
     PermitGrant,
 }
 
 impl Kind {
-    /// All of them, as they are numbered on the wire.
+    /// All kinds, in the order of their codes on the wire.
     pub const ALL: [Self; 6] =
-        [Self::Report, Self::View, Self::Rules, Self::Hot, Self::PermitOffer, Self::PermitGrant];
+        [Self::Report, Self::Summary, Self::Rules, Self::Hot, Self::PermitOffer, Self::PermitGrant];
+
+    fn from_leading_byte(byte: u8) -> Option<Self> {
+        let code = byte.checked_sub(FIRST_KIND)?;
+        Self::ALL.get(usize::from(code)).copied()
+    }
 }
 
-/// Why a datagram is no note of a further kind, or a body is none.
+/// Why a datagram or a body was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum EnvelopeError {
-    /// Too short, or too long.
-    #[error("a note has {HEAD} bytes and a body of up to {MAX_BODY_LEN}; this has {0} in all")]
+    /// The datagram is shorter than a header, or its body is longer than [`MAX_BODY_LEN`].
+    #[error(
+        "a datagram has a header of {HEADER_LEN} bytes and a body of up to {MAX_BODY_LEN}; this has {0} in all"
+    )]
     Length(usize),
-    /// Another version, or nothing of ours.
+    /// The leading byte is of another version, or of another protocol.
     #[error("kind {0:#04x} is not known")]
     Kind(u8),
-    /// Damaged.
+    /// The checksum does not match the body.
     #[error("its check does not fit")]
-    Check,
-    /// The body does not read as its kind, has too much in it, or bytes after its end.
-    #[error("its body does not read")]
+    Checksum,
+    /// The body is malformed, exceeds a bound, or has trailing bytes.
+    #[error("its body is malformed")]
     Body,
 }
 
-/// A note with that body.
+/// Encodes a message into a datagram.
 ///
 /// # Errors
 ///
-/// [`EnvelopeError::Length`] where the body is longer than [`MAX_BODY_LEN`].
+/// [`EnvelopeError::Length`] if the encoded body is longer than [`MAX_BODY_LEN`].
 pub fn seal<T: Serialize>(kind: Kind, body: &T) -> Result<Vec<u8>, EnvelopeError> {
     let body = postcard::to_allocvec(body).map_err(|_| EnvelopeError::Body)?;
     if body.len() > MAX_BODY_LEN {
-        return Err(EnvelopeError::Length(HEAD + body.len()));
+        return Err(EnvelopeError::Length(HEADER_LEN + body.len()));
     }
-    let check = crc32fast::hash(&body).to_le_bytes();
-    let mut note = vec![FIRST + kind as u8, check[0], check[1]];
-    note.extend(body);
-    Ok(note)
+    let [low, high] = checksum(&body);
+    let mut datagram = vec![FIRST_KIND + kind as u8, low, high];
+    datagram.extend(body);
+    Ok(datagram)
 }
 
-/// The kind of a note, and its body.
+/// Checks a datagram's envelope and returns its kind and its encoded body.
 ///
 /// # Errors
 ///
-/// [`EnvelopeError`] says what is wrong with it.
-pub fn open(note: &[u8]) -> Result<(Kind, &[u8]), EnvelopeError> {
-    let (&[first, low, high], body) =
-        note.split_first_chunk::<HEAD>().ok_or(EnvelopeError::Length(note.len()))?;
-    let kind = first.checked_sub(FIRST).and_then(|n| Kind::ALL.get(usize::from(n)));
-    let kind = *kind.ok_or(EnvelopeError::Kind(first))?;
+/// [`EnvelopeError`], except [`EnvelopeError::Body`].
+pub fn open(datagram: &[u8]) -> Result<(Kind, &[u8]), EnvelopeError> {
+    let (&[leading, low, high], body) =
+        datagram.split_first_chunk::<HEADER_LEN>().ok_or(EnvelopeError::Length(datagram.len()))?;
+    let kind = Kind::from_leading_byte(leading).ok_or(EnvelopeError::Kind(leading))?;
     if body.len() > MAX_BODY_LEN {
-        return Err(EnvelopeError::Length(note.len()));
+        return Err(EnvelopeError::Length(datagram.len()));
     }
-    if crc32fast::hash(body).to_le_bytes()[..2] != [low, high] {
-        return Err(EnvelopeError::Check);
+    if checksum(body) != [low, high] {
+        return Err(EnvelopeError::Checksum);
     }
     Ok((kind, body))
 }
 
-/// What a body says.
+/// Decodes a message from the body of an envelope.
 ///
 /// # Errors
 ///
-/// [`EnvelopeError::Body`], also for bytes after its end.
+/// [`EnvelopeError::Body`], also for trailing bytes.
 pub fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, EnvelopeError> {
     match postcard::take_from_bytes(body) {
-        Ok((read, [])) => Ok(read),
+        Ok((message, [])) => Ok(message),
         _ => Err(EnvelopeError::Body),
     }
 }
 
-/// A list of at most `MOST` entries: one that declares more is an error before room is made for it.
-pub(crate) fn bounded<'de, const MOST: usize, T, D>(deserializer: D) -> Result<Vec<T>, D::Error>
-where
-    T: Deserialize<'de>,
-    D: Deserializer<'de>,
-{
-    struct Bounded<const MOST: usize, T>(PhantomData<T>);
-    impl<'de, const MOST: usize, T: Deserialize<'de>> Visitor<'de> for Bounded<MOST, T> {
-        type Value = Vec<T>;
-        fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-            write!(f, "at most {MOST} entries")
-        }
-        fn visit_seq<A: SeqAccess<'de>>(self, mut entries: A) -> Result<Vec<T>, A::Error> {
-            let mut read = Vec::new();
-            while let Some(entry) = entries.next_element()? {
-                if read.len() == MOST {
-                    return Err(A::Error::invalid_length(MOST + 1, &self));
-                }
-                read.push(entry);
-            }
-            Ok(read)
-        }
-    }
-    deserializer.deserialize_seq(Bounded::<MOST, T>(PhantomData))
+fn checksum(body: &[u8]) -> [u8; 2] {
+    let [low, high, ..] = crc32fast::hash(body).to_le_bytes();
+    [low, high]
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    struct Few(#[serde(deserialize_with = "bounded::<3, _, _>")] Vec<u16>);
-
-    #[test]
-    fn what_is_cut_damaged_too_long_or_unknown_is_no_note() {
-        let good = seal(Kind::Hot, &Few(vec![1, 2, 300])).expect("short enough");
-        assert_eq!(
-            open(&good).map(|(kind, body)| (kind, read(body))),
-            Ok((Kind::Hot, Ok(Few(vec![1, 2, 300]))))
-        );
-        for length in 0..good.len() {
-            assert!(open(&good[..length]).is_err(), "{length} bytes of it");
-        }
-        for byte in 0..good.len() {
-            let mut bad = good.clone();
-            bad[byte] ^= 0x10;
-            assert!(open(&bad).is_err(), "byte {byte} changed");
-        }
-        assert_eq!(open(&[0x61, 0, 0]), Err(EnvelopeError::Kind(0x61)));
-        assert_eq!(open(&[0x70; 300]), Err(EnvelopeError::Length(300)));
-        assert!(matches!(seal(Kind::Hot, &vec![7_u8; 250]), Err(EnvelopeError::Length(_))));
-    }
-
-    #[test]
-    fn a_list_over_its_bound_a_length_that_is_a_lie_and_bytes_after_the_end_are_errors() {
-        assert_eq!(read::<Few>(&[3, 1, 2, 3]), Ok(Few(vec![1, 2, 3])));
-        for bad in [&[4, 1, 2, 3, 4][..], &[0xff, 0xff, 0xff, 0xff, 0x0f, 1], &[1, 1, 1], &[2, 1]] {
-            assert_eq!(read::<Few>(bad), Err(EnvelopeError::Body), "{bad:?}");
-        }
-    }
-}
+mod tests;
--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -187,7 +187,7 @@
         }
         match open(bytes)? {
             (Kind::Report, body) => self.hear_report(now, from, read(body)?),
-            (Kind::View, body) => self.hear_view(now, from, read(body)?),
+            (Kind::Summary, body) => self.hear_view(now, from, read(body)?),
             (other, _) => Err(FleetViewError::Kind(other)),
         }
     }
--- a/crates/gossip/src/fleet_view/message.rs
+++ b/crates/gossip/src/fleet_view/message.rs
@@ -137,7 +137,7 @@
                 self.words.pop();
             }
         }
-        seal(Kind::View, &self)
+        seal(Kind::Summary, &self)
     }
 }
 
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -76,7 +76,7 @@
         let bytes = datagram(FILE, name);
         assert_eq!(view.clone().encode().expect("it fits"), bytes, "{name}");
         let (kind, body) = open(&bytes).expect("a datagram");
-        assert_eq!((kind, read(body)), (Kind::View, Ok(view)), "{name}");
+        assert_eq!((kind, read(body)), (Kind::Summary, Ok(view)), "{name}");
     }
 }
 
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -134,7 +134,7 @@
             reader.avoided(now, &[Receiver::of(1, "r"), Receiver::of(2, "r")]);
         }
         for body in noise {
-            for kind in [Kind::Report, Kind::View] {
+            for kind in [Kind::Report, Kind::Summary] {
                 let mut note = seal(kind, &[0_u8; 0]).expect("it fits");
                 note.extend(body.iter().take(MAX_BODY_LEN));
                 let check = crc32fast::hash(&note[3..]).to_le_bytes();
--- a/crates/gossip/src/golden.rs
+++ b/crates/gossip/src/golden.rs
@@ -23,7 +23,7 @@
     let body = (513_u16, vec![0_u8, 127, 255], true, u64::MAX);
     let names = [
         ("report", Kind::Report),
-        ("view", Kind::View),
+        ("view", Kind::Summary),
         ("rules", Kind::Rules),
         ("hot", Kind::Hot),
         ("offer", Kind::PermitOffer),
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -154,7 +154,7 @@
             (Ok(Kind::PermitOffer | Kind::PermitGrant), Some(permits), _) => {
                 permits.hear(wall, from, note).map_err(|error| error.to_string())
             }
-            (Ok(Kind::Report | Kind::View), _, Some(shared)) => {
+            (Ok(Kind::Report | Kind::Summary), _, Some(shared)) => {
                 shared.hear(wall, from, note).map(|()| false).map_err(|error| error.to_string())
             }
             // Of another kind, or damaged: it says which, where it does not know it.
