--- a/crates/sender/src/accept.rs
+++ b/crates/sender/src/accept.rs
@@ -1,5 +1,6 @@
-//! Taking connections in, as long as there are descriptors and again as soon as there are.
+//! Accepts connections, also across times in which the process has no descriptors left.
 
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -7,46 +8,54 @@
 use tokio::time::{Instant, sleep};
 
 /// Pause after a connection could not be accepted.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Failures with no longer pause between them are one trouble, and one line in the log.
-const ONE_TROUBLE: Duration = Duration::from_secs(5);
-/// The process, or the system, has no descriptor left.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Failures with no longer pause between them are one outage, which is logged once.
+const OUTAGE_GAP: Duration = Duration::from_secs(5);
+/// The system has no descriptor left.
 const ENFILE: i32 = 23;
+/// The process has no descriptor left.
 const EMFILE: i32 = 24;
 
-/// A listener, and what was last wrong with it.
+/// A listener, and when it last failed.
 #[derive(Debug)]
 pub(crate) struct Acceptor {
     listener: TcpListener,
-    who: &'static str,
-    failed: Option<Instant>,
+    peers: &'static str,
+    last_failure: Option<Instant>,
 }
 
 impl Acceptor {
-    /// For connections of `who`, as the log names them.
-    pub(crate) fn new(listener: TcpListener, who: &'static str) -> Self {
-        Self { listener, who, failed: None }
+    /// Accepts from `listener`; `peers` names those who connect in the log.
+    pub(crate) fn new(listener: TcpListener, peers: &'static str) -> Self {
+        Self { listener, peers, last_failure: None }
     }
 
-    /// The next connection. Without a descriptor for it, `make_room` is asked to free one.
-    pub(crate) async fn next(&mut self, make_room: impl Fn()) -> (TcpStream, SocketAddr) {
+    /// The next connection. Without a descriptor for it, `free_descriptor` is called to close another one.
+    pub(crate) async fn accept(&mut self, free_descriptor: impl Fn()) -> (TcpStream, SocketAddr) {
         loop {
-            let error = match self.listener.accept().await {
+            match self.listener.accept().await {
                 Ok((stream, peer)) => {
-                    // Answers are small, and each must be out before its connection may be closed. It works without.
+                    // Responses are small, and each must be sent before its connection may be closed. Where it cannot
+                    // be set, connections work without.
                     let _ = stream.set_nodelay(true);
                     return (stream, peer);
                 }
-                Err(error) => error,
-            };
-            let now = Instant::now();
-            if self.failed.replace(now).is_none_or(|last| now - last > ONE_TROUBLE) {
-                tracing::warn!("{}: a connection could not be accepted: {error}", self.who);
-            }
-            if matches!(error.raw_os_error(), Some(ENFILE | EMFILE)) {
-                make_room();
+                Err(error) => {
+                    self.log_failure(&error);
+                    if matches!(error.raw_os_error(), Some(ENFILE | EMFILE)) {
+                        free_descriptor();
+                    }
+                    sleep(RETRY_PAUSE).await;
+                }
             }
-            sleep(PAUSE).await;
+        }
+    }
+
+    fn log_failure(&mut self, error: &io::Error) {
+        let now = Instant::now();
+        let previous = self.last_failure.replace(now);
+        if previous.is_none_or(|previous| now - previous > OUTAGE_GAP) {
+            tracing::warn!("{}: a connection could not be accepted: {error}", self.peers);
         }
     }
 }
--- a/crates/sender/src/connection_slots.rs
+++ b/crates/sender/src/connection_slots.rs
@@ -1,199 +1,175 @@
-//! Which client's connection gives up its place. No I/O and no clock.
+//! Decides which client connection is closed when connections are scarce. No I/O and no clock.
 //!
-//! Places are few, and so are those of the clients: one that keeps its connection after an answer has one
-//! connection less for its next message, and where many do so, what they have to say waits on their side and
-//! never comes. So connections that rest (no request open) hold at most [`RESTING_PART`] of the places, however
-//! many are free; beyond it the one that has rested longest goes, one that asked only once before one that has
-//! come back. When all places are taken, those that were told to go are waited for no longer; then silent newcomers go first, from the address that holds most of them.
+//! A client that keeps its connection after a response takes a slot that others need. Idle connections (no request
+//! open) therefore hold at most one in [`IDLE_SHARE_DIVISOR`] slots, however many are free: beyond that the one that
+//! has been idle longest is closed, and one that sent a single request before one that has sent several. When all
+//! slots are taken, closing connections are no longer waited for; then silent newcomers are closed first, from the
+//! address that holds most of them.
+
+mod candidates;
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// A connection's number, in the order in which they came.
-pub type ClientId = u64;
+/// A connection's number, in the order in which they were accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnectionId(pub u64);
 
-/// One place in so many may be held by connections that rest.
-pub const RESTING_PART: usize = 4;
-/// A client connects because it has something to say: one that is silent for longer goes first when places run
+/// Idle connections may hold one slot in so many.
+pub const IDLE_SHARE_DIVISOR: usize = 4;
+/// A client connects because it has something to send: one that is silent for longer is closed first when slots run
 /// out.
-pub const SHY: Duration = Duration::from_millis(300);
+pub const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
 
-/// What is known of a connection. Times count from any moment, the same for all.
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
-    /// It has connected and has had no answer yet.
+enum SlotState {
+    /// It has had no response yet.
     New,
-    /// It was answered, has no request open and never had a second one.
-    Once,
-    /// The same, after two requests or more.
-    Again,
-    /// It has a request that has come whole and is not answered.
-    Asking,
-    /// It was told to go, and what it still sends is discarded.
-    Leaving,
+    /// It has had one response and has no request open.
+    IdleAfterFirst,
+    /// It has had several responses and has no request open.
+    IdleAfterSeveral,
+    /// A complete request has been received and has no response yet.
+    RequestOpen,
+    /// It is being closed, and what its client still sends is discarded.
+    Closing,
 }
 
 #[derive(Debug)]
-struct Client {
+struct Slot {
     address: IpAddr,
-    state: State,
+    state: SlotState,
+    /// When it entered its state.
+    since: Duration,
+    responses: u32,
+}
+
+/// A connection in the queue of its state, ordered by the time since when it has been there.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueEntry {
     since: Duration,
-    answers: u32,
+    id: ConnectionId,
 }
 
-/// The connections that hold a place.
+type Queue = BTreeSet<QueueEntry>;
+
+/// The connections that hold a slot. Times count from any moment, the same for all.
 #[derive(Debug)]
 pub struct ConnectionSlots {
-    resting_most: usize,
-    clients: HashMap<ClientId, Client>,
-    /// Those in each state but `Asking`, the longest in it first.
-    new: BTreeSet<(Duration, ClientId)>,
-    once: BTreeSet<(Duration, ClientId)>,
-    again: BTreeSet<(Duration, ClientId)>,
-    leaving: BTreeSet<(Duration, ClientId)>,
+    max_idle: usize,
+    slots: HashMap<ConnectionId, Slot>,
+    /// The connections of each state but [`SlotState::RequestOpen`].
+    new: Queue,
+    idle_after_first: Queue,
+    idle_after_several: Queue,
+    closing: Queue,
 }
 
 impl ConnectionSlots {
-    /// Nobody holds any of `total` places yet.
+    /// All of `total` slots are free.
     pub fn new(total: usize) -> Self {
         Self {
-            resting_most: (total / RESTING_PART).max(1),
-            clients: HashMap::new(),
-            new: BTreeSet::new(),
-            once: BTreeSet::new(),
-            again: BTreeSet::new(),
-            leaving: BTreeSet::new(),
+            max_idle: (total / IDLE_SHARE_DIVISOR).max(1),
+            slots: HashMap::new(),
+            new: Queue::new(),
+            idle_after_first: Queue::new(),
+            idle_after_several: Queue::new(),
+            closing: Queue::new(),
         }
     }
 
-    /// A client has connected.
-    pub fn connected(&mut self, id: ClientId, address: IpAddr, now: Duration) {
-        self.left(id);
-        self.clients.insert(id, Client { address, state: State::New, since: now, answers: 0 });
-        self.new.insert((now, id));
+    /// A connection was accepted from `address`.
+    pub fn opened(&mut self, id: ConnectionId, address: IpAddr, now: Duration) {
+        self.closed(id);
+        self.slots.insert(id, Slot { address, state: SlotState::New, since: now, responses: 0 });
+        self.new.insert(QueueEntry { since: now, id });
     }
 
-    /// Its request has come whole.
-    pub fn asks(&mut self, id: ClientId, now: Duration) {
-        self.turn(id, State::Asking, now);
+    /// A complete request was received.
+    pub fn request_started(&mut self, id: ConnectionId, now: Duration) {
+        self.set_state(id, SlotState::RequestOpen, now);
     }
 
-    /// Its request is answered. Returns another that has rested for long and must go for it, if too many rest;
-    /// `coming` tells whose next request has begun to come.
-    pub fn answered(
+    /// The request has its response. Returns another connection that must be closed for it if too many are idle;
+    /// `request_arriving` tells whether some of a connection's next request has been received.
+    pub fn request_finished(
         &mut self,
-        id: ClientId,
+        id: ConnectionId,
         now: Duration,
-        coming: impl Fn(ClientId) -> bool,
-    ) -> Option<ClientId> {
-        let answers = {
-            let client = self.clients.get_mut(&id)?;
-            client.answers = client.answers.saturating_add(1);
-            client.answers
-        };
-        self.turn(id, if answers == 1 { State::Once } else { State::Again }, now);
-        if self.once.len() + self.again.len() <= self.resting_most {
+        request_arriving: impl Fn(ConnectionId) -> bool,
+    ) -> Option<ConnectionId> {
+        let slot = self.slots.get_mut(&id)?;
+        slot.responses = slot.responses.saturating_add(1);
+        let state = if slot.responses == 1 { SlotState::IdleAfterFirst } else { SlotState::IdleAfterSeveral };
+        self.set_state(id, state, now);
+        if self.idle_connections() <= self.max_idle {
             return None;
         }
-        let mut resting = self.once.iter().chain(&self.again);
-        let surplus = resting.find(|c| c.1 != id && !coming(c.1))?.1;
-        self.leaves(surplus, now);
+        let mut idle = self.idle_after_first.iter().chain(&self.idle_after_several);
+        let surplus = idle.find(|entry| entry.id != id && !request_arriving(entry.id))?.id;
+        self.closing(surplus, now);
         Some(surplus)
     }
 
-    /// It was told to go.
-    pub fn leaves(&mut self, id: ClientId, now: Duration) {
-        self.turn(id, State::Leaving, now);
+    /// The connection is being closed.
+    pub fn closing(&mut self, id: ConnectionId, now: Duration) {
+        self.set_state(id, SlotState::Closing, now);
     }
 
-    /// It is gone.
-    pub fn left(&mut self, id: ClientId) {
-        if let Some(client) = self.clients.remove(&id)
-            && let Some(set) = self.set(client.state)
+    /// The connection is closed and its slot free.
+    pub fn closed(&mut self, id: ConnectionId) {
+        if let Some(slot) = self.slots.remove(&id)
+            && let Some(queue) = self.queue(slot.state)
         {
-            set.remove(&(client.since, id));
+            queue.remove(&QueueEntry { since: slot.since, id });
         }
     }
 
-    /// Who must go when all places are taken; `coming` tells whose request has begun to come, and `unread` (which
-    /// costs more, and is asked of few) who has sent something that nobody has read yet. Nobody, if all have a
-    /// request open.
-    pub fn make_room(
+    /// Removes the connection to close when all slots are taken; none if all have a request open.
+    /// `request_arriving` tells whether some of a connection's next request has been received, and `has_unread`
+    /// (which costs more, and is asked of few) whether bytes have been received that nobody has read yet.
+    pub fn evict(
         &mut self,
         now: Duration,
-        coming: impl Fn(ClientId) -> bool,
-        unread: impl Fn(ClientId) -> bool,
-    ) -> Option<ClientId> {
+        request_arriving: impl Fn(ConnectionId) -> bool,
+        has_unread: impl Fn(ConnectionId) -> bool,
+    ) -> Option<ConnectionId> {
         let mut spared = HashSet::new();
-        let victim = loop {
-            let victim = self.least_wanted(now, &coming, &spared)?;
-            if self.clients[&victim].state == State::Leaving || !unread(victim) {
-                break victim;
+        loop {
+            let candidate = self.eviction_candidate(now, &request_arriving, &spared)?;
+            if self.slots[&candidate].state == SlotState::Closing || !has_unread(candidate) {
+                self.closed(candidate);
+                return Some(candidate);
             }
-            spared.insert(victim);
-        };
-        self.left(victim);
-        Some(victim)
-    }
-
-    fn least_wanted(
-        &self,
-        now: Duration,
-        coming: &impl Fn(ClientId) -> bool,
-        spared: &HashSet<ClientId>,
-    ) -> Option<ClientId> {
-        let silent = |&&(_, id): &&(Duration, ClientId)| !spared.contains(&id) && !coming(id);
-        (self.leaving.first().map(|c| c.1))
-            .or_else(|| self.longest_silent(now, silent))
-            .or_else(|| self.once.iter().find(silent).map(|c| c.1))
-            .or_else(|| self.again.iter().find(silent).map(|c| c.1))
-            .or_else(|| self.new.iter().find(silent).map(|c| c.1))
-            // All that are left have said something: the one whose request has taken longest to come.
-            .or_else(|| self.any(spared).min().map(|c| c.1))
-    }
-
-    /// A newcomer silent for over [`SHY`]: from the address with most of them, the longest silent there.
-    fn longest_silent(
-        &self,
-        now: Duration,
-        silent: impl Fn(&&(Duration, ClientId)) -> bool,
-    ) -> Option<ClientId> {
-        let mut by_address: HashMap<IpAddr, (usize, (Duration, ClientId))> = HashMap::new();
-        let shy = self.new.iter().take_while(|c| now.saturating_sub(c.0) > SHY);
-        for &(since, id) in shy.filter(silent) {
-            by_address.entry(self.clients[&id].address).or_insert((0, (since, id))).0 += 1;
+            spared.insert(candidate);
         }
-        by_address
-            .into_values()
-            .max_by_key(|&(most, first)| (most, std::cmp::Reverse(first)))
-            .map(|(_, c)| c.1)
     }
 
-    fn any(&self, spared: &HashSet<ClientId>) -> impl Iterator<Item = &(Duration, ClientId)> {
-        let sets = [&self.new, &self.once, &self.again].into_iter();
-        sets.filter_map(|set| set.iter().find(|c| !spared.contains(&c.1)))
+    fn idle_connections(&self) -> usize {
+        self.idle_after_first.len() + self.idle_after_several.len()
     }
 
-    fn turn(&mut self, id: ClientId, state: State, now: Duration) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
-        let (before, since) = (client.state, client.since);
-        (client.state, client.since) = (state, now);
-        if let Some(set) = self.set(before) {
-            set.remove(&(since, id));
+    fn set_state(&mut self, id: ConnectionId, state: SlotState, now: Duration) {
+        let Some(slot) = self.slots.get_mut(&id) else { return };
+        let previous_state = std::mem::replace(&mut slot.state, state);
+        let previous_since = std::mem::replace(&mut slot.since, now);
+        if let Some(queue) = self.queue(previous_state) {
+            queue.remove(&QueueEntry { since: previous_since, id });
         }
-        if let Some(set) = self.set(state) {
-            set.insert((now, id));
+        if let Some(queue) = self.queue(state) {
+            queue.insert(QueueEntry { since: now, id });
         }
     }
 
-    fn set(&mut self, state: State) -> Option<&mut BTreeSet<(Duration, ClientId)>> {
+    fn queue(&mut self, state: SlotState) -> Option<&mut Queue> {
         match state {
-            State::New => Some(&mut self.new),
-            State::Once => Some(&mut self.once),
-            State::Again => Some(&mut self.again),
-            State::Leaving => Some(&mut self.leaving),
-            State::Asking => None,
+            SlotState::New => Some(&mut self.new),
+            SlotState::IdleAfterFirst => Some(&mut self.idle_after_first),
+            SlotState::IdleAfterSeveral => Some(&mut self.idle_after_several),
+            SlotState::Closing => Some(&mut self.closing),
+            SlotState::RequestOpen => None,
         }
     }
 }
--- a/crates/sender/src/connection_slots/tests.rs
+++ b/crates/sender/src/connection_slots/tests.rs
@@ -10,68 +10,75 @@
     IpAddr::from([127, 0, 0, host])
 }
 
-fn nobody(_: ClientId) -> bool {
+fn none(_: ConnectionId) -> bool {
     false
 }
 
 #[test]
-fn resting_connections_hold_a_quarter_and_the_longest_at_rest_goes_first() {
-    let mut places = ConnectionSlots::new(16);
+fn idle_connections_hold_a_quarter_of_the_slots_and_the_longest_idle_is_closed_first() {
+    let mut slots = ConnectionSlots::new(16);
     for id in 0..4 {
-        places.connected(id, from(1), at(id));
-        assert_eq!(places.answered(id, at(10 + id), nobody), None);
+        slots.opened(ConnectionId(id), from(1), at(id));
+        assert_eq!(slots.request_finished(ConnectionId(id), at(10 + id), none), None);
     }
-    places.connected(4, from(1), at(20));
-    assert_eq!(places.answered(4, at(20), nobody), Some(0));
-    // One that comes back is worth more than those that have asked once, however long it rests.
-    places.asks(1, at(30));
-    assert_eq!(places.answered(1, at(31), nobody), None);
+    slots.opened(ConnectionId(4), from(1), at(20));
+    assert_eq!(slots.request_finished(ConnectionId(4), at(20), none), Some(ConnectionId(0)));
+    // One that has sent several requests outlasts those that sent one, however long it is idle.
+    slots.request_started(ConnectionId(1), at(30));
+    assert_eq!(slots.request_finished(ConnectionId(1), at(31), none), None);
     for id in 5..9 {
-        places.connected(id, from(1), at(40));
-        assert!(places.answered(id, at(40 + id), nobody).is_some_and(|gone| gone != 1 && gone != id));
+        slots.opened(ConnectionId(id), from(1), at(40));
+        assert!(
+            slots
+                .request_finished(ConnectionId(id), at(40 + id), none)
+                .is_some_and(|surplus| surplus != ConnectionId(1) && surplus != ConnectionId(id))
+        );
     }
-    // Its next request is on its way: not this one.
-    places.connected(9, from(1), at(60));
-    assert_eq!(places.answered(9, at(60), |id| id == 6), Some(7));
+    // One whose next request is arriving is not closed.
+    slots.opened(ConnectionId(9), from(1), at(60));
+    assert_eq!(
+        slots.request_finished(ConnectionId(9), at(60), |id| id == ConnectionId(6)),
+        Some(ConnectionId(7))
+    );
 }
 
 #[test]
-fn an_answer_never_ends_its_own_connection() {
-    let mut places = ConnectionSlots::new(4);
-    places.connected(0, from(1), at(0));
-    places.answered(0, at(1), nobody);
-    places.asks(0, at(2));
-    places.answered(0, at(3), nobody);
-    places.connected(1, from(1), at(4));
-    assert_eq!(places.answered(1, at(5), nobody), Some(0));
+fn a_response_never_closes_its_own_connection() {
+    let mut slots = ConnectionSlots::new(4);
+    slots.opened(ConnectionId(0), from(1), at(0));
+    slots.request_finished(ConnectionId(0), at(1), none);
+    slots.request_started(ConnectionId(0), at(2));
+    slots.request_finished(ConnectionId(0), at(3), none);
+    slots.opened(ConnectionId(1), from(1), at(4));
+    assert_eq!(slots.request_finished(ConnectionId(1), at(5), none), Some(ConnectionId(0)));
 }
 
 #[test]
-fn the_address_with_most_silent_newcomers_gives_up_its_longest_silent_one() {
-    let mut places = ConnectionSlots::new(16);
-    places.connected(0, from(1), at(0));
-    places.connected(1, from(2), at(1));
-    places.connected(2, from(2), at(2));
-    places.connected(3, from(3), at(3));
-    places.answered(3, at(4), nobody);
-    assert_eq!(places.make_room(at(400), nobody, nobody), Some(1));
-    // One from each: the longest silent.
-    assert_eq!(places.make_room(at(400), nobody, nobody), Some(0));
-    assert_eq!(places.make_room(at(400), |id| id == 2, nobody), Some(3));
-    assert_eq!(places.make_room(at(400), |id| id == 2, nobody), Some(2));
-    assert_eq!(places.make_room(at(400), nobody, nobody), None);
+fn the_longest_silent_newcomer_of_the_address_with_most_of_them_is_evicted() {
+    let mut slots = ConnectionSlots::new(16);
+    slots.opened(ConnectionId(0), from(1), at(0));
+    slots.opened(ConnectionId(1), from(2), at(1));
+    slots.opened(ConnectionId(2), from(2), at(2));
+    slots.opened(ConnectionId(3), from(3), at(3));
+    slots.request_finished(ConnectionId(3), at(4), none);
+    assert_eq!(slots.evict(at(400), none, none), Some(ConnectionId(1)));
+    // One from each address: the longest silent.
+    assert_eq!(slots.evict(at(400), none, none), Some(ConnectionId(0)));
+    assert_eq!(slots.evict(at(400), |id| id == ConnectionId(2), none), Some(ConnectionId(3)));
+    assert_eq!(slots.evict(at(400), |id| id == ConnectionId(2), none), Some(ConnectionId(2)));
+    assert_eq!(slots.evict(at(400), none, none), None);
 }
 
 #[test]
-fn young_newcomers_go_after_those_that_rest_and_open_requests_never() {
-    let mut places = ConnectionSlots::new(16);
-    places.connected(0, from(1), at(0));
-    places.asks(0, at(1));
-    places.connected(1, from(1), at(100));
-    places.connected(2, from(1), at(50));
-    places.answered(2, at(60), nobody);
-    let victims = [0; 3].map(|_| places.make_room(at(101), nobody, nobody));
-    assert_eq!(victims, [Some(2), Some(1), None]);
+fn recent_newcomers_are_evicted_after_idle_connections_and_open_requests_never() {
+    let mut slots = ConnectionSlots::new(16);
+    slots.opened(ConnectionId(0), from(1), at(0));
+    slots.request_started(ConnectionId(0), at(1));
+    slots.opened(ConnectionId(1), from(1), at(100));
+    slots.opened(ConnectionId(2), from(1), at(50));
+    slots.request_finished(ConnectionId(2), at(60), none);
+    let evicted = [0; 3].map(|_| slots.evict(at(101), none, none));
+    assert_eq!(evicted, [Some(ConnectionId(2)), Some(ConnectionId(1)), None]);
 }
 
 proptest! {
@@ -81,29 +88,29 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes in whatever order, also for connections that are not there: what is kept is bounded by
-    /// those that are, and each stands in the one set that its state says.
+    /// Any sequence of calls, also for connections that are not open, keeps each open connection in the queue of its
+    /// state and no other.
     #[test]
-    fn the_sets_hold_each_connection_once(
+    fn each_connection_is_in_the_one_queue_of_its_state(
         steps in prop::collection::vec((0..5u8, 0..12u64, 0..200u64), 1..200),
     ) {
-        let (mut places, mut now) = (ConnectionSlots::new(12), Duration::ZERO);
+        let (mut slots, mut now) = (ConnectionSlots::new(12), Duration::ZERO);
         for (what, id, later) in steps {
             now += at(later);
             match what {
-                0 => places.connected(id, from(id as u8 % 3), now),
-                1 => places.asks(id, now),
-                2 => drop(places.answered(id, now, nobody)),
-                3 => places.left(id),
-                _ => drop(places.make_room(now, |id| id % 4 == 0, |id| id % 5 == 0)),
+                0 => slots.opened(ConnectionId(id), from(id as u8 % 3), now),
+                1 => slots.request_started(ConnectionId(id), now),
+                2 => drop(slots.request_finished(ConnectionId(id), now, none)),
+                3 => slots.closed(ConnectionId(id)),
+                _ => drop(slots.evict(now, |id| id.0 % 4 == 0, |id| id.0 % 5 == 0)),
             }
-            let count = |state| places.clients.values().filter(|c| c.state == state).count();
-            prop_assert_eq!(places.new.len(), count(State::New));
-            prop_assert_eq!(places.once.len(), count(State::Once));
-            prop_assert_eq!(places.again.len(), count(State::Again));
-            prop_assert!(places.once.len() + places.again.len() <= places.resting_most);
-            for (since, id) in places.new.iter().chain(&places.once).chain(&places.again) {
-                prop_assert_eq!(places.clients[id].since, *since);
+            let count = |state| slots.slots.values().filter(|slot| slot.state == state).count();
+            prop_assert_eq!(slots.new.len(), count(SlotState::New));
+            prop_assert_eq!(slots.idle_after_first.len(), count(SlotState::IdleAfterFirst));
+            prop_assert_eq!(slots.idle_after_several.len(), count(SlotState::IdleAfterSeveral));
+            prop_assert!(slots.idle_after_first.len() + slots.idle_after_several.len() <= slots.max_idle);
+            for entry in slots.new.iter().chain(&slots.idle_after_first).chain(&slots.idle_after_several) {
+                prop_assert_eq!(slots.slots[&entry.id].since, entry.since);
             }
         }
     }
--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -67,7 +67,7 @@
         let callers: Rc<RefCell<BTreeMap<u64, Rc<Notify>>>> = Rc::default();
         let mut acceptor = Acceptor::new(listener, "control");
         for number in 0.. {
-            let (mut stream, _) = acceptor.next(|| ()).await;
+            let (mut stream, _) = acceptor.accept(|| ()).await;
             if callers.borrow().len() >= MOST_CALLERS
                 && let Some((_, oldest)) = callers.borrow_mut().pop_first()
             {
--- a/crates/sender/src/graceful_close.rs
+++ b/crates/sender/src/graceful_close.rs
@@ -1,7 +1,10 @@
-//! How a connection is closed: not over bytes that nobody has read. The system answers such a close with a reset, and
-//! with that goes what was written before and the other side has not read yet.
+//! Closes a connection without a reset, so that what was written before still reaches the peer.
+//!
+//! The system answers a close over unread bytes with a reset, which discards what the peer has not read yet. So the
+//! writing half is shut down first, and what the peer still sends is read and discarded.
 
 use std::future::poll_fn;
+use std::io::{ErrorKind, Result};
 use std::mem::MaybeUninit;
 use std::net::Shutdown;
 use std::pin::Pin;
@@ -11,73 +14,81 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::time::sleep;
 
-use crate::write_progress::Socket;
+use crate::write_progress::SharedSocket;
 
-/// A peer that reads hears of the end within a round trip, and ends its side then. One that has not done so by now
-/// is as good as gone.
-pub(crate) const LONGEST: Duration = Duration::from_millis(500);
-/// What a well-behaved peer can have on its way is one request, of 64 KiB and its head: this is room for several. Who
-/// sends more floods, and may be reset.
-const MOST_DISCARDED: usize = 256 * 1024;
-const READ_AT_ONCE: usize = 4 * 1024;
+/// A peer that reads learns of the shutdown within a round trip, and closes its side then. One that has not done so by
+/// now is taken for gone.
+pub(crate) const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Bytes that are discarded at most. A well-behaved peer can have one request in transit, of 64 KiB and its head: this
+/// is room for several. A peer that sends more may be reset.
+const MAX_DISCARDED: usize = 256 * 1024;
+/// Bytes read by one call.
+const READ_CHUNK_SIZE: usize = 4 * 1024;
 
-/// Whether bytes have come that this process has not read.
-pub(crate) fn has_unread(socket: &Socket) -> bool {
+/// Whether bytes have been received that this process has not read.
+pub(crate) fn has_unread(socket: &SharedSocket) -> bool {
     matches!(SockRef::from(&*socket.borrow()).peek(&mut [MaybeUninit::uninit(); 1]), Ok(1..))
 }
 
-/// Ends the writing half, and reads and discards until the peer has ended, too, or a bound is reached, or until
-/// `hurry` when its descriptor is needed. Then the socket may be dropped.
-pub(crate) async fn finish(socket: &Socket, hurry: impl Future<Output = ()>) {
-    // It fails where the connection is gone already; then reading says so as well.
-    let _ = SockRef::from(&*socket.borrow()).shutdown(Shutdown::Write);
-    let mut room = MOST_DISCARDED;
-    if discard(socket, &mut room) {
+/// Shuts down the writing half, then reads and discards until the peer has closed its side, a bound is reached, or
+/// `close_immediately` resolves. Then the socket may be dropped.
+pub(crate) async fn finish(socket: &SharedSocket, close_immediately: impl Future<Output = ()>) {
+    shut_down_writing(socket);
+    let mut discard_limit = MAX_DISCARDED;
+    if discard_received(socket, &mut discard_limit) {
         return;
     }
-    let ended = async {
-        while room > 0 {
-            match read(socket).await {
-                Ok(n @ 1..) => room = room.saturating_sub(n),
-                _ => return true,
-            }
-        }
-        false
-    };
-    let ended = tokio::select! {
+    let peer_closed = tokio::select! {
         biased;
-        ended = ended => ended,
-        () = hurry => false,
-        () = sleep(LONGEST) => false,
+        peer_closed = discard_until_closed(socket, &mut discard_limit) => peer_closed,
+        () = close_immediately => false,
+        () = sleep(CLOSE_TIMEOUT) => false,
     };
-    if !ended {
-        discard(socket, &mut room);
+    if !peer_closed {
+        discard_received(socket, &mut discard_limit);
     }
 }
 
-/// Ends the writing half and discards what has come, at once: for when nothing can be waited for any more.
-pub(crate) fn abandon(socket: &Socket) {
+/// Shuts down the writing half and discards what has been received, without waiting.
+pub(crate) fn abandon(socket: &SharedSocket) {
+    shut_down_writing(socket);
+    let mut discard_limit = MAX_DISCARDED;
+    discard_received(socket, &mut discard_limit);
+}
+
+fn shut_down_writing(socket: &SharedSocket) {
+    // It fails if the connection has ended already; then reading fails as well.
     let _ = SockRef::from(&*socket.borrow()).shutdown(Shutdown::Write);
-    let mut room = MOST_DISCARDED;
-    discard(socket, &mut room);
 }
 
-/// Discards what has come, as the system has it and not only as the runtime knows; whether the peer has ended.
-fn discard(socket: &Socket, room: &mut usize) -> bool {
-    let mut bytes = [MaybeUninit::uninit(); READ_AT_ONCE];
-    while *room > 0 {
+/// Discards what the system has received, also what the runtime has not noticed yet. Returns whether the peer has closed
+/// its side.
+fn discard_received(socket: &SharedSocket, discard_limit: &mut usize) -> bool {
+    let mut bytes = [MaybeUninit::uninit(); READ_CHUNK_SIZE];
+    while *discard_limit > 0 {
         match SockRef::from(&*socket.borrow()).recv(&mut bytes) {
-            Ok(n @ 1..) => *room = room.saturating_sub(n),
-            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return false,
+            Ok(received @ 1..) => *discard_limit = discard_limit.saturating_sub(received),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
+            _ => return true,
+        }
+    }
+    false
+}
+
+/// Discards what is received until the peer closes its side. Returns false if the limit is reached before.
+async fn discard_until_closed(socket: &SharedSocket, discard_limit: &mut usize) -> bool {
+    while *discard_limit > 0 {
+        match read(socket).await {
+            Ok(received @ 1..) => *discard_limit = discard_limit.saturating_sub(received),
             _ => return true,
         }
     }
     false
 }
 
-async fn read(socket: &Socket) -> std::io::Result<usize> {
-    let mut bytes = [0; READ_AT_ONCE];
+async fn read(socket: &SharedSocket) -> Result<usize> {
+    let mut bytes = [0; READ_CHUNK_SIZE];
     let mut buffer = ReadBuf::new(&mut bytes);
-    poll_fn(|cx| Pin::new(&mut *socket.borrow_mut()).poll_read(cx, &mut buffer)).await?;
+    poll_fn(|context| Pin::new(&mut *socket.borrow_mut()).poll_read(context, &mut buffer)).await?;
     Ok(buffer.filled().len())
 }
--- /dev/null
+++ b/crates/sender/src/inbound/conversation.rs
@@ -0,0 +1,51 @@
+//! Serves one client connection from its first request to its close.
+
+use std::pin::pin;
+
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+
+use super::Inbound;
+use super::connection::ClientConnection;
+use crate::admission_state::AdmissionState;
+use crate::event::Input;
+use crate::graceful_close;
+use crate::write_progress::{MAX_BUFFER, TrackedStream};
+
+impl Inbound {
+    /// Serves requests until the connection has to end, then closes it.
+    pub(super) async fn serve(&self, connection: &ClientConnection) {
+        self.serve_requests(connection).await;
+        // The client never received the 202 and may submit its message elsewhere: the message is dropped here.
+        if let Some(submission) = connection.unacknowledged_submission() {
+            let _ = self.to_engine.send(Input::Withdrawn(submission)).await;
+        }
+        self.slots.borrow_mut().closing(connection.id, self.now());
+        graceful_close::finish(&connection.socket, connection.close_immediately.notified()).await;
+    }
+
+    /// Responds to requests until the connection has to end.
+    async fn serve_requests(&self, connection: &ClientConnection) {
+        let mut admission_state = self.admission_state.clone();
+        admission_state.mark_changed();
+        let stream = TrackedStream::new(connection.socket.clone(), connection.write_progress.clone());
+        let service = service_fn(|request| self.respond(request, connection));
+        let mut http = pin!(http1::Builder::new().max_buf_size(MAX_BUFFER).serve_connection(stream, service));
+        loop {
+            tokio::select! {
+                biased;
+                // First: a request that is read once the connection was chosen to be closed would be lost with it.
+                () = connection.close_requested.notified() => return,
+                // How it ended shows in the submission that is still unacknowledged.
+                _ = http.as_mut() => return,
+                // A request that is arriving is served first; its response ends the connection.
+                Ok(()) = admission_state.changed() => {
+                    let accepting = *admission_state.borrow_and_update() == AdmissionState::Accepting;
+                    if !accepting && connection.is_idle() && !connection.has_unread() {
+                        http.as_mut().graceful_shutdown();
+                    }
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/sender/src/inbound/request_body.rs
@@ -0,0 +1,25 @@
+//! Receives the body of a submission within its memory limit and its deadline.
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::Incoming;
+use rudderspindle_journal::MAX_BODY;
+use tokio::time::{Instant, timeout_at};
+
+use super::rejection::RequestRejection;
+
+/// Reads `body` to its end.
+///
+/// # Errors
+///
+/// [`RequestRejection::BodyTooLarge`], [`RequestRejection::IncompleteBody`], or [`RequestRejection::BodyTimeout`] if it
+/// is not complete by the deadline.
+pub(super) async fn read(body: Incoming, deadline: Instant) -> Result<Bytes, RequestRejection> {
+    match timeout_at(deadline, Limited::new(body, MAX_BODY).collect()).await {
+        // A copy: a body that was received as one piece would keep the connection's whole buffer in memory.
+        Ok(Ok(body)) => Ok(Bytes::copy_from_slice(&body.to_bytes())),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestRejection::BodyTooLarge),
+        Ok(Err(error)) => Err(RequestRejection::IncompleteBody(error)),
+        Err(_) => Err(RequestRejection::BodyTimeout),
+    }
+}
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -1,172 +1,162 @@
-//! One request of a client: read, checked, handed to the host, and answered.
+//! Handles one request of a client: a readiness check, or a message that is submitted to the engine.
 
 use std::convert::Infallible;
+use std::time::Duration;
 
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
-use hyper::body::{Body, Incoming};
-use hyper::header::{CONNECTION, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use rudderspindle_journal::MessageId;
-use tokio::sync::oneshot;
-use tokio::time::timeout_at;
+use rudderspindle_policy::interface::Millis;
+use tokio::sync::{SemaphorePermit, oneshot};
+use tokio::time::Instant;
 
-use super::*;
-use crate::event::{Answer, IDEMPOTENCY_KEY, Submission};
+use super::Inbound;
+use super::connection::ClientConnection;
+use super::rejection::RequestRejection;
+use super::request_body;
+use super::request_head::SubmissionHead;
+use crate::admission_state::AdmissionState;
+use crate::event::{Answer, Input, Submission};
 use crate::metrics::End;
 
-const X_TXN: HeaderName = HeaderName::from_static("x-txn");
-const X_ORG: HeaderName = HeaderName::from_static("x-org");
-const X_REMAINING: HeaderName = HeaderName::from_static("x-remaining");
-const X_ROUTE_TO: HeaderName = HeaderName::from_static("x-route-to");
+const READY_PATH: &str = "/-/ready";
 
-const READY: &str = "/-/ready";
-/// An id or a key is no longer than this.
-const MAX_NAME: usize = 256;
+type HttpResponse = Response<Full<Bytes>>;
 
 impl Inbound {
-    pub(super) async fn answer(
+    /// Handles a request, and takes note that it has its response.
+    pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
-        client: &Client,
-    ) -> Result<Response<Full<Bytes>>, Infallible> {
-        let mut answer = match (request.method(), request.uri().path()) {
-            // A process that leaves clients to its successor is one with it: both are the sender, which is ready.
-            (&Method::GET, READY)
-                if matches!(*self.door.borrow(), AdmissionState::Drained | AdmissionState::Stopping) =>
-            {
-                plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")
-            }
-            (&Method::GET, READY) => plain(StatusCode::OK, "ready"),
-            (_, READY) => plain(StatusCode::METHOD_NOT_ALLOWED, "GET only"),
-            (&Method::POST, _) => match self.submit(request, client).await {
-                Ok(answer) | Err(answer) => answer,
-            },
-            _ => plain(StatusCode::METHOD_NOT_ALLOWED, "POST only"),
-        };
-        if answer.status().is_client_error() || *self.door.borrow() != AdmissionState::Accepting {
+        connection: &ClientConnection,
+    ) -> Result<HttpResponse, Infallible> {
+        let result = self.handle(request, connection).await;
+        let mut response = result.unwrap_or_else(RequestRejection::into_response);
+        if response.status().is_client_error() || *self.admission_state.borrow() != AdmissionState::Accepting
+        {
             // What follows on the connection of a client that cannot be understood may be the rest of a body.
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-        }
-        client.rest();
-        let wanted = |id| self.coming(id) || self.has_unread(id);
-        let surplus = self.places.borrow_mut().answered(client.id, self.now(), wanted);
-        if let Some(surplus) = surplus.and_then(|id| self.client(id)) {
-            surplus.close();
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        Ok(answer)
+        connection.request_finished();
+        self.close_surplus_idle_connection(connection.id);
+        Ok(response)
     }
 
-    /// Hands a message to the host and waits for what it says; `Err` is a request that cannot be taken.
-    async fn submit(&self, request: Request<Incoming>, client: &Client) -> Result<Reply, Reply> {
-        let bad = |what| plain(StatusCode::BAD_REQUEST, what);
-        let owed = &client.owed;
-        let (head, body) = request.into_parts();
-        if head.headers.contains_key(TRANSFER_ENCODING) {
-            // hyper lets it override a Content-Length and reads on behind the last chunk: another request may
-            // be hidden in what the length says is the body. No client of ours sends it.
-            return Err(bad("Transfer-Encoding"));
-        }
-        let length = body.size_hint().lower();
-        if length > MAX_BODY as u64 {
-            return Err(too_large());
-        }
-        let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let class = self.names.classes.iter().position(|name| name == class);
-        let class = class.ok_or_else(|| plain(StatusCode::NOT_FOUND, "unknown class"))?;
-        let message_id = name(&head.headers, &X_TXN).ok_or_else(|| bad("bad X-Txn"))?;
-        let tenant = match name(&head.headers, &X_ORG) {
-            Some(tenant) => self.names.tenants.iter().position(|name| name == tenant),
-            None => self.names.tenants.is_empty().then_some(0),
-        };
-        let tenant = tenant.ok_or_else(|| bad("unknown tenant"))?;
-        let destination = name(&head.headers, &X_ROUTE_TO).and_then(destination);
-        let destination = destination.ok_or_else(|| bad("bad X-Route-To"))?;
-        let left = name(&head.headers, &X_REMAINING).and_then(|text| text.trim().parse::<f64>().ok());
-        let left = left.filter(|left| left.is_finite() && *left >= 0.0);
-        let left = left.ok_or_else(|| bad("bad X-Remaining"))?;
-        let key = head.headers.get(IDEMPOTENCY_KEY);
-        let keyed = matches!(self.settings.classes[class].effect, Effect::IdempotencyKey { .. });
-        if key.is_some_and(|key| key.len() > MAX_NAME) || (keyed && key.is_none_or(HeaderValue::is_empty)) {
-            return Err(bad("bad Idempotency-Key"));
+    async fn handle(
+        &self,
+        request: Request<Incoming>,
+        connection: &ClientConnection,
+    ) -> Result<HttpResponse, RequestRejection> {
+        match (request.method(), request.uri().path()) {
+            (&Method::GET, READY_PATH) => self.check_readiness(),
+            (_, READY_PATH) => Err(RequestRejection::GetOnly),
+            (&Method::POST, _) => self.submit(request, connection).await,
+            _ => Err(RequestRejection::PostOnly),
         }
-        let key = key.map(|key| Bytes::copy_from_slice(key.as_bytes()));
-        let message_id = MessageId::from(message_id);
-        let body = {
-            let Ok(_room) = self.bodies.try_acquire_many(length as u32) else {
-                return Ok(self.turn_away(class));
-            };
-            match timeout_at(client.due(), Limited::new(body, MAX_BODY).collect()).await {
-                // A copy: a body that came as one piece would keep the connection's whole buffer in memory.
-                Ok(Ok(body)) => Bytes::copy_from_slice(&body.to_bytes()),
-                Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(too_large()),
-                Ok(Err(_)) => return Err(bad("unfinished body")),
-                Err(_) => return Err(plain(StatusCode::REQUEST_TIMEOUT, "unfinished body")),
+    }
+
+    /// A process that hands over its clients to a successor is ready as well: both are the same sender.
+    fn check_readiness(&self) -> Result<HttpResponse, RequestRejection> {
+        match *self.admission_state.borrow() {
+            AdmissionState::Accepting | AdmissionState::HandingOver => {
+                Ok(text_response(StatusCode::OK, "ready"))
             }
-        };
-        client.asked.set(true);
-        self.places.borrow_mut().asks(client.id, self.now());
-        // A message's time counts from its last byte. Its class bounds what a client can ask for.
-        let left = left.min(self.settings.classes[class].deadline / 1_000.0);
-        let ends_at = Instant::now() + Duration::from_secs_f64(left);
-        let number = self.submissions.get();
-        self.submissions.set(number + 1);
-        let (answer, answered) = oneshot::channel();
-        let submission =
-            Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer };
-        if self.host.try_send(Input::Submitted(submission)).is_err() {
-            return Ok(self.turn_away(class));
+            AdmissionState::Drained | AdmissionState::Stopping => Err(RequestRejection::NotReady),
         }
-        owed.hand_in(number);
-        let answer = answered.await.unwrap_or(Answer::Refused(0.0));
-        if answer == Answer::Accepted {
-            owed.accept();
-            return Ok(plain(StatusCode::ACCEPTED, "taken on"));
+    }
+
+    /// Submits a message to the engine and waits for its decision.
+    async fn submit(
+        &self,
+        request: Request<Incoming>,
+        connection: &ClientConnection,
+    ) -> Result<HttpResponse, RequestRejection> {
+        let head = SubmissionHead::parse(&request, &self.settings, &self.names)?;
+        let body = self.receive_body(&head, request.into_body(), connection).await?;
+        connection.request_started();
+        self.slots.borrow_mut().request_started(connection.id, self.now());
+        let (answer, decision) = oneshot::channel();
+        let submission = self.submission(head, body, answer);
+        let number = submission.number;
+        self.send_to_engine(submission)?;
+        connection.submission_started(number);
+        let decision = decision.await.unwrap_or(Answer::Refused(0.0));
+        if decision == Answer::Accepted {
+            connection.submission_accepted(number);
+        } else {
+            connection.submission_refused();
         }
-        owed.number.set(None);
-        Ok(match answer {
-            Answer::Accepted | Answer::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
-            Answer::Refused(again) => self.refusal(again),
-            Answer::UnknownDestination => plain(StatusCode::NOT_FOUND, "unknown destination"),
-        })
+        self.response_to(decision)
     }
 
-    /// Refused before the engine has heard of it.
-    fn turn_away(&self, class: usize) -> Reply {
-        self.metrics.ended(class, End::Refused);
-        self.refusal(0.0)
+    /// Reads the body, for which memory is reserved until it is complete.
+    async fn receive_body(
+        &self,
+        head: &SubmissionHead,
+        body: Incoming,
+        connection: &ClientConnection,
+    ) -> Result<Bytes, RequestRejection> {
+        let _reservation = self.reserve_body_bytes(head)?;
+        // A request that is being received has a deadline.
+        let deadline = connection.request_deadline().unwrap_or_else(Instant::now);
+        request_body::read(body, deadline).await
+    }
+
+    fn reserve_body_bytes(&self, head: &SubmissionHead) -> Result<SemaphorePermit<'_>, RequestRejection> {
+        let reservation = self.free_body_bytes.try_acquire_many(head.body_len);
+        reservation.map_err(|_| self.reject_for_capacity(head.class))
     }
 
-    fn refusal(&self, again: Millis) -> Reply {
-        let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-        let seconds = HeaderValue::from_str(&format!("{:.3}", again / 1_000.0));
-        if let (true, Ok(seconds)) = (self.settings.retry_after && again > 0.0, seconds) {
-            reply.headers_mut().insert(RETRY_AFTER, seconds);
+    /// Numbers a submission. The message's time counts from its last byte, and its class bounds it.
+    fn submission(&self, head: SubmissionHead, body: Bytes, answer: oneshot::Sender<Answer>) -> Submission {
+        let max_remaining_s = self.settings.classes[head.class].deadline / 1_000.0;
+        let remaining = Duration::from_secs_f64(head.remaining_s.min(max_remaining_s));
+        let number = self.next_submission.get();
+        self.next_submission.set(number + 1);
+        Submission {
+            number,
+            message_id: head.message_id,
+            class: head.class,
+            tenant: head.tenant,
+            destination: head.destination,
+            key: head.idempotency_key,
+            body,
+            ends_at: Instant::now() + remaining,
+            answer,
         }
-        reply
     }
-}
 
-type Reply = Response<Full<Bytes>>;
+    fn send_to_engine(&self, submission: Submission) -> Result<(), RequestRejection> {
+        let class = submission.class;
+        let sent = self.to_engine.try_send(Input::Submitted(submission));
+        sent.map_err(|_| self.reject_for_capacity(class))
+    }
 
-fn plain(status: StatusCode, text: &'static str) -> Reply {
-    let mut reply = Response::new(Full::from(text));
-    *reply.status_mut() = status;
-    reply
-}
+    fn response_to(&self, decision: Answer) -> Result<HttpResponse, RequestRejection> {
+        match decision {
+            Answer::Accepted => Ok(text_response(StatusCode::ACCEPTED, "taken on")),
+            Answer::Refused(retry_after) => Err(self.overloaded(retry_after)),
+            Answer::Failed => Err(RequestRejection::Failed),
+            Answer::UnknownDestination => Err(RequestRejection::UnknownDestination),
+        }
+    }
 
-fn too_large() -> Reply {
-    plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large")
-}
+    /// The rejection of a message that the engine does not know of, which is therefore counted here.
+    fn reject_for_capacity(&self, class: usize) -> RequestRejection {
+        self.metrics.ended(class, End::Refused);
+        self.overloaded(0.0)
+    }
 
-/// A header's text, if it is there and of a sensible length.
-fn name<'a>(headers: &'a HeaderMap, header: &HeaderName) -> Option<&'a str> {
-    headers.get(header)?.to_str().ok().filter(|text| (1..=MAX_NAME).contains(&text.len()))
+    fn overloaded(&self, retry_after: Millis) -> RequestRejection {
+        let advised = self.settings.retry_after && retry_after > 0.0;
+        RequestRejection::Overloaded { retry_after: advised.then_some(retry_after) }
+    }
 }
 
-/// The destination in `dest=7`, alone or among other pairs.
-fn destination(text: &str) -> Option<DestinationId> {
-    let pair = text.split([',', ';']).filter_map(|pair| pair.split_once('='));
-    let value = pair.filter(|(name, _)| name.trim() == "dest").map(|(_, value)| value).next()?;
-    value.trim().parse().ok().map(DestinationId)
+fn text_response(status: StatusCode, text: &'static str) -> HttpResponse {
+    let mut response = Response::new(Full::from(text));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/sender/src/inbound/tests/closing.rs
+++ b/crates/sender/src/inbound/tests/closing.rs
@@ -1,129 +1,141 @@
-//! Bytes that come in the instant in which a connection is closed.
+//! Bytes that are received at the moment at which a connection is closed.
 
+use super::super::shutdown::{LAST_ACCEPT_GRACE, LAST_RESPONSE_TIMEOUT};
 use super::*;
+use crate::graceful_close;
 
 #[tokio::test]
-async fn a_request_that_comes_on_a_resting_connection_in_the_instant_of_sigterm_is_answered() {
+async fn a_request_received_on_an_idle_connection_at_the_moment_of_sigterm_is_answered() {
     let test = async {
-        let mut world = World::set_up().await;
-        let (mut client, id) = world.resting().await;
-        world.slip_in(&client, id, REQUEST);
-        world.door.send_replace(AdmissionState::Stopping);
-        world.takes_on(&mut client).await;
+        let mut setup = InboundTest::set_up().await;
+        let (mut client, id) = setup.connect_idle().await;
+        setup.write_unnoticed(&client, id, REQUEST);
+        setup.admission_state.send_replace(AdmissionState::Stopping);
+        setup.expect_accepted(&mut client).await;
         assert_eq!(client.read(&mut [0; 1]).await.expect("no reset"), 0);
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Two may rest: the third answer ends the connection that has rested longest, which has just said something.
+/// Two connections may be idle: the third response closes the longest idle one, on which bytes have just been received.
 #[tokio::test]
-async fn a_request_that_comes_as_its_connection_would_go_for_another_that_rests_is_answered() {
+async fn a_request_received_as_its_connection_would_be_closed_for_another_idle_one_is_answered() {
     let test = async {
-        let mut world = World::set_up().await;
-        let (mut first, first_id) = world.resting().await;
-        let (mut second, _) = world.resting().await;
-        let third = world.client().await;
-        until(|| world.inbound.clients.borrow().len() >= 3).await;
-        world.slip_in(&third, 2, READY);
-        world.slip_in(&first, first_id, REQUEST);
-        world.takes_on(&mut first).await;
+        let mut setup = InboundTest::set_up().await;
+        let (mut first, first_id) = setup.connect_idle().await;
+        let (mut second, _) = setup.connect_idle().await;
+        let third = setup.connect().await;
+        until(|| setup.inbound.connections.borrow().len() >= 3).await;
+        setup.write_unnoticed(&third, ConnectionId(2), READY);
+        setup.write_unnoticed(&first, first_id, REQUEST);
+        setup.expect_accepted(&mut first).await;
         assert_eq!(second.read(&mut [0; 1]).await.expect("no reset"), 0);
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// All places are taken by clients that have said nothing, until the oldest does as one more connects.
+/// All slots are taken by silent clients, until the oldest sends a request as one more connects.
 #[tokio::test]
-async fn a_request_that_comes_as_its_connection_would_go_for_a_newcomer_is_answered() {
+async fn a_request_received_as_its_connection_would_be_evicted_for_a_newcomer_is_answered() {
     let test = async {
-        let mut world = World::set_up().await;
+        let mut setup = InboundTest::set_up().await;
         let mut clients = Vec::new();
-        while clients.len() < PLACES {
-            clients.push(world.client().await);
+        while clients.len() < MAX_CONNECTIONS {
+            clients.push(setup.connect().await);
         }
-        until(|| world.inbound.clients.borrow().len() >= PLACES).await;
-        let _newcomer = std::net::TcpStream::connect(world.addr).expect("a connection");
-        world.slip_in(&clients[0], 0, REQUEST);
-        world.takes_on(&mut clients[0]).await;
+        until(|| setup.inbound.connections.borrow().len() >= MAX_CONNECTIONS).await;
+        let _newcomer = std::net::TcpStream::connect(setup.addr).expect("a connection");
+        setup.write_unnoticed(&clients[0], ConnectionId(0), REQUEST);
+        setup.expect_accepted(&mut clients[0]).await;
         assert_eq!(clients[1].read(&mut [0; 1]).await.expect("no reset"), 0);
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A body that nobody wants is still read: closing over it would reset the connection, and the answer with it.
+/// A rejected body is still read: closing over unread bytes would reset the connection, and lose the response.
 #[tokio::test]
-async fn an_answer_ahead_of_the_rest_of_its_request_is_followed_by_an_end_and_no_reset() {
+async fn a_response_ahead_of_the_rest_of_its_request_is_followed_by_a_close_without_reset() {
     let test = async {
-        let world = World::set_up().await;
-        let mut client = world.client().await;
+        let setup = InboundTest::set_up().await;
+        let mut client = setup.connect().await;
         let head = "POST /safe HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\n\r\n";
         client.write_all(head.as_bytes()).await.expect("writable");
         let (mut reader, mut writer) = client.split();
-        let (mut seen, body) = (Vec::new(), vec![b'x'; 200_000]);
-        let both = async { tokio::join!(reader.read_to_end(&mut seen), writer.write_all(&body)) };
-        let (read, written) = timeout(PATIENCE, both).await.expect("in time");
+        let (mut received, body) = (Vec::new(), vec![b'x'; 200_000]);
+        let both = async { tokio::join!(reader.read_to_end(&mut received), writer.write_all(&body)) };
+        let (read, written) = timeout(TEST_TIMEOUT, both).await.expect("in time");
         assert!(read.is_ok() && written.is_ok(), "{read:?}, {written:?}");
-        assert!(seen.starts_with(b"HTTP/1.1 413"), "{}", String::from_utf8_lossy(&seen));
-        // What crosses the end is read, too.
+        assert!(received.starts_with(b"HTTP/1.1 413"), "{}", String::from_utf8_lossy(&received));
+        // What is sent before the client learns of the close is read, too.
         writer.write_all(REQUEST).await.expect("no reset");
         writer.shutdown().await.expect("no reset");
-        until(|| world.inbound.clients.borrow().is_empty()).await;
+        until(|| setup.inbound.connections.borrow().is_empty()).await;
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Clients that were answered and told to go hold on to their connections.
+/// Clients whose connections are being closed do not close their side.
 #[tokio::test(start_paused = true)]
-async fn connections_that_end_slowly_keep_their_places_only_until_others_need_them_or_for_a_while() {
+async fn connections_that_close_slowly_keep_their_slots_until_the_timeout_or_until_others_need_them() {
     let test = async {
-        let _frozen = frozen();
-        let world = World::set_up().await;
+        let _frozen = freeze_clock();
+        let setup = InboundTest::set_up().await;
         let mut slow = Vec::new();
-        while slow.len() < PLACES {
-            let mut client = world.client().await;
+        while slow.len() < MAX_CONNECTIONS {
+            let mut client = setup.connect().await;
             client.write_all(b"PUT / HTTP/1.1\r\nHost: a\r\n\r\n").await.expect("writable");
-            assert_eq!(answer(&mut client).await, 405);
+            assert_eq!(read_status(&mut client).await, 405);
             slow.push(client);
         }
-        let (_newcomer, id) = world.resting().await;
-        let open = |world: &World| world.inbound.clients.borrow().keys().copied().collect::<Vec<_>>();
-        assert_eq!((open(&world), id), ((1..=8).collect(), 8), "the first to go is the first to be let go");
-        tokio::time::advance(graceful_close::LONGEST).await;
-        until(|| open(&world).len() == 1).await;
-        assert_eq!(open(&world), [8]);
+        let (_newcomer, id) = setup.connect_idle().await;
+        let open =
+            |setup: &InboundTest| setup.inbound.connections.borrow().keys().copied().collect::<Vec<_>>();
+        assert_eq!(
+            (open(&setup), id),
+            ((1..=8).map(ConnectionId).collect(), ConnectionId(8)),
+            "the first to be closed is evicted"
+        );
+        tokio::time::advance(graceful_close::CLOSE_TIMEOUT).await;
+        until(|| open(&setup).len() == 1).await;
+        assert_eq!(open(&setup), [ConnectionId(8)]);
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// The engine's time is up: one request is in its queue, of another half the body has come, one client is silent.
+/// The engine has stopped: one request is in its queue, half the body of another has been received, one client is silent.
 #[tokio::test(start_paused = true)]
-async fn once_the_engine_is_gone_each_request_is_refused_and_each_connection_ends_without_a_reset() {
+async fn once_the_engine_has_stopped_requests_are_refused_and_connections_closed_without_reset() {
     let test = async {
-        let _frozen = frozen();
-        let World { inbound, addr, inputs, door } = World::set_up().await;
+        let _frozen = freeze_clock();
+        let InboundTest { inbound, addr, inputs, admission_state } = InboundTest::set_up().await;
         let mut clients = Vec::new();
         for bytes in [REQUEST, &REQUEST[..REQUEST.len() - 2], b""] {
             let mut client = TcpStream::connect(addr).await.expect("a client");
             client.write_all(bytes).await.expect("writable");
             clients.push(client);
         }
-        until(|| inbound.clients.borrow().len() == 3 && !inputs.is_empty() && inbound.coming(1)).await;
-        door.send_replace(AdmissionState::Stopping);
+        until(|| {
+            inbound.connections.borrow().len() == 3
+                && !inputs.is_empty()
+                && inbound.is_request_arriving(ConnectionId(1))
+        })
+        .await;
+        admission_state.send_replace(AdmissionState::Stopping);
         drop(inputs);
-        let end = spawn_local({
+        let shutdown = spawn_local({
             let inbound = inbound.clone();
-            async move { inbound.end().await }
+            async move { inbound.shut_down().await }
         });
-        assert_eq!(answer(&mut clients[0]).await, 503);
+        assert_eq!(read_status(&mut clients[0]).await, 503);
         clients[1].write_all(b"xt").await.expect("writable");
-        assert_eq!(answer(&mut clients[1]).await, 503);
+        assert_eq!(read_status(&mut clients[1]).await, 503);
         for client in &mut clients[..2] {
             assert_eq!(client.read(&mut [0; 1]).await.expect("no reset"), 0);
         }
-        // The third has nothing to say: it is told to go, and has some time for it.
+        // The third is silent: its connection is closed, and it has some time to close its side.
         let step = Duration::from_millis(10);
         let mut waited = Duration::ZERO;
-        while waited <= LAST_LOOK + LAST_ANSWERS {
+        while waited <= LAST_ACCEPT_GRACE + LAST_RESPONSE_TIMEOUT {
             tokio::time::advance(step).await;
             waited += step;
             for _ in 0..10 {
@@ -131,25 +143,25 @@
             }
         }
         assert_eq!(clients[2].read(&mut [0; 1]).await.expect("no reset"), 0);
-        assert!(!end.is_finished());
+        assert!(!shutdown.is_finished());
         drop(clients);
-        until(|| end.is_finished()).await;
-        assert!(inbound.clients.borrow().is_empty());
+        until(|| shutdown.is_finished()).await;
+        assert!(inbound.connections.borrow().is_empty());
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// The last bytes of a body come as the process ends.
+/// The last bytes of a body are received as the process ends.
 #[tokio::test]
-async fn what_lies_unread_at_the_very_end_resets_no_connection() {
+async fn bytes_unread_at_the_end_of_the_process_reset_no_connection() {
     let set = LocalSet::new();
     let test = async {
-        let world = World::set_up().await;
-        let mut client = world.client().await;
+        let setup = InboundTest::set_up().await;
+        let mut client = setup.connect().await;
         client.write_all(&REQUEST[..REQUEST.len() - 2]).await.expect("writable");
-        until(|| world.inbound.coming(0)).await;
-        world.slip_in(&client, 0, b"x");
-        world.inbound.abandon();
+        until(|| setup.inbound.is_request_arriving(ConnectionId(0))).await;
+        setup.write_unnoticed(&client, ConnectionId(0), b"x");
+        setup.inbound.abandon_all();
         client
     };
     let mut client = set.run_until(test).await;
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -29,7 +29,7 @@
 use crate::event::{AttemptResult, Call, IDEMPOTENCY_KEY, Input, STORY};
 use crate::handover::{HandoverMessage, PeerProcess};
 use crate::metrics::Metrics;
-use crate::write_progress::{MAX_BUFFER, Metered, WriteProgress};
+use crate::write_progress::{MAX_BUFFER, TrackedStream, WriteProgress};
 use backoff::Waits;
 use exchange::Bounds;
 pub use outcome::LONGEST_WAIT;
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -87,7 +87,7 @@
             let write_progress = connection.write_progress.clone();
             write_progress.reset();
             if message.is_some() {
-                write_progress.count_in(self.metrics.clone());
+                write_progress.count_when_complete(self.metrics.clone());
             }
             if keyed_repeat {
                 connection.limit_unacknowledged(Some(latest.saturating_duration_since(Instant::now())));
@@ -95,13 +95,13 @@
             let answer = tokio::select! {
                 biased;
                 answer = connection.sender.send_request(request) => answer.map_err(|_| End::Broken),
-                () = write_progress.head_without_end(HEAD_TIME) => Err(End::Broken),
+                () = write_progress.response_head_overdue(HEAD_TIME) => Err(End::Broken),
                 () = sleep_until(until) => Err(End::TimedOut),
-                () = write_progress.incomplete_at(latest) => Err(End::TimedOut),
+                () = write_progress.write_incomplete_at(latest) => Err(End::TimedOut),
                 () = cancelled.notified() => Err(End::Cancelled),
             };
             // The timer rings up to a tick late, and the answer of that tick stands first.
-            let late = write_progress.heard().is_some_and(|at| at >= until);
+            let late = write_progress.first_byte_received_at().is_some_and(|at| at >= until);
             let end = match answer {
                 Ok(response) if late => {
                     // What it tells of the partner holds all the same.
--- a/crates/sender/src/outbound/outcome.rs
+++ b/crates/sender/src/outbound/outcome.rs
@@ -31,7 +31,7 @@
 
 impl Sent {
     pub(super) fn of(write_progress: &WriteProgress) -> Self {
-        match (write_progress.started(), write_progress.complete()) {
+        match (write_progress.write_started(), write_progress.write_complete()) {
             (_, true) => Self::Whole,
             (true, false) => Self::Part,
             (false, false) => Self::Nothing,
@@ -41,9 +41,9 @@
 
 impl Heard {
     pub(super) fn of(write_progress: &WriteProgress) -> Self {
-        match write_progress.heard() {
+        match write_progress.first_byte_received_at() {
             None => Self::Nothing,
-            Some(_) if write_progress.says_ok() => Self::Ok,
+            Some(_) if write_progress.received_ok_status_line() => Self::Ok,
             Some(_) => Self::Spoilt,
         }
     }
--- a/crates/sender/src/outbound/pool.rs
+++ b/crates/sender/src/outbound/pool.rs
@@ -54,10 +54,10 @@
             // Whatever ends a connection with a call on it, be it this process's death, what the system still
             // holds of the call goes with it: later it would run after it was given up.
             let _ = stream.set_zero_linger();
-            let write_progress = Rc::new(WriteProgress::of_answers());
+            let write_progress = Rc::new(WriteProgress::tracking_responses());
             let stream = Rc::new(RefCell::new(stream));
             let socket = Rc::downgrade(&stream);
-            let io = Metered::new(stream, write_progress.clone());
+            let io = TrackedStream::new(stream, write_progress.clone());
             let (sender, connection) =
                 http1::Builder::new().max_buf_size(MAX_BUFFER).handshake(io).await.ok()?;
             let task = spawn_local(async move {
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -154,7 +154,8 @@
             let together = FleetSettings { file: fleet, quotas, life };
             spawn_local(GossipTask::new(notes, ramp, together).run(to_engine.clone()));
         }
-        let limits = inbound::Limits { sockets: share, body_bytes: config.limits.body_bytes() };
+        let limits =
+            inbound::Limits { max_connections: share, max_unfinished_body_bytes: config.limits.body_bytes() };
         let inbound =
             Rc::new(Inbound::new(settings, names, limits, metrics.clone(), to_engine.clone(), at_the_door));
         spawn_local(inbound.clone().run(listener));
@@ -184,7 +185,7 @@
         // Clients' connections and the watches look at it until the end.
         let _control = self.control;
         self.engine.run().await;
-        self.inbound.end().await;
+        self.inbound.shut_down().await;
     }
 }
 
--- /dev/null
+++ b/crates/sender/src/write_progress/tracked_stream.rs
@@ -0,0 +1,109 @@
+//! A TCP stream for hyper that records in a [`WriteProgress`] what is read from it and written to it.
+
+use std::cell::RefCell;
+use std::io::{ErrorKind, IoSlice, Result};
+use std::mem::MaybeUninit;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+
+use hyper::rt::{Read, ReadBufCursor, Write};
+use socket2::SockRef;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+use super::WriteProgress;
+
+/// Bytes read by one call.
+const READ_CHUNK_SIZE: usize = 4 * 1024;
+
+/// A socket that outlives the HTTP connection over it, so that its owner decides how it is closed and thereby what
+/// becomes of bytes in transit.
+pub(crate) type SharedSocket = Rc<RefCell<TcpStream>>;
+
+/// A stream that records its progress.
+pub(crate) struct TrackedStream {
+    socket: SharedSocket,
+    progress: Rc<WriteProgress>,
+}
+
+impl TrackedStream {
+    /// Wraps `socket`; what passes over it is recorded in `progress`.
+    pub(crate) fn new(socket: SharedSocket, progress: Rc<WriteProgress>) -> Self {
+        Self { socket, progress }
+    }
+
+    /// Fails if a request is about to begin on a connection that has unread bytes or has ended: left-over bytes would
+    /// be read as its response, and an ended connection would lose it.
+    fn check_no_unsolicited_bytes(&self) -> Result<()> {
+        if !self.progress.tracks_responses() || self.progress.write_started() {
+            return Ok(());
+        }
+        match SockRef::from(&*self.socket.borrow()).peek(&mut [MaybeUninit::uninit(); 1]) {
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(()),
+            Err(error) => Err(error),
+            Ok(0) => Err(ErrorKind::UnexpectedEof.into()),
+            Ok(_) => Err(ErrorKind::InvalidData.into()),
+        }
+    }
+
+    fn record_write(&self, result: &Poll<Result<usize>>) {
+        if let Poll::Ready(Ok(written)) = result {
+            self.progress.record_written(*written);
+        }
+    }
+}
+
+impl Read for TrackedStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        mut target: ReadBufCursor<'_>,
+    ) -> Poll<Result<()>> {
+        // A separate buffer, as bytes put into hyper's cursor cannot be looked at again.
+        let mut bytes = [0; READ_CHUNK_SIZE];
+        let capacity = target.remaining().min(READ_CHUNK_SIZE);
+        let mut chunk = ReadBuf::new(&mut bytes[..capacity]);
+        ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_read(context, &mut chunk))?;
+        target.put_slice(chunk.filled());
+        self.progress.record_received(chunk.filled());
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl Write for TrackedStream {
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
+        self.check_no_unsolicited_bytes()?;
+        let result = Pin::new(&mut *self.socket.borrow_mut()).poll_write(context, bytes);
+        self.record_write(&result);
+        result
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        slices: &[IoSlice<'_>],
+    ) -> Poll<Result<usize>> {
+        self.check_no_unsolicited_bytes()?;
+        let result = Pin::new(&mut *self.socket.borrow_mut()).poll_write_vectored(context, slices);
+        self.record_write(&result);
+        result
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.socket.borrow().is_write_vectored()
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
+        // hyper flushes only once everything it has encoded is written, and it encodes a message with a ready body as
+        // one: after the first byte, a flush means that the last one is written too.
+        if self.progress.write_started() {
+            self.progress.record_write_complete();
+        }
+        Pin::new(&mut *self.socket.borrow_mut()).poll_flush(context)
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
+        Pin::new(&mut *self.socket.borrow_mut()).poll_shutdown(context)
+    }
+}
