--- a/crates/gossip/src/fleet.rs
+++ b/crates/gossip/src/demand_exchange.rs
@@ -1,18 +1,19 @@
 //! What one sender tells and hears, round by round.
 
-mod aggregators;
-mod alive;
-mod own;
+mod aggregator_selection;
+mod liveness;
+mod local_demand;
 
 use std::collections::BTreeMap;
 
-use aggregators::Aggregators;
-use alive::Alive;
-pub use own::Own;
-use own::Seen;
+use aggregator_selection::AggregatorSelection;
+use liveness::LivenessEstimate;
+pub use local_demand::LocalDemand;
+use local_demand::Seen;
 
 use crate::limit_id::LimitId;
 use crate::message::{GossipError, GossipMessage, is_nothing};
+use crate::outgoing_datagram::OutgoingDatagram;
 use crate::sums::{Collected, Level, Ramp, Sum};
 
 /// Length of a round, ms.
@@ -24,8 +25,6 @@
 const HEEDED: u64 = 4;
 /// Sums tell of gates of whose limit more than this part is wanted or called, and of those that refuse or fail.
 const NEAR: f64 = 0.5;
-/// A note, and the number of the sender that it goes to.
-pub type OutgoingDatagram = (usize, Vec<u8>);
 
 /// The sums that were heard last.
 #[derive(Debug)]
@@ -46,15 +45,15 @@
 
 /// One sender among its fellows.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct DemandExchange {
     me: usize,
     senders: usize,
     ramp: Ramp,
     own: BTreeMap<LimitId, Seen>,
     /// The round that was told last.
     told: Option<u64>,
-    aggregators: Aggregators,
-    alive: Alive,
+    aggregators: AggregatorSelection,
+    alive: LivenessEstimate,
     /// What others had us add up, by round: this one and its neighbours.
     collected: BTreeMap<u64, Collected>,
     heard: Option<Heard>,
@@ -64,7 +63,7 @@
     rooms: Vec<(LimitId, f64)>,
 }
 
-impl Fleet {
+impl DemandExchange {
     /// Sender number `me` of `senders`, whose partners return from an outage like that.
     pub fn new(me: usize, senders: usize, ramp: Ramp) -> Self {
         Self {
@@ -73,8 +72,8 @@
             ramp,
             own: BTreeMap::new(),
             told: None,
-            aggregators: Aggregators::new(senders),
-            alive: Alive::new(senders),
+            aggregators: AggregatorSelection::new(senders),
+            alive: LivenessEstimate::new(senders),
             collected: BTreeMap::new(),
             heard: None,
             taken_in: None,
@@ -96,11 +95,11 @@
     }
 
     /// Takes in what this sender does at each of its gates, and says what to tell whom in this round.
-    pub fn report(&mut self, wall: u64, own: &[Own]) -> Vec<OutgoingDatagram> {
+    pub fn report(&mut self, wall: u64, own: &[LocalDemand]) -> Vec<OutgoingDatagram> {
         for o in own {
-            self.own.entry(o.gate).or_insert_with(|| Seen::new(wall / ROUND)).saw(wall, o);
+            self.own.entry(o.limit_id).or_insert_with(|| Seen::new(wall / ROUND)).saw(wall, o);
         }
-        let listed = |gate: &LimitId| own.iter().any(|o| o.gate == *gate);
+        let listed = |gate: &LimitId| own.iter().any(|o| o.limit_id == *gate);
         self.own.retain(|gate, _| listed(gate));
         self.levels.retain(|gate, _| listed(gate));
         let round = wall / ROUND;
@@ -111,13 +110,13 @@
         let gates: Vec<(LimitId, Sum)> = gates.into_iter().filter(|(_, sum)| !is_nothing(sum)).collect();
         let fresh = self.heard.as_ref().is_some_and(|heard| heard.round + 2 >= round);
         let mut datagrams = Vec::new();
-        for n in self.aggregators.ask(round, self.me, fresh) {
+        for n in self.aggregators.select(round, self.me, fresh) {
             if n == self.me {
                 self.collected.entry(round).or_default().add(self.me, &gates);
             } else {
                 let note =
                     GossipMessage { drawn: None, round: round as u32, senders: 1, gates: gates.clone() };
-                datagrams.push((n, note.encode()));
+                datagrams.push(OutgoingDatagram { to: n, bytes: note.encode() });
             }
         }
         datagrams
@@ -145,8 +144,8 @@
             if round > now || round + HEEDED < now {
                 return Err(GossipError::Round);
             }
-            self.aggregators.answered(from);
-            let drawn = self.alive.saw(round, drawn);
+            self.aggregators.record_alive(from);
+            let drawn = self.alive.observe(round, drawn);
             if !better {
                 return Err(GossipError::Round);
             }
@@ -158,7 +157,7 @@
         if !open || !self.collected.entry(round).or_default().add(from, &note.gates) {
             return Err(GossipError::Round);
         }
-        self.aggregators.answered(from);
+        self.aggregators.record_alive(from);
         Ok(())
     }
 
@@ -177,7 +176,7 @@
             };
             let gates = sums.into_iter().filter(|(gate, sum)| near(gate, sum)).collect();
             let told = u16::try_from(senders).unwrap_or(u16::MAX);
-            let drawn = self.alive.bits(&from);
+            let drawn = self.alive.sample_bits(&from);
             let bytes =
                 GossipMessage { drawn: Some(drawn), round: round as u32, senders: told, gates }.encode();
             let better = self.heard.as_ref().is_none_or(|heard| heard.is_less_than(round, senders));
@@ -185,18 +184,22 @@
                 // We heed what the others read.
                 && let Ok(note) = GossipMessage::decode(&bytes)
             {
-                self.alive.saw(round, drawn);
+                self.alive.observe(round, drawn);
                 if better {
                     self.heard =
                         Some(Heard { round, senders, drawn, sums: note.gates.into_iter().collect() });
                 }
             }
-            datagrams.extend(from.into_iter().filter(|&n| n != self.me).map(|n| (n, bytes.clone())));
+            datagrams.extend(
+                from.into_iter()
+                    .filter(|&n| n != self.me)
+                    .map(|n| OutgoingDatagram { to: n, bytes: bytes.clone() }),
+            );
         }
         datagrams
     }
 
-    /// The part of a limit that the partner is believed to take now, from 0 to 1, by the sums that [`Fleet::rooms`] took in last.
+    /// The part of a limit that the partner is believed to take now, from 0 to 1, by the sums that [`DemandExchange::rooms`] took in last.
     pub fn open(&self, gate: LimitId, limit: f64) -> f64 {
         self.levels.get(&gate).map_or(1.0, |level| level.open(limit))
     }
@@ -227,7 +230,7 @@
             let after = (rounds * ROUND) as f64 / 1_000.0;
             self.taken_in = Some(round);
             self.rooms.clear();
-            let missing = self.alive.missing(heard.drawn);
+            let missing = self.alive.alive_per_included(heard.drawn);
             for (gate, seen) in &self.own {
                 let quiet = Sum::default();
                 let sum = heard.sums.get(gate).map(|sum| sum.times(missing));
--- a/crates/gossip/src/fleet/own.rs
+++ b/crates/gossip/src/demand_exchange/local_demand.rs
@@ -10,17 +10,17 @@
 
 /// What a sender does at a gate.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Own {
+pub struct LocalDemand {
     /// Which gate.
-    pub gate: LimitId,
+    pub limit_id: LimitId,
     /// Its limit as told, calls a second from all senders together.
     pub limit: f64,
     /// Calls wanted now: what waits, and what comes before the next word.
-    pub wanted: f64,
+    pub demand: f64,
     /// Calls made so far.
-    pub called: u64,
+    pub calls: u64,
     /// ...that were refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// ...that failed: not answered, or not well.
     pub failed: u64,
 }
@@ -44,9 +44,9 @@
         Self { since, limit: 0.0, wanted: 0.0, counts: VecDeque::new() }
     }
 
-    pub fn saw(&mut self, wall: u64, own: &Own) {
-        (self.limit, self.wanted) = (own.limit, own.wanted);
-        self.counts.push_back((wall, [own.called, own.refused, own.failed]));
+    pub fn saw(&mut self, wall: u64, own: &LocalDemand) {
+        (self.limit, self.wanted) = (own.limit, own.demand);
+        self.counts.push_back((wall, [own.calls, own.rejected, own.failed]));
         while self.counts.len() > 1 && self.counts[1].0 + SPAN <= wall {
             self.counts.pop_front();
         }
--- a/crates/gossip/src/fleet/tests.rs
+++ b/crates/gossip/src/demand_exchange/tests.rs
@@ -1,5 +1,5 @@
-use super::aggregators::MOST_ASKED;
-use super::alive::MOST_SUMS;
+use super::aggregator_selection::MAX_AGGREGATORS;
+use super::liveness::MAX_HISTORY;
 use super::*;
 use crate::message::MOST_GATES;
 
@@ -8,8 +8,8 @@
 #[test]
 fn of_a_gate_that_is_new_there_is_an_equal_part_until_sums_can_tell_and_then_nothing() {
     let gate = LimitId::of(7, None);
-    let own = [Own { gate, limit: 60.0, wanted: 1.0, called: 0, refused: 0, failed: 0 }];
-    let mut fleet = Fleet::new(0, 300, Ramp { start: 0.3, growth: 0.1 });
+    let own = [LocalDemand { limit_id: gate, limit: 60.0, demand: 1.0, calls: 0, rejected: 0, failed: 0 }];
+    let mut fleet = DemandExchange::new(0, 300, Ramp { start: 0.3, growth: 0.1 });
     let start = 8 * ROUND;
     fleet.report(start, &own);
     assert_eq!(fleet.rooms(start), Some(vec![(gate, 0.2)]));
@@ -19,13 +19,19 @@
 /// Plays rounds of many senders that each want one call of a limit of `LIMIT`; notes between those that are up
 /// arrive as `arrives` says. What the senders that are up are left with then, on average, for each call wanted.
 fn rounds(
-    fleets: &mut [Fleet],
+    fleets: &mut [DemandExchange],
     rounds: std::ops::Range<u64>,
     up: impl Fn(usize) -> bool,
     mut arrives: impl FnMut() -> bool,
 ) -> Vec<f64> {
-    let own =
-        [Own { gate: LimitId::of(7, None), limit: LIMIT, wanted: 1.0, called: 0, refused: 0, failed: 0 }];
+    let own = [LocalDemand {
+        limit_id: LimitId::of(7, None),
+        limit: LIMIT,
+        demand: 1.0,
+        calls: 0,
+        rejected: 0,
+        failed: 0,
+    }];
     let mut means = Vec::new();
     for round in rounds {
         let start = round * ROUND;
@@ -33,7 +39,7 @@
             let mut post = Vec::new();
             for (n, fleet) in fleets.iter_mut().enumerate().filter(|(n, _)| up(*n)) {
                 let datagrams = if sums { fleet.sums(at) } else { fleet.report(at, &own) };
-                post.extend(datagrams.into_iter().map(|(to, note)| (n, to, note)));
+                post.extend(datagrams.into_iter().map(|datagram| (n, datagram.to, datagram.bytes)));
             }
             for (from, to, note) in post {
                 if up(to) && arrives() {
@@ -53,8 +59,8 @@
 const LIMIT: f64 = 60.0;
 const SENDERS: usize = 120;
 
-fn fleets() -> Vec<Fleet> {
-    (0..SENDERS).map(|n| Fleet::new(n, SENDERS, Ramp { start: 0.3, growth: 0.1 })).collect()
+fn fleets() -> Vec<DemandExchange> {
+    (0..SENDERS).map(|n| DemandExchange::new(n, SENDERS, Ramp { start: 0.3, growth: 0.1 })).collect()
 }
 
 /// Half of the notes are lost, and by sums of half of the senders there would be twice as much for each as there is.
@@ -83,15 +89,15 @@
 /// Gates, and senders that are up, come and go for 25 minutes; some of those that are up lie about gates and rounds.
 #[test]
 fn over_a_long_run_no_table_grows_beyond_its_bound() {
-    let mut fleet = Fleet::new(0, SENDERS, Ramp { start: 0.3, growth: 0.1 });
+    let mut fleet = DemandExchange::new(0, SENDERS, Ramp { start: 0.3, growth: 0.1 });
     let sum = Sum { wanted: 9.0, called: 9.0, refused: 9.0, failed: 9.0 };
     for round in 1_000..7_000u64 {
-        let own = (0..20).map(|n| Own {
-            gate: LimitId::of((round / 50 * 7 + n) as u16, None),
+        let own = (0..20).map(|n| LocalDemand {
+            limit_id: LimitId::of((round / 50 * 7 + n) as u16, None),
             limit: LIMIT,
-            wanted: 1.0,
-            called: round,
-            refused: 0,
+            demand: 1.0,
+            calls: round,
+            rejected: 0,
             failed: 0,
         });
         fleet.report(round * ROUND, &own.collect::<Vec<_>>());
@@ -106,12 +112,13 @@
         fleet.rooms(round * ROUND + 200);
         assert!(fleet.own.len() <= 20 && fleet.levels.len() <= 20 && fleet.rooms.len() <= 20);
         assert!(fleet.own.values().all(|seen| seen.len() <= 6));
-        let (silent, asked) = fleet.aggregators.len();
-        assert!(fleet.collected.len() <= 3 && silent < SENDERS && asked <= MOST_ASKED);
+        let silent = fleet.aggregators.silent_count();
+        let asked = fleet.aggregators.asked_count();
+        assert!(fleet.collected.len() <= 3 && silent < SENDERS && asked <= MAX_AGGREGATORS);
         assert!(
             fleet.collected.values().all(|c| c.from.len() <= SENDERS && c.sums.len() <= SENDERS * MOST_GATES)
         );
-        assert!(fleet.alive.len() <= MOST_SUMS);
+        assert!(fleet.alive.len() <= MAX_HISTORY);
         fleet.sums((round + 1) * ROUND);
     }
     // And with nobody left to hear of, nothing is left but its own.
@@ -126,9 +133,9 @@
 /// Bits of senders that there are not would make a few senders think that most of the others are not heard.
 #[test]
 fn bits_that_nobody_has_tell_nothing() {
-    let mut fleet = Fleet::new(0, 3, Ramp { start: 0.3, growth: 0.1 });
+    let mut fleet = DemandExchange::new(0, 3, Ramp { start: 0.3, growth: 0.1 });
     let gate = LimitId::of(7, None);
-    let own = [Own { gate, limit: LIMIT, wanted: 20.0, called: 0, refused: 0, failed: 0 }];
+    let own = [LocalDemand { limit_id: gate, limit: LIMIT, demand: 20.0, calls: 0, rejected: 0, failed: 0 }];
     let sum = Sum { wanted: 60.0, ..Sum::default() };
     for round in 10..12u64 {
         fleet.report(round * ROUND, &own);
--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -14,6 +14,7 @@
 use crate::datagram_budget::DatagramBudget;
 use crate::envelope::{Kind, open, read};
 use crate::membership::{Incarnation, Roster, Standing};
+use crate::outgoing_datagram::OutgoingDatagram;
 use crate::outlier_detection::{OutlierDetector, Receiver};
 use crate::tenant_usage::{EPOCH, Interval, TenantUsage, part};
 pub use error::FleetViewError;
@@ -32,23 +33,20 @@
 /// Without word of others for so long a quota is reckoned as if alone, ms.
 pub const STALE: u64 = 5_000;
 
-/// A note, and the number of the sender that it goes to.
-type OutgoingDatagram = (usize, Vec<u8>);
-
 /// The tables of one sender, and what to tell whom. Beyond what its parts hold: whom to answer, for three rounds at most.
 ///
 /// ```
-/// use rudderspindle_gossip::{Class, Incarnation, Kind, DatagramBudget, FleetView};
+/// use rudderspindle_gossip::{Class, Incarnation, Kind, DatagramBudget, FleetView, OutgoingDatagram};
 /// let views = |me| FleetView::new(me, vec![0, 0], Incarnation(1), 0, 100).expect("one of the tier");
 /// let (mut a, mut b) = (views(0), views(1));
 /// let post = || DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
 /// let (mut post_a, mut post_b) = (post(), post());
 /// a.counts().handed_in(10_000, 7);
 /// for now in (10_000..14_000).step_by(100) {
-///     for (_, note) in a.notes_due(now, &mut post_a) {
+///     for OutgoingDatagram { bytes: note, .. } in a.notes_due(now, &mut post_a) {
 ///         b.hear(now, 0, &note).expect("a note");
 ///     }
-///     for (_, note) in b.notes_due(now, &mut post_b) {
+///     for OutgoingDatagram { bytes: note, .. } in b.notes_due(now, &mut post_b) {
 ///         a.hear(now, 1, &note).expect("a note");
 ///     }
 /// }
@@ -171,7 +169,7 @@
                 break;
             }
             self.to_tell.remove(0);
-            datagrams.extend(self.report(now, round).ok().map(|note| (to, note)));
+            datagrams.extend(self.report(now, round).ok().map(|bytes| OutgoingDatagram { to, bytes }));
         }
         datagrams
     }
--- a/crates/gossip/src/fleet_view/tell.rs
+++ b/crates/gossip/src/fleet_view/tell.rs
@@ -2,10 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use super::FleetView;
 use super::message::{Aged, Ejection, MOST_JUDGES, MOST_PANES, MOST_RECEIVERS, MOST_REGISTERS};
 use super::message::{AnnouncedRegister, AnnouncedWindowSlice, Report, View, epoch_of};
-use super::{FleetView, OutgoingDatagram};
 use crate::envelope::EnvelopeError;
+use crate::outgoing_datagram::OutgoingDatagram;
 use crate::outlier_detection::{Receiver, Word};
 
 /// Those that add up in a round where one did not answer, or there is word of a receiver that fails.
@@ -60,7 +61,7 @@
                 let (panes, words) = (panes.clone(), self.words(round, hall, &known));
                 View { incarnation: self.incarnation.0, round, panes, words }.encode().ok()
             });
-            datagrams.extend(note.clone().map(|note| (asker, note)));
+            datagrams.extend(note.clone().map(|bytes| OutgoingDatagram { to: asker, bytes }));
         }
         datagrams
     }
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -30,7 +30,7 @@
     }
     let datagrams = aggregator.answers(NOW, ROUND, &(1..4).collect());
     assert_eq!(datagrams.len(), 3);
-    for (to, note) in datagrams {
+    for OutgoingDatagram { to, bytes: note } in datagrams {
         assert!(note.len() <= 256, "{} bytes", note.len());
         let mut reader = views(to, MAX_SENDERS);
         reader.hear(NOW, 0, &note).expect("a view");
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -6,32 +6,35 @@
 //! itself how much of the limit there is for a call that it wants. Nobody decides for another: who sums is
 //! the first of an order that all draw alike and that answers, and any other does as well.
 //!
-//! No I/O and no clock: [`Fleet`] is given the time and the datagrams, and says which to send.
+//! No I/O and no clock: [`DemandExchange`] is given the time and the datagrams, and says which to send.
 #![forbid(unsafe_code)]
 
 mod capacity;
 mod datagram_budget;
+mod demand_exchange;
 mod envelope;
-mod fleet;
 mod fleet_view;
 #[cfg(test)]
 mod golden;
 mod limit_id;
 mod membership;
 mod message;
+mod outgoing_datagram;
 mod outlier_detection;
+mod peer_selection;
 mod permits;
 mod sums;
 mod tenant_usage;
 
 pub use capacity::{ArrivalRate, CapacityShare};
 pub use datagram_budget::{Class, DatagramBudget};
+pub use demand_exchange::{DemandExchange, LocalDemand, ROUND};
 pub use envelope::{EnvelopeError, Kind, MAX_BODY_LEN, open, read, seal};
-pub use fleet::{Fleet, OutgoingDatagram, Own, ROUND};
 pub use fleet_view::{FleetView, FleetViewError, MAX_SENDERS, STALE};
 pub use limit_id::LimitId;
 pub use membership::{Fate, Incarnation, Roster, Standing, TooFarAhead};
 pub use message::{GossipError, MAX_MESSAGE_LEN};
+pub use outgoing_datagram::OutgoingDatagram;
 pub use outlier_detection::{OutlierDetector, Receiver, Seen, Word};
 pub use permits::{Permit, PermitError, PermitLedger};
 pub use sums::{Ramp, Sum};
--- a/crates/gossip/src/permits/allocator_selection.rs
+++ b/crates/gossip/src/permits/allocator_selection.rs
@@ -1,56 +1,66 @@
-//! Which sender deals in a round, as far as this one knows who is there.
+//! Chooses the sender that allocates permits in a round, among those that are known to be alive.
 
 use std::collections::BTreeMap;
 
-/// Somebody that was not heard for so many rounds may be gone.
-const ALIVE: u64 = 8;
-/// In every so manieth round all that are drawn may be asked, also those not heard of: parts that were cut off find
-/// one another again.
-const LOOK_ROUND: u64 = 4;
+use crate::peer_selection::{PeerSample, rank_in_round};
 
-/// The senders that may deal: up to 64 are drawn, the same everywhere.
+/// Rounds after which a candidate that nobody has reported counts as gone.
+const LIVENESS_ROUNDS: u64 = 8;
+/// In every round divisible by this, candidates that are not known to be alive are considered too, so that partitions
+/// that have healed find one another.
+const DISCOVERY_PERIOD: u64 = 4;
+
+/// The allocator of a round, as far as one sender knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct SelectedAllocator {
+    pub sender: usize,
+    /// Whether it was reported lately: permits are released to no other.
+    pub is_known_alive: bool,
+}
+
+/// The senders that may allocate permits, a fixed sample of the fleet, and when each was last reported.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AllocatorSelection {
-    drawn: Vec<usize>,
-    /// The last round in which somebody said that it had heard of it.
-    heard: BTreeMap<usize, u64>,
+    candidates: PeerSample,
+    /// The last round in which an allocator reported an offer of this candidate.
+    last_reported: BTreeMap<usize, u64>,
 }
 
 impl AllocatorSelection {
+    /// A selection for a fleet of that many senders, of which none is known to be alive.
     pub fn new(senders: usize) -> Self {
-        // Not by their numbers: those of a hall may follow one another, or come in turns.
-        let mut drawn: Vec<usize> = (0..senders).collect();
-        drawn.sort_by_key(|n| (crc32fast::hash(&(*n as u64).to_le_bytes()), *n));
-        drawn.truncate(u64::BITS as usize);
-        Self { drawn, heard: BTreeMap::new() }
+        Self { candidates: PeerSample::new(senders), last_reported: BTreeMap::new() }
     }
 
-    /// A sender's bit; none for those not drawn.
-    pub fn bit(&self, sender: usize) -> u64 {
-        self.drawn.iter().position(|n| *n == sender).map_or(0, |bit| 1 << bit)
+    /// The bits of the candidates among these senders.
+    pub fn candidate_bits(&self, senders: impl IntoIterator<Item = usize>) -> u64 {
+        self.candidates.bits(senders)
     }
 
-    /// These were heard in a round.
-    pub fn heard(&mut self, round: u64, bits: u64) {
-        for (_, &n) in self.drawn.iter().enumerate().filter(|(bit, _)| bits >> bit & 1 == 1) {
-            let last = self.heard.entry(n).or_default();
+    /// Takes in which candidates sent offers in a round.
+    pub fn record_alive(&mut self, round: u64, bits: u64) {
+        for sender in self.candidates.senders(bits) {
+            let last = self.last_reported.entry(sender).or_default();
             *last = round.max(*last);
         }
     }
 
-    /// Who deals in a round, and whether it is known to be there: nothing is given up to anybody else.
-    pub fn of(&mut self, round: u64) -> Option<(usize, bool)> {
-        self.heard.retain(|_, last| *last + ALIVE > round && *last <= round);
-        let rank =
-            |n: &&usize| (crc32fast::hash(&[round.to_le_bytes(), (**n as u64).to_le_bytes()].concat()), **n);
-        let known = |n: &&usize| self.heard.contains_key(n);
-        let all = self.heard.is_empty()
-            || (self.heard.len() < self.drawn.len() && round.is_multiple_of(LOOK_ROUND));
-        let dealer = if all {
-            self.drawn.iter().min_by_key(rank)
-        } else {
-            self.drawn.iter().filter(known).min_by_key(rank)
-        };
-        dealer.map(|n| (*n, self.heard.contains_key(n)))
+    /// The allocator of a round; `None` only for an empty fleet.
+    pub fn select(&mut self, round: u64) -> Option<SelectedAllocator> {
+        self.last_reported.retain(|_, last| *last + LIVENESS_ROUNDS > round && *last <= round);
+        let considers_all = self.considers_all(round);
+        let members = self.candidates.members().iter().copied();
+        let eligible = members.filter(|sender| considers_all || self.is_alive(*sender));
+        let sender = eligible.min_by_key(|sender| rank_in_round(round, *sender))?;
+        Some(SelectedAllocator { sender, is_known_alive: self.is_alive(sender) })
+    }
+
+    fn considers_all(&self, round: u64) -> bool {
+        let alive = self.last_reported.len();
+        alive == 0 || (alive < self.candidates.members().len() && round.is_multiple_of(DISCOVERY_PERIOD))
+    }
+
+    fn is_alive(&self, sender: usize) -> bool {
+        self.last_reported.contains_key(&sender)
     }
 }
--- a/crates/gossip/src/permits/exhaustive.rs
+++ b/crates/gossip/src/permits/exhaustive.rs
@@ -1,234 +1,265 @@
-//! Rights of three senders at one gate, in every order of offering, dealing, hearing, losing, doubling, killing and
-//! standing still: two rounds and their terms, or one and two faults, each a process killed or a clock set back.
+//! Model check of the permits of three senders at one limit: every order of offering, allocating, receiving, losing,
+//! duplicating, killing and pausing, for two rounds and their terms, or one round and two faults, each a killed process or
+//! a clock that is set back.
 //!
-//! Whoever may use a turn is taken to use it at once, so that which are used needs no orders of its own. Whoever stands
-//! still leaves out offers and deals and goes on later: any step may be left out.
+//! Every permit is used as soon as it is usable, so that its use needs no action of its own. A paused process leaves out
+//! offers and allocations and goes on later: any action may be left out.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-use super::rounds::VALID;
+use super::rounds::PERMIT_VALIDITY;
+use super::schedule::PermitSchedule;
 use super::*;
+use crate::demand_exchange::LocalDemand;
 
 const SENDERS: usize = 3;
-/// Of all senders: one or two for each in a term.
+/// Limit of all senders, in calls a second: one or two permits for each in a term.
 const LIMIT: f64 = 9.0;
-/// Offers leave in the middle of a round, deals at its beginning; whatever was sent is heard at either.
-const MOMENT: u64 = ROUND / 2;
-/// So often a sender looks for turns, ms: at least once while each may be used.
-const LOOK: u64 = VALID / 2;
-/// Rounds in which all hear all, before: whoever deals is known to be there then.
-const CALM: u64 = 4;
-const GATE: LimitId = LimitId(7);
-
-type Process = (usize, Incarnation);
-/// From whom, to whom.
-type Note = (usize, usize, Vec<u8>);
+/// Offers are sent in the middle of a round, grants at its start; datagrams are received at either.
+const HALF_ROUND: u64 = ROUND / 2;
+/// How often a sender looks for permits, in milliseconds: at least once while each is valid.
+const POLL_INTERVAL: u64 = PERMIT_VALIDITY / 2;
+/// Rounds without faults before the check, after which the allocators are known to be alive.
+const WARM_UP_ROUNDS: u64 = 4;
+const LIMIT_ID: LimitId = LimitId(7);
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Process {
+    sender: usize,
+    incarnation: Incarnation,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct Datagram {
+    from: usize,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+/// A permit that two processes used.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct DoubleUse {
+    number: u64,
+    processes: [Process; 2],
+}
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     wall: u64,
-    /// None while no process of a sender runs.
-    permits: Vec<Option<PermitLedger>>,
-    begun: [u64; SENDERS],
-    /// How much each clock was set back, ms.
-    behind: [u64; SENDERS],
+    /// `None` while no process of a sender runs.
+    ledgers: Vec<Option<PermitLedger>>,
+    incarnations: [u64; SENDERS],
+    /// How far each clock was set back, in milliseconds.
+    clock_lag: [u64; SENDERS],
     faults: u32,
-    /// Whatever was sent: each may be heard never, once or again, in any order.
-    wire: BTreeSet<Note>,
+    /// Everything that was sent: each datagram may be received never, once or again, in any order.
+    network: BTreeSet<Datagram>,
     used: BTreeMap<u64, Process>,
-    twice: Option<(u64, Process, Process)>,
+    double_use: Option<DoubleUse>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    TimePasses,
-    PermitOffer(usize),
-    Deal(usize),
-    Hear(Note),
+    PassTime,
+    Offer(usize),
+    Allocate(usize),
+    Receive(Datagram),
     Kill(usize),
-    Begin(usize),
-    SetBack(usize),
+    Start(usize),
+    SetClockBack(usize),
 }
 
-struct Tier {
-    /// The first round in which not all goes well.
-    first: u64,
-    /// Rounds with offers, from the first on.
+struct Cluster {
+    /// The first round in which anything may go wrong.
+    first_round: u64,
+    /// Number of rounds with offers, from the first on.
     rounds: u64,
-    /// Kills and clocks set back, at most.
-    faults: u32,
+    /// Maximum number of killed processes and clocks set back.
+    max_faults: u32,
 }
 
 impl State {
-    fn new(first: u64) -> Self {
-        let wall = (first - CALM) * ROUND;
-        let permits = |n| Some(PermitLedger::new(n, SENDERS, Incarnation(1), wall));
+    fn new(first_round: u64) -> Self {
+        let wall = (first_round - WARM_UP_ROUNDS) * ROUND;
+        let ledger = |sender| Some(PermitLedger::new(sender, SENDERS, Incarnation(1), wall));
         let mut state = Self {
             wall,
-            permits: (0..SENDERS).map(permits).collect(),
-            begun: [1; SENDERS],
-            behind: [0; SENDERS],
+            ledgers: (0..SENDERS).map(ledger).collect(),
+            incarnations: [1; SENDERS],
+            clock_lag: [0; SENDERS],
             faults: 0,
-            wire: BTreeSet::new(),
+            network: BTreeSet::new(),
             used: BTreeMap::new(),
-            twice: None,
+            double_use: None,
         };
-        while state.wall < first * ROUND {
-            (0..SENDERS).for_each(|n| state.offer(n));
-            (0..SENDERS).for_each(|n| state.deal(n));
-            while let Some(note) = state.wire.pop_first() {
-                state.hear(&note);
+        while state.wall < first_round * ROUND {
+            (0..SENDERS).for_each(|sender| state.offer(sender));
+            (0..SENDERS).for_each(|sender| state.allocate(sender));
+            while let Some(datagram) = state.network.pop_first() {
+                state.receive(&datagram);
             }
-            state.pass();
+            state.pass_time();
         }
         state
     }
 
-    fn clock(&self, n: usize) -> u64 {
-        self.wall - self.behind[n]
+    fn clock(&self, sender: usize) -> u64 {
+        self.wall - self.clock_lag[sender]
+    }
+
+    /// One sender releases all its permits, the other two need all of them, in rotation.
+    fn offer(&mut self, sender: usize) {
+        let clock = self.clock(sender);
+        // By the true time: a sender whose clock was set back needs another number in the same round.
+        let demand = if (self.wall / ROUND) as usize % SENDERS == sender { 0.0 } else { 30.0 };
+        let demand =
+            LocalDemand { limit_id: LIMIT_ID, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 };
+        let offer = self.ledgers[sender].as_mut().and_then(|ledger| ledger.offer(clock, &[demand]));
+        self.send(sender, offer);
     }
 
-    /// One gives up all, the other two want all, each in its turn.
-    fn offer(&mut self, n: usize) {
-        let clock = self.clock(n);
-        // By the true time: whoever was set back wants another number in the same round.
-        let wanted = if (self.wall / ROUND) as usize % SENDERS == n { 0.0 } else { 30.0 };
-        let own = Own { gate: GATE, limit: LIMIT, wanted, called: 0, refused: 0, failed: 0 };
-        let datagram = self.permits[n].as_mut().and_then(|permits| permits.offer(clock, &[own]));
-        self.wire.extend(datagram.map(|(to, note)| (n, to, note)));
+    fn allocate(&mut self, sender: usize) {
+        let clock = self.clock(sender);
+        let grants = self.ledgers[sender].as_mut().map_or(Vec::new(), |ledger| ledger.allocate(clock));
+        self.send(sender, grants);
     }
 
-    fn deal(&mut self, n: usize) {
-        let clock = self.clock(n);
-        let datagrams = self.permits[n].as_mut().map_or(Vec::new(), |permits| permits.deal(clock));
-        self.wire.extend(datagrams.into_iter().map(|(to, note)| (n, to, note)));
+    fn send(&mut self, from: usize, datagrams: impl IntoIterator<Item = OutgoingDatagram>) {
+        for OutgoingDatagram { to, bytes } in datagrams {
+            self.network.insert(Datagram { from, to, bytes });
+        }
     }
 
-    fn hear(&mut self, (from, to, note): &Note) {
-        let clock = self.clock(*to);
-        if let Some(permits) = &mut self.permits[*to] {
-            // What comes too late, or twice, is dropped.
-            let _ = permits.hear(clock, *from, note);
+    fn receive(&mut self, datagram: &Datagram) {
+        let clock = self.clock(datagram.to);
+        if let Some(ledger) = &mut self.ledgers[datagram.to] {
+            // Late and duplicate messages are dropped.
+            let _ = ledger.receive(clock, datagram.from, &datagram.bytes);
         }
     }
 
-    fn pass(&mut self) {
-        for _ in 0..MOMENT / LOOK {
-            self.wall += LOOK;
-            self.call();
+    fn pass_time(&mut self) {
+        for _ in 0..HALF_ROUND / POLL_INTERVAL {
+            self.wall += POLL_INTERVAL;
+            self.use_permits();
         }
-        for n in 0..SENDERS {
-            let clock = self.clock(n);
-            if let Some(permits) = &mut self.permits[n] {
-                permits.look(clock);
+        for sender in 0..SENDERS {
+            let clock = self.clock(sender);
+            if let Some(ledger) = &mut self.ledgers[sender] {
+                ledger.observe_clock(clock);
             }
         }
     }
 
-    /// All use what they may.
-    fn call(&mut self) {
-        for n in 0..SENDERS {
-            let (clock, process) = (self.clock(n), (n, Incarnation(self.begun[n])));
-            let turns =
-                self.permits[n].as_ref().map_or(Vec::new(), |permits| permits.turns(clock, GATE, 1.0));
-            for turn in turns.iter().filter(|turn| turn.from <= clock) {
-                let first = *self.used.entry(turn.number).or_insert(process);
+    /// Every sender uses the permits that it may.
+    fn use_permits(&mut self) {
+        for sender in 0..SENDERS {
+            let clock = self.clock(sender);
+            let process = Process { sender, incarnation: Incarnation(self.incarnations[sender]) };
+            let ledger = self.ledgers[sender].as_ref();
+            let permits = ledger.map_or(Vec::new(), |ledger| ledger.permits(clock, LIMIT_ID, 1.0));
+            for permit in permits.iter().filter(|permit| permit.from <= clock) {
+                let first = *self.used.entry(permit.number).or_insert(process);
                 if first != process {
-                    self.twice = Some((turn.number, first, process));
+                    let processes = [first, process];
+                    self.double_use = Some(DoubleUse { number: permit.number, processes });
                 }
             }
         }
     }
 }
 
-impl Model for Tier {
+impl Model for Cluster {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut state = State::new(self.first);
+        let mut state = State::new(self.first_round);
         state.used.clear();
         vec![state]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.wall < (self.first + self.rounds + 2) * ROUND + MOMENT {
-            actions.push(Action::TimePasses);
+        if state.wall < (self.first_round + self.rounds + 2) * ROUND + HALF_ROUND {
+            actions.push(Action::PassTime);
         }
-        for n in 0..SENDERS {
-            if state.permits[n].is_none() {
-                actions.push(Action::Begin(n));
+        for sender in 0..SENDERS {
+            if state.ledgers[sender].is_none() {
+                actions.push(Action::Start(sender));
                 continue;
             }
             if state.wall.is_multiple_of(ROUND) {
-                actions.push(Action::Deal(n));
-            } else if state.clock(n) / ROUND < self.first + self.rounds {
-                actions.push(Action::PermitOffer(n));
+                actions.push(Action::Allocate(sender));
+            } else if state.clock(sender) / ROUND < self.first_round + self.rounds {
+                actions.push(Action::Offer(sender));
             }
-            if state.faults < self.faults {
-                actions.push(Action::SetBack(n));
-                // A process that begins by an earlier clock than the one before it knew breaks the bound (design note).
-                actions.extend((state.behind[n] == 0).then_some(Action::Kill(n)));
+            if state.faults < self.max_faults {
+                actions.push(Action::SetClockBack(sender));
+                // A process that starts by an earlier clock than the one before it knew breaks the bound (design note).
+                actions.extend((state.clock_lag[sender] == 0).then_some(Action::Kill(sender)));
             }
         }
-        actions.extend(state.wire.iter().cloned().map(Action::Hear));
+        actions.extend(state.network.iter().cloned().map(Action::Receive));
     }
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::TimePasses => state.pass(),
-            Action::PermitOffer(n) => state.offer(n),
-            Action::Deal(n) => state.deal(n),
-            Action::Hear(note) => state.hear(&note),
-            Action::Kill(n) => {
+            Action::PassTime => state.pass_time(),
+            Action::Offer(sender) => state.offer(sender),
+            Action::Allocate(sender) => state.allocate(sender),
+            Action::Receive(datagram) => state.receive(&datagram),
+            Action::Kill(sender) => {
                 state.faults += 1;
-                state.permits[n] = None;
+                state.ledgers[sender] = None;
             }
-            Action::Begin(n) => {
-                state.begun[n] += 1;
-                let incarnation = Incarnation(state.begun[n]);
-                state.permits[n] = Some(PermitLedger::new(n, SENDERS, incarnation, state.clock(n)));
+            Action::Start(sender) => {
+                state.incarnations[sender] += 1;
+                let incarnation = Incarnation(state.incarnations[sender]);
+                let ledger = PermitLedger::new(sender, SENDERS, incarnation, state.clock(sender));
+                state.ledgers[sender] = Some(ledger);
             }
-            Action::SetBack(n) => {
+            Action::SetClockBack(sender) => {
                 state.faults += 1;
-                state.behind[n] += ROUND;
+                state.clock_lag[sender] += ROUND;
             }
         }
-        state.call();
+        state.use_permits();
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no turn is used by two processes", |_, state: &State| state.twice.is_none()),
-            Property::sometimes("a turn that was lent is used", |_, state: &State| {
-                let schedule = Schedule::new(GATE, LIMIT, SENDERS);
-                state.used.iter().any(|(turn, process)| schedule.owner(*turn) != process.0)
+            Property::always("no permit is used by two processes", |_, state: &State| {
+                state.double_use.is_none()
+            }),
+            Property::sometimes("a granted permit is used", |_, state: &State| {
+                let schedule = PermitSchedule::new(LIMIT_ID, LIMIT, SENDERS);
+                state.used.iter().any(|(number, process)| schedule.owner(*number) != process.sender)
             }),
         ]
     }
 }
 
-/// Tries all orders; how many states there are.
-fn check(tier: Tier) -> usize {
-    let began = Instant::now();
-    let checker = tier.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
-    println!("{} states, {:?}", checker.unique_state_count(), began.elapsed());
+/// Tries all orders and returns the number of states.
+fn check(cluster: Cluster) -> usize {
+    let start = Instant::now();
+    let checker = cluster.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
+    println!("{} states, {:?}", checker.unique_state_count(), start.elapsed());
     checker.assert_properties();
-    assert!(began.elapsed() < Duration::from_secs(120), "{:?}", began.elapsed());
+    assert!(start.elapsed() < Duration::from_secs(120), "{:?}", start.elapsed());
     checker.unique_state_count()
 }
 
 #[test]
-fn no_turn_is_used_by_two_processes_in_any_order_of_two_rounds() {
-    assert!(check(Tier { first: 100, rounds: 2, faults: 0 }) > 100_000);
+fn no_permit_is_used_by_two_processes_in_any_order_of_two_rounds() {
+    assert!(check(Cluster { first_round: 100, rounds: 2, max_faults: 0 }) > 100_000);
 }
 
 #[test]
-fn no_turn_is_used_by_two_processes_when_two_are_killed_or_their_clocks_set_back() {
-    assert!(check(Tier { first: 100, rounds: 1, faults: 2 }) > 100_000);
+fn no_permit_is_used_by_two_processes_after_two_processes_are_killed_or_clocks_set_back() {
+    assert!(check(Cluster { first_round: 100, rounds: 1, max_faults: 2 }) > 100_000);
 }
--- a/crates/gossip/src/permits/message.rs
+++ b/crates/gossip/src/permits/message.rs
@@ -1,60 +1,61 @@
-//! What senders tell one another of their rights, in the envelope of further kinds.
+//! Messages of the permit protocol, carried in the [envelope](crate::envelope).
 
 use serde::{Deserialize, Serialize};
 
 use crate::envelope::{EnvelopeError, Kind, MAX_BODY_LEN, bounded, open, read, seal};
 use crate::membership::Incarnation;
 
-/// Gates that an offer has room for: 4 bytes for the name, 3 for the mark and 2 for each number at the most.
-pub(crate) const MOST_GATES: usize = (MAX_BODY_LEN - 16) / 11;
-/// Turns that a sender asks for at one gate, at most: what a note has room for.
-pub(crate) const MOST_TURNS: u8 = 60;
-const MOST_GAPS: usize = MOST_TURNS as usize;
+/// Maximum number of limits in a message: an entry of an offer takes up to 4 bytes for the limit, 3 for the checksum and 2
+/// for each number.
+pub(crate) const MAX_LIMITS: usize = (MAX_BODY_LEN - 16) / 11;
+/// Maximum number of permits that a sender requests at one limit: as many as fit in a grant.
+pub(crate) const MAX_REQUESTED_PERMITS: u8 = 60;
+const MAX_NUMBER_DELTAS: usize = MAX_REQUESTED_PERMITS as usize;
 
-/// One sender's offer for a round: what it gives up of its own turns, and what it wants of others'.
+/// One sender's offer for a round: the permits it releases, and how many of others' it requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PermitOffer {
     pub round: u64,
     pub incarnation: Incarnation,
-    #[serde(deserialize_with = "bounded::<MOST_GATES, _, _>")]
+    #[serde(deserialize_with = "bounded::<MAX_LIMITS, _, _>")]
     pub entries: Vec<PermitOfferEntry>,
 }
 
-/// At one gate.
+/// The part of an offer that concerns one limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PermitOfferEntry {
-    pub gate: u32,
-    /// Of the schedule that it speaks of.
-    pub mark: u16,
-    /// So many of its own turns in the round's term, the last ones, are given up.
-    pub lent: u16,
-    /// So many of others' it could use.
-    pub asked: u8,
+    pub limit_id: u32,
+    /// Checksum of the schedule that the numbers refer to.
+    pub schedule_checksum: u16,
+    /// Number of the sender's own permits in the round's term, the last ones, that it releases.
+    pub released: u16,
+    /// Number of further permits that it could use.
+    pub requested: u8,
 }
 
-/// What one sender is lent of a round's offers.
+/// The answer to one sender's offer: the permits that are granted to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PermitGrant {
     pub round: u64,
-    /// The incarnation that offered: no other may use the turns.
+    /// The incarnation that made the offer; no other may use the permits.
     pub incarnation: Incarnation,
-    /// Which of those drawn to deal offered in this round, a bit for each.
-    pub heard: u64,
-    #[serde(deserialize_with = "bounded::<MOST_GATES, _, _>")]
+    /// Bits of the allocator candidates that sent an offer in this round.
+    pub candidates_alive: u64,
+    #[serde(deserialize_with = "bounded::<MAX_LIMITS, _, _>")]
     pub entries: Vec<PermitGrantEntry>,
 }
 
-/// At one gate.
+/// The part of a grant that concerns one limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PermitGrantEntry {
-    pub gate: u32,
-    pub mark: u16,
-    /// Turns, each by how many it lies after the one before, the first after the term's first.
-    #[serde(deserialize_with = "bounded::<MOST_GAPS, _, _>")]
-    pub gaps: Vec<u16>,
+    pub limit_id: u32,
+    pub schedule_checksum: u16,
+    /// Permit numbers, each as the difference to the one before; the first to the first number of the term.
+    #[serde(deserialize_with = "bounded::<MAX_NUMBER_DELTAS, _, _>")]
+    pub number_deltas: Vec<u16>,
 }
 
-/// A note on rights.
+/// A message of the permit protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum PermitMessage {
     PermitOffer(PermitOffer),
@@ -62,7 +63,11 @@
 }
 
 impl PermitMessage {
-    /// A datagram; an error if it were too long.
+    /// Encodes the message as a datagram.
+    ///
+    /// # Errors
+    ///
+    /// [`EnvelopeError::Length`] if it does not fit.
     pub fn encode(&self) -> Result<Vec<u8>, EnvelopeError> {
         match self {
             Self::PermitOffer(offer) => seal(Kind::PermitOffer, offer),
@@ -70,11 +75,16 @@
         }
     }
 
-    pub fn decode(note: &[u8]) -> Result<Self, EnvelopeError> {
-        match open(note)? {
+    /// Decodes a datagram.
+    ///
+    /// # Errors
+    ///
+    /// [`EnvelopeError`] if it is malformed or of another kind.
+    pub fn decode(datagram: &[u8]) -> Result<Self, EnvelopeError> {
+        match open(datagram)? {
             (Kind::PermitOffer, body) => read(body).map(Self::PermitOffer),
             (Kind::PermitGrant, body) => read(body).map(Self::PermitGrant),
-            _ => Err(EnvelopeError::Kind(note[0])),
+            _ => Err(EnvelopeError::Kind(datagram[0])),
         }
     }
 }
--- a/crates/gossip/src/permits/message/golden.rs
+++ b/crates/gossip/src/permits/message/golden.rs
@@ -1,4 +1,4 @@
-//! Offers and grants of rights: the bytes that the version before the renames wrote.
+//! Golden bytes of offers and grants: the wire format must not change.
 
 use super::*;
 use crate::golden::datagram;
@@ -12,16 +12,29 @@
 
 fn grant(entries: Vec<PermitGrantEntry>) -> PermitMessage {
     let (round, incarnation) = (1_700_000_001, Incarnation(u64::MAX));
-    PermitMessage::PermitGrant(PermitGrant { round, incarnation, heard: 0x8000_0000_0000_0a07, entries })
+    PermitMessage::PermitGrant(PermitGrant {
+        round,
+        incarnation,
+        candidates_alive: 0x8000_0000_0000_0a07,
+        entries,
+    })
 }
 
 #[test]
-fn offers_have_the_golden_bytes_and_read_as_what_was_offered() {
+fn offers_have_the_golden_bytes_and_decode_to_the_same_offers() {
     let entries = vec![
-        PermitOfferEntry { gate: 0x00ab_cdef, mark: 40_000, lent: 513, asked: 0 },
-        PermitOfferEntry { gate: 7, mark: 1, lent: 0, asked: MOST_TURNS },
+        PermitOfferEntry { limit_id: 0x00ab_cdef, schedule_checksum: 40_000, released: 513, requested: 0 },
+        PermitOfferEntry { limit_id: 7, schedule_checksum: 1, released: 0, requested: MAX_REQUESTED_PERMITS },
+    ];
+    let full = vec![
+        PermitOfferEntry {
+            limit_id: u32::MAX,
+            schedule_checksum: u16::MAX,
+            released: 300,
+            requested: 255
+        };
+        MAX_LIMITS
     ];
-    let full = vec![PermitOfferEntry { gate: u32::MAX, mark: u16::MAX, lent: 300, asked: 255 }; MOST_GATES];
     for (name, offer) in
         [("offer-empty", offer(vec![])), ("offer", offer(entries)), ("offer-full", offer(full))]
     {
@@ -32,12 +45,20 @@
 }
 
 #[test]
-fn grants_have_the_golden_bytes_and_read_as_what_was_granted() {
+fn grants_have_the_golden_bytes_and_decode_to_the_same_grants() {
     let entries = vec![
-        PermitGrantEntry { gate: 0x00ab_cdef, mark: 40_000, gaps: vec![0, 1, 513, u16::MAX] },
-        PermitGrantEntry { gate: 7, mark: 1, gaps: vec![] },
+        PermitGrantEntry {
+            limit_id: 0x00ab_cdef,
+            schedule_checksum: 40_000,
+            number_deltas: vec![0, 1, 513, u16::MAX],
+        },
+        PermitGrantEntry { limit_id: 7, schedule_checksum: 1, number_deltas: vec![] },
     ];
-    let full = vec![PermitGrantEntry { gate: 8, mark: 300, gaps: (1..=MOST_TURNS.into()).collect() }];
+    let full = vec![PermitGrantEntry {
+        limit_id: 8,
+        schedule_checksum: 300,
+        number_deltas: (1..=MAX_REQUESTED_PERMITS.into()).collect(),
+    }];
     for (name, grant) in
         [("grant-empty", grant(vec![])), ("grant", grant(entries)), ("grant-full", grant(full))]
     {
--- /dev/null
+++ b/crates/gossip/src/permits/offering.rs
@@ -0,0 +1,111 @@
+//! What a sender offers once a round: it releases the permits that it will not need and requests those that it lacks.
+
+use std::cmp::Reverse;
+
+use super::PermitLedger;
+use super::holding::PermitHolding;
+use super::message::{MAX_LIMITS, MAX_REQUESTED_PERMITS, PermitMessage, PermitOffer, PermitOfferEntry};
+use super::rounds::{ROUND, term};
+use super::schedule::PermitSchedule;
+use crate::demand_exchange::LocalDemand;
+use crate::limit_id::LimitId;
+use crate::outgoing_datagram::OutgoingDatagram;
+
+/// The offer that is being prepared.
+struct OfferContext {
+    round: u64,
+    wall: u64,
+    /// Permits that start before this are already known, in milliseconds since 1970.
+    known_until: u64,
+    /// Whether permits may be released: only to an allocator that is known to be alive.
+    may_release: bool,
+}
+
+impl PermitLedger {
+    /// Makes this sender's offer, once a round. Later calls in a round only take in which limits there are.
+    ///
+    /// `wall` is in milliseconds since 1970. Returns `None` if there is nothing to send, also when this sender allocates
+    /// the round itself.
+    pub fn offer(&mut self, wall: u64, demands: &[LocalDemand]) -> Option<OutgoingDatagram> {
+        self.observe_clock(wall);
+        let round = wall / ROUND;
+        self.refresh_holdings(wall, demands);
+        self.allocators.retain(|round, _| term(*round).end > wall);
+        if round <= self.last_offer_round {
+            return None;
+        }
+        let known_until = term(self.last_offer_round).end;
+        self.last_offer_round = round;
+        let selected = self.allocator_selection.select(round)?;
+        self.allocators.insert(round, selected.sender);
+        let context = OfferContext { round, wall, known_until, may_release: selected.is_known_alive };
+        let entries = self.offer_entries(&context, demands);
+        self.release(round, &entries);
+        self.dispatch_offer(selected.sender, PermitOffer { round, incarnation: self.incarnation, entries })
+    }
+
+    /// Keeps a holding for each listed limit, and none for others.
+    fn refresh_holdings(&mut self, wall: u64, demands: &[LocalDemand]) {
+        // After a clock was set back, a new holding knows nothing of what was released before.
+        let first_round = (wall / ROUND).max(self.last_offer_round);
+        self.holdings.retain(|limit_id, _| demands.iter().any(|demand| demand.limit_id == *limit_id));
+        for demand in demands {
+            let schedule = PermitSchedule::new(demand.limit_id, demand.limit, self.senders);
+            let holding = self
+                .holdings
+                .entry(demand.limit_id)
+                .or_insert_with(|| PermitHolding::new(schedule, first_round));
+            if holding.schedule != schedule {
+                *holding = PermitHolding::new(schedule, first_round);
+            }
+            holding.remove_expired(wall);
+        }
+    }
+
+    /// The entries with the most requested, then released permits, as many as fit in a message.
+    fn offer_entries(&self, context: &OfferContext, demands: &[LocalDemand]) -> Vec<PermitOfferEntry> {
+        let mut entries: Vec<PermitOfferEntry> =
+            demands.iter().filter_map(|demand| self.offer_entry(context, demand)).collect();
+        entries.sort_by_key(|entry| (Reverse((entry.requested, entry.released)), entry.limit_id));
+        entries.truncate(MAX_LIMITS);
+        entries
+    }
+
+    /// The entry for a limit; `None` where nothing is released or requested.
+    fn offer_entry(&self, context: &OfferContext, demand: &LocalDemand) -> Option<PermitOfferEntry> {
+        let holding = self.holdings.get(&demand.limit_id)?;
+        let available = holding.usable(self.own_number, context.wall, context.known_until).len();
+        let needed = (demand.demand - available as f64).round().max(0.0) as usize;
+        let own = holding.own_count(self.own_number, context.round);
+        let released = if context.may_release { own.saturating_sub(needed) } else { 0 };
+        let requested = needed.saturating_sub(own).min(usize::from(MAX_REQUESTED_PERMITS));
+        let entry = PermitOfferEntry {
+            limit_id: demand.limit_id.0,
+            schedule_checksum: holding.schedule.checksum(),
+            released: u16::try_from(released).unwrap_or(u16::MAX),
+            requested: requested as u8,
+        };
+        (entry.released > 0 || entry.requested > 0).then_some(entry)
+    }
+
+    /// Gives up what the entries release, before anybody is told of it.
+    fn release(&mut self, round: u64, entries: &[PermitOfferEntry]) {
+        for entry in entries.iter().filter(|entry| entry.released > 0) {
+            if let Some(holding) = self.holdings.get_mut(&LimitId(entry.limit_id)) {
+                let own = holding.own_count(self.own_number, round);
+                holding.retain_first(round, own - usize::from(entry.released));
+            }
+        }
+    }
+
+    /// Hands the offer to this sender's own allocator, or addresses it to another's. If it cannot be encoded, the
+    /// released permits are not used in this term.
+    fn dispatch_offer(&mut self, allocator: usize, offer: PermitOffer) -> Option<OutgoingDatagram> {
+        if allocator == self.own_number {
+            self.allocator.add_offer(offer.round, self.own_number, offer);
+            return None;
+        }
+        let bytes = PermitMessage::PermitOffer(offer).encode().ok()?;
+        Some(OutgoingDatagram { to: allocator, bytes })
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/permits/schedule/tests.rs
@@ -0,0 +1,28 @@
+//! Ownership of permits, and limits that are not positive numbers.
+
+use super::*;
+
+#[test]
+fn every_permit_has_one_owner_and_the_senders_own_them_in_rotation() {
+    for (limit, senders) in [(60.0, 12), (0.3, 300), (1_000.0, 7), (75.0, 300)] {
+        let schedule = PermitSchedule::new(LimitId::of(7, None), limit, senders);
+        let time = 1_700_000_000_123..1_700_000_020_456;
+        let all = schedule.starting_in(time.clone());
+        let owned_by = |sender| schedule.owned_by(sender, time.clone()).map(move |number| (number, sender));
+        let mut owned: Vec<(u64, usize)> = (0..senders).flat_map(owned_by).collect();
+        owned.sort_unstable();
+        let owners: Vec<(u64, usize)> = all.clone().map(|number| (number, schedule.owner(number))).collect();
+        assert_eq!(owned, owners);
+        assert!(all.clone().all(|number| time.contains(&schedule.starts_at(number))));
+        let expected = limit * ISSUED_FRACTION * 20.333;
+        assert!((all.count() as f64 - expected).abs() <= 1.0 + expected / 1_000.0, "{limit}");
+    }
+}
+
+#[test]
+fn a_limit_that_is_not_a_positive_number_issues_the_fewest_permits() {
+    for limit in [0.0, -3.0, f64::NAN] {
+        let schedule = PermitSchedule::new(LimitId::of(7, None), limit, 3);
+        assert_eq!(schedule.starting_in(0..3_600_001).count(), 2, "{limit}");
+    }
+}
--- a/crates/gossip/src/permits/tests.rs
+++ b/crates/gossip/src/permits/tests.rs
@@ -1,171 +1,201 @@
-mod tier;
+//! The permit protocol in simulated clusters: use of the limit, its bound under faults, and bounds on memory.
+
+mod cluster;
+mod rejections;
 
 use proptest::prelude::*;
 
+use super::message::{PermitGrantEntry, PermitOffer, PermitOfferEntry};
+use super::schedule::PermitSchedule;
 use super::*;
-use tier::{DAWN, Tier, Weather};
+use crate::demand_exchange::LocalDemand;
+use crate::envelope::{Kind, seal};
+use cluster::{Cluster, InFlight, NetworkFaults, START};
+
+const DELAYS: NetworkFaults = NetworkFaults { loss_rate: 0.0, duplication_rate: 0.0, max_delay: 30.0 };
 
 #[test]
-fn all_that_there_is_is_used_by_many_that_each_want_little_now_and_then() {
-    let mut tier = Tier::new(3, 300, 75.0, Weather { late: 30.0, ..Weather::default() });
-    tier.run(5_000, 67.0);
-    let before = tier.waiting.iter().sum::<u32>();
-    let calls = tier.run(30_000, 67.0);
-    let left = tier.waiting.iter().sum::<u32>();
-    // As many go as come: nobody is left behind, and no more than half a second's worth waits for its turn.
-    assert!(calls as f64 >= 0.97 * 67.0 * 30.0, "{calls} calls, {before} waited, {left} wait");
-    assert!(left < 100, "{left} wait");
+fn many_senders_with_rare_demand_use_the_whole_limit() {
+    let mut cluster = Cluster::new(3, 300, 75.0, DELAYS);
+    cluster.run(5_000, 67.0);
+    let before = cluster.queued.iter().sum::<u32>();
+    let calls = cluster.run(30_000, 67.0);
+    let left = cluster.queued.iter().sum::<u32>();
+    // As many start as arrive: no sender starves, and no more than half a second's worth is queued.
+    assert!(calls as f64 >= 0.97 * 67.0 * 30.0, "{calls} calls, {before} were queued, {left} are queued");
+    assert!(left < 100, "{left} queued");
 }
 
 #[test]
-fn one_that_wants_all_of_it_has_nearly_all_within_two_seconds() {
-    let mut tier = Tier::new(5, 12, 60.0, Weather { late: 30.0, ..Weather::default() });
-    tier.run(4_000, 0.0);
-    tier.waiting[4] = 10_000;
-    tier.run(2_000, 0.0);
-    let calls = tier.run(10_000, 0.0);
+fn one_sender_with_all_the_demand_gets_nearly_the_whole_limit_within_two_seconds() {
+    let mut cluster = Cluster::new(5, 12, 60.0, DELAYS);
+    cluster.run(4_000, 0.0);
+    cluster.queued[4] = 10_000;
+    cluster.run(2_000, 0.0);
+    let calls = cluster.run(10_000, 0.0);
     assert!(calls as f64 >= 0.9 * 57.0 * 10.0, "{calls} calls in ten seconds");
 }
 
 #[test]
-fn parts_that_do_not_hear_one_another_keep_the_bound_and_find_one_another_again() {
-    let mut tier = Tier::new(9, 12, 60.0, Weather { late: 30.0, ..Weather::default() });
-    tier.run(4_000, 90.0);
-    tier.part = (0..12).map(|n| if n < 6 { n + 1 } else { 0 }).collect();
-    let cut = tier.run(12_000, 90.0);
-    assert!(cut as f64 >= 0.9 * 57.0 * 12.0, "{cut} calls while half heard nothing");
-    tier.part = vec![0; 12];
-    tier.waiting = vec![0; 12];
-    tier.run(3_000, 0.0);
-    tier.waiting[2] = 10_000;
-    tier.run(3_000, 0.0);
-    let calls = tier.run(5_000, 0.0);
-    assert!(calls as f64 >= 0.85 * 57.0 * 5.0, "{calls} calls of what all have, five seconds after the cut");
-    assert!(tier.most(1_000) as f64 <= tier.bound(1_000, 0));
+fn partitions_keep_the_bound_and_share_again_after_they_heal() {
+    let mut cluster = Cluster::new(9, 12, 60.0, DELAYS);
+    cluster.run(4_000, 90.0);
+    cluster.partition = (0..12).map(|sender| if sender < 6 { sender + 1 } else { 0 }).collect();
+    let cut = cluster.run(12_000, 90.0);
+    assert!(cut as f64 >= 0.9 * 57.0 * 12.0, "{cut} calls while half of the senders were isolated");
+    cluster.partition = vec![0; 12];
+    cluster.queued = vec![0; 12];
+    cluster.run(3_000, 0.0);
+    cluster.queued[2] = 10_000;
+    cluster.run(3_000, 0.0);
+    let calls = cluster.run(5_000, 0.0);
+    assert!(calls as f64 >= 0.85 * 57.0 * 5.0, "{calls} calls of one sender, five seconds after the cut");
+    assert!(cluster.max_calls_within(1_000) as f64 <= cluster.allowed_calls_within(1_000, 0));
 }
 
 #[test]
-fn a_grant_of_another_or_for_an_earlier_process_is_none() {
-    let mut permits = PermitLedger::new(0, 3, Incarnation(7), DAWN);
-    let gate = LimitId::of(7, None);
-    let own = [Own { gate, limit: 60.0, wanted: 30.0, called: 0, refused: 0, failed: 0 }];
-    let (dealer, _) =
-        (0..).map(|n| DAWN + n * ROUND).find_map(|at| permits.offer(at + 300, &own)).expect("asked");
-    let round = permits.offered;
-    let entry = message::PermitGrantEntry {
-        gate: gate.0,
-        mark: Schedule::new(gate, 60.0, 3).mark(),
-        gaps: vec![1, 1, 1],
+fn a_grant_from_another_sender_or_for_an_earlier_process_is_rejected() {
+    let mut ledger = PermitLedger::new(0, 3, Incarnation(7), START);
+    let limit_id = LimitId::of(7, None);
+    let demands = [LocalDemand { limit_id, limit: 60.0, demand: 30.0, calls: 0, rejected: 0, failed: 0 }];
+    let rounds = (0..).map(|n| START + n * ROUND);
+    let allocator = rounds.map(|at| ledger.offer(at + 300, &demands)).find_map(|offer| Some(offer?.to));
+    let allocator = allocator.expect("an offer is sent");
+    let round = ledger.last_offer_round;
+    let entry = PermitGrantEntry {
+        limit_id: limit_id.0,
+        schedule_checksum: PermitSchedule::new(limit_id, 60.0, 3).checksum(),
+        number_deltas: vec![1, 1, 1],
     };
     let grant = |incarnation, round| {
-        let grant = PermitGrant {
-            round,
-            incarnation: Incarnation(incarnation),
-            heard: 7,
-            entries: vec![entry.clone()],
-        };
+        let incarnation = Incarnation(incarnation);
+        let grant = PermitGrant { round, incarnation, candidates_alive: 7, entries: vec![entry.clone()] };
         PermitMessage::PermitGrant(grant).encode().expect("short enough")
     };
-    let (wall, turns) =
-        (round * ROUND + 450, |permits: &PermitLedger| permits.turns(round * ROUND + 450, gate, 1.0).len());
-    let none = turns(&permits);
-    assert_eq!(permits.hear(wall, 3 - dealer, &grant(7, round)), Err(PermitError::Round));
-    assert_eq!(permits.hear(wall, dealer, &grant(6, round)), Err(PermitError::Round));
-    assert_eq!(permits.hear(wall, dealer, &grant(7, round - 1)), Err(PermitError::Round));
-    assert_eq!(turns(&permits), none);
-    assert_eq!(permits.hear(wall, dealer, &grant(7, round)), Ok(true));
+    let wall = round * ROUND + 450;
+    let count = |ledger: &PermitLedger| ledger.permits(wall, limit_id, 1.0).len();
+    let own = count(&ledger);
+    assert_eq!(ledger.receive(wall, 3 - allocator, &grant(7, round)), Err(PermitError::Round));
+    assert_eq!(ledger.receive(wall, allocator, &grant(6, round)), Err(PermitError::Round));
+    assert_eq!(ledger.receive(wall, allocator, &grant(7, round - 1)), Err(PermitError::Round));
+    assert_eq!(count(&ledger), own);
+    assert_eq!(ledger.receive(wall, allocator, &grant(7, round)), Ok(true));
     // One of three in a row is its own.
-    assert_eq!(turns(&permits), none + 2);
-    // Doubled, it says nothing new.
-    assert_eq!(permits.hear(wall, dealer, &grant(7, round)), Ok(true));
-    assert_eq!(turns(&permits), none + 2);
+    assert_eq!(count(&ledger), own + 2);
+    // A duplicate changes nothing.
+    assert_eq!(ledger.receive(wall, allocator, &grant(7, round)), Ok(true));
+    assert_eq!(count(&ledger), own + 2);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
-    /// Whatever becomes of notes, processes and clocks: [`Tier::act`] asserts that no turn is used twice.
+    /// Whatever happens to datagrams, processes and clocks; [`Cluster`] asserts that no permit is used twice.
     #[test]
-    fn no_turn_is_used_by_two_processes_and_the_bound_holds(
-        seed: u64, senders in 2usize..14, limit in 0.5f64..200.0, lost in 0.0f64..1.0, late in 0.0f64..900.0, clocks in 0i64..200,
+    fn no_permit_is_used_by_two_processes_and_the_bound_holds(
+        seed: u64,
+        senders in 2usize..14,
+        limit in 0.5f64..200.0,
+        loss_rate in 0.0f64..1.0,
+        max_delay in 0.0f64..900.0,
+        clock_skew in 0i64..200,
     ) {
-        let mut tier = Tier::new(seed, senders, limit, Weather { lost, doubled: 0.3, late });
-        for n in 0..senders {
-            tier.off[n] = (tier.draw.unit() * clocks as f64) as i64;
-            tier.begin(n);
+        let faults = NetworkFaults { loss_rate, duplication_rate: 0.3, max_delay };
+        let mut cluster = Cluster::new(seed, senders, limit, faults);
+        for sender in 0..senders {
+            cluster.clock_offset[sender] = (cluster.rng.unit() * clock_skew as f64) as i64;
+            cluster.restart(sender);
         }
-        let mut old = Vec::new();
+        let mut recorded: Vec<InFlight> = Vec::new();
         for _ in 0..60 {
-            tier.run(200, limit * 1.4);
-            let n = tier.draw.below(senders);
-            match tier.draw.below(6) {
-                0 => tier.begin(n),
-                1 => tier.up[n] = false,
-                2 => tier.up[n] = true,
-                3 => tier.part[n] = tier.draw.below(2),
-                4 => old.extend(tier.post.iter().cloned()),
-                _ => tier.post.extend(old.drain(..).map(|(_, from, to, body)| (tier.wall + 1, from, to, body))),
+            cluster.run(200, limit * 1.4);
+            let sender = cluster.rng.below(senders);
+            match cluster.rng.below(6) {
+                0 => cluster.restart(sender),
+                1 => cluster.running[sender] = false,
+                2 => cluster.running[sender] = true,
+                3 => cluster.partition[sender] = cluster.rng.below(2),
+                4 => recorded.extend(cluster.in_flight.iter().cloned()),
+                _ => {
+                    let arrives_at = cluster.wall + 1;
+                    let replayed = recorded.drain(..).map(|datagram| InFlight { arrives_at, ..datagram });
+                    cluster.in_flight.extend(replayed);
+                }
             }
         }
-        let (most, bound) = (tier.most(1_000), tier.bound(1_000, clocks as u64));
+        let most = cluster.max_calls_within(1_000);
+        let bound = cluster.allowed_calls_within(1_000, clock_skew as u64);
         prop_assert!(most as f64 <= bound, "{most} calls in a second, {bound} may be");
     }
 
     #[test]
-    fn what_is_no_note_changes_nothing(bytes: Vec<u8>) {
-        let mut permits = PermitLedger::new(0, 3, Incarnation(7), DAWN);
+    fn a_malformed_datagram_changes_nothing(bytes: Vec<u8>) {
+        let mut ledger = PermitLedger::new(0, 3, Incarnation(7), START);
         if let Err(error) = PermitMessage::decode(&bytes) {
-            prop_assert_eq!(permits.hear(DAWN + 700, 1, &bytes), Err(PermitError::Envelope(error)));
+            prop_assert_eq!(ledger.receive(START + 700, 1, &bytes), Err(PermitError::Envelope(error)));
         }
-        // Also in an envelope that fits.
-        let _ = permits.hear(DAWN + 700, 1, &crate::envelope::seal(crate::envelope::Kind::PermitGrant, &bytes).unwrap_or_default());
-        prop_assert!(permits.dealer.len() <= 1);
+        // Also in a valid envelope.
+        let sealed = seal(Kind::PermitGrant, &bytes).unwrap_or_default();
+        let _ = ledger.receive(START + 700, 1, &sealed);
+        prop_assert!(ledger.allocator.len() <= 1);
     }
 }
 
-/// Gates come and go, and liars name what there is not, for half an hour.
+/// Limits come and go, and faulty peers name limits that do not exist, for half an hour.
 #[test]
 fn over_a_long_run_no_table_grows_beyond_its_bound() {
-    let mut permits = PermitLedger::new(0, 9, Incarnation(7), DAWN);
+    let mut ledger = PermitLedger::new(0, 9, Incarnation(7), START);
     for round in 1..3_600u64 {
-        let wall = DAWN + round * ROUND + 200;
-        let own = (0..20).map(|n| Own {
-            gate: LimitId::of((round / 40 * 3 + n) as u16, None),
+        let wall = START + round * ROUND + 200;
+        let demand = |n| LocalDemand {
+            limit_id: LimitId::of((round / 40 * 3 + n) as u16, None),
             limit: 30.0,
-            wanted: 20.0,
-            called: 0,
-            refused: 0,
+            demand: 20.0,
+            calls: 0,
+            rejected: 0,
             failed: 0,
-        });
-        let own: Vec<Own> = own.collect();
-        let asked = permits.offer(wall, &own);
+        };
+        let demands: Vec<LocalDemand> = (0..20).map(demand).collect();
+        let own_offer = ledger.offer(wall, &demands);
         for from in 1..9 {
-            let entry = |n: u32| PermitOfferEntry { gate: n, mark: 3, lent: u16::MAX, asked: u8::MAX };
-            let entries = (0..MOST_GATES as u32).map(entry).collect();
-            let round = (wall / ROUND).wrapping_add(from as u64 % 3);
-            let offer =
-                PermitMessage::PermitOffer(PermitOffer { round, incarnation: Incarnation(1), entries });
-            let _ = permits.hear(wall, from, &offer.encode().expect("short enough"));
+            let _ = ledger.receive(wall, from, &excessive_offer(wall, from));
         }
-        if let Some((dealer, _)) = asked {
-            let entry = |o: &Own| message::PermitGrantEntry {
-                gate: o.gate.0,
-                mark: Schedule::new(o.gate, 30.0, 9).mark(),
-                gaps: vec![0, 1, 2, u16::MAX, 1],
-            };
-            let entries = own.iter().take(12).map(entry).collect();
-            let grant =
-                PermitGrant { round: wall / ROUND, incarnation: Incarnation(7), heard: u64::MAX, entries };
-            permits
-                .hear(wall, dealer, &PermitMessage::PermitGrant(grant).encode().expect("short"))
-                .expect("it was asked");
+        if let Some(offer) = own_offer {
+            ledger.receive(wall, offer.to, &malformed_grant(wall, &demands)).expect("it answers the offer");
         }
-        assert!(permits.gates.len() <= 20 && permits.asked.len() <= 4 && permits.dealer.len() <= 16);
+        assert!(ledger.holdings.len() <= 20 && ledger.allocators.len() <= 4 && ledger.allocator.len() <= 16);
         assert!(
-            permits.gates.values().all(|held| held.len() <= 30),
+            ledger.holdings.values().all(|holding| holding.len() <= 30),
             "{:?}",
-            permits.gates.values().map(Held::len)
+            ledger.holdings.values().map(PermitHolding::len)
         );
-        permits.deal(wall + ROUND);
+        ledger.allocate(wall + ROUND);
     }
 }
+
+/// An offer that names as many limits as fit, for a round near the current one.
+fn excessive_offer(wall: u64, from: usize) -> Vec<u8> {
+    let entry = |n: u32| PermitOfferEntry {
+        limit_id: n,
+        schedule_checksum: 3,
+        released: u16::MAX,
+        requested: u8::MAX,
+    };
+    let entries = (0..MAX_LIMITS as u32).map(entry).collect();
+    let round = (wall / ROUND).wrapping_add(from as u64 % 3);
+    let offer = PermitMessage::PermitOffer(PermitOffer { round, incarnation: Incarnation(1), entries });
+    offer.encode().expect("short enough")
+}
+
+/// A grant whose numbers are not ascending and lie outside the term.
+fn malformed_grant(wall: u64, demands: &[LocalDemand]) -> Vec<u8> {
+    let entry = |demand: &LocalDemand| PermitGrantEntry {
+        limit_id: demand.limit_id.0,
+        schedule_checksum: PermitSchedule::new(demand.limit_id, 30.0, 9).checksum(),
+        number_deltas: vec![0, 1, 2, u16::MAX, 1],
+    };
+    let entries = demands.iter().take(12).map(entry).collect();
+    let round = wall / ROUND;
+    let grant = PermitGrant { round, incarnation: Incarnation(7), candidates_alive: u64::MAX, entries };
+    PermitMessage::PermitGrant(grant).encode().expect("short enough")
+}
--- /dev/null
+++ b/crates/gossip/src/permits/tests/cluster.rs
@@ -0,0 +1,201 @@
+//! A cluster of senders in simulated time at one limit, with faults in its network, processes and clocks.
+
+use std::collections::BTreeMap;
+
+use crate::demand_exchange::LocalDemand;
+use crate::limit_id::LimitId;
+use crate::membership::Incarnation;
+use crate::outgoing_datagram::OutgoingDatagram;
+use crate::permits::PermitLedger;
+use crate::permits::rounds::PERMIT_VALIDITY;
+
+/// A seeded random generator for tests.
+pub(super) struct TestRng(pub(super) u64);
+
+impl TestRng {
+    /// A number from 0 to 1.
+    pub(super) fn unit(&mut self) -> f64 {
+        // The multiplier of a 64-bit congruential generator (Knuth); its upper bits are good enough here.
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.0 >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    /// An integer below `bound`.
+    pub(super) fn below(&mut self, bound: usize) -> usize {
+        (self.unit() * bound as f64) as usize
+    }
+}
+
+/// The wall clock when a test starts, in milliseconds since 1970.
+pub(super) const START: u64 = 1_700_000_000_000;
+/// Step of simulated time, in milliseconds.
+pub(super) const STEP: u64 = 10;
+
+/// What happens to datagrams.
+#[derive(Clone, Copy, Default)]
+pub(super) struct NetworkFaults {
+    pub(super) loss_rate: f64,
+    pub(super) duplication_rate: f64,
+    /// Maximum delay, in milliseconds.
+    pub(super) max_delay: f64,
+}
+
+/// A datagram that has not arrived yet.
+#[derive(Clone)]
+pub(super) struct InFlight {
+    pub(super) arrives_at: u64,
+    pub(super) from: usize,
+    pub(super) to: usize,
+    pub(super) bytes: Vec<u8>,
+}
+
+/// Senders at one limit, each with a queue of calls; and every permit that was used.
+pub(super) struct Cluster {
+    pub(super) rng: TestRng,
+    limit_id: LimitId,
+    limit: f64,
+    pub(super) wall: u64,
+    pub(super) ledgers: Vec<PermitLedger>,
+    /// Whether each process runs.
+    pub(super) running: Vec<bool>,
+    /// How far each clock is off, in milliseconds.
+    pub(super) clock_offset: Vec<i64>,
+    /// Number of calls that wait at each sender.
+    pub(super) queued: Vec<u32>,
+    faults: NetworkFaults,
+    /// The partition of each sender: datagrams pass only within one.
+    pub(super) partition: Vec<usize>,
+    pub(super) in_flight: Vec<InFlight>,
+    used_permits: BTreeMap<u64, (usize, Incarnation)>,
+    /// When calls started.
+    call_times: Vec<u64>,
+}
+
+impl Cluster {
+    pub(super) fn new(seed: u64, senders: usize, limit: f64, faults: NetworkFaults) -> Self {
+        let ledger = |sender| PermitLedger::new(sender, senders, Incarnation(1), START);
+        Self {
+            rng: TestRng(seed),
+            limit_id: LimitId::of(7, None),
+            limit,
+            wall: START,
+            ledgers: (0..senders).map(ledger).collect(),
+            running: vec![true; senders],
+            clock_offset: vec![0; senders],
+            queued: vec![0; senders],
+            faults,
+            partition: vec![0; senders],
+            in_flight: Vec::new(),
+            used_permits: BTreeMap::new(),
+            call_times: Vec::new(),
+        }
+    }
+
+    fn clock(&self, sender: usize) -> u64 {
+        self.wall.saturating_add_signed(self.clock_offset[sender])
+    }
+
+    /// Replaces a sender's process by a new one that remembers nothing.
+    pub(super) fn restart(&mut self, sender: usize) {
+        let incarnation = Incarnation(self.ledgers[sender].incarnation.0 + 1);
+        self.ledgers[sender] = PermitLedger::new(sender, self.ledgers.len(), incarnation, self.clock(sender));
+        self.running[sender] = true;
+    }
+
+    fn send(&mut self, from: usize, datagrams: impl IntoIterator<Item = OutgoingDatagram>) {
+        for OutgoingDatagram { to, bytes } in datagrams {
+            for _ in 0..1 + usize::from(self.rng.unit() < self.faults.duplication_rate) {
+                let arrives_at = self.wall + 1 + (self.faults.max_delay * self.rng.unit()) as u64;
+                if self.rng.unit() >= self.faults.loss_rate && self.partition[from] == self.partition[to] {
+                    self.in_flight.push(InFlight { arrives_at, from, to, bytes: bytes.clone() });
+                }
+            }
+        }
+    }
+
+    /// One step of time, with `load` messages a second arriving for all senders together.
+    fn step(&mut self, load: f64) {
+        self.wall += STEP;
+        self.add_arrivals(load);
+        self.deliver_datagrams();
+        let running: Vec<usize> = (0..self.ledgers.len()).filter(|sender| self.running[*sender]).collect();
+        for sender in running {
+            self.run_sender(sender);
+        }
+    }
+
+    fn add_arrivals(&mut self, load: f64) {
+        let mut expected = load * STEP as f64 / 1_000.0;
+        while expected > 0.0 {
+            let to = self.rng.below(self.ledgers.len());
+            self.queued[to] += u32::from(self.rng.unit() < expected);
+            expected -= 1.0;
+        }
+    }
+
+    fn deliver_datagrams(&mut self) {
+        let wall = self.wall;
+        let due: Vec<InFlight> =
+            self.in_flight.extract_if(.., |datagram| datagram.arrives_at <= wall).collect();
+        for InFlight { from, to, bytes, .. } in due {
+            if self.running[to] {
+                let clock = self.clock(to);
+                // Late and duplicate messages are dropped.
+                let _ = self.ledgers[to].receive(clock, from, &bytes);
+            }
+        }
+    }
+
+    fn run_sender(&mut self, sender: usize) {
+        let clock = self.clock(sender);
+        let grants = self.ledgers[sender].allocate(clock);
+        self.send(sender, grants);
+        if self.ledgers[sender].next_offer(clock - STEP) <= clock {
+            let demand = LocalDemand {
+                limit_id: self.limit_id,
+                limit: self.limit,
+                demand: f64::from(self.queued[sender]),
+                calls: 0,
+                rejected: 0,
+                failed: 0,
+            };
+            let offer = self.ledgers[sender].offer(clock, &[demand]);
+            self.send(sender, offer);
+        }
+        self.use_permits(sender, clock);
+    }
+
+    fn use_permits(&mut self, sender: usize, clock: u64) {
+        let process = (sender, self.ledgers[sender].incarnation);
+        for permit in self.ledgers[sender].permits(clock, self.limit_id, 1.0) {
+            let is_own = self.used_permits.get(&permit.number) == Some(&process);
+            if permit.from <= clock && self.queued[sender] > 0 && !is_own {
+                let before = self.used_permits.insert(permit.number, process);
+                assert_eq!(before, None, "permit {} used by {process:?}, too", permit.number);
+                self.queued[sender] -= 1;
+                self.call_times.push(self.wall);
+            }
+        }
+    }
+
+    /// Runs for some milliseconds and returns how many calls started in them.
+    pub(super) fn run(&mut self, ms: u64, load: f64) -> usize {
+        let before = self.call_times.len();
+        for _ in 0..ms / STEP {
+            self.step(load);
+        }
+        self.call_times.len() - before
+    }
+
+    /// The most calls in any span of that many milliseconds.
+    pub(super) fn max_calls_within(&self, span: u64) -> usize {
+        let calls = &self.call_times;
+        let first = |index: usize| calls.partition_point(|at| *at + span <= calls[index]);
+        (0..calls.len()).map(|index| index + 1 - first(index)).max().unwrap_or(0)
+    }
+
+    /// The bound on calls in a span, with clocks that differ by at most `clock_skew`, all in milliseconds.
+    pub(super) fn allowed_calls_within(&self, span: u64, clock_skew: u64) -> f64 {
+        0.95 * self.limit * (span + PERMIT_VALIDITY + 2 * clock_skew + STEP) as f64 / 1_000.0 + 1.0
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/permits/tests/rejections.rs
@@ -0,0 +1,146 @@
+//! Released permits stay released, and closed rounds closed, whatever the clock does and whatever peers send.
+
+use crate::demand_exchange::LocalDemand;
+use crate::limit_id::LimitId;
+use crate::membership::Incarnation;
+use crate::permits::allocator::PermitAllocator;
+use crate::permits::allocator_selection::SelectedAllocator;
+use crate::permits::message::{PermitGrant, PermitGrantEntry, PermitMessage, PermitOffer, PermitOfferEntry};
+use crate::permits::rounds::{CLOCK_STEP_TOLERANCE, MAX_MESSAGE_AGE_ROUNDS, PERMIT_VALIDITY, ROUND, term};
+use crate::permits::schedule::PermitSchedule;
+use crate::permits::{Permit, PermitError, PermitLedger};
+
+const LIMIT_ID: LimitId = LimitId(7);
+const LIMIT: f64 = 190.0;
+const FIRST_ROUND: u64 = 3_400_000_000;
+
+fn demand(demand: f64) -> [LocalDemand; 1] {
+    [LocalDemand { limit_id: LIMIT_ID, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 }]
+}
+
+/// One of two senders that has had permits for long, and a round in which it sends its offer to the other, which is known
+/// to be alive.
+fn settled() -> (PermitLedger, u64) {
+    let mut ledger = PermitLedger::new(0, 2, Incarnation(7), FIRST_ROUND * ROUND);
+    let other = SelectedAllocator { sender: 1, is_known_alive: true };
+    for round in FIRST_ROUND + 1.. {
+        ledger.allocator_selection.record_alive(round - 1, u64::MAX);
+        if round > FIRST_ROUND + 4 && ledger.allocator_selection.clone().select(round) == Some(other) {
+            return (ledger, round);
+        }
+        // It needs all of its own.
+        ledger.offer(round * ROUND + 100, &demand(1_000.0));
+    }
+    unreachable!("the other allocates some round")
+}
+
+/// Number of usable permits in a round's term.
+fn permits_in_term(ledger: &PermitLedger, round: u64) -> usize {
+    let permits = ledger.permits(term(round).start, LIMIT_ID, 1.0);
+    permits.iter().filter(|permit| term(round).contains(&permit.from)).count()
+}
+
+#[test]
+fn released_permits_stay_released_when_the_clock_is_set_back_before_the_offer() {
+    let (mut ledger, round) = settled();
+    assert!(ledger.offer(round * ROUND + 100, &demand(0.0)).is_some());
+    assert_eq!(permits_in_term(&ledger, round), 0);
+    for at in [round * ROUND - 100, round * ROUND + 100, (round + 1) * ROUND + 100] {
+        ledger.offer(at, &demand(1_000.0));
+    }
+    assert_eq!(ledger.last_offer_round, round + 1);
+    assert_eq!(permits_in_term(&ledger, round), 0);
+    // And those after it are its own again.
+    assert!(permits_in_term(&ledger, round + 1) > 0);
+}
+
+#[test]
+fn a_clock_set_back_by_more_than_the_maximum_message_age_does_not_keep_a_sender_waiting() {
+    let (mut ledger, round) = settled();
+    let early = round - MAX_MESSAGE_AGE_ROUNDS - 3;
+    for round in early..early + 3 {
+        ledger.offer(round * ROUND + 100, &demand(1_000.0));
+    }
+    assert!(permits_in_term(&ledger, early + 2) > 0);
+}
+
+#[test]
+fn released_permits_do_not_return_when_the_clock_goes_back_within_or_beyond_the_tolerance() {
+    let (mut ledger, round) = settled();
+    ledger.offer(round * ROUND + 100, &demand(0.0));
+    let over = term(round).end + PERMIT_VALIDITY;
+    ledger.offer(over - ROUND, &demand(1_000.0));
+    ledger.offer(over, &demand(1_000.0));
+    let is_released = |permit: &Permit| term(round).contains(&permit.from);
+    for back in [0, 10, CLOCK_STEP_TOLERANCE, CLOCK_STEP_TOLERANCE + 1, 200, 400] {
+        assert!(!ledger.permits(over - back, LIMIT_ID, 1.0).iter().any(is_released), "{back}");
+    }
+    ledger.offer(over + ROUND, &demand(1_000.0));
+    for back in (0..2 * ROUND).step_by(10) {
+        assert!(!ledger.permits(over + ROUND - back, LIMIT_ID, 1.0).iter().any(is_released), "{back}");
+    }
+}
+
+#[test]
+fn an_allocator_allocates_no_round_twice_when_its_clock_goes_back() {
+    for back in [20, 300] {
+        let (mut ledger, round) = settled();
+        let offer = |incarnation: u64| {
+            let incarnation = Incarnation(incarnation);
+            let offer = PermitOffer { round, incarnation, entries: Vec::new() };
+            PermitMessage::PermitOffer(offer).encode().expect("short enough")
+        };
+        assert_eq!(ledger.receive(round * ROUND + 400, 1, &offer(1)), Ok(false));
+        let over = (round + 1) * ROUND + 10;
+        assert_eq!(ledger.allocate(over).len(), 1);
+        assert_eq!(ledger.receive(over - back, 1, &offer(2)), Err(PermitError::Round));
+        assert_eq!(ledger.allocate(over), []);
+    }
+}
+
+#[test]
+fn a_granted_permit_outside_the_term_of_the_round_is_ignored() {
+    let (mut ledger, round) = settled();
+    ledger.offer(round * ROUND + 100, &demand(1_000.0));
+    let schedule = PermitSchedule::new(LIMIT_ID, LIMIT, 2);
+    let all = schedule.starting_in(term(round));
+    let two_terms = term(round).start..term(round).end + ROUND;
+    for delta in schedule.owned_by(1, two_terms).map(|number| number - all.start) {
+        let entries = vec![PermitGrantEntry {
+            limit_id: LIMIT_ID.0,
+            schedule_checksum: schedule.checksum(),
+            number_deltas: vec![delta as u16],
+        }];
+        let grant = PermitGrant { round, incarnation: Incarnation(7), candidates_alive: 3, entries };
+        let datagram = PermitMessage::PermitGrant(grant).encode().expect("short enough");
+        assert_eq!(ledger.receive(round * ROUND + 300, 1, &datagram), Ok(true));
+    }
+    // In the next round permits of two terms may be used.
+    ledger.offer((round + 1) * ROUND + 100, &demand(1_000.0));
+    let permits = ledger.permits(term(round).start, LIMIT_ID, 1.0);
+    let (within, beyond): (Vec<Permit>, Vec<Permit>) =
+        permits.into_iter().partition(|permit| all.contains(&permit.number));
+    assert_eq!(within.len() as u64, all.end - all.start);
+    assert!(!beyond.is_empty());
+    assert!(beyond.iter().all(|permit| schedule.owner(permit.number) == 0));
+}
+
+#[test]
+fn an_allocator_counts_only_the_first_offer_of_each_sender() {
+    let mut allocator = PermitAllocator::new(3);
+    let schedule_checksum = PermitSchedule::new(LIMIT_ID, LIMIT, 3).checksum();
+    let offer = |released, requested| {
+        let entry = PermitOfferEntry { limit_id: LIMIT_ID.0, schedule_checksum, released, requested };
+        PermitOffer { round: 4, incarnation: Incarnation(1), entries: vec![entry] }
+    };
+    assert!(allocator.add_offer(4, 1, offer(1, 0)));
+    assert!(!allocator.add_offer(4, 1, offer(9, 0)));
+    assert!(allocator.add_offer(4, 2, offer(0, 9)));
+    let grants = allocator.allocate(5, |_| 0, |limit_id| Some(PermitSchedule::new(limit_id, LIMIT, 3)));
+    let granted: usize = grants
+        .iter()
+        .flat_map(|addressed| &addressed.grant.entries)
+        .map(|entry| entry.number_deltas.len())
+        .sum();
+    assert_eq!(granted, 1);
+}
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -2,7 +2,7 @@
 
 use super::world::{START, Sender, World};
 use proptest::prelude::*;
-use rudderspindle_gossip::{Incarnation, TenantUsage};
+use rudderspindle_gossip::{Incarnation, OutgoingDatagram, TenantUsage};
 
 /// What a sender reads against the truth, of the epochs that are over at all.
 fn check(world: &World, n: usize, tenant: u16, epochs: u64) -> Result<(), String> {
@@ -120,7 +120,7 @@
     let mut refused = 0;
     for later in 0..80 {
         let now = world.now + later * 250;
-        for (to, note) in old.notes_due(now, &mut post) {
+        for OutgoingDatagram { to, bytes: note } in old.notes_due(now, &mut post) {
             let views = &mut world.senders[to].views;
             let heard = views.hear(now, 1, &note);
             assert_eq!(heard, Err(rudderspindle_gossip::FleetViewError::Older), "sender {to}");
--- a/crates/gossip/tests/fleet_view/world.rs
+++ b/crates/gossip/tests/fleet_view/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use rudderspindle_gossip::{Class, DatagramBudget, EPOCH, FleetView, Incarnation, Kind};
+use rudderspindle_gossip::{Class, DatagramBudget, EPOCH, FleetView, Incarnation, Kind, OutgoingDatagram};
 
 /// Messages a second of one sender at most.
 pub const MOST: u32 = 100;
@@ -151,7 +151,7 @@
             let clock = self.clock(n);
             let sender = &mut self.senders[n];
             if sender.runs {
-                for (to, note) in sender.views.notes_due(clock, &mut sender.post) {
+                for OutgoingDatagram { to, bytes: note } in sender.views.notes_due(clock, &mut sender.post) {
                     self.send(n, to, note);
                 }
             }
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -6,7 +6,8 @@
 use std::path::Path;
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, Fleet, Incarnation, Kind, LimitId, Own, PermitLedger, Ramp, Receiver, Seen,
+    Class, DatagramBudget, DemandExchange, Incarnation, Kind, LimitId, LocalDemand, PermitLedger, Ramp,
+    Receiver, Seen,
 };
 use rudderspindle_gossip::{FleetView, OutgoingDatagram};
 
@@ -25,7 +26,7 @@
 
 /// Milliseconds since the start, sender, reader and datagram.
 fn write_letters(transcript: &mut String, now: u64, from: usize, datagrams: &[OutgoingDatagram]) {
-    for (to, datagram) in datagrams {
+    for OutgoingDatagram { to, bytes: datagram } in datagrams {
         let hex: String = datagram.iter().map(|byte| format!("{byte:02x}")).collect();
         writeln!(transcript, "{} {from} {to} {hex}", now - START).expect("written");
     }
@@ -38,20 +39,27 @@
 }
 
 /// Three gates, one of which refuses and one of which fails, at a sender that calls more the higher its number.
-fn gates(now: u64, sender: usize) -> [Own; 3] {
+fn gates(now: u64, sender: usize) -> [LocalDemand; 3] {
     let called = (now - START) / 100 * (sender as u64 + 1);
     let own = |destination, receiver| {
         let gate = LimitId::of(destination, receiver);
-        Own { gate, limit: 60.0, wanted: 20.0 * sender as f64, called, refused: 0, failed: 0 }
+        LocalDemand {
+            limit_id: gate,
+            limit: 60.0,
+            demand: 20.0 * sender as f64,
+            calls: called,
+            rejected: 0,
+            failed: 0,
+        }
     };
-    let refusing = Own { refused: called / 3, ..own(513, Some("receiver-1")) };
-    [own(7, None), refusing, Own { failed: called, limit: 30.0, ..own(8, None) }]
+    let refusing = LocalDemand { rejected: called / 3, ..own(513, Some("receiver-1")) };
+    [own(7, None), refusing, LocalDemand { failed: called, limit: 30.0, ..own(8, None) }]
 }
 
 #[test]
 fn senders_that_share_limits_tell_and_know_the_same_as_before() {
-    let mut fleets: Vec<Fleet> =
-        (0..4).map(|me| Fleet::new(me, 4, Ramp { start: 0.28, growth: 0.15 })).collect();
+    let mut fleets: Vec<DemandExchange> =
+        (0..4).map(|me| DemandExchange::new(me, 4, Ramp { start: 0.28, growth: 0.15 })).collect();
     let mut due: Vec<u64> = fleets.iter().map(|fleet| fleet.next_report(START)).collect();
     let mut transcript = String::new();
     for now in (START..START + 2_500).step_by(STEP as usize) {
@@ -65,7 +73,7 @@
                 datagrams.extend(fleets[from].sums(now));
             }
             write_letters(&mut transcript, now, from, &datagrams);
-            for (to, datagram) in datagrams {
+            for OutgoingDatagram { to, bytes: datagram } in datagrams {
                 let heard = fleets[to].hear(now, from, &datagram);
                 write_heard(&mut transcript, to, heard.is_ok());
             }
@@ -74,8 +82,8 @@
     for (me, fleet) in fleets.iter_mut().enumerate() {
         let rooms = fleet.rooms(START + 2_500).expect("word of others");
         for own in gates(START + 2_500, me) {
-            let room = rooms.iter().find(|(gate, _)| *gate == own.gate).map(|(_, room)| *room);
-            let (wanted, open) = (fleet.wanted(own.gate), fleet.open(own.gate, own.limit));
+            let room = rooms.iter().find(|(gate, _)| *gate == own.limit_id).map(|(_, room)| *room);
+            let (wanted, open) = (fleet.wanted(own.limit_id), fleet.open(own.limit_id, own.limit));
             writeln!(transcript, "{me} {room:.6?} {wanted:.6} {open:.6}").expect("written");
         }
     }
@@ -95,12 +103,12 @@
                 datagrams.extend(tier[from].offer(now, &gates(now, from)));
                 due[from] = tier[from].next_offer(now);
             }
-            if tier[from].next_deal().is_some_and(|at| at <= now) {
-                datagrams.extend(tier[from].deal(now));
+            if tier[from].next_allocation().is_some_and(|at| at <= now) {
+                datagrams.extend(tier[from].allocate(now));
             }
             write_letters(&mut transcript, now, from, &datagrams);
-            for (to, datagram) in datagrams {
-                let heard = tier[to].hear(now, from, &datagram);
+            for OutgoingDatagram { to, bytes: datagram } in datagrams {
+                let heard = tier[to].receive(now, from, &datagram);
                 write_heard(&mut transcript, to, heard.is_ok());
             }
         }
@@ -108,7 +116,7 @@
     for (me, permits) in tier.iter().enumerate() {
         for own in gates(START, me) {
             for open in [1.0, 0.5] {
-                let turns = permits.turns(START + 5_000, own.gate, open);
+                let turns = permits.permits(START + 5_000, own.limit_id, open);
                 let turns: Vec<(u64, u64, u64)> =
                     turns.iter().map(|turn| (turn.number, turn.from - START, turn.until - START)).collect();
                 writeln!(transcript, "{me} {open} {turns:?}").expect("written");
@@ -135,7 +143,7 @@
             views[from].judgements().saw(now, receivers[1], Seen::Answered);
             let datagrams = views[from].notes_due(now, &mut posts[from]);
             write_letters(&mut transcript, now, from, &datagrams);
-            for (to, datagram) in datagrams {
+            for OutgoingDatagram { to, bytes: datagram } in datagrams {
                 let heard = views[to].hear(now, from, &datagram);
                 write_heard(&mut transcript, to, heard.is_ok());
             }
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 use rudderspindle_gossip::{
-    Fleet, Incarnation, Kind, LimitId, MAX_MESSAGE_LEN, OutgoingDatagram, Own, PermitLedger, Ramp, open,
+    DemandExchange, Incarnation, Kind, LimitId, LocalDemand, MAX_MESSAGE_LEN, OutgoingDatagram, PermitLedger,
+    Ramp, open,
 };
 use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::*;
@@ -48,7 +49,7 @@
 #[derive(Debug)]
 pub(crate) struct GossipTask {
     notes: Notes,
-    fleet: Fleet,
+    fleet: DemandExchange,
     together: FleetSettings,
     permits: Option<PermitLedger>,
     shared: Option<Shared>,
@@ -59,7 +60,7 @@
 impl GossipTask {
     /// A sender whose notes come and go as told, and whose partners return from an outage like that.
     pub(crate) fn new(notes: Notes, ramp: Ramp, together: FleetSettings) -> Self {
-        let fleet = Fleet::new(notes.me, notes.peers.len(), ramp);
+        let fleet = DemandExchange::new(notes.me, notes.peers.len(), ramp);
         Self { notes, fleet, together, permits: None, shared: None, gates: Vec::new() }
     }
 
@@ -101,7 +102,7 @@
         let mut buffer = [0; MAX_MESSAGE_LEN + 1];
         let (mut report_at, mut offer_at) = (self.next_report(wall), self.next_offer(wall));
         loop {
-            let dealing = self.permits.as_ref().and_then(PermitLedger::next_deal);
+            let dealing = self.permits.as_ref().and_then(PermitLedger::next_allocation);
             let look = self.shared.as_ref().map(|_| wall_ms() / LOOK * LOOK + LOOK);
             let due = [Some(report_at), self.fleet.next_sums(), dealing, offer_at, look];
             let next = due.into_iter().flatten().min().unwrap_or(report_at);
@@ -115,7 +116,7 @@
                 }
                 () = sleep(Duration::from_millis(next.saturating_sub(wall_ms()))) => {
                     let mut datagrams = self.fleet.sums(wall_ms());
-                    datagrams.extend(self.permits.iter_mut().flat_map(|permits| permits.deal(wall_ms())));
+                    datagrams.extend(self.permits.iter_mut().flat_map(|permits| permits.allocate(wall_ms())));
                     datagrams.extend(self.shared.iter_mut().flat_map(|shared| shared.notes_due(wall_ms())));
                     if wall_ms() >= report_at {
                         let Some(report) = self.report(&host).await else { return };
@@ -127,7 +128,7 @@
                         datagrams.extend(offer);
                         offer_at = self.next_offer(wall_ms());
                     }
-                    for (to, note) in datagrams {
+                    for OutgoingDatagram { to, bytes: note } in datagrams {
                         // One that cannot go now is as good as lost on its way.
                         let _ = self.notes.peers.get(to).map(|addr| socket.try_send_to(&note, *addr));
                     }
@@ -152,7 +153,7 @@
         let wall = wall_ms();
         let heard = match (open(note).map(|(kind, _)| kind), &mut self.permits, &mut self.shared) {
             (Ok(Kind::PermitOffer | Kind::PermitGrant), Some(permits), _) => {
-                permits.hear(wall, from, note).map_err(|error| error.to_string())
+                permits.receive(wall, from, note).map_err(|error| error.to_string())
             }
             (Ok(Kind::Report | Kind::View), _, Some(shared)) => {
                 shared.hear(wall, from, note).map(|()| false).map_err(|error| error.to_string())
@@ -167,7 +168,10 @@
     }
 
     /// What the host wants and does; what others make of that goes back to it.
-    async fn demands(&mut self, host: &mpsc::Sender<Input>) -> Option<(Vec<(LimitId, Demand)>, Vec<Own>)> {
+    async fn demands(
+        &mut self,
+        host: &mpsc::Sender<Input>,
+    ) -> Option<(Vec<(LimitId, Demand)>, Vec<LocalDemand>)> {
         let (asker, activity) = oneshot::channel();
         host.send(Input::Demands(asker)).await.ok()?;
         let activity: ActivityReport = activity.await.ok()?;
@@ -178,7 +182,7 @@
         let demands = activity.demands;
         let own = demands.iter().map(|(gate, want)| {
             let Demand { limit, wanted, called, refused, failed, .. } = *want;
-            Own { gate: *gate, limit, wanted, called, refused, failed }
+            LocalDemand { limit_id: *gate, limit, demand: wanted, calls: called, rejected: refused, failed }
         });
         let own = own.collect();
         Some((demands, own))
@@ -215,7 +219,7 @@
         let Some(permits) = &self.permits else { return true };
         let wall = wall_ms();
         let turns =
-            |&(gate, destination, route, open): &_| (destination, route, permits.turns(wall, gate, open));
+            |&(gate, destination, route, open): &_| (destination, route, permits.permits(wall, gate, open));
         host.send(Input::Permits(self.gates.iter().map(turns).collect())).await.is_ok()
     }
 }
--- a/crates/simulation/src/leased.rs
+++ b/crates/simulation/src/leased.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_gossip::{Incarnation, LimitId, Own, PermitLedger};
+use rudderspindle_gossip::{Incarnation, LimitId, LocalDemand, PermitLedger};
 
 use crate::partner::Draw;
 use share::Share;
@@ -52,22 +52,29 @@
     type Note = Vec<u8>;
 
     fn tell(&mut self, wall: u64, wanted: f64) -> Vec<(usize, Vec<u8>)> {
-        let mut datagrams = self.permits.deal(wall);
+        let mut datagrams = self.permits.allocate(wall);
         if self.permits.next_offer(wall - STEP) <= wall {
-            let own = Own { gate: self.gate, limit: self.limit, wanted, called: 0, refused: 0, failed: 0 };
+            let own = LocalDemand {
+                limit_id: self.gate,
+                limit: self.limit,
+                demand: wanted,
+                calls: 0,
+                rejected: 0,
+                failed: 0,
+            };
             datagrams.extend(self.permits.offer(wall, &[own]));
         }
-        datagrams
+        datagrams.into_iter().map(|datagram| (datagram.to, datagram.bytes)).collect()
     }
 
     fn hear(&mut self, wall: u64, from: usize, note: Vec<u8>) {
         // What comes too late is dropped.
-        let _ = self.permits.hear(wall, from, &note);
+        let _ = self.permits.receive(wall, from, &note);
     }
 
     fn call(&mut self, wall: u64) -> bool {
         self.used.retain(|_, until| *until > wall);
-        let turns = self.permits.turns(wall, self.gate, 1.0);
+        let turns = self.permits.permits(wall, self.gate, 1.0);
         let free = turns.iter().find(|turn| turn.from <= wall && !self.used.contains_key(&turn.number));
         free.is_some_and(|turn| self.used.insert(turn.number, turn.until).is_none())
     }
--- a/crates/simulation/src/partner/client.rs
+++ b/crates/simulation/src/partner/client.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use rudderspindle_gossip::{Fleet, LimitId, OutgoingDatagram, Own, PermitError, PermitLedger};
+use rudderspindle_gossip::{
+    DemandExchange, LimitId, LocalDemand, OutgoingDatagram, PermitError, PermitLedger,
+};
 use rudderspindle_policy::Sender;
 use rudderspindle_policy::interface::*;
 
@@ -10,7 +12,7 @@
 
 pub(super) struct Client {
     pub sender: Sender,
-    pub fleet: Fleet,
+    pub fleet: DemandExchange,
     /// Where each call needs a turn.
     pub permits: Option<PermitLedger>,
     /// The part of each limit that the partner is believed to take, as notes tell; all of it where they do not.
@@ -48,10 +50,10 @@
     LimitId::of(want.destination.0, want.route.map(|r| r.0.to_string()).as_deref())
 }
 
-fn own(demands: &[Demand]) -> Vec<Own> {
+fn own(demands: &[Demand]) -> Vec<LocalDemand> {
     let own = |want: &Demand| {
         let Demand { limit, wanted, called, refused, failed, .. } = *want;
-        Own { gate: gate(want), limit, wanted, called, refused, failed }
+        LocalDemand { limit_id: gate(want), limit, demand: wanted, calls: called, rejected: refused, failed }
     };
     demands.iter().map(own).collect()
 }
@@ -79,8 +81,8 @@
     /// What its host does for its rights, `tick` ms after it last did.
     pub fn keep_rights(&mut self, wall: u64, tick: u64) -> Vec<OutgoingDatagram> {
         let Some(permits) = &mut self.permits else { return Vec::new() };
-        let deals = permits.next_deal().is_some_and(|at| at <= wall);
-        let mut datagrams = if deals { permits.deal(wall) } else { Vec::new() };
+        let deals = permits.next_allocation().is_some_and(|at| at <= wall);
+        let mut datagrams = if deals { permits.allocate(wall) } else { Vec::new() };
         let offers = permits.next_offer(wall - tick) <= wall;
         if offers {
             datagrams.extend(permits.offer(wall, &own(&self.sender.demands())));
@@ -93,7 +95,7 @@
 
     /// Takes in a note on rights.
     pub fn hear_rights(&mut self, wall: u64, from: usize, note: &[u8]) -> Result<(), PermitError> {
-        if self.permits.as_mut().map_or(Ok(false), |permits| permits.hear(wall, from, note))? {
+        if self.permits.as_mut().map_or(Ok(false), |permits| permits.receive(wall, from, note))? {
             self.tell_turns(wall);
         }
         Ok(())
@@ -104,7 +106,7 @@
         let from_now = |at: u64| at as f64 - wall as f64;
         for want in &self.sender.demands() {
             let open = self.takes.get(&gate(want)).copied().unwrap_or(1.0);
-            let turns = permits.turns(wall, gate(want), open).into_iter().map(|turn| Permit {
+            let turns = permits.permits(wall, gate(want), open).into_iter().map(|turn| Permit {
                 number: turn.number,
                 from: from_now(turn.from),
                 until: from_now(turn.until),
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_gossip::{Fleet, Incarnation, PermitLedger, Ramp};
+use rudderspindle_gossip::{DemandExchange, Incarnation, PermitLedger, Ramp};
 use rudderspindle_policy::Sender;
 use rudderspindle_policy::interface::*;
 
@@ -90,7 +90,7 @@
     let permits = || PermitLedger::new(n, scene.senders, Incarnation(starts + 1), wall(now, ahead));
     Client {
         sender,
-        fleet: Fleet::new(n, scene.senders, Ramp { start, growth: later - start }),
+        fleet: DemandExchange::new(n, scene.senders, Ramp { start, growth: later - start }),
         permits: strict.then(permits),
         takes: BTreeMap::new(),
         ahead,
--- a/crates/simulation/src/partner/post.rs
+++ b/crates/simulation/src/partner/post.rs
@@ -83,7 +83,7 @@
         about: About,
         datagrams: Vec<OutgoingDatagram>,
     ) {
-        for (to, note) in datagrams {
+        for OutgoingDatagram { to, bytes: note } in datagrams {
             let lost = notes.cut.contains(&now) || self.draw.unit() < notes.lost;
             let arrives = now + UNDER_WAY.0 + (UNDER_WAY.1 - UNDER_WAY.0) * self.draw.unit();
             if !lost {
