--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -108,9 +108,9 @@
             let id = call.id;
             self.calls.insert(id, self.outbound.start(call));
         }
-        if self.peer_process.is_there() && self.told_out != self.calls.len() {
+        if self.peer_process.is_connected() && self.told_out != self.calls.len() {
             self.told_out = self.calls.len();
-            self.peer_process.tell(HandoverMessage::Out(self.told_out));
+            self.peer_process.send(HandoverMessage::CallsInFlight(self.told_out));
         }
     }
 }
--- a/crates/sender/src/engine/succession.rs
+++ b/crates/sender/src/engine/succession.rs
@@ -21,34 +21,21 @@
         }
         tracing::info!("handover: a successor has come");
         for ((destination, receiver), outage) in self.store.outage_records() {
-            let outage = match outage {
-                journal::OutageState::Down { wait } => handover::OutageState::Down { wait },
-                journal::OutageState::WarmingUp { ago, part } => {
-                    handover::OutageState::WarmingUp { ago, part }
-                }
-            };
+            let outage = handover::OutageState::from(outage);
             let (destination, receiver) = (*destination, receiver.to_string());
-            self.peer_process.tell(HandoverMessage::OutageState { destination, receiver, outage });
+            self.peer_process.send(HandoverMessage::OutageState { destination, receiver, outage });
         }
-        self.outbound.waits().into_iter().for_each(|word| self.peer_process.tell(word));
+        self.outbound.waits().into_iter().for_each(|word| self.peer_process.send(word));
         self.told_out = self.calls.len();
-        self.peer_process.tell(HandoverMessage::Out(self.told_out));
-        self.peer_process.tell(HandoverMessage::FreeSpace);
+        self.peer_process.send(HandoverMessage::CallsInFlight(self.told_out));
+        self.peer_process.send(HandoverMessage::FreeSpace);
     }
 
     /// What a predecessor tells a process that begins: as if its own journal had said so, as far as it can be.
     pub fn hear(store: &mut Store, told: &[HandoverMessage]) {
         for word in told {
             if let HandoverMessage::OutageState { destination, receiver, outage } = word {
-                let outage = match *outage {
-                    handover::OutageState::Down { wait } => {
-                        journal::OutageState::Down { wait: wait.min(LONGEST_WAIT as u64) }
-                    }
-                    handover::OutageState::WarmingUp { ago, part } => {
-                        let ago = ago.max(-(LONGEST_WAIT as i64));
-                        journal::OutageState::WarmingUp { ago, part: part.clamp(0.0, 1.0) }
-                    }
-                };
+                let outage = outage.clamped().into();
                 store.remember((*destination, receiver.as_str().into()), Some(outage));
             }
         }
--- /dev/null
+++ b/crates/sender/src/handover/codec.rs
@@ -0,0 +1,71 @@
+//! The encoding of messages between two processes: one JSON value a line, in both directions.
+
+use std::io;
+
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
+
+use super::message::HandoverMessage;
+
+/// Maximum encoded length of a [`HandoverMessage`], with the end of its line, in bytes.
+const MAX_MESSAGE_LEN: u64 = 2_048;
+
+/// Why a connection between two processes cannot be used further.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum HandoverError {
+    /// The socket failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A line is not a message of this version.
+    #[error("malformed message: {0}")]
+    Malformed(#[from] serde_json::Error),
+    /// The owner closed the connection before it had sent all of its state.
+    #[error("the connection was closed before the state was complete")]
+    Incomplete,
+}
+
+/// Reads messages from the other process.
+#[derive(Debug)]
+pub(super) struct MessageReader(BufReader<OwnedReadHalf>);
+
+impl MessageReader {
+    pub(super) fn new(socket: OwnedReadHalf) -> Self {
+        Self(BufReader::new(socket))
+    }
+
+    /// Reads the next message; `None` at the end of the connection.
+    ///
+    /// # Errors
+    ///
+    /// [`HandoverError`] if the socket fails, or if the line is too long or not a message.
+    pub(super) async fn read(&mut self) -> Result<Option<HandoverMessage>, HandoverError> {
+        let mut line = Vec::new();
+        (&mut self.0).take(MAX_MESSAGE_LEN).read_until(b'\n', &mut line).await?;
+        if line.is_empty() {
+            return Ok(None);
+        }
+        Ok(Some(serde_json::from_slice(&line)?))
+    }
+}
+
+/// Writes messages to the other process.
+#[derive(Debug)]
+pub(super) struct MessageWriter(OwnedWriteHalf);
+
+impl MessageWriter {
+    pub(super) fn new(socket: OwnedWriteHalf) -> Self {
+        Self(socket)
+    }
+
+    /// Writes a message as one line.
+    ///
+    /// # Errors
+    ///
+    /// [`HandoverError`] if the socket fails.
+    pub(super) async fn write(&mut self, message: &HandoverMessage) -> Result<(), HandoverError> {
+        let mut line = serde_json::to_vec(message)?;
+        line.push(b'\n');
+        self.0.write_all(&line).await?;
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/sender/src/handover/connection.rs
@@ -0,0 +1,67 @@
+//! The established connection of two processes: messages in both directions until one of them ends.
+
+use std::rc::Rc;
+
+use tokio::net::UnixStream;
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+use super::HANDOVER_TIMEOUT;
+use super::codec::{MessageReader, MessageWriter};
+use super::message::HandoverMessage;
+use super::peer_process::PeerProcess;
+use crate::event::Input;
+
+/// Maximum number of queued messages; a process that does not read so many is treated as gone.
+const MAX_QUEUED_MESSAGES: usize = 2_048;
+
+/// Both directions of a connection to the other process.
+#[derive(Debug)]
+pub(super) struct Connection {
+    pub(super) reader: MessageReader,
+    pub(super) writer: MessageWriter,
+}
+
+impl Connection {
+    pub(super) fn new(stream: UnixStream) -> Self {
+        let (reader, writer) = stream.into_split();
+        Self { reader: MessageReader::new(reader), writer: MessageWriter::new(writer) }
+    }
+
+    /// Connects `peer_process` and starts the task that carries messages in both directions. It ends with the
+    /// connection, or when the engine has ended; the engine is told that the other process is gone.
+    pub(super) fn spawn_exchange(self, peer_process: Rc<PeerProcess>, engine: mpsc::Sender<Input>) {
+        let (outgoing, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        peer_process.connect(outgoing);
+        let Self { reader, writer } = self;
+        spawn_local(async move {
+            tokio::select! {
+                () = receive(reader, &engine) => {}
+                () = transmit(writer, queued) => {}
+            }
+            peer_process.disconnect();
+            let _ = engine.send(Input::Successor(false)).await;
+        });
+    }
+}
+
+/// Passes received messages to the engine, until the connection fails or ends.
+async fn receive(mut reader: MessageReader, engine: &mpsc::Sender<Input>) {
+    while let Ok(Some(message)) = reader.read().await {
+        let Some(input) = message.into_input() else { continue };
+        if engine.send(input).await.is_err() {
+            return;
+        }
+    }
+}
+
+/// Writes queued messages, until the other process no longer reads.
+async fn transmit(mut writer: MessageWriter, mut queued: mpsc::Receiver<HandoverMessage>) {
+    while let Some(message) = queued.recv().await {
+        let written = timeout(HANDOVER_TIMEOUT, writer.write(&message)).await;
+        if !matches!(written, Ok(Ok(()))) {
+            return;
+        }
+    }
+}
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -1,9 +1,18 @@
 //! The lines of the handover's socket, compared with those that the version before the renames wrote and took.
 
+use std::rc::Rc;
+
 use serde::Deserialize;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{UnixListener, UnixStream};
+use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
+use super::codec::HandoverError;
+use super::connection::Connection;
+use super::owner::accept_successor;
 use super::*;
+use crate::event::Input;
 
 const WRITTEN: &str = include_str!("../../tests/golden/handover.written.txt");
 const ACCEPTED: &str = include_str!("../../tests/golden/handover.accepted.json");
@@ -17,13 +26,13 @@
 }
 
 /// One value for each variant and each of its optional fields, there and not there, in the order of the file.
-fn words() -> Vec<HandoverMessage> {
+fn messages() -> Vec<HandoverMessage> {
     let outage = |receiver: &str, outage| HandoverMessage::OutageState {
         destination: 3,
         receiver: receiver.to_owned(),
         outage,
     };
-    let wait = |receiver: Option<&str>, ms| HandoverMessage::Wait {
+    let wait = |receiver: Option<&str>, ms| HandoverMessage::RetryAfter {
         destination: 65_535,
         receiver: receiver.map(str::to_owned),
         ms,
@@ -39,37 +48,37 @@
         wait(Some("r1"), 1_500.5),
         wait(Some(""), 5.0),
         wait(Some("a \"b\"\n\u{e9}"), 1e300),
-        HandoverMessage::Out(0),
-        HandoverMessage::Out(4_096),
+        HandoverMessage::CallsInFlight(0),
+        HandoverMessage::CallsInFlight(4_096),
         HandoverMessage::FreeSpace,
     ]
 }
 
-fn connection() -> (UnixStream, UnixStream) {
+fn socket_pair() -> (UnixStream, UnixStream) {
     UnixStream::pair().expect("a connection")
 }
 
 /// What is read of bytes after which the connection ends.
-async fn read_of(bytes: &[u8]) -> io::Result<Vec<HandoverMessage>> {
-    let (mut theirs, ours) = connection();
+async fn read_of(bytes: &[u8]) -> Result<Vec<HandoverMessage>, HandoverError> {
+    let (mut theirs, ours) = socket_pair();
     theirs.write_all(bytes).await?;
     drop(theirs);
-    let mut reader = BufReader::new(ours.into_split().0);
-    let mut words = Vec::new();
-    while let Some(word) = read(&mut reader).await? {
-        words.push(word);
+    let mut connection = Connection::new(ours);
+    let mut messages = Vec::new();
+    while let Some(message) = connection.reader.read().await? {
+        messages.push(message);
     }
-    Ok(words)
+    Ok(messages)
 }
 
 #[tokio::test]
 async fn each_message_is_written_as_the_line_that_it_was_before() {
-    let (ours, mut theirs) = connection();
-    let (reader, mut writer) = ours.into_split();
-    for word in words() {
-        write(&mut writer, &word).await.expect("writable");
+    let (ours, mut theirs) = socket_pair();
+    let mut connection = Connection::new(ours);
+    for message in messages() {
+        connection.writer.write(&message).await.expect("writable");
     }
-    drop((reader, writer));
+    drop(connection);
     let mut text = String::new();
     theirs.read_to_string(&mut text).await.expect("text");
     assert_eq!(text, WRITTEN);
@@ -77,22 +86,22 @@
 
 #[tokio::test]
 async fn each_line_is_read_as_the_message_that_it_was_before() {
-    assert_eq!(read_of(WRITTEN.as_bytes()).await.expect("messages"), words());
+    assert_eq!(read_of(WRITTEN.as_bytes()).await.expect("messages"), messages());
 }
 
 #[tokio::test]
-async fn a_line_that_another_version_writes_otherwise_is_read_as_before() {
+async fn a_line_that_another_version_encodes_differently_is_read_as_before() {
     let lines: Vec<Accepted> = serde_json::from_str(ACCEPTED).expect("a table");
     for Accepted { given, means } in lines {
         let read = read_of(format!("{given}\n").as_bytes()).await.expect(&given);
         let again: Vec<String> =
-            read.iter().map(|word| serde_json::to_string(word).expect("a line")).collect();
+            read.iter().map(|message| serde_json::to_string(message).expect("a line")).collect();
         assert_eq!(again, [means], "{given}");
     }
 }
 
 #[tokio::test]
-async fn a_line_that_is_not_understood_is_an_error_of_the_connection() {
+async fn a_malformed_line_is_an_error_of_the_connection() {
     assert!(REFUSED.lines().count() > 20);
     for line in REFUSED.lines() {
         assert!(read_of(format!("{line}\n").as_bytes()).await.is_err(), "{line:?}");
@@ -100,7 +109,10 @@
     // The longest line has 2048 bytes with its end.
     let of_length = |length: usize| format!("{{\"out\":{}7}}\n", " ".repeat(length - 10));
     assert_eq!(of_length(2_048).len(), 2_048);
-    assert_eq!(read_of(of_length(2_048).as_bytes()).await.expect("messages"), [HandoverMessage::Out(7)]);
+    assert_eq!(
+        read_of(of_length(2_048).as_bytes()).await.expect("messages"),
+        [HandoverMessage::CallsInFlight(7)]
+    );
     assert!(read_of(of_length(2_050).as_bytes()).await.is_err());
     // A line that the other process did not write whole, and the end.
     assert!(read_of(b"{\"out\":").await.is_err());
@@ -108,79 +120,79 @@
 }
 
 #[tokio::test]
-async fn after_a_line_that_is_not_understood_a_running_connection_ends_and_no_later_line_counts() {
+async fn a_malformed_line_ends_an_established_connection_and_later_lines_are_ignored() {
     let test = async {
         for line in REFUSED.lines() {
-            let (mut theirs, ours) = connection();
-            let (reader, writer) = ours.into_split();
-            let (host, mut told) = mpsc::channel(8);
+            let (mut theirs, ours) = socket_pair();
+            let (engine, mut inputs) = mpsc::channel(8);
             let peer_process = Rc::new(PeerProcess::default());
-            link(BufReader::new(reader), writer, &peer_process, &host);
-            assert!(peer_process.is_there());
+            Connection::new(ours).spawn_exchange(peer_process.clone(), engine.clone());
+            assert!(peer_process.is_connected());
             let wait = "{\"wait\":{\"destination\":3,\"receiver\":\"r1\",\"ms\":5.0}}";
             let lines = format!("{{\"hello\":1}}\n\"room\"\n{wait}\n{{\"out\":7}}\n{line}\n{{\"out\":8}}\n");
             theirs.write_all(lines.as_bytes()).await.expect("writable");
-            let first = told.recv().await;
+            let first = inputs.recv().await;
             assert!(
                 matches!(&first, Some(Input::RetryAfter { destination: 3, receiver: Some(receiver), ms })
                     if receiver == "r1" && *ms == 5.0),
                 "{line:?}: {first:?}"
             );
-            assert!(matches!(told.recv().await, Some(Input::PeerCallsInFlight(7))), "{line:?}");
-            assert!(matches!(told.recv().await, Some(Input::Successor(false))), "{line:?}");
-            assert!(!peer_process.is_there(), "{line:?}");
-            drop(host);
-            assert!(told.recv().await.is_none(), "{line:?}");
+            assert!(matches!(inputs.recv().await, Some(Input::PeerCallsInFlight(7))), "{line:?}");
+            assert!(matches!(inputs.recv().await, Some(Input::Successor(false))), "{line:?}");
+            assert!(!peer_process.is_connected(), "{line:?}");
+            drop(engine);
+            assert!(inputs.recv().await.is_none(), "{line:?}");
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
-async fn a_connection_that_begins_with_anything_but_this_version_is_turned_away() {
+async fn a_connection_without_a_handshake_of_this_version_is_rejected() {
     let test = async {
         let others = ["{\"hello\":0}", "{\"hello\":2}", "\"room\"", "{\"out\":7}"];
         for line in REFUSED.lines().chain(others) {
-            let (mut theirs, ours) = connection();
-            let (host, mut told) = mpsc::channel(8);
+            let (mut theirs, ours) = socket_pair();
+            let (engine, mut inputs) = mpsc::channel(8);
             let peer_process = Rc::new(PeerProcess::default());
             theirs.write_all(format!("{line}\n").as_bytes()).await.expect("writable");
-            greet(ours, peer_process.clone(), host).await;
-            assert!(!peer_process.is_there(), "{line:?}");
-            assert!(told.recv().await.is_none(), "{line:?}");
+            accept_successor(ours, peer_process.clone(), engine).await;
+            assert!(!peer_process.is_connected(), "{line:?}");
+            assert!(inputs.recv().await.is_none(), "{line:?}");
             let mut answer = Vec::new();
             theirs.read_to_end(&mut answer).await.expect("an end");
             assert!(answer.is_empty(), "{line:?}: {answer:?}");
         }
-        let (mut theirs, ours) = connection();
-        let (host, mut told) = mpsc::channel(8);
+        let (mut theirs, ours) = socket_pair();
+        let (engine, mut inputs) = mpsc::channel(8);
         theirs.write_all(b"{\"hello\":1}\n").await.expect("writable");
-        greet(ours, Rc::default(), host).await;
-        assert!(matches!(told.recv().await, Some(Input::Successor(true))));
+        accept_successor(ours, Rc::default(), engine).await;
+        assert!(matches!(inputs.recv().await, Some(Input::Successor(true))));
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
-async fn a_successor_that_is_told_a_line_it_does_not_understand_goes_on_with_what_came_before_it() {
+async fn a_successor_that_reads_a_malformed_line_continues_with_the_messages_before_it() {
     let test = async {
-        let out = HandoverMessage::Out(7);
-        for (line, room) in REFUSED.lines().map(|line| (line, false)).chain([("\"room\"", true)]) {
+        let calls = HandoverMessage::CallsInFlight(7);
+        for (line, is_complete) in REFUSED.lines().map(|line| (line, false)).chain([("\"room\"", true)]) {
             let folder = tempfile::tempdir().expect("a folder");
             let listener = UnixListener::bind(folder.path().join("handover")).expect("a socket");
             let peer_process = Rc::new(PeerProcess::default());
-            let (host, _told) = mpsc::channel(8);
-            let older = async {
+            let (engine, _inputs) = mpsc::channel(8);
+            let owner = async {
                 let (mut stream, _) = listener.accept().await.expect("a successor");
                 stream.write_all(format!("{{\"out\":7}}\n{line}\n").as_bytes()).await.expect("writable");
-                let mut greeting = [0; 12];
-                stream.read_exact(&mut greeting).await.expect("a greeting");
-                assert_eq!(&greeting, b"{\"hello\":1}\n");
+                let mut handshake = [0; 12];
+                stream.read_exact(&mut handshake).await.expect("a handshake");
+                assert_eq!(&handshake, b"{\"hello\":1}\n");
                 stream
             };
-            let (told, _stream) = tokio::join!(introduce(folder.path(), &peer_process, &host), older);
-            assert_eq!((told.words, told.room), (vec![out.clone()], room), "{line:?}");
-            assert_eq!(peer_process.is_there(), room, "{line:?}");
+            let successor = connect_to_owner(folder.path(), &peer_process, &engine);
+            let (state, _stream) = tokio::join!(successor, owner);
+            assert_eq!((state.messages, state.is_complete), (vec![calls.clone()], is_complete), "{line:?}");
+            assert_eq!(peer_process.is_connected(), is_complete, "{line:?}");
         }
     };
     LocalSet::new().run_until(test).await;
--- /dev/null
+++ b/crates/sender/src/handover/owner.rs
@@ -0,0 +1,81 @@
+//! The owner's side: the process that owns the folder accepts one successor at a time.
+
+use std::io;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::{UnixListener, UnixStream};
+use tokio::sync::mpsc;
+use tokio::task::JoinSet;
+use tokio::time::{sleep, timeout};
+
+use super::connection::Connection;
+use super::message::HandoverMessage;
+use super::peer_process::PeerProcess;
+use super::{HANDOVER_TIMEOUT, SOCKET_NAME, VERSION};
+use crate::event::Input;
+
+/// Maximum number of connections in the handshake.
+const MAX_HANDSHAKES: usize = 8;
+/// Pause after a connection could not be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+
+/// Accepts successors, one at a time, until the engine ends. Each is reported to the engine, and so is what it sends.
+pub async fn accept_successors(folder: PathBuf, peer_process: Rc<PeerProcess>, engine: mpsc::Sender<Input>) {
+    let listener = match bind(&folder) {
+        Ok(listener) => listener,
+        Err(error) => {
+            tracing::warn!(%error, "handover: cannot listen; successors will not receive this process's state");
+            return;
+        }
+    };
+    // Handshakes run beside each other: a silent connection does not delay another. They are cancelled with this task.
+    let mut handshakes = JoinSet::new();
+    while !engine.is_closed() {
+        while handshakes.try_join_next().is_some() {}
+        if handshakes.len() >= MAX_HANDSHAKES {
+            handshakes.join_next().await;
+        }
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                handshakes.spawn_local(accept_successor(stream, peer_process.clone(), engine.clone()));
+            }
+            Err(_) => sleep(ACCEPT_PAUSE).await,
+        }
+    }
+}
+
+/// Binds the socket; one that an earlier process left behind is replaced, as this process owns the folder.
+fn bind(folder: &Path) -> io::Result<UnixListener> {
+    let path = folder.join(SOCKET_NAME);
+    let _ = std::fs::remove_file(&path);
+    UnixListener::bind(&path)
+}
+
+/// Performs the handshake with a connection, and makes it the successor once an earlier successor has disconnected:
+/// a process that connects meanwhile has seen the lock of that one free, and waits until its connection has ended here.
+pub(super) async fn accept_successor(
+    stream: UnixStream,
+    peer_process: Rc<PeerProcess>,
+    engine: mpsc::Sender<Input>,
+) {
+    let mut connection = Connection::new(stream);
+    match timeout(HANDOVER_TIMEOUT, connection.reader.read()).await {
+        Ok(Ok(Some(HandoverMessage::Hello(VERSION)))) => {}
+        Ok(Ok(Some(message))) => {
+            tracing::warn!("handover: turned away: {message:?}");
+            return;
+        }
+        _ => {
+            tracing::warn!("handover: a connection said nothing that is understood");
+            return;
+        }
+    }
+    if timeout(HANDOVER_TIMEOUT, peer_process.disconnected()).await.is_err() {
+        tracing::warn!("handover: turned away: another successor is there");
+        return;
+    }
+    connection.spawn_exchange(peer_process, engine.clone());
+    let _ = engine.send(Input::Successor(true)).await;
+}
--- /dev/null
+++ b/crates/sender/src/handover/successor.rs
@@ -0,0 +1,58 @@
+//! The successor's side: a starting process reads the state of the process that owns the folder.
+
+use std::path::Path;
+use std::rc::Rc;
+
+use tokio::net::UnixStream;
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+use super::codec::HandoverError;
+use super::connection::Connection;
+use super::message::HandoverMessage;
+use super::peer_process::PeerProcess;
+use super::{HANDOVER_TIMEOUT, SOCKET_NAME, VERSION};
+use crate::event::Input;
+
+/// The state that a starting process received from the owner.
+#[derive(Debug, Default)]
+pub struct HandoverState {
+    /// Outages, backoffs and calls in flight, in the order in which the owner sent them.
+    pub messages: Vec<HandoverMessage>,
+    /// Whether the owner sent all of its state, and shares the disk space.
+    pub is_complete: bool,
+}
+
+/// Requests the state of the process that owns the folder, and stays connected to it. What has arrived when it fails or
+/// the time is over is returned: a successor continues without the rest.
+pub async fn connect_to_owner(
+    folder: &Path,
+    peer_process: &Rc<PeerProcess>,
+    engine: &mpsc::Sender<Input>,
+) -> HandoverState {
+    let mut state = HandoverState::default();
+    match timeout(HANDOVER_TIMEOUT, request_state(folder, &mut state)).await {
+        Ok(Ok(connection)) => connection.spawn_exchange(peer_process.clone(), engine.clone()),
+        Ok(Err(error)) => {
+            tracing::warn!(%error, "handover: no state from the older process; continuing without it");
+        }
+        Err(_) => {
+            tracing::warn!("handover: the older process does not answer; going on without what it knows");
+        }
+    }
+    state
+}
+
+/// Sends the handshake, and reads messages into `state` up to the end of the transfer.
+async fn request_state(folder: &Path, state: &mut HandoverState) -> Result<Connection, HandoverError> {
+    let mut connection = Connection::new(UnixStream::connect(folder.join(SOCKET_NAME)).await?);
+    connection.writer.write(&HandoverMessage::Hello(VERSION)).await?;
+    while let Some(message) = connection.reader.read().await? {
+        if message == HandoverMessage::FreeSpace {
+            state.is_complete = true;
+            return Ok(connection);
+        }
+        state.messages.push(message);
+    }
+    Err(HandoverError::Incomplete)
+}
--- a/crates/sender/src/outbound/backoff.rs
+++ b/crates/sender/src/outbound/backoff.rs
@@ -51,13 +51,13 @@
     pub(super) fn word(&self, waits: Waits, ms: Millis) -> HandoverMessage {
         match waits {
             Waits::Destination(DestinationId(destination)) => {
-                HandoverMessage::Wait { destination, receiver: None, ms }
+                HandoverMessage::RetryAfter { destination, receiver: None, ms }
             }
             Waits::Route(route) => {
                 let routes = self.routes.borrow();
                 let route = routes.get(&route);
                 let destination = route.map_or(0, |r| r.destination.0);
-                HandoverMessage::Wait {
+                HandoverMessage::RetryAfter {
                     destination,
                     receiver: Some(route.map_or("", |r| &*r.receiver).to_owned()),
                     ms,
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -136,7 +136,7 @@
     fn heed_told(&self, waits: Waits, wait: Millis) {
         if wait > 0.0 {
             self.wait(waits, wait);
-            self.peer_process.tell(self.word(waits, wait));
+            self.peer_process.send(self.word(waits, wait));
         }
     }
 
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -84,11 +84,15 @@
         let (to_engine, inputs) = mpsc::channel(QUEUE);
         let peer_process = Rc::new(PeerProcess::default());
         let told = if store.is_owner() {
-            spawn_local(handover::expect(state.to_owned(), peer_process.clone(), to_engine.clone()));
+            spawn_local(handover::accept_successors(
+                state.to_owned(),
+                peer_process.clone(),
+                to_engine.clone(),
+            ));
             HandoverState::default()
         } else {
-            let told = handover::introduce(state, &peer_process, &to_engine).await;
-            Engine::hear(&mut store, &told.words);
+            let told = handover::connect_to_owner(state, &peer_process, &to_engine).await;
+            Engine::hear(&mut store, &told.messages);
             spawn_local(succeed(state.to_owned(), peer_process.clone(), to_engine.clone()));
             told
         };
@@ -131,8 +135,8 @@
         let fetched = if pace.takes_turns() { None } else { discovery::fetch(config.discovery).await };
         let revision = if pace.takes_turns() { Some(0) } else { fetched.as_ref().map(|list| list.revision) };
         let engine = Engine::new(parts, &known, fetched.as_ref())?;
-        for word in told.words {
-            if let Some(input) = word.input() {
+        for word in told.messages {
+            if let Some(input) = word.into_input() {
                 let _ = to_engine.send(input).await;
             }
         }
@@ -192,7 +196,7 @@
     /// Stops the service: it goes on answering for a while, lets calls finish, and leaves the rest to the
     /// journal. [`Service::run`] then ends within 3.5 s.
     pub async fn stop(&self) {
-        let succeeded = self.shared_door && self.peer_process.is_there();
+        let succeeded = self.shared_door && self.peer_process.is_connected();
         self.door.send_replace(if succeeded {
             AdmissionState::HandingOver
         } else {
@@ -231,7 +235,7 @@
             return;
         }
         if is_owner.await.unwrap_or(false) {
-            return handover::expect(state, peer_process, host).await;
+            return handover::accept_successors(state, peer_process, host).await;
         }
     }
 }
