--- /dev/null
+++ b/crates/sender/src/discovery/client.rs
@@ -0,0 +1,86 @@
+//! Requests to discovery: the full endpoint list, and the connection of a watch.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Empty, Limited};
+use hyper::body::Incoming;
+use hyper::{Request, StatusCode, header};
+use tokio::time::timeout;
+
+use super::decoder::{DecodeError, MAX_LIST_LEN};
+use super::error::WatchError;
+use crate::event::List;
+use crate::platform::{Driver, HttpError, connect};
+
+/// How long a starting process waits for the full list: a discovery that does not respond must not delay the start.
+pub(super) const STARTUP_FETCH_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// The body of a response, on a connection of its own that is closed when this is dropped.
+#[derive(Debug)]
+pub(super) struct StreamingResponse {
+    pub(super) body: Incoming,
+    _connection: Driver,
+}
+
+/// Fetches the full list for a start of the process; `None` if it does not arrive in time.
+pub async fn fetch(addr: SocketAddr) -> Option<List> {
+    let list = timeout(STARTUP_FETCH_TIMEOUT, fetch_full_list(addr, STARTUP_FETCH_TIMEOUT)).await;
+    match list.unwrap_or(Err(HttpError::Silent.into())) {
+        Ok(list) => Some(list),
+        Err(error) => {
+            tracing::warn!("discovery: {error}; starting with the list as last known");
+            None
+        }
+    }
+}
+
+/// Fetches the full list. Its response has to begin within `response_timeout`.
+///
+/// # Errors
+///
+/// [`WatchError`] if the request fails, or the body is not a complete list.
+pub(super) async fn fetch_full_list(
+    addr: SocketAddr,
+    response_timeout: Duration,
+) -> Result<List, WatchError> {
+    let response = get(addr, "/api/targets", response_timeout).await?;
+    let body = Limited::new(response.body, MAX_LIST_LEN).collect().await;
+    let body = body.map_err(|_| DecodeError::TooLong)?.to_bytes();
+    let list: List = serde_json::from_slice(&body).map_err(DecodeError::from)?;
+    if list.complete { Ok(list) } else { Err(WatchError::Incomplete) }
+}
+
+/// Opens a watch for changes after a revision. Its response has to begin within `response_timeout`.
+///
+/// # Errors
+///
+/// [`HttpError`] if the request fails.
+pub(super) async fn open_watch(
+    addr: SocketAddr,
+    from_revision: u64,
+    response_timeout: Duration,
+) -> Result<StreamingResponse, HttpError> {
+    let path = format!("/api/targets?watch=1&from={from_revision}");
+    get(addr, &path, response_timeout).await
+}
+
+/// Sends a GET request on a new connection; its response has to begin within `response_timeout`.
+async fn get(
+    addr: SocketAddr,
+    path: &str,
+    response_timeout: Duration,
+) -> Result<StreamingResponse, HttpError> {
+    timeout(response_timeout, send_get(addr, path)).await.map_err(|_| HttpError::Silent)?
+}
+
+async fn send_get(addr: SocketAddr, path: &str) -> Result<StreamingResponse, HttpError> {
+    let (mut sender, connection) = connect(addr).await?;
+    let request = Request::get(path).header(header::HOST, addr.to_string()).body(Empty::<Bytes>::new())?;
+    let response = sender.send_request(request).await?;
+    if response.status() != StatusCode::OK {
+        return Err(HttpError::Status(response.status()));
+    }
+    Ok(StreamingResponse { body: response.into_body(), _connection: connection })
+}
--- a/crates/sender/src/discovery/decoder.rs
+++ b/crates/sender/src/discovery/decoder.rs
@@ -1,103 +1,127 @@
-//! The lists in the body of a watch, however its bytes are cut into frames. No I/O, no clock.
+//! Incremental decoder for the body of a watch, independent of how the bytes are split into frames. No I/O, no clock.
 //!
-//! A list is one JSON object, on one line or indented over several; between two of them an empty line says that
-//! nothing has changed. Each byte is looked at once, and a list is parsed once, when its last bracket has come.
+//! A list is one JSON object, on one line or indented over several; between two lists an empty line is a heartbeat. Each
+//! byte is scanned once, and a list is parsed once, when its closing bracket has arrived.
 
 use crate::event::List;
 
-/// A longer list is none of ours.
-pub(super) const LONGEST_LIST: usize = 4 << 20;
+/// Maximum encoded length of a list, in bytes.
+pub(super) const MAX_LIST_LEN: usize = 4 << 20;
 
+/// Why the body of a watch cannot be decoded further.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DecodeError {
-    #[error("a list of over {LONGEST_LIST} bytes")]
+    /// A list is longer than [`MAX_LIST_LEN`].
+    #[error("a list of over {MAX_LIST_LEN} bytes")]
     TooLong,
+    /// A JSON value is not a list.
     #[error("unreadable list: {0}")]
-    Unreadable(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
+    /// A byte between two lists that begins neither a list nor a line.
     #[error("{0:?} between lists")]
-    Stray(char),
+    UnexpectedByte(char),
+    /// A line ends within a string: the list was cut off, and the next line follows.
     #[error("a line that ends within a string")]
-    BrokenOff,
+    UnterminatedString,
 }
 
-/// What a watch says.
+/// An event of a watch.
 #[derive(Debug)]
-pub(super) enum Item {
-    /// A list, or the changes of one.
+pub(super) enum WatchEvent {
+    /// A full list, or the changes of one.
     List(List),
-    /// An empty line between lists.
+    /// An empty line between lists: nothing has changed.
     Heartbeat,
 }
 
-/// Gathers what a watch says from its bytes.
+/// Decodes the events of a watch from its bytes.
 #[derive(Debug, Default)]
 pub(super) struct Decoder {
     bytes: Vec<u8>,
-    /// Where what comes next begins: what is before that has been passed on.
+    /// Offset of the first byte that is not part of a returned event.
     start: usize,
-    /// So many bytes have been looked at.
-    seen: usize,
-    /// Brackets that are open; none between two lists.
+    /// Number of bytes that have been scanned.
+    scanned: usize,
+    /// Number of open brackets; zero between two lists.
     depth: usize,
     in_string: bool,
-    /// The byte before was a backslash in a string.
+    /// Whether the previous byte was a backslash in a string.
     escaped: bool,
-    /// Something other than blanks has come on this line.
-    in_line: bool,
+    /// Whether the current line has content other than white space.
+    line_has_content: bool,
 }
 
 impl Decoder {
-    /// Takes the next bytes, whatever of a list they are.
+    /// Appends received bytes.
     pub(super) fn feed(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.start);
-        self.seen -= std::mem::take(&mut self.start);
+        self.scanned -= self.start;
+        self.start = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// What comes next, as far as it is there.
+    /// Returns the next event; `None` until more bytes have been fed.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if what came is no list: then nothing behind it can be read either.
-    pub(super) fn next(&mut self) -> Result<Option<Item>, DecodeError> {
-        while let Some(&byte) = self.bytes.get(self.seen) {
-            self.seen += 1;
+    /// [`DecodeError`] if the bytes are not an event; nothing after them can be decoded either.
+    pub(super) fn next(&mut self) -> Result<Option<WatchEvent>, DecodeError> {
+        while let Some(&byte) = self.bytes.get(self.scanned) {
+            self.scanned += 1;
             if self.in_string {
-                match byte {
-                    _ if self.escaped => self.escaped = false,
-                    b'\\' => self.escaped = true,
-                    b'"' => self.in_string = false,
-                    // JSON has none in a string: a list that was cut off, and the next line follows.
-                    b'\n' => return Err(DecodeError::BrokenOff),
-                    _ => {}
-                }
-                continue;
+                self.scan_string(byte)?;
+            } else if let Some(event) = self.scan(byte)? {
+                return Ok(Some(event));
             }
-            match byte {
-                b'{' | b'[' => self.depth += 1,
-                b'}' | b']' if self.depth > 0 => {
-                    self.depth -= 1;
-                    if self.depth == 0 {
-                        let list = serde_json::from_slice(&self.bytes[self.start..self.seen])?;
-                        self.start = self.seen;
-                        return Ok(Some(Item::List(list)));
-                    }
-                }
-                b'"' if self.depth > 0 => self.in_string = true,
-                b'\n' if self.depth == 0 => {
-                    self.start = self.seen;
-                    if !std::mem::take(&mut self.in_line) {
-                        return Ok(Some(Item::Heartbeat));
-                    }
-                    continue;
+        }
+        if self.scanned - self.start > MAX_LIST_LEN { Err(DecodeError::TooLong) } else { Ok(None) }
+    }
+
+    /// Scans a byte within a string.
+    fn scan_string(&mut self, byte: u8) -> Result<(), DecodeError> {
+        match byte {
+            _ if self.escaped => self.escaped = false,
+            b'\\' => self.escaped = true,
+            b'"' => self.in_string = false,
+            // JSON does not allow it in a string.
+            b'\n' => return Err(DecodeError::UnterminatedString),
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Scans a byte outside strings; returns the event that it completes.
+    fn scan(&mut self, byte: u8) -> Result<Option<WatchEvent>, DecodeError> {
+        match byte {
+            b'\n' if self.depth == 0 => return Ok(self.end_line()),
+            b' ' | b'\t' | b'\r' | b'\n' => return Ok(None),
+            b'{' | b'[' => self.depth += 1,
+            b'}' | b']' if self.depth > 0 => {
+                self.depth -= 1;
+                if self.depth == 0 {
+                    return self.parse_list().map(Some);
                 }
-                b' ' | b'\t' | b'\r' | b'\n' => continue,
-                _ if self.depth == 0 => return Err(DecodeError::Stray(char::from(byte))),
-                _ => {}
             }
-            self.in_line = true;
+            b'"' if self.depth > 0 => self.in_string = true,
+            _ if self.depth == 0 => return Err(DecodeError::UnexpectedByte(char::from(byte))),
+            _ => {}
         }
-        if self.seen - self.start > LONGEST_LIST { Err(DecodeError::TooLong) } else { Ok(None) }
+        self.line_has_content = true;
+        Ok(None)
+    }
+
+    /// Ends a line between lists; a heartbeat if it is empty.
+    fn end_line(&mut self) -> Option<WatchEvent> {
+        self.start = self.scanned;
+        let had_content = std::mem::take(&mut self.line_has_content);
+        (!had_content).then_some(WatchEvent::Heartbeat)
+    }
+
+    /// Parses the list whose closing bracket was scanned last.
+    fn parse_list(&mut self) -> Result<WatchEvent, DecodeError> {
+        let list = serde_json::from_slice(&self.bytes[self.start..self.scanned])?;
+        self.start = self.scanned;
+        Ok(WatchEvent::List(list))
     }
 }
 
--- /dev/null
+++ b/crates/sender/src/discovery/session.rs
@@ -0,0 +1,112 @@
+//! One connection's watch: the full list first where changes alone do not suffice, then changes as they come.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use tokio::sync::mpsc;
+use tokio::time::{Instant, timeout, timeout_at};
+
+use super::LOG_TARGET;
+use super::client::{fetch_full_list, open_watch};
+use super::decoder::{Decoder, WatchEvent};
+use super::error::WatchError;
+use crate::event::{Input, List};
+use crate::platform::HttpError;
+
+/// Idle time after which a watch is dead: discovery sends a heartbeat every 2 s.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Minimum time for a full list to arrive, once its response has begun in time.
+const MIN_FULL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What a watcher has received so far; it outlasts the sessions.
+#[derive(Debug)]
+pub(super) struct WatchProgress {
+    /// Revision of the last list; `None` if only the full list can tell what has changed since.
+    pub(super) revision: Option<u64>,
+    /// When the last request began or, on a watch, when the last event came. Changes before this time are known, or
+    /// could not be had.
+    pub(super) last_activity: Instant,
+    /// Whether an event came in the current session.
+    pub(super) received_event: bool,
+}
+
+/// One connection's watch.
+#[derive(Debug)]
+pub(super) struct Session<'a> {
+    pub(super) addr: SocketAddr,
+    /// How long a response may take to begin.
+    pub(super) response_timeout: Duration,
+    pub(super) progress: &'a mut WatchProgress,
+    pub(super) engine: &'a mpsc::Sender<Input>,
+}
+
+impl Session<'_> {
+    /// Passes lists to the engine until the watch ends, and returns why it ended.
+    pub(super) async fn run(&mut self) -> WatchError {
+        match self.watch().await {
+            Ok(never) => match never {},
+            Err(error) => error,
+        }
+    }
+
+    async fn watch(&mut self) -> Result<std::convert::Infallible, WatchError> {
+        self.progress.last_activity = Instant::now();
+        let from = match self.progress.revision {
+            Some(revision) => revision,
+            None => self.load_full_list().await?,
+        };
+        tracing::debug!(target: LOG_TARGET, addr = %self.addr, from, "asks for changes");
+        let response = open_watch(self.addr, from, self.response_timeout).await?;
+        self.progress.last_activity = Instant::now();
+        let mut body = response.body;
+        let mut decoder = Decoder::default();
+        loop {
+            self.receive_frame(&mut body, &mut decoder).await?;
+            while let Some(event) = decoder.next()? {
+                self.handle_event(event).await?;
+            }
+        }
+    }
+
+    /// Fetches the full list and passes it to the engine; returns its revision.
+    async fn load_full_list(&mut self) -> Result<u64, WatchError> {
+        tracing::debug!(target: LOG_TARGET, addr = %self.addr, "asks for the whole list");
+        let list_timeout = self.response_timeout.max(MIN_FULL_LIST_TIMEOUT);
+        let list = timeout(list_timeout, fetch_full_list(self.addr, self.response_timeout))
+            .await
+            .map_err(|_| HttpError::Silent)??;
+        let revision = list.revision;
+        self.deliver(list).await?;
+        self.progress.last_activity = Instant::now();
+        Ok(revision)
+    }
+
+    /// Feeds the next frame of the body to the decoder. Only complete events keep a watch from being idle: bytes of a
+    /// list that never ends do not.
+    async fn receive_frame(&self, body: &mut Incoming, decoder: &mut Decoder) -> Result<(), WatchError> {
+        let idle_at = self.progress.last_activity + WATCH_IDLE_TIMEOUT;
+        let frame = timeout_at(idle_at, body.frame()).await.map_err(|_| HttpError::Silent)?;
+        let frame = frame.ok_or(WatchError::Ended)?.map_err(HttpError::from)?;
+        if let Some(data) = frame.data_ref() {
+            decoder.feed(data);
+        }
+        Ok(())
+    }
+
+    async fn handle_event(&mut self, event: WatchEvent) -> Result<(), WatchError> {
+        self.progress.received_event = true;
+        self.progress.last_activity = Instant::now();
+        let WatchEvent::List(list) = event else { return Ok(()) };
+        let (members, complete) = (list.members.len(), list.complete);
+        tracing::debug!(target: LOG_TARGET, revision = list.revision, members, complete, "told");
+        self.deliver(list).await
+    }
+
+    /// Passes a list to the engine; from here on changes are requested from its revision on.
+    async fn deliver(&mut self, list: List) -> Result<(), WatchError> {
+        self.progress.revision = Some(list.revision);
+        self.engine.send(Input::List(list)).await.map_err(|_| WatchError::EngineClosed)
+    }
+}
--- a/crates/sender/src/discovery/tests.rs
+++ b/crates/sender/src/discovery/tests.rs
@@ -1,133 +1,139 @@
-//! A watch before a discovery that writes what it is told to, byte for byte.
+//! A watch of a discovery server whose responses are scripted byte by byte.
 
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use serde_json::json;
 use tokio::io::AsyncWriteExt;
 use tokio::time::sleep;
 
 use self::scripted::*;
-use super::*;
+use super::client::{STARTUP_FETCH_TIMEOUT, fetch};
 
 mod scripted;
 mod silence;
 
 // ---- Lists in pieces -------------------------------------------------------------------------------------
 
-/// Lists may come indented, each line of them in a frame of its own: read line by line, none of them would be one, and
-/// each would end the watch for the whole list.
+/// A list may be indented, with each line in a frame of its own: a decoder of lines would find none that is a list.
 #[tokio::test]
-async fn an_indented_list_over_many_frames_counts_and_the_watch_goes_on() {
+async fn an_indented_list_in_many_frames_is_received_and_the_watch_stays_open() {
     local(async {
-        let discovery = Scripted::start().await;
-        let mut watched = pushed(discovery.addr, Some(41));
-        let (from, mut stream) = discovery.watched().await;
+        let discovery = ScriptedDiscovery::start().await;
+        let mut running = start_agent_watch(discovery.addr, Some(41));
+        let (from, mut stream) = discovery.accept_watch().await;
         assert_eq!(from, 41);
-        say(&mut stream, HEAD).await;
+        write(&mut stream, WATCH_HEAD).await;
         for revision in 42..45 {
             let entry = json!({"id": "s-1", "host_port": "10.1.0.18:9000", "cell": 3, "phase": "SERVING"});
             let list = json!({"revision": revision, "complete": false, "members": [entry]});
             let text = serde_json::to_string_pretty(&list).expect("JSON") + "\n";
             assert!(text.lines().count() > 5);
             for line in text.split_inclusive('\n') {
-                say(&mut stream, chunk(line)).await;
+                write(&mut stream, chunk(line)).await;
                 tokio::task::yield_now().await;
             }
-            assert_eq!(watched.told().await, revision);
-            say(&mut stream, chunk("\n")).await;
+            assert_eq!(running.next_revision().await, revision);
+            write(&mut stream, chunk("\n")).await;
         }
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_watch_that_breaks_off_in_a_list_begins_again_behind_the_last_whole_one() {
+async fn a_watch_that_ends_within_a_list_resumes_after_the_last_complete_one() {
     local(async {
-        let discovery = Scripted::start().await;
-        let mut watched = pushed(discovery.addr, Some(41));
-        let (_, mut stream) = discovery.watched().await;
-        let next = list(43);
-        say(&mut stream, HEAD.to_owned() + &chunk(&(list(42) + "\n")) + &chunk(&next[..next.len() - 1]))
-            .await;
-        assert_eq!(watched.told().await, 42);
+        let discovery = ScriptedDiscovery::start().await;
+        let mut running = start_agent_watch(discovery.addr, Some(41));
+        let (_, mut stream) = discovery.accept_watch().await;
+        let next = list_json(43);
+        write(
+            &mut stream,
+            WATCH_HEAD.to_owned() + &chunk(&(list_json(42) + "\n")) + &chunk(&next[..next.len() - 1]),
+        )
+        .await;
+        assert_eq!(running.next_revision().await, 42);
         drop(stream);
-        let (from, mut stream) = discovery.watched().await;
+        let (from, mut stream) = discovery.accept_watch().await;
         assert_eq!(from, 42);
-        say(&mut stream, HEAD.to_owned() + &chunk(&next)).await;
-        assert_eq!(watched.told().await, 43);
+        write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&next)).await;
+        assert_eq!(running.next_revision().await, 43);
     })
     .await;
 }
 
 #[tokio::test]
-async fn after_something_that_is_no_list_the_whole_one_is_asked_for() {
+async fn after_a_malformed_list_the_full_list_is_requested() {
     local(async {
-        for spoilt in ["{\"revision\": 43}\n", "noise\n", "{\"revision\": 43, \"comp\n"] {
-            let discovery = Scripted::start().await;
-            let mut watched = pushed(discovery.addr, Some(41));
-            let (_, mut stream) = discovery.watched().await;
-            say(&mut stream, HEAD.to_owned() + &chunk(spoilt)).await;
-            let mut stream = discovery.asked_for_all().await;
-            say(&mut stream, answer(&list(44))).await;
-            assert_eq!(watched.told().await, 44, "{spoilt:?}");
-            assert_eq!(discovery.watched().await.0, 44, "{spoilt:?}");
+        for malformed in ["{\"revision\": 43}\n", "noise\n", "{\"revision\": 43, \"comp\n"] {
+            let discovery = ScriptedDiscovery::start().await;
+            let mut running = start_agent_watch(discovery.addr, Some(41));
+            let (_, mut stream) = discovery.accept_watch().await;
+            write(&mut stream, WATCH_HEAD.to_owned() + &chunk(malformed)).await;
+            let mut stream = discovery.accept_full_list_request().await;
+            write(&mut stream, full_response(&list_json(44))).await;
+            assert_eq!(running.next_revision().await, 44, "{malformed:?}");
+            assert_eq!(discovery.accept_watch().await.0, 44, "{malformed:?}");
         }
     })
     .await;
 }
 
-// ---- Moves -----------------------------------------------------------------------------------------------
+// ---- Changes of the address ------------------------------------------------------------------------------
 
-/// Revisions of one address say nothing at another, where they may be lower: the whole list does.
+/// Revisions of one address are unrelated to those of another, where they may be lower.
 #[tokio::test]
-async fn after_a_move_revisions_go_back_and_the_whole_list_counts() {
+async fn after_a_change_of_address_the_full_list_with_a_lower_revision_is_received() {
     local(async {
-        let (old, new) = (Scripted::start().await, Scripted::start().await);
-        let mut watched = pushed(old.addr, Some(41));
-        let (_, mut stream) = old.watched().await;
-        say(&mut stream, HEAD.to_owned() + &chunk(&(list(42) + "\n"))).await;
-        assert_eq!(watched.told().await, 42);
-        watched.address.send_replace(new.addr);
-        let mut asked = new.asked_for_all().await;
-        closed(&mut stream).await;
-        say(&mut asked, answer(&list(3))).await;
-        assert_eq!(watched.told().await, 3);
-        let (from, mut stream) = new.watched().await;
+        let (old, new) = (ScriptedDiscovery::start().await, ScriptedDiscovery::start().await);
+        let mut running = start_agent_watch(old.addr, Some(41));
+        let (_, mut stream) = old.accept_watch().await;
+        write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(42) + "\n"))).await;
+        assert_eq!(running.next_revision().await, 42);
+        running.address.send_replace(new.addr);
+        let mut asked = new.accept_full_list_request().await;
+        wait_until_closed(&mut stream).await;
+        write(&mut asked, full_response(&list_json(3))).await;
+        assert_eq!(running.next_revision().await, 3);
+        let (from, mut stream) = new.accept_watch().await;
         assert_eq!(from, 3);
-        say(&mut stream, HEAD.to_owned() + &chunk(&(list(4) + "\n"))).await;
-        assert_eq!(watched.told().await, 4);
+        write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(4) + "\n"))).await;
+        assert_eq!(running.next_revision().await, 4);
         drop(stream);
-        assert_eq!(new.watched().await.0, 4);
+        assert_eq!(new.accept_watch().await.0, 4);
     })
     .await;
 }
 
-/// The configuration is read again at each moment of an opening; and once more before the new address has answered.
+/// The address changes at each step of opening a watch, and once more before the new one has responded.
 #[tokio::test]
-async fn a_move_while_a_watch_opens_leaves_nothing_of_the_old_address() {
+async fn a_change_of_address_while_a_watch_opens_leaves_nothing_of_the_old_one() {
     local(async {
         for moment in 0..4 {
-            let (old, between, new) =
-                (Scripted::start().await, Scripted::start().await, Scripted::start().await);
-            let mut watched = pushed(old.addr, (moment > 0).then_some(41));
-            let mut stream = if moment > 0 { old.watched().await.1 } else { old.asked_for_all().await };
-            // Nothing has come; a head has; half a list has.
-            let half = &list(99)[..20];
+            let (old, between, new) = (
+                ScriptedDiscovery::start().await,
+                ScriptedDiscovery::start().await,
+                ScriptedDiscovery::start().await,
+            );
+            let mut running = start_agent_watch(old.addr, (moment > 0).then_some(41));
+            let mut stream =
+                if moment > 0 { old.accept_watch().await.1 } else { old.accept_full_list_request().await };
+            // Nothing, a head, or half a list has been received.
+            let half = &list_json(99)[..20];
             match moment {
-                2 => say(&mut stream, HEAD).await,
-                3 => say(&mut stream, HEAD.to_owned() + &chunk(half)).await,
+                2 => write(&mut stream, WATCH_HEAD).await,
+                3 => write(&mut stream, WATCH_HEAD.to_owned() + &chunk(half)).await,
                 _ => {}
             }
-            watched.address.send_replace(between.addr);
-            let mut first = between.asked_for_all().await;
-            closed(&mut stream).await;
-            say(&mut first, "HTTP/1.1 200 OK\r\nContent-Length: 51\r\n\r\n{\"revision\":").await;
-            watched.address.send_replace(new.addr);
-            let mut second = new.asked_for_all().await;
-            closed(&mut first).await;
-            say(&mut second, answer(&list(5))).await;
-            assert_eq!(watched.told().await, 5, "{moment}");
-            assert_eq!(new.watched().await.0, 5, "{moment}");
+            running.address.send_replace(between.addr);
+            let mut first = between.accept_full_list_request().await;
+            wait_until_closed(&mut stream).await;
+            write(&mut first, "HTTP/1.1 200 OK\r\nContent-Length: 51\r\n\r\n{\"revision\":").await;
+            running.address.send_replace(new.addr);
+            let mut second = new.accept_full_list_request().await;
+            wait_until_closed(&mut first).await;
+            write(&mut second, full_response(&list_json(5))).await;
+            assert_eq!(running.next_revision().await, 5, "{moment}");
+            assert_eq!(new.accept_watch().await.0, 5, "{moment}");
         }
     })
     .await;
@@ -135,22 +141,22 @@
 
 // ---- Starts ----------------------------------------------------------------------------------------------
 
-/// Whatever discovery does, a start does not wait for it.
+/// Whatever discovery does, a start is not delayed by it.
 #[tokio::test]
-async fn a_start_waits_no_longer_for_a_list_that_trickles_or_never_comes() {
-    let discovery = Scripted::start().await;
+async fn a_start_is_not_delayed_by_a_list_that_arrives_slowly_or_never() {
+    let discovery = ScriptedDiscovery::start().await;
     for head in ["", "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"] {
         let since = Instant::now();
-        let trickle = async {
-            let mut stream = discovery.asked_for_all().await;
-            say(&mut stream, head).await;
-            // Until the other end has had enough.
+        let slow_response = async {
+            let mut stream = discovery.accept_full_list_request().await;
+            write(&mut stream, head).await;
+            // Until the other end closes the connection.
             while stream.write_all(b" ").await.is_ok() {
                 sleep(Duration::from_millis(10)).await;
             }
         };
-        let (fetched, ()) = local(async { tokio::join!(fetch(discovery.addr), trickle) }).await;
+        let (fetched, ()) = local(async { tokio::join!(fetch(discovery.addr), slow_response) }).await;
         assert!(fetched.is_none());
-        assert!(since.elapsed() < 3 * FETCH, "{:?}", since.elapsed());
+        assert!(since.elapsed() < 3 * STARTUP_FETCH_TIMEOUT, "{:?}", since.elapsed());
     }
 }
--- a/crates/sender/src/discovery/tests/scripted.rs
+++ b/crates/sender/src/discovery/tests/scripted.rs
@@ -1,111 +1,118 @@
 //! A discovery that writes what it is told to, byte for byte, and a watch before it.
 
+use std::net::SocketAddr;
+use std::time::Duration;
+
 use rudderspindle_policy::interface::Discovery;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, watch};
 use tokio::task::{LocalSet, spawn_local};
+use tokio::time::timeout;
 
-use super::*;
+use crate::event::Input;
+use crate::poll_schedule::PollSchedule;
 
 /// Nothing here takes so long unless it is broken.
-const BROKEN: Duration = Duration::from_secs(20);
-pub(super) async fn soon<T>(what: &str, future: impl Future<Output = T>) -> T {
-    timeout(BROKEN, future).await.unwrap_or_else(|_| panic!("in vain: {what}"))
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+
+pub(super) async fn in_time<T>(what: &str, future: impl Future<Output = T>) -> T {
+    timeout(TEST_TIMEOUT, future).await.unwrap_or_else(|_| panic!("in vain: {what}"))
 }
 
-/// Discovery, or an agent of it: each request comes with the connection to answer it on.
-pub(super) struct Scripted {
+/// A discovery server or a local agent of it; each request is returned with its connection.
+pub(super) struct ScriptedDiscovery {
     pub(super) listener: TcpListener,
     pub(super) addr: SocketAddr,
 }
 
-impl Scripted {
+impl ScriptedDiscovery {
     pub(super) async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         Self { listener, addr }
     }
 
-    /// The next connection, and what it asks for.
-    pub(super) async fn asked(&self) -> (String, TcpStream) {
-        let (mut stream, _) = soon("a connection", self.listener.accept()).await.expect("a connection");
+    /// The target of the next request, and its connection.
+    pub(super) async fn accept_request(&self) -> (String, TcpStream) {
+        let (mut stream, _) = in_time("a connection", self.listener.accept()).await.expect("a connection");
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            let read = soon("a request", stream.read_buf(&mut head)).await.expect("readable");
+            let read = in_time("a request", stream.read_buf(&mut head)).await.expect("readable");
             assert!(read > 0, "the request ends early");
         }
         let head = String::from_utf8(head).expect("text");
         (head.split(' ').nth(1).expect("a target").to_owned(), stream)
     }
 
-    /// The next watch, and from which revision on.
-    pub(super) async fn watched(&self) -> (u64, TcpStream) {
-        let (target, stream) = self.asked().await;
+    /// The revision from which the next watch starts, and its connection.
+    pub(super) async fn accept_watch(&self) -> (u64, TcpStream) {
+        let (target, stream) = self.accept_request().await;
         let from = target.strip_prefix("/api/targets?watch=1&from=").expect("a watch");
         (from.parse().expect("a revision"), stream)
     }
 
-    /// The next connection has to ask for the whole list.
-    pub(super) async fn asked_for_all(&self) -> TcpStream {
-        let (target, stream) = self.asked().await;
+    /// The connection of the next request, which has to be for the full list.
+    pub(super) async fn accept_full_list_request(&self) -> TcpStream {
+        let (target, stream) = self.accept_request().await;
         assert_eq!(target, "/api/targets");
         stream
     }
 }
 
-pub(super) const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub(super) const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-pub(super) async fn say(stream: &mut TcpStream, bytes: impl AsRef<[u8]>) {
+pub(super) async fn write(stream: &mut TcpStream, bytes: impl AsRef<[u8]>) {
     stream.write_all(bytes.as_ref()).await.expect("writable");
 }
 
-/// Bytes as a chunk of a watch.
+/// A chunk of the body of a watch.
 pub(super) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A whole answer.
-pub(super) fn answer(text: &str) -> String {
+/// A complete response.
+pub(super) fn full_response(text: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
 }
 
-/// A list without anybody on it.
-pub(super) fn list(revision: u64) -> String {
+/// A full list without members.
+pub(super) fn list_json(revision: u64) -> String {
     json!({"revision": revision, "complete": true, "members": []}).to_string()
 }
 
-/// A watch that goes on until the test is over, of one among so many senders.
-pub(super) struct Watched {
+/// A watch that runs until the test is over.
+pub(super) struct RunningWatch {
     pub(super) address: watch::Sender<SocketAddr>,
     pub(super) inputs: mpsc::Receiver<Input>,
 }
 
-pub(super) fn begin(discovery: Discovery, at: SocketAddr, revision: Option<u64>) -> Watched {
-    let (address, watched) = watch::channel(at);
-    let (host, inputs) = mpsc::channel(16);
-    spawn_local(super::watch(watched, revision, PollSchedule::new(discovery, 1, 1), host));
-    Watched { address, inputs }
+pub(super) fn start_watch(discovery: Discovery, at: SocketAddr, revision: Option<u64>) -> RunningWatch {
+    let (address, running) = watch::channel(at);
+    let (engine, inputs) = mpsc::channel(16);
+    spawn_local(crate::discovery::watch(running, revision, PollSchedule::new(discovery, 1, 1), engine));
+    RunningWatch { address, inputs }
 }
 
-pub(super) fn pushed(at: SocketAddr, revision: Option<u64>) -> Watched {
-    begin(Discovery::Pushed, at, revision)
+pub(super) fn start_agent_watch(at: SocketAddr, revision: Option<u64>) -> RunningWatch {
+    start_watch(Discovery::Pushed, at, revision)
 }
 
-impl Watched {
-    /// The revision of the next list that is told.
-    pub(super) async fn told(&mut self) -> u64 {
-        match soon("a list", self.inputs.recv()).await {
+impl RunningWatch {
+    /// The revision of the next list that the engine receives.
+    pub(super) async fn next_revision(&mut self) -> u64 {
+        match in_time("a list", self.inputs.recv()).await {
             Some(Input::List(list)) => list.revision,
             other => panic!("{other:?}"),
         }
     }
 }
 
-/// Waits until the other end closes, which must not have written any more.
-pub(super) async fn closed(stream: &mut TcpStream) {
-    // A reset is an end as well.
-    let read = soon("a close", stream.read(&mut [0; 16])).await;
+/// Waits until the other end closes the connection, without another byte.
+pub(super) async fn wait_until_closed(stream: &mut TcpStream) {
+    // A reset closes it as well.
+    let read = in_time("a close", stream.read(&mut [0; 16])).await;
     assert!(matches!(read, Ok(0) | Err(_)), "{read:?}");
 }
 
--- a/crates/sender/src/discovery/tests/silence.rs
+++ b/crates/sender/src/discovery/tests/silence.rs
@@ -1,46 +1,50 @@
-//! A watch that has fallen silent is broken and opened anew; one that has not goes on.
+//! A watch that has gone idle is closed and opened again; one that receives heartbeats stays open.
 
 use rudderspindle_policy::interface::Discovery;
 
+use tokio::time::timeout;
+
 use super::*;
 
-/// What a silent watch misses is in force so long after it fell silent.
-const IN_FORCE: Duration = Duration::from_secs(6);
+/// Changes that an idle watch misses are received within this time.
+const IN_EFFECT_WITHIN: Duration = Duration::from_secs(6);
 
-/// How a watch falls silent.
+/// How a watch goes idle.
 #[derive(Clone, Copy, Debug)]
-enum Silent {
-    /// It is never answered.
-    AtOnce,
+enum Idle {
+    /// It gets no response.
+    WithoutResponse,
     AfterHead,
-    AfterAHeartbeat,
-    InTheMiddleOfALine,
-    /// A byte comes now and then, and the list never ends.
+    AfterHeartbeat,
+    WithinALine,
+    /// Single bytes arrive, and the list never ends.
     Trickling,
-    /// Empty lines come, but within a list that has begun: it never ends.
-    HeartbeatsWithinAList,
+    /// Empty lines arrive within a list that never ends.
+    EmptyLinesWithinList,
 }
 
-/// Whatever is the last that it says, it is broken and opened anew, and what it has missed is in force in time.
+/// Whatever was received last, the watch is opened again, and missed changes are received in time.
 #[tokio::test]
-async fn a_silent_watch_is_broken_and_what_it_missed_is_in_force_in_time() {
-    let test = async |silent: Silent, way: Discovery| {
-        let discovery = Scripted::start().await;
-        let mut watched = begin(way, discovery.addr, Some(41));
-        let (_, mut stream) = discovery.watched().await;
+async fn an_idle_watch_is_opened_again_and_missed_changes_are_received_in_time() {
+    let test = async |idle: Idle, discovery_mode: Discovery| {
+        let discovery = ScriptedDiscovery::start().await;
+        let mut running = start_watch(discovery_mode, discovery.addr, Some(41));
+        let (_, mut stream) = discovery.accept_watch().await;
         let since = Instant::now();
-        match silent {
-            Silent::AtOnce => {}
-            Silent::AfterHead => say(&mut stream, HEAD).await,
-            Silent::AfterAHeartbeat => say(&mut stream, HEAD.to_owned() + &chunk("\n")).await,
-            Silent::InTheMiddleOfALine => say(&mut stream, HEAD.to_owned() + &chunk(&list(42)[..20])).await,
-            Silent::Trickling | Silent::HeartbeatsWithinAList => {
-                say(&mut stream, HEAD.to_owned() + &chunk("{\"revision\": 42,")).await;
+        match idle {
+            Idle::WithoutResponse => {}
+            Idle::AfterHead => write(&mut stream, WATCH_HEAD).await,
+            Idle::AfterHeartbeat => write(&mut stream, WATCH_HEAD.to_owned() + &chunk("\n")).await,
+            Idle::WithinALine => {
+                write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&list_json(42)[..20])).await;
+            }
+            Idle::Trickling | Idle::EmptyLinesWithinList => {
+                write(&mut stream, WATCH_HEAD.to_owned() + &chunk("{\"revision\": 42,")).await;
             }
         }
-        let byte = match silent {
-            Silent::Trickling => Some(" "),
-            Silent::HeartbeatsWithinAList => Some("\n"),
+        let byte = match idle {
+            Idle::Trickling => Some(" "),
+            Idle::EmptyLinesWithinList => Some("\n"),
             _ => None,
         };
         let trickle = async {
@@ -53,92 +57,95 @@
             std::future::pending::<()>().await;
         };
         let next = async {
-            let (from, mut stream) = discovery.watched().await;
-            assert_eq!(from, 41, "{silent:?}");
-            say(&mut stream, HEAD.to_owned() + &chunk(&(list(43) + "\n"))).await;
-            assert_eq!(watched.told().await, 43, "{silent:?}");
+            let (from, mut stream) = discovery.accept_watch().await;
+            assert_eq!(from, 41, "{idle:?}");
+            write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(43) + "\n"))).await;
+            assert_eq!(running.next_revision().await, 43, "{idle:?}");
         };
         tokio::select! {
             () = trickle => {}
             () = next => {}
         }
         let after = since.elapsed();
-        assert!(after < IN_FORCE, "{silent:?}, {way:?}: {after:?}");
+        assert!(after < IN_EFFECT_WITHIN, "{idle:?}, {discovery_mode:?}: {after:?}");
         after
     };
     let on_request = Discovery::OnRequest { ask_within: 10_000.0 };
     local(async {
-        use Silent::*;
-        let agent = async |silent| test(silent, Discovery::Pushed).await;
-        let (at_once, ..) = tokio::join!(
-            agent(AtOnce),
+        use Idle::*;
+        let agent = async |idle| test(idle, Discovery::Pushed).await;
+        let (without_response, ..) = tokio::join!(
+            agent(WithoutResponse),
             agent(AfterHead),
-            agent(AfterAHeartbeat),
-            agent(InTheMiddleOfALine),
+            agent(AfterHeartbeat),
+            agent(WithinALine),
             agent(Trickling),
-            agent(HeartbeatsWithinAList),
-            test(AtOnce, on_request),
+            agent(EmptyLinesWithinList),
+            test(WithoutResponse, on_request),
             test(AfterHead, on_request),
             test(Trickling, on_request),
         );
-        // An agent answers at once, or another connection has to.
-        assert!(at_once < Duration::from_secs(1), "{at_once:?}");
+        // An agent responds at once, or is polled again.
+        assert!(without_response < Duration::from_secs(1), "{without_response:?}");
     })
     .await;
 }
 
-/// While nothing changes an empty line comes every two seconds: a watch that says so is not silent.
+/// While nothing changes an empty line arrives every two seconds.
 #[tokio::test]
-async fn a_watch_with_heartbeats_goes_on() {
+async fn a_watch_with_heartbeats_stays_open() {
     local(async {
-        let discovery = Scripted::start().await;
-        let mut watched = pushed(discovery.addr, Some(41));
-        let (_, mut stream) = discovery.watched().await;
-        say(&mut stream, HEAD).await;
+        let discovery = ScriptedDiscovery::start().await;
+        let mut running = start_agent_watch(discovery.addr, Some(41));
+        let (_, mut stream) = discovery.accept_watch().await;
+        write(&mut stream, WATCH_HEAD).await;
         for _ in 0..3 {
             sleep(Duration::from_secs(2)).await;
-            say(&mut stream, chunk("\n")).await;
+            write(&mut stream, chunk("\n")).await;
         }
-        say(&mut stream, chunk(&list(42))).await;
-        assert_eq!(watched.told().await, 42);
-        assert!(timeout(Duration::ZERO, discovery.listener.accept()).await.is_err(), "it was opened anew");
+        write(&mut stream, chunk(&list_json(42))).await;
+        assert_eq!(running.next_revision().await, 42);
+        assert!(timeout(Duration::ZERO, discovery.listener.accept()).await.is_err(), "it was opened again");
     })
     .await;
 }
 
-/// What an agent gets when discovery is back counts at once: however long it was silent, it is asked again soon.
+/// What an agent receives when discovery recovers is in effect at once: an agent is polled at a constant rate.
 #[tokio::test]
-async fn an_agent_that_was_silent_for_long_is_asked_again_as_soon_as_at_first() {
+async fn an_agent_that_was_silent_for_long_is_polled_as_often_as_at_first() {
     local(async {
-        let agent = Scripted::start().await;
-        let mut watched = pushed(agent.addr, Some(41));
+        let agent = ScriptedDiscovery::start().await;
+        let mut running = start_agent_watch(agent.addr, Some(41));
         let mut held = Vec::new();
         for _ in 0..8 {
-            held.push(agent.watched().await);
+            held.push(agent.accept_watch().await);
         }
         let since = Instant::now();
-        let (_, mut stream) = agent.watched().await;
-        say(&mut stream, HEAD.to_owned() + &chunk(&(list(42) + "\n"))).await;
-        assert_eq!(watched.told().await, 42);
+        let (_, mut stream) = agent.accept_watch().await;
+        write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(42) + "\n"))).await;
+        assert_eq!(running.next_revision().await, 42);
         assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
     })
     .await;
 }
 
-/// One that refuses connections is not asked without a pause, and is asked soon when it is there again.
+/// An agent that refuses connections is polled with a pause, and soon when it is back.
 #[tokio::test]
-async fn an_agent_that_is_gone_is_asked_again_soon_when_it_is_back() {
+async fn an_agent_that_was_gone_is_polled_soon_when_it_is_back() {
     local(async {
-        let agent = Scripted::start().await;
+        let agent = ScriptedDiscovery::start().await;
         let addr = agent.addr;
         drop(agent.listener);
-        let mut watched = pushed(addr, Some(41));
+        let mut running = start_agent_watch(addr, Some(41));
         sleep(Duration::from_secs(2)).await;
-        let agent = Scripted { listener: tokio::net::TcpListener::bind(addr).await.expect("its port"), addr };
+        let agent = ScriptedDiscovery {
+            listener: tokio::net::TcpListener::bind(addr).await.expect("its port"),
+            addr,
+        };
         let since = Instant::now();
-        let (_, mut stream) = agent.watched().await;
-        say(&mut stream, HEAD.to_owned() + &chunk(&(list(42) + "\n"))).await;
-        assert_eq!(watched.told().await, 42);
+        let (_, mut stream) = agent.accept_watch().await;
+        write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(42) + "\n"))).await;
+        assert_eq!(running.next_revision().await, 42);
         assert!(since.elapsed() < Duration::from_millis(500), "{:?}", since.elapsed());
     })
     .await;
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -1,176 +1,196 @@
+//! Bounds of the pauses, and what they add up to for a simulated discovery with many senders.
+
 use rudderspindle_policy::interface::Millis;
 use rudderspindle_simulation::lists::{self, Overload, Pauses, Played, lists};
 
 use super::*;
 
-const ASK_WITHIN: Millis = 10_000.0;
-const ON_REQUEST: Discovery = Discovery::OnRequest { ask_within: ASK_WITHIN };
-/// Where many ask, each of `TOLD` and its parts is in force at these numbers, and at any other.
+const POLL_DEADLINE: Millis = 10_000.0;
+const ON_REQUEST: Discovery = Discovery::OnRequest { ask_within: POLL_DEADLINE };
+/// Numbers of senders from one to the largest, with and without staggering.
 const FLEETS: [usize; 5] = [1, 30, 100, 300, usize::MAX];
 
-fn paced(senders: usize, seed: u64) -> Vec<Pauses> {
+fn schedules(senders: usize, seed: u64) -> Vec<Pauses> {
     let pauses = |n| PollSchedule::new(ON_REQUEST, senders, seed * 1_000 + n as u64).pauses();
     (0..senders).map(|n| Box::new(pauses(n)) as Pauses).collect()
 }
 
-/// When the last of them has its list, counted from when discovery can be reached.
-fn last(discovery: lists::Discovery, played: &Played) -> f64 {
+/// When the last sender gets its list, in seconds since discovery became reachable.
+fn time_of_last_list(discovery: lists::Discovery, played: &Played) -> f64 {
     let got = played.got.iter().map(|at| at.unwrap_or(f64::INFINITY));
     got.fold(0.0, f64::max) - discovery.silent_until
 }
 
-// ---- What the pauses add up to ---------------------------------------------------------------------------
+// ---- Bounds ----------------------------------------------------------------------------------------------
 
-/// A change that discovery had just after it has answered, or failed to, is told before it counts as told.
+/// A change that discovery got just after a failed request is received before it is in effect.
 #[test]
-fn however_often_requests_fail_what_is_new_is_told_before_it_counts_as_told() {
-    for ask_within in [ASK_WITHIN, 2_000.0, 0.0] {
+fn however_often_requests_fail_changes_are_received_before_they_are_in_effect() {
+    for ask_within in [POLL_DEADLINE, 2_000.0, 0.0] {
         for peers in FLEETS {
-            let mut pace = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
-            let patience = pace.patience();
-            // An answer that comes as late as one may is still heard.
-            assert!(patience > ANSWER);
+            let mut schedule = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
+            let timeout = schedule.response_timeout();
+            // The latest possible response is still received.
+            assert!(timeout > MAX_RESPONSE_TIME);
             for n in 0..1_000 {
-                // Given up, refused at once, refused late but not by a queue.
-                let (spent, pause) = match n % 3 {
-                    0 => (patience, pace.after(patience)),
-                    1 => (Duration::ZERO, pace.after_refusal(Duration::ZERO)),
-                    _ => (QUEUED * 9 / 10, pace.after_refusal(QUEUED * 9 / 10)),
+                // Timed out, rejected at once, rejected late but not from a queue.
+                let (elapsed, pause) = match n % 3 {
+                    0 => (timeout, schedule.pause_after_failure(timeout)),
+                    1 => (Duration::ZERO, schedule.pause_after_rejection(Duration::ZERO)),
+                    _ => (
+                        QUEUED_REJECTION_AFTER * 9 / 10,
+                        schedule.pause_after_rejection(QUEUED_REJECTION_AFTER * 9 / 10),
+                    ),
                 };
-                let told = spent + pause + ANSWER;
-                assert!(told + MARGIN <= TOLD, "{peers}, {ask_within}: {spent:?} and {pause:?}");
+                let reported = elapsed + pause + MAX_RESPONSE_TIME;
+                assert!(
+                    reported + REQUEST_OVERHEAD <= CHANGE_IN_EFFECT_AFTER,
+                    "{peers}, {ask_within}: {elapsed:?} and {pause:?}"
+                );
             }
-            let latest = (0..1_000).map(|_| pace.at_start()).max();
-            assert!(latest <= Some(TOLD - ANSWER - MARGIN), "{peers}, {ask_within}: {latest:?}");
+            let latest = (0..1_000).map(|_| schedule.initial_delay()).max();
+            assert!(
+                latest <= Some(CHANGE_IN_EFFECT_AFTER - MAX_RESPONSE_TIME - REQUEST_OVERHEAD),
+                "{peers}, {ask_within}: {latest:?}"
+            );
         }
     }
 }
 
 #[test]
-fn a_start_is_no_later_than_its_sender_has_to_ask() {
-    for (ask_within, at_start) in [(ASK_WITHIN, 3_750), (2_000.0, 1_800), (0.0, 3_750)] {
+fn the_initial_delay_is_within_the_polling_deadline() {
+    for (ask_within, at_start) in [(POLL_DEADLINE, 3_750), (2_000.0, 1_800), (0.0, 3_750)] {
         for peers in [100, 300, usize::MAX] {
-            let mut pace = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
-            let latest = (0..1_000).map(|_| pace.at_start()).max();
+            let mut schedule = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
+            let latest = (0..1_000).map(|_| schedule.initial_delay()).max();
             assert!(latest <= Some(Duration::from_millis(at_start)), "{peers}, {ask_within}: {latest:?}");
         }
     }
 }
 
-/// A watch that has fallen silent has used half of the time when that is noticed.
+/// When a dead watch is detected, half of the time is over.
 #[test]
-fn what_a_silent_watch_has_missed_is_told_before_it_counts_as_told() {
-    let silent = Duration::from_secs(3);
+fn changes_missed_by_a_dead_watch_are_received_before_they_are_in_effect() {
+    let idle = Duration::from_secs(3);
     for peers in FLEETS {
-        let mut pace = PollSchedule::new(ON_REQUEST, peers, 1);
-        let latest = (0..1_000).map(|_| pace.after(silent)).max().expect("a pause");
-        assert!(silent + latest + ANSWER + MARGIN <= TOLD, "{peers}: {latest:?}");
+        let mut schedule = PollSchedule::new(ON_REQUEST, peers, 1);
+        let latest = (0..1_000).map(|_| schedule.pause_after_failure(idle)).max().expect("a pause");
+        assert!(
+            idle + latest + MAX_RESPONSE_TIME + REQUEST_OVERHEAD <= CHANGE_IN_EFFECT_AFTER,
+            "{peers}: {latest:?}"
+        );
     }
 }
 
-/// An agent of their own costs nobody anything, and what it has when it is back counts at once.
+/// Requests to a local agent cost nothing, and its list is in effect as soon as it is back.
 #[test]
-fn where_changes_are_pushed_nobody_waits_for_a_turn_and_no_pause_grows() {
+fn a_local_agent_is_polled_without_staggering_and_with_constant_pauses() {
     for peers in FLEETS {
-        let mut pace = PollSchedule::new(Discovery::Pushed, peers, 1);
-        assert!(!pace.takes_turns());
-        assert_eq!(pace.at_start(), Duration::ZERO);
+        let mut schedule = PollSchedule::new(Discovery::Pushed, peers, 1);
+        assert!(!schedule.is_staggered());
+        assert_eq!(schedule.initial_delay(), Duration::ZERO);
         for _ in 0..100 {
-            let patience = pace.patience();
-            for pause in
-                [pace.after(patience), pace.after_refusal(patience), pace.after_refusal(Duration::ZERO)]
-            {
-                assert!(patience + pause <= Duration::from_millis(400), "{patience:?} and {pause:?}");
+            let timeout = schedule.response_timeout();
+            for pause in [
+                schedule.pause_after_failure(timeout),
+                schedule.pause_after_rejection(timeout),
+                schedule.pause_after_rejection(Duration::ZERO),
+            ] {
+                assert!(timeout + pause <= Duration::from_millis(400), "{timeout:?} and {pause:?}");
             }
         }
     }
 }
 
 #[test]
-fn a_few_ask_at_once_and_again_after_pauses_that_double() {
-    let mut pace = PollSchedule::new(ON_REQUEST, 3, 1);
-    assert_eq!(pace.at_start(), Duration::ZERO);
-    let pauses: Vec<u128> = (0..6).map(|_| pace.after(Duration::ZERO).as_millis()).collect();
+fn a_few_senders_poll_at_once_and_with_exponential_backoff() {
+    let mut schedule = PollSchedule::new(ON_REQUEST, 3, 1);
+    assert_eq!(schedule.initial_delay(), Duration::ZERO);
+    let pauses: Vec<u128> =
+        (0..6).map(|_| schedule.pause_after_failure(Duration::ZERO).as_millis()).collect();
     assert_eq!(pauses, [50, 100, 200, 400, 800, 1_000]);
-    pace.heard();
-    assert_eq!(pace.after(Duration::ZERO), FIRST_PAUSE);
+    schedule.record_success();
+    assert_eq!(schedule.pause_after_failure(Duration::ZERO), MIN_BACKOFF);
 }
 
-/// Only one that has kept requests in its queue is asked less often than what it has counts.
+/// Only a discovery that queues requests is polled less often than its changes come into effect.
 #[test]
-fn pauses_are_longer_after_refusals_in_a_queue_but_no_longer_than_four_times_what_a_sender_has() {
-    for (ask_within, failed) in [(ASK_WITHIN, 20), (2_000.0, 8), (0.0, 20)] {
+fn pauses_after_a_rejection_from_a_queue_are_longer_but_at_most_four_polling_deadlines() {
+    for (ask_within, failed) in [(POLL_DEADLINE, 20), (2_000.0, 8), (0.0, 20)] {
         for peers in [100, 300, usize::MAX] {
-            let mut pace = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
-            let latest = (0..100).map(|_| pace.after_refusal(QUEUED)).max();
+            let mut schedule = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
+            let latest = (0..100).map(|_| schedule.pause_after_rejection(QUEUED_REJECTION_AFTER)).max();
             assert!(latest <= Some(Duration::from_secs(failed)), "{peers}, {ask_within}: {latest:?}");
-            assert!(latest > Some(GAP), "{peers}, {ask_within}: {latest:?}");
+            assert!(latest > Some(MAX_POLL_GAP), "{peers}, {ask_within}: {latest:?}");
         }
     }
 }
 
-// ---- What that does to discovery -------------------------------------------------------------------------
+// ---- Load on discovery -----------------------------------------------------------------------------------
 
-/// What a request costs where all of them together take so long.
+/// The cost of a request, in seconds, where those of all senders together cost `all`.
 fn cost(all: f64, senders: usize) -> f64 {
-    // However few they are, it can answer one in time.
+    // Even of a few senders each gets a response in time.
     (all / senders as f64).min(0.25)
 }
 
-/// Any discovery answers one request of every sender within two to eight seconds; what it cannot answer in time, it
-/// turns away at once.
+/// A discovery serves one request of every sender within two to eight seconds, and rejects at once what it cannot serve
+/// in time.
 #[test]
-fn of_any_fleet_that_starts_together_nobody_starves() {
+fn no_sender_of_a_fleet_that_starts_together_starves() {
     for (seed, senders) in (0..20).flat_map(|seed| [1, 30, 100, 300].map(|senders| (seed, senders))) {
         for all in [2.0, 8.0] {
             let cost = cost(all, senders);
             let discovery = lists::Discovery { cost, overload: Overload::TurnsAway, silent_until: 0.0 };
-            let last = last(discovery, &lists(discovery, paced(senders, seed)));
-            // As much longer as one that was turned away last waits for its turn.
-            let within = all + GAP.as_secs_f64() + cost;
+            let last = time_of_last_list(discovery, &lists(discovery, schedules(senders, seed)));
+            // The last rejected request is retried after the longest pause.
+            let within = all + MAX_POLL_GAP.as_secs_f64() + cost;
             assert!(last <= within, "seed {seed}, {senders} senders, {all} s: the last list after {last} s");
         }
     }
 }
 
 #[test]
-fn a_discovery_that_comes_back_is_not_struck_by_all_and_all_have_their_lists() {
+fn a_recovering_discovery_is_not_polled_by_all_at_once_and_all_get_their_lists() {
     for (seed, senders) in (0..20).flat_map(|seed| [30, 100, 300].map(|senders| (seed, senders))) {
         for all in [2.0, 8.0] {
             let cost = cost(all, senders);
             let silent_until = 8.0 + seed as f64 / 7.0;
             let discovery = lists::Discovery { cost, overload: Overload::TurnsAway, silent_until };
-            let played = lists(discovery, paced(senders, seed));
-            let last = last(discovery, &played);
-            let within = all + GAP.as_secs_f64() + cost;
+            let played = lists(discovery, schedules(senders, seed));
+            let last = time_of_last_list(discovery, &played);
+            let within = all + MAX_POLL_GAP.as_secs_f64() + cost;
             assert!(last <= within, "seed {seed}, {senders} senders, {all} s: the last list after {last} s");
-            // In any tenth of a second after the return: were they evenly spread, it would be a thirtieth.
-            let soon = |from: f64| played.asked.iter().filter(|&&at| at >= from && at < from + 0.1).count();
-            let most = (0..40).map(|n| soon(silent_until + f64::from(n) * 0.1)).max().expect("some");
-            assert!(most * 5 <= senders, "seed {seed}: {most} of {senders} within a tenth of a second");
+            // In any tenth of a second after the recovery; evenly spread, it would be a thirtieth of them.
+            let requests_within =
+                |from: f64| played.asked.iter().filter(|&&at| at >= from && at < from + 0.1).count();
+            let max =
+                (0..40).map(|n| requests_within(silent_until + f64::from(n) * 0.1)).max().expect("some");
+            assert!(max * 5 <= senders, "seed {seed}: {max} of {senders} within a tenth of a second");
         }
     }
 }
 
-/// All watches fall silent in one moment, which all their senders notice in one moment, too.
+/// All watches go idle at the same moment, and their senders detect it at the same moment.
 #[test]
-fn senders_whose_watches_end_together_do_not_ask_together() {
-    for spent in [Duration::from_secs(3), Duration::ZERO] {
+fn senders_whose_watches_end_together_do_not_poll_together() {
+    for elapsed in [Duration::from_secs(3), Duration::ZERO] {
         let senders = 300;
-        let pause = |n| PollSchedule::new(ON_REQUEST, senders, n).after(spent).as_millis() / 100;
+        let pause =
+            |n| PollSchedule::new(ON_REQUEST, senders, n).pause_after_failure(elapsed).as_millis() / 100;
         let pauses: Vec<u128> = (0..senders as u64).map(pause).collect();
-        let most = (0..60).map(|at| pauses.iter().filter(|&&pause| pause == at).count()).max().expect("some");
-        assert!(most * 5 <= senders, "{most} of {senders} within a tenth of a second, {spent:?}");
+        let max = (0..60).map(|at| pauses.iter().filter(|&&pause| pause == at).count()).max().expect("some");
+        assert!(max * 5 <= senders, "{max} of {senders} within a tenth of a second, {elapsed:?}");
     }
 }
 
-/// One that keeps requests in its queue gets through by pauses that are longer.
+/// Longer pauses let a discovery that queues requests catch up.
 #[test]
-fn many_that_start_together_have_their_lists_within_three_rounds_of_a_queue() {
+fn many_senders_that_start_together_get_their_lists_from_a_queueing_discovery() {
     let cases = [(100, 0.02, 30.0), (100, 0.05, 30.0), (100, 0.1, 30.0), (300, 0.02, 30.0)];
     for (seed, (senders, cost, within)) in (0..20).flat_map(|seed| cases.map(|case| (seed, case))) {
         let discovery = lists::Discovery { cost, overload: Overload::WorksOff, silent_until: 0.0 };
-        let last = last(discovery, &lists(discovery, paced(senders, seed)));
+        let last = time_of_last_list(discovery, &lists(discovery, schedules(senders, seed)));
         assert!(
             last <= within,
             "seed {seed}, {senders} senders, {cost} s a request: the last list came after {last} s"
@@ -178,9 +198,9 @@
     }
 }
 
-/// What the turns are for: the same pauses for all, as a sender alone makes them, never get through a queue.
+/// The reason for staggering: with the backoff of a single sender, many senders never get through a queue.
 #[test]
-fn a_hundred_that_ask_as_if_they_were_alone_starve_each_other() {
+fn a_hundred_senders_without_staggering_starve_each_other() {
     let alone = |_| Box::new(PollSchedule::new(ON_REQUEST, 1, 0).pauses()) as Pauses;
     let discovery = lists::Discovery { cost: 0.1, overload: Overload::WorksOff, silent_until: 0.0 };
     let played = lists(discovery, (0..100).map(alone).collect());
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -132,8 +132,8 @@
         let ramp = Ramp { start, growth: settings.ramp(1_000.0) - start };
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
         let pace = PollSchedule::new(settings.discovery, settings.peers_total, seed);
-        let fetched = if pace.takes_turns() { None } else { discovery::fetch(config.discovery).await };
-        let revision = if pace.takes_turns() { Some(0) } else { fetched.as_ref().map(|list| list.revision) };
+        let fetched = if pace.is_staggered() { None } else { discovery::fetch(config.discovery).await };
+        let revision = if pace.is_staggered() { Some(0) } else { fetched.as_ref().map(|list| list.revision) };
         let engine = Engine::new(parts, &known, fetched.as_ref())?;
         for word in told.messages {
             if let Some(input) = word.into_input() {
