--- a/crates/sender/src/admission_state.rs
+++ b/crates/sender/src/admission_state.rs
@@ -1,27 +1,29 @@
-//! Whether clients are let in.
+//! Whether clients' connections and requests are accepted.
 
-/// The state of the clients' door.
+/// Admission state of clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdmissionState {
-    /// Clients come and stay.
+    /// Clients connect and stay connected.
     #[default]
     Accepting,
-    /// An operator drains this sender: who comes is served and then goes. What was taken on is delivered.
+    /// An operator drains this sender: a client's request is served and its connection closed. Accepted messages are
+    /// delivered.
     Drained,
-    /// The process is about to end.
+    /// The process is stopping.
     Stopping,
-    /// It is, and another one takes clients by the same listener: they miss nothing.
+    /// The process is stopping, and another one accepts clients on the same listening socket without interruption.
     HandingOver,
 }
 
 impl AdmissionState {
-    /// Whether the process is about to end.
-    pub fn ends(self) -> bool {
+    /// Whether the process is stopping.
+    pub fn is_stopping(self) -> bool {
         matches!(self, Self::Stopping | Self::HandingOver)
     }
 
-    /// The state that an operator asks for; a process that stops goes on stopping.
-    pub fn turned(self, to: Self) -> Self {
-        if matches!(self, Self::Accepting | Self::Drained) { to } else { self }
+    /// The state after an operator has requested another one: a process that is stopping goes on stopping.
+    #[must_use]
+    pub fn after_request(self, requested: Self) -> Self {
+        if self.is_stopping() { self } else { requested }
     }
 }
--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -1,20 +1,27 @@
-//! The operator's side: one line in, one answer out, on a listener of its own.
+//! Control listener: operators send one command line a connection and get one response.
 //!
-//! | line | answer |
+//! | command | response |
 //! | --- | --- |
-//! | `status` | `done` once this process can serve, else `error` |
-//! | `stats` | the figures as one line of JSON, then the line `end` |
-//! | `standby` | `done`: no more clients; what was taken on is delivered |
-//! | `active` | `done`: clients again |
+//! | `status` | `done` if this process can serve, else `error` |
+//! | `stats` | the metrics as one line of JSON, then the line `end` |
+//! | `standby` | `done`: clients are drained; accepted messages are delivered |
+//! | `active` | `done`: clients are accepted again |
+
+mod command;
+mod connections;
+mod response;
+
+#[cfg(test)]
+mod golden;
 
 use std::cell::RefCell;
-use std::collections::BTreeMap;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{Notify, mpsc, oneshot, watch};
+use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
@@ -23,128 +30,95 @@
 use crate::event::Input;
 use crate::graceful_close;
 use crate::metrics::Metrics;
+use command::{Command, UnknownCommand};
+use connections::{ConnectionGuard, OpenConnections};
+use response::Response;
 
-/// Connections that are open at once; beyond it the longest open one goes.
-const MOST_CALLERS: usize = 12;
-/// A line is no longer than this.
-const LONGEST_LINE: u64 = 256;
-/// A call must be complete by then.
-const CALL_TIME: Duration = Duration::from_secs(5);
-/// For so long the engine is asked how it stands; then what it said last is told. A caller waits 1 s.
-const LOOK_TIME: Duration = Duration::from_millis(300);
-
-/// What an operator may ask for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Call {
-    Status,
-    Stats,
-    SetAdmission(AdmissionState),
-}
-
-impl Call {
-    fn read(line: &str) -> Option<Self> {
-        match line.trim() {
-            "status" => Some(Self::Status),
-            "stats" => Some(Self::Stats),
-            "standby" => Some(Self::SetAdmission(AdmissionState::Drained)),
-            "active" => Some(Self::SetAdmission(AdmissionState::Accepting)),
-            _ => None,
-        }
-    }
-}
+/// Maximum length of a command line, in bytes.
+const MAX_LINE_LEN: u64 = 256;
+/// How long a command may take to be read, executed and answered.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long the engine is queried for its status before the last known one is reported. Operators wait 1 s.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What answers operators.
+/// Serves the control protocol.
 #[derive(Debug)]
 pub struct ControlListener {
+    /// The metrics that `stats` reports.
     pub metrics: Rc<Metrics>,
-    pub door: watch::Sender<AdmissionState>,
-    pub host: mpsc::Sender<Input>,
+    /// Whether clients are accepted.
+    pub admission_state: watch::Sender<AdmissionState>,
+    /// The engine, which is queried for its status.
+    pub engine: mpsc::Sender<Input>,
 }
 
 impl ControlListener {
-    /// Answers for good.
+    /// Accepts connections forever; each is served by a task of its own, which ends by [`COMMAND_TIMEOUT`] or when newer
+    /// connections need its descriptor.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
-        let callers: Rc<RefCell<BTreeMap<u64, Rc<Notify>>>> = Rc::default();
+        let open = Rc::new(OpenConnections::default());
         let mut acceptor = Acceptor::new(listener, "control");
         for number in 0.. {
-            let (mut stream, _) = acceptor.next(|| ()).await;
-            if callers.borrow().len() >= MOST_CALLERS
-                && let Some((_, oldest)) = callers.borrow_mut().pop_first()
-            {
-                oldest.notify_one();
-            }
-            let close = Rc::new(Notify::new());
-            callers.borrow_mut().insert(number, close.clone());
-            let (this, callers) = (self.clone(), callers.clone());
-            spawn_local(async move {
-                tokio::select! {
-                    biased;
-                    () = close.notified() => {}
-                    // Who says nothing, or does not read the answer, is let go.
-                    _ = timeout(CALL_TIME, this.serve(&mut stream)) => {}
-                }
-                graceful_close::finish(&Rc::new(RefCell::new(stream)), close.notified()).await;
-                callers.borrow_mut().remove(&number);
-            });
+            let (stream, _) = acceptor.next(|| ()).await;
+            spawn_local(self.clone().serve_connection(stream, open.add(number)));
+        }
+    }
+
+    /// Serves one command, and closes the connection without a reset.
+    async fn serve_connection(self: Rc<Self>, mut stream: TcpStream, guard: ConnectionGuard) {
+        tokio::select! {
+            biased;
+            () = guard.close_requested() => {}
+            // An operator that sends nothing, or does not read the response, is disconnected.
+            _ = timeout(COMMAND_TIMEOUT, self.serve_command(&mut stream)) => {}
         }
+        graceful_close::finish(&Rc::new(RefCell::new(stream)), guard.close_requested()).await;
     }
 
-    async fn serve(&self, stream: &mut TcpStream) -> std::io::Result<()> {
+    async fn serve_command(&self, stream: &mut TcpStream) -> io::Result<()> {
         let (reader, mut writer) = stream.split();
         let mut line = Vec::new();
-        BufReader::new(reader.take(LONGEST_LINE)).read_until(b'\n', &mut line).await?;
+        BufReader::new(reader.take(MAX_LINE_LEN)).read_until(b'\n', &mut line).await?;
         if line.is_empty() {
             return Ok(());
         }
-        let call = std::str::from_utf8(&line).ok().filter(|line| line.ends_with('\n')).and_then(Call::read);
-        writer.write_all(self.answer(call).await.as_bytes()).await?;
+        let response = self.respond(Command::parse(&line)).await;
+        writer.write_all(response.to_string().as_bytes()).await?;
         writer.shutdown().await
     }
 
-    async fn answer(&self, call: Option<Call>) -> String {
-        match call {
-            Some(Call::Status) if self.door.borrow().ends() => "error stopping\n".to_owned(),
-            Some(Call::Status) => "done\n".to_owned(),
-            Some(Call::Stats) => {
-                self.look().await;
-                format!("{}\nend\n", self.metrics.to_json())
-            }
-            Some(Call::SetAdmission(to)) => {
-                // Not borrowed while it is replaced: that waits for itself.
-                let before = *self.door.borrow();
-                let now = before.turned(to);
-                if self.door.send_replace(now) != now {
-                    tracing::info!(from = ?before, to = ?now, "admission state changed");
-                }
-                if now == to { "done\n".to_owned() } else { "error stopping\n".to_owned() }
+    /// Executes a command.
+    async fn respond(&self, command: Result<Command, UnknownCommand>) -> Response {
+        match command {
+            Ok(Command::Status) if self.admission_state.borrow().is_stopping() => Response::Stopping,
+            Ok(Command::Status) => Response::Done,
+            Ok(Command::Stats) => {
+                self.update_engine_status().await;
+                Response::Stats(self.metrics.to_json())
             }
-            None => "error: one line of status, stats, standby or active is wanted\n".to_owned(),
+            Ok(Command::SetAdmission(requested)) => self.set_admission(requested),
+            Err(error) => Response::Unknown(error),
         }
     }
 
-    /// Has the engine say how it stands, if it can soon.
-    async fn look(&self) {
-        let (standing, said) = oneshot::channel();
-        if self.host.try_send(Input::QueryStatus(standing)).is_ok()
-            && let Ok(Ok(standing)) = timeout(LOOK_TIME, said).await
-        {
-            self.metrics.stand(standing);
+    /// Changes the admission state, unless the process is stopping.
+    fn set_admission(&self, requested: AdmissionState) -> Response {
+        // Copied first: it must not be borrowed while it is replaced.
+        let from = *self.admission_state.borrow();
+        let to = from.after_request(requested);
+        if self.admission_state.send_replace(to) != to {
+            tracing::info!(?from, ?to, "admission state changed");
         }
+        if to == requested { Response::Done } else { Response::Stopping }
     }
-}
-
-#[cfg(test)]
-mod golden;
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn calls_are_read_whole_words_and_nothing_else() {
-        assert_eq!(Call::read("status\r\n"), Some(Call::Status));
-        assert_eq!(Call::read("standby\n"), Some(Call::SetAdmission(AdmissionState::Drained)));
-        assert_eq!(Call::read("stand by\n"), None);
-        assert_eq!(Call::read("STATS\n"), None);
+    /// Queries the engine for its status; the last known one stays if it does not respond in time.
+    async fn update_engine_status(&self) {
+        let (status, reported) = oneshot::channel();
+        if self.engine.try_send(Input::QueryStatus(status)).is_ok()
+            && let Ok(Ok(status)) = timeout(STATUS_TIMEOUT, reported).await
+        {
+            self.metrics.stand(status);
+        }
     }
 }
--- a/crates/sender/src/control/golden.rs
+++ b/crates/sender/src/control/golden.rs
@@ -1,4 +1,4 @@
-//! What operators are answered, compared with the answers of the version before the renames.
+//! The responses of the control protocol, compared with recorded ones.
 
 use super::*;
 use crate::metrics::{End, EngineStatus};
@@ -6,7 +6,7 @@
 const SERVING: &str = include_str!("../../tests/golden/control.serving.txt");
 const STOPPING: &str = include_str!("../../tests/golden/control.stopping.txt");
 
-/// Figures in which no two numbers are alike.
+/// Metrics in which no two numbers are equal.
 fn metrics() -> Metrics {
     let metrics = Metrics::new(&["keyed".to_owned(), "a \"b\"".to_owned(), "plain".to_owned()]);
     let ends = [(0, End::Delivered, 1), (0, End::Refused, 2), (0, End::Failed, 3), (2, End::Delivered, 4)];
@@ -19,46 +19,47 @@
     metrics
 }
 
-/// An operator's side whose door stands so, and what its engine is asked.
-fn operator(door: AdmissionState) -> (ControlListener, mpsc::Receiver<Input>) {
-    let (host, asked) = mpsc::channel(4);
-    (ControlListener { metrics: Rc::new(metrics()), door: watch::channel(door).0, host }, asked)
+/// A control listener in this state, and the engine's end of its queries.
+fn control(state: AdmissionState) -> (ControlListener, mpsc::Receiver<Input>) {
+    let (engine, queries) = mpsc::channel(4);
+    let admission_state = watch::channel(state).0;
+    (ControlListener { metrics: Rc::new(metrics()), admission_state, engine }, queries)
 }
 
-/// Each call after a `> `, and its answer.
-async fn transcript(operator: &ControlListener, calls: &[&str]) -> String {
+/// Each command after a `> `, and its response.
+async fn transcript(control: &ControlListener, commands: &[&str]) -> String {
     let mut text = String::new();
-    for call in calls {
-        let answer = operator.answer(Call::read(call)).await;
-        text.push_str(&format!("> {call}\n{answer}"));
+    for command in commands {
+        let response = control.respond(command.parse()).await;
+        text.push_str(&format!("> {command}\n{response}"));
     }
     text
 }
 
 #[tokio::test]
-async fn a_sender_that_serves_answers_each_call_as_before() {
-    let (operator, mut asked) = operator(AdmissionState::Accepting);
+async fn a_serving_sender_responds_to_each_command_as_recorded() {
+    let (control, mut queries) = control(AdmissionState::Accepting);
     let engine = async {
-        while let Some(Input::QueryStatus(standing)) = asked.recv().await {
+        while let Some(Input::QueryStatus(status)) = queries.recv().await {
             let now = EngineStatus { open_requests: 60, registry_entries: 70, out_of_rotation: 80 };
-            standing.send(now).expect("somebody asks");
+            status.send(now).expect("a query");
         }
     };
-    let calls = ["status", "stats", "standby", "status", "active", " status ", "", "STATUS", "stop"];
+    let commands = ["status", "stats", "standby", "status", "active", " status ", "", "STATUS", "stop"];
     let text = tokio::select! {
-        text = transcript(&operator, &calls) => text,
-        () = engine => unreachable!("the operator's side holds the other end"),
+        text = transcript(&control, &commands) => text,
+        () = engine => unreachable!("the listener holds the other end"),
     };
     assert_eq!(text, SERVING);
 }
 
-/// The engine has ended, too: the figures are those that it told last.
+/// The engine has ended, too: the metrics hold the status that it reported last.
 #[tokio::test]
-async fn a_sender_that_stops_answers_each_call_as_before() {
-    for door in [AdmissionState::Stopping, AdmissionState::HandingOver] {
-        let (operator, asked) = operator(door);
-        drop(asked);
-        let text = transcript(&operator, &["status", "stats", "standby", "active", "status"]).await;
-        assert_eq!(text, STOPPING, "{door:?}");
+async fn a_stopping_sender_responds_to_each_command_as_recorded() {
+    for state in [AdmissionState::Stopping, AdmissionState::HandingOver] {
+        let (control, queries) = control(state);
+        drop(queries);
+        let text = transcript(&control, &["status", "stats", "standby", "active", "status"]).await;
+        assert_eq!(text, STOPPING, "{state:?}");
     }
 }
--- /dev/null
+++ b/crates/sender/src/control/response.rs
@@ -0,0 +1,29 @@
+//! Responses of the control protocol.
+
+use std::fmt;
+
+use super::command::UnknownCommand;
+
+/// The response to a command. [`fmt::Display`] gives the bytes on the wire, with the end of the last line.
+#[derive(Debug)]
+pub(super) enum Response {
+    /// The command is in effect.
+    Done,
+    /// The process is stopping.
+    Stopping,
+    /// The metrics, as one line of JSON.
+    Stats(String),
+    /// The line is not a command.
+    Unknown(UnknownCommand),
+}
+
+impl fmt::Display for Response {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Done => writeln!(formatter, "done"),
+            Self::Stopping => writeln!(formatter, "error stopping"),
+            Self::Stats(metrics) => writeln!(formatter, "{metrics}\nend"),
+            Self::Unknown(error) => writeln!(formatter, "error: {error}"),
+        }
+    }
+}
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -166,7 +166,8 @@
             if let Ok(addr) = listener.local_addr() {
                 tracing::info!("operators: listening on {addr}");
             }
-            let operator = ControlListener { metrics, door: door.clone(), host: to_engine.clone() };
+            let operator =
+                ControlListener { metrics, admission_state: door.clone(), engine: to_engine.clone() };
             spawn_local(Rc::new(operator).run(listener));
         }
         let control = Control { to_engine, door, discovery, peer_process, shared_door };
