--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -59,7 +59,7 @@
         let open = Rc::new(OpenConnections::default());
         let mut acceptor = Acceptor::new(listener, "control");
         for number in 0.. {
-            let (stream, _) = acceptor.next(|| ()).await;
+            let (stream, _) = acceptor.accept(|| ()).await;
             spawn_local(self.clone().serve_connection(stream, open.add(number)));
         }
     }
