--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -28,7 +28,7 @@
 use crate::handover::{self, HandoverMessage, PeerProcess};
 use crate::metrics::{End, EngineStatus, Metrics};
 use crate::notifications::Notifications;
-use crate::outbound::{CallOut, Outbound, Route};
+use crate::outbound::{CallHandle, Outbound, Route};
 
 /// After SIGTERM, calls start for so long: what starts later may not finish.
 const STOP_SENDING: Duration = Duration::from_millis(2_000);
@@ -108,7 +108,7 @@
     next_route: u64,
     destinations: HashSet<DestinationId>,
     zones: Vec<String>,
-    calls: HashMap<MessageHandle, CallOut>,
+    calls: HashMap<MessageHandle, CallHandle>,
     wakes: Vec<(Instant, u64)>,
     /// Inputs and events left for the next batch, and what the module has no room for yet, the best last.
     deferred: Vec<Input>,
@@ -224,7 +224,7 @@
             self.batch(inputs);
             if self.stopped() {
                 // Another process may have the journal from now on, and call again.
-                self.calls.values().for_each(CallOut::cancel);
+                self.calls.values().for_each(CallHandle::cancel);
                 return;
             }
         }
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -1,6 +1,7 @@
 //! Attempts: their place in the journal, the calls, and what came of them.
 
 use super::*;
+use crate::outbound::ReceiverLocation;
 
 /// A message's time counts from when its client sent it; ours begins later by its way here, a tick in which it waits
 /// for the batch, and another. So much before the end as we know it an answer can no longer be told from one that
@@ -25,7 +26,7 @@
         let ticks = Duration::from_secs_f64(TICKS * self.settings.tick.max(0.0) / 1_000.0);
         let held = self.held.get_mut(&id)?;
         let last = held.ends_at.checked_sub(ticks + ON_ITS_WAY).unwrap_or(now);
-        let (receiver, zone) = self.outbound.place(route)?;
+        let ReceiverLocation { receiver, zone } = self.outbound.receiver_location(route)?;
         let attempt = held.attempts;
         held.attempts += 1;
         let destination = self.routes.get(&receiver).and_then(|known| known.destination);
@@ -65,6 +66,6 @@
     /// The call is asked to end. Its outcome comes from the call itself, as that of any other: the module sends
     /// the message again only then, so that no attempt's outcome is taken for that of another.
     pub(super) fn cancel(&mut self, id: MessageHandle, attempt: u32) {
-        self.calls.get(&id).filter(|call| call.attempt == attempt).into_iter().for_each(CallOut::cancel);
+        self.calls.get(&id).filter(|call| call.attempt == attempt).into_iter().for_each(CallHandle::cancel);
     }
 }
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -63,7 +63,7 @@
                     self.wakes.push((now + delay, token));
                 }
                 Action::Cancel { id, attempt } => self.cancel(id, attempt),
-                Action::HealthCheck { route } => self.outbound.probe(route),
+                Action::HealthCheck { route } => self.outbound.start_health_check(route),
                 // The watch is always on.
                 Action::Subscribe => {}
                 Action::Remember { destination, route, outage } => {
@@ -106,7 +106,7 @@
         notices.into_iter().for_each(|notice| self.reports.push(notice));
         for call in calls {
             let id = call.id;
-            self.calls.insert(id, self.outbound.start(call));
+            self.calls.insert(id, self.outbound.start_call(call));
         }
         if self.peer_process.is_there() && self.told_out != self.calls.len() {
             self.told_out = self.calls.len();
--- a/crates/sender/src/engine/list.rs
+++ b/crates/sender/src/engine/list.rs
@@ -9,7 +9,7 @@
         let entries: Vec<RouteEntry> = list.members.iter().map(|member| self.member(member, now)).collect();
         if list.complete {
             let listed: HashSet<RouteId> = entries.iter().map(|e| e.route).collect();
-            self.outbound.keep_only(&listed);
+            self.outbound.retain_routes(&listed);
             let missing = self.routes.values_mut().filter(|known| !listed.contains(&known.route));
             missing.for_each(|known| known.gone_at = known.gone_at.or(Some(now)));
         }
@@ -46,10 +46,10 @@
             receiver: member.id.as_str().into(),
             zone: member.locality.as_str().into(),
             destination: entry.destination,
-            apart: self.settings.kinds.get(kind).is_some_and(|kind| kind.routes_apart),
+            has_own_backoff: self.settings.kinds.get(kind).is_some_and(|kind| kind.routes_apart),
             listing,
         };
-        self.outbound.list(entry.route, route);
+        self.outbound.update_route(entry.route, route);
         entry
     }
 
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -144,8 +144,8 @@
     ) {
         let receiver = match route {
             None => "".into(),
-            Some(route) => match self.outbound.place(route) {
-                Some((receiver, _)) => receiver,
+            Some(route) => match self.outbound.receiver_location(route) {
+                Some(location) => location.receiver,
                 // It has left the list.
                 None => return,
             },
--- a/crates/sender/src/engine/standing.rs
+++ b/crates/sender/src/engine/standing.rs
@@ -12,7 +12,7 @@
     pub(super) fn demands(&self) -> Vec<(LimitId, Demand)> {
         let named = |want: Demand| {
             let receiver = match want.route {
-                Some(route) => Some(self.outbound.place(route)?.0),
+                Some(route) => Some(self.outbound.receiver_location(route)?.receiver),
                 None => None,
             };
             Some((LimitId::of(want.destination.0, receiver.as_deref()), want))
--- a/crates/sender/src/engine/succession.rs
+++ b/crates/sender/src/engine/succession.rs
@@ -1,7 +1,7 @@
 //! Two processes of one sender for a while.
 
 use super::*;
-use crate::outbound::LONGEST_WAIT;
+use crate::outbound::MAX_BACKOFF_MS;
 
 impl Engine {
     /// A successor gets half of the disk, and hears what is known of outages and waits.
@@ -30,7 +30,7 @@
             let (destination, receiver) = (*destination, receiver.to_string());
             self.peer_process.tell(HandoverMessage::OutageState { destination, receiver, outage });
         }
-        self.outbound.waits().into_iter().for_each(|word| self.peer_process.tell(word));
+        self.outbound.active_backoffs().into_iter().for_each(|word| self.peer_process.tell(word));
         self.told_out = self.calls.len();
         self.peer_process.tell(HandoverMessage::Out(self.told_out));
         self.peer_process.tell(HandoverMessage::FreeSpace);
@@ -42,10 +42,10 @@
             if let HandoverMessage::OutageState { destination, receiver, outage } = word {
                 let outage = match *outage {
                     handover::OutageState::Down { wait } => {
-                        journal::OutageState::Down { wait: wait.min(LONGEST_WAIT as u64) }
+                        journal::OutageState::Down { wait: wait.min(MAX_BACKOFF_MS as u64) }
                     }
                     handover::OutageState::WarmingUp { ago, part } => {
-                        let ago = ago.max(-(LONGEST_WAIT as i64));
+                        let ago = ago.max(-(MAX_BACKOFF_MS as i64));
                         journal::OutageState::WarmingUp { ago, part: part.clamp(0.0, 1.0) }
                     }
                 };
@@ -61,8 +61,8 @@
             // One that is on no list here gets nothing anyway.
             Some(receiver) => Some(self.routes.get(receiver)?.route),
         };
-        let (destination, wait) = (DestinationId(destination), wait.clamp(0.0, LONGEST_WAIT));
-        self.outbound.heed(destination, route, wait);
+        let (destination, wait) = (DestinationId(destination), wait.clamp(0.0, MAX_BACKOFF_MS));
+        self.outbound.apply_backoff(destination, route, wait);
         Some(Event::RetryAfter { destination, route, wait })
     }
 
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -98,7 +98,7 @@
         let answer = b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 30000\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(answer).await.expect("writable");
         // The wait is noted before the outcome is told.
-        until(|| !engine.outbound.waits().is_empty()).await;
+        until(|| !engine.outbound.active_backoffs().is_empty()).await;
         cancel(&mut engine);
         until(|| {
             batch(&mut engine);
--- a/crates/sender/src/inbound/tests.rs
+++ b/crates/sender/src/inbound/tests.rs
@@ -84,7 +84,7 @@
                 panic!("not submitted")
             };
             submission.answer.send(Answer::Accepted).expect("it waits for the decision");
-            std::future::pending::<()>().await
+            std::future::pending::<()>().await;
         };
         let either = async {
             tokio::select! { () = responded => {}, () = accepted => {} }
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -1,161 +1,151 @@
-//! Calls to receivers: the routes as last told, the pool of kept connections, calls and probes.
+//! Sends calls and health checks to receivers, over pooled connections and within the receivers' backoffs.
 
 mod backoff;
+mod connection;
 mod exchange;
 mod outcome;
 mod pool;
+mod request;
+mod response;
+mod routes;
 
-use std::cell::RefCell;
-use std::collections::{HashMap, HashSet};
-use std::net::SocketAddr;
-use std::rc::{Rc, Weak};
+use std::collections::HashSet;
+use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-use bytes::Bytes;
-use http_body_util::{BodyExt, Full, Limited};
-use hyper::body::{Body, Incoming};
-use hyper::client::conn::http1::{self, SendRequest};
-use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue};
-use hyper::{Request, Response, StatusCode};
-use rudderspindle_journal::{MAX_BODY, MessageId};
-use rudderspindle_policy::interface::*;
-use socket2::SockRef;
-use tokio::net::TcpStream;
+use rudderspindle_policy::interface::{Listing, RouteId, Settings};
 use tokio::sync::{Notify, Semaphore, mpsc};
-use tokio::task::{JoinHandle, spawn_local};
-use tokio::time::{Instant, sleep_until, timeout, timeout_at};
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep};
 
-use crate::event::{AttemptResult, Call, IDEMPOTENCY_KEY, Input, STORY};
-use crate::handover::{HandoverMessage, PeerProcess};
+use crate::event::{Call, Input};
+use crate::handover::PeerProcess;
 use crate::metrics::Metrics;
-use crate::write_progress::{MAX_BUFFER, TrackedStream, WriteProgress};
-use backoff::Waits;
-use exchange::Bounds;
-pub use outcome::LONGEST_WAIT;
-use pool::{Connection, IDLE_MARGIN};
+use backoff::Backoffs;
+use exchange::Exchange;
+pub use outcome::MAX_BACKOFF_MS;
+use pool::{IDLE_CLOSE_MARGIN, IdlePool};
+use routes::RouteTable;
+pub use routes::{ReceiverLocation, Route};
 
-pub use backoff::Route;
+/// How often expired idle connections and backoffs are removed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-const SWEEP: Duration = Duration::from_millis(500);
-const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
-
-/// A call that is out, as its owner holds it.
+/// Cancels a call that is in flight.
 #[derive(Debug)]
-pub struct CallOut {
+pub struct CallHandle {
+    /// The attempt that the call makes.
     pub attempt: u32,
     cancelled: Rc<Notify>,
 }
 
-impl CallOut {
-    /// Asks for the call's end. Its one outcome comes as ever, and is what the call knows by then: an answer
-    /// that has been read, or that is on its way to the host, is not lost.
+impl CallHandle {
+    /// Asks for the call's end. Its one outcome is still reported, and is what the call knows by then: a response that
+    /// has been read, or is being reported, is not lost.
     pub fn cancel(&self) {
         self.cancelled.notify_one();
     }
 }
 
-/// Everything that calls share.
+/// State shared by all calls.
 #[derive(Debug)]
 pub struct Outbound {
-    routes: RefCell<HashMap<RouteId, Route>>,
-    /// Until when nothing may be sent.
-    waits: RefCell<HashMap<Waits, Instant>>,
-    idle: RefCell<HashMap<RouteId, Vec<Connection>>>,
-    sockets: Arc<Semaphore>,
+    routes: RouteTable,
+    backoffs: Backoffs,
+    idle: IdlePool,
+    /// One permit for each connection that may be opened.
+    free_connections: Arc<Semaphore>,
     connect_timeout: Duration,
-    idle_time: Duration,
     metrics: Rc<Metrics>,
-    /// Hears of every wait that is told.
+    /// Is notified of every backoff that a receiver asks for.
     peer_process: Rc<PeerProcess>,
-    host: mpsc::Sender<Input>,
+    to_engine: mpsc::Sender<Input>,
 }
 
 impl Outbound {
+    /// No route is known, and at most `max_connections` may be opened. Outcomes go to `to_engine`.
     pub fn new(
         settings: &Settings,
-        sockets: usize,
+        max_connections: usize,
         metrics: Rc<Metrics>,
         peer_process: Rc<PeerProcess>,
-        host: mpsc::Sender<Input>,
+        to_engine: mpsc::Sender<Input>,
     ) -> Self {
         let idle_close = Duration::from_secs_f64(settings.idle_close.max(0.0) / 1_000.0);
+        let max_idle_time = idle_close.saturating_sub(IDLE_CLOSE_MARGIN).max(idle_close / 2);
         Self {
-            routes: RefCell::default(),
-            waits: RefCell::default(),
-            idle: RefCell::default(),
-            sockets: Arc::new(Semaphore::new(sockets)),
+            routes: RouteTable::default(),
+            backoffs: Backoffs::default(),
+            idle: IdlePool::new(max_idle_time),
+            free_connections: Arc::new(Semaphore::new(max_connections)),
             connect_timeout: Duration::from_secs_f64(settings.connect_timeout.max(1.0) / 1_000.0),
-            idle_time: idle_close.saturating_sub(IDLE_MARGIN).max(idle_close / 2),
             metrics,
             peer_process,
-            host,
+            to_engine,
         }
     }
 
-    /// Takes in what the list says of a route. Connections that it makes useless are closed.
-    pub fn list(&self, id: RouteId, route: Route) {
-        let keeps = route.listing == Listing::Ready
-            && self.routes.borrow().get(&id).is_some_and(|r| r.addr == route.addr);
-        if !keeps {
-            self.idle.borrow_mut().remove(&id);
-        }
-        if route.listing == Listing::Gone {
-            // Receivers come and go all day under ever new names.
-            self.routes.borrow_mut().remove(&id);
-        } else {
-            self.routes.borrow_mut().insert(id, route);
+    /// Takes in an entry of the endpoint list. Idle connections that it makes useless are closed.
+    pub fn update_route(&self, id: RouteId, route: Route) {
+        let connections_usable =
+            route.listing == Listing::Ready && self.routes.address_matches(id, route.addr);
+        if !connections_usable {
+            self.idle.remove_route(id);
         }
+        self.routes.update(id, route);
     }
 
-    /// A whole list has come: what it does not name is gone.
-    pub fn keep_only(&self, listed: &HashSet<RouteId>) {
-        self.routes.borrow_mut().retain(|id, _| listed.contains(id));
-        self.idle.borrow_mut().retain(|id, _| listed.contains(id));
+    /// Removes all routes that a complete endpoint list does not name.
+    pub fn retain_routes(&self, listed: &HashSet<RouteId>) {
+        self.routes.retain(listed);
+        self.idle.retain_routes(listed);
     }
 
-    /// A receiver's name and zone.
-    pub fn place(&self, id: RouteId) -> Option<(Rc<str>, Rc<str>)> {
-        self.routes.borrow().get(&id).map(|r| (r.receiver.clone(), r.zone.clone()))
+    /// The name and the zone of a route's receiver.
+    pub fn receiver_location(&self, id: RouteId) -> Option<ReceiverLocation> {
+        self.routes.receiver_location(id)
     }
 
-    /// Closes connections that have stood idle for too long, for good.
+    /// Removes expired idle connections and backoffs, until the runtime ends.
     pub async fn sweep(&self) {
         loop {
-            tokio::time::sleep(SWEEP).await;
+            sleep(SWEEP_INTERVAL).await;
             let now = Instant::now();
-            self.idle.borrow_mut().retain(|_, idle| {
-                idle.retain(|c| c.config(now, self.idle_time));
-                !idle.is_empty()
-            });
-            self.waits.borrow_mut().retain(|_, until| *until > now);
+            self.idle.remove_expired(now);
+            self.backoffs.remove_expired(now);
         }
     }
 
-    /// Starts a call; what comes of it is told to the host, once.
-    pub fn start(self: &Rc<Self>, call: Call) -> CallOut {
-        let (this, cancelled) = (self.clone(), Rc::new(Notify::new()));
-        let out = CallOut { attempt: call.attempt, cancelled: cancelled.clone() };
+    /// Starts a call, whose one outcome is reported to the engine.
+    ///
+    /// Its task ends by itself, at the call's deadline at the latest; [`CallHandle::cancel`] ends it before.
+    pub fn start_call(self: &Rc<Self>, call: Call) -> CallHandle {
+        let cancelled = Rc::new(Notify::new());
+        let handle = CallHandle { attempt: call.attempt, cancelled: cancelled.clone() };
+        let outbound = self.clone();
         spawn_local(async move {
-            let (id, attempt) = (call.id, call.attempt);
-            let (report, rest) = this.call(&call, &cancelled).await;
-            let _ = this.host.send(Input::Outcome { id, attempt, report }).await;
-            this.finish(call.route, rest).await;
+            let exchange = Exchange::call(&call, &cancelled);
+            let exchanged = outbound.exchange(&exchange).await;
+            let outcome = Input::Outcome { id: call.id, attempt: call.attempt, report: exchanged.result };
+            let _ = outbound.to_engine.send(outcome).await;
+            outbound.recycle(call.route, exchanged.used_connection).await;
         });
-        out
+        handle
     }
 
-    /// Starts a probe; what comes of it is told to the host.
-    pub fn probe(self: &Rc<Self>, route: RouteId) {
-        let this = self.clone();
+    /// Starts a health check, whose outcome is reported to the engine.
+    ///
+    /// Its task ends by itself, after [`request::HEALTH_CHECK_TIMEOUT`] at the latest.
+    pub fn start_health_check(self: &Rc<Self>, route: RouteId) {
+        let outbound = self.clone();
         spawn_local(async move {
-            let until = Instant::now() + PROBE_TIMEOUT;
-            let bounds = Bounds { until, latest: until, keyed_repeat: false };
-            let request =
-                |host: HeaderValue, _| Request::get("/-/healthy").header(HOST, host).body(Full::default());
-            let (report, rest) = this.exchange(route, &bounds, &Notify::new(), None, request).await;
-            let _ = this.host.send(Input::HealthChecked { route, outcome: report.outcome }).await;
-            this.finish(route, rest).await;
+            let never_cancelled = Notify::new();
+            let exchange = Exchange::health_check(route, &never_cancelled);
+            let exchanged = outbound.exchange(&exchange).await;
+            let outcome = exchanged.result.outcome;
+            let _ = outbound.to_engine.send(Input::HealthChecked { route, outcome }).await;
+            outbound.recycle(route, exchanged.used_connection).await;
         });
     }
 }
--- a/crates/sender/src/outbound/backoff.rs
+++ b/crates/sender/src/outbound/backoff.rs
@@ -1,76 +1,107 @@
-//! Routes, and until when nothing may be sent to them.
-
-use super::*;
-
-/// A receiver as the list tells of it.
-#[derive(Debug)]
-pub struct Route {
-    pub addr: Option<SocketAddr>,
-    pub receiver: Rc<str>,
-    pub zone: Rc<str>,
-    pub destination: DestinationId,
-    /// Whether it has waits of its own, apart from its destination's.
-    pub apart: bool,
-    pub listing: Listing,
-}
+//! Keeps calls from receivers that asked for a pause, and shares these pauses with the peer process.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::time::Duration;
+
+use rudderspindle_policy::interface::{DestinationId, Millis, RouteId};
+use tokio::time::Instant;
+
+use super::{MAX_BACKOFF_MS, Outbound};
+use crate::handover::HandoverMessage;
 
-/// What a told wait holds for: a route that is apart, or else a destination.
+/// What a backoff holds for: a route with backoffs of its own, or else a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Waits {
+pub(super) enum BackoffScope {
     Route(RouteId),
     Destination(DestinationId),
 }
 
-impl Route {
-    pub(super) fn waits(&self, id: RouteId) -> Waits {
-        if self.apart { Waits::Route(id) } else { Waits::Destination(self.destination) }
+/// What is left of a backoff.
+#[derive(Clone, Copy, Debug)]
+struct RemainingBackoff {
+    scope: BackoffScope,
+    remaining: Millis,
+}
+
+/// Until when nothing may be sent, by scope.
+#[derive(Debug, Default)]
+pub(super) struct Backoffs {
+    backoff_until: RefCell<HashMap<BackoffScope, Instant>>,
+}
+
+impl Backoffs {
+    /// Starts a backoff that ends after `wait`, or extends the present one. The scope may be that of a route that has
+    /// left the list since: its destination has others.
+    pub(super) fn extend(&self, scope: BackoffScope, wait: Millis) {
+        let until = Instant::now() + Duration::from_secs_f64(wait / 1_000.0);
+        let mut backoff_until = self.backoff_until.borrow_mut();
+        let present = backoff_until.entry(scope).or_insert(until);
+        *present = (*present).max(until);
+    }
+
+    /// Removes the backoffs that have ended.
+    pub(super) fn remove_expired(&self, now: Instant) {
+        self.backoff_until.borrow_mut().retain(|_, until| *until > now);
+    }
+
+    fn is_active(&self, scope: BackoffScope) -> bool {
+        self.backoff_until.borrow().get(&scope).is_some_and(|&until| until > Instant::now())
+    }
+
+    fn remaining(&self) -> Vec<RemainingBackoff> {
+        let now = Instant::now();
+        let remaining_of = |until: Instant| until.saturating_duration_since(now).as_secs_f64() * 1_000.0;
+        let backoff_until = self.backoff_until.borrow();
+        let remaining = backoff_until
+            .iter()
+            .map(|(&scope, &until)| RemainingBackoff { scope, remaining: remaining_of(until) });
+        remaining.collect()
+    }
+
+    #[cfg(test)]
+    pub(super) fn len(&self) -> usize {
+        self.backoff_until.borrow().len()
     }
 }
 
 impl Outbound {
-    /// Whether the route takes calls at this moment.
-    pub(super) fn may_send(&self, id: RouteId) -> bool {
-        let routes = self.routes.borrow();
-        let Some(route) = routes.get(&id).filter(|r| r.listing == Listing::Ready) else { return false };
-        self.waits.borrow().get(&route.waits(id)).is_none_or(|&until| until <= Instant::now())
+    /// Applies a backoff that the peer process reports, of a route or else of a whole destination.
+    pub fn apply_backoff(&self, destination: DestinationId, route: Option<RouteId>, wait: Millis) {
+        let scope = route.map_or(BackoffScope::Destination(destination), BackoffScope::Route);
+        self.backoffs.extend(scope, wait.clamp(0.0, MAX_BACKOFF_MS));
     }
 
-    /// The other process of this sender was told to wait.
-    pub fn heed(&self, destination: DestinationId, route: Option<RouteId>, wait: Millis) {
-        let waits = route.map_or(Waits::Destination(destination), Waits::Route);
-        self.wait(waits, wait.clamp(0.0, LONGEST_WAIT));
+    /// Every backoff that has not been removed, as one process reports it to the other.
+    pub fn active_backoffs(&self) -> Vec<HandoverMessage> {
+        let remaining = self.backoffs.remaining().into_iter();
+        remaining.map(|backoff| self.backoff_message(backoff.scope, backoff.remaining)).collect()
     }
 
-    /// Every wait that is not over, as one process tells it the other.
-    pub fn waits(&self) -> Vec<HandoverMessage> {
-        let now = Instant::now();
-        let left = |until: Instant| until.saturating_duration_since(now).as_secs_f64() * 1_000.0;
-        self.waits.borrow().iter().map(|(waits, until)| self.word(*waits, left(*until))).collect()
+    /// Applies the backoff that a receiver asks for, if it asks for one, and reports it to the peer process.
+    pub(super) fn apply_retry_after(&self, scope: BackoffScope, wait: Millis) {
+        if wait > 0.0 {
+            self.backoffs.extend(scope, wait);
+            self.peer_process.tell(self.backoff_message(scope, wait));
+        }
     }
 
-    pub(super) fn word(&self, waits: Waits, ms: Millis) -> HandoverMessage {
-        match waits {
-            Waits::Destination(DestinationId(destination)) => {
-                HandoverMessage::Wait { destination, receiver: None, ms }
+    /// Whether the route takes calls at this moment.
+    pub(super) fn accepts_calls(&self, id: RouteId) -> bool {
+        self.routes.ready_backoff_scope(id).is_some_and(|scope| !self.backoffs.is_active(scope))
+    }
+
+    fn backoff_message(&self, scope: BackoffScope, wait: Millis) -> HandoverMessage {
+        match scope {
+            BackoffScope::Destination(DestinationId(destination)) => {
+                HandoverMessage::Wait { destination, receiver: None, ms: wait }
             }
-            Waits::Route(route) => {
-                let routes = self.routes.borrow();
-                let route = routes.get(&route);
-                let destination = route.map_or(0, |r| r.destination.0);
-                HandoverMessage::Wait {
-                    destination,
-                    receiver: Some(route.map_or("", |r| &*r.receiver).to_owned()),
-                    ms,
-                }
+            BackoffScope::Route(route) => {
+                let location = self.routes.receiver_location(route);
+                let receiver = location.map_or_else(String::new, |location| location.receiver.to_string());
+                let destination = self.routes.destination(route).unwrap_or_default().0;
+                HandoverMessage::Wait { destination, receiver: Some(receiver), ms: wait }
             }
         }
     }
-
-    /// Also for a route that has left the list since: its destination has others.
-    pub(super) fn wait(&self, waits: Waits, wait: Millis) {
-        let until = Instant::now() + Duration::from_secs_f64(wait / 1_000.0);
-        let mut all = self.waits.borrow_mut();
-        let at = all.entry(waits).or_insert(until);
-        *at = (*at).max(until);
-    }
 }
--- /dev/null
+++ b/crates/sender/src/outbound/connection.rs
@@ -0,0 +1,148 @@
+//! Opens connections to receivers, and closes each so that nothing given up is executed later.
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::client::conn::http1::{self, SendRequest};
+use socket2::SockRef;
+use tokio::net::TcpStream;
+use tokio::sync::OwnedSemaphorePermit;
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::{Instant, timeout_at};
+
+use super::Outbound;
+use super::outcome::Interruption;
+use crate::write_progress::{MAX_BUFFER, TrackedStream, WriteProgress};
+
+/// A time-out of 0 would mean none.
+const MIN_USER_TIMEOUT: Duration = Duration::from_millis(1);
+
+/// A connection to a receiver. Dropping it closes it: with a reset, unless it is idle.
+#[derive(Debug)]
+pub(super) struct Connection {
+    pub(super) sender: SendRequest<Full<Bytes>>,
+    pub(super) write_progress: Rc<WriteProgress>,
+    /// Owned by the task.
+    pub(super) socket: Weak<RefCell<TcpStream>>,
+    addr: SocketAddr,
+    /// Drives the connection and holds its slot; aborted when the connection is dropped.
+    task: JoinHandle<()>,
+    idle_since: Instant,
+    is_idle: bool,
+    /// Whether the system's time-out for unacknowledged bytes is set.
+    has_user_timeout: bool,
+}
+
+impl Connection {
+    async fn open(addr: SocketAddr, slot: OwnedSemaphorePermit) -> Option<Self> {
+        let stream = TcpStream::connect(addr).await.ok()?;
+        stream.set_nodelay(true).ok()?;
+        // Whatever ends a connection with a call in flight, be it this process's death, discards what the system still
+        // holds of the call: later it would be executed after it was given up.
+        let _ = stream.set_zero_linger();
+        let write_progress = Rc::new(WriteProgress::tracking_responses());
+        let stream = Rc::new(RefCell::new(stream));
+        let socket = Rc::downgrade(&stream);
+        let tracked = TrackedStream::new(stream, write_progress.clone());
+        let (sender, http) = http1::Builder::new().max_buf_size(MAX_BUFFER).handshake(tracked).await.ok()?;
+        let task = spawn_local(async move {
+            let _slot = slot;
+            // How it ended shows in the request that was in flight.
+            let _ = http.await;
+        });
+        Some(Self {
+            sender,
+            write_progress,
+            socket,
+            addr,
+            task,
+            idle_since: Instant::now(),
+            is_idle: false,
+            has_user_timeout: false,
+        })
+    }
+
+    /// The receiver's address.
+    pub(super) fn addr(&self) -> SocketAddr {
+        self.addr
+    }
+
+    /// Since when it has been idle.
+    pub(super) fn idle_since(&self) -> Instant {
+        self.idle_since
+    }
+
+    /// Nothing is in flight on it.
+    pub(super) fn become_idle(&mut self) {
+        self.is_idle = true;
+        self.idle_since = Instant::now();
+    }
+
+    /// A request is about to be sent over it.
+    pub(super) fn leave_idle(&mut self) {
+        self.is_idle = false;
+    }
+
+    /// Whether it is open and has not been idle for too long.
+    pub(super) fn is_reusable(&self, now: Instant, max_idle_time: Duration) -> bool {
+        !self.sender.is_closed() && now - self.idle_since < max_idle_time
+    }
+
+    /// Limits how long the system sends again what is not acknowledged, or keeps what the receiver does not accept; the
+    /// system's default if `None`. Where the limit cannot be set, the request's own times bound it.
+    pub(super) fn limit_unacknowledged(&mut self, limit: Option<Duration>) {
+        if !self.has_user_timeout && limit.is_none() {
+            return;
+        }
+        let Some(socket) = self.socket.upgrade() else { return };
+        self.has_user_timeout = limit.is_some();
+        let limit = limit.map(|limit| limit.max(MIN_USER_TIMEOUT));
+        let _ = SockRef::from(&*socket.borrow()).set_tcp_user_timeout(limit);
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        if self.is_idle
+            && let Some(socket) = self.socket.upgrade()
+        {
+            let _ = SockRef::from(&*socket.borrow()).set_linger(None);
+        }
+        self.task.abort();
+    }
+}
+
+impl Outbound {
+    /// Opens a connection to a receiver, which takes until `deadline` at most.
+    ///
+    /// # Errors
+    ///
+    /// [`Interruption::Withheld`] if all slots are taken, [`Interruption::ConnectionBroken`] if it cannot be opened.
+    pub(super) async fn connect(
+        &self,
+        addr: SocketAddr,
+        deadline: Instant,
+    ) -> Result<Connection, Interruption> {
+        let slot = self.acquire_slot(deadline).await.ok_or(Interruption::Withheld)?;
+        let deadline = deadline.min(Instant::now() + self.connect_timeout);
+        let opened = timeout_at(deadline, Connection::open(addr, slot)).await;
+        opened.ok().flatten().ok_or(Interruption::ConnectionBroken)
+    }
+
+    /// The slot of one more connection, for which an idle one is closed if need be.
+    async fn acquire_slot(&self, deadline: Instant) -> Option<OwnedSemaphorePermit> {
+        if let Ok(slot) = self.free_connections.clone().try_acquire_owned() {
+            return Some(slot);
+        }
+        if !self.idle.close_longest_idle() {
+            return None;
+        }
+        // The slot of the connection that was closed is free once its task has been dropped.
+        let freed = timeout_at(deadline, self.free_connections.clone().acquire_owned()).await;
+        freed.ok()?.ok()
+    }
+}
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -1,188 +1,234 @@
-//! One call or probe: a request over one connection, and what comes back.
+//! Sends one request over a connection and determines its result from what is received.
 
-use super::outcome::{End, Heard, Sent, answered, answers, unanswered};
-use super::*;
+use std::time::Duration;
 
-const X_TXN: HeaderName = HeaderName::from_static("x-txn");
-const X_REMAINING: HeaderName = HeaderName::from_static("x-remaining");
-/// How long the rest of an answer may take before its connection is given up.
-const REST_OF_ANSWER: Duration = Duration::from_millis(500);
-/// ...and the rest of its head: it is written in one go.
-const HEAD_TIME: Duration = Duration::from_millis(500);
+use hyper::Response;
+use hyper::body::Incoming;
+use rudderspindle_policy::interface::{Outcome, RouteId};
+use tokio::sync::Notify;
+use tokio::time::{Instant, sleep_until};
 
-/// A connection, and the body that has not been read from it.
-pub(super) type Rest = (Connection, Option<Incoming>);
+use super::Outbound;
+use super::connection::Connection;
+use super::outcome::{
+    Interruption, RequestProgress, ResponseProgress, outcome_without_response, result_of_response,
+};
+use super::request::{OutgoingRequest, PreparedRequest, RequestTimes};
+use super::response::{ReliableResponse, UsedConnection};
+use super::routes::Target;
+use crate::event::{AttemptResult, Call, STORY};
 
-/// The times of a request.
+/// How long the rest of a response's head may take after its first byte: it is written at once.
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// A call or a health check, and what bounds it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Bounds {
-    /// When to stop waiting.
-    pub(super) until: Instant,
-    /// By when its last byte must be out: later it does not go.
-    pub(super) latest: Instant,
-    /// Whether it must not arrive after that either: an earlier call may have run, and its key is forgotten then.
-    pub(super) keyed_repeat: bool,
+pub(super) struct Exchange<'a> {
+    route: RouteId,
+    request: OutgoingRequest<'a>,
+    times: RequestTimes,
+    cancelled: &'a Notify,
 }
 
-impl Outbound {
-    pub(super) async fn call(&self, call: &Call, cancelled: &Notify) -> (AttemptResult, Option<Rest>) {
-        let request = |host: HeaderValue, patience: Duration| {
-            let mut request = Request::post("/v1/messages")
-                .header(HOST, host)
-                .header(X_TXN, &*call.message_id)
-                .header(X_REMAINING, format!("{:.3}", patience.as_secs_f64()));
-            if let Some(key) = &call.key {
-                request = request.header(IDEMPOTENCY_KEY, &**key);
-            }
-            request.body(Full::new(call.body.clone()))
-        };
-        let keyed_repeat = call.key.is_some() && call.attempt > 0;
-        let bounds = Bounds { until: call.until, latest: call.latest, keyed_repeat };
-        self.exchange(call.route, &bounds, cancelled, Some(&call.message_id), request).await
+/// What came of an exchange.
+#[derive(Debug)]
+pub(super) struct Exchanged {
+    pub(super) result: AttemptResult,
+    /// The connection, if it may be used again.
+    pub(super) used_connection: Option<UsedConnection>,
+}
+
+/// A connection to send a request over.
+#[derive(Debug)]
+struct AcquiredConnection {
+    connection: Connection,
+    /// Whether it was idle in the pool, and may turn out to have been closed by the receiver.
+    reused: bool,
+}
+
+impl<'a> Exchange<'a> {
+    /// A call that ends early when `cancelled` is notified.
+    pub(super) fn call(call: &'a Call, cancelled: &'a Notify) -> Self {
+        Self::new(call.route, OutgoingRequest::Call(call), cancelled)
     }
 
-    /// One request within its bounds, and the head of its answer; `message` is the one that a call is with, none for a probe.
-    pub(super) async fn exchange(
-        &self,
-        route: RouteId,
-        &Bounds { until, latest, keyed_repeat }: &Bounds,
-        cancelled: &Notify,
-        message: Option<&MessageId>,
-        request: impl Fn(HeaderValue, Duration) -> hyper::http::Result<Request<Full<Bytes>>>,
-    ) -> (AttemptResult, Option<Rest>) {
-        let moot = || (Outcome::NotSent.into(), None);
+    /// A health check that ends early when `cancelled` is notified.
+    pub(super) fn health_check(route: RouteId, cancelled: &'a Notify) -> Self {
+        Self::new(route, OutgoingRequest::HealthCheck, cancelled)
+    }
+
+    fn new(route: RouteId, request: OutgoingRequest<'a>, cancelled: &'a Notify) -> Self {
+        Self { route, request, times: request.times(), cancelled }
+    }
+
+    fn message_id(&self) -> Option<&str> {
+        self.request.message_id().map(|message_id| &**message_id)
+    }
+}
+
+impl From<Outcome> for Exchanged {
+    /// An exchange whose connection is not used again.
+    fn from(outcome: Outcome) -> Self {
+        Self { result: outcome.into(), used_connection: None }
+    }
+}
+
+impl Outbound {
+    /// Sends a request within its times and reads the head of its response.
+    pub(super) async fn exchange(&self, exchange: &Exchange<'_>) -> Exchanged {
         loop {
-            let known = self.routes.borrow().get(&route).and_then(|r| Some((r.addr?, r.waits(route))));
-            let Some((addr, waits)) = known else { return moot() };
-            let (mut connection, kept) = match self.kept(route) {
-                Some(connection) => (connection, true),
-                None => {
-                    let connected = tokio::select! {
-                        biased;
-                        () = cancelled.notified() => Err(End::Cancelled),
-                        connected = self.connect(addr, until.min(latest)) => connected,
-                    };
-                    match connected {
-                        Ok(connection) => (connection, false),
-                        // That it had so little time says nothing of the receiver.
-                        Err(_) if Instant::now() >= latest => return moot(),
-                        Err(end) => return (unanswered(Sent::Nothing, Heard::Nothing, end).into(), None),
-                    }
-                }
+            let Some(target) = self.routes.target(exchange.route) else { return Outcome::NotSent.into() };
+            let acquired = match self.acquire_connection(exchange, target).await {
+                Ok(acquired) => acquired,
+                Err(outcome) => return outcome.into(),
             };
-            // A drain or a wait may have been told since the decision, or a key's window or the call's time may
-            // be over, above all while connections came up or turned out to be dead.
-            let too_late = Instant::now() >= latest.min(until);
-            // What is announced is what is kept to, to the millisecond: an answer that comes later is none. The
-            // receiver takes its call for given up then, and the message is still owed its end.
-            let begun = Instant::now();
-            let patience = whole_ms(until.saturating_duration_since(begun));
-            let until = begun + patience;
-            let host = HeaderValue::from_str(&addr.to_string());
-            let request = host.ok().and_then(|host| request(host, patience).ok());
-            let Some(request) = request.filter(|_| self.may_send(route) && !too_late) else {
-                self.keep(route, connection);
-                return moot();
+            let Some(prepared) = self.prepare(exchange, target) else {
+                self.return_to_pool(exchange.route, acquired.connection);
+                return Outcome::NotSent.into();
             };
-            let write_progress = connection.write_progress.clone();
-            write_progress.reset();
-            if message.is_some() {
-                write_progress.count_when_complete(self.metrics.clone());
-            }
-            if keyed_repeat {
-                connection.limit_unacknowledged(Some(latest.saturating_duration_since(Instant::now())));
-            }
-            let answer = tokio::select! {
-                biased;
-                answer = connection.sender.send_request(request) => answer.map_err(|_| End::Broken),
-                () = write_progress.response_head_overdue(HEAD_TIME) => Err(End::Broken),
-                () = sleep_until(until) => Err(End::TimedOut),
-                () = write_progress.write_incomplete_at(latest) => Err(End::TimedOut),
-                () = cancelled.notified() => Err(End::Cancelled),
-            };
-            // The timer rings up to a tick late, and the answer of that tick stands first.
-            let late = write_progress.first_byte_received_at().is_some_and(|at| at >= until);
-            let end = match answer {
-                Ok(response) if late => {
-                    // What it tells of the partner holds all the same.
-                    self.heed_told(waits, answered(response.status(), response.headers()).wait);
-                    End::TimedOut
-                }
-                Ok(response) => match self.believe(response, Sent::of(&write_progress), until).await {
-                    Some((report, body)) => {
-                        tracing::debug!(target: STORY, message_id = message.map(|message_id| &**message_id), %addr, kept,
-                            outcome = ?report.outcome, wait = report.wait, "answered");
-                        self.heed_told(waits, report.wait);
-                        // Nothing more of a call that was turned away before its last byte.
-                        let rest = (Sent::of(&write_progress) == Sent::Whole).then_some((connection, body));
-                        return (report, rest);
-                    }
-                    None => End::Broken,
-                },
-                Err(end) => end,
-            };
-            let (sent, heard) =
-                (Sent::of(&write_progress), if late { Heard::Nothing } else { Heard::of(&write_progress) });
-            tracing::debug!(target: STORY, message_id = message.map(|message_id| &**message_id), ?end, kept, ?sent, ?heard, "broken off");
-            // A kept connection that the receiver closed, or that is not quiet, before a byte of this went out:
-            // no attempt yet.
-            if !(kept && end == End::Broken && sent == Sent::Nothing) {
-                return (unanswered(sent, heard, end).into(), None);
+            if let Some(exchanged) = self.exchange_over(acquired, exchange, target, prepared).await {
+                return exchanged;
             }
         }
     }
 
-    /// A receiver asks for a pause, or for none: the other process of this sender hears of it, too.
-    fn heed_told(&self, waits: Waits, wait: Millis) {
-        if wait > 0.0 {
-            self.wait(waits, wait);
-            self.peer_process.tell(self.word(waits, wait));
+    /// Takes an idle connection, or opens one.
+    ///
+    /// # Errors
+    ///
+    /// The outcome of the exchange if there is no connection for it.
+    async fn acquire_connection(
+        &self,
+        exchange: &Exchange<'_>,
+        target: Target,
+    ) -> Result<AcquiredConnection, Outcome> {
+        if let Some(connection) = self.idle.take(exchange.route) {
+            return Ok(AcquiredConnection { connection, reused: true });
+        }
+        let RequestTimes { respond_by, send_by, .. } = exchange.times;
+        let connected = tokio::select! {
+            biased;
+            () = exchange.cancelled.notified() => Err(Interruption::Cancelled),
+            connected = self.connect(target.addr, respond_by.min(send_by)) => connected,
+        };
+        match connected {
+            Ok(connection) => Ok(AcquiredConnection { connection, reused: false }),
+            // That it had so little time says nothing of the receiver.
+            Err(_) if Instant::now() >= send_by => Err(Outcome::NotSent),
+            Err(interruption) => Err(outcome_without_response(
+                RequestProgress::NotStarted,
+                ResponseProgress::Nothing,
+                interruption,
+            )),
         }
     }
 
-    /// What an answer says, and what is left to read of it. That a call never ran is believed only of an answer
-    /// that is well-formed to its end: a spoilt one may say anything, and its call has run.
-    async fn believe(
-        &self,
-        response: Response<Incoming>,
-        sent: Sent,
-        until: Instant,
-    ) -> Option<(AttemptResult, Option<Incoming>)> {
-        let report = answered(response.status(), response.headers());
-        if !answers(sent, report.outcome) {
+    /// The request, if it may still be sent: since it was decided its receiver may have started to drain or to back off,
+    /// or its time may have passed, above all while connections were opened or turned out to be closed.
+    fn prepare(&self, exchange: &Exchange<'_>, target: Target) -> Option<PreparedRequest> {
+        let RequestTimes { respond_by, send_by, .. } = exchange.times;
+        let now = Instant::now();
+        let too_late = now >= send_by.min(respond_by);
+        if too_late || !self.accepts_calls(exchange.route) {
             return None;
         }
-        let body = response.into_body();
-        if report.outcome.possibly_executed() {
-            return Some((report, Some(body)));
-        }
-        drain(body, until).await.then_some((report, None))
+        exchange.request.prepare(target.addr, respond_by, now).ok()
     }
 
-    /// Reads the rest of an answer, so that its connection can be used again.
-    pub(super) async fn finish(&self, route: RouteId, rest: Option<Rest>) {
-        let Some((mut connection, body)) = rest else { return };
-        let whole = match body {
-            Some(body) => drain(body, Instant::now() + REST_OF_ANSWER).await,
-            None => true,
+    /// Sends the request over a connection. Returns none if that was a pooled one which turned out to be unusable
+    /// before a byte was written, which is no attempt yet.
+    async fn exchange_over(
+        &self,
+        acquired: AcquiredConnection,
+        exchange: &Exchange<'_>,
+        target: Target,
+        prepared: PreparedRequest,
+    ) -> Option<Exchanged> {
+        let AcquiredConnection { mut connection, reused } = acquired;
+        let respond_by = prepared.respond_by;
+        let progress = connection.write_progress.clone();
+        self.track_request(exchange, &mut connection);
+        let response = send(&mut connection, exchange, prepared).await;
+        // The timer fires up to a tick late, and a response received in that tick is returned ahead of it.
+        let late = progress.first_byte_received_at().is_some_and(|received_at| received_at >= respond_by);
+        let interruption = match response {
+            Ok(response) if late => {
+                // What it says of the receiver holds all the same.
+                let result = result_of_response(response.status(), response.headers());
+                self.apply_retry_after(target.backoff_scope, result.wait);
+                Interruption::TimedOut
+            }
+            Ok(response) => {
+                let request_progress = RequestProgress::of(&progress);
+                match ReliableResponse::read(response, request_progress, respond_by).await {
+                    Some(response) => {
+                        return Some(self.complete(exchange, target, connection, reused, response));
+                    }
+                    None => Interruption::ConnectionBroken,
+                }
+            }
+            Err(interruption) => interruption,
         };
-        if whole && matches!(timeout(REST_OF_ANSWER, connection.sender.ready()).await, Ok(Ok(()))) {
-            self.keep(route, connection);
+        let sent = RequestProgress::of(&progress);
+        let received = if late { ResponseProgress::Nothing } else { ResponseProgress::of(&progress) };
+        tracing::debug!(target: STORY, message_id = exchange.message_id(), ?interruption, reused, ?sent, ?received,
+            "attempt ended without a usable response");
+        let no_attempt =
+            reused && interruption == Interruption::ConnectionBroken && sent == RequestProgress::NotStarted;
+        (!no_attempt).then(|| outcome_without_response(sent, received, interruption).into())
+    }
+
+    /// Starts tracking the progress of a request that is about to be written.
+    fn track_request(&self, exchange: &Exchange<'_>, connection: &mut Connection) {
+        connection.write_progress.reset();
+        if matches!(exchange.request, OutgoingRequest::Call(_)) {
+            connection.write_progress.count_when_complete(self.metrics.clone());
+        }
+        if exchange.times.keyed_retry {
+            let limit = exchange.times.send_by.saturating_duration_since(Instant::now());
+            connection.limit_unacknowledged(Some(limit));
         }
     }
-}
 
-/// Whole milliseconds: what `X-Remaining` can say.
-fn whole_ms(time: Duration) -> Duration {
-    time - Duration::from_nanos(u64::from(time.subsec_nanos()) % 1_000_000)
+    /// The result of a response that is relied on.
+    fn complete(
+        &self,
+        exchange: &Exchange<'_>,
+        target: Target,
+        connection: Connection,
+        reused: bool,
+        response: ReliableResponse,
+    ) -> Exchanged {
+        let ReliableResponse { result, unread_body } = response;
+        tracing::debug!(target: STORY, message_id = exchange.message_id(), addr = %target.addr, reused,
+            outcome = ?result.outcome, retry_after_ms = result.wait, "response received");
+        self.apply_retry_after(target.backoff_scope, result.wait);
+        // Nothing more is sent of a call that was rejected before its last byte was.
+        let request_complete = RequestProgress::of(&connection.write_progress) == RequestProgress::Complete;
+        let used_connection = request_complete.then_some(UsedConnection { connection, unread_body });
+        Exchanged { result, used_connection }
+    }
 }
 
-/// Reads a body to its end, if it has one that is near: receivers write at full speed what they write.
-async fn drain(body: Incoming, until: Instant) -> bool {
-    if body.size_hint().lower() > MAX_BODY as u64 {
-        return false;
+/// Writes the request and waits for the head of its response.
+///
+/// # Errors
+///
+/// Why it is no longer waited for.
+async fn send(
+    connection: &mut Connection,
+    exchange: &Exchange<'_>,
+    prepared: PreparedRequest,
+) -> Result<Response<Incoming>, Interruption> {
+    let progress = connection.write_progress.clone();
+    tokio::select! {
+        biased;
+        response = connection.sender.send_request(prepared.request) => {
+            response.map_err(|_| Interruption::ConnectionBroken)
+        }
+        () = progress.response_head_overdue(RESPONSE_HEAD_TIMEOUT) => Err(Interruption::ConnectionBroken),
+        () = sleep_until(prepared.respond_by) => Err(Interruption::TimedOut),
+        () = progress.write_incomplete_at(exchange.times.send_by) => Err(Interruption::TimedOut),
+        () = exchange.cancelled.notified() => Err(Interruption::Cancelled),
     }
-    let until = until.min(Instant::now() + REST_OF_ANSWER);
-    let whole = timeout_at(until, Limited::new(body, MAX_BODY).collect()).await;
-    matches!(whole, Ok(Ok(_)))
 }
--- a/crates/sender/src/outbound/outcome.rs
+++ b/crates/sender/src/outbound/outcome.rs
@@ -1,107 +1,123 @@
-//! What came of a call, and so whether it may have run: the protocol's table 'Senders to receivers', row by row.
-//! [`Outcome::possibly_executed`] tells of each outcome whether its call may have.
+//! Determines the outcome of an attempt, and so whether it may have been executed: the protocol's table 'Senders to
+//! receivers', row by row. [`Outcome::possibly_executed`] says of each outcome whether its call may have been.
 
-use super::*;
+use hyper::StatusCode;
+use hyper::header::{HeaderMap, HeaderName};
+use rudderspindle_policy::interface::{Millis, Outcome};
+
+use crate::event::AttemptResult;
+use crate::write_progress::WriteProgress;
 
 const X_BACKOFF_MS: HeaderName = HeaderName::from_static("x-backoff-ms");
 const X_EGRESS_FULL: HeaderName = HeaderName::from_static("x-egress-full");
 
-/// A receiver that asks for a longer wait is not believed: it would be shut out by one bad figure.
-pub const LONGEST_WAIT: Millis = 60_000.0;
+/// Longest backoff that a receiver may ask for; a longer one is cut, so that one bad figure does not shut it out.
+pub const MAX_BACKOFF_MS: Millis = 60_000.0;
 
-/// How far a request got.
+/// How much of a request was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Sent {
-    /// No byte of it was written.
-    Nothing,
-    Part,
-    /// Its last byte was written: the receiver begins the call when that has come.
-    Whole,
+pub(super) enum RequestProgress {
+    /// No byte.
+    NotStarted,
+    /// The first byte, but not the last.
+    Partial,
+    /// The last byte: the receiver executes the call once it has received that.
+    Complete,
 }
 
-/// What came back, where that is no whole answer.
+/// What was received, where that is no complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Heard {
+pub(super) enum ResponseProgress {
+    /// No byte of a response.
     Nothing,
-    /// A first line that says 200; what follows it is no use.
-    Ok,
-    /// Something else.
-    Spoilt,
+    /// A status line that says 200; what follows it is unusable.
+    OkStatusLine,
+    /// Anything else.
+    Unusable,
 }
 
-impl Sent {
-    pub(super) fn of(write_progress: &WriteProgress) -> Self {
-        match (write_progress.write_started(), write_progress.write_complete()) {
-            (_, true) => Self::Whole,
-            (true, false) => Self::Part,
-            (false, false) => Self::Nothing,
+impl RequestProgress {
+    /// How much of the current request was written.
+    pub(super) fn of(progress: &WriteProgress) -> Self {
+        match (progress.write_started(), progress.write_complete()) {
+            (_, true) => Self::Complete,
+            (true, false) => Self::Partial,
+            (false, false) => Self::NotStarted,
         }
     }
 }
 
-impl Heard {
-    pub(super) fn of(write_progress: &WriteProgress) -> Self {
-        match write_progress.first_byte_received_at() {
+impl ResponseProgress {
+    /// What was received of the current response.
+    pub(super) fn of(progress: &WriteProgress) -> Self {
+        match progress.first_byte_received_at() {
             None => Self::Nothing,
-            Some(_) if write_progress.received_ok_status_line() => Self::Ok,
-            Some(_) => Self::Spoilt,
+            Some(_) if progress.received_ok_status_line() => Self::OkStatusLine,
+            Some(_) => Self::Unusable,
         }
     }
 }
 
-/// Why nothing more is waited for.
+/// Why a response is no longer waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
-    /// The connection never came up, ended, or what came over it is no answer.
-    Broken,
-    /// Time is up.
+pub(super) enum Interruption {
+    /// The connection could not be opened or ended, or what was received is no response.
+    ConnectionBroken,
+    /// A deadline passed.
     TimedOut,
-    /// Its owner wants no answer any more.
+    /// The engine cancelled the call.
     Cancelled,
-    /// It must not go any more: its time was over, its receiver drains or waits, or nothing could be had to
-    /// send it with.
+    /// The request must not be sent any more: its time has passed, its receiver drains or backs off, or there is no
+    /// connection to send it with.
     Withheld,
 }
 
-/// The outcome of a call without an answer that can be relied on.
-pub(super) fn unanswered(sent: Sent, heard: Heard, end: End) -> Outcome {
-    match (sent, heard, end) {
-        // Never: what is said before the last byte is no answer to this call. Our own doing tells nothing of
-        // the receiver.
-        (Sent::Nothing | Sent::Part, _, End::Cancelled | End::Withheld) => Outcome::NotSent,
-        (Sent::Nothing | Sent::Part, _, End::Broken | End::TimedOut) => Outcome::ConnectFailed,
-        // The first line has told already.
-        (Sent::Whole, Heard::Ok, _) => Outcome::Ok,
-        (Sent::Whole, _, End::Cancelled | End::Withheld) => Outcome::Cancelled,
-        // It ran, and the receiver is up.
-        (Sent::Whole, Heard::Spoilt, End::Broken | End::TimedOut) => Outcome::Error,
-        (Sent::Whole, Heard::Nothing, End::Broken) => Outcome::Reset,
-        (Sent::Whole, Heard::Nothing, End::TimedOut) => Outcome::Timeout,
+/// The outcome of an attempt without a response that can be relied on.
+pub(super) fn outcome_without_response(
+    request: RequestProgress,
+    response: ResponseProgress,
+    interruption: Interruption,
+) -> Outcome {
+    use Interruption::{Cancelled, ConnectionBroken, TimedOut, Withheld};
+    use RequestProgress::{Complete, NotStarted, Partial};
+    use ResponseProgress::{Nothing, OkStatusLine, Unusable};
+    match (request, response, interruption) {
+        // Never executed: what is received before the last byte is written is no response to this call. What this
+        // process did itself says nothing of the receiver.
+        (NotStarted | Partial, _, Cancelled | Withheld) => Outcome::NotSent,
+        (NotStarted | Partial, _, ConnectionBroken | TimedOut) => Outcome::ConnectFailed,
+        // The status line has said enough.
+        (Complete, OkStatusLine, _) => Outcome::Ok,
+        (Complete, Nothing | Unusable, Cancelled | Withheld) => Outcome::Cancelled,
+        // It was executed, and the receiver is up.
+        (Complete, Unusable, ConnectionBroken | TimedOut) => Outcome::Error,
+        (Complete, Nothing, ConnectionBroken) => Outcome::Reset,
+        (Complete, Nothing, TimedOut) => Outcome::Timeout,
     }
 }
 
-/// Whether an answer of this outcome is relied on with the call so far out. That it ran is not, if its last byte
-/// is still to go: the answer is to something else, and the call must not go on.
-pub(super) fn answers(sent: Sent, outcome: Outcome) -> bool {
-    sent == Sent::Whole || !outcome.possibly_executed()
+/// Whether a response of this outcome is relied on with so much of the request written. Before the last byte is, a
+/// response that says that the call was executed answers something else, and the call must not go on.
+pub(super) fn is_reliable(request: RequestProgress, outcome: Outcome) -> bool {
+    request == RequestProgress::Complete || !outcome.possibly_executed()
 }
 
-/// How a whole answer reads.
-pub(super) fn answered(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
+/// The result that a complete response stands for.
+pub(super) fn result_of_response(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
     match status.as_u16() {
         200 => Outcome::Ok.into(),
         429 => AttemptResult { wait: retry_after(headers), ..Outcome::Rejected.into() },
-        503 if headers.get(X_EGRESS_FULL).is_some_and(|v| v == "1") => Outcome::NotSent.into(),
+        503 if headers.get(X_EGRESS_FULL).is_some_and(|value| value == "1") => Outcome::NotSent.into(),
         503 => AttemptResult { wait: retry_after(headers), ..Outcome::Rejected.into() },
         504 => Outcome::AttemptsExhausted.into(),
         410 => AttemptResult { closed: true, ..Outcome::NotSent.into() },
-        // 500, and whatever else is said: it may have run.
+        // 500, and any other status: it may have been executed.
         _ => Outcome::Error.into(),
     }
 }
 
 fn retry_after(headers: &HeaderMap) -> Millis {
-    let text = headers.get(X_BACKOFF_MS).and_then(|v| v.to_str().ok());
-    let wait = text.and_then(|t| t.trim().parse::<f64>().ok()).filter(|w| w.is_finite());
-    wait.unwrap_or(0.0).clamp(0.0, LONGEST_WAIT)
+    let text = headers.get(X_BACKOFF_MS).and_then(|value| value.to_str().ok());
+    let wait = text.and_then(|text| text.trim().parse::<f64>().ok()).filter(|wait| wait.is_finite());
+    wait.unwrap_or(0.0).clamp(0.0, MAX_BACKOFF_MS)
 }
--- /dev/null
+++ b/crates/sender/src/outbound/routes.rs
@@ -0,0 +1,119 @@
+//! The routes of the endpoint list, as far as calls need them.
+
+use std::cell::RefCell;
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use rudderspindle_policy::interface::{DestinationId, Listing, RouteId};
+
+use super::backoff::BackoffScope;
+
+/// A receiver as the endpoint list describes it.
+#[derive(Debug)]
+pub struct Route {
+    /// Where it listens; none if the list's address cannot be read.
+    pub addr: Option<SocketAddr>,
+    /// The receiver's name.
+    pub receiver: Rc<str>,
+    /// The zone that it is in.
+    pub zone: Rc<str>,
+    /// The destination that it serves.
+    pub destination: DestinationId,
+    /// Whether its backoffs are its own, and not its destination's.
+    pub has_own_backoff: bool,
+    /// Whether it takes calls.
+    pub listing: Listing,
+}
+
+/// Which receiver a route leads to, and where that is.
+#[derive(Clone, Debug)]
+pub struct ReceiverLocation {
+    /// The receiver's name.
+    pub receiver: Rc<str>,
+    /// The zone that it is in.
+    pub zone: Rc<str>,
+}
+
+/// Where a request is sent.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Target {
+    pub(super) addr: SocketAddr,
+    pub(super) backoff_scope: BackoffScope,
+}
+
+impl Route {
+    fn backoff_scope(&self, id: RouteId) -> BackoffScope {
+        if self.has_own_backoff {
+            BackoffScope::Route(id)
+        } else {
+            BackoffScope::Destination(self.destination)
+        }
+    }
+}
+
+/// The routes that are on the endpoint list.
+#[derive(Debug, Default)]
+pub(super) struct RouteTable {
+    routes: RefCell<HashMap<RouteId, Route>>,
+}
+
+impl RouteTable {
+    /// Adds or replaces a route, or removes it if it has left the list: receivers come and go all day under ever new
+    /// names.
+    pub(super) fn update(&self, id: RouteId, route: Route) {
+        let mut routes = self.routes.borrow_mut();
+        if route.listing == Listing::Gone {
+            routes.remove(&id);
+        } else {
+            routes.insert(id, route);
+        }
+    }
+
+    /// Removes all routes but the `listed` ones.
+    pub(super) fn retain(&self, listed: &HashSet<RouteId>) {
+        self.routes.borrow_mut().retain(|id, _| listed.contains(id));
+    }
+
+    /// Whether the route is known at this address.
+    pub(super) fn address_matches(&self, id: RouteId, addr: Option<SocketAddr>) -> bool {
+        self.routes.borrow().get(&id).is_some_and(|route| route.addr == addr)
+    }
+
+    /// Whether the route takes calls at this address.
+    pub(super) fn is_ready_at(&self, id: RouteId, addr: SocketAddr) -> bool {
+        let routes = self.routes.borrow();
+        routes.get(&id).is_some_and(|route| route.listing == Listing::Ready && route.addr == Some(addr))
+    }
+
+    /// Where requests of a route go; none if it is not on the list or has no address.
+    pub(super) fn target(&self, id: RouteId) -> Option<Target> {
+        let routes = self.routes.borrow();
+        let route = routes.get(&id)?;
+        Some(Target { addr: route.addr?, backoff_scope: route.backoff_scope(id) })
+    }
+
+    /// The backoff scope of a route that takes calls.
+    pub(super) fn ready_backoff_scope(&self, id: RouteId) -> Option<BackoffScope> {
+        let routes = self.routes.borrow();
+        let route = routes.get(&id)?;
+        (route.listing == Listing::Ready).then(|| route.backoff_scope(id))
+    }
+
+    /// The destination that a route serves.
+    pub(super) fn destination(&self, id: RouteId) -> Option<DestinationId> {
+        self.routes.borrow().get(&id).map(|route| route.destination)
+    }
+
+    /// The name and the zone of a route's receiver.
+    pub(super) fn receiver_location(&self, id: RouteId) -> Option<ReceiverLocation> {
+        let routes = self.routes.borrow();
+        let route = routes.get(&id)?;
+        Some(ReceiverLocation { receiver: route.receiver.clone(), zone: route.zone.clone() })
+    }
+
+    #[cfg(test)]
+    pub(super) fn len(&self) -> usize {
+        self.routes.borrow().len()
+    }
+}
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -1,30 +1,35 @@
-//! Calls over loopback sockets, with a receiver that the test plays.
+//! Calls over loopback sockets, with the test in place of the receiver.
 
+use std::net::SocketAddr;
+
+use bytes::Bytes;
+use rudderspindle_policy::interface::{DestinationId, MessageHandle, Outcome};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::time::timeout;
 
 use super::*;
+use crate::event::AttemptResult;
 
-mod answers;
 mod deadline;
-mod given_up;
-mod kept;
-mod late;
+mod idle_connections;
+mod interrupted;
 mod outcomes;
+mod responses;
+mod withheld;
 
 const ROUTE: RouteId = RouteId(1);
 
 fn route(addr: SocketAddr, listing: Listing) -> Route {
     let (receiver, zone) = ("r1".into(), "a".into());
-    Route { addr: Some(addr), receiver, zone, destination: DestinationId(7), apart: false, listing }
+    Route { addr: Some(addr), receiver, zone, destination: DestinationId(7), has_own_backoff: false, listing }
 }
 
 impl Outbound {
-    /// Routes, waits and idle connections that are remembered.
+    /// How many routes, backoffs and idle connections are retained.
     pub fn remembered(&self) -> usize {
-        let idle = self.idle.borrow().values().map(Vec::len).sum::<usize>();
-        self.routes.borrow().len() + self.waits.borrow().len() + idle
+        self.routes.len() + self.backoffs.len() + self.idle.len()
     }
 }
 
@@ -32,7 +37,7 @@
     set_up_with(8).await
 }
 
-async fn set_up_with(sockets: usize) -> (Rc<Outbound>, TcpListener, mpsc::Receiver<Input>) {
+async fn set_up_with(max_connections: usize) -> (Rc<Outbound>, TcpListener, mpsc::Receiver<Input>) {
     let json = serde_json::json!({
         "extra": {"calls_out": 4}, "kinds": ["k"],
         "lanes": [{"name": "safe", "effect": "free", "deadline": 9000.0}],
@@ -41,8 +46,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let (to_engine, inputs) = mpsc::channel(16);
     let metrics = Rc::new(Metrics::new(&[]));
-    let outbound = Rc::new(Outbound::new(&settings, sockets, metrics, Rc::default(), to_engine));
-    outbound.list(ROUTE, route(listener.local_addr().expect("an address"), Listing::Ready));
+    let outbound = Rc::new(Outbound::new(&settings, max_connections, metrics, Rc::default(), to_engine));
+    outbound.update_route(ROUTE, route(listener.local_addr().expect("an address"), Listing::Ready));
     (outbound, listener, inputs)
 }
 
@@ -56,8 +61,8 @@
     timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input")
 }
 
-/// Reads the call that comes, to its last byte.
-async fn request(stream: &mut TcpStream) {
+/// Reads the next request to its last byte.
+async fn read_request(stream: &mut TcpStream) {
     let mut buffer = [0; 1024];
     let mut filled = 0;
     while !buffer[..filled].ends_with(b"text") {
@@ -67,17 +72,24 @@
     }
 }
 
-/// Answers the call that comes.
-async fn answer(stream: &mut TcpStream, answer: &str) {
-    request(stream).await;
-    let answer = format!("HTTP/1.1 {answer}\r\nContent-Length: 0\r\n\r\n");
-    stream.write_all(answer.as_bytes()).await.expect("writable");
+/// Reads the next request and responds with this status, and header lines, if any.
+async fn respond(stream: &mut TcpStream, status: &str) {
+    read_request(stream).await;
+    let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
+    stream.write_all(response.as_bytes()).await.expect("writable");
+}
+
+/// Waits until a connection is idle in the pool.
+async fn idle_connection(outbound: &Outbound) {
+    while outbound.idle.len() == 0 {
+        tokio::task::yield_now().await;
+    }
 }
 
-/// A body of which only a part leaves the sender while nobody reads at a [`narrow`] listener.
+/// Length of a body of which only a part is written while nobody reads at a [`narrow`] listener.
 const LARGE: usize = 60_000;
 
-/// A listener whose connections take little that is not read.
+/// A listener whose connections buffer little that is not read.
 fn narrow() -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(2_048).expect("a window");
@@ -86,17 +98,17 @@
     socket.listen(16).expect("a listener")
 }
 
-/// The bytes that still come until the connection ends, by a reset or not.
+/// Counts the bytes received until the connection ends, by a reset or not.
 async fn read_to_end(stream: &mut TcpStream) -> usize {
-    let (mut got, mut buffer) = (0, vec![0; 4096]);
+    let (mut received, mut buffer) = (0, vec![0; 4096]);
     while let Ok(n @ 1..) = timeout(Duration::from_secs(20), stream.read(&mut buffer)).await.expect("an end")
     {
-        got += n;
+        received += n;
     }
-    got
+    received
 }
 
-/// For asking whether something is there at this moment.
+/// Polls a future once.
 trait NowOrNever: Future + Sized {
     fn now_or_never(self) -> Option<Self::Output> {
         let mut context = std::task::Context::from_waker(std::task::Waker::noop());
--- a/crates/sender/src/outbound/tests/deadline.rs
+++ b/crates/sender/src/outbound/tests/deadline.rs
@@ -1,11 +1,11 @@
-//! A call's time-out against its answer.
+//! A call's deadline against its response.
 
 use super::*;
 
-/// A call whose request has come whole, and when its time is up as announced to the receiver.
-async fn announced(outbound: &Rc<Outbound>, listener: &TcpListener) -> (TcpStream, Instant) {
+/// A call whose request has been received, and the deadline that its receiver was told.
+async fn received_call(outbound: &Rc<Outbound>, listener: &TcpListener) -> (TcpStream, Instant) {
     let until = Instant::now() + Duration::from_millis(400);
-    outbound.start(Call { until, latest: until, ..call() });
+    outbound.start_call(Call { until, latest: until, ..call() });
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut request = Vec::new();
     while !request.ends_with(b"text") {
@@ -14,38 +14,38 @@
     (stream, until)
 }
 
-/// Nothing here is polled until then, so that the answer and the time-out are found in one tick.
-fn hold_up(until: Instant) {
+/// Blocks the runtime until after the deadline, so that the response and the time-out are noticed in one tick.
+fn block_until_after(until: Instant) {
     std::thread::sleep(until.saturating_duration_since(Instant::now()) + Duration::from_millis(2));
 }
 
-/// The receiver has been told how long the sender waits. What it writes after that it writes to one that has given
-/// the call up, though the sender's own timer has not rung yet: taken for a delivery, the message would have no end.
+/// The receiver has been told how long the sender waits. A response after that goes to a sender that has given the call
+/// up, though its own timer has not fired yet: taken for a delivery, the message would have no final outcome.
 #[tokio::test]
-async fn an_answer_after_the_announced_time_is_none_also_in_the_tick_of_the_time_out() {
+async fn a_response_after_the_deadline_does_not_count_even_in_the_tick_of_the_timeout() {
     let test = async {
         for status in ["200 OK", "500 No", "429 No\r\nX-Backoff-Ms: 250"] {
             let (outbound, listener, mut inputs) = set_up().await;
-            let (stream, until) = announced(&outbound, &listener).await;
-            hold_up(until);
-            let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-            assert_eq!(stream.try_write(answer.as_bytes()).expect("writable"), answer.len());
+            let (stream, until) = received_call(&outbound, &listener).await;
+            block_until_after(until);
+            let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
+            assert_eq!(stream.try_write(response.as_bytes()).expect("writable"), response.len());
             let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, Outcome::Timeout.into(), "{status}");
-            assert_eq!(outbound.waits().is_empty(), !status.contains("Backoff"), "{status}");
+            assert_eq!(outbound.active_backoffs().is_empty(), !status.contains("Backoff"), "{status}");
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A refusal counts only when it is whole, and its rest is not waited for beyond the call's time: the message's end
-/// may be due just then.
+/// A rejection counts only when it is complete, and its rest is not waited for beyond the call's deadline, at which the
+/// message's final outcome may be due.
 #[tokio::test]
-async fn a_refusal_that_never_ends_holds_its_call_no_longer_than_its_time() {
+async fn an_endless_rejection_delays_its_call_no_longer_than_its_deadline() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        let (mut stream, until) = announced(&outbound, &listener).await;
-        // So late that half a second more would be far beyond.
+        let (mut stream, until) = received_call(&outbound, &listener).await;
+        // So late that half a second more would be far beyond the deadline.
         tokio::time::sleep_until(until - Duration::from_millis(50)).await;
         let half = b"HTTP/1.1 503 No\r\nContent-Length: 8\r\n\r\nhalf";
         stream.write_all(half).await.expect("writable");
@@ -56,11 +56,11 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A message is delivered by a first line with 200. Half of one says nothing yet.
+/// A message is delivered by a complete status line with 200, and not by half of one.
 #[tokio::test]
-async fn half_a_first_line_delivers_nothing() {
+async fn half_a_status_line_delivers_nothing() {
     let test = async {
-        for (said, outcome) in [
+        for (written, outcome) in [
             ("HTTP/1.1 200", Outcome::Error),
             ("HTTP/1.1 200 OK", Outcome::Error),
             ("HTTP/1.1 200 OK\r\n", Outcome::Ok),
@@ -68,11 +68,11 @@
             ("HTTP/1.1 2000 OK\r\n", Outcome::Error),
         ] {
             let (outbound, listener, mut inputs) = set_up().await;
-            let (mut stream, _) = announced(&outbound, &listener).await;
-            stream.write_all(said.as_bytes()).await.expect("writable");
+            let (mut stream, _) = received_call(&outbound, &listener).await;
+            stream.write_all(written.as_bytes()).await.expect("writable");
             drop(stream);
             let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-            assert_eq!(report, outcome.into(), "{said:?}");
+            assert_eq!(report, outcome.into(), "{written:?}");
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/outbound/tests/kept.rs
+++ b/crates/sender/src/outbound/tests/idle_connections.rs
@@ -1,45 +1,45 @@
-//! Connections that are kept.
+//! Idle connections and their use for further calls.
 
 use super::*;
 
 #[tokio::test]
-async fn a_connection_is_not_used_when_the_receiver_may_be_about_to_close_it() {
+async fn an_idle_connection_is_not_used_when_the_receiver_may_be_about_to_close_it() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        outbound.start(call());
+        outbound.start_call(call());
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        answer(&mut stream, "200 OK").await;
+        respond(&mut stream, "200 OK").await;
         next(&mut inputs).await;
-        while outbound.idle.borrow().is_empty() {
-            tokio::task::yield_now().await;
-        }
-        let kept = outbound.kept(ROUTE).expect("it is kept");
+        idle_connection(&outbound).await;
+        let connection = outbound.idle.take(ROUTE).expect("it is pooled");
+        let max_idle_time = outbound.idle.max_idle_time();
         let old = Instant::now() + Duration::from_secs(13);
-        assert!(kept.config(Instant::now(), outbound.idle_time) && !kept.config(old, outbound.idle_time));
+        assert!(
+            connection.is_reusable(Instant::now(), max_idle_time)
+                && !connection.is_reusable(old, max_idle_time)
+        );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// What has come behind an answer may not have been read yet when the next call goes out: it would be
-/// taken for that one's answer.
+/// What is received behind a response may not have been read yet when the next call is sent: it would be taken for that
+/// call's response.
 #[tokio::test]
-async fn a_connection_that_is_not_quiet_carries_no_further_call() {
+async fn a_connection_with_unsolicited_bytes_carries_no_further_call() {
     let test = async {
         for noise in [&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..], b"noise"] {
             let (outbound, listener, mut inputs) = set_up().await;
-            outbound.start(call());
+            outbound.start_call(call());
             let (mut stream, _) = listener.accept().await.expect("a connection");
-            answer(&mut stream, "200 OK").await;
+            respond(&mut stream, "200 OK").await;
             next(&mut inputs).await;
-            while outbound.idle.borrow().is_empty() {
-                tokio::task::yield_now().await;
-            }
-            // Nothing here waits, so that the runtime does not look at its sockets before the call is out.
+            idle_connection(&outbound).await;
+            // Nothing here waits, so that the runtime does not poll its sockets before the call is sent.
             assert_eq!(stream.try_write(noise).expect("writable"), noise.len());
-            outbound.start(call());
+            outbound.start_call(call());
             let again = timeout(Duration::from_secs(20), listener.accept()).await;
             let (mut stream, _) = again.expect("a new connection").expect("a connection");
-            answer(&mut stream, "500 No").await;
+            respond(&mut stream, "500 No").await;
             let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, Outcome::Error.into());
         }
@@ -48,36 +48,34 @@
 }
 
 #[tokio::test]
-async fn a_connection_to_an_address_that_is_no_longer_the_routes_is_not_kept() {
+async fn a_connection_to_an_address_that_the_route_has_left_is_not_pooled() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        outbound.start(call());
+        outbound.start_call(call());
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let other = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        outbound.list(ROUTE, route(other.local_addr().expect("an address"), Listing::Ready));
-        answer(&mut stream, "200 OK").await;
+        outbound.update_route(ROUTE, route(other.local_addr().expect("an address"), Listing::Ready));
+        respond(&mut stream, "200 OK").await;
         next(&mut inputs).await;
         let end = timeout(Duration::from_secs(20), stream.read(&mut [0; 8])).await.expect("in time");
         assert_eq!(end.expect("an end"), 0);
-        assert!(outbound.idle.borrow().is_empty());
+        assert!(outbound.idle.len() == 0);
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// What is written in small pieces is not held back, and does not go with a close.
+/// Small writes are not delayed, and are not lost by a close.
 #[tokio::test]
-async fn a_dialled_connection_sends_small_writes_at_once() {
+async fn an_opened_connection_sends_small_writes_at_once() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        outbound.start(call());
+        outbound.start_call(call());
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        answer(&mut stream, "200 OK").await;
+        respond(&mut stream, "200 OK").await;
         next(&mut inputs).await;
-        while outbound.idle.borrow().is_empty() {
-            tokio::task::yield_now().await;
-        }
-        let kept = outbound.kept(ROUTE).expect("it is kept");
-        assert!(kept.socket.upgrade().expect("open").borrow().nodelay().expect("it is told"));
+        idle_connection(&outbound).await;
+        let connection = outbound.idle.take(ROUTE).expect("it is pooled");
+        assert!(connection.socket.upgrade().expect("open").borrow().nodelay().expect("it can be read"));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/outbound/tests/given_up.rs
+++ b/crates/sender/src/outbound/tests/interrupted.rs
@@ -1,20 +1,20 @@
-//! Calls that are given up: nothing of them arrives later. And repeats of a keyed message, which must not arrive
-//! after the window.
+//! Calls that are interrupted, of which nothing may arrive later, and retries with an idempotency key, which must not
+//! arrive after its window.
 
 use super::*;
 
-/// A body that the system takes whole while nobody reads at a [`narrow`] listener.
-const MIDDLING: usize = 8_000;
+/// Length of a body that the system buffers completely while nobody reads at a [`narrow`] listener.
+const MEDIUM: usize = 8_000;
 
-/// A call that a receiver does not read.
-fn unread(size: usize) -> Call {
+/// A call with a body of so many bytes.
+fn call_of_size(size: usize) -> Call {
     Call { body: Bytes::from(vec![b'x'; size]), ..call() }
 }
 
 async fn set_up_narrow() -> (Rc<Outbound>, TcpListener, mpsc::Receiver<Input>) {
     let (outbound, _, inputs) = set_up().await;
     let listener = narrow();
-    outbound.list(ROUTE, route(listener.local_addr().expect("an address"), Listing::Ready));
+    outbound.update_route(ROUTE, route(listener.local_addr().expect("an address"), Listing::Ready));
     (outbound, listener, inputs)
 }
 
@@ -23,20 +23,20 @@
     report.outcome
 }
 
-/// What the system still holds of a call is not sent once the call is over: it would run after that.
+/// What the system still buffers of a call is not sent once the call is interrupted: it would be executed after that.
 #[tokio::test]
-async fn nothing_of_a_call_arrives_after_it_was_given_up() {
+async fn nothing_of_a_call_arrives_after_it_was_interrupted() {
     let test = async {
         let soon = || Instant::now() + Duration::from_secs(1);
         for (size, cancelled, expected) in [
-            (MIDDLING, false, Outcome::Timeout),
+            (MEDIUM, false, Outcome::Timeout),
             (LARGE, false, Outcome::ConnectFailed),
-            (MIDDLING, true, Outcome::Cancelled),
+            (MEDIUM, true, Outcome::Cancelled),
             (LARGE, true, Outcome::NotSent),
         ] {
             let (outbound, listener, mut inputs) = set_up_narrow().await;
-            let call = unread(size);
-            let out = outbound.start(if cancelled { call } else { Call { until: soon(), ..call } });
+            let call = call_of_size(size);
+            let out = outbound.start_call(if cancelled { call } else { Call { until: soon(), ..call } });
             let (mut stream, _) = listener.accept().await.expect("a connection");
             stream.readable().await.expect("the first bytes");
             if cancelled {
@@ -47,70 +47,65 @@
                 out.cancel();
             }
             assert_eq!(outcome(&mut inputs).await, expected);
-            let got = read_to_end(&mut stream).await;
-            assert!(got < size, "{expected:?}: {got} bytes came, all of it");
+            let received = read_to_end(&mut stream).await;
+            assert!(received < size, "{expected:?}: {received} bytes were received, all of it");
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The last byte of a repeat is with the system in time, but the receiver does not take it before the window is
-/// over: the system gives it up then, though its answer could be waited for longer.
+/// The last byte of a retry is written in time, but the receiver does not accept it before the window is over: the system
+/// gives it up then, though its response could be waited for longer.
 #[tokio::test]
-async fn a_repeat_that_rests_in_the_kernel_does_not_arrive_after_the_window() {
+async fn a_retry_buffered_by_the_kernel_does_not_arrive_after_the_key_window() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up_narrow().await;
         let latest = Instant::now() + Duration::from_secs(1);
         let (until, key) = (latest + Duration::from_secs(4), Some(Bytes::from_static(b"k")));
-        outbound.start(Call { until, latest, key, attempt: 1, ..unread(MIDDLING) });
+        outbound.start_call(Call { until, latest, key, attempt: 1, ..call_of_size(MEDIUM) });
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        // It may have run: its last byte was written.
+        // It may have been executed: its last byte was written.
         assert_eq!(outcome(&mut inputs).await, Outcome::Reset);
         assert!(Instant::now() < until);
-        assert!(read_to_end(&mut stream).await < MIDDLING, "all of it came");
+        assert!(read_to_end(&mut stream).await < MEDIUM, "all of it was received");
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The limit is the repeat's, not that of calls which come after it on the same connection.
+/// The limit is that of the retry, and not of later calls on the same connection.
 #[tokio::test]
-async fn a_connection_that_carried_a_repeat_is_kept_as_it_was() {
+async fn a_connection_that_carried_a_keyed_retry_has_no_limit_afterwards() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        outbound.start(Call { key: Some(Bytes::from_static(b"k")), attempt: 1, ..call() });
+        outbound.start_call(Call { key: Some(Bytes::from_static(b"k")), attempt: 1, ..call() });
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        let limit = |connection: &Connection| {
-            let socket = connection.socket.upgrade().expect("open");
-            SockRef::from(&*socket.borrow()).tcp_user_timeout().expect("it is told")
-        };
-        answer(&mut stream, "200 OK").await;
+        respond(&mut stream, "200 OK").await;
         assert_eq!(outcome(&mut inputs).await, Outcome::Ok);
-        while outbound.idle.borrow().is_empty() {
-            tokio::task::yield_now().await;
-        }
-        assert_eq!(limit(&outbound.idle.borrow()[&ROUTE][0]), None);
+        idle_connection(&outbound).await;
+        let connection = outbound.idle.take(ROUTE).expect("it is pooled");
+        let socket = connection.socket.upgrade().expect("open");
+        let limit = SockRef::from(&*socket.borrow()).tcp_user_timeout().expect("it can be read");
+        assert_eq!(limit, None);
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// All sockets are taken and one of them is at rest: a call gets its place, and does not lose an attempt.
+/// All connections are open and one of them is idle: a call takes its slot, and does not lose an attempt.
 #[tokio::test]
-async fn a_call_for_which_a_connection_at_rest_is_closed_goes_at_once() {
+async fn a_call_for_which_an_idle_connection_is_closed_is_sent_at_once() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up_with(1).await;
-        outbound.start(call());
+        outbound.start_call(call());
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        answer(&mut stream, "200 OK").await;
+        respond(&mut stream, "200 OK").await;
         assert_eq!(outcome(&mut inputs).await, Outcome::Ok);
-        while outbound.idle.borrow().is_empty() {
-            tokio::task::yield_now().await;
-        }
+        idle_connection(&outbound).await;
         let other = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        outbound.list(RouteId(2), route(other.local_addr().expect("an address"), Listing::Ready));
-        outbound.start(Call { route: RouteId(2), ..call() });
+        outbound.update_route(RouteId(2), route(other.local_addr().expect("an address"), Listing::Ready));
+        outbound.start_call(Call { route: RouteId(2), ..call() });
         let accepted = async {
             let (mut stream, _) = other.accept().await.expect("a connection");
-            answer(&mut stream, "200 OK").await;
+            respond(&mut stream, "200 OK").await;
             std::future::pending::<()>().await;
         };
         let found = tokio::select! {
@@ -118,7 +113,7 @@
             () = accepted => unreachable!(),
         };
         assert_eq!(found, Outcome::Ok);
-        // An ordinary end for the one at rest.
+        // The idle connection is closed without a reset.
         assert_eq!(stream.read(&mut [0; 8]).await.expect("an end"), 0);
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/outbound/tests/answers.rs
+++ b/crates/sender/src/outbound/tests/responses.rs
@@ -1,9 +1,9 @@
-//! What answers say.
+//! Results of complete responses.
 
 use super::*;
 
 #[tokio::test]
-async fn answers_read_as_the_protocol_says() {
+async fn responses_have_the_results_of_the_protocol() {
     let report = |outcome, wait, closed| AttemptResult { outcome, wait, closed };
     let cases = [
         ("200 OK", report(Outcome::Ok, 0.0, true)),
@@ -19,9 +19,9 @@
     let test = async {
         for (text, expected) in cases {
             let (outbound, listener, mut inputs) = set_up().await;
-            outbound.start(call());
+            outbound.start_call(call());
             let (mut stream, _) = listener.accept().await.expect("a connection");
-            answer(&mut stream, text).await;
+            respond(&mut stream, text).await;
             let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, expected, "{text}");
         }
@@ -30,19 +30,19 @@
 }
 
 #[tokio::test]
-async fn a_probe_tells_what_it_found() {
+async fn a_health_check_reports_its_outcome() {
     let test = async {
-        for (answer, outcome) in [("200 OK", Outcome::Ok), ("503 No", Outcome::Rejected)] {
+        for (status, outcome) in [("200 OK", Outcome::Ok), ("503 No", Outcome::Rejected)] {
             let (outbound, listener, mut inputs) = set_up().await;
-            outbound.probe(ROUTE);
+            outbound.start_health_check(ROUTE);
             let (mut stream, _) = listener.accept().await.expect("a connection");
             let mut head = [0; 18];
             stream.read_exact(&mut head).await.expect("a request");
             assert_eq!(&head, b"GET /-/healthy HTT");
-            let answer = format!("HTTP/1.1 {answer}\r\nContent-Length: 0\r\n\r\n");
-            stream.write_all(answer.as_bytes()).await.expect("writable");
+            let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
+            stream.write_all(response.as_bytes()).await.expect("writable");
             let Input::HealthChecked { outcome: found, .. } = next(&mut inputs).await else {
-                panic!("no probe")
+                panic!("no health check")
             };
             assert_eq!(found, outcome);
         }
@@ -51,14 +51,14 @@
 }
 
 #[tokio::test]
-async fn a_wait_beyond_reason_is_not_believed() {
+async fn an_excessive_retry_after_is_limited() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        outbound.start(call());
+        outbound.start_call(call());
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        answer(&mut stream, "429 No\r\nX-Backoff-Ms: 1e300").await;
+        respond(&mut stream, "429 No\r\nX-Backoff-Ms: 1e300").await;
         let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-        assert_eq!((report.outcome, report.wait), (Outcome::Rejected, LONGEST_WAIT));
+        assert_eq!((report.outcome, report.wait), (Outcome::Rejected, MAX_BACKOFF_MS));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/outbound/tests/late.rs
+++ b/crates/sender/src/outbound/tests/withheld.rs
@@ -1,19 +1,19 @@
-//! What was decided and holds no more when the first byte could go.
+//! Calls whose decision no longer holds when the first byte could be sent.
 
 use super::*;
 
-/// The decision was right when it was made; a wait or a drain told before the call's first byte counts.
+/// The decision was right when it was made; a backoff or a drain that is reported before the call's first byte counts.
 #[tokio::test]
-async fn a_wait_or_a_drain_told_after_the_decision_stops_the_call() {
+async fn a_backoff_or_a_drain_reported_after_the_decision_withholds_the_call() {
     let test = async {
         for drain in [false, true] {
             let (outbound, listener, mut inputs) = set_up().await;
-            outbound.start(call());
+            outbound.start_call(call());
             if drain {
                 let addr = listener.local_addr().expect("an address");
-                outbound.list(ROUTE, route(addr, Listing::Draining));
+                outbound.update_route(ROUTE, route(addr, Listing::Draining));
             } else {
-                outbound.wait(Waits::Destination(DestinationId(7)), 10_000.0);
+                outbound.apply_backoff(DestinationId(7), None, 10_000.0);
             }
             let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, Outcome::NotSent.into());
@@ -22,10 +22,10 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A key's window was open when the decision was made, and is over when the connection has come up: the
-/// receiver would no longer know the key, and the message would take effect twice.
+/// A key's window was open when the decision was made, and is over when the connection is open: the receiver would no
+/// longer know the key, and the message would take effect twice.
 #[tokio::test]
-async fn a_call_whose_connection_comes_up_too_late_does_not_go() {
+async fn a_call_whose_connection_opens_too_late_is_withheld() {
     let test = async {
         let (outbound, _, mut inputs) = set_up().await;
         // With one connection that nobody accepts the queue is full, and the next one's SYN is dropped.
@@ -34,27 +34,25 @@
         let slow = slow.listen(0).expect("a listener");
         let addr = slow.local_addr().expect("an address");
         let _first = TcpStream::connect(addr).await.expect("a connection");
-        outbound.list(ROUTE, route(addr, Listing::Ready));
+        outbound.update_route(ROUTE, route(addr, Listing::Ready));
         let started = Instant::now();
         let latest = started + Duration::from_millis(300);
-        outbound.start(Call { latest, ..call() });
+        outbound.start_call(Call { latest, ..call() });
         let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         // Not what a failure to connect would be: nothing is known of the receiver.
         assert_eq!(report, Outcome::NotSent.into());
         assert!(Instant::now() >= latest);
-        // Nor does one go over a connection that is there, if its time was over before its task began.
+        // Nor is one sent over an idle connection if its time was over before its task began.
         let (outbound, listener, mut inputs) = set_up().await;
-        outbound.start(call());
+        outbound.start_call(call());
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        answer(&mut stream, "200 OK").await;
+        respond(&mut stream, "200 OK").await;
         next(&mut inputs).await;
-        while outbound.idle.borrow().is_empty() {
-            tokio::task::yield_now().await;
-        }
-        outbound.start(Call { latest: Instant::now(), ..call() });
+        idle_connection(&outbound).await;
+        outbound.start_call(Call { latest: Instant::now(), ..call() });
         let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         assert_eq!(report, Outcome::NotSent.into());
-        assert!(stream.try_read(&mut [0; 1]).is_err(), "something of it went out");
+        assert!(stream.try_read(&mut [0; 1]).is_err(), "something of it was sent");
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
