--- a/crates/sender/src/connection_slots.rs
+++ b/crates/sender/src/connection_slots.rs
@@ -17,10 +17,10 @@
 pub struct ConnectionId(pub u64);
 
 /// Idle connections may hold one slot in so many.
-pub const IDLE_SHARE_DIVISOR: usize = 4;
+const IDLE_SHARE_DIVISOR: usize = 4;
 /// A client connects because it has something to send: one that is silent for longer is closed first when slots run
 /// out.
-pub const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/sender/src/connection_slots/tests.rs
+++ b/crates/sender/src/connection_slots/tests.rs
@@ -94,7 +94,8 @@
     fn each_connection_is_in_the_one_queue_of_its_state(
         steps in prop::collection::vec((0..5u8, 0..12u64, 0..200u64), 1..200),
     ) {
-        let (mut slots, mut now) = (ConnectionSlots::new(12), Duration::ZERO);
+        let mut slots = ConnectionSlots::new(12);
+        let mut now = Duration::ZERO;
         for (what, id, later) in steps {
             now += at(later);
             match what {
--- a/crates/sender/src/inbound.rs
+++ b/crates/sender/src/inbound.rs
@@ -6,6 +6,7 @@
 mod request_body;
 mod request_head;
 mod requests;
+mod response;
 mod shutdown;
 mod slots;
 
--- a/crates/sender/src/inbound/rejection.rs
+++ b/crates/sender/src/inbound/rejection.rs
@@ -2,17 +2,17 @@
 
 use std::error::Error;
 
-use bytes::Bytes;
-use http_body_util::Full;
+use hyper::StatusCode;
 use hyper::header::{HeaderValue, RETRY_AFTER};
-use hyper::{Response, StatusCode};
 use rudderspindle_policy::interface::Millis;
 
+use super::response::{HttpResponse, text_response};
+
 /// Why a request is not accepted; its display text is the response's body.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestRejection {
     /// hyper lets the header override a Content-Length and reads on behind the last chunk: another request may be
-    /// hidden in what the length says is the body. No client of ours sends it.
+    /// hidden in what the length says is the body. No supported client sends it.
     #[error("Transfer-Encoding")]
     TransferEncoding,
     /// The body is longer than the journal stores.
@@ -66,10 +66,9 @@
 }
 
 impl RequestRejection {
-    /// The response that tells the client.
-    pub(super) fn into_response(self) -> Response<Full<Bytes>> {
-        let mut response = Response::new(Full::from(self.to_string()));
-        *response.status_mut() = self.status();
+    /// The response to the client.
+    pub(super) fn into_response(self) -> HttpResponse {
+        let mut response = text_response(self.status(), self.to_string());
         if let Self::Overloaded { retry_after: Some(retry_after) } = self
             && let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", retry_after / 1_000.0))
         {
--- a/crates/sender/src/inbound/request_head.rs
+++ b/crates/sender/src/inbound/request_head.rs
@@ -119,3 +119,6 @@
 fn header_text<'a>(headers: &'a HeaderMap, header: &HeaderName) -> Option<&'a str> {
     headers.get(header)?.to_str().ok().filter(|text| (1..=MAX_NAME_LEN).contains(&text.len()))
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/sender/src/inbound/request_head/tests.rs
@@ -0,0 +1,91 @@
+use http_body_util::Full;
+use hyper::StatusCode;
+
+use super::*;
+
+fn settings() -> (Settings, Names) {
+    let json = serde_json::json!({
+        "extra": {"calls_out": 4}, "kinds": ["k"], "limits": {"max_attempts": 4, "most_held": 50},
+        "lanes": [
+            {"name": "safe", "effect": "free", "deadline": 9000.0},
+            {"name": "keyed", "effect": "guarded", "window": 9000.0, "deadline": 9000.0}]});
+    let settings = rudderspindle_policy::settings::read(&json).expect("settings");
+    let names = rudderspindle_policy::settings::names(&json).expect("names");
+    (settings, names)
+}
+
+fn parse(path: &str, headers: &[(&str, &str)], body: Bytes) -> Result<SubmissionHead, RequestRejection> {
+    let (settings, names) = settings();
+    let mut request = Request::post(path);
+    for (name, value) in headers {
+        request = request.header(*name, *value);
+    }
+    let request = request.body(Full::new(body)).expect("a request");
+    SubmissionHead::parse(&request, &settings, &names)
+}
+
+const VALID: [(&str, &str); 3] = [("X-Txn", "m1"), ("X-Remaining", "5.5"), ("X-Route-To", "zone=a, dest=7")];
+
+/// The valid headers with one of them replaced, or removed if there is no value.
+fn with(name: &'static str, value: Option<&'static str>) -> Vec<(&'static str, &'static str)> {
+    let mut headers: Vec<_> = VALID.into_iter().filter(|header| header.0 != name).collect();
+    if let Some(value) = value {
+        headers.push((name, value));
+    }
+    headers
+}
+
+#[test]
+fn a_valid_head_is_read() {
+    let head = parse("/safe/more", &VALID, Bytes::from_static(b"text")).expect("a head");
+    assert_eq!((head.class, head.tenant, head.destination), (0, 0, DestinationId(7)));
+    assert_eq!((&*head.message_id, head.remaining_s, head.body_len), ("m1", 5.5, 4));
+    assert_eq!(head.idempotency_key, None);
+}
+
+#[test]
+fn each_invalid_header_is_rejected_with_its_reason() {
+    let long = "x".repeat(MAX_NAME_LEN + 1);
+    let long: &'static str = long.leak();
+    let cases = [
+        (with("Transfer-Encoding", Some("chunked")), "Transfer-Encoding"),
+        (with("X-Txn", None), "bad X-Txn"),
+        (with("X-Txn", Some("")), "bad X-Txn"),
+        (with("X-Txn", Some(long)), "bad X-Txn"),
+        (with("X-Org", Some("nobody")), "unknown tenant"),
+        (with("X-Route-To", None), "bad X-Route-To"),
+        (with("X-Route-To", Some("dest=x")), "bad X-Route-To"),
+        (with("X-Route-To", Some("dest=65536")), "bad X-Route-To"),
+        (with("X-Remaining", None), "bad X-Remaining"),
+        (with("X-Remaining", Some("-1")), "bad X-Remaining"),
+        (with("X-Remaining", Some("inf")), "bad X-Remaining"),
+        (with("Idempotency-Key", Some(long)), "bad Idempotency-Key"),
+    ];
+    for (headers, reason) in cases {
+        let rejection = parse("/safe", &headers, Bytes::new()).expect_err("a rejection");
+        assert_eq!(rejection.to_string(), reason, "{headers:?}");
+        assert_eq!(rejection.into_response().status(), StatusCode::BAD_REQUEST, "{headers:?}");
+    }
+}
+
+#[test]
+fn an_unknown_class_and_a_long_body_have_statuses_of_their_own() {
+    let rejection = parse("/other", &VALID, Bytes::new()).expect_err("a rejection");
+    assert_eq!(rejection.into_response().status(), StatusCode::NOT_FOUND);
+    let body = Bytes::from(vec![0; MAX_BODY + 1]);
+    let rejection = parse("/safe", &VALID, body).expect_err("a rejection");
+    assert_eq!(rejection.into_response().status(), StatusCode::PAYLOAD_TOO_LARGE);
+    let body = Bytes::from(vec![0; MAX_BODY]);
+    assert_eq!(parse("/safe", &VALID, body).expect("a head").body_len as usize, MAX_BODY);
+}
+
+#[test]
+fn a_class_that_needs_an_idempotency_key_rejects_a_message_without_one() {
+    for headers in [VALID.to_vec(), with("Idempotency-Key", Some(""))] {
+        let rejection = parse("/keyed", &headers, Bytes::new()).expect_err("a rejection");
+        assert_eq!(rejection.to_string(), "bad Idempotency-Key");
+    }
+    let headers = with("Idempotency-Key", Some("k"));
+    let head = parse("/keyed", &headers, Bytes::new()).expect("a head");
+    assert_eq!(head.idempotency_key.as_deref(), Some(&b"k"[..]));
+}
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -4,10 +4,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
-use hyper::{Method, Request, Response, StatusCode};
+use hyper::{Method, Request, StatusCode};
 use rudderspindle_policy::interface::Millis;
 use tokio::sync::{SemaphorePermit, oneshot};
 use tokio::time::Instant;
@@ -17,14 +16,13 @@
 use super::rejection::RequestRejection;
 use super::request_body;
 use super::request_head::SubmissionHead;
+use super::response::{HttpResponse, text_response};
 use crate::admission_state::AdmissionState;
 use crate::event::{Answer, Input, Submission};
 use crate::metrics::End;
 
 const READY_PATH: &str = "/-/ready";
 
-type HttpResponse = Response<Full<Bytes>>;
-
 impl Inbound {
     /// Handles a request, and takes note that it has its response.
     pub(super) async fn respond(
@@ -154,9 +152,3 @@
         RequestRejection::Overloaded { retry_after: advised.then_some(retry_after) }
     }
 }
-
-fn text_response(status: StatusCode, text: &'static str) -> HttpResponse {
-    let mut response = Response::new(Full::from(text));
-    *response.status_mut() = status;
-    response
-}
--- a/crates/sender/src/inbound/tests/closing.rs
+++ b/crates/sender/src/inbound/tests/closing.rs
@@ -61,7 +61,8 @@
         let head = "POST /safe HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\n\r\n";
         client.write_all(head.as_bytes()).await.expect("writable");
         let (mut reader, mut writer) = client.split();
-        let (mut received, body) = (Vec::new(), vec![b'x'; 200_000]);
+        let mut received = Vec::new();
+        let body = vec![b'x'; 200_000];
         let both = async { tokio::join!(reader.read_to_end(&mut received), writer.write_all(&body)) };
         let (read, written) = timeout(TEST_TIMEOUT, both).await.expect("in time");
         assert!(read.is_ok() && written.is_ok(), "{read:?}, {written:?}");
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -22,8 +22,14 @@
 const ROUTE: RouteId = RouteId(1);
 
 fn route(addr: SocketAddr, listing: Listing) -> Route {
-    let (receiver, zone) = ("r1".into(), "a".into());
-    Route { addr: Some(addr), receiver, zone, destination: DestinationId(7), has_own_backoff: false, listing }
+    Route {
+        addr: Some(addr),
+        receiver: "r1".into(),
+        zone: "a".into(),
+        destination: DestinationId(7),
+        has_own_backoff: false,
+        listing,
+    }
 }
 
 impl Outbound {
@@ -52,9 +58,17 @@
 }
 
 fn call() -> Call {
-    let (id, until) = (MessageHandle(3), Instant::now() + Duration::from_secs(5));
-    let (message_id, body) = ("m1".into(), Bytes::from_static(b"text"));
-    Call { id, attempt: 0, route: ROUTE, message_id, key: None, body, until, latest: until }
+    let until = Instant::now() + Duration::from_secs(5);
+    Call {
+        id: MessageHandle(3),
+        attempt: 0,
+        route: ROUTE,
+        message_id: "m1".into(),
+        key: None,
+        body: Bytes::from_static(b"text"),
+        until,
+        latest: until,
+    }
 }
 
 async fn next(inputs: &mut mpsc::Receiver<Input>) -> Input {
@@ -79,11 +93,22 @@
     stream.write_all(response.as_bytes()).await.expect("writable");
 }
 
-/// Waits until a connection is idle in the pool.
-async fn idle_connection(outbound: &Outbound) {
+/// Makes a call that succeeds, and waits until its connection is idle. Returns the receiver's side of the connection.
+async fn complete_call(
+    outbound: &Rc<Outbound>,
+    listener: &TcpListener,
+    inputs: &mut mpsc::Receiver<Input>,
+    call: Call,
+) -> TcpStream {
+    outbound.start_call(call);
+    let (mut stream, _) = listener.accept().await.expect("a connection");
+    respond(&mut stream, "200 OK").await;
+    let Input::Outcome { report, .. } = next(inputs).await else { panic!("no outcome") };
+    assert_eq!(report, Outcome::Ok.into());
     while outbound.idle.len() == 0 {
         tokio::task::yield_now().await;
     }
+    stream
 }
 
 /// Length of a body of which only a part is written while nobody reads at a [`narrow`] listener.
@@ -100,7 +125,8 @@
 
 /// Counts the bytes received until the connection ends, by a reset or not.
 async fn read_to_end(stream: &mut TcpStream) -> usize {
-    let (mut received, mut buffer) = (0, vec![0; 4096]);
+    let mut received = 0;
+    let mut buffer = vec![0; 4096];
     while let Ok(n @ 1..) = timeout(Duration::from_secs(20), stream.read(&mut buffer)).await.expect("an end")
     {
         received += n;
--- a/crates/sender/src/outbound/tests/idle_connections.rs
+++ b/crates/sender/src/outbound/tests/idle_connections.rs
@@ -6,11 +6,7 @@
 async fn an_idle_connection_is_not_used_when_the_receiver_may_be_about_to_close_it() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        outbound.start_call(call());
-        let (mut stream, _) = listener.accept().await.expect("a connection");
-        respond(&mut stream, "200 OK").await;
-        next(&mut inputs).await;
-        idle_connection(&outbound).await;
+        let _stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
         let connection = outbound.idle.take(ROUTE).expect("it is pooled");
         let max_idle_time = outbound.idle.max_idle_time();
         let old = Instant::now() + Duration::from_secs(13);
@@ -29,11 +25,7 @@
     let test = async {
         for noise in [&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..], b"noise"] {
             let (outbound, listener, mut inputs) = set_up().await;
-            outbound.start_call(call());
-            let (mut stream, _) = listener.accept().await.expect("a connection");
-            respond(&mut stream, "200 OK").await;
-            next(&mut inputs).await;
-            idle_connection(&outbound).await;
+            let stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
             // Nothing here waits, so that the runtime does not poll its sockets before the call is sent.
             assert_eq!(stream.try_write(noise).expect("writable"), noise.len());
             outbound.start_call(call());
@@ -69,11 +61,7 @@
 async fn an_opened_connection_sends_small_writes_at_once() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        outbound.start_call(call());
-        let (mut stream, _) = listener.accept().await.expect("a connection");
-        respond(&mut stream, "200 OK").await;
-        next(&mut inputs).await;
-        idle_connection(&outbound).await;
+        let _stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
         let connection = outbound.idle.take(ROUTE).expect("it is pooled");
         assert!(connection.socket.upgrade().expect("open").borrow().nodelay().expect("it can be read"));
     };
--- a/crates/sender/src/outbound/tests/interrupted.rs
+++ b/crates/sender/src/outbound/tests/interrupted.rs
@@ -61,7 +61,8 @@
     let test = async {
         let (outbound, listener, mut inputs) = set_up_narrow().await;
         let latest = Instant::now() + Duration::from_secs(1);
-        let (until, key) = (latest + Duration::from_secs(4), Some(Bytes::from_static(b"k")));
+        let until = latest + Duration::from_secs(4);
+        let key = Some(Bytes::from_static(b"k"));
         outbound.start_call(Call { until, latest, key, attempt: 1, ..call_of_size(MEDIUM) });
         let (mut stream, _) = listener.accept().await.expect("a connection");
         // It may have been executed: its last byte was written.
@@ -77,11 +78,8 @@
 async fn a_connection_that_carried_a_keyed_retry_has_no_limit_afterwards() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        outbound.start_call(Call { key: Some(Bytes::from_static(b"k")), attempt: 1, ..call() });
-        let (mut stream, _) = listener.accept().await.expect("a connection");
-        respond(&mut stream, "200 OK").await;
-        assert_eq!(outcome(&mut inputs).await, Outcome::Ok);
-        idle_connection(&outbound).await;
+        let keyed_retry = Call { key: Some(Bytes::from_static(b"k")), attempt: 1, ..call() };
+        let _stream = complete_call(&outbound, &listener, &mut inputs, keyed_retry).await;
         let connection = outbound.idle.take(ROUTE).expect("it is pooled");
         let socket = connection.socket.upgrade().expect("open");
         let limit = SockRef::from(&*socket.borrow()).tcp_user_timeout().expect("it can be read");
@@ -95,11 +93,7 @@
 async fn a_call_for_which_an_idle_connection_is_closed_is_sent_at_once() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up_with(1).await;
-        outbound.start_call(call());
-        let (mut stream, _) = listener.accept().await.expect("a connection");
-        respond(&mut stream, "200 OK").await;
-        assert_eq!(outcome(&mut inputs).await, Outcome::Ok);
-        idle_connection(&outbound).await;
+        let mut stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
         let other = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         outbound.update_route(RouteId(2), route(other.local_addr().expect("an address"), Listing::Ready));
         outbound.start_call(Call { route: RouteId(2), ..call() });
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -23,8 +23,13 @@
                 let outcome = outcome_without_response(sent, received, interruption);
                 assert!(!outcome.possibly_executed(), "{sent:?} {received:?} {interruption:?}");
                 // Only what the receiver or the network did counts against the receiver.
-                let ours = matches!(interruption, Interruption::Cancelled | Interruption::Withheld);
-                assert_eq!(outcome == Outcome::NotSent, ours, "{sent:?} {received:?} {interruption:?}");
+                let caused_by_sender =
+                    matches!(interruption, Interruption::Cancelled | Interruption::Withheld);
+                assert_eq!(
+                    outcome == Outcome::NotSent,
+                    caused_by_sender,
+                    "{sent:?} {received:?} {interruption:?}"
+                );
             }
             // After that it may have been.
             let outcome = outcome_without_response(RequestProgress::Complete, received, interruption);
@@ -151,7 +156,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let split = runner.run(&response, |(n, at)| {
         let (text, complete) = responses()[n];
-        let (mut pieces, mut rest) = (Vec::new(), text.as_bytes());
+        let mut pieces = Vec::new();
+        let mut rest = text.as_bytes();
         for at in at.iter().rev() {
             let (before, piece) = rest.split_at(*at);
             pieces.insert(0, piece);
--- a/crates/sender/src/outbound/tests/withheld.rs
+++ b/crates/sender/src/outbound/tests/withheld.rs
@@ -44,11 +44,7 @@
         assert!(Instant::now() >= latest);
         // Nor is one sent over an idle connection if its time was over before its task began.
         let (outbound, listener, mut inputs) = set_up().await;
-        outbound.start_call(call());
-        let (mut stream, _) = listener.accept().await.expect("a connection");
-        respond(&mut stream, "200 OK").await;
-        next(&mut inputs).await;
-        idle_connection(&outbound).await;
+        let stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
         outbound.start_call(Call { latest: Instant::now(), ..call() });
         let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         assert_eq!(report, Outcome::NotSent.into());
--- a/crates/sender/src/write_progress/response_head.rs
+++ b/crates/sender/src/write_progress/response_head.rs
@@ -51,3 +51,6 @@
         Some(position + HEAD_END.len())
     }
 }
+
+#[cfg(test)]
+mod tests;
