--- a/crates/sender/src/engine/succession.rs
+++ b/crates/sender/src/engine/succession.rs
@@ -1,7 +1,7 @@
 //! Two processes of one sender for a while.
 
 use super::*;
-use crate::outbound::LONGEST_WAIT;
+use crate::outbound::MAX_BACKOFF_MS;
 
 impl Engine {
     /// A successor gets half of the disk, and hears what is known of outages and waits.
@@ -25,7 +25,7 @@
             let (destination, receiver) = (endpoint.destination, endpoint.receiver.to_string());
             self.peer_process.send(HandoverMessage::OutageState { destination, receiver, outage });
         }
-        self.outbound.waits().into_iter().for_each(|word| self.peer_process.send(word));
+        self.outbound.active_backoffs().into_iter().for_each(|word| self.peer_process.send(word));
         self.told_out = self.calls.len();
         self.peer_process.send(HandoverMessage::CallsInFlight(self.told_out));
         self.peer_process.send(HandoverMessage::FreeSpace);
@@ -49,8 +49,8 @@
             // One that is on no list here gets nothing anyway.
             Some(receiver) => Some(self.routes.get(receiver)?.route),
         };
-        let (destination, wait) = (DestinationId(destination), wait.clamp(0.0, LONGEST_WAIT));
-        self.outbound.heed(destination, route, wait);
+        let (destination, wait) = (DestinationId(destination), wait.clamp(0.0, MAX_BACKOFF_MS));
+        self.outbound.apply_backoff(destination, route, wait);
         Some(Event::RetryAfter { destination, route, wait })
     }
 
