--- a/crates/sender/src/activity.rs
+++ b/crates/sender/src/activity.rs
@@ -1,58 +1,65 @@
-//! What the engine keeps for notes between two reports: how calls ended, and how many messages were taken on.
+//! Collects the activity that the engine reports to the gossip: attempt results and accepted messages.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use rudderspindle_gossip::{Receiver, Seen};
 use rudderspindle_policy::interface::Outcome;
 
-use crate::event::{ActivityReport, MAX_CALL_RESULTS};
+use crate::event::{ActivityReport, MAX_CALL_RESULTS, ReceiverResult, TenantUsage};
 
-/// Emptied with each report; nothing is kept where no notes tell of it.
+/// The activity since the last report. Stays empty while disabled, as when nobody asks for reports.
 #[derive(Debug)]
 pub(crate) struct ActivityLog {
-    kept: bool,
-    seen: VecDeque<(Receiver, Seen)>,
-    taken_on: BTreeMap<u16, u32>,
+    enabled: bool,
+    /// Oldest first; at most [`MAX_CALL_RESULTS`].
+    results: VecDeque<ReceiverResult>,
+    /// Number of messages by tenant.
+    accepted: BTreeMap<u16, u32>,
 }
 
 impl ActivityLog {
-    pub fn new(kept: bool) -> Self {
-        Self { kept, seen: VecDeque::new(), taken_on: BTreeMap::new() }
+    /// An empty log.
+    pub fn new(enabled: bool) -> Self {
+        Self { enabled, results: VecDeque::new(), accepted: BTreeMap::new() }
     }
 
-    pub fn is_kept(&self) -> bool {
-        self.kept
+    /// Whether activity is recorded.
+    pub fn is_enabled(&self) -> bool {
+        self.enabled
     }
 
-    /// A call to a receiver ended. One that was never sent, or called off, tells nothing of it.
-    pub fn saw(&mut self, receiver: Option<Receiver>, outcome: Outcome) {
+    /// Records an attempt's outcome. Attempts that were not sent or were cancelled say nothing about the receiver's
+    /// health and are ignored.
+    pub fn record_outcome(&mut self, receiver: Option<Receiver>, outcome: Outcome) {
         let seen = match outcome {
             Outcome::Ok | Outcome::Rejected => Seen::Answered,
             Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => Seen::Failed,
             Outcome::Cancelled | Outcome::NotSent | Outcome::AttemptsExhausted => return,
         };
-        if let Some(receiver) = receiver.filter(|_| self.kept) {
-            self.seen.push_back((receiver, seen));
-            if self.seen.len() > MAX_CALL_RESULTS {
-                self.seen.pop_front();
-            }
+        if !self.enabled {
+            return;
+        }
+        let Some(receiver) = receiver else { return };
+        self.results.push_back(ReceiverResult { receiver, seen });
+        if self.results.len() > MAX_CALL_RESULTS {
+            self.results.pop_front();
         }
     }
 
-    /// A message of this tenant was taken on; as many tenants as the settings have, and one for those without a name.
-    pub fn took(&mut self, tenant: usize) {
-        if self.kept {
-            let count = self.taken_on.entry(u16::try_from(tenant).unwrap_or(u16::MAX)).or_default();
+    /// Records that a message of this tenant, by index, was accepted.
+    pub fn record_accepted(&mut self, tenant: usize) {
+        if self.enabled {
+            let count = self.accepted.entry(u16::try_from(tenant).unwrap_or(u16::MAX)).or_default();
             *count = count.saturating_add(1);
         }
     }
 
-    /// All of it, but for what is wanted.
+    /// Empties the log into a report without demands and endpoints.
     pub fn take(&mut self) -> ActivityReport {
-        let seen = std::mem::take(&mut self.seen).into();
+        let accepted = std::mem::take(&mut self.accepted).into_iter();
         ActivityReport {
-            seen,
-            taken_on: std::mem::take(&mut self.taken_on).into_iter().collect(),
+            results: std::mem::take(&mut self.results).into(),
+            accepted: accepted.map(|(tenant, messages)| TenantUsage { tenant, messages }).collect(),
             ..ActivityReport::default()
         }
     }
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::event::List;
+use crate::event::EndpointList;
 use crate::fleet_file::FleetFile;
 use limits::Limits;
 pub use start_error::StartError;
@@ -25,7 +25,7 @@
     pub(crate) control: Option<SocketAddr>,
     pub(crate) seed: String,
     pub(crate) limits: Limits,
-    pub(crate) known: Option<List>,
+    pub(crate) known: Option<EndpointList>,
     /// An address for notes to each sender of the tier, in the order of their numbers.
     pub(crate) peers: Vec<String>,
     /// Where notes arrive.
--- a/crates/sender/src/config/golden.rs
+++ b/crates/sender/src/config/golden.rs
@@ -108,8 +108,8 @@
 fn own(config: &Config) -> Value {
     let known = config.known.as_ref().map(|list| {
         let members = list.members.iter().map(|member| {
-            json!({"id": member.id, "host_port": member.host_port, "locality": member.locality,
-                "flavor": member.flavor, "cell": member.cell, "phase": member.phase, "size": member.size})
+            json!({"id": member.id, "host_port": member.host_port, "locality": member.zone,
+                "flavor": member.kind, "cell": member.destination, "phase": member.phase, "size": member.rate})
         });
         json!({"revision": list.revision, "complete": list.complete, "members": members.collect::<Vec<_>>()})
     });
--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 use self::decoder::{DecodeError, Decoder, Item, LONGEST_LIST};
-use crate::event::{Input, List};
+use crate::event::{EndpointList, Input};
 use crate::platform::{Driver, HttpError, connect};
 use crate::poll_schedule::PollSchedule;
 
@@ -39,7 +39,7 @@
 }
 
 /// The whole list as the agent has it, if it answers soon enough for a start to wait for it.
-pub async fn fetch(addr: SocketAddr) -> Option<List> {
+pub async fn fetch(addr: SocketAddr) -> Option<EndpointList> {
     match timeout(FETCH, whole_list(addr, FETCH)).await.unwrap_or(Err(HttpError::Silent.into())) {
         Ok(list) => Some(list),
         Err(error) => {
@@ -49,11 +49,11 @@
     }
 }
 
-async fn whole_list(addr: SocketAddr, patience: Duration) -> Result<List, WatchError> {
+async fn whole_list(addr: SocketAddr, patience: Duration) -> Result<EndpointList, WatchError> {
     let (response, _connection) = get(addr, "/api/targets", patience).await?;
     let body = Limited::new(response.into_body(), LONGEST_LIST).collect().await;
     let body = body.map_err(|_| DecodeError::TooLong)?.to_bytes();
-    let list: List = serde_json::from_slice(&body).map_err(DecodeError::from)?;
+    let list: EndpointList = serde_json::from_slice(&body).map_err(DecodeError::from)?;
     if list.complete { Ok(list) } else { Err(WatchError::Incomplete) }
 }
 
--- a/crates/sender/src/discovery/decoder.rs
+++ b/crates/sender/src/discovery/decoder.rs
@@ -3,7 +3,7 @@
 //! A list is one JSON object, on one line or indented over several; between two of them an empty line says that
 //! nothing has changed. Each byte is looked at once, and a list is parsed once, when its last bracket has come.
 
-use crate::event::List;
+use crate::event::EndpointList;
 
 /// A longer list is none of ours.
 pub(super) const LONGEST_LIST: usize = 4 << 20;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(super) enum Item {
     /// A list, or the changes of one.
-    List(List),
+    List(EndpointList),
     /// An empty line between lists.
     Heartbeat,
 }
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -24,7 +24,10 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::activity::ActivityLog;
-use crate::event::{ActivityReport, Answer, AttemptResult, Call, Input, List, Member, STORY, Submission};
+use crate::event::{
+    ActivityReport, Answer, AttemptResult, Call, CapacityUpdate, Endpoint, EndpointList, Input, LimitDemand,
+    ListedReceiver, MESSAGE_LOG, PermitUpdate, Submission, TenantQuota,
+};
 use crate::handover::{self, HandoverMessage, PeerProcess};
 use crate::metrics::{End, EngineStatus, Metrics};
 use crate::notifications::Notifications;
@@ -145,8 +148,8 @@
     /// [`SettingsError`] if the settings cannot work.
     pub fn new(
         parts: EngineDependencies,
-        known: &List,
-        fetched: Option<&List>,
+        known: &EndpointList,
+        fetched: Option<&EndpointList>,
     ) -> Result<Self, SettingsError> {
         let EngineDependencies { settings, names, seed, store, outbound, reports, .. } = parts;
         let EngineDependencies { metrics, peer_process, shared_door, notes, permits, views, inputs, .. } =
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -30,7 +30,7 @@
         held.attempts += 1;
         let destination = self.routes.get(&receiver).and_then(|known| known.destination);
         held.receiver = destination.map(|to| Receiver::of(to.0, &receiver));
-        tracing::debug!(target: STORY, message_id = &*held.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*held.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
         self.store.attempt(&held.message_id, PossibleExecution { at: journal::wall_ms(), receiver, zone });
         let (message_id, key, body) = (held.message_id.clone(), held.key.clone(), held.body.clone());
         let patience = Duration::from_secs_f64(timeout.max(0.0) / 1_000.0);
@@ -42,11 +42,11 @@
 
     pub(super) fn outcome(&mut self, id: MessageHandle, attempt: u32, report: AttemptResult) -> Event {
         self.calls.remove(&id);
-        let AttemptResult { outcome, wait, closed } = report;
+        let AttemptResult { outcome, retry_after: wait, closed } = report;
         let receiver = self.held.get_mut(&id).and_then(|held| held.receiver.take());
-        self.activity.saw(receiver, outcome);
+        self.activity.record_outcome(receiver, outcome);
         if let Some(held) = self.held.get(&id) {
-            tracing::debug!(target: STORY, message_id = &*held.message_id, attempt, ?outcome, wait, "outcome");
+            tracing::debug!(target: MESSAGE_LOG, message_id = &*held.message_id, attempt, ?outcome, wait, "outcome");
             if closed {
                 failpoint!("delivered-before-record");
                 self.store.end(&held.message_id, None);
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -3,18 +3,16 @@
 use super::*;
 
 /// Turns as the module is told them: from now, whatever the wall clock has done since.
-fn turns(
-    all: Vec<(DestinationId, Option<RouteId>, Vec<rudderspindle_gossip::Permit>)>,
-) -> impl Iterator<Item = Event> {
+fn turns(all: Vec<PermitUpdate>) -> impl Iterator<Item = Event> {
     let wall = journal::wall_ms() as Millis;
     let turn = move |t: rudderspindle_gossip::Permit| Permit {
         number: t.number,
         from: t.from as Millis - wall,
         until: t.until as Millis - wall,
     };
-    all.into_iter().map(move |(destination, route, turns)| {
-        let turns = turns.into_iter().map(turn).collect();
-        Event::Permits { destination, route, turns }
+    all.into_iter().map(move |update| {
+        let turns = update.permits.into_iter().map(turn).collect();
+        Event::Permits { destination: update.limit.destination, route: update.limit.route, turns }
     })
 }
 
@@ -32,7 +30,7 @@
                     events.extend(message.map(Event::Message));
                 }
                 Input::Withdrawn(hand_in) => events.extend(self.withdraw(hand_in)),
-                Input::Outcome { id, attempt, report } => events.push(self.outcome(id, attempt, report)),
+                Input::Outcome { id, attempt, result } => events.push(self.outcome(id, attempt, result)),
                 Input::HealthChecked { route, outcome } => {
                     events.push(Event::HealthChecked { route, outcome })
                 }
@@ -46,30 +44,34 @@
                     failpoint!("acknowledged-before-record");
                     message_ids.iter().for_each(|message_id| self.store.settled(message_id));
                 }
-                Input::Successor(came) => self.successor(came),
-                Input::RetryAfter { destination, receiver, ms } => {
-                    events.extend(self.heed(destination, receiver.as_deref(), ms));
+                Input::SuccessorConnected => self.successor(true),
+                Input::PeerDisconnected => self.successor(false),
+                Input::RetryAfter { destination, receiver, wait } => {
+                    events.extend(self.heed(destination, receiver.as_deref(), wait));
                 }
                 Input::PeerCallsInFlight(calls) => self.sender.share_slots(calls),
                 Input::TakeOver(asker) => {
                     self.succeed(now);
                     let _ = asker.send(self.store.is_owner());
                 }
-                Input::Demands(asker) => drop(asker.send(self.activity())),
-                Input::CapacityShares(rooms, lasts) => {
-                    let room = |(destination, route, calls, wanted)| Event::Capacity {
-                        destination,
-                        route,
-                        calls,
-                        wanted,
-                        lasts,
+                Input::ReportActivity(asker) => drop(asker.send(self.activity())),
+                Input::CapacityShares { shares, valid_for } => {
+                    let event = |share: CapacityUpdate| Event::Capacity {
+                        destination: share.limit.destination,
+                        route: share.limit.route,
+                        calls: share.calls,
+                        wanted: share.fleet_demand,
+                        lasts: valid_for,
                     };
-                    events.extend(rooms.into_iter().map(room));
+                    events.extend(shares.into_iter().map(event));
                 }
                 Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
                 Input::Quotas(all) => {
-                    let quota = |(tenant, per_s)| Event::Quota { tenant, per_s };
-                    events.extend(all.into_iter().enumerate().map(quota));
+                    let event = |quota: TenantQuota| Event::Quota {
+                        tenant: quota.tenant,
+                        per_s: quota.messages_per_s,
+                    };
+                    events.extend(all.into_iter().map(event));
                 }
                 Input::Permits(all) => events.extend(turns(all)),
                 // Nobody may wait for it any more.
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -31,11 +31,11 @@
                 self.metrics.ended(class, status.into());
                 let word = match status {
                     Status::Undeliverable => Answer::Failed,
-                    Status::Deferred(again) => Answer::Refused(again.unwrap_or(0) as Millis),
+                    Status::Deferred(again) => Answer::Refused { retry_after: again.unwrap_or(0) as Millis },
                 };
                 answers.push((answer, word));
             } else {
-                tracing::debug!(target: STORY, message_id = &*record.message_id, class = &*record.class,
+                tracing::debug!(target: MESSAGE_LOG, message_id = &*record.message_id, class = &*record.class,
                     to = record.destination, "taken on");
                 self.store.take(record);
                 taken.push((id, answer));
@@ -47,7 +47,7 @@
             if self.put_back(now, &held) {
                 continue;
             }
-            tracing::debug!(target: STORY, message_id = &*held.message_id, ?status, "ended");
+            tracing::debug!(target: MESSAGE_LOG, message_id = &*held.message_id, ?status, "ended");
             self.store.end(&held.message_id, Some(status));
             self.metrics.ended(held.class, status.into());
             notices.push(Notice { message_id: held.message_id, status });
@@ -83,7 +83,7 @@
                     self.carried.push(Event::Dropped(id));
                     self.metrics.ended(held.class, End::Refused);
                 }
-                answers.push((answer, Answer::Refused(0.0)));
+                answers.push((answer, Answer::REFUSED));
             }
             // An attempt that is not on record must not go out.
             for call in calls.drain(..) {
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -23,7 +23,7 @@
             if !unknown {
                 self.metrics.ended(class, End::Refused);
             }
-            refused.push((answer, if unknown { Answer::UnknownDestination } else { Answer::Refused(0.0) }));
+            refused.push((answer, if unknown { Answer::UnknownDestination } else { Answer::REFUSED }));
             return None;
         }
         if let Some(&id) = self.ids.get(&message_id) {
@@ -38,7 +38,7 @@
                 }
                 None => {
                     self.metrics.ended(class, End::Refused);
-                    refused.push((answer, Answer::Refused(0.0)));
+                    refused.push((answer, Answer::REFUSED));
                 }
             }
             return None;
@@ -46,7 +46,7 @@
         if self.store.knows(&message_id) {
             // Its notice is still owed: what acknowledges that must not end a new message of the same id.
             self.metrics.ended(class, End::Refused);
-            refused.push((answer, Answer::Refused(0.0)));
+            refused.push((answer, Answer::REFUSED));
             return None;
         }
         let left = ends_at.saturating_duration_since(now);
@@ -65,7 +65,7 @@
         let more = record.room();
         if self.held.len() >= self.settings.max_pending || !self.store.has_room(*room + more) {
             self.metrics.ended(class, End::Refused);
-            refused.push((answer, Answer::Refused(0.0)));
+            refused.push((answer, Answer::REFUSED));
             return None;
         }
         if !Store::fits_batch(*room + more) {
@@ -86,7 +86,7 @@
             receiver: None,
         });
         self.submissions.insert(number, id);
-        self.activity.took(tenant);
+        self.activity.record_accepted(tenant);
         fresh.push(NewSubmission { id, class, record, answer });
         Some(Message {
             id,
@@ -127,7 +127,7 @@
             return None;
         }
         let held = self.release(id)?;
-        tracing::debug!(target: STORY, message_id = &*held.message_id, "withdrawn");
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*held.message_id, "withdrawn");
         self.store.end(&held.message_id, None);
         Some(Event::Dropped(id))
     }
--- a/crates/sender/src/engine/list.rs
+++ b/crates/sender/src/engine/list.rs
@@ -4,7 +4,7 @@
 
 impl Engine {
     /// The list in the module's terms; outgoing calls follow it at once.
-    pub(super) fn list(&mut self, list: &List) -> Vec<RouteEntry> {
+    pub(super) fn list(&mut self, list: &EndpointList) -> Vec<RouteEntry> {
         let now = Instant::now();
         let entries: Vec<RouteEntry> = list.members.iter().map(|member| self.member(member, now)).collect();
         if list.complete {
@@ -19,8 +19,8 @@
         entries
     }
 
-    pub(super) fn member(&mut self, member: &Member, now: Instant) -> RouteEntry {
-        let kind = self.names.kinds.iter().position(|name| *name == member.flavor);
+    pub(super) fn member(&mut self, member: &Endpoint, now: Instant) -> RouteEntry {
+        let kind = self.names.kinds.iter().position(|name| *name == member.kind);
         // The last kind serves for those without a name.
         let kind = kind.unwrap_or(self.settings.kinds.len().saturating_sub(1));
         let listing = match member.phase.as_str() {
@@ -30,11 +30,11 @@
         };
         let entry = RouteEntry {
             route: self.route(&member.id, now),
-            destination: DestinationId(member.cell),
-            zone: self.zone(&member.locality),
+            destination: DestinationId(member.destination),
+            zone: self.zone(&member.zone),
             kind: kind as u16,
             listing,
-            rate: member.size,
+            rate: member.rate,
         };
         if let Some(known) = self.routes.get_mut(member.id.as_str()) {
             let gone = listing == Listing::Gone;
@@ -44,7 +44,7 @@
         let route = Route {
             addr: member.host_port.parse().ok(),
             receiver: member.id.as_str().into(),
-            zone: member.locality.as_str().into(),
+            zone: member.zone.as_str().into(),
             destination: entry.destination,
             apart: self.settings.kinds.get(kind).is_some_and(|kind| kind.routes_apart),
             listing,
@@ -76,11 +76,12 @@
     }
 
     /// The receivers that are on the list, as notes name them.
-    pub(super) fn listed(&self) -> Vec<(DestinationId, RouteId, Receiver)> {
+    pub(super) fn listed(&self) -> Vec<ListedReceiver> {
         let listed = self.routes.iter().filter(|(_, known)| known.gone_at.is_none());
         let named = listed.filter_map(|(name, known)| {
-            let to = known.destination?;
-            Some((to, known.route, Receiver::of(to.0, name)))
+            let destination = known.destination?;
+            let receiver = Receiver::of(destination.0, name);
+            Some(ListedReceiver { destination, route: known.route, receiver })
         });
         let mut listed: Vec<_> = named.collect();
         // The map's order is chance's.
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -96,7 +96,7 @@
             return false;
         }
         let Some(message) = self.store.open_message(&held.message_id).cloned() else { return false };
-        tracing::debug!(target: STORY, message_id = &*held.message_id, "put back");
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*held.message_id, "put back");
         let (class, ends_at) = (held.class, held.ends_at);
         self.backlog.push(Recovered { class, ends_at, possibly_executed: None, message });
         self.sort_backlog();
@@ -106,7 +106,7 @@
     fn hand_over(&mut self, now: Instant, recovered: Recovered) -> Event {
         let Recovered { class, ends_at, possibly_executed, message: m } = recovered;
         let time_left = ends_at.saturating_duration_since(now).as_secs_f64() * 1_000.0;
-        tracing::debug!(target: STORY, message_id = &*m.message_id, attempts = m.attempts, ran = ?m.possibly_executed, time_left,
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*m.message_id, attempts = m.attempts, ran = ?m.possibly_executed, time_left,
             "taken up again");
         let possibly_executed = possibly_executed.map(|(then, ran)| {
             let since = now.saturating_duration_since(then).as_secs_f64() * 1_000.0;
--- a/crates/sender/src/engine/standing.rs
+++ b/crates/sender/src/engine/standing.rs
@@ -5,17 +5,18 @@
 impl Engine {
     /// What notes tell of this sender.
     pub(super) fn activity(&mut self) -> ActivityReport {
-        let listed = if self.activity.is_kept() { self.listed() } else { Vec::new() };
+        let listed = if self.activity.is_enabled() { self.listed() } else { Vec::new() };
         ActivityReport { demands: self.demands(), listed, ..self.activity.take() }
     }
 
-    pub(super) fn demands(&self) -> Vec<(LimitId, Demand)> {
+    pub(super) fn demands(&self) -> Vec<LimitDemand> {
         let named = |want: Demand| {
             let receiver = match want.route {
                 Some(route) => Some(self.outbound.place(route)?.0),
                 None => None,
             };
-            Some((LimitId::of(want.destination.0, receiver.as_deref()), want))
+            let limit = LimitId::of(want.destination.0, receiver.as_deref());
+            Some(LimitDemand { limit, demand: want })
         };
         self.sender.demands().into_iter().filter_map(named).collect()
     }
--- a/crates/sender/src/engine/succession/tests.rs
+++ b/crates/sender/src/engine/succession/tests.rs
@@ -9,7 +9,7 @@
     let test = async {
         for ms in [1e300, f64::INFINITY, -5.0] {
             let (mut engine, _inputs) = engine(folder.path());
-            engine.batch(vec![Input::RetryAfter { destination: 7, receiver: None, ms }]);
+            engine.batch(vec![Input::RetryAfter { destination: 7, receiver: None, wait: ms }]);
             tokio::time::advance(Duration::from_millis(LONGEST_WAIT as u64 + 1)).await;
             let (input, answered) = submission(1, "m1");
             engine.batch(vec![input]);
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -57,7 +57,7 @@
             let (input, answered) = submission(number, "m1");
             engine.batch(vec![input]);
             let more = number > MAX_SUBMISSIONS as u64;
-            let expected = if more { Answer::Refused(0.0) } else { Answer::Accepted };
+            let expected = if more { Answer::REFUSED } else { Answer::Accepted };
             assert_eq!(answered.await, Ok(expected));
         }
         for number in 2..=MAX_SUBMISSIONS as u64 + 1 {
--- /dev/null
+++ b/crates/sender/src/event/delivery.rs
@@ -0,0 +1,89 @@
+//! A message on its way through the sender: its submission, the answer to it, and the attempts to deliver it.
+
+use bytes::Bytes;
+use rudderspindle_journal::MessageId;
+use rudderspindle_policy::interface::{DestinationId, MessageHandle, Millis, Outcome, RouteId};
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// A message that a client submits, and the channel for the answer.
+#[derive(Debug)]
+pub struct Submission {
+    /// Unique in this process, also among submissions of the same message.
+    pub number: u64,
+    /// The id that the client gave the message.
+    pub message_id: MessageId,
+    /// Index of the message's class in the settings.
+    pub class: usize,
+    /// Index of the tenant in the settings.
+    pub tenant: usize,
+    /// The destination.
+    pub destination: DestinationId,
+    /// The idempotency key, if the client gave one.
+    pub key: Option<Bytes>,
+    /// The payload.
+    pub body: Bytes,
+    /// The message's deadline.
+    pub ends_at: Instant,
+    /// Receives the answer. It is closed once the client has disconnected.
+    pub answer: oneshot::Sender<Answer>,
+}
+
+/// The answer to a submission.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Answer {
+    /// The message is in the journal: it will be delivered, or its client notified.
+    Accepted,
+    /// The message was shed.
+    Refused {
+        /// When the client should submit it again; 0 for no advice.
+        retry_after: Millis,
+    },
+    /// The message cannot be delivered.
+    Failed,
+    /// No receiver of the destination is known.
+    UnknownDestination,
+}
+
+impl Answer {
+    /// The message was shed, without advice on when to submit it again.
+    pub const REFUSED: Self = Self::Refused { retry_after: 0.0 };
+}
+
+/// One attempt to deliver a message.
+#[derive(Debug)]
+pub struct Call {
+    /// The message.
+    pub id: MessageHandle,
+    /// Index of the attempt, from 0.
+    pub attempt: u32,
+    /// The receiver to call.
+    pub route: RouteId,
+    /// The message's id on the wire.
+    pub message_id: MessageId,
+    /// The idempotency key, if the message has one.
+    pub key: Option<Bytes>,
+    /// The payload.
+    pub body: Bytes,
+    /// When to stop waiting for the response.
+    pub until: Instant,
+    /// When the request must be written at the latest; it is not sent later than this.
+    pub latest: Instant,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AttemptResult {
+    /// The result in the policy's terms.
+    pub outcome: Outcome,
+    /// The wait that the receiver asked for; 0 for none.
+    pub retry_after: Millis,
+    /// Whether the message is complete: it needs neither a further attempt nor a notification.
+    pub closed: bool,
+}
+
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> Self {
+        Self { outcome, retry_after: 0.0, closed: outcome == Outcome::Ok }
+    }
+}
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -18,7 +18,7 @@
 use tokio::time::sleep;
 
 use crate::config::Notes;
-use crate::event::{ActivityReport, Input};
+use crate::event::{ActivityReport, CapacityUpdate, Input, LimitDemand, LimitKey, PermitUpdate};
 use crate::fleet_file::FleetFile;
 use shared::{LOOK, Shared};
 
@@ -167,17 +167,17 @@
     }
 
     /// What the host wants and does; what others make of that goes back to it.
-    async fn demands(&mut self, host: &mpsc::Sender<Input>) -> Option<(Vec<(LimitId, Demand)>, Vec<Own>)> {
+    async fn demands(&mut self, host: &mpsc::Sender<Input>) -> Option<(Vec<LimitDemand>, Vec<Own>)> {
         let (asker, activity) = oneshot::channel();
-        host.send(Input::Demands(asker)).await.ok()?;
+        host.send(Input::ReportActivity(asker)).await.ok()?;
         let activity: ActivityReport = activity.await.ok()?;
         let told = self.shared.as_mut().map(|shared| shared.exchange(wall_ms(), &activity));
         for input in told.into_iter().flatten() {
             host.send(input).await.ok()?;
         }
         let demands = activity.demands;
-        let own = demands.iter().map(|(gate, want)| {
-            let Demand { limit, wanted, called, refused, failed, .. } = *want;
+        let own = demands.iter().map(|LimitDemand { limit: gate, demand }| {
+            let Demand { limit, wanted, called, refused, failed, .. } = *demand;
             Own { gate: *gate, limit, wanted, called, refused, failed }
         });
         let own = own.collect();
@@ -190,16 +190,19 @@
         let datagrams = self.fleet.report(wall_ms(), &own);
         let rooms = self.fleet.rooms(wall_ms());
         let open = |gate, limit| if rooms.is_some() { self.fleet.open(gate, limit) } else { 1.0 };
-        let of =
-            |(gate, want): &(LimitId, Demand)| (*gate, want.destination, want.route, open(*gate, want.limit));
+        let of = |LimitDemand { limit: gate, demand: want }: &LimitDemand| {
+            (*gate, want.destination, want.route, open(*gate, want.limit))
+        };
         self.gates = demands.iter().map(of).collect();
         let Some(rooms) = rooms else { return Some(datagrams) };
         let near: HashMap<_, _> = rooms.iter().copied().collect();
-        let room = |(gate, want): &(_, Demand)| {
-            let calls = near.get(gate).copied().unwrap_or(f64::INFINITY);
-            (want.destination, want.route, calls, self.fleet.wanted(*gate))
+        let share = |LimitDemand { limit: gate, demand: want }: &LimitDemand| CapacityUpdate {
+            limit: LimitKey { destination: want.destination, route: want.route },
+            calls: near.get(gate).copied().unwrap_or(f64::INFINITY),
+            fleet_demand: self.fleet.wanted(*gate),
         };
-        host.send(Input::CapacityShares(demands.iter().map(room).collect(), LASTS)).await.ok()?;
+        let shares = demands.iter().map(share).collect();
+        host.send(Input::CapacityShares { shares, valid_for: LASTS }).await.ok()?;
         Some(datagrams)
     }
 
@@ -214,8 +217,10 @@
     async fn tell_turns(&self, host: &mpsc::Sender<Input>) -> bool {
         let Some(permits) = &self.permits else { return true };
         let wall = wall_ms();
-        let turns =
-            |&(gate, destination, route, open): &_| (destination, route, permits.turns(wall, gate, open));
-        host.send(Input::Permits(self.gates.iter().map(turns).collect())).await.is_ok()
+        let update = |&(gate, destination, route, open): &_| PermitUpdate {
+            limit: LimitKey { destination, route },
+            permits: permits.turns(wall, gate, open),
+        };
+        host.send(Input::Permits(self.gates.iter().map(update).collect())).await.is_ok()
     }
 }
--- a/crates/sender/src/gossip/shared.rs
+++ b/crates/sender/src/gossip/shared.rs
@@ -8,7 +8,7 @@
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
 use super::FLEET;
-use crate::event::{ActivityReport, Input};
+use crate::event::{ActivityReport, Input, ListedReceiver, ReceiverResult, TenantQuota, TenantUsage};
 use crate::fleet_file::FleetFile;
 
 /// How often it is looked whether notes are due, ms: a few times in the part of a round in which they go.
@@ -68,10 +68,10 @@
 
     /// Takes in what the host did, and says what it is to be told.
     pub fn exchange(&mut self, wall: u64, activity: &ActivityReport) -> Vec<Input> {
-        for &(receiver, seen) in &activity.seen {
+        for &ReceiverResult { receiver, seen } in &activity.results {
             self.views.judgements().saw(wall, receiver, seen);
         }
-        for &(tenant, messages) in &activity.taken_on {
+        for &TenantUsage { tenant, messages } in &activity.accepted {
             (0..messages).for_each(|_| self.views.counts().handed_in(wall, tenant));
         }
         let mut told = Vec::new();
@@ -84,8 +84,9 @@
             }
         }
         if !self.quotas.is_empty() {
-            let of = |(tenant, quota): (usize, &f64)| {
-                self.views.room(wall, u16::try_from(tenant).unwrap_or(u16::MAX), *quota)
+            let of = |(tenant, quota): (usize, &f64)| TenantQuota {
+                tenant,
+                messages_per_s: self.views.room(wall, u16::try_from(tenant).unwrap_or(u16::MAX), *quota),
             };
             told.push(Input::Quotas(self.quotas.iter().enumerate().map(of).collect()));
         }
@@ -93,10 +94,10 @@
     }
 
     /// The routes to receivers that several others of this hall see fail, by partner.
-    fn judged(&mut self, wall: u64, listed: &[(DestinationId, RouteId, Receiver)]) -> Vec<RouteId> {
+    fn judged(&mut self, wall: u64, listed: &[ListedReceiver]) -> Vec<RouteId> {
         let mut partners: BTreeMap<DestinationId, Vec<(Receiver, RouteId)>> = BTreeMap::new();
-        for &(partner, route, receiver) in listed {
-            partners.entry(partner).or_default().push((receiver, route));
+        for &ListedReceiver { destination, route, receiver } in listed {
+            partners.entry(destination).or_default().push((receiver, route));
         }
         let mut avoided = Vec::new();
         for receivers in partners.values() {
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -8,10 +8,10 @@
 
 const LIMIT: f64 = 60.0;
 
-fn want(wanted: f64) -> (LimitId, Demand) {
+fn want(wanted: f64) -> LimitDemand {
     let destination = DestinationId(7);
     let want = Demand { destination, route: None, limit: LIMIT, wanted, called: 0, refused: 0, failed: 0 };
-    (LimitId::of(7, None), want)
+    LimitDemand { limit: LimitId::of(7, None), demand: want }
 }
 
 /// Three senders on loopback; the second field of each is what its host hears.
@@ -43,12 +43,12 @@
     // One that had heard and was silent from then on would leave the last one alone.
     while heard.get() < 3 {
         match timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input") {
-            Input::Demands(asker) => {
+            Input::ReportActivity(asker) => {
                 drop(asker.send(ActivityReport { demands: vec![want(wanted)], ..ActivityReport::default() }));
             }
-            Input::CapacityShares(rooms, _) => {
-                if let Some((_, _, calls, _)) = rooms.first().filter(|room| room.2 < 0.9)
-                    && room.replace(*calls).is_none()
+            Input::CapacityShares { shares, .. } => {
+                if let Some(share) = shares.first().filter(|share| share.calls < 0.9)
+                    && room.replace(share.calls).is_none()
                 {
                     heard.set(heard.get() + 1);
                 }
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -61,7 +61,9 @@
     /// What the engine of the process that hears it is told; nothing of what is said only at the start.
     pub fn input(self) -> Option<Input> {
         match self {
-            Self::Wait { destination, receiver, ms } => Some(Input::RetryAfter { destination, receiver, ms }),
+            Self::Wait { destination, receiver, ms } => {
+                Some(Input::RetryAfter { destination, receiver, wait: ms })
+            }
             Self::Out(calls) => Some(Input::PeerCallsInFlight(calls)),
             Self::Hello(_) | Self::OutageState { .. } | Self::FreeSpace => None,
         }
@@ -196,7 +198,7 @@
         return tracing::warn!("handover: turned away: another successor is there");
     }
     link(reader, writer, &peer_process, &host);
-    let _ = host.send(Input::Successor(true)).await;
+    let _ = host.send(Input::SuccessorConnected).await;
 }
 
 /// From here on both ways are open; the host hears when the other is gone.
@@ -230,7 +232,7 @@
             () = say => {}
         }
         peer_process.0.borrow_mut().take();
-        let _ = host.send(Input::Successor(false)).await;
+        let _ = host.send(Input::PeerDisconnected).await;
     });
 }
 
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -122,12 +122,12 @@
             theirs.write_all(lines.as_bytes()).await.expect("writable");
             let first = told.recv().await;
             assert!(
-                matches!(&first, Some(Input::RetryAfter { destination: 3, receiver: Some(receiver), ms })
+                matches!(&first, Some(Input::RetryAfter { destination: 3, receiver: Some(receiver), wait: ms })
                     if receiver == "r1" && *ms == 5.0),
                 "{line:?}: {first:?}"
             );
             assert!(matches!(told.recv().await, Some(Input::PeerCallsInFlight(7))), "{line:?}");
-            assert!(matches!(told.recv().await, Some(Input::Successor(false))), "{line:?}");
+            assert!(matches!(told.recv().await, Some(Input::PeerDisconnected)), "{line:?}");
             assert!(!peer_process.is_there(), "{line:?}");
             drop(host);
             assert!(told.recv().await.is_none(), "{line:?}");
@@ -156,7 +156,7 @@
         let (host, mut told) = mpsc::channel(8);
         theirs.write_all(b"{\"hello\":1}\n").await.expect("writable");
         greet(ours, Rc::default(), host).await;
-        assert!(matches!(told.recv().await, Some(Input::Successor(true))));
+        assert!(matches!(told.recv().await, Some(Input::SuccessorConnected)));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -118,7 +118,7 @@
             return Ok(self.turn_away(class));
         }
         owed.hand_in(number);
-        let answer = answered.await.unwrap_or(Answer::Refused(0.0));
+        let answer = answered.await.unwrap_or(Answer::REFUSED);
         if answer == Answer::Accepted {
             owed.accept();
             return Ok(plain(StatusCode::ACCEPTED, "taken on"));
@@ -126,7 +126,7 @@
         owed.number.set(None);
         Ok(match answer {
             Answer::Accepted | Answer::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
-            Answer::Refused(again) => self.refusal(again),
+            Answer::Refused { retry_after } => self.refusal(retry_after),
             Answer::UnknownDestination => plain(StatusCode::NOT_FOUND, "unknown destination"),
         })
     }
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -26,7 +26,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
-use crate::event::{AttemptResult, Call, IDEMPOTENCY_KEY, Input, STORY};
+use crate::event::{AttemptResult, Call, IDEMPOTENCY_KEY, Input, MESSAGE_LOG};
 use crate::handover::{HandoverMessage, PeerProcess};
 use crate::metrics::Metrics;
 use crate::write_progress::{MAX_BUFFER, Metered, WriteProgress};
@@ -138,8 +138,8 @@
         let out = CallOut { attempt: call.attempt, cancelled: cancelled.clone() };
         spawn_local(async move {
             let (id, attempt) = (call.id, call.attempt);
-            let (report, rest) = this.call(&call, &cancelled).await;
-            let _ = this.host.send(Input::Outcome { id, attempt, report }).await;
+            let (result, rest) = this.call(&call, &cancelled).await;
+            let _ = this.host.send(Input::Outcome { id, attempt, result }).await;
             this.finish(call.route, rest).await;
         });
         out
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -105,14 +105,14 @@
             let end = match answer {
                 Ok(response) if late => {
                     // What it tells of the partner holds all the same.
-                    self.heed_told(waits, answered(response.status(), response.headers()).wait);
+                    self.heed_told(waits, answered(response.status(), response.headers()).retry_after);
                     End::TimedOut
                 }
                 Ok(response) => match self.believe(response, Sent::of(&write_progress), until).await {
                     Some((report, body)) => {
-                        tracing::debug!(target: STORY, message_id = message.map(|message_id| &**message_id), %addr, kept,
-                            outcome = ?report.outcome, wait = report.wait, "answered");
-                        self.heed_told(waits, report.wait);
+                        tracing::debug!(target: MESSAGE_LOG, message_id = message.map(|message_id| &**message_id), %addr, kept,
+                            outcome = ?report.outcome, wait = report.retry_after, "answered");
+                        self.heed_told(waits, report.retry_after);
                         // Nothing more of a call that was turned away before its last byte.
                         let rest = (Sent::of(&write_progress) == Sent::Whole).then_some((connection, body));
                         return (report, rest);
@@ -123,7 +123,7 @@
             };
             let (sent, heard) =
                 (Sent::of(&write_progress), if late { Heard::Nothing } else { Heard::of(&write_progress) });
-            tracing::debug!(target: STORY, message_id = message.map(|message_id| &**message_id), ?end, kept, ?sent, ?heard, "broken off");
+            tracing::debug!(target: MESSAGE_LOG, message_id = message.map(|message_id| &**message_id), ?end, kept, ?sent, ?heard, "broken off");
             // A kept connection that the receiver closed, or that is not quiet, before a byte of this went out:
             // no attempt yet.
             if !(kept && end == End::Broken && sent == Sent::Nothing) {
--- a/crates/sender/src/outbound/outcome.rs
+++ b/crates/sender/src/outbound/outcome.rs
@@ -90,9 +90,9 @@
 pub(super) fn answered(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
     match status.as_u16() {
         200 => Outcome::Ok.into(),
-        429 => AttemptResult { wait: retry_after(headers), ..Outcome::Rejected.into() },
+        429 => AttemptResult { retry_after: retry_after(headers), ..Outcome::Rejected.into() },
         503 if headers.get(X_EGRESS_FULL).is_some_and(|v| v == "1") => Outcome::NotSent.into(),
-        503 => AttemptResult { wait: retry_after(headers), ..Outcome::Rejected.into() },
+        503 => AttemptResult { retry_after: retry_after(headers), ..Outcome::Rejected.into() },
         504 => Outcome::AttemptsExhausted.into(),
         410 => AttemptResult { closed: true, ..Outcome::NotSent.into() },
         // 500, and whatever else is said: it may have run.
--- a/crates/sender/src/outbound/tests/answers.rs
+++ b/crates/sender/src/outbound/tests/answers.rs
@@ -4,7 +4,7 @@
 
 #[tokio::test]
 async fn answers_read_as_the_protocol_says() {
-    let report = |outcome, wait, closed| AttemptResult { outcome, wait, closed };
+    let report = |outcome, retry_after, closed| AttemptResult { outcome, retry_after, closed };
     let cases = [
         ("200 OK", report(Outcome::Ok, 0.0, true)),
         ("500 No", report(Outcome::Error, 0.0, false)),
@@ -22,7 +22,7 @@
             outbound.start(call());
             let (mut stream, _) = listener.accept().await.expect("a connection");
             answer(&mut stream, text).await;
-            let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, expected, "{text}");
         }
     };
@@ -57,8 +57,8 @@
         outbound.start(call());
         let (mut stream, _) = listener.accept().await.expect("a connection");
         answer(&mut stream, "429 No\r\nX-Backoff-Ms: 1e300").await;
-        let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-        assert_eq!((report.outcome, report.wait), (Outcome::Rejected, LONGEST_WAIT));
+        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+        assert_eq!((report.outcome, report.retry_after), (Outcome::Rejected, LONGEST_WAIT));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/outbound/tests/deadline.rs
+++ b/crates/sender/src/outbound/tests/deadline.rs
@@ -30,7 +30,7 @@
             hold_up(until);
             let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
             assert_eq!(stream.try_write(answer.as_bytes()).expect("writable"), answer.len());
-            let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, Outcome::Timeout.into(), "{status}");
             assert_eq!(outbound.waits().is_empty(), !status.contains("Backoff"), "{status}");
         }
@@ -49,7 +49,7 @@
         tokio::time::sleep_until(until - Duration::from_millis(50)).await;
         let half = b"HTTP/1.1 503 No\r\nContent-Length: 8\r\n\r\nhalf";
         stream.write_all(half).await.expect("writable");
-        let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         assert_eq!(report, Outcome::Error.into());
         assert!(until.elapsed() < Duration::from_millis(300), "{:?} late", until.elapsed());
     };
@@ -71,7 +71,7 @@
             let (mut stream, _) = announced(&outbound, &listener).await;
             stream.write_all(said.as_bytes()).await.expect("writable");
             drop(stream);
-            let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, outcome.into(), "{said:?}");
         }
     };
--- a/crates/sender/src/outbound/tests/given_up.rs
+++ b/crates/sender/src/outbound/tests/given_up.rs
@@ -19,7 +19,7 @@
 }
 
 async fn outcome(inputs: &mut mpsc::Receiver<Input>) -> Outcome {
-    let Input::Outcome { report, .. } = next(inputs).await else { panic!("no outcome") };
+    let Input::Outcome { result: report, .. } = next(inputs).await else { panic!("no outcome") };
     report.outcome
 }
 
--- a/crates/sender/src/outbound/tests/kept.rs
+++ b/crates/sender/src/outbound/tests/kept.rs
@@ -40,7 +40,7 @@
             let again = timeout(Duration::from_secs(20), listener.accept()).await;
             let (mut stream, _) = again.expect("a new connection").expect("a connection");
             answer(&mut stream, "500 No").await;
-            let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, Outcome::Error.into());
         }
     };
--- a/crates/sender/src/outbound/tests/late.rs
+++ b/crates/sender/src/outbound/tests/late.rs
@@ -15,7 +15,7 @@
             } else {
                 outbound.wait(Waits::Destination(DestinationId(7)), 10_000.0);
             }
-            let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, Outcome::NotSent.into());
         }
     };
@@ -38,7 +38,7 @@
         let started = Instant::now();
         let latest = started + Duration::from_millis(300);
         outbound.start(Call { latest, ..call() });
-        let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         // Not what a failure to connect would be: nothing is known of the receiver.
         assert_eq!(report, Outcome::NotSent.into());
         assert!(Instant::now() >= latest);
@@ -52,7 +52,7 @@
             tokio::task::yield_now().await;
         }
         outbound.start(Call { latest: Instant::now(), ..call() });
-        let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         assert_eq!(report, Outcome::NotSent.into());
         assert!(stream.try_read(&mut [0; 1]).is_err(), "something of it went out");
     };
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -33,7 +33,7 @@
 
 /// Whole answers: what they read as, and what an answer is that ends within them, with a byte at the least.
 fn answers() -> Vec<(&'static str, AttemptResult)> {
-    let full = |wait| AttemptResult { wait, ..Outcome::Rejected.into() };
+    let full = |retry_after| AttemptResult { retry_after, ..Outcome::Rejected.into() };
     vec![
         ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody", Outcome::Ok.into()),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", Outcome::Ok.into()),
@@ -77,7 +77,7 @@
         stream.set_zero_linger().expect("it can be reset");
     }
     drop(stream);
-    let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+    let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
     // However it ended, the call was the only one: neither we nor the HTTP library send it again.
     assert!(listener.accept().now_or_never().is_none(), "it went again");
     report
@@ -145,7 +145,7 @@
             stream.read_exact(&mut head).await.expect("a head");
             let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
             stream.write_all(answer.as_bytes()).await.expect("writable");
-            let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, outcome.into(), "{status}");
             assert!(100 + read_to_end(&mut stream).await < LARGE, "{status}: all of it came");
         }
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -16,7 +16,7 @@
 use crate::control::ControlListener;
 use crate::discovery;
 use crate::engine::{Engine, EngineDependencies};
-use crate::event::{Input, List};
+use crate::event::{EndpointList, Input};
 use crate::gossip::{FLEET, FleetSettings, GossipTask};
 use crate::handover::{self, HandoverState, PeerProcess};
 use crate::inbound::{self, Inbound};
@@ -103,7 +103,7 @@
         ));
         let reports = Rc::new(Notifications::default());
         let seed = u64::from_str_radix(&config.seed, 16).unwrap_or_default();
-        let known = config.known.unwrap_or(List { revision: 0, complete: true, members: Vec::new() });
+        let known = config.known.unwrap_or(EndpointList { revision: 0, complete: true, members: Vec::new() });
         let parts = EngineDependencies {
             settings: settings.clone(),
             names: names.clone(),
