--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -128,7 +128,7 @@
         if self.host.try_send(Input::QueryStatus(standing)).is_ok()
             && let Ok(Ok(standing)) = timeout(LOOK_TIME, said).await
         {
-            self.metrics.stand(standing);
+            self.metrics.set_engine_status(standing);
         }
     }
 }
--- a/crates/sender/src/control/golden.rs
+++ b/crates/sender/src/control/golden.rs
@@ -1,7 +1,7 @@
 //! What operators are answered, compared with the answers of the version before the renames.
 
 use super::*;
-use crate::metrics::{End, EngineStatus};
+use crate::metrics::{EngineStatus, FinalOutcome};
 
 const SERVING: &str = include_str!("../../tests/golden/control.serving.txt");
 const STOPPING: &str = include_str!("../../tests/golden/control.stopping.txt");
@@ -9,13 +9,18 @@
 /// Figures in which no two numbers are alike.
 fn metrics() -> Metrics {
     let metrics = Metrics::new(&["keyed".to_owned(), "a \"b\"".to_owned(), "plain".to_owned()]);
-    let ends = [(0, End::Delivered, 1), (0, End::Refused, 2), (0, End::Failed, 3), (2, End::Delivered, 4)];
+    let ends = [
+        (0, FinalOutcome::Delivered, 1),
+        (0, FinalOutcome::Rejected, 2),
+        (0, FinalOutcome::Failed, 3),
+        (2, FinalOutcome::Delivered, 4),
+    ];
     for (class, end, times) in ends {
-        (0..times).for_each(|_| metrics.ended(class, end));
+        (0..times).for_each(|_| metrics.record_outcome(class, end));
     }
-    (0..5).for_each(|_| metrics.relayed());
-    metrics.client(true);
-    metrics.stand(EngineStatus { open_requests: 6, registry_entries: 7, out_of_rotation: 8 });
+    (0..5).for_each(|_| metrics.call_written());
+    metrics.client_connected();
+    metrics.set_engine_status(EngineStatus { open_requests: 6, registry_entries: 7, out_of_rotation: 8 });
     metrics
 }
 
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -1,70 +1,97 @@
-//! Attempts: their place in the journal, the calls, and what came of them.
+//! Attempts to deliver a message: their records in the journal, and their outcomes.
 
-use super::*;
+use std::time::Duration;
 
-/// A message's time counts from when its client sent it; ours begins later by its way here, a tick in which it waits
-/// for the batch, and another. So much before the end as we know it an answer can no longer be told from one that
-/// comes after the end as its client knows it: it is not waited for.
-const ON_ITS_WAY: Duration = Duration::from_millis(5);
-const TICKS: f64 = 2.0;
+use rudderspindle_gossip::Receiver;
+use rudderspindle_journal::{self as journal, PossibleExecution};
+use rudderspindle_policy::interface::{Event, MessageHandle, Millis, Outcome, RouteId};
+use tokio::time::Instant;
+
+use super::time::from_millis;
+use super::{Engine, SHUTDOWN_SEND_PERIOD};
+use crate::event::{AttemptResult, Call, MESSAGE_LOG};
+use crate::metrics::FinalOutcome;
+
+/// Allowance for the transmission of the client's request: its deadline counts from when the client sent it.
+const REQUEST_TRANSIT_TIME: Duration = Duration::from_millis(5);
+/// Ticks between the receipt of a request and its batch, at most. So long before the deadline, and
+/// [`REQUEST_TRANSIT_TIME`] besides, a response may already be late for the client: it is not waited for.
+const DEADLINE_MARGIN_TICKS: f64 = 2.0;
+
+/// An attempt that the policy asks for.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AttemptRequest {
+    /// The message.
+    pub id: MessageHandle,
+    /// The receiver to call.
+    pub route: RouteId,
+    /// How long to wait for the response; 0 for as long as the message's deadline allows.
+    pub timeout: Millis,
+    /// How soon the request must be written; infinite if only the message's deadline limits that.
+    pub within: Millis,
+}
 
 impl Engine {
-    /// The attempt's place in the journal, and the call to make. While stopping none starts too late: the
-    /// message then stays in the journal for the next start.
-    pub(super) fn attempt(
-        &mut self,
-        now: Instant,
-        id: MessageHandle,
-        route: RouteId,
-        timeout: Millis,
-        within: Millis,
-    ) -> Option<Call> {
-        if self.stop.is_some_and(|at| now - at >= STOP_SENDING) {
+    /// Reserves an attempt in the journal; returns the call to make once that is written. While stopping no attempt
+    /// starts too late: the message then stays in the journal for the next process.
+    pub(super) fn reserve_attempt(&mut self, now: Instant, request: AttemptRequest) -> Option<Call> {
+        if self.stop.is_some_and(|at| now - at >= SHUTDOWN_SEND_PERIOD) {
             return None;
         }
-        let ticks = Duration::from_secs_f64(TICKS * self.settings.tick.max(0.0) / 1_000.0);
-        let held = self.held.get_mut(&id)?;
-        let last = held.ends_at.checked_sub(ticks + ON_ITS_WAY).unwrap_or(now);
+        let AttemptRequest { id, route, timeout, within } = request;
+        let margin = from_millis(DEADLINE_MARGIN_TICKS * self.settings.tick) + REQUEST_TRANSIT_TIME;
+        let message = self.tracked.get_mut(id)?;
+        let last = message.ends_at.checked_sub(margin).unwrap_or(now);
         let (receiver, zone) = self.outbound.place(route)?;
-        let attempt = held.attempts;
-        held.attempts += 1;
-        let destination = self.routes.get(&receiver).and_then(|known| known.destination);
-        held.receiver = destination.map(|to| Receiver::of(to.0, &receiver));
-        tracing::debug!(target: MESSAGE_LOG, message_id = &*held.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
-        self.store.attempt(&held.message_id, PossibleExecution { at: journal::wall_ms(), receiver, zone });
-        let (message_id, key, body) = (held.message_id.clone(), held.key.clone(), held.body.clone());
-        let patience = Duration::from_secs_f64(timeout.max(0.0) / 1_000.0);
-        let until = if timeout == 0.0 { last } else { (now + patience).min(last) };
+        let attempt = message.attempts;
+        message.attempts += 1;
+        let destination = self.endpoints.destination(&receiver);
+        message.receiver = destination.map(|destination| Receiver::of(destination.0, &receiver));
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
+        let execution = PossibleExecution { at: journal::wall_ms(), receiver, zone };
+        self.store.attempt(&message.message_id, execution);
+        let until = if timeout == 0.0 { last } else { (now + from_millis(timeout)).min(last) };
         let within = Duration::try_from_secs_f64(within.max(0.0) / 1_000.0);
-        let latest = within.map_or(held.ends_at, |within| now + within);
-        Some(Call { id, attempt, route, message_id, key, body, until, latest })
+        Some(Call {
+            id,
+            attempt,
+            route,
+            message_id: message.message_id.clone(),
+            key: message.key.clone(),
+            body: message.body.clone(),
+            until,
+            latest: within.map_or(message.ends_at, |within| now + within),
+        })
     }
 
-    pub(super) fn outcome(&mut self, id: MessageHandle, attempt: u32, report: AttemptResult) -> Event {
+    /// Records an attempt's result with this batch; a delivered message is complete.
+    pub(super) fn record_result(&mut self, id: MessageHandle, attempt: u32, result: AttemptResult) -> Event {
         self.calls.remove(&id);
-        let AttemptResult { outcome, retry_after: wait, closed } = report;
-        let receiver = self.held.get_mut(&id).and_then(|held| held.receiver.take());
+        let AttemptResult { outcome, retry_after, closed } = result;
+        let receiver = self.tracked.get_mut(id).and_then(|message| message.receiver.take());
         self.activity.record_outcome(receiver, outcome);
-        if let Some(held) = self.held.get(&id) {
-            tracing::debug!(target: MESSAGE_LOG, message_id = &*held.message_id, attempt, ?outcome, wait, "outcome");
+        if let Some(message) = self.tracked.get(id) {
+            tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, ?outcome, retry_after, "outcome");
             if closed {
                 failpoint!("delivered-before-record");
-                self.store.end(&held.message_id, None);
+                self.store.end(&message.message_id, None);
                 if outcome == Outcome::Ok {
-                    self.metrics.ended(held.class, End::Delivered);
+                    self.metrics.record_outcome(message.class, FinalOutcome::Delivered);
                 }
-                self.release(id);
+                self.tracked.remove(id);
             } else {
-                self.store.outcome(&held.message_id, attempt, outcome.possibly_executed());
+                self.store.outcome(&message.message_id, attempt, outcome.possibly_executed());
             }
         }
-        let closed = !self.held.contains_key(&id);
-        Event::Outcome { id, attempt, outcome, retry_after: wait, closed }
+        let closed = !self.tracked.contains(id);
+        Event::Outcome { id, attempt, outcome, retry_after, closed }
     }
 
-    /// The call is asked to end. Its outcome comes from the call itself, as that of any other: the module sends
-    /// the message again only then, so that no attempt's outcome is taken for that of another.
+    /// Asks a call to end. Its result comes from the call itself, as that of any other; only then the policy sends
+    /// the message again, so that no attempt's result is taken for that of another.
     pub(super) fn cancel(&mut self, id: MessageHandle, attempt: u32) {
-        self.calls.get(&id).filter(|call| call.attempt == attempt).into_iter().for_each(CallOut::cancel);
+        if let Some(call) = self.calls.get(&id).filter(|call| call.attempt == attempt) {
+            call.cancel();
+        }
     }
 }
--- /dev/null
+++ b/crates/sender/src/engine/backlog.rs
@@ -0,0 +1,68 @@
+//! Messages of the journal that the policy has no capacity for yet.
+
+use rudderspindle_journal as journal;
+use rudderspindle_policy::interface::PriorExecution;
+use tokio::time::Instant;
+
+/// A message that was read from the journal.
+#[derive(Debug)]
+pub(super) struct RecoveredMessage {
+    /// Index of its class in the settings.
+    pub class: usize,
+    /// Value of its class.
+    pub value: f64,
+    /// Its deadline.
+    pub ends_at: Instant,
+    /// The attempt that may have been executed, if there is one.
+    pub possibly_executed: Option<RecoveredExecution>,
+    /// Its record in the journal.
+    pub message: journal::Message,
+}
+
+/// An attempt of an earlier process that may have been executed.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct RecoveredExecution {
+    /// When the journal was read.
+    pub read_at: Instant,
+    /// The attempt, with its age at that time.
+    pub execution: PriorExecution,
+}
+
+/// The waiting messages, the most valuable last.
+#[derive(Debug, Default)]
+pub(super) struct Backlog(Vec<RecoveredMessage>);
+
+impl Backlog {
+    /// Number of messages.
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    /// Whether no message waits.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// Deadlines of the messages.
+    pub fn deadlines(&self) -> impl Iterator<Item = Instant> + '_ {
+        self.0.iter().map(|message| message.ends_at)
+    }
+
+    /// Adds messages. Of equal value, those with the earlier deadline go first.
+    pub fn extend(&mut self, messages: impl IntoIterator<Item = RecoveredMessage>) {
+        self.0.extend(messages);
+        self.0.sort_unstable_by(|a, b| {
+            let by_value = a.value.total_cmp(&b.value);
+            by_value.then(b.ends_at.cmp(&a.ends_at)).then(b.message.message_id.cmp(&a.message.message_id))
+        });
+    }
+
+    /// Removes the `count` most valuable messages, the most valuable first, and then those whose deadline is over.
+    pub fn take(&mut self, count: usize, now: Instant) -> Vec<RecoveredMessage> {
+        let rest = self.0.len().saturating_sub(count);
+        let mut taken = self.0.split_off(rest);
+        taken.reverse();
+        taken.extend(self.0.extract_if(.., |message| message.ends_at <= now));
+        taken
+    }
+}
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -1,96 +1,116 @@
-//! One batch: what has come, as the module is told it.
+//! Runs a batch: translates the inputs into events for the policy, and has its decisions carried out.
 
-use super::*;
+use rudderspindle_journal as journal;
+use rudderspindle_policy::interface::{Action, Event, Millis, Permit};
+use tokio::time::Instant;
 
-/// Turns as the module is told them: from now, whatever the wall clock has done since.
-fn turns(all: Vec<PermitUpdate>) -> impl Iterator<Item = Event> {
-    let wall = journal::wall_ms() as Millis;
-    let turn = move |t: rudderspindle_gossip::Permit| Permit {
-        number: t.number,
-        from: t.from as Millis - wall,
-        until: t.until as Millis - wall,
-    };
-    all.into_iter().map(move |update| {
-        let turns = update.permits.into_iter().map(turn).collect();
-        Event::Permits { destination: update.limit.destination, route: update.limit.route, turns }
-    })
-}
+use super::Engine;
+use super::intake::Intake;
+use super::time::to_millis;
+use crate::event::{CapacityUpdate, Input, PermitUpdate, TenantQuota};
 
 impl Engine {
-    pub(super) fn batch(&mut self, inputs: Vec<Input>) {
+    /// Handles these inputs, and all that is due, as one batch.
+    pub(super) fn run_batch(&mut self, inputs: Vec<Input>) {
         let now = Instant::now();
         self.last_batch = now;
         let mut events = std::mem::take(&mut self.carried);
-        let mut fresh = Vec::new();
-        let (mut room, mut refused) = (0, Vec::new());
+        let mut intake = Intake::default();
         for input in inputs {
-            match input {
-                Input::Submitted(submission) => {
-                    let message = self.admit(submission, now, &mut room, &mut fresh, &mut refused);
-                    events.extend(message.map(Event::Message));
-                }
-                Input::Withdrawn(hand_in) => events.extend(self.withdraw(hand_in)),
-                Input::Outcome { id, attempt, result } => events.push(self.outcome(id, attempt, result)),
-                Input::HealthChecked { route, outcome } => {
-                    events.push(Event::HealthChecked { route, outcome })
-                }
-                Input::List(list) => {
-                    let entries = self.list(&list);
-                    let change =
-                        if list.complete { ListChange::Full(entries) } else { ListChange::Delta(entries) };
-                    events.push(Event::List(change));
-                }
-                Input::NotificationsAcknowledged(message_ids) => {
-                    failpoint!("acknowledged-before-record");
-                    message_ids.iter().for_each(|message_id| self.store.settled(message_id));
-                }
-                Input::SuccessorConnected => self.successor(true),
-                Input::PeerDisconnected => self.successor(false),
-                Input::RetryAfter { destination, receiver, wait } => {
-                    events.extend(self.heed(destination, receiver.as_deref(), wait));
-                }
-                Input::PeerCallsInFlight(calls) => self.sender.share_slots(calls),
-                Input::TakeOver(asker) => {
-                    self.succeed(now);
-                    let _ = asker.send(self.store.is_owner());
-                }
-                Input::ReportActivity(asker) => drop(asker.send(self.activity())),
-                Input::CapacityShares { shares, valid_for } => {
-                    let event = |share: CapacityUpdate| Event::Capacity {
-                        destination: share.limit.destination,
-                        route: share.limit.route,
-                        calls: share.calls,
-                        wanted: share.fleet_demand,
-                        lasts: valid_for,
-                    };
-                    events.extend(shares.into_iter().map(event));
-                }
-                Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
-                Input::Quotas(all) => {
-                    let event = |quota: TenantQuota| Event::Quota {
-                        tenant: quota.tenant,
-                        per_s: quota.messages_per_s,
-                    };
-                    events.extend(all.into_iter().map(event));
-                }
-                Input::Permits(all) => events.extend(turns(all)),
-                // Nobody may wait for it any more.
-                Input::QueryStatus(asker) => drop(asker.send(self.standing())),
-                Input::Stop => self.stop = self.stop.or(Some(now)),
-            }
+            self.handle_input(input, now, &mut intake, &mut events);
         }
         events.append(&mut self.carried);
-        events.extend(self.take_up(now, fresh.len()));
-        self.wakes.retain(|&(at, token)| {
-            let due = at <= now;
-            if due {
-                events.push(Event::Wake(token));
+        events.extend(self.take_from_backlog(now, intake.new.len()));
+        events.extend(self.due_wakes(now));
+        let actions = self.decide(now, &events);
+        self.carry_out(now, intake, actions);
+    }
+
+    /// Handles an input; what the policy has to know of it goes to `events`.
+    fn handle_input(&mut self, input: Input, now: Instant, intake: &mut Intake, events: &mut Vec<Event>) {
+        match input {
+            Input::Submitted(submission) => {
+                events.extend(self.admit(submission, now, intake).map(Event::Message));
+            }
+            Input::Withdrawn(number) => events.extend(self.withdraw(number)),
+            Input::Outcome { id, attempt, result } => events.push(self.record_result(id, attempt, result)),
+            Input::HealthChecked { route, outcome } => events.push(Event::HealthChecked { route, outcome }),
+            Input::List(list) => events.push(Event::List(self.apply_list(&list))),
+            Input::NotificationsAcknowledged(message_ids) => {
+                failpoint!("acknowledged-before-record");
+                for message_id in &message_ids {
+                    self.store.settled(message_id);
+                }
+            }
+            Input::SuccessorConnected => self.successor_connected(),
+            Input::PeerDisconnected => self.peer_disconnected(),
+            Input::RetryAfter { destination, receiver, wait } => {
+                events.extend(self.apply_peer_backoff(destination, receiver.as_deref(), wait));
+            }
+            Input::PeerCallsInFlight(calls) => self.policy.share_slots(calls),
+            Input::CapacityShares { shares, valid_for } => {
+                events.extend(shares.into_iter().map(|share| capacity_event(share, valid_for)));
+            }
+            Input::Permits(updates) => {
+                let wall = journal::wall_ms() as Millis;
+                events.extend(updates.into_iter().map(|update| permits_event(update, wall)));
             }
-            !due
-        });
+            Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
+            Input::Quotas(quotas) => events.extend(quotas.into_iter().map(quota_event)),
+            // Whoever asked may have gone by now.
+            Input::TakeOver(answer) => {
+                self.take_over_journal(now);
+                let _ = answer.send(self.store.is_owner());
+            }
+            Input::ReportActivity(answer) => {
+                let _ = answer.send(self.report_activity());
+            }
+            Input::QueryStatus(answer) => {
+                let _ = answer.send(self.status());
+            }
+            Input::Stop => self.stop = self.stop.or(Some(now)),
+        }
+    }
+
+    /// Removes the timers that are due; returns their events.
+    fn due_wakes(&mut self, now: Instant) -> Vec<Event> {
+        let due = self.wakes.extract_if(.., |(at, _)| *at <= now);
+        due.map(|(_, token)| Event::Wake(token)).collect()
+    }
+
+    /// Lets the policy decide.
+    fn decide(&mut self, now: Instant, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
-        let clock = (now - self.origin).as_secs_f64() * 1_000.0;
-        self.sender.handle(clock, &events, &mut actions);
-        self.carry_out(now, fresh, refused, actions);
+        self.policy.handle(to_millis(now - self.origin), events, &mut actions);
+        actions
     }
 }
+
+fn capacity_event(share: CapacityUpdate, valid_for: Millis) -> Event {
+    Event::Capacity {
+        destination: share.limit.destination,
+        route: share.limit.route,
+        calls: share.calls,
+        wanted: share.fleet_demand,
+        lasts: valid_for,
+    }
+}
+
+/// The permits with their times relative to now (`wall`, milliseconds since 1970), so that later changes of the wall
+/// clock do not matter.
+fn permits_event(update: PermitUpdate, wall: Millis) -> Event {
+    let relative = |permit: rudderspindle_gossip::Permit| Permit {
+        number: permit.number,
+        from: permit.from as Millis - wall,
+        until: permit.until as Millis - wall,
+    };
+    Event::Permits {
+        destination: update.limit.destination,
+        route: update.limit.route,
+        turns: update.permits.into_iter().map(relative).collect(),
+    }
+}
+
+fn quota_event(quota: TenantQuota) -> Event {
+    Event::Quota { tenant: quota.tenant, per_s: quota.messages_per_s }
+}
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -1,116 +1,184 @@
-//! Records what was decided in one write, and only then does it.
+//! Carries out what the policy has decided for a batch, with one write to the journal.
+//!
+//! Invariant: nothing is answered or sent before what it promises is written. All that comes before the write changes
+//! only the engine and the journal's buffer, and collects [`Effects`]; these are let out after it, or undone if it
+//! fails. Cancellations and health checks promise nothing, and go at once.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use rudderspindle_journal::{Notice, Status};
+use rudderspindle_policy::interface::{Action, Event, MessageHandle, Millis, Outcome};
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+use super::Engine;
+use super::attempts::AttemptRequest;
+use super::intake::{Intake, NewSubmission, PendingAnswer};
+use super::time::from_millis;
+use crate::event::{Answer, AttemptResult, Call, MESSAGE_LOG};
+use crate::metrics::FinalOutcome;
+
+/// Messages that the policy completes without delivery, by handle.
+type Completions = BTreeMap<MessageHandle, Status>;
+
+/// What leaves the engine once the batch is written.
+#[derive(Debug, Default)]
+struct Effects {
+    /// Answers to submissions that were not accepted by this batch.
+    answers: Vec<PendingAnswer>,
+    /// Submissions that are accepted.
+    accepted: Vec<AcceptedSubmission>,
+    /// Notifications for the platform.
+    notifications: Vec<Notice>,
+    /// Attempts that are reserved.
+    calls: Vec<Call>,
+}
+
+/// A submission whose message is accepted once the batch is written.
+#[derive(Debug)]
+struct AcceptedSubmission {
+    id: MessageHandle,
+    channel: oneshot::Sender<Answer>,
+}
 
 impl Engine {
-    /// Records what was decided, and then does it.
-    pub(super) fn carry_out(
+    /// Records the decisions in one write, and only then acts on them.
+    pub(super) fn carry_out(&mut self, now: Instant, intake: Intake, actions: Vec<Action>) {
+        let mut effects = Effects { answers: intake.answers, ..Effects::default() };
+        let mut completions = completions(&actions);
+        self.record_submissions(intake.new, &mut completions, &mut effects);
+        self.record_completions(now, completions, &mut effects);
+        self.apply_actions(now, actions, &mut effects);
+        self.write(&mut effects);
+        self.let_out(effects);
+    }
+
+    /// Records the submissions that are accepted. A message that the batch of its submission completes was never
+    /// accepted: its client is told so at once, and there is no notification.
+    fn record_submissions(
         &mut self,
-        now: Instant,
-        fresh: Vec<NewSubmission>,
-        refused: Vec<(oneshot::Sender<Answer>, Answer)>,
-        actions: Vec<Action>,
+        submissions: Vec<NewSubmission>,
+        completions: &mut Completions,
+        effects: &mut Effects,
     ) {
-        let mut ended: HashMap<MessageHandle, Status> = HashMap::new();
-        for action in &actions {
-            match *action {
-                Action::Refuse { id, retry_after } => {
-                    let again = (retry_after > 0.0).then_some(retry_after as u64);
-                    ended.insert(id, Status::Deferred(again));
-                }
-                Action::Fail { id } => drop(ended.insert(id, Status::Undeliverable)),
-                _ => {}
-            }
-        }
-        // What is ended with the batch that brought it was never taken on: its client hears it at once.
-        let mut answers = refused;
-        let mut taken = Vec::new();
-        for NewSubmission { id, class, record, answer } in fresh {
-            if let Some(status) = ended.remove(&id) {
-                self.release(id);
-                self.metrics.ended(class, status.into());
-                let word = match status {
-                    Status::Undeliverable => Answer::Failed,
-                    Status::Deferred(again) => Answer::Refused { retry_after: again.unwrap_or(0) as Millis },
-                };
-                answers.push((answer, word));
+        for NewSubmission { id, class, record, channel } in submissions {
+            if let Some(status) = completions.remove(&id) {
+                self.tracked.remove(id);
+                self.metrics.record_outcome(class, status.into());
+                effects.answers.push(PendingAnswer { channel, answer: answer_of(status) });
             } else {
                 tracing::debug!(target: MESSAGE_LOG, message_id = &*record.message_id, class = &*record.class,
-                    to = record.destination, "taken on");
+                    destination = record.destination, "accepted");
                 self.store.take(record);
-                taken.push((id, answer));
+                effects.accepted.push(AcceptedSubmission { id, channel });
             }
         }
-        let mut notices = Vec::new();
-        for (id, status) in ended {
-            let Some(held) = self.release(id) else { continue };
-            if self.put_back(now, &held) {
+    }
+
+    /// Records the completions of accepted messages, and the notifications of their clients.
+    fn record_completions(&mut self, now: Instant, completions: Completions, effects: &mut Effects) {
+        for (id, status) in completions {
+            let Some(message) = self.tracked.remove(id) else { continue };
+            if self.return_to_backlog(now, &message) {
                 continue;
             }
-            tracing::debug!(target: MESSAGE_LOG, message_id = &*held.message_id, ?status, "ended");
-            self.store.end(&held.message_id, Some(status));
-            self.metrics.ended(held.class, status.into());
-            notices.push(Notice { message_id: held.message_id, status });
+            tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, ?status, "completed");
+            self.store.end(&message.message_id, Some(status));
+            self.metrics.record_outcome(message.class, status.into());
+            effects.notifications.push(Notice { message_id: message.message_id, status });
         }
-        let mut calls = Vec::new();
+    }
+
+    /// Reserves attempts, sets timers, and applies the remaining actions.
+    fn apply_actions(&mut self, now: Instant, actions: Vec<Action>, effects: &mut Effects) {
         for action in actions {
             match action {
                 Action::Send { id, route, timeout, within } => {
-                    calls.extend(self.attempt(now, id, route, timeout, within));
-                }
-                Action::Wake { delay, token } => {
-                    let delay = Duration::from_secs_f64(delay.max(0.0) / 1_000.0);
-                    self.wakes.push((now + delay, token));
+                    let request = AttemptRequest { id, route, timeout, within };
+                    effects.calls.extend(self.reserve_attempt(now, request));
                 }
+                Action::Wake { delay, token } => self.wakes.push((now + from_millis(delay), token)),
                 Action::Cancel { id, attempt } => self.cancel(id, attempt),
                 Action::HealthCheck { route } => self.outbound.probe(route),
-                // The watch is always on.
-                Action::Subscribe => {}
                 Action::Remember { destination, route, outage } => {
-                    self.remember(destination, route, outage);
+                    self.record_outage(destination, route, outage);
                 }
-                Action::Refuse { .. } | Action::Fail { .. } => {}
+                // The watch on the endpoint list is always on, and completions are recorded by now.
+                Action::Subscribe | Action::Refuse { .. } | Action::Fail { .. } => {}
             }
         }
-        if !taken.is_empty() {
+    }
+
+    /// Writes the batch to the journal.
+    fn write(&mut self, effects: &mut Effects) {
+        if !effects.accepted.is_empty() {
             failpoint!("taken-on-before-record");
         }
         if let Err(error) = self.store.commit() {
-            tracing::warn!("journal: a batch could not be written: {error}");
-            for (id, answer) in taken.drain(..) {
-                if let Some(held) = self.release(id) {
-                    self.store.forget(&held.message_id);
-                    self.carried.push(Event::Dropped(id));
-                    self.metrics.ended(held.class, End::Refused);
-                }
-                answers.push((answer, Answer::REFUSED));
-            }
-            // An attempt that is not on record must not go out.
-            for call in calls.drain(..) {
-                let report = AttemptResult::from(Outcome::NotSent);
-                let event = self.outcome(call.id, call.attempt, report);
-                self.carried.push(event);
-            }
+            tracing::warn!(%error, "journal write failed");
+            self.undo(effects);
         }
-        if !taken.is_empty() {
+        if !effects.accepted.is_empty() {
             failpoint!("taken-on-recorded");
         }
-        for _call in &calls {
+        for _call in &effects.calls {
             failpoint!("attempt-{}-recorded", _call.attempt);
         }
-        answers.extend(taken.into_iter().map(|(_, answer)| (answer, Answer::Accepted)));
-        for (answer, word) in answers {
-            // If nobody waits for it any more, the connection's end says so.
-            let _ = answer.send(word);
+    }
+
+    /// Refuses the submissions and drops the attempts that could not be written.
+    fn undo(&mut self, effects: &mut Effects) {
+        for AcceptedSubmission { id, channel } in effects.accepted.drain(..) {
+            if let Some(message) = self.tracked.remove(id) {
+                self.store.forget(&message.message_id);
+                self.carried.push(Event::Dropped(id));
+                self.metrics.record_outcome(message.class, FinalOutcome::Rejected);
+            }
+            effects.answers.push(PendingAnswer { channel, answer: Answer::REFUSED });
+        }
+        for call in effects.calls.drain(..) {
+            let event = self.record_result(call.id, call.attempt, AttemptResult::from(Outcome::NotSent));
+            self.carried.push(event);
+        }
+    }
+
+    /// Answers clients, notifies the platform, starts calls, and tells the peer process of them.
+    fn let_out(&mut self, effects: Effects) {
+        let Effects { answers, accepted, notifications, calls } = effects;
+        for PendingAnswer { channel, answer } in answers {
+            // A client that has disconnected is reported as a withdrawal.
+            let _ = channel.send(answer);
+        }
+        for AcceptedSubmission { channel, .. } in accepted {
+            let _ = channel.send(Answer::Accepted);
+        }
+        for notice in notifications {
+            self.notifications.push(notice);
         }
-        notices.into_iter().for_each(|notice| self.reports.push(notice));
         for call in calls {
             let id = call.id;
             self.calls.insert(id, self.outbound.start(call));
         }
-        if self.peer_process.is_there() && self.told_out != self.calls.len() {
-            self.told_out = self.calls.len();
-            self.peer_process.tell(HandoverMessage::Out(self.told_out));
+        self.announce_changed_calls();
+    }
+}
+
+/// The completions among the actions.
+fn completions(actions: &[Action]) -> Completions {
+    let completion = |action: &Action| match *action {
+        Action::Refuse { id, retry_after } => {
+            Some((id, Status::Deferred((retry_after > 0.0).then_some(retry_after as u64))))
         }
+        Action::Fail { id } => Some((id, Status::Undeliverable)),
+        _ => None,
+    };
+    actions.iter().filter_map(completion).collect()
+}
+
+/// The answer to a submission that the policy does not accept.
+fn answer_of(status: Status) -> Answer {
+    match status {
+        Status::Undeliverable => Answer::Failed,
+        Status::Deferred(retry_after) => Answer::Refused { retry_after: retry_after.unwrap_or(0) as Millis },
     }
 }
--- /dev/null
+++ b/crates/sender/src/engine/dependencies.rs
@@ -0,0 +1,86 @@
+//! What an engine is built from.
+
+use std::rc::Rc;
+
+use rudderspindle_journal::Store;
+use rudderspindle_policy::Sender;
+use rudderspindle_policy::interface::{Settings, SettingsError};
+use rudderspindle_policy::settings::Names;
+use tokio::sync::mpsc;
+
+use crate::event::Input;
+use crate::handover::PeerProcess;
+use crate::metrics::Metrics;
+use crate::notifications::Notifications;
+use crate::outbound::Outbound;
+
+/// What an engine is built from.
+pub struct EngineDependencies {
+    /// What the policy is built from.
+    pub policy: PolicyOptions,
+    /// The journal.
+    pub store: Store,
+    /// The tasks that the engine works with.
+    pub io: EngineIo,
+    /// Whether a successor can accept clients from the same listening socket.
+    pub shared_listener: bool,
+    /// Whether activity is recorded for the gossip.
+    pub record_activity: bool,
+}
+
+/// What a policy is built from.
+pub struct PolicyOptions {
+    /// The settings.
+    pub settings: Settings,
+    /// The names of classes, tenants, kinds and zones, by index.
+    pub names: Names,
+    /// Seed of its random numbers.
+    pub seed: u64,
+    /// How the limits are shared with other senders.
+    pub limit_sharing: LimitSharing,
+}
+
+/// How this sender shares the receivers' limits with the others of the fleet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LimitSharing {
+    /// Each sender assumes an equal share.
+    Equal,
+    /// By the demand that the senders gossip.
+    Demand,
+    /// By permits besides: no call goes without one.
+    Permits,
+}
+
+/// The tasks around the engine.
+pub struct EngineIo {
+    /// The calls to receivers.
+    pub outbound: Rc<Outbound>,
+    /// The notifications to the platform.
+    pub notifications: Rc<Notifications>,
+    /// The counters.
+    pub metrics: Rc<Metrics>,
+    /// The other process of this sender during a takeover.
+    pub peer_process: Rc<PeerProcess>,
+    /// The engine's inputs.
+    pub inputs: mpsc::Receiver<Input>,
+}
+
+impl PolicyOptions {
+    /// Builds the policy.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] if the settings contradict each other.
+    pub(super) fn build(&self) -> Result<Sender, SettingsError> {
+        let mut policy = Sender::new(self.settings.clone(), self.seed)?;
+        match self.limit_sharing {
+            LimitSharing::Equal => {}
+            LimitSharing::Demand => policy.hear_notes(),
+            LimitSharing::Permits => {
+                policy.hear_notes();
+                policy.keep_rights();
+            }
+        }
+        Ok(policy)
+    }
+}
--- /dev/null
+++ b/crates/sender/src/engine/endpoints.rs
@@ -0,0 +1,66 @@
+//! Translates endpoint lists for the policy, and updates the outbound connections with them.
+
+use std::collections::HashSet;
+
+use rudderspindle_policy::interface::{DestinationId, ListChange, Listing, RouteEntry, RouteId};
+use tokio::time::Instant;
+
+use super::Engine;
+use crate::event::{Endpoint, EndpointList};
+use crate::outbound::Route;
+
+impl Engine {
+    /// Applies a list from discovery; calls follow it at once.
+    pub(super) fn apply_list(&mut self, list: &EndpointList) -> ListChange {
+        let entries = self.apply_entries(list);
+        if list.complete { ListChange::Full(entries) } else { ListChange::Delta(entries) }
+    }
+
+    /// Applies the entries of a list, and the removals if it is complete.
+    pub(super) fn apply_entries(&mut self, list: &EndpointList) -> Vec<RouteEntry> {
+        let now = Instant::now();
+        let entries: Vec<RouteEntry> =
+            list.members.iter().map(|endpoint| self.apply_endpoint(endpoint, now)).collect();
+        if list.complete {
+            let listed: HashSet<RouteId> = entries.iter().map(|entry| entry.route).collect();
+            self.outbound.keep_only(&listed);
+            self.endpoints.remove_all_but(&listed, now);
+        }
+        self.endpoints.forget_removed(now);
+        entries
+    }
+
+    fn apply_endpoint(&mut self, endpoint: &Endpoint, now: Instant) -> RouteEntry {
+        let kind = self.kind_of(endpoint);
+        let listing = match endpoint.phase.as_str() {
+            "SERVING" => Listing::Ready,
+            "DELETED" => Listing::Gone,
+            _ => Listing::Draining,
+        };
+        let entry = RouteEntry {
+            route: self.endpoints.route(&endpoint.id, now),
+            destination: DestinationId(endpoint.destination),
+            zone: self.endpoints.zone(&endpoint.zone),
+            kind: kind as u16,
+            listing,
+            rate: endpoint.rate,
+        };
+        self.endpoints.update(&endpoint.id, entry.destination, listing, now);
+        let route = Route {
+            addr: endpoint.host_port.parse().ok(),
+            receiver: endpoint.id.as_str().into(),
+            zone: endpoint.zone.as_str().into(),
+            destination: entry.destination,
+            apart: self.settings.kinds.get(kind).is_some_and(|kind| kind.routes_apart),
+            listing,
+        };
+        self.outbound.list(entry.route, route);
+        entry
+    }
+
+    /// Index of the endpoint's kind in the settings; the last one if they do not name it.
+    fn kind_of(&self, endpoint: &Endpoint) -> usize {
+        let kind = self.names.kinds.iter().position(|name| *name == endpoint.kind);
+        kind.unwrap_or(self.settings.kinds.len().saturating_sub(1))
+    }
+}
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -1,83 +1,131 @@
-//! Messages that are handed in, held and withdrawn.
+//! Admission of submitted messages, before the policy decides about them.
 
-use super::*;
+use rudderspindle_journal::{self as journal, Store};
+use rudderspindle_policy::interface::{Event, Message, MessageHandle};
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+use super::Engine;
+use super::time::to_millis;
+use super::tracked_messages::TrackedMessage;
+use crate::event::{Answer, Input, MESSAGE_LOG, Submission};
+use crate::metrics::FinalOutcome;
+
+/// The submissions of one batch.
+#[derive(Debug, Default)]
+pub(super) struct Intake {
+    /// Space that the records of the new messages need in the journal, in bytes.
+    journal_bytes: u64,
+    /// Submissions of messages that the policy decides about.
+    pub new: Vec<NewSubmission>,
+    /// Submissions that are answered without the policy.
+    pub answers: Vec<PendingAnswer>,
+}
+
+/// A submitted message that this batch decides about.
+#[derive(Debug)]
+pub(super) struct NewSubmission {
+    /// The message.
+    pub id: MessageHandle,
+    /// Index of its class in the settings.
+    pub class: usize,
+    /// Its record, written if the message is accepted.
+    pub record: journal::Message,
+    /// Where the answer goes.
+    pub channel: oneshot::Sender<Answer>,
+}
+
+/// An answer that is sent once the batch is in the journal.
+#[derive(Debug)]
+pub(super) struct PendingAnswer {
+    /// Where it goes.
+    pub channel: oneshot::Sender<Answer>,
+    /// The answer.
+    pub answer: Answer,
+}
 
 impl Engine {
-    /// A message handed in, unless it is turned away at the door.
+    /// Admits a submission; returns the message for the policy. A submission that is refused or answered at once goes
+    /// into `intake`, one that does not fit into this batch is left for the next.
     pub(super) fn admit(
         &mut self,
         submission: Submission,
         now: Instant,
-        room: &mut u64,
-        fresh: &mut Vec<NewSubmission>,
-        refused: &mut Vec<(oneshot::Sender<Answer>, Answer)>,
+        intake: &mut Intake,
     ) -> Option<Message> {
-        let Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer } =
-            submission;
-        if answer.is_closed() {
+        if submission.answer.is_closed() {
             return None;
         }
-        if !self.destinations.contains(&destination) {
-            // Before any list has come, nothing can be said of it.
-            let unknown = !self.destinations.is_empty();
-            if !unknown {
-                self.metrics.ended(class, End::Refused);
+        if let Some(answer) = self.answer_at_once(&submission, intake) {
+            if matches!(answer, Answer::Refused { .. }) {
+                self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
             }
-            refused.push((answer, if unknown { Answer::UnknownDestination } else { Answer::REFUSED }));
+            intake.answers.push(PendingAnswer { channel: submission.answer, answer });
             return None;
         }
-        if let Some(&id) = self.ids.get(&message_id) {
-            // Handed in twice, taken on once, and owed to each client that hears so: to forget the earlier one
-            // would let anybody who knows an id end its message by going away.
-            let held = self.held.get_mut(&id).filter(|held| held.submissions.len() < MAX_SUBMISSIONS);
-            match held.filter(|_| fresh.iter().all(|f| f.id != id)) {
-                Some(held) => {
-                    held.submissions.push(number);
-                    self.submissions.insert(number, id);
-                    refused.push((answer, Answer::Accepted));
-                }
-                None => {
-                    self.metrics.ended(class, End::Refused);
-                    refused.push((answer, Answer::REFUSED));
-                }
-            }
+        let record = self.record_of(&submission, now);
+        let journal_bytes = intake.journal_bytes + record.room();
+        if self.tracked.len() >= self.settings.max_pending || !self.store.has_room(journal_bytes) {
+            self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
+            intake.answers.push(PendingAnswer { channel: submission.answer, answer: Answer::REFUSED });
             return None;
         }
-        if self.store.knows(&message_id) {
-            // Its notice is still owed: what acknowledges that must not end a new message of the same id.
-            self.metrics.ended(class, End::Refused);
-            refused.push((answer, Answer::REFUSED));
+        if !Store::fits_batch(journal_bytes) {
+            self.deferred.push(Input::Submitted(submission));
             return None;
         }
-        let left = ends_at.saturating_duration_since(now);
-        let record = journal::Message {
-            message_id: message_id.clone(),
-            class: self.names.classes.get(class).map_or("", String::as_str).into(),
-            tenant: self.names.tenants.get(tenant).map_or("", String::as_str).into(),
-            destination: destination.0,
-            key: key.clone(),
-            deadline: journal::wall_ms() + left.as_millis() as u64,
-            body: body.clone(),
+        intake.journal_bytes = journal_bytes;
+        Some(self.track_new(submission, record, now, intake))
+    }
+
+    /// The answer to a submission that does not depend on capacity: of an unknown destination, or of a message that
+    /// is known already.
+    fn answer_at_once(&mut self, submission: &Submission, intake: &Intake) -> Option<Answer> {
+        if !self.endpoints.serves(submission.destination) {
+            // Before the first list every destination is unknown.
+            let no_list = self.endpoints.is_empty();
+            return Some(if no_list { Answer::REFUSED } else { Answer::UnknownDestination });
+        }
+        if let Some(id) = self.tracked.find(&submission.message_id) {
+            // Accepted once, for each client that hears so: to forget the earlier client would allow anybody who
+            // knows the id to withdraw the message by disconnecting.
+            let undecided = intake.new.iter().any(|new| new.id == id);
+            let added = !undecided && self.tracked.add_submission(id, submission.number);
+            return Some(if added { Answer::Accepted } else { Answer::REFUSED });
+        }
+        // While its notification is pending: the acknowledgement must not complete a new message with the same id.
+        self.store.knows(&submission.message_id).then_some(Answer::REFUSED)
+    }
+
+    fn record_of(&self, submission: &Submission, now: Instant) -> journal::Message {
+        let time_left = submission.ends_at.saturating_duration_since(now);
+        journal::Message {
+            message_id: submission.message_id.clone(),
+            class: self.names.classes.get(submission.class).map_or("", String::as_str).into(),
+            tenant: self.names.tenants.get(submission.tenant).map_or("", String::as_str).into(),
+            destination: submission.destination.0,
+            key: submission.key.clone(),
+            deadline: journal::wall_ms() + time_left.as_millis() as u64,
+            body: submission.body.clone(),
             attempts: 0,
             possibly_executed: None,
             out: None,
-        };
-        let more = record.room();
-        if self.held.len() >= self.settings.max_pending || !self.store.has_room(*room + more) {
-            self.metrics.ended(class, End::Refused);
-            refused.push((answer, Answer::REFUSED));
-            return None;
-        }
-        if !Store::fits_batch(*room + more) {
-            let submission =
-                Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer };
-            self.deferred.push(Input::Submitted(submission));
-            return None;
         }
-        *room += more;
-        let id = self.hold(TrackedMessage {
+    }
+
+    fn track_new(
+        &mut self,
+        submission: Submission,
+        record: journal::Message,
+        now: Instant,
+        intake: &mut Intake,
+    ) -> Message {
+        let Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer } =
+            submission;
+        let id = self.track(TrackedMessage {
             message_id,
             class,
+            recovered: false,
             submissions: vec![number],
             key,
             body,
@@ -85,50 +133,29 @@
             attempts: 0,
             receiver: None,
         });
-        self.submissions.insert(number, id);
         self.activity.record_accepted(tenant);
-        fresh.push(NewSubmission { id, class, record, answer });
-        Some(Message {
+        intake.new.push(NewSubmission { id, class, record, channel: answer });
+        Message {
             id,
             class,
             tenant,
             ordering_key: 0,
-            time_left: left.as_secs_f64() * 1_000.0,
+            time_left: to_millis(ends_at.saturating_duration_since(now)),
             work_guess: None,
             destination,
-        })
-    }
-
-    pub(super) fn hold(&mut self, held: TrackedMessage) -> MessageHandle {
-        let mut id = MessageHandle(self.next_id);
-        while self.held.contains_key(&id) || self.calls.contains_key(&id) {
-            id = MessageHandle(id.0.wrapping_add(1));
         }
-        self.next_id = id.0.wrapping_add(1);
-        self.ids.insert(held.message_id.clone(), id);
-        self.held.insert(id, held);
-        id
     }
 
-    pub(super) fn release(&mut self, id: MessageHandle) -> Option<TrackedMessage> {
-        let held = self.held.remove(&id)?;
-        self.ids.remove(&held.message_id);
-        for hand_in in &held.submissions {
-            self.submissions.remove(hand_in);
-        }
-        Some(held)
+    /// Tracks a message under a handle that no call in flight has.
+    pub(super) fn track(&mut self, message: TrackedMessage) -> MessageHandle {
+        self.tracked.insert(message, |id| self.calls.contains_key(&id))
     }
 
-    pub(super) fn withdraw(&mut self, hand_in: u64) -> Option<Event> {
-        let id = self.submissions.remove(&hand_in)?;
-        let held = self.held.get_mut(&id)?;
-        held.submissions.retain(|&number| number != hand_in);
-        if !held.submissions.is_empty() {
-            return None;
-        }
-        let held = self.release(id)?;
-        tracing::debug!(target: MESSAGE_LOG, message_id = &*held.message_id, "withdrawn");
-        self.store.end(&held.message_id, None);
+    /// Removes a submission whose client has disconnected; completes its message if no other client has submitted it.
+    pub(super) fn withdraw(&mut self, number: u64) -> Option<Event> {
+        let (id, message) = self.tracked.withdraw(number)?;
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, "withdrawn");
+        self.store.end(&message.message_id, None);
         Some(Event::Dropped(id))
     }
 }
--- /dev/null
+++ b/crates/sender/src/engine/outage_records.rs
@@ -0,0 +1,100 @@
+//! Outages that outlive the process: the journal's records, in the terms of the policy and of the handover.
+
+use rudderspindle_journal::{self as journal, Store};
+use rudderspindle_policy::interface::{DestinationId, Event, Millis, OutageState, RouteId};
+
+use super::Engine;
+use crate::handover::{self, HandoverMessage};
+use crate::outbound::LONGEST_WAIT;
+
+impl Engine {
+    /// Records with this batch what a later process must know of an outage.
+    pub(super) fn record_outage(
+        &mut self,
+        destination: DestinationId,
+        route: Option<RouteId>,
+        outage: OutageState,
+    ) {
+        let receiver = match route {
+            None => "".into(),
+            Some(route) => match self.outbound.place(route) {
+                Some((receiver, _)) => receiver,
+                // It is no longer listed.
+                None => return,
+            },
+        };
+        self.store.remember((destination.0, receiver), to_record(outage));
+    }
+
+    /// The outages on record, as events for the policy.
+    pub(super) fn recorded_outages(&self) -> Vec<Event> {
+        let event = |((destination, receiver), outage): (&journal::EndpointKey, journal::OutageState)| {
+            let route = if receiver.is_empty() { None } else { Some(self.endpoints.find(receiver)?) };
+            let destination = DestinationId(*destination);
+            Some(Event::Remembered { destination, route, outage: from_record(outage) })
+        };
+        self.store.outage_records().filter_map(event).collect()
+    }
+
+    /// The outages on record, as messages for a successor process.
+    pub(super) fn outage_messages(&self) -> Vec<HandoverMessage> {
+        let message = |((destination, receiver), outage): (&journal::EndpointKey, journal::OutageState)| {
+            HandoverMessage::OutageState {
+                destination: *destination,
+                receiver: receiver.to_string(),
+                outage: to_handover(outage),
+            }
+        };
+        self.store.outage_records().map(message).collect()
+    }
+
+    /// Records the outages that the running process has told this one, with values out of range clamped.
+    pub fn restore_outages(store: &mut Store, messages: &[HandoverMessage]) {
+        for message in messages {
+            if let HandoverMessage::OutageState { destination, receiver, outage } = message {
+                let key = (*destination, receiver.as_str().into());
+                store.remember(key, Some(from_handover(*outage)));
+            }
+        }
+    }
+}
+
+/// The record of an outage; none if there is no outage.
+fn to_record(outage: OutageState) -> Option<journal::OutageState> {
+    match outage {
+        OutageState::Healthy => None,
+        OutageState::Down { wait } => Some(journal::OutageState::Down { wait: wait as u64 }),
+        OutageState::WarmingUp { ago, part } => {
+            Some(journal::OutageState::WarmingUp { ago: ago as i64, part })
+        }
+    }
+}
+
+fn from_record(outage: journal::OutageState) -> OutageState {
+    match outage {
+        journal::OutageState::Down { wait } => OutageState::Down { wait: wait as Millis },
+        journal::OutageState::WarmingUp { ago, part } => OutageState::WarmingUp { ago: ago as Millis, part },
+    }
+}
+
+fn to_handover(outage: journal::OutageState) -> handover::OutageState {
+    match outage {
+        journal::OutageState::Down { wait } => handover::OutageState::Down { wait },
+        journal::OutageState::WarmingUp { ago, part } => handover::OutageState::WarmingUp { ago, part },
+    }
+}
+
+fn from_handover(outage: handover::OutageState) -> journal::OutageState {
+    match outage {
+        handover::OutageState::Down { wait } => {
+            journal::OutageState::Down { wait: wait.min(LONGEST_WAIT as u64) }
+        }
+        handover::OutageState::WarmingUp { ago, part } => {
+            let ago = ago.max(-(LONGEST_WAIT as i64));
+            journal::OutageState::WarmingUp { ago, part: part.clamp(0.0, 1.0) }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/sender/src/engine/outage_records/tests.rs
@@ -0,0 +1,28 @@
+//! The running process may send anything that can be parsed.
+
+use super::*;
+
+#[test]
+fn outages_out_of_range_are_clamped_when_they_are_restored() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let mut store = Store::open(folder.path(), 3_000_000).expect("a journal");
+    let outages = [
+        (1, handover::OutageState::Down { wait: u64::MAX }),
+        (2, handover::OutageState::WarmingUp { ago: i64::MIN, part: 7.5 }),
+        (3, handover::OutageState::WarmingUp { ago: 5, part: -1.0 }),
+    ];
+    let messages = outages.map(|(destination, outage)| HandoverMessage::OutageState {
+        destination,
+        receiver: "".into(),
+        outage,
+    });
+    Engine::restore_outages(&mut store, &messages);
+    for (key, outage) in store.outage_records() {
+        let fits = match outage {
+            journal::OutageState::Down { wait } => key.0 == 1 && wait <= 60_000,
+            journal::OutageState::WarmingUp { ago, part } => ago >= -60_000 && (0.0..=1.0).contains(&part),
+        };
+        assert!(fits, "{key:?}: {outage:?}");
+    }
+    assert_eq!(store.outage_records().count(), 3);
+}
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -1,60 +1,97 @@
-//! What the journal holds is taken up again, and what a later process must know goes into it.
+//! Recovers messages and notifications from the journal, at the start and at a takeover.
+//!
+//! An attempt without an outcome on record may have been executed.
 
 use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
 
-use super::*;
+use rudderspindle_journal::{self as journal, MessageId, Notice, Status};
+use rudderspindle_policy::interface::{
+    AttemptHistory, DestinationId, Event, Message, Millis, PriorExecution,
+};
+use tokio::time::Instant;
 
-/// With more of its time left an untried message is given up for want of room and for nothing else.
-const EARLY: Duration = Duration::from_millis(500);
+use super::Engine;
+use super::backlog::{RecoveredExecution, RecoveredMessage};
+use super::time::to_millis;
+use super::tracked_messages::TrackedMessage;
+use crate::event::MESSAGE_LOG;
 
-/// A message of the journal's, on its way to the module.
-#[derive(Debug)]
-pub(super) struct Recovered {
-    class: usize,
-    pub ends_at: Instant,
-    /// The attempt that may have run, as reckoned then.
-    possibly_executed: Option<(Instant, PriorExecution)>,
-    message: journal::Message,
-}
+/// Time left from which on a message that was never tried returns to the backlog when the policy sheds it.
+const MIN_TIME_TO_REQUEUE: Duration = Duration::from_millis(500);
 
 impl Engine {
-    /// Takes what the journal holds into the backlog, with each message's history; the platform gets what it has not
-    /// acknowledged. An attempt without an outcome may have run.
-    pub(super) fn recover(&mut self, now: Instant, messages: Vec<journal::Message>, mut owed: Vec<Notice>) {
-        // The journal's order is chance's.
-        owed.sort_unstable_by(|a, b| a.message_id.cmp(&b.message_id));
-        owed.into_iter().for_each(|notice| self.reports.push(notice));
+    /// Puts the messages of a journal into the backlog, and queues the notifications that the platform has not
+    /// acknowledged.
+    pub(super) fn recover(
+        &mut self,
+        now: Instant,
+        messages: Vec<journal::Message>,
+        mut pending: Vec<Notice>,
+    ) {
+        // The order of the journal's map is random.
+        pending.sort_unstable_by(|a, b| a.message_id.cmp(&b.message_id));
+        for notice in pending {
+            self.notifications.push(notice);
+        }
         let wall = journal::wall_ms();
-        let set_back = self.store.latest_attempt() > wall;
-        if set_back {
+        let clock_set_back = self.store.latest_attempt() > wall;
+        if clock_set_back {
             tracing::warn!(
-                "journal: the clock was set back: no attempt on record counts as within its key's window"
+                "clock was set back: attempts on record count as outside their idempotency window"
             );
         }
         if !messages.is_empty() {
             tracing::warn!("journal: {} messages taken up again", messages.len());
         }
-        let mut unknown = BTreeMap::<Rc<str>, Vec<MessageId>>::new();
+        let mut recovered = Vec::new();
+        let mut unknown_classes = BTreeMap::<Rc<str>, Vec<MessageId>>::new();
         for message in messages {
-            let Some(class) = self.names.classes.iter().position(|name| **name == *message.class) else {
-                unknown.entry(message.class).or_default().push(message.message_id);
-                continue;
+            match self.names.classes.iter().position(|name| **name == *message.class) {
+                Some(class) => {
+                    recovered.push(self.recover_message(now, wall, clock_set_back, class, message));
+                }
+                None => unknown_classes.entry(message.class).or_default().push(message.message_id),
+            }
+        }
+        self.fail_unknown_classes(unknown_classes);
+        self.backlog.extend(recovered);
+    }
+
+    fn recover_message(
+        &mut self,
+        now: Instant,
+        wall: u64,
+        clock_set_back: bool,
+        class: usize,
+        message: journal::Message,
+    ) -> RecoveredMessage {
+        // Whatever the clock says, no message has more time than its class allows.
+        let deadline = self.settings.classes[class].deadline as u64;
+        let time_left = message.deadline.saturating_sub(wall).min(deadline);
+        let possibly_executed = message.possibly_executed.as_ref().map(|execution| {
+            // If the clock does not tell, as long ago as possible.
+            let started_at = if clock_set_back { 0 } else { execution.at };
+            let execution = PriorExecution {
+                ago: wall.saturating_sub(started_at) as Millis,
+                route: self.endpoints.route(&execution.receiver, now),
+                zone: self.endpoints.zone(&execution.zone),
             };
-            // Whatever the clock says, it has no longer than its class allows.
-            let left =
-                message.deadline.saturating_sub(wall).min(self.settings.classes[class].deadline as u64);
-            let possibly_executed = message.possibly_executed.as_ref().map(|ran| {
-                // As long ago as can be, where the clock does not tell.
-                let ago = wall.saturating_sub(if set_back { 0 } else { ran.at }) as Millis;
-                (
-                    now,
-                    PriorExecution { ago, route: self.route(&ran.receiver, now), zone: self.zone(&ran.zone) },
-                )
-            });
-            let ends_at = now + Duration::from_millis(left);
-            self.backlog.push(Recovered { class, ends_at, possibly_executed, message });
+            RecoveredExecution { read_at: now, execution }
+        });
+        RecoveredMessage {
+            class,
+            value: self.settings.classes[class].value,
+            ends_at: now + Duration::from_millis(time_left),
+            possibly_executed,
+            message,
         }
-        for (class, mut message_ids) in unknown {
+    }
+
+    /// Fails the messages whose class the settings no longer have.
+    fn fail_unknown_classes(&mut self, unknown_classes: BTreeMap<Rc<str>, Vec<MessageId>>) {
+        for (class, mut message_ids) in unknown_classes {
             tracing::warn!(
                 "journal: {} messages are of class {class}, which is no more: given up",
                 message_ids.len()
@@ -62,65 +99,58 @@
             message_ids.sort_unstable();
             for message_id in message_ids {
                 self.store.end(&message_id, Some(Status::Undeliverable));
-                self.reports.push(Notice { message_id, status: Status::Undeliverable });
+                self.notifications.push(Notice { message_id, status: Status::Undeliverable });
             }
         }
-        self.sort_backlog();
     }
 
-    /// The best last.
-    fn sort_backlog(&mut self) {
-        let value = |recovered: &Recovered| self.settings.classes[recovered.class].value;
-        self.backlog.sort_unstable_by(|a, b| {
-            let by_worth = value(a).total_cmp(&value(b));
-            by_worth.then(b.ends_at.cmp(&a.ends_at)).then(b.message.message_id.cmp(&a.message.message_id))
-        });
+    /// Moves messages from the backlog to the policy: as many as it has capacity for beside the new ones of this
+    /// batch, so that none is shed untried, and those whose deadline is over.
+    pub(super) fn take_from_backlog(&mut self, now: Instant, new_messages: usize) -> Vec<Event> {
+        let capacity = self.policy.room().saturating_sub(new_messages);
+        let taken = self.backlog.take(capacity, now);
+        taken.into_iter().map(|message| self.track_recovered(now, message)).collect()
     }
 
-    /// The best of the backlog, as many as the module has room for beside those that are handed in with this batch, and
-    /// those whose time is up: it gives up what it cannot hold, and none of these may go untried for that.
-    pub(super) fn take_up(&mut self, now: Instant, fresh: usize) -> Vec<Event> {
-        let room = self.sender.room().saturating_sub(fresh);
-        let rest = self.backlog.len().saturating_sub(room);
-        let mut best = self.backlog.split_off(rest);
-        best.reverse();
-        best.extend(self.backlog.extract_if(.., |recovered| recovered.ends_at <= now));
-        best.into_iter().map(|recovered| self.hand_over(now, recovered)).collect()
-    }
-
-    /// One that an earlier process took on, and that no call has been made for, is not given up for want of room: it
-    /// waits until there is some again.
-    pub(super) fn put_back(&mut self, now: Instant, held: &TrackedMessage) -> bool {
-        let untried = held.attempts == 0 && held.submissions.contains(&EARLIER_SUBMISSION);
-        if !untried || held.ends_at.saturating_duration_since(now) < EARLY {
+    /// Returns a message that the policy has shed to the backlog, if an earlier process accepted it, it was never
+    /// tried and there is time left. Says whether it did.
+    pub(super) fn return_to_backlog(&mut self, now: Instant, shed: &TrackedMessage) -> bool {
+        let untried = shed.attempts == 0 && shed.recovered;
+        if !untried || shed.ends_at.saturating_duration_since(now) < MIN_TIME_TO_REQUEUE {
             return false;
         }
-        let Some(message) = self.store.open_message(&held.message_id).cloned() else { return false };
-        tracing::debug!(target: MESSAGE_LOG, message_id = &*held.message_id, "put back");
-        let (class, ends_at) = (held.class, held.ends_at);
-        self.backlog.push(Recovered { class, ends_at, possibly_executed: None, message });
-        self.sort_backlog();
+        let Some(message) = self.store.open_message(&shed.message_id).cloned() else { return false };
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*shed.message_id, "returned to the backlog");
+        self.backlog.extend([RecoveredMessage {
+            class: shed.class,
+            value: self.settings.classes[shed.class].value,
+            ends_at: shed.ends_at,
+            possibly_executed: None,
+            message,
+        }]);
         true
     }
 
-    fn hand_over(&mut self, now: Instant, recovered: Recovered) -> Event {
-        let Recovered { class, ends_at, possibly_executed, message: m } = recovered;
-        let time_left = ends_at.saturating_duration_since(now).as_secs_f64() * 1_000.0;
-        tracing::debug!(target: MESSAGE_LOG, message_id = &*m.message_id, attempts = m.attempts, ran = ?m.possibly_executed, time_left,
-            "taken up again");
-        let possibly_executed = possibly_executed.map(|(then, ran)| {
-            let since = now.saturating_duration_since(then).as_secs_f64() * 1_000.0;
-            PriorExecution { ago: ran.ago + since, ..ran }
+    fn track_recovered(&mut self, now: Instant, recovered: RecoveredMessage) -> Event {
+        let RecoveredMessage { class, ends_at, possibly_executed, message: record, .. } = recovered;
+        let time_left = to_millis(ends_at.saturating_duration_since(now));
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*record.message_id, attempts = record.attempts,
+            possibly_executed = ?record.possibly_executed, time_left, "recovered");
+        let possibly_executed = possibly_executed.map(|RecoveredExecution { read_at, execution }| {
+            let since = to_millis(now.saturating_duration_since(read_at));
+            PriorExecution { ago: execution.ago + since, ..execution }
         });
-        let tenant = self.names.tenants.iter().position(|name| **name == *m.tenant);
-        let id = self.hold(TrackedMessage {
-            message_id: m.message_id,
+        let tenant = self.names.tenants.iter().position(|name| **name == *record.tenant);
+        let attempts = record.attempts;
+        let id = self.track(TrackedMessage {
+            message_id: record.message_id,
             class,
-            submissions: vec![EARLIER_SUBMISSION],
-            key: m.key,
-            body: m.body,
+            recovered: true,
+            submissions: Vec::new(),
+            key: record.key,
+            body: record.body,
             ends_at,
-            attempts: m.attempts,
+            attempts,
             receiver: None,
         });
         let message = Message {
@@ -130,49 +160,9 @@
             ordering_key: 0,
             time_left,
             work_guess: None,
-            destination: DestinationId(m.destination),
-        };
-        Event::Recovered(message, AttemptHistory { attempts: m.attempts, possibly_executed })
-    }
-
-    /// What a later process must know of an outage goes on record with this batch.
-    pub(super) fn remember(
-        &mut self,
-        destination: DestinationId,
-        route: Option<RouteId>,
-        outage: OutageState,
-    ) {
-        let receiver = match route {
-            None => "".into(),
-            Some(route) => match self.outbound.place(route) {
-                Some((receiver, _)) => receiver,
-                // It has left the list.
-                None => return,
-            },
-        };
-        let outage = match outage {
-            OutageState::Healthy => None,
-            OutageState::Down { wait } => Some(journal::OutageState::Down { wait: wait as u64 }),
-            OutageState::WarmingUp { ago, part } => {
-                Some(journal::OutageState::WarmingUp { ago: ago as i64, part })
-            }
-        };
-        self.store.remember((destination.0, receiver), outage);
-    }
-
-    /// What an earlier process knew of outages.
-    pub(super) fn recall(&self) -> Vec<Event> {
-        let event = |((destination, receiver), outage): (&journal::EndpointKey, journal::OutageState)| {
-            let route = if receiver.is_empty() { None } else { Some(self.routes.get(receiver)?.route) };
-            let outage = match outage {
-                journal::OutageState::Down { wait } => OutageState::Down { wait: wait as Millis },
-                journal::OutageState::WarmingUp { ago, part } => {
-                    OutageState::WarmingUp { ago: ago as Millis, part }
-                }
-            };
-            Some(Event::Remembered { destination: DestinationId(*destination), route, outage })
+            destination: DestinationId(record.destination),
         };
-        self.store.outage_records().filter_map(event).collect()
+        Event::Recovered(message, AttemptHistory { attempts, possibly_executed })
     }
 }
 
--- /dev/null
+++ b/crates/sender/src/engine/takeover/tests.rs
@@ -0,0 +1,25 @@
+//! The peer process may send anything that can be parsed.
+
+use std::time::Duration;
+
+use super::super::tests::{engine, submission};
+use super::*;
+use crate::event::{Answer, Input};
+
+#[tokio::test(start_paused = true)]
+async fn a_backoff_of_any_length_from_the_peer_process_holds_for_a_minute_at_most() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let test = async {
+        for wait in [1e300, f64::INFINITY, -5.0] {
+            let (mut engine, _inputs) = engine(folder.path());
+            engine.run_batch(vec![Input::RetryAfter { destination: 7, receiver: None, wait }]);
+            tokio::time::advance(Duration::from_millis(LONGEST_WAIT as u64 + 1)).await;
+            let (input, answered) = submission(1, "m1");
+            engine.run_batch(vec![input]);
+            assert_eq!(answered.await, Ok(Answer::Accepted));
+            assert_eq!(engine.calls.len(), 1, "after a wait of {wait} ms");
+            engine.run_batch(vec![Input::Withdrawn(1)]);
+        }
+    };
+    tokio::task::LocalSet::new().run_until(test).await;
+}
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -1,24 +1,27 @@
-//! A call's cancel against its outcome.
+//! The cancellation of a call against its result.
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
+use rudderspindle_policy::interface::Action;
+
 use super::*;
+use crate::engine::intake::Intake;
 
-/// The list's only receiver, played by the test.
+/// Makes a listener of the test the only receiver in the list.
 pub(super) async fn receiver(engine: &mut Engine) -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address").to_string();
     let member = serde_json::json!({"id": "r1", "host_port": addr, "cell": 7, "phase": "SERVING"});
     let list = serde_json::json!({"revision": 2, "complete": true, "members": [member]});
-    engine.batch(vec![Input::List(serde_json::from_value(list).expect("a list"))]);
+    engine.run_batch(vec![Input::List(serde_json::from_value(list).expect("a list"))]);
     listener
 }
 
-/// Hands a message in and reads its call to the last byte.
+/// Submits a message and reads its call to the last byte.
 async fn call(engine: &mut Engine, listener: &TcpListener, number: u64) -> TcpStream {
     let (input, answered) = submission(number, &format!("m{number}"));
-    engine.batch(vec![input]);
+    engine.run_batch(vec![input]);
     assert_eq!(answered.await, Ok(Answer::Accepted));
     let (mut stream, _) = soon(listener.accept()).await.expect("a connection");
     request(&mut stream).await;
@@ -47,48 +50,48 @@
     .await;
 }
 
-/// What has come for the engine, as one batch.
-pub(super) fn batch(engine: &mut Engine) {
+/// Runs a batch with the inputs that have arrived.
+pub(super) fn run_batch(engine: &mut Engine) {
     let mut inputs = Vec::new();
     while let Ok(input) = engine.inputs.try_recv() {
         inputs.push(input);
     }
-    engine.batch(inputs);
+    engine.run_batch(inputs);
 }
 
 fn cancel(engine: &mut Engine) {
     let id = *engine.calls.keys().next().expect("a call is out");
-    let attempt = engine.held[&id].attempts - 1;
-    engine.carry_out(Instant::now(), Vec::new(), Vec::new(), vec![Action::Cancel { id, attempt }]);
+    let attempt = engine.tracked.get(id).expect("it is tracked").attempts - 1;
+    engine.carry_out(Instant::now(), Intake::default(), vec![Action::Cancel { id, attempt }]);
 }
 
-/// The answer is there when the cancel comes: the message is delivered, for the engine and for the module, and
-/// does not go again.
+/// The response has arrived when the call is cancelled: the message is delivered, for the engine and for the policy,
+/// and is not sent again.
 #[tokio::test]
-async fn a_delivery_that_crosses_a_cancel_ends_the_message() {
+async fn a_delivery_that_crosses_a_cancellation_completes_the_message() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let (mut engine, _inputs) = engine(folder.path());
         let listener = receiver(&mut engine).await;
-        let before = engine.sender.remembered();
+        let before = engine.policy.remembered();
         let mut stream = call(&mut engine, &listener, 1).await;
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("writable");
         until(|| !engine.inputs.is_empty()).await;
         cancel(&mut engine);
         for _ in 0..3 {
-            batch(&mut engine);
+            run_batch(&mut engine);
         }
-        assert!(engine.held.is_empty() && !engine.store.knows(&"m1".into()), "it is still owed its end");
-        assert!(engine.calls.is_empty(), "it went again");
-        assert_eq!(engine.sender.remembered(), before, "the module still has it");
+        assert!(engine.tracked.is_empty() && !engine.store.knows(&"m1".into()), "it is not complete");
+        assert!(engine.calls.is_empty(), "it was sent again");
+        assert_eq!(engine.policy.remembered(), before, "the policy still has it");
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// An answer that waits for room among the engine's inputs when its call is cancelled is not lost: it says that
-/// the call never ran.
+/// A result that waits for capacity in the engine's queue when its call is cancelled is not lost: it says that the
+/// call was never executed.
 #[tokio::test]
-async fn a_refusal_that_waits_for_the_engine_counts_though_its_call_is_cancelled() {
+async fn a_rejection_that_waits_for_the_engine_counts_though_its_call_is_cancelled() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let (mut engine, inputs) = engine(folder.path());
@@ -97,24 +100,25 @@
         while inputs.try_send(Input::PeerCallsInFlight(0)).is_ok() {}
         let answer = b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 30000\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(answer).await.expect("writable");
-        // The wait is noted before the outcome is told.
+        // The wait is noted before the result is sent.
         until(|| !engine.outbound.waits().is_empty()).await;
         cancel(&mut engine);
         until(|| {
-            batch(&mut engine);
+            run_batch(&mut engine);
             engine.calls.is_empty()
         })
         .await;
-        batch(&mut engine);
-        let ran: Vec<_> = engine.store.open_messages().map(|m| m.possibly_executed.is_some()).collect();
-        assert_eq!(ran, [false]);
+        run_batch(&mut engine);
+        let possibly_executed: Vec<_> =
+            engine.store.open_messages().map(|m| m.possibly_executed.is_some()).collect();
+        assert_eq!(possibly_executed, [false]);
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A call that is cancelled with its last byte written may have run; its connection is closed.
+/// The request was written completely; the connection is closed.
 #[tokio::test]
-async fn a_call_that_is_cancelled_unanswered_may_have_run() {
+async fn a_call_that_is_cancelled_without_a_response_may_have_been_executed() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let (mut engine, _inputs) = engine(folder.path());
@@ -122,7 +126,7 @@
         let mut stream = call(&mut engine, &listener, 1).await;
         cancel(&mut engine);
         until(|| {
-            batch(&mut engine);
+            run_batch(&mut engine);
             engine.store.open_messages().all(|m| m.possibly_executed.is_some())
         })
         .await;
--- /dev/null
+++ b/crates/sender/src/engine/tracked_messages.rs
@@ -0,0 +1,141 @@
+//! The table of the messages that the engine has accepted or is about to, until they are complete.
+
+use std::collections::HashMap;
+
+use bytes::Bytes;
+use rudderspindle_gossip::Receiver;
+use rudderspindle_journal::MessageId;
+use rudderspindle_policy::interface::MessageHandle;
+use tokio::time::Instant;
+
+/// Maximum number of clients that submit the same message; further ones are refused.
+pub(super) const MAX_CLIENTS_PER_MESSAGE: usize = 4;
+
+/// A message that the engine is responsible for.
+#[derive(Debug)]
+pub(super) struct TrackedMessage {
+    /// The id that the client gave it.
+    pub message_id: MessageId,
+    /// Index of its class in the settings.
+    pub class: usize,
+    /// Whether an earlier process accepted it and answered its client.
+    pub recovered: bool,
+    /// Numbers of its submissions, without those whose client disconnected before it was answered. While one is
+    /// left, a client may have been told that the message is accepted: it must not be withdrawn.
+    pub submissions: Vec<u64>,
+    /// Its idempotency key, if it has one.
+    pub key: Option<Bytes>,
+    /// Its payload.
+    pub body: Bytes,
+    /// Its deadline.
+    pub ends_at: Instant,
+    /// Number of attempts on record.
+    pub attempts: u32,
+    /// The receiver of the attempt in flight.
+    pub receiver: Option<Receiver>,
+}
+
+impl TrackedMessage {
+    /// Number of clients that may know that the message is accepted.
+    fn clients(&self) -> usize {
+        self.submissions.len() + usize::from(self.recovered)
+    }
+}
+
+/// The tracked messages by handle, by id and by submission.
+#[derive(Debug, Default)]
+pub(super) struct TrackedMessages {
+    messages: HashMap<MessageHandle, TrackedMessage>,
+    by_id: HashMap<MessageId, MessageHandle>,
+    by_submission: HashMap<u64, MessageHandle>,
+    next_handle: u32,
+}
+
+impl TrackedMessages {
+    /// Number of messages.
+    pub fn len(&self) -> usize {
+        self.messages.len()
+    }
+
+    /// Whether there is no message.
+    pub fn is_empty(&self) -> bool {
+        self.messages.is_empty()
+    }
+
+    /// Whether this message is tracked.
+    pub fn contains(&self, handle: MessageHandle) -> bool {
+        self.messages.contains_key(&handle)
+    }
+
+    /// A message by its handle.
+    pub fn get(&self, handle: MessageHandle) -> Option<&TrackedMessage> {
+        self.messages.get(&handle)
+    }
+
+    /// A message by its handle, for changes.
+    pub fn get_mut(&mut self, handle: MessageHandle) -> Option<&mut TrackedMessage> {
+        self.messages.get_mut(&handle)
+    }
+
+    /// The handle of the message with this id.
+    pub fn find(&self, message_id: &MessageId) -> Option<MessageHandle> {
+        self.by_id.get(message_id).copied()
+    }
+
+    /// Tracks a message under a new handle, which is none of those `in_use`.
+    pub fn insert(
+        &mut self,
+        message: TrackedMessage,
+        in_use: impl Fn(MessageHandle) -> bool,
+    ) -> MessageHandle {
+        let mut handle = MessageHandle(self.next_handle);
+        while self.contains(handle) || in_use(handle) {
+            handle = MessageHandle(handle.0.wrapping_add(1));
+        }
+        self.next_handle = handle.0.wrapping_add(1);
+        self.by_id.insert(message.message_id.clone(), handle);
+        for number in &message.submissions {
+            self.by_submission.insert(*number, handle);
+        }
+        self.messages.insert(handle, message);
+        handle
+    }
+
+    /// Adds a submission to a message that is tracked already; `false` if it has too many.
+    pub fn add_submission(&mut self, handle: MessageHandle, number: u64) -> bool {
+        let Some(message) = self.messages.get_mut(&handle) else { return false };
+        if message.clients() >= MAX_CLIENTS_PER_MESSAGE {
+            return false;
+        }
+        message.submissions.push(number);
+        self.by_submission.insert(number, handle);
+        true
+    }
+
+    /// Removes a submission; returns its message, no longer tracked, if no client is left.
+    pub fn withdraw(&mut self, number: u64) -> Option<(MessageHandle, TrackedMessage)> {
+        let handle = self.by_submission.remove(&number)?;
+        let message = self.messages.get_mut(&handle)?;
+        message.submissions.retain(|&other| other != number);
+        if message.clients() > 0 {
+            return None;
+        }
+        Some((handle, self.remove(handle)?))
+    }
+
+    /// Stops tracking a message.
+    pub fn remove(&mut self, handle: MessageHandle) -> Option<TrackedMessage> {
+        let message = self.messages.remove(&handle)?;
+        self.by_id.remove(&message.message_id);
+        for number in &message.submissions {
+            self.by_submission.remove(number);
+        }
+        Some(message)
+    }
+
+    /// Total size of the three maps.
+    #[cfg(test)]
+    pub fn entries(&self) -> usize {
+        self.messages.len() + self.by_id.len() + self.by_submission.len()
+    }
+}
--- a/crates/sender/src/failpoint.rs
+++ b/crates/sender/src/failpoint.rs
@@ -1,13 +1,12 @@
-//! Named points at which a test stops the program, to kill it just there. None of this is built without the feature
-//! `failpoints`, which only tests ask for.
+//! Named points at which a test stops the program, to kill it there; only built with the feature `failpoints`.
 
-/// Names the point at which the program stops.
-const VARIABLE: &str = "RELAY_FAILPOINT";
+/// Environment variable with the name of the point at which the program stops.
+const FAILPOINT_VARIABLE: &str = "RELAY_FAILPOINT";
 
-/// Stops for good at the point that the variable names, and says so in the log.
+/// Logs and blocks this thread for good if the environment names this point.
 pub(crate) fn reach(point: &str) {
-    if std::env::var(VARIABLE).is_ok_and(|wanted| wanted == point) {
-        tracing::warn!("failpoint reached: {point}");
+    if std::env::var(FAILPOINT_VARIABLE).is_ok_and(|wanted| wanted == point) {
+        tracing::warn!(point, "failpoint reached");
         loop {
             std::thread::park();
         }
--- a/crates/sender/src/inbound.rs
+++ b/crates/sender/src/inbound.rs
@@ -110,13 +110,13 @@
             let client = Rc::new(Client::new(number, stream));
             self.clients.borrow_mut().insert(number, client.clone());
             self.places.borrow_mut().connected(number, peer.ip(), self.now());
-            self.metrics.client(true);
+            self.metrics.client_connected();
             let this = self.clone();
             spawn_local(async move {
                 this.serve(&client).await;
                 this.clients.borrow_mut().remove(&number);
                 this.places.borrow_mut().left(number);
-                this.metrics.client(false);
+                this.metrics.client_disconnected();
                 drop((client, permit));
                 this.ended.notify_one();
             });
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -13,7 +13,7 @@
 
 use super::*;
 use crate::event::{Answer, IDEMPOTENCY_KEY, Submission};
-use crate::metrics::End;
+use crate::metrics::FinalOutcome;
 
 const X_TXN: HeaderName = HeaderName::from_static("x-txn");
 const X_ORG: HeaderName = HeaderName::from_static("x-org");
@@ -133,7 +133,7 @@
 
     /// Refused before the engine has heard of it.
     fn turn_away(&self, class: usize) -> Reply {
-        self.metrics.ended(class, End::Refused);
+        self.metrics.record_outcome(class, FinalOutcome::Rejected);
         self.refusal(0.0)
     }
 
--- a/crates/sender/src/incarnation.rs
+++ b/crates/sender/src/incarnation.rs
@@ -1,41 +1,29 @@
-//! Which life of this sender a process is, kept in the state folder: each start has a larger number than all before.
+//! The number of this process's incarnation, which is larger than those of all earlier processes with the same state
+//! folder.
 
 use std::io;
 use std::path::Path;
 
 use rudderspindle_gossip::Incarnation;
 
-/// The file in the state folder: the number as text, a block on disk.
+/// Name of the file in the state folder that holds the last number, as text.
 const FILE: &str = "incarnation";
 
-/// Begins a life: it is kept before anybody is told of it. Where the folder is empty, or the file cannot be read, the clock
-/// (ms since 1970) alone tells.
+/// Starts an incarnation, and stores its number before it is announced to anybody. Without a readable file the number
+/// is that of the clock, `wall` (ms since 1970), alone.
 ///
 /// # Errors
 ///
-/// What the file system says where it cannot be kept.
-pub(crate) fn begin(state: &Path, wall: u64) -> io::Result<Incarnation> {
-    let (file, fresh) = (state.join(FILE), state.join(format!("{FILE}.new")));
-    let kept = std::fs::read_to_string(&file).ok().and_then(|text| text.trim().parse().ok());
-    let next = Incarnation::next(kept.map(Incarnation), wall);
-    std::fs::write(&fresh, next.0.to_string())?;
-    std::fs::rename(fresh, file)?;
+/// The file system's error if the number cannot be stored.
+pub(crate) fn start(state_folder: &Path, wall: u64) -> io::Result<Incarnation> {
+    let file = state_folder.join(FILE);
+    let last = std::fs::read_to_string(&file).ok().and_then(|text| text.trim().parse().ok());
+    let next = Incarnation::next(last.map(Incarnation), wall);
+    let temporary_file = state_folder.join(format!("{FILE}.new"));
+    std::fs::write(&temporary_file, next.0.to_string())?;
+    std::fs::rename(temporary_file, file)?;
     Ok(next)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_life_is_later_than_the_one_before_whatever_the_clock_says() {
-        let state = tempfile::tempdir().expect("a folder");
-        let begin = |wall| begin(state.path(), wall).expect("it is kept");
-        assert_eq!(begin(1_000), Incarnation(1_000));
-        assert_eq!(begin(1_000), Incarnation(1_001));
-        assert_eq!(begin(500), Incarnation(1_002));
-        assert_eq!(begin(9_000), Incarnation(9_000));
-        std::fs::write(state.path().join(FILE), "torn").expect("written");
-        assert_eq!(begin(9_500), Incarnation(9_500));
-    }
-}
+mod tests;
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -1,6 +1,6 @@
-//! What a sender reports of itself: counts since its process began, and how it stands now.
+//! Counters of this process, and the engine's status, as one JSON line for operators.
 //!
-//! Counted where the thing happens, read by whoever asks: to read them never waits for the engine.
+//! Counted where the event occurs; a reader never waits for the engine.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,134 +8,139 @@
 use rudderspindle_journal::Status;
 use serde::Serialize;
 
-/// How a message ended, as its client knows it.
+/// The final outcome of a message, as its client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum FinalOutcome {
+    /// Delivered.
     Delivered,
-    /// Refused at the door, or handed back by a notice.
-    Refused,
+    /// Shed: refused when it was submitted, or returned by a notification.
+    Rejected,
+    /// Failed for good.
     Failed,
 }
 
-impl From<Status> for End {
+impl From<Status> for FinalOutcome {
     fn from(status: Status) -> Self {
         match status {
             Status::Undeliverable => Self::Failed,
-            Status::Deferred(_) => Self::Refused,
+            Status::Deferred(_) => Self::Rejected,
         }
     }
 }
 
-/// How the engine stands at one moment.
+/// The engine's status at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EngineStatus {
-    /// Messages taken on that have not ended.
+    /// Messages that are accepted and not complete.
     pub open_requests: usize,
-    /// Receivers in the list.
+    /// Receivers in the endpoint list.
     pub registry_entries: usize,
-    /// Receivers in the list that take no calls of this sender now.
+    /// Receivers in the endpoint list that this sender does not call at present.
     pub out_of_rotation: usize,
 }
 
-/// The counts of one process.
+/// The counters of this process, since it started.
 #[derive(Debug)]
 pub struct Metrics {
+    /// Names of the classes, by index.
     classes: Vec<String>,
-    /// Delivered, refused, failed; for each class.
-    ends: RefCell<Vec<[u64; 3]>>,
-    /// Calls with a message whose last byte was written.
-    relayed: Cell<u64>,
-    /// Clients' connections that are open.
+    /// Final outcomes by class.
+    outcomes: RefCell<Vec<OutcomeCounts>>,
+    /// Calls whose request was written completely.
+    calls_written: Cell<u64>,
+    /// Open connections of clients.
     clients: Cell<usize>,
-    /// What the engine said last.
-    standing: Cell<EngineStatus>,
+    /// The engine's status as last reported.
+    engine_status: Cell<EngineStatus>,
 }
 
-/// One line for each reader, in its order.
+/// Number of messages by final outcome.
+#[derive(Clone, Copy, Debug, Default)]
+struct OutcomeCounts {
+    delivered: u64,
+    rejected: u64,
+    failed: u64,
+}
+
+/// The JSON line.
 #[derive(Serialize)]
 struct Report<'a> {
-    fulfilled: BTreeMap<&'a str, u64>,
-    throttled: BTreeMap<&'a str, u64>,
-    faulted: BTreeMap<&'a str, u64>,
-    relayed: u64,
+    #[serde(rename = "fulfilled")]
+    delivered: BTreeMap<&'a str, u64>,
+    #[serde(rename = "throttled")]
+    rejected: BTreeMap<&'a str, u64>,
+    #[serde(rename = "faulted")]
+    failed: BTreeMap<&'a str, u64>,
+    #[serde(rename = "relayed")]
+    calls_written: u64,
     #[serde(flatten)]
-    standing: EngineStatus,
+    engine_status: EngineStatus,
 }
 
 impl Metrics {
-    /// Nothing has happened yet; `classes` by index.
+    /// Counters at zero; `classes` are the names of the classes, by index.
     pub fn new(classes: &[String]) -> Self {
         Self {
             classes: classes.to_vec(),
-            ends: RefCell::new(vec![[0; 3]; classes.len()]),
-            relayed: Cell::new(0),
+            outcomes: RefCell::new(vec![OutcomeCounts::default(); classes.len()]),
+            calls_written: Cell::new(0),
             clients: Cell::new(0),
-            standing: Cell::default(),
+            engine_status: Cell::default(),
         }
     }
 
-    /// A message of this class has ended.
-    pub fn ended(&self, class: usize, end: End) {
-        if let Some(ends) = self.ends.borrow_mut().get_mut(class) {
-            ends[end as usize] += 1;
+    /// Counts the final outcome of a message of this class; a class that does not exist is ignored.
+    pub fn record_outcome(&self, class: usize, outcome: FinalOutcome) {
+        if let Some(counts) = self.outcomes.borrow_mut().get_mut(class) {
+            match outcome {
+                FinalOutcome::Delivered => counts.delivered += 1,
+                FinalOutcome::Rejected => counts.rejected += 1,
+                FinalOutcome::Failed => counts.failed += 1,
+            }
         }
     }
 
-    /// A call with a message has been written whole.
-    pub fn relayed(&self) {
-        self.relayed.set(self.relayed.get() + 1);
+    /// Counts a call whose request was written completely.
+    pub fn call_written(&self) {
+        self.calls_written.set(self.calls_written.get() + 1);
+    }
+
+    /// Counts a client's connection.
+    pub fn client_connected(&self) {
+        self.clients.set(self.clients.get() + 1);
     }
 
-    /// A client has connected, or gone.
-    pub fn client(&self, came: bool) {
-        let clients = self.clients.get();
-        self.clients.set(if came { clients + 1 } else { clients.saturating_sub(1) });
+    /// Counts the end of a client's connection.
+    pub fn client_disconnected(&self) {
+        self.clients.set(self.clients.get().saturating_sub(1));
     }
 
-    /// Clients' connections that are open.
+    /// Number of open connections of clients.
     pub fn clients(&self) -> usize {
         self.clients.get()
     }
 
-    /// The engine says how it stands.
-    pub fn stand(&self, standing: EngineStatus) {
-        self.standing.set(standing);
+    /// Stores the engine's status for the next report.
+    pub fn set_engine_status(&self, status: EngineStatus) {
+        self.engine_status.set(status);
     }
 
-    /// All figures as one line of JSON, without its end.
+    /// All counters as one line of JSON, without a line end.
     pub fn to_json(&self) -> String {
-        let ends = self.ends.borrow();
-        let of = |end: End| -> BTreeMap<&str, u64> {
-            let counts = ends.iter().map(|ends| ends[end as usize]);
-            self.classes.iter().map(String::as_str).zip(counts).collect()
+        let outcomes = self.outcomes.borrow();
+        let by_class = |count: fn(&OutcomeCounts) -> u64| -> BTreeMap<&str, u64> {
+            self.classes.iter().map(String::as_str).zip(outcomes.iter().map(count)).collect()
         };
         let report = Report {
-            fulfilled: of(End::Delivered),
-            throttled: of(End::Refused),
-            faulted: of(End::Failed),
-            relayed: self.relayed.get(),
-            standing: self.standing.get(),
+            delivered: by_class(|counts| counts.delivered),
+            rejected: by_class(|counts| counts.rejected),
+            failed: by_class(|counts| counts.failed),
+            calls_written: self.calls_written.get(),
+            engine_status: self.engine_status.get(),
         };
         serde_json::to_string(&report).unwrap_or_default()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_end_counts_once_for_its_class_and_none_for_a_class_that_is_no_more() {
-        let metrics = Metrics::new(&["drop".to_owned(), "status".to_owned()]);
-        metrics.ended(0, End::Delivered);
-        metrics.ended(1, Status::Deferred(Some(5)).into());
-        metrics.ended(1, Status::Undeliverable.into());
-        metrics.ended(2, End::Delivered);
-        metrics.relayed();
-        metrics.stand(EngineStatus { open_requests: 3, registry_entries: 2, out_of_rotation: 1 });
-        assert_eq!(
-            metrics.to_json(),
-            r#"{"fulfilled":{"drop":1,"status":0},"throttled":{"drop":0,"status":1},"faulted":{"drop":0,"status":1},"relayed":1,"open_requests":3,"registry_entries":2,"out_of_rotation":1}"#
-        );
-    }
-}
+mod tests;
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -1,35 +1,35 @@
-//! One sender, put together: journal, engine, ways in and out, membership and notices.
+//! A complete sender: starts the engine and the tasks around it, and stops them.
+
+mod fleet;
+mod listeners;
+mod ownership;
+mod tasks;
 
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::rc::Rc;
-use std::time::Duration;
 
-use rudderspindle_gossip::Ramp;
-use rudderspindle_journal::{Store, wall_ms};
-use tokio::net::TcpListener;
-use tokio::sync::{mpsc, oneshot, watch};
-use tokio::task::spawn_local;
+use rudderspindle_journal::Store;
+use rudderspindle_policy::interface::SettingsError;
+use tokio::sync::{mpsc, watch};
 
 use crate::admission_state::AdmissionState;
-use crate::config::{StartError, ValidatedConfig};
-use crate::control::ControlListener;
+use crate::config::{Config, StartError, ValidatedConfig};
 use crate::discovery;
-use crate::engine::{Engine, EngineDependencies};
+use crate::engine::{Engine, EngineDependencies, EngineIo, LimitSharing, PolicyOptions};
 use crate::event::{EndpointList, Input};
-use crate::gossip::{FLEET, FleetSettings, GossipTask};
-use crate::handover::{self, HandoverState, PeerProcess};
+use crate::handover::{HandoverMessage, PeerProcess};
 use crate::inbound::{self, Inbound};
-use crate::incarnation;
-use crate::metrics::Metrics;
-use crate::notifications::Notifications;
-use crate::outbound::Outbound;
 use crate::poll_schedule::PollSchedule;
+use fleet::FleetGossip;
+use listeners::Listeners;
+use ownership::join_peer_process;
+use tasks::Shared;
 
-/// Inputs that may wait for the engine.
-const QUEUE: usize = 4096;
-/// How often a successor looks whether the process that owns the journal has ended.
-const SUCCEED: Duration = Duration::from_millis(20);
+/// Maximum number of inputs that wait for the engine.
+const INPUT_QUEUE_LEN: usize = 4096;
+/// Bytes in a megabyte of the configuration.
+const BYTES_PER_MB: f64 = 1_000_000.0;
 
 /// A sender that listens, and runs once [`Service::run`] is polled.
 pub struct Service {
@@ -39,149 +39,93 @@
     addr: SocketAddr,
 }
 
-/// Tells a running [`Service`] what its operator wants. Clones tell the same one.
+/// Controls a running [`Service`]; clones control the same one.
 #[derive(Clone, Debug)]
 pub struct Control {
     to_engine: mpsc::Sender<Input>,
-    door: watch::Sender<AdmissionState>,
+    admission: watch::Sender<AdmissionState>,
     discovery: watch::Sender<SocketAddr>,
     peer_process: Rc<PeerProcess>,
-    shared_door: bool,
+    shared_listener: bool,
 }
 
 impl Service {
-    /// Takes up what the journal in the folder `state` holds, and listens. Its tasks run on the current
-    /// [`tokio::task::LocalSet`], and end with it; to drop that is what a kill is to the program.
+    /// Starts a sender on the journal in the folder `state`, and listens. Its tasks run on the current
+    /// [`tokio::task::LocalSet`] and end with it; to drop that has the effect of a kill.
     ///
-    /// With `door`, a listening socket that another process of this sender may hold as well, clients come by that
-    /// instead of by the configured address; then a process may already use the folder: this one is its successor.
+    /// With `listener`, a listening socket that another process of this sender may hold as well, clients are accepted
+    /// from that instead of the configured address. Another process may use the folder then: this one is its
+    /// successor, and takes over when it has ended.
     ///
     /// # Errors
     ///
-    /// [`StartError`] if the journal or an address cannot be had.
+    /// [`StartError`] if an address cannot be bound or the journal cannot be opened.
     pub async fn start(
         config: ValidatedConfig,
         state: &Path,
-        door: Option<std::net::TcpListener>,
+        listener: Option<std::net::TcpListener>,
     ) -> Result<Self, StartError> {
-        let ValidatedConfig { config, settings, names, fleet } = config;
-        // First of all: who cannot listen leaves the folder alone.
-        let shared_door = door.is_some();
-        let listener = clients(door, config.listen).await?;
-        let addr =
-            listener.local_addr().map_err(|error| StartError::Listen { addr: config.listen, error })?;
-        let control = match config.control {
-            Some(addr) => Some(bind(addr).await?),
-            None => None,
-        };
-        let notes = config.notes().filter(|notes| notes.peers.len() >= fleet.share().from());
-        let strict = fleet.share().is_strict() && notes.is_some();
-        let together = fleet.share().judges() || fleet.share().counts();
-        let share = config.limits.share();
-        let budget = (config.limits.disk_mb.max(0.0) * 1_000_000.0) as u64;
-        let mut store = Store::open(state, budget)
-            .map_err(|error| StartError::Journal { path: state.to_owned(), error })?;
-        let (to_engine, inputs) = mpsc::channel(QUEUE);
+        let ValidatedConfig { mut config, settings, names, fleet } = config;
+        let shared_listener = listener.is_some();
+        // Before the folder is touched: it is left alone by a process that cannot listen.
+        let listeners = Listeners::bind(&config, listener).await?;
+        let gossip = FleetGossip::new(&config, &settings, fleet);
+        let mut store = open_store(state, &config)?;
+        let (to_engine, inputs) = mpsc::channel(INPUT_QUEUE_LEN);
         let peer_process = Rc::new(PeerProcess::default());
-        let told = if store.is_owner() {
-            spawn_local(handover::expect(state.to_owned(), peer_process.clone(), to_engine.clone()));
-            HandoverState::default()
-        } else {
-            let told = handover::introduce(state, &peer_process, &to_engine).await;
-            Engine::hear(&mut store, &told.words);
-            spawn_local(succeed(state.to_owned(), peer_process.clone(), to_engine.clone()));
-            told
-        };
-        let (door, at_the_door) = watch::channel(AdmissionState::Accepting);
-        let metrics = Rc::new(Metrics::new(&names.classes));
-        let outbound = Rc::new(Outbound::new(
-            &settings,
-            share,
-            metrics.clone(),
-            peer_process.clone(),
-            to_engine.clone(),
-        ));
-        let reports = Rc::new(Notifications::default());
-        let seed = u64::from_str_radix(&config.seed, 16).unwrap_or_default();
-        let known = config.known.unwrap_or(EndpointList { revision: 0, complete: true, members: Vec::new() });
-        let parts = EngineDependencies {
-            settings: settings.clone(),
-            names: names.clone(),
-            seed,
+        let handover = join_peer_process(state, &mut store, &peer_process, &to_engine).await;
+        let shared = Shared::new(settings, names, config.limits.share(), peer_process, to_engine);
+
+        let schedule =
+            PollSchedule::new(shared.settings.discovery, shared.settings.peers_total, seed(&config));
+        let fetched = fetch_list(&config, &schedule).await;
+        let revision = initial_revision(&schedule, fetched.as_ref());
+        // Before the first client is heard: recovered messages go first.
+        let dependencies = EngineDependencies {
+            policy: PolicyOptions {
+                settings: shared.settings.clone(),
+                names: shared.names.clone(),
+                seed: seed(&config),
+                limit_sharing: gossip.as_ref().map_or(LimitSharing::Equal, FleetGossip::limit_sharing),
+            },
             store,
-            outbound: outbound.clone(),
-            reports: reports.clone(),
-            metrics: metrics.clone(),
-            peer_process: peer_process.clone(),
-            shared_door,
-            notes: notes.is_some(),
-            permits: strict,
-            views: together && notes.is_some(),
-            inputs,
+            io: engine_io(&shared, inputs),
+            shared_listener,
+            record_activity: gossip.as_ref().is_some_and(FleetGossip::has_fleet_view),
         };
-        // What the journal holds is taken up before the first client is heard.
-        // The list that the agent has is what this sender has been told, whatever its revision: those of
-        // `known` may be another address's.
-        // Where many senders ask one discovery that would be one more request of each at the worst moment: it comes
-        // with the watch, which starts from the first revision then.
-        let start = settings.ramp(0.0);
-        let ramp = Ramp { start, growth: settings.ramp(1_000.0) - start };
-        let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
-        let pace = PollSchedule::new(settings.discovery, settings.peers_total, seed);
-        let fetched = if pace.takes_turns() { None } else { discovery::fetch(config.discovery).await };
-        let revision = if pace.takes_turns() { Some(0) } else { fetched.as_ref().map(|list| list.revision) };
-        let engine = Engine::new(parts, &known, fetched.as_ref())?;
-        for word in told.words {
-            if let Some(input) = word.input() {
-                let _ = to_engine.send(input).await;
-            }
-        }
-        let (discovery, address) = watch::channel(config.discovery);
-        spawn_local(discovery::watch(address.clone(), revision, pace, to_engine.clone()));
-        spawn_local({
-            let to_engine = to_engine.clone();
-            async move { reports.run(address, to_engine).await }
-        });
-        spawn_local(async move { outbound.sweep().await });
-        if let Some(notes) = notes {
-            let life = if strict || together {
-                let life = incarnation::begin(state, wall_ms());
-                Some(life.map_err(|error| StartError::State { path: state.to_owned(), error })?)
-            } else {
-                None
-            };
-            tracing::info!(target: FLEET, senders = notes.peers.len(), strict, "limits are shared by notes");
-            let together = FleetSettings { file: fleet, quotas, life };
-            spawn_local(GossipTask::new(notes, ramp, together).run(to_engine.clone()));
+        let engine = build_engine(dependencies, &mut config, fetched.as_ref())?;
+        forward(handover.words, &shared.to_engine).await;
+
+        let (discovery, discovery_address) = watch::channel(config.discovery);
+        shared.spawn_discovery(discovery_address.clone(), revision, schedule);
+        shared.spawn_notifications(discovery_address);
+        shared.spawn_idle_sweep();
+        if let Some(gossip) = gossip {
+            gossip.spawn(state, shared.to_engine.clone())?;
         }
-        let limits = inbound::Limits { sockets: share, body_bytes: config.limits.body_bytes() };
-        let inbound =
-            Rc::new(Inbound::new(settings, names, limits, metrics.clone(), to_engine.clone(), at_the_door));
-        spawn_local(inbound.clone().run(listener));
-        if let Some(listener) = control {
-            if let Ok(addr) = listener.local_addr() {
-                tracing::info!("operators: listening on {addr}");
-            }
-            let operator = ControlListener { metrics, door: door.clone(), host: to_engine.clone() };
-            spawn_local(Rc::new(operator).run(listener));
+        let (admission, admission_state) = watch::channel(AdmissionState::Accepting);
+        let inbound = shared.spawn_inbound(listeners.clients, inbound_limits(&config), admission_state);
+        if let Some(listener) = listeners.control {
+            shared.spawn_control(listener, admission.clone());
         }
-        let control = Control { to_engine, door, discovery, peer_process, shared_door };
-        Ok(Self { engine, inbound, control, addr })
+        let Shared { to_engine, peer_process, .. } = shared;
+        let control = Control { to_engine, admission, discovery, peer_process, shared_listener };
+        Ok(Self { engine, inbound, control, addr: listeners.addr })
     }
 
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub fn local_addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// For the operator's side.
+    /// The handle that controls this service.
     pub fn control(&self) -> Control {
         self.control.clone()
     }
 
-    /// Runs until [`Control::stop`] has been dealt with.
+    /// Runs until the service has been asked to stop with [`Control::stop`], and has.
     pub async fn run(self) {
-        // Clients' connections and the watches look at it until the end.
+        // Keeps the channels open that clients' connections and the watches read until the end.
         let _control = self.control;
         self.engine.run().await;
         self.inbound.end().await;
@@ -189,49 +133,75 @@
 }
 
 impl Control {
-    /// Stops the service: it goes on answering for a while, lets calls finish, and leaves the rest to the
-    /// journal. [`Service::run`] then ends within 3.5 s.
+    /// Asks the service to stop. It still serves clients for a while, waits for calls in flight, and leaves the
+    /// remaining messages in the journal. [`Service::run`] ends within 3.5 s.
     pub async fn stop(&self) {
-        let succeeded = self.shared_door && self.peer_process.is_there();
-        self.door.send_replace(if succeeded {
-            AdmissionState::HandingOver
-        } else {
-            AdmissionState::Stopping
-        });
+        let has_successor = self.shared_listener && self.peer_process.is_there();
+        let state = if has_successor { AdmissionState::HandingOver } else { AdmissionState::Stopping };
+        self.admission.send_replace(state);
+        // If the engine has ended, the service has stopped already.
         let _ = self.to_engine.send(Input::Stop).await;
     }
 
-    /// Puts what of a new configuration takes effect at once in force: the address of discovery.
+    /// Applies what can change of a configuration while the service runs: the address of discovery.
     pub fn configure(&self, config: &ValidatedConfig) {
-        let to = config.discovery();
-        self.discovery.send_if_modified(|addr| std::mem::replace(addr, to) != to);
+        let new_address = config.discovery();
+        self.discovery.send_if_modified(|address| std::mem::replace(address, new_address) != new_address);
     }
 }
 
-/// The listener that clients come by.
-async fn clients(door: Option<std::net::TcpListener>, addr: SocketAddr) -> Result<TcpListener, StartError> {
-    let Some(door) = door else { return bind(addr).await };
-    let adopt = |door: std::net::TcpListener| {
-        door.set_nonblocking(true)?;
-        TcpListener::from_std(door)
-    };
-    adopt(door).map_err(|error| StartError::Listen { addr, error })
+/// Opens the journal in the state folder.
+fn open_store(state: &Path, config: &Config) -> Result<Store, StartError> {
+    let budget = (config.limits.disk_mb.max(0.0) * BYTES_PER_MB) as u64;
+    Store::open(state, budget).map_err(|error| StartError::Journal { path: state.to_owned(), error })
 }
 
-async fn bind(addr: SocketAddr) -> Result<TcpListener, StartError> {
-    TcpListener::bind(addr).await.map_err(|error| StartError::Listen { addr, error })
+/// The seed of all random numbers; 0 if it cannot be read.
+fn seed(config: &Config) -> u64 {
+    u64::from_str_radix(&config.seed, 16).unwrap_or_default()
 }
 
-/// Has the engine look until the journal is ours; then the next successor may come.
-async fn succeed(state: PathBuf, peer_process: Rc<PeerProcess>, host: mpsc::Sender<Input>) {
-    loop {
-        tokio::time::sleep(SUCCEED).await;
-        let (owner, is_owner) = oneshot::channel();
-        if host.send(Input::TakeOver(owner)).await.is_err() {
-            return;
-        }
-        if is_owner.await.unwrap_or(false) {
-            return handover::expect(state, peer_process, host).await;
+/// The endpoint list that discovery has now, whatever its revision: the configured one may be another address's. Senders
+/// that share a schedule do not ask for it all at once: theirs comes with the watch.
+async fn fetch_list(config: &Config, schedule: &PollSchedule) -> Option<EndpointList> {
+    if schedule.takes_turns() { None } else { discovery::fetch(config.discovery).await }
+}
+
+/// The revision from which the watch starts; `None` to have the complete list first.
+fn initial_revision(schedule: &PollSchedule, fetched: Option<&EndpointList>) -> Option<u64> {
+    if schedule.takes_turns() { Some(0) } else { fetched.map(|list| list.revision) }
+}
+
+fn engine_io(shared: &Shared, inputs: mpsc::Receiver<Input>) -> EngineIo {
+    EngineIo {
+        outbound: shared.outbound.clone(),
+        notifications: shared.notifications.clone(),
+        metrics: shared.metrics.clone(),
+        peer_process: shared.peer_process.clone(),
+        inputs,
+    }
+}
+
+/// Builds the engine on the configured endpoint list, if there is one, and the fetched one.
+fn build_engine(
+    dependencies: EngineDependencies,
+    config: &mut Config,
+    fetched: Option<&EndpointList>,
+) -> Result<Engine, SettingsError> {
+    let empty = EndpointList { revision: 0, complete: true, members: Vec::new() };
+    let configured = config.known.take().unwrap_or(empty);
+    Engine::new(dependencies, &configured, fetched)
+}
+
+/// Passes the waits and counts on to the engine that the running process has told at the start.
+async fn forward(messages: Vec<HandoverMessage>, to_engine: &mpsc::Sender<Input>) {
+    for message in messages {
+        if let Some(input) = message.input() {
+            let _ = to_engine.send(input).await;
         }
     }
 }
+
+fn inbound_limits(config: &Config) -> inbound::Limits {
+    inbound::Limits { sockets: config.limits.share(), body_bytes: config.limits.body_bytes() }
+}
--- /dev/null
+++ b/crates/sender/src/service/fleet.rs
@@ -0,0 +1,74 @@
+//! Which limits and views this sender shares with the rest of its fleet.
+
+use std::path::Path;
+
+use rudderspindle_gossip::{Incarnation, Ramp};
+use rudderspindle_journal::wall_ms;
+use rudderspindle_policy::interface::{Millis, Settings};
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+
+use crate::config::{Config, Notes, StartError};
+use crate::engine::LimitSharing;
+use crate::event::Input;
+use crate::fleet_file::FleetFile;
+use crate::gossip::{FLEET, FleetSettings, GossipTask};
+use crate::incarnation;
+
+/// Time after the start of a recovery ramp at which its growth is read from the settings.
+const RAMP_SAMPLE: Millis = 1_000.0;
+
+/// The gossip with other senders, as configured.
+#[derive(Debug)]
+pub(super) struct FleetGossip {
+    notes: Notes,
+    file: FleetFile,
+    ramp: Ramp,
+    /// Messages per second of each tenant, over all senders.
+    quotas: Vec<f64>,
+}
+
+impl FleetGossip {
+    /// The configured gossip; `None` if there is none, or if the fleet is too small for it.
+    pub fn new(config: &Config, settings: &Settings, file: FleetFile) -> Option<Self> {
+        let notes = config.notes().filter(|notes| notes.peers.len() >= file.share().from())?;
+        let start = settings.ramp(0.0);
+        let ramp = Ramp { start, growth: settings.ramp(RAMP_SAMPLE) - start };
+        let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
+        Some(Self { notes, file, ramp, quotas })
+    }
+
+    /// How limits are shared.
+    pub fn limit_sharing(&self) -> LimitSharing {
+        if self.file.share().is_strict() { LimitSharing::Permits } else { LimitSharing::Demand }
+    }
+
+    /// Whether the senders share a view of receivers and of tenants' usage.
+    pub fn has_fleet_view(&self) -> bool {
+        self.file.share().judges() || self.file.share().counts()
+    }
+
+    /// Spawns the gossip. It ends when the engine does.
+    ///
+    /// # Errors
+    ///
+    /// [`StartError::State`] if the incarnation's number cannot be stored.
+    pub fn spawn(self, state: &Path, to_engine: mpsc::Sender<Input>) -> Result<(), StartError> {
+        let life = self.start_incarnation(state)?;
+        let strict = self.limit_sharing() == LimitSharing::Permits;
+        let Self { notes, file, ramp, quotas } = self;
+        tracing::info!(target: FLEET, senders = notes.peers.len(), strict, "limits are shared by notes");
+        let settings = FleetSettings { file, quotas, life };
+        spawn_local(GossipTask::new(notes, ramp, settings).run(to_engine));
+        Ok(())
+    }
+
+    /// Starts an incarnation if anything that is shared needs its number.
+    fn start_incarnation(&self, state: &Path) -> Result<Option<Incarnation>, StartError> {
+        if self.limit_sharing() != LimitSharing::Permits && !self.has_fleet_view() {
+            return Ok(None);
+        }
+        let started = incarnation::start(state, wall_ms());
+        started.map(Some).map_err(|error| StartError::State { path: state.to_owned(), error })
+    }
+}
--- /dev/null
+++ b/crates/sender/src/service/ownership.rs
@@ -0,0 +1,48 @@
+//! Joins the other process of this sender, if there is one: as the journal's owner or as its successor.
+
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+use rudderspindle_journal::Store;
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::spawn_local;
+
+use crate::engine::Engine;
+use crate::event::Input;
+use crate::handover::{self, HandoverState, PeerProcess};
+
+/// How often a successor checks whether the journal's owner has ended.
+const TAKEOVER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// As the journal's owner waits for a successor; as a successor asks the owner for its state and waits for its end.
+/// What it spawns ends when the engine does.
+pub(super) async fn join_peer_process(
+    state: &Path,
+    store: &mut Store,
+    peer_process: &Rc<PeerProcess>,
+    to_engine: &mpsc::Sender<Input>,
+) -> HandoverState {
+    if store.is_owner() {
+        spawn_local(handover::expect(state.to_owned(), peer_process.clone(), to_engine.clone()));
+        return HandoverState::default();
+    }
+    let handover_state = handover::introduce(state, peer_process, to_engine).await;
+    Engine::restore_outages(store, &handover_state.words);
+    spawn_local(take_over(state.to_owned(), peer_process.clone(), to_engine.clone()));
+    handover_state
+}
+
+/// Has the engine take the journal over once its owner has ended; from then on the next successor may connect.
+async fn take_over(state: PathBuf, peer_process: Rc<PeerProcess>, to_engine: mpsc::Sender<Input>) {
+    loop {
+        tokio::time::sleep(TAKEOVER_CHECK_INTERVAL).await;
+        let (answer, is_owner) = oneshot::channel();
+        if to_engine.send(Input::TakeOver(answer)).await.is_err() {
+            return;
+        }
+        if is_owner.await.unwrap_or(false) {
+            return handover::expect(state, peer_process, to_engine).await;
+        }
+    }
+}
--- /dev/null
+++ b/crates/sender/src/service/tasks.rs
@@ -0,0 +1,105 @@
+//! Spawns the tasks around the engine.
+//!
+//! They run on the current [`tokio::task::LocalSet`] and end with it at the latest.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use rudderspindle_policy::interface::Settings;
+use rudderspindle_policy::settings::Names;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use tokio::task::spawn_local;
+
+use crate::admission_state::AdmissionState;
+use crate::control::ControlListener;
+use crate::discovery;
+use crate::event::Input;
+use crate::handover::PeerProcess;
+use crate::inbound::{self, Inbound};
+use crate::metrics::Metrics;
+use crate::notifications::Notifications;
+use crate::outbound::Outbound;
+use crate::poll_schedule::PollSchedule;
+
+/// What the tasks of one sender share.
+#[derive(Debug)]
+pub(super) struct Shared {
+    pub settings: Settings,
+    pub names: Names,
+    pub metrics: Rc<Metrics>,
+    pub notifications: Rc<Notifications>,
+    pub outbound: Rc<Outbound>,
+    pub peer_process: Rc<PeerProcess>,
+    pub to_engine: mpsc::Sender<Input>,
+}
+
+impl Shared {
+    /// Builds what is shared; `connections` limits those to receivers.
+    pub fn new(
+        settings: Settings,
+        names: Names,
+        connections: usize,
+        peer_process: Rc<PeerProcess>,
+        to_engine: mpsc::Sender<Input>,
+    ) -> Self {
+        let metrics = Rc::new(Metrics::new(&names.classes));
+        let outbound =
+            Outbound::new(&settings, connections, metrics.clone(), peer_process.clone(), to_engine.clone());
+        let notifications = Rc::new(Notifications::default());
+        Self { settings, names, metrics, notifications, outbound: Rc::new(outbound), peer_process, to_engine }
+    }
+
+    /// Spawns the watch on the endpoint list. It ends when the engine does.
+    pub fn spawn_discovery(
+        &self,
+        address: watch::Receiver<SocketAddr>,
+        revision: Option<u64>,
+        schedule: PollSchedule,
+    ) {
+        spawn_local(discovery::watch(address, revision, schedule, self.to_engine.clone()));
+    }
+
+    /// Spawns the delivery of notifications to the platform. It ends when the engine does.
+    pub fn spawn_notifications(&self, address: watch::Receiver<SocketAddr>) {
+        let notifications = self.notifications.clone();
+        let to_engine = self.to_engine.clone();
+        spawn_local(async move { notifications.run(address, to_engine).await });
+    }
+
+    /// Spawns the task that closes idle connections to receivers. It ends with the local set.
+    pub fn spawn_idle_sweep(&self) {
+        let outbound = self.outbound.clone();
+        spawn_local(async move { outbound.sweep().await });
+    }
+
+    /// Spawns the task that accepts clients. [`Inbound::end`] ends their connections; it ends itself when the
+    /// listener is handed over, else with the local set.
+    pub fn spawn_inbound(
+        &self,
+        listener: TcpListener,
+        limits: inbound::Limits,
+        admission: watch::Receiver<AdmissionState>,
+    ) -> Rc<Inbound> {
+        let inbound = Rc::new(Inbound::new(
+            self.settings.clone(),
+            self.names.clone(),
+            limits,
+            self.metrics.clone(),
+            self.to_engine.clone(),
+            admission,
+        ));
+        spawn_local(inbound.clone().run(listener));
+        inbound
+    }
+
+    /// Spawns the task that answers operators. It ends with the local set.
+    pub fn spawn_control(&self, listener: TcpListener, admission: watch::Sender<AdmissionState>) {
+        if let Ok(addr) = listener.local_addr() {
+            tracing::info!("operators: listening on {addr}");
+        }
+        let control =
+            ControlListener { metrics: self.metrics.clone(), door: admission, host: self.to_engine.clone() };
+        spawn_local(Rc::new(control).run(listener));
+    }
+}
--- a/crates/sender/src/write_progress.rs
+++ b/crates/sender/src/write_progress.rs
@@ -217,7 +217,7 @@
         if self.write_progress.started() {
             self.write_progress.complete.set(true);
             if let Some(metrics) = self.write_progress.uncounted.borrow_mut().take() {
-                metrics.relayed();
+                metrics.call_written();
             }
         }
         Pin::new(&mut *self.socket.borrow_mut()).poll_flush(cx)
--- a/crates/sender/tests/service.rs
+++ b/crates/sender/tests/service.rs
@@ -1,4 +1,4 @@
-//! A sender started inside a test, without a program of its own.
+//! A sender that runs in the test's process.
 
 use std::path::Path;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn it_answers_until_it_is_told_to_stop() {
+async fn it_answers_until_it_is_asked_to_stop() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let config = ValidatedConfig::read(&configuration(folder.path(), settings())).expect("usable");
@@ -43,9 +43,9 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Clients that say nothing, or half of something, keep it for its longest time; then it ends them before itself.
+/// Clients that send nothing, or half a request, delay the stop for its maximum time; then their connections are closed.
 #[tokio::test]
-async fn when_it_has_run_each_client_has_its_end() {
+async fn each_client_connection_is_closed_before_it_has_stopped() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let config = ValidatedConfig::read(&configuration(folder.path(), settings())).expect("usable");
@@ -54,7 +54,7 @@
         let running = spawn_local(service.run());
         let mut first = TcpStream::connect(addr).await.expect("a connection");
         control.stop().await;
-        // The first one's own time is up before that of the service is; those that follow it stay to the end.
+        // The first one times out before the service stops; those that follow it stay until then.
         assert_eq!(first.read(&mut [0; 1]).await.expect("no reset"), 0);
         assert!(!running.is_finished());
         let mut silent = TcpStream::connect(addr).await.expect("a connection");
@@ -62,7 +62,7 @@
         half.write_all(b"POST /c HTTP/1.1\r\nContent-Len").await.expect("writable");
         timeout(Duration::from_secs(10), running).await.expect("in time").expect("without a panic");
         for client in [&mut silent, &mut half] {
-            // It has come by now; without it, these connections would last for another second.
+            // It has arrived by now; otherwise these connections would last for another second.
             let end = timeout(Duration::from_millis(500), client.read(&mut [0; 1])).await;
             assert_eq!(end.expect("an end").expect("no reset"), 0);
         }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_work_says_what_is_wrong() {
+fn the_error_for_an_invalid_configuration_names_what_is_wrong() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut ordered = settings();
     ordered["lanes"][0]["in_order"] = true.into();
