--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -112,8 +112,8 @@
             engine.carried.push(Event::List(ListChange::Full(entries)));
         }
         engine.carried.extend(engine.recorded_outages());
-        let open = engine.store.open_messages().cloned().collect();
-        let pending_notifications = engine.store.owed().collect();
+        let open = engine.store.pending_messages().cloned().collect();
+        let pending_notifications = engine.store.pending_notifications().collect();
         engine.recover(engine.origin, open, pending_notifications);
         engine.run_batch(Vec::new());
         Ok(engine)
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -49,7 +49,7 @@
         message.receiver = destination.map(|destination| Receiver::of(destination.0, &receiver));
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
         let execution = PossibleExecution { at: journal::wall_ms(), receiver, zone };
-        self.store.attempt(&message.message_id, execution);
+        self.store.start_attempt(&message.message_id, execution);
         let until = if timeout == 0.0 { last } else { (now + from_millis(timeout)).min(last) };
         let within = Duration::try_from_secs_f64(within.max(0.0) / 1_000.0);
         Some(Call {
@@ -74,13 +74,13 @@
             tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, ?outcome, retry_after, "outcome");
             if closed {
                 failpoint!("delivered-before-record");
-                self.store.end(&message.message_id, None);
+                self.store.complete(&message.message_id, None);
                 if outcome == Outcome::Ok {
                     self.metrics.record_outcome(message.class, FinalOutcome::Delivered);
                 }
                 self.tracked.remove(id);
             } else {
-                self.store.outcome(&message.message_id, attempt, outcome.possibly_executed());
+                self.store.finish_attempt(&message.message_id, attempt, outcome.possibly_executed());
             }
         }
         let closed = !self.tracked.contains(id);
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -39,7 +39,7 @@
             Input::NotificationsAcknowledged(message_ids) => {
                 failpoint!("acknowledged-before-record");
                 for message_id in &message_ids {
-                    self.store.settled(message_id);
+                    self.store.acknowledge(message_id);
                 }
             }
             Input::SuccessorConnected => self.successor_connected(),
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -69,7 +69,7 @@
             } else {
                 tracing::debug!(target: MESSAGE_LOG, message_id = &*record.message_id, class = &*record.class,
                     destination = record.destination, "accepted");
-                self.store.take(record);
+                self.store.accept(record);
                 effects.accepted.push(AcceptedSubmission { id, channel });
             }
         }
@@ -83,7 +83,7 @@
                 continue;
             }
             tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, ?status, "completed");
-            self.store.end(&message.message_id, Some(status));
+            self.store.complete(&message.message_id, Some(status));
             self.metrics.record_outcome(message.class, status.into());
             effects.notifications.push(Notice { message_id: message.message_id, status });
         }
@@ -130,7 +130,7 @@
     fn undo(&mut self, effects: &mut Effects) {
         for AcceptedSubmission { id, channel } in effects.accepted.drain(..) {
             if let Some(message) = self.tracked.remove(id) {
-                self.store.forget(&message.message_id);
+                self.store.discard(&message.message_id);
                 self.carried.push(Event::Dropped(id));
                 self.metrics.record_outcome(message.class, FinalOutcome::Rejected);
             }
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -64,8 +64,8 @@
             return None;
         }
         let record = self.record_of(&submission, now);
-        let journal_bytes = intake.journal_bytes + record.room();
-        if self.tracked.len() >= self.settings.max_pending || !self.store.has_room(journal_bytes) {
+        let journal_bytes = intake.journal_bytes + record.reserved_bytes();
+        if self.tracked.len() >= self.settings.max_pending || !self.store.has_space_for(journal_bytes) {
             self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
             intake.answers.push(PendingAnswer { channel: submission.answer, answer: Answer::REFUSED });
             return None;
@@ -94,7 +94,7 @@
             return Some(if added { Answer::Accepted } else { Answer::REFUSED });
         }
         // While its notification is pending: the acknowledgement must not complete a new message with the same id.
-        self.store.knows(&submission.message_id).then_some(Answer::REFUSED)
+        self.store.contains(&submission.message_id).then_some(Answer::REFUSED)
     }
 
     fn record_of(&self, submission: &Submission, now: Instant) -> journal::Message {
@@ -109,7 +109,7 @@
             body: submission.body.clone(),
             attempts: 0,
             possibly_executed: None,
-            out: None,
+            in_flight: None,
         }
     }
 
@@ -155,7 +155,7 @@
     pub(super) fn withdraw(&mut self, number: u64) -> Option<Event> {
         let (id, message) = self.tracked.withdraw(number)?;
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, "withdrawn");
-        self.store.end(&message.message_id, None);
+        self.store.complete(&message.message_id, None);
         Some(Event::Dropped(id))
     }
 }
--- a/crates/sender/src/engine/outage_records.rs
+++ b/crates/sender/src/engine/outage_records.rs
@@ -23,14 +23,16 @@
                 None => return,
             },
         };
-        self.store.remember((destination.0, receiver), to_record(outage));
+        let endpoint = journal::EndpointKey::new(destination.0, receiver);
+        self.store.record_outage(endpoint, to_record(outage));
     }
 
     /// The outages on record, as events for the policy.
     pub(super) fn recorded_outages(&self) -> Vec<Event> {
-        let event = |((destination, receiver), outage): (&journal::EndpointKey, journal::OutageState)| {
+        let event = |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| {
+            let receiver = &endpoint.receiver;
             let route = if receiver.is_empty() { None } else { Some(self.endpoints.find(receiver)?) };
-            let destination = DestinationId(*destination);
+            let destination = DestinationId(endpoint.destination);
             Some(Event::Remembered { destination, route, outage: from_record(outage) })
         };
         self.store.outage_records().filter_map(event).collect()
@@ -38,10 +40,10 @@
 
     /// The outages on record, as messages for a successor process.
     pub(super) fn outage_messages(&self) -> Vec<HandoverMessage> {
-        let message = |((destination, receiver), outage): (&journal::EndpointKey, journal::OutageState)| {
+        let message = |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| {
             HandoverMessage::OutageState {
-                destination: *destination,
-                receiver: receiver.to_string(),
+                destination: endpoint.destination,
+                receiver: endpoint.receiver.to_string(),
                 outage: to_handover(outage),
             }
         };
@@ -52,8 +54,8 @@
     pub fn restore_outages(store: &mut Store, messages: &[HandoverMessage]) {
         for message in messages {
             if let HandoverMessage::OutageState { destination, receiver, outage } = message {
-                let key = (*destination, receiver.as_str().into());
-                store.remember(key, Some(from_handover(*outage)));
+                let endpoint = journal::EndpointKey::new(*destination, receiver.as_str());
+                store.record_outage(endpoint, Some(from_handover(*outage)));
             }
         }
     }
--- a/crates/sender/src/engine/outage_records/tests.rs
+++ b/crates/sender/src/engine/outage_records/tests.rs
@@ -19,7 +19,7 @@
     Engine::restore_outages(&mut store, &messages);
     for (key, outage) in store.outage_records() {
         let fits = match outage {
-            journal::OutageState::Down { wait } => key.0 == 1 && wait <= 60_000,
+            journal::OutageState::Down { wait } => key.destination == 1 && wait <= 60_000,
             journal::OutageState::WarmingUp { ago, part } => ago >= -60_000 && (0.0..=1.0).contains(&part),
         };
         assert!(fits, "{key:?}: {outage:?}");
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -98,7 +98,7 @@
             );
             message_ids.sort_unstable();
             for message_id in message_ids {
-                self.store.end(&message_id, Some(Status::Undeliverable));
+                self.store.complete(&message_id, Some(Status::Undeliverable));
                 self.notifications.push(Notice { message_id, status: Status::Undeliverable });
             }
         }
@@ -119,7 +119,7 @@
         if !untried || shed.ends_at.saturating_duration_since(now) < MIN_TIME_TO_REQUEUE {
             return false;
         }
-        let Some(message) = self.store.open_message(&shed.message_id).cloned() else { return false };
+        let Some(message) = self.store.pending_message(&shed.message_id).cloned() else { return false };
         tracing::debug!(target: MESSAGE_LOG, message_id = &*shed.message_id, "returned to the backlog");
         self.backlog.extend([RecoveredMessage {
             class: shed.class,
--- a/crates/sender/src/engine/recovery/tests.rs
+++ b/crates/sender/src/engine/recovery/tests.rs
@@ -10,7 +10,7 @@
 fn write_untried_messages(state: &std::path::Path, count: usize, time_left_ms: u64) {
     let mut store = Store::open(state, 3_000_000).expect("a journal");
     for number in 0..count {
-        store.take(journal::Message {
+        store.accept(journal::Message {
             message_id: format!("found-{number}").into(),
             class: "safe".into(),
             tenant: "".into(),
@@ -20,7 +20,7 @@
             body: Bytes::from_static(b"text"),
             attempts: 0,
             possibly_executed: None,
-            out: None,
+            in_flight: None,
         });
     }
     store.commit().expect("written");
@@ -40,14 +40,14 @@
             engine.run_batch(vec![input]);
         }
         assert!(engine.backlog.len() > 30, "{} were shed", engine.backlog.len());
-        assert!((0..45).all(|n| engine.store.open_message(&format!("found-{n}").into()).is_some()));
+        assert!((0..45).all(|n| engine.store.pending_message(&format!("found-{n}").into()).is_some()));
         assert_eq!(engine.status().open_requests, engine.tracked.len() + engine.backlog.len());
         // The list still has no receiver for them: each fails at its deadline.
         tokio::time::advance(Duration::from_millis(4_001)).await;
         engine.run_batch(Vec::new());
         assert!(engine.backlog.is_empty());
         let pending: Vec<Notice> =
-            engine.store.owed().filter(|n| n.message_id.starts_with("found-")).collect();
+            engine.store.pending_notifications().filter(|n| n.message_id.starts_with("found-")).collect();
         assert_eq!(pending.len(), 45);
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -35,7 +35,7 @@
     }
 
     fn share_disk(&mut self, with_successor: bool) {
-        if let Err(error) = self.store.share(with_successor) {
+        if let Err(error) = self.store.share_disk(with_successor) {
             tracing::warn!(%error, with_successor, "disk budget could not be changed");
         }
     }
@@ -72,15 +72,15 @@
 
     /// Takes the journal over if its owner has ended, with all messages and notifications that are in it.
     pub(super) fn take_over_journal(&mut self, now: Instant) {
-        match self.store.succeed() {
+        match self.store.take_over() {
             Ok(None) => {}
             Ok(Some(journal)) => {
                 tracing::info!(
                     "handover: taken over: {} messages, {} notices",
-                    journal.open.len(),
-                    journal.owed.len()
+                    journal.pending_messages.len(),
+                    journal.pending_notifications.len()
                 );
-                self.recover(now, journal.open, journal.owed);
+                self.recover(now, journal.pending_messages, journal.pending_notifications);
             }
             Err(error) => tracing::warn!(%error, "journal of the previous owner cannot be read yet"),
         }
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -61,11 +61,16 @@
         }
         for number in 2..=MAX_CLIENTS_PER_MESSAGE as u64 + 1 {
             engine.run_batch(vec![Input::Withdrawn(number)]);
-            assert!(engine.tracked.len() == 1 && engine.store.knows(&"m1".into()), "withdrawn by {number}");
+            assert!(
+                engine.tracked.len() == 1 && engine.store.contains(&"m1".into()),
+                "withdrawn by {number}"
+            );
         }
         engine.run_batch(vec![Input::Withdrawn(1)]);
         assert!(
-            engine.tracked.is_empty() && engine.tracked.entries() == 0 && !engine.store.knows(&"m1".into())
+            engine.tracked.is_empty()
+                && engine.tracked.entries() == 0
+                && !engine.store.contains(&"m1".into())
         );
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -81,7 +81,7 @@
         for _ in 0..3 {
             run_batch(&mut engine);
         }
-        assert!(engine.tracked.is_empty() && !engine.store.knows(&"m1".into()), "it is not complete");
+        assert!(engine.tracked.is_empty() && !engine.store.contains(&"m1".into()), "it is not complete");
         assert!(engine.calls.is_empty(), "it was sent again");
         assert_eq!(engine.policy.remembered(), before, "the policy still has it");
     };
@@ -110,7 +110,7 @@
         .await;
         run_batch(&mut engine);
         let possibly_executed: Vec<_> =
-            engine.store.open_messages().map(|m| m.possibly_executed.is_some()).collect();
+            engine.store.pending_messages().map(|m| m.possibly_executed.is_some()).collect();
         assert_eq!(possibly_executed, [false]);
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -127,7 +127,7 @@
         cancel(&mut engine);
         until(|| {
             run_batch(&mut engine);
-            engine.store.open_messages().all(|m| m.possibly_executed.is_some())
+            engine.store.pending_messages().all(|m| m.possibly_executed.is_some())
         })
         .await;
         // Its end, by a reset or not.
--- a/crates/sender/src/engine/tests/deadline.rs
+++ b/crates/sender/src/engine/tests/deadline.rs
@@ -34,7 +34,7 @@
             engine.tracked.is_empty()
         })
         .await;
-        let pending: Vec<_> = engine.store.owed().map(|notice| notice.message_id).collect();
+        let pending: Vec<_> = engine.store.pending_notifications().map(|notice| notice.message_id).collect();
         assert_eq!(pending, ["m1".into()]);
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -128,7 +128,7 @@
         // Keeps the channels open that clients' connections and the watches read until the end.
         let _control = self.control;
         self.engine.run().await;
-        self.inbound.end().await;
+        self.inbound.shut_down().await;
     }
 }
 
@@ -203,5 +203,8 @@
 }
 
 fn inbound_limits(config: &Config) -> inbound::Limits {
-    inbound::Limits { sockets: config.limits.share(), body_bytes: config.limits.body_bytes() }
+    inbound::Limits {
+        max_connections: config.limits.share(),
+        max_unfinished_body_bytes: config.limits.body_bytes(),
+    }
 }
--- a/crates/sender/src/service/tasks.rs
+++ b/crates/sender/src/service/tasks.rs
@@ -73,7 +73,7 @@
         spawn_local(async move { outbound.sweep().await });
     }
 
-    /// Spawns the task that accepts clients. [`Inbound::end`] ends their connections; it ends itself when the
+    /// Spawns the task that accepts clients. [`Inbound::shut_down`] ends their connections; it ends itself when the
     /// listener is handed over, else with the local set.
     pub fn spawn_inbound(
         &self,
