--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -41,7 +41,7 @@
         let AttemptRequest { id, route, timeout, within } = request;
         let margin = from_millis(DEADLINE_MARGIN_TICKS * self.settings.tick) + REQUEST_TRANSIT_TIME;
         let message = self.tracked.get_mut(id)?;
-        let last = message.ends_at.checked_sub(margin).unwrap_or(now);
+        let last = message.deadline.checked_sub(margin).unwrap_or(now);
         let (receiver, zone) = self.outbound.place(route)?;
         let attempt = message.attempts;
         message.attempts += 1;
@@ -60,7 +60,7 @@
             key: message.key.clone(),
             body: message.body.clone(),
             until,
-            latest: within.map_or(message.ends_at, |within| now + within),
+            latest: within.map_or(message.deadline, |within| now + within),
         })
     }
 
--- a/crates/sender/src/engine/backlog.rs
+++ b/crates/sender/src/engine/backlog.rs
@@ -12,7 +12,7 @@
     /// Value of its class.
     pub value: f64,
     /// Its deadline.
-    pub ends_at: Instant,
+    pub deadline: Instant,
     /// The attempt that may have been executed, if there is one.
     pub possibly_executed: Option<RecoveredExecution>,
     /// Its record in the journal.
@@ -45,7 +45,7 @@
 
     /// Deadlines of the messages.
     pub fn deadlines(&self) -> impl Iterator<Item = Instant> + '_ {
-        self.0.iter().map(|message| message.ends_at)
+        self.0.iter().map(|message| message.deadline)
     }
 
     /// Adds messages. Of equal value, those with the earlier deadline go first.
@@ -53,7 +53,7 @@
         self.0.extend(messages);
         self.0.sort_unstable_by(|a, b| {
             let by_value = a.value.total_cmp(&b.value);
-            by_value.then(b.ends_at.cmp(&a.ends_at)).then(b.message.message_id.cmp(&a.message.message_id))
+            by_value.then(b.deadline.cmp(&a.deadline)).then(b.message.message_id.cmp(&a.message.message_id))
         });
     }
 
@@ -62,7 +62,10 @@
         let rest = self.0.len().saturating_sub(count);
         let mut taken = self.0.split_off(rest);
         taken.reverse();
-        taken.extend(self.0.extract_if(.., |message| message.ends_at <= now));
+        taken.extend(self.0.extract_if(.., |message| message.deadline <= now));
         taken
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -32,7 +32,7 @@
             Input::Submitted(submission) => {
                 events.extend(self.admit(submission, now, intake).map(Event::Message));
             }
-            Input::Withdrawn(number) => events.extend(self.withdraw(number)),
+            Input::Withdrawn(submission) => events.extend(self.withdraw(submission)),
             Input::Outcome { id, attempt, result } => events.push(self.record_result(id, attempt, result)),
             Input::HealthChecked { route, outcome } => events.push(Event::HealthChecked { route, outcome }),
             Input::List(list) => events.push(Event::List(self.apply_list(&list))),
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -8,7 +8,7 @@
 use super::Engine;
 use super::time::to_millis;
 use super::tracked_messages::TrackedMessage;
-use crate::event::{Answer, Input, MESSAGE_LOG, Submission};
+use crate::event::{Answer, Input, MESSAGE_LOG, Submission, SubmissionId};
 use crate::metrics::FinalOutcome;
 
 /// The submissions of one batch.
@@ -90,7 +90,7 @@
             // Accepted once, for each client that hears so: to forget the earlier client would allow anybody who
             // knows the id to withdraw the message by disconnecting.
             let undecided = intake.new.iter().any(|new| new.id == id);
-            let added = !undecided && self.tracked.add_submission(id, submission.number);
+            let added = !undecided && self.tracked.add_submission(id, submission.id);
             return Some(if added { Answer::Accepted } else { Answer::REFUSED });
         }
         // While its notification is pending: the acknowledgement must not complete a new message with the same id.
@@ -98,7 +98,7 @@
     }
 
     fn record_of(&self, submission: &Submission, now: Instant) -> journal::Message {
-        let time_left = submission.ends_at.saturating_duration_since(now);
+        let time_left = submission.deadline.saturating_duration_since(now);
         journal::Message {
             message_id: submission.message_id.clone(),
             class: self.names.classes.get(submission.class).map_or("", String::as_str).into(),
@@ -120,16 +120,25 @@
         now: Instant,
         intake: &mut Intake,
     ) -> Message {
-        let Submission { number, message_id, class, tenant, destination, key, body, ends_at, answer } =
-            submission;
+        let Submission {
+            id: submission_id,
+            message_id,
+            class,
+            tenant,
+            destination,
+            key,
+            body,
+            deadline,
+            answer,
+        } = submission;
         let id = self.track(TrackedMessage {
             message_id,
             class,
             recovered: false,
-            submissions: vec![number],
+            submissions: vec![submission_id],
             key,
             body,
-            ends_at,
+            deadline,
             attempts: 0,
             receiver: None,
         });
@@ -140,7 +149,7 @@
             class,
             tenant,
             ordering_key: 0,
-            time_left: to_millis(ends_at.saturating_duration_since(now)),
+            time_left: to_millis(deadline.saturating_duration_since(now)),
             work_guess: None,
             destination,
         }
@@ -152,8 +161,8 @@
     }
 
     /// Removes a submission whose client has disconnected; completes its message if no other client has submitted it.
-    pub(super) fn withdraw(&mut self, number: u64) -> Option<Event> {
-        let (id, message) = self.tracked.withdraw(number)?;
+    pub(super) fn withdraw(&mut self, submission: SubmissionId) -> Option<Event> {
+        let (id, message) = self.tracked.withdraw(submission)?;
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, "withdrawn");
         self.store.complete(&message.message_id, None);
         Some(Event::Dropped(id))
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -21,6 +21,24 @@
 /// Time left from which on a message that was never tried returns to the backlog when the policy sheds it.
 const MIN_TIME_TO_REQUEUE: Duration = Duration::from_millis(500);
 
+/// The clocks at the time of a recovery.
+#[derive(Clone, Copy, Debug)]
+struct RecoveryTime {
+    now: Instant,
+    /// The wall clock, in milliseconds since 1970.
+    wall: u64,
+    /// Whether the wall clock is before the latest attempt on record.
+    set_back: bool,
+}
+
+impl RecoveryTime {
+    /// How long ago an attempt was made; as long as possible if the wall clock does not tell.
+    fn age_of_attempt(&self, started_at: u64) -> Millis {
+        let started_at = if self.set_back { 0 } else { started_at };
+        self.wall.saturating_sub(started_at) as Millis
+    }
+}
+
 impl Engine {
     /// Puts the messages of a journal into the backlog, and queues the notifications that the platform has not
     /// acknowledged.
@@ -36,8 +54,8 @@
             self.notifications.push(notice);
         }
         let wall = journal::wall_ms();
-        let clock_set_back = self.store.latest_attempt() > wall;
-        if clock_set_back {
+        let time = RecoveryTime { now, wall, set_back: self.store.latest_attempt() > wall };
+        if time.set_back {
             tracing::warn!(
                 "clock was set back: attempts on record count as outside their idempotency window"
             );
@@ -49,9 +67,7 @@
         let mut unknown_classes = BTreeMap::<Rc<str>, Vec<MessageId>>::new();
         for message in messages {
             match self.names.classes.iter().position(|name| **name == *message.class) {
-                Some(class) => {
-                    recovered.push(self.recover_message(now, wall, clock_set_back, class, message));
-                }
+                Some(class) => recovered.push(self.recover_message(time, class, message)),
                 None => unknown_classes.entry(message.class).or_default().push(message.message_id),
             }
         }
@@ -61,29 +77,25 @@
 
     fn recover_message(
         &mut self,
-        now: Instant,
-        wall: u64,
-        clock_set_back: bool,
+        time: RecoveryTime,
         class: usize,
         message: journal::Message,
     ) -> RecoveredMessage {
         // Whatever the clock says, no message has more time than its class allows.
-        let deadline = self.settings.classes[class].deadline as u64;
-        let time_left = message.deadline.saturating_sub(wall).min(deadline);
+        let max_time_left = self.settings.classes[class].deadline as u64;
+        let time_left = message.deadline.saturating_sub(time.wall).min(max_time_left);
         let possibly_executed = message.possibly_executed.as_ref().map(|execution| {
-            // If the clock does not tell, as long ago as possible.
-            let started_at = if clock_set_back { 0 } else { execution.at };
             let execution = PriorExecution {
-                ago: wall.saturating_sub(started_at) as Millis,
-                route: self.endpoints.route(&execution.receiver, now),
+                ago: time.age_of_attempt(execution.at),
+                route: self.endpoints.route(&execution.receiver, time.now),
                 zone: self.endpoints.zone(&execution.zone),
             };
-            RecoveredExecution { read_at: now, execution }
+            RecoveredExecution { read_at: time.now, execution }
         });
         RecoveredMessage {
             class,
             value: self.settings.classes[class].value,
-            ends_at: now + Duration::from_millis(time_left),
+            deadline: time.now + Duration::from_millis(time_left),
             possibly_executed,
             message,
         }
@@ -116,7 +128,7 @@
     /// tried and there is time left. Says whether it did.
     pub(super) fn return_to_backlog(&mut self, now: Instant, shed: &TrackedMessage) -> bool {
         let untried = shed.attempts == 0 && shed.recovered;
-        if !untried || shed.ends_at.saturating_duration_since(now) < MIN_TIME_TO_REQUEUE {
+        if !untried || shed.deadline.saturating_duration_since(now) < MIN_TIME_TO_REQUEUE {
             return false;
         }
         let Some(message) = self.store.pending_message(&shed.message_id).cloned() else { return false };
@@ -124,7 +136,7 @@
         self.backlog.extend([RecoveredMessage {
             class: shed.class,
             value: self.settings.classes[shed.class].value,
-            ends_at: shed.ends_at,
+            deadline: shed.deadline,
             possibly_executed: None,
             message,
         }]);
@@ -132,8 +144,8 @@
     }
 
     fn track_recovered(&mut self, now: Instant, recovered: RecoveredMessage) -> Event {
-        let RecoveredMessage { class, ends_at, possibly_executed, message: record, .. } = recovered;
-        let time_left = to_millis(ends_at.saturating_duration_since(now));
+        let RecoveredMessage { class, deadline, possibly_executed, message: record, .. } = recovered;
+        let time_left = to_millis(deadline.saturating_duration_since(now));
         tracing::debug!(target: MESSAGE_LOG, message_id = &*record.message_id, attempts = record.attempts,
             possibly_executed = ?record.possibly_executed, time_left, "recovered");
         let possibly_executed = possibly_executed.map(|RecoveredExecution { read_at, execution }| {
@@ -149,7 +161,7 @@
             submissions: Vec::new(),
             key: record.key,
             body: record.body,
-            ends_at,
+            deadline,
             attempts,
             receiver: None,
         });
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -6,7 +6,7 @@
 
 use super::tracked_messages::MAX_CLIENTS_PER_MESSAGE;
 use super::*;
-use crate::event::{Answer, Submission};
+use crate::event::{Answer, Submission, SubmissionId};
 
 mod cancels;
 mod deadline;
@@ -40,9 +40,18 @@
 pub(super) fn submission(number: u64, message_id: &str) -> (Input, oneshot::Receiver<Answer>) {
     let (answer, answered) = oneshot::channel();
     let (message_id, body) = (message_id.into(), Bytes::from_static(b"text"));
-    let (ends_at, destination) = (Instant::now() + Duration::from_secs(9), DestinationId(7));
-    let submission =
-        Submission { number, message_id, class: 0, tenant: 0, destination, key: None, body, ends_at, answer };
+    let (deadline, destination) = (Instant::now() + Duration::from_secs(9), DestinationId(7));
+    let submission = Submission {
+        id: SubmissionId(number),
+        message_id,
+        class: 0,
+        tenant: 0,
+        destination,
+        key: None,
+        body,
+        deadline,
+        answer,
+    };
     (Input::Submitted(submission), answered)
 }
 
@@ -60,13 +69,13 @@
             assert_eq!(answered.await, Ok(expected));
         }
         for number in 2..=MAX_CLIENTS_PER_MESSAGE as u64 + 1 {
-            engine.run_batch(vec![Input::Withdrawn(number)]);
+            engine.run_batch(vec![Input::Withdrawn(SubmissionId(number))]);
             assert!(
                 engine.tracked.len() == 1 && engine.store.contains(&"m1".into()),
                 "withdrawn by {number}"
             );
         }
-        engine.run_batch(vec![Input::Withdrawn(1)]);
+        engine.run_batch(vec![Input::Withdrawn(SubmissionId(1))]);
         assert!(
             engine.tracked.is_empty()
                 && engine.tracked.entries() == 0
@@ -97,7 +106,7 @@
             let list = serde_json::json!({"revision": n, "complete": false, "members": members});
             engine.run_batch(vec![Input::List(serde_json::from_value(list).expect("a list"))]);
             let (input, _answered) = submission(n, &format!("m{n}"));
-            engine.run_batch(vec![input, Input::Withdrawn(n)]);
+            engine.run_batch(vec![input, Input::Withdrawn(SubmissionId(n))]);
             tokio::time::advance(Duration::from_millis(500)).await;
             engine.run_batch(Vec::new());
             let entries = engine.endpoints.entries() + engine.tracked.entries();
--- a/crates/sender/src/engine/tests/deadline.rs
+++ b/crates/sender/src/engine/tests/deadline.rs
@@ -15,8 +15,8 @@
         let listener = receiver(&mut engine).await;
         let (input, answered) = submission(1, "m1");
         let Input::Submitted(mut message) = input else { panic!("no message") };
-        let ends_at = Instant::now() + Duration::from_millis(500);
-        message.ends_at = ends_at;
+        let deadline = Instant::now() + Duration::from_millis(500);
+        message.deadline = deadline;
         engine.run_batch(vec![Input::Submitted(message)]);
         assert_eq!(answered.await, Ok(Answer::Accepted));
         let (mut stream, _) = soon(listener.accept()).await.expect("a connection");
@@ -27,7 +27,7 @@
             "it waits for {remaining} s of its half second"
         );
         // Within what lies between its client's clock and ours.
-        tokio::time::sleep_until(ends_at - Duration::from_millis(2)).await;
+        tokio::time::sleep_until(deadline - Duration::from_millis(2)).await;
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
         until(|| {
             run_batch(&mut engine);
--- a/crates/sender/src/engine/tracked_messages.rs
+++ b/crates/sender/src/engine/tracked_messages.rs
@@ -8,6 +8,8 @@
 use rudderspindle_policy::interface::MessageHandle;
 use tokio::time::Instant;
 
+use crate::event::SubmissionId;
+
 /// Maximum number of clients that submit the same message; further ones are refused.
 pub(super) const MAX_CLIENTS_PER_MESSAGE: usize = 4;
 
@@ -20,15 +22,15 @@
     pub class: usize,
     /// Whether an earlier process accepted it and answered its client.
     pub recovered: bool,
-    /// Numbers of its submissions, without those whose client disconnected before it was answered. While one is
+    /// Its submissions, without those whose client disconnected before it was answered. While one is
     /// left, a client may have been told that the message is accepted: it must not be withdrawn.
-    pub submissions: Vec<u64>,
+    pub submissions: Vec<SubmissionId>,
     /// Its idempotency key, if it has one.
     pub key: Option<Bytes>,
     /// Its payload.
     pub body: Bytes,
     /// Its deadline.
-    pub ends_at: Instant,
+    pub deadline: Instant,
     /// Number of attempts on record.
     pub attempts: u32,
     /// The receiver of the attempt in flight.
@@ -47,7 +49,7 @@
 pub(super) struct TrackedMessages {
     messages: HashMap<MessageHandle, TrackedMessage>,
     by_id: HashMap<MessageId, MessageHandle>,
-    by_submission: HashMap<u64, MessageHandle>,
+    by_submission: HashMap<SubmissionId, MessageHandle>,
     next_handle: u32,
 }
 
@@ -94,29 +96,29 @@
         }
         self.next_handle = handle.0.wrapping_add(1);
         self.by_id.insert(message.message_id.clone(), handle);
-        for number in &message.submissions {
-            self.by_submission.insert(*number, handle);
+        for id in &message.submissions {
+            self.by_submission.insert(*id, handle);
         }
         self.messages.insert(handle, message);
         handle
     }
 
     /// Adds a submission to a message that is tracked already; `false` if it has too many.
-    pub fn add_submission(&mut self, handle: MessageHandle, number: u64) -> bool {
+    pub fn add_submission(&mut self, handle: MessageHandle, id: SubmissionId) -> bool {
         let Some(message) = self.messages.get_mut(&handle) else { return false };
         if message.clients() >= MAX_CLIENTS_PER_MESSAGE {
             return false;
         }
-        message.submissions.push(number);
-        self.by_submission.insert(number, handle);
+        message.submissions.push(id);
+        self.by_submission.insert(id, handle);
         true
     }
 
     /// Removes a submission; returns its message, no longer tracked, if no client is left.
-    pub fn withdraw(&mut self, number: u64) -> Option<(MessageHandle, TrackedMessage)> {
-        let handle = self.by_submission.remove(&number)?;
+    pub fn withdraw(&mut self, id: SubmissionId) -> Option<(MessageHandle, TrackedMessage)> {
+        let handle = self.by_submission.remove(&id)?;
         let message = self.messages.get_mut(&handle)?;
-        message.submissions.retain(|&other| other != number);
+        message.submissions.retain(|&other| other != id);
         if message.clients() > 0 {
             return None;
         }
@@ -127,8 +129,8 @@
     pub fn remove(&mut self, handle: MessageHandle) -> Option<TrackedMessage> {
         let message = self.messages.remove(&handle)?;
         self.by_id.remove(&message.message_id);
-        for number in &message.submissions {
-            self.by_submission.remove(number);
+        for id in &message.submissions {
+            self.by_submission.remove(id);
         }
         Some(message)
     }
@@ -139,3 +141,6 @@
         self.messages.len() + self.by_id.len() + self.by_submission.len()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -14,7 +14,7 @@
 
 pub(crate) use activity::MAX_CALL_RESULTS;
 pub use activity::{ActivityReport, LimitDemand, ListedReceiver, ReceiverResult, TenantUsage};
-pub use delivery::{Answer, AttemptResult, Call, Submission};
+pub use delivery::{Answer, AttemptResult, Call, Submission, SubmissionId};
 pub use endpoints::{Endpoint, EndpointList};
 pub use limits::{CapacityUpdate, LimitKey, PermitUpdate, TenantQuota};
 
@@ -31,8 +31,8 @@
 pub enum Input {
     /// A client has submitted a message.
     Submitted(Submission),
-    /// The client of the submission with this number has disconnected before it was answered.
-    Withdrawn(u64),
+    /// The client of this submission has disconnected before it was answered.
+    Withdrawn(SubmissionId),
     /// An attempt has ended.
     Outcome {
         /// The message.
--- a/crates/sender/src/event/delivery.rs
+++ b/crates/sender/src/event/delivery.rs
@@ -6,11 +6,15 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
+/// The id of a submission: unique in this process, also among submissions of the same message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct SubmissionId(pub u64);
+
 /// A message that a client submits, and the channel for the answer.
 #[derive(Debug)]
 pub struct Submission {
-    /// Unique in this process, also among submissions of the same message.
-    pub number: u64,
+    /// The submission's id.
+    pub id: SubmissionId,
     /// The id that the client gave the message.
     pub message_id: MessageId,
     /// Index of the message's class in the settings.
@@ -24,7 +28,7 @@
     /// The payload.
     pub body: Bytes,
     /// The message's deadline.
-    pub ends_at: Instant,
+    pub deadline: Instant,
     /// Receives the answer. It is closed once the client has disconnected.
     pub answer: oneshot::Sender<Answer>,
 }
--- a/crates/sender/src/inbound/connection.rs
+++ b/crates/sender/src/inbound/connection.rs
@@ -10,6 +10,7 @@
 use tokio::time::Instant;
 
 use crate::connection_slots::ConnectionId;
+use crate::event::SubmissionId;
 use crate::graceful_close;
 use crate::write_progress::{SharedSocket, WriteProgress};
 
@@ -38,9 +39,9 @@
     #[default]
     None,
     /// The engine has not answered yet.
-    AwaitingDecision(u64),
+    AwaitingDecision(SubmissionId),
     /// The engine has accepted it, and the write progress is that of its 202.
-    Accepted(u64),
+    Accepted(SubmissionId),
 }
 
 /// A client's connection.
@@ -125,14 +126,14 @@
     }
 
     /// The engine was given a submission of this connection.
-    pub(super) fn submission_started(&self, number: u64) {
-        self.last_submission.set(LastSubmission::AwaitingDecision(number));
+    pub(super) fn submission_started(&self, id: SubmissionId) {
+        self.last_submission.set(LastSubmission::AwaitingDecision(id));
     }
 
     /// The engine has accepted the submission; what is written from here on is its 202.
-    pub(super) fn submission_accepted(&self, number: u64) {
+    pub(super) fn submission_accepted(&self, id: SubmissionId) {
         self.write_progress.reset();
-        self.last_submission.set(LastSubmission::Accepted(number));
+        self.last_submission.set(LastSubmission::Accepted(id));
     }
 
     /// The engine has refused the submission.
@@ -141,11 +142,11 @@
     }
 
     /// The submission of which the client has received no response.
-    pub(super) fn unacknowledged_submission(&self) -> Option<u64> {
+    pub(super) fn unacknowledged_submission(&self) -> Option<SubmissionId> {
         match self.last_submission.get() {
             LastSubmission::None => None,
-            LastSubmission::AwaitingDecision(number) => Some(number),
-            LastSubmission::Accepted(number) => (!self.write_progress.write_started()).then_some(number),
+            LastSubmission::AwaitingDecision(id) => Some(id),
+            LastSubmission::Accepted(id) => (!self.write_progress.write_started()).then_some(id),
         }
     }
 }
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -18,7 +18,7 @@
 use super::request_body;
 use super::request_head::SubmissionHead;
 use crate::admission_state::AdmissionState;
-use crate::event::{Answer, Input, Submission};
+use crate::event::{Answer, Input, Submission, SubmissionId};
 use crate::metrics::FinalOutcome;
 
 const READY_PATH: &str = "/-/ready";
@@ -79,12 +79,12 @@
         self.slots.borrow_mut().request_started(connection.id, self.now());
         let (answer, decision) = oneshot::channel();
         let submission = self.submission(head, body, answer);
-        let number = submission.number;
+        let id = submission.id;
         self.send_to_engine(submission)?;
-        connection.submission_started(number);
+        connection.submission_started(id);
         let decision = decision.await.unwrap_or(Answer::REFUSED);
         if decision == Answer::Accepted {
-            connection.submission_accepted(number);
+            connection.submission_accepted(id);
         } else {
             connection.submission_refused();
         }
@@ -116,14 +116,14 @@
         let number = self.next_submission.get();
         self.next_submission.set(number + 1);
         Submission {
-            number,
+            id: SubmissionId(number),
             message_id: head.message_id,
             class: head.class,
             tenant: head.tenant,
             destination: head.destination,
             key: head.idempotency_key,
             body,
-            ends_at: Instant::now() + remaining,
+            deadline: Instant::now() + remaining,
             answer,
         }
     }
--- a/crates/sender/src/inbound/tests.rs
+++ b/crates/sender/src/inbound/tests.rs
@@ -137,8 +137,8 @@
         client.write_all(REQUEST).await.expect("writable");
         let Input::Submitted(submission) = setup.next_input().await else { panic!("not submitted") };
         drop(client);
-        let Input::Withdrawn(number) = setup.next_input().await else { panic!("not withdrawn") };
-        assert_eq!(number, submission.number);
+        let Input::Withdrawn(id) = setup.next_input().await else { panic!("not withdrawn") };
+        assert_eq!(id, submission.id);
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -1,9 +1,9 @@
-//! A sender on real sockets: what stands between the decisions and the network.
+//! A sender on real sockets: the I/O around the decisions of `rudderspindle-policy`.
 //!
-//! The [`Service`] takes messages from clients over HTTP/1.1, writes them to its journal before it answers 202,
-//! lets the decision module say what is done with them, calls receivers, and owes each message its end. What
-//! happens reaches the engine as events (`event.rs`); ways in and out, membership and notices know those and
-//! not the engine. This crate decides nothing about messages: that is `rudderspindle-policy`'s.
+//! The [`Service`] accepts messages from clients over HTTP/1.1, writes them to its journal before it responds with
+//! 202, delivers them to receivers as the policy decides, and notifies the platform of those that it could not
+//! deliver. All tasks send their events to the engine (`engine`) as an `Input` (`event`); they know those and not the
+//! engine. This crate takes no decision about a message.
 //!
 //! ```no_run
 //! use rudderspindle_sender::{Service, ValidatedConfig};
@@ -23,7 +23,7 @@
 //! # }
 //! ```
 
-/// Where a test may stop the program; nothing without the feature `failpoints`.
+/// A point at which a test can stop the program. Expands to nothing without the feature `failpoints`.
 macro_rules! failpoint {
     ($($point:tt)*) => {
         #[cfg(feature = "failpoints")]
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -76,23 +76,13 @@
         let handover = join_peer_process(state, &mut store, &peer_process, &to_engine).await;
         let shared = Shared::new(settings, names, config.limits.share(), peer_process, to_engine);
 
-        let schedule =
-            PollSchedule::new(shared.settings.discovery, shared.settings.peers_total, seed(&config));
+        let seed = seed(&config);
+        let schedule = PollSchedule::new(shared.settings.discovery, shared.settings.peers_total, seed);
         let fetched = fetch_list(&config, &schedule).await;
         let revision = initial_revision(&schedule, fetched.as_ref());
-        // Before the first client is heard: recovered messages go first.
-        let dependencies = EngineDependencies {
-            policy: PolicyOptions {
-                settings: shared.settings.clone(),
-                names: shared.names.clone(),
-                seed: seed(&config),
-                limit_sharing: gossip.as_ref().map_or(LimitSharing::Equal, FleetGossip::limit_sharing),
-            },
-            store,
-            io: engine_io(&shared, inputs),
-            shared_listener,
-            record_activity: gossip.as_ref().is_some_and(FleetGossip::has_fleet_view),
-        };
+        // Before the first client is accepted: recovered messages go first.
+        let dependencies =
+            engine_dependencies(&shared, seed, store, inputs, shared_listener, gossip.as_ref());
         let engine = build_engine(dependencies, &mut config, fetched.as_ref())?;
         forward(handover.words, &shared.to_engine).await;
 
@@ -172,13 +162,31 @@
     if schedule.takes_turns() { Some(0) } else { fetched.map(|list| list.revision) }
 }
 
-fn engine_io(shared: &Shared, inputs: mpsc::Receiver<Input>) -> EngineIo {
-    EngineIo {
-        outbound: shared.outbound.clone(),
-        notifications: shared.notifications.clone(),
-        metrics: shared.metrics.clone(),
-        peer_process: shared.peer_process.clone(),
-        inputs,
+fn engine_dependencies(
+    shared: &Shared,
+    seed: u64,
+    store: Store,
+    inputs: mpsc::Receiver<Input>,
+    shared_listener: bool,
+    gossip: Option<&FleetGossip>,
+) -> EngineDependencies {
+    EngineDependencies {
+        policy: PolicyOptions {
+            settings: shared.settings.clone(),
+            names: shared.names.clone(),
+            seed,
+            limit_sharing: gossip.map_or(LimitSharing::Equal, FleetGossip::limit_sharing),
+        },
+        store,
+        io: EngineIo {
+            outbound: shared.outbound.clone(),
+            notifications: shared.notifications.clone(),
+            metrics: shared.metrics.clone(),
+            peer_process: shared.peer_process.clone(),
+            inputs,
+        },
+        shared_listener,
+        record_activity: gossip.is_some_and(FleetGossip::has_fleet_view),
     }
 }
 
--- a/crates/sender/src/service/tasks.rs
+++ b/crates/sender/src/service/tasks.rs
@@ -25,27 +25,39 @@
 /// What the tasks of one sender share.
 #[derive(Debug)]
 pub(super) struct Shared {
+    /// The settings.
     pub settings: Settings,
+    /// The names of classes, tenants, kinds and zones, by index.
     pub names: Names,
+    /// The counters.
     pub metrics: Rc<Metrics>,
+    /// The notifications to the platform.
     pub notifications: Rc<Notifications>,
+    /// The calls to receivers.
     pub outbound: Rc<Outbound>,
+    /// The other process of this sender during a takeover.
     pub peer_process: Rc<PeerProcess>,
+    /// The engine's inputs.
     pub to_engine: mpsc::Sender<Input>,
 }
 
 impl Shared {
-    /// Builds what is shared; `connections` limits those to receivers.
+    /// Builds what is shared; `max_connections` limits those to receivers.
     pub fn new(
         settings: Settings,
         names: Names,
-        connections: usize,
+        max_connections: usize,
         peer_process: Rc<PeerProcess>,
         to_engine: mpsc::Sender<Input>,
     ) -> Self {
         let metrics = Rc::new(Metrics::new(&names.classes));
-        let outbound =
-            Outbound::new(&settings, connections, metrics.clone(), peer_process.clone(), to_engine.clone());
+        let outbound = Outbound::new(
+            &settings,
+            max_connections,
+            metrics.clone(),
+            peer_process.clone(),
+            to_engine.clone(),
+        );
         let notifications = Rc::new(Notifications::default());
         Self { settings, names, metrics, notifications, outbound: Rc::new(outbound), peer_process, to_engine }
     }
