--- a/crates/sender/src/handover/connection.rs
+++ b/crates/sender/src/handover/connection.rs
@@ -41,7 +41,7 @@
                 () = transmit(writer, queued) => {}
             }
             peer_process.disconnect();
-            let _ = engine.send(Input::Successor(false)).await;
+            let _ = engine.send(Input::PeerDisconnected).await;
         });
     }
 }
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -133,12 +133,12 @@
             theirs.write_all(lines.as_bytes()).await.expect("writable");
             let first = inputs.recv().await;
             assert!(
-                matches!(&first, Some(Input::RetryAfter { destination: 3, receiver: Some(receiver), ms })
-                    if receiver == "r1" && *ms == 5.0),
+                matches!(&first, Some(Input::RetryAfter { destination: 3, receiver: Some(receiver), wait })
+                    if receiver == "r1" && *wait == 5.0),
                 "{line:?}: {first:?}"
             );
             assert!(matches!(inputs.recv().await, Some(Input::PeerCallsInFlight(7))), "{line:?}");
-            assert!(matches!(inputs.recv().await, Some(Input::Successor(false))), "{line:?}");
+            assert!(matches!(inputs.recv().await, Some(Input::PeerDisconnected)), "{line:?}");
             assert!(!peer_process.is_connected(), "{line:?}");
             drop(engine);
             assert!(inputs.recv().await.is_none(), "{line:?}");
@@ -167,7 +167,7 @@
         let (engine, mut inputs) = mpsc::channel(8);
         theirs.write_all(b"{\"hello\":1}\n").await.expect("writable");
         accept_successor(ours, Rc::default(), engine).await;
-        assert!(matches!(inputs.recv().await, Some(Input::Successor(true))));
+        assert!(matches!(inputs.recv().await, Some(Input::SuccessorConnected)));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/handover/message.rs
+++ b/crates/sender/src/handover/message.rs
@@ -46,7 +46,7 @@
     pub fn into_input(self) -> Option<Input> {
         match self {
             Self::RetryAfter { destination, receiver, ms } => {
-                Some(Input::RetryAfter { destination, receiver, ms })
+                Some(Input::RetryAfter { destination, receiver, wait: ms })
             }
             Self::CallsInFlight(calls) => Some(Input::PeerCallsInFlight(calls)),
             Self::Hello(_) | Self::OutageState { .. } | Self::FreeSpace => None,
--- a/crates/sender/src/handover/owner.rs
+++ b/crates/sender/src/handover/owner.rs
@@ -77,5 +77,5 @@
         return;
     }
     connection.spawn_exchange(peer_process, engine.clone());
-    let _ = engine.send(Input::Successor(true)).await;
+    let _ = engine.send(Input::SuccessorConnected).await;
 }
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -16,7 +16,7 @@
 use super::request::{OutgoingRequest, PreparedRequest, RequestTimes};
 use super::response::{ReliableResponse, UsedConnection};
 use super::routes::Target;
-use crate::event::{AttemptResult, Call, STORY};
+use crate::event::{AttemptResult, Call, MESSAGE_LOG};
 
 /// How long the rest of a response's head may take after its first byte: it is written at once.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
@@ -155,7 +155,7 @@
             Ok(response) if late => {
                 // What it says of the receiver holds all the same.
                 let result = result_of_response(response.status(), response.headers());
-                self.apply_retry_after(target.backoff_scope, result.wait);
+                self.apply_retry_after(target.backoff_scope, result.retry_after);
                 Interruption::TimedOut
             }
             Ok(response) => {
@@ -171,7 +171,7 @@
         };
         let sent = RequestProgress::of(&progress);
         let received = if late { ResponseProgress::Nothing } else { ResponseProgress::of(&progress) };
-        tracing::debug!(target: STORY, message_id = exchange.message_id(), ?interruption, reused, ?sent, ?received,
+        tracing::debug!(target: MESSAGE_LOG, message_id = exchange.message_id(), ?interruption, reused, ?sent, ?received,
             "attempt ended without a usable response");
         let no_attempt =
             reused && interruption == Interruption::ConnectionBroken && sent == RequestProgress::NotStarted;
@@ -200,9 +200,9 @@
         response: ReliableResponse,
     ) -> Exchanged {
         let ReliableResponse { result, unread_body } = response;
-        tracing::debug!(target: STORY, message_id = exchange.message_id(), addr = %target.addr, reused,
-            outcome = ?result.outcome, retry_after_ms = result.wait, "response received");
-        self.apply_retry_after(target.backoff_scope, result.wait);
+        tracing::debug!(target: MESSAGE_LOG, message_id = exchange.message_id(), addr = %target.addr, reused,
+            outcome = ?result.outcome, retry_after_ms = result.retry_after, "response received");
+        self.apply_retry_after(target.backoff_scope, result.retry_after);
         // Nothing more is sent of a call that was rejected before its last byte was.
         let request_complete = RequestProgress::of(&connection.write_progress) == RequestProgress::Complete;
         let used_connection = request_complete.then_some(UsedConnection { connection, unread_body });
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -103,7 +103,7 @@
     outbound.start_call(call);
     let (mut stream, _) = listener.accept().await.expect("a connection");
     respond(&mut stream, "200 OK").await;
-    let Input::Outcome { report, .. } = next(inputs).await else { panic!("no outcome") };
+    let Input::Outcome { result: report, .. } = next(inputs).await else { panic!("no outcome") };
     assert_eq!(report, Outcome::Ok.into());
     while outbound.idle.len() == 0 {
         tokio::task::yield_now().await;
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -77,7 +77,7 @@
 
 /// Complete responses and their results.
 fn responses() -> Vec<(&'static str, AttemptResult)> {
-    let rejected = |wait| AttemptResult { wait, ..Outcome::Rejected.into() };
+    let rejected = |wait| AttemptResult { retry_after: wait, ..Outcome::Rejected.into() };
     vec![
         ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody", Outcome::Ok.into()),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", Outcome::Ok.into()),
@@ -122,7 +122,7 @@
         stream.set_zero_linger().expect("it can be reset");
     }
     drop(stream);
-    let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+    let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
     // However it ended, the call was sent once: neither this program nor the HTTP library sends it again.
     assert!(listener.accept().now_or_never().is_none(), "it was sent again");
     report
@@ -191,7 +191,7 @@
             stream.read_exact(&mut head).await.expect("a head");
             let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
             stream.write_all(response.as_bytes()).await.expect("writable");
-            let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, outcome.into(), "{status}");
             assert!(100 + read_to_end(&mut stream).await < LARGE, "{status}: all of it was received");
         }
--- a/crates/sender/src/outbound/tests/withheld.rs
+++ b/crates/sender/src/outbound/tests/withheld.rs
@@ -15,7 +15,7 @@
             } else {
                 outbound.apply_backoff(DestinationId(7), None, 10_000.0);
             }
-            let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, Outcome::NotSent.into());
         }
     };
@@ -38,7 +38,7 @@
         let started = Instant::now();
         let latest = started + Duration::from_millis(300);
         outbound.start_call(Call { latest, ..call() });
-        let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         // Not what a failure to connect would be: nothing is known of the receiver.
         assert_eq!(report, Outcome::NotSent.into());
         assert!(Instant::now() >= latest);
@@ -46,7 +46,7 @@
         let (outbound, listener, mut inputs) = set_up().await;
         let stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
         outbound.start_call(Call { latest: Instant::now(), ..call() });
-        let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         assert_eq!(report, Outcome::NotSent.into());
         assert!(stream.try_read(&mut [0; 1]).is_err(), "something of it was sent");
     };
