--- a/crates/sender/src/inbound/connection.rs
+++ b/crates/sender/src/inbound/connection.rs
@@ -43,7 +43,7 @@
     Accepted(u64),
 }
 
-/// A client's connection.
+/// A client's connection. Its task serves and closes it; others only ask for the close.
 #[derive(Debug)]
 pub(super) struct ClientConnection {
     pub(super) id: ConnectionId,
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -123,8 +123,8 @@
         }
     }
 
-    /// The request, if it may still be sent: since it was decided its receiver may have started to drain or to back off,
-    /// or its time may have passed, above all while connections were opened or turned out to be closed.
+    /// The request, if it may still be sent: since the decision its receiver may have started to drain or to back off, or
+    /// its time may have passed, above all while connections were opened or turned out to be closed.
     fn prepare(&self, exchange: &Exchange<'_>, target: Target) -> Option<PreparedRequest> {
         let RequestTimes { respond_by, send_by, .. } = exchange.times;
         let now = Instant::now();
