--- a/crates/policy/src/key_ordering.rs
+++ b/crates/policy/src/key_ordering.rs
@@ -1,59 +1,69 @@
-//! Ordering keys: whose turn it is, and which keys rest.
+//! The order of the messages of each ordering key, and which keys pause. No decision.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::{MessageHandle, Millis};
 
-/// The messages of each ordering key in the order they were taken. A key goes when its messages have and its
-/// rest is over.
+/// The messages of each ordering key in the order they were accepted. A key is forgotten once it has no messages
+/// and does not pause.
 #[derive(Debug, Default)]
-pub(crate) struct KeyOrdering(BTreeMap<u64, Queue>);
+pub(crate) struct KeyOrdering {
+    queues: BTreeMap<u64, KeyQueue>,
+}
 
+/// The messages of one key.
 #[derive(Debug, Default)]
-struct Queue {
-    order: VecDeque<MessageHandle>,
-    /// Until when the key rests, for all but one of its messages.
-    rest_until: Millis,
-    rest_for: Option<MessageHandle>,
+struct KeyQueue {
+    messages: VecDeque<MessageHandle>,
+    /// Until when the key pauses, for all but one of its messages.
+    paused_until: Millis,
+    /// The message whose retries the pause does not hold up.
+    paused_by: Option<MessageHandle>,
 }
 
 impl KeyOrdering {
-    /// A message comes last; key 0 is no key.
+    /// Puts a message last in its key's order; key 0 is no key.
     pub fn join(&mut self, key: u64, id: MessageHandle) {
         if key != 0 {
-            self.0.entry(key).or_default().order.push_back(id);
+            self.queues.entry(key).or_default().messages.push_back(id);
         }
     }
 
+    /// Takes a message out of its key's order.
     pub fn leave(&mut self, key: u64, id: MessageHandle) {
-        if let Some(queue) = self.0.get_mut(&key) {
-            queue.order.retain(|&waiting| waiting != id);
+        if let Some(queue) = self.queues.get_mut(&key) {
+            queue.messages.retain(|&waiting| waiting != id);
         }
     }
 
-    /// An attempt of this message may still be running: the key rests until then for all others.
-    pub fn rest(&mut self, key: u64, id: MessageHandle, until: Millis) {
-        if let Some(queue) = self.0.get_mut(&key) {
-            (queue.rest_until, queue.rest_for) = (until, Some(id));
+    /// An attempt of this message may still run: until then no other message of its key goes.
+    pub fn pause(&mut self, key: u64, id: MessageHandle, until: Millis) {
+        if let Some(queue) = self.queues.get_mut(&key) {
+            queue.paused_until = until;
+            queue.paused_by = Some(id);
         }
     }
 
-    /// Whether it is first and its key is at rest no more.
+    /// Whether the message is the first of its key and the key does not pause for it.
     pub fn is_next(&self, key: u64, id: MessageHandle, now: Millis) -> bool {
-        let Some(queue) = self.0.get(&key) else { return true };
-        queue.order.front() == Some(&id) && (queue.rest_until <= now || queue.rest_for == Some(id))
+        let Some(queue) = self.queues.get(&key) else { return true };
+        let is_first = queue.messages.front() == Some(&id);
+        let is_paused = queue.paused_until > now && queue.paused_by != Some(id);
+        is_first && !is_paused
     }
 
-    /// When keys that rest now are over it.
-    pub fn rests(&self, now: Millis) -> impl Iterator<Item = Millis> {
-        self.0.values().map(|queue| queue.rest_until).filter(move |&at| at > now)
+    /// When the keys that pause now go on.
+    pub fn pause_ends(&self, now: Millis) -> impl Iterator<Item = Millis> {
+        self.queues.values().map(|queue| queue.paused_until).filter(move |&until| until > now)
     }
 
+    /// Forgets the keys without messages that do not pause.
     pub fn forget_idle(&mut self, now: Millis) {
-        self.0.retain(|_, queue| !queue.order.is_empty() || queue.rest_until > now);
+        self.queues.retain(|_, queue| !queue.messages.is_empty() || queue.paused_until > now);
     }
 
+    /// Number of keys that are remembered.
     pub fn len(&self) -> usize {
-        self.0.len()
+        self.queues.len()
     }
 }
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,13 +1,15 @@
-//! How long calls take: mean and deviation, smoothed. No decision.
+//! The mean latency of calls and its deviation, smoothed. No decision.
 
 use crate::interface::Millis;
 
-/// Assumed before anything was seen, ms.
-const FIRST: Millis = 400.0;
-/// Weight of the newest call in the mean, and in the deviation.
-const WEIGHTS: (f64, f64) = (1.0 / 8.0, 1.0 / 4.0);
+/// The mean before any call was answered, ms.
+const INITIAL_MEAN: Millis = 400.0;
+/// Weight of the newest call in the mean.
+const MEAN_WEIGHT: f64 = 1.0 / 8.0;
+/// Weight of the newest call in the deviation.
+const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
 
-/// Of the answered calls through a gate.
+/// The latency of the answered calls through a throttle.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Latency {
     mean: Millis,
@@ -16,20 +18,20 @@
 
 impl Default for Latency {
     fn default() -> Self {
-        Self { mean: FIRST, deviation: FIRST / 2.0 }
+        Self { mean: INITIAL_MEAN, deviation: INITIAL_MEAN / 2.0 }
     }
 }
 
 impl Latency {
     /// A call was answered after so long.
-    pub fn took(&mut self, time: Millis) {
-        let off = time - self.mean;
-        self.mean += off * WEIGHTS.0;
-        self.deviation += (off.abs() - self.deviation) * WEIGHTS.1;
+    pub fn record(&mut self, latency: Millis) {
+        let error = latency - self.mean;
+        self.mean += error * MEAN_WEIGHT;
+        self.deviation += (error.abs() - self.deviation) * DEVIATION_WEIGHT;
     }
 
     /// The mean and so many deviations.
-    pub fn within(&self, deviations: f64) -> Millis {
+    pub fn upper_bound(&self, deviations: f64) -> Millis {
         self.mean + deviations * self.deviation
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -83,7 +83,7 @@
 #![warn(missing_docs)]
 
 mod calls;
-mod health;
+mod circuit_breaker;
 pub mod interface;
 mod key_ordering;
 mod latency;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,89 +1,99 @@
 //! The policy of one sender: its state, and the order of the steps of a batch. No decision.
 //!
-//! Each step decides in a module of its own, on the ordinary path as follows. Per throttle (of a destination, or
-//! of a route where routes have limits of their own) requests and accepts are counted over a window; a new call
-//! or a retry is dropped locally with probability `max(0, (requests - K * accepts) / (requests + 1))`, goes
-//! first to another route whose own draw passes, else backs off for a random pause and draws again while time
-//! remains, else is refused (or failed). What departs from it says "Departure" and the condition under which it
-//! acts.
+//! Each step decides in a module of its own. The ordinary path: for each throttle (of a destination, or of a route
+//! where routes have limits of their own) requests and accepts are counted over a window ([`throttle`]); a new call
+//! or a retry is dropped locally with probability `max(0, (requests - K * accepts) / (requests + 1))`, goes first
+//! to another route whose own draw passes ([`route_choice`]), else backs off for a random pause and draws again
+//! while time remains, else is refused or failed ([`completion`]). A comment that begins with "Departure" marks
+//! where the code departs from this path, and names the condition.
 
 mod admission;
-mod choice;
+mod availability;
+mod bookkeeping;
+mod completion;
 mod demand;
-mod destination;
 mod dispatch;
-mod ends;
 mod events;
-mod figures;
-mod list;
-mod outages;
+mod metrics;
+mod outage_detection;
+mod outage_memory;
 mod outcomes;
+mod queue_order;
+mod route_choice;
+mod route_defaults;
+mod route_list;
+mod routes;
 mod scope;
+mod send;
+mod settlement;
+mod slow_start;
 mod state;
+mod subscription;
 mod throttle;
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 
-use rudderspindle_gossip::{ArrivalRate, CapacityShare};
-
-use crate::calls::{Call, Calls};
-use crate::health::{Health, State};
-use crate::interface::*;
+use crate::interface::{
+    Action, DestinationId, Discovery, Event, MessageHandle, Millis, Settings, SettingsError,
+};
 use crate::key_ordering::KeyOrdering;
-use crate::latency::Latency;
-use crate::priority_weight::PriorityWeight;
 use crate::quota::Quotas;
 use crate::rng::Rng;
 use crate::wake_timer::WakeTimer;
-use crate::window::{Window, WindowBounds};
-use scope::Scope;
-use state::{Destination, ExecutionMark, PendingMessage, Route, Throttle};
-use throttle::{BURST, CUT_REST, REACH};
+use state::{Destination, PendingMessage};
 
 /// The decisions of one sender.
 #[derive(Debug)]
 pub struct Policy {
     settings: Settings,
-    hears_notes: bool,
-    keeps_rights: bool,
+    /// Whether the host reports what other senders want.
+    expects_capacity: bool,
+    /// Whether no call starts without a permit.
+    needs_permits: bool,
     rng: Rng,
     /// The host's clock at the first batch: all times kept here count from it.
     started_at: Option<Millis>,
     now: Millis,
     destinations: BTreeMap<DestinationId, Destination>,
-    /// Destinations with messages that wait: only these are looked at.
+    /// Destinations with waiting messages: only these are looked at.
     busy: BTreeSet<DestinationId>,
     messages: BTreeMap<MessageHandle, PendingMessage>,
-    calls_out: usize,
+    calls_in_flight: usize,
     /// Slots that another process of this sender uses.
-    lent: usize,
+    slots_used_by_peer: usize,
     next_call: u64,
-    turns: KeyOrdering,
+    key_ordering: KeyOrdering,
     quotas: Quotas,
     wake_timer: WakeTimer,
-    ask_at: Option<Millis>,
+    /// When to subscribe to the endpoint list.
+    subscribe_at: Option<Millis>,
 }
 
 impl Policy {
-    /// A sender with an empty memory; an error if the settings cannot work.
+    /// A policy without any state; draws are the same for the same seed.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] if the settings cannot work.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
+        let on_request = matches!(settings.discovery, Discovery::OnRequest { .. });
         Ok(Self {
-            hears_notes: false,
-            keeps_rights: false,
+            expects_capacity: false,
+            needs_permits: false,
             rng: Rng::new(seed),
             started_at: None,
             now: 0.0,
             destinations: BTreeMap::new(),
             busy: BTreeSet::new(),
             messages: BTreeMap::new(),
-            calls_out: 0,
-            lent: 0,
+            calls_in_flight: 0,
+            slots_used_by_peer: 0,
             next_call: 0,
-            turns: KeyOrdering::default(),
+            key_ordering: KeyOrdering::default(),
             quotas: Quotas::new(settings.tenants.len()),
             wake_timer: WakeTimer::default(),
-            ask_at: matches!(settings.discovery, Discovery::OnRequest { .. }).then_some(0.0),
+            subscribe_at: on_request.then_some(0.0),
             settings,
         })
     }
@@ -92,22 +102,38 @@
     pub fn handle(&mut self, now: Millis, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now - *self.started_at.get_or_insert(now);
         for event in events {
-            self.take(event, actions);
+            self.apply(event, actions);
         }
         self.subscribe_if_due(actions);
-        self.turns.forget_idle(self.now);
+        self.key_ordering.forget_idle(self.now);
         let busy: Vec<DestinationId> = self.busy.iter().copied().collect();
-        self.end_what_is_due(&busy, actions);
-        self.shed(actions);
+        self.complete_due_messages(&busy, actions);
+        self.shed_load(actions);
         self.dispatch(&busy, actions);
-        self.sleep(actions);
+        self.set_wake_timer(actions);
     }
 
     /// Asks to be woken when the next thing is due, if no wake-up comes before.
-    fn sleep(&mut self, actions: &mut Vec<Action>) {
-        self.busy.retain(|id| self.destinations.get(id).is_some_and(|d| !d.waiting.is_empty()));
-        let looks = self.busy.iter().filter_map(|id| self.destinations.get(id)).map(|d| self.next_look(d));
-        let at = looks.chain(self.turns.rests(self.now)).chain(self.ask_at).fold(f64::INFINITY, f64::min);
-        actions.extend(self.wake_timer.set(self.now, at, self.settings.tick));
+    fn set_wake_timer(&mut self, actions: &mut Vec<Action>) {
+        let destinations = &self.destinations;
+        self.busy
+            .retain(|id| destinations.get(id).is_some_and(|destination| !destination.waiting.is_empty()));
+        let busy = self.busy.iter().filter_map(|id| self.destinations.get(id));
+        let next_at = busy
+            .map(|destination| self.next_due_at(destination))
+            .chain(self.key_ordering.pause_ends(self.now))
+            .chain(self.subscribe_at)
+            .fold(f64::INFINITY, f64::min);
+        actions.extend(self.wake_timer.set(self.now, next_at, self.settings.tick));
+    }
+
+    /// When something is due at a destination with waiting messages: a final outcome, or a draw.
+    fn next_due_at(&self, destination: &Destination) -> Millis {
+        let outcomes = destination.waiting.iter().filter_map(|id| self.messages.get(id));
+        let opens = (0..destination.routes.len()).map(|index| destination.opens_at(index, self.now));
+        outcomes
+            .map(|message| message.outcome_due_at)
+            .chain(opens.filter(|&opens_at| opens_at > self.now))
+            .fold(f64::INFINITY, f64::min)
     }
 }
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -1,49 +1,138 @@
-//! What events tell is applied to the state, or passed on to the step that decides. No decision.
+//! Applies each event to the state, or passes it on to the step that decides. No decision.
 
-use super::*;
+use rudderspindle_gossip::CapacityShare;
+
+use super::Policy;
+use super::settlement::AttemptResult;
+use super::state::Throttle;
+use crate::interface::{
+    Action, AttemptHistory, DestinationId, Event, MessageHandle, Millis, Permit, RouteId,
+};
+
+/// What the fleet leaves of a limit to this sender.
+struct CapacityReport {
+    /// Calls per second for each call that is wanted.
+    calls_per_wanted: f64,
+    /// Calls wanted by all senders.
+    wanted_by_all: f64,
+    /// How long the report holds.
+    valid_for: Millis,
+}
 
 impl Policy {
-    pub(super) fn take(&mut self, event: &Event, actions: &mut Vec<Action>) {
+    /// Applies one event.
+    pub(super) fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List(change) => self.list(change),
+            Event::List(change) => self.apply_list_change(change),
             Event::Message(message) => self.admit(message, &AttemptHistory::default()),
-            Event::Recovered(message, past) => self.admit(message, past),
-            Event::Remembered { destination, route, outage } => self.recall(*destination, *route, *outage),
+            Event::Recovered(message, history) => self.admit(message, history),
+            Event::Remembered { destination, route, outage } => {
+                self.restore_outage(*destination, *route, *outage);
+            }
             Event::RetryAfter { destination, route, wait } => {
-                let Some(d) = self.destinations.get_mut(destination) else { return };
-                let throttle = d.scope(*route).map(|scope| d.throttle_of_mut(scope));
-                throttle
-                    .into_iter()
-                    .for_each(|throttle| throttle.wait_until = throttle.wait_until.max(self.now + wait));
+                self.apply_retry_after(*destination, *route, *wait);
             }
             Event::Capacity { destination, route, calls, wanted, lasts } => {
-                let Some(d) = self.destinations.get_mut(destination) else { return };
-                let Some(scope) = d.scope(*route) else { return };
-                let (need, throttle) = (d.need(scope, self.now), d.throttle_of_mut(scope));
-                let turn = (throttle.wait_until, throttle.draw_at);
-                throttle.room.all = *wanted;
-                throttle.draw_at = throttle.room.told(self.now, *calls, *lasts, need, turn);
+                let report =
+                    CapacityReport { calls_per_wanted: *calls, wanted_by_all: *wanted, valid_for: *lasts };
+                self.apply_capacity(*destination, *route, &report);
             }
-            Event::Permits { destination, route, turns } => {
-                let Some(d) = self.destinations.get_mut(destination) else { return };
-                let throttle = d.scope(*route).map(|scope| d.throttle_of_mut(scope));
-                let turn = |t: &Permit| (t.number, self.now + t.from, self.now + t.until);
-                let turns: Vec<_> = turns.iter().map(turn).collect();
-                throttle.into_iter().for_each(|throttle| throttle.room.deal(self.now, &turns));
+            Event::Permits { destination, route, turns } => self.apply_permits(*destination, *route, turns),
+            Event::EjectedReceivers(ejected) => self.apply_ejections(ejected),
+            Event::Quota { tenant, per_s } => self.quotas.set_share(*tenant, *per_s),
+            Event::Started { id, attempt } => self.apply_start_of_response(*id, *attempt),
+            Event::Outcome { id, attempt, outcome, retry_after, closed } => {
+                let result = AttemptResult {
+                    id: *id,
+                    attempt: *attempt,
+                    outcome: *outcome,
+                    retry_after: *retry_after,
+                    closed: *closed,
+                };
+                self.apply_result(&result, actions);
             }
-            Event::EjectedReceivers(judged) => {
-                let routes = self.destinations.values_mut().flat_map(|d| &mut d.routes);
-                routes.for_each(|r| r.judged = judged.contains(&r.id));
-            }
-            Event::Quota { tenant, per_s } => self.quotas.tell(*tenant, *per_s),
-            Event::Started { id, attempt } => {
-                let out = self.messages.get_mut(id).filter(|m| m.out.is_some_and(|out| out.0 == *attempt));
-                out.into_iter().for_each(|m| m.value.ends_at = f64::INFINITY);
-            }
-            Event::Outcome { .. } => self.outcome(event, actions),
-            Event::Dropped(id) => self.finish(*id),
-            Event::Wake(token) => self.wake_timer.rang(*token),
+            Event::Dropped(id) => self.complete(*id),
+            Event::Wake(token) => self.wake_timer.fired(*token),
             Event::HealthChecked { .. } => {}
         }
     }
+
+    /// Another process of this sender uses so many of its slots now.
+    pub fn share_slots(&mut self, used: usize) {
+        self.slots_used_by_peer = used;
+    }
+
+    /// From now on the host reports what other senders want.
+    pub fn hear_notes(&mut self) {
+        self.expects_capacity = true;
+    }
+
+    /// From now on the host hands out permits: no call starts without one.
+    pub fn keep_rights(&mut self) {
+        self.needs_permits = true;
+    }
+
+    /// The capacity of a limit before anything was reported of it.
+    pub(super) fn unreported_capacity(&self, limit: f64) -> CapacityShare {
+        let mut capacity = CapacityShare::default();
+        if self.expects_capacity {
+            capacity = CapacityShare::unheard(self.now, limit, self.settings.peers_total);
+        }
+        if self.needs_permits {
+            capacity = capacity.strict();
+        }
+        capacity
+    }
+
+    fn throttle_at(&mut self, destination: DestinationId, route: Option<RouteId>) -> Option<&mut Throttle> {
+        let destination = self.destinations.get_mut(&destination)?;
+        let scope = destination.throttle_scope(route)?;
+        Some(destination.throttle_of_mut(scope))
+    }
+
+    fn apply_retry_after(&mut self, destination: DestinationId, route: Option<RouteId>, wait: Millis) {
+        let until = self.now + wait;
+        if let Some(throttle) = self.throttle_at(destination, route) {
+            throttle.retry_after_until = throttle.retry_after_until.max(until);
+        }
+    }
+
+    fn apply_capacity(&mut self, id: DestinationId, route: Option<RouteId>, report: &CapacityReport) {
+        let Some(destination) = self.destinations.get_mut(&id) else { return };
+        let Some(scope) = destination.throttle_scope(route) else { return };
+        let demand = destination.demand(scope, self.now);
+        let throttle = destination.throttle_of_mut(scope);
+        throttle.capacity.all = report.wanted_by_all;
+        throttle.next_draw_at = throttle.capacity.told(
+            self.now,
+            report.calls_per_wanted,
+            report.valid_for,
+            (demand.wanted, demand.limit),
+            (throttle.retry_after_until, throttle.next_draw_at),
+        );
+    }
+
+    fn apply_permits(&mut self, destination: DestinationId, route: Option<RouteId>, permits: &[Permit]) {
+        let now = self.now;
+        let Some(throttle) = self.throttle_at(destination, route) else { return };
+        let permits: Vec<(u64, Millis, Millis)> =
+            permits.iter().map(|permit| (permit.number, now + permit.from, now + permit.until)).collect();
+        throttle.capacity.deal(now, &permits);
+    }
+
+    fn apply_ejections(&mut self, ejected: &[RouteId]) {
+        for destination in self.destinations.values_mut() {
+            for route in &mut destination.routes {
+                route.ejected = ejected.contains(&route.id);
+            }
+        }
+    }
+
+    /// A response that has begun to stream is the client's: the message no longer runs out of time.
+    fn apply_start_of_response(&mut self, id: MessageHandle, attempt: u32) {
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        if message.in_flight.is_some_and(|in_flight| in_flight.attempt == attempt) {
+            message.weight.expires_at = f64::INFINITY;
+        }
+    }
 }
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -1,126 +1,61 @@
-//! What came of attempts.
+//! Decides what the outcome of an attempt means for its message, for the call's throttle and for its route.
 
-use super::*;
-
-/// Growth of the pace for an accepted call while messages wait, as a share of the whole rate. More senders
-/// than a few share it at a new gate and after a refusal, or all of them grow into the same room.
-const PACE_GAIN: f64 = 0.007;
-/// The pace never falls below this share of the gate's fair part.
-const PACE_FLOOR: f64 = 0.8;
+use super::Policy;
+use super::scope::Scope;
+use super::settlement::AttemptResult;
+use super::state::Destination;
+use crate::interface::{Action, Effect, Millis, Outcome};
 
 impl Policy {
-    pub(super) fn outcome(&mut self, event: &Event, actions: &mut Vec<Action>) {
-        let &Event::Outcome { id, attempt, outcome, retry_after, closed } = event else { return };
-        let Some(m) = self.messages.get_mut(&id) else { return };
-        let Some((_, call)) = m.out.take_if(|out| out.0 == attempt) else { return };
-        let to = m.destination;
-        let ran = self.settle(to, call, outcome, retry_after);
-        self.remember(to, actions);
-        let Some(m) = self.messages.get_mut(&id) else { return };
-        if outcome == Outcome::AttemptsExhausted {
-            m.attempts = self.settings.max_attempts;
-        }
-        if outcome.possibly_executed() && outcome != Outcome::Ok {
-            m.possibly_executed = m.possibly_executed.or(ran);
-            // Its key rests while the attempt may still be running.
-            let running = outcome != Outcome::Error;
-            if running {
-                self.turns.rest(m.key, id, self.now + self.settings.ordering_key_pause);
-            }
-        }
-        let unsafe_ran = m.possibly_executed.is_some()
-            && self.settings.classes[m.value.class].effect == Effect::NotIdempotent;
-        if closed || m.over || outcome == Outcome::Ok {
-            self.finish(id);
-        } else if unsafe_ran || m.value.ends_at <= self.now {
-            self.end(id, 0.0, actions);
+    /// Decides whether the message of a result waits for a retry, or is completed.
+    pub(super) fn retry_or_complete(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
+        let Some(message) = self.messages.get(&result.id) else { return };
+        let effect = self.settings.classes[message.weight.class].effect;
+        let must_not_retry = message.possibly_executed.is_some() && effect == Effect::NotIdempotent;
+        if result.closed || message.completed || result.outcome == Outcome::Ok {
+            self.complete(result.id);
+        } else if must_not_retry || message.weight.expires_at <= self.now {
+            self.refuse_or_fail(result.id, 0.0, actions);
         } else {
-            self.park(id);
+            self.park(result.id);
         }
     }
 
-    /// The call's share in an outcome: its slot, the wait told, and what its first outcome tells.
-    fn settle(
-        &mut self,
-        to: DestinationId,
-        call: u64,
-        outcome: Outcome,
-        wait: Millis,
-    ) -> Option<ExecutionMark> {
-        let mut d = std::mem::take(self.destinations.get_mut(&to)?);
-        let mut ran = None;
-        let of = d.calls.get(call).map(|call| (call.route, call.sent_at, call.limited));
-        if let Some((id, sent_at, limited)) = of
-            && let Some(route) = d.routes.iter().position(|r| r.id == id)
-        {
-            ran = Some((sent_at, id, d.routes[route].zone));
-            if outcome == Outcome::Rejected && wait > 0.0 {
-                // Each message of a call may bring the wait in a batch of its own: the last one counts. What
-                // was saved up is not sent at its end: others wait for the same moment.
-                let (again, shared) = (self.now + wait, d.shared_pace(Scope::Route(route), self.now));
-                let throttle = d.throttle_mut(route);
-                let times = f64::from(throttle.turned.0 + 1).min(self.sharers());
-                let mean = 500.0 * times / throttle.pace.max(throttle.start);
-                let pause = self.rng.pause(shared.map_or(mean, |pace| throttle.room.turn(pace)));
-                throttle.wait_until = throttle.wait_until.max(again);
-                throttle.draw_at = throttle.draw_at.max(again + pause);
-            }
-            if outcome == Outcome::Ok {
-                d.calls.pass(id, sent_at);
-            }
-            let (first, last) = d.calls.settle(call);
-            d.routes[route].out -= usize::from(last);
-            self.calls_out -= usize::from(last);
-            if first && !matches!(outcome, Outcome::NotSent | Outcome::AttemptsExhausted | Outcome::Cancelled)
-            {
-                if outcome == Outcome::Ok && (limited || !d.waiting.is_empty()) {
-                    let throttle = d.throttle_mut(route);
-                    let alone = ((self.now - throttle.cut_at) / REACH.long).min(1.0);
-                    let gain = PACE_GAIN
-                        * throttle.time_scale
-                        * self.settings.rough()
-                        * self.sharers().powf(alone - 1.0);
-                    throttle.pace = (throttle.pace + gain * throttle.told).min(throttle.told);
-                }
-                self.judge(&mut d, route, sent_at, outcome, wait);
-            }
-        }
-        self.destinations.insert(to, d);
-        ran
+    /// Backs off until a Retry-After is over and then for a random pause, as others wait for the same moment.
+    /// Each message of a call may bring it in a batch of its own: the last one counts.
+    pub(super) fn back_off(&mut self, destination: &mut Destination, index: usize, retry_after: Millis) {
+        let until = self.now + retry_after;
+        let fleet_pace = destination.fleet_pace(Scope::Route(index), self.now);
+        let fleet_scale = self.fleet_scale();
+        let throttle = destination.throttle_mut(index);
+        let rejections = f64::from(throttle.rejections.count + 1).min(fleet_scale);
+        let mean_pause = match fleet_pace {
+            Some(pace) => throttle.capacity.turn(pace),
+            None => 500.0 * rejections / throttle.pace.max(throttle.initial_pace),
+        };
+        let pause = self.rng.pause(mean_pause);
+        throttle.retry_after_until = throttle.retry_after_until.max(until);
+        throttle.next_draw_at = throttle.next_draw_at.max(until + pause);
     }
 
-    /// What a call's outcome tells of its gate and its route.
-    fn judge(&mut self, d: &mut Destination, index: usize, sent_at: Millis, outcome: Outcome, wait: Millis) {
-        let (now, fair) = (self.now, d.throttle(index).told / self.settings.peers_total as f64);
-        let accept = matches!(outcome, Outcome::Ok | Outcome::Error);
-        let throttle = d.throttle_mut(index);
-        throttle.window.count(now, 1.0, f64::from(u8::from(accept)));
-        if outcome == Outcome::Rejected {
-            throttle.room.refused();
-            throttle.cut(now, fair * PACE_FLOOR);
-        }
-        throttle.room.failed += u64::from(!matches!(outcome, Outcome::Ok | Outcome::Rejected));
-        let shut = throttle.tells_of_outage(now, outcome, wait);
-        self.note(d, index, sent_at, outcome, shut);
-        for scope in d.scopes(index) {
-            let health = d.health(scope);
-            let tells = match outcome {
-                // Good answers among errors do not warm it.
-                Outcome::Ok => health.is_cold() && health.errs(),
-                Outcome::Rejected => shut || health.is_down(),
-                _ => true,
-            };
-            if !shut && !health.concerns(sent_at) {
-                break;
-            }
-            if tells && self.fails(d, scope, shut) {
-                // What concerns all routes of a gate is not laid to each of them.
-                break;
+    /// Counts a result at its throttle; whether it shows an outage by itself.
+    pub(super) fn record_at_throttle(
+        &mut self,
+        destination: &mut Destination,
+        index: usize,
+        result: &AttemptResult,
+    ) -> bool {
+        let throttle = destination.throttle_mut(index);
+        let accepted = matches!(result.outcome, Outcome::Ok | Outcome::Error);
+        throttle.window.count(self.now, 1.0, if accepted { 1.0 } else { 0.0 });
+        match result.outcome {
+            Outcome::Ok => {}
+            Outcome::Rejected => {
+                throttle.capacity.refused();
+                self.cut_pace(throttle);
             }
+            _ => throttle.capacity.failed += 1,
         }
-        if outcome == Outcome::Ok {
-            let throttle = d.throttle_mut(index);
-            throttle.latency.took(now - sent_at);
-        }
+        throttle.shows_outage(self.now, result.outcome, result.retry_after)
     }
 }
--- a/crates/policy/src/policy/scope.rs
+++ b/crates/policy/src/policy/scope.rs
@@ -1,64 +1,103 @@
-//! Which gate and whose health stand for a route, or for all that share a limit. No decision.
+//! Which throttle and which circuit breaker stand for a route, or for all routes that share a limit. No decision.
 
-use super::{Destination, Throttle};
-use crate::health::Health;
-use crate::interface::RouteId;
+use super::state::{Destination, Throttle};
+use crate::circuit_breaker::CircuitBreaker;
+use crate::interface::{Listing, RouteId};
 
-/// Whose health: a route's own, or that of all routes of a shared gate.
+/// What a throttle or a circuit breaker covers: one route, or all routes of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Scope {
+    /// One route, by its index in the destination.
     Route(usize),
+    /// All routes of the destination.
     All,
 }
 
 impl Destination {
+    /// The throttle that a route's calls are counted at.
     pub(super) fn throttle(&self, route: usize) -> &Throttle {
-        if self.apart { &self.routes[route].throttle } else { &self.shared }
+        if self.routes_apart { &self.routes[route].throttle } else { &self.shared_throttle }
     }
 
+    /// [`Destination::throttle`], mutably.
     pub(super) fn throttle_mut(&mut self, route: usize) -> &mut Throttle {
-        if self.apart { &mut self.routes[route].throttle } else { &mut self.shared }
+        if self.routes_apart { &mut self.routes[route].throttle } else { &mut self.shared_throttle }
     }
 
-    /// Whose health counts for a route, the widest first.
-    pub(super) fn scopes(&self, route: usize) -> impl Iterator<Item = Scope> + use<> {
-        (!self.apart).then_some(Scope::All).into_iter().chain([Scope::Route(route)])
+    /// The scopes whose circuit breakers cover a route, the widest first.
+    pub(super) fn breaker_scopes(&self, route: usize) -> impl Iterator<Item = Scope> + use<> {
+        let shared = (!self.routes_apart).then_some(Scope::All);
+        shared.into_iter().chain([Scope::Route(route)])
     }
 
-    /// All that have a gate of their own.
-    pub(super) fn throttles(&self) -> impl Iterator<Item = Scope> + use<> {
-        let routes = if self.apart { self.routes.len() } else { 0 };
-        (!self.apart).then_some(Scope::All).into_iter().chain((0..routes).map(Scope::Route))
+    /// The scopes that have a circuit breaker, the widest first.
+    pub(super) fn all_breaker_scopes(&self) -> impl Iterator<Item = Scope> + use<> {
+        let shared = (!self.routes_apart).then_some(Scope::All);
+        shared.into_iter().chain((0..self.routes.len()).map(Scope::Route))
     }
 
-    /// The gate of a route, or of all where that is not apart.
-    pub(super) fn scope(&self, route: Option<RouteId>) -> Option<Scope> {
-        let index = self.routes.iter().position(|r| Some(r.id) == route);
-        if self.apart { index.map(Scope::Route) } else { Some(Scope::All) }
+    /// The scopes that have a throttle of their own.
+    pub(super) fn throttle_scopes(&self) -> impl Iterator<Item = Scope> + use<> {
+        let shared = (!self.routes_apart).then_some(Scope::All);
+        let routes = if self.routes_apart { self.routes.len() } else { 0 };
+        shared.into_iter().chain((0..routes).map(Scope::Route))
     }
 
-    pub(super) fn name(&self, scope: Scope) -> Option<RouteId> {
-        if let Scope::Route(index) = scope { Some(self.routes[index].id) } else { None }
+    /// The scope of the throttle of a named route, or of all routes where they share one.
+    pub(super) fn throttle_scope(&self, route: Option<RouteId>) -> Option<Scope> {
+        if !self.routes_apart {
+            return Some(Scope::All);
+        }
+        self.route_index(route?).map(Scope::Route)
+    }
+
+    /// The index of a route.
+    pub(super) fn route_index(&self, route: RouteId) -> Option<usize> {
+        self.routes.iter().position(|candidate| candidate.id == route)
     }
 
-    pub(super) fn health(&self, scope: Scope) -> &Health {
-        if let Scope::Route(index) = scope {
-            &self.routes[index].throttle.health
-        } else {
-            &self.shared.health
+    /// The indices of the routes that the list says may be sent to.
+    pub(super) fn ready_routes(&self) -> impl Iterator<Item = usize> {
+        (0..self.routes.len()).filter(|&index| self.routes[index].listing == Listing::Ready)
+    }
+
+    /// The route that a scope covers; none for all routes.
+    pub(super) fn route_of(&self, scope: Scope) -> Option<RouteId> {
+        match scope {
+            Scope::Route(index) => Some(self.routes[index].id),
+            Scope::All => None,
         }
     }
 
-    pub(super) fn health_mut(&mut self, scope: Scope) -> &mut Health {
-        let Scope::Route(index) = scope else { return &mut self.shared.health };
-        &mut self.routes[index].throttle.health
+    /// The circuit breaker of a scope.
+    pub(super) fn breaker(&self, scope: Scope) -> &CircuitBreaker {
+        match scope {
+            Scope::Route(index) => &self.routes[index].throttle.breaker,
+            Scope::All => &self.shared_throttle.breaker,
+        }
     }
 
+    /// [`Destination::breaker`], mutably.
+    pub(super) fn breaker_mut(&mut self, scope: Scope) -> &mut CircuitBreaker {
+        match scope {
+            Scope::Route(index) => &mut self.routes[index].throttle.breaker,
+            Scope::All => &mut self.shared_throttle.breaker,
+        }
+    }
+
+    /// The throttle that a scope's calls are counted at.
     pub(super) fn throttle_of(&self, scope: Scope) -> &Throttle {
-        if let Scope::Route(index) = scope { self.throttle(index) } else { &self.shared }
+        match scope {
+            Scope::Route(index) => self.throttle(index),
+            Scope::All => &self.shared_throttle,
+        }
     }
 
+    /// [`Destination::throttle_of`], mutably.
     pub(super) fn throttle_of_mut(&mut self, scope: Scope) -> &mut Throttle {
-        if let Scope::Route(index) = scope { self.throttle_mut(index) } else { &mut self.shared }
+        match scope {
+            Scope::Route(index) => self.throttle_mut(index),
+            Scope::All => &mut self.shared_throttle,
+        }
     }
 }
--- a/crates/policy/src/priority_weight.rs
+++ b/crates/policy/src/priority_weight.rs
@@ -1,32 +1,35 @@
-//! What a message is worth as time goes by, as the settings have it. No decision.
+//! The value of a message as time goes by, as the settings define it. No decision.
 
 use crate::interface::{LateDecay, Millis, Settings};
 
-/// What one message earns, and by when.
+/// What the value of one message depends on.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PriorityWeight {
+    /// Index of its class.
     pub class: usize,
-    /// Within its aim.
-    pub whole: f64,
-    pub aim_at: Millis,
-    pub ends_at: Millis,
+    /// The value of a delivery within the latency objective.
+    pub value: f64,
+    pub objective_at: Millis,
+    pub expires_at: Millis,
 }
 
 impl Settings {
-    /// What it earns if it is delivered at `at`.
-    pub(crate) fn earns(&self, value: &PriorityWeight, at: Millis) -> f64 {
-        let &PriorityWeight { class, whole, aim_at, ends_at } = value;
-        if at > ends_at {
+    /// The value of a delivery at `at`.
+    pub(crate) fn value_at(&self, weight: &PriorityWeight, at: Millis) -> f64 {
+        if at > weight.expires_at {
             return 0.0;
         }
-        if at <= aim_at {
-            return whole;
+        if at <= weight.objective_at {
+            return weight.value;
         }
-        let (class, late) = (&self.classes[class], at - aim_at);
-        whole
-            * match self.late_decay {
-                LateDecay::Linear => 1.0 - (1.0 - class.late_value) * late / (ends_at - aim_at),
-                LateDecay::Halving => 0.5f64.powf(late / class.latency_objective).max(class.late_value),
+        let class = &self.classes[weight.class];
+        let late = at - weight.objective_at;
+        let share_left = match self.late_decay {
+            LateDecay::Linear => {
+                1.0 - (1.0 - class.late_value) * late / (weight.expires_at - weight.objective_at)
             }
+            LateDecay::Halving => 0.5f64.powf(late / class.latency_objective).max(class.late_value),
+        };
+        weight.value * share_left
     }
 }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,52 +1,81 @@
-//! Whether a message is within its tenant's share of what this sender is handed.
+//! Decides whether a message is within its tenant's share of what this sender is given.
 
-use crate::interface::{Millis, Settings};
+use crate::interface::{Millis, Settings, Tenant};
 
-/// A tenant's burst within its share, in ms of its quota, and in messages at least.
+/// A tenant's burst within its quota, in ms of that quota.
 const BURST: Millis = 2_000.0;
-const LEAST: f64 = 4.0;
+/// A tenant's least burst, in messages.
+const MIN_BURST: f64 = 4.0;
+/// The time over which arrivals are averaged is this at the least, ms.
+const MIN_ARRIVAL_SPAN: Millis = 1_000.0;
 
-/// Messages left within its share for each tenant, and as of when.
+/// A token bucket for each tenant.
 #[derive(Debug)]
 pub(crate) struct Quotas {
-    left: Vec<(f64, Millis)>,
-    /// Messages a second that the fleet's counts leave of each quota to this sender, where they tell.
-    told: Vec<Option<f64>>,
+    buckets: Vec<TokenBucket>,
     /// Messages of all tenants so far.
-    taken: f64,
+    arrivals: f64,
+}
+
+/// What is left of a tenant's quota at this sender.
+#[derive(Clone, Copy, Debug)]
+struct TokenBucket {
+    /// Messages left within the quota.
+    tokens: f64,
+    refilled_at: Millis,
+    /// Messages per second that the fleet's counts leave to this sender, where they are known.
+    reported_per_s: Option<f64>,
 }
 
 impl Quotas {
+    /// Quotas of which nothing is used.
     pub fn new(tenants: usize) -> Self {
-        Self { left: vec![(f64::INFINITY, 0.0); tenants], told: vec![None; tenants], taken: 0.0 }
+        let full = TokenBucket { tokens: f64::INFINITY, refilled_at: 0.0, reported_per_s: None };
+        Self { buckets: vec![full; tenants], arrivals: 0.0 }
     }
 
-    /// What of a tenant's quota over all senders is this sender's; nothing where no word of others has come.
-    pub fn tell(&mut self, tenant: usize, per_s: Option<f64>) {
-        if let Some(told) = self.told.get_mut(tenant) {
-            *told = per_s;
+    /// Sets this sender's share of a tenant's quota, in messages per second; none where nothing is known of others.
+    pub fn set_share(&mut self, tenant: usize, per_s: Option<f64>) {
+        if let Some(bucket) = self.buckets.get_mut(tenant) {
+            bucket.reported_per_s = per_s;
         }
     }
 
-    /// A message of this tenant has come: whether it is within its share. One of no tenant is.
-    pub fn takes(&mut self, now: Millis, settings: &Settings, tenant: usize) -> bool {
-        self.taken += 1.0;
-        let (Some(of), Some(share)) = (settings.tenants.get(tenant), self.left.get_mut(tenant)) else {
-            return true;
+    /// Counts a message of this tenant; whether it is within the quota. A message of no tenant is.
+    pub fn admits(&mut self, now: Millis, settings: &Settings, tenant: usize) -> bool {
+        self.arrivals += 1.0;
+        let Some(settings_of_tenant) = settings.tenants.get(tenant) else { return true };
+        let Some(bucket) = self.buckets.get_mut(tenant) else { return true };
+        let per_ms = match bucket.reported_per_s {
+            Some(per_s) => per_s / 1_000.0,
+            None => assumed_quota(now, settings, settings_of_tenant, self.arrivals),
         };
-        let all: f64 = settings.tenants.iter().map(|t| t.quota_per_s).sum();
-        let mut quota = of.quota_per_s / settings.peers_total as f64 / 1_000.0;
-        if let Some(per_s) = self.told[tenant] {
-            quota = per_s / 1_000.0;
-        } else if quota * BURST < LEAST {
-            // Departure (an equal part is few messages): its share of what comes here, if that is more.
-            quota = quota.max(of.quota_per_s / all * self.taken / now.max(1_000.0));
+        bucket.take(now, per_ms)
+    }
+}
+
+/// This sender's assumed part of a tenant's quota, in messages per ms: an equal one.
+fn assumed_quota(now: Millis, settings: &Settings, tenant: &Tenant, arrivals: f64) -> f64 {
+    let equal_part = tenant.quota_per_s / settings.peers_total as f64 / 1_000.0;
+    if equal_part * BURST >= MIN_BURST {
+        return equal_part;
+    }
+    // Departure (an equal part is few messages): the tenant's share of what arrives here, if that is more.
+    let all_quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
+    equal_part.max(tenant.quota_per_s / all_quotas * arrivals / now.max(MIN_ARRIVAL_SPAN))
+}
+
+impl TokenBucket {
+    /// Refills the bucket, and takes a token out if there is one.
+    fn take(&mut self, now: Millis, per_ms: f64) -> bool {
+        let capacity = (per_ms * BURST).max(MIN_BURST);
+        self.tokens = (self.tokens + (now - self.refilled_at) * per_ms).min(capacity);
+        self.refilled_at = now;
+        let admits = self.tokens >= 1.0;
+        if admits {
+            self.tokens -= 1.0;
         }
-        let most = (quota * BURST).max(LEAST);
-        let left = (share.0 + (now - share.1) * quota).min(most);
-        let within = left >= 1.0;
-        *share = (if within { left - 1.0 } else { left }, now);
-        within
+        admits
     }
 }
 
--- a/crates/policy/src/quota/tests.rs
+++ b/crates/policy/src/quota/tests.rs
@@ -1,4 +1,4 @@
-//! Tests. No decision.
+//! Tests of the tenant quotas. No decision.
 
 use super::*;
 use crate::interface::*;
@@ -16,16 +16,16 @@
 fn a_share_that_the_fleets_counts_tell_of_goes_before_an_equal_part() {
     let settings = settings();
     let mut quotas = Quotas::new(2);
-    quotas.tell(0, Some(90.0));
+    quotas.set_share(0, Some(90.0));
     let within = |quotas: &mut Quotas, tenant| {
-        let all = (0..2_000).map(|n| quotas.takes(1e6 + f64::from(n) * 10.0, &settings, tenant));
+        let all = (0..2_000).map(|n| quotas.admits(1e6 + f64::from(n) * 10.0, &settings, tenant));
         all.filter(|within| *within).count()
     };
     // Twenty seconds of a hundred a second, and a burst of two.
     assert_eq!(within(&mut quotas, 0), 1_979);
     let alone = within(&mut quotas, 1);
     assert!((200..=230).contains(&alone), "{alone}");
-    quotas.tell(0, None);
-    quotas.tell(7, Some(1.0));
+    quotas.set_share(0, None);
+    quotas.set_share(7, Some(1.0));
     assert!(within(&mut quotas, 0) < 400);
 }
--- a/crates/policy/src/rng.rs
+++ b/crates/policy/src/rng.rs
@@ -1,29 +1,32 @@
-//! Chance, from a seed. No decision.
+//! Random draws from a seed. No decision.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
 use crate::interface::Millis;
 
-/// A pause is drawn evenly between these multiples of its mean.
-const SPREAD: (f64, f64) = (0.6, 1.4);
+/// A pause is this multiple of its mean at the least,
+const MIN_PAUSE: f64 = 0.6;
+/// and this one at the most.
+const MAX_PAUSE: f64 = 1.4;
 
-/// Draws, the same for a seed each time.
+/// A generator whose draws are the same for the same seed.
 #[derive(Debug)]
 pub(crate) struct Rng(ChaCha8Rng);
 
 impl Rng {
+    /// A generator of its own for each seed.
     pub fn new(seed: u64) -> Self {
         Self(ChaCha8Rng::seed_from_u64(seed))
     }
 
-    /// From 0 up to 1, evenly.
+    /// A number from 0 up to 1, evenly distributed.
     pub fn unit(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A pause with such a mean.
+    /// A pause with this mean, evenly distributed around it.
     pub fn pause(&mut self, mean: Millis) -> Millis {
-        mean * (SPREAD.0 + (SPREAD.1 - SPREAD.0) * self.unit())
+        mean * (MIN_PAUSE + (MAX_PAUSE - MIN_PAUSE) * self.unit())
     }
 }
