--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use rudderspindle_journal::Store;
-use rudderspindle_policy::Sender;
+use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{Event, ListChange, MessageHandle, Settings, SettingsError};
 use rudderspindle_policy::settings::Names;
 use tokio::sync::mpsc;
@@ -56,7 +56,7 @@
 
 /// The engine of one sender process.
 pub struct Engine {
-    policy: Sender,
+    policy: Policy,
     settings: Settings,
     names: Names,
     store: Store,
--- a/crates/sender/src/engine/dependencies.rs
+++ b/crates/sender/src/engine/dependencies.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use rudderspindle_journal::Store;
-use rudderspindle_policy::Sender;
+use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{Settings, SettingsError};
 use rudderspindle_policy::settings::Names;
 use tokio::sync::mpsc;
@@ -71,8 +71,8 @@
     /// # Errors
     ///
     /// [`SettingsError`] if the settings contradict each other.
-    pub(super) fn build(&self) -> Result<Sender, SettingsError> {
-        let mut policy = Sender::new(self.settings.clone(), self.seed)?;
+    pub(super) fn build(&self) -> Result<Policy, SettingsError> {
+        let mut policy = Policy::new(self.settings.clone(), self.seed)?;
         match self.limit_sharing {
             LimitSharing::Equal => {}
             LimitSharing::Demand => policy.hear_notes(),
