--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -15,7 +15,7 @@
 use crate::envelope::{Kind, open, read};
 use crate::membership::{Incarnation, IncarnationOrder, MembershipList};
 use crate::outlier_detection::{OutlierDetector, Receiver};
-use crate::tenant_usage::{EPOCH, Interval, TenantUsage, part};
+use crate::tenant_usage::{EPOCH, LocalSender, RegisterKey, TenantUsage, quota_share};
 pub use error::FleetViewError;
 use message::{Aged, Ejection, Report, View, epoch_of};
 
@@ -38,12 +38,18 @@
 /// The tables of one sender, and what to tell whom. Beyond what its parts hold: whom to answer, for three rounds at most.
 ///
 /// ```
-/// use rudderspindle_gossip::{Class, Incarnation, Kind, DatagramBudget, FleetView};
-/// let views = |me| FleetView::new(me, vec![0, 0], Incarnation(1), 0, 100).expect("one of the tier");
+/// use rudderspindle_gossip::{Class, Incarnation, Kind, DatagramBudget, FleetView, LocalSender};
+/// let local = |number| LocalSender {
+///     number,
+///     incarnation: Incarnation(1),
+///     complete_from: 0,
+///     max_messages_per_second: 100,
+/// };
+/// let views = |number| FleetView::new(local(number), vec![0, 0]).expect("one of the tier");
 /// let (mut a, mut b) = (views(0), views(1));
 /// let post = || DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
 /// let (mut post_a, mut post_b) = (post(), post());
-/// a.counts().handed_in(10_000, 7);
+/// a.counts().record_message(10_000, 7);
 /// for now in (10_000..14_000).step_by(100) {
 ///     for (_, note) in a.notes_due(now, &mut post_a) {
 ///         b.hear(now, 0, &note).expect("a note");
@@ -53,7 +59,7 @@
 ///     }
 /// }
 /// let read = b.counts().read(14_000, 7, 1);
-/// assert_eq!((read.least, read.most, read.heard), (1, 1, 2));
+/// assert_eq!((read.min, read.max, read.senders), (1, 1, 2));
 /// ```
 #[derive(Clone, Debug)]
 pub struct FleetView {
@@ -83,13 +89,8 @@
     /// # Errors
     ///
     /// [`FleetViewError::TooMany`], and [`FleetViewError::UnknownSender`] if `me` is none of the tier.
-    pub fn new(
-        me: usize,
-        halls: Vec<u16>,
-        incarnation: Incarnation,
-        whole_from: u64,
-        most_per_s: u32,
-    ) -> Result<Self, FleetViewError> {
+    pub fn new(local: LocalSender, halls: Vec<u16>) -> Result<Self, FleetViewError> {
+        let me = local.number;
         let senders = halls.len();
         if senders > MAX_SENDERS {
             return Err(FleetViewError::TooMany(senders));
@@ -100,9 +101,9 @@
         let heard_in_hall = halls.iter().filter(|hall| **hall == halls[me]).count();
         Ok(Self {
             me,
-            incarnation,
+            incarnation: local.incarnation,
             members: MembershipList::new(senders),
-            counts: TenantUsage::new(me, senders, incarnation, whole_from, most_per_s),
+            counts: TenantUsage::new(local, senders),
             judgements: OutlierDetector::new(me, halls.clone()),
             halls,
             round: None,
@@ -119,7 +120,7 @@
         &self.members
     }
 
-    /// What tenants hand in; [`TenantUsage::handed_in`] is told of each message.
+    /// What tenants hand in; [`TenantUsage::record_message`] is told of each message.
     pub fn counts(&mut self) -> &mut TenantUsage {
         &mut self.counts
     }
@@ -132,10 +133,10 @@
     /// Messages a second that this sender may let in of a tenant's quota of the whole fleet; nothing if no word of others
     /// has come lately: then it goes on as alone. It is asked a few times a second, as it changes no faster.
     pub fn room(&self, now: u64, tenant: u16, quota_per_s: f64) -> Option<f64> {
-        let all: Interval = self.counts.read(now, tenant, READ);
-        all.at.filter(|at| at.saturating_add(STALE) > now)?;
+        let all = self.counts.read(now, tenant, READ);
+        all.newest_epoch_end.filter(|at| at.saturating_add(STALE) > now)?;
         let own = self.counts.read_own(now, tenant, READ);
-        Some(quota_per_s * part(own, &all, self.halls.len()))
+        Some(quota_per_s * quota_share(own, &all, self.halls.len()))
     }
 
     /// Which of a partner's receivers are not to be called by others' judgement.
@@ -213,7 +214,12 @@
         let incarnation = self.admit(now, from, report.incarnation)?;
         for told in report.registers {
             if let Some(epoch) = epoch_of(report.round, told.back) {
-                self.counts.hear(now, from, incarnation, epoch, &told.register());
+                self.counts.merge_register(
+                    now,
+                    RegisterKey { sender: from, incarnation },
+                    epoch,
+                    &told.register(),
+                );
             }
         }
         let words: Vec<_> =
@@ -230,7 +236,7 @@
         self.admit(now, from, view.incarnation)?;
         for told in &view.panes {
             if let Some(epoch) = epoch_of(view.round, told.back) {
-                self.counts.hear_pane(now, from, epoch, &told.pane);
+                self.counts.merge_slice(now, from, epoch, &told.pane);
             }
         }
         let mut words = Vec::new();
--- a/crates/gossip/src/fleet_view/message.rs
+++ b/crates/gossip/src/fleet_view/message.rs
@@ -4,7 +4,7 @@
 
 use crate::envelope::{EnvelopeError, Kind, MAX_BODY_LEN, bounded, seal};
 use crate::outlier_detection::{MOST_TOLD, Receiver, Word};
-use crate::tenant_usage::{EPOCH, MOST_LISTED, Register, WindowSlice};
+use crate::tenant_usage::{EPOCH, MAX_LISTED_TENANTS, Register, TenantTotal, WindowSlice};
 
 /// Epochs of which a report tells, so that two lost ones are made up for.
 pub(super) const MOST_REGISTERS: usize = 3;
@@ -49,8 +49,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct AnnouncedRegister {
     pub back: u8,
-    #[serde(deserialize_with = "bounded::<MOST_LISTED, _, _>")]
-    totals: Vec<(u16, u32)>,
+    #[serde(deserialize_with = "bounded::<MAX_LISTED_TENANTS, _, _>")]
+    totals: Vec<TenantTotal>,
     rest: u32,
     partial: bool,
 }
@@ -58,12 +58,14 @@
 impl AnnouncedRegister {
     pub fn new(back: u8, register: Register) -> Self {
         let Register { totals, rest, partial } = register;
-        Self { back, totals: totals.into_iter().collect(), rest, partial }
+        let totals = totals.into_iter().map(|(tenant, messages)| TenantTotal { tenant, messages });
+        Self { back, totals: totals.collect(), rest, partial }
     }
 
     /// Of a tenant that is told of twice the last word counts.
     pub fn register(self) -> Register {
-        Register { totals: self.totals.into_iter().collect(), rest: self.rest, partial: self.partial }
+        let totals = self.totals.into_iter().map(|total| (total.tenant, total.messages));
+        Register { totals: totals.collect(), rest: self.rest, partial: self.partial }
     }
 }
 
@@ -124,14 +126,14 @@
     /// the fewest judges, then the other tenants.
     pub fn encode(mut self) -> Result<Vec<u8>, EnvelopeError> {
         while too_long(&self) {
-            let tenants = self.panes.first().map_or(0, |told| told.pane.tenants());
+            let tenants = self.panes.first().map_or(0, |told| told.pane.listed_tenants());
             if self.panes.len() > 1 || (tenants == 0 && self.words.is_empty()) {
                 if self.panes.pop().is_none() {
                     break;
                 }
-            } else if tenants > MOST_LISTED / 2 || self.words.is_empty() {
+            } else if tenants > MAX_LISTED_TENANTS / 2 || self.words.is_empty() {
                 self.panes.iter_mut().for_each(|told| {
-                    told.pane.drop_least();
+                    told.pane.drop_smallest_total();
                 });
             } else {
                 self.words.pop();
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -8,7 +8,9 @@
 const ROUND: u64 = 1_700_000_000;
 
 fn told_register(back: u8, totals: &[(u16, u32)]) -> AnnouncedRegister {
-    AnnouncedRegister { back, totals: totals.to_vec(), rest: 9, partial: back == 1 }
+    let total = |&(tenant, messages): &(u16, u32)| TenantTotal { tenant, messages };
+    let totals = totals.iter().map(total).collect();
+    AnnouncedRegister { back, totals, rest: 9, partial: back == 1 }
 }
 
 fn aged(ago: u8, back: bool) -> Aged {
@@ -39,7 +41,7 @@
     };
     let [a, b, c] = [register(513, 70_000, 2, false), register(8, 5, 4, false), register(9, 3, 0, false)];
     let d = register(513, more, 1, true);
-    WindowSlice::of(&[(0, &a), (3, &b), (8, &c), (5, &d)], 9)
+    WindowSlice::sum(&[(0, &a), (3, &b), (8, &c), (5, &d)], 9)
 }
 
 fn view() -> View {
@@ -88,7 +90,7 @@
     assert_eq!(long.encode().expect("it fits"), datagram(FILE, "report-without-room"));
     let register = Register { totals: totals.into_iter().collect(), rest: 9, partial: false };
     let of_many: Vec<(usize, &Register)> = (0..300).map(|n| (n, &register)).collect();
-    let told = |back| AnnouncedWindowSlice { back, pane: WindowSlice::of(&of_many, 512) };
+    let told = |back| AnnouncedWindowSlice { back, pane: WindowSlice::sum(&of_many, 512) };
     let judges: Vec<(u16, Aged)> = (300..304).map(|judge| (judge, aged(9, false))).collect();
     let judged = |n| Ejection { receiver: Receiver::of(n, "receiver"), judges: judges.clone() };
     let panes = (0..3).map(told).collect();
--- a/crates/gossip/src/fleet_view/tell.rs
+++ b/crates/gossip/src/fleet_view/tell.rs
@@ -28,7 +28,7 @@
         if self.viewed + 1 < round {
             return;
         }
-        let mut heard = self.counts.heard(now);
+        let mut heard = self.counts.known_senders(now);
         heard.extend((0..self.halls.len()).filter(|n| self.members.is_alive(*n, now)));
         heard.insert(self.me);
         let hall = self.halls.get(self.me);
@@ -37,7 +37,7 @@
 
     pub(super) fn report(&self, now: u64, round: u64) -> Result<Vec<u8>, EnvelopeError> {
         let register = |back| {
-            let own = self.counts.own(now, epoch_of(round, back)?)?;
+            let own = self.counts.own_register(now, epoch_of(round, back)?)?;
             Some(AnnouncedRegister::new(back, own))
         };
         let registers = (0..MOST_REGISTERS as u8).filter_map(register).collect();
@@ -48,8 +48,9 @@
 
     /// The same for all askers of a hall.
     pub(super) fn answers(&self, now: u64, round: u64, askers: &BTreeSet<usize>) -> Vec<OutgoingDatagram> {
-        let pane =
-            |back| Some(AnnouncedWindowSlice { back, pane: self.counts.pane(now, epoch_of(round, back)?)? });
+        let pane = |back| {
+            Some(AnnouncedWindowSlice { back, pane: self.counts.aggregate(now, epoch_of(round, back)?)? })
+        };
         let panes: Vec<AnnouncedWindowSlice> = (0..MOST_PANES as u8).filter_map(pane).collect();
         let known = self.judgements.known(now);
         let mut by_hall: BTreeMap<u16, Option<Vec<u8>>> = BTreeMap::new();
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -9,9 +9,14 @@
 const NOW: u64 = 1_700_000_000_500;
 const ROUND: u64 = NOW / EPOCH;
 
+fn local(number: usize, incarnation: Incarnation, complete_from: u64, max: u32) -> LocalSender {
+    LocalSender { number, incarnation, complete_from, max_messages_per_second: max }
+}
+
 fn views(me: usize, senders: usize) -> FleetView {
     let halls = (0..senders).map(|n| (n % 3) as u16).collect();
-    FleetView::new(me, halls, Incarnation(NOW - 60_000), NOW - 60_000, u32::MAX).expect("one of the tier")
+    FleetView::new(local(me, Incarnation(NOW - 60_000), NOW - 60_000, u32::MAX), halls)
+        .expect("one of the tier")
 }
 
 fn word(ago: u64) -> Word {
@@ -24,7 +29,12 @@
     let register = Register { totals, rest: 9, partial: false };
     let mut aggregator = views(0, MAX_SENDERS);
     for n in 1..MAX_SENDERS {
-        assert!(aggregator.counts.hear(NOW, n, Incarnation(1), ROUND - 1, &register));
+        assert!(aggregator.counts.merge_register(
+            NOW,
+            RegisterKey { sender: n, incarnation: Incarnation(1) },
+            ROUND - 1,
+            &register
+        ));
         let words: Vec<_> = (0..8).map(|r| (Receiver::of(r, "r"), n, word(n as u64))).collect();
         aggregator.judgements.hear(NOW, n, &words);
     }
@@ -35,17 +45,17 @@
         let mut reader = views(to, MAX_SENDERS);
         reader.hear(NOW, 0, &note).expect("a view");
         let read = reader.counts.read((ROUND + 3) * EPOCH, 60_000, 1);
-        assert_eq!(read.heard, MAX_SENDERS);
-        assert!(read.most >= u64::from(u32::MAX / 512) * 511, "{read:?}");
+        assert_eq!(read.senders, MAX_SENDERS);
+        assert!(read.max >= u64::from(u32::MAX / 512) * 511, "{read:?}");
         assert!(reader.judgements.is_alert(NOW), "its judgements came along");
     }
-    let own = |back| AnnouncedRegister::new(back, register.clone().shortened());
+    let own = |back| AnnouncedRegister::new(back, register.clone().truncated());
     let words = (0..8).map(|n| (Receiver::of(n, "r"), Aged::new(ROUND, &word(0)))).collect();
     let registers = (0..3).map(own).collect();
     let report = Report { incarnation: u64::MAX, round: u64::MAX, registers, words };
     assert!(report.encode().expect("it fits").len() <= 256);
     assert!(matches!(
-        FleetView::new(0, vec![0; 513], Incarnation(1), 0, 1),
+        FleetView::new(local(0, Incarnation(1), 0, 1), vec![0; 513]),
         Err(FleetViewError::TooMany(513))
     ));
 }
@@ -84,7 +94,7 @@
 #[test]
 fn what_an_earlier_process_of_a_judge_said_is_void_from_the_first_word_of_the_next() {
     let all = [Receiver::of(1, "a"), Receiver::of(1, "b")];
-    let mut reader = FleetView::new(0, vec![0; 9], Incarnation(1), 0, 10).expect("one of the tier");
+    let mut reader = FleetView::new(local(0, Incarnation(1), 0, 10), vec![0; 9]).expect("one of the tier");
     let report = |incarnation, words| {
         Report { incarnation, round: ROUND, registers: vec![], words }.encode().expect("it fits")
     };
@@ -117,7 +127,7 @@
             let register = Register { totals, rest: n[0], partial: b[0] % 2 == 0 };
             let aged = Aged::new(now / EPOCH, &Word { last: absurd, first: u64::from(n[0]), back: false });
             let note = if view {
-                let pane = crate::tenant_usage::WindowSlice::of(&[(usize::from(b[1]), &register)], usize::from(b[2]));
+                let pane = crate::tenant_usage::WindowSlice::sum(&[(usize::from(b[1]), &register)], usize::from(b[2]));
                 let judges = vec![(u16::from(b[3]), aged); MOST_JUDGES];
                 let words = vec![Ejection { receiver: Receiver::of(b[4].into(), "r"), judges }; MOST_RECEIVERS];
                 View { incarnation, round, panes: vec![AnnouncedWindowSlice { back: b[5], pane }], words }.encode()
@@ -129,7 +139,7 @@
             let _ = reader.hear(now, from, &note.expect("it fits"));
             reader.notes_due(now, &mut post);
             prop_assert!(reader.told_by.len() <= 3);
-            prop_assert!(reader.counts.heard(now).len() <= 10);
+            prop_assert!(reader.counts.known_senders(now).len() <= 10);
             reader.counts.read(now, n[2] as u16, 5);
             reader.avoided(now, &[Receiver::of(1, "r"), Receiver::of(2, "r")]);
         }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -37,4 +37,7 @@
 pub use outlier_detection::{OutlierDetector, Receiver, Seen, Word};
 pub use permits::{Permit, PermitError, PermitLedger};
 pub use sums::{Ramp, Sum};
-pub use tenant_usage::{EPOCH, Interval, LAG, MAX_USAGE, Quota, Register, TenantUsage, WindowSlice, part};
+pub use tenant_usage::{
+    EPOCH, LAG, LocalSender, MAX_TOTAL_SHARE, QuotaBucket, Register, RegisterKey, TenantTotal, TenantUsage,
+    UsageInterval, WindowSlice, quota_share, read_epochs,
+};
--- a/crates/gossip/src/tenant_usage.rs
+++ b/crates/gossip/src/tenant_usage.rs
@@ -1,232 +1,189 @@
-//! What each tenant hands in over the whole fleet: registers by sender, incarnation and epoch.
+//! Messages per tenant accepted by the whole fleet, as an interval, from registers by sender, incarnation and epoch.
 //!
-//! Invariant: whatever is lost, doubled, late or replayed, what a tenant handed in within an epoch lies in the interval
-//! that is read, as long as no sender takes on more than the stated most.
+//! Invariant: whatever is lost, duplicated, late or replayed, the number of messages of a tenant accepted within an epoch
+//! lies in the interval that is read, as long as no sender accepts more than the stated maximum.
 //!
-//! A register is joined with what is known of the same name (the larger figure counts) and never added to it. Registers
-//! of several names are added: of two incarnations of one sender within an epoch both are true.
+//! A register is merged with what is known under the same [`RegisterKey`] (the larger number counts) and never added to
+//! it. Registers of different keys are added: of two incarnations of one sender within an epoch both count.
 
+mod epochs;
+mod local_sender;
 mod quota;
+mod reading;
 mod register;
+mod window_slice;
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 use crate::membership::Incarnation;
-pub use quota::{MAX_USAGE, Quota, part};
-pub(crate) use register::MOST_LISTED;
-use register::most_of;
-pub use register::{Register, WindowSlice};
-
-/// Length of an epoch, ms of the shared wall clock.
-pub const EPOCH: u64 = 1_000;
-/// Epochs that are remembered, the one that runs among them: for a reading over six.
-pub const KEPT: u64 = 10;
-/// The newest epoch that is read is so many before the one that runs: it is told in the one after it and twice more, and the
-/// answers come when those are over.
-pub const LAG: u64 = 4;
-/// Epochs that can be read at once at most.
-pub const MOST_READ: u64 = KEPT - LAG;
-/// Incarnations of one sender within one epoch whose registers are kept, the newest ones.
-const MOST_LIVES: usize = 2;
-/// Panes of one epoch that are kept, those of most senders.
-const MOST_PANES: usize = 4;
-
-/// What a tenant handed in lies between these, both included.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Interval {
-    /// At least so many messages.
-    pub least: u64,
-    /// At most so many.
-    pub most: u64,
-    /// Senders that were heard, itself among them, in the epoch in which they were fewest.
-    pub heard: usize,
-    /// When the newest epoch ended in which others were heard, ms since 1970; nothing if there is none.
-    pub at: Option<u64>,
+pub use epochs::{EPOCH, LAG, read_epochs};
+use epochs::{RETAINED_EPOCHS, is_accepted, retained_epochs};
+pub use local_sender::LocalSender;
+pub use quota::{MAX_TOTAL_SHARE, QuotaBucket, quota_share};
+pub use reading::UsageInterval;
+pub(crate) use register::MAX_LISTED_TENANTS;
+pub use register::{Register, RegisterKey, TenantTotal};
+use window_slice::FleetLimits;
+pub use window_slice::WindowSlice;
+
+/// Incarnations of one sender whose registers are kept for an epoch, the newest ones.
+const MAX_INCARNATIONS: usize = 2;
+/// Slices of other aggregators that are kept for an epoch, those of most senders.
+const MAX_SLICES: usize = 4;
+
+type EpochRegisters = BTreeMap<RegisterKey, Register>;
+
+/// A slice as another sender aggregated it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct ReceivedSlice {
+    aggregator: usize,
+    slice: WindowSlice,
 }
 
-/// The registers of one sender and of those that told it, and panes of others. At most [`KEPT`] epochs: in each two
-/// registers for each sender and four panes; emptied as the epochs pass.
+/// The registers of this sender and of those that reported to it, and slices that others aggregated.
+///
+/// At most [`RETAINED_EPOCHS`] epochs, in each two registers for each sender and four slices; they are dropped as the
+/// epochs pass.
 ///
 /// ```
-/// use rudderspindle_gossip::{TenantUsage, Incarnation};
-/// let mut counts = TenantUsage::new(0, 3, Incarnation(1), 0, 100);
-/// counts.handed_in(1_500, 7);
-/// let read = counts.read(5_000, 7, 1);
-/// assert_eq!((read.least, read.most, read.heard), (1, 201, 1)); // 100 at most from each of two unheard
+/// use rudderspindle_gossip::{Incarnation, LocalSender, TenantUsage};
+/// let local = LocalSender {
+///     number: 0,
+///     incarnation: Incarnation(1),
+///     complete_from: 0,
+///     max_messages_per_second: 100,
+/// };
+/// let mut usage = TenantUsage::new(local, 3);
+/// usage.record_message(1_500, 7);
+/// let read = usage.read(5_000, 7, 1);
+/// assert_eq!((read.min, read.max, read.senders), (1, 201, 1)); // at most 100 from each of the other two
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TenantUsage {
-    me: usize,
-    senders: usize,
-    incarnation: Incarnation,
-    whole_from: u64,
-    most: u64,
-    registers: BTreeMap<u64, BTreeMap<(usize, Incarnation), Register>>,
-    panes: BTreeMap<u64, Vec<(usize, WindowSlice)>>,
+    local: LocalSender,
+    limits: FleetLimits,
+    registers: BTreeMap<u64, EpochRegisters>,
+    slices: BTreeMap<u64, Vec<ReceivedSlice>>,
 }
 
 impl TenantUsage {
-    /// Sender number `me` of `senders`, under that incarnation. Up to `whole_from`, ms since 1970, another process may
-    /// have taken on, or takes on beside it, under its number: epochs that began by then are partial. One sender, with
-    /// all its processes, takes on `most_per_s` messages a second at most.
-    pub fn new(
-        me: usize,
-        senders: usize,
-        incarnation: Incarnation,
-        whole_from: u64,
-        most_per_s: u32,
-    ) -> Self {
-        let (registers, panes) = (BTreeMap::new(), BTreeMap::new());
-        let most = u64::from(most_per_s) * EPOCH / 1_000;
-        Self { me, senders, incarnation, whole_from, most, registers, panes }
+    /// The empty usage of a fleet of `senders`, of which this process is `local`.
+    pub fn new(local: LocalSender, senders: usize) -> Self {
+        let limits = FleetLimits { senders, max_per_sender: local.max_messages_per_epoch() };
+        Self { local, limits, registers: BTreeMap::new(), slices: BTreeMap::new() }
     }
 
-    /// A message of that tenant (its index in the settings) was taken on here.
-    pub fn handed_in(&mut self, now: u64, tenant: u16) {
-        self.forget(now);
+    /// Counts a message of a tenant (its index in the settings) that this sender accepted at `now`.
+    pub fn record_message(&mut self, now: u64, tenant: u16) {
+        self.drop_old_epochs(now);
         let epoch = now / EPOCH;
-        let partial = epoch * EPOCH <= self.whole_from;
-        let name = (self.me, self.incarnation);
-        let new = || Register { partial, ..Register::default() };
-        let own = self.registers.entry(epoch).or_default().entry(name).or_insert_with(new);
+        let empty = self.local.empty_register(epoch);
+        let registers = self.registers.entry(epoch).or_default();
+        let own = registers.entry(self.local.register_key()).or_insert(empty);
         let total = own.totals.entry(tenant).or_default();
         *total = total.saturating_add(1);
     }
 
-    /// What this sender tells of an epoch; nothing of one that is not over, is forgotten, or ended before its start.
-    pub fn own(&self, now: u64, epoch: u64) -> Option<Register> {
-        let started = epoch.saturating_add(1).saturating_mul(EPOCH) > self.incarnation.0;
-        let known = started && epoch < now / EPOCH && epoch + KEPT > now / EPOCH;
-        let partial = epoch.saturating_mul(EPOCH) <= self.whole_from;
-        let quiet = Register { partial, ..Register::default() };
-        let told = self.registers.get(&epoch).and_then(|all| all.get(&(self.me, self.incarnation)));
-        known.then(|| told.cloned().unwrap_or(quiet).shortened())
+    /// This sender's own register of an epoch, as it is announced.
+    ///
+    /// `None` for an epoch that is not over, is no longer retained, or ended before the process started.
+    pub fn own_register(&self, now: u64, epoch: u64) -> Option<Register> {
+        let started = epoch.saturating_add(1).saturating_mul(EPOCH) > self.local.incarnation.0;
+        let is_retained = epoch < now / EPOCH && epoch + RETAINED_EPOCHS > now / EPOCH;
+        if !(started && is_retained) {
+            return None;
+        }
+        let registers = self.registers.get(&epoch);
+        let own = registers.and_then(|registers| registers.get(&self.local.register_key()));
+        let own = own.cloned().unwrap_or_else(|| self.local.empty_register(epoch));
+        Some(own.truncated())
     }
 
-    /// Takes in what a sender tells of an epoch; `false` if it is of no epoch that is over and remembered, of nobody of
-    /// the tier, of this sender itself, or says more than a sender takes on.
-    pub fn hear(
-        &mut self,
-        now: u64,
-        from: usize,
-        incarnation: Incarnation,
-        epoch: u64,
-        register: &Register,
-    ) -> bool {
-        self.forget(now);
-        let all: u64 = register.totals.values().fold(0, |all, n| all.saturating_add(u64::from(*n)));
-        let too_much = all > self.most || u64::from(register.rest) > self.most;
-        if from >= self.senders || from == self.me || !Self::remembers(now, epoch) || too_much {
+    /// Merges a register that another sender announced, and says whether it was accepted.
+    ///
+    /// It is rejected where its epoch is not over or no longer retained, where the sender is this one or beyond the
+    /// fleet's size, and where it has more messages than a sender accepts.
+    pub fn merge_register(&mut self, now: u64, key: RegisterKey, epoch: u64, register: &Register) -> bool {
+        self.drop_old_epochs(now);
+        let is_peer = self.is_peer(key.sender);
+        if !is_peer || !is_accepted(now, epoch) || !register.is_plausible(self.limits.max_per_sender) {
             return false;
         }
-        let lives = self.registers.entry(epoch).or_default();
-        lives.entry((from, incarnation)).or_default().join(&register.clone().shortened());
-        let of_it = lives.range((from, Incarnation(0))..=(from, Incarnation(u64::MAX)));
-        if of_it.clone().count() > MOST_LIVES
-            && let Some(oldest) = of_it.map(|(name, _)| *name).next()
-        {
-            lives.remove(&oldest);
-            // What the forgotten one took on is unknown from now on.
-            lives.iter_mut().filter(|((n, _), _)| *n == from).for_each(|(_, left)| left.partial = true);
-        }
+        let registers = self.registers.entry(epoch).or_default();
+        registers.entry(key).or_default().join(&register.clone().truncated());
+        limit_incarnations(registers, key.sender);
         true
     }
 
-    /// What this sender, with all that told it, knows of an epoch that is over.
-    pub fn pane(&self, now: u64, epoch: u64) -> Option<WindowSlice> {
-        let own = self.own(now, epoch);
-        let me = (self.me, self.incarnation);
-        let told = self.registers.get(&epoch).into_iter().flatten();
-        let others = told.filter(|(name, _)| **name != me).map(|((from, _), register)| (*from, register));
-        let all: Vec<(usize, &Register)> = others.chain(own.iter().map(|own| (self.me, own))).collect();
-        (epoch < now / EPOCH && !all.is_empty()).then(|| WindowSlice::of(&all, self.senders))
+    /// The sum of what this sender and all that reported to it accepted in an epoch that is over.
+    pub fn aggregate(&self, now: u64, epoch: u64) -> Option<WindowSlice> {
+        if epoch >= now / EPOCH {
+            return None;
+        }
+        let own = self.own_register(now, epoch);
+        let own_key = self.local.register_key();
+        let known = self.registers.get(&epoch).into_iter().flatten();
+        let others = known.filter(|(key, _)| **key != own_key);
+        let mut registers: Vec<(usize, &Register)> =
+            others.map(|(key, register)| (key.sender, register)).collect();
+        registers.extend(own.iter().map(|own| (self.local.number, own)));
+        (!registers.is_empty()).then(|| WindowSlice::sum(&registers, self.limits.senders))
     }
 
-    /// Takes in a pane that another sender added up; `false` if it is of no epoch that is over and remembered, or says
-    /// what cannot be.
-    pub fn hear_pane(&mut self, now: u64, from: usize, epoch: u64, pane: &WindowSlice) -> bool {
-        self.forget(now);
-        let known = from < self.senders && from != self.me && Self::remembers(now, epoch);
-        if !known || !pane.is_possible(self.senders, self.most) {
+    /// Merges a slice that another sender aggregated, and says whether it was accepted.
+    ///
+    /// It is rejected where its epoch is not over or no longer retained, where the aggregator is this sender or beyond
+    /// the fleet's size, and where no fleet of this size can have accepted that.
+    pub fn merge_slice(&mut self, now: u64, aggregator: usize, epoch: u64, slice: &WindowSlice) -> bool {
+        self.drop_old_epochs(now);
+        let is_peer = self.is_peer(aggregator);
+        if !is_peer || !is_accepted(now, epoch) || !slice.is_plausible(self.limits) {
             return false;
         }
-        let panes = self.panes.entry(epoch).or_default();
-        match panes.iter_mut().find(|(aggregator, _)| *aggregator == from) {
-            Some((_, before)) => *before = before.clone().max(pane.clone()),
-            None => panes.push((from, pane.clone())),
+        let slices = self.slices.entry(epoch).or_default();
+        match slices.iter_mut().find(|received| received.aggregator == aggregator) {
+            Some(received) => received.slice = received.slice.clone().max(slice.clone()),
+            None => slices.push(ReceivedSlice { aggregator, slice: slice.clone() }),
         }
-        // Those of most senders first, in an order that does not depend on when they came.
-        panes.sort_by(|a, b| (b.1.whole_senders(), &b.1, b.0).cmp(&(a.1.whole_senders(), &a.1, a.0)));
-        panes.truncate(MOST_PANES);
+        keep_most_complete(slices);
         true
     }
 
-    /// The epochs that a reading over the last `epochs` is of, as it is made now: 1 to [`MOST_READ`] of them.
-    pub fn read_epochs(now: u64, epochs: u64) -> std::ops::Range<u64> {
-        let end = (now / EPOCH + 1).saturating_sub(LAG);
-        end.saturating_sub(epochs.clamp(1, MOST_READ))..end
-    }
-
-    /// What the tenant handed in to all senders within the last `epochs` of which word can have come. It changes as
-    /// word comes: a few times a second, so it is read then and not for each message.
-    pub fn read(&self, now: u64, tenant: u16, epochs: u64) -> Interval {
-        let mut read = Interval { least: 0, most: 0, heard: self.senders, at: None };
-        for epoch in Self::read_epochs(now, epochs) {
-            let of = self.read_epoch(now, tenant, epoch);
-            read.least = read.least.saturating_add(of.least);
-            read.most = read.most.saturating_add(of.most);
-            read.heard = read.heard.min(of.heard);
-            read.at = read.at.max(of.at);
-        }
-        read
+    fn is_peer(&self, number: usize) -> bool {
+        number < self.limits.senders && number != self.local.number
     }
 
-    /// What the tenant handed in here within the same epochs, under this incarnation.
-    pub fn read_own(&self, now: u64, tenant: u16, epochs: u64) -> u64 {
-        let own = |epoch| {
-            let registers = self.registers.get(&epoch)?.get(&(self.me, self.incarnation))?;
-            registers.totals.get(&tenant).copied().map(u64::from)
-        };
-        Self::read_epochs(now, epochs).filter_map(own).sum()
+    fn drop_old_epochs(&mut self, now: u64) {
+        let retained = retained_epochs(now);
+        self.registers.retain(|epoch, _| retained.contains(epoch));
+        self.slices.retain(|epoch, _| retained.contains(epoch));
     }
+}
 
-    /// The numbers of which word of a remembered epoch has come.
-    pub fn heard(&self, now: u64) -> BTreeSet<usize> {
-        let first = (now / EPOCH + 1).saturating_sub(KEPT);
-        let told = self.panes.range(first..).flat_map(|(_, panes)| panes);
-        let direct = self.registers.range(first..).flat_map(|(_, all)| all.keys());
-        told.flat_map(|(_, pane)| pane.numbers()).chain(direct.map(|(from, _)| *from)).collect()
+/// Keeps the registers of the [`MAX_INCARNATIONS`] newest incarnations of a sender.
+fn limit_incarnations(registers: &mut EpochRegisters, sender: usize) {
+    let first = RegisterKey { sender, incarnation: Incarnation(0) };
+    let last = RegisterKey { sender, incarnation: Incarnation(u64::MAX) };
+    if registers.range(first..=last).count() <= MAX_INCARNATIONS {
+        return;
     }
-
-    /// Each pane is an interval by itself; the truth lies in all of them.
-    fn read_epoch(&self, now: u64, tenant: u16, epoch: u64) -> Interval {
-        let direct = self.pane(now, epoch).unwrap_or_default();
-        let told = self.panes.get(&epoch).into_iter().flatten().map(|(_, pane)| pane);
-        let panes: Vec<&WindowSlice> = told.chain([&direct]).collect();
-        let ends = panes.iter().map(|pane| pane.ends(tenant, self.senders, self.most));
-        let least = ends.clone().map(|(least, _)| least).max().unwrap_or_default();
-        let most = most_of(&panes, tenant, self.senders, self.most);
-        let heard = panes.iter().map(|pane| pane.senders()).max().unwrap_or_default();
-        let at = (heard > 1).then_some((epoch + 1) * EPOCH);
-        if least <= most {
-            return Interval { least, most, heard, at };
-        }
-        // Somebody lies: both may be so.
-        let most = ends.map(|(_, most)| most).max().unwrap_or_default();
-        Interval { least: direct.ends(tenant, self.senders, self.most).0, most, heard, at }
+    if let Some((&oldest, _)) = registers.range(first..=last).next() {
+        registers.remove(&oldest);
     }
-
-    /// Whether word of the epoch is taken in: the next one is over already where the clock is ahead.
-    fn remembers(now: u64, epoch: u64) -> bool {
-        epoch <= now / EPOCH && epoch.saturating_add(KEPT) > now / EPOCH
+    // How many messages the dropped incarnation accepted is unknown from now on.
+    for (_, register) in registers.range_mut(first..=last) {
+        register.partial = true;
     }
+}
 
-    fn forget(&mut self, now: u64) {
-        // A clock that went back leaves some of what is to come.
-        let kept = (now / EPOCH + 1).saturating_sub(KEPT)..now / EPOCH + KEPT;
-        self.registers.retain(|epoch, _| kept.contains(epoch));
-        self.panes.retain(|epoch, _| kept.contains(epoch));
-    }
+/// Keeps the slices of most senders, in an order that does not depend on when they arrived.
+fn keep_most_complete(slices: &mut Vec<ReceivedSlice>) {
+    slices.sort_by(|left, right| {
+        let by_senders = right.slice.complete_senders().cmp(&left.slice.complete_senders());
+        let by_content = right.slice.cmp(&left.slice);
+        by_senders.then(by_content).then(right.aggregator.cmp(&left.aggregator))
+    });
+    slices.truncate(MAX_SLICES);
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/gossip/src/tenant_usage/local_sender.rs
@@ -0,0 +1,35 @@
+//! What the fleet view has to know of the sender that runs in this process.
+
+use super::epochs::EPOCH;
+use super::register::{Register, RegisterKey};
+use crate::membership::Incarnation;
+
+/// The sender that runs in this process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct LocalSender {
+    /// Its number, an index into the fleet's senders.
+    pub number: usize,
+    /// Its incarnation.
+    pub incarnation: Incarnation,
+    /// Until when, ms since 1970, another process may have accepted messages under its number, or may still do so:
+    /// epochs that began by then are partial.
+    pub complete_from: u64,
+    /// Messages that a sender accepts in a second at most, with all its processes; the same for each of the fleet.
+    pub max_messages_per_second: u32,
+}
+
+impl LocalSender {
+    pub(super) fn register_key(&self) -> RegisterKey {
+        RegisterKey { sender: self.number, incarnation: self.incarnation }
+    }
+
+    pub(super) fn max_messages_per_epoch(&self) -> u64 {
+        u64::from(self.max_messages_per_second) * EPOCH / 1_000
+    }
+
+    /// The register of an epoch in which nothing was accepted.
+    pub(super) fn empty_register(&self, epoch: u64) -> Register {
+        let partial = epoch.saturating_mul(EPOCH) <= self.complete_from;
+        Register { partial, ..Register::default() }
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/tenant_usage/quota/tests.rs
@@ -0,0 +1,28 @@
+use super::*;
+use proptest::prelude::*;
+
+proptest! {
+    #[test]
+    fn all_shares_come_to_two_quotas_at_most_whatever_each_sender_knows(
+        senders in proptest::collection::vec((0_u64..500, 0_u64..2_000, any::<bool>()), 1..40),
+    ) {
+        let truth: u64 = senders.iter().map(|(own, ..)| own).sum();
+        let shares = senders.iter().map(|(own, unknown, receives)| {
+            let max = truth + if *receives { 0 } else { *unknown };
+            let fleet = UsageInterval { min: *own, max, senders: 1, newest_epoch_end: None };
+            quota_share(*own, &fleet, senders.len())
+        });
+        let total: f64 = shares.sum();
+        prop_assert!(total <= MAX_TOTAL_SHARE + 1e-9, "{total}");
+        prop_assert!(total >= 1.0 - 1e-9, "{total}: an equal share is always there for each");
+    }
+}
+
+#[test]
+fn a_sender_with_half_of_a_tenants_traffic_has_half_of_its_quota() {
+    let fleet = UsageInterval { min: 200, max: 220, senders: 300, newest_epoch_end: Some(1) };
+    assert!((quota_share(110, &fleet, 300) - 0.5).abs() < 1e-9);
+    assert!((quota_share(0, &fleet, 300) - 1.0 / 300.0).abs() < 1e-9);
+    let idle = UsageInterval { min: 0, max: 0, senders: 300, newest_epoch_end: Some(1) };
+    assert!((quota_share(0, &idle, 300) - 1.0 / 300.0).abs() < 1e-9);
+}
--- /dev/null
+++ b/crates/gossip/src/tenant_usage/reading.rs
@@ -0,0 +1,77 @@
+//! Reading a tenant's usage as an interval that holds the true number.
+
+use std::collections::BTreeSet;
+
+use super::epochs::{EPOCH, oldest_retained_epoch, read_epochs};
+use super::window_slice::{WindowSlice, combined_max};
+use super::{ReceivedSlice, TenantUsage};
+
+/// Bounds, both included, on the messages of a tenant that the fleet accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct UsageInterval {
+    /// Lower bound, messages.
+    pub min: u64,
+    /// Upper bound, messages.
+    pub max: u64,
+    /// Senders whose usage is known, this one among them, in the epoch in which they were fewest.
+    pub senders: usize,
+    /// End of the newest epoch in which another sender's usage is known, ms since 1970.
+    pub newest_epoch_end: Option<u64>,
+}
+
+impl TenantUsage {
+    /// The messages of a tenant accepted by all senders within the last `epochs` of which reports can have arrived.
+    ///
+    /// It changes as datagrams arrive, a few times a second: to be read then, and not for each message.
+    pub fn read(&self, now: u64, tenant: u16, epochs: u64) -> UsageInterval {
+        let mut total =
+            UsageInterval { min: 0, max: 0, senders: self.limits.senders, newest_epoch_end: None };
+        for epoch in read_epochs(now, epochs) {
+            let interval = self.read_epoch(now, tenant, epoch);
+            total.min = total.min.saturating_add(interval.min);
+            total.max = total.max.saturating_add(interval.max);
+            total.senders = total.senders.min(interval.senders);
+            total.newest_epoch_end = total.newest_epoch_end.max(interval.newest_epoch_end);
+        }
+        total
+    }
+
+    /// The messages of a tenant accepted here within the same epochs, under this incarnation.
+    pub fn read_own(&self, now: u64, tenant: u16, epochs: u64) -> u64 {
+        let own_key = self.local.register_key();
+        let own_total = |epoch| {
+            let register = self.registers.get(&epoch)?.get(&own_key)?;
+            register.totals.get(&tenant).copied().map(u64::from)
+        };
+        read_epochs(now, epochs).filter_map(own_total).sum()
+    }
+
+    /// Numbers of the senders whose usage is known for a retained epoch.
+    pub fn known_senders(&self, now: u64) -> BTreeSet<usize> {
+        let oldest = oldest_retained_epoch(now);
+        let slices = self.slices.range(oldest..).flat_map(|(_, slices)| slices);
+        let relayed = slices.flat_map(|received| received.slice.complete_numbers());
+        let keys = self.registers.range(oldest..).flat_map(|(_, registers)| registers.keys());
+        relayed.chain(keys.map(|key| key.sender)).collect()
+    }
+
+    /// Each slice is an interval by itself; the true number lies in all of them.
+    fn read_epoch(&self, now: u64, tenant: u16, epoch: u64) -> UsageInterval {
+        let own = self.aggregate(now, epoch).unwrap_or_default();
+        let received = self.slices.get(&epoch).into_iter().flatten();
+        let received = received.map(|ReceivedSlice { slice, .. }| slice);
+        let slices: Vec<&WindowSlice> = received.chain([&own]).collect();
+        let senders = slices.iter().map(|slice| slice.senders()).max().unwrap_or_default();
+        let newest_epoch_end = (senders > 1).then_some((epoch + 1) * EPOCH);
+        let bounds = slices.iter().map(|slice| slice.bounds(tenant, self.limits));
+        let min = bounds.clone().map(|bounds| bounds.min).max().unwrap_or_default();
+        let max = combined_max(&slices, tenant, self.limits);
+        if min <= max {
+            return UsageInterval { min, max, senders, newest_epoch_end };
+        }
+        // The slices contradict one another, so one is false: only what is known here and the widest bound hold.
+        let min = own.bounds(tenant, self.limits).min;
+        let max = bounds.map(|bounds| bounds.max).max().unwrap_or_default();
+        UsageInterval { min, max, senders, newest_epoch_end }
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/tenant_usage/window_slice.rs
@@ -0,0 +1,175 @@
+//! The registers of many senders for one epoch, added up.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use serde::{Deserialize, Serialize};
+
+use super::register::{MAX_LISTED_TENANTS, Register, TenantTotal};
+use crate::envelope::bounded;
+
+/// Maximum length of the bit set of senders, in bytes.
+const MAX_BIT_SET_LEN: usize = 64;
+
+/// The size of a fleet and the messages that each of its senders accepts in an epoch at most.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct FleetLimits {
+    pub senders: usize,
+    pub max_per_sender: u64,
+}
+
+impl FleetLimits {
+    /// Maximum number of messages that so many senders accept in an epoch.
+    fn max_messages(self, senders: usize) -> u64 {
+        (senders as u64).saturating_mul(self.max_per_sender)
+    }
+}
+
+/// Bounds, both included, on the messages of one tenant in one epoch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Bounds {
+    pub min: u64,
+    pub max: u64,
+}
+
+/// The registers of many senders for one epoch, added up.
+#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct WindowSlice {
+    /// A bit for each sender whose usage is complete in it: the lowest one of the first byte is number 0's.
+    #[serde(deserialize_with = "bounded::<MAX_BIT_SET_LEN, _, _>")]
+    complete: Vec<u8>,
+    /// Senders whose usage is in it in part: under an incarnation beside which there may have been another.
+    partial: u16,
+    #[serde(deserialize_with = "bounded::<MAX_LISTED_TENANTS, _, _>")]
+    totals: Vec<TenantTotal>,
+    /// Upper bound on the messages by which each tenant's total may be too small.
+    rest: u32,
+}
+
+impl WindowSlice {
+    /// Adds up registers of different [keys](super::RegisterKey), each with its sender's number, of a fleet of `senders`.
+    pub(crate) fn sum(registers: &[(usize, &Register)], senders: usize) -> Self {
+        let all: BTreeSet<usize> = registers.iter().map(|(sender, _)| *sender).collect();
+        let incomplete = registers.iter().filter(|(_, register)| register.partial);
+        let partial: BTreeSet<usize> = incomplete.map(|(sender, _)| *sender).collect();
+        let mut slice = Self {
+            complete: bit_set(all.difference(&partial).copied(), senders),
+            partial: u16::try_from(partial.len()).unwrap_or(u16::MAX),
+            totals: sum_totals(registers),
+            rest: registers.iter().fold(0_u32, |rest, (_, register)| rest.saturating_add(register.rest)),
+        };
+        while slice.totals.len() > MAX_LISTED_TENANTS {
+            slice.drop_smallest_total();
+        }
+        slice
+    }
+
+    /// Removes the smallest total from the list; `false` if there is none.
+    pub(crate) fn drop_smallest_total(&mut self) -> bool {
+        let by_messages = |(_, total): &(usize, &TenantTotal)| (total.messages, total.tenant);
+        let smallest = self.totals.iter().enumerate().min_by_key(by_messages);
+        let Some((position, &TenantTotal { messages, .. })) = smallest else { return false };
+        self.totals.remove(position);
+        self.rest = self.rest.saturating_add(messages);
+        true
+    }
+
+    /// Number of tenants that are listed.
+    pub(crate) fn listed_tenants(&self) -> usize {
+        self.totals.len()
+    }
+
+    /// Number of senders whose usage is complete in it.
+    pub fn complete_senders(&self) -> usize {
+        self.complete.iter().map(|byte| byte.count_ones() as usize).sum()
+    }
+
+    /// Number of senders whose usage is in it, complete or in part.
+    pub fn senders(&self) -> usize {
+        self.complete_senders() + usize::from(self.partial)
+    }
+
+    /// Numbers of the senders whose usage is complete in it.
+    pub fn complete_numbers(&self) -> impl Iterator<Item = usize> + '_ {
+        let numbers_of_byte = |(position, &byte): (usize, &u8)| {
+            (0..8).filter(move |bit| byte & (1 << bit) != 0).map(move |bit| position * 8 + bit)
+        };
+        self.complete.iter().enumerate().flat_map(numbers_of_byte)
+    }
+
+    /// Bounds on the messages of a tenant that the whole fleet accepted.
+    pub(crate) fn bounds(&self, tenant: u16, limits: FleetLimits) -> Bounds {
+        let unknown = limits.senders.saturating_sub(self.complete_senders());
+        let max = self.max_of_known(tenant).saturating_add(limits.max_messages(unknown));
+        Bounds { min: self.listed_total(tenant), max }
+    }
+
+    /// Whether such a fleet can have accepted that: no sender beyond its size, each tenant once, and no more than all
+    /// accept.
+    pub(crate) fn is_plausible(&self, limits: FleetLimits) -> bool {
+        let messages: u64 = self.totals.iter().map(|total| u64::from(total.messages)).sum();
+        let tenants: BTreeSet<u16> = self.totals.iter().map(|total| total.tenant).collect();
+        tenants.len() == self.totals.len()
+            && self.complete.len() == limits.senders.div_ceil(8)
+            && self.complete_numbers().all(|number| number < limits.senders)
+            && self.senders() <= limits.senders
+            && messages <= limits.max_messages(self.senders())
+    }
+
+    fn listed_total(&self, tenant: u16) -> u64 {
+        let total = self.totals.iter().find(|total| total.tenant == tenant);
+        total.map_or(0, |total| u64::from(total.messages))
+    }
+
+    /// Upper bound on the messages that the senders in it accepted.
+    fn max_of_known(&self, tenant: u16) -> u64 {
+        self.listed_total(tenant).saturating_add(u64::from(self.rest))
+    }
+}
+
+/// Upper bound on the messages of a tenant that the fleet accepted, from several slices of one epoch.
+///
+/// The bound is the smallest of those by each slice alone and by each slice with the ones after it that add senders.
+/// What two have in common counts twice then, which is too much at worst.
+pub(crate) fn combined_max(slices: &[&WindowSlice], tenant: u16, limits: FleetLimits) -> u64 {
+    let of_unknown_fleet = limits.max_messages(limits.senders);
+    let bounds = (0..slices.len()).map(|first| max_of_union(&slices[first..], tenant, limits));
+    bounds.fold(of_unknown_fleet, u64::min)
+}
+
+/// The smallest upper bound among the first slice and its unions with the following ones that add senders.
+fn max_of_union(slices: &[&WindowSlice], tenant: u16, limits: FleetLimits) -> u64 {
+    let mut known_senders = BTreeSet::new();
+    let mut known_max = 0_u64;
+    let mut smallest = u64::MAX;
+    for slice in slices {
+        let known_before = known_senders.len();
+        known_senders.extend(slice.complete_numbers());
+        if known_senders.len() > known_before {
+            known_max = known_max.saturating_add(slice.max_of_known(tenant));
+            let unknown = limits.senders.saturating_sub(known_senders.len());
+            smallest = smallest.min(known_max.saturating_add(limits.max_messages(unknown)));
+        }
+    }
+    smallest
+}
+
+/// A bit for each of these numbers below `senders`.
+fn bit_set(numbers: impl Iterator<Item = usize>, senders: usize) -> Vec<u8> {
+    let mut bits = vec![0_u8; senders.div_ceil(8)];
+    for number in numbers {
+        if let Some(byte) = bits.get_mut(number / 8) {
+            *byte |= 1 << (number % 8);
+        }
+    }
+    bits
+}
+
+/// The totals of each tenant, by tenant.
+fn sum_totals(registers: &[(usize, &Register)]) -> Vec<TenantTotal> {
+    let mut totals: BTreeMap<u16, u32> = BTreeMap::new();
+    for (tenant, messages) in registers.iter().flat_map(|(_, register)| &register.totals) {
+        let total = totals.entry(*tenant).or_default();
+        *total = total.saturating_add(*messages);
+    }
+    totals.into_iter().map(|(tenant, messages)| TenantTotal { tenant, messages }).collect()
+}
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -2,16 +2,16 @@
 
 use super::world::{START, Sender, World};
 use proptest::prelude::*;
-use rudderspindle_gossip::{Incarnation, TenantUsage};
+use rudderspindle_gossip::{Incarnation, read_epochs};
 
 /// What a sender reads against the truth, of the epochs that are over at all.
 fn check(world: &World, n: usize, tenant: u16, epochs: u64) -> Result<(), String> {
     let mut views = world.senders[n].views.clone();
     let clock = world.clock(n);
     let read = views.counts().read(clock, tenant, epochs);
-    let of = TenantUsage::read_epochs(clock, epochs);
+    let of = read_epochs(clock, epochs);
     let truth: u64 = of.filter_map(|epoch| world.truth.get(&(epoch, tenant))).sum();
-    let holds = read.least <= truth && truth <= read.most;
+    let holds = read.min <= truth && truth <= read.max;
     if holds { Ok(()) } else { Err(format!("sender {n} reads {read:?} of {truth} over {epochs} epochs")) }
 }
 
@@ -69,7 +69,7 @@
         assert_eq!(wrong, Ok(()));
         // Six epochs later all is exact again.
         let read = world.senders[0].views.clone().counts().read(world.now, 1, 3);
-        assert_eq!((read.least, read.most, read.heard), (240, 240, 4), "{read:?}");
+        assert_eq!((read.min, read.max, read.senders), (240, 240, 4), "{read:?}");
     }
 }
 
@@ -145,7 +145,7 @@
     let of = START / 1_000 + 4..START / 1_000 + 12;
     let sent: u64 = sent.iter().filter(|((_, second), _)| of.contains(second)).map(|(_, n)| n).sum();
     let read = |sender: &mut Sender| sender.views.counts().read(now, 1, 5);
-    let reads = world.senders.iter_mut().map(read).map(|read| (read.least, read.most));
+    let reads = world.senders.iter_mut().map(read).map(|read| (read.min, read.max));
     (reads.collect(), sent as f64 / 300.0 / 8.0)
 }
 
--- a/crates/gossip/tests/fleet_view/world.rs
+++ b/crates/gossip/tests/fleet_view/world.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use rudderspindle_gossip::{Class, DatagramBudget, EPOCH, FleetView, Incarnation, Kind};
+use rudderspindle_gossip::{Class, DatagramBudget, EPOCH, FleetView, Incarnation, Kind, LocalSender};
 
 /// Messages a second of one sender at most.
-pub const MOST: u32 = 100;
+pub const MAX_MESSAGES_PER_SECOND: u32 = 100;
 pub const START: u64 = 1_700_000_000_000;
 const STEP: u64 = 50;
 /// Notes that are kept to be replayed.
@@ -45,8 +45,14 @@
     DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })])
 }
 
-fn views(me: usize, halls: &[u16], incarnation: Incarnation) -> FleetView {
-    FleetView::new(me, halls.to_vec(), incarnation, incarnation.0, MOST).expect("one of the tier")
+fn views(number: usize, halls: &[u16], incarnation: Incarnation) -> FleetView {
+    let local = LocalSender {
+        number,
+        incarnation,
+        complete_from: incarnation.0,
+        max_messages_per_second: MAX_MESSAGES_PER_SECOND,
+    };
+    FleetView::new(local, halls.to_vec()).expect("one of the tier")
 }
 
 impl World {
@@ -96,10 +102,10 @@
     pub fn hand_in(&mut self, n: usize, tenant: u16) {
         let (clock, epoch) = (self.clock(n), self.clock(n) / EPOCH);
         let so_far = self.handed_in.entry((n, epoch)).or_default();
-        if self.senders[n].runs && *so_far < MOST {
+        if self.senders[n].runs && *so_far < MAX_MESSAGES_PER_SECOND {
             *so_far += 1;
             *self.truth.entry((epoch, tenant)).or_default() += 1;
-            self.senders[n].views.counts().handed_in(clock, tenant);
+            self.senders[n].views.counts().record_message(clock, tenant);
         }
     }
 
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -6,7 +6,8 @@
 use std::path::Path;
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, Fleet, Incarnation, Kind, LimitId, Own, PermitLedger, Ramp, Receiver, Seen,
+    Class, DatagramBudget, Fleet, Incarnation, Kind, LimitId, LocalSender, Own, PermitLedger, Ramp, Receiver,
+    Seen,
 };
 use rudderspindle_gossip::{FleetView, OutgoingDatagram};
 
@@ -121,7 +122,11 @@
 #[test]
 fn senders_that_share_counts_and_judgements_tell_and_know_the_same_as_before() {
     let incarnation = Incarnation(START - 10_000);
-    let new = |me| FleetView::new(me, vec![0, 0, 0, 0, 1, 1], incarnation, incarnation.0, 100);
+    let new = |number| {
+        let complete_from = incarnation.0;
+        let local = LocalSender { number, incarnation, complete_from, max_messages_per_second: 100 };
+        FleetView::new(local, vec![0, 0, 0, 0, 1, 1])
+    };
     let mut views: Vec<FleetView> = (0..6).map(|me| new(me).expect("one of the tier")).collect();
     let post = || DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
     let mut posts: Vec<DatagramBudget> = (0..6).map(|_| post()).collect();
@@ -129,7 +134,7 @@
     let mut transcript = String::new();
     for now in (START..START + 6_000).step_by(100) {
         for from in 0..views.len() {
-            views[from].counts().handed_in(now, (now / 300 % 4) as u16 * (from as u16 + 1));
+            views[from].counts().record_message(now, (now / 300 % 4) as u16 * (from as u16 + 1));
             let seen = if from < 4 { Seen::Failed } else { Seen::Answered };
             views[from].judgements().saw(now, receivers[0], seen);
             views[from].judgements().saw(now, receivers[1], Seen::Answered);
@@ -145,7 +150,8 @@
     for (me, views) in views.iter_mut().enumerate() {
         for tenant in 0..4 {
             let read = views.counts().read(now, tenant, 5);
-            let (ends, heard) = ((read.least, read.most), (read.heard, read.at.map(|at| at - START)));
+            let (ends, heard) =
+                ((read.min, read.max), (read.senders, read.newest_epoch_end.map(|at| at - START)));
             let room = views.room(now, tenant, 100.0);
             writeln!(transcript, "{me} {tenant} {ends:?} {heard:?} {room:.6?}").expect("written");
         }
--- a/crates/gossip/tests/registers_model.rs
+++ b/crates/gossip/tests/registers_model.rs
@@ -1,79 +1,85 @@
-//! Registers and panes of three senders, every order of telling, hearing, losing, doubling and killing within a few epochs.
+//! Exhaustive model of the usage registers: three senders, every order of reports, losses, duplicates and kills within two
+//! epochs.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
 use rudderspindle_gossip::{
-    EPOCH, Incarnation, IncarnationOrder, LAG, MembershipList, Register, TenantUsage, WindowSlice,
+    EPOCH, Incarnation, IncarnationOrder, LAG, LocalSender, MembershipList, Register, RegisterKey,
+    TenantUsage, WindowSlice,
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const SENDERS: usize = 3;
-/// Hears what others told and added up, and reads.
+/// Receives reports and aggregated slices, and reads.
 const READER: usize = 0;
-/// Hears what others told, and adds up.
-const ADDER: usize = 1;
+/// Receives reports, and aggregates them.
+const AGGREGATOR: usize = 1;
 const EPOCHS: u64 = 2;
-/// Messages that a sender takes on in an epoch at most.
-const MOST: u32 = 2;
-/// How many are handed in to each, by epoch: so few that all orders can be tried.
-const HANDED_IN: [[u32; SENDERS]; EPOCHS as usize] = [[0, 1, 1], [0, 0, 1]];
+/// Messages that a sender accepts in an epoch at most.
+const MAX_MESSAGES: u32 = 2;
+/// How many messages each sender accepts, by epoch: so few that all orders can be tried.
+const ACCEPTED: [[u32; SENDERS]; EPOCHS as usize] = [[0, 1, 1], [0, 0, 1]];
 const TENANT: u16 = 7;
 
+fn local_sender(number: usize, incarnation: Incarnation, complete_from: u64) -> LocalSender {
+    LocalSender { number, incarnation, complete_from, max_messages_per_second: MAX_MESSAGES }
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Word {
+enum Content {
     Register(Vec<(u16, u32)>, u32, bool),
     WindowSlice(WindowSlice),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Note {
+struct Message {
     from: usize,
     incarnation: Incarnation,
     epoch: u64,
-    word: Word,
+    content: Content,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
     kills: u32,
-    counts: Vec<TenantUsage>,
+    usage: Vec<TenantUsage>,
     members: Vec<MembershipList>,
     incarnations: Vec<Incarnation>,
     /// By epoch and sender.
     truth: Vec<[u32; SENDERS]>,
-    /// Whatever was told: each may be heard never, once or again, in any order.
-    wire: BTreeSet<Note>,
+    /// Whatever was sent: each may be received never, once or again, in any order.
+    in_flight: BTreeSet<Message>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    HandIn(usize),
-    Tell(usize),
-    AddUp,
-    Hear(usize, Note),
-    /// With the state folder, or without.
+    Accept(usize),
+    Report(usize),
+    Aggregate,
+    Receive(usize, Message),
+    /// Whether the state folder is kept.
     Kill(usize, bool),
     EpochEnds,
 }
 
-struct Fleet;
+struct FleetModel;
 
-impl Model for Fleet {
+impl Model for FleetModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let incarnations: Vec<Incarnation> = vec![Incarnation(1); SENDERS];
-        let counts = |me| TenantUsage::new(me, SENDERS, incarnations[me], 0, MOST);
+        let usage = |number| TenantUsage::new(local_sender(number, incarnations[number], 0), SENDERS);
         vec![State {
             now: EPOCH,
             kills: 0,
-            counts: (0..SENDERS).map(counts).collect(),
+            usage: (0..SENDERS).map(usage).collect(),
             members: vec![MembershipList::new(SENDERS); SENDERS],
             truth: vec![[0; SENDERS]; EPOCHS as usize],
-            wire: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             incarnations,
         }]
     }
@@ -81,24 +87,27 @@
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         let epoch = (state.now / EPOCH - 1) as usize;
         if epoch < EPOCHS as usize {
-            let room = |n: usize| state.truth[epoch][n] < HANDED_IN[epoch][n];
-            actions.extend((0..SENDERS).filter(|n| room(*n)).map(Action::HandIn));
+            let has_more = |n: usize| state.truth[epoch][n] < ACCEPTED[epoch][n];
+            actions.extend((0..SENDERS).filter(|n| has_more(*n)).map(Action::Accept));
             actions.push(Action::EpochEnds);
         }
         if state.kills == 0 {
-            actions.extend([(ADDER, true), (2, true), (2, false)].map(|(n, kept)| Action::Kill(n, kept)));
+            actions.extend(
+                [(AGGREGATOR, true), (2, true), (2, false)]
+                    .map(|(n, keeps_folder)| Action::Kill(n, keeps_folder)),
+            );
         }
         if epoch > 0 {
-            actions.push(Action::Tell(2));
-            actions.push(Action::AddUp);
+            actions.push(Action::Report(2));
+            actions.push(Action::Aggregate);
         }
-        for note in &state.wire {
-            let hears = match note.word {
-                Word::WindowSlice(_) => [Some(READER), None],
-                Word::Register(..) => [Some(READER), Some(ADDER)],
+        for message in &state.in_flight {
+            let readers = match message.content {
+                Content::WindowSlice(_) => [Some(READER), None],
+                Content::Register(..) => [Some(READER), Some(AGGREGATOR)],
             };
-            let hears = hears.into_iter().flatten().filter(|n| *n != note.from);
-            actions.extend(hears.map(|n| Action::Hear(n, note.clone())));
+            let readers = readers.into_iter().flatten().filter(|n| *n != message.from);
+            actions.extend(readers.map(|n| Action::Receive(n, message.clone())));
         }
     }
 
@@ -108,40 +117,53 @@
         let epoch = now / EPOCH - 1;
         match action {
             Action::EpochEnds => state.now = (now / EPOCH + 1) * EPOCH,
-            Action::HandIn(n) => {
-                state.counts[n].handed_in(now, TENANT);
+            Action::Accept(n) => {
+                state.usage[n].record_message(now, TENANT);
                 state.truth[epoch as usize][n] += 1;
             }
-            Action::Tell(from) => {
-                let Register { totals, rest, partial } = state.counts[from].own(now, epoch)?;
-                let word = Word::Register(totals.into_iter().collect(), rest, partial);
-                state.wire.insert(Note { from, incarnation: state.incarnations[from], epoch, word });
+            Action::Report(from) => {
+                let Register { totals, rest, partial } = state.usage[from].own_register(now, epoch)?;
+                let content = Content::Register(totals.into_iter().collect(), rest, partial);
+                state.in_flight.insert(Message {
+                    from,
+                    incarnation: state.incarnations[from],
+                    epoch,
+                    content,
+                });
             }
-            Action::AddUp => {
-                let (from, word) = (ADDER, Word::WindowSlice(state.counts[ADDER].pane(now, epoch)?));
-                state.wire.insert(Note { from, incarnation: state.incarnations[from], epoch, word });
+            Action::Aggregate => {
+                let slice = state.usage[AGGREGATOR].aggregate(now, epoch)?;
+                let from = AGGREGATOR;
+                let content = Content::WindowSlice(slice);
+                state.in_flight.insert(Message {
+                    from,
+                    incarnation: state.incarnations[from],
+                    epoch,
+                    content,
+                });
             }
-            Action::Hear(n, note) => {
-                if state.members[n].record_message(note.from, note.incarnation, now)
+            Action::Receive(n, message) => {
+                if state.members[n].record_message(message.from, message.incarnation, now)
                     != Ok(IncarnationOrder::Older)
                 {
-                    match note.word {
-                        Word::WindowSlice(pane) => {
-                            state.counts[n].hear_pane(now, note.from, note.epoch, &pane)
+                    match message.content {
+                        Content::WindowSlice(slice) => {
+                            state.usage[n].merge_slice(now, message.from, message.epoch, &slice)
                         }
-                        Word::Register(totals, rest, partial) => {
+                        Content::Register(totals, rest, partial) => {
                             let register = Register { totals: totals.into_iter().collect(), rest, partial };
-                            state.counts[n].hear(now, note.from, note.incarnation, note.epoch, &register)
+                            let key = RegisterKey { sender: message.from, incarnation: message.incarnation };
+                            state.usage[n].merge_register(now, key, message.epoch, &register)
                         }
                     };
                 }
             }
-            Action::Kill(n, kept) => {
+            Action::Kill(n, keeps_folder) => {
                 state.kills += 1;
                 state.now += 600;
-                let kept = kept.then_some(state.incarnations[n]);
-                state.incarnations[n] = Incarnation::next(kept, state.now);
-                state.counts[n] = TenantUsage::new(n, SENDERS, state.incarnations[n], state.now, MOST);
+                let stored = keeps_folder.then_some(state.incarnations[n]);
+                state.incarnations[n] = Incarnation::next(stored, state.now);
+                state.usage[n] = TenantUsage::new(local_sender(n, state.incarnations[n], state.now), SENDERS);
                 state.members[n] = MembershipList::new(SENDERS);
             }
         }
@@ -154,21 +176,21 @@
                 state.readings().all(|(read, truth)| read.0 <= truth && truth <= read.1)
             }),
             Property::sometimes("two of three are known exactly", |_, state: &State| {
-                state.readings().any(|(read, truth)| truth == 2 && read == (2, 2 + u64::from(MOST)))
+                state.readings().any(|(read, truth)| truth == 2 && read == (2, 2 + u64::from(MAX_MESSAGES)))
             }),
         ]
     }
 }
 
 impl State {
-    /// What each sender reads of each epoch that is over, and the truth.
+    /// What each sender reads of each epoch that is over, and the true number.
     fn readings(&self) -> impl Iterator<Item = ((u64, u64), u64)> + '_ {
         let over = 1..self.now / EPOCH;
         over.flat_map(|epoch| {
             let truth = u64::from(self.truth[epoch as usize - 1].iter().sum::<u32>());
-            self.counts.iter().map(move |counts| {
-                let read = counts.read((epoch + LAG) * EPOCH, TENANT, 1);
-                ((read.least, read.most), truth)
+            self.usage.iter().map(move |usage| {
+                let read = usage.read((epoch + LAG) * EPOCH, TENANT, 1);
+                ((read.min, read.max), truth)
             })
         })
     }
@@ -177,7 +199,7 @@
 #[test]
 fn every_interval_holds_the_truth_in_every_order_of_three_senders() {
     let began = Instant::now();
-    let checker = Fleet.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
+    let checker = FleetModel.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
     checker.assert_properties();
     println!("{} states, {:?}", checker.unique_state_count(), began.elapsed());
     assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
--- a/crates/sender/src/gossip/shared.rs
+++ b/crates/sender/src/gossip/shared.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, FleetView, FleetViewError, Incarnation, Kind, OutgoingDatagram, Receiver,
+    Class, DatagramBudget, FleetView, FleetViewError, Incarnation, Kind, LocalSender, OutgoingDatagram,
+    Receiver,
 };
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
@@ -46,7 +47,13 @@
             return Ok(None);
         }
         // An earlier process has taken on under this number until now.
-        let views = FleetView::new(me, file.halls(senders), life, wall, share.most_per_s())?;
+        let local = LocalSender {
+            number: me,
+            incarnation: life,
+            complete_from: wall,
+            max_messages_per_second: share.most_per_s(),
+        };
+        let views = FleetView::new(local, file.halls(senders))?;
         let quotas = if share.counts() { quotas.to_vec() } else { Vec::new() };
         let post = DatagramBudget::new(&[(Kind::Report, REPORTS)]);
         Ok(Some(Self { views, post, judges: share.judges(), quotas, avoided: Vec::new() }))
@@ -72,7 +79,7 @@
             self.views.judgements().saw(wall, receiver, seen);
         }
         for &(tenant, messages) in &activity.taken_on {
-            (0..messages).for_each(|_| self.views.counts().handed_in(wall, tenant));
+            (0..messages).for_each(|_| self.views.counts().record_message(wall, tenant));
         }
         let mut told = Vec::new();
         if self.judges {
