--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -14,7 +14,7 @@
 use crate::datagram_budget::DatagramBudget;
 use crate::envelope::{Kind, open, read};
 use crate::membership::{Incarnation, IncarnationOrder, MembershipList};
-use crate::outlier_detection::{OutlierDetector, Receiver};
+use crate::outlier_detection::{ObserverVote, OutlierDetector, Receiver};
 use crate::tenant_usage::{EPOCH, LocalSender, RegisterKey, TenantUsage, quota_share};
 pub use error::FleetViewError;
 use message::{Aged, Ejection, Report, View, epoch_of};
@@ -125,7 +125,7 @@
         &mut self.counts
     }
 
-    /// Judgements; [`OutlierDetector::saw`] is told of each call.
+    /// Judgements; [`OutlierDetector::record_call`] is told of each call.
     pub fn judgements(&mut self) -> &mut OutlierDetector {
         &mut self.judgements
     }
@@ -141,7 +141,7 @@
 
     /// Which of a partner's receivers are not to be called by others' judgement.
     pub fn avoided(&mut self, now: u64, receivers: &[Receiver]) -> Vec<Receiver> {
-        self.judgements.avoided(now, self.heard_in_hall, receivers)
+        self.judgements.ejected(now, self.heard_in_hall, receivers)
     }
 
     /// The notes that are due, to be asked for a few times in a round: answers to those that told us in a round that is
@@ -198,7 +198,7 @@
         let incarnation = Incarnation(incarnation);
         match self.members.record_message(from, incarnation, now)? {
             IncarnationOrder::Older => return Err(FleetViewError::Older),
-            IncarnationOrder::Newer => self.judgements.forget(from),
+            IncarnationOrder::Newer => self.judgements.forget_observer(from),
             IncarnationOrder::Current => {}
         }
         Ok(incarnation)
@@ -222,9 +222,13 @@
                 );
             }
         }
-        let words: Vec<_> =
-            report.words.into_iter().map(|(name, aged)| (name, from, aged.word(report.round))).collect();
-        self.judgements.hear(now, from, &words);
+        let votes = report.words.into_iter().map(|(receiver, aged)| ObserverVote {
+            receiver,
+            observer: from,
+            vote: aged.word(report.round),
+        });
+        let votes: Vec<ObserverVote> = votes.collect();
+        self.judgements.receive_votes(now, from, &votes);
         self.told_by.entry(report.round).or_default().insert(from);
         Ok(())
     }
@@ -241,10 +245,14 @@
         }
         let mut words = Vec::new();
         for Ejection { receiver, judges } in view.words {
-            let judge = |(judge, aged): (u16, Aged)| (receiver, usize::from(judge), aged.word(view.round));
+            let judge = |(judge, aged): (u16, Aged)| ObserverVote {
+                receiver,
+                observer: usize::from(judge),
+                vote: aged.word(view.round),
+            };
             words.extend(judges.into_iter().map(judge));
         }
-        self.judgements.hear(now, from, &words);
+        self.judgements.receive_votes(now, from, &words);
         self.viewed = self.viewed.max(view.round);
         Ok(())
     }
--- a/crates/gossip/src/fleet_view/message.rs
+++ b/crates/gossip/src/fleet_view/message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::envelope::{EnvelopeError, Kind, MAX_BODY_LEN, bounded, seal};
-use crate::outlier_detection::{MOST_TOLD, Receiver, Word};
+use crate::outlier_detection::{MAX_ANNOUNCED_VOTES, Receiver, Vote};
 use crate::tenant_usage::{EPOCH, MAX_LISTED_TENANTS, Register, TenantTotal, WindowSlice};
 
 /// Epochs of which a report tells, so that two lost ones are made up for.
@@ -32,16 +32,16 @@
 }
 
 impl Aged {
-    pub fn new(round: u64, word: &Word) -> Self {
+    pub fn new(round: u64, word: &Vote) -> Self {
         let (last, first) = (word.last.div_ceil(STEP), word.first.div_ceil(STEP));
         let ago = u8::try_from(base(round).saturating_sub(last)).unwrap_or(u8::MAX);
-        Self { ago, run: u16::try_from(last.saturating_sub(first)).unwrap_or(u16::MAX), back: word.back }
+        Self { ago, run: u16::try_from(last.saturating_sub(first)).unwrap_or(u16::MAX), back: word.recovered }
     }
 
-    pub fn word(self, round: u64) -> Word {
+    pub fn word(self, round: u64) -> Vote {
         let last = base(round).saturating_sub(u64::from(self.ago));
         let first = last.saturating_sub(u64::from(self.run));
-        Word { last: last.saturating_mul(STEP), first: first.saturating_mul(STEP), back: self.back }
+        Vote { last: last.saturating_mul(STEP), first: first.saturating_mul(STEP), recovered: self.back }
     }
 }
 
@@ -76,7 +76,7 @@
     pub round: u64,
     #[serde(deserialize_with = "bounded::<MOST_REGISTERS, _, _>")]
     pub registers: Vec<AnnouncedRegister>,
-    #[serde(deserialize_with = "bounded::<MOST_TOLD, _, _>")]
+    #[serde(deserialize_with = "bounded::<MAX_ANNOUNCED_VOTES, _, _>")]
     pub words: Vec<(Receiver, Aged)>,
 }
 
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -101,9 +101,9 @@
 #[test]
 fn a_word_is_told_in_the_same_steps_of_its_round_and_read_as_the_same_times() {
     let last = ROUND * EPOCH + 130;
-    let word = Word { last, first: last - 60_000, back: true };
+    let word = Vote { last, first: last - 60_000, recovered: true };
     let told = Aged { ago: 37, run: 1_200, back: true };
     assert_eq!(Aged::new(ROUND, &word), told);
-    let read = Word { last: last + 20, first: last - 59_980, back: true };
+    let read = Vote { last: last + 20, first: last - 59_980, recovered: true };
     assert_eq!(told.word(ROUND), read);
 }
--- a/crates/gossip/src/fleet_view/tell.rs
+++ b/crates/gossip/src/fleet_view/tell.rs
@@ -6,7 +6,7 @@
 use super::message::{AnnouncedRegister, AnnouncedWindowSlice, Report, View, epoch_of};
 use super::{FleetView, OutgoingDatagram};
 use crate::envelope::EnvelopeError;
-use crate::outlier_detection::{Receiver, Word};
+use crate::outlier_detection::{Receiver, Vote};
 
 /// Those that add up in a round where one did not answer, or there is word of a receiver that fails.
 const MOST_ASKED: usize = 2;
@@ -19,7 +19,7 @@
         let mut order: Vec<(u32, usize)> = (0..self.halls.len()).map(|n| (rank(&n), n)).collect();
         order.sort_unstable();
         let missed = self.viewed + 1 < round;
-        let asked = if missed || self.judgements.is_alert(now) { MOST_ASKED } else { 1 };
+        let asked = if missed || self.judgements.has_down_votes(now) { MOST_ASKED } else { 1 };
         order.into_iter().take(asked).map(|(_, n)| n).filter(|n| *n != self.me).collect()
     }
 
@@ -41,8 +41,8 @@
             Some(AnnouncedRegister::new(back, own))
         };
         let registers = (0..MOST_REGISTERS as u8).filter_map(register).collect();
-        let words = self.judgements.tell(now);
-        let words = words.iter().map(|(name, word)| (*name, Aged::new(round, word))).collect();
+        let words = self.judgements.own_votes(now);
+        let words = words.iter().map(|own| (own.receiver, Aged::new(round, &own.vote))).collect();
         Report { incarnation: self.incarnation.0, round, registers, words }.encode()
     }
 
@@ -52,7 +52,7 @@
             Some(AnnouncedWindowSlice { back, pane: self.counts.aggregate(now, epoch_of(round, back)?)? })
         };
         let panes: Vec<AnnouncedWindowSlice> = (0..MOST_PANES as u8).filter_map(pane).collect();
-        let known = self.judgements.known(now);
+        let known = self.judgements.relayable_votes(now);
         let mut by_hall: BTreeMap<u16, Option<Vec<u8>>> = BTreeMap::new();
         let mut datagrams = Vec::new();
         for &asker in askers {
@@ -71,14 +71,14 @@
         &self,
         round: u64,
         hall: u16,
-        known: &BTreeMap<Receiver, BTreeMap<usize, Word>>,
+        known: &BTreeMap<Receiver, BTreeMap<usize, Vote>>,
     ) -> Vec<Ejection> {
         let mut words = Vec::new();
         for (receiver, judges) in known {
             let own = judges.iter().filter(|(judge, _)| self.halls.get(**judge) == Some(&hall));
-            let mut own: Vec<(&usize, &Word)> = own.collect();
+            let mut own: Vec<(&usize, &Vote)> = own.collect();
             own.sort_by_key(|(judge, word)| (std::cmp::Reverse(word.last), **judge));
-            let down = own.iter().filter(|(_, word)| !word.back).count();
+            let down = own.iter().filter(|(_, word)| !word.recovered).count();
             let told = own.into_iter().take(MOST_JUDGES);
             let judges: Vec<(u16, Aged)> =
                 told.map(|(judge, word)| (*judge as u16, Aged::new(round, word))).collect();
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::datagram_budget::Class;
 use crate::envelope::{MAX_BODY_LEN, seal};
-use crate::outlier_detection::Word;
+use crate::outlier_detection::Vote;
 use crate::tenant_usage::Register;
 use message::{AnnouncedRegister, AnnouncedWindowSlice, MOST_JUDGES, MOST_RECEIVERS};
 use proptest::prelude::*;
@@ -19,8 +19,8 @@
         .expect("one of the tier")
 }
 
-fn word(ago: u64) -> Word {
-    Word { last: NOW - ago, first: NOW - ago - 3_000_000, back: false }
+fn word(ago: u64) -> Vote {
+    Vote { last: NOW - ago, first: NOW - ago - 3_000_000, recovered: false }
 }
 
 #[test]
@@ -35,8 +35,10 @@
             ROUND - 1,
             &register
         ));
-        let words: Vec<_> = (0..8).map(|r| (Receiver::of(r, "r"), n, word(n as u64))).collect();
-        aggregator.judgements.hear(NOW, n, &words);
+        let words: Vec<_> = (0..8)
+            .map(|r| ObserverVote { receiver: Receiver::of(r, "r"), observer: n, vote: word(n as u64) })
+            .collect();
+        aggregator.judgements.receive_votes(NOW, n, &words);
     }
     let datagrams = aggregator.answers(NOW, ROUND, &(1..4).collect());
     assert_eq!(datagrams.len(), 3);
@@ -47,7 +49,7 @@
         let read = reader.counts.read((ROUND + 3) * EPOCH, 60_000, 1);
         assert_eq!(read.senders, MAX_SENDERS);
         assert!(read.max >= u64::from(u32::MAX / 512) * 511, "{read:?}");
-        assert!(reader.judgements.is_alert(NOW), "its judgements came along");
+        assert!(reader.judgements.has_down_votes(NOW), "its judgements came along");
     }
     let own = |back| AnnouncedRegister::new(back, register.clone().truncated());
     let words = (0..8).map(|n| (Receiver::of(n, "r"), Aged::new(ROUND, &word(0)))).collect();
@@ -125,7 +127,7 @@
             let incarnation = if n[1] % 4 == 0 { absurd } else { u64::from(n[1] % 8) };
             let totals = [(n[2] as u16, n[3]), (n[4] as u16, n[5])].into();
             let register = Register { totals, rest: n[0], partial: b[0] % 2 == 0 };
-            let aged = Aged::new(now / EPOCH, &Word { last: absurd, first: u64::from(n[0]), back: false });
+            let aged = Aged::new(now / EPOCH, &Vote { last: absurd, first: u64::from(n[0]), recovered: false });
             let note = if view {
                 let pane = crate::tenant_usage::WindowSlice::sum(&[(usize::from(b[1]), &register)], usize::from(b[2]));
                 let judges = vec![(u16::from(b[3]), aged); MOST_JUDGES];
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -34,7 +34,7 @@
     Incarnation, IncarnationOrder, IncarnationTooFarAhead, MemberEvent, MembershipList, NewestIncarnation,
 };
 pub use message::{GossipError, MAX_MESSAGE_LEN};
-pub use outlier_detection::{OutlierDetector, Receiver, Seen, Word};
+pub use outlier_detection::{CallResult, ObserverVote, OutlierDetector, Receiver, ReceiverVote, Vote};
 pub use permits::{Permit, PermitError, PermitLedger};
 pub use sums::{Ramp, Sum};
 pub use tenant_usage::{
--- /dev/null
+++ b/crates/gossip/src/outlier_detection/call_history.rs
@@ -0,0 +1,75 @@
+//! The results of this sender's own calls to one receiver.
+
+use super::vote::{CallResult, Vote};
+
+/// Consecutive failures that make a sender vote a receiver down.
+///
+/// One call in forty is lost by itself on a bad day; of hundreds of senders, three would see that of any receiver.
+const MIN_CONSECUTIVE_FAILURES: u32 = 2;
+/// How long a history is kept after the last call, ms.
+const HISTORY_TTL: u64 = 60_000;
+
+/// The recent calls to one receiver. All times are ms since 1970.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct CallHistory {
+    /// Failures since the last answer.
+    consecutive_failures: u32,
+    /// The first of them.
+    first_failure: u64,
+    /// The last failure.
+    last_failure: u64,
+    last_answer: Option<u64>,
+    /// Whether the receiver was down before that answer.
+    recovered: bool,
+}
+
+impl CallHistory {
+    pub fn record(&mut self, now: u64, result: CallResult) {
+        match result {
+            CallResult::Answered => {
+                self.recovered |= self.is_down();
+                self.consecutive_failures = 0;
+                self.last_answer = Some(now);
+            }
+            CallResult::Failed => {
+                if self.consecutive_failures == 0 {
+                    self.first_failure = now;
+                }
+                self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+                self.last_failure = now;
+            }
+        }
+    }
+
+    /// When the last call ended.
+    pub fn last_call(&self) -> u64 {
+        self.last_failure.max(self.last_answer.unwrap_or_default())
+    }
+
+    /// When a call last failed, if none was answered since; 0 otherwise.
+    pub fn unanswered_failure(&self) -> u64 {
+        if self.consecutive_failures > 0 { self.last_failure } else { 0 }
+    }
+
+    /// This sender's vote, if there is one.
+    pub fn vote(&self) -> Option<Vote> {
+        if self.is_down() {
+            return Some(Vote { last: self.last_failure, first: self.first_failure, recovered: false });
+        }
+        let answer = self.last_answer.filter(|_| self.recovered && self.consecutive_failures == 0)?;
+        Some(Vote { last: answer, first: answer, recovered: true })
+    }
+
+    /// Whether an answer since then, with no failure after it, refutes a vote on failures that began at `began`.
+    pub fn refutes(&self, began: u64) -> bool {
+        self.consecutive_failures == 0 && self.last_answer.is_some_and(|answer| answer >= began)
+    }
+
+    pub fn is_fresh(&self, now: u64) -> bool {
+        self.last_call().saturating_add(HISTORY_TTL) > now
+    }
+
+    fn is_down(&self) -> bool {
+        self.consecutive_failures >= MIN_CONSECUTIVE_FAILURES
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/outlier_detection/ejection.rs
@@ -0,0 +1,113 @@
+//! Which of a destination's receivers are ejected, and for how long.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::OutlierDetector;
+use super::call_history::CallHistory;
+use super::matching::max_matching;
+use super::vote::{ObserverVote, Receiver, Vote};
+
+/// Observers that have to vote a receiver down.
+///
+/// With two, one that lies and one that lost two calls by chance would do.
+pub const QUORUM: usize = 3;
+/// In a zone of fewer than five senders more than half of them are enough, but never fewer than these.
+pub const MIN_QUORUM: usize = 2;
+/// How long a receiver stays ejected, ms, after the quorum was reached here or an own call failed.
+///
+/// Then this sender probes it and goes by the result. Less than
+/// [`OBSERVATION_TTL`](super::vote::OBSERVATION_TTL), so that those that probe it and see it fail keep on voting.
+pub const EJECTION_DURATION: u64 = 3_000;
+/// A quorum that is reached again within this time continues the same ejection, ms: a few lost datagrams begin no new
+/// [`EJECTION_DURATION`].
+const EJECTION_MEMORY: u64 = 10_000;
+/// At most one in so many of a destination's receivers is ejected.
+pub const MAX_EJECTED_ONE_IN: usize = 2;
+
+/// The time in which a quorum votes a receiver down. Times are ms since 1970.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct EjectionPeriod {
+    /// When the quorum was first reached here.
+    started_at: u64,
+    /// When it was last there.
+    confirmed_at: u64,
+}
+
+/// A receiver that may be ejected; the smaller one goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Candidate {
+    down_since: u64,
+    receiver: Receiver,
+}
+
+/// An observer's newest vote, and the senders that reported it to be down.
+#[derive(Clone, Debug)]
+struct ObserverState {
+    vote: Vote,
+    reporters: BTreeSet<usize>,
+}
+
+impl OutlierDetector {
+    /// Which of a destination's receivers are not to be called, by the votes of this zone's senders, this one among them,
+    /// those that have been down longest first.
+    ///
+    /// `zone_senders` is the number of senders of this zone that are alive, this one among them. What the caller's own
+    /// circuit breakers make of its calls is apart from this.
+    pub fn ejected(&mut self, now: u64, zone_senders: usize, receivers: &[Receiver]) -> Vec<Receiver> {
+        self.ejections.retain(|_, period| period.confirmed_at.saturating_add(EJECTION_MEMORY) > now);
+        let receivers: BTreeSet<Receiver> = receivers.iter().copied().collect();
+        let quorum = (zone_senders / 2 + 1).clamp(MIN_QUORUM, QUORUM);
+        let candidates = receivers.iter().filter_map(|receiver| self.candidate(now, *receiver, quorum));
+        let mut candidates: Vec<Candidate> = candidates.collect();
+        candidates.sort_unstable();
+        candidates.truncate(receivers.len() / MAX_EJECTED_ONE_IN);
+        candidates.into_iter().map(|candidate| candidate.receiver).collect()
+    }
+
+    /// The receiver, if a quorum votes it down and this sender does not have to probe it.
+    fn candidate(&mut self, now: u64, receiver: Receiver, quorum: usize) -> Option<Candidate> {
+        let history = self.histories.get(&receiver).copied().unwrap_or_default();
+        let down_since = self.down_since(now, receiver, &history, quorum)?;
+        let new_period = EjectionPeriod { started_at: now, confirmed_at: now };
+        let period = self.ejections.entry(receiver).or_insert(new_period);
+        period.confirmed_at = now;
+        let ejected_from = history.unanswered_failure().max(period.started_at);
+        let must_probe = now >= ejected_from.saturating_add(EJECTION_DURATION);
+        (!must_probe).then_some(Candidate { down_since, receiver })
+    }
+
+    /// Since when a quorum votes a receiver down, ms since 1970; `None` if there is no quorum.
+    fn down_since(&self, now: u64, receiver: Receiver, history: &CallHistory, quorum: usize) -> Option<u64> {
+        let observers = self.observers_of_down(now, receiver, history);
+        let reporters: Vec<&BTreeSet<usize>> = observers.iter().map(|observer| &observer.reporters).collect();
+        if max_matching(&reporters) < quorum {
+            return None;
+        }
+        let mut first_failures: Vec<u64> = observers.iter().map(|observer| observer.vote.first).collect();
+        first_failures.sort_unstable();
+        first_failures.get(quorum - 1).copied()
+    }
+
+    /// The observers of this zone whose newest vote is that the receiver is down, by their numbers.
+    fn observers_of_down(&self, now: u64, receiver: Receiver, history: &CallHistory) -> Vec<ObserverState> {
+        let mut observers: BTreeMap<usize, ObserverState> = BTreeMap::new();
+        for (reporter, votes) in &self.votes {
+            for ObserverVote { observer, vote, .. } in votes.valid_on(now, receiver) {
+                if !self.is_in_own_zone(observer) || history.refutes(vote.first) {
+                    continue;
+                }
+                let new = ObserverState { vote, reporters: BTreeSet::new() };
+                let state = observers.entry(observer).or_insert(new);
+                state.vote = state.vote.max(vote);
+                if !vote.recovered {
+                    state.reporters.insert(*reporter);
+                }
+            }
+        }
+        if let Some(vote) = history.vote().filter(|vote| vote.is_fresh(now)) {
+            let own = ObserverState { vote, reporters: [self.own_number].into() };
+            observers.insert(self.own_number, own);
+        }
+        observers.into_values().filter(|state| !state.vote.recovered).collect()
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/outlier_detection/reported_votes.rs
@@ -0,0 +1,84 @@
+//! The votes that one sender reported: its own, and those of others that it relayed as an aggregator.
+
+use std::collections::BTreeMap;
+
+use super::bounded_map::evict_oldest;
+use super::vote::{ObserverVote, Receiver, Vote};
+
+/// A vote counts for this long after it was received, ms: two rounds of datagrams.
+pub const VOTE_TTL: u64 = 2_000;
+/// Maximum number of votes that are kept of one reporter, those received last.
+pub const MAX_REPORTED_VOTES: usize = 32;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct VoteKey {
+    receiver: Receiver,
+    observer: usize,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct ReceivedVote {
+    vote: Vote,
+    /// When it was last received, ms since 1970.
+    received_at: u64,
+}
+
+impl ReceivedVote {
+    fn is_valid(&self, now: u64) -> bool {
+        self.received_at.saturating_add(VOTE_TTL) > now && self.vote.is_fresh(now)
+    }
+}
+
+/// The votes of one reporter, at most [`MAX_REPORTED_VOTES`].
+#[derive(Clone, Debug, Default)]
+pub(super) struct ReportedVotes {
+    votes: BTreeMap<VoteKey, ReceivedVote>,
+}
+
+impl ReportedVotes {
+    /// Keeps the vote, unless a newer one of the same observer on the same receiver is known.
+    pub fn insert(&mut self, now: u64, reported: ObserverVote) {
+        let ObserverVote { receiver, observer, vote } = reported;
+        let received = ReceivedVote { vote, received_at: now };
+        let known = self.votes.entry(VoteKey { receiver, observer }).or_insert(received);
+        if vote >= known.vote {
+            *known = received;
+        }
+        evict_oldest(&mut self.votes, MAX_REPORTED_VOTES, |received| (received.received_at, received.vote));
+    }
+
+    /// The votes that count now.
+    pub fn valid(&self, now: u64) -> impl Iterator<Item = ObserverVote> {
+        let valid = self.votes.iter().filter(move |(_, received)| received.is_valid(now));
+        valid.map(|(key, received)| observer_vote(*key, *received))
+    }
+
+    /// The votes on a receiver that count now.
+    pub fn valid_on(&self, now: u64, receiver: Receiver) -> impl Iterator<Item = ObserverVote> {
+        let first = VoteKey { receiver, observer: 0 };
+        let last = VoteKey { receiver, observer: usize::MAX };
+        let valid = self.votes.range(first..=last).filter(move |(_, received)| received.is_valid(now));
+        valid.map(|(key, received)| observer_vote(*key, *received))
+    }
+
+    pub fn forget_observer(&mut self, observer: usize) {
+        self.votes.retain(|key, _| key.observer != observer);
+    }
+
+    pub fn remove_expired(&mut self, now: u64) {
+        self.votes.retain(|_, received| received.is_valid(now));
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.votes.is_empty()
+    }
+
+    #[cfg(test)]
+    pub fn len(&self) -> usize {
+        self.votes.len()
+    }
+}
+
+fn observer_vote(key: VoteKey, received: ReceivedVote) -> ObserverVote {
+    ObserverVote { receiver: key.receiver, observer: key.observer, vote: received.vote }
+}
--- a/crates/gossip/src/outlier_detection/tests.rs
+++ b/crates/gossip/src/outlier_detection/tests.rs
@@ -1,192 +1,207 @@
+use std::collections::BTreeSet;
+
+use super::ejection::EJECTION_DURATION;
+use super::matching::max_matching;
+use super::reported_votes::{MAX_REPORTED_VOTES, VOTE_TTL};
 use super::*;
 use proptest::prelude::*;
 
-const T: u64 = 1_700_000_000_000;
+const NOW: u64 = 1_700_000_000_000;
 
 fn receivers(n: usize) -> Vec<Receiver> {
     (0..n).map(|n| Receiver::of(1, &format!("r{n}"))).collect()
 }
 
-fn down(first: u64, last: u64) -> Word {
-    Word { first, last, back: false }
+fn down(first: u64, last: u64) -> Vote {
+    Vote { first, last, recovered: false }
+}
+
+fn of(observer: usize, receiver: Receiver, vote: Vote) -> [ObserverVote; 1] {
+    [ObserverVote { receiver, observer, vote }]
 }
 
-/// Ten senders in a hall, five in another, of which this is number 0; the word of each of these judges, told by itself.
-fn heard(judges: &[usize], receiver: Receiver, word: Word, now: u64) -> OutlierDetector {
-    let halls = (0..15).map(|n| u16::from(n >= 10)).collect();
-    let mut judgements = OutlierDetector::new(0, halls);
-    judges.iter().for_each(|judge| judgements.hear(now, *judge, &[(receiver, *judge, word)]));
-    judgements
+/// Ten senders in a zone, five in another, of which this is number 0; the vote of each of these observers, reported by
+/// itself.
+fn detector(observers: &[usize], receiver: Receiver, vote: Vote, now: u64) -> OutlierDetector {
+    let zones = (0..15).map(|n| u16::from(n >= 10)).collect();
+    let mut detector = OutlierDetector::new(0, zones);
+    observers.iter().for_each(|n| detector.receive_votes(now, *n, &of(*n, receiver, vote)));
+    detector
 }
 
 #[test]
-fn three_judges_of_the_own_hall_take_a_receiver_away_and_neither_two_nor_others_do() {
+fn three_observers_of_the_own_zone_eject_a_receiver_and_neither_two_nor_others_do() {
     let all = receivers(4);
-    let word = down(T - 900, T - 100);
-    let avoided =
-        |judges: &[usize], heard_in_hall| heard(judges, all[0], word, T).avoided(T, heard_in_hall, &all);
-    assert_eq!(avoided(&[1, 2, 3], 10), [all[0]]);
-    assert!(avoided(&[1, 2], 10).is_empty());
-    assert!(avoided(&[1, 2, 10, 11, 12, 13, 14], 10).is_empty(), "the other hall's word");
-    assert_eq!(avoided(&[1, 2], 3), [all[0]], "two of three that are there");
-    assert!(avoided(&[1], 1).is_empty(), "never one");
+    let vote = down(NOW - 900, NOW - 100);
+    let ejected = |observers: &[usize], zone_senders| {
+        detector(observers, all[0], vote, NOW).ejected(NOW, zone_senders, &all)
+    };
+    assert_eq!(ejected(&[1, 2, 3], 10), [all[0]]);
+    assert!(ejected(&[1, 2], 10).is_empty());
+    assert!(ejected(&[1, 2, 10, 11, 12, 13, 14], 10).is_empty(), "votes of the other zone");
+    assert_eq!(ejected(&[1, 2], 3), [all[0]], "two of three that are alive");
+    assert!(ejected(&[1], 1).is_empty(), "never one");
 }
 
 #[test]
-fn own_failures_make_one_judge_after_two_in_a_row_and_are_told() {
+fn two_consecutive_own_failures_are_a_vote_that_is_announced() {
     let all = receivers(2);
-    let mut judgements = heard(&[1, 2], all[0], down(T - 900, T - 100), T);
-    judgements.saw(T, all[0], Seen::Failed);
-    assert!(judgements.avoided(T, 10, &all).is_empty() && judgements.tell(T).is_empty());
-    judgements.saw(T + 100, all[0], Seen::Failed);
-    assert_eq!(judgements.avoided(T + 100, 10, &all), [all[0]]);
-    assert_eq!(judgements.tell(T + 100), [(all[0], down(T, T + 100))]);
-    judgements.saw(T + 200, all[0], Seen::Answered);
-    assert_eq!(judgements.tell(T + 200), [(all[0], Word { first: T + 200, last: T + 200, back: true })]);
-    assert!(judgements.avoided(T + 200, 10, &all).is_empty(), "what it sees itself wins");
+    let mut detector = detector(&[1, 2], all[0], down(NOW - 900, NOW - 100), NOW);
+    detector.record_call(NOW, all[0], CallResult::Failed);
+    assert!(detector.ejected(NOW, 10, &all).is_empty() && detector.own_votes(NOW).is_empty());
+    detector.record_call(NOW + 100, all[0], CallResult::Failed);
+    assert_eq!(detector.ejected(NOW + 100, 10, &all), [all[0]]);
+    let vote = down(NOW, NOW + 100);
+    assert_eq!(detector.own_votes(NOW + 100), [ReceiverVote { receiver: all[0], vote }]);
+    detector.record_call(NOW + 200, all[0], CallResult::Answered);
+    let vote = Vote { first: NOW + 200, last: NOW + 200, recovered: true };
+    assert_eq!(detector.own_votes(NOW + 200), [ReceiverVote { receiver: all[0], vote }]);
+    assert!(detector.ejected(NOW + 200, 10, &all).is_empty(), "its own calls outweigh the votes");
 }
 
 #[test]
-fn an_own_good_answer_since_the_judgement_began_wins_and_one_before_it_does_not() {
+fn an_own_answer_after_the_failures_began_refutes_a_vote_and_one_before_does_not() {
     let all = receivers(2);
-    let answered = |at| {
-        let mut judgements = heard(&[1, 2, 3], all[0], down(T - 900, T - 100), T);
-        judgements.saw(at, all[0], Seen::Answered);
-        judgements.avoided(T, 10, &all)
+    let ejected_after_answer = |at| {
+        let mut detector = detector(&[1, 2, 3], all[0], down(NOW - 900, NOW - 100), NOW);
+        detector.record_call(at, all[0], CallResult::Answered);
+        detector.ejected(NOW, 10, &all)
     };
-    assert_eq!(answered(T - 1_000), [all[0]]);
-    // Though its judges go on to fail: it is they who are cut off.
-    assert!(answered(T - 800).is_empty());
+    assert_eq!(ejected_after_answer(NOW - 1_000), [all[0]]);
+    // Though its observers go on to fail: it is they who are partitioned.
+    assert!(ejected_after_answer(NOW - 800).is_empty());
 }
 
 #[test]
-fn a_judge_that_says_back_is_none_and_a_late_note_does_not_bring_its_judgement_back() {
+fn a_recovered_vote_withdraws_a_down_vote_and_a_late_datagram_does_not_restore_it() {
     let all = receivers(2);
-    let mut judgements = heard(&[1, 2, 3], all[0], down(T - 900, T - 100), T);
-    let back = Word { first: T, last: T, back: true };
-    judgements.hear(T + 50, 3, &[(all[0], 3, back)]);
-    judgements.hear(T + 60, 3, &[(all[0], 3, down(T - 900, T - 100))]);
-    assert!(judgements.avoided(T + 60, 10, &all).is_empty());
+    let mut detector = detector(&[1, 2, 3], all[0], down(NOW - 900, NOW - 100), NOW);
+    let recovered = Vote { first: NOW, last: NOW, recovered: true };
+    detector.receive_votes(NOW + 50, 3, &of(3, all[0], recovered));
+    detector.receive_votes(NOW + 60, 3, &of(3, all[0], down(NOW - 900, NOW - 100)));
+    assert!(detector.ejected(NOW + 60, 10, &all).is_empty());
 }
 
 #[test]
-fn a_judgement_expires_by_itself_and_one_that_is_repeated_for_ever_does_too() {
+fn a_vote_expires_by_itself_and_so_does_one_that_is_repeated_for_ever() {
     let all = receivers(2);
-    let mut judgements = heard(&[1, 2, 3], all[0], down(T - 900, T), T);
-    assert_eq!(judgements.avoided(T + EXPIRES - 1, 10, &all), [all[0]]);
-    assert!(judgements.avoided(T + EXPIRES, 10, &all).is_empty(), "not told again");
-    // The judges' sight is old before the word of it is.
-    let mut judgements = heard(&[1, 2, 3], all[0], down(T - 4_800, T - 4_500), T);
-    assert_eq!(judgements.avoided(T + 499, 10, &all), [all[0]]);
-    assert!(judgements.avoided(T + 500, 10, &all).is_empty());
-    let mut judgements = heard(&[], all[0], down(T, T), T);
-    let mut avoided = Vec::new();
-    for now in (T..T + 20_000).step_by(500) {
+    let mut votes_of_three = detector(&[1, 2, 3], all[0], down(NOW - 900, NOW), NOW);
+    assert_eq!(votes_of_three.ejected(NOW + VOTE_TTL - 1, 10, &all), [all[0]]);
+    assert!(votes_of_three.ejected(NOW + VOTE_TTL, 10, &all).is_empty(), "not reported again");
+    // What the observers saw is too old before the votes are.
+    let mut old_votes = detector(&[1, 2, 3], all[0], down(NOW - 4_800, NOW - 4_500), NOW);
+    assert_eq!(old_votes.ejected(NOW + 499, 10, &all), [all[0]]);
+    assert!(old_votes.ejected(NOW + 500, 10, &all).is_empty());
+    let mut repeated = detector(&[], all[0], down(NOW, NOW), NOW);
+    let mut ejected_at = Vec::new();
+    for now in (NOW..NOW + 20_000).step_by(500) {
         for stuck in 1..=3 {
-            judgements.hear(now, stuck, &[(all[0], stuck, down(T, T))]);
+            repeated.receive_votes(now, stuck, &of(stuck, all[0], down(NOW, NOW)));
         }
-        if !judgements.avoided(now, 10, &all).is_empty() {
-            avoided.push(now - T);
+        if !repeated.ejected(now, 10, &all).is_empty() {
+            ejected_at.push(now - NOW);
         }
     }
-    assert_eq!(avoided.last(), Some(&(LOOK - 500)));
-    assert!(judgements.words.is_empty(), "what is old was not taken in again");
+    assert_eq!(ejected_at.last(), Some(&(EJECTION_DURATION - 500)));
+    assert!(repeated.votes.is_empty(), "an old vote was not taken in again");
 }
 
 #[test]
-fn the_reader_looks_for_itself_after_a_while_and_goes_by_that() {
+fn the_reader_probes_an_ejected_receiver_after_a_while_and_goes_by_the_result() {
     let all = receivers(2);
-    let mut judgements = heard(&[], all[0], down(T, T), T);
-    let told = |judgements: &mut OutlierDetector, now: u64| {
-        (1..=3).for_each(|n| judgements.hear(now, n, &[(all[0], n, down(T, now))]));
-        judgements.avoided(now, 10, &all)
+    let mut detector = detector(&[], all[0], down(NOW, NOW), NOW);
+    let ejected = |detector: &mut OutlierDetector, now: u64| {
+        (1..=3).for_each(|n| detector.receive_votes(now, n, &of(n, all[0], down(NOW, now))));
+        detector.ejected(now, 10, &all)
     };
-    assert_eq!(told(&mut judgements, T), [all[0]]);
-    assert_eq!(told(&mut judgements, T + LOOK - 1), [all[0]]);
-    assert!(told(&mut judgements, T + LOOK).is_empty(), "its own look");
-    judgements.saw(T + LOOK + 100, all[0], Seen::Failed);
-    assert_eq!(told(&mut judgements, T + LOOK + 200), [all[0]]);
-    judgements.saw(T + LOOK + 300, all[0], Seen::Answered);
-    assert!(told(&mut judgements, T + LOOK + 400).is_empty());
+    assert_eq!(ejected(&mut detector, NOW), [all[0]]);
+    assert_eq!(ejected(&mut detector, NOW + EJECTION_DURATION - 1), [all[0]]);
+    assert!(ejected(&mut detector, NOW + EJECTION_DURATION).is_empty(), "it probes");
+    detector.record_call(NOW + EJECTION_DURATION + 100, all[0], CallResult::Failed);
+    assert_eq!(ejected(&mut detector, NOW + EJECTION_DURATION + 200), [all[0]]);
+    detector.record_call(NOW + EJECTION_DURATION + 300, all[0], CallResult::Answered);
+    assert!(ejected(&mut detector, NOW + EJECTION_DURATION + 400).is_empty());
 }
 
 #[test]
-fn at_most_half_of_a_partners_receivers_are_taken_away_the_longest_judged_first_and_one_is_left() {
+fn at_most_half_of_a_destinations_receivers_are_ejected_the_longest_down_first_and_one_remains() {
     for n in 1..=6 {
         let all = receivers(n);
-        let mut judgements = heard(&[], all[0], down(T, T), T);
-        for judge in 1..=4 {
+        let mut detector = detector(&[], all[0], down(NOW, NOW), NOW);
+        for observer in 1..=4 {
             for (later, receiver) in (0..).zip(all.iter().rev()) {
-                judgements.hear(T, judge, &[(*receiver, judge, down(T - 900 + later, T))]);
+                detector.receive_votes(NOW, observer, &of(observer, *receiver, down(NOW - 900 + later, NOW)));
             }
         }
-        let longest: Vec<Receiver> = all.iter().rev().take(n / 2).copied().collect();
-        assert_eq!(judgements.avoided(T, 10, &all), longest, "of {n}");
+        let longest_down: Vec<Receiver> = all.iter().rev().take(n / 2).copied().collect();
+        assert_eq!(detector.ejected(NOW, 10, &all), longest_down, "of {n}");
     }
 }
 
 #[test]
-fn a_judge_that_came_back_as_another_process_is_none_until_it_judges_again() {
+fn the_votes_of_an_observer_that_restarted_are_dropped_until_it_votes_again() {
     let all = receivers(2);
-    let mut judgements = heard(&[1, 2, 3], all[0], down(T - 900, T), T);
-    // Told by others, too.
-    judgements.hear(T, 4, &[(all[0], 2, down(T - 900, T))]);
-    judgements.forget(2);
-    assert!(judgements.avoided(T, 10, &all).is_empty());
+    let mut detector = detector(&[1, 2, 3], all[0], down(NOW - 900, NOW), NOW);
+    // Reported by another sender, too.
+    detector.receive_votes(NOW, 4, &of(2, all[0], down(NOW - 900, NOW)));
+    detector.forget_observer(2);
+    assert!(detector.ejected(NOW, 10, &all).is_empty());
 }
 
 proptest! {
-    /// One sender says of itself and as whoever adds up whatever it likes, while others tell the truth of two judges.
+    /// One sender reports whatever it likes, of itself and as an aggregator, while the votes of up to one other are true.
     #[test]
-    fn no_single_sender_takes_a_receiver_away_whatever_it_says_of_whom(
-        lies in proptest::collection::vec((0_usize..20, 0_usize..4, 0_u64..3_000, 0_u64..9_000, any::<bool>()), 0..80),
+    fn no_single_sender_ejects_a_receiver_whatever_it_reports_of_whom(
+        forged in proptest::collection::vec((0_usize..20, 0_usize..4, 0_u64..3_000, 0_u64..9_000, any::<bool>()), 0..80),
         honest in prop_oneof![Just(vec![]), Just(vec![2]), Just(vec![3])],
-        heard_in_hall in 4_usize..10,
+        zone_senders in 4_usize..10,
     ) {
         let all = receivers(4);
-        let mut judgements = heard(&honest, all[0], down(T - 900, T), T);
-        for (judge, of, run, ago, back) in lies {
-            let last = (T + 1_000).saturating_sub(ago);
-            let word = Word { first: last.saturating_sub(run), last, back };
-            judgements.hear(T, 1, &[(all[of], judge, word)]);
-            prop_assert!(judgements.words.values().all(|table| table.len() <= MOST_WORDS));
+        let mut detector = detector(&honest, all[0], down(NOW - 900, NOW), NOW);
+        for (observer, receiver, run, ago, recovered) in forged {
+            let last = (NOW + 1_000).saturating_sub(ago);
+            let vote = Vote { first: last.saturating_sub(run), last, recovered };
+            detector.receive_votes(NOW, 1, &of(observer, all[receiver], vote));
+            prop_assert!(detector.votes.values().all(|votes| votes.len() <= MAX_REPORTED_VOTES));
         }
-        prop_assert!(judgements.avoided(T, heard_in_hall, &all).is_empty());
+        prop_assert!(detector.ejected(NOW, zone_senders, &all).is_empty());
     }
 
     #[test]
-    fn pairs_are_as_many_as_any_assignment_finds(
-        told in proptest::collection::vec(proptest::collection::btree_set(0_usize..5, 0..4), 0..5),
+    fn the_matching_is_as_large_as_any_assignment_finds(
+        reporters in proptest::collection::vec(proptest::collection::btree_set(0_usize..5, 0..4), 0..5),
     ) {
-        fn best(judges: &[&BTreeSet<usize>], used: &mut Vec<usize>) -> usize {
-            let Some((first, rest)) = judges.split_first() else { return 0 };
-            let mut most = best(rest, used);
-            for teller in first.iter().filter(|teller| !used.contains(teller)).collect::<Vec<_>>() {
-                used.push(*teller);
-                most = most.max(1 + best(rest, used));
+        fn largest(observers: &[&BTreeSet<usize>], used: &mut Vec<usize>) -> usize {
+            let Some((first, rest)) = observers.split_first() else { return 0 };
+            let mut largest_so_far = largest(rest, used);
+            for reporter in first.iter().filter(|reporter| !used.contains(reporter)).collect::<Vec<_>>() {
+                used.push(*reporter);
+                largest_so_far = largest_so_far.max(1 + largest(rest, used));
                 used.pop();
             }
-            most
+            largest_so_far
         }
-        let judges: Vec<&BTreeSet<usize>> = told.iter().collect();
-        prop_assert_eq!(most_pairs(&judges), best(&judges, &mut Vec::new()));
+        let observers: Vec<&BTreeSet<usize>> = reporters.iter().collect();
+        prop_assert_eq!(max_matching(&observers), largest(&observers, &mut Vec::new()));
     }
 }
 
 #[test]
-fn over_a_long_run_with_liars_no_table_grows_beyond_its_bound_and_all_empty() {
-    let mut judgements = heard(&[], receivers(1)[0], down(T, T), T);
+fn over_a_long_run_with_forged_votes_no_table_exceeds_its_bound_and_all_become_empty() {
+    let mut detector = detector(&[], receivers(1)[0], down(NOW, NOW), NOW);
     for second in 0..600 {
-        let now = T + second * 1_000;
+        let now = NOW + second * 1_000;
         for n in 0..300_u64 {
-            let name = Receiver::of(n as u16, &second.to_string());
-            judgements.saw(now + n, name, Seen::Failed);
-            judgements.hear(now, (n % 40) as usize, &[(name, (n % 15) as usize, down(now, now))]);
+            let receiver = Receiver::of(n as u16, &second.to_string());
+            detector.record_call(now + n, receiver, CallResult::Failed);
+            let vote = of((n % 15) as usize, receiver, down(now, now));
+            detector.receive_votes(now, (n % 40) as usize, &vote);
         }
-        judgements.avoided(now, 10, &receivers(1));
-        assert!(judgements.sights.len() <= MOST_SIGHTS && judgements.held.len() <= 1);
-        assert!(judgements.words.len() <= 15 && judgements.words.values().all(|t| t.len() <= MOST_WORDS));
+        detector.ejected(now, 10, &receivers(1));
+        assert!(detector.histories.len() <= MAX_HISTORIES && detector.ejections.len() <= 1);
+        assert!(detector.votes.len() <= 15);
+        assert!(detector.votes.values().all(|votes| votes.len() <= MAX_REPORTED_VOTES));
     }
-    judgements.expire(T + 900_000);
-    assert!(judgements.words.is_empty() && judgements.sights.is_empty());
+    detector.remove_expired(NOW + 900_000);
+    assert!(detector.votes.is_empty() && detector.histories.is_empty());
 }
--- a/crates/gossip/tests/fleet_view/outlier_detection.rs
+++ b/crates/gossip/tests/fleet_view/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Judgements among many senders, by the notes that they send one another.
 
 use super::world::{START, World};
-use rudderspindle_gossip::{Receiver, Seen};
+use rudderspindle_gossip::{CallResult, Receiver};
 
 /// Halls in turn.
 fn halls(senders: usize, of: usize) -> Vec<u16> {
@@ -12,9 +12,9 @@
     (0..4).map(|n| Receiver::of(3, &format!("r{n}"))).collect()
 }
 
-fn saw(world: &mut World, n: usize, receiver: Receiver, seen: Seen) {
+fn saw(world: &mut World, n: usize, receiver: Receiver, seen: CallResult) {
     let clock = world.clock(n);
-    world.senders[n].views.judgements().saw(clock, receiver, seen);
+    world.senders[n].views.judgements().record_call(clock, receiver, seen);
 }
 
 fn avoids(world: &mut World, n: usize) -> Vec<Receiver> {
@@ -29,7 +29,7 @@
     world.run(seconds * 1_000, |world| {
         // They look again every 0.9 s.
         if (world.now - START).is_multiple_of(900) {
-            judges.iter().for_each(|judge| saw(world, *judge, first, Seen::Failed));
+            judges.iter().for_each(|judge| saw(world, *judge, first, CallResult::Failed));
         }
         if (world.now - START) % 1_000 == 950 {
             avoiding.push((0..world.senders.len()).filter(|n| !avoids(world, *n).is_empty()).count());
@@ -70,7 +70,7 @@
     let mut world = World::new(&halls(30, 1), 8);
     world.run(20_000, |world| {
         if world.now.is_multiple_of(100) {
-            receivers().into_iter().for_each(|name| saw(world, 4, name, Seen::Failed));
+            receivers().into_iter().for_each(|name| saw(world, 4, name, CallResult::Failed));
         }
         for n in (0..30).filter(|n| *n != 4) {
             let avoided = avoids(world, n);
@@ -86,11 +86,11 @@
     let (mut calls, mut avoided) = (0, 0);
     world.run(60_000, |world| {
         if world.now.is_multiple_of(500) {
-            (0..6).for_each(|n| saw(world, n, first, Seen::Failed));
+            (0..6).for_each(|n| saw(world, n, first, CallResult::Failed));
             // The others reach it, whenever they do not avoid it.
             for n in 6..12 {
                 if avoids(world, n).is_empty() {
-                    saw(world, n, first, Seen::Answered);
+                    saw(world, n, first, CallResult::Answered);
                     calls += 1;
                 } else {
                     avoided += 1;
@@ -124,7 +124,7 @@
             }
             avoided += usize::from(goes_round && world.now > START + 25_000 + 9_000);
             if !goes_round {
-                saw(world, n, first, if down { Seen::Failed } else { Seen::Answered });
+                saw(world, n, first, if down { CallResult::Failed } else { CallResult::Answered });
             }
         }
     });
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, Fleet, Incarnation, Kind, LimitId, LocalSender, Own, PermitLedger, Ramp, Receiver,
-    Seen,
+    CallResult, Class, DatagramBudget, Fleet, Incarnation, Kind, LimitId, LocalSender, Own, PermitLedger,
+    Ramp, Receiver,
 };
 use rudderspindle_gossip::{FleetView, OutgoingDatagram};
 
@@ -135,9 +135,9 @@
     for now in (START..START + 6_000).step_by(100) {
         for from in 0..views.len() {
             views[from].counts().record_message(now, (now / 300 % 4) as u16 * (from as u16 + 1));
-            let seen = if from < 4 { Seen::Failed } else { Seen::Answered };
-            views[from].judgements().saw(now, receivers[0], seen);
-            views[from].judgements().saw(now, receivers[1], Seen::Answered);
+            let seen = if from < 4 { CallResult::Failed } else { CallResult::Answered };
+            views[from].judgements().record_call(now, receivers[0], seen);
+            views[from].judgements().record_call(now, receivers[1], CallResult::Answered);
             let datagrams = views[from].notes_due(now, &mut posts[from]);
             write_letters(&mut transcript, now, from, &datagrams);
             for (to, datagram) in datagrams {
--- a/crates/sender/src/activity.rs
+++ b/crates/sender/src/activity.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_gossip::{Receiver, Seen};
+use rudderspindle_gossip::{CallResult, Receiver};
 use rudderspindle_policy::interface::Outcome;
 
 use crate::event::{ActivityReport, MAX_CALL_RESULTS};
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct ActivityLog {
     kept: bool,
-    seen: VecDeque<(Receiver, Seen)>,
+    seen: VecDeque<(Receiver, CallResult)>,
     taken_on: BTreeMap<u16, u32>,
 }
 
@@ -27,8 +27,8 @@
     /// A call to a receiver ended. One that was never sent, or called off, tells nothing of it.
     pub fn saw(&mut self, receiver: Option<Receiver>, outcome: Outcome) {
         let seen = match outcome {
-            Outcome::Ok | Outcome::Rejected => Seen::Answered,
-            Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => Seen::Failed,
+            Outcome::Ok | Outcome::Rejected => CallResult::Answered,
+            Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => CallResult::Failed,
             Outcome::Cancelled | Outcome::NotSent | Outcome::AttemptsExhausted => return,
         };
         if let Some(receiver) = receiver.filter(|_| self.kept) {
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use hyper::header::HeaderName;
-use rudderspindle_gossip::{LimitId, Receiver, Seen};
+use rudderspindle_gossip::{CallResult, LimitId, Receiver};
 use rudderspindle_journal::MessageId;
 use rudderspindle_policy::interface::*;
 use serde::Deserialize;
@@ -70,7 +70,7 @@
 pub struct ActivityReport {
     pub demands: Vec<(LimitId, Demand)>,
     /// How calls ended since the last time, oldest first; of the last [`MAX_CALL_RESULTS`] only.
-    pub seen: Vec<(Receiver, Seen)>,
+    pub seen: Vec<(Receiver, CallResult)>,
     /// Messages taken on since the last time, by tenant.
     pub taken_on: Vec<(u16, u32)>,
     /// The receivers on the list.
--- a/crates/sender/src/gossip/shared.rs
+++ b/crates/sender/src/gossip/shared.rs
@@ -76,7 +76,7 @@
     /// Takes in what the host did, and says what it is to be told.
     pub fn exchange(&mut self, wall: u64, activity: &ActivityReport) -> Vec<Input> {
         for &(receiver, seen) in &activity.seen {
-            self.views.judgements().saw(wall, receiver, seen);
+            self.views.judgements().record_call(wall, receiver, seen);
         }
         for &(tenant, messages) in &activity.taken_on {
             (0..messages).for_each(|_| self.views.counts().record_message(wall, tenant));
