--- /dev/null
+++ b/crates/gossip/src/arrival_rate.rs
@@ -0,0 +1,29 @@
+//! Estimates how many messages arrive within a time, as an exponentially decaying count.
+
+/// A time span or a point on a monotonic clock, in milliseconds.
+type Millis = f64;
+
+/// Time constant of the decay, in milliseconds.
+const DECAY_TIME: Millis = 1_000.0;
+
+/// A decaying count of arrived messages.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ArrivalRate {
+    count: f64,
+    updated_at: Millis,
+}
+
+impl ArrivalRate {
+    /// Counts one arrival at `now`, in milliseconds on a monotonic clock.
+    pub fn record(&mut self, now: Millis) {
+        *self = Self { count: self.expected_within(now, DECAY_TIME) + 1.0, updated_at: now };
+    }
+
+    /// Expected number of arrivals within a span that starts at `now`, both in milliseconds.
+    pub fn expected_within(&self, now: Millis, span: Millis) -> f64 {
+        self.count * (-(now - self.updated_at) / DECAY_TIME).exp() * span / DECAY_TIME
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/gossip/src/arrival_rate/tests.rs
@@ -0,0 +1,12 @@
+//! The estimate at a steady rate and after arrivals end.
+
+use super::*;
+
+#[test]
+fn the_estimate_follows_arrivals_within_a_second_or_two() {
+    let mut arrival_rate = ArrivalRate::default();
+    (0..100).for_each(|n| arrival_rate.record(f64::from(n) * 100.0));
+    let steady = arrival_rate.expected_within(9_900.0, 1_000.0);
+    assert!((steady - 10.0).abs() < 1.0, "{steady} expected of ten a second");
+    assert!(arrival_rate.expected_within(14_000.0, 1_000.0) < 0.5);
+}
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -9,6 +9,7 @@
 //! No I/O and no clock: [`DemandExchange`] is given the time and the datagrams, and says which to send.
 #![forbid(unsafe_code)]
 
+mod arrival_rate;
 mod capacity;
 mod datagram_budget;
 mod demand_exchange;
@@ -26,7 +27,8 @@
 mod sums;
 mod tenant_usage;
 
-pub use capacity::{ArrivalRate, CapacityShare};
+pub use arrival_rate::ArrivalRate;
+pub use capacity::{CapacityShare, CapacityUpdate, PermitLease, ScheduledCall};
 pub use datagram_budget::{Class, DatagramBudget};
 pub use demand_exchange::{DemandExchange, LocalDemand, ROUND};
 pub use envelope::{EnvelopeError, Kind, MAX_BODY_LEN, open, read, seal};
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -22,7 +22,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use rudderspindle_gossip::{ArrivalRate, CapacityShare};
+use rudderspindle_gossip::{ArrivalRate, CapacityShare, CapacityUpdate, PermitLease, ScheduledCall};
 
 use crate::calls::{Call, Calls};
 use crate::health::{Health, State};
@@ -128,17 +128,28 @@
             Event::Capacity { destination, route, calls, wanted, lasts } => {
                 let Some(d) = self.destinations.get_mut(destination) else { return };
                 let Some(scope) = d.scope(*route) else { return };
-                let (need, throttle) = (d.need(scope, self.now), d.throttle_of_mut(scope));
-                let turn = (throttle.wait_until, throttle.draw_at);
-                throttle.room.all = *wanted;
-                throttle.draw_at = throttle.room.told(self.now, *calls, *lasts, need, turn);
+                let (own_demand, limit) = d.need(scope, self.now);
+                let throttle = d.throttle_of_mut(scope);
+                let update = CapacityUpdate {
+                    rate_per_demand: *calls,
+                    fleet_demand: *wanted,
+                    valid_for: *lasts,
+                    own_demand,
+                    limit,
+                };
+                let scheduled = ScheduledCall { due_at: throttle.draw_at, not_before: throttle.wait_until };
+                throttle.draw_at = throttle.room.apply(self.now, &update, scheduled);
             }
             Event::Permits { destination, route, turns } => {
                 let Some(d) = self.destinations.get_mut(destination) else { return };
                 let throttle = d.scope(*route).map(|scope| d.throttle_of_mut(scope));
-                let turn = |t: &Permit| (t.number, self.now + t.from, self.now + t.until);
+                let turn = |t: &Permit| PermitLease {
+                    number: t.number,
+                    from: self.now + t.from,
+                    until: self.now + t.until,
+                };
                 let turns: Vec<_> = turns.iter().map(turn).collect();
-                throttle.into_iter().for_each(|throttle| throttle.room.deal(self.now, &turns));
+                throttle.into_iter().for_each(|throttle| throttle.room.set_leases(self.now, &turns));
             }
             Event::EjectedReceivers(judged) => {
                 let routes = self.destinations.values_mut().flat_map(|d| &mut d.routes);
--- a/crates/policy/src/decide/choice.rs
+++ b/crates/policy/src/decide/choice.rs
@@ -76,7 +76,7 @@
         let now = self.now;
         let shared = d.shared_pace(Scope::Route(index), now);
         let throttle = d.throttle_mut(index);
-        throttle.room.sent(now, shared);
+        throttle.room.record_call(now, shared);
         let limited = throttle.draw_at > now - BURST;
         throttle.draw_at =
             throttle.draw_at.max(now - BURST) + self.rng.pause(1_000.0 / shared.unwrap_or(throttle.pace));
--- a/crates/policy/src/decide/demand.rs
+++ b/crates/policy/src/decide/demand.rs
@@ -12,7 +12,7 @@
         let limit = self.throttle_of(scope).told;
         let all = if self.apart { ready.map(|r| r.throttle.told).sum() } else { limit };
         (
-            (self.waiting.len() as f64 + self.arrival_rate.expected(now, UNTOLD)) * limit
+            (self.waiting.len() as f64 + self.arrival_rate.expected_within(now, UNTOLD)) * limit
                 / f64::max(all, limit),
             limit,
         )
@@ -21,7 +21,7 @@
     /// The pace that the fleet's notes leave to this sender, while they are fresh.
     pub(super) fn shared_pace(&self, scope: Scope, now: Millis) -> Option<f64> {
         let (wanted, limit) = self.need(scope, now);
-        self.throttle_of(scope).room.pace(now, wanted, limit)
+        self.throttle_of(scope).room.rate(now, wanted, limit)
     }
 }
 
@@ -39,12 +39,13 @@
     /// A message has come: the first one at a destination takes its turn among all senders'.
     pub(super) fn queue_up(&mut self, to: DestinationId) {
         let Some(mut d) = self.destinations.get_mut(&to).map(std::mem::take) else { return };
-        d.arrival_rate.came(self.now);
+        d.arrival_rate.record(self.now);
         let first = d.waiting.len() == 1;
         for scope in d.throttles().filter(|_| first) {
             let Some(pace) = d.shared_pace(scope, self.now) else { continue };
             let (draw, throttle) = (self.rng.unit(), d.throttle_of_mut(scope));
-            throttle.draw_at = throttle.room.first_turn(self.now, pace, draw).unwrap_or(throttle.draw_at);
+            throttle.draw_at =
+                throttle.room.schedule_first_call(self.now, pace, draw).unwrap_or(throttle.draw_at);
         }
         self.destinations.insert(to, d);
     }
--- a/crates/policy/src/decide/destination.rs
+++ b/crates/policy/src/decide/destination.rs
@@ -75,7 +75,7 @@
             });
         }
         // Departure (rights are kept): whatever else holds, a call needs a turn.
-        at = at.max(throttle.room.opens_at(now));
+        at = at.max(throttle.room.next_lease_at(now));
         if route.listing == Listing::Ready { at.max(throttle.wait_until) } else { f64::INFINITY }
     }
 }
--- a/crates/policy/src/decide/figures.rs
+++ b/crates/policy/src/decide/figures.rs
@@ -13,7 +13,7 @@
             };
             let demands = d.throttles().filter(listed).map(|scope| {
                 let ((wanted, limit), room) = (d.need(scope, self.now), &d.throttle_of(scope).room);
-                let CapacityShare { called, refused, failed, .. } = *room;
+                let CapacityShare { calls: called, rejected: refused, failed, .. } = *room;
                 Demand { destination, route: d.name(scope), limit, wanted, called, refused, failed }
             });
             demands.collect::<Vec<_>>()
--- a/crates/policy/src/decide/list.rs
+++ b/crates/policy/src/decide/list.rs
@@ -57,10 +57,10 @@
         let mut throttle =
             Throttle::new(told, self.settings.peers_total, UNHURRIED / longest, self.now - CUT_REST);
         if self.hears_notes {
-            throttle.room = CapacityShare::unheard(self.now, told, self.settings.peers_total);
+            throttle.room = CapacityShare::equal(self.now, told, self.settings.peers_total);
         }
         if self.keeps_rights {
-            throttle.room = throttle.room.strict();
+            throttle.room = throttle.room.requiring_permits();
         }
         if d.routes.is_empty() {
             d.shared = throttle.clone();
--- a/crates/policy/src/decide/outages.rs
+++ b/crates/policy/src/decide/outages.rs
@@ -77,7 +77,7 @@
     /// Our part of a destination in an outage: the parts of all senders add up to one. It is our share of
     /// what all want, where notes tell of that, and an equal one else.
     fn part(&self, d: &Destination, scope: Scope) -> f64 {
-        let told = d.throttle_of(scope).room.part(self.now, d.need(scope, self.now).0);
+        let told = d.throttle_of(scope).room.demand_fraction(self.now, d.need(scope, self.now).0);
         told.unwrap_or(1.0 / self.settings.peers_total as f64)
     }
 
--- a/crates/policy/src/decide/outcomes.rs
+++ b/crates/policy/src/decide/outcomes.rs
@@ -61,7 +61,7 @@
                 let throttle = d.throttle_mut(route);
                 let times = f64::from(throttle.turned.0 + 1).min(self.sharers());
                 let mean = 500.0 * times / throttle.pace.max(throttle.start);
-                let pause = self.rng.pause(shared.map_or(mean, |pace| throttle.room.turn(pace)));
+                let pause = self.rng.pause(shared.map_or(mean, |pace| throttle.room.schedule_call(pace)));
                 throttle.wait_until = throttle.wait_until.max(again);
                 throttle.draw_at = throttle.draw_at.max(again + pause);
             }
@@ -96,7 +96,7 @@
         let throttle = d.throttle_mut(index);
         throttle.window.count(now, 1.0, f64::from(u8::from(accept)));
         if outcome == Outcome::Rejected {
-            throttle.room.refused();
+            throttle.room.record_rejection();
             throttle.cut(now, fair * PACE_FLOOR);
         }
         throttle.room.failed += u64::from(!matches!(outcome, Outcome::Ok | Outcome::Rejected));
