--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -22,7 +22,7 @@
     /// of all senders while the fleet reports it, else an equal one.
     pub(super) fn recovery_share(&self, destination: &Destination, scope: Scope) -> f64 {
         let demand = destination.demand(scope, self.now);
-        let reported = destination.throttle_of(scope).capacity.part(self.now, demand.wanted);
+        let reported = destination.throttle_of(scope).capacity.demand_fraction(self.now, demand.wanted);
         reported.unwrap_or(1.0 / self.settings.peers_total as f64)
     }
 
