--- a/crates/hot/src/lib.rs
+++ b/crates/hot/src/lib.rs
@@ -31,6 +31,9 @@
 mod view;
 mod wire;
 
+#[cfg(test)]
+mod tests;
+
 pub use again::{Repeated, repeated};
 pub use answer::{Answer, Heaviest, Sum, Yours};
 pub use digest::{Digest, Listed};
--- /dev/null
+++ b/crates/hot/src/tests/mod.rs
@@ -0,0 +1,2 @@
+//! Unit tests of what is not public.
+mod golden;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -30,6 +30,9 @@
 mod start;
 mod state;
 
+#[cfg(test)]
+mod tests;
+
 pub use body::{AtRest, Body};
 pub use change::Change;
 pub use halls::{HallMask, Halls, HallsError, MOST_HALLS};
