--- /dev/null
+++ b/crates/hot/src/datagram.rs
@@ -0,0 +1,12 @@
+//! Datagrams that the host is to send.
+
+use crate::sender_id::SenderId;
+
+/// A datagram to be sent to another sender of the fleet.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingDatagram {
+    /// The sender that is to receive it.
+    pub to: SenderId,
+    /// The encoded message, at most [`MAX_BODY_LEN`](crate::MAX_BODY_LEN) bytes.
+    pub body: Vec<u8>,
+}
--- a/crates/hot/src/error.rs
+++ b/crates/hot/src/error.rs
@@ -1,24 +1,26 @@
-//! Why a note of another sender was dropped. Nothing has changed then.
+//! Why a received datagram is dropped.
 
-/// Why a note was dropped; nothing has changed then.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum HotError {
-    /// From nobody of the fleet, or from the reader itself.
+use thiserror::Error;
+
+/// Why a received datagram is dropped; nothing has changed then.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum DatagramError {
+    /// The sender is not of the fleet, is the reader itself, or has no part in this slice's aggregation.
     #[error("from no other sender of the fleet")]
-    Stranger,
-    /// Longer than [`LONGEST_BODY`](crate::LONGEST_BODY).
-    #[error("longer than a note's body may be")]
+    UnknownSender,
+    /// The bytes are longer than [`MAX_BODY_LEN`](crate::MAX_BODY_LEN).
+    #[error("longer than a message's body may be")]
     TooLong,
-    /// Not what a sender encodes: damaged, cut, with bytes left over, or with figures that contradict one another.
-    #[error("not a note that a sender encodes")]
+    /// The bytes are not one message: damaged, cut, with bytes left over, or with figures that contradict one another.
+    #[error("not a message that a sender encodes")]
     Malformed,
-    /// Of a pane that the reader's clock does not have in its window.
-    #[error("of a pane outside the window")]
-    Pane,
-    /// Of more than a sender's door lets in.
-    #[error("of more than a sender may be handed")]
-    Beyond,
-    /// Of an older incarnation than one that was heard of.
-    #[error("of an older incarnation")]
-    Incarnation,
+    /// The message is of a slice outside the reader's window.
+    #[error("of a slice outside the window")]
+    OutsideWindow,
+    /// The digest counts more messages than a sender may accept.
+    #[error("of more than a sender may accept")]
+    OverLimit,
+    /// The digest is of an earlier incarnation than one that was received.
+    #[error("of an earlier incarnation")]
+    StaleIncarnation,
 }
--- /dev/null
+++ b/crates/hot/src/fair_share.rs
@@ -0,0 +1,52 @@
+//! Max-min fair shares of a limit.
+//!
+//! Invariant: no share is greater than the demand, all shares add up to the limit or to the sum of demands, and a share that
+//! is less than its demand is no less than any other.
+
+use std::collections::BTreeMap;
+
+use crate::key::Key;
+
+/// Maximum of a demand or a limit, in calls a second: with infinities no share could be computed.
+const MAX_RATE: f64 = 1e12;
+
+/// The fair share of each stream in a limit, given the streams' demands (all in calls a second).
+///
+/// Shares are filled up evenly until each has its demand or nothing is left (progressive filling). What is not a number or
+/// negative counts as 0.
+///
+/// ```
+/// use rudderspindle_hot::{Key, fair_shares};
+/// let demands = [(Key::new(1), 1.0), (Key::new(2), 4.0), (Key::new(3), 50.0)].into();
+/// let shares = fair_shares(12.0, &demands);
+/// assert_eq!(shares.values().copied().collect::<Vec<f64>>(), [1.0, 4.0, 7.0]);
+/// ```
+#[must_use]
+pub fn fair_shares(limit: f64, demands: &BTreeMap<Key, f64>) -> BTreeMap<Key, f64> {
+    let mut ascending: Vec<(f64, Key)> =
+        demands.iter().map(|(key, demand)| (bounded_rate(*demand), *key)).collect();
+    ascending.sort_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)));
+    let mut remaining = bounded_rate(limit);
+    let mut unfilled = ascending.len();
+    let mut shares = BTreeMap::new();
+    for (demand, key) in ascending {
+        let share = demand.min(remaining / unfilled as f64);
+        remaining -= share;
+        unfilled -= 1;
+        shares.insert(key, share);
+    }
+    shares
+}
+
+/// The fraction of a stream's demand that is beyond its fair share, from 0 to 1: it waits first and is shed first.
+#[must_use]
+pub fn excess_fraction(limit: f64, demands: &BTreeMap<Key, f64>, stream: Key) -> f64 {
+    let demand = demands.get(&stream).map_or(0.0, |demand| bounded_rate(*demand));
+    let share = fair_shares(limit, demands).get(&stream).copied().unwrap_or(0.0);
+    if demand > 0.0 { (1.0 - share / demand).clamp(0.0, 1.0) } else { 0.0 }
+}
+
+/// A rate from 0 to [`MAX_RATE`]; 0 for what is not a number.
+fn bounded_rate(rate: f64) -> f64 {
+    if rate > 0.0 { rate.min(MAX_RATE) } else { 0.0 }
+}
--- /dev/null
+++ b/crates/hot/src/gossip_message.rs
@@ -0,0 +1,45 @@
+//! Messages between senders and their encoding.
+//!
+//! Invariant: an encoded message has at most [`MAX_BODY_LEN`] bytes, and decoding believes no length in it beyond the bytes
+//! that there are.
+
+use serde::{Deserialize, Serialize};
+
+use crate::digest::Digest;
+use crate::error::DatagramError;
+use crate::packing::MAX_BODY_LEN;
+use crate::window_summary::WindowSummary;
+
+/// A message between senders; the first encoded byte is the number of the variant.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) enum GossipMessage {
+    /// What a sender accepted in one slice, to an aggregator.
+    Digest(Digest),
+    /// What all senders accepted, back from the aggregator.
+    Summary(WindowSummary),
+}
+
+impl GossipMessage {
+    pub(crate) fn encode(&self) -> Vec<u8> {
+        // Nothing in a message can fail to be encoded into memory: no floats, no maps, no lengths unknown before.
+        postcard::to_allocvec(self).unwrap_or_default()
+    }
+
+    /// Reads one message that fills `bytes`.
+    ///
+    /// # Errors
+    ///
+    /// [`DatagramError::TooLong`] and [`DatagramError::Malformed`].
+    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
+        if bytes.len() > MAX_BODY_LEN {
+            return Err(DatagramError::TooLong);
+        }
+        let (message, rest) =
+            postcard::take_from_bytes::<Self>(bytes).map_err(|_| DatagramError::Malformed)?;
+        let is_consistent = match &message {
+            Self::Digest(digest) => digest.is_consistent(),
+            Self::Summary(summary) => summary.is_consistent(),
+        };
+        if rest.is_empty() && is_consistent { Ok(message) } else { Err(DatagramError::Malformed) }
+    }
+}
--- a/crates/hot/src/lib.rs
+++ b/crates/hot/src/lib.rs
@@ -1,51 +1,70 @@
-//! The hottest streams of the fleet, from what each sender is handed.
+//! Heavy hitters of the fleet: the streams with the most messages, from what each sender accepts.
 //!
-//! Invariant: what is read of a key is an interval, and what the fleet was handed of it lies inside, whoever was not
-//! heard and in whatever order, however often and however late notes came.
+//! Invariant: what is read of a key is an interval, and what the fleet accepted of it is inside, whichever sender did not
+//! report and in whatever order, however often and however late datagrams came.
 //!
-//! One sender of hundreds sees a call or two of a stream that is a storm in sum. So each counts what it is handed in a
-//! [`SpaceSaving`] for each pane of the shared clock, and tells closed panes to the one that adds up
-//! ([`Digest`]); that one keeps them in registers by sender and pane ([`Merged`]) and answers with the heaviest of
-//! all ([`Answer`]), which each reads as a [`View`] and judges by itself ([`Judge`]). [`Hottest`] is all of it for one
-//! sender. [`max_min`] says what of a limit is a stream's fair part.
+//! One sender of hundreds sees a call or two of a stream that is a storm in sum. So each counts what it accepts in a
+//! [`SpaceSaving`] sketch for each slice of the shared clock, and publishes closed slices to an aggregator ([`Digest`]). The
+//! aggregator stores them by sender and slice ([`DigestStore`]) and replies with the heaviest keys of all
+//! ([`WindowSummary`]), which each sender reads as a [`FleetView`] and judges by itself ([`HotStreamDetector`]).
+//! [`HeavyHitters`] is all of it for one sender. [`fair_shares`] says what of a limit is a stream's fair share.
 //!
-//! No I/O and no clock: time is passed in as milliseconds of the shared wall clock, notes as bytes. It knows nothing of
-//! partners' limits, messages or sockets; streams and idempotency keys reach it as keyed hashes ([`Names`]).
+//! No I/O and no clock: time is passed in as a [`Timestamp`], datagrams as bytes. Nothing here knows of receivers' limits,
+//! messages or sockets; streams and idempotency keys come as keyed hashes ([`KeyHasher`]).
+//!
+//! Where to begin reading: `heavy_hitters` (one sender), `digest_publisher` and `aggregator` (the two sides of the gossip),
+//! `fleet_view` and `hot_streams` (what is decided).
 #![forbid(unsafe_code)]
 
-mod adder;
-mod again;
-mod answer;
+mod aggregator;
+mod aggregator_selection;
+mod datagram;
 mod digest;
+mod digest_publisher;
+mod digest_store;
 mod error;
-mod fair;
-mod hot;
-mod hottest;
-mod merged;
-mod panes;
-mod rounds;
+mod fair_share;
+mod fleet_view;
+mod gossip_message;
+mod heavy_hitters;
+mod hot_streams;
+mod key;
+mod mix;
+mod packing;
+mod repeated_key;
+mod round;
+mod sender_id;
 mod settings;
-mod sketch;
-mod streams;
-mod teller;
-mod view;
-mod wire;
+mod slice;
+mod slice_counter;
+mod slice_counts;
+mod space_saving;
+mod timestamp;
+mod window_summary;
+mod window_totals;
 
 #[cfg(test)]
 mod tests;
 
-pub use again::{Repeated, repeated};
-pub use answer::{Answer, Heaviest, Sum, Yours};
-pub use digest::{Digest, Listed};
-pub use error::HotError;
-pub use fair::{beyond, max_min};
-pub use hot::Judge;
-pub use hottest::{Hottest, Letter};
-pub use merged::{Merged, Sums, Table};
-pub use panes::{Pane, Panes};
-pub use rounds::{ROUND_MS, adders};
-pub use settings::{PANES, Settings, SettingsError};
-pub use sketch::{Counted, SpaceSaving};
-pub use streams::{Key, Names};
-pub use view::{Interval, View};
-pub use wire::LONGEST_BODY;
+pub use aggregator_selection::aggregators;
+pub use datagram::OutgoingDatagram;
+pub use digest::{Digest, DigestEntry, TopEntries};
+pub use digest_store::{DigestStore, StoredSlices};
+pub use error::DatagramError;
+pub use fair_share::{excess_fraction, fair_shares};
+pub use fleet_view::{Coverage, FleetView, Interval};
+pub use heavy_hitters::HeavyHitters;
+pub use hot_streams::HotStreamDetector;
+pub use key::{Key, KeyHasher};
+pub use packing::MAX_BODY_LEN;
+pub use repeated_key::{RepeatedKey, find_repeated_key};
+pub use round::ROUND_MS;
+pub use sender_id::{Incarnation, SenderId};
+pub use settings::{Settings, SettingsError};
+pub use slice::{SLICES_PER_WINDOW, Slice};
+pub use slice_counter::SliceCounter;
+pub use slice_counts::SliceCounts;
+pub use space_saving::{SketchEntry, SpaceSaving};
+pub use timestamp::Timestamp;
+pub use window_summary::{Acknowledgement, TopKeys, WindowSummary};
+pub use window_totals::{KeyTotal, KeyTotals, WindowTotals};
--- /dev/null
+++ b/crates/hot/src/round.rs
@@ -0,0 +1,42 @@
+//! Gossip rounds: when within a slice senders publish and aggregators reply.
+
+use crate::timestamp::Timestamp;
+
+/// Length of a round, in milliseconds: a datagram and its reply are in flight within one.
+pub const ROUND_MS: u64 = 200;
+/// From when on in a round senders publish, in milliseconds: replies of its beginning have arrived, and nobody asks for
+/// them again.
+const PUBLISH_FROM_MS: u64 = 50;
+/// Within how much of a round senders publish, each at a time of its own, in milliseconds: the rest is for the transfer.
+const PUBLISH_SPREAD_MS: u64 = 70;
+/// In these rounds of a slice all that have published in it are answered, later only who publishes again: by then each has
+/// published three times. Where one datagram of five is lost, less than 1 digest of a hundred is missing, and 4 senders of
+/// a hundred receive neither reply.
+pub(crate) const BROADCAST_ROUNDS: [u64; 2] = [3, 4];
+
+/// The number of a round: milliseconds since the Unix epoch, divided by [`ROUND_MS`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Round(u64);
+
+impl Round {
+    /// The round that contains a point in time.
+    pub fn containing(time: Timestamp) -> Self {
+        Self(time.as_millis() / ROUND_MS)
+    }
+
+    /// When the next round begins.
+    pub fn next_start(self) -> Timestamp {
+        Timestamp::from_millis((self.0 + 1) * ROUND_MS)
+    }
+
+    /// When a sender publishes in this round.
+    pub fn publish_time(self, sender_index: usize, sender_count: usize) -> Timestamp {
+        let offset = sender_index as u64 * PUBLISH_SPREAD_MS / sender_count.max(1) as u64;
+        Timestamp::from_millis(self.0 * ROUND_MS + PUBLISH_FROM_MS + offset)
+    }
+}
+
+/// Index of the round that contains a point in time within its slice of `slice_ms` milliseconds.
+pub(crate) fn round_in_slice(time: Timestamp, slice_ms: u64) -> u64 {
+    time.as_millis() % slice_ms / ROUND_MS
+}
--- a/crates/hot/src/settings.rs
+++ b/crates/hot/src/settings.rs
@@ -1,120 +1,99 @@
-//! What the operator sets, checked.
+//! The operator's settings of the heavy-hitter detection.
 
-use crate::rounds::ROUND_MS;
+use thiserror::Error;
 
-/// Panes of a window: what is told is a fifth of a window old at most when its pane closes, and a fifth is forgotten
-/// at a time. More panes cost as many more notes.
-pub const PANES: u64 = 5;
-/// Windows come in steps of this, ms, so that a pane is a whole number of rounds.
-const STEP_MS: u64 = PANES * ROUND_MS;
-/// In a shorter window panes have too few rounds to tell, answer and tell again, ms.
-const SHORTEST_MS: u64 = 6 * STEP_MS;
-/// A longer one finds a storm when it is over, ms.
-const LONGEST_MS: u64 = 600 * STEP_MS;
-/// With fewer entries a part of a tenth cannot be told apart from what the sketch leaves open.
-const FEWEST_ENTRIES: usize = 16;
-/// More do not fit into notes anyhow: 1,024 take some 60 kB for each pane.
-const MOST_ENTRIES: usize = 1_024;
-/// Under it more streams may be hot than an answer has room for, and what the sketch leaves open is as wide.
-const LEAST_PART: f64 = 0.02;
-/// Over a half only one stream can be hot, and half of it says nothing.
-const MOST_PART: f64 = 0.5;
+use crate::round::ROUND_MS;
+use crate::slice::SLICES_PER_WINDOW;
 
-/// What the operator sets.
+/// The window must be a multiple of this, in milliseconds, so that a slice is a whole number of rounds.
+const WINDOW_STEP_MS: u64 = SLICES_PER_WINDOW * ROUND_MS;
+/// Minimum window, in milliseconds: in a shorter one slices have too few rounds to publish, reply and publish again.
+const MIN_WINDOW_MS: u64 = 6 * WINDOW_STEP_MS;
+/// Maximum window, in milliseconds: a longer one finds a storm when it is over.
+const MAX_WINDOW_MS: u64 = 600 * WINDOW_STEP_MS;
+/// Minimum entries of a sketch: with fewer a fraction of a tenth cannot be told apart from the sketch's error.
+const MIN_ENTRIES: usize = 16;
+/// Maximum entries of a sketch: more do not fit into datagrams anyhow, and 1,024 take some 60 kB for each slice.
+const MAX_ENTRIES: usize = 1_024;
+/// Minimum hot fraction: under it more streams may be hot than a summary has room for, and the sketch's error is as wide.
+const MIN_HOT_FRACTION: f64 = 0.02;
+/// Maximum hot fraction: over a half only one stream can be hot, and half of it says nothing.
+const MAX_HOT_FRACTION: f64 = 0.5;
+/// Maximum of `max_per_second`, in messages a second.
+const MAX_RATE: u64 = 1_000_000;
+
+/// What the operator sets, the same at all senders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Length of the window, ms: a multiple of 1,000 from 6,000 to 600,000.
+    /// Length of the window, in milliseconds: a multiple of 1,000 from 6,000 to 600,000.
     pub window_ms: u64,
     /// Entries of a sketch: 16 to 1,024.
     pub entries: usize,
-    /// Part of all that a stream must be over to be hot: 0.02 to 0.5.
-    pub part: f64,
-    /// What one sender is handed at most, messages a second; its door must refuse what is beyond. 1 to 1,000,000.
-    pub most_per_second: u64,
+    /// Fraction of all messages over which a stream is hot: 0.02 to 0.5.
+    pub hot_fraction: f64,
+    /// Maximum rate that one sender accepts, in messages a second; its admission must refuse what is beyond. 1 to
+    /// 1,000,000.
+    pub max_per_second: u64,
 }
 
-/// Which setting is wrong, and what would be right.
-#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+/// Which setting is invalid, and what would be right.
+#[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum SettingsError {
     /// The window.
-    #[error("window_ms = {0}: a multiple of {STEP_MS} from {SHORTEST_MS} to {LONGEST_MS} would be right")]
+    #[error(
+        "window_ms = {0}: a multiple of {WINDOW_STEP_MS} from {MIN_WINDOW_MS} to {MAX_WINDOW_MS} would be right"
+    )]
     Window(u64),
-    /// The entries.
-    #[error("entries = {0}: a number from {FEWEST_ENTRIES} to {MOST_ENTRIES} would be right")]
+    /// The entries of a sketch.
+    #[error("entries = {0}: a number from {MIN_ENTRIES} to {MAX_ENTRIES} would be right")]
     Entries(usize),
-    /// The part.
-    #[error("part = {0}: a number from {LEAST_PART} to {MOST_PART} would be right")]
-    Part(f64),
-    /// The most of a sender.
-    #[error("most_per_second = {0}: a number from 1 to 1000000 would be right")]
-    MostPerSecond(u64),
+    /// The hot fraction.
+    #[error("hot_fraction = {0}: a number from {MIN_HOT_FRACTION} to {MAX_HOT_FRACTION} would be right")]
+    HotFraction(f64),
+    /// The maximum rate of a sender.
+    #[error("max_per_second = {0}: a number from 1 to {MAX_RATE} would be right")]
+    MaxPerSecond(u64),
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { window_ms: 10_000, entries: 64, part: 0.1, most_per_second: 1_000 }
+        Self { window_ms: 10_000, entries: 64, hot_fraction: 0.1, max_per_second: 1_000 }
     }
 }
 
 impl Settings {
-    /// The same settings, if they are right.
+    /// The same settings, if they are valid.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first field that is wrong and what would be right.
-    pub fn checked(self) -> Result<Self, SettingsError> {
-        let window = SHORTEST_MS..=LONGEST_MS;
-        if !window.contains(&self.window_ms) || !self.window_ms.is_multiple_of(STEP_MS) {
+    /// [`SettingsError`] names the first field that is not, and what would be right.
+    pub fn validated(self) -> Result<Self, SettingsError> {
+        let windows = MIN_WINDOW_MS..=MAX_WINDOW_MS;
+        if !windows.contains(&self.window_ms) || !self.window_ms.is_multiple_of(WINDOW_STEP_MS) {
             return Err(SettingsError::Window(self.window_ms));
         }
-        if !(FEWEST_ENTRIES..=MOST_ENTRIES).contains(&self.entries) {
+        if !(MIN_ENTRIES..=MAX_ENTRIES).contains(&self.entries) {
             return Err(SettingsError::Entries(self.entries));
         }
-        // A part that is no number is in no range.
-        if !(LEAST_PART..=MOST_PART).contains(&self.part) {
-            return Err(SettingsError::Part(self.part));
+        // A fraction that is not a number is in no range.
+        if !(MIN_HOT_FRACTION..=MAX_HOT_FRACTION).contains(&self.hot_fraction) {
+            return Err(SettingsError::HotFraction(self.hot_fraction));
         }
-        if !(1..=1_000_000).contains(&self.most_per_second) {
-            return Err(SettingsError::MostPerSecond(self.most_per_second));
+        if !(1..=MAX_RATE).contains(&self.max_per_second) {
+            return Err(SettingsError::MaxPerSecond(self.max_per_second));
         }
         Ok(self)
     }
 
-    /// Length of a pane, ms.
+    /// Length of a window slice, in milliseconds.
     #[must_use]
-    pub fn pane_ms(&self) -> u64 {
-        self.window_ms / PANES
+    pub fn slice_ms(&self) -> u64 {
+        self.window_ms / SLICES_PER_WINDOW
     }
 
-    /// What one sender is handed in one pane at most.
+    /// Maximum number of messages that one sender accepts within a slice.
     #[must_use]
-    pub fn most_per_pane(&self) -> u64 {
-        (self.most_per_second * self.pane_ms()).div_ceil(1_000)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_wrong_setting_is_named_with_what_would_be_right() {
-        let good = Settings::default();
-        assert_eq!(good.checked(), Ok(good));
-        let wrong = [
-            (
-                Settings { window_ms: 10_001, ..good },
-                "window_ms = 10001: a multiple of 1000 from 6000 to 600000",
-            ),
-            (Settings { window_ms: 0, ..good }, "window_ms = 0: a multiple of 1000"),
-            (Settings { entries: 15, ..good }, "entries = 15: a number from 16 to 1024"),
-            (Settings { part: f64::NAN, ..good }, "part = NaN: a number from 0.02 to 0.5"),
-            (Settings { part: 0.6, ..good }, "part = 0.6:"),
-            (Settings { most_per_second: 0, ..good }, "most_per_second = 0: a number from 1 to 1000000"),
-        ];
-        for (settings, says) in wrong {
-            let said = settings.checked().expect_err("it is wrong").to_string();
-            assert!(said.starts_with(says), "{said:?} instead of {says:?}");
-        }
+    pub fn max_per_slice(&self) -> u64 {
+        (self.max_per_second * self.slice_ms()).div_ceil(1_000)
     }
 }
--- /dev/null
+++ b/crates/hot/src/slice.rs
@@ -0,0 +1,49 @@
+//! Window slices: the window is a whole number of them, and they are counted and forgotten one by one.
+
+use serde::{Deserialize, Serialize};
+
+use crate::timestamp::Timestamp;
+
+/// Number of slices in a window: what is known is a fifth of a window old at most when its slice closes, and a fifth is
+/// forgotten at a time. More slices cost as many more datagrams.
+pub const SLICES_PER_WINDOW: u64 = 5;
+
+/// The number of a window slice: milliseconds since the Unix epoch, divided by the length of a slice.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Slice(pub u64);
+
+impl Slice {
+    /// The slice that contains a point in time, for slices of `slice_ms` milliseconds (at least 1).
+    #[must_use]
+    pub fn containing(time: Timestamp, slice_ms: u64) -> Self {
+        Self(time.as_millis() / slice_ms)
+    }
+
+    /// The slice so many slices later.
+    #[must_use]
+    pub(crate) fn plus(self, slices: u64) -> Self {
+        Self(self.0.saturating_add(slices))
+    }
+
+    /// The slice so many slices earlier, or the first of all.
+    #[must_use]
+    pub(crate) fn minus(self, slices: u64) -> Self {
+        Self(self.0.saturating_sub(slices))
+    }
+
+    /// Number of slices between two, in either direction.
+    #[must_use]
+    pub(crate) fn distance(self, other: Self) -> u64 {
+        self.0.abs_diff(other.0)
+    }
+
+    /// The slices of the window that ends where this slice begins, the earliest first.
+    pub(crate) fn window_before(self) -> impl DoubleEndedIterator<Item = Self> {
+        (self.minus(SLICES_PER_WINDOW).0..self.0).map(Self)
+    }
+
+    /// Position of an earlier slice in the window before this one: 0 for the latest.
+    pub(crate) fn age_of(self, earlier: Self) -> u64 {
+        self.0 - 1 - earlier.0
+    }
+}
--- /dev/null
+++ b/crates/hot/src/space_saving.rs
@@ -0,0 +1,176 @@
+//! The SpaceSaving sketch (Metwally, Agrawal, El Abbadi 2005) with weights.
+//!
+//! Invariant: for each listed key, `count - error <= true count <= count`; of any other key the true count is at most
+//! [`floor`](SpaceSaving::floor), which is at most the total divided by the capacity.
+//!
+//! Entries stay where they are; a heap of their indices has the lightest on top, and each entry knows its position in the
+//! heap. So an addition costs one look-up and a way through the heap, `O(log capacity)`, and memory is that of the capacity:
+//! some 60 bytes an entry (32 of the entry, 4 of the heap, the rest of the index), whatever the number of keys. Equal counts
+//! are ordered by a draw from the salt, the same at every sender: of keys that came once, all keep the same ones.
+
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+use crate::key::Key;
+
+/// Maximum of a count: sums of all slices of 65,535 senders still fit 63 bits.
+pub(crate) const MAX_COUNT: u64 = 1 << 40;
+
+/// What a sketch knows of a key: its true count is between `count - error` and `count`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SketchEntry {
+    /// The key.
+    pub key: Key,
+    /// Upper bound of the key's count.
+    pub count: u64,
+    /// How much of `count` may belong to other keys.
+    pub error: u64,
+}
+
+/// The heaviest keys of a flow in bounded memory.
+///
+/// ```
+/// use rudderspindle_hot::{Key, SketchEntry, SpaceSaving};
+/// let mut sketch = SpaceSaving::new(2, 0);
+/// for (key, weight) in [(1, 5), (2, 1), (3, 1)] {
+///     sketch.add(Key::new(key), weight);
+/// }
+/// let heaviest = sketch.heaviest();
+/// assert_eq!(heaviest[0], SketchEntry { key: Key::new(1), count: 5, error: 0 });
+/// assert_eq!(heaviest[1], SketchEntry { key: Key::new(3), count: 2, error: 1 });
+/// assert_eq!(sketch.floor(), 2);
+/// ```
+#[derive(Clone, Debug)]
+pub struct SpaceSaving {
+    capacity: usize,
+    salt: u64,
+    total: u64,
+    entries: Vec<SketchEntry>,
+    /// Indices of entries, a heap with the lightest on top.
+    heap: Vec<u16>,
+    /// The position in the heap of each entry.
+    heap_positions: Vec<u16>,
+    /// The index of each key's entry.
+    index_by_key: BTreeMap<Key, u16>,
+}
+
+impl SpaceSaving {
+    /// An empty sketch of so many entries (1 to 65,535), whose ties are drawn from the salt.
+    #[must_use]
+    pub fn new(capacity: usize, salt: u64) -> Self {
+        let capacity = capacity.clamp(1, usize::from(u16::MAX));
+        Self {
+            capacity,
+            salt,
+            total: 0,
+            entries: Vec::with_capacity(capacity),
+            heap: Vec::with_capacity(capacity),
+            heap_positions: Vec::with_capacity(capacity),
+            index_by_key: BTreeMap::new(),
+        }
+    }
+
+    /// Adds a weight to a key's count.
+    pub fn add(&mut self, key: Key, weight: u64) {
+        self.add_counting_steps(key, weight);
+    }
+
+    /// As [`add`](Self::add); how many positions of the heap were passed.
+    pub(crate) fn add_counting_steps(&mut self, key: Key, weight: u64) -> usize {
+        // Past the maximum nothing is counted, so that all figures agree.
+        let weight = weight.min(MAX_COUNT - self.total);
+        if weight == 0 {
+            return 0;
+        }
+        self.total += weight;
+        if let Some(&index) = self.index_by_key.get(&key) {
+            self.entries[usize::from(index)].count += weight;
+            return self.sift_down(usize::from(self.heap_positions[usize::from(index)]));
+        }
+        if self.entries.len() < self.capacity {
+            return self.push(SketchEntry { key, count: weight, error: 0 });
+        }
+        self.replace_lightest(key, weight)
+    }
+
+    fn push(&mut self, entry: SketchEntry) -> usize {
+        let index = self.entries.len() as u16;
+        self.entries.push(entry);
+        self.heap.push(index);
+        self.heap_positions.push(index);
+        self.index_by_key.insert(entry.key, index);
+        self.sift_up(usize::from(index))
+    }
+
+    fn replace_lightest(&mut self, key: Key, weight: u64) -> usize {
+        let index = self.heap[0];
+        let entry = &mut self.entries[usize::from(index)];
+        self.index_by_key.remove(&entry.key);
+        *entry = SketchEntry { key, count: entry.count + weight, error: entry.count };
+        self.index_by_key.insert(key, index);
+        self.sift_down(0)
+    }
+
+    /// The sum of all weights that were added.
+    #[must_use]
+    pub fn total(&self) -> u64 {
+        self.total
+    }
+
+    /// Upper bound of the count of any key that is not listed.
+    #[must_use]
+    pub fn floor(&self) -> u64 {
+        if self.entries.len() < self.capacity { 0 } else { self.entries[usize::from(self.heap[0])].count }
+    }
+
+    /// All entries, the heaviest first.
+    #[must_use]
+    pub fn heaviest(&self) -> Vec<SketchEntry> {
+        let mut entries = self.entries.clone();
+        entries.sort_unstable_by_key(|entry| Reverse(self.weight(entry)));
+        entries
+    }
+
+    /// By what entries are ordered.
+    fn weight(&self, entry: &SketchEntry) -> (u64, Reverse<u64>, Key) {
+        (entry.count, Reverse(entry.key.rank(self.salt)), entry.key)
+    }
+
+    fn is_lighter(&self, position: usize, other: usize) -> bool {
+        let entry = |position: usize| &self.entries[usize::from(self.heap[position])];
+        self.weight(entry(position)) < self.weight(entry(other))
+    }
+
+    fn swap(&mut self, position: usize, other: usize) {
+        self.heap.swap(position, other);
+        self.heap_positions[usize::from(self.heap[position])] = position as u16;
+        self.heap_positions[usize::from(self.heap[other])] = other as u16;
+    }
+
+    fn sift_up(&mut self, mut position: usize) -> usize {
+        let mut steps = 0;
+        while position > 0 && self.is_lighter(position, (position - 1) / 2) {
+            self.swap(position, (position - 1) / 2);
+            position = (position - 1) / 2;
+            steps += 1;
+        }
+        steps
+    }
+
+    fn sift_down(&mut self, mut position: usize) -> usize {
+        let mut steps = 0;
+        while let Some(lightest) = self.lightest_child(position)
+            && self.is_lighter(lightest, position)
+        {
+            self.swap(position, lightest);
+            position = lightest;
+            steps += 1;
+        }
+        steps
+    }
+
+    fn lightest_child(&self, position: usize) -> Option<usize> {
+        let children = 2 * position + 1..(2 * position + 3).min(self.heap.len());
+        children.reduce(|left, right| if self.is_lighter(right, left) { right } else { left })
+    }
+}
--- /dev/null
+++ b/crates/hot/src/tests/slice_counter.rs
@@ -0,0 +1,38 @@
+//! Clocks that step.
+use proptest::prelude::*;
+
+use crate::key::Key;
+use crate::settings::Settings;
+use crate::slice::{SLICES_PER_WINDOW, Slice};
+use crate::slice_counter::SliceCounter;
+use crate::timestamp::Timestamp;
+
+proptest! {
+    #[test]
+    fn however_the_clock_steps_no_slice_is_kept_beyond_a_window(
+        steps in prop::collection::vec(prop_oneof![-20_000_i64..20_000, any::<i64>()], 1..200),
+    ) {
+        let settings = Settings::default();
+        let mut now_ms: u64 = 1_000_000;
+        let mut counter = SliceCounter::new(&settings, Timestamp::from_millis(now_ms), false);
+        for step in steps {
+            now_ms = now_ms.saturating_add_signed(step);
+            let now = Timestamp::from_millis(now_ms);
+            counter.record(now, Key::new(1), Some(Key::new(2)));
+            let current = Slice::containing(now, settings.slice_ms());
+            prop_assert!(counter.slices().count() <= 2 * SLICES_PER_WINDOW as usize + 1);
+            prop_assert!(counter.slices().all(|slice| slice.distance(current) <= SLICES_PER_WINDOW));
+            prop_assert!(counter.total(current) > 0);
+        }
+    }
+}
+
+#[test]
+fn a_clock_that_steps_back_a_little_makes_no_published_total_smaller() {
+    let at = Timestamp::from_millis;
+    let mut counter = SliceCounter::new(&Settings::default(), at(10_000), true);
+    counter.record(at(12_000), Key::new(1), None);
+    counter.record(at(9_000), Key::new(1), None);
+    counter.record(at(12_100), Key::new(1), None);
+    assert_eq!(counter.total(Slice(6)), 2);
+}
--- /dev/null
+++ b/crates/hot/src/window_totals.rs
@@ -0,0 +1,98 @@
+//! Totals over all digests of a window, by key.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::digest::TopEntries;
+use crate::key::{KEY_LEN, Key};
+use crate::packing::varint_len;
+use crate::sender_id::SenderId;
+use crate::slice::SLICES_PER_WINDOW;
+
+/// How often all senders that reported accepted one key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct KeyTotal {
+    /// The key.
+    pub key: Key,
+    /// Lower bound of the total.
+    pub min: u64,
+    /// How much more the total may be.
+    pub spread: u64,
+    /// Lower bound of the number of senders that accepted it.
+    pub senders: u16,
+}
+
+impl KeyTotal {
+    /// Upper bound of the total.
+    pub(crate) fn max(&self) -> u64 {
+        self.min.saturating_add(self.spread)
+    }
+
+    pub(crate) fn encoded_len(&self) -> usize {
+        KEY_LEN + varint_len(self.min) + varint_len(self.spread) + varint_len(self.senders.into())
+    }
+}
+
+/// Totals of all keys that some digest lists, and a bound of all others.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct KeyTotals {
+    /// Upper bound of the total of a key that no digest lists.
+    pub max_unlisted: u64,
+    /// The totals in the order of their keys.
+    pub totals: Vec<KeyTotal>,
+}
+
+/// Totals over a window of all senders that reported.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct WindowTotals {
+    /// Of how many senders a complete count was received, the latest slice first.
+    pub complete_counts: [u16; SLICES_PER_WINDOW as usize],
+    /// Number of messages accepted, of all that reported.
+    pub messages: u64,
+    /// Totals of streams.
+    pub streams: KeyTotals,
+    /// Totals of idempotency keys.
+    pub keys: KeyTotals,
+}
+
+/// The total of a key while digests are added.
+#[derive(Debug, Default)]
+struct RunningTotal {
+    min: u64,
+    /// How much more its upper bound is than that of a key that no digest lists.
+    excess: i64,
+    senders: u16,
+    last_sender: Option<SenderId>,
+}
+
+/// Adds up the entries of digests, which must come in the order of their senders.
+#[derive(Debug, Default)]
+pub(crate) struct KeyTotalsBuilder {
+    max_unlisted: u64,
+    by_key: BTreeMap<Key, RunningTotal>,
+}
+
+impl KeyTotalsBuilder {
+    /// Adds what a sender listed of one slice.
+    pub fn add(&mut self, sender: SenderId, listed: &TopEntries) {
+        self.max_unlisted += listed.max_unlisted;
+        for entry in &listed.entries {
+            let total = self.by_key.entry(entry.key).or_default();
+            total.min += entry.min;
+            total.excess += (entry.min + entry.error) as i64 - listed.max_unlisted as i64;
+            if entry.min > 0 && total.last_sender.replace(sender) != Some(sender) {
+                total.senders += 1;
+            }
+        }
+    }
+
+    pub fn finish(self) -> KeyTotals {
+        let max_unlisted = self.max_unlisted;
+        let total = |(key, total): (Key, RunningTotal)| {
+            let max = max_unlisted.saturating_add_signed(total.excess).max(total.min);
+            KeyTotal { key, min: total.min, spread: max - total.min, senders: total.senders }
+        };
+        KeyTotals { max_unlisted, totals: self.by_key.into_iter().map(total).collect() }
+    }
+}
--- a/crates/hot/tests/golden.rs
+++ b/crates/hot/tests/golden.rs
@@ -1,10 +1,11 @@
 //! All datagrams of a seeded run against `tests/golden/transcript.txt`, which is never regenerated.
-mod world;
+mod simulation;
 
 use std::fmt::Write;
 
-use rudderspindle_hot::{Hottest, Key, Settings};
-use world::{BEGIN_MS, World, Zipf};
+use rudderspindle_hot::{Key, Settings};
+use simulation::traffic::Zipf;
+use simulation::{BEGIN_MS, Simulation};
 
 /// FNV-1a, 64 bits.
 fn hash(hash: u64, bytes: &[u8]) -> u64 {
@@ -13,31 +14,31 @@
 
 #[test]
 fn a_seeded_fleet_sends_the_same_bytes_and_finds_the_same_streams_as_ever() {
-    let settings = Settings { most_per_second: 40, ..Settings::default() };
+    let settings = Settings { max_per_second: 40, ..Settings::default() };
     let zipf = Zipf::new(50, 1.1);
-    let mut world = World::new(77, 12, settings, BEGIN_MS - 2_700);
-    world.lost = 0.2;
+    let mut simulation = Simulation::new(77, 12, settings, BEGIN_MS - 2_700);
+    simulation.loss = 0.2;
     let (mut lines, mut digest) = (String::new(), 0xcbf2_9ce4_8422_2325);
     for second in 0..24 {
         if second == 9 {
-            world.senders[4] = Hottest::new(settings, 4, 12, 2, world.now, false).unwrap();
+            simulation.restart(4, 2);
         }
-        let before = world.taped.len();
-        world.run(1_000, |world| {
-            for to in 0..12 {
-                if world.chance() < 0.15 {
-                    let (point, key) = (world.chance(), world.chance());
+        let before = simulation.delivered.len();
+        simulation.run(1_000, |simulation| {
+            for sender in 0..12 {
+                if simulation.chance() < 0.15 {
+                    let (point, key) = (simulation.chance(), simulation.chance());
                     let key = (key < 0.3).then_some(Key::new((key * 100.0) as u64));
-                    world.hand_in(to, zipf.stream(point), key);
+                    simulation.accept(sender, zipf.stream(point), key);
                 }
             }
         });
-        for (from, to, bytes) in &world.taped[before..] {
-            digest = hash(digest, &[*from as u8, *to as u8]);
-            digest = hash(digest, bytes);
+        for datagram in &simulation.delivered[before..] {
+            digest = hash(digest, &[datagram.from.0 as u8, datagram.to.0 as u8]);
+            digest = hash(digest, &datagram.body);
         }
-        let hot: Vec<usize> = world.senders.iter().map(|sender| sender.hot().count()).collect();
-        let count = world.taped.len() - before;
+        let hot: Vec<usize> = simulation.senders.iter().map(|sender| sender.hot_streams().count()).collect();
+        let count = simulation.delivered.len() - before;
         writeln!(lines, "{count} datagrams, digest {digest:016x}, hot {hot:?}").unwrap();
     }
     assert_eq!(lines, include_str!("golden/transcript.txt"));
--- /dev/null
+++ b/crates/hot/tests/simulation/traffic.rs
@@ -0,0 +1,48 @@
+//! The messages that senders accept.
+
+use rudderspindle_hot::Key;
+
+use super::{STEP_MS, Simulation};
+
+/// A stream that is a storm while it is accepted.
+pub const STORM: Key = Key::new(1 << 20);
+
+/// Each sender accepts so many messages a second of a hundred even streams, and the chosen ones so many of the storm.
+pub fn accept(simulation: &mut Simulation, base: f64, storm: f64, chosen: impl Fn(usize) -> bool) {
+    let step_seconds = STEP_MS as f64 / 1_000.0;
+    for sender in 0..simulation.senders.len() {
+        if simulation.chance() < base * step_seconds {
+            let stream = Key::new((simulation.chance() * 100.0) as u64);
+            simulation.accept(sender, stream, None);
+        }
+        if chosen(sender) && simulation.chance() < storm * step_seconds {
+            simulation.accept(sender, STORM, None);
+        }
+    }
+}
+
+/// Streams by Zipf's law.
+pub struct Zipf {
+    /// Cumulative probabilities of the streams.
+    cumulative: Vec<f64>,
+}
+
+impl Zipf {
+    pub fn new(streams: usize, exponent: f64) -> Self {
+        let weights = (1..=streams).map(|rank| (rank as f64).powf(-exponent));
+        let mut cumulative: Vec<f64> = weights
+            .scan(0.0, |sum, weight| {
+                *sum += weight;
+                Some(*sum)
+            })
+            .collect();
+        let all = cumulative.last().copied().unwrap_or(1.0);
+        cumulative.iter_mut().for_each(|sum| *sum /= all);
+        Self { cumulative }
+    }
+
+    /// The stream at this point of all, 0 to 1.
+    pub fn stream(&self, point: f64) -> Key {
+        Key::new(self.cumulative.partition_point(|sum| *sum < point) as u64 + 1)
+    }
+}
--- a/crates/hot/tests/zipf.rs
+++ b/crates/hot/tests/zipf.rs
@@ -1,93 +1,101 @@
-//! The experiment: 300 senders, 10,000 streams by Zipf (1.1), 64 entries, a fifth of all notes lost.
+//! The experiment: 300 senders, 10,000 streams by Zipf (1.1), 64 entries, a fifth of all datagrams lost.
 
-mod world;
+mod simulation;
 
-use rudderspindle_hot::{Key, Settings};
-use world::{BEGIN_MS, STEP_MS, World, Zipf};
+use rudderspindle_hot::{Key, Settings, Slice};
+use simulation::traffic::Zipf;
+use simulation::{BEGIN_MS, STEP_MS, Simulation};
 
 const SENDERS: usize = 300;
-/// What a sender is handed, messages a second, in the mean.
+/// What a sender accepts in the mean, in messages a second.
 const PER_SECOND: f64 = 30.0;
-/// The most that a door lets in: four times the mean.
-const MOST_PER_SECOND: u64 = 120;
+/// The most that a sender's admission lets in: four times the mean.
+const MAX_PER_SECOND: u64 = 120;
 
-fn settings(part: f64) -> Settings {
-    Settings { part, most_per_second: MOST_PER_SECOND, ..Settings::default() }
+fn settings(hot_fraction: f64) -> Settings {
+    Settings { hot_fraction, max_per_second: MAX_PER_SECOND, ..Settings::default() }
 }
 
-/// Hands each sender its messages of a step: of a stream of its own with this part, else by Zipf.
-fn hand_in(world: &mut World, zipf: &Zipf, storm: f64) {
-    for to in 0..SENDERS {
+/// Each sender accepts its messages of a step: of the storm with this probability, else by Zipf.
+fn accept(simulation: &mut Simulation, zipf: &Zipf, storm: f64) {
+    for sender in 0..SENDERS {
         // From a third of the mean to five thirds, by the sender's number.
-        let own = PER_SECOND * (1.0 + 2.0 * (to % 3) as f64) / 3.0;
-        if world.chance() < own * STEP_MS as f64 / 1_000.0 {
-            let storm = world.chance() < storm;
-            let point = world.chance();
-            world.hand_in(to, if storm { Key::new(1 << 20) } else { zipf.stream(point) }, None);
+        let rate = PER_SECOND * (1.0 + 2.0 * (sender % 3) as f64) / 3.0;
+        if simulation.chance() < rate * STEP_MS as f64 / 1_000.0 {
+            let storm = simulation.chance() < storm;
+            let point = simulation.chance();
+            simulation.accept(sender, if storm { Key::new(1 << 20) } else { zipf.stream(point) }, None);
         }
     }
 }
 
 #[test]
-fn every_stream_over_twice_the_part_is_found_within_3_s_of_a_start_and_every_interval_holds_the_truth() {
+fn every_stream_over_twice_the_hot_fraction_is_found_within_3_s_of_a_start_and_every_interval_holds_the_truth()
+ {
     let zipf = Zipf::new(10_000, 1.1);
     // The first three streams have 0.15, 0.07 and 0.045 of all.
-    for (seed, begin) in [(1, 0), (2, 990), (3, 1_730)] {
-        let part = 0.02;
-        let mut world = World::new(seed, SENDERS, settings(part), BEGIN_MS + begin);
-        world.lost = 0.2;
-        world.run(3_000, |world| hand_in(world, &zipf, 0.0));
+    for (seed, begin_ms) in [(1, 0), (2, 990), (3, 1_730)] {
+        let hot_fraction = 0.02;
+        let mut simulation = Simulation::new(seed, SENDERS, settings(hot_fraction), BEGIN_MS + begin_ms);
+        simulation.loss = 0.2;
+        simulation.run(3_000, |simulation| accept(simulation, &zipf, 0.0));
         for stream in 1..=3 {
-            let found = world.found(Key::new(stream));
-            println!("seed {seed}, began {begin} ms into a pane: stream {stream} found by {found} after 3 s");
+            let found = simulation.count_finding(Key::new(stream));
+            println!(
+                "seed {seed}, began {begin_ms} ms into a slice: stream {stream} found by {found} after 3 s"
+            );
             assert!(found >= SENDERS * 95 / 100, "stream {stream} found by {found}");
         }
-        world.run(2_000, |world| hand_in(world, &zipf, 0.0));
-        let found = [1, 2, 3].map(|stream| world.found(Key::new(stream)));
-        println!("seed {seed}: the three found by {found:?} a pane later");
-        assert_eq!(found, [SENDERS; 3], "one pane later by all");
-        let (notes, bytes) = (world.notes, world.bytes);
+        simulation.run(2_000, |simulation| accept(simulation, &zipf, 0.0));
+        let found = [1, 2, 3].map(|stream| simulation.count_finding(Key::new(stream)));
+        println!("seed {seed}: the three found by {found:?} a slice later");
+        assert_eq!(found, [SENDERS; 3], "one slice later by all");
+        let (datagrams_before, bytes_before) = (simulation.datagrams_sent, simulation.bytes_sent);
         let seconds = 12;
         for _ in 0..seconds / 4 {
-            world.run(4_000, |world| hand_in(world, &zipf, 0.0));
-            assert_eq!(world.check(), SENDERS);
+            simulation.run(4_000, |simulation| accept(simulation, &zipf, 0.0));
+            assert_eq!(simulation.check_views(), SENDERS);
         }
-        // Nothing is hot that is not: streams under half the part in truth.
-        let truth = world.of(0..u64::MAX);
+        // Nothing is hot that is not: streams under half the hot fraction in truth.
+        let truth = simulation.accepted_in(Slice(0)..Slice(u64::MAX));
         let all: u64 = truth.values().sum();
-        for sender in &world.senders {
-            assert!(sender.hot().all(|key| truth[&key] as f64 > part / 2.0 * all as f64));
+        for sender in &simulation.senders {
+            assert!(sender.hot_streams().all(|key| truth[&key] as f64 > hot_fraction / 2.0 * all as f64));
         }
-        let each = (seconds * SENDERS as u64) as f64;
-        let (notes, bytes) = ((world.notes - notes) as f64 / each, (world.bytes - bytes) as f64 / each);
-        println!("seed {seed}: {notes:.2} notes and {bytes:.0} bytes a second from each sender");
-        assert!(notes < 3.0 && bytes < 660.0, "{notes:.2} notes, {bytes:.0} bytes a second from each");
+        let sender_seconds = (seconds * SENDERS as u64) as f64;
+        let datagram_rate = (simulation.datagrams_sent - datagrams_before) as f64 / sender_seconds;
+        let byte_rate = (simulation.bytes_sent - bytes_before) as f64 / sender_seconds;
+        let measured =
+            format!("{datagram_rate:.2} datagrams and {byte_rate:.0} bytes a second from each sender");
+        println!("seed {seed}: {measured}");
+        assert!(datagram_rate < 3.0 && byte_rate < 660.0, "{measured}");
     }
 }
 
 #[test]
-fn a_storm_in_warm_traffic_is_found_by_all_within_3_s_of_being_over_twice_the_part() {
+fn a_storm_in_warm_traffic_is_found_by_all_within_3_s_of_being_over_twice_the_hot_fraction() {
     let zipf = Zipf::new(10_000, 1.1);
     let settings = settings(0.1);
     let storm = Key::new(1 << 20);
-    let mut world = World::new(4, SENDERS, settings, BEGIN_MS + 400);
-    world.lost = 0.2;
-    world.run(12_000, |world| hand_in(world, &zipf, 0.0));
-    let mut since = None;
+    let mut simulation = Simulation::new(4, SENDERS, settings, BEGIN_MS + 400);
+    simulation.loss = 0.2;
+    simulation.run(12_000, |simulation| accept(simulation, &zipf, 0.0));
+    let mut over_since_ms = None;
     for _ in 0..20 * 1_000 / STEP_MS {
-        world.step(|world| hand_in(world, &zipf, 0.6));
-        let pane = world.now / settings.pane_ms();
-        let truth = world.of(pane - 4..pane + 1);
+        simulation.step(|simulation| accept(simulation, &zipf, 0.6));
+        let Slice(current) = simulation.current_slice();
+        let truth = simulation.accepted_in(Slice(current - 4)..Slice(current + 1));
         let all: u64 = truth.values().sum();
-        if since.is_none() && truth.get(&storm).copied().unwrap_or(0) as f64 > 0.2 * all as f64 {
-            since = Some(world.now);
+        if over_since_ms.is_none() && truth.get(&storm).copied().unwrap_or(0) as f64 > 0.2 * all as f64 {
+            over_since_ms = Some(simulation.now_ms);
         }
-        if world.found(storm) == SENDERS {
+        if simulation.count_finding(storm) == SENDERS {
             break;
         }
     }
-    let since = since.expect("three of five messages are the storm's");
-    println!("found by all {} ms after it was over twice the part", world.now - since);
-    assert!(world.found(storm) == SENDERS && world.now - since <= 3_000);
-    assert_eq!(world.check(), SENDERS);
+    let over_since_ms = over_since_ms.expect("three of five messages are the storm's");
+    let took_ms = simulation.now_ms - over_since_ms;
+    println!("found by all {took_ms} ms after it was over twice the hot fraction");
+    assert!(simulation.count_finding(storm) == SENDERS && took_ms <= 3_000);
+    assert_eq!(simulation.check_views(), SENDERS);
 }
