--- a/crates/hot/tests/faults.rs
+++ b/crates/hot/tests/faults.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_sender_that_restarts_in_the_middle_of_a_pane_is_replaced_and_the_truth_holds() {
+fn a_sender_that_restarts_in_the_middle_of_a_slice_is_replaced_and_the_truth_stays_inside() {
     let zipf = Zipf::new(50, 1.1);
     let mut simulation = Simulation::new(8, 20, settings(), BEGIN_MS);
     simulation.loss = 0.2;
