--- a/crates/hot/src/fair_share.rs
+++ b/crates/hot/src/fair_share.rs
@@ -25,7 +25,8 @@
 pub fn fair_shares(limit: f64, demands: &BTreeMap<Key, f64>) -> BTreeMap<Key, f64> {
     let mut ascending: Vec<(f64, Key)> =
         demands.iter().map(|(key, demand)| (bounded_rate(*demand), *key)).collect();
-    ascending.sort_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)));
+    ascending
+        .sort_by(|(left, left_key), (right, right_key)| left.total_cmp(right).then(left_key.cmp(right_key)));
     let mut remaining = bounded_rate(limit);
     let mut unfilled = ascending.len();
     let mut shares = BTreeMap::new();
--- a/crates/placement/src/rule_set_downloads.rs
+++ b/crates/placement/src/rule_set_downloads.rs
@@ -115,7 +115,7 @@
             parts: Vec::new(),
         };
         if let Some(begun) = self.by_id.remove(&id).filter(|known| !known.parts.is_empty()) {
-            // The source that began to hand the rule set on is kept while it is heard.
+            // The source that began to hand the rule set on is kept while it is reported to have it.
             if sources.contains(&begun.source) {
                 download.source = begun.source;
             }
