--- a/crates/sender/src/discovery/client.rs
+++ b/crates/sender/src/discovery/client.rs
@@ -12,7 +12,7 @@
 use super::decoder::{DecodeError, MAX_LIST_LEN};
 use super::error::WatchError;
 use crate::event::List;
-use crate::platform::{Driver, HttpError, connect};
+use crate::platform::{Connection, Driver, HttpError, connect};
 
 /// How long a starting process waits for the full list: a discovery that does not respond must not delay the start.
 pub(super) const STARTUP_FETCH_TIMEOUT: Duration = Duration::from_millis(250);
@@ -21,13 +21,13 @@
 #[derive(Debug)]
 pub(super) struct StreamingResponse {
     pub(super) body: Incoming,
-    _connection: Driver,
+    _driver: Driver,
 }
 
 /// Fetches the full list for a start of the process; `None` if it does not arrive in time.
 pub async fn fetch(addr: SocketAddr) -> Option<List> {
     let list = timeout(STARTUP_FETCH_TIMEOUT, fetch_full_list(addr, STARTUP_FETCH_TIMEOUT)).await;
-    match list.unwrap_or(Err(HttpError::Silent.into())) {
+    match list.unwrap_or(Err(HttpError::TimedOut.into())) {
         Ok(list) => Some(list),
         Err(error) => {
             tracing::warn!("discovery: {error}; starting with the list as last known");
@@ -72,15 +72,15 @@
     path: &str,
     response_timeout: Duration,
 ) -> Result<StreamingResponse, HttpError> {
-    timeout(response_timeout, send_get(addr, path)).await.map_err(|_| HttpError::Silent)?
+    timeout(response_timeout, send_get(addr, path)).await.map_err(|_| HttpError::TimedOut)?
 }
 
 async fn send_get(addr: SocketAddr, path: &str) -> Result<StreamingResponse, HttpError> {
-    let (mut sender, connection) = connect(addr).await?;
+    let Connection { mut sender, driver } = connect(addr).await?;
     let request = Request::get(path).header(header::HOST, addr.to_string()).body(Empty::<Bytes>::new())?;
     let response = sender.send_request(request).await?;
     if response.status() != StatusCode::OK {
         return Err(HttpError::Status(response.status()));
     }
-    Ok(StreamingResponse { body: response.into_body(), _connection: connection })
+    Ok(StreamingResponse { body: response.into_body(), _driver: driver })
 }
--- a/crates/sender/src/discovery/session.rs
+++ b/crates/sender/src/discovery/session.rs
@@ -76,7 +76,7 @@
         let list_timeout = self.response_timeout.max(MIN_FULL_LIST_TIMEOUT);
         let list = timeout(list_timeout, fetch_full_list(self.addr, self.response_timeout))
             .await
-            .map_err(|_| HttpError::Silent)??;
+            .map_err(|_| HttpError::TimedOut)??;
         let revision = list.revision;
         self.deliver(list).await?;
         self.progress.last_activity = Instant::now();
@@ -87,7 +87,7 @@
     /// list that never ends do not.
     async fn receive_frame(&self, body: &mut Incoming, decoder: &mut Decoder) -> Result<(), WatchError> {
         let idle_at = self.progress.last_activity + WATCH_IDLE_TIMEOUT;
-        let frame = timeout_at(idle_at, body.frame()).await.map_err(|_| HttpError::Silent)?;
+        let frame = timeout_at(idle_at, body.frame()).await.map_err(|_| HttpError::TimedOut)?;
         let frame = frame.ok_or(WatchError::Ended)?.map_err(HttpError::from)?;
         if let Some(data) = frame.data_ref() {
             decoder.feed(data);
--- a/crates/sender/src/platform.rs
+++ b/crates/sender/src/platform.rs
@@ -1,4 +1,4 @@
-//! Requests to the platform: discovery and notices go over these.
+//! HTTP connections to the platform, for discovery and notifications.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -13,26 +13,44 @@
 
 use crate::write_progress::MAX_BUFFER;
 
-/// What can go wrong with a request to the platform.
+/// Why a request to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HttpError {
+    /// The response did not come in time.
     #[error("no answer in time")]
-    Silent,
+    TimedOut,
+    /// The connection could not be opened.
     #[error("{0}")]
     Connect(#[from] std::io::Error),
+    /// The connection failed, or the response is not HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
+    /// The request could not be built.
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
+    /// The response has an unexpected status.
     #[error("status {0}")]
     Status(StatusCode),
 }
 
-/// Drives a connection to the platform; dropping it closes the connection.
+/// The task that drives a connection; dropping it cancels the task and closes the connection.
 pub(crate) type Driver = JoinSet<hyper::Result<()>>;
 
-/// A connection, and what drives it.
-pub(crate) async fn connect<B>(addr: SocketAddr) -> Result<(SendRequest<B>, Driver), HttpError>
+/// A connection to the platform.
+#[derive(Debug)]
+pub(crate) struct Connection<B> {
+    /// Sends requests.
+    pub(crate) sender: SendRequest<B>,
+    /// Keeps the connection open.
+    pub(crate) driver: Driver,
+}
+
+/// Opens a connection to the platform.
+///
+/// # Errors
+///
+/// [`HttpError`] if the address does not accept it.
+pub(crate) async fn connect<B>(addr: SocketAddr) -> Result<Connection<B>, HttpError>
 where
     B: Body<Data = Bytes, Error = Infallible> + 'static,
 {
@@ -42,5 +60,5 @@
     let (sender, connection) = http1::Builder::new().max_buf_size(MAX_BUFFER).handshake(io).await?;
     let mut driver = Driver::new();
     driver.spawn_local(connection);
-    Ok((sender, driver))
+    Ok(Connection { sender, driver })
 }
