--- a/crates/sender/src/config/golden.rs
+++ b/crates/sender/src/config/golden.rs
@@ -1,8 +1,9 @@
-//! Configurations that work, compared with what the version before the renames read of them.
+//! Valid configurations, compared with recorded values.
 
 use std::path::PathBuf;
 
 use rudderspindle_policy::interface::{Class, Discovery, Effect, KeyGroup, LateDecay, RateHint};
+use serde::Deserialize;
 use serde_json::{Map, json};
 
 use super::*;
@@ -10,10 +11,10 @@
 mod refused;
 
 const VALUES: &str = include_str!("../../tests/golden/config.values.json");
-const LEAST_VALUES: &str = include_str!("../../tests/golden/config.least.values.json");
+const MINIMAL_VALUES: &str = include_str!("../../tests/golden/config.least.values.json");
 const CHOICES: &str = include_str!("../../tests/golden/config.choices.json");
 
-/// The whole configuration with another value at one place, and what one of the values read is then.
+/// The complete configuration with another value at one place, and the resulting value of one key.
 #[derive(Deserialize)]
 struct Choice {
     at: String,
@@ -30,12 +31,12 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// The configuration in which every key stands.
-fn whole() -> Value {
+/// The configuration with every key.
+fn complete_config() -> Value {
     golden(&std::fs::read_to_string(file("config.json")).expect("a file"))
 }
 
-/// Puts a value at a place, or takes away what stands there.
+/// Replaces or removes the value at a place.
 fn put(config: &mut Value, at: &str, value: Option<Value>) {
     let (parent, key) = at.rsplit_once('/').expect("a place");
     match (config.pointer_mut(parent).expect("a parent"), value) {
@@ -53,7 +54,7 @@
     ValidatedConfig::read(&path).map_err(|error| error.to_string())
 }
 
-/// The values of a class, by the keys and words of the configuration.
+/// The values of a class, by the keys of the configuration.
 fn class(name: &str, class: &Class) -> Value {
     let (effect, group, window) = match class.effect {
         Effect::Idempotent => ("free", None, None),
@@ -67,7 +68,7 @@
         "window": window, "in_order": class.ordered})
 }
 
-/// The values that the decision module is given, by the keys and words of the configuration.
+/// The settings of the policy, by the keys of the configuration.
 fn settings(config: &ValidatedConfig) -> Value {
     let (s, names) = (&config.settings, &config.names);
     let (discovery, ask_within) = match s.discovery {
@@ -104,7 +105,7 @@
         "rules.ask_within": ask_within})
 }
 
-/// What the configuration says of the sender itself, by its keys.
+/// The configuration's own values, by its keys.
 fn own(config: &Config) -> Value {
     let known = config.known.as_ref().map(|list| {
         let members = list.members.iter().map(|member| {
@@ -113,18 +114,18 @@
         });
         json!({"revision": list.revision, "complete": list.complete, "members": members.collect::<Vec<_>>()})
     });
-    let notes = config.notes();
+    let gossip = config.gossip();
     json!({"listen": config.listen, "discovery": config.discovery, "control": config.control,
         "seed": config.seed, "peers": config.peers, "peer_listen": config.peer_listen, "known": known,
         "limits.disk_mb": config.limits.disk_mb,
-        "limits.sockets as connections of clients": config.limits.share(),
+        "limits.sockets as connections of clients": config.limits.max_connections(),
         "limits.memory_mb as bytes for bodies": config.limits.body_bytes(),
-        "notes": notes.as_ref().map(|_| true), "notes.me": notes.as_ref().map(|notes| notes.me),
-        "notes.listen": notes.as_ref().map(|notes| notes.listen),
-        "notes.peers": notes.as_ref().map(|notes| &notes.peers)})
+        "notes": gossip.as_ref().map(|_| true), "notes.me": gossip.as_ref().map(|gossip| gossip.me),
+        "notes.listen": gossip.as_ref().map(|gossip| gossip.listen),
+        "notes.peers": gossip.as_ref().map(|gossip| &gossip.peers)})
 }
 
-/// All that is read of a configuration.
+/// All values of a configuration.
 fn values(config: &ValidatedConfig) -> Value {
     let mut all = Map::new();
     let object = |value: Value| value.as_object().cloned().expect("an object");
@@ -139,23 +140,23 @@
 }
 
 #[test]
-fn a_configuration_with_every_key_gives_the_values_that_it_gave_before() {
+fn a_configuration_with_every_key_has_the_recorded_values() {
     let config = ValidatedConfig::read(&file("config.json")).expect("usable");
     assert_eq!(values(&config), golden(VALUES));
 }
 
 #[test]
-fn what_a_configuration_does_not_say_is_what_it_was_before() {
+fn the_defaults_are_the_recorded_ones() {
     let config = ValidatedConfig::read(&file("config.least.json")).expect("usable");
-    assert_eq!(values(&config), golden(LEAST_VALUES));
+    assert_eq!(values(&config), golden(MINIMAL_VALUES));
 }
 
 #[test]
-fn each_word_and_each_other_form_of_a_value_gives_what_it_gave_before() {
+fn each_choice_and_form_of_a_value_is_read_as_recorded() {
     let choices: Vec<Choice> = serde_json::from_str(CHOICES).expect("a table");
     assert!(choices.len() > 20);
     for Choice { at, value, key, gives } in choices {
-        let mut config = whole();
+        let mut config = complete_config();
         put(&mut config, &at, Some(value.clone()));
         let config = read(&config).unwrap_or_else(|error| panic!("{at} {value}: {error}"));
         assert_eq!(values(&config).get(&key), Some(&gives), "{at} {value}");
--- a/crates/sender/src/config/golden/refused.rs
+++ b/crates/sender/src/config/golden/refused.rs
@@ -1,5 +1,5 @@
-//! Configurations that cannot work: each is refused with the key and the cause that the version before the renames
-//! told. The wording may become better; the complete line of that version is in the file for readers.
+//! Invalid configurations, compared with recorded errors: key and cause must be the same. The wording may differ; the
+//! recorded line is in the file for readers.
 
 use std::collections::BTreeMap;
 
@@ -7,30 +7,30 @@
 
 const REFUSED: &str = include_str!("../../../tests/golden/config.refused.json");
 
-/// The whole configuration with a change that it cannot work with, and what is said of it.
+/// The complete configuration with an invalid change, and the error.
 #[derive(Deserialize)]
 struct Refused {
     at: String,
-    /// What is put there; without one, what stands there is taken away.
+    /// The new value; `None` removes the old one.
     #[serde(default, deserialize_with = "present")]
     value: Option<Value>,
-    /// Further changes that the cause needs.
+    /// Further changes that the error needs.
     #[serde(default)]
     also: BTreeMap<String, Value>,
     key: String,
     cause: String,
-    /// What the line shows of the value.
+    /// The value in the error.
     shown: String,
     line: String,
 }
 
-/// A null that stands there is a value, too.
+/// A null is a value, too.
 fn present<'de, D: serde::Deserializer<'de>>(value: D) -> Result<Option<Value>, D::Error> {
     Value::deserialize(value).map(Some)
 }
 
-/// The type of JSON that a line says is wanted.
-fn wanted(line: &str) -> &'static str {
+/// The type that an error expects.
+fn expected_type(line: &str) -> &'static str {
     let types = [
         ("an address and a port", "text"),
         ("true or false", "flag"),
@@ -46,8 +46,8 @@
     found.map(|(_, of)| *of).unwrap_or_else(|| panic!("no type that is known: {line}"))
 }
 
-/// The type of what a line shows.
-fn told(shown: &str) -> &'static str {
+/// The type of the value in an error.
+fn type_of(shown: &str) -> &'static str {
     match shown.chars().next() {
         Some('"') => "text",
         Some('[') => "list",
@@ -57,7 +57,7 @@
     }
 }
 
-/// Which of the causes a line tells.
+/// The cause that an error names.
 fn cause(line: &str, shown: &str) -> &'static str {
     let names_choices = line.contains("one of \"");
     if shown == "missing" || line.contains("missing field") {
@@ -67,8 +67,8 @@
     } else if line.contains("another name") {
         "twice"
     } else if names_choices {
-        if told(shown) == "text" { "unknown name" } else { "wrong type" }
-    } else if told(shown) == wanted(line) {
+        if type_of(shown) == "text" { "unknown name" } else { "wrong type" }
+    } else if type_of(shown) == expected_type(line) {
         "out of range"
     } else {
         "wrong type"
@@ -76,13 +76,15 @@
 }
 
 #[test]
-fn each_configuration_that_cannot_work_is_refused_with_the_key_and_the_cause_that_were_told_before() {
+fn each_invalid_configuration_is_reported_with_the_recorded_key_and_cause() {
     let table: Vec<Refused> = serde_json::from_str(REFUSED).expect("a table");
     assert!(table.len() > 100);
     for Refused { at, value, also, key, cause: expected, shown, line } in table {
-        let mut config = whole();
+        let mut config = complete_config();
         put(&mut config, &at, value.clone());
-        also.into_iter().for_each(|(at, value)| put(&mut config, &at, Some(value)));
+        for (at, value) in also {
+            put(&mut config, &at, Some(value));
+        }
         let said = read(&config).expect_err(&format!("{at} {value:?}"));
         for said in [&said, &line] {
             let after = said.strip_prefix(&key).unwrap_or_else(|| panic!("{key}: {said}"));
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn a_file_that_is_missing_or_no_json_is_named_with_the_cause_and_the_place() {
+fn a_file_that_is_missing_or_not_json_is_reported_with_cause_and_place() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
     let said = || ValidatedConfig::read(&path).expect_err("refused").to_string();
--- a/crates/sender/src/config/limits.rs
+++ b/crates/sender/src/config/limits.rs
@@ -1,50 +1,51 @@
-//! What the machine gives.
+//! Resource limits of the process.
 
 use rudderspindle_journal::MAX_BODY;
 use rudderspindle_policy::settings::{Field, Range, ReadError};
 
-/// Descriptors that are neither clients' nor receivers': files, the listener, discovery, the runtime's.
-const OTHER_SOCKETS: usize = 40;
-/// The fewest descriptors with which one is left for clients and one for receivers.
-const LEAST_SOCKETS: u32 = OTHER_SOCKETS as u32 + 2;
-/// Part of the memory limit for bodies that have not come whole.
-const BODY_PART: f64 = 0.125;
-/// A memory limit that is not told, or lower, counts as this one, MB: less leaves room for a few bodies only.
-const LEAST_MEMORY_MB: f64 = 8.0;
+/// Descriptors for neither clients nor receivers: files, listeners, discovery, the runtime.
+const RESERVED_DESCRIPTORS: usize = 40;
+/// Minimum number of descriptors: with it there is one for clients and one for receivers.
+const MIN_DESCRIPTORS: u32 = RESERVED_DESCRIPTORS as u32 + 2;
+/// Share of the memory limit for bodies of requests that have not been received completely.
+const BODY_MEMORY_SHARE: f64 = 0.125;
+/// Minimum effective memory limit, in MB, also where none is configured: with less there is space for a few bodies only.
+const MIN_MEMORY_MB: f64 = 8.0;
 
-const DISK: Range = Range::new("a number of MB above 0", |x| x > 0.0);
-const MEMORY: Range = Range::new("a number of MB, 0 or more", |x| x >= 0.0);
+const DISK_RANGE: Range = Range::new("a number of MB above 0", |x| x > 0.0);
+const MEMORY_RANGE: Range = Range::new("a number of MB, 0 or more", |x| x >= 0.0);
 
-/// Descriptors, disk and memory that the process may use.
+/// Descriptors, disk space and memory that the process may use.
 #[derive(Clone, Debug)]
 pub(crate) struct Limits {
-    sockets: usize,
+    descriptors: usize,
+    /// Disk space, in MB.
     pub(crate) disk_mb: f64,
     memory_mb: f64,
 }
 
 impl Limits {
-    /// Reads and checks them.
+    /// Reads and validates the limits.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] for one that nothing can be done with.
+    /// [`ReadError`] names a limit that is missing or out of range.
     pub(crate) fn read(field: &Field<'_>) -> Result<Self, ReadError> {
         Ok(Self {
-            sockets: field.child("sockets").whole(LEAST_SOCKETS)? as usize,
-            disk_mb: field.child("disk_mb").number(DISK)?,
-            memory_mb: field.child("memory_mb").number_or(0.0, MEMORY)?,
+            descriptors: field.child("sockets").whole(MIN_DESCRIPTORS)? as usize,
+            disk_mb: field.child("disk_mb").number(DISK_RANGE)?,
+            memory_mb: field.child("memory_mb").number_or(0.0, MEMORY_RANGE)?,
         })
     }
 
-    /// Descriptors for clients, and as many for receivers.
-    pub(crate) fn share(&self) -> usize {
-        self.sockets.saturating_sub(OTHER_SOCKETS) / 2
+    /// Maximum number of connections of clients, and as many to receivers.
+    pub(crate) fn max_connections(&self) -> usize {
+        self.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2
     }
 
-    /// Memory for bodies that have not come whole: no more than all clients' connections can hold.
+    /// Memory for bodies that have not been received completely, in bytes: at most what all clients' connections can hold.
     pub(crate) fn body_bytes(&self) -> usize {
-        let part = self.memory_mb.max(LEAST_MEMORY_MB) * 1_000_000.0 * BODY_PART;
-        (part as usize).min(self.share().saturating_mul(MAX_BODY))
+        let share = self.memory_mb.max(MIN_MEMORY_MB) * 1_000_000.0 * BODY_MEMORY_SHARE;
+        (share as usize).min(self.max_connections().saturating_mul(MAX_BODY))
     }
 }
--- a/crates/sender/src/config/start_error.rs
+++ b/crates/sender/src/config/start_error.rs
@@ -1,5 +1,6 @@
 //! Why a sender cannot start.
 
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -16,55 +17,60 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What went wrong.
-        error: std::io::Error,
+        /// The cause.
+        #[source]
+        error: io::Error,
     },
-    /// The configuration is no JSON.
+    /// The configuration is not JSON.
     #[error("{path}: {error}")]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// What went wrong, and where.
+        /// The cause, with its place in the file.
+        #[source]
         error: serde_json::Error,
     },
-    /// The settings cannot work.
+    /// The settings contradict each other.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// A value that is missing, of another type or out of its range.
+    /// A value is missing, of another type or out of range.
     #[error("{0}")]
     Read(#[from] ReadError),
-    /// A tier without senders.
+    /// The fleet has no senders.
     #[error(
         "settings.peers_total is 0, and peers lists nobody: a whole number of senders from 1 on is wanted"
     )]
     NoSenders,
-    /// A class in order, which the protocol has no key for.
+    /// A class, by its name, is to be delivered in order, which the protocol does not support.
     #[error(
         "settings.lanes[*].in_order ({0:?}) is true: false is wanted, as messages come without a key for it"
     )]
     Ordered(String),
-    /// The journal's folder cannot be used.
+    /// The journal cannot be opened.
     #[error("the journal in {path} cannot be used: {error}")]
     Journal {
         /// The folder.
         path: PathBuf,
-        /// What went wrong.
+        /// The cause.
+        #[source]
         error: JournalError,
     },
-    /// What must outlast the process cannot be kept.
+    /// The state that outlasts the process cannot be written.
     #[error("the folder {path} keeps nothing: {error}")]
     State {
         /// The folder.
         path: PathBuf,
-        /// What went wrong.
-        error: std::io::Error,
+        /// The cause.
+        #[source]
+        error: io::Error,
     },
-    /// The address for clients cannot be had.
+    /// An address cannot be listened on.
     #[error("cannot listen on {addr}: {error}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What went wrong.
-        error: std::io::Error,
+        /// The cause.
+        #[source]
+        error: io::Error,
     },
 }
--- a/crates/sender/src/fleet_file.rs
+++ b/crates/sender/src/fleet_file.rs
@@ -1,21 +1,32 @@
-//! The operator's file on how senders act together: TOML, named by the variable `RELAY_FLEET`. Without one every part
-//! is off, and nothing differs.
+//! The operator's file on how the senders of a fleet act together: TOML, named by the variable `RELAY_FLEET`. Without one
+//! every part is off.
+
+mod error;
+
+#[cfg(test)]
+mod golden;
+#[cfg(test)]
+mod tests;
 
 use std::collections::BTreeMap;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
 use serde::Deserialize;
 
-/// From so many senders on notes are sent, if nothing else is said: fewer learn all they need from their own calls.
-const FROM: usize = 11;
-/// Messages a second that one sender is handed at the most, if nothing else is said.
-const MOST_PER_S: u32 = 100;
+pub use error::FleetFileError;
 
-/// The operator's file, checked.
+/// Default number of senders from which on they gossip: fewer learn enough from their own calls.
+const DEFAULT_MIN_SENDERS: usize = 11;
+/// Default maximum rate at which one sender is handed messages, in messages a second.
+const DEFAULT_MAX_MESSAGES_PER_S: u32 = 100;
+/// Minimum number of senders that can gossip.
+const MIN_GOSSIPING_SENDERS: usize = 2;
+
+/// The operator's file, validated.
 ///
 /// ```
 /// use rudderspindle_sender::FleetFile;
-/// let file = FleetFile::parse("[share]\nfrom = 3\nbound = \"strict\"\n").expect("a file that can be used");
+/// let file = FleetFile::parse("[share]\nfrom = 3\nbound = \"strict\"\n").expect("a valid file");
 /// assert!(file.share().is_strict());
 /// assert!(FleetFile::parse("[share]\nbond = \"strict\"").is_err());
 /// ```
@@ -23,186 +34,147 @@
 #[serde(deny_unknown_fields)]
 pub struct FleetFile {
     #[serde(default)]
-    share: Share,
-    /// The numbers of the senders in each hall.
-    #[serde(default)]
-    halls: BTreeMap<String, Vec<usize>>,
+    share: SharingConfig,
+    /// The numbers of the senders in each zone.
+    #[serde(default, rename = "halls")]
+    zones: BTreeMap<String, Vec<usize>>,
 }
 
-/// How partners' limits are shared.
+/// What the senders share: the table `[share]`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Share {
-    /// Notes are sent from so many senders on: 2 or more.
-    #[serde(default = "from")]
-    from: usize,
-    #[serde(default)]
-    bound: Bound,
-    /// Whether receivers that several senders of a hall see fail are avoided by all of it.
-    #[serde(default)]
-    judgements: bool,
-    /// Whether tenants' quotas are reckoned over the whole fleet.
-    #[serde(default)]
-    counts: bool,
-    /// Messages a second that one sender is handed at the most: what one that is not heard may have been handed.
-    #[serde(default = "most_per_s")]
-    most_per_s: u32,
+#[serde(deny_unknown_fields, default)]
+pub struct SharingConfig {
+    #[serde(rename = "from")]
+    min_senders: usize,
+    bound: LimitBound,
+    #[serde(rename = "judgements")]
+    outlier_detection: bool,
+    #[serde(rename = "counts")]
+    shared_quotas: bool,
+    #[serde(rename = "most_per_s")]
+    max_messages_per_s: u32,
 }
 
-/// What holds of a limit.
+/// How strictly a destination's limit is kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Bound {
-    /// It is used as well as notes allow; where they do not arrive it may be overrun.
+pub enum LimitBound {
+    /// The limit is used as well as gossip allows; it may be exceeded while gossip does not arrive.
     #[default]
-    Use,
-    /// No call starts without a right to it: the limit holds, whoever hears nothing.
+    #[serde(rename = "use")]
+    BestEffort,
+    /// No call starts without a permit: the limit is never exceeded.
     Strict,
 }
 
-/// Why the file cannot be used.
-#[derive(Debug, thiserror::Error)]
-#[non_exhaustive]
-pub enum FleetFileError {
-    /// It cannot be read.
-    #[error("{path}: {error}")]
-    Unreadable {
-        /// The file.
-        path: PathBuf,
-        /// What went wrong.
-        error: std::io::Error,
-    },
-    /// It is no TOML, or names what there is not.
-    #[error("{path}, line {line}: {what}")]
-    Malformed {
-        /// The file.
-        path: PathBuf,
-        /// Where, from 1 on.
-        line: usize,
-        /// What went wrong.
-        what: String,
-    },
-    /// A figure that cannot be.
-    #[error("{path}: {field} is {told}; {right} is wanted")]
-    OutOfRange {
-        /// The file.
-        path: PathBuf,
-        /// Which one.
-        field: &'static str,
-        /// What stands there.
-        told: String,
-        /// What would be right.
-        right: &'static str,
-    },
-}
-
-fn from() -> usize {
-    FROM
-}
-
-fn most_per_s() -> u32 {
-    MOST_PER_S
-}
-
-impl Default for Share {
+impl Default for SharingConfig {
     fn default() -> Self {
-        Self { from: FROM, bound: Bound::Use, judgements: false, counts: false, most_per_s: MOST_PER_S }
+        Self {
+            min_senders: DEFAULT_MIN_SENDERS,
+            bound: LimitBound::BestEffort,
+            outlier_detection: false,
+            shared_quotas: false,
+            max_messages_per_s: DEFAULT_MAX_MESSAGES_PER_S,
+        }
     }
 }
 
-impl Share {
-    /// From how many senders on notes are sent.
-    pub fn from(&self) -> usize {
-        self.from
+impl SharingConfig {
+    /// The number of senders from which on they gossip; 2 or more.
+    pub fn min_senders(&self) -> usize {
+        self.min_senders
     }
 
-    /// Whether receivers that several senders of a hall see fail are avoided by all of it.
-    pub fn judges(&self) -> bool {
-        self.judgements
+    /// Whether receivers that several senders of a zone see fail are ejected in all of it.
+    pub fn detects_outliers(&self) -> bool {
+        self.outlier_detection
     }
 
-    /// Whether tenants' quotas are reckoned over the whole fleet.
-    pub fn counts(&self) -> bool {
-        self.counts
+    /// Whether tenants' quotas apply to the whole fleet.
+    pub fn shares_quotas(&self) -> bool {
+        self.shared_quotas
     }
 
-    /// Messages a second that one sender is handed at the most.
-    pub fn most_per_s(&self) -> u32 {
-        self.most_per_s
+    /// Maximum rate at which one sender is handed messages, in messages a second: what a sender that is not heard may have
+    /// accepted.
+    pub fn max_messages_per_s(&self) -> u32 {
+        self.max_messages_per_s
     }
 
-    /// Whether no call may start without a right to it.
+    /// Whether no call may start without a permit.
     pub fn is_strict(&self) -> bool {
-        self.bound == Bound::Strict
+        self.bound == LimitBound::Strict
     }
 }
 
 impl FleetFile {
-    /// Reads the file, whole or not at all.
+    /// Reads and validates a file.
     ///
     /// # Errors
     ///
-    /// [`FleetFileError`] names the file, the place and what would be right.
+    /// [`FleetFileError`] names the file, the place in it and what is expected.
     pub fn read(path: &Path) -> Result<Self, FleetFileError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| FleetFileError::Unreadable { path: path.to_owned(), error })?;
-        Self::checked(&text, path)
+        Self::parse_file(&text, path)
     }
 
-    /// The same of a text.
+    /// Parses and validates the text of a file.
     ///
     /// # Errors
     ///
     /// As [`FleetFile::read`].
     pub fn parse(text: &str) -> Result<Self, FleetFileError> {
-        Self::checked(text, Path::new("fleet.toml"))
+        Self::parse_file(text, Path::new("fleet.toml"))
+    }
+
+    fn parse_file(text: &str, path: &Path) -> Result<Self, FleetFileError> {
+        let file: Self =
+            toml::from_str(text).map_err(|error| FleetFileError::malformed(path, text, error))?;
+        file.validate(path)?;
+        Ok(file)
     }
 
-    fn checked(text: &str, path: &Path) -> Result<Self, FleetFileError> {
-        let path = || path.to_owned();
-        let malformed = |error: toml::de::Error| {
-            let before = error.span().and_then(|span| text.get(..span.start)).unwrap_or_default();
-            let (line, what) = (before.matches('\n').count() + 1, error.message().replace('\n', " "));
-            FleetFileError::Malformed { path: path(), line, what }
+    fn validate(&self, path: &Path) -> Result<(), FleetFileError> {
+        let invalid = |key, value: String, expected| {
+            Err(FleetFileError::OutOfRange { path: path.to_owned(), key, value, expected })
         };
-        let file: Self = toml::from_str(text).map_err(malformed)?;
-        if file.share.from < 2 {
-            let told = file.share.from.to_string();
-            let (field, right) = ("share.from", "a number of senders from 2 on");
-            return Err(FleetFileError::OutOfRange { path: path(), field, told, right });
+        if self.share.min_senders < MIN_GOSSIPING_SENDERS {
+            let value = self.share.min_senders.to_string();
+            return invalid("share.from", value, "a number of senders from 2 on");
         }
-        let given: Vec<usize> = file.halls.values().flatten().copied().collect();
-        let twice = given.iter().find(|n| given.iter().filter(|other| other == n).count() > 1);
-        if let Some(twice) = twice {
-            let (told, right) = (format!("sender {twice} twice"), "each sender in one hall");
-            return Err(FleetFileError::OutOfRange { path: path(), field: "halls", told, right });
+        if let Some(sender) = self.sender_listed_twice() {
+            return invalid("halls", format!("sender {sender} twice"), "each sender in one hall");
         }
-        if file.share.judgements && file.halls.is_empty() {
-            let (field, told, right) =
-                ("halls", "empty".to_owned(), "the senders of each hall, for share.judgements,");
-            return Err(FleetFileError::OutOfRange { path: path(), field, told, right });
+        if self.share.outlier_detection && self.zones.is_empty() {
+            let expected = "the senders of each hall, for share.judgements,";
+            return invalid("halls", "empty".to_owned(), expected);
         }
-        if file.share.most_per_s == 0 {
-            let (field, told, right) = ("share.most_per_s", "0".to_owned(), "a number of messages from 1 on");
-            return Err(FleetFileError::OutOfRange { path: path(), field, told, right });
+        if self.share.max_messages_per_s == 0 {
+            return invalid("share.most_per_s", "0".to_owned(), "a number of messages from 1 on");
         }
-        Ok(file)
+        Ok(())
+    }
+
+    /// The first sender that is listed more than once, in the order of the zones' names.
+    fn sender_listed_twice(&self) -> Option<usize> {
+        let listed: Vec<usize> = self.zones.values().flatten().copied().collect();
+        let times = |sender| listed.iter().filter(|listed| **listed == sender).count();
+        listed.iter().copied().find(|sender| times(*sender) > 1)
+    }
+
+    /// The zone of each sender as a number; senders that are listed in none share zone 0.
+    pub fn zones(&self, senders: usize) -> Vec<u16> {
+        (0..senders).map(|sender| self.zone_of(sender)).collect()
     }
 
-    /// The hall of each of so many senders, as a number; those that are in none share one.
-    pub fn halls(&self, senders: usize) -> Vec<u16> {
-        let hall =
-            |n: usize| self.halls.values().position(|of| of.contains(&n)).map_or(0, |at| at as u16 + 1);
-        (0..senders).map(hall).collect()
+    fn zone_of(&self, sender: usize) -> u16 {
+        let position = self.zones.values().position(|senders| senders.contains(&sender));
+        position.map_or(0, |index| index as u16 + 1)
     }
 
-    /// How partners' limits are shared.
-    pub fn share(&self) -> &Share {
+    /// What the senders share.
+    pub fn share(&self) -> &SharingConfig {
         &self.share
     }
 }
-
-#[cfg(test)]
-mod golden;
-#[cfg(test)]
-mod tests;
--- a/crates/sender/src/fleet_file/golden.rs
+++ b/crates/sender/src/fleet_file/golden.rs
@@ -1,4 +1,4 @@
-//! The operator's file, compared with what the version before the renames read of it and refused.
+//! The operator's file, compared with recorded values and errors.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -9,33 +9,33 @@
 const DEFAULTS: &str = include_str!("../../tests/golden/fleet.defaults.json");
 const REFUSED: &str = include_str!("../../tests/golden/fleet.refused.json");
 
-/// A file that is refused, and what is said of it.
+/// A file that is rejected, and its error.
 #[derive(Deserialize)]
 struct Refused {
     file: String,
-    /// The key, or (of what is no TOML, or no key of ours) the line.
+    /// The key, or else the line.
     place: String,
-    /// What stands there.
+    /// The value in the error.
     shown: String,
     cause: String,
-    /// All that the earlier version said; for readers.
+    /// The recorded error, for readers.
     line: String,
 }
 
-/// The value under each key, by the names of the file.
+/// The value of each key, by its name in the file.
 fn values(file: &FleetFile) -> Value {
     let bound = match file.share.bound {
-        Bound::Use => "use",
-        Bound::Strict => "strict",
+        LimitBound::BestEffort => "use",
+        LimitBound::Strict => "strict",
     };
     let share = file.share();
     assert_eq!(share.is_strict(), bound == "strict");
-    json!({"share.from": share.from(), "share.bound": bound, "share.judgements": share.judges(),
-        "share.counts": share.counts(), "share.most_per_s": share.most_per_s(),
-        "halls": file.halls, "hall of each of 7 senders": file.halls(7)})
+    json!({"share.from": share.min_senders(), "share.bound": bound, "share.judgements": share.detects_outliers(),
+        "share.counts": share.shares_quotas(), "share.most_per_s": share.max_messages_per_s(),
+        "halls": file.zones, "hall of each of 7 senders": file.zones(7)})
 }
 
-/// Which of the causes a line tells.
+/// The cause that an error names.
 fn cause(line: &str) -> &'static str {
     let causes = [
         ("unknown field", "unknown name"),
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn a_file_with_every_key_gives_the_values_that_it_gave_before() {
+fn a_file_with_every_key_has_the_recorded_values() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/fleet.toml");
     let file = FleetFile::read(&path).expect("a file");
     assert_eq!(values(&file), golden(VALUES));
 }
 
 #[test]
-fn what_a_file_does_not_say_is_what_it_was_before() {
+fn the_defaults_are_the_recorded_ones() {
     for text in ["", "[share]\n", "[halls]\n", "[share]\nbound = \"use\"\n[halls]\n"] {
         assert_eq!(values(&FleetFile::parse(text).expect(text)), golden(DEFAULTS), "{text:?}");
     }
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn each_file_that_is_refused_names_the_place_and_the_cause_that_it_named_before() {
+fn each_rejected_file_is_reported_with_the_recorded_place_and_cause() {
     let table: Vec<Refused> = serde_json::from_str(REFUSED).expect("a table");
     assert!(table.len() > 20);
     for Refused { file, place, shown, cause: expected, line } in table {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named_with_the_cause() {
+fn a_file_that_cannot_be_read_is_reported_with_the_cause() {
     let said = FleetFile::read(Path::new("/nowhere/fleet.toml")).expect_err("no file").to_string();
     assert!(said.starts_with("/nowhere/fleet.toml: No such file or directory"), "{said}");
 }
--- a/crates/sender/src/fleet_file/tests.rs
+++ b/crates/sender/src/fleet_file/tests.rs
@@ -1,14 +1,16 @@
+//! Defaults and errors of the operator's file.
+
 use super::*;
 
 #[test]
-fn a_file_that_says_nothing_changes_nothing() {
+fn an_empty_file_has_the_defaults() {
     assert_eq!(FleetFile::parse("").expect("a file"), FleetFile::default());
-    assert_eq!(FleetFile::default().share().from(), 11);
+    assert_eq!(FleetFile::default().share().min_senders(), 11);
     assert!(!FleetFile::default().share().is_strict());
 }
 
 #[test]
-fn what_cannot_be_used_is_one_error_that_names_the_place() {
+fn an_invalid_file_is_reported_in_one_line_with_the_place() {
     for (text, says) in [
         ("[share]\nbond = \"strict\"", "line 2: unknown field `bond`"),
         ("[shares]", "unknown field `shares`"),
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -1,221 +1,92 @@
-//! Notes between senders over datagrams. What they say and mean is `rudderspindle-gossip`'s.
+//! Gossip between the senders of a fleet over UDP. The messages and their meaning are in `rudderspindle-gossip`.
 
-mod shared;
+mod exchange;
+mod receive_error;
+mod shared_view;
 #[cfg(test)]
 mod tests;
 
-use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::time::Duration;
 
-use rudderspindle_gossip::{
-    Fleet, Incarnation, Kind, LimitId, MAX_MESSAGE_LEN, OutgoingDatagram, Own, PermitLedger, Ramp, open,
-};
-use rudderspindle_journal::wall_ms;
-use rudderspindle_policy::interface::*;
+use rudderspindle_gossip::{Fleet, Incarnation, LimitId, PermitLedger, Ramp};
+use rudderspindle_policy::interface::{DestinationId, RouteId};
 use tokio::net::UdpSocket;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::config::Notes;
-use crate::event::{ActivityReport, Input};
+use crate::config::GossipConfig;
+use crate::event::Input;
 use crate::fleet_file::FleetFile;
-use shared::{LOOK, Shared};
+use shared_view::SharedView;
 
-/// What notes say is relied on for so long, ms.
-const LASTS: Millis = 1_000.0;
-/// The log's target for notes that are dropped.
-const LOG: &str = "notes";
-/// The log's target for what senders know together.
-pub(crate) const FLEET: &str = "fleet";
-/// Where rights are kept each report goes in every second round: their notes have the room.
-const WITH_RIGHTS: u64 = 2;
+/// Log target of datagrams that are dropped.
+const LOG_TARGET: &str = "notes";
+/// Log target of what the senders of the fleet know together.
+pub(crate) const FLEET_LOG_TARGET: &str = "fleet";
+/// Pause before the listening address is tried again: a process that this one takes over from has it until it ends.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often a sender tries to have the address for its notes: a process that it takes over from has it till its end.
-const TRY_AGAIN: Duration = Duration::from_secs(1);
-
-/// What the operator's file asks for, beyond sums.
+/// What the senders of the fleet share besides capacity, by the operator's file.
 #[derive(Debug, Default)]
 pub(crate) struct FleetSettings {
-    pub file: FleetFile,
-    /// Messages a second of each tenant over all senders.
-    pub quotas: Vec<f64>,
-    /// This process's, where anything needs it.
-    pub life: Option<Incarnation>,
+    /// The operator's file.
+    pub fleet_file: FleetFile,
+    /// Quota of each tenant over all senders, in messages a second.
+    pub tenant_quotas: Vec<f64>,
+    /// This process's incarnation, where permits or views need it.
+    pub incarnation: Option<Incarnation>,
+}
+
+/// A limit as the engine reported it last.
+#[derive(Clone, Copy, Debug)]
+struct ReportedLimit {
+    id: LimitId,
+    destination: DestinationId,
+    route: Option<RouteId>,
+    /// Share of the limit that the destination is believed to accept, from 0 to 1.
+    open_share: f64,
 }
 
-/// One sender's place among its fellows.
+/// Exchanges gossip with the other senders of the fleet.
 #[derive(Debug)]
 pub(crate) struct GossipTask {
-    notes: Notes,
+    config: GossipConfig,
     fleet: Fleet,
-    together: FleetSettings,
+    settings: FleetSettings,
     permits: Option<PermitLedger>,
-    shared: Option<Shared>,
-    /// The gates as last told by the host, and the part of each that is believed to be open.
-    gates: Vec<(LimitId, DestinationId, Option<RouteId>, f64)>,
+    shared_view: Option<SharedView>,
+    limits: Vec<ReportedLimit>,
 }
 
 impl GossipTask {
-    /// A sender whose notes come and go as told, and whose partners return from an outage like that.
-    pub(crate) fn new(notes: Notes, ramp: Ramp, together: FleetSettings) -> Self {
-        let fleet = Fleet::new(notes.me, notes.peers.len(), ramp);
-        Self { notes, fleet, together, permits: None, shared: None, gates: Vec::new() }
+    /// A task for the sender and its peers in `config`, whose destinations recover from an outage by `ramp`.
+    pub(crate) fn new(config: GossipConfig, ramp: Ramp, settings: FleetSettings) -> Self {
+        let fleet = Fleet::new(config.me, config.peers.len(), ramp);
+        Self { config, fleet, settings, permits: None, shared_view: None, limits: Vec::new() }
     }
 
-    /// Tells and hears, until the host is gone.
-    pub(crate) async fn run(self, host: mpsc::Sender<Input>) {
-        let mut told = false;
-        let socket = loop {
-            match UdpSocket::bind(self.notes.listen).await {
-                Ok(socket) => break socket,
-                Err(_) if host.is_closed() => return,
-                Err(error) if !told => {
-                    tracing::warn!(
-                        "notes: {}: {error}; going without them until it is free",
-                        self.notes.listen
-                    );
-                    told = true;
-                }
-                Err(_) => {}
-            }
-            sleep(TRY_AGAIN).await;
-        };
-        self.converse(socket, host).await;
+    /// Runs until the engine has ended.
+    pub(crate) async fn run(self, engine: mpsc::Sender<Input>) {
+        if let Some(socket) = self.bind(&engine).await {
+            self.exchange(socket, engine).await;
+        }
     }
 
-    async fn converse(mut self, socket: UdpSocket, host: mpsc::Sender<Input>) {
-        let numbers: HashMap<SocketAddr, usize> =
-            self.notes.peers.iter().enumerate().map(|(number, addr)| (*addr, number)).collect();
-        // Who has the address is alone with this number: an earlier process has ended.
-        let (me, senders, wall) = (self.notes.me, self.notes.peers.len(), wall_ms());
-        if let Some(life) = self.together.life {
-            let FleetSettings { file, quotas, .. } = &self.together;
-            self.permits = file.share().is_strict().then(|| PermitLedger::new(me, senders, life, wall));
-            match Shared::new(file, me, senders, quotas, life, wall) {
-                Ok(shared) => self.shared = shared,
-                Err(error) => tracing::warn!(target: FLEET, "going without counts and judgements: {error}"),
-            }
-        }
-        // One byte more than a note may have tells one that is too long.
-        let mut buffer = [0; MAX_MESSAGE_LEN + 1];
-        let (mut report_at, mut offer_at) = (self.next_report(wall), self.next_offer(wall));
+    /// Binds the listening address, as soon as it is free; `None` if the engine has ended before.
+    async fn bind(&self, engine: &mpsc::Sender<Input>) -> Option<UdpSocket> {
+        let mut is_reported = false;
         loop {
-            let dealing = self.permits.as_ref().and_then(PermitLedger::next_deal);
-            let look = self.shared.as_ref().map(|_| wall_ms() / LOOK * LOOK + LOOK);
-            let due = [Some(report_at), self.fleet.next_sums(), dealing, offer_at, look];
-            let next = due.into_iter().flatten().min().unwrap_or(report_at);
-            tokio::select! {
-                heard = socket.recv_from(&mut buffer) => {
-                    let Ok((length, from)) = heard else { continue };
-                    let from = numbers.get(&from).copied().unwrap_or(usize::MAX);
-                    if self.hear(from, &buffer[..length]) && !self.tell_turns(&host).await {
-                        return;
-                    }
+            match UdpSocket::bind(self.config.listen).await {
+                Ok(socket) => return Some(socket),
+                Err(_) if engine.is_closed() => return None,
+                Err(error) if !is_reported => {
+                    let listen = self.config.listen;
+                    tracing::warn!("notes: {listen}: {error}; going without them until it is free");
+                    is_reported = true;
                 }
-                () = sleep(Duration::from_millis(next.saturating_sub(wall_ms()))) => {
-                    let mut datagrams = self.fleet.sums(wall_ms());
-                    datagrams.extend(self.permits.iter_mut().flat_map(|permits| permits.deal(wall_ms())));
-                    datagrams.extend(self.shared.iter_mut().flat_map(|shared| shared.notes_due(wall_ms())));
-                    if wall_ms() >= report_at {
-                        let Some(report) = self.report(&host).await else { return };
-                        datagrams.extend(report);
-                        report_at = self.next_report(wall_ms());
-                    }
-                    if offer_at.is_some_and(|at| wall_ms() >= at) {
-                        let Some(offer) = self.offer(&host).await else { return };
-                        datagrams.extend(offer);
-                        offer_at = self.next_offer(wall_ms());
-                    }
-                    for (to, note) in datagrams {
-                        // One that cannot go now is as good as lost on its way.
-                        let _ = self.notes.peers.get(to).map(|addr| socket.try_send_to(&note, *addr));
-                    }
-                }
-            }
-        }
-    }
-
-    fn next_report(&self, wall: u64) -> u64 {
-        let next = self.fleet.next_report(wall);
-        let pairs = rudderspindle_gossip::ROUND * WITH_RIGHTS;
-        let skipped = self.permits.is_some() && next % pairs >= rudderspindle_gossip::ROUND;
-        if skipped { next + rudderspindle_gossip::ROUND } else { next }
-    }
-
-    fn next_offer(&self, wall: u64) -> Option<u64> {
-        self.permits.as_ref().map(|permits| permits.next_offer(wall))
-    }
-
-    /// Takes in a datagram; whether there may be other turns now.
-    fn hear(&mut self, from: usize, note: &[u8]) -> bool {
-        let wall = wall_ms();
-        let heard = match (open(note).map(|(kind, _)| kind), &mut self.permits, &mut self.shared) {
-            (Ok(Kind::PermitOffer | Kind::PermitGrant), Some(permits), _) => {
-                permits.hear(wall, from, note).map_err(|error| error.to_string())
-            }
-            (Ok(Kind::Report | Kind::Summary), _, Some(shared)) => {
-                shared.hear(wall, from, note).map(|()| false).map_err(|error| error.to_string())
+                Err(_) => {}
             }
-            // Of another kind, or damaged: it says which, where it does not know it.
-            _ => self.fleet.hear(wall, from, note).map(|()| false).map_err(|error| error.to_string()),
-        };
-        heard.unwrap_or_else(|error| {
-            tracing::debug!(target: LOG, from, "dropped: {error}");
-            false
-        })
-    }
-
-    /// What the host wants and does; what others make of that goes back to it.
-    async fn demands(&mut self, host: &mpsc::Sender<Input>) -> Option<(Vec<(LimitId, Demand)>, Vec<Own>)> {
-        let (asker, activity) = oneshot::channel();
-        host.send(Input::Demands(asker)).await.ok()?;
-        let activity: ActivityReport = activity.await.ok()?;
-        let told = self.shared.as_mut().map(|shared| shared.exchange(wall_ms(), &activity));
-        for input in told.into_iter().flatten() {
-            host.send(input).await.ok()?;
+            sleep(BIND_RETRY_INTERVAL).await;
         }
-        let demands = activity.demands;
-        let own = demands.iter().map(|(gate, want)| {
-            let Demand { limit, wanted, called, refused, failed, .. } = *want;
-            Own { gate: *gate, limit, wanted, called, refused, failed }
-        });
-        let own = own.collect();
-        Some((demands, own))
-    }
-
-    /// What to tell of this sender; its host hears what there is for it. Nothing once that is gone.
-    async fn report(&mut self, host: &mpsc::Sender<Input>) -> Option<Vec<OutgoingDatagram>> {
-        let (demands, own) = self.demands(host).await?;
-        let datagrams = self.fleet.report(wall_ms(), &own);
-        let rooms = self.fleet.rooms(wall_ms());
-        let open = |gate, limit| if rooms.is_some() { self.fleet.open(gate, limit) } else { 1.0 };
-        let of =
-            |(gate, want): &(LimitId, Demand)| (*gate, want.destination, want.route, open(*gate, want.limit));
-        self.gates = demands.iter().map(of).collect();
-        let Some(rooms) = rooms else { return Some(datagrams) };
-        let near: HashMap<_, _> = rooms.iter().copied().collect();
-        let room = |(gate, want): &(_, Demand)| {
-            let calls = near.get(gate).copied().unwrap_or(f64::INFINITY);
-            (want.destination, want.route, calls, self.fleet.wanted(*gate))
-        };
-        host.send(Input::CapacityShares(demands.iter().map(room).collect(), LASTS)).await.ok()?;
-        Some(datagrams)
-    }
-
-    /// What to offer of this sender's rights; its host hears its turns first. Nothing once that is gone.
-    async fn offer(&mut self, host: &mpsc::Sender<Input>) -> Option<Option<OutgoingDatagram>> {
-        let (_, own) = self.demands(host).await?;
-        let datagram = self.permits.as_mut().and_then(|permits| permits.offer(wall_ms(), &own));
-        self.tell_turns(host).await.then_some(datagram)
-    }
-
-    /// The host hears the turns that it may use; `false` once it is gone.
-    async fn tell_turns(&self, host: &mpsc::Sender<Input>) -> bool {
-        let Some(permits) = &self.permits else { return true };
-        let wall = wall_ms();
-        let turns =
-            |&(gate, destination, route, open): &_| (destination, route, permits.turns(wall, gate, open));
-        host.send(Input::Permits(self.gates.iter().map(turns).collect())).await.is_ok()
     }
 }
--- /dev/null
+++ b/crates/sender/src/gossip/exchange.rs
@@ -0,0 +1,266 @@
+//! The exchange of datagrams: timers, received datagrams, and what they mean for the engine.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use rudderspindle_gossip::{
+    Kind, LimitId, MAX_MESSAGE_LEN, OutgoingDatagram, Own, PermitLedger, ROUND, open,
+};
+use rudderspindle_journal::wall_ms;
+use rudderspindle_policy::interface::{Demand, Millis};
+use tokio::net::UdpSocket;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::sleep;
+
+use super::receive_error::ReceiveError;
+use super::shared_view::{SharedView, VIEW_INTERVAL};
+use super::{FLEET_LOG_TARGET, FleetSettings, GossipTask, LOG_TARGET, ReportedLimit};
+use crate::event::{ActivityReport, Input};
+
+/// How long capacity shares are in effect, in milliseconds.
+const CAPACITY_SHARE_LIFETIME: Millis = 1_000.0;
+/// Rounds for each report where permits are in use, whose datagrams need the bandwidth.
+const ROUNDS_PER_REPORT_WITH_PERMITS: u64 = 2;
+
+/// The engine has ended, and so does the exchange.
+#[derive(Debug, thiserror::Error)]
+#[error("the engine has ended")]
+struct EngineClosed;
+
+/// When the engine is to be asked for its demand next, in milliseconds since 1970.
+#[derive(Debug)]
+struct Schedule {
+    report_at: u64,
+    /// `None` where permits are not in use.
+    offer_at: Option<u64>,
+}
+
+/// What a received datagram changed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Received {
+    /// Permits may have been granted.
+    Permits,
+    /// Anything else.
+    Other,
+}
+
+impl GossipTask {
+    /// Sends and receives datagrams until the engine has ended.
+    pub(super) async fn exchange(mut self, socket: UdpSocket, engine: mpsc::Sender<Input>) {
+        let numbers = self.sender_numbers();
+        let now = wall_ms();
+        self.begin_incarnation(now);
+        let mut schedule = Schedule { report_at: self.next_report(now), offer_at: self.next_offer(now) };
+        // One byte more than a datagram may have, to detect longer ones.
+        let mut buffer = [0; MAX_MESSAGE_LEN + 1];
+        loop {
+            let wake_at = self.next_wake(&schedule);
+            tokio::select! {
+                received = socket.recv_from(&mut buffer) => {
+                    let Ok((length, from)) = received else { continue };
+                    let from = numbers.get(&from).copied().unwrap_or(usize::MAX);
+                    if self.receive(from, &buffer[..length]) == Received::Permits
+                        && self.update_permits(&engine).await.is_err()
+                    {
+                        return;
+                    }
+                }
+                () = sleep(Duration::from_millis(wake_at.saturating_sub(wall_ms()))) => {
+                    let Ok(datagrams) = self.due_datagrams(&mut schedule, &engine).await else { return };
+                    self.send(&socket, &datagrams);
+                }
+            }
+        }
+    }
+
+    /// The number of each sender, by its address.
+    fn sender_numbers(&self) -> HashMap<SocketAddr, usize> {
+        self.config.peers.iter().enumerate().map(|(number, addr)| (*addr, number)).collect()
+    }
+
+    /// Starts permits and views where they are configured. The listening address belongs to this process now, so an
+    /// earlier one with the same number has ended.
+    fn begin_incarnation(&mut self, now: u64) {
+        let (me, senders) = (self.config.me, self.config.peers.len());
+        let FleetSettings { fleet_file, tenant_quotas, incarnation } = &self.settings;
+        let Some(incarnation) = *incarnation else { return };
+        if fleet_file.share().is_strict() {
+            self.permits = Some(PermitLedger::new(me, senders, incarnation, now));
+        }
+        match SharedView::new(fleet_file, me, senders, tenant_quotas, incarnation, now) {
+            Ok(shared_view) => self.shared_view = shared_view,
+            Err(error) => {
+                tracing::warn!(target: FLEET_LOG_TARGET, "going without counts and judgements: {error}");
+            }
+        }
+    }
+
+    /// When the next timer is due, in milliseconds since 1970.
+    fn next_wake(&self, schedule: &Schedule) -> u64 {
+        let deal_at = self.permits.as_ref().and_then(PermitLedger::next_deal);
+        let view_at =
+            self.shared_view.as_ref().map(|_| wall_ms() / VIEW_INTERVAL * VIEW_INTERVAL + VIEW_INTERVAL);
+        let others = [self.fleet.next_sums(), deal_at, schedule.offer_at, view_at];
+        others.into_iter().flatten().fold(schedule.report_at, u64::min)
+    }
+
+    fn next_report(&self, now: u64) -> u64 {
+        let next = self.fleet.next_report(now);
+        let cycle = ROUND * ROUNDS_PER_REPORT_WITH_PERMITS;
+        let is_skipped = self.permits.is_some() && next % cycle >= ROUND;
+        if is_skipped { next + ROUND } else { next }
+    }
+
+    fn next_offer(&self, now: u64) -> Option<u64> {
+        self.permits.as_ref().map(|permits| permits.next_offer(now))
+    }
+
+    /// The datagrams that are due now; the engine is asked for its demand where a report or an offer is due.
+    async fn due_datagrams(
+        &mut self,
+        schedule: &mut Schedule,
+        engine: &mpsc::Sender<Input>,
+    ) -> Result<Vec<OutgoingDatagram>, EngineClosed> {
+        let mut datagrams = self.fleet.sums(wall_ms());
+        if let Some(permits) = &mut self.permits {
+            datagrams.extend(permits.deal(wall_ms()));
+        }
+        if let Some(shared_view) = &mut self.shared_view {
+            datagrams.extend(shared_view.due_datagrams(wall_ms()));
+        }
+        if wall_ms() >= schedule.report_at {
+            datagrams.extend(self.report(engine).await?);
+            schedule.report_at = self.next_report(wall_ms());
+        }
+        if schedule.offer_at.is_some_and(|at| wall_ms() >= at) {
+            datagrams.extend(self.offer(engine).await?);
+            schedule.offer_at = self.next_offer(wall_ms());
+        }
+        Ok(datagrams)
+    }
+
+    fn send(&self, socket: &UdpSocket, datagrams: &[OutgoingDatagram]) {
+        for (to, message) in datagrams {
+            if let Some(addr) = self.config.peers.get(*to) {
+                // One that cannot be sent now counts as lost.
+                let _ = socket.try_send_to(message, *addr);
+            }
+        }
+    }
+
+    /// Handles a received datagram; it is dropped if it is malformed, late or from an unknown sender.
+    fn receive(&mut self, from: usize, message: &[u8]) -> Received {
+        self.dispatch(from, message).unwrap_or_else(|error| {
+            tracing::debug!(target: LOG_TARGET, from, "dropped: {error}");
+            Received::Other
+        })
+    }
+
+    /// Passes a datagram to the part that it is for.
+    fn dispatch(&mut self, from: usize, message: &[u8]) -> Result<Received, ReceiveError> {
+        let now = wall_ms();
+        let kind = open(message).map(|(kind, _)| kind);
+        match (kind, &mut self.permits, &mut self.shared_view) {
+            (Ok(Kind::PermitOffer | Kind::PermitGrant), Some(permits), _) => {
+                let may_be_granted = permits.hear(now, from, message)?;
+                Ok(if may_be_granted { Received::Permits } else { Received::Other })
+            }
+            (Ok(Kind::Report | Kind::Summary), _, Some(shared_view)) => {
+                shared_view.receive(now, from, message)?;
+                Ok(Received::Other)
+            }
+            // Also datagrams of an unknown kind and damaged ones: the error names the cause.
+            _ => {
+                self.fleet.hear(now, from, message)?;
+                Ok(Received::Other)
+            }
+        }
+    }
+
+    /// Asks the engine for its demands and activity, and tells it what the shared view makes of that.
+    async fn query_demands(
+        &mut self,
+        engine: &mpsc::Sender<Input>,
+    ) -> Result<Vec<(LimitId, Demand)>, EngineClosed> {
+        let (reply, activity) = oneshot::channel();
+        engine.send(Input::Demands(reply)).await.map_err(|_| EngineClosed)?;
+        let activity: ActivityReport = activity.await.map_err(|_| EngineClosed)?;
+        let inputs = match &mut self.shared_view {
+            Some(shared_view) => shared_view.exchange(wall_ms(), &activity),
+            None => Vec::new(),
+        };
+        for input in inputs {
+            engine.send(input).await.map_err(|_| EngineClosed)?;
+        }
+        Ok(activity.demands)
+    }
+
+    /// Reports this sender's demands to the fleet, and the capacity shares that follow from the last sums to the engine.
+    async fn report(&mut self, engine: &mpsc::Sender<Input>) -> Result<Vec<OutgoingDatagram>, EngineClosed> {
+        let demands = self.query_demands(engine).await?;
+        let datagrams = self.fleet.report(wall_ms(), &own_usage(&demands));
+        let capacities = self.fleet.rooms(wall_ms());
+        self.limits = self.reported_limits(&demands, capacities.is_some());
+        if let Some(capacities) = capacities {
+            let shares = self.capacity_shares(&demands, &capacities);
+            engine.send(shares).await.map_err(|_| EngineClosed)?;
+        }
+        Ok(datagrams)
+    }
+
+    /// The limits that the engine reported. Without sums they are taken to be open.
+    fn reported_limits(&self, demands: &[(LimitId, Demand)], have_sums: bool) -> Vec<ReportedLimit> {
+        let mut limits = Vec::with_capacity(demands.len());
+        for (id, demand) in demands {
+            let open_share = if have_sums { self.fleet.open(*id, demand.limit) } else { 1.0 };
+            let (destination, route) = (demand.destination, demand.route);
+            limits.push(ReportedLimit { id: *id, destination, route, open_share });
+        }
+        limits
+    }
+
+    /// The capacity share of each demand: calls a second for each that is wanted, infinite far from the limit.
+    fn capacity_shares(&self, demands: &[(LimitId, Demand)], capacities: &[(LimitId, f64)]) -> Input {
+        let by_limit: HashMap<LimitId, f64> = capacities.iter().copied().collect();
+        let mut shares = Vec::with_capacity(demands.len());
+        for (id, demand) in demands {
+            let calls = by_limit.get(id).copied().unwrap_or(f64::INFINITY);
+            shares.push((demand.destination, demand.route, calls, self.fleet.wanted(*id)));
+        }
+        Input::CapacityShares(shares, CAPACITY_SHARE_LIFETIME)
+    }
+
+    /// Offers the permits that this sender does not need, and tells the engine which ones it has.
+    async fn offer(
+        &mut self,
+        engine: &mpsc::Sender<Input>,
+    ) -> Result<Option<OutgoingDatagram>, EngineClosed> {
+        let demands = self.query_demands(engine).await?;
+        let usage = own_usage(&demands);
+        let datagram = self.permits.as_mut().and_then(|permits| permits.offer(wall_ms(), &usage));
+        self.update_permits(engine).await?;
+        Ok(datagram)
+    }
+
+    /// Tells the engine which permits it has, where permits are in use.
+    async fn update_permits(&self, engine: &mpsc::Sender<Input>) -> Result<(), EngineClosed> {
+        let Some(ledger) = &self.permits else { return Ok(()) };
+        let now = wall_ms();
+        let mut permits = Vec::with_capacity(self.limits.len());
+        for limit in &self.limits {
+            let available = ledger.turns(now, limit.id, limit.open_share);
+            permits.push((limit.destination, limit.route, available));
+        }
+        engine.send(Input::Permits(permits)).await.map_err(|_| EngineClosed)
+    }
+}
+
+/// Demands in the terms of the fleet.
+fn own_usage(demands: &[(LimitId, Demand)]) -> Vec<Own> {
+    let usage = demands.iter().map(|(gate, demand)| {
+        let Demand { limit, wanted, called, refused, failed, .. } = *demand;
+        Own { gate: *gate, limit, wanted, called, refused, failed }
+    });
+    usage.collect()
+}
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -1,4 +1,4 @@
-//! Counts and judgements of the fleet: what the host saw and took on goes into notes, and what comes of them goes back.
+//! Usage and outliers over the fleet: the engine's activity goes into the view, and quotas and ejections come of it.
 
 use std::collections::BTreeMap;
 
@@ -7,105 +7,132 @@
 };
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
-use super::FLEET;
+use super::FLEET_LOG_TARGET;
 use crate::event::{ActivityReport, Input};
 use crate::fleet_file::FleetFile;
 
-/// How often it is looked whether notes are due, ms: a few times in the part of a round in which they go.
-pub(crate) const LOOK: u64 = 50;
-/// Reports are answered, so each costs two.
-const REPORTS: Class = Class { rank: 0, every: 0, cost: 2 };
+/// How often it is checked whether datagrams are due, in milliseconds: a few times in the part of a round for them.
+pub(super) const VIEW_INTERVAL: u64 = 50;
+/// Bandwidth class of reports; each is answered, so it costs two datagrams.
+const REPORT_CLASS: Class = Class { rank: 0, every: 0, cost: 2 };
 
-/// One sender's views, and what of them its host has been told.
+/// One sender's view of the fleet, and what of it the engine knows.
 #[derive(Debug)]
-pub(crate) struct Shared {
-    views: FleetView,
-    post: DatagramBudget,
-    judges: bool,
-    /// Messages a second of each tenant over all senders; empty where quotas stay each sender's own.
+pub(super) struct SharedView {
+    view: FleetView,
+    budget: DatagramBudget,
+    detects_outliers: bool,
+    /// Quota of each tenant over all senders, in messages a second; empty where each sender applies quotas on its own.
     quotas: Vec<f64>,
-    avoided: Vec<RouteId>,
+    /// The ejected routes that the engine was told last.
+    ejected: Vec<RouteId>,
 }
 
-impl Shared {
-    /// What the operator's file asks for; nothing if that is nothing. `quotas` are those of the settings, `wall` is now.
+impl SharedView {
+    /// A view as the operator's file asks for it; `None` if it asks for none. `now` is in milliseconds since 1970.
     ///
     /// # Errors
     ///
-    /// [`FleetViewError`] for a tier that is too large.
-    pub fn new(
+    /// [`FleetViewError`] if the fleet is too large.
+    pub(super) fn new(
         file: &FleetFile,
         me: usize,
         senders: usize,
         quotas: &[f64],
-        life: Incarnation,
-        wall: u64,
+        incarnation: Incarnation,
+        now: u64,
     ) -> Result<Option<Self>, FleetViewError> {
-        let share = file.share();
-        if !share.judges() && !share.counts() {
+        let sharing = file.share();
+        if !sharing.detects_outliers() && !sharing.shares_quotas() {
             return Ok(None);
         }
-        // An earlier process has taken on under this number until now.
-        let views = FleetView::new(me, file.halls(senders), life, wall, share.most_per_s())?;
-        let quotas = if share.counts() { quotas.to_vec() } else { Vec::new() };
-        let post = DatagramBudget::new(&[(Kind::Report, REPORTS)]);
-        Ok(Some(Self { views, post, judges: share.judges(), quotas, avoided: Vec::new() }))
+        // Until now an earlier process may have accepted messages under this number.
+        let max_rate = sharing.max_messages_per_s();
+        Ok(Some(Self {
+            view: FleetView::new(me, file.zones(senders), incarnation, now, max_rate)?,
+            budget: DatagramBudget::new(&[(Kind::Report, REPORT_CLASS)]),
+            detects_outliers: sharing.detects_outliers(),
+            quotas: if sharing.shares_quotas() { quotas.to_vec() } else { Vec::new() },
+            ejected: Vec::new(),
+        }))
     }
 
-    /// The notes that are due.
-    pub fn notes_due(&mut self, wall: u64) -> Vec<OutgoingDatagram> {
-        self.views.notes_due(wall, &mut self.post)
+    /// The datagrams that are due.
+    pub(super) fn due_datagrams(&mut self, now: u64) -> Vec<OutgoingDatagram> {
+        self.view.notes_due(now, &mut self.budget)
     }
 
-    /// Takes in a datagram of another sender.
+    /// Handles a datagram of another sender.
     ///
     /// # Errors
     ///
     /// [`FleetViewError`] says why it was dropped.
-    pub fn hear(&mut self, wall: u64, from: usize, note: &[u8]) -> Result<(), FleetViewError> {
-        self.views.hear(wall, from, note)
+    pub(super) fn receive(&mut self, now: u64, from: usize, message: &[u8]) -> Result<(), FleetViewError> {
+        self.view.hear(now, from, message)
     }
 
-    /// Takes in what the host did, and says what it is to be told.
-    pub fn exchange(&mut self, wall: u64, activity: &ActivityReport) -> Vec<Input> {
+    /// Records the engine's activity, and returns what the engine is to be told.
+    pub(super) fn exchange(&mut self, now: u64, activity: &ActivityReport) -> Vec<Input> {
+        self.record(now, activity);
+        let mut inputs = Vec::new();
+        inputs.extend(self.update_ejections(now, &activity.listed));
+        if !self.quotas.is_empty() {
+            inputs.push(Input::Quotas(self.quota_shares(now)));
+        }
+        inputs
+    }
+
+    fn record(&mut self, now: u64, activity: &ActivityReport) {
         for &(receiver, seen) in &activity.seen {
-            self.views.judgements().saw(wall, receiver, seen);
+            self.view.judgements().saw(now, receiver, seen);
         }
         for &(tenant, messages) in &activity.taken_on {
-            (0..messages).for_each(|_| self.views.counts().handed_in(wall, tenant));
-        }
-        let mut told = Vec::new();
-        if self.judges {
-            let avoided = self.judged(wall, &activity.listed);
-            if avoided != self.avoided {
-                tracing::info!(target: FLEET, receivers = avoided.len(), "receivers that others judge to be down");
-                self.avoided.clone_from(&avoided);
-                told.push(Input::EjectedReceivers(avoided));
+            for _ in 0..messages {
+                self.view.counts().handed_in(now, tenant);
             }
         }
-        if !self.quotas.is_empty() {
-            let of = |(tenant, quota): (usize, &f64)| {
-                self.views.room(wall, u16::try_from(tenant).unwrap_or(u16::MAX), *quota)
-            };
-            told.push(Input::Quotas(self.quotas.iter().enumerate().map(of).collect()));
+    }
+
+    /// The ejected routes, if they have changed.
+    fn update_ejections(&mut self, now: u64, listed: &[(DestinationId, RouteId, Receiver)]) -> Option<Input> {
+        if !self.detects_outliers {
+            return None;
+        }
+        let ejected = self.ejected_routes(now, listed);
+        if ejected == self.ejected {
+            return None;
         }
-        told
+        let receivers = ejected.len();
+        tracing::info!(target: FLEET_LOG_TARGET, receivers, "receivers that others judge to be down");
+        self.ejected.clone_from(&ejected);
+        Some(Input::EjectedReceivers(ejected))
     }
 
-    /// The routes to receivers that several others of this hall see fail, by partner.
-    fn judged(&mut self, wall: u64, listed: &[(DestinationId, RouteId, Receiver)]) -> Vec<RouteId> {
-        let mut partners: BTreeMap<DestinationId, Vec<(Receiver, RouteId)>> = BTreeMap::new();
-        for &(partner, route, receiver) in listed {
-            partners.entry(partner).or_default().push((receiver, route));
+    /// The routes to receivers that several other senders of this zone see fail, sorted. They are chosen for each
+    /// destination separately.
+    fn ejected_routes(&mut self, now: u64, listed: &[(DestinationId, RouteId, Receiver)]) -> Vec<RouteId> {
+        let mut by_destination: BTreeMap<DestinationId, Vec<(Receiver, RouteId)>> = BTreeMap::new();
+        for &(destination, route, receiver) in listed {
+            by_destination.entry(destination).or_default().push((receiver, route));
         }
-        let mut avoided = Vec::new();
-        for receivers in partners.values() {
-            let names: Vec<Receiver> = receivers.iter().map(|(name, _)| *name).collect();
-            let judged = self.views.avoided(wall, &names);
-            avoided
-                .extend(receivers.iter().filter(|(name, _)| judged.contains(name)).map(|(_, route)| *route));
+        let mut ejected_routes = Vec::new();
+        for receivers in by_destination.values() {
+            let names: Vec<Receiver> = receivers.iter().map(|(receiver, _)| *receiver).collect();
+            let ejected = self.view.avoided(now, &names);
+            let of_ejected = receivers.iter().filter(|(receiver, _)| ejected.contains(receiver));
+            ejected_routes.extend(of_ejected.map(|(_, route)| *route));
+        }
+        ejected_routes.sort_unstable();
+        ejected_routes
+    }
+
+    /// This sender's share of each tenant's quota, in messages a second; `None` where nothing is known of the others.
+    fn quota_shares(&mut self, now: u64) -> Vec<Option<f64>> {
+        let mut shares = Vec::with_capacity(self.quotas.len());
+        for (tenant, quota) in self.quotas.iter().enumerate() {
+            let tenant = u16::try_from(tenant).unwrap_or(u16::MAX);
+            shares.push(self.view.room(now, tenant, *quota));
         }
-        avoided.sort_unstable();
-        avoided
+        shares
     }
 }
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -1,86 +1,94 @@
+//! Three senders that gossip over loopback.
+
 use std::cell::Cell;
+use std::net::SocketAddr;
 
 use rudderspindle_gossip::LimitId;
+use rudderspindle_policy::interface::Demand;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
 use super::*;
+use crate::event::ActivityReport;
 
 const LIMIT: f64 = 60.0;
 
-fn want(wanted: f64) -> (LimitId, Demand) {
+fn demand(wanted: f64) -> (LimitId, Demand) {
     let destination = DestinationId(7);
-    let want = Demand { destination, route: None, limit: LIMIT, wanted, called: 0, refused: 0, failed: 0 };
-    (LimitId::of(7, None), want)
+    let demand = Demand { destination, route: None, limit: LIMIT, wanted, called: 0, refused: 0, failed: 0 };
+    (LimitId::of(7, None), demand)
 }
 
-/// Three senders on loopback; the second field of each is what its host hears.
-async fn three() -> Vec<(SocketAddr, mpsc::Receiver<Input>)> {
+/// Starts three senders; returns the address of each, and the inputs of its engine.
+async fn start_three_senders() -> Vec<(SocketAddr, mpsc::Receiver<Input>)> {
     let mut sockets = Vec::new();
     for _ in 0..3 {
         sockets.push(UdpSocket::bind("127.0.0.1:0").await.expect("a port"));
     }
-    let peers: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().expect("an address")).collect();
+    let peers: Vec<SocketAddr> =
+        sockets.iter().map(|socket| socket.local_addr().expect("an address")).collect();
     let start = |(me, socket): (usize, UdpSocket)| {
         let (listen, peers) = (peers[me], peers.clone());
-        let (host, inputs) = mpsc::channel(16);
+        let (engine, inputs) = mpsc::channel(16);
         spawn_local(
             GossipTask::new(
-                Notes { me, listen, peers },
+                GossipConfig { me, listen, peers },
                 Ramp { start: 0.3, growth: 0.1 },
                 FleetSettings::default(),
             )
-            .converse(socket, host),
+            .exchange(socket, engine),
         );
         (listen, inputs)
     };
     sockets.into_iter().enumerate().map(start).collect()
 }
 
-/// Answers for its sender until all three have heard of less room than they would need; what this one heard.
-async fn host(inputs: &mut mpsc::Receiver<Input>, wanted: f64, heard: &Cell<usize>) -> f64 {
-    let mut room = None;
-    // One that had heard and was silent from then on would leave the last one alone.
-    while heard.get() < 3 {
+/// Acts as the engine of one sender until all three have received a capacity share below what they want; returns this
+/// sender's first one.
+async fn run_engine(inputs: &mut mpsc::Receiver<Input>, wanted: f64, limited_senders: &Cell<usize>) -> f64 {
+    let mut first_share = None;
+    // A sender that stopped here would be missing from the sums of the others.
+    while limited_senders.get() < 3 {
         match timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input") {
-            Input::Demands(asker) => {
-                drop(asker.send(ActivityReport { demands: vec![want(wanted)], ..ActivityReport::default() }));
+            Input::Demands(reply) => {
+                let activity = ActivityReport { demands: vec![demand(wanted)], ..ActivityReport::default() };
+                let _ = reply.send(activity);
             }
-            Input::CapacityShares(rooms, _) => {
-                if let Some((_, _, calls, _)) = rooms.first().filter(|room| room.2 < 0.9)
-                    && room.replace(*calls).is_none()
+            Input::CapacityShares(shares, _) => {
+                if let Some((_, _, calls, _)) = shares.first().filter(|share| share.2 < 0.9)
+                    && first_share.replace(*calls).is_none()
                 {
-                    heard.set(heard.get() + 1);
+                    limited_senders.set(limited_senders.get() + 1);
                 }
             }
             other => panic!("{other:?}"),
         }
     }
-    room.expect("it has heard, too")
+    first_share.expect("a capacity share")
 }
 
-/// Together they want two and a half times what there is, which none of them could know alone. What strangers and
-/// broken senders throw at them changes nothing.
+/// Together they want two and a half times the limit, which none of them could know alone. Malformed datagrams of an
+/// unknown sender change nothing.
 #[tokio::test]
-async fn three_senders_learn_from_one_another_how_much_there_is_for_each() {
+async fn three_senders_learn_their_capacity_shares_from_one_another() {
     let test = async {
-        let mut senders = three().await;
-        let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
+        let mut senders = start_three_senders().await;
+        let unknown_sender = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         for (addr, _) in &senders {
             for junk in [&b""[..], b"a", &[0x61; 256], &[0x62; 300]] {
-                stranger.send_to(junk, addr).await.expect("sent");
+                unknown_sender.send_to(junk, addr).await.expect("sent");
             }
         }
         let [a, b, c] = &mut senders[..] else { panic!("three") };
-        let heard = Cell::new(0);
-        let rooms = tokio::join!(
-            host(&mut a.1, 50.0, &heard),
-            host(&mut b.1, 50.0, &heard),
-            host(&mut c.1, 50.0, &heard)
+        let limited_senders = Cell::new(0);
+        let shares = tokio::join!(
+            run_engine(&mut a.1, 50.0, &limited_senders),
+            run_engine(&mut b.1, 50.0, &limited_senders),
+            run_engine(&mut c.1, 50.0, &limited_senders)
         );
-        for room in [rooms.0, rooms.1, rooms.2] {
-            // All three may not be in the first sums; a figure is within a twentieth.
-            assert!((LIMIT / 150.0 * 0.85..=LIMIT / 50.0 * 0.9).contains(&room), "{room}");
+        for share in [shares.0, shares.1, shares.2] {
+            // The first sums may not be of all three; a figure is accurate to a twentieth.
+            assert!((LIMIT / 150.0 * 0.85..=LIMIT / 50.0 * 0.9).contains(&share), "{share}");
         }
     };
     LocalSet::new().run_until(test).await;
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -57,6 +57,6 @@
 mod write_progress;
 
 pub use config::{StartError, ValidatedConfig};
-pub use fleet_file::{Bound, FleetFile, FleetFileError, Share};
+pub use fleet_file::{FleetFile, FleetFileError, LimitBound, SharingConfig};
 pub use poll_schedule::PollSchedule;
 pub use service::{Control, Service};
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -17,7 +17,7 @@
 use crate::discovery;
 use crate::engine::{Engine, EngineDependencies};
 use crate::event::{Input, List};
-use crate::gossip::{FLEET, FleetSettings, GossipTask};
+use crate::gossip::{FLEET_LOG_TARGET, FleetSettings, GossipTask};
 use crate::handover::{self, HandoverState, PeerProcess};
 use crate::inbound::{self, Inbound};
 use crate::incarnation;
@@ -74,10 +74,10 @@
             Some(addr) => Some(bind(addr).await?),
             None => None,
         };
-        let notes = config.notes().filter(|notes| notes.peers.len() >= fleet.share().from());
+        let notes = config.gossip().filter(|notes| notes.peers.len() >= fleet.share().min_senders());
         let strict = fleet.share().is_strict() && notes.is_some();
-        let together = fleet.share().judges() || fleet.share().counts();
-        let share = config.limits.share();
+        let together = fleet.share().detects_outliers() || fleet.share().shares_quotas();
+        let share = config.limits.max_connections();
         let budget = (config.limits.disk_mb.max(0.0) * 1_000_000.0) as u64;
         let mut store = Store::open(state, budget)
             .map_err(|error| StartError::Journal { path: state.to_owned(), error })?;
@@ -154,8 +154,8 @@
             } else {
                 None
             };
-            tracing::info!(target: FLEET, senders = notes.peers.len(), strict, "limits are shared by notes");
-            let together = FleetSettings { file: fleet, quotas, life };
+            tracing::info!(target: FLEET_LOG_TARGET, senders = notes.peers.len(), strict, "limits are shared by notes");
+            let together = FleetSettings { fleet_file: fleet, tenant_quotas: quotas, incarnation: life };
             spawn_local(GossipTask::new(notes, ramp, together).run(to_engine.clone()));
         }
         let limits =
