--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use rudderspindle_gossip::{Fleet, Incarnation, LimitId, PermitLedger, Ramp};
+use rudderspindle_gossip::{DemandExchange, Incarnation, LimitId, PermitLedger, Ramp};
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub(crate) struct GossipTask {
     config: GossipConfig,
-    fleet: Fleet,
+    demand_exchange: DemandExchange,
     settings: FleetSettings,
     permits: Option<PermitLedger>,
     shared_view: Option<SharedView>,
@@ -61,8 +61,8 @@
 impl GossipTask {
     /// A task for the sender and its peers in `config`, whose destinations recover from an outage by `ramp`.
     pub(crate) fn new(config: GossipConfig, ramp: Ramp, settings: FleetSettings) -> Self {
-        let fleet = Fleet::new(config.me, config.peers.len(), ramp);
-        Self { config, fleet, settings, permits: None, shared_view: None, limits: Vec::new() }
+        let demand_exchange = DemandExchange::new(config.me, config.peers.len(), ramp);
+        Self { config, demand_exchange, settings, permits: None, shared_view: None, limits: Vec::new() }
     }
 
     /// Runs until the engine has ended.
--- a/crates/sender/src/gossip/exchange.rs
+++ b/crates/sender/src/gossip/exchange.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rudderspindle_gossip::{
-    Kind, LimitId, MAX_MESSAGE_LEN, OutgoingDatagram, Own, PermitLedger, ROUND, open,
+    Kind, LimitId, LocalDemand, MAX_MESSAGE_LEN, OutgoingDatagram, PermitLedger, ROUND, open,
 };
 use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::{Demand, Millis};
@@ -98,15 +98,15 @@
 
     /// When the next timer is due, in milliseconds since 1970.
     fn next_wake(&self, schedule: &Schedule) -> u64 {
-        let deal_at = self.permits.as_ref().and_then(PermitLedger::next_deal);
+        let deal_at = self.permits.as_ref().and_then(PermitLedger::next_allocation);
         let view_at =
             self.shared_view.as_ref().map(|_| wall_ms() / VIEW_INTERVAL * VIEW_INTERVAL + VIEW_INTERVAL);
-        let others = [self.fleet.next_sums(), deal_at, schedule.offer_at, view_at];
+        let others = [self.demand_exchange.next_sums(), deal_at, schedule.offer_at, view_at];
         others.into_iter().flatten().fold(schedule.report_at, u64::min)
     }
 
     fn next_report(&self, now: u64) -> u64 {
-        let next = self.fleet.next_report(now);
+        let next = self.demand_exchange.next_report(now);
         let cycle = ROUND * ROUNDS_PER_REPORT_WITH_PERMITS;
         let is_skipped = self.permits.is_some() && next % cycle >= ROUND;
         if is_skipped { next + ROUND } else { next }
@@ -122,9 +122,9 @@
         schedule: &mut Schedule,
         engine: &mpsc::Sender<Input>,
     ) -> Result<Vec<OutgoingDatagram>, EngineClosed> {
-        let mut datagrams = self.fleet.sums(wall_ms());
+        let mut datagrams = self.demand_exchange.sums(wall_ms());
         if let Some(permits) = &mut self.permits {
-            datagrams.extend(permits.deal(wall_ms()));
+            datagrams.extend(permits.allocate(wall_ms()));
         }
         if let Some(shared_view) = &mut self.shared_view {
             datagrams.extend(shared_view.due_datagrams(wall_ms()));
@@ -141,10 +141,10 @@
     }
 
     fn send(&self, socket: &UdpSocket, datagrams: &[OutgoingDatagram]) {
-        for (to, message) in datagrams {
+        for OutgoingDatagram { to, bytes } in datagrams {
             if let Some(addr) = self.config.peers.get(*to) {
                 // One that cannot be sent now counts as lost.
-                let _ = socket.try_send_to(message, *addr);
+                let _ = socket.try_send_to(bytes, *addr);
             }
         }
     }
@@ -163,7 +163,7 @@
         let kind = open(message).map(|(kind, _)| kind);
         match (kind, &mut self.permits, &mut self.shared_view) {
             (Ok(Kind::PermitOffer | Kind::PermitGrant), Some(permits), _) => {
-                let may_be_granted = permits.hear(now, from, message)?;
+                let may_be_granted = permits.receive(now, from, message)?;
                 Ok(if may_be_granted { Received::Permits } else { Received::Other })
             }
             (Ok(Kind::Report | Kind::Summary), _, Some(shared_view)) => {
@@ -172,7 +172,7 @@
             }
             // Also datagrams of an unknown kind and damaged ones: the error names the cause.
             _ => {
-                self.fleet.hear(now, from, message)?;
+                self.demand_exchange.hear(now, from, message)?;
                 Ok(Received::Other)
             }
         }
@@ -199,8 +199,8 @@
     /// Reports this sender's demands to the fleet, and the capacity shares that follow from the last sums to the engine.
     async fn report(&mut self, engine: &mpsc::Sender<Input>) -> Result<Vec<OutgoingDatagram>, EngineClosed> {
         let demands = self.query_demands(engine).await?;
-        let datagrams = self.fleet.report(wall_ms(), &own_usage(&demands));
-        let capacities = self.fleet.rooms(wall_ms());
+        let datagrams = self.demand_exchange.report(wall_ms(), &local_demands(&demands));
+        let capacities = self.demand_exchange.rooms(wall_ms());
         self.limits = self.reported_limits(&demands, capacities.is_some());
         if let Some(capacities) = capacities {
             let shares = self.capacity_shares(&demands, &capacities);
@@ -213,7 +213,7 @@
     fn reported_limits(&self, demands: &[(LimitId, Demand)], have_sums: bool) -> Vec<ReportedLimit> {
         let mut limits = Vec::with_capacity(demands.len());
         for (id, demand) in demands {
-            let open_share = if have_sums { self.fleet.open(*id, demand.limit) } else { 1.0 };
+            let open_share = if have_sums { self.demand_exchange.open(*id, demand.limit) } else { 1.0 };
             let (destination, route) = (demand.destination, demand.route);
             limits.push(ReportedLimit { id: *id, destination, route, open_share });
         }
@@ -226,7 +226,7 @@
         let mut shares = Vec::with_capacity(demands.len());
         for (id, demand) in demands {
             let calls = by_limit.get(id).copied().unwrap_or(f64::INFINITY);
-            shares.push((demand.destination, demand.route, calls, self.fleet.wanted(*id)));
+            shares.push((demand.destination, demand.route, calls, self.demand_exchange.wanted(*id)));
         }
         Input::CapacityShares(shares, CAPACITY_SHARE_LIFETIME)
     }
@@ -237,8 +237,8 @@
         engine: &mpsc::Sender<Input>,
     ) -> Result<Option<OutgoingDatagram>, EngineClosed> {
         let demands = self.query_demands(engine).await?;
-        let usage = own_usage(&demands);
-        let datagram = self.permits.as_mut().and_then(|permits| permits.offer(wall_ms(), &usage));
+        let own_demands = local_demands(&demands);
+        let datagram = self.permits.as_mut().and_then(|permits| permits.offer(wall_ms(), &own_demands));
         self.update_permits(engine).await?;
         Ok(datagram)
     }
@@ -249,7 +249,7 @@
         let now = wall_ms();
         let mut permits = Vec::with_capacity(self.limits.len());
         for limit in &self.limits {
-            let available = ledger.turns(now, limit.id, limit.open_share);
+            let available = ledger.permits(now, limit.id, limit.open_share);
             permits.push((limit.destination, limit.route, available));
         }
         engine.send(Input::Permits(permits)).await.map_err(|_| EngineClosed)
@@ -257,10 +257,14 @@
 }
 
 /// Demands in the terms of the fleet.
-fn own_usage(demands: &[(LimitId, Demand)]) -> Vec<Own> {
-    let usage = demands.iter().map(|(gate, demand)| {
-        let Demand { limit, wanted, called, refused, failed, .. } = *demand;
-        Own { gate: *gate, limit, wanted, called, refused, failed }
+fn local_demands(demands: &[(LimitId, Demand)]) -> Vec<LocalDemand> {
+    let local = demands.iter().map(|(limit_id, demand)| LocalDemand {
+        limit_id: *limit_id,
+        limit: demand.limit,
+        demand: demand.wanted,
+        calls: demand.called,
+        rejected: demand.refused,
+        failed: demand.failed,
     });
-    usage.collect()
+    local.collect()
 }
--- a/crates/sender/src/handover/message.rs
+++ b/crates/sender/src/handover/message.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::event::Input;
-use crate::outbound::LONGEST_WAIT;
+use crate::outbound::MAX_BACKOFF_MS;
 
 /// A message from one process of a sender to the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -78,9 +78,9 @@
     #[must_use]
     pub fn clamped(self) -> Self {
         match self {
-            Self::Down { wait } => Self::Down { wait: wait.min(LONGEST_WAIT as u64) },
+            Self::Down { wait } => Self::Down { wait: wait.min(MAX_BACKOFF_MS as u64) },
             Self::WarmingUp { ago, part } => {
-                Self::WarmingUp { ago: ago.max(-(LONGEST_WAIT as i64)), part: part.clamp(0.0, 1.0) }
+                Self::WarmingUp { ago: ago.max(-(MAX_BACKOFF_MS as i64)), part: part.clamp(0.0, 1.0) }
             }
         }
     }
