--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -1,5 +1,6 @@
 //! Gossip between the senders of a fleet over UDP. The messages and their meaning are in `rudderspindle-gossip`.
 
+mod engine;
 mod exchange;
 mod receive_error;
 mod shared_view;
--- a/crates/sender/src/gossip/exchange.rs
+++ b/crates/sender/src/gossip/exchange.rs
@@ -4,30 +4,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rudderspindle_gossip::{
-    Kind, LimitId, LocalDemand, MAX_MESSAGE_LEN, OutgoingDatagram, PermitLedger, ROUND, open,
-};
+use rudderspindle_gossip::{Kind, MAX_MESSAGE_LEN, OutgoingDatagram, PermitLedger, ROUND, open};
 use rudderspindle_journal::wall_ms;
-use rudderspindle_policy::interface::{Demand, Millis};
 use tokio::net::UdpSocket;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::mpsc;
 use tokio::time::sleep;
 
+use super::engine::EngineClosed;
 use super::receive_error::ReceiveError;
 use super::shared_view::{SharedView, VIEW_INTERVAL};
-use super::{FLEET_LOG_TARGET, FleetSettings, GossipTask, LOG_TARGET, ReportedLimit};
-use crate::event::{ActivityReport, Input};
+use super::{FLEET_LOG_TARGET, FleetSettings, GossipTask, LOG_TARGET};
+use crate::event::Input;
 
-/// How long capacity shares are in effect, in milliseconds.
-const CAPACITY_SHARE_LIFETIME: Millis = 1_000.0;
 /// Rounds for each report where permits are in use, whose datagrams need the bandwidth.
 const ROUNDS_PER_REPORT_WITH_PERMITS: u64 = 2;
 
-/// The engine has ended, and so does the exchange.
-#[derive(Debug, thiserror::Error)]
-#[error("the engine has ended")]
-struct EngineClosed;
-
 /// When the engine is to be asked for its demand next, in milliseconds since 1970.
 #[derive(Debug)]
 struct Schedule {
@@ -177,94 +168,4 @@
             }
         }
     }
-
-    /// Asks the engine for its demands and activity, and tells it what the shared view makes of that.
-    async fn query_demands(
-        &mut self,
-        engine: &mpsc::Sender<Input>,
-    ) -> Result<Vec<(LimitId, Demand)>, EngineClosed> {
-        let (reply, activity) = oneshot::channel();
-        engine.send(Input::Demands(reply)).await.map_err(|_| EngineClosed)?;
-        let activity: ActivityReport = activity.await.map_err(|_| EngineClosed)?;
-        let inputs = match &mut self.shared_view {
-            Some(shared_view) => shared_view.exchange(wall_ms(), &activity),
-            None => Vec::new(),
-        };
-        for input in inputs {
-            engine.send(input).await.map_err(|_| EngineClosed)?;
-        }
-        Ok(activity.demands)
-    }
-
-    /// Reports this sender's demands to the fleet, and the capacity shares that follow from the last sums to the engine.
-    async fn report(&mut self, engine: &mpsc::Sender<Input>) -> Result<Vec<OutgoingDatagram>, EngineClosed> {
-        let demands = self.query_demands(engine).await?;
-        let datagrams = self.demand_exchange.report(wall_ms(), &local_demands(&demands));
-        let capacities = self.demand_exchange.rooms(wall_ms());
-        self.limits = self.reported_limits(&demands, capacities.is_some());
-        if let Some(capacities) = capacities {
-            let shares = self.capacity_shares(&demands, &capacities);
-            engine.send(shares).await.map_err(|_| EngineClosed)?;
-        }
-        Ok(datagrams)
-    }
-
-    /// The limits that the engine reported. Without sums they are taken to be open.
-    fn reported_limits(&self, demands: &[(LimitId, Demand)], have_sums: bool) -> Vec<ReportedLimit> {
-        let mut limits = Vec::with_capacity(demands.len());
-        for (id, demand) in demands {
-            let open_share = if have_sums { self.demand_exchange.open(*id, demand.limit) } else { 1.0 };
-            let (destination, route) = (demand.destination, demand.route);
-            limits.push(ReportedLimit { id: *id, destination, route, open_share });
-        }
-        limits
-    }
-
-    /// The capacity share of each demand: calls a second for each that is wanted, infinite far from the limit.
-    fn capacity_shares(&self, demands: &[(LimitId, Demand)], capacities: &[(LimitId, f64)]) -> Input {
-        let by_limit: HashMap<LimitId, f64> = capacities.iter().copied().collect();
-        let mut shares = Vec::with_capacity(demands.len());
-        for (id, demand) in demands {
-            let calls = by_limit.get(id).copied().unwrap_or(f64::INFINITY);
-            shares.push((demand.destination, demand.route, calls, self.demand_exchange.wanted(*id)));
-        }
-        Input::CapacityShares(shares, CAPACITY_SHARE_LIFETIME)
-    }
-
-    /// Offers the permits that this sender does not need, and tells the engine which ones it has.
-    async fn offer(
-        &mut self,
-        engine: &mpsc::Sender<Input>,
-    ) -> Result<Option<OutgoingDatagram>, EngineClosed> {
-        let demands = self.query_demands(engine).await?;
-        let own_demands = local_demands(&demands);
-        let datagram = self.permits.as_mut().and_then(|permits| permits.offer(wall_ms(), &own_demands));
-        self.update_permits(engine).await?;
-        Ok(datagram)
-    }
-
-    /// Tells the engine which permits it has, where permits are in use.
-    async fn update_permits(&self, engine: &mpsc::Sender<Input>) -> Result<(), EngineClosed> {
-        let Some(ledger) = &self.permits else { return Ok(()) };
-        let now = wall_ms();
-        let mut permits = Vec::with_capacity(self.limits.len());
-        for limit in &self.limits {
-            let available = ledger.permits(now, limit.id, limit.open_share);
-            permits.push((limit.destination, limit.route, available));
-        }
-        engine.send(Input::Permits(permits)).await.map_err(|_| EngineClosed)
-    }
-}
-
-/// Demands in the terms of the fleet.
-fn local_demands(demands: &[(LimitId, Demand)]) -> Vec<LocalDemand> {
-    let local = demands.iter().map(|(limit_id, demand)| LocalDemand {
-        limit_id: *limit_id,
-        limit: demand.limit,
-        demand: demand.wanted,
-        calls: demand.called,
-        rejected: demand.refused,
-        failed: demand.failed,
-    });
-    local.collect()
 }
