--- a/crates/sender/src/config/golden/refused.rs
+++ b/crates/sender/src/config/golden/refused.rs
@@ -42,7 +42,7 @@
         ("another name", "text"),
         ("false", "flag"),
     ];
-    let found = types.iter().find(|(says, _)| line.contains(says));
+    let found = types.iter().find(|(text, _)| line.contains(text));
     found.map(|(_, of)| *of).unwrap_or_else(|| panic!("no type that is known: {line}"))
 }
 
@@ -85,13 +85,13 @@
         for (at, value) in also {
             put(&mut config, &at, Some(value));
         }
-        let said = read(&config).expect_err(&format!("{at} {value:?}"));
-        for said in [&said, &line] {
-            let after = said.strip_prefix(&key).unwrap_or_else(|| panic!("{key}: {said}"));
-            assert!(!after.starts_with(|c: char| c.is_alphanumeric() || "._[".contains(c)), "{key}: {said}");
-            assert!(after.contains(&shown), "{shown}: {said}");
-            assert_eq!(cause(after, &shown), expected, "{said}");
-            assert!(!said.contains('\n'), "{said:?}");
+        let error = read(&config).expect_err(&format!("{at} {value:?}"));
+        for error in [&error, &line] {
+            let after = error.strip_prefix(&key).unwrap_or_else(|| panic!("{key}: {error}"));
+            assert!(!after.starts_with(|c: char| c.is_alphanumeric() || "._[".contains(c)), "{key}: {error}");
+            assert!(after.contains(&shown), "{shown}: {error}");
+            assert_eq!(cause(after, &shown), expected, "{error}");
+            assert!(!error.contains('\n'), "{error:?}");
         }
     }
 }
@@ -100,9 +100,9 @@
 fn a_file_that_is_missing_or_not_json_is_reported_with_cause_and_place() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
-    let said = || ValidatedConfig::read(&path).expect_err("refused").to_string();
+    let error = || ValidatedConfig::read(&path).expect_err("refused").to_string();
     let begins = format!("{}: ", path.display());
-    assert_eq!(said(), format!("{begins}No such file or directory (os error 2)"));
+    assert_eq!(error(), format!("{begins}No such file or directory (os error 2)"));
     for (text, place) in [
         ("", "line 1 column 0"),
         ("{", "line 1 column 1"),
@@ -112,7 +112,10 @@
         ("{} {}", "line 1 column 4"),
     ] {
         std::fs::write(&path, text).expect("a file");
-        let said = said();
-        assert!(said.starts_with(&begins) && said.ends_with(place) && !said.contains('\n'), "{text}: {said}");
+        let error = error();
+        assert!(
+            error.starts_with(&begins) && error.ends_with(place) && !error.contains('\n'),
+            "{text}: {error}"
+        );
     }
 }
--- a/crates/sender/src/discovery/decoder/tests.rs
+++ b/crates/sender/src/discovery/decoder/tests.rs
@@ -86,9 +86,9 @@
 /// A list that was cut off does not swallow what follows.
 #[test]
 fn a_line_that_ends_within_a_string_is_an_error() {
-    let whole = list(8, &["abcdef"]).to_string();
-    let cut = whole.find("abc").expect("it is there") + 2;
-    let (decoded, end) = decode([format!("{}\n{whole}\n", &whole[..cut]).as_bytes()]);
+    let complete = list(8, &["abcdef"]).to_string();
+    let cut = complete.find("abc").expect("it is there") + 2;
+    let (decoded, end) = decode([format!("{}\n{complete}\n", &complete[..cut]).as_bytes()]);
     assert!(
         matches!(end, Err(DecodeError::UnterminatedString)) && decoded.is_empty(),
         "{decoded:?}, {end:?}"
--- a/crates/sender/src/discovery/error.rs
+++ b/crates/sender/src/discovery/error.rs
@@ -13,7 +13,7 @@
     #[error("the watch ended")]
     Ended,
     /// A full list was requested, and only changes came.
-    #[error("a list that is not whole")]
+    #[error("the list is not complete")]
     Incomplete,
     /// The body is not an endpoint list.
     #[error(transparent)]
--- a/crates/sender/src/discovery/session.rs
+++ b/crates/sender/src/discovery/session.rs
@@ -57,7 +57,7 @@
             Some(revision) => revision,
             None => self.load_full_list().await?,
         };
-        tracing::debug!(target: LOG_TARGET, addr = %self.addr, from, "asks for changes");
+        tracing::debug!(target: LOG_TARGET, addr = %self.addr, from, "requesting changes");
         let response = open_watch(self.addr, from, self.response_timeout).await?;
         self.progress.last_activity = Instant::now();
         let mut body = response.body;
@@ -72,7 +72,7 @@
 
     /// Fetches the full list and passes it to the engine; returns its revision.
     async fn load_full_list(&mut self) -> Result<u64, WatchError> {
-        tracing::debug!(target: LOG_TARGET, addr = %self.addr, "asks for the whole list");
+        tracing::debug!(target: LOG_TARGET, addr = %self.addr, "requesting the full list");
         let list_timeout = self.response_timeout.max(MIN_FULL_LIST_TIMEOUT);
         let list = timeout(list_timeout, fetch_full_list(self.addr, self.response_timeout))
             .await
@@ -100,7 +100,7 @@
         self.progress.last_activity = Instant::now();
         let WatchEvent::List(list) = event else { return Ok(()) };
         let (members, complete) = (list.members.len(), list.complete);
-        tracing::debug!(target: LOG_TARGET, revision = list.revision, members, complete, "told");
+        tracing::debug!(target: LOG_TARGET, revision = list.revision, members, complete, "list received");
         self.deliver(list).await
     }
 
--- a/crates/sender/src/discovery/tests/scripted.rs
+++ b/crates/sender/src/discovery/tests/scripted.rs
@@ -1,4 +1,4 @@
-//! A discovery that writes what it is told to, byte for byte, and a watch before it.
+//! A discovery server whose responses are scripted byte by byte, and a running watch of it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/sender/src/discovery/watcher.rs
+++ b/crates/sender/src/discovery/watcher.rs
@@ -104,7 +104,7 @@
             self.schedule.record_success();
             return self.schedule.pause_after_failure(elapsed);
         }
-        tracing::debug!(target: LOG_TARGET, at = %addr, "no list: {error}");
+        tracing::debug!(target: LOG_TARGET, %addr, %error, "request failed");
         match error {
             WatchError::Http(HttpError::Status(_)) => self.schedule.pause_after_rejection(elapsed),
             _ => self.schedule.pause_after_failure(elapsed),
--- a/crates/sender/src/fleet_file/golden.rs
+++ b/crates/sender/src/fleet_file/golden.rs
@@ -50,7 +50,7 @@
         ("from 2 on", "out of range"),
         ("from 1 on", "out of range"),
     ];
-    causes.iter().find(|(says, _)| line.contains(says)).map_or("no TOML", |(_, cause)| cause)
+    causes.iter().find(|(text, _)| line.contains(text)).map_or("no TOML", |(_, cause)| cause)
 }
 
 fn golden(text: &str) -> Value {
@@ -77,24 +77,24 @@
     let table: Vec<Refused> = serde_json::from_str(REFUSED).expect("a table");
     assert!(table.len() > 20);
     for Refused { file, place, shown, cause: expected, line } in table {
-        let said = FleetFile::parse(&file).expect_err(&file).to_string();
-        for said in [&said, &line] {
+        let error = FleetFile::parse(&file).expect_err(&file).to_string();
+        for error in [&error, &line] {
             let after =
-                said.strip_prefix("fleet.toml").expect("the file first").trim_start_matches([':', ',', ' ']);
-            let after = after.strip_prefix(&place).unwrap_or_else(|| panic!("{place}: {said}"));
+                error.strip_prefix("fleet.toml").expect("the file first").trim_start_matches([':', ',', ' ']);
+            let after = after.strip_prefix(&place).unwrap_or_else(|| panic!("{place}: {error}"));
             assert!(
                 !after.starts_with(|c: char| c.is_alphanumeric() || "._[".contains(c)),
-                "{place}: {said}"
+                "{place}: {error}"
             );
-            assert!(after.contains(&shown), "{shown}: {said}");
-            assert_eq!(cause(said), expected, "{said}");
-            assert!(!said.contains('\n'), "{said:?}");
+            assert!(after.contains(&shown), "{shown}: {error}");
+            assert_eq!(cause(error), expected, "{error}");
+            assert!(!error.contains('\n'), "{error:?}");
         }
     }
 }
 
 #[test]
 fn a_file_that_cannot_be_read_is_reported_with_the_cause() {
-    let said = FleetFile::read(Path::new("/nowhere/fleet.toml")).expect_err("no file").to_string();
-    assert!(said.starts_with("/nowhere/fleet.toml: No such file or directory"), "{said}");
+    let error = FleetFile::read(Path::new("/nowhere/fleet.toml")).expect_err("no file").to_string();
+    assert!(error.starts_with("/nowhere/fleet.toml: No such file or directory"), "{error}");
 }
--- a/crates/sender/src/fleet_file/tests.rs
+++ b/crates/sender/src/fleet_file/tests.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn an_invalid_file_is_reported_in_one_line_with_the_place() {
-    for (text, says) in [
+    for (text, expected) in [
         ("[share]\nbond = \"strict\"", "line 2: unknown field `bond`"),
         ("[shares]", "unknown field `shares`"),
         ("[share]\nbound = \"tight\"", "unknown variant `tight`, expected `use` or `strict`"),
@@ -26,7 +26,7 @@
         ("share", "fleet.toml, line 1: "),
     ] {
         let error = FleetFile::parse(text).expect_err(text).to_string();
-        assert!(error.contains(says) && error.starts_with("fleet.toml"), "{text:?}: {error}");
+        assert!(error.contains(expected) && error.starts_with("fleet.toml"), "{text:?}: {error}");
         assert!(!error.contains('\n'), "{error:?}");
     }
     let missing = FleetFile::read(Path::new("/nowhere/fleet.toml")).expect_err("no file").to_string();
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -1,4 +1,4 @@
-//! The lines of the handover's socket, compared with those that the version before the renames wrote and took.
+//! The encoding of messages and the handshake, compared with recorded lines.
 
 use std::rc::Rc;
 
@@ -18,14 +18,14 @@
 const ACCEPTED: &str = include_str!("../../tests/golden/handover.accepted.json");
 const REFUSED: &str = include_str!("../../tests/golden/handover.refused.txt");
 
-/// A line that is written otherwise than this program does, and the line that this program writes for it.
+/// A line in another encoding than this program writes, and the line that this program writes for it.
 #[derive(Deserialize)]
 struct Accepted {
     given: String,
     means: String,
 }
 
-/// One value for each variant and each of its optional fields, there and not there, in the order of the file.
+/// Messages of each variant, with and without each optional field, in the order of the file.
 fn messages() -> Vec<HandoverMessage> {
     let outage = |receiver: &str, outage| HandoverMessage::OutageState {
         destination: 3,
@@ -58,7 +58,7 @@
     UnixStream::pair().expect("a connection")
 }
 
-/// What is read of bytes after which the connection ends.
+/// The messages in these bytes, after which the connection ends.
 async fn read_of(bytes: &[u8]) -> Result<Vec<HandoverMessage>, HandoverError> {
     let (mut theirs, ours) = socket_pair();
     theirs.write_all(bytes).await?;
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn each_message_is_written_as_the_line_that_it_was_before() {
+async fn each_message_is_written_as_the_recorded_line() {
     let (ours, mut theirs) = socket_pair();
     let mut connection = Connection::new(ours);
     for message in messages() {
@@ -85,12 +85,12 @@
 }
 
 #[tokio::test]
-async fn each_line_is_read_as_the_message_that_it_was_before() {
+async fn each_recorded_line_is_read_as_its_message() {
     assert_eq!(read_of(WRITTEN.as_bytes()).await.expect("messages"), messages());
 }
 
 #[tokio::test]
-async fn a_line_that_another_version_encodes_differently_is_read_as_before() {
+async fn a_line_in_another_encoding_is_read_as_recorded() {
     let lines: Vec<Accepted> = serde_json::from_str(ACCEPTED).expect("a table");
     for Accepted { given, means } in lines {
         let read = read_of(format!("{given}\n").as_bytes()).await.expect(&given);
@@ -114,7 +114,7 @@
         [HandoverMessage::CallsInFlight(7)]
     );
     assert!(read_of(of_length(2_050).as_bytes()).await.is_err());
-    // A line that the other process did not write whole, and the end.
+    // An incomplete line, and the end of the connection.
     assert!(read_of(b"{\"out\":").await.is_err());
     assert_eq!(read_of(b"").await.expect("the end"), []);
 }
--- a/crates/sender/src/notifications/delivery.rs
+++ b/crates/sender/src/notifications/delivery.rs
@@ -125,7 +125,7 @@
         }
         let retry_at = Instant::now() + retry_interval / 4;
         if matches!(error, HttpError::Status(_)) {
-            // One that the platform cannot read must not hold up the others: one at a time, in turn.
+            // One that the platform cannot read must not delay the others: one at a time, in rotation.
             self.requests = Requests::one_by_one(retry_interval, retry_at);
             self.notifications.rotate();
         }
