--- a/crates/sender/src/discovery/session.rs
+++ b/crates/sender/src/discovery/session.rs
@@ -1,5 +1,6 @@
 //! One connection's watch: the full list first where changes alone do not suffice, then changes as they come.
 
+use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -51,7 +52,7 @@
         }
     }
 
-    async fn watch(&mut self) -> Result<std::convert::Infallible, WatchError> {
+    async fn watch(&mut self) -> Result<Infallible, WatchError> {
         self.progress.last_activity = Instant::now();
         let from = match self.progress.revision {
             Some(revision) => revision,
