--- a/crates/sender/src/discovery/session.rs
+++ b/crates/sender/src/discovery/session.rs
@@ -1,5 +1,6 @@
 //! One connection's watch: the full list first where changes alone do not suffice, then changes as they come.
 
+use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -51,13 +52,13 @@
         }
     }
 
-    async fn watch(&mut self) -> Result<std::convert::Infallible, WatchError> {
+    async fn watch(&mut self) -> Result<Infallible, WatchError> {
         self.progress.last_activity = Instant::now();
         let from = match self.progress.revision {
             Some(revision) => revision,
             None => self.load_full_list().await?,
         };
-        tracing::debug!(target: LOG_TARGET, addr = %self.addr, from, "asks for changes");
+        tracing::debug!(target: LOG_TARGET, addr = %self.addr, from, "requesting changes");
         let response = open_watch(self.addr, from, self.response_timeout).await?;
         self.progress.last_activity = Instant::now();
         let mut body = response.body;
@@ -72,11 +73,11 @@
 
     /// Fetches the full list and passes it to the engine; returns its revision.
     async fn load_full_list(&mut self) -> Result<u64, WatchError> {
-        tracing::debug!(target: LOG_TARGET, addr = %self.addr, "asks for the whole list");
+        tracing::debug!(target: LOG_TARGET, addr = %self.addr, "requesting the full list");
         let list_timeout = self.response_timeout.max(MIN_FULL_LIST_TIMEOUT);
         let list = timeout(list_timeout, fetch_full_list(self.addr, self.response_timeout))
             .await
-            .map_err(|_| HttpError::Silent)??;
+            .map_err(|_| HttpError::TimedOut)??;
         let revision = list.revision;
         self.deliver(list).await?;
         self.progress.last_activity = Instant::now();
@@ -87,7 +88,7 @@
     /// list that never ends do not.
     async fn receive_frame(&self, body: &mut Incoming, decoder: &mut Decoder) -> Result<(), WatchError> {
         let idle_at = self.progress.last_activity + WATCH_IDLE_TIMEOUT;
-        let frame = timeout_at(idle_at, body.frame()).await.map_err(|_| HttpError::Silent)?;
+        let frame = timeout_at(idle_at, body.frame()).await.map_err(|_| HttpError::TimedOut)?;
         let frame = frame.ok_or(WatchError::Ended)?.map_err(HttpError::from)?;
         if let Some(data) = frame.data_ref() {
             decoder.feed(data);
@@ -100,7 +101,7 @@
         self.progress.last_activity = Instant::now();
         let WatchEvent::List(list) = event else { return Ok(()) };
         let (members, complete) = (list.members.len(), list.complete);
-        tracing::debug!(target: LOG_TARGET, revision = list.revision, members, complete, "told");
+        tracing::debug!(target: LOG_TARGET, revision = list.revision, members, complete, "list received");
         self.deliver(list).await
     }
 
