--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -182,3 +182,6 @@
         Status::Deferred(retry_after) => Answer::Refused { retry_after: retry_after.unwrap_or(0) as Millis },
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/sender/src/engine/commit/tests.rs
@@ -0,0 +1,87 @@
+//! Nothing is answered or sent before the write, and nothing of a batch that could not be written is.
+
+use rudderspindle_journal::Store;
+use rudderspindle_policy::interface::{Action, RouteId};
+use tokio::sync::oneshot::error::TryRecvError;
+
+use super::super::tests::{engine, submission};
+use super::*;
+use crate::event::Input;
+
+/// Admits a submission, without deciding about it.
+fn admit(engine: &mut Engine, input: Input) -> (Intake, MessageHandle) {
+    let Input::Submitted(submission) = input else { panic!("no submission") };
+    let mut intake = Intake::default();
+    let message = engine.admit(submission, Instant::now(), &mut intake).expect("it is admitted");
+    (intake, message.id)
+}
+
+fn send(id: MessageHandle) -> Action {
+    Action::Send { id, route: RouteId(0), timeout: 1_000.0, within: f64::INFINITY }
+}
+
+#[tokio::test]
+async fn a_batch_that_cannot_be_written_is_refused_and_none_of_its_attempts_starts() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let full_disk = tempfile::tempdir().expect("a folder");
+    let test = async {
+        let (mut engine, _inputs) = engine(folder.path());
+        let (input, mut answered) = submission(1, "m1");
+        let (intake, id) = admit(&mut engine, input);
+        assert_eq!(answered.try_recv(), Err(TryRecvError::Empty));
+        engine.store = Store::open(full_disk.path(), 0).expect("a journal");
+        engine.carry_out(Instant::now(), intake, vec![send(id)]);
+        assert_eq!(answered.try_recv(), Ok(Answer::REFUSED));
+        assert!(engine.calls.is_empty() && engine.tracked.is_empty());
+        assert!(!engine.store.contains(&"m1".into()));
+        let [Event::Dropped(dropped), Event::Outcome { id: ended, outcome: Outcome::NotSent, .. }] =
+            engine.carried[..]
+        else {
+            panic!("the policy is told {:?}", engine.carried)
+        };
+        assert_eq!((dropped, ended), (id, id));
+    };
+    tokio::task::LocalSet::new().run_until(test).await;
+}
+
+#[tokio::test]
+async fn a_message_is_accepted_and_its_attempt_starts_once_both_are_written() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let test = async {
+        let (mut engine, _inputs) = engine(folder.path());
+        let (input, mut answered) = submission(1, "m1");
+        let (intake, id) = admit(&mut engine, input);
+        engine.carry_out(Instant::now(), intake, vec![send(id)]);
+        assert_eq!(answered.try_recv(), Ok(Answer::Accepted));
+        assert!(engine.calls.contains_key(&id));
+        let recorded = engine.store.pending_message(&"m1".into()).expect("it is on record");
+        assert_eq!(recorded.attempts, 1);
+    };
+    tokio::task::LocalSet::new().run_until(test).await;
+}
+
+#[tokio::test]
+async fn a_message_that_its_own_batch_completes_is_answered_and_never_recorded() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let test = async {
+        let cases = [
+            (Answer::Failed, None),
+            (Answer::REFUSED, Some(0.0)),
+            (Answer::Refused { retry_after: 250.0 }, Some(250.0)),
+        ];
+        let (mut engine, _inputs) = engine(folder.path());
+        for (number, (expected, retry_after)) in cases.into_iter().enumerate() {
+            let (input, mut answered) = submission(number as u64, "m1");
+            let (intake, id) = admit(&mut engine, input);
+            let action = match retry_after {
+                None => Action::Fail { id },
+                Some(retry_after) => Action::Refuse { id, retry_after },
+            };
+            engine.carry_out(Instant::now(), intake, vec![action]);
+            assert_eq!(answered.try_recv(), Ok(expected));
+            assert!(engine.tracked.is_empty() && !engine.store.contains(&"m1".into()));
+            assert!(engine.notifications.is_idle());
+        }
+    };
+    tokio::task::LocalSet::new().run_until(test).await;
+}
