--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -34,7 +34,7 @@
 use crate::handover::PeerProcess;
 use crate::metrics::Metrics;
 use crate::notifications::Notifications;
-use crate::outbound::{CallOut, Outbound};
+use crate::outbound::{CallHandle, Outbound};
 use backlog::Backlog;
 pub use dependencies::{EngineDependencies, EngineIo, LimitSharing, PolicyOptions};
 use endpoint_table::EndpointTable;
@@ -78,7 +78,7 @@
     backlog: Backlog,
     endpoints: EndpointTable,
     /// Calls in flight.
-    calls: HashMap<MessageHandle, CallOut>,
+    calls: HashMap<MessageHandle, CallHandle>,
     /// Number of calls in flight as last announced to the peer process.
     announced_calls: usize,
     /// The policy's timers, with their tokens.
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -11,6 +11,7 @@
 use super::{Engine, SHUTDOWN_SEND_PERIOD};
 use crate::event::{AttemptResult, Call, MESSAGE_LOG};
 use crate::metrics::FinalOutcome;
+use crate::outbound::ReceiverLocation;
 
 /// Allowance for the transmission of the client's request: its deadline counts from when the client sent it.
 const REQUEST_TRANSIT_TIME: Duration = Duration::from_millis(5);
@@ -42,7 +43,7 @@
         let margin = from_millis(DEADLINE_MARGIN_TICKS * self.settings.tick) + REQUEST_TRANSIT_TIME;
         let message = self.tracked.get_mut(id)?;
         let last = message.deadline.checked_sub(margin).unwrap_or(now);
-        let (receiver, zone) = self.outbound.place(route)?;
+        let ReceiverLocation { receiver, zone } = self.outbound.receiver_location(route)?;
         let attempt = message.attempts;
         message.attempts += 1;
         let destination = self.endpoints.destination(&receiver);
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -99,7 +99,7 @@
                 }
                 Action::Wake { delay, token } => self.wakes.push((now + from_millis(delay), token)),
                 Action::Cancel { id, attempt } => self.cancel(id, attempt),
-                Action::HealthCheck { route } => self.outbound.probe(route),
+                Action::HealthCheck { route } => self.outbound.start_health_check(route),
                 Action::Remember { destination, route, outage } => {
                     self.record_outage(destination, route, outage);
                 }
@@ -157,7 +157,7 @@
         }
         for call in calls {
             let id = call.id;
-            self.calls.insert(id, self.outbound.start(call));
+            self.calls.insert(id, self.outbound.start_call(call));
         }
         self.announce_changed_calls();
     }
--- a/crates/sender/src/engine/endpoints.rs
+++ b/crates/sender/src/engine/endpoints.rs
@@ -23,7 +23,7 @@
             list.members.iter().map(|endpoint| self.apply_endpoint(endpoint, now)).collect();
         if list.complete {
             let listed: HashSet<RouteId> = entries.iter().map(|entry| entry.route).collect();
-            self.outbound.keep_only(&listed);
+            self.outbound.retain_routes(&listed);
             self.endpoints.remove_all_but(&listed, now);
         }
         self.endpoints.forget_removed(now);
@@ -51,10 +51,10 @@
             receiver: endpoint.id.as_str().into(),
             zone: endpoint.zone.as_str().into(),
             destination: entry.destination,
-            apart: self.settings.kinds.get(kind).is_some_and(|kind| kind.routes_apart),
+            has_own_backoff: self.settings.kinds.get(kind).is_some_and(|kind| kind.routes_apart),
             listing,
         };
-        self.outbound.list(entry.route, route);
+        self.outbound.update_route(entry.route, route);
         entry
     }
 
--- a/crates/sender/src/engine/status.rs
+++ b/crates/sender/src/engine/status.rs
@@ -18,7 +18,7 @@
     fn demands(&self) -> Vec<LimitDemand> {
         let named = |demand: Demand| {
             let receiver = match demand.route {
-                Some(route) => Some(self.outbound.place(route)?.0),
+                Some(route) => Some(self.outbound.receiver_location(route)?.receiver),
                 None => None,
             };
             let limit = LimitId::of(demand.destination.0, receiver.as_deref());
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -5,7 +5,7 @@
 
 use super::Engine;
 use crate::handover::HandoverMessage;
-use crate::outbound::LONGEST_WAIT;
+use crate::outbound::MAX_BACKOFF_MS;
 
 impl Engine {
     /// Shares the disk with a successor, and sends it what is known of outages and waits.
@@ -16,13 +16,13 @@
         self.share_disk(true);
         tracing::info!("handover: a successor has come");
         for message in self.outage_messages() {
-            self.peer_process.tell(message);
+            self.peer_process.send(message);
         }
-        for message in self.outbound.waits() {
-            self.peer_process.tell(message);
+        for message in self.outbound.active_backoffs() {
+            self.peer_process.send(message);
         }
         self.announce_calls();
-        self.peer_process.tell(HandoverMessage::FreeSpace);
+        self.peer_process.send(HandoverMessage::FreeSpace);
     }
 
     /// Claims what was shared with the peer process.
@@ -42,14 +42,14 @@
 
     /// Tells the peer process how many calls are in flight here, if that has changed.
     pub(super) fn announce_changed_calls(&mut self) {
-        if self.peer_process.is_there() && self.announced_calls != self.calls.len() {
+        if self.peer_process.is_connected() && self.announced_calls != self.calls.len() {
             self.announce_calls();
         }
     }
 
     fn announce_calls(&mut self) {
         self.announced_calls = self.calls.len();
-        self.peer_process.tell(HandoverMessage::Out(self.announced_calls));
+        self.peer_process.send(HandoverMessage::CallsInFlight(self.announced_calls));
     }
 
     /// Applies a wait that a receiver has asked the peer process for.
@@ -65,8 +65,8 @@
             Some(receiver) => Some(self.endpoints.find(receiver)?),
         };
         let destination = DestinationId(destination);
-        let wait = wait.clamp(0.0, LONGEST_WAIT);
-        self.outbound.heed(destination, route, wait);
+        let wait = wait.clamp(0.0, MAX_BACKOFF_MS);
+        self.outbound.apply_backoff(destination, route, wait);
         Some(Event::RetryAfter { destination, route, wait })
     }
 
--- a/crates/sender/src/engine/takeover/tests.rs
+++ b/crates/sender/src/engine/takeover/tests.rs
@@ -13,7 +13,7 @@
         for wait in [1e300, f64::INFINITY, -5.0] {
             let (mut engine, _inputs) = engine(folder.path());
             engine.run_batch(vec![Input::RetryAfter { destination: 7, receiver: None, wait }]);
-            tokio::time::advance(Duration::from_millis(LONGEST_WAIT as u64 + 1)).await;
+            tokio::time::advance(Duration::from_millis(MAX_BACKOFF_MS as u64 + 1)).await;
             let (input, answered) = submission(1, "m1");
             engine.run_batch(vec![input]);
             assert_eq!(answered.await, Ok(Answer::Accepted));
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -84,7 +84,7 @@
         let dependencies =
             engine_dependencies(&shared, seed, store, inputs, shared_listener, gossip.as_ref());
         let engine = build_engine(dependencies, &mut config, fetched.as_ref())?;
-        forward(handover.words, &shared.to_engine).await;
+        forward(handover.messages, &shared.to_engine).await;
 
         let (discovery, discovery_address) = watch::channel(config.discovery);
         shared.spawn_discovery(discovery_address.clone(), revision, schedule);
@@ -126,7 +126,7 @@
     /// Asks the service to stop. It still serves clients for a while, waits for calls in flight, and leaves the
     /// remaining messages in the journal. [`Service::run`] ends within 3.5 s.
     pub async fn stop(&self) {
-        let has_successor = self.shared_listener && self.peer_process.is_there();
+        let has_successor = self.shared_listener && self.peer_process.is_connected();
         let state = if has_successor { AdmissionState::HandingOver } else { AdmissionState::Stopping };
         self.admission.send_replace(state);
         // If the engine has ended, the service has stopped already.
@@ -154,12 +154,12 @@
 /// The endpoint list that discovery has now, whatever its revision: the configured one may be another address's. Senders
 /// that share a schedule do not ask for it all at once: theirs comes with the watch.
 async fn fetch_list(config: &Config, schedule: &PollSchedule) -> Option<EndpointList> {
-    if schedule.takes_turns() { None } else { discovery::fetch(config.discovery).await }
+    if schedule.is_staggered() { None } else { discovery::fetch(config.discovery).await }
 }
 
 /// The revision from which the watch starts; `None` to have the complete list first.
 fn initial_revision(schedule: &PollSchedule, fetched: Option<&EndpointList>) -> Option<u64> {
-    if schedule.takes_turns() { Some(0) } else { fetched.map(|list| list.revision) }
+    if schedule.is_staggered() { Some(0) } else { fetched.map(|list| list.revision) }
 }
 
 fn engine_dependencies(
@@ -204,7 +204,7 @@
 /// Passes the waits and counts on to the engine that the running process has told at the start.
 async fn forward(messages: Vec<HandoverMessage>, to_engine: &mpsc::Sender<Input>) {
     for message in messages {
-        if let Some(input) = message.input() {
+        if let Some(input) = message.into_input() {
             let _ = to_engine.send(input).await;
         }
     }
--- a/crates/sender/src/service/ownership.rs
+++ b/crates/sender/src/service/ownership.rs
@@ -24,11 +24,11 @@
     to_engine: &mpsc::Sender<Input>,
 ) -> HandoverState {
     if store.is_owner() {
-        spawn_local(handover::expect(state.to_owned(), peer_process.clone(), to_engine.clone()));
+        spawn_local(handover::accept_successors(state.to_owned(), peer_process.clone(), to_engine.clone()));
         return HandoverState::default();
     }
-    let handover_state = handover::introduce(state, peer_process, to_engine).await;
-    Engine::restore_outages(store, &handover_state.words);
+    let handover_state = handover::connect_to_owner(state, peer_process, to_engine).await;
+    Engine::restore_outages(store, &handover_state.messages);
     spawn_local(take_over(state.to_owned(), peer_process.clone(), to_engine.clone()));
     handover_state
 }
@@ -42,7 +42,7 @@
             return;
         }
         if is_owner.await.unwrap_or(false) {
-            return handover::expect(state, peer_process, to_engine).await;
+            return handover::accept_successors(state, peer_process, to_engine).await;
         }
     }
 }
--- a/crates/sender/src/service/tasks.rs
+++ b/crates/sender/src/service/tasks.rs
@@ -110,8 +110,11 @@
         if let Ok(addr) = listener.local_addr() {
             tracing::info!("operators: listening on {addr}");
         }
-        let control =
-            ControlListener { metrics: self.metrics.clone(), door: admission, host: self.to_engine.clone() };
+        let control = ControlListener {
+            metrics: self.metrics.clone(),
+            admission_state: admission,
+            engine: self.to_engine.clone(),
+        };
         spawn_local(Rc::new(control).run(listener));
     }
 }
