--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -177,9 +177,16 @@
             host.send(input).await.ok()?;
         }
         let demands = activity.demands;
-        let own = demands.iter().map(|LimitDemand { limit: gate, demand }| {
+        let own = demands.iter().map(|LimitDemand { limit: limit_id, demand }| {
             let Demand { limit, wanted, called, refused, failed, .. } = *demand;
-            LocalDemand { limit_id: *gate, limit, demand: wanted, calls: called, rejected: refused, failed }
+            LocalDemand {
+                limit_id: *limit_id,
+                limit,
+                demand: wanted,
+                calls: called,
+                rejected: refused,
+                failed,
+            }
         });
         let own = own.collect();
         Some((demands, own))
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -133,8 +133,8 @@
             theirs.write_all(lines.as_bytes()).await.expect("writable");
             let first = inputs.recv().await;
             assert!(
-                matches!(&first, Some(Input::RetryAfter { destination: 3, receiver: Some(receiver), wait: ms })
-                    if receiver == "r1" && *ms == 5.0),
+                matches!(&first, Some(Input::RetryAfter { destination: 3, receiver: Some(receiver), wait })
+                    if receiver == "r1" && *wait == 5.0),
                 "{line:?}: {first:?}"
             );
             assert!(matches!(inputs.recv().await, Some(Input::PeerCallsInFlight(7))), "{line:?}");
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -77,7 +77,7 @@
 
 /// Complete responses and their results.
 fn responses() -> Vec<(&'static str, AttemptResult)> {
-    let rejected = |retry_after| AttemptResult { retry_after, ..Outcome::Rejected.into() };
+    let rejected = |wait| AttemptResult { retry_after: wait, ..Outcome::Rejected.into() };
     vec![
         ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody", Outcome::Ok.into()),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", Outcome::Ok.into()),
--- a/crates/simulation/src/partner/client.rs
+++ b/crates/simulation/src/partner/client.rs
@@ -5,13 +5,13 @@
 use rudderspindle_gossip::{
     DemandExchange, LimitId, LocalDemand, OutgoingDatagram, PermitError, PermitLedger,
 };
-use rudderspindle_policy::Sender;
+use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::*;
 
 use super::seen::Knows;
 
 pub(super) struct Client {
-    pub sender: Sender,
+    pub sender: Policy,
     pub fleet: DemandExchange,
     /// Where each call needs a turn.
     pub permits: Option<PermitLedger>,
