--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -1,8 +1,9 @@
 //! Carries out what the policy has decided for a batch, with one write to the journal.
 //!
-//! Invariant: nothing is answered or sent before what it promises is written. All that comes before the write changes
-//! only the engine and the journal's buffer, and collects [`Effects`]; these are let out after it, or undone if it
-//! fails. Cancellations and health checks promise nothing, and go at once.
+//! Invariant: nothing is answered or sent before the write. All that comes before it changes only the engine and the
+//! journal's buffer, and collects [`Effects`]; these are executed after it. If it fails, submissions are refused and
+//! attempts dropped. Completions stay in the journal's buffer until a later write: their messages are not sent again,
+//! and their notifications go to the platform. Cancellations and health checks promise nothing, and go at once.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +22,7 @@
 /// Messages that the policy completes without delivery, by handle.
 type Completions = BTreeMap<MessageHandle, Status>;
 
-/// What leaves the engine once the batch is written.
+/// What is answered and sent once the batch is written.
 #[derive(Debug, Default)]
 struct Effects {
     /// Answers to submissions that were not accepted by this batch.
@@ -50,7 +51,7 @@
         self.record_completions(now, completions, &mut effects);
         self.apply_actions(now, actions, &mut effects);
         self.write(&mut effects);
-        self.let_out(effects);
+        self.execute(effects);
     }
 
     /// Records the submissions that are accepted. A message that the batch of its submission completes was never
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Writes the batch to the journal.
+    /// Writes the batch to the journal; undoes what must not happen if that fails.
     fn write(&mut self, effects: &mut Effects) {
         if !effects.accepted.is_empty() {
             failpoint!("taken-on-before-record");
@@ -143,7 +144,7 @@
     }
 
     /// Answers clients, notifies the platform, starts calls, and tells the peer process of them.
-    fn let_out(&mut self, effects: Effects) {
+    fn execute(&mut self, effects: Effects) {
         let Effects { answers, accepted, notifications, calls } = effects;
         for PendingAnswer { channel, answer } in answers {
             // A client that has disconnected is reported as a withdrawal.
--- a/crates/sender/src/engine/endpoint_table.rs
+++ b/crates/sender/src/engine/endpoint_table.rs
@@ -141,3 +141,6 @@
         self.zones.len()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -57,17 +57,13 @@
             return None;
         }
         if let Some(answer) = self.answer_at_once(&submission, intake) {
-            if matches!(answer, Answer::Refused { .. }) {
-                self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
-            }
-            intake.answers.push(PendingAnswer { channel: submission.answer, answer });
+            self.answer(submission, answer, intake);
             return None;
         }
         let record = self.record_of(&submission, now);
         let journal_bytes = intake.journal_bytes + record.reserved_bytes();
         if self.tracked.len() >= self.settings.max_pending || !self.store.has_space_for(journal_bytes) {
-            self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
-            intake.answers.push(PendingAnswer { channel: submission.answer, answer: Answer::REFUSED });
+            self.answer(submission, Answer::REFUSED, intake);
             return None;
         }
         if !Store::fits_batch(journal_bytes) {
@@ -78,6 +74,14 @@
         Some(self.track_new(submission, record, now, intake))
     }
 
+    /// Answers a submission with this batch.
+    fn answer(&self, submission: Submission, answer: Answer, intake: &mut Intake) {
+        if matches!(answer, Answer::Refused { .. }) {
+            self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
+        }
+        intake.answers.push(PendingAnswer { channel: submission.answer, answer });
+    }
+
     /// The answer to a submission that does not depend on capacity: of an unknown destination, or of a message that
     /// is known already.
     fn answer_at_once(&mut self, submission: &Submission, intake: &Intake) -> Option<Answer> {
