--- a/crates/sender/src/activity.rs
+++ b/crates/sender/src/activity.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_gossip::{Receiver, Seen};
+use rudderspindle_gossip::{CallResult, Receiver};
 use rudderspindle_policy::interface::Outcome;
 
 use crate::event::{ActivityReport, MAX_CALL_RESULTS, ReceiverResult, TenantUsage};
@@ -32,8 +32,8 @@
     /// health and are ignored.
     pub fn record_outcome(&mut self, receiver: Option<Receiver>, outcome: Outcome) {
         let seen = match outcome {
-            Outcome::Ok | Outcome::Rejected => Seen::Answered,
-            Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => Seen::Failed,
+            Outcome::Ok | Outcome::Rejected => CallResult::Answered,
+            Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => CallResult::Failed,
             Outcome::Cancelled | Outcome::NotSent | Outcome::AttemptsExhausted => return,
         };
         if !self.enabled {
--- a/crates/sender/src/event/activity.rs
+++ b/crates/sender/src/event/activity.rs
@@ -1,6 +1,6 @@
 //! What the engine reports to the gossip with other senders.
 
-use rudderspindle_gossip::{LimitId, Receiver, Seen};
+use rudderspindle_gossip::{CallResult, LimitId, Receiver};
 use rudderspindle_policy::interface::{Demand, DestinationId, RouteId};
 
 /// Maximum number of attempt results in an [`ActivityReport`]; the oldest are dropped first.
@@ -34,7 +34,7 @@
     /// The receiver.
     pub receiver: Receiver,
     /// Whether it answered.
-    pub seen: Seen,
+    pub seen: CallResult,
 }
 
 /// Number of messages accepted from a tenant.
