--- a/crates/sender/src/activity.rs
+++ b/crates/sender/src/activity.rs
@@ -5,7 +5,7 @@
 use rudderspindle_gossip::{CallResult, Receiver};
 use rudderspindle_policy::interface::Outcome;
 
-use crate::event::{ActivityReport, MAX_CALL_RESULTS, ReceiverResult, TenantUsage};
+use crate::event::{AcceptedMessages, ActivityReport, MAX_CALL_RESULTS, ReceiverResult};
 
 /// The activity since the last report. Stays empty while disabled, as when nobody asks for reports.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// Records an attempt's outcome. Attempts that were not sent or were cancelled say nothing about the receiver's
     /// health and are ignored.
     pub fn record_outcome(&mut self, receiver: Option<Receiver>, outcome: Outcome) {
-        let seen = match outcome {
+        let result = match outcome {
             Outcome::Ok | Outcome::Rejected => CallResult::Answered,
             Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => CallResult::Failed,
             Outcome::Cancelled | Outcome::NotSent | Outcome::AttemptsExhausted => return,
@@ -40,7 +40,7 @@
             return;
         }
         let Some(receiver) = receiver else { return };
-        self.results.push_back(ReceiverResult { receiver, seen });
+        self.results.push_back(ReceiverResult { receiver, result });
         if self.results.len() > MAX_CALL_RESULTS {
             self.results.pop_front();
         }
@@ -59,7 +59,7 @@
         let accepted = std::mem::take(&mut self.accepted).into_iter();
         ActivityReport {
             results: std::mem::take(&mut self.results).into(),
-            accepted: accepted.map(|(tenant, messages)| TenantUsage { tenant, messages }).collect(),
+            accepted: accepted.map(|(tenant, messages)| AcceptedMessages { tenant, messages }).collect(),
             ..ActivityReport::default()
         }
     }
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 pub(crate) use activity::MAX_CALL_RESULTS;
-pub use activity::{ActivityReport, LimitDemand, ListedReceiver, ReceiverResult, TenantUsage};
+pub use activity::{AcceptedMessages, ActivityReport, LimitDemand, ListedReceiver, ReceiverResult};
 pub use delivery::{Answer, AttemptResult, Call, Submission, SubmissionId};
 pub use endpoints::{Endpoint, EndpointList};
 pub use limits::{CapacityUpdate, LimitKey, PermitUpdate, TenantQuota};
--- a/crates/sender/src/event/activity.rs
+++ b/crates/sender/src/event/activity.rs
@@ -14,7 +14,7 @@
     /// Attempt results since the last report, oldest first; at most [`MAX_CALL_RESULTS`].
     pub results: Vec<ReceiverResult>,
     /// Messages accepted since the last report, ordered by tenant.
-    pub accepted: Vec<TenantUsage>,
+    pub accepted: Vec<AcceptedMessages>,
     /// The receivers in the endpoint list, ordered by destination and route.
     pub listed: Vec<ListedReceiver>,
 }
@@ -34,12 +34,12 @@
     /// The receiver.
     pub receiver: Receiver,
     /// Whether it answered.
-    pub seen: CallResult,
+    pub result: CallResult,
 }
 
 /// Number of messages accepted from a tenant.
 #[derive(Clone, Copy, Debug)]
-pub struct TenantUsage {
+pub struct AcceptedMessages {
     /// Index of the tenant in the settings; `u16::MAX` for all beyond that.
     pub tenant: u16,
     /// Number of messages.
--- a/crates/sender/src/gossip/shared.rs
+++ b/crates/sender/src/gossip/shared.rs
@@ -9,7 +9,7 @@
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
 use super::FLEET;
-use crate::event::{ActivityReport, Input, ListedReceiver, ReceiverResult, TenantQuota, TenantUsage};
+use crate::event::{AcceptedMessages, ActivityReport, Input, ListedReceiver, ReceiverResult, TenantQuota};
 use crate::fleet_file::FleetFile;
 
 /// How often it is looked whether notes are due, ms: a few times in the part of a round in which they go.
@@ -75,10 +75,10 @@
 
     /// Takes in what the host did, and says what it is to be told.
     pub fn exchange(&mut self, wall: u64, activity: &ActivityReport) -> Vec<Input> {
-        for &ReceiverResult { receiver, seen } in &activity.results {
-            self.views.judgements().record_call(wall, receiver, seen);
+        for &ReceiverResult { receiver, result } in &activity.results {
+            self.views.judgements().record_call(wall, receiver, result);
         }
-        for &TenantUsage { tenant, messages } in &activity.accepted {
+        for &AcceptedMessages { tenant, messages } in &activity.accepted {
             (0..messages).for_each(|_| self.views.counts().record_message(wall, tenant));
         }
         let mut told = Vec::new();
