--- a/crates/policy/src/policy/availability.rs
+++ b/crates/policy/src/policy/availability.rs
@@ -69,7 +69,7 @@
             });
         }
         // Departure (permits are required): whatever else holds, a call needs a permit.
-        opens_at = opens_at.max(throttle.capacity.opens_at(now));
+        opens_at = opens_at.max(throttle.capacity.next_lease_at(now));
         opens_at.max(throttle.retry_after_until)
     }
 }
--- a/crates/policy/src/policy/bookkeeping.rs
+++ b/crates/policy/src/policy/bookkeeping.rs
@@ -35,7 +35,7 @@
     /// Counts a message that has come; the first one at a destination queues up behind all senders' calls.
     pub(super) fn count_arrival(&mut self, id: DestinationId) {
         let Some(mut destination) = self.destinations.get_mut(&id).map(std::mem::take) else { return };
-        destination.arrival_rate.came(self.now);
+        destination.arrival_rate.record(self.now);
         if destination.waiting.len() == 1 {
             self.queue_up(&mut destination);
         }
--- a/crates/policy/src/policy/demand.rs
+++ b/crates/policy/src/policy/demand.rs
@@ -17,14 +17,14 @@
         } else {
             limit
         };
-        let messages = self.waiting.len() as f64 + self.arrival_rate.expected(now, DEMAND_HORIZON);
+        let messages = self.waiting.len() as f64 + self.arrival_rate.expected_within(now, DEMAND_HORIZON);
         LimitDemand { wanted: messages * limit / f64::max(all, limit), limit }
     }
 
     /// The pace that the fleet leaves to this sender, in calls per second, while its reports are fresh.
     pub(super) fn fleet_pace(&self, scope: Scope, now: Millis) -> Option<f64> {
         let demand = self.demand(scope, now);
-        self.throttle_of(scope).capacity.pace(now, demand.wanted, demand.limit)
+        self.throttle_of(scope).capacity.rate(now, demand.wanted, demand.limit)
     }
 }
 
@@ -35,7 +35,7 @@
             let Some(pace) = destination.fleet_pace(scope, self.now) else { continue };
             let draw = self.rng.unit();
             let throttle = destination.throttle_of_mut(scope);
-            if let Some(draw_at) = throttle.capacity.first_turn(self.now, pace, draw) {
+            if let Some(draw_at) = throttle.capacity.schedule_first_call(self.now, pace, draw) {
                 throttle.next_draw_at = draw_at;
             }
         }
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -1,6 +1,6 @@
 //! Applies each event to the state, or passes it on to the step that decides. No decision.
 
-use rudderspindle_gossip::CapacityShare;
+use rudderspindle_gossip::{CapacityShare, CapacityUpdate, PermitLease, ScheduledCall};
 
 use super::Policy;
 use super::settlement::AttemptResult;
@@ -76,10 +76,10 @@
     pub(super) fn unreported_capacity(&self, limit: f64) -> CapacityShare {
         let mut capacity = CapacityShare::default();
         if self.expects_capacity {
-            capacity = CapacityShare::unheard(self.now, limit, self.settings.peers_total);
+            capacity = CapacityShare::equal(self.now, limit, self.settings.peers_total);
         }
         if self.needs_permits {
-            capacity = capacity.strict();
+            capacity = capacity.requiring_permits();
         }
         capacity
     }
@@ -102,22 +102,28 @@
         let Some(scope) = destination.throttle_scope(route) else { return };
         let demand = destination.demand(scope, self.now);
         let throttle = destination.throttle_of_mut(scope);
-        throttle.capacity.all = report.wanted_by_all;
-        throttle.next_draw_at = throttle.capacity.told(
-            self.now,
-            report.calls_per_wanted,
-            report.valid_for,
-            (demand.wanted, demand.limit),
-            (throttle.retry_after_until, throttle.next_draw_at),
-        );
+        let update = CapacityUpdate {
+            rate_per_demand: report.calls_per_wanted,
+            fleet_demand: report.wanted_by_all,
+            valid_for: report.valid_for,
+            own_demand: demand.wanted,
+            limit: demand.limit,
+        };
+        let scheduled =
+            ScheduledCall { due_at: throttle.next_draw_at, not_before: throttle.retry_after_until };
+        throttle.next_draw_at = throttle.capacity.apply(self.now, &update, scheduled);
     }
 
     fn apply_permits(&mut self, destination: DestinationId, route: Option<RouteId>, permits: &[Permit]) {
         let now = self.now;
         let Some(throttle) = self.throttle_at(destination, route) else { return };
-        let permits: Vec<(u64, Millis, Millis)> =
-            permits.iter().map(|permit| (permit.number, now + permit.from, now + permit.until)).collect();
-        throttle.capacity.deal(now, &permits);
+        let lease = |permit: &Permit| PermitLease {
+            number: permit.number,
+            from: now + permit.from,
+            until: now + permit.until,
+        };
+        let leases: Vec<PermitLease> = permits.iter().map(lease).collect();
+        throttle.capacity.set_leases(now, &leases);
     }
 
     fn apply_ejections(&mut self, ejected: &[RouteId]) {
--- a/crates/policy/src/policy/metrics.rs
+++ b/crates/policy/src/policy/metrics.rs
@@ -23,7 +23,8 @@
 
     fn demand_of(&self, id: DestinationId, destination: &Destination, scope: Scope) -> Demand {
         let demand = destination.demand(scope, self.now);
-        let CapacityShare { called, refused, failed, .. } = destination.throttle_of(scope).capacity;
+        let CapacityShare { calls: called, rejected: refused, failed, .. } =
+            destination.throttle_of(scope).capacity;
         let route = destination.route_of(scope);
         Demand { destination: id, route, limit: demand.limit, wanted: demand.wanted, called, refused, failed }
     }
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -30,7 +30,7 @@
         let throttle = destination.throttle_mut(index);
         let rejections = f64::from(throttle.rejections.count + 1).min(fleet_scale);
         let mean_pause = match fleet_pace {
-            Some(pace) => throttle.capacity.turn(pace),
+            Some(pace) => throttle.capacity.schedule_call(pace),
             None => 500.0 * rejections / throttle.pace.max(throttle.initial_pace),
         };
         let pause = self.rng.pause(mean_pause);
@@ -51,7 +51,7 @@
         match result.outcome {
             Outcome::Ok => {}
             Outcome::Rejected => {
-                throttle.capacity.refused();
+                throttle.capacity.record_rejection();
                 self.cut_pace(throttle);
             }
             _ => throttle.capacity.failed += 1,
--- a/crates/policy/src/policy/send.rs
+++ b/crates/policy/src/policy/send.rs
@@ -40,7 +40,7 @@
     fn pace_next_call(&mut self, destination: &mut Destination, index: usize) -> bool {
         let fleet_pace = destination.fleet_pace(Scope::Route(index), self.now);
         let throttle = destination.throttle_mut(index);
-        throttle.capacity.sent(self.now, fleet_pace);
+        throttle.capacity.record_call(self.now, fleet_pace);
         let earliest = self.now - BURST;
         let used_up_pace = throttle.next_draw_at > earliest;
         let mean_pause = 1_000.0 / fleet_pace.unwrap_or(throttle.pace);
