--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -105,8 +105,8 @@
         let mut engine = Self::build(dependencies)?;
         let entries = engine.apply_entries(configured);
         engine.carried.push(Event::List(ListChange::Cached(entries)));
-        // The configured list may be older than what an earlier process was told: no recovered message may go to a
-        // receiver that has been told to drain since.
+        // The configured list may be older than what an earlier process knew: no recovered message may go to a
+        // receiver that drains by now.
         if let Some(list) = fetched {
             let entries = engine.apply_entries(list);
             engine.carried.push(Event::List(ListChange::Full(entries)));
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -57,7 +57,7 @@
             }
             Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
             Input::Quotas(quotas) => events.extend(quotas.into_iter().map(quota_event)),
-            // Whoever asked may have gone by now.
+            // The requester may have ended by now.
             Input::TakeOver(answer) => {
                 self.take_over_journal(now);
                 let _ = answer.send(self.store.is_owner());
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -55,7 +55,7 @@
     }
 
     /// Records the submissions that are accepted. A message that the batch of its submission completes was never
-    /// accepted: its client is told so at once, and there is no notification.
+    /// accepted: its client is answered at once, and there is no notification.
     fn record_submissions(
         &mut self,
         submissions: Vec<NewSubmission>,
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -91,7 +91,7 @@
             return Some(if no_list { Answer::REFUSED } else { Answer::UnknownDestination });
         }
         if let Some(id) = self.tracked.find(&submission.message_id) {
-            // Accepted once, for each client that hears so: to forget the earlier client would allow anybody who
+            // Accepted once, for each client that has this answer: to forget the earlier one would allow anybody who
             // knows the id to withdraw the message by disconnecting.
             let undecided = intake.new.iter().any(|new| new.id == id);
             let added = !undecided && self.tracked.add_submission(id, submission.id);
--- a/crates/sender/src/engine/outage_records.rs
+++ b/crates/sender/src/engine/outage_records.rs
@@ -49,7 +49,7 @@
         self.store.outage_records().map(message).collect()
     }
 
-    /// Records the outages that the running process has told this one, with values out of range clamped.
+    /// Records the outages received from the running process, with values out of range clamped.
     pub fn restore_outages(store: &mut Store, messages: &[HandoverMessage]) {
         for message in messages {
             if let HandoverMessage::OutageState { destination, receiver, outage } = message {
--- a/crates/sender/src/engine/tests/deadline.rs
+++ b/crates/sender/src/engine/tests/deadline.rs
@@ -5,7 +5,7 @@
 use super::cancels::{receiver, request, run_batch, soon, until};
 use super::*;
 
-/// The client's deadline counts from when it sent the message, a little earlier than ours. A response in between is
+/// The client's deadline counts from when it sent the message, a little earlier than the sender's. A response in between is
 /// late for the client: taken for a delivery, the message would have no outcome.
 #[tokio::test]
 async fn a_response_just_before_the_deadline_delivers_nothing_and_the_client_is_notified() {
@@ -26,7 +26,7 @@
             remaining.parse::<f64>().is_ok_and(|s| s <= 0.495),
             "it waits for {remaining} s of its half second"
         );
-        // Within what lies between its client's clock and ours.
+        // Between the client's deadline and the sender's.
         tokio::time::sleep_until(deadline - Duration::from_millis(2)).await;
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
         until(|| {
--- a/crates/sender/src/engine/tracked_messages.rs
+++ b/crates/sender/src/engine/tracked_messages.rs
@@ -23,7 +23,7 @@
     /// Whether an earlier process accepted it and answered its client.
     pub recovered: bool,
     /// Its submissions, without those whose client disconnected before it was answered. While one is
-    /// left, a client may have been told that the message is accepted: it must not be withdrawn.
+    /// left, a client may have the answer that the message is accepted: it must not be withdrawn.
     pub submissions: Vec<SubmissionId>,
     /// Its idempotency key, if it has one.
     pub key: Option<Bytes>,
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -23,7 +23,7 @@
 /// HTTP header of a message's idempotency key, in client requests and in calls to receivers.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Log target of the events in a message's life; each line carries the `message_id`.
+/// Log target of the events of each message; each line carries its `message_id`.
 pub(crate) const MESSAGE_LOG: &str = "story";
 
 /// An event for the engine.
@@ -57,7 +57,7 @@
     SuccessorConnected,
     /// The connection to the peer process, successor or predecessor, has ended.
     PeerDisconnected,
-    /// A receiver has told the peer process to wait before the next call.
+    /// A receiver has asked the peer process to wait before the next call.
     RetryAfter {
         /// The receiver's destination.
         destination: u16,
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -201,7 +201,7 @@
     Engine::new(dependencies, &configured, fetched)
 }
 
-/// Passes the waits and counts on to the engine that the running process has told at the start.
+/// Forwards the backoffs and counts to the engine that the running process has sent at the start.
 async fn forward(messages: Vec<HandoverMessage>, to_engine: &mpsc::Sender<Input>) {
     for message in messages {
         if let Some(input) = message.into_input() {
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -54,11 +54,11 @@
     ///
     /// [`StartError::State`] if the incarnation's number cannot be stored.
     pub fn spawn(self, state: &Path, to_engine: mpsc::Sender<Input>) -> Result<(), StartError> {
-        let life = self.start_incarnation(state)?;
+        let incarnation = self.start_incarnation(state)?;
         let strict = self.limit_sharing() == LimitSharing::Permits;
         let Self { notes, file, ramp, quotas } = self;
         tracing::info!(target: FLEET, senders = notes.peers.len(), strict, "limits are shared by notes");
-        let settings = FleetSettings { file, quotas, life };
+        let settings = FleetSettings { file, quotas, life: incarnation };
         spawn_local(GossipTask::new(notes, ramp, settings).run(to_engine));
         Ok(())
     }
