--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -9,7 +9,7 @@
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
 use super::FLEET_LOG_TARGET;
-use crate::event::{ActivityReport, Input, ListedReceiver, ReceiverResult, TenantQuota, TenantUsage};
+use crate::event::{AcceptedMessages, ActivityReport, Input, ListedReceiver, ReceiverResult, TenantQuota};
 use crate::fleet_file::FleetFile;
 
 /// How often it is checked whether datagrams are due, in milliseconds: a few times in the part of a round for them.
@@ -89,10 +89,10 @@
     }
 
     fn record(&mut self, now: u64, activity: &ActivityReport) {
-        for &ReceiverResult { receiver, seen } in &activity.results {
-            self.view.judgements().record_call(now, receiver, seen);
+        for &ReceiverResult { receiver, result } in &activity.results {
+            self.view.judgements().record_call(now, receiver, result);
         }
-        for &TenantUsage { tenant, messages } in &activity.accepted {
+        for &AcceptedMessages { tenant, messages } in &activity.accepted {
             for _ in 0..messages {
                 self.view.counts().record_message(now, tenant);
             }
