--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -9,6 +9,7 @@
 //! No I/O and no clock: [`DemandExchange`] is given the time and the datagrams, and says which to send.
 #![forbid(unsafe_code)]
 
+mod arrival_rate;
 mod capacity;
 mod datagram_budget;
 mod demand_exchange;
@@ -26,7 +27,8 @@
 mod sums;
 mod tenant_usage;
 
-pub use capacity::{ArrivalRate, CapacityShare};
+pub use arrival_rate::ArrivalRate;
+pub use capacity::{CapacityShare, CapacityUpdate, PermitLease, ScheduledCall};
 pub use datagram_budget::{Class, DatagramBudget};
 pub use demand_exchange::{DemandExchange, LocalDemand, ROUND};
 pub use envelope::{EnvelopeError, Kind, MAX_BODY_LEN, open, read, seal};
@@ -37,7 +39,10 @@
 };
 pub use message::{GossipError, MAX_MESSAGE_LEN};
 pub use outgoing_datagram::OutgoingDatagram;
-pub use outlier_detection::{OutlierDetector, Receiver, Seen, Word};
+pub use outlier_detection::{CallResult, ObserverVote, OutlierDetector, Receiver, ReceiverVote, Vote};
 pub use permits::{Permit, PermitError, PermitLedger};
 pub use sums::{Ramp, Sum};
-pub use tenant_usage::{EPOCH, Interval, LAG, MAX_USAGE, Quota, Register, TenantUsage, WindowSlice, part};
+pub use tenant_usage::{
+    EPOCH, LAG, LocalSender, MAX_TOTAL_SHARE, QuotaBucket, Register, RegisterKey, TenantTotal, TenantUsage,
+    UsageInterval, WindowSlice, quota_share, read_epochs,
+};
--- a/crates/sender/src/config/file.rs
+++ b/crates/sender/src/config/file.rs
@@ -8,7 +8,7 @@
 
 use super::gossip::{GossipConfig, GossipConfigError};
 use super::limits::Limits;
-use crate::event::List;
+use crate::event::EndpointList;
 
 /// The configuration as its file has it.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     /// Resources of the process.
     pub(crate) limits: Limits,
     /// The last known endpoint list.
-    pub(crate) known: Option<List>,
+    pub(crate) known: Option<EndpointList>,
     /// The gossip address of each sender of the fleet, by its number.
     pub(crate) peers: Vec<String>,
     /// Where gossip is received.
@@ -97,7 +97,7 @@
     field.refuse("an address and a port, as in \"127.0.0.1:9000\",")
 }
 
-fn known_list(field: &Field<'_>) -> Result<Option<List>, ReadError> {
+fn known_list(field: &Field<'_>) -> Result<Option<EndpointList>, ReadError> {
     Option::deserialize(field.value())
         .map_err(|error| field.refuse(&format!("a list of receivers ({error})")))
 }
--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -118,7 +118,7 @@
         if self.engine.try_send(Input::QueryStatus(status)).is_ok()
             && let Ok(Ok(status)) = timeout(STATUS_TIMEOUT, reported).await
         {
-            self.metrics.stand(status);
+            self.metrics.set_engine_status(status);
         }
     }
 }
--- a/crates/sender/src/discovery/client.rs
+++ b/crates/sender/src/discovery/client.rs
@@ -11,7 +11,7 @@
 
 use super::decoder::{DecodeError, MAX_LIST_LEN};
 use super::error::WatchError;
-use crate::event::List;
+use crate::event::EndpointList;
 use crate::platform::{Connection, Driver, HttpError, connect};
 
 /// How long a starting process waits for the full list: a discovery that does not respond must not delay the start.
@@ -25,7 +25,7 @@
 }
 
 /// Fetches the full list for a start of the process; `None` if it does not arrive in time.
-pub async fn fetch(addr: SocketAddr) -> Option<List> {
+pub async fn fetch(addr: SocketAddr) -> Option<EndpointList> {
     let list = timeout(STARTUP_FETCH_TIMEOUT, fetch_full_list(addr, STARTUP_FETCH_TIMEOUT)).await;
     match list.unwrap_or(Err(HttpError::TimedOut.into())) {
         Ok(list) => Some(list),
@@ -44,11 +44,11 @@
 pub(super) async fn fetch_full_list(
     addr: SocketAddr,
     response_timeout: Duration,
-) -> Result<List, WatchError> {
+) -> Result<EndpointList, WatchError> {
     let response = get(addr, "/api/targets", response_timeout).await?;
     let body = Limited::new(response.body, MAX_LIST_LEN).collect().await;
     let body = body.map_err(|_| DecodeError::TooLong)?.to_bytes();
-    let list: List = serde_json::from_slice(&body).map_err(DecodeError::from)?;
+    let list: EndpointList = serde_json::from_slice(&body).map_err(DecodeError::from)?;
     if list.complete { Ok(list) } else { Err(WatchError::Incomplete) }
 }
 
--- a/crates/sender/src/discovery/decoder.rs
+++ b/crates/sender/src/discovery/decoder.rs
@@ -3,7 +3,7 @@
 //! A list is one JSON object, on one line or indented over several; between two lists an empty line is a heartbeat. Each
 //! byte is scanned once, and a list is parsed once, when its closing bracket has arrived.
 
-use crate::event::List;
+use crate::event::EndpointList;
 
 /// Maximum encoded length of a list, in bytes.
 pub(super) const MAX_LIST_LEN: usize = 4 << 20;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(super) enum WatchEvent {
     /// A full list, or the changes of one.
-    List(List),
+    List(EndpointList),
     /// An empty line between lists: nothing has changed.
     Heartbeat,
 }
--- a/crates/sender/src/discovery/session.rs
+++ b/crates/sender/src/discovery/session.rs
@@ -13,7 +13,7 @@
 use super::client::{fetch_full_list, open_watch};
 use super::decoder::{Decoder, WatchEvent};
 use super::error::WatchError;
-use crate::event::{Input, List};
+use crate::event::{EndpointList, Input};
 use crate::platform::HttpError;
 
 /// Idle time after which a watch is dead: discovery sends a heartbeat every 2 s.
@@ -106,7 +106,7 @@
     }
 
     /// Passes a list to the engine; from here on changes are requested from its revision on.
-    async fn deliver(&mut self, list: List) -> Result<(), WatchError> {
+    async fn deliver(&mut self, list: EndpointList) -> Result<(), WatchError> {
         self.progress.revision = Some(list.revision);
         self.engine.send(Input::List(list)).await.map_err(|_| WatchError::EngineClosed)
     }
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -10,13 +10,12 @@
 use std::time::Duration;
 
 use rudderspindle_gossip::{DemandExchange, Incarnation, LimitId, PermitLedger, Ramp};
-use rudderspindle_policy::interface::{DestinationId, RouteId};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
 use crate::config::GossipConfig;
-use crate::event::Input;
+use crate::event::{Input, LimitKey};
 use crate::fleet_file::FleetFile;
 use shared_view::SharedView;
 
@@ -42,8 +41,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReportedLimit {
     id: LimitId,
-    destination: DestinationId,
-    route: Option<RouteId>,
+    key: LimitKey,
     /// Share of the limit that the destination is believed to accept, from 0 to 1.
     open_share: f64,
 }
--- a/crates/sender/src/gossip/engine.rs
+++ b/crates/sender/src/gossip/engine.rs
@@ -4,11 +4,11 @@
 
 use rudderspindle_gossip::{LimitId, LocalDemand, OutgoingDatagram};
 use rudderspindle_journal::wall_ms;
-use rudderspindle_policy::interface::{Demand, Millis};
+use rudderspindle_policy::interface::Millis;
 use tokio::sync::{mpsc, oneshot};
 
 use super::{GossipTask, ReportedLimit};
-use crate::event::{ActivityReport, Input};
+use crate::event::{ActivityReport, CapacityUpdate, Input, LimitDemand, LimitKey, PermitUpdate};
 
 /// How long capacity shares are in effect, in milliseconds.
 const CAPACITY_SHARE_LIFETIME: Millis = 1_000.0;
@@ -23,9 +23,9 @@
     async fn query_demands(
         &mut self,
         engine: &mpsc::Sender<Input>,
-    ) -> Result<Vec<(LimitId, Demand)>, EngineClosed> {
+    ) -> Result<Vec<LimitDemand>, EngineClosed> {
         let (reply, activity) = oneshot::channel();
-        engine.send(Input::Demands(reply)).await.map_err(|_| EngineClosed)?;
+        engine.send(Input::ReportActivity(reply)).await.map_err(|_| EngineClosed)?;
         let activity: ActivityReport = activity.await.map_err(|_| EngineClosed)?;
         let inputs = match &mut self.shared_view {
             Some(shared_view) => shared_view.exchange(wall_ms(), &activity),
@@ -54,25 +54,28 @@
     }
 
     /// The limits that the engine reported. Without sums they are taken to be open.
-    fn reported_limits(&self, demands: &[(LimitId, Demand)], have_sums: bool) -> Vec<ReportedLimit> {
+    fn reported_limits(&self, demands: &[LimitDemand], have_sums: bool) -> Vec<ReportedLimit> {
         let mut limits = Vec::with_capacity(demands.len());
-        for (id, demand) in demands {
+        for LimitDemand { limit: id, demand } in demands {
             let open_share = if have_sums { self.demand_exchange.open(*id, demand.limit) } else { 1.0 };
-            let (destination, route) = (demand.destination, demand.route);
-            limits.push(ReportedLimit { id: *id, destination, route, open_share });
+            let key = LimitKey { destination: demand.destination, route: demand.route };
+            limits.push(ReportedLimit { id: *id, key, open_share });
         }
         limits
     }
 
-    /// The capacity share of each demand: calls a second for each that is wanted, infinite far from the limit.
-    fn capacity_shares(&self, demands: &[(LimitId, Demand)], capacities: &[(LimitId, f64)]) -> Input {
+    /// The capacity share of each demand; infinite where the limit is far from reached.
+    fn capacity_shares(&self, demands: &[LimitDemand], capacities: &[(LimitId, f64)]) -> Input {
         let by_limit: HashMap<LimitId, f64> = capacities.iter().copied().collect();
         let mut shares = Vec::with_capacity(demands.len());
-        for (id, demand) in demands {
-            let calls = by_limit.get(id).copied().unwrap_or(f64::INFINITY);
-            shares.push((demand.destination, demand.route, calls, self.demand_exchange.wanted(*id)));
+        for LimitDemand { limit: id, demand } in demands {
+            shares.push(CapacityUpdate {
+                limit: LimitKey { destination: demand.destination, route: demand.route },
+                calls: by_limit.get(id).copied().unwrap_or(f64::INFINITY),
+                fleet_demand: self.demand_exchange.wanted(*id),
+            });
         }
-        Input::CapacityShares(shares, CAPACITY_SHARE_LIFETIME)
+        Input::CapacityShares { shares, valid_for: CAPACITY_SHARE_LIFETIME }
     }
 
     /// Offers the permits that this sender does not need, and tells the engine which ones it has.
@@ -91,19 +94,19 @@
     pub(super) async fn update_permits(&self, engine: &mpsc::Sender<Input>) -> Result<(), EngineClosed> {
         let Some(ledger) = &self.permits else { return Ok(()) };
         let now = wall_ms();
-        let mut permits = Vec::with_capacity(self.limits.len());
+        let mut updates = Vec::with_capacity(self.limits.len());
         for limit in &self.limits {
-            let available = ledger.permits(now, limit.id, limit.open_share);
-            permits.push((limit.destination, limit.route, available));
+            let permits = ledger.permits(now, limit.id, limit.open_share);
+            updates.push(PermitUpdate { limit: limit.key, permits });
         }
-        engine.send(Input::Permits(permits)).await.map_err(|_| EngineClosed)
+        engine.send(Input::Permits(updates)).await.map_err(|_| EngineClosed)
     }
 }
 
 /// Demands in the terms of the fleet.
-fn local_demands(demands: &[(LimitId, Demand)]) -> Vec<LocalDemand> {
-    let local = demands.iter().map(|(limit_id, demand)| LocalDemand {
-        limit_id: *limit_id,
+fn local_demands(demands: &[LimitDemand]) -> Vec<LocalDemand> {
+    let local = demands.iter().map(|LimitDemand { limit, demand }| LocalDemand {
+        limit_id: *limit,
         limit: demand.limit,
         demand: demand.wanted,
         calls: demand.called,
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -3,12 +3,13 @@
 use std::collections::BTreeMap;
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, FleetView, FleetViewError, Incarnation, Kind, OutgoingDatagram, Receiver,
+    Class, DatagramBudget, FleetView, FleetViewError, Incarnation, Kind, LocalSender, OutgoingDatagram,
+    Receiver,
 };
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
 use super::FLEET_LOG_TARGET;
-use crate::event::{ActivityReport, Input};
+use crate::event::{ActivityReport, Input, ListedReceiver, TenantQuota};
 use crate::fleet_file::FleetFile;
 
 /// How often it is checked whether datagrams are due, in milliseconds: a few times in the part of a round for them.
@@ -47,9 +48,14 @@
             return Ok(None);
         }
         // Until now an earlier process may have accepted messages under this number.
-        let max_rate = sharing.max_messages_per_s();
+        let local = LocalSender {
+            number: me,
+            incarnation,
+            complete_from: now,
+            max_messages_per_second: sharing.max_messages_per_s(),
+        };
         Ok(Some(Self {
-            view: FleetView::new(me, file.zones(senders), incarnation, now, max_rate)?,
+            view: FleetView::new(local, file.zones(senders))?,
             budget: DatagramBudget::new(&[(Kind::Report, REPORT_CLASS)]),
             detects_outliers: sharing.detects_outliers(),
             quotas: if sharing.shares_quotas() { quotas.to_vec() } else { Vec::new() },
@@ -83,18 +89,18 @@
     }
 
     fn record(&mut self, now: u64, activity: &ActivityReport) {
-        for &(receiver, seen) in &activity.seen {
-            self.view.judgements().saw(now, receiver, seen);
+        for result in &activity.results {
+            self.view.judgements().record_call(now, result.receiver, result.seen);
         }
-        for &(tenant, messages) in &activity.taken_on {
-            for _ in 0..messages {
-                self.view.counts().handed_in(now, tenant);
+        for usage in &activity.accepted {
+            for _ in 0..usage.messages {
+                self.view.counts().record_message(now, usage.tenant);
             }
         }
     }
 
     /// The ejected routes, if they have changed.
-    fn update_ejections(&mut self, now: u64, listed: &[(DestinationId, RouteId, Receiver)]) -> Option<Input> {
+    fn update_ejections(&mut self, now: u64, listed: &[ListedReceiver]) -> Option<Input> {
         if !self.detects_outliers {
             return None;
         }
@@ -110,28 +116,28 @@
 
     /// The routes to receivers that several other senders of this zone see fail, sorted. They are chosen for each
     /// destination separately.
-    fn ejected_routes(&mut self, now: u64, listed: &[(DestinationId, RouteId, Receiver)]) -> Vec<RouteId> {
-        let mut by_destination: BTreeMap<DestinationId, Vec<(Receiver, RouteId)>> = BTreeMap::new();
-        for &(destination, route, receiver) in listed {
-            by_destination.entry(destination).or_default().push((receiver, route));
+    fn ejected_routes(&mut self, now: u64, listed: &[ListedReceiver]) -> Vec<RouteId> {
+        let mut by_destination: BTreeMap<DestinationId, Vec<ListedReceiver>> = BTreeMap::new();
+        for listed in listed {
+            by_destination.entry(listed.destination).or_default().push(*listed);
         }
         let mut ejected_routes = Vec::new();
         for receivers in by_destination.values() {
-            let names: Vec<Receiver> = receivers.iter().map(|(receiver, _)| *receiver).collect();
+            let names: Vec<Receiver> = receivers.iter().map(|listed| listed.receiver).collect();
             let ejected = self.view.avoided(now, &names);
-            let of_ejected = receivers.iter().filter(|(receiver, _)| ejected.contains(receiver));
-            ejected_routes.extend(of_ejected.map(|(_, route)| *route));
+            let of_ejected = receivers.iter().filter(|listed| ejected.contains(&listed.receiver));
+            ejected_routes.extend(of_ejected.map(|listed| listed.route));
         }
         ejected_routes.sort_unstable();
         ejected_routes
     }
 
     /// This sender's share of each tenant's quota, in messages a second; `None` where nothing is known of the others.
-    fn quota_shares(&mut self, now: u64) -> Vec<Option<f64>> {
+    fn quota_shares(&self, now: u64) -> Vec<TenantQuota> {
         let mut shares = Vec::with_capacity(self.quotas.len());
         for (tenant, quota) in self.quotas.iter().enumerate() {
-            let tenant = u16::try_from(tenant).unwrap_or(u16::MAX);
-            shares.push(self.view.room(now, tenant, *quota));
+            let number = u16::try_from(tenant).unwrap_or(u16::MAX);
+            shares.push(TenantQuota { tenant, messages_per_s: self.view.room(now, number, *quota) });
         }
         shares
     }
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -4,19 +4,19 @@
 use std::net::SocketAddr;
 
 use rudderspindle_gossip::LimitId;
-use rudderspindle_policy::interface::Demand;
+use rudderspindle_policy::interface::{Demand, DestinationId};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
 use super::*;
-use crate::event::ActivityReport;
+use crate::event::{ActivityReport, LimitDemand};
 
 const LIMIT: f64 = 60.0;
 
-fn demand(wanted: f64) -> (LimitId, Demand) {
+fn demand(wanted: f64) -> LimitDemand {
     let destination = DestinationId(7);
     let demand = Demand { destination, route: None, limit: LIMIT, wanted, called: 0, refused: 0, failed: 0 };
-    (LimitId::of(7, None), demand)
+    LimitDemand { limit: LimitId::of(7, None), demand }
 }
 
 /// Starts three senders; returns the address of each, and the inputs of its engine.
@@ -50,13 +50,13 @@
     // A sender that stopped here would be missing from the sums of the others.
     while limited_senders.get() < 3 {
         match timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input") {
-            Input::Demands(reply) => {
+            Input::ReportActivity(reply) => {
                 let activity = ActivityReport { demands: vec![demand(wanted)], ..ActivityReport::default() };
                 let _ = reply.send(activity);
             }
-            Input::CapacityShares(shares, _) => {
-                if let Some((_, _, calls, _)) = shares.first().filter(|share| share.2 < 0.9)
-                    && first_share.replace(*calls).is_none()
+            Input::CapacityShares { shares, .. } => {
+                if let Some(share) = shares.first().filter(|share| share.calls < 0.9)
+                    && first_share.replace(share.calls).is_none()
                 {
                     limited_senders.set(limited_senders.get() + 1);
                 }
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -18,8 +18,8 @@
 use super::request_head::SubmissionHead;
 use super::response::{HttpResponse, text_response};
 use crate::admission_state::AdmissionState;
-use crate::event::{Answer, Input, Submission};
-use crate::metrics::End;
+use crate::event::{Answer, Input, Submission, SubmissionId};
+use crate::metrics::FinalOutcome;
 
 const READY_PATH: &str = "/-/ready";
 
@@ -77,12 +77,12 @@
         self.slots.borrow_mut().request_started(connection.id, self.now());
         let (answer, decision) = oneshot::channel();
         let submission = self.submission(head, body, answer);
-        let number = submission.number;
+        let id = submission.id;
         self.send_to_engine(submission)?;
-        connection.submission_started(number);
-        let decision = decision.await.unwrap_or(Answer::Refused(0.0));
+        connection.submission_started(id);
+        let decision = decision.await.unwrap_or(Answer::REFUSED);
         if decision == Answer::Accepted {
-            connection.submission_accepted(number);
+            connection.submission_accepted(id);
         } else {
             connection.submission_refused();
         }
@@ -114,14 +114,14 @@
         let number = self.next_submission.get();
         self.next_submission.set(number + 1);
         Submission {
-            number,
+            id: SubmissionId(number),
             message_id: head.message_id,
             class: head.class,
             tenant: head.tenant,
             destination: head.destination,
             key: head.idempotency_key,
             body,
-            ends_at: Instant::now() + remaining,
+            deadline: Instant::now() + remaining,
             answer,
         }
     }
@@ -135,7 +135,7 @@
     fn response_to(&self, decision: Answer) -> Result<HttpResponse, RequestRejection> {
         match decision {
             Answer::Accepted => Ok(text_response(StatusCode::ACCEPTED, "taken on")),
-            Answer::Refused(retry_after) => Err(self.overloaded(retry_after)),
+            Answer::Refused { retry_after } => Err(self.overloaded(retry_after)),
             Answer::Failed => Err(RequestRejection::Failed),
             Answer::UnknownDestination => Err(RequestRejection::UnknownDestination),
         }
@@ -143,7 +143,7 @@
 
     /// The rejection of a message that the engine does not know of, which is therefore counted here.
     fn reject_for_capacity(&self, class: usize) -> RequestRejection {
-        self.metrics.ended(class, End::Refused);
+        self.metrics.record_outcome(class, FinalOutcome::Rejected);
         self.overloaded(0.0)
     }
 
--- a/crates/sender/src/inbound/slots.rs
+++ b/crates/sender/src/inbound/slots.rs
@@ -32,7 +32,7 @@
     ) -> Self {
         inbound.connections.borrow_mut().insert(connection.id, connection.clone());
         inbound.slots.borrow_mut().opened(connection.id, address, inbound.now());
-        inbound.metrics.client(true);
+        inbound.metrics.client_connected();
         Self { inbound, connection, _slot: slot }
     }
 
@@ -46,7 +46,7 @@
     fn drop(&mut self) {
         self.inbound.connections.borrow_mut().remove(&self.connection.id);
         self.inbound.slots.borrow_mut().closed(self.connection.id);
-        self.inbound.metrics.client(false);
+        self.inbound.metrics.client_disconnected();
         self.inbound.connection_closed.notify_one();
     }
 }
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -127,7 +127,7 @@
         spawn_local(async move {
             let exchange = Exchange::call(&call, &cancelled);
             let exchanged = outbound.exchange(&exchange).await;
-            let outcome = Input::Outcome { id: call.id, attempt: call.attempt, report: exchanged.result };
+            let outcome = Input::Outcome { id: call.id, attempt: call.attempt, result: exchanged.result };
             let _ = outbound.to_engine.send(outcome).await;
             outbound.recycle(call.route, exchanged.used_connection).await;
         });
--- a/crates/sender/src/outbound/tests/responses.rs
+++ b/crates/sender/src/outbound/tests/responses.rs
@@ -4,7 +4,7 @@
 
 #[tokio::test]
 async fn responses_have_the_results_of_the_protocol() {
-    let report = |outcome, wait, closed| AttemptResult { outcome, wait, closed };
+    let report = |outcome, wait, closed| AttemptResult { outcome, retry_after: wait, closed };
     let cases = [
         ("200 OK", report(Outcome::Ok, 0.0, true)),
         ("500 No", report(Outcome::Error, 0.0, false)),
@@ -22,7 +22,7 @@
             outbound.start_call(call());
             let (mut stream, _) = listener.accept().await.expect("a connection");
             respond(&mut stream, text).await;
-            let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
             assert_eq!(report, expected, "{text}");
         }
     };
@@ -57,8 +57,8 @@
         outbound.start_call(call());
         let (mut stream, _) = listener.accept().await.expect("a connection");
         respond(&mut stream, "429 No\r\nX-Backoff-Ms: 1e300").await;
-        let Input::Outcome { report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-        assert_eq!((report.outcome, report.wait), (Outcome::Rejected, MAX_BACKOFF_MS));
+        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+        assert_eq!((report.outcome, report.retry_after), (Outcome::Rejected, MAX_BACKOFF_MS));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/write_progress.rs
+++ b/crates/sender/src/write_progress.rs
@@ -110,7 +110,7 @@
     fn record_write_complete(&self) {
         self.write_complete.set(true);
         if let Some(metrics) = self.uncounted.borrow_mut().take() {
-            metrics.relayed();
+            metrics.call_written();
         }
     }
 
