--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -19,9 +19,9 @@
 use serde_json::Value;
 
 use crate::fleet_file::FleetFile;
-pub(crate) use file::Config;
 use fleet_size::FleetSize;
 
+pub(crate) use file::Config;
 pub(crate) use gossip::GossipConfig;
 pub use start_error::StartError;
 
--- a/crates/sender/src/gossip/engine.rs
+++ b/crates/sender/src/gossip/engine.rs
@@ -64,7 +64,7 @@
         limits
     }
 
-    /// The capacity share of each demand: calls a second for each that is wanted, infinite far from the limit.
+    /// The capacity share of each demand; infinite where the limit is far from reached.
     fn capacity_shares(&self, demands: &[LimitDemand], capacities: &[(LimitId, f64)]) -> Input {
         let by_limit: HashMap<LimitId, f64> = capacities.iter().copied().collect();
         let mut shares = Vec::with_capacity(demands.len());
@@ -94,19 +94,19 @@
     pub(super) async fn update_permits(&self, engine: &mpsc::Sender<Input>) -> Result<(), EngineClosed> {
         let Some(ledger) = &self.permits else { return Ok(()) };
         let now = wall_ms();
-        let mut permits = Vec::with_capacity(self.limits.len());
+        let mut updates = Vec::with_capacity(self.limits.len());
         for limit in &self.limits {
-            let available = ledger.permits(now, limit.id, limit.open_share);
-            permits.push(PermitUpdate { limit: limit.key, permits: available });
+            let permits = ledger.permits(now, limit.id, limit.open_share);
+            updates.push(PermitUpdate { limit: limit.key, permits });
         }
-        engine.send(Input::Permits(permits)).await.map_err(|_| EngineClosed)
+        engine.send(Input::Permits(updates)).await.map_err(|_| EngineClosed)
     }
 }
 
 /// Demands in the terms of the fleet.
 fn local_demands(demands: &[LimitDemand]) -> Vec<LocalDemand> {
-    let local = demands.iter().map(|LimitDemand { limit: limit_id, demand }| LocalDemand {
-        limit_id: *limit_id,
+    let local = demands.iter().map(|LimitDemand { limit, demand }| LocalDemand {
+        limit_id: *limit,
         limit: demand.limit,
         demand: demand.wanted,
         calls: demand.called,
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -9,7 +9,7 @@
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
 use super::FLEET_LOG_TARGET;
-use crate::event::{AcceptedMessages, ActivityReport, Input, ListedReceiver, ReceiverResult, TenantQuota};
+use crate::event::{ActivityReport, Input, ListedReceiver, TenantQuota};
 use crate::fleet_file::FleetFile;
 
 /// How often it is checked whether datagrams are due, in milliseconds: a few times in the part of a round for them.
@@ -89,12 +89,12 @@
     }
 
     fn record(&mut self, now: u64, activity: &ActivityReport) {
-        for &ReceiverResult { receiver, result } in &activity.results {
-            self.view.judgements().record_call(now, receiver, result);
+        for result in &activity.results {
+            self.view.judgements().record_call(now, result.receiver, result.result);
         }
-        for &AcceptedMessages { tenant, messages } in &activity.accepted {
-            for _ in 0..messages {
-                self.view.counts().record_message(now, tenant);
+        for usage in &activity.accepted {
+            for _ in 0..usage.messages {
+                self.view.counts().record_message(now, usage.tenant);
             }
         }
     }
@@ -117,28 +117,27 @@
     /// The routes to receivers that several other senders of this zone see fail, sorted. They are chosen for each
     /// destination separately.
     fn ejected_routes(&mut self, now: u64, listed: &[ListedReceiver]) -> Vec<RouteId> {
-        let mut by_destination: BTreeMap<DestinationId, Vec<(Receiver, RouteId)>> = BTreeMap::new();
-        for &ListedReceiver { destination, route, receiver } in listed {
-            by_destination.entry(destination).or_default().push((receiver, route));
+        let mut by_destination: BTreeMap<DestinationId, Vec<ListedReceiver>> = BTreeMap::new();
+        for listed in listed {
+            by_destination.entry(listed.destination).or_default().push(*listed);
         }
         let mut ejected_routes = Vec::new();
         for receivers in by_destination.values() {
-            let names: Vec<Receiver> = receivers.iter().map(|(receiver, _)| *receiver).collect();
+            let names: Vec<Receiver> = receivers.iter().map(|listed| listed.receiver).collect();
             let ejected = self.view.avoided(now, &names);
-            let of_ejected = receivers.iter().filter(|(receiver, _)| ejected.contains(receiver));
-            ejected_routes.extend(of_ejected.map(|(_, route)| *route));
+            let of_ejected = receivers.iter().filter(|listed| ejected.contains(&listed.receiver));
+            ejected_routes.extend(of_ejected.map(|listed| listed.route));
         }
         ejected_routes.sort_unstable();
         ejected_routes
     }
 
     /// This sender's share of each tenant's quota, in messages a second; `None` where nothing is known of the others.
-    fn quota_shares(&mut self, now: u64) -> Vec<TenantQuota> {
+    fn quota_shares(&self, now: u64) -> Vec<TenantQuota> {
         let mut shares = Vec::with_capacity(self.quotas.len());
         for (tenant, quota) in self.quotas.iter().enumerate() {
-            let tenant_id = u16::try_from(tenant).unwrap_or(u16::MAX);
-            let messages_per_s = self.view.room(now, tenant_id, *quota);
-            shares.push(TenantQuota { tenant, messages_per_s });
+            let number = u16::try_from(tenant).unwrap_or(u16::MAX);
+            shares.push(TenantQuota { tenant, messages_per_s: self.view.room(now, number, *quota) });
         }
         shares
     }
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -21,7 +21,7 @@
 /// The gossip with other senders, as configured.
 #[derive(Debug)]
 pub(super) struct FleetGossip {
-    gossip: GossipConfig,
+    config: GossipConfig,
     file: FleetFile,
     ramp: Ramp,
     /// Messages per second of each tenant, over all senders.
@@ -31,11 +31,11 @@
 impl FleetGossip {
     /// The configured gossip; `None` if there is none, or if the fleet is too small for it.
     pub fn new(config: &Config, settings: &Settings, file: FleetFile) -> Option<Self> {
-        let gossip = config.gossip().filter(|gossip| gossip.peers.len() >= file.share().min_senders())?;
+        let config = config.gossip().filter(|gossip| gossip.peers.len() >= file.share().min_senders())?;
         let start = settings.ramp(0.0);
         let ramp = Ramp { start, growth: settings.ramp(RAMP_SAMPLE) - start };
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
-        Some(Self { gossip, file, ramp, quotas })
+        Some(Self { config, file, ramp, quotas })
     }
 
     /// How limits are shared.
@@ -56,10 +56,10 @@
     pub fn spawn(self, state: &Path, to_engine: mpsc::Sender<Input>) -> Result<(), StartError> {
         let incarnation = self.start_incarnation(state)?;
         let strict = self.limit_sharing() == LimitSharing::Permits;
-        let Self { gossip, file, ramp, quotas } = self;
-        tracing::info!(target: FLEET_LOG_TARGET, senders = gossip.peers.len(), strict, "limits are shared by notes");
+        let Self { config, file, ramp, quotas } = self;
+        tracing::info!(target: FLEET_LOG_TARGET, senders = config.peers.len(), strict, "limits are shared by notes");
         let settings = FleetSettings { fleet_file: file, tenant_quotas: quotas, incarnation };
-        spawn_local(GossipTask::new(gossip, ramp, settings).run(to_engine));
+        spawn_local(GossipTask::new(config, ramp, settings).run(to_engine));
         Ok(())
     }
 
