--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -2,9 +2,9 @@
 //!
 //! The scope of an outage is that of the limit. Where routes have limits of their own, each has one
 //! [`CircuitBreaker`]. Where they share a limit there is one more, of all of them: an outage that a rejection
-//! shows, or that most routes show, is the destination's, so there is one half-open probe and one recovery ramp,
-//! whichever route is used. Its state goes before that of a route, which still shows when a single route fails
-//! beside healthy ones.
+//! shows, or that most routes show, is the destination's, so there is one half-open probe and one recovery
+//! ramp, whichever route is used. Its state goes before that of a route, which still shows when a single
+//! route fails beside healthy ones.
 
 mod state;
 
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,82 +1,83 @@
-//! What a sender wants done, and what it wants. No decision.
+//! The actions that a policy asks its host for, and its demand. No decision.
 
 use super::{DestinationId, MessageHandle, Millis, OutageState, RouteId};
 
-/// What a sender wants of a limit, and what it has done to it so far.
+/// What a sender wants of a limit, and the calls that it has made there since it started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     /// The destination.
     pub destination: DestinationId,
-    /// The route, where routes are apart.
+    /// The route, where routes have limits of their own.
     pub route: Option<RouteId>,
-    /// The limit as the list tells it, calls a second from all senders together.
+    /// The listed limit, in calls per second of all senders together.
     pub limit: f64,
-    /// Calls wanted now: what waits, and what comes before the next word.
+    /// Calls wanted now: for waiting messages, and for those expected before the next report.
     pub wanted: f64,
-    /// Calls made so far.
+    /// Calls made.
     pub called: u64,
-    /// ...that were refused.
+    /// Calls that the destination rejected.
     pub refused: u64,
-    /// ...that failed: not answered, or not well.
+    /// Calls that failed: without an answer, or with an error.
     pub failed: u64,
 }
 
-/// What a sender wants done.
+/// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the next attempt of a message. Sends of one batch to one route share a call as far as its
-    /// kind's `bundle_max` allows.
+    /// Start the next attempt of a message. Attempts of one batch by one route share a call as far as the
+    /// `bundle_max` of the destination's kind allows.
     Send {
         /// The message.
         id: MessageHandle,
-        /// Where to.
+        /// The route to send it by.
         route: RouteId,
-        /// The attempt's time-out.
+        /// Time-out of the attempt.
         timeout: Millis,
-        /// How soon its last byte must be out; else it must not go any more, as when its key's window is over.
+        /// The last byte must be written within this time; later it must not be sent any more, as the window
+        /// of its idempotency key may be over.
         within: Millis,
     },
-    /// End a message undelivered; the client may safely come again.
+    /// Complete a message undelivered; the client may safely submit it again.
     Refuse {
         /// The message.
         id: MessageHandle,
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before; 0 for no advice.
         retry_after: Millis,
     },
-    /// End a message as failed; nothing is promised.
+    /// Complete a message as failed; it may or may not have taken effect.
     Fail {
         /// The message.
         id: MessageHandle,
     },
-    /// Ask for [`Event::Wake`] after a delay.
+    /// Ask for [`Event::Wake`](super::Event::Wake) after a delay.
     Wake {
-        /// From now.
+        /// The delay from now.
         delay: Millis,
-        /// Comes back in the event.
+        /// Identifies the wake-up in the event.
         token: u64,
     },
-    /// Stop waiting for an attempt; it may have taken effect.
+    /// Cancel an attempt; it may have taken effect.
     Cancel {
         /// The message.
         id: MessageHandle,
-        /// Which attempt, counted from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Probe a route.
+    /// Send a health check to a route.
     HealthCheck {
         /// The route.
         route: RouteId,
     },
-    /// Subscribe to changes of the list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Remember this over a restart, in place of what was to be remembered of the same. Worth no more than a
-    /// minute: by then it is known anew.
+    /// Remember an outage over a restart, in place of what was to be remembered of the same destination or
+    /// route. It may be forgotten after a minute: by then it is known anew.
     Remember {
         /// The destination.
         destination: DestinationId,
-        /// The route, where routes are apart.
+        /// The route, where routes have limits of their own.
         route: Option<RouteId>,
-        /// What is believed of it.
+        /// Its state.
         outage: OutageState,
     },
 }
--- a/crates/policy/src/interface/checks.rs
+++ b/crates/policy/src/interface/checks.rs
@@ -1,44 +1,39 @@
-//! Whether settings can work. No decision.
+//! Validation of settings. No decision.
 
 use super::{Class, Effect, Settings};
 
 impl Settings {
-    /// Checks that the settings can work.
+    /// Checks that all figures are within their ranges.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names what cannot.
+    /// [`SettingsError`] names the first that is not.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let s = self;
-        if s.classes.is_empty() {
+        if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        if s.kinds.is_empty() {
+        if self.kinds.is_empty() {
             return Err(SettingsError::NoKinds);
         }
-        let positive = |x: f64| x.is_finite() && x > 0.0;
-        let natural = |x: f64| x.is_finite() && x >= 0.0;
-        let classes = |f: &dyn Fn(&Class) -> bool| s.classes.iter().all(f);
-        let windows =
-            classes(&|c| !matches!(c.effect, Effect::IdempotencyKey { window, .. } if !positive(window)));
+        let classes = |holds: fn(&Class) -> bool| self.classes.iter().all(holds);
         for (name, fits) in [
-            ("deadline", classes(&|c| positive(c.deadline))),
-            ("aim", classes(&|c| positive(c.latency_objective))),
-            ("worth", classes(&|c| natural(c.value))),
-            ("late_worth", classes(&|c| (0.0..=1.0).contains(&c.late_value))),
-            ("key window", windows),
-            ("bundle_max", s.kinds.iter().all(|k| k.bundle_max > 0)),
-            ("quota_per_s", s.tenants.iter().all(|t| natural(t.quota_per_s))),
-            ("slots", s.slots > 0),
-            ("most_held", s.max_pending > 0),
-            ("max_attempts", s.max_attempts > 0),
-            ("peers_total", s.peers_total > 0),
-            ("cold_from", s.recovery_start_share > 0.0 && s.recovery_start_share <= 1.0),
-            ("warm_within", natural(s.recovery_duration)),
-            ("fall_multiple", positive(s.overload_multiple)),
-            ("tip_after", natural(s.overload_duration)),
-            ("turn_gap", natural(s.ordering_key_pause)),
-            ("tick", natural(s.tick)),
+            ("deadline", classes(|class| is_positive(class.deadline))),
+            ("aim", classes(|class| is_positive(class.latency_objective))),
+            ("worth", classes(|class| is_not_negative(class.value))),
+            ("late_worth", classes(|class| (0.0..=1.0).contains(&class.late_value))),
+            ("key window", classes(has_valid_key_window)),
+            ("bundle_max", self.kinds.iter().all(|kind| kind.bundle_max > 0)),
+            ("quota_per_s", self.tenants.iter().all(|tenant| is_not_negative(tenant.quota_per_s))),
+            ("slots", self.slots > 0),
+            ("most_held", self.max_pending > 0),
+            ("max_attempts", self.max_attempts > 0),
+            ("peers_total", self.peers_total > 0),
+            ("cold_from", self.recovery_start_share > 0.0 && self.recovery_start_share <= 1.0),
+            ("warm_within", is_not_negative(self.recovery_duration)),
+            ("fall_multiple", is_positive(self.overload_multiple)),
+            ("tip_after", is_not_negative(self.overload_duration)),
+            ("turn_gap", is_not_negative(self.ordering_key_pause)),
+            ("tick", is_not_negative(self.tick)),
         ] {
             if !fits {
                 return Err(SettingsError::OutOfRange(name));
@@ -48,7 +43,22 @@
     }
 }
 
-/// Settings that cannot work.
+fn is_positive(number: f64) -> bool {
+    number.is_finite() && number > 0.0
+}
+
+fn is_not_negative(number: f64) -> bool {
+    number.is_finite() && number >= 0.0
+}
+
+fn has_valid_key_window(class: &Class) -> bool {
+    match class.effect {
+        Effect::IdempotencyKey { window, .. } => is_positive(window),
+        Effect::Idempotent | Effect::NotIdempotent => true,
+    }
+}
+
+/// Why settings cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum SettingsError {
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -1,35 +1,36 @@
-//! What a sender is told. No decision.
+//! The events that a host reports to a policy. No decision.
 
 use super::{AttemptHistory, DestinationId, ListChange, Message, MessageHandle, Millis, RouteId};
 
-/// What is believed of a destination whose routes share a limit, or of a route that is apart, that a sender must
-/// still know if it begins anew: or it would send at full pace to what is down or cold.
+/// The outage of a destination whose routes share a limit, or of a route with a limit of its own, as far as
+/// it must be known after a restart: without it a sender would send at full pace to what is down or warming
+/// up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OutageState {
-    /// Nothing is the matter with it.
+    /// No outage is known.
     Healthy,
-    /// It is in an outage; a wait that was told lasts for so long from now, 0 if none.
+    /// It is in an outage.
     Down {
-        /// What is left of the wait.
+        /// What is left of its Retry-After; 0 for none.
         wait: Millis,
     },
-    /// It came back from one.
+    /// It has returned from an outage.
     WarmingUp {
-        /// So long ago; not above 0 if a wait must be over first.
+        /// Time since its return; below 0 where its Retry-After is not over yet.
         ago: Millis,
-        /// The part of the ramp that is this sender's, from 0 to 1.
+        /// This sender's share of the recovery ramp, from 0 to 1.
         part: f64,
     },
 }
 
-/// A right to start one call.
+/// The permission to start one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Permit {
-    /// Names it at its limit; one that is told again and was used stays used.
+    /// Identifies it at its limit; one that was used stays used when it is reported again.
     pub number: u64,
-    /// How long from now it begins; below 0 where it has begun.
+    /// When it becomes valid, from now; below 0 where it is valid already.
     pub from: Millis,
-    /// How long from now it is over.
+    /// When it expires, from now.
     pub until: Millis,
 }
 
@@ -40,7 +41,7 @@
     Ok,
     /// The destination answered with an error; it may have taken effect.
     Error,
-    /// Turned away unseen.
+    /// Rejected unprocessed, as above the limit or in an outage.
     Rejected,
     /// No answer in time; it may have taken effect or may still.
     Timeout,
@@ -48,16 +49,16 @@
     ConnectFailed,
     /// The connection broke; it may have taken effect.
     Reset,
-    /// Called off; it may have taken effect.
+    /// Cancelled; it may have taken effect.
     Cancelled,
     /// Never sent.
     NotSent,
-    /// Never sent: the message has had all its attempts. Its end is still owed.
+    /// Never sent: the message has had all its attempts. Its final outcome is still due.
     AttemptsExhausted,
 }
 
 impl Outcome {
-    /// Whether the attempt may have taken effect, or may yet.
+    /// Whether the attempt may have taken effect, or may still.
     pub fn possibly_executed(self) -> bool {
         match self {
             Self::Ok | Self::Error | Self::Timeout | Self::Reset | Self::Cancelled => true,
@@ -66,95 +67,95 @@
     }
 }
 
-/// What a sender is told.
+/// What has happened since the last batch, or was learnt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list of routes.
+    /// The endpoint list has changed.
     List(ListChange),
-    /// A message is handed in.
+    /// A message was submitted.
     Message(Message),
-    /// A message taken on before a restart is still owed its end.
+    /// A message that was accepted before a restart has no final outcome yet.
     Recovered(Message, AttemptHistory),
-    /// What was to be remembered over a restart, as it is now. Comes after the list.
+    /// An outage that was to be remembered over a restart, as it is now. Comes after the list.
     Remembered {
         /// The destination.
         destination: DestinationId,
-        /// The route, where routes are apart.
+        /// The route, where routes have limits of their own.
         route: Option<RouteId>,
-        /// What was believed of it.
+        /// Its state.
         outage: OutageState,
     },
-    /// Another process of this sender was told to wait: a destination, or one route where routes are apart.
+    /// Another process of this sender has received a Retry-After.
     RetryAfter {
         /// The destination.
         destination: DestinationId,
-        /// The route, where routes are apart.
+        /// The route, where routes have limits of their own.
         route: Option<RouteId>,
-        /// How long from now.
+        /// What is left of it.
         wait: Millis,
     },
-    /// How much of a limit there is for this sender, as all senders' wants have it: a destination's, or that of one
-    /// route where routes are apart.
+    /// How much of a limit is left to this sender, by the demand of all senders.
     Capacity {
         /// The destination.
         destination: DestinationId,
-        /// The route, where routes are apart.
+        /// The route, where routes have limits of their own.
         route: Option<RouteId>,
-        /// Calls a second for each call that is wanted; infinite where there is enough for all.
+        /// Calls per second for each call that is wanted; infinite where the limit suffices for all.
         calls: f64,
-        /// Calls wanted by all senders, those not heard of reckoned like the others; 0 where that is not known.
+        /// Calls wanted by all senders, with an estimate for those that have not reported; 0 where that is
+        /// unknown.
         wanted: f64,
-        /// How long this may be relied on.
+        /// How long this is valid.
         lasts: Millis,
     },
-    /// Where rights are kept: the turns at a limit that this sender may use, in place of those told before.
+    /// The permits of a limit that this sender may use, in place of those reported before.
     Permits {
         /// The destination.
         destination: DestinationId,
-        /// The route, where routes are apart.
+        /// The route, where routes have limits of their own.
         route: Option<RouteId>,
         /// One for each call.
         turns: Vec<Permit>,
     },
-    /// Receivers that others judge to be down, in place of those told before: others of their partner go first.
+    /// Routes that other senders have ejected as outliers, in place of those reported before: others go
+    /// first.
     EjectedReceivers(Vec<RouteId>),
-    /// What of a tenant's quota over all senders is this sender's, by the fleet's counts: messages a second; nothing where
-    /// no word of others has come.
+    /// This sender's share of a tenant's quota, by the usage of the whole fleet.
     Quota {
         /// The tenant, by index.
         tenant: usize,
-        /// Messages a second.
+        /// Messages per second; none where nothing is known of other senders.
         per_s: Option<f64>,
     },
-    /// A streamed answer has begun; the attempt belongs to the client from here.
+    /// A streamed response has begun: from here the attempt takes as long as the client lets it.
     Started {
         /// The message.
         id: MessageHandle,
-        /// Which attempt, counted from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     Outcome {
         /// The message.
         id: MessageHandle,
-        /// Which attempt, counted from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
-        /// For [`Outcome::Rejected`]: the wait that was told; 0 for none.
+        /// For [`Outcome::Rejected`]: its Retry-After; 0 for none.
         retry_after: Millis,
-        /// Whether the message is over.
+        /// Whether the message is completed.
         closed: bool,
     },
-    /// Nobody wants the message any more. Attempts out are still reported.
+    /// The client has gone away. Attempts in flight are still reported.
     Dropped(MessageHandle),
-    /// A wake-up asked for with [`Action::Wake`].
+    /// A wake-up asked for with [`Action::Wake`](super::Action::Wake).
     Wake(u64),
-    /// The result of a probe.
+    /// The result of a health check.
     HealthChecked {
         /// The route.
         route: RouteId,
-        /// What came of it.
+        /// Its outcome.
         outcome: Outcome,
     },
 }
--- a/crates/policy/src/interface/list.rs
+++ b/crates/policy/src/interface/list.rs
@@ -1,20 +1,20 @@
-//! The list of routes, and what is handed in. No decision.
+//! The endpoint list, and the messages that are submitted. No decision.
 
 use super::{DestinationId, MessageHandle, Millis, RouteId};
 
-/// What the list says of a route. It tells nothing of its health.
+/// What the endpoint list says of a route. It says nothing of its health.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Listing {
     /// May be sent to.
     #[default]
     Ready,
-    /// Takes nothing new.
+    /// Draining: takes no new calls.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// A line of the list of routes.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteEntry {
     /// The route.
@@ -27,24 +27,24 @@
     pub kind: u16,
     /// What the list says of it.
     pub listing: Listing,
-    /// The rate told for it; see [`RateHint`].
+    /// The listed rate; see [`RateHint`](super::RateHint).
     pub rate: f64,
 }
 
-/// How the list of routes changes.
+/// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListChange {
-    /// The complete list: what is not in it is gone.
+    /// The complete list: routes that are not in it are removed.
     Full(Vec<RouteEntry>),
-    /// The complete list as last held, perhaps stale.
+    /// The complete list from a cache, perhaps stale.
     Cached(Vec<RouteEntry>),
-    /// Changed lines only.
+    /// Changed entries only.
     Delta(Vec<RouteEntry>),
     /// A subscription or fetch failed, or the subscription broke; the list is as before.
     Failed,
 }
 
-/// A message handed in.
+/// A message that was submitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     /// Its id.
@@ -55,29 +55,29 @@
     pub tenant: usize,
     /// Its ordering key; 0 for none.
     pub ordering_key: u64,
-    /// How long it may still be delivered.
+    /// Time until it expires.
     pub time_left: Millis,
-    /// A guess of the call's cost in time, where there is one.
+    /// An estimate of the time that its processing takes, where there is one.
     pub work_guess: Option<Millis>,
-    /// Where it must go.
+    /// The destination that it must be delivered to.
     pub destination: DestinationId,
 }
 
-/// What happened to a message before the sender came up, as its host has it on record.
+/// The attempts of a message before a restart, as the host has recorded them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptHistory {
-    /// Attempts used. None of them is out any more.
+    /// Number of attempts; none of them is in flight any more.
     pub attempts: u32,
     /// The first attempt that may have taken effect.
     pub possibly_executed: Option<PriorExecution>,
 }
 
-/// An attempt of the past that may have taken effect.
+/// An attempt before a restart that may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PriorExecution {
     /// How long ago it was sent.
     pub ago: Millis,
-    /// By which route; it may have left the list since.
+    /// The route that it was sent by; it may have been removed since.
     pub route: RouteId,
     /// The route's zone.
     pub zone: u8,
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,75 +1,75 @@
-//! What a sender is told when it comes up. No decision.
+//! The settings of a policy. No decision.
 
 use super::Millis;
 
-/// What a further attempt may do to a message that may already have taken effect.
+/// What a retry does if an earlier attempt has taken effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Idempotent: may be repeated at will.
+    /// A retry is harmless.
     Idempotent,
-    /// Repeats of its key are discarded by the routes of one group for some time.
+    /// The routes of one group discard retries with the same idempotency key for some time.
     IdempotencyKey {
-        /// The routes that share the memory of keys.
+        /// The routes that share their idempotency keys.
         group: KeyGroup,
-        /// How long a key is remembered, counted from the send of the first attempt that may have run.
+        /// How long a key is remembered, from the time the first possibly executed attempt was sent.
         window: Millis,
     },
-    /// Must not take effect twice.
+    /// It must not take effect twice: no retry.
     NotIdempotent,
 }
 
-/// The routes of a destination that share one memory of keys.
+/// The routes of a destination that share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyGroup {
     /// All routes of the destination.
     All,
     /// The routes of the destination in one zone.
     Zone,
-    /// Only the route that was used.
+    /// The route that was used, alone.
     Route,
 }
 
-/// How worth falls once the aim has passed.
+/// How the value of a delivery falls once its latency objective has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LateDecay {
-    /// Evenly, down to the late worth at the deadline.
+    /// Evenly, down to the late value at the deadline.
     Linear,
-    /// By half with each further aim, not under the late worth.
+    /// By half with each further latency objective, but not below the late value.
     Halving,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Worth of a message delivered within its aim.
+    /// Value of a delivery within the latency objective (no unit).
     pub value: f64,
-    /// Delivered within this time it earns its full worth.
+    /// A delivery within this time has its full value.
     pub latency_objective: Millis,
-    /// The aim grows by this multiple of the message's own work; 0 where it does not.
+    /// The latency objective grows by this multiple of the message's estimated work; 0 where it does not.
     pub latency_objective_stretch: f64,
-    /// How long a message may be delivered, from its first hand-in.
+    /// Time from the first submission until a message expires.
     pub deadline: Millis,
-    /// Share of the worth that is left at the deadline.
+    /// Share of the value that is left at the deadline, from 0 to 1.
     pub late_value: f64,
-    /// What a repeat may do.
+    /// What a retry may do.
     pub effect: Effect,
-    /// Whether messages with one ordering key go one at a time, in the order they were taken.
+    /// Whether messages with the same ordering key go one at a time, in the order they were accepted.
     pub ordered: bool,
 }
 
 /// A kind of destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kind {
-    /// Messages that may share one call at the most.
+    /// Most messages that may share one call.
     pub bundle_max: usize,
-    /// Whether each route has a limit, a pace and outages of its own.
+    /// Whether each route has a limit and outages of its own.
     pub routes_apart: bool,
 }
 
-/// A customer whose messages are counted against a share.
+/// A customer with a quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Messages a second within its share, over all senders.
+    /// Messages per second within its quota, over all senders.
     pub quota_per_s: f64,
 }
 
@@ -78,30 +78,30 @@
 pub enum RateHint {
     /// Nothing.
     None,
-    /// Calls a second that the destination (or the route apart) takes from all senders together.
+    /// Calls per second that the destination, or the route, accepts from all senders together.
     Nominal,
     /// The same, up to half too high or too low.
     Rough,
 }
 
-/// How word of the list of routes comes.
+/// How changes of the endpoint list arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// They are pushed.
     Pushed,
-    /// Changes come only to those that subscribe or fetch.
+    /// They arrive only after a subscription or fetch.
     OnRequest {
-        /// Without asking for so long, a sender counts as told.
+        /// A sender that has not asked for so long counts as informed.
         ask_within: Millis,
     },
 }
 
-/// Everything a sender is told when it comes up.
+/// The settings of a policy; fixed while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The zone this sender stands in.
+    /// The zone of this sender.
     pub zone: u8,
-    /// Senders in this tier, this one included.
+    /// Number of senders in the fleet, this one included.
     pub peers_total: usize,
     /// Classes of message, by index.
     pub classes: Vec<Class>,
@@ -109,47 +109,47 @@
     pub kinds: Vec<Kind>,
     /// Tenants, by index; some deployments have none.
     pub tenants: Vec<Tenant>,
-    /// Worth of a message beyond its tenant's share, as a fraction of its class's.
+    /// Value of a message beyond its tenant's quota, as a fraction of its class's.
     pub over_quota_value: f64,
-    /// How worth falls after the aim.
+    /// How values fall after the latency objective.
     pub late_decay: LateDecay,
-    /// Calls that may be out at once.
+    /// Most calls in flight.
     pub slots: usize,
-    /// Messages held at most, sent or not; more are turned away before the sender.
+    /// Most pending messages, sent or not; more are rejected before they reach the policy.
     pub max_pending: usize,
-    /// Attempts for a message at most.
+    /// Most attempts for one message.
     pub max_attempts: u32,
-    /// Longest advice to stay away that a client honours.
+    /// Longest Retry-After that clients honour.
     pub max_retry_after: Millis,
-    /// Whether advice to stay away is passed on.
+    /// Whether a Retry-After is passed on to clients.
     pub retry_after: bool,
-    /// Whether routes may be probed.
+    /// Whether routes may be health-checked.
     pub health_checks: bool,
     /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Calls that one connection carries at once.
+    /// Concurrent calls on one connection.
     pub streams_per_connection: usize,
-    /// After so long an idle connection closes.
+    /// Time after which an idle connection is closed.
     pub idle_close: Millis,
-    /// After so long a connection that is not made has failed.
+    /// Time after which connecting has failed.
     pub connect_timeout: Millis,
     /// What listed rates mean.
     pub rate_hint: RateHint,
-    /// How the list of routes comes.
+    /// How changes of the endpoint list arrive.
     pub discovery: Discovery,
     /// Price of an attempt that crosses zones.
     pub cross_zone_price: f64,
-    /// Price of a message that a route apart takes on, by zone.
+    /// Price of a message that a route with a limit of its own accepts, by zone.
     pub zone_fees: Vec<f64>,
-    /// A returning destination has this share of its capacity or more.
+    /// Least share of its capacity that a destination has when it returns, above 0 up to 1.
     pub recovery_start_share: f64,
-    /// And all of it after this at the latest.
+    /// Time after its return by which a destination has all of its capacity.
     pub recovery_duration: Millis,
-    /// Sent more than this multiple of its present capacity
+    /// A destination fails if it is sent more than this multiple of its present capacity
     pub overload_multiple: f64,
-    /// for this long, it falls over.
+    /// for this long.
     pub overload_duration: Millis,
-    /// Rest of an ordering key after an attempt that may still be running.
+    /// Pause of an ordering key after an attempt that may still be running.
     pub ordering_key_pause: Millis,
     /// Shortest time between two batches.
     pub tick: Millis,
--- a/crates/policy/src/key_ordering.rs
+++ b/crates/policy/src/key_ordering.rs
@@ -4,8 +4,8 @@
 
 use crate::interface::{MessageHandle, Millis};
 
-/// The messages of each ordering key in the order they were accepted. A key is forgotten once it has no messages
-/// and does not pause.
+/// The messages of each ordering key in the order they were accepted. A key is forgotten once it has no
+/// messages and does not pause.
 #[derive(Debug, Default)]
 pub(crate) struct KeyOrdering {
     queues: BTreeMap<u64, KeyQueue>,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of an outbound gateway that calls many partners' systems. No decision.
+//! The decisions of a sender: client-side load balancing, admission and retry policy. No decision.
 //!
-//! A [`Policy`] takes messages, decides when and by which route each is tried, and answers every one of
-//! them once. It does no I/O, keeps no clock and starts no thread: the host hands in what has happened
-//! since the last batch and carries out the actions that come back.
+//! A [`Policy`] takes messages, decides when and by which route each is tried, and gives every one of them
+//! one final outcome. It does no I/O, has no clock and starts no thread: the host hands in the events since
+//! the last batch, and carries out the actions that come back. Its draws come from a seed, so that the same
+//! events give the same actions.
 //!
 //! ```
 //! use rudderspindle_policy::Policy;
@@ -71,7 +72,7 @@
 //! policy.handle(1_000.0, &batch, &mut actions);
 //! assert!(matches!(actions[0], Action::Send { id: MessageHandle(1), route: RouteId(1), .. }));
 //!
-//! // The host makes the call, and hands in what came of it with the next batch.
+//! // The host makes the call, and reports its outcome with the next batch.
 //! let delivered =
 //!     Event::Outcome { id: MessageHandle(1), attempt: 0, outcome: Outcome::Ok, retry_after: 0.0, closed: true };
 //! actions.clear();
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,11 +1,11 @@
 //! The policy of one sender: its state, and the order of the steps of a batch. No decision.
 //!
-//! Each step decides in a module of its own. The ordinary path: for each throttle (of a destination, or of a route
-//! where routes have limits of their own) requests and accepts are counted over a window ([`throttle`]); a new call
-//! or a retry is dropped locally with probability `max(0, (requests - K * accepts) / (requests + 1))`, goes first
-//! to another route whose own draw passes ([`route_choice`]), else backs off for a random pause and draws again
-//! while time remains, else is refused or failed ([`completion`]). A comment that begins with "Departure" marks
-//! where the code departs from this path, and names the condition.
+//! Each step decides in a module of its own. The ordinary path: for each throttle (of a destination, or of a
+//! route where routes have limits of their own) requests and accepts are counted over a window
+//! ([`throttle`]); a new call or a retry is dropped locally with probability `max(0, (requests - K * accepts)
+//! / (requests + 1))`, goes first to another route whose own draw passes ([`route_choice`]), else backs off
+//! for a random pause and draws again while time remains, else is refused or failed ([`completion`]). A
+//! comment that begins with "Departure" marks where the code departs from this path, and names the condition.
 
 mod admission;
 mod availability;
--- a/crates/policy/src/policy/bookkeeping.rs
+++ b/crates/policy/src/policy/bookkeeping.rs
@@ -42,7 +42,7 @@
         self.destinations.insert(id, destination);
     }
 
-    /// Notes that a message was dropped locally; whether it had been before.
+    /// Records that a message was dropped locally; whether it had been before.
     pub(super) fn mark_dropped(&mut self, id: MessageHandle) -> bool {
         let Some(message) = self.messages.get_mut(&id) else { return false };
         std::mem::replace(&mut message.counted_as_dropped, true)
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -10,7 +10,7 @@
 
 /// Later calls answered by the same route that show that a call is lost by itself.
 const LATER_ANSWERS: u32 = 10;
-/// ...once it is in flight for this multiple of the time after which it is overdue.
+/// It is lost once it is in flight for this multiple of the time after which it is overdue.
 const LOST_STRETCH: f64 = 1.3;
 /// A destination may hold this many times the slots that are free.
 const SLOTS_PER_FREE_SLOT: usize = 3;
@@ -57,8 +57,8 @@
         self.settings.slots.saturating_sub(self.calls_in_flight + used_by_peer)
     }
 
-    /// Departure (few slots are free): a destination leaves some to others, and more of them while a call of its
-    /// is overdue with no answer since. One that is lost by itself among answered ones tells nothing.
+    /// Departure (few slots are free): a destination leaves some to others, and more of them while a call to
+    /// it is overdue with no answer since. A lost one among answered ones shows nothing.
     fn may_take_slot(&self, destination: &Destination) -> bool {
         let stuck =
             (0..destination.routes.len()).any(|index| destination.unanswered_calls(index, self.now) > 0);
@@ -85,7 +85,8 @@
         bundle
     }
 
-    /// Departure (all slots are taken): a call that is lost by itself is cancelled; others need its slot more.
+    /// Departure (all slots are taken): a call that is lost by itself is cancelled; others need its slot
+    /// more.
     fn cancel_lost_calls(&self, destination: &mut Destination, actions: &mut Vec<Action>) {
         let lost: Vec<u64> = destination
             .calls
--- a/crates/policy/src/policy/metrics.rs
+++ b/crates/policy/src/policy/metrics.rs
@@ -1,4 +1,4 @@
-//! What a host may read: demand and what was done, routes out of rotation, and how much is remembered. No decision.
+//! Figures for the host: demand, routes out of rotation, and how much is remembered. No decision.
 
 use rudderspindle_gossip::CapacityShare;
 
@@ -8,7 +8,7 @@
 use crate::interface::{Demand, DestinationId, Listing};
 
 impl Policy {
-    /// What is wanted of each limit, and what was done to it so far.
+    /// The demand of each limit, with the calls made so far.
     pub fn demands(&self) -> Vec<Demand> {
         let mut demands = Vec::new();
         for (&id, destination) in &self.destinations {
--- a/crates/policy/src/policy/outage_detection.rs
+++ b/crates/policy/src/policy/outage_detection.rs
@@ -9,7 +9,8 @@
 
 /// Failures in a row, with no success between, that open a circuit breaker.
 const MAX_FAILURES: f64 = 4.0;
-/// The least number of them that opens it where most routes have not failed, while fewer than the above count.
+/// The least number of them that opens it where most routes have not failed, while fewer than the above
+/// count.
 const MIN_REPEATED_FAILURES: f64 = 2.0;
 
 impl Policy {
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Departure (an outage was seen): from the first success on the recovery ramp bounds what the destination
-    /// gets, but not before its Retry-After is over.
+    /// Departure (an outage was seen): from the first success on the recovery ramp bounds what the
+    /// destination gets, but not before its Retry-After is over.
     fn end_outage(&mut self, destination: &mut Destination, index: usize, scope: Scope, result: &CallResult) {
         let since = self.now.max(destination.throttle(index).retry_after_until);
         self.begin_slow_start(destination, scope, since, result.sent_at);
@@ -97,8 +98,8 @@
         true
     }
 
-    /// Departure (fewer failures than usual open the breaker): until more is known the destination is tried no
-    /// faster than our share allows.
+    /// Departure (fewer failures than usual open the breaker): until more is known the destination is tried
+    /// no faster than our share allows.
     fn back_off_to_our_share(&mut self, destination: &mut Destination, scope: Scope) {
         let our_rate = destination.throttle_of(scope).limit * self.recovery_share(destination, scope);
         let pause = self.rng.pause(1_000.0 / our_rate);
--- a/crates/policy/src/policy/outage_memory.rs
+++ b/crates/policy/src/policy/outage_memory.rs
@@ -19,7 +19,8 @@
         }
     }
 
-    /// Restores what the host remembered of a destination's outage, or of that of a route with a limit of its own.
+    /// Restores what the host remembered of a destination's outage, or of that of a route with a limit of its
+    /// own.
     pub(super) fn restore_outage(&mut self, id: DestinationId, route: Option<RouteId>, outage: OutageState) {
         let Some(mut destination) = self.destinations.get_mut(&id).map(std::mem::take) else { return };
         let scope = destination.throttle_scope(route).filter(|_| destination.routes_apart || route.is_none());
--- a/crates/policy/src/policy/route_choice.rs
+++ b/crates/policy/src/policy/route_choice.rs
@@ -50,8 +50,8 @@
         candidates.retain(|&index| self.is_allowed(id, &destination.routes[index]));
         candidates.sort_by_key(|&index| self.preference(destination, index));
         for index in candidates {
-            // Departure (the circuit breaker is open): a half-open probe goes without a draw; it must be safe to
-            // repeat.
+            // Departure (the circuit breaker is open): a half-open probe goes without a draw; it must be safe
+            // to repeat.
             let passes = if destination.is_down(index) {
                 effect != Effect::NotIdempotent
             } else {
@@ -93,11 +93,13 @@
         if throttle.next_draw_at > self.now {
             return false;
         }
-        // Departure (the fleet's reports are fresh): their pace is what the formula lets through of all senders.
+        // Departure (the fleet's reports are fresh): their pace is what the formula lets through of all
+        // senders.
         if follows_fleet || self.rng.unit() >= throttle.drop_probability(self.now, overdue) {
             return true;
         }
-        // Departure (a message draws again): it counts as one request, or random losses would close the throttle.
+        // Departure (a message draws again): it counts as one request, or random losses would close the
+        // throttle.
         let counted = self.mark_dropped(id);
         throttle.window.count(self.now, if counted { 0.0 } else { 1.0 }, 0.0);
         throttle.next_draw_at = self.now + self.rng.pause(1_000.0 / throttle.pace);
--- a/crates/policy/src/policy/scope.rs
+++ b/crates/policy/src/policy/scope.rs
@@ -1,4 +1,4 @@
-//! Which throttle and which circuit breaker stand for a route, or for all routes that share a limit. No decision.
+//! Which throttle and circuit breaker stand for a route, or for all that share a limit. No decision.
 
 use super::state::{Destination, Throttle};
 use crate::circuit_breaker::CircuitBreaker;
--- a/crates/policy/src/policy/settlement.rs
+++ b/crates/policy/src/policy/settlement.rs
@@ -1,4 +1,4 @@
-//! Settles an attempt: which message, call and route its result belongs to, and what it says was done. No decision.
+//! Settles the result of an attempt at its message, its call and its route. No decision.
 
 use super::Policy;
 use super::state::{Destination, PossibleExecution};
@@ -27,7 +27,8 @@
 }
 
 impl Policy {
-    /// Applies the result of an attempt; its message is completed, gets its final outcome or waits for a retry.
+    /// Applies the result of an attempt; its message is completed, gets its final outcome or waits for a
+    /// retry.
     pub(super) fn apply_result(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get_mut(&result.id) else { return };
         let in_flight = message.in_flight.take_if(|in_flight| in_flight.attempt == result.attempt);
@@ -39,7 +40,8 @@
         self.retry_or_complete(result, actions);
     }
 
-    /// Records at the message what an attempt may have done; its ordering key pauses while the attempt may run.
+    /// Records at the message what an attempt may have done; its ordering key pauses while the attempt may
+    /// run.
     fn record_at_message(&mut self, result: &AttemptResult, execution: Option<PossibleExecution>) {
         let Some(message) = self.messages.get_mut(&result.id) else { return };
         if result.outcome == Outcome::AttemptsExhausted {
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -11,15 +11,15 @@
 const ROUGH_RATE_MARGIN: f64 = 1.5;
 /// Least mean pause between probes in an outage, ms.
 const MIN_PROBE_PAUSE: Millis = 400.0;
-/// The mean pause is that of this many calls at our share of the limit, as rejected probes may count there; more
-/// in a fleet, up to the start of the ramp: its probes alone could overload the destination.
+/// The mean pause is that of this many calls at our share of the limit, as rejected probes may count there;
+/// more in a fleet, up to the start of the ramp: its probes alone could overload the destination.
 const PROBE_PAUSE_CALLS: f64 = 2.0;
 /// Longest time over which probes are spread once a Retry-After is over, ms.
 const MAX_PROBE_SPREAD: Millis = 2_000.0;
 
 impl Policy {
-    /// Our share of a destination in an outage; the shares of all senders add up to one. It is that of the demand
-    /// of all senders while the fleet reports it, else an equal one.
+    /// Our share of a destination in an outage; the shares of all senders add up to one. It is that of the
+    /// demand of all senders while the fleet reports it, else an equal one.
     pub(super) fn recovery_share(&self, destination: &Destination, scope: Scope) -> f64 {
         let demand = destination.demand(scope, self.now);
         let reported = destination.throttle_of(scope).capacity.part(self.now, demand.wanted);
@@ -40,7 +40,8 @@
         destination.breaker_mut(scope).begin_slow_start(since, share, next_call_at);
     }
 
-    /// When our next call may go in slow start: once the ramp has allowed `draw` calls since `from`, or it is over.
+    /// When our next call may go in slow start: once the ramp has allowed `draw` calls since `from`, or it is
+    /// over.
     pub(super) fn next_in_slow_start(
         &self,
         destination: &Destination,
@@ -78,7 +79,8 @@
         destination.breaker_mut(scope).begin_slow_start(since, share, next_call_at);
     }
 
-    /// Opens a circuit breaker, or keeps it open; the next half-open probe goes after `min_pause` at the least.
+    /// Opens a circuit breaker, or keeps it open; the next half-open probe goes after `min_pause` at the
+    /// least.
     pub(super) fn open_breaker(
         &mut self,
         destination: &mut Destination,
@@ -91,8 +93,8 @@
         // The pause that keeps all senders together to what the destination bears when it returns.
         let ramp_pause = 1_000.0 / (our_rate * self.settings.ramp(0.0));
         let probe_at = if throttle.retry_after_until > self.now {
-            // At the end of a Retry-After there is capacity until others have taken it. All who were told the same
-            // come then, so that they spread their probes, together no faster than the ramp begins.
+            // At the end of a Retry-After there is capacity until others have taken it. All senders with the
+            // same one return then: they spread their probes, together no faster than the ramp begins.
             let spread = ramp_pause.min(MAX_PROBE_SPREAD * self.fleet_scale());
             throttle.retry_after_until + spread * self.rng.unit()
         } else {
@@ -105,8 +107,8 @@
 }
 
 impl Settings {
-    /// The multiple of its limit that all senders together may send to a destination, this long after its return
-    /// in ms.
+    /// The multiple of its limit that all senders together may send to a destination, this long after its
+    /// return in ms.
     pub fn ramp(&self, since_return: Millis) -> f64 {
         let start = self.recovery_start_share;
         let recovered = start + (1.0 - start) * self.recovery_progress(since_return);
--- a/crates/policy/src/policy/throttle.rs
+++ b/crates/policy/src/policy/throttle.rs
@@ -14,7 +14,8 @@
     WindowBounds { min_span: 6_000.0, max_span: 20_000.0, min_samples: 12.0 };
 /// What a throttle saves up while it is idle and may then send at once, in ms of its pace.
 pub(super) const BURST: Millis = 500.0;
-/// The pace after a rejection is what the drop formula lets through, but no smaller share of the pace before it,
+/// The pace after a rejection is what the drop formula lets through, but no smaller share of the pace before
+/// it,
 const MIN_PACE_CUT: f64 = 0.5;
 /// and no greater one.
 const MAX_PACE_CUT: f64 = 0.85;
@@ -24,8 +25,8 @@
 const MIN_INITIAL_PACE: f64 = 0.25;
 /// Rejections within this time of a cut belong to the same overshoot, ms.
 pub(super) const PACE_CUT_INTERVAL: Millis = 400.0;
-/// Growth of the pace for an accepted call while messages wait, as a share of the whole limit. In a fleet it is
-/// less at a new throttle and after a rejection, or all senders would grow into the same capacity.
+/// Growth of the pace for an accepted call while messages wait, as a share of the whole limit. In a fleet it
+/// is less at a new throttle and after a rejection, or all senders would grow into the same capacity.
 const PACE_GAIN: f64 = 0.007;
 /// A Retry-After longer than this comes from a receiver in an outage, ms.
 const OUTAGE_RETRY_AFTER: Millis = 2_500.0;
@@ -89,7 +90,8 @@
         counts.unwrap_or_default()
     }
 
-    /// The drop probability; overdue calls count as requests that were not accepted until they have an outcome.
+    /// The drop probability; overdue calls count as requests that were not accepted until they have an
+    /// outcome.
     pub(super) fn drop_probability(&mut self, now: Millis, overdue: usize) -> f64 {
         let counts = self.counts(now);
         let requests = counts.requests + overdue as f64;
@@ -107,9 +109,10 @@
         }
         self.rejections.count += 1;
         let ConsecutiveRejections { count, first_at } = self.rejections;
-        // Departure (all calls were rejected for longer than a limit lasts): it is an outage without Retry-After.
-        let untold = count >= OUTAGE_REJECTIONS && now - first_at > OUTAGE_REJECTIONS_SPAN;
-        retry_after > OUTAGE_RETRY_AFTER || untold
+        // Departure (all calls were rejected for longer than a limit lasts): it is an outage without
+        // Retry-After.
+        let is_repeated = count >= OUTAGE_REJECTIONS && now - first_at > OUTAGE_REJECTIONS_SPAN;
+        retry_after > OUTAGE_RETRY_AFTER || is_repeated
     }
 
     /// Departure (a rejection above the limit): what was sent did not fit, whatever the pace allowed.
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -34,7 +34,8 @@
         Self { buckets: vec![full; tenants], arrivals: 0.0 }
     }
 
-    /// Sets this sender's share of a tenant's quota, in messages per second; none where nothing is known of others.
+    /// Sets this sender's share of a tenant's quota, in messages per second; none where nothing is known of
+    /// others.
     pub fn set_share(&mut self, tenant: usize, per_s: Option<f64>) {
         if let Some(bucket) = self.buckets.get_mut(tenant) {
             bucket.reported_per_s = per_s;
--- a/crates/policy/src/quota/tests.rs
+++ b/crates/policy/src/quota/tests.rs
@@ -1,7 +1,6 @@
 //! Tests of the tenant quotas. No decision.
 
 use super::*;
-use crate::interface::*;
 
 fn settings() -> Settings {
     let json = serde_json::json!({"extra": {"calls_out": 4}, "limits": {"max_attempts": 4, "most_held": 50},
@@ -10,10 +9,10 @@
     crate::settings::read(&json).expect("settings")
 }
 
-/// One of ten senders is handed all that a tenant has: its quota of the whole fleet is there for it, as far as counts
-/// tell; without them an equal part is.
+/// One of ten senders is given all messages of a tenant: with the fleet's counts the whole quota is there for
+/// it, without them an equal part.
 #[test]
-fn a_share_that_the_fleets_counts_tell_of_goes_before_an_equal_part() {
+fn a_share_by_the_fleets_counts_takes_precedence_over_an_equal_part() {
     let settings = settings();
     let mut quotas = Quotas::new(2);
     quotas.set_share(0, Some(90.0));
@@ -21,7 +20,7 @@
         let all = (0..2_000).map(|n| quotas.admits(1e6 + f64::from(n) * 10.0, &settings, tenant));
         all.filter(|within| *within).count()
     };
-    // Twenty seconds of a hundred a second, and a burst of two.
+    // Twenty seconds of 90 per second, and a burst of two seconds.
     assert_eq!(within(&mut quotas, 0), 1_979);
     let alone = within(&mut quotas, 1);
     assert!((200..=230).contains(&alone), "{alone}");
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,25 +1,32 @@
-//! The platform's settings (JSON) in the interface's terms. No decision.
+//! Reads the platform's settings, which are JSON, into [`Settings`]. No decision.
 
 mod field;
 
 use serde_json::Value;
 
-use crate::interface::*;
-pub use field::{Field, Range, ReadError};
+use crate::interface::{Class, Discovery, Effect, KeyGroup, Kind, LateDecay, RateHint, Settings, Tenant};
+pub use field::{Field, InvalidValue, Range, ReadError};
 
-/// The key that the settings stand under in a configuration.
+/// The key of the settings in a configuration.
 const KEY: &str = "settings";
-/// What the parts of tenants may sum to (no unit): thirds are written as 0.34, and a start refused for that is worse.
-const MOST_IN_ALL: f64 = 1.01;
+/// Most that the fractions of all tenants may sum to: thirds are written as 0.34, and that must not prevent a
+/// start.
+const MAX_SUM_OF_FRACTIONS: f64 = 1.01;
 
-const SPAN: Range = Range::new("a number of ms above 0", |x| x > 0.0);
-const WAIT: Range = Range::new("a number of ms, 0 or more", |x| x >= 0.0);
+/// A duration that must not be empty.
+const DURATION: Range = Range::new("a number of ms above 0", |x| x > 0.0);
+/// A duration that may be empty.
+const PAUSE: Range = Range::new("a number of ms, 0 or more", |x| x >= 0.0);
+/// An amount.
 const NOT_NEGATIVE: Range = Range::new("a number, 0 or more", |x| x >= 0.0);
-const PART: Range = Range::new("a number from 0 to 1", |x| (0.0..=1.0).contains(&x));
-const RECOVERY_START_SHARE: Range = Range::new("a number above 0, 1 at the most,", |x| x > 0.0 && x <= 1.0);
+/// A fraction of a whole.
+const FRACTION: Range = Range::new("a number from 0 to 1", |x| (0.0..=1.0).contains(&x));
+/// A fraction that must not be empty.
+const POSITIVE_FRACTION: Range = Range::new("a number above 0, 1 at the most,", |x| x > 0.0 && x <= 1.0);
+/// A factor.
 const MULTIPLE: Range = Range::new("a number above 0", |x| x > 0.0);
 
-/// What the settings call the things that the interface numbers, by index.
+/// The names in the settings of what the interface numbers, by index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     /// Classes of message.
@@ -32,14 +39,14 @@
     pub kinds: Vec<String>,
 }
 
-/// Reads settings from JSON text; unknown keys are skipped.
+/// Reads settings from JSON text; unknown keys are ignored.
 ///
 /// # Errors
 ///
-/// [`ReadError`] if the text is no JSON or a setting is not of its type and range.
+/// [`ReadError`] if the text is not JSON, or a setting is not of its type and range.
 pub fn parse(info: &[u8]) -> Result<Settings, ReadError> {
     let json: Value =
-        serde_json::from_slice(info).map_err(|e| ReadError(format!("unreadable settings: {e}")))?;
+        serde_json::from_slice(info).map_err(|error| ReadError::NotJson { reason: error.to_string() })?;
     read(&json)
 }
 
@@ -47,20 +54,20 @@
 ///
 /// # Errors
 ///
-/// [`ReadError`] if a name is no text, or one of a class is not its own.
+/// [`ReadError`] if a name is not a string, or two classes have the same one.
 pub fn names(json: &Value) -> Result<Names, ReadError> {
     let root = Field::new(json, KEY);
     let text = |field: Field<'_>| Ok(field.text_or("")?.to_owned());
     let named = |field: Field<'_>| text(field.child("name"));
     let lanes = root.child("lanes");
     let classes = lanes.map(named)?;
-    for (i, name) in classes.iter().enumerate() {
-        let field = lanes.at(i).child("name");
+    for (index, name) in classes.iter().enumerate() {
+        let field = lanes.at(index).child("name");
         if name.is_empty() {
-            return Err(field.refuse("a name"));
+            return Err(field.invalid("a name"));
         }
-        if let Some(first) = classes[..i].iter().position(|other| other == name) {
-            return Err(field.refuse(&format!("another name than that of {KEY}.lanes[{first}]")));
+        if let Some(first) = classes[..index].iter().position(|other| other == name) {
+            return Err(field.invalid(&format!("another name than that of {KEY}.lanes[{first}]")));
         }
     }
     Ok(Names {
@@ -71,25 +78,27 @@
     })
 }
 
-/// Reads settings from a JSON value; unknown keys are skipped.
+/// Reads settings from a JSON value; unknown keys are ignored.
 ///
 /// # Errors
 ///
 /// [`ReadError`] if a setting is not of its type and range.
 pub fn read(json: &Value) -> Result<Settings, ReadError> {
     let root = Field::new(json, KEY);
-    let (extra, limits, rules) = (root.child("extra"), root.child("limits"), root.child("rules"));
+    let extra = root.child("extra");
+    let limits = root.child("limits");
+    let rules = root.child("rules");
     let kinds = kinds(&root)?;
     if kinds.is_empty() {
         return Err(root
             .child("kinds")
-            .refuse("a list of one at least, as there is no kind of destination otherwise,"));
+            .invalid("a list of one at least, as there is no kind of destination otherwise,"));
     }
     let classes = root.child("lanes").map(class)?;
     if classes.is_empty() {
         return Err(root
             .child("lanes")
-            .refuse("a list of one at least, as there is no class of message otherwise,"));
+            .invalid("a list of one at least, as there is no class of message otherwise,"));
     }
     Ok(Settings {
         zone: zone(&root.child("az"))?,
@@ -98,9 +107,10 @@
         kinds,
         tenants: tenants(&root.child("projects"))?,
         over_quota_value: root.child("over_share_worth").number_or(1.0, Range::ANY)?,
-        late_decay: extra
-            .child("loses_worth")
-            .word_or(LateDecay::Linear, &[("linear", LateDecay::Linear), ("halving", LateDecay::Halving)])?,
+        late_decay: extra.child("loses_worth").variant_or(
+            LateDecay::Linear,
+            &[("linear", LateDecay::Linear), ("halving", LateDecay::Halving)],
+        )?,
         slots: extra.child("calls_out").whole(1)? as usize,
         max_pending: limits.child("most_held").whole(1)? as usize,
         max_attempts: limits.child("max_attempts").whole(1)?,
@@ -111,74 +121,78 @@
         streams_per_connection: limits.child("max_streams").whole_or(1, 0)? as usize,
         idle_close: limits.child("idle_close").number_or(0.0, Range::ANY)?,
         connect_timeout: limits.child("connect_timeout").number_or(0.0, Range::ANY)?,
-        rate_hint: root.child("weights").word_or(
+        rate_hint: root.child("weights").variant_or(
             RateHint::None,
             &[("off", RateHint::None), ("nominal", RateHint::Nominal), ("rough", RateHint::Rough)],
         )?,
         discovery: discovery(&root)?,
         cross_zone_price: root.child("tariffs").child("cross_zone").number_or(0.0, Range::ANY)?,
         zone_fees: extra.child("fee_by_zone").map(|fee| fee.number(Range::ANY))?,
-        recovery_start_share: rules.child("cold_from").number_or(1.0, RECOVERY_START_SHARE)?,
-        recovery_duration: rules.child("warm_within").number_or(0.0, WAIT)?,
+        recovery_start_share: rules.child("cold_from").number_or(1.0, POSITIVE_FRACTION)?,
+        recovery_duration: rules.child("warm_within").number_or(0.0, PAUSE)?,
         overload_multiple: rules.child("fall_multiple").number_or(1.0, MULTIPLE)?,
-        overload_duration: rules.child("tip_after").number_or(0.0, WAIT)?,
-        ordering_key_pause: rules.child("turn_gap").number_or(0.0, WAIT)?,
-        tick: root.child("tick").number_or(0.0, WAIT)?,
+        overload_duration: rules.child("tip_after").number_or(0.0, PAUSE)?,
+        ordering_key_pause: rules.child("turn_gap").number_or(0.0, PAUSE)?,
+        tick: root.child("tick").number_or(0.0, PAUSE)?,
     })
 }
 
 fn zone(field: &Field<'_>) -> Result<u8, ReadError> {
-    u8::try_from(field.whole_or(0, 0)?).map_err(|_| field.refuse("a whole number from 0 to 255"))
+    u8::try_from(field.whole_or(0, 0)?).map_err(|_| field.invalid("a whole number from 0 to 255"))
 }
 
 fn kinds(root: &Field<'_>) -> Result<Vec<Kind>, ReadError> {
-    let (names, extra) = (root.child("kinds"), root.child("extra"));
-    let (bundles, apart) = (extra.child("bundle_max"), extra.child("kind_apart"));
-    let kind = |i| {
-        let bundle_max = bundles.at(i).whole_or(1, 1)? as usize;
-        Ok(Kind { bundle_max, routes_apart: apart.at(i).flag_or(false)? })
+    let names = root.child("kinds");
+    let extra = root.child("extra");
+    let bundles = extra.child("bundle_max");
+    let apart = extra.child("kind_apart");
+    let kind = |index| {
+        let bundle_max = bundles.at(index).whole_or(1, 1)? as usize;
+        let routes_apart = apart.at(index).flag_or(false)?;
+        Ok(Kind { bundle_max, routes_apart })
     };
-    (0..names.len().max(bundles.len()).max(apart.len())).map(kind).collect()
+    let kinds = names.len().max(bundles.len()).max(apart.len());
+    (0..kinds).map(kind).collect()
 }
 
 fn tenants(projects: &Field<'_>) -> Result<Vec<Tenant>, ReadError> {
-    let fractions = projects.map(|field| field.child("fraction").number_or(0.0, PART))?;
-    let in_all: f64 = fractions.iter().sum();
-    if in_all > MOST_IN_ALL {
-        let told = Value::from(in_all);
-        let field = Field::new(&told, &format!("{KEY}.projects[*].fraction in all"));
-        return Err(field.refuse("a sum of 1 at the most"));
+    let fractions = projects.map(|field| field.child("fraction").number_or(0.0, FRACTION))?;
+    let sum: f64 = fractions.iter().sum();
+    if sum > MAX_SUM_OF_FRACTIONS {
+        let sum = Value::from(sum);
+        let field = Field::new(&sum, &format!("{KEY}.projects[*].fraction in all"));
+        return Err(field.invalid("a sum of 1 at the most"));
     }
     projects.map(|field| Ok(Tenant { quota_per_s: field.child("quota_per_s").number_or(0.0, NOT_NEGATIVE)? }))
 }
 
 fn discovery(root: &Field<'_>) -> Result<Discovery, ReadError> {
     let ask_within = root.child("rules").child("ask_within").number_or(0.0, Range::ANY);
-    let on_request = root.child("discovery").word_or(false, &[("pushed", false), ("on_request", true)])?;
+    let on_request = root.child("discovery").variant_or(false, &[("pushed", false), ("on_request", true)])?;
     if on_request { Ok(Discovery::OnRequest { ask_within: ask_within? }) } else { Ok(Discovery::Pushed) }
 }
 
 fn class(field: Field<'_>) -> Result<Class, ReadError> {
-    // What may be done twice is never a guess: no default. `None` is a keyed one, which has more to tell.
+    // What may be done twice is never a guess, so that there is no default. `None` is an idempotency key.
     let effects =
         [("free", Some(Effect::Idempotent)), ("guarded", None), ("single_shot", Some(Effect::NotIdempotent))];
-    let effect = match field.child("effect").word(&effects)? {
+    let effect = match field.child("effect").variant(&effects)? {
         Some(effect) => effect,
         None => Effect::IdempotencyKey {
-            group: field.child("group").word_or(
+            group: field.child("group").variant_or(
                 KeyGroup::Route,
                 &[("all", KeyGroup::All), ("zone", KeyGroup::Zone), ("cell", KeyGroup::Route)],
             )?,
-            window: field.child("window").number(SPAN)?,
+            window: field.child("window").number(DURATION)?,
         },
     };
-    let deadline = field.child("deadline").number(SPAN)?;
+    let deadline = field.child("deadline").number(DURATION)?;
     Ok(Class {
         value: field.child("credit").number_or(1.0, NOT_NEGATIVE)?,
-        latency_objective: field.child("target").number_or(deadline, SPAN)?,
+        latency_objective: field.child("target").number_or(deadline, DURATION)?,
         latency_objective_stretch: field.child("aim_stretch").number_or(0.0, NOT_NEGATIVE)?,
         deadline,
-        late_value: field.child("late_worth").number_or(0.0, PART)?,
+        late_value: field.child("late_worth").number_or(0.0, FRACTION)?,
         effect,
         ordered: field.child("in_order").flag_or(false)?,
     })
--- a/crates/policy/src/settings/field.rs
+++ b/crates/policy/src/settings/field.rs
@@ -1,70 +1,105 @@
-//! A value of the configuration and the key it stands under: read with its type and range, or refused. No decision.
+//! Reads a configuration value with its type and range, or names its key in an error. No decision.
 
 use serde_json::Value;
 
-/// How much of a value that is refused goes into the message.
-const MOST_SHOWN: usize = 60;
+/// Most characters of an invalid value that an error shows.
+const MAX_SHOWN_LEN: usize = 60;
 
-/// A value that cannot be used; names its key, what stands there and what would be right, in one line.
+/// Why settings cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReadError(pub(super) String);
+pub enum ReadError {
+    /// The text is not JSON.
+    NotJson {
+        /// What the parser found.
+        reason: String,
+    },
+    /// A value is not of its type and range.
+    InvalidValue(InvalidValue),
+}
+
+/// A configuration value that is not of its type and range.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct InvalidValue {
+    /// The path of its key.
+    path: String,
+    /// The name of the list entry that it belongs to.
+    entry_name: Option<String>,
+    /// The value, shortened.
+    found: String,
+    /// What would be valid, in words.
+    expected: String,
+}
 
 impl std::fmt::Display for ReadError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0)
+        match self {
+            Self::NotJson { reason } => write!(f, "unreadable settings: {reason}"),
+            Self::InvalidValue(invalid) => invalid.fmt(f),
+        }
+    }
+}
+
+impl std::fmt::Display for InvalidValue {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(&self.path)?;
+        if let Some(name) = &self.entry_name {
+            write!(f, " ({name:?})")?;
+        }
+        write!(f, " is {}: {} is wanted", self.found, self.expected)
     }
 }
 
 impl std::error::Error for ReadError {}
 
-/// What a number must be, in words and as a test of it.
+/// The valid range of a number, in words and as a test.
 #[derive(Clone, Copy, Debug)]
 pub struct Range {
-    wanted: &'static str,
-    fits: fn(f64) -> bool,
+    expected: &'static str,
+    contains: fn(f64) -> bool,
 }
 
 impl Range {
     /// Any number.
     pub const ANY: Self = Self::new("a number", |_| true);
 
-    /// One that `fits` tells, which `wanted` says in words.
-    pub const fn new(wanted: &'static str, fits: fn(f64) -> bool) -> Self {
-        Self { wanted, fits }
+    /// The numbers that `contains` holds for, which `expected` describes.
+    pub const fn new(expected: &'static str, contains: fn(f64) -> bool) -> Self {
+        Self { expected, contains }
     }
 }
 
-/// A value of the configuration, with the key that it stands under.
+/// A configuration value, with the path of its key.
 #[derive(Clone, Debug)]
 pub struct Field<'a> {
     value: &'a Value,
     path: String,
-    /// What the entry of a list that it belongs to calls itself.
-    name: Option<&'a str>,
+    /// The name of the list entry that it belongs to.
+    entry_name: Option<&'a str>,
 }
 
 impl<'a> Field<'a> {
-    /// The whole configuration, or a part of it under its key.
+    /// The whole configuration, or a part of it with its path.
     pub fn new(value: &'a Value, path: &str) -> Self {
-        Self { value, path: path.to_owned(), name: None }
+        Self { value, path: path.to_owned(), entry_name: None }
     }
 
-    /// What stands under a key of an object.
+    /// The value of an object's key; null where there is none.
     #[must_use]
     pub fn child(&self, key: &str) -> Self {
         let path = if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) };
-        Self { value: self.value.get(key).unwrap_or(&Value::Null), path, name: self.name }
+        let value = self.value.get(key).unwrap_or(&Value::Null);
+        Self { value, path, entry_name: self.entry_name }
     }
 
-    /// An entry of a list.
+    /// An entry of a list; null where there is none.
     #[must_use]
     pub fn at(&self, index: usize) -> Self {
         let value = self.value.get(index).unwrap_or(&Value::Null);
-        let name = value.get("name").and_then(Value::as_str).filter(|name| !name.is_empty());
-        Self { value, path: format!("{}[{index}]", self.path), name }
+        let entry_name = value.get("name").and_then(Value::as_str).filter(|name| !name.is_empty());
+        Self { value, path: format!("{}[{index}]", self.path), entry_name }
     }
 
-    /// Entries of a list; 0 where there is none.
+    /// Number of entries of a list; 0 where there is none.
     pub fn len(&self) -> usize {
         self.value.as_array().map_or(0, Vec::len)
     }
@@ -74,25 +109,25 @@
         self.len() == 0
     }
 
-    /// Whether the key is not there, or holds null.
+    /// Whether the key is missing, or its value is null.
     pub fn is_missing(&self) -> bool {
         self.value.is_null()
     }
 
-    /// The value as it stands.
+    /// The value itself.
     pub fn value(&self) -> &'a Value {
         self.value
     }
 
-    /// Reads each entry of a list, which may be missing.
+    /// Reads each entry of a list, none if it is missing.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is no list, or an entry cannot be read.
+    /// [`ReadError`] if it is not a list, or an entry cannot be read.
     pub fn map<T>(&self, read: impl Fn(Self) -> Result<T, ReadError>) -> Result<Vec<T>, ReadError> {
         match self.value {
-            Value::Null | Value::Array(_) => (0..self.len()).map(|i| read(self.at(i))).collect(),
-            _ => Err(self.refuse("a list")),
+            Value::Null | Value::Array(_) => (0..self.len()).map(|index| read(self.at(index))).collect(),
+            _ => Err(self.invalid("a list")),
         }
     }
 
@@ -102,53 +137,54 @@
     ///
     /// [`ReadError`] if it is none.
     pub fn number(&self, range: Range) -> Result<f64, ReadError> {
-        let number = self.value.as_f64().filter(|&x| x.is_finite() && (range.fits)(x));
-        number.ok_or_else(|| self.refuse(range.wanted))
+        let number = self.value.as_f64().filter(|&number| number.is_finite() && (range.contains)(number));
+        number.ok_or_else(|| self.invalid(range.expected))
     }
 
-    /// The same, with a value for one that is missing.
+    /// The same, or `default` if it is missing.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is there and is none.
+    /// [`ReadError`] if it is present and invalid.
     pub fn number_or(&self, default: f64, range: Range) -> Result<f64, ReadError> {
         if self.is_missing() { Ok(default) } else { self.number(range) }
     }
 
-    /// A whole number, `least` or more; it may be written as 8 or as 8.0.
+    /// A whole number, `min` or more; it may be written as 8 or as 8.0.
     ///
     /// # Errors
     ///
     /// [`ReadError`] if it is none.
-    pub fn whole(&self, least: u32) -> Result<u32, ReadError> {
-        let fits = |&x: &f64| x.fract() == 0.0 && x >= f64::from(least) && x <= f64::from(u32::MAX);
-        let whole = self.value.as_f64().filter(fits).map(|x| x as u32);
-        whole.ok_or_else(|| self.refuse(&format!("a whole number from {least} to {}", u32::MAX)))
+    pub fn whole(&self, min: u32) -> Result<u32, ReadError> {
+        let range = f64::from(min)..=f64::from(u32::MAX);
+        let is_valid = |number: &f64| number.fract() == 0.0 && range.contains(number);
+        let whole = self.value.as_f64().filter(is_valid).map(|number| number as u32);
+        whole.ok_or_else(|| self.invalid(&format!("a whole number from {min} to {}", u32::MAX)))
     }
 
-    /// The same, with a value for one that is missing.
+    /// The same, or `default` if it is missing.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is there and is none.
-    pub fn whole_or(&self, default: u32, least: u32) -> Result<u32, ReadError> {
-        if self.is_missing() { Ok(default) } else { self.whole(least) }
+    /// [`ReadError`] if it is present and invalid.
+    pub fn whole_or(&self, default: u32, min: u32) -> Result<u32, ReadError> {
+        if self.is_missing() { Ok(default) } else { self.whole(min) }
     }
 
-    /// A yes or no, with a value for one that is missing.
+    /// A boolean, or `default` if it is missing.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is neither.
+    /// [`ReadError`] if it is neither true nor false.
     pub fn flag_or(&self, default: bool) -> Result<bool, ReadError> {
         match self.value {
             Value::Null => Ok(default),
             Value::Bool(flag) => Ok(*flag),
-            _ => Err(self.refuse("true or false")),
+            _ => Err(self.invalid("true or false")),
         }
     }
 
-    /// A text, with a value for one that is missing.
+    /// A string, or `default` if it is missing.
     ///
     /// # Errors
     ///
@@ -157,41 +193,45 @@
         match self.value {
             Value::Null => Ok(default),
             Value::String(text) => Ok(text),
-            _ => Err(self.refuse("a text")),
+            _ => Err(self.invalid("a text")),
         }
     }
 
-    /// What one of some words stands for.
+    /// The variant that one of some names stands for.
     ///
     /// # Errors
     ///
     /// [`ReadError`] if it is none of them.
-    pub fn word<T: Copy>(&self, words: &[(&str, T)]) -> Result<T, ReadError> {
-        let told = self.value.as_str();
-        let found = words.iter().find(|(word, _)| told == Some(word)).map(|&(_, meaning)| meaning);
-        found.ok_or_else(|| {
-            let words: Vec<String> = words.iter().map(|(word, _)| format!("{word:?}")).collect();
-            self.refuse(&format!("one of {}", words.join(", ")))
+    pub fn variant<T: Copy>(&self, variants: &[(&str, T)]) -> Result<T, ReadError> {
+        let name = self.value.as_str();
+        let variant = variants.iter().find(|(known, _)| name == Some(known));
+        variant.map(|&(_, variant)| variant).ok_or_else(|| {
+            let names: Vec<String> = variants.iter().map(|(known, _)| format!("{known:?}")).collect();
+            self.invalid(&format!("one of {}", names.join(", ")))
         })
     }
 
-    /// The same, with a value for one that is missing.
+    /// The same, or `default` if it is missing.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is there and is none of them.
-    pub fn word_or<T: Copy>(&self, default: T, words: &[(&str, T)]) -> Result<T, ReadError> {
-        if self.is_missing() { Ok(default) } else { self.word(words) }
+    /// [`ReadError`] if it is present and none of them.
+    pub fn variant_or<T: Copy>(&self, default: T, variants: &[(&str, T)]) -> Result<T, ReadError> {
+        if self.is_missing() { Ok(default) } else { self.variant(variants) }
     }
 
-    /// The error that says what would be right in place of what stands there.
-    pub fn refuse(&self, wanted: &str) -> ReadError {
-        let told = if self.is_missing() { "missing".to_owned() } else { self.value.to_string() };
-        let mut shown: String = told.chars().take(MOST_SHOWN).collect();
-        if shown.len() < told.len() {
-            shown.push_str("...");
+    /// The error that names this key, its value and what would be valid.
+    pub fn invalid(&self, expected: &str) -> ReadError {
+        let value = if self.is_missing() { "missing".to_owned() } else { self.value.to_string() };
+        let mut found: String = value.chars().take(MAX_SHOWN_LEN).collect();
+        if found.len() < value.len() {
+            found.push_str("...");
         }
-        let name = self.name.map(|name| format!(" ({name:?})")).unwrap_or_default();
-        ReadError(format!("{}{name} is {shown}: {wanted} is wanted", self.path))
+        ReadError::InvalidValue(InvalidValue {
+            path: self.path.clone(),
+            entry_name: self.entry_name.map(str::to_owned),
+            found,
+            expected: expected.to_owned(),
+        })
     }
 }
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -48,8 +48,8 @@
         *self = Self::default();
     }
 
-    /// Drops the entries that are too old, with time running `time_scale` times as fast; the counts of the rest, if
-    /// there is any.
+    /// Drops the entries that are too old, with time running `time_scale` times as fast; the counts of the
+    /// rest, if there is any.
     pub fn counts(&mut self, now: Millis, time_scale: f64, bounds: WindowBounds) -> Option<WindowCounts> {
         while let Some(&oldest) = self.entries.front() {
             let has_few_others = self.total.requests - oldest.counts.requests < bounds.min_samples;
--- /dev/null
+++ b/crates/policy/tests/common/delivery_rules.rs
@@ -0,0 +1,105 @@
+//! The checks of the delivery rules 1, 2, 3, 5 and 6 on each action of a policy.
+
+use rudderspindle_policy::interface::*;
+
+use super::harness::{AcceptedMessage, Attempt, Harness};
+
+impl Harness {
+    /// Checks an action, and records it.
+    pub(super) fn check(&mut self, action: &Action, completed_before: &[MessageHandle]) {
+        match *action {
+            Action::Send { id, route, within, .. } => {
+                assert!(!completed_before.contains(&id), "{id:?} was sent after its end");
+                self.check_send(id, route, within);
+                let sent = Attempt { route, sent_at: self.now, outcome: None };
+                self.accepted.get_mut(&id).expect("accepted").attempts.push(sent);
+            }
+            Action::Refuse { id, .. } => {
+                self.check_refusal(id);
+                self.complete(id);
+            }
+            Action::Fail { id } => self.complete(id),
+            Action::Cancel { id, attempt } => {
+                assert!(self.settings.cancelling, "cancelling is not allowed");
+                assert!((attempt as usize) < self.accepted[&id].attempts.len(), "never sent");
+            }
+            Action::Wake { .. }
+            | Action::HealthCheck { .. }
+            | Action::Subscribe
+            | Action::Remember { .. } => {}
+        }
+    }
+
+    fn complete(&mut self, id: MessageHandle) {
+        let accepted = self.accepted.get_mut(&id).expect("accepted");
+        assert!(!accepted.completed, "{id:?} ended twice");
+        accepted.completed = true;
+    }
+
+    fn check_send(&self, id: MessageHandle, route: RouteId, within: Millis) {
+        let entry = &self.listed[&route];
+        let accepted = &self.accepted[&id];
+        assert!(!accepted.completed, "{id:?} was sent after its end");
+        assert_eq!(entry.destination, accepted.message.destination, "another destination");
+        assert_eq!(entry.listing, Listing::Ready, "{route:?} drains or is gone");
+        let until = |limit| self.retry_after_until.get(&limit).copied().unwrap_or(f64::NEG_INFINITY);
+        let shared = until((entry.destination, None));
+        let own = until((entry.destination, Some(route)));
+        assert!(self.now >= shared.max(own), "sent within a Retry-After");
+        let in_flight = accepted.attempts.last().is_some_and(|attempt| attempt.outcome.is_none());
+        assert!(!in_flight, "two attempts in flight");
+        self.check_effect(accepted, entry, within);
+        self.check_order(id);
+    }
+
+    fn check_refusal(&self, id: MessageHandle) {
+        let accepted = &self.accepted[&id];
+        let possibly_executed = accepted.attempts.iter().any(is_possibly_executed);
+        match self.settings.classes[accepted.message.class].effect {
+            Effect::Idempotent | Effect::IdempotencyKey { group: KeyGroup::All, .. } => {}
+            _ => assert!(!possibly_executed, "{id:?} was refused though it may have run"),
+        }
+    }
+
+    fn check_effect(&self, accepted: &AcceptedMessage, entry: &RouteEntry, within: Millis) {
+        for earlier in accepted.attempts.iter().filter(|attempt| is_possibly_executed(attempt)) {
+            match self.settings.classes[accepted.message.class].effect {
+                Effect::Idempotent => {}
+                Effect::NotIdempotent => panic!("a message that must not be repeated was sent again"),
+                Effect::IdempotencyKey { group, window } => {
+                    assert!(self.now + within <= earlier.sent_at + window, "may go after the key's window");
+                    let first = &self.listed[&earlier.route];
+                    match group {
+                        KeyGroup::All => {}
+                        KeyGroup::Zone => assert_eq!(first.zone, entry.zone, "another group"),
+                        KeyGroup::Route => assert_eq!(first.route, entry.route, "another group"),
+                    }
+                }
+            }
+        }
+    }
+
+    fn check_order(&self, id: MessageHandle) {
+        let message = &self.accepted[&id].message;
+        let key = message.ordering_key;
+        if key == 0 || !self.settings.classes[message.class].ordered {
+            return;
+        }
+        let earlier = self.order.iter().take_while(|&&earlier| earlier != id);
+        for earlier in earlier.map(|earlier| &self.accepted[earlier]) {
+            let ordered = self.settings.classes[earlier.message.class].ordered;
+            if ordered && earlier.message.ordering_key == key {
+                let in_flight = earlier.attempts.iter().any(|attempt| attempt.outcome.is_none());
+                assert!(earlier.completed && !in_flight, "{id:?} went out of order");
+            }
+        }
+        if let Some(pause) = self.key_pauses.get(&key) {
+            let may_go = pause.paused_by == id || self.now >= pause.until;
+            assert!(may_go, "{id:?} went while its key paused");
+        }
+    }
+}
+
+fn is_possibly_executed(attempt: &Attempt) -> bool {
+    !matches!(attempt.outcome, Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent))
+}
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many senders before one partner with a limit that refused calls use up, in simulated time: what is harmless
-//! for one must not hurt when a hundred do it.
+//! Many senders before one partner with a limit that refused calls use up, in simulated time: what is
+//! harmless for one must not hurt when a hundred do it.
 
 use rudderspindle_simulation::partner::*;
 
@@ -55,8 +55,8 @@
     assert!(used > 0.85 && refused < 0.1, "use {used:.2}, {refused:.2} refusals a delivered message");
 }
 
-/// Waits end for all who were told one alike. A hundred that come back at once keep a limit that refused calls use up
-/// full for good, though each of them asks but once a wait.
+/// Waits end for all who were told one alike. A hundred that come back at once keep a limit that refused
+/// calls use up full for good, though each of them asks but once a wait.
 #[test]
 fn a_fleet_finds_its_way_back_to_a_limit_that_was_halved_for_nine_seconds() {
     let limit = Limit::Rate { halved: 8_000.0..17_000.0, wait: 750.0, owed: 1_500.0 };
@@ -83,8 +83,8 @@
     }
 }
 
-/// Hardly one sender of hundreds sees enough of an outage to know of it, and what the others send at full pace would
-/// push over whoever returns. Notes tell all of them what all saw fail.
+/// Hardly one sender of hundreds sees enough of an outage to know of it, and what the others send at full
+/// pace would push over whoever returns. Notes tell all of them what all saw fail.
 #[test]
 fn word_of_an_outage_reaches_senders_that_saw_little_of_it() {
     for outage in [Outage::Refuse, Outage::Silent, Outage::Errors { share: 1.0 }, Outage::Shut { tells: 0.3 }]
@@ -104,8 +104,9 @@
     }
 }
 
-/// The limit falls, waits of 3 s are told, and then nobody gets through for two seconds: the cut is over while most
-/// of the waits are not. And as many messages as three senders in ten more would bring come at once when it is over.
+/// The limit falls, waits of 3 s are told, and then nobody gets through for two seconds: the cut is over
+/// while most of the waits are not. And as many messages as three senders in ten more would bring come at
+/// once when it is over.
 #[test]
 fn a_cut_that_ends_inside_told_waits_while_the_limit_is_lowered_ends_in_no_push_and_no_lock() {
     for senders in [30, 300] {
@@ -149,8 +150,9 @@
     }
 }
 
-/// What each of hundreds does at its own fair part locks a limit for good once a swell has overrun it: refused calls
-/// use it up, and hardly one sender sees more than one of them. Told what all want, they share it.
+/// What each of hundreds does at its own fair part locks a limit for good once a swell has overrun it:
+/// refused calls use it up, and hardly one sender sees more than one of them. Told what all want, they share
+/// it.
 #[test]
 fn senders_that_tell_one_another_what_they_want_find_out_of_a_limit_that_refuses_all() {
     for (senders, least, gain) in [(30, 0.9, 0.0), (300, 0.7, 0.05)] {
@@ -168,8 +170,8 @@
         );
         assert!(delivered > least && delivered > alone + gain, "{senders} senders: {delivered:.2} delivered");
         assert!(refused < 0.5 * alone_refused, "{senders} senders: {refused:.2} refusals each");
-        // Half of the notes are better than none, where those that are lost are reckoned with; that none come for a
-        // time costs little.
+        // Half of the notes are better than none, where those that are lost are reckoned with; that none come
+        // for a time costs little.
         assert!(half > alone - 0.05 + gain, "{senders} senders: {half:.2} delivered, half of the notes lost");
         assert!(cut > alone - 0.15, "{senders} senders: {cut:.2} delivered with none for 10 s");
         assert!(half_refused < 0.9 * alone_refused, "{senders} senders: {half_refused:.2} refusals each");
@@ -177,8 +179,8 @@
     }
 }
 
-/// Hundreds that begin together, as after a failure, have all heard of nothing yet, and each has work for the same
-/// partner: what each lets go at once is more than it takes in seconds.
+/// Hundreds that begin together, as after a failure, have all heard of nothing yet, and each has work for the
+/// same partner: what each lets go at once is more than it takes in seconds.
 #[test]
 fn senders_that_begin_together_do_not_all_call_at_once() {
     let scene = |seed| Scene {
--- /dev/null
+++ b/crates/policy/tests/rules/main.rs
@@ -0,0 +1,20 @@
+//! Each delivery rule with a case that would break it, and random legal event streams.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod completion;
+mod host;
+mod ordering;
+mod outages;
+mod random_streams;
+mod retry_after;
+mod route_list;
+
+use common::*;
+use rudderspindle_policy::interface::*;
+
+const IDEMPOTENT: Effect = Effect::Idempotent;
+
+const KEYED_ALL: Effect = Effect::IdempotencyKey { group: KeyGroup::All, window: 4_000.0 };
+
+const KEYED_ZONE: Effect = Effect::IdempotencyKey { group: KeyGroup::Zone, window: 4_000.0 };
--- /dev/null
+++ b/crates/policy/tests/rules/outages.rs
@@ -0,0 +1,40 @@
+//! Destinations in an outage.
+
+use std::collections::BTreeMap;
+
+use super::*;
+
+#[test]
+fn a_silent_route_holds_few_slots_and_leaves_the_others_to_the_rest() {
+    let mut harness = Harness::new(settings(vec![class(IDEMPOTENT)]), 1);
+    let mut events = vec![list(vec![entry(1, 0, 0, 0), entry(2, 1, 0, 0)])];
+    events.extend((0..60).map(|i| message(i, 0, 0)));
+    let mut sent = sends(&harness.step(0.0, &events)).len();
+    for _ in 0..100 {
+        sent += sends(&harness.step(20.0, &[])).len();
+    }
+    assert!(sent <= 15, "{sent} of 20 slots went to a destination that never answered");
+    let done = harness.step(5.0, &[message(100, 0, 1)]);
+    assert_eq!(sends(&done), [(100, 2)]);
+}
+
+#[test]
+fn during_an_outage_one_probe_is_in_flight_at_a_time() {
+    let mut harness = Harness::new(settings(vec![class(IDEMPOTENT)]), 1);
+    let mut events = vec![list(vec![entry(1, 0, 0, 0)])];
+    events.extend((0..40).map(|i| message(i, 0, 0)));
+    let mut actions = harness.step(0.0, &events);
+    let mut attempts = BTreeMap::new();
+    let mut calls = 0;
+    for _ in 0..80 {
+        let mut failed = Vec::new();
+        for (id, _) in sends(&actions) {
+            let attempt: &mut u32 = attempts.entry(id).or_default();
+            failed.push(outcome(id, *attempt, Outcome::ConnectFailed, 0.0));
+            *attempt += 1;
+            calls += 1;
+        }
+        actions = harness.step(100.0, &failed);
+    }
+    assert!((4..=20).contains(&calls), "{calls} calls in 8 s to a destination that was down");
+}
--- /dev/null
+++ b/crates/policy/tests/rules/route_list.rs
@@ -0,0 +1,38 @@
+//! Changes of the endpoint list.
+
+use super::*;
+
+#[test]
+fn a_draining_route_gets_no_new_calls() {
+    let mut harness = Harness::new(settings(vec![class(IDEMPOTENT)]), 1);
+    harness.step(0.0, &[list(vec![entry(1, 0, 0, 0), entry(2, 0, 0, 0)])]);
+    let draining = RouteEntry { listing: Listing::Draining, ..entry(1, 0, 0, 0) };
+    let done = harness.step(5.0, &[Event::List(ListChange::Delta(vec![draining])), message(1, 0, 0)]);
+    assert_eq!(sends(&done), [(1, 2)]);
+}
+
+#[test]
+fn removed_routes_are_forgotten_after_a_while_and_not_at_once() {
+    let ordered = Class { ordered: true, ..class(IDEMPOTENT) };
+    let mut harness = Harness::new(settings(vec![ordered]), 1);
+    for round in 0..10u64 {
+        let routes = (round * 1_000..(round + 1) * 1_000).map(|r| entry(r, (r % 5_000) as u16, 0, 0));
+        harness.step(5.0, &[list(routes.collect()), keyed_message(round as u32, 0, 6_000, round + 1)]);
+        harness.step(5.0, &[Event::Dropped(MessageHandle(round as u32))]);
+    }
+    assert!(harness.policy.remembered() >= 10_000, "routes that were removed just now are remembered");
+    harness.step(30_000.0, &[list(vec![])]);
+    harness.step(61_000.0, &[list(vec![])]);
+    harness.step(5.0, &[]);
+    assert_eq!(harness.policy.remembered(), 0, "nothing that is removed or completed stays");
+}
+
+#[test]
+fn a_list_on_request_is_subscribed_to_and_again_after_a_failure() {
+    let mut settings = settings(vec![class(IDEMPOTENT)]);
+    settings.discovery = Discovery::OnRequest { ask_within: 10_000.0 };
+    let mut harness = Harness::new(settings, 1);
+    assert!(harness.step(0.0, &[]).contains(&Action::Subscribe));
+    harness.step(10.0, &[Event::List(ListChange::Failed)]);
+    assert_eq!(harness.run(5_000.0), [Action::Subscribe]);
+}
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,6 +1,7 @@
-//! What a partner that returns cold gets from all senders together, in simulated time: N calls in the fall time, and what
-//! chance may add to them, 2 root N + 2. Counted are calls of senders that had been told of the outage, by a failure at the
-//! least: whoever was handed nothing in it cannot know. The whole table is `rig fleet-limit --returns`.
+//! What a partner that returns cold gets from all senders together, in simulated time: N calls in the fall
+//! time, and what chance may add to them, 2 root N + 2. Counted are calls of senders that had been told of
+//! the outage, by a failure at the least: whoever was handed nothing in it cannot know. The whole table is
+//! `rig fleet-limit --returns`.
 
 use rudderspindle_simulation::partner::*;
 
@@ -12,7 +13,8 @@
     Outage::Shut { tells: 0.0 },
 ];
 
-/// An outage in which two messages at the least come to each sender; a tenth of these begin anew after the return.
+/// An outage in which two messages at the least come to each sender; a tenth of these begin anew after the
+/// return.
 fn scene(seed: u64, senders: usize, told: f64, load: f64, outage: Outage) -> Scene {
     let calm = Scene::draw(seed, |_| outage);
     let comes = (calm.until - calm.from) / 1_000.0 * load * told;
@@ -90,7 +92,8 @@
     }
 }
 
-/// What notes are for: one busy sender among many may take more than an equal part, as the others want nothing.
+/// What notes are for: one busy sender among many may take more than an equal part, as the others want
+/// nothing.
 #[test]
 fn notes_give_the_few_who_have_work_what_the_others_leave() {
     let served = |notes: Option<Notes>| -> f64 {
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -42,7 +42,7 @@
 }
 
 fn refuse_addr(field: &Field<'_>) -> ReadError {
-    field.refuse("an address and a port, as in \"127.0.0.1:9000\",")
+    field.invalid("an address and a port, as in \"127.0.0.1:9000\",")
 }
 
 /// How many senders share each partner's limit, and what is doubtful about that. What each takes for its part falls
@@ -85,7 +85,7 @@
             seed: root.child("seed").text_or("")?.to_owned(),
             limits: Limits::read(&root.child("limits"))?,
             known: Option::deserialize(known.value())
-                .map_err(|error| known.refuse(&format!("a list of receivers ({error})")))?,
+                .map_err(|error| known.invalid(&format!("a list of receivers ({error})")))?,
             peers: root.child("peers").map(|peer| Ok(peer.text_or("")?.to_owned()))?,
             peer_listen: address(&root.child("peer_listen"))?,
             settings: json.get("settings").cloned().unwrap_or_default(),
