--- a/crates/sender/src/gossip/shared.rs
+++ b/crates/sender/src/gossip/shared.rs
@@ -3,12 +3,13 @@
 use std::collections::BTreeMap;
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, FleetView, FleetViewError, Incarnation, Kind, OutgoingDatagram, Receiver,
+    Class, DatagramBudget, FleetView, FleetViewError, Incarnation, Kind, LocalSender, OutgoingDatagram,
+    Receiver,
 };
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
 use super::FLEET;
-use crate::event::{ActivityReport, Input};
+use crate::event::{ActivityReport, Input, ListedReceiver, ReceiverResult, TenantQuota, TenantUsage};
 use crate::fleet_file::FleetFile;
 
 /// How often it is looked whether notes are due, ms: a few times in the part of a round in which they go.
@@ -46,7 +47,13 @@
             return Ok(None);
         }
         // An earlier process has taken on under this number until now.
-        let views = FleetView::new(me, file.halls(senders), life, wall, share.most_per_s())?;
+        let local = LocalSender {
+            number: me,
+            incarnation: life,
+            complete_from: wall,
+            max_messages_per_second: share.most_per_s(),
+        };
+        let views = FleetView::new(local, file.halls(senders))?;
         let quotas = if share.counts() { quotas.to_vec() } else { Vec::new() };
         let post = DatagramBudget::new(&[(Kind::Report, REPORTS)]);
         Ok(Some(Self { views, post, judges: share.judges(), quotas, avoided: Vec::new() }))
@@ -68,11 +75,11 @@
 
     /// Takes in what the host did, and says what it is to be told.
     pub fn exchange(&mut self, wall: u64, activity: &ActivityReport) -> Vec<Input> {
-        for &(receiver, seen) in &activity.seen {
-            self.views.judgements().saw(wall, receiver, seen);
+        for &ReceiverResult { receiver, seen } in &activity.results {
+            self.views.judgements().record_call(wall, receiver, seen);
         }
-        for &(tenant, messages) in &activity.taken_on {
-            (0..messages).for_each(|_| self.views.counts().handed_in(wall, tenant));
+        for &TenantUsage { tenant, messages } in &activity.accepted {
+            (0..messages).for_each(|_| self.views.counts().record_message(wall, tenant));
         }
         let mut told = Vec::new();
         if self.judges {
@@ -84,8 +91,9 @@
             }
         }
         if !self.quotas.is_empty() {
-            let of = |(tenant, quota): (usize, &f64)| {
-                self.views.room(wall, u16::try_from(tenant).unwrap_or(u16::MAX), *quota)
+            let of = |(tenant, quota): (usize, &f64)| TenantQuota {
+                tenant,
+                messages_per_s: self.views.room(wall, u16::try_from(tenant).unwrap_or(u16::MAX), *quota),
             };
             told.push(Input::Quotas(self.quotas.iter().enumerate().map(of).collect()));
         }
@@ -93,10 +101,10 @@
     }
 
     /// The routes to receivers that several others of this hall see fail, by partner.
-    fn judged(&mut self, wall: u64, listed: &[(DestinationId, RouteId, Receiver)]) -> Vec<RouteId> {
+    fn judged(&mut self, wall: u64, listed: &[ListedReceiver]) -> Vec<RouteId> {
         let mut partners: BTreeMap<DestinationId, Vec<(Receiver, RouteId)>> = BTreeMap::new();
-        for &(partner, route, receiver) in listed {
-            partners.entry(partner).or_default().push((receiver, route));
+        for &ListedReceiver { destination, route, receiver } in listed {
+            partners.entry(destination).or_default().push((receiver, route));
         }
         let mut avoided = Vec::new();
         for receivers in partners.values() {
