--- a/crates/sender/src/config/file.rs
+++ b/crates/sender/src/config/file.rs
@@ -94,10 +94,10 @@
 }
 
 fn invalid_address(field: &Field<'_>) -> ReadError {
-    field.refuse("an address and a port, as in \"127.0.0.1:9000\",")
+    field.invalid("an address and a port, as in \"127.0.0.1:9000\",")
 }
 
 fn known_list(field: &Field<'_>) -> Result<Option<EndpointList>, ReadError> {
     Option::deserialize(field.value())
-        .map_err(|error| field.refuse(&format!("a list of receivers ({error})")))
+        .map_err(|error| field.invalid(&format!("a list of receivers ({error})")))
 }
