--- a/crates/gossip/src/demand_exchange.rs
+++ b/crates/gossip/src/demand_exchange.rs
@@ -1,251 +1,240 @@
-//! What one sender tells and hears, round by round.
+//! Exchange of demand between the senders of a fleet, without a leader: each reports its load at each limit in every
+//! round to one or a few aggregators, which answer all that reported with the sums.
+//!
+//! The aggregators are drawn anew for each round, alike at every sender. From the sums each sender computes the capacity
+//! of each limit by itself.
 
 mod aggregator_selection;
+mod limit_capacity;
 mod liveness;
 mod local_demand;
+mod received_sums;
 
 use std::collections::BTreeMap;
 
 use aggregator_selection::AggregatorSelection;
+pub use limit_capacity::LimitCapacity;
 use liveness::LivenessEstimate;
+use local_demand::DemandHistory;
 pub use local_demand::LocalDemand;
-use local_demand::Seen;
+use received_sums::ReceivedSums;
 
+use crate::limit_estimate::{LimitEstimate, RecoveryRamp};
 use crate::limit_id::LimitId;
-use crate::message::{GossipError, GossipMessage, is_nothing};
+use crate::load_totals::{LimitLoad, Load, RoundTotals};
+use crate::message::{GossipError, GossipMessage, MessageKind, is_zero_when_encoded};
 use crate::outgoing_datagram::OutgoingDatagram;
-use crate::sums::{Collected, Level, Ramp, Sum};
 
-/// Length of a round, ms.
+/// Length of a round, in milliseconds.
 pub const ROUND: u64 = 250;
-/// Reports are sent within this part of a round, each sender's at a moment of its own, ms: the rest of it is for the
-/// way of the last ones.
-const REPORTING: u64 = 200;
-/// Sums are heeded for so many rounds.
-const HEEDED: u64 = 4;
-/// Sums tell of gates of whose limit more than this part is wanted or called, and of those that refuse or fail.
-const NEAR: f64 = 0.5;
-
-/// The sums that were heard last.
-#[derive(Debug)]
-struct Heard {
-    round: u64,
-    senders: usize,
-    /// Whom of those drawn they are of.
-    drawn: u64,
-    sums: BTreeMap<LimitId, Sum>,
-}
-
-impl Heard {
-    /// Whether sums of so many senders would say more: they are newer, or of more.
-    fn is_less_than(&self, round: u64, senders: usize) -> bool {
-        (self.round, self.senders) < (round, senders)
-    }
-}
-
-/// One sender among its fellows.
+/// The part of a round in which reports are sent, each sender's at its own moment, in milliseconds: the last ones arrive
+/// in the rest.
+const REPORT_WINDOW: u64 = 200;
+/// Number of rounds for which sums are used.
+const MAX_SUMS_AGE: u64 = 4;
+/// Sums include limits of which more than this fraction is in demand or called, and those that reject or fail.
+const NEAR_LIMIT_FRACTION: f64 = 0.5;
+
+/// One sender's part in the exchange of demand.
 #[derive(Debug)]
 pub struct DemandExchange {
-    me: usize,
+    own_number: usize,
     senders: usize,
-    ramp: Ramp,
-    own: BTreeMap<LimitId, Seen>,
-    /// The round that was told last.
-    told: Option<u64>,
+    ramp: RecoveryRamp,
+    local: BTreeMap<LimitId, DemandHistory>,
+    last_report_round: Option<u64>,
     aggregators: AggregatorSelection,
-    alive: LivenessEstimate,
-    /// What others had us add up, by round: this one and its neighbours.
-    collected: BTreeMap<u64, Collected>,
-    heard: Option<Heard>,
-    /// The round that the levels have taken in.
-    taken_in: Option<u64>,
-    levels: BTreeMap<LimitId, Level>,
-    rooms: Vec<(LimitId, f64)>,
+    liveness: LivenessEstimate,
+    /// What this sender aggregates, by round: the current one and its neighbours.
+    collecting: BTreeMap<u64, RoundTotals>,
+    /// The sums of the latest round that included the most senders.
+    received: Option<ReceivedSums>,
+    /// The round whose sums the estimates have taken in.
+    applied_round: Option<u64>,
+    estimates: BTreeMap<LimitId, LimitEstimate>,
+    /// Capacities by the sums of that round.
+    capacities: Vec<LimitCapacity>,
 }
 
 impl DemandExchange {
-    /// Sender number `me` of `senders`, whose partners return from an outage like that.
-    pub fn new(me: usize, senders: usize, ramp: Ramp) -> Self {
+    /// The part of sender `own_number` of `senders`, whose destinations recover from an outage by `ramp`.
+    pub fn new(own_number: usize, senders: usize, ramp: RecoveryRamp) -> Self {
         Self {
-            me,
+            own_number,
             senders,
             ramp,
-            own: BTreeMap::new(),
-            told: None,
+            local: BTreeMap::new(),
+            last_report_round: None,
             aggregators: AggregatorSelection::new(senders),
-            alive: LivenessEstimate::new(senders),
-            collected: BTreeMap::new(),
-            heard: None,
-            taken_in: None,
-            levels: BTreeMap::new(),
-            rooms: Vec::new(),
+            liveness: LivenessEstimate::new(senders),
+            collecting: BTreeMap::new(),
+            received: None,
+            applied_round: None,
+            estimates: BTreeMap::new(),
+            capacities: Vec::new(),
         }
     }
 
-    /// When this sender's next report is due, ms since 1970.
+    /// When the next [`report`](Self::report) is due, in milliseconds since 1970.
     pub fn next_report(&self, wall: u64) -> u64 {
-        let moment = self.me as u64 * REPORTING / self.senders.max(1) as u64;
-        let at = wall / ROUND * ROUND + moment;
+        let offset = self.own_number as u64 * REPORT_WINDOW / self.senders.max(1) as u64;
+        let at = wall / ROUND * ROUND + offset;
         if at > wall { at } else { at + ROUND }
     }
 
-    /// When sums that others wait for are due, ms since 1970.
+    /// When the next [`sums`](Self::sums) are due, in milliseconds since 1970; `None` without reports.
     pub fn next_sums(&self) -> Option<u64> {
-        self.collected.keys().next().map(|round| (round + 1) * ROUND)
+        self.collecting.keys().next().map(|round| (round + 1) * ROUND)
     }
 
-    /// Takes in what this sender does at each of its gates, and says what to tell whom in this round.
-    pub fn report(&mut self, wall: u64, own: &[LocalDemand]) -> Vec<OutgoingDatagram> {
-        for o in own {
-            self.own.entry(o.limit_id).or_insert_with(|| Seen::new(wall / ROUND)).saw(wall, o);
-        }
-        let listed = |gate: &LimitId| own.iter().any(|o| o.limit_id == *gate);
-        self.own.retain(|gate, _| listed(gate));
-        self.levels.retain(|gate, _| listed(gate));
+    /// Takes in what this sender does at each of its limits, and returns its reports, once a round.
+    pub fn report(&mut self, wall: u64, demands: &[LocalDemand]) -> Vec<OutgoingDatagram> {
         let round = wall / ROUND;
-        if self.told.replace(round) == Some(round) {
+        self.record_demands(wall, demands);
+        if self.last_report_round.replace(round) == Some(round) {
             return Vec::new();
         }
-        let gates: Vec<(LimitId, Sum)> = self.own.iter().map(|(gate, seen)| (*gate, seen.sum())).collect();
-        let gates: Vec<(LimitId, Sum)> = gates.into_iter().filter(|(_, sum)| !is_nothing(sum)).collect();
-        let fresh = self.heard.as_ref().is_some_and(|heard| heard.round + 2 >= round);
+        let loads = self.local_loads();
+        let has_recent_sums = self.received.as_ref().is_some_and(|received| received.round + 2 >= round);
         let mut datagrams = Vec::new();
-        for n in self.aggregators.select(round, self.me, fresh) {
-            if n == self.me {
-                self.collected.entry(round).or_default().add(self.me, &gates);
-            } else {
-                let note =
-                    GossipMessage { drawn: None, round: round as u32, senders: 1, gates: gates.clone() };
-                datagrams.push(OutgoingDatagram { to: n, bytes: note.encode() });
+        for to in self.aggregators.select(round, self.own_number, has_recent_sums) {
+            if to == self.own_number {
+                self.collecting.entry(round).or_default().add(self.own_number, &loads);
+                continue;
             }
+            let report = GossipMessage {
+                kind: MessageKind::Report,
+                round: round as u32,
+                senders: 1,
+                loads: loads.clone(),
+            };
+            datagrams.push(OutgoingDatagram { to, bytes: report.encode() });
         }
         datagrams
     }
 
+    /// Keeps a history of each listed limit, and nothing of others.
+    fn record_demands(&mut self, wall: u64, demands: &[LocalDemand]) {
+        for demand in demands {
+            let history =
+                self.local.entry(demand.limit_id).or_insert_with(|| DemandHistory::new(wall / ROUND));
+            history.record(wall, demand);
+        }
+        let is_listed = |limit_id: &LimitId| demands.iter().any(|demand| demand.limit_id == *limit_id);
+        self.local.retain(|limit_id, _| is_listed(limit_id));
+        self.estimates.retain(|limit_id, _| is_listed(limit_id));
+    }
+
+    fn local_loads(&self) -> Vec<LimitLoad> {
+        let loads =
+            self.local.iter().map(|(&limit_id, history)| LimitLoad { limit_id, load: history.load() });
+        loads.filter(|entry| !is_zero_when_encoded(&entry.load)).collect()
+    }
+
     /// Takes in a datagram of another sender.
     ///
     /// # Errors
     ///
-    /// [`GossipError`] says why it was dropped; nothing has changed then.
-    pub fn hear(&mut self, wall: u64, from: usize, bytes: &[u8]) -> Result<(), GossipError> {
-        if from == self.me || from >= self.senders {
+    /// [`GossipError`] says why it was dropped. Sums that say no more than those at hand are dropped too, but show that
+    /// their sender is alive.
+    pub fn receive(&mut self, wall: u64, from: usize, datagram: &[u8]) -> Result<(), GossipError> {
+        if from == self.own_number || from >= self.senders {
             return Err(GossipError::UnknownSender);
         }
-        let note = GossipMessage::decode(bytes)?;
-        let now = wall / ROUND;
-        // The round of those near this one that ends so.
-        let Some(round) = now.checked_add_signed(i64::from(note.round.wrapping_sub(now as u32) as i32))
-        else {
-            return Err(GossipError::Round);
-        };
-        if let Some(drawn) = note.drawn {
-            let senders = usize::from(note.senders);
-            let better = self.heard.as_ref().is_none_or(|heard| heard.is_less_than(round, senders));
-            if round > now || round + HEEDED < now {
-                return Err(GossipError::Round);
-            }
-            self.aggregators.record_alive(from);
-            let drawn = self.alive.observe(round, drawn);
-            if !better {
-                return Err(GossipError::Round);
+        let message = GossipMessage::decode(datagram)?;
+        let current_round = wall / ROUND;
+        let round = nearest_round(message.round, current_round).ok_or(GossipError::Round)?;
+        match message.kind {
+            MessageKind::Report => self.receive_report(current_round, round, from, &message.loads),
+            MessageKind::Sums { sample_bits } => {
+                if round > current_round || round + MAX_SUMS_AGE < current_round {
+                    return Err(GossipError::Round);
+                }
+                self.aggregators.record_alive(from);
+                let included = self.liveness.observe(round, sample_bits);
+                self.store_sums(ReceivedSums::new(round, included, message))
             }
-            self.heard = Some(Heard { round, senders, drawn, sums: note.gates.into_iter().collect() });
-            return Ok(());
         }
-        // Clocks differ by less than a round; what comes after its round's sums have gone is too late.
-        let open = round == now || round == now + 1 || self.collected.contains_key(&round);
-        if !open || !self.collected.entry(round).or_default().add(from, &note.gates) {
+    }
+
+    /// Clocks differ by less than a round; a report that comes after the sums of its round were sent is too late.
+    fn receive_report(
+        &mut self,
+        current_round: u64,
+        round: u64,
+        from: usize,
+        loads: &[LimitLoad],
+    ) -> Result<(), GossipError> {
+        let is_near = round == current_round || round == current_round + 1;
+        let is_open = is_near || self.collecting.contains_key(&round);
+        if !is_open || !self.collecting.entry(round).or_default().add(from, loads) {
             return Err(GossipError::Round);
         }
         self.aggregators.record_alive(from);
         Ok(())
     }
 
-    /// The sums that others wait for, once their round is over.
+    /// Keeps sums that say more than those at hand.
+    fn store_sums(&mut self, sums: ReceivedSums) -> Result<(), GossipError> {
+        if self.received.as_ref().is_some_and(|received| !sums.supersedes(received)) {
+            return Err(GossipError::Round);
+        }
+        self.received = Some(sums);
+        Ok(())
+    }
+
+    /// The sums of the rounds that are over, for each sender that reported in them.
     pub fn sums(&mut self, wall: u64) -> Vec<OutgoingDatagram> {
         let mut datagrams = Vec::new();
-        while let Some(entry) = self.collected.first_entry().filter(|entry| (entry.key() + 1) * ROUND <= wall)
+        while let Some(entry) =
+            self.collecting.first_entry().filter(|entry| (entry.key() + 1) * ROUND <= wall)
         {
-            let (round, Collected { from, sums }) = entry.remove_entry();
-            let senders = from.len();
-            // A gate that this sender does not know may be near its limit, too.
-            let limit = |gate: &LimitId| self.own.get(gate).map_or(0.0, |seen| seen.limit);
-            let near = |gate: &LimitId, sum: &Sum| {
-                let well = sum.refused + sum.failed == 0.0;
-                !well || sum.wanted.max(sum.called) > NEAR * limit(gate)
-            };
-            let gates = sums.into_iter().filter(|(gate, sum)| near(gate, sum)).collect();
-            let told = u16::try_from(senders).unwrap_or(u16::MAX);
-            let drawn = self.alive.sample_bits(&from);
-            let bytes =
-                GossipMessage { drawn: Some(drawn), round: round as u32, senders: told, gates }.encode();
-            let better = self.heard.as_ref().is_none_or(|heard| heard.is_less_than(round, senders));
-            if from.contains(&self.me)
-                // We heed what the others read.
-                && let Ok(note) = GossipMessage::decode(&bytes)
-            {
-                self.alive.observe(round, drawn);
-                if better {
-                    self.heard =
-                        Some(Heard { round, senders, drawn, sums: note.gates.into_iter().collect() });
-                }
-            }
-            datagrams.extend(
-                from.into_iter()
-                    .filter(|&n| n != self.me)
-                    .map(|n| OutgoingDatagram { to: n, bytes: bytes.clone() }),
-            );
+            let (round, totals) = entry.remove_entry();
+            datagrams.extend(self.sums_of_round(round, totals));
         }
         datagrams
     }
 
-    /// The part of a limit that the partner is believed to take now, from 0 to 1, by the sums that [`DemandExchange::rooms`] took in last.
-    pub fn open(&self, gate: LimitId, limit: f64) -> f64 {
-        self.levels.get(&gate).map_or(1.0, |level| level.open(limit))
+    fn sums_of_round(&mut self, round: u64, totals: RoundTotals) -> Vec<OutgoingDatagram> {
+        let RoundTotals { senders, loads } = totals;
+        let sample_bits = self.liveness.sample_bits(&senders);
+        let loads = loads.into_iter().map(|(limit_id, load)| LimitLoad { limit_id, load });
+        let sums = GossipMessage {
+            kind: MessageKind::Sums { sample_bits },
+            round: round as u32,
+            senders: u16::try_from(senders.len()).unwrap_or(u16::MAX),
+            loads: loads.filter(|entry| self.is_relevant(entry)).collect(),
+        };
+        let bytes = sums.encode();
+        if senders.contains(&self.own_number) {
+            self.apply_own_sums(round, sample_bits, &bytes);
+        }
+        let others = senders.into_iter().filter(|sender| *sender != self.own_number);
+        others.map(|to| OutgoingDatagram { to, bytes: bytes.clone() }).collect()
     }
 
-    /// Calls that all senders want of a gate, by the sums that came last; 0 where these do not tell of it. Those whom the sums are not of count as the others, also such as are gone: parts of the
-    /// fleet that hear only themselves must not each take the whole.
-    pub fn wanted(&self, gate: LimitId) -> f64 {
-        let Some(heard) = &self.heard else { return 0.0 };
-        let Some(sum) = heard.sums.get(&gate) else { return 0.0 };
-        sum.wanted * self.senders as f64 / heard.senders.max(1) as f64
+    /// Whether a limit is included in sums. One that this sender does not know may be near its limit, too.
+    fn is_relevant(&self, entry: &LimitLoad) -> bool {
+        let Load { demand, calls, rejected, failed } = entry.load;
+        let limit = self.local.get(&entry.limit_id).map_or(0.0, |history| history.limit);
+        rejected + failed != 0.0 || demand.max(calls) > NEAR_LIMIT_FRACTION * limit
     }
 
-    /// How many calls a second there are for each that is wanted: of each gate that is anywhere near its limit, by the
-    /// sums that came last, and of each that is too new here for them to tell of. Nothing if none have come lately.
-    pub fn rooms(&mut self, wall: u64) -> Option<Vec<(LimitId, f64)>> {
-        let now = wall / ROUND;
-        let first = self.own.values().map(|seen| seen.since).min()?;
-        let round = match &self.heard {
-            Some(heard) if heard.round + HEEDED >= now => heard.round,
-            // At a start none can have come yet.
-            None if first + HEEDED >= now => 0,
-            _ => return None,
-        };
-        if self.taken_in != Some(round)
-            && let Some(heard) = &self.heard
-        {
-            let rounds = self.taken_in.map_or(1, |before| round.saturating_sub(before)).clamp(1, HEEDED);
-            let after = (rounds * ROUND) as f64 / 1_000.0;
-            self.taken_in = Some(round);
-            self.rooms.clear();
-            let missing = self.alive.alive_per_included(heard.drawn);
-            for (gate, seen) in &self.own {
-                let quiet = Sum::default();
-                let sum = heard.sums.get(gate).map(|sum| sum.times(missing));
-                let level = self.levels.entry(*gate).or_default();
-                let room = level.room(seen.limit, sum.as_ref().unwrap_or(&quiet), after, self.ramp);
-                self.rooms.extend(sum.map(|_| (*gate, room)));
-            }
+    /// Uses this sender's own sums as the others decode them.
+    fn apply_own_sums(&mut self, round: u64, sample_bits: u64, bytes: &[u8]) {
+        if let Ok(message) = GossipMessage::decode(bytes) {
+            let included = self.liveness.observe(round, sample_bits);
+            // Others' sums may have said more already.
+            let _ = self.store_sums(ReceivedSums::new(round, included, message));
         }
-        // As if each of the others wanted one call there.
-        let part = |seen: &Seen| seen.limit / self.senders.max(1) as f64;
-        let unheard = self.own.iter().filter(|(_, seen)| seen.since > round);
-        let unheard = unheard.map(|(gate, seen)| (*gate, part(seen)));
-        Some(unheard.chain(self.rooms.iter().copied()).collect())
     }
 }
 
+/// The round near `current_round` whose low 32 bits are given.
+fn nearest_round(low_bits: u32, current_round: u64) -> Option<u64> {
+    let difference = low_bits.wrapping_sub(current_round as u32) as i32;
+    current_round.checked_add_signed(i64::from(difference))
+}
+
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/gossip/src/demand_exchange/limit_capacity.rs
@@ -0,0 +1,85 @@
+//! The capacity of each limit by the sums that were received last.
+
+use super::{DemandExchange, MAX_SUMS_AGE, ROUND};
+use crate::limit_id::LimitId;
+use crate::load_totals::Load;
+
+/// The rate that a limit leaves for each call in demand.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LimitCapacity {
+    /// The limit.
+    pub limit_id: LimitId,
+    /// Calls a second for each call in demand.
+    pub rate_per_demand: f64,
+}
+
+impl DemandExchange {
+    /// The fraction of a limit that the destination is believed to accept, from 0 to 1, as of the last
+    /// [`capacities`](Self::capacities).
+    pub fn available_fraction(&self, limit_id: LimitId, limit: f64) -> f64 {
+        self.estimates.get(&limit_id).map_or(1.0, |estimate| estimate.available_fraction(limit))
+    }
+
+    /// Calls in demand at all senders, by the sums that were received last; 0 where these do not include the limit.
+    ///
+    /// Senders that the sums do not include count like the others, even if they are gone: partitions of a fleet must not
+    /// each take the whole limit.
+    pub fn fleet_demand(&self, limit_id: LimitId) -> f64 {
+        let Some(received) = &self.received else { return 0.0 };
+        let Some(load) = received.loads.get(&limit_id) else { return 0.0 };
+        load.demand * self.senders as f64 / received.senders.max(1) as f64
+    }
+
+    /// The capacity of each limit that is near, by the sums that were received last, and of each that is too new here to
+    /// be included in them. `None` without recent sums.
+    pub fn capacities(&mut self, wall: u64) -> Option<Vec<LimitCapacity>> {
+        let round = self.usable_round(wall / ROUND)?;
+        if self.applied_round != Some(round) {
+            self.apply_sums(round);
+        }
+        let mut capacities = self.equal_shares_of_new_limits(round);
+        capacities.extend(&self.capacities);
+        Some(capacities)
+    }
+
+    /// The round of the sums to be used; 0 at a start, when none can have arrived yet.
+    fn usable_round(&self, current_round: u64) -> Option<u64> {
+        let first_round = self.local.values().map(|history| history.first_round).min()?;
+        match &self.received {
+            Some(received) if received.round + MAX_SUMS_AGE >= current_round => Some(received.round),
+            None if first_round + MAX_SUMS_AGE >= current_round => Some(0),
+            _ => None,
+        }
+    }
+
+    /// Takes the sums at hand into the estimate of each limit.
+    fn apply_sums(&mut self, round: u64) {
+        let Some(received) = &self.received else { return };
+        let rounds = self.applied_round.map_or(1, |applied| round.saturating_sub(applied));
+        let elapsed_s = (rounds.clamp(1, MAX_SUMS_AGE) * ROUND) as f64 / 1_000.0;
+        let alive_per_included = self.liveness.alive_per_included(received.included);
+        self.applied_round = Some(round);
+        self.capacities.clear();
+        for (&limit_id, history) in &self.local {
+            let totals = received.loads.get(&limit_id).map(|load| load.scaled_by(alive_per_included));
+            let estimate = self.estimates.entry(limit_id).or_default();
+            let rate_per_demand =
+                estimate.update(history.limit, &totals.unwrap_or(Load::default()), elapsed_s, self.ramp);
+            if totals.is_some() {
+                self.capacities.push(LimitCapacity { limit_id, rate_per_demand });
+            }
+        }
+    }
+
+    /// An equal share of each limit that the sums of a round cannot include yet, as if every sender had one call in
+    /// demand.
+    fn equal_shares_of_new_limits(&self, round: u64) -> Vec<LimitCapacity> {
+        let new = self.local.iter().filter(|(_, history)| history.first_round > round);
+        let equal_share = |limit: f64| limit / self.senders.max(1) as f64;
+        new.map(|(&limit_id, history)| LimitCapacity {
+            limit_id,
+            rate_per_demand: equal_share(history.limit),
+        })
+        .collect()
+    }
+}
--- a/crates/gossip/src/demand_exchange/local_demand.rs
+++ b/crates/gossip/src/demand_exchange/local_demand.rs
@@ -1,66 +1,84 @@
-//! What one sender does at its own gates.
+//! What one sender does at its own limits: the demand of now and the calls of the last second.
 
 use std::collections::VecDeque;
 
 use crate::limit_id::LimitId;
-use crate::sums::Sum;
+use crate::load_totals::Load;
 
-/// Counts are of this time, ms.
-const SPAN: u64 = 1_000;
+/// Time over which calls are counted, in milliseconds.
+const WINDOW: u64 = 1_000;
 
-/// What a sender does at a gate.
+/// What a sender does at one limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalDemand {
-    /// Which gate.
+    /// The limit.
     pub limit_id: LimitId,
-    /// Its limit as told, calls a second from all senders together.
+    /// The limit as announced, in calls a second of all senders together.
     pub limit: f64,
-    /// Calls wanted now: what waits, and what comes before the next word.
+    /// Calls in demand now: those that wait, and those expected before the next report.
     pub demand: f64,
-    /// Calls made so far.
+    /// Calls started so far.
     pub calls: u64,
-    /// ...that were refused.
+    /// Calls that the destination rejected so far.
     pub rejected: u64,
-    /// ...that failed: not answered, or not well.
+    /// Calls that failed so far, without an answer or with an error.
     pub failed: u64,
 }
 
-/// Calls, those refused and those failed.
-type Counts = [u64; 3];
+/// Total counts of calls at some time.
+#[derive(Clone, Copy, Debug)]
+struct CallCounts {
+    /// In milliseconds since 1970.
+    wall: u64,
+    calls: u64,
+    rejected: u64,
+    failed: u64,
+}
 
-/// A gate as it was of late.
+/// The recent demand and counts at one limit.
 #[derive(Debug)]
-pub(crate) struct Seen {
-    /// The first round that was told of it.
-    pub since: u64,
+pub(crate) struct DemandHistory {
+    /// The first round in which the limit was reported.
+    pub first_round: u64,
     pub limit: f64,
-    wanted: f64,
-    /// Counts as they were, and when.
-    counts: VecDeque<(u64, Counts)>,
+    demand: f64,
+    /// From the last counts before the window to the latest.
+    counts: VecDeque<CallCounts>,
 }
 
-impl Seen {
-    pub fn new(since: u64) -> Self {
-        Self { since, limit: 0.0, wanted: 0.0, counts: VecDeque::new() }
+impl DemandHistory {
+    /// The history of a limit that is first reported in a round.
+    pub fn new(first_round: u64) -> Self {
+        Self { first_round, limit: 0.0, demand: 0.0, counts: VecDeque::new() }
     }
 
-    pub fn saw(&mut self, wall: u64, own: &LocalDemand) {
-        (self.limit, self.wanted) = (own.limit, own.demand);
-        self.counts.push_back((wall, [own.calls, own.rejected, own.failed]));
-        while self.counts.len() > 1 && self.counts[1].0 + SPAN <= wall {
+    /// Takes in the demand at a time, in milliseconds since 1970.
+    pub fn record(&mut self, wall: u64, local: &LocalDemand) {
+        self.limit = local.limit;
+        self.demand = local.demand;
+        let LocalDemand { calls, rejected, failed, .. } = *local;
+        self.counts.push_back(CallCounts { wall, calls, rejected, failed });
+        while self.counts.len() > 1 && self.counts[1].wall + WINDOW <= wall {
             self.counts.pop_front();
         }
     }
 
-    pub fn sum(&self) -> Sum {
-        let (first, last) = (self.counts.front(), self.counts.back());
-        let since = |n: usize| {
-            first.zip(last).map_or(0.0, |(first, last)| last.1[n].saturating_sub(first.1[n]) as f64)
+    /// The load of the last second.
+    pub fn load(&self) -> Load {
+        let since_first = |count: fn(&CallCounts) -> u64| {
+            let first = self.counts.front().map_or(0, count);
+            let latest = self.counts.back().map_or(0, count);
+            latest.saturating_sub(first) as f64
         };
-        Sum { wanted: self.wanted, called: since(0), refused: since(1), failed: since(2) }
+        Load {
+            demand: self.demand,
+            calls: since_first(|counts| counts.calls),
+            rejected: since_first(|counts| counts.rejected),
+            failed: since_first(|counts| counts.failed),
+        }
     }
 
-    /// How many counts it keeps.
+    /// Number of counts that it keeps, for the tests of its bound.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.counts.len()
--- a/crates/gossip/src/demand_exchange/tests.rs
+++ b/crates/gossip/src/demand_exchange/tests.rs
@@ -1,148 +1,162 @@
+//! The exchange among many senders: shares under loss and departure, bounds on memory, and malformed sums.
+
 use super::aggregator_selection::MAX_AGGREGATORS;
 use super::liveness::MAX_HISTORY;
 use super::*;
-use crate::message::MOST_GATES;
+use crate::message::MAX_LIMITS;
+
+const LIMIT: f64 = 60.0;
+const SENDERS: usize = 120;
+const RAMP: RecoveryRamp = RecoveryRamp { initial_fraction: 0.3, growth_per_s: 0.1 };
 
-/// All may begin there at the same moment: until sums of a round that was told of a gate have come, it is as if each
-/// of the others wanted one call; and a sender that hears nothing goes on alone.
+fn local_demand(limit_id: LimitId, demand: f64) -> LocalDemand {
+    LocalDemand { limit_id, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 }
+}
+
+/// All may start there at the same moment: until sums of a round in which the limit was reported have come, it is as if
+/// each of the others had one call in demand; and a sender that receives nothing goes on alone.
 #[test]
-fn of_a_gate_that_is_new_there_is_an_equal_part_until_sums_can_tell_and_then_nothing() {
-    let gate = LimitId::of(7, None);
-    let own = [LocalDemand { limit_id: gate, limit: 60.0, demand: 1.0, calls: 0, rejected: 0, failed: 0 }];
-    let mut fleet = DemandExchange::new(0, 300, Ramp { start: 0.3, growth: 0.1 });
+fn a_new_limit_is_shared_equally_until_sums_can_include_it_and_without_sums_no_longer() {
+    let limit_id = LimitId::of(7, None);
+    let mut exchange = DemandExchange::new(0, 300, RAMP);
     let start = 8 * ROUND;
-    fleet.report(start, &own);
-    assert_eq!(fleet.rooms(start), Some(vec![(gate, 0.2)]));
-    assert_eq!(fleet.rooms(start + (HEEDED + 1) * ROUND), None);
+    exchange.report(start, &[local_demand(limit_id, 1.0)]);
+    assert_eq!(exchange.capacities(start), Some(vec![LimitCapacity { limit_id, rate_per_demand: 0.2 }]));
+    assert_eq!(exchange.capacities(start + (MAX_SUMS_AGE + 1) * ROUND), None);
 }
 
-/// Plays rounds of many senders that each want one call of a limit of `LIMIT`; notes between those that are up
-/// arrive as `arrives` says. What the senders that are up are left with then, on average, for each call wanted.
-fn rounds(
-    fleets: &mut [DemandExchange],
+/// Plays rounds of many senders that each have one call in demand of a limit of [`LIMIT`]; datagrams between those that
+/// run arrive as `arrives` says. Returns for each round the mean rate for each call that the running senders have.
+fn mean_rates(
+    exchanges: &mut [DemandExchange],
     rounds: std::ops::Range<u64>,
-    up: impl Fn(usize) -> bool,
+    runs: impl Fn(usize) -> bool,
     mut arrives: impl FnMut() -> bool,
 ) -> Vec<f64> {
-    let own = [LocalDemand {
-        limit_id: LimitId::of(7, None),
-        limit: LIMIT,
-        demand: 1.0,
-        calls: 0,
-        rejected: 0,
-        failed: 0,
-    }];
+    let demands = [local_demand(LimitId::of(7, None), 1.0)];
     let mut means = Vec::new();
     for round in rounds {
         let start = round * ROUND;
-        for (at, sums) in [(start + 100, false), (start + ROUND, true)] {
-            let mut post = Vec::new();
-            for (n, fleet) in fleets.iter_mut().enumerate().filter(|(n, _)| up(*n)) {
-                let datagrams = if sums { fleet.sums(at) } else { fleet.report(at, &own) };
-                post.extend(datagrams.into_iter().map(|datagram| (n, datagram.to, datagram.bytes)));
+        for (at, is_end) in [(start + 100, false), (start + ROUND, true)] {
+            let mut in_flight = Vec::new();
+            for (from, exchange) in exchanges.iter_mut().enumerate().filter(|(sender, _)| runs(*sender)) {
+                let datagrams = if is_end { exchange.sums(at) } else { exchange.report(at, &demands) };
+                in_flight.extend(datagrams.into_iter().map(|datagram| (from, datagram)));
             }
-            for (from, to, note) in post {
-                if up(to) && arrives() {
-                    // One that is no news, as another adder was faster, is dropped.
-                    let _ = fleets[to].hear(at, from, &note);
+            for (from, OutgoingDatagram { to, bytes }) in in_flight {
+                if runs(to) && arrives() {
+                    // Sums that another aggregator was faster with are dropped.
+                    let _ = exchanges[to].receive(at, from, &bytes);
                 }
             }
         }
-        let rooms = fleets.iter_mut().enumerate().filter(|(n, _)| up(*n));
-        let rooms: Vec<f64> =
-            rooms.filter_map(|(_, fleet)| Some(fleet.rooms(start + ROUND)?.first()?.1)).collect();
-        means.push(rooms.iter().sum::<f64>() / rooms.len().max(1) as f64);
+        let running = exchanges.iter_mut().enumerate().filter(|(sender, _)| runs(*sender));
+        let rate = |exchange: &mut DemandExchange| {
+            Some(exchange.capacities(start + ROUND)?.first()?.rate_per_demand)
+        };
+        let rates: Vec<f64> = running.filter_map(|(_, exchange)| rate(exchange)).collect();
+        means.push(rates.iter().sum::<f64>() / rates.len().max(1) as f64);
     }
     means
 }
 
-const LIMIT: f64 = 60.0;
-const SENDERS: usize = 120;
-
-fn fleets() -> Vec<DemandExchange> {
-    (0..SENDERS).map(|n| DemandExchange::new(n, SENDERS, Ramp { start: 0.3, growth: 0.1 })).collect()
+fn exchanges() -> Vec<DemandExchange> {
+    (0..SENDERS).map(|sender| DemandExchange::new(sender, SENDERS, RAMP)).collect()
 }
 
-/// Half of the notes are lost, and by sums of half of the senders there would be twice as much for each as there is.
+/// Half of the datagrams are lost, and by sums of half of the senders there would be twice as much for each as there is.
 #[test]
-fn sums_of_few_stand_for_all_that_are_alive() {
+fn sums_over_some_senders_are_extrapolated_to_all_that_are_alive() {
     let mut seed = 1u32;
     let arrives = || {
         seed = crc32fast::hash(&seed.to_le_bytes());
         seed & 1 == 0
     };
-    let means = rounds(&mut fleets(), 10..60, |_| true, arrives);
-    let (late, fair) = (means[20..].iter().sum::<f64>() / 30.0, LIMIT * 0.95 / SENDERS as f64);
+    let means = mean_rates(&mut exchanges(), 10..60, |_| true, arrives);
+    let late = means[20..].iter().sum::<f64>() / 30.0;
+    let fair = LIMIT * 0.95 / SENDERS as f64;
     assert!((0.8 * fair..1.25 * fair).contains(&late), "{late} for each call, {fair} are there");
 }
 
-/// Where no note is lost, whoever is missing twice is gone, and what it wanted is there for the others.
+/// Without loss, a sender that is missing twice is gone, and its share is there for the others.
 #[test]
-fn what_those_leave_who_are_gone_is_given_out_within_a_second() {
-    let mut fleets = fleets();
-    rounds(&mut fleets, 10..40, |_| true, || true);
-    let means = rounds(&mut fleets, 40..46, |n| n % 10 < 3, || true);
+fn the_shares_of_senders_that_are_gone_are_given_out_within_a_second() {
+    let mut exchanges = exchanges();
+    mean_rates(&mut exchanges, 10..40, |_| true, || true);
+    let means = mean_rates(&mut exchanges, 40..46, |sender| sender % 10 < 3, || true);
     let fair = LIMIT * 0.95 / (SENDERS as f64 * 0.3);
     assert!(means[3..].iter().all(|mean| *mean > 0.9 * fair), "{means:?}, {fair} are there");
 }
 
-/// Gates, and senders that are up, come and go for 25 minutes; some of those that are up lie about gates and rounds.
+/// Limits and running senders come and go for 25 minutes; some of those that run send false limits and rounds.
 #[test]
 fn over_a_long_run_no_table_grows_beyond_its_bound() {
-    let mut fleet = DemandExchange::new(0, SENDERS, Ramp { start: 0.3, growth: 0.1 });
-    let sum = Sum { wanted: 9.0, called: 9.0, refused: 9.0, failed: 9.0 };
+    let mut exchange = DemandExchange::new(0, SENDERS, RAMP);
     for round in 1_000..7_000u64 {
-        let own = (0..20).map(|n| LocalDemand {
-            limit_id: LimitId::of((round / 50 * 7 + n) as u16, None),
-            limit: LIMIT,
-            demand: 1.0,
-            calls: round,
-            rejected: 0,
-            failed: 0,
-        });
-        fleet.report(round * ROUND, &own.collect::<Vec<_>>());
+        let limit_id = |n: u64| LimitId::of((round / 50 * 7 + n) as u16, None);
+        let demand = |n| LocalDemand { calls: round, ..local_demand(limit_id(n), 1.0) };
+        exchange.report(round * ROUND, &(0..20).map(demand).collect::<Vec<_>>());
         for from in (round as usize % 40..SENDERS).step_by(7) {
-            let told = (round + from as u64 % 4 - 2) as u32;
-            let gate = |n: u64| (LimitId::of((round * 31 + n + from as u64) as u16, Some("liar")), sum);
-            let drawn = (from % 2 == 0).then_some(round << (from % 60));
-            let note = GossipMessage { drawn, round: told, senders: 9, gates: (0..40).map(gate).collect() };
             // Those of other rounds are dropped.
-            let _ = fleet.hear(round * ROUND + 100, from, &note.encode());
+            let _ = exchange.receive(round * ROUND + 100, from, &false_message(round, from).encode());
         }
-        fleet.rooms(round * ROUND + 200);
-        assert!(fleet.own.len() <= 20 && fleet.levels.len() <= 20 && fleet.rooms.len() <= 20);
-        assert!(fleet.own.values().all(|seen| seen.len() <= 6));
-        let silent = fleet.aggregators.silent_count();
-        let asked = fleet.aggregators.asked_count();
-        assert!(fleet.collected.len() <= 3 && silent < SENDERS && asked <= MAX_AGGREGATORS);
-        assert!(
-            fleet.collected.values().all(|c| c.from.len() <= SENDERS && c.sums.len() <= SENDERS * MOST_GATES)
-        );
-        assert!(fleet.alive.len() <= MAX_HISTORY);
-        fleet.sums((round + 1) * ROUND);
+        exchange.capacities(round * ROUND + 200);
+        assert_bounds(&exchange);
+        exchange.sums((round + 1) * ROUND);
     }
-    // And with nobody left to hear of, nothing is left but its own.
+    // And with no other sender left, nothing is left but its own.
     for round in 7_000..7_100 {
-        fleet.report(round * ROUND, &[]);
-        fleet.sums((round + 1) * ROUND);
+        exchange.report(round * ROUND, &[]);
+        exchange.sums((round + 1) * ROUND);
     }
-    assert!(fleet.own.is_empty() && fleet.levels.is_empty() && fleet.collected.is_empty());
-    assert_eq!(fleet.rooms(7_100 * ROUND), None);
+    assert!(exchange.local.is_empty() && exchange.estimates.is_empty() && exchange.collecting.is_empty());
+    assert_eq!(exchange.capacities(7_100 * ROUND), None);
+}
+
+/// A message with limits that do not exist, of a round near the current one.
+fn false_message(round: u64, from: usize) -> GossipMessage {
+    let load = Load { demand: 9.0, calls: 9.0, rejected: 9.0, failed: 9.0 };
+    let limit_id = |n: u64| LimitId::of((round * 31 + n + from as u64) as u16, Some("liar"));
+    let sums = MessageKind::Sums { sample_bits: round << (from % 60) };
+    GossipMessage {
+        kind: if from.is_multiple_of(2) { sums } else { MessageKind::Report },
+        round: (round + from as u64 % 4 - 2) as u32,
+        senders: 9,
+        loads: (0..40).map(|n| LimitLoad { limit_id: limit_id(n), load }).collect(),
+    }
+}
+
+fn assert_bounds(exchange: &DemandExchange) {
+    assert!(exchange.local.len() <= 20 && exchange.estimates.len() <= 20 && exchange.capacities.len() <= 20);
+    assert!(exchange.local.values().all(|history| history.len() <= 6));
+    let silent = exchange.aggregators.silent_count();
+    let asked = exchange.aggregators.asked_count();
+    assert!(exchange.collecting.len() <= 3 && silent < SENDERS && asked <= MAX_AGGREGATORS);
+    assert!(
+        exchange
+            .collecting
+            .values()
+            .all(|totals| { totals.senders.len() <= SENDERS && totals.loads.len() <= SENDERS * MAX_LIMITS })
+    );
+    assert!(exchange.liveness.len() <= MAX_HISTORY);
 }
 
-/// Bits of senders that there are not would make a few senders think that most of the others are not heard.
+/// Bits of senders that do not exist would make a few senders think that most of the others are missing.
 #[test]
-fn bits_that_nobody_has_tell_nothing() {
-    let mut fleet = DemandExchange::new(0, 3, Ramp { start: 0.3, growth: 0.1 });
-    let gate = LimitId::of(7, None);
-    let own = [LocalDemand { limit_id: gate, limit: LIMIT, demand: 20.0, calls: 0, rejected: 0, failed: 0 }];
-    let sum = Sum { wanted: 60.0, ..Sum::default() };
+fn sample_bits_that_belong_to_no_sender_are_ignored() {
+    let mut exchange = DemandExchange::new(0, 3, RAMP);
+    let limit_id = LimitId::of(7, None);
+    let load = Load { demand: 60.0, ..Load::default() };
     for round in 10..12u64 {
-        fleet.report(round * ROUND, &own);
-        let drawn = Some(if round == 10 { u64::MAX } else { 0b111 });
-        let note = GossipMessage { drawn, round: round as u32, senders: 3, gates: vec![(gate, sum)] };
-        fleet.hear((round + 1) * ROUND, 1, &note.encode()).expect("sums");
+        exchange.report(round * ROUND, &[local_demand(limit_id, 20.0)]);
+        let sums = GossipMessage {
+            kind: MessageKind::Sums { sample_bits: if round == 10 { u64::MAX } else { 0b111 } },
+            round: round as u32,
+            senders: 3,
+            loads: vec![LimitLoad { limit_id, load }],
+        };
+        exchange.receive((round + 1) * ROUND, 1, &sums.encode()).expect("sums");
     }
-    let rooms = fleet.rooms(12 * ROUND).expect("sums have come");
-    assert!(rooms.iter().all(|(_, calls)| *calls > 0.9), "{rooms:?}");
+    let capacities = exchange.capacities(12 * ROUND).expect("sums have come");
+    assert!(capacities.iter().all(|capacity| capacity.rate_per_demand > 0.9), "{capacities:?}");
 }
--- a/crates/gossip/src/limit_id.rs
+++ b/crates/gossip/src/limit_id.rs
@@ -1,16 +1,21 @@
-//! Names of gates in notes.
+//! Identifies a limit in the messages between senders.
 
-/// A gate's name, the same at every sender: a partner's limit, or that of one receiver where routes are apart.
+/// Identifier of a limit, the same at every sender: a destination's, or an endpoint's where each has a limit of its own.
+///
+/// It is a hash of 24 bits. Two of a thousand limits share an identifier by chance in one of 30 fleets; their loads are
+/// added up then, and both get less than there is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LimitId(pub(crate) u32);
 
+/// The bits of a hash that an identifier keeps: three bytes in a message.
+const MASK: u32 = 0x00ff_ffff;
+
 impl LimitId {
-    /// Of a destination, or of one of its receivers where each has a limit of its own. Two gates of a thousand share
-    /// a name by chance once in 30 fleets; their figures are added up then, and both get less than there is.
+    /// The identifier of a destination's limit, or of one receiver's where each has a limit of its own.
     pub fn of(destination: u16, receiver: Option<&str>) -> Self {
         let mut hash = crc32fast::Hasher::new();
         hash.update(&destination.to_le_bytes());
         hash.update(receiver.unwrap_or_default().as_bytes());
-        Self(hash.finalize() & 0x00ff_ffff)
+        Self(hash.finalize() & MASK)
     }
 }
--- /dev/null
+++ b/crates/gossip/src/load_totals.rs
@@ -0,0 +1,67 @@
+//! Load at a limit, and its totals over the senders that reported in one round.
+
+use std::collections::BTreeMap;
+
+use crate::limit_id::LimitId;
+
+/// Demand at a limit and the calls of the last second, of one sender or added up over several.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) struct Load {
+    /// Calls in demand now: those that wait, and those expected before the next report.
+    pub demand: f64,
+    /// Calls in the last second.
+    pub calls: f64,
+    /// Calls that the destination rejected in the last second.
+    pub rejected: f64,
+    /// Calls that became known as failed in the last second.
+    pub failed: f64,
+}
+
+impl Load {
+    /// Adds another load to this one.
+    fn add(&mut self, other: &Self) {
+        self.demand += other.demand;
+        self.calls += other.calls;
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+    }
+
+    /// The load multiplied by a factor, to extrapolate from some senders to more.
+    pub(crate) fn scaled_by(&self, factor: f64) -> Self {
+        Self {
+            demand: self.demand * factor,
+            calls: self.calls * factor,
+            rejected: self.rejected * factor,
+            failed: self.failed * factor,
+        }
+    }
+}
+
+/// The load at one limit.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct LimitLoad {
+    pub limit_id: LimitId,
+    pub load: Load,
+}
+
+/// The reports of one round, added up as they arrive.
+#[derive(Debug, Default)]
+pub(crate) struct RoundTotals {
+    /// The senders whose reports are included, in the order of arrival.
+    pub senders: Vec<usize>,
+    pub loads: BTreeMap<LimitId, Load>,
+}
+
+impl RoundTotals {
+    /// Adds a sender's report; returns `false` if one is included already.
+    pub fn add(&mut self, sender: usize, report: &[LimitLoad]) -> bool {
+        if self.senders.contains(&sender) {
+            return false;
+        }
+        self.senders.push(sender);
+        for entry in report {
+            self.loads.entry(entry.limit_id).or_default().add(&entry.load);
+        }
+        true
+    }
+}
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,183 +1,176 @@
-//! Notes on the wire: datagrams of at most 256 bytes, versioned and checked.
+//! Messages of the demand exchange: versioned, checksummed datagrams of at most 256 bytes.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 1 | version and kind |
-//! | 2 | check: the low half of the CRC-32 of all that follows |
-//! | 4 | the round, modulo 2^32 |
-//! | 2 | how many senders the figures are of; 1 in a report |
-//! | 8 in sums, none in a report | which of 64 drawn senders the figures are of, a bit for each |
-//! | 7 for each gate | its name (3), calls wanted (1), called in the last second (1), refused (1) and failed (1) in it |
+//! | 2 | checksum: the low half of the CRC-32 of all that follows |
+//! | 4 | round, modulo 2^32 |
+//! | 2 | number of senders that the loads are of; 1 in a report |
+//! | 8 in sums, none in a report | which of the 64 sampled senders the loads are of, a bit for each |
+//! | 7 for each limit | identifier (3), demand (1), calls (1), rejected (1) and failed (1) of the last second |
 //!
-//! All little endian. Figures are coded: up to 16 as they are, above that in steps of a twenty-fourth.
+//! All integers are little endian; loads are [encoded in one byte](load_code).
+
+mod load_code;
 
 use crate::limit_id::LimitId;
-use crate::sums::Sum;
+use crate::load_totals::{LimitLoad, Load};
+pub(crate) use load_code::is_zero_when_encoded;
+use load_code::{decode_figure, encode_figure};
 
-/// Bytes of a note at most, as the platform has it.
+/// Maximum length of a message, in bytes, as the platform specifies it.
 pub const MAX_MESSAGE_LEN: usize = 256;
-const HEAD: usize = 9;
-/// Which of the senders that are drawn are in the sums.
-const DRAWN: usize = 8;
-const ENTRY: usize = 7;
-/// Gates that a note has room for.
-pub(crate) const MOST_GATES: usize = (MAX_MESSAGE_LEN - HEAD - DRAWN) / ENTRY;
-/// Version 2; the first one told of no failed calls.
+/// Length of the header of a report, in bytes.
+const HEADER_LEN: usize = 9;
+/// Start of the bytes that the checksum covers.
+const CHECKED_FROM: usize = 3;
+/// Length of the sample bits that follow the header in sums, in bytes.
+const SAMPLE_BITS_LEN: usize = 8;
+/// Length of the entry of one limit, in bytes.
+const ENTRY_LEN: usize = 7;
+/// Length of a limit's identifier in an entry, in bytes.
+const LIMIT_ID_LEN: usize = 3;
+/// Maximum number of limits in sums; a report holds one more.
+pub(crate) const MAX_LIMITS: usize = (MAX_MESSAGE_LEN - HEADER_LEN - SAMPLE_BITS_LEN) / ENTRY_LEN;
+/// First byte of a report, version 2.
 const REPORT: u8 = 0x61;
+/// First byte of sums, version 2.
 const SUMS: u8 = 0x62;
 
-/// Why a datagram is no note, or none that counts.
+/// Why a datagram is not a valid message, or is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum GossipError {
     /// Too short, too long, or cut within an entry.
     #[error(
-        "a note has 9 (sums: 17) to {MAX_MESSAGE_LEN} bytes, seven for each gate after those; this has {0}"
+        "a message has 9 (sums: 17) to {MAX_MESSAGE_LEN} bytes, seven for each limit after those; this has {0}"
     )]
     Length(usize),
-    /// Another version, or nothing of ours.
+    /// Another version, or another protocol.
     #[error("kind {0:#04x} is not known; 0x61 and 0x62 are")]
     Kind(u8),
-    /// Damaged.
+    /// The checksum does not match.
     #[error("its check does not fit")]
     Check,
-    /// Of a round that is over, or of one to come, or told already.
+    /// It belongs to a past or future round, or was received before.
     #[error("it is of another round, or was heard before")]
     Round,
-    /// From nobody of the tier, or from ourselves.
-    #[error("it comes from no other sender of the tier")]
+    /// The sender's number is outside the fleet, or this sender's own.
+    #[error("the message does not come from another sender of the fleet")]
     UnknownSender,
 }
 
-/// What a note holds.
+/// Whose loads a message holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum MessageKind {
+    /// The loads of the sender itself.
+    Report,
+    /// Sums over the senders that reported in a round.
+    Sums {
+        /// Bits of the sampled senders among them.
+        sample_bits: u64,
+    },
+}
+
+/// A message of the demand exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct GossipMessage {
-    /// In sums: which of the senders that are drawn they are of. Nothing in one sender's report.
-    pub drawn: Option<u64>,
+    pub kind: MessageKind,
+    /// The round, modulo 2^32.
     pub round: u32,
+    /// Number of senders that the loads are of.
     pub senders: u16,
-    pub gates: Vec<(LimitId, Sum)>,
-}
-
-/// Codes from here on grow by a factor.
-const PLAIN: f64 = 16.0;
-const STEP: f64 = 25.0 / 24.0;
-
-fn code(figure: f64) -> u8 {
-    let steps = if figure <= PLAIN { figure } else { PLAIN + (figure / PLAIN).ln() / STEP.ln() };
-    // A figure that is none, or absurd, ends up at one of the ends.
-    steps.round() as u8
-}
-
-fn figure(code: u8) -> f64 {
-    let code = f64::from(code);
-    if code <= PLAIN { code } else { PLAIN * STEP.powf(code - PLAIN) }
-}
-
-/// Whether there is nothing to tell of it, as the other end will read it.
-pub(crate) fn is_nothing(sum: &Sum) -> bool {
-    [sum.wanted, sum.called, sum.refused, sum.failed].iter().all(|&figure| code(figure) == 0)
+    pub loads: Vec<LimitLoad>,
 }
 
 impl GossipMessage {
-    /// The gates where most is wanted, refused and failed go first; those for which there is no room are left out.
+    /// Encodes the message. Limits with the most demand, rejections and failures come first; those that do not fit are
+    /// left out.
     pub(crate) fn encode(mut self) -> Vec<u8> {
-        let weight = |sum: &Sum| sum.wanted + sum.refused + sum.failed;
-        self.gates.sort_by(|a, b| weight(&b.1).total_cmp(&weight(&a.1)).then(a.0.cmp(&b.0)));
-        let mut bytes = vec![if self.drawn.is_some() { SUMS } else { REPORT }, 0, 0];
+        let weight = |entry: &LimitLoad| entry.load.demand + entry.load.rejected + entry.load.failed;
+        self.loads.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.limit_id.cmp(&b.limit_id)));
+        let kind = match self.kind {
+            MessageKind::Report => REPORT,
+            MessageKind::Sums { .. } => SUMS,
+        };
+        let mut bytes = vec![kind, 0, 0];
         bytes.extend(self.round.to_le_bytes());
         bytes.extend(self.senders.to_le_bytes());
-        bytes.extend(self.drawn.iter().flat_map(|drawn| drawn.to_le_bytes()));
-        for (gate, sum) in self.gates.iter().take(MOST_GATES) {
-            bytes.extend(&gate.0.to_le_bytes()[..3]);
-            bytes.extend([sum.wanted, sum.called, sum.refused, sum.failed].map(code));
+        if let MessageKind::Sums { sample_bits } = self.kind {
+            bytes.extend(sample_bits.to_le_bytes());
+        }
+        for entry in self.loads.iter().take(MAX_LIMITS) {
+            bytes.extend(encode_entry(entry));
         }
-        let check = crc32fast::hash(&bytes[3..]).to_le_bytes();
-        bytes[1..3].copy_from_slice(&check[..2]);
+        let checksum = checksum(&bytes[CHECKED_FROM..]);
+        bytes[1..CHECKED_FROM].copy_from_slice(&checksum);
         bytes
     }
 
+    /// Decodes a datagram.
+    ///
+    /// # Errors
+    ///
+    /// [`GossipError::Length`], [`GossipError::Kind`] or [`GossipError::Check`].
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, GossipError> {
-        let length = bytes.len();
-        let sums = match bytes.first() {
+        let has_sample_bits = match bytes.first() {
             None | Some(&REPORT) => false,
             Some(&SUMS) => true,
             Some(&other) => return Err(GossipError::Kind(other)),
         };
-        let head = if sums { HEAD + DRAWN } else { HEAD };
-        if !(head..=MAX_MESSAGE_LEN).contains(&length) || !(length - head).is_multiple_of(ENTRY) {
-            return Err(GossipError::Length(length));
-        }
-        if crc32fast::hash(&bytes[3..]).to_le_bytes()[..2] != bytes[1..3] {
+        let sample_bits_len = if has_sample_bits { SAMPLE_BITS_LEN } else { 0 };
+        check_length(bytes.len(), HEADER_LEN + sample_bits_len)?;
+        if checksum(&bytes[CHECKED_FROM..]) != bytes[1..CHECKED_FROM] {
             return Err(GossipError::Check);
         }
-        let round = u32::from_le_bytes([bytes[3], bytes[4], bytes[5], bytes[6]]);
-        let senders = u16::from_le_bytes([bytes[7], bytes[8]]);
-        let (drawn, entries) = bytes[HEAD..].split_at(head - HEAD);
-        let drawn = drawn.try_into().ok().map(u64::from_le_bytes);
-        let entry = |e: &[u8]| {
-            let gate = LimitId(u32::from_le_bytes([e[0], e[1], e[2], 0]));
-            let [wanted, called, refused, failed] = [e[3], e[4], e[5], e[6]].map(figure);
-            (gate, Sum { wanted, called, refused, failed })
+        let (header, rest) = bytes.split_at(HEADER_LEN);
+        let (sample_bits, entries) = rest.split_at(sample_bits_len);
+        let kind = match sample_bits.try_into() {
+            Ok(bits) => MessageKind::Sums { sample_bits: u64::from_le_bytes(bits) },
+            Err(_) => MessageKind::Report,
         };
-        Ok(Self { drawn, round, senders, gates: entries.chunks_exact(ENTRY).map(entry).collect() })
+        Ok(Self {
+            kind,
+            round: u32::from_le_bytes([header[3], header[4], header[5], header[6]]),
+            senders: u16::from_le_bytes([header[7], header[8]]),
+            loads: entries.chunks_exact(ENTRY_LEN).map(decode_entry).collect(),
+        })
     }
 }
 
-#[cfg(test)]
-mod golden;
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn note(gates: usize) -> GossipMessage {
-        let sum = |n: usize| Sum { wanted: n as f64, called: 3.0, refused: 1.0, failed: 2.0 };
-        let gates = (0..gates).map(|n| (LimitId::of(n as u16, None), sum(n))).collect();
-        GossipMessage { drawn: Some(0x8000_0000_0000_0007), round: 70_000, senders: 300, gates }
+/// Whether a datagram of that length holds whole entries after its header.
+fn check_length(len: usize, header_len: usize) -> Result<(), GossipError> {
+    let is_in_bounds = (header_len..=MAX_MESSAGE_LEN).contains(&len);
+    if is_in_bounds && (len - header_len).is_multiple_of(ENTRY_LEN) {
+        Ok(())
+    } else {
+        Err(GossipError::Length(len))
     }
+}
 
-    #[test]
-    fn a_note_reads_as_it_was_written_and_the_gates_that_matter_most_fit() {
-        let few = note(3);
-        let mut read = GossipMessage::decode(&few.clone().encode()).expect("a note");
-        read.gates.reverse();
-        assert_eq!(read, few);
-        let bytes = note(100).encode();
-        assert!(bytes.len() <= MAX_MESSAGE_LEN, "{}", bytes.len());
-        let read = GossipMessage::decode(&bytes).expect("a note");
-        assert_eq!(read.gates.len(), MOST_GATES);
-        let least = read.gates.iter().map(|(_, sum)| sum.wanted).fold(f64::INFINITY, f64::min);
-        assert!(least >= 55.0, "a gate with {least} wanted was written, one with more was not");
-    }
+/// The low half of a CRC-32.
+fn checksum(bytes: &[u8]) -> [u8; 2] {
+    let [low, high, ..] = crc32fast::hash(bytes).to_le_bytes();
+    [low, high]
+}
 
-    #[test]
-    fn figures_are_exact_while_small_and_within_a_twentieth_above() {
-        for n in 0..=16 {
-            assert_eq!(figure(code(f64::from(n))), f64::from(n));
-        }
-        for n in [17.0, 55.0, 300.0, 2_000.0, 100_000.0] {
-            let read = figure(code(n));
-            assert!((read / n - 1.0).abs() < 0.05, "{n} reads {read}");
-        }
-        for absurd in [f64::NAN, -5.0, f64::INFINITY, f64::MAX] {
-            assert!(figure(code(absurd)).is_finite());
-        }
-    }
+fn encode_entry(entry: &LimitLoad) -> [u8; ENTRY_LEN] {
+    let [id_0, id_1, id_2, _] = entry.limit_id.0.to_le_bytes();
+    let Load { demand, calls, rejected, failed } = entry.load;
+    let [demand, calls, rejected, failed] = [demand, calls, rejected, failed].map(encode_figure);
+    [id_0, id_1, id_2, demand, calls, rejected, failed]
+}
 
-    #[test]
-    fn what_is_cut_damaged_too_long_or_of_another_version_is_no_note() {
-        let good = note(2).encode();
-        for length in 0..good.len() {
-            assert!(GossipMessage::decode(&good[..length]).is_err(), "{length} bytes of it");
-        }
-        for byte in 0..good.len() {
-            let mut bad = good.clone();
-            bad[byte] ^= 0x10;
-            assert!(GossipMessage::decode(&bad).is_err(), "byte {byte} changed");
-        }
-        assert_eq!(GossipMessage::decode(&[0x61; 262]), Err(GossipError::Length(262)));
-        let mut other = good.clone();
-        other[0] = 0x51;
-        assert_eq!(GossipMessage::decode(&other), Err(GossipError::Kind(0x51)));
-    }
+/// Decodes an entry of [`ENTRY_LEN`] bytes.
+fn decode_entry(entry: &[u8]) -> LimitLoad {
+    let (id, figures) = entry.split_at(LIMIT_ID_LEN);
+    let limit_id = LimitId(u32::from_le_bytes([id[0], id[1], id[2], 0]));
+    let [demand, calls, rejected, failed] =
+        [figures[0], figures[1], figures[2], figures[3]].map(decode_figure);
+    LimitLoad { limit_id, load: Load { demand, calls, rejected, failed } }
 }
+
+#[cfg(test)]
+mod golden;
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/gossip/src/message/tests.rs
@@ -0,0 +1,59 @@
+//! Round trips, the precision of figures, and malformed datagrams.
+
+use super::*;
+
+fn message(limits: usize) -> GossipMessage {
+    let load = |n: usize| Load { demand: n as f64, calls: 3.0, rejected: 1.0, failed: 2.0 };
+    let entry = |n| LimitLoad { limit_id: LimitId::of(n as u16, None), load: load(n) };
+    GossipMessage {
+        kind: MessageKind::Sums { sample_bits: 0x8000_0000_0000_0007 },
+        round: 70_000,
+        senders: 300,
+        loads: (0..limits).map(entry).collect(),
+    }
+}
+
+#[test]
+fn a_message_decodes_to_what_was_encoded_and_keeps_the_limits_with_the_most_load() {
+    let few = message(3);
+    let mut decoded = GossipMessage::decode(&few.clone().encode()).expect("a message");
+    decoded.loads.reverse();
+    assert_eq!(decoded, few);
+    let bytes = message(100).encode();
+    assert!(bytes.len() <= MAX_MESSAGE_LEN, "{}", bytes.len());
+    let decoded = GossipMessage::decode(&bytes).expect("a message");
+    assert_eq!(decoded.loads.len(), MAX_LIMITS);
+    let least = decoded.loads.iter().map(|entry| entry.load.demand).fold(f64::INFINITY, f64::min);
+    assert!(least >= 55.0, "a limit with a demand of {least} was encoded, one with more was not");
+}
+
+#[test]
+fn figures_are_exact_while_small_and_within_a_twentieth_above() {
+    for n in 0..=16 {
+        assert_eq!(decode_figure(encode_figure(f64::from(n))), f64::from(n));
+    }
+    for n in [17.0, 55.0, 300.0, 2_000.0, 100_000.0] {
+        let decoded = decode_figure(encode_figure(n));
+        assert!((decoded / n - 1.0).abs() < 0.05, "{n} decodes to {decoded}");
+    }
+    for absurd in [f64::NAN, -5.0, f64::INFINITY, f64::MAX] {
+        assert!(decode_figure(encode_figure(absurd)).is_finite());
+    }
+}
+
+#[test]
+fn a_truncated_damaged_too_long_or_unknown_datagram_is_rejected() {
+    let good = message(2).encode();
+    for length in 0..good.len() {
+        assert!(GossipMessage::decode(&good[..length]).is_err(), "{length} bytes of it");
+    }
+    for byte in 0..good.len() {
+        let mut bad = good.clone();
+        bad[byte] ^= 0x10;
+        assert!(GossipMessage::decode(&bad).is_err(), "byte {byte} changed");
+    }
+    assert_eq!(GossipMessage::decode(&[0x61; 262]), Err(GossipError::Length(262)));
+    let mut other = good.clone();
+    other[0] = 0x51;
+    assert_eq!(GossipMessage::decode(&other), Err(GossipError::Kind(0x51)));
+}
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, DemandExchange, Incarnation, Kind, LimitId, LocalDemand, PermitLedger, Ramp,
-    Receiver, Seen,
+    Class, DatagramBudget, DemandExchange, Incarnation, Kind, LimitId, LocalDemand, PermitLedger, Receiver,
+    RecoveryRamp, Seen,
 };
 use rudderspindle_gossip::{FleetView, OutgoingDatagram};
 
@@ -58,8 +58,9 @@
 
 #[test]
 fn senders_that_share_limits_tell_and_know_the_same_as_before() {
-    let mut fleets: Vec<DemandExchange> =
-        (0..4).map(|me| DemandExchange::new(me, 4, Ramp { start: 0.28, growth: 0.15 })).collect();
+    let mut fleets: Vec<DemandExchange> = (0..4)
+        .map(|me| DemandExchange::new(me, 4, RecoveryRamp { initial_fraction: 0.28, growth_per_s: 0.15 }))
+        .collect();
     let mut due: Vec<u64> = fleets.iter().map(|fleet| fleet.next_report(START)).collect();
     let mut transcript = String::new();
     for now in (START..START + 2_500).step_by(STEP as usize) {
@@ -74,16 +75,18 @@
             }
             write_letters(&mut transcript, now, from, &datagrams);
             for OutgoingDatagram { to, bytes: datagram } in datagrams {
-                let heard = fleets[to].hear(now, from, &datagram);
+                let heard = fleets[to].receive(now, from, &datagram);
                 write_heard(&mut transcript, to, heard.is_ok());
             }
         }
     }
     for (me, fleet) in fleets.iter_mut().enumerate() {
-        let rooms = fleet.rooms(START + 2_500).expect("word of others");
+        let capacities = fleet.capacities(START + 2_500).expect("word of others");
         for own in gates(START + 2_500, me) {
-            let room = rooms.iter().find(|(gate, _)| *gate == own.limit_id).map(|(_, room)| *room);
-            let (wanted, open) = (fleet.wanted(own.limit_id), fleet.open(own.limit_id, own.limit));
+            let room = capacities.iter().find(|capacity| capacity.limit_id == own.limit_id);
+            let room = room.map(|capacity| capacity.rate_per_demand);
+            let (wanted, open) =
+                (fleet.fleet_demand(own.limit_id), fleet.available_fraction(own.limit_id, own.limit));
             writeln!(transcript, "{me} {room:.6?} {wanted:.6} {open:.6}").expect("written");
         }
     }
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -10,7 +10,7 @@
 
 use rudderspindle_gossip::{
     DemandExchange, Incarnation, Kind, LimitId, LocalDemand, MAX_MESSAGE_LEN, OutgoingDatagram, PermitLedger,
-    Ramp, open,
+    RecoveryRamp, open,
 };
 use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::*;
@@ -59,7 +59,7 @@
 
 impl GossipTask {
     /// A sender whose notes come and go as told, and whose partners return from an outage like that.
-    pub(crate) fn new(notes: Notes, ramp: Ramp, together: FleetSettings) -> Self {
+    pub(crate) fn new(notes: Notes, ramp: RecoveryRamp, together: FleetSettings) -> Self {
         let fleet = DemandExchange::new(notes.me, notes.peers.len(), ramp);
         Self { notes, fleet, together, permits: None, shared: None, gates: Vec::new() }
     }
@@ -159,7 +159,7 @@
                 shared.hear(wall, from, note).map(|()| false).map_err(|error| error.to_string())
             }
             // Of another kind, or damaged: it says which, where it does not know it.
-            _ => self.fleet.hear(wall, from, note).map(|()| false).map_err(|error| error.to_string()),
+            _ => self.fleet.receive(wall, from, note).map(|()| false).map_err(|error| error.to_string()),
         };
         heard.unwrap_or_else(|error| {
             tracing::debug!(target: LOG, from, "dropped: {error}");
@@ -192,16 +192,18 @@
     async fn report(&mut self, host: &mpsc::Sender<Input>) -> Option<Vec<OutgoingDatagram>> {
         let (demands, own) = self.demands(host).await?;
         let datagrams = self.fleet.report(wall_ms(), &own);
-        let rooms = self.fleet.rooms(wall_ms());
-        let open = |gate, limit| if rooms.is_some() { self.fleet.open(gate, limit) } else { 1.0 };
+        let rooms = self.fleet.capacities(wall_ms());
+        let open =
+            |gate, limit| if rooms.is_some() { self.fleet.available_fraction(gate, limit) } else { 1.0 };
         let of =
             |(gate, want): &(LimitId, Demand)| (*gate, want.destination, want.route, open(*gate, want.limit));
         self.gates = demands.iter().map(of).collect();
         let Some(rooms) = rooms else { return Some(datagrams) };
-        let near: HashMap<_, _> = rooms.iter().copied().collect();
+        let near: HashMap<_, _> =
+            rooms.iter().map(|capacity| (capacity.limit_id, capacity.rate_per_demand)).collect();
         let room = |(gate, want): &(_, Demand)| {
             let calls = near.get(gate).copied().unwrap_or(f64::INFINITY);
-            (want.destination, want.route, calls, self.fleet.wanted(*gate))
+            (want.destination, want.route, calls, self.fleet.fleet_demand(*gate))
         };
         host.send(Input::CapacityShares(demands.iter().map(room).collect(), LASTS)).await.ok()?;
         Some(datagrams)
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -27,7 +27,7 @@
         spawn_local(
             GossipTask::new(
                 Notes { me, listen, peers },
-                Ramp { start: 0.3, growth: 0.1 },
+                RecoveryRamp { initial_fraction: 0.3, growth_per_s: 0.1 },
                 FleetSettings::default(),
             )
             .converse(socket, host),
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rudderspindle_gossip::Ramp;
+use rudderspindle_gossip::RecoveryRamp;
 use rudderspindle_journal::{Store, wall_ms};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -125,7 +125,7 @@
         // Where many senders ask one discovery that would be one more request of each at the worst moment: it comes
         // with the watch, which starts from the first revision then.
         let start = settings.ramp(0.0);
-        let ramp = Ramp { start, growth: settings.ramp(1_000.0) - start };
+        let ramp = RecoveryRamp { initial_fraction: start, growth_per_s: settings.ramp(1_000.0) - start };
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
         let pace = PollSchedule::new(settings.discovery, settings.peers_total, seed);
         let fetched = if pace.takes_turns() { None } else { discovery::fetch(config.discovery).await };
--- a/crates/simulation/src/partner/client.rs
+++ b/crates/simulation/src/partner/client.rs
@@ -64,14 +64,16 @@
         let demands = self.sender.demands();
         let datagrams = self.fleet.report(wall, &own(&demands));
         self.takes.clear();
-        if let Some(rooms) = self.fleet.rooms(wall) {
-            self.takes =
-                demands.iter().map(|want| (gate(want), self.fleet.open(gate(want), want.limit))).collect();
+        if let Some(rooms) = self.fleet.capacities(wall) {
+            self.takes = demands
+                .iter()
+                .map(|want| (gate(want), self.fleet.available_fraction(gate(want), want.limit)))
+                .collect();
             for want in &demands {
-                let room = rooms.iter().find(|(named, _)| *named == gate(want));
-                let calls = room.map_or(f64::INFINITY, |room| room.1);
+                let room = rooms.iter().find(|capacity| capacity.limit_id == gate(want));
+                let calls = room.map_or(f64::INFINITY, |capacity| capacity.rate_per_demand);
                 let (destination, route) = (want.destination, want.route);
-                let wanted = self.fleet.wanted(gate(want));
+                let wanted = self.fleet.fleet_demand(gate(want));
                 self.events.push(Event::Capacity { destination, route, calls, wanted, lasts: 1_000.0 });
             }
         }
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_gossip::{DemandExchange, Incarnation, PermitLedger, Ramp};
+use rudderspindle_gossip::{DemandExchange, Incarnation, PermitLedger, RecoveryRamp};
 use rudderspindle_policy::Sender;
 use rudderspindle_policy::interface::*;
 
@@ -90,7 +90,11 @@
     let permits = || PermitLedger::new(n, scene.senders, Incarnation(starts + 1), wall(now, ahead));
     Client {
         sender,
-        fleet: DemandExchange::new(n, scene.senders, Ramp { start, growth: later - start }),
+        fleet: DemandExchange::new(
+            n,
+            scene.senders,
+            RecoveryRamp { initial_fraction: start, growth_per_s: later - start },
+        ),
         permits: strict.then(permits),
         takes: BTreeMap::new(),
         ahead,
--- a/crates/simulation/src/partner/post.rs
+++ b/crates/simulation/src/partner/post.rs
@@ -58,7 +58,7 @@
             seen.note_bytes += note.len();
             // One that comes too late is dropped, as it would be.
             match about {
-                About::Sums => drop(client.fleet.hear(wall, from, &note)),
+                About::Sums => drop(client.fleet.receive(wall, from, &note)),
                 About::PermitLedger => drop(client.hear_rights(wall, from, &note)),
             }
         }
