--- a/crates/gossip/src/datagram_budget.rs
+++ b/crates/gossip/src/datagram_budget.rs
@@ -1,148 +1,131 @@
-//! The room of further kinds of note in a sender's budget.
+//! Schedules datagrams of several kinds within a common budget.
 //!
-//! Invariant: in no second are more than [`MOST`] notes begun, with those that they bring about one more at most, and whatever is
-//! wanted goes out within its bound, however much else is wanted.
+//! Invariant: in no second more than [`MAX_DATAGRAMS_PER_S`] datagrams are begun, one more with those that they cause,
+//! and each requested datagram is sent within its bound, however many others are requested.
 
 use std::collections::BTreeMap;
 
 use crate::envelope::Kind;
 
-/// Notes of all further kinds a second, each way, on average over a tier that does alike: half of the sender's eight.
-pub const MOST: u64 = 4;
-/// The room of one note, ms.
-pub const GAP: u64 = 1_000 / MOST;
-/// For so long a kind gives way to one that is a rank more urgent, ms.
-pub const AGING: u64 = 500;
+/// Maximum datagrams of all kinds per second in each direction, on average over a fleet of equal senders: half of the
+/// sender's eight.
+pub const MAX_DATAGRAMS_PER_S: u64 = 4;
+/// Time that one datagram takes of the budget, in milliseconds.
+pub const DATAGRAM_INTERVAL: u64 = 1_000 / MAX_DATAGRAMS_PER_S;
+/// How long a kind gives way to one of the next higher priority, in milliseconds.
+pub const PRIORITY_STEP: u64 = 500;
 
-/// How much a kind may take of the budget.
+/// How much of the budget a kind of datagram may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Class {
-    /// 0 is the most urgent.
+pub struct DatagramClass {
+    /// The kind.
+    pub kind: Kind,
+    /// Priority; 0 is the most urgent.
     pub rank: u8,
-    /// From one note of it to the next at least, ms.
-    pub every: u64,
-    /// Notes that one brings about, itself among them: 2 where it is answered, since among senders that do alike each
+    /// Minimum time between two datagrams of the kind, in milliseconds.
+    pub min_interval: u64,
+    /// Number of datagrams that one causes, itself included: 2 where it is answered, since among equal senders each
     /// answers as many as it asks.
     pub cost: u8,
 }
 
+impl DatagramClass {
+    /// Time that a datagram of this class takes of the budget, in milliseconds.
+    fn occupied_time(&self) -> u64 {
+        u64::from(self.cost.max(1)) * DATAGRAM_INTERVAL
+    }
+
+    /// How long a datagram of this class gives way to more urgent ones, in milliseconds.
+    fn yield_time(&self) -> u64 {
+        u64::from(self.rank) * PRIORITY_STEP
+    }
+}
+
 #[derive(Clone, Copy, Debug)]
 struct KindSchedule {
-    class: Class,
-    /// Since when one is wanted, ms.
-    wanted: Option<u64>,
-    /// From when the next may go.
-    next: u64,
+    class: DatagramClass,
+    /// When the pending request counts from, in milliseconds; `None` without one.
+    requested_at: Option<u64>,
+    /// When the next datagram may be sent at the earliest, in milliseconds.
+    next_allowed_at: u64,
 }
 
-/// Says which kind of note may go out next. As many entries as kinds.
+/// Decides which kind of datagram may be sent next. Holds one entry for each kind.
 ///
-/// What is wanted waits `rank * AGING` while others may come before it, and from then on only for those that wanted to
-/// before: see [`DatagramBudget::longest_wait`].
+/// A request gives way to others for `rank` times 500 ms, and then only to earlier ones: see
+/// [`DatagramBudget::max_wait`].
 ///
 /// ```
-/// use rudderspindle_gossip::{Class, Kind, DatagramBudget};
-/// let mut post = DatagramBudget::new(&[
-///     (Kind::Report, Class { rank: 0, every: 500, cost: 2 }),
-///     (Kind::Hot, Class { rank: 1, every: 1_000, cost: 1 }),
+/// use rudderspindle_gossip::{DatagramBudget, DatagramClass, Kind};
+/// let mut budget = DatagramBudget::new(&[
+///     DatagramClass { kind: Kind::Report, rank: 0, min_interval: 500, cost: 2 },
+///     DatagramClass { kind: Kind::Hot, rank: 1, min_interval: 1_000, cost: 1 },
 /// ]);
-/// post.want(Kind::Hot, 0);
-/// post.want(Kind::Report, 0);
-/// assert!(!post.take(Kind::Hot, 0) && post.take(Kind::Report, 0));
-/// assert!(!post.take(Kind::Hot, 499) && post.take(Kind::Hot, 500));
+/// budget.request(Kind::Hot, 0);
+/// budget.request(Kind::Report, 0);
+/// assert!(!budget.try_acquire(Kind::Hot, 0) && budget.try_acquire(Kind::Report, 0));
+/// assert!(!budget.try_acquire(Kind::Hot, 499) && budget.try_acquire(Kind::Hot, 500));
 /// ```
 #[derive(Clone, Debug)]
 pub struct DatagramBudget {
-    turns: BTreeMap<Kind, KindSchedule>,
-    /// From when there is room again, ms.
-    free: u64,
+    schedules: BTreeMap<Kind, KindSchedule>,
+    /// When the budget has room again, in milliseconds.
+    free_at: u64,
 }
 
 impl DatagramBudget {
-    /// Room for these kinds; the others have none.
-    pub fn new(classes: &[(Kind, Class)]) -> Self {
-        let turn = |&(kind, class)| (kind, KindSchedule { class, wanted: None, next: 0 });
-        Self { turns: classes.iter().map(turn).collect(), free: 0 }
+    /// A budget for the kinds of these classes; datagrams of other kinds are never sent.
+    pub fn new(classes: &[DatagramClass]) -> Self {
+        let schedule =
+            |class: &DatagramClass| KindSchedule { class: *class, requested_at: None, next_allowed_at: 0 };
+        let schedules = classes.iter().map(|class| (class.kind, schedule(class))).collect();
+        Self { schedules, free_at: 0 }
     }
 
-    /// A note of that kind is wanted from now on; a second word for the same note changes nothing.
-    pub fn want(&mut self, kind: Kind, now: u64) {
-        if let Some(turn) = self.turns.get_mut(&kind) {
-            turn.wanted.get_or_insert(now.max(turn.next));
+    /// Requests that a datagram of the kind be sent; without effect while a request for the kind is pending.
+    pub fn request(&mut self, kind: Kind, now: u64) {
+        if let Some(schedule) = self.schedules.get_mut(&kind) {
+            schedule.requested_at.get_or_insert(now.max(schedule.next_allowed_at));
         }
     }
 
-    /// The kind that may go now.
+    /// The kind of which a datagram may be sent now.
     pub fn due(&self, now: u64) -> Option<Kind> {
-        let ready = self.turns.iter().filter_map(|(kind, turn)| {
-            let since = turn.wanted.filter(|since| *since <= now)?;
-            Some((since + u64::from(turn.class.rank) * AGING, turn.class.rank, *kind))
+        if now < self.free_at {
+            return None;
+        }
+        let ready = self.schedules.iter().filter_map(|(kind, schedule)| {
+            let requested_at = schedule.requested_at.filter(|requested_at| *requested_at <= now)?;
+            Some((requested_at + schedule.class.yield_time(), schedule.class.rank, *kind))
         });
-        ready.min().filter(|_| now >= self.free).map(|(.., kind)| kind)
+        ready.min().map(|(.., kind)| kind)
     }
 
-    /// Whether a note of that kind goes now; if so, its room is used.
-    pub fn take(&mut self, kind: Kind, now: u64) -> bool {
+    /// Whether a datagram of that kind may be sent now; if so, it is taken off the budget.
+    pub fn try_acquire(&mut self, kind: Kind, now: u64) -> bool {
         if self.due(now) != Some(kind) {
             return false;
         }
-        if let Some(turn) = self.turns.get_mut(&kind) {
-            turn.wanted = None;
-            turn.next = now + turn.class.every;
-            self.free = now + u64::from(turn.class.cost.max(1)) * GAP;
+        if let Some(schedule) = self.schedules.get_mut(&kind) {
+            schedule.requested_at = None;
+            schedule.next_allowed_at = now + schedule.class.min_interval;
+            self.free_at = now + schedule.class.occupied_time();
         }
         true
     }
 
-    /// Within this time of its being wanted (and its pause being over) a note of the kind goes out, ms, if the post is
-    /// asked whenever there is room: the time it gives way, what was begun, and each other kind once.
-    pub fn longest_wait(&self, kind: Kind) -> Option<u64> {
-        let rank = u64::from(self.turns.get(&kind)?.class.rank);
-        let room = |turn: &KindSchedule| u64::from(turn.class.cost.max(1)) * GAP;
-        let begun = self.turns.values().map(room).max()?;
-        let others = self.turns.iter().filter(|(other, _)| **other != kind).map(|(_, turn)| room(turn));
-        Some(rank * AGING + begun + others.sum::<u64>())
+    /// Maximum time from a request (and the end of the kind's minimum interval) until its datagram may be sent, in
+    /// milliseconds, if the budget is asked whenever it has room: the time that it gives way, what was begun before, and
+    /// each other kind once.
+    pub fn max_wait(&self, kind: Kind) -> Option<u64> {
+        let yield_time = self.schedules.get(&kind)?.class.yield_time();
+        let occupied_time = |schedule: &KindSchedule| schedule.class.occupied_time();
+        let begun = self.schedules.values().map(occupied_time).max()?;
+        let others = self.schedules.iter().filter(|(other, _)| **other != kind);
+        let others: u64 = others.map(|(_, schedule)| occupied_time(schedule)).sum();
+        Some(yield_time + begun + others)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #[test]
-        fn no_second_has_more_than_its_notes_and_nothing_is_starved(
-            classes in proptest::collection::vec((0_u8..4, 0_u64..1_500, 1_u8..3), 4),
-            wants in proptest::collection::vec((0_usize..4, 0_u64..20_000), 1..200),
-            greedy in 0_usize..4,
-        ) {
-            let class = |&(rank, every, cost)| Class { rank, every, cost };
-            let listed: Vec<_> = Kind::ALL.into_iter().zip(classes.iter().map(class)).collect();
-            let mut post = DatagramBudget::new(&listed);
-            let (mut sent, mut waiting) = (Vec::new(), BTreeMap::new());
-            for now in (0..30_000).step_by(10) {
-                let asked = wants.iter().filter(|(_, at)| at / 10 * 10 == now).map(|(n, _)| *n);
-                // One that always wants more.
-                for n in asked.chain([greedy]) {
-                    post.want(Kind::ALL[n], now);
-                    waiting.entry(Kind::ALL[n]).or_insert(now.max(post.turns[&Kind::ALL[n]].next));
-                }
-                while let Some(kind) = post.due(now) {
-                    prop_assert!(post.take(kind, now));
-                    sent.push((now, u64::from(post.turns[&kind].class.cost)));
-                    let waited = now - waiting.remove(&kind).expect("it was wanted");
-                    let bound = post.longest_wait(kind).expect("a kind of its own");
-                    prop_assert!(waited <= bound + 10, "{kind:?} waited {waited}, {bound} at most");
-                }
-            }
-            for (n, (at, _)) in sent.iter().enumerate() {
-                // The last one's answer may fall into the next second.
-                let within = sent[n..].iter().take_while(|(then, _)| then - at < 1_000);
-                let cost: u64 = within.map(|(_, cost)| cost).sum();
-                prop_assert!(cost <= MOST + 1, "{cost} notes from {at} on");
-            }
-            prop_assert!(waiting.len() <= 4);
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/gossip/src/datagram_budget/tests.rs
@@ -0,0 +1,43 @@
+//! The budget of each second, and the bound on waiting.
+
+use proptest::prelude::*;
+
+use super::*;
+
+proptest! {
+    #[test]
+    fn no_second_exceeds_the_budget_and_no_kind_starves(
+        classes in proptest::collection::vec((0_u8..4, 0_u64..1_500, 1_u8..3), 4),
+        requests in proptest::collection::vec((0_usize..4, 0_u64..20_000), 1..200),
+        greedy in 0_usize..4,
+    ) {
+        let class = |(kind, &(rank, min_interval, cost))| DatagramClass { kind, rank, min_interval, cost };
+        let listed: Vec<DatagramClass> = Kind::ALL.into_iter().zip(&classes).map(class).collect();
+        let mut budget = DatagramBudget::new(&listed);
+        let mut sent = Vec::new();
+        let mut waiting = BTreeMap::new();
+        for now in (0..30_000).step_by(10) {
+            let requested = requests.iter().filter(|(_, at)| at / 10 * 10 == now).map(|(kind, _)| *kind);
+            // One that always requests more.
+            for index in requested.chain([greedy]) {
+                let kind = Kind::ALL[index];
+                budget.request(kind, now);
+                waiting.entry(kind).or_insert(now.max(budget.schedules[&kind].next_allowed_at));
+            }
+            while let Some(kind) = budget.due(now) {
+                prop_assert!(budget.try_acquire(kind, now));
+                sent.push((now, u64::from(budget.schedules[&kind].class.cost)));
+                let waited = now - waiting.remove(&kind).expect("it was requested");
+                let bound = budget.max_wait(kind).expect("a kind of the budget");
+                prop_assert!(waited <= bound + 10, "{kind:?} waited {waited}, {bound} at most");
+            }
+        }
+        for (index, (at, _)) in sent.iter().enumerate() {
+            // The last one's answer may fall into the next second.
+            let within = sent[index..].iter().take_while(|(then, _)| then - at < 1_000);
+            let cost: u64 = within.map(|(_, cost)| cost).sum();
+            prop_assert!(cost <= MAX_DATAGRAMS_PER_S + 1, "{cost} datagrams from {at} on");
+        }
+        prop_assert!(waiting.len() <= 4);
+    }
+}
--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -36,10 +36,10 @@
 /// The tables of one sender, and what to tell whom. Beyond what its parts hold: whom to answer, for three rounds at most.
 ///
 /// ```
-/// use rudderspindle_gossip::{Class, Incarnation, Kind, DatagramBudget, FleetView, OutgoingDatagram};
+/// use rudderspindle_gossip::{DatagramBudget, DatagramClass, Incarnation, Kind, FleetView, OutgoingDatagram};
 /// let views = |me| FleetView::new(me, vec![0, 0], Incarnation(1), 0, 100).expect("one of the tier");
 /// let (mut a, mut b) = (views(0), views(1));
-/// let post = || DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
+/// let post = || DatagramBudget::new(&[DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 }]);
 /// let (mut post_a, mut post_b) = (post(), post());
 /// a.counts().handed_in(10_000, 7);
 /// for now in (10_000..14_000).step_by(100) {
@@ -164,8 +164,8 @@
             }
         }
         while let Some(&to) = self.to_tell.first() {
-            post.want(Kind::Report, now);
-            if !post.take(Kind::Report, now) {
+            post.request(Kind::Report, now);
+            if !post.try_acquire(Kind::Report, now) {
                 break;
             }
             self.to_tell.remove(0);
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::datagram_budget::Class;
+use crate::datagram_budget::DatagramClass;
 use crate::envelope::{MAX_BODY_LEN, seal};
 use crate::outlier_detection::Word;
 use crate::tenant_usage::Register;
@@ -107,8 +107,8 @@
         noise in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..250), 0..20),
     ) {
         let mut reader = views(0, 10);
-        let class = Class { rank: 0, every: 0, cost: 2 };
-        let mut post = DatagramBudget::new(&[(Kind::Report, class)]);
+        let class = DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 };
+        let mut post = DatagramBudget::new(&[class]);
         for (later, from, view, absurd, n, b) in notes {
             let now = NOW + later;
             let round = if n[0] % 4 == 0 { absurd } else { now / EPOCH };
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,12 +1,18 @@
-//! One partner's limit, shared by many senders without a leader.
+//! Gossip between the senders of a fleet, by which hundreds of them share one limit without a leader.
 //!
-//! Each sender of hundreds sees too little of a partner to know what the others do to it. So each tells, a few times a
-//! second, what it wants of every gate (a partner's limit, or that of a route apart), what it called, what was
-//! refused and what failed; whoever is told answers with the sums over all that told it lately. From the sums each sender works out by
-//! itself how much of the limit there is for a call that it wants. Nobody decides for another: who sums is
-//! the first of an order that all draw alike and that answers, and any other does as well.
+//! One sender sees too little of a destination to know what the others do to it. So each reports its load at every limit
+//! (a destination's, or that of a single endpoint) a few times a second, and receives the sums over all that reported
+//! lately. From the sums each sender computes by itself how much of the limit there is for each of its calls. No sender
+//! decides for another: the one that aggregates a round is the first of an order that all compute alike, and any other
+//! can take its place.
 //!
-//! No I/O and no clock: [`DemandExchange`] is given the time and the datagrams, and says which to send.
+//! - [`DemandExchange`] exchanges loads and computes the capacity of each limit; [`CapacityShare`] is the policy's view
+//!   of it.
+//! - [`PermitLedger`] enforces a hard bound on the fleet's rate at a limit by leases for single calls.
+//! - [`FleetView`] exchanges tenant usage and outlier votes; [`DatagramBudget`] bounds the datagrams for it.
+//!
+//! This crate does no I/O and reads no clock: it is given the time and the datagrams that arrive, and returns those to be
+//! sent.
 #![forbid(unsafe_code)]
 
 mod arrival_rate;
@@ -30,7 +36,7 @@
 
 pub use arrival_rate::ArrivalRate;
 pub use capacity::{CapacityShare, CapacityUpdate, PermitLease, ScheduledCall};
-pub use datagram_budget::{Class, DatagramBudget};
+pub use datagram_budget::{DatagramBudget, DatagramClass};
 pub use demand_exchange::{DemandExchange, LimitCapacity, LocalDemand, ROUND};
 pub use envelope::{EnvelopeError, Kind, MAX_BODY_LEN, open, read, seal};
 pub use fleet_view::{FleetView, FleetViewError, MAX_SENDERS, STALE};
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -113,10 +113,12 @@
         world.senders[0].views.roster().newest(1).map(|(newest, _)| newest),
         Some(Incarnation(START + 3_000))
     );
-    let mut post = rudderspindle_gossip::DatagramBudget::new(&[(
-        rudderspindle_gossip::Kind::Report,
-        rudderspindle_gossip::Class { rank: 0, every: 0, cost: 2 },
-    )]);
+    let mut post = rudderspindle_gossip::DatagramBudget::new(&[rudderspindle_gossip::DatagramClass {
+        kind: rudderspindle_gossip::Kind::Report,
+        rank: 0,
+        min_interval: 0,
+        cost: 2,
+    }]);
     let mut refused = 0;
     for later in 0..80 {
         let now = world.now + later * 250;
--- a/crates/gossip/tests/fleet_view/world.rs
+++ b/crates/gossip/tests/fleet_view/world.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use rudderspindle_gossip::{Class, DatagramBudget, EPOCH, FleetView, Incarnation, Kind, OutgoingDatagram};
+use rudderspindle_gossip::{
+    DatagramBudget, DatagramClass, EPOCH, FleetView, Incarnation, Kind, OutgoingDatagram,
+};
 
 /// Messages a second of one sender at most.
 pub const MOST: u32 = 100;
@@ -42,7 +44,7 @@
 }
 
 fn post() -> DatagramBudget {
-    DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })])
+    DatagramBudget::new(&[DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 }])
 }
 
 fn views(me: usize, halls: &[u16], incarnation: Incarnation) -> FleetView {
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, DemandExchange, Incarnation, Kind, LimitId, LocalDemand, PermitLedger, Receiver,
-    RecoveryRamp, Seen,
+    DatagramBudget, DatagramClass, DemandExchange, Incarnation, Kind, LimitId, LocalDemand, PermitLedger,
+    Receiver, RecoveryRamp, Seen,
 };
 use rudderspindle_gossip::{FleetView, OutgoingDatagram};
 
@@ -134,7 +134,8 @@
     let incarnation = Incarnation(START - 10_000);
     let new = |me| FleetView::new(me, vec![0, 0, 0, 0, 1, 1], incarnation, incarnation.0, 100);
     let mut views: Vec<FleetView> = (0..6).map(|me| new(me).expect("one of the tier")).collect();
-    let post = || DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
+    let post =
+        || DatagramBudget::new(&[DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 }]);
     let mut posts: Vec<DatagramBudget> = (0..6).map(|_| post()).collect();
     let receivers = ["a", "b", "c"].map(|receiver| Receiver::of(7, receiver));
     let mut transcript = String::new();
--- a/crates/sender/src/gossip/shared.rs
+++ b/crates/sender/src/gossip/shared.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, FleetView, FleetViewError, Incarnation, Kind, OutgoingDatagram, Receiver,
+    DatagramBudget, DatagramClass, FleetView, FleetViewError, Incarnation, Kind, OutgoingDatagram, Receiver,
 };
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
@@ -14,7 +14,7 @@
 /// How often it is looked whether notes are due, ms: a few times in the part of a round in which they go.
 pub(crate) const LOOK: u64 = 50;
 /// Reports are answered, so each costs two.
-const REPORTS: Class = Class { rank: 0, every: 0, cost: 2 };
+const REPORTS: DatagramClass = DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 };
 
 /// One sender's views, and what of them its host has been told.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
         // An earlier process has taken on under this number until now.
         let views = FleetView::new(me, file.halls(senders), life, wall, share.most_per_s())?;
         let quotas = if share.counts() { quotas.to_vec() } else { Vec::new() };
-        let post = DatagramBudget::new(&[(Kind::Report, REPORTS)]);
+        let post = DatagramBudget::new(&[REPORTS]);
         Ok(Some(Self { views, post, judges: share.judges(), quotas, avoided: Vec::new() }))
     }
 
