--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use rudderspindle_gossip::{DemandExchange, Incarnation, LimitId, PermitLedger, Ramp};
+use rudderspindle_gossip::{DemandExchange, Incarnation, LimitId, PermitLedger, RecoveryRamp};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -59,7 +59,7 @@
 
 impl GossipTask {
     /// A task for the sender and its peers in `config`, whose destinations recover from an outage by `ramp`.
-    pub(crate) fn new(config: GossipConfig, ramp: Ramp, settings: FleetSettings) -> Self {
+    pub(crate) fn new(config: GossipConfig, ramp: RecoveryRamp, settings: FleetSettings) -> Self {
         let demand_exchange = DemandExchange::new(config.me, config.peers.len(), ramp);
         Self { config, demand_exchange, settings, permits: None, shared_view: None, limits: Vec::new() }
     }
--- a/crates/sender/src/gossip/engine.rs
+++ b/crates/sender/src/gossip/engine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use rudderspindle_gossip::{LimitId, LocalDemand, OutgoingDatagram};
+use rudderspindle_gossip::{LimitCapacity, LimitId, LocalDemand, OutgoingDatagram};
 use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::Millis;
 use tokio::sync::{mpsc, oneshot};
@@ -44,7 +44,7 @@
     ) -> Result<Vec<OutgoingDatagram>, EngineClosed> {
         let demands = self.query_demands(engine).await?;
         let datagrams = self.demand_exchange.report(wall_ms(), &local_demands(&demands));
-        let capacities = self.demand_exchange.rooms(wall_ms());
+        let capacities = self.demand_exchange.capacities(wall_ms());
         self.limits = self.reported_limits(&demands, capacities.is_some());
         if let Some(capacities) = capacities {
             let shares = self.capacity_shares(&demands, &capacities);
@@ -57,7 +57,8 @@
     fn reported_limits(&self, demands: &[LimitDemand], have_sums: bool) -> Vec<ReportedLimit> {
         let mut limits = Vec::with_capacity(demands.len());
         for LimitDemand { limit: id, demand } in demands {
-            let open_share = if have_sums { self.demand_exchange.open(*id, demand.limit) } else { 1.0 };
+            let open_share =
+                if have_sums { self.demand_exchange.available_fraction(*id, demand.limit) } else { 1.0 };
             let key = LimitKey { destination: demand.destination, route: demand.route };
             limits.push(ReportedLimit { id: *id, key, open_share });
         }
@@ -65,14 +66,15 @@
     }
 
     /// The capacity share of each demand; infinite where the limit is far from reached.
-    fn capacity_shares(&self, demands: &[LimitDemand], capacities: &[(LimitId, f64)]) -> Input {
-        let by_limit: HashMap<LimitId, f64> = capacities.iter().copied().collect();
+    fn capacity_shares(&self, demands: &[LimitDemand], capacities: &[LimitCapacity]) -> Input {
+        let by_limit: HashMap<LimitId, f64> =
+            capacities.iter().map(|capacity| (capacity.limit_id, capacity.rate_per_demand)).collect();
         let mut shares = Vec::with_capacity(demands.len());
         for LimitDemand { limit: id, demand } in demands {
             shares.push(CapacityUpdate {
                 limit: LimitKey { destination: demand.destination, route: demand.route },
                 calls: by_limit.get(id).copied().unwrap_or(f64::INFINITY),
-                fleet_demand: self.demand_exchange.wanted(*id),
+                fleet_demand: self.demand_exchange.fleet_demand(*id),
             });
         }
         Input::CapacityShares { shares, valid_for: CAPACITY_SHARE_LIFETIME }
--- a/crates/sender/src/gossip/exchange.rs
+++ b/crates/sender/src/gossip/exchange.rs
@@ -163,7 +163,7 @@
             }
             // Also datagrams of an unknown kind and damaged ones: the error names the cause.
             _ => {
-                self.demand_exchange.hear(now, from, message)?;
+                self.demand_exchange.receive(now, from, message)?;
                 Ok(Received::Other)
             }
         }
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, FleetView, FleetViewError, Incarnation, Kind, LocalSender, OutgoingDatagram,
-    Receiver,
+    DatagramBudget, DatagramClass, FleetView, FleetViewError, Incarnation, Kind, LocalSender,
+    OutgoingDatagram, Receiver,
 };
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
@@ -15,7 +15,7 @@
 /// How often it is checked whether datagrams are due, in milliseconds: a few times in the part of a round for them.
 pub(super) const VIEW_INTERVAL: u64 = 50;
 /// Bandwidth class of reports; each is answered, so it costs two datagrams.
-const REPORT_CLASS: Class = Class { rank: 0, every: 0, cost: 2 };
+const REPORT_CLASS: DatagramClass = DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 };
 
 /// One sender's view of the fleet, and what of it the engine knows.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
         };
         Ok(Some(Self {
             view: FleetView::new(local, file.zones(senders))?,
-            budget: DatagramBudget::new(&[(Kind::Report, REPORT_CLASS)]),
+            budget: DatagramBudget::new(&[REPORT_CLASS]),
             detects_outliers: sharing.detects_outliers(),
             quotas: if sharing.shares_quotas() { quotas.to_vec() } else { Vec::new() },
             ejected: Vec::new(),
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -33,7 +33,7 @@
         spawn_local(
             GossipTask::new(
                 GossipConfig { me, listen, peers },
-                Ramp { start: 0.3, growth: 0.1 },
+                RecoveryRamp { initial_fraction: 0.3, growth_per_s: 0.1 },
                 FleetSettings::default(),
             )
             .exchange(socket, engine),
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use rudderspindle_gossip::{Incarnation, Ramp};
+use rudderspindle_gossip::{Incarnation, RecoveryRamp};
 use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::{Millis, Settings};
 use tokio::sync::mpsc;
@@ -23,7 +23,7 @@
 pub(super) struct FleetGossip {
     config: GossipConfig,
     file: FleetFile,
-    ramp: Ramp,
+    ramp: RecoveryRamp,
     /// Messages per second of each tenant, over all senders.
     quotas: Vec<f64>,
 }
@@ -33,7 +33,7 @@
     pub fn new(config: &Config, settings: &Settings, file: FleetFile) -> Option<Self> {
         let config = config.gossip().filter(|gossip| gossip.peers.len() >= file.share().min_senders())?;
         let start = settings.ramp(0.0);
-        let ramp = Ramp { start, growth: settings.ramp(RAMP_SAMPLE) - start };
+        let ramp = RecoveryRamp { initial_fraction: start, growth_per_s: settings.ramp(RAMP_SAMPLE) - start };
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
         Some(Self { config, file, ramp, quotas })
     }
