--- a/crates/gossip/src/fleet_view/error.rs
+++ b/crates/gossip/src/fleet_view/error.rs
@@ -1,32 +1,32 @@
-//! Why a datagram does not count, or views cannot be.
+//! Errors of the fleet view.
 
 use super::MAX_SENDERS;
 use crate::envelope::{EnvelopeError, Kind};
 use crate::membership::IncarnationTooFarAhead;
 
-/// Why a datagram does not count; nothing has changed then.
+/// Why a datagram was dropped, or a fleet view cannot be made. Nothing has changed then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum FleetViewError {
-    /// It is no note of a further kind.
+    /// The datagram has no valid envelope or body.
     #[error(transparent)]
     Envelope(#[from] EnvelopeError),
-    /// It is one of a kind that is for others.
-    #[error("{0:?} is neither a report nor a view")]
-    Kind(Kind),
-    /// Of a round that is over, or of one to come.
+    /// The datagram belongs to another protocol.
+    #[error("{0:?} is neither a report nor a summary")]
+    UnexpectedKind(Kind),
+    /// The datagram is of a round that is over, or of one to come.
     #[error("it is of another round")]
-    Round,
-    /// From nobody of the tier, or from ourselves.
+    WrongRound,
+    /// The sender's number is this sender's own, or beyond the fleet's size.
     #[error("it comes from no other sender of the tier")]
     UnknownSender,
-    /// Of a process that was replaced.
+    /// The datagram is of a process that was replaced.
     #[error("it comes from an older process under that number")]
-    Older,
-    /// Of an incarnation that cannot be.
+    StaleIncarnation,
+    /// The datagram's incarnation is impossible.
     #[error(transparent)]
     IncarnationTooFarAhead(#[from] IncarnationTooFarAhead),
-    /// The tier has more senders than a note has bits for.
-    #[error("a tier of {0} senders; notes have room for {MAX_SENDERS}")]
-    TooMany(usize),
+    /// The fleet has more senders than a datagram has bits for.
+    #[error("a fleet of {0} senders; datagrams have room for {MAX_SENDERS}")]
+    TooManySenders(usize),
 }
--- a/crates/gossip/src/fleet_view/message.rs
+++ b/crates/gossip/src/fleet_view/message.rs
@@ -1,151 +1,143 @@
-//! Bodies of the notes by which counts and judgements spread.
+//! Messages of the fleet view, carried in the [envelope](crate::envelope).
+
+mod encoded_vote;
+#[cfg(test)]
+mod golden;
 
 use serde::{Deserialize, Serialize};
 
 use crate::envelope::{EnvelopeError, Kind, MAX_BODY_LEN, bounded, seal};
-use crate::outlier_detection::{MAX_ANNOUNCED_VOTES, Receiver, Vote};
-use crate::tenant_usage::{EPOCH, MAX_LISTED_TENANTS, Register, TenantTotal, WindowSlice};
-
-/// Epochs of which a report tells, so that two lost ones are made up for.
-pub(super) const MOST_REGISTERS: usize = 3;
-/// Epochs of which a view tells, where there is room.
-pub(super) const MOST_PANES: usize = 3;
-/// Receivers of which a view tells.
-pub(super) const MOST_RECEIVERS: usize = 6;
-/// Judges of a receiver of which a view tells: one more than are needed, as the reader may be one.
-pub(super) const MOST_JUDGES: usize = 4;
-/// Times are told in such steps, ms, rounded up to the wall clock's.
-const STEP: u64 = 50;
-
-/// A judge's word, its times before the end of the round after the one it is told in.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Aged {
-    /// When it was last seen so, in steps before.
-    ago: u8,
-    /// How long before that it began, in steps; as long as can be said if longer.
-    run: u16,
-    back: bool,
-}
-
-fn base(round: u64) -> u64 {
-    round.saturating_add(2).saturating_mul(EPOCH / STEP)
-}
-
-impl Aged {
-    pub fn new(round: u64, word: &Vote) -> Self {
-        let (last, first) = (word.last.div_ceil(STEP), word.first.div_ceil(STEP));
-        let ago = u8::try_from(base(round).saturating_sub(last)).unwrap_or(u8::MAX);
-        Self { ago, run: u16::try_from(last.saturating_sub(first)).unwrap_or(u16::MAX), back: word.recovered }
-    }
-
-    pub fn word(self, round: u64) -> Vote {
-        let last = base(round).saturating_sub(u64::from(self.ago));
-        let first = last.saturating_sub(u64::from(self.run));
-        Vote { last: last.saturating_mul(STEP), first: first.saturating_mul(STEP), recovered: self.back }
-    }
-}
-
-/// A register as it is told, `back` epochs before the last one that was over when the round began.
+use crate::outlier_detection::{MAX_ANNOUNCED_VOTES, Receiver};
+use crate::tenant_usage::{MAX_LISTED_TENANTS, Register, TenantTotal, WindowSlice};
+pub(super) use encoded_vote::EncodedVote;
+
+/// Maximum number of epochs in a report: two lost reports are made up for.
+pub(super) const MAX_REGISTERS: usize = 3;
+/// Maximum number of epochs in a summary.
+pub(super) const MAX_SLICES: usize = 3;
+/// Maximum number of receivers in a summary.
+pub(super) const MAX_RECEIVERS: usize = 6;
+/// Maximum number of observers of a receiver in a summary: one more than a quorum, as the reader may be one.
+pub(super) const MAX_OBSERVERS: usize = 4;
+
+/// A sender's register of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct AnnouncedRegister {
-    pub back: u8,
+pub(super) struct RegisterEntry {
+    /// How many epochs before the last one that was over when the round began.
+    pub epochs_back: u8,
     #[serde(deserialize_with = "bounded::<MAX_LISTED_TENANTS, _, _>")]
     totals: Vec<TenantTotal>,
     rest: u32,
     partial: bool,
 }
 
-impl AnnouncedRegister {
-    pub fn new(back: u8, register: Register) -> Self {
+impl RegisterEntry {
+    pub fn new(epochs_back: u8, register: Register) -> Self {
         let Register { totals, rest, partial } = register;
         let totals = totals.into_iter().map(|(tenant, messages)| TenantTotal { tenant, messages });
-        Self { back, totals: totals.collect(), rest, partial }
+        Self { epochs_back, totals: totals.collect(), rest, partial }
     }
 
-    /// Of a tenant that is told of twice the last word counts.
+    /// The register; of a tenant that is listed twice the last total counts.
     pub fn register(self) -> Register {
         let totals = self.totals.into_iter().map(|total| (total.tenant, total.messages));
         Register { totals: totals.collect(), rest: self.rest, partial: self.partial }
     }
 }
 
-/// What one sender tells the one that adds up.
+/// A sender's own vote on a receiver.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(super) struct VoteEntry {
+    pub receiver: Receiver,
+    pub vote: EncodedVote,
+}
+
+/// What one sender accepted and votes, sent to the round's aggregator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Report {
     pub incarnation: u64,
     pub round: u64,
-    #[serde(deserialize_with = "bounded::<MOST_REGISTERS, _, _>")]
-    pub registers: Vec<AnnouncedRegister>,
+    #[serde(deserialize_with = "bounded::<MAX_REGISTERS, _, _>")]
+    pub registers: Vec<RegisterEntry>,
     #[serde(deserialize_with = "bounded::<MAX_ANNOUNCED_VOTES, _, _>")]
-    pub words: Vec<(Receiver, Aged)>,
+    pub votes: Vec<VoteEntry>,
 }
 
-/// What is told of one receiver: by judge.
+/// The vote of one observer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(super) struct ObserverEntry {
+    pub observer: u16,
+    pub vote: EncodedVote,
+}
+
+/// The votes on one receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Ejection {
+pub(super) struct ReceiverEntry {
     pub receiver: Receiver,
-    #[serde(deserialize_with = "bounded::<MOST_JUDGES, _, _>")]
-    pub judges: Vec<(u16, Aged)>,
+    #[serde(deserialize_with = "bounded::<MAX_OBSERVERS, _, _>")]
+    pub votes: Vec<ObserverEntry>,
 }
 
-/// A pane as it is told, so many epochs back.
+/// The usage of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct AnnouncedWindowSlice {
-    pub back: u8,
-    pub pane: WindowSlice,
+pub(super) struct SliceEntry {
+    /// How many epochs before the last one that was over when the round began.
+    pub epochs_back: u8,
+    pub slice: WindowSlice,
 }
 
-/// What all that told it counted, and judged in the reader's hall.
+/// The aggregator's answer: the usage of all senders that reported, and the votes of the reader's zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct View {
+pub(super) struct Summary {
     pub incarnation: u64,
     pub round: u64,
-    #[serde(deserialize_with = "bounded::<MOST_PANES, _, _>")]
-    pub panes: Vec<AnnouncedWindowSlice>,
-    #[serde(deserialize_with = "bounded::<MOST_RECEIVERS, _, _>")]
-    pub words: Vec<Ejection>,
+    #[serde(deserialize_with = "bounded::<MAX_SLICES, _, _>")]
+    pub slices: Vec<SliceEntry>,
+    #[serde(deserialize_with = "bounded::<MAX_RECEIVERS, _, _>")]
+    pub receivers: Vec<ReceiverEntry>,
 }
 
-/// The epoch that is so far back from a round.
-pub(super) fn epoch_of(round: u64, back: u8) -> Option<u64> {
-    round.checked_sub(1 + u64::from(back))
+/// The epoch that lies so many before the last one that was over when a round began.
+pub(super) fn epoch_of(round: u64, epochs_back: u8) -> Option<u64> {
+    round.checked_sub(1 + u64::from(epochs_back))
 }
 
 impl Report {
-    /// Without the oldest epochs where there is no room for them: they were told before.
+    /// Encodes the report, without the oldest epochs if it is too long: they were in earlier reports.
     pub fn encode(mut self) -> Result<Vec<u8>, EnvelopeError> {
-        while too_long(&self) && self.registers.len() > 1 {
+        while is_too_long(&self) && self.registers.len() > 1 {
             self.registers.pop();
         }
         seal(Kind::Report, &self)
     }
 }
 
-impl View {
-    /// Without what matters least where there is no room: the older epochs, small tenants down to eight, the receivers with
-    /// the fewest judges, then the other tenants.
+impl Summary {
+    /// Encodes the summary, without what matters least if it is too long.
     pub fn encode(mut self) -> Result<Vec<u8>, EnvelopeError> {
-        while too_long(&self) {
-            let tenants = self.panes.first().map_or(0, |told| told.pane.listed_tenants());
-            if self.panes.len() > 1 || (tenants == 0 && self.words.is_empty()) {
-                if self.panes.pop().is_none() {
-                    break;
-                }
-            } else if tenants > MAX_LISTED_TENANTS / 2 || self.words.is_empty() {
-                self.panes.iter_mut().for_each(|told| {
-                    told.pane.drop_smallest_total();
-                });
-            } else {
-                self.words.pop();
-            }
-        }
+        while is_too_long(&self) && self.drop_least_important() {}
         seal(Kind::Summary, &self)
     }
+
+    /// Removes, in this order: the older epochs; the smallest tenants, down to half of the list; the receivers that the
+    /// fewest observers vote down; the other tenants. `false` if there is nothing left.
+    fn drop_least_important(&mut self) -> bool {
+        let tenants = self.slices.first().map_or(0, |entry| entry.slice.listed_tenants());
+        let has_votes = !self.receivers.is_empty();
+        if self.slices.len() > 1 || (tenants == 0 && !has_votes) {
+            return self.slices.pop().is_some();
+        }
+        if has_votes && tenants <= MAX_LISTED_TENANTS / 2 {
+            self.receivers.pop();
+            return true;
+        }
+        for entry in &mut self.slices {
+            entry.slice.drop_smallest_total();
+        }
+        true
+    }
 }
 
-fn too_long<T: Serialize>(body: &T) -> bool {
+fn is_too_long<T: Serialize>(body: &T) -> bool {
     postcard::to_allocvec(body).is_ok_and(|bytes| bytes.len() > MAX_BODY_LEN)
 }
-
-#[cfg(test)]
-mod golden;
--- /dev/null
+++ b/crates/gossip/src/fleet_view/receiving.rs
@@ -0,0 +1,95 @@
+//! Datagrams of other senders.
+
+use super::message::{ObserverEntry, ReceiverEntry, Report, Summary, epoch_of};
+use super::{FleetView, FleetViewError};
+use crate::envelope::{Kind, open, read};
+use crate::membership::{Incarnation, IncarnationOrder};
+use crate::outlier_detection::ObserverVote;
+use crate::tenant_usage::{EPOCH, RegisterKey};
+
+/// Maximum age of a summary that is still used, in rounds.
+const MAX_SUMMARY_AGE: u64 = 3;
+
+impl FleetView {
+    /// Takes in a datagram of another sender.
+    ///
+    /// # Errors
+    ///
+    /// [`FleetViewError`] says why it was dropped; nothing has changed then.
+    pub fn receive(&mut self, now: u64, from: usize, datagram: &[u8]) -> Result<(), FleetViewError> {
+        if from == self.local.number || from >= self.zones.len() {
+            return Err(FleetViewError::UnknownSender);
+        }
+        match open(datagram)? {
+            (Kind::Report, body) => self.receive_report(now, from, read(body)?),
+            (Kind::Summary, body) => self.receive_summary(now, from, read(body)?),
+            (other, _) => Err(FleetViewError::UnexpectedKind(other)),
+        }
+    }
+
+    fn receive_report(&mut self, now: u64, from: usize, report: Report) -> Result<(), FleetViewError> {
+        let round = report.round;
+        // Clocks differ by less than a round; what arrives after its round's summaries were sent is too late.
+        let oldest = self.oldest_open_round.max((now / EPOCH).saturating_sub(1));
+        if round < oldest || round > now / EPOCH + 1 {
+            return Err(FleetViewError::WrongRound);
+        }
+        let incarnation = self.check_incarnation(now, from, report.incarnation)?;
+        for entry in report.registers {
+            if let Some(epoch) = epoch_of(round, entry.epochs_back) {
+                let key = RegisterKey { sender: from, incarnation };
+                self.usage.merge_register(now, key, epoch, &entry.register());
+            }
+        }
+        let votes = report.votes.into_iter().map(|entry| ObserverVote {
+            receiver: entry.receiver,
+            observer: from,
+            vote: entry.vote.decode(round),
+        });
+        let votes: Vec<ObserverVote> = votes.collect();
+        self.outliers.receive_votes(now, from, &votes);
+        self.reporters.entry(round).or_default().insert(from);
+        Ok(())
+    }
+
+    fn receive_summary(&mut self, now: u64, from: usize, summary: Summary) -> Result<(), FleetViewError> {
+        let round = summary.round;
+        if round > now / EPOCH || round + MAX_SUMMARY_AGE < now / EPOCH {
+            return Err(FleetViewError::WrongRound);
+        }
+        self.check_incarnation(now, from, summary.incarnation)?;
+        for entry in &summary.slices {
+            if let Some(epoch) = epoch_of(round, entry.epochs_back) {
+                self.usage.merge_slice(now, from, epoch, &entry.slice);
+            }
+        }
+        let mut votes = Vec::new();
+        for ReceiverEntry { receiver, votes: entries } in summary.receivers {
+            let vote = |ObserverEntry { observer, vote }| ObserverVote {
+                receiver,
+                observer: usize::from(observer),
+                vote: vote.decode(round),
+            };
+            votes.extend(entries.into_iter().map(vote));
+        }
+        self.outliers.receive_votes(now, from, &votes);
+        self.newest_summary_round = self.newest_summary_round.max(round);
+        Ok(())
+    }
+
+    /// Rejects messages of replaced processes, and drops the votes of those that a newer one replaces.
+    fn check_incarnation(
+        &mut self,
+        now: u64,
+        from: usize,
+        incarnation: u64,
+    ) -> Result<Incarnation, FleetViewError> {
+        let incarnation = Incarnation(incarnation);
+        match self.members.record_message(from, incarnation, now)? {
+            IncarnationOrder::Older => return Err(FleetViewError::StaleIncarnation),
+            IncarnationOrder::Newer => self.outliers.forget_observer(from),
+            IncarnationOrder::Current => {}
+        }
+        Ok(incarnation)
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/fleet_view/sending.rs
@@ -0,0 +1,188 @@
+//! The datagrams of a round: this sender's report, and summaries for those that reported to it.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::message::{
+    EncodedVote, MAX_OBSERVERS, MAX_RECEIVERS, MAX_REGISTERS, MAX_SLICES, ObserverEntry, ReceiverEntry,
+    RegisterEntry, Report, SliceEntry, Summary, VoteEntry, epoch_of,
+};
+use super::{FleetView, OutgoingDatagram};
+use crate::datagram_budget::DatagramBudget;
+use crate::envelope::{EnvelopeError, Kind};
+use crate::outlier_detection::{Receiver, Vote};
+use crate::tenant_usage::EPOCH;
+
+/// When reports begin in a round, ms after its start: the answers of the round before have arrived by then.
+const REPORT_START: u64 = 200;
+/// How long after that the last sender reports, ms: the rest of the round is for a second report and transmission.
+const REPORT_WINDOW: u64 = 200;
+/// Aggregators that are reported to after a round without a summary, or while a receiver is voted down.
+const MAX_AGGREGATORS: usize = 2;
+/// Distinguishes the order of aggregators from the one that the demand exchange draws with the same hash.
+const AGGREGATOR_HASH_DOMAIN: u64 = 1 << 32;
+
+impl FleetView {
+    /// The datagrams that are due, to be asked for a few times in a round: summaries for those that reported in a round
+    /// that is over, and the own report as soon as the budget has room for it.
+    pub fn due_datagrams(&mut self, now: u64, budget: &mut DatagramBudget) -> Vec<OutgoingDatagram> {
+        let round = now / EPOCH;
+        let mut datagrams = self.due_summaries(now, round);
+        self.begin_round(now, round);
+        self.send_reports(now, round, budget, &mut datagrams);
+        datagrams
+    }
+
+    /// Summaries of the rounds before `round`, which are closed by this.
+    fn due_summaries(&mut self, now: u64, round: u64) -> Vec<OutgoingDatagram> {
+        let mut datagrams = Vec::new();
+        while let Some(entry) = self.reporters.first_entry().filter(|entry| *entry.key() < round) {
+            let (reported_round, reporters) = entry.remove_entry();
+            datagrams.extend(self.summaries(now, reported_round, &reporters));
+            self.newest_summary_round = self.newest_summary_round.max(reported_round);
+        }
+        // A clock that went back leaves rounds that are far off now.
+        self.reporters.retain(|reported_round, _| *reported_round <= round + 1);
+        self.oldest_open_round = round;
+        datagrams
+    }
+
+    /// Draws the aggregators of a round once this sender's time to report has come.
+    fn begin_round(&mut self, now: u64, round: u64) {
+        if self.reported_round == Some(round) {
+            return;
+        }
+        self.pending_aggregators.clear();
+        if now % EPOCH >= self.report_time() {
+            self.reported_round = Some(round);
+            self.pending_aggregators = self.aggregators(now, round);
+            self.update_zone_senders(now, round);
+        }
+    }
+
+    /// When this sender reports, ms after the start of a round.
+    fn report_time(&self) -> u64 {
+        REPORT_START + self.local.number as u64 * REPORT_WINDOW / self.zones.len().max(1) as u64
+    }
+
+    fn send_reports(
+        &mut self,
+        now: u64,
+        round: u64,
+        budget: &mut DatagramBudget,
+        datagrams: &mut Vec<OutgoingDatagram>,
+    ) {
+        while let Some(&aggregator) = self.pending_aggregators.first() {
+            budget.want(Kind::Report, now);
+            if !budget.take(Kind::Report, now) {
+                break;
+            }
+            self.pending_aggregators.remove(0);
+            datagrams.extend(self.report(now, round).ok().map(|bytes| (aggregator, bytes)));
+        }
+    }
+
+    /// The aggregators of a round: the first of an order that is drawn anew for each round, the same at every sender.
+    fn aggregators(&self, now: u64, round: u64) -> Vec<usize> {
+        let hash = |number: usize| {
+            let words = [round, number as u64 | AGGREGATOR_HASH_DOMAIN];
+            crc32fast::hash(&words.map(u64::to_le_bytes).concat())
+        };
+        let mut order: Vec<usize> = (0..self.zones.len()).collect();
+        order.sort_by_cached_key(|number| (hash(*number), *number));
+        let needs_second = self.has_missed_summary(round) || self.outliers.has_down_votes(now);
+        order.truncate(if needs_second { MAX_AGGREGATORS } else { 1 });
+        order.retain(|number| *number != self.local.number);
+        order
+    }
+
+    /// Counts the senders of the own zone whose usage or messages were received lately; unchanged after a round without
+    /// a summary.
+    fn update_zone_senders(&mut self, now: u64, round: u64) {
+        if self.has_missed_summary(round) {
+            return;
+        }
+        let mut known = self.usage.known_senders(now);
+        known.extend((0..self.zones.len()).filter(|number| self.members.is_alive(*number, now)));
+        known.insert(self.local.number);
+        let own_zone = self.zones.get(self.local.number);
+        self.zone_senders = known.into_iter().filter(|number| self.zones.get(*number) == own_zone).count();
+    }
+
+    fn has_missed_summary(&self, round: u64) -> bool {
+        self.newest_summary_round + 1 < round
+    }
+
+    fn report(&self, now: u64, round: u64) -> Result<Vec<u8>, EnvelopeError> {
+        let register = |epochs_back| {
+            let own = self.usage.own_register(now, epoch_of(round, epochs_back)?)?;
+            Some(RegisterEntry::new(epochs_back, own))
+        };
+        let registers = (0..MAX_REGISTERS as u8).filter_map(register).collect();
+        let votes = self.outliers.own_votes(now);
+        let votes = votes
+            .iter()
+            .map(|own| VoteEntry { receiver: own.receiver, vote: EncodedVote::new(round, &own.vote) });
+        Report { incarnation: self.local.incarnation.0, round, registers, votes: votes.collect() }.encode()
+    }
+
+    /// Summaries of a round for these reporters, the same for all of a zone.
+    pub(super) fn summaries(
+        &self,
+        now: u64,
+        round: u64,
+        reporters: &BTreeSet<usize>,
+    ) -> Vec<OutgoingDatagram> {
+        let slices = self.slices(now, round);
+        let votes = self.outliers.relayable_votes(now);
+        let mut summaries: BTreeMap<u16, Option<Vec<u8>>> = BTreeMap::new();
+        let mut datagrams = Vec::new();
+        for &reporter in reporters {
+            let Some(&zone) = self.zones.get(reporter) else { continue };
+            let summary = summaries.entry(zone).or_insert_with(|| {
+                let incarnation = self.local.incarnation.0;
+                let receivers = self.receivers(round, zone, &votes);
+                Summary { incarnation, round, slices: slices.clone(), receivers }.encode().ok()
+            });
+            datagrams.extend(summary.clone().map(|bytes| (reporter, bytes)));
+        }
+        datagrams
+    }
+
+    fn slices(&self, now: u64, round: u64) -> Vec<SliceEntry> {
+        let slice = |epochs_back| {
+            let slice = self.usage.aggregate(now, epoch_of(round, epochs_back)?)?;
+            Some(SliceEntry { epochs_back, slice })
+        };
+        (0..MAX_SLICES as u8).filter_map(slice).collect()
+    }
+
+    /// The votes of a zone's senders by receiver, those receivers first that most of them vote down.
+    fn receivers(
+        &self,
+        round: u64,
+        zone: u16,
+        votes: &BTreeMap<Receiver, BTreeMap<usize, Vote>>,
+    ) -> Vec<ReceiverEntry> {
+        let mut ranked = Vec::new();
+        for (receiver, by_observer) in votes {
+            let of_zone =
+                by_observer.iter().filter(|(observer, _)| self.zones.get(**observer) == Some(&zone));
+            let mut of_zone: Vec<(&usize, &Vote)> = of_zone.collect();
+            if of_zone.is_empty() {
+                continue;
+            }
+            of_zone.sort_by_key(|(observer, vote)| (Reverse(vote.last), **observer));
+            let down_votes = of_zone.iter().filter(|(_, vote)| !vote.recovered).count();
+            let votes = of_zone.into_iter().take(MAX_OBSERVERS).map(|(observer, vote)| ObserverEntry {
+                observer: *observer as u16,
+                vote: EncodedVote::new(round, vote),
+            });
+            let entry = ReceiverEntry { receiver: *receiver, votes: votes.collect() };
+            ranked.push((Reverse(down_votes), entry));
+        }
+        ranked.sort_by_key(|(down_votes, entry)| (*down_votes, entry.receiver));
+        ranked.truncate(MAX_RECEIVERS);
+        ranked.into_iter().map(|(_, entry)| entry).collect()
+    }
+}
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -1,157 +1,210 @@
 use super::*;
-use crate::datagram_budget::Class;
-use crate::envelope::{MAX_BODY_LEN, seal};
-use crate::outlier_detection::Vote;
-use crate::tenant_usage::Register;
-use message::{AnnouncedRegister, AnnouncedWindowSlice, MOST_JUDGES, MOST_RECEIVERS};
+use crate::datagram_budget::{Class, DatagramBudget};
+use crate::envelope::{Kind, MAX_BODY_LEN, seal};
+use crate::membership::Incarnation;
+use crate::outlier_detection::{ObserverVote, Vote};
+use crate::tenant_usage::{EPOCH, Register, RegisterKey, WindowSlice};
+use message::{
+    EncodedVote, MAX_OBSERVERS, MAX_RECEIVERS, ObserverEntry, ReceiverEntry, RegisterEntry, Report,
+    SliceEntry, Summary, VoteEntry,
+};
 use proptest::prelude::*;
 
 const NOW: u64 = 1_700_000_000_500;
 const ROUND: u64 = NOW / EPOCH;
 
-fn local(number: usize, incarnation: Incarnation, complete_from: u64, max: u32) -> LocalSender {
-    LocalSender { number, incarnation, complete_from, max_messages_per_second: max }
+fn local(number: usize, incarnation: u64, max_messages_per_second: u32) -> LocalSender {
+    LocalSender {
+        number,
+        incarnation: Incarnation(incarnation),
+        complete_from: incarnation,
+        max_messages_per_second,
+    }
 }
 
-fn views(me: usize, senders: usize) -> FleetView {
-    let halls = (0..senders).map(|n| (n % 3) as u16).collect();
-    FleetView::new(local(me, Incarnation(NOW - 60_000), NOW - 60_000, u32::MAX), halls)
-        .expect("one of the tier")
+fn fleet_view(number: usize, senders: usize) -> FleetView {
+    let zones = (0..senders).map(|n| (n % 3) as u16).collect();
+    FleetView::new(local(number, NOW - 60_000, u32::MAX), zones).expect("a sender of the fleet")
 }
 
-fn word(ago: u64) -> Vote {
+fn vote(ago: u64) -> Vote {
     Vote { last: NOW - ago, first: NOW - ago - 3_000_000, recovered: false }
 }
 
 #[test]
-fn what_does_not_fit_a_note_is_left_out_and_the_rest_reads_as_it_was_written() {
+fn what_does_not_fit_into_a_datagram_is_left_out_and_the_rest_decodes_to_what_was_encoded() {
     let totals: BTreeMap<u16, u32> = (0..40).map(|n| (60_000 + n, u32::MAX / 512 - u32::from(n))).collect();
     let register = Register { totals, rest: 9, partial: false };
-    let mut aggregator = views(0, MAX_SENDERS);
-    for n in 1..MAX_SENDERS {
-        assert!(aggregator.counts.merge_register(
-            NOW,
-            RegisterKey { sender: n, incarnation: Incarnation(1) },
-            ROUND - 1,
-            &register
-        ));
-        let words: Vec<_> = (0..8)
-            .map(|r| ObserverVote { receiver: Receiver::of(r, "r"), observer: n, vote: word(n as u64) })
-            .collect();
-        aggregator.judgements.receive_votes(NOW, n, &words);
+    let mut aggregator = fleet_view(0, MAX_SENDERS);
+    for sender in 1..MAX_SENDERS {
+        let key = RegisterKey { sender, incarnation: Incarnation(1) };
+        assert!(aggregator.usage.merge_register(NOW, key, ROUND - 1, &register));
+        let votes = (0..8).map(|receiver| ObserverVote {
+            receiver: Receiver::of(receiver, "r"),
+            observer: sender,
+            vote: vote(sender as u64),
+        });
+        let votes: Vec<ObserverVote> = votes.collect();
+        aggregator.outliers.receive_votes(NOW, sender, &votes);
     }
-    let datagrams = aggregator.answers(NOW, ROUND, &(1..4).collect());
+    let datagrams = aggregator.summaries(NOW, ROUND, &(1..4).collect());
     assert_eq!(datagrams.len(), 3);
-    for (to, note) in datagrams {
-        assert!(note.len() <= 256, "{} bytes", note.len());
-        let mut reader = views(to, MAX_SENDERS);
-        reader.hear(NOW, 0, &note).expect("a view");
-        let read = reader.counts.read((ROUND + 3) * EPOCH, 60_000, 1);
+    for (to, datagram) in datagrams {
+        assert!(datagram.len() <= 256, "{} bytes", datagram.len());
+        let mut reader = fleet_view(to, MAX_SENDERS);
+        reader.receive(NOW, 0, &datagram).expect("a summary");
+        let read = reader.usage.read((ROUND + 3) * EPOCH, 60_000, 1);
         assert_eq!(read.senders, MAX_SENDERS);
         assert!(read.max >= u64::from(u32::MAX / 512) * 511, "{read:?}");
-        assert!(reader.judgements.has_down_votes(NOW), "its judgements came along");
+        assert!(reader.outliers.has_down_votes(NOW), "its votes are in it");
     }
-    let own = |back| AnnouncedRegister::new(back, register.clone().truncated());
-    let words = (0..8).map(|n| (Receiver::of(n, "r"), Aged::new(ROUND, &word(0)))).collect();
+    let own = |epochs_back| RegisterEntry::new(epochs_back, register.clone().truncated());
+    let own_vote = |n| VoteEntry { receiver: Receiver::of(n, "r"), vote: EncodedVote::new(ROUND, &vote(0)) };
+    let votes = (0..8).map(own_vote).collect();
     let registers = (0..3).map(own).collect();
-    let report = Report { incarnation: u64::MAX, round: u64::MAX, registers, words };
+    let report = Report { incarnation: u64::MAX, round: u64::MAX, registers, votes };
     assert!(report.encode().expect("it fits").len() <= 256);
-    assert!(matches!(
-        FleetView::new(local(0, Incarnation(1), 0, 1), vec![0; 513]),
-        Err(FleetViewError::TooMany(513))
-    ));
+    let too_large = FleetView::new(local(0, 1, 1), vec![0; 513]);
+    assert!(matches!(too_large, Err(FleetViewError::TooManySenders(513))));
 }
 
 #[test]
-fn times_are_told_to_a_twentieth_of_a_second_and_the_same_in_each_round() {
+fn times_are_encoded_to_a_twentieth_of_a_second_and_the_same_in_each_round() {
     for ago in [0, 30, 499, 2_000, 4_999] {
-        let read = Aged::new(ROUND, &word(ago)).word(ROUND);
-        assert!((word(ago).last..word(ago).last + 50).contains(&read.last), "{ago}: {read:?}");
-        assert!((word(ago).first..word(ago).first + 50).contains(&read.first), "{ago}: {read:?}");
-        assert_eq!(Aged::new(ROUND + 2, &word(ago)).word(ROUND + 2), read);
+        let decoded = EncodedVote::new(ROUND, &vote(ago)).decode(ROUND);
+        assert!((vote(ago).last..vote(ago).last + 50).contains(&decoded.last), "{ago}: {decoded:?}");
+        assert!((vote(ago).first..vote(ago).first + 50).contains(&decoded.first), "{ago}: {decoded:?}");
+        assert_eq!(EncodedVote::new(ROUND + 2, &vote(ago)).decode(ROUND + 2), decoded);
     }
 }
 
 #[test]
-fn another_round_and_an_incarnation_that_cannot_be_change_nothing() {
+fn a_message_of_another_round_or_of_an_impossible_incarnation_changes_nothing() {
     let report = |round, incarnation| {
-        Report { incarnation, round, registers: vec![], words: vec![] }.encode().expect("it fits")
+        Report { incarnation, round, registers: vec![], votes: vec![] }.encode().expect("it fits")
+    };
+    let summary = |round| {
+        Summary { incarnation: 1, round, slices: vec![], receivers: vec![] }.encode().expect("it fits")
     };
-    let view =
-        |round| View { incarnation: 1, round, panes: vec![], words: vec![] }.encode().expect("it fits");
-    let mut reader = views(0, 5);
-    reader.notes_due(NOW, &mut DatagramBudget::new(&[]));
+    let mut reader = fleet_view(0, 5);
+    reader.due_datagrams(NOW, &mut DatagramBudget::new(&[]));
     for round in [0, ROUND - 60, ROUND - 1, ROUND + 2, u64::MAX] {
-        assert_eq!(reader.hear(NOW, 1, &report(round, 1)), Err(FleetViewError::Round), "{round}");
+        let received = reader.receive(NOW, 1, &report(round, 1));
+        assert_eq!(received, Err(FleetViewError::WrongRound), "{round}");
     }
     for round in [0, ROUND - 4, ROUND + 1, u64::MAX] {
-        assert_eq!(reader.hear(NOW, 1, &view(round)), Err(FleetViewError::Round), "{round}");
+        let received = reader.receive(NOW, 1, &summary(round));
+        assert_eq!(received, Err(FleetViewError::WrongRound), "{round}");
     }
-    let absurd = reader.hear(NOW, 1, &report(ROUND, u64::MAX));
+    let absurd = reader.receive(NOW, 1, &report(ROUND, u64::MAX));
     assert!(matches!(absurd, Err(FleetViewError::IncarnationTooFarAhead(_))), "{absurd:?}");
-    assert!(reader.members.last_event(1).is_none() && reader.told_by.is_empty());
-    assert_eq!(reader.hear(NOW, 1, &report(ROUND, 1)), Ok(()));
+    assert!(reader.members().last_event(1).is_none() && reader.reporters.is_empty());
+    assert_eq!(reader.receive(NOW, 1, &report(ROUND, 1)), Ok(()));
 }
 
 #[test]
-fn what_an_earlier_process_of_a_judge_said_is_void_from_the_first_word_of_the_next() {
+fn the_votes_of_an_observers_earlier_process_are_void_from_the_first_message_of_the_next() {
     let all = [Receiver::of(1, "a"), Receiver::of(1, "b")];
-    let mut reader = FleetView::new(local(0, Incarnation(1), 0, 10), vec![0; 9]).expect("one of the tier");
-    let report = |incarnation, words| {
-        Report { incarnation, round: ROUND, registers: vec![], words }.encode().expect("it fits")
+    let mut reader = FleetView::new(local(0, 1, 10), vec![0; 9]).expect("a sender of the fleet");
+    let report = |incarnation, votes| {
+        Report { incarnation, round: ROUND, registers: vec![], votes }.encode().expect("it fits")
     };
-    let told = report(1, vec![(all[0], Aged::new(ROUND, &word(100)))]);
-    (1..4).for_each(|judge| reader.hear(NOW, judge, &told).expect("a report"));
-    assert_eq!(reader.avoided(NOW, &all), [all[0]]);
-    reader.hear(NOW, 2, &report(2, vec![])).expect("a report");
-    assert!(reader.avoided(NOW, &all).is_empty());
-    assert_eq!(reader.hear(NOW, 2, &told), Err(FleetViewError::Older));
-    assert!(reader.avoided(NOW, &all).is_empty());
+    let down = VoteEntry { receiver: all[0], vote: EncodedVote::new(ROUND, &vote(100)) };
+    let vote_of_first_process = report(1, vec![down]);
+    (1..4).for_each(|observer| reader.receive(NOW, observer, &vote_of_first_process).expect("a report"));
+    assert_eq!(reader.ejected(NOW, &all), [all[0]]);
+    reader.receive(NOW, 2, &report(2, vec![])).expect("a report");
+    assert!(reader.ejected(NOW, &all).is_empty());
+    assert_eq!(reader.receive(NOW, 2, &vote_of_first_process), Err(FleetViewError::StaleIncarnation));
+    assert!(reader.ejected(NOW, &all).is_empty());
+}
+
+/// The content of a message that may be forged in any field.
+#[derive(Clone, Copy, Debug)]
+struct Forgery {
+    round: u64,
+    incarnation: u64,
+    vote: EncodedVote,
+    numbers: [u32; 6],
+    bytes: [u8; 6],
+}
+
+impl Forgery {
+    fn new(now: u64, absurd: u64, numbers: [u32; 6], bytes: [u8; 6]) -> Self {
+        let vote = Vote { last: absurd, first: u64::from(numbers[0]), recovered: false };
+        Self {
+            round: if numbers[0].is_multiple_of(4) { absurd } else { now / EPOCH },
+            incarnation: if numbers[1].is_multiple_of(4) { absurd } else { u64::from(numbers[1] % 8) },
+            vote: EncodedVote::new(now / EPOCH, &vote),
+            numbers,
+            bytes,
+        }
+    }
+
+    fn register(&self) -> Register {
+        let [rest, _, first_tenant, first_total, second_tenant, second_total] = self.numbers;
+        let totals = [(first_tenant as u16, first_total), (second_tenant as u16, second_total)].into();
+        Register { totals, rest, partial: self.bytes[0].is_multiple_of(2) }
+    }
+
+    fn receiver(&self) -> Receiver {
+        Receiver::of(self.bytes[4].into(), "r")
+    }
+
+    fn summary(&self) -> Vec<u8> {
+        let [_, sender, senders, observer, _, epochs_back] = self.bytes;
+        let slice = WindowSlice::sum(&[(usize::from(sender), &self.register())], usize::from(senders));
+        let entry = ObserverEntry { observer: u16::from(observer), vote: self.vote };
+        let entry = ReceiverEntry { receiver: self.receiver(), votes: vec![entry; MAX_OBSERVERS] };
+        let slices = vec![SliceEntry { epochs_back, slice }];
+        let receivers = vec![entry; MAX_RECEIVERS];
+        let summary = Summary { incarnation: self.incarnation, round: self.round, slices, receivers };
+        summary.encode().expect("it fits")
+    }
+
+    fn report(&self) -> Vec<u8> {
+        let votes = vec![VoteEntry { receiver: self.receiver(), vote: self.vote }; 8];
+        let registers = vec![RegisterEntry::new(self.bytes[5], self.register())];
+        let report = Report { incarnation: self.incarnation, round: self.round, registers, votes };
+        report.encode().expect("it fits")
+    }
+}
+
+/// A datagram of a valid envelope around these bytes.
+fn datagram_of_noise(kind: Kind, noise: &[u8]) -> Vec<u8> {
+    let mut datagram = seal(kind, &[0_u8; 0]).expect("it fits");
+    datagram.extend(noise.iter().take(MAX_BODY_LEN));
+    let checksum = crc32fast::hash(&datagram[3..]).to_le_bytes();
+    datagram[1..3].copy_from_slice(&checksum[..2]);
+    datagram
 }
 
 proptest! {
     #[test]
-    fn whatever_peers_say_nothing_panics_and_no_table_grows_beyond_its_bound(
-        notes in proptest::collection::vec(
+    fn whatever_peers_send_nothing_panics_and_no_table_exceeds_its_bound(
+        forged in proptest::collection::vec(
             (0_u64..40_000, 0_usize..12, any::<bool>(), any::<u64>(), any::<[u32; 6]>(), any::<[u8; 6]>()),
             0..200,
         ),
         noise in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..250), 0..20),
     ) {
-        let mut reader = views(0, 10);
+        let mut reader = fleet_view(0, 10);
         let class = Class { rank: 0, every: 0, cost: 2 };
-        let mut post = DatagramBudget::new(&[(Kind::Report, class)]);
-        for (later, from, view, absurd, n, b) in notes {
+        let mut budget = DatagramBudget::new(&[(Kind::Report, class)]);
+        for (later, from, is_summary, absurd, numbers, bytes) in forged {
             let now = NOW + later;
-            let round = if n[0] % 4 == 0 { absurd } else { now / EPOCH };
-            let incarnation = if n[1] % 4 == 0 { absurd } else { u64::from(n[1] % 8) };
-            let totals = [(n[2] as u16, n[3]), (n[4] as u16, n[5])].into();
-            let register = Register { totals, rest: n[0], partial: b[0] % 2 == 0 };
-            let aged = Aged::new(now / EPOCH, &Vote { last: absurd, first: u64::from(n[0]), recovered: false });
-            let note = if view {
-                let pane = crate::tenant_usage::WindowSlice::sum(&[(usize::from(b[1]), &register)], usize::from(b[2]));
-                let judges = vec![(u16::from(b[3]), aged); MOST_JUDGES];
-                let words = vec![Ejection { receiver: Receiver::of(b[4].into(), "r"), judges }; MOST_RECEIVERS];
-                View { incarnation, round, panes: vec![AnnouncedWindowSlice { back: b[5], pane }], words }.encode()
-            } else {
-                let words = vec![(Receiver::of(b[4].into(), "r"), aged); 8];
-                let registers = vec![AnnouncedRegister::new(b[5], register)];
-                Report { incarnation, round, registers, words }.encode()
-            };
-            let _ = reader.hear(now, from, &note.expect("it fits"));
-            reader.notes_due(now, &mut post);
-            prop_assert!(reader.told_by.len() <= 3);
-            prop_assert!(reader.counts.known_senders(now).len() <= 10);
-            reader.counts.read(now, n[2] as u16, 5);
-            reader.avoided(now, &[Receiver::of(1, "r"), Receiver::of(2, "r")]);
+            let forgery = Forgery::new(now, absurd, numbers, bytes);
+            let datagram = if is_summary { forgery.summary() } else { forgery.report() };
+            let _ = reader.receive(now, from, &datagram);
+            reader.due_datagrams(now, &mut budget);
+            prop_assert!(reader.reporters.len() <= 3);
+            prop_assert!(reader.usage.known_senders(now).len() <= 10);
+            reader.usage.read(now, numbers[2] as u16, 5);
+            reader.ejected(now, &[Receiver::of(1, "r"), Receiver::of(2, "r")]);
         }
         for body in noise {
             for kind in [Kind::Report, Kind::Summary] {
-                let mut note = seal(kind, &[0_u8; 0]).expect("it fits");
-                note.extend(body.iter().take(MAX_BODY_LEN));
-                let check = crc32fast::hash(&note[3..]).to_le_bytes();
-                note[1..3].copy_from_slice(&check[..2]);
-                let _ = reader.hear(NOW, 1, &note);
+                let _ = reader.receive(NOW, 1, &datagram_of_noise(kind, &body));
             }
         }
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -28,7 +28,7 @@
 pub use datagram_budget::{Class, DatagramBudget};
 pub use envelope::{EnvelopeError, Kind, MAX_BODY_LEN, open, read, seal};
 pub use fleet::{Fleet, OutgoingDatagram, Own, ROUND};
-pub use fleet_view::{FleetView, FleetViewError, MAX_SENDERS, STALE};
+pub use fleet_view::{FleetView, FleetViewError, MAX_SENDERS, USAGE_TIMEOUT};
 pub use limit_id::LimitId;
 pub use membership::{
     Incarnation, IncarnationOrder, IncarnationTooFarAhead, MemberEvent, MembershipList, NewestIncarnation,
--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -37,11 +37,11 @@
 pub enum MemberEvent {
     /// Its first message since this process started, or since the number was forgotten.
     Joined,
-    /// The same process sends again after [`SILENCE_TIMEOUT`]: it was paused, or partitioned.
+    /// The same process sends again after `SILENCE_TIMEOUT`: it was paused, or partitioned.
     Resumed,
     /// Another process took the number over.
     Restarted,
-    /// A replaced process still sends after [`MAX_DATAGRAM_DELAY`]: two run under one number.
+    /// A replaced process still sends after `MAX_DATAGRAM_DELAY`: two run under one number.
     DuplicateDetected,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// The newest incarnation of each sender number: at most one entry for each sender, removed after [`FORGET_TIMEOUT`].
+/// The newest incarnation of each sender number: at most one entry for each sender, removed after `FORGET_TIMEOUT`.
 ///
 /// ```
 /// use rudderspindle_gossip::{Incarnation, IncarnationOrder, MembershipList};
@@ -137,7 +137,7 @@
         Ok(member.record_current(now))
     }
 
-    /// Whether a message of the sender number was received within [`SILENCE_TIMEOUT`].
+    /// Whether a message of the sender number was received within `SILENCE_TIMEOUT`.
     ///
     /// Where it was not, but [`MembershipList::last_event`] knows the number, the process died, is paused or partitioned.
     pub fn is_alive(&self, number: usize, now: u64) -> bool {
--- a/crates/gossip/src/membership/incarnation.rs
+++ b/crates/gossip/src/membership/incarnation.rs
@@ -23,7 +23,7 @@
         Self(stored.map_or(wall_ms, |stored| wall_ms.max(stored.0.saturating_add(1))))
     }
 
-    /// Rejects an incarnation that is over [`MAX_CLOCK_LEAD`] ahead of the clock `now`, ms since 1970.
+    /// Rejects an incarnation that is over `MAX_CLOCK_LEAD` ahead of the clock `now`, ms since 1970.
     pub(super) fn check_clock(self, now: u64) -> Result<(), IncarnationTooFarAhead> {
         if self.0 > now.saturating_add(MAX_CLOCK_LEAD) {
             return Err(IncarnationTooFarAhead { announced: self.0, now });
@@ -32,7 +32,7 @@
     }
 }
 
-/// An incarnation over [`MAX_CLOCK_LEAD`] ahead of the reader's clock: forged, or from a clock that is wrong.
+/// An incarnation over `MAX_CLOCK_LEAD` ahead of the reader's clock: forged, or from a clock that is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("incarnation {announced} is over {MAX_CLOCK_LEAD} ms ahead of the clock, which says {now}")]
 pub struct IncarnationTooFarAhead {
--- a/crates/gossip/src/outlier_detection.rs
+++ b/crates/gossip/src/outlier_detection.rs
@@ -31,8 +31,8 @@
 
 /// The calls of this sender and the votes of others.
 ///
-/// It holds at most [`MAX_REPORTED_VOTES`](reported_votes::MAX_REPORTED_VOTES) votes for each sender of the fleet and
-/// [`MAX_HISTORIES`] histories, all of which expire; and the ejections that follow from them, for ten seconds longer.
+/// It holds at most `MAX_REPORTED_VOTES` votes for each sender of the fleet and
+/// `MAX_HISTORIES` histories, all of which expire; and the ejections that follow from them, for ten seconds longer.
 /// All times are ms since 1970.
 ///
 /// ```
@@ -71,7 +71,7 @@
         evict_oldest(&mut self.histories, MAX_HISTORIES, CallHistory::last_call);
     }
 
-    /// This sender's own votes, the newest first, at most [`MAX_ANNOUNCED_VOTES`].
+    /// This sender's own votes, the newest first, at most `MAX_ANNOUNCED_VOTES`.
     pub fn own_votes(&self, now: u64) -> Vec<ReceiverVote> {
         let votes = self.histories.iter().filter_map(|(receiver, history)| {
             let vote = history.vote()?;
--- a/crates/gossip/src/tenant_usage.rs
+++ b/crates/gossip/src/tenant_usage.rs
@@ -42,7 +42,7 @@
 
 /// The registers of this sender and of those that reported to it, and slices that others aggregated.
 ///
-/// At most [`RETAINED_EPOCHS`] epochs, in each two registers for each sender and four slices; they are dropped as the
+/// At most `RETAINED_EPOCHS` epochs, in each two registers for each sender and four slices; they are dropped as the
 /// epochs pass.
 ///
 /// ```
--- a/crates/gossip/src/tenant_usage/epochs.rs
+++ b/crates/gossip/src/tenant_usage/epochs.rs
@@ -13,7 +13,7 @@
 /// Maximum number of epochs in one reading.
 pub const MAX_READ_EPOCHS: u64 = RETAINED_EPOCHS - LAG;
 
-/// The epochs of a reading over the last `epochs`, clamped to 1 to [`MAX_READ_EPOCHS`], that is made at `now` (ms since
+/// The epochs of a reading over the last `epochs`, clamped to 1 to `MAX_READ_EPOCHS`, that is made at `now` (ms since
 /// 1970).
 pub fn read_epochs(now: u64, epochs: u64) -> Range<u64> {
     let end = (now / EPOCH + 1).saturating_sub(LAG);
--- a/crates/gossip/tests/fleet_view/outlier_detection.rs
+++ b/crates/gossip/tests/fleet_view/outlier_detection.rs
@@ -14,12 +14,12 @@
 
 fn saw(world: &mut World, n: usize, receiver: Receiver, seen: CallResult) {
     let clock = world.clock(n);
-    world.senders[n].views.judgements().record_call(clock, receiver, seen);
+    world.senders[n].views.record_call(clock, receiver, seen);
 }
 
 fn avoids(world: &mut World, n: usize) -> Vec<Receiver> {
     let clock = world.clock(n);
-    world.senders[n].views.avoided(clock, &receivers())
+    world.senders[n].views.ejected(clock, &receivers())
 }
 
 /// Half a second after it begins to fail, three of a hall and one of another have seen enough; who avoids it, by second.
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -6,9 +6,9 @@
 
 /// What a sender reads against the truth, of the epochs that are over at all.
 fn check(world: &World, n: usize, tenant: u16, epochs: u64) -> Result<(), String> {
-    let mut views = world.senders[n].views.clone();
+    let views = &world.senders[n].views;
     let clock = world.clock(n);
-    let read = views.counts().read(clock, tenant, epochs);
+    let read = views.usage().read(clock, tenant, epochs);
     let of = read_epochs(clock, epochs);
     let truth: u64 = of.filter_map(|epoch| world.truth.get(&(epoch, tenant))).sum();
     let holds = read.min <= truth && truth <= read.max;
@@ -68,7 +68,7 @@
         assert!(restarted);
         assert_eq!(wrong, Ok(()));
         // Six epochs later all is exact again.
-        let read = world.senders[0].views.clone().counts().read(world.now, 1, 3);
+        let read = world.senders[0].views.clone().usage().read(world.now, 1, 3);
         assert_eq!((read.min, read.max, read.senders), (240, 240, 4), "{read:?}");
     }
 }
@@ -90,7 +90,7 @@
             _ => {}
         }
         if (world.now - START) % 1_000 == 500 {
-            rooms.push(world.senders[0].views.room(world.now, 1, 120.0));
+            rooms.push(world.senders[0].views.own_quota(world.now, 1, 120.0));
         }
         (0..12).for_each(|n| wrong = std::mem::replace(&mut wrong, Ok(())).and(check(world, n, 1, 5)));
     });
@@ -120,11 +120,14 @@
     let mut refused = 0;
     for later in 0..80 {
         let now = world.now + later * 250;
-        for (to, note) in old.notes_due(now, &mut post) {
+        for (to, note) in old.due_datagrams(now, &mut post) {
             let views = &mut world.senders[to].views;
-            let heard = views.hear(now, 1, &note);
-            assert_eq!(heard, Err(rudderspindle_gossip::FleetViewError::Older), "sender {to}");
-            assert_eq!(views.hear(now, 5, &note), Err(rudderspindle_gossip::FleetViewError::UnknownSender));
+            let heard = views.receive(now, 1, &note);
+            assert_eq!(heard, Err(rudderspindle_gossip::FleetViewError::StaleIncarnation), "sender {to}");
+            assert_eq!(
+                views.receive(now, 5, &note),
+                Err(rudderspindle_gossip::FleetViewError::UnknownSender)
+            );
             refused += 1;
         }
     }
@@ -144,7 +147,7 @@
     let (now, sent) = (world.now, &world.sent);
     let of = START / 1_000 + 4..START / 1_000 + 12;
     let sent: u64 = sent.iter().filter(|((_, second), _)| of.contains(second)).map(|(_, n)| n).sum();
-    let read = |sender: &mut Sender| sender.views.counts().read(now, 1, 5);
+    let read = |sender: &mut Sender| sender.views.usage().read(now, 1, 5);
     let reads = world.senders.iter_mut().map(read).map(|read| (read.min, read.max));
     (reads.collect(), sent as f64 / 300.0 / 8.0)
 }
--- a/crates/gossip/tests/fleet_view/world.rs
+++ b/crates/gossip/tests/fleet_view/world.rs
@@ -105,7 +105,7 @@
         if self.senders[n].runs && *so_far < MAX_MESSAGES_PER_SECOND {
             *so_far += 1;
             *self.truth.entry((epoch, tenant)).or_default() += 1;
-            self.senders[n].views.counts().record_message(clock, tenant);
+            self.senders[n].views.record_message(clock, tenant);
         }
     }
 
@@ -144,7 +144,7 @@
             let clock = self.clock(to);
             if self.senders[to].runs {
                 // What is refused changes nothing; the readings are what is checked.
-                let _ = self.senders[to].views.hear(clock, from, &note);
+                let _ = self.senders[to].views.receive(clock, from, &note);
             }
         }
         let replays = self.chance(self.replayed);
@@ -157,7 +157,7 @@
             let clock = self.clock(n);
             let sender = &mut self.senders[n];
             if sender.runs {
-                for (to, note) in sender.views.notes_due(clock, &mut sender.post) {
+                for (to, note) in sender.views.due_datagrams(clock, &mut sender.post) {
                     self.send(n, to, note);
                 }
             }
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -134,14 +134,14 @@
     let mut transcript = String::new();
     for now in (START..START + 6_000).step_by(100) {
         for from in 0..views.len() {
-            views[from].counts().record_message(now, (now / 300 % 4) as u16 * (from as u16 + 1));
+            views[from].record_message(now, (now / 300 % 4) as u16 * (from as u16 + 1));
             let seen = if from < 4 { CallResult::Failed } else { CallResult::Answered };
-            views[from].judgements().record_call(now, receivers[0], seen);
-            views[from].judgements().record_call(now, receivers[1], CallResult::Answered);
-            let datagrams = views[from].notes_due(now, &mut posts[from]);
+            views[from].record_call(now, receivers[0], seen);
+            views[from].record_call(now, receivers[1], CallResult::Answered);
+            let datagrams = views[from].due_datagrams(now, &mut posts[from]);
             write_letters(&mut transcript, now, from, &datagrams);
             for (to, datagram) in datagrams {
-                let heard = views[to].hear(now, from, &datagram);
+                let heard = views[to].receive(now, from, &datagram);
                 write_heard(&mut transcript, to, heard.is_ok());
             }
         }
@@ -149,13 +149,13 @@
     let now = START + 6_000;
     for (me, views) in views.iter_mut().enumerate() {
         for tenant in 0..4 {
-            let read = views.counts().read(now, tenant, 5);
+            let read = views.usage().read(now, tenant, 5);
             let (ends, heard) =
                 ((read.min, read.max), (read.senders, read.newest_epoch_end.map(|at| at - START)));
-            let room = views.room(now, tenant, 100.0);
+            let room = views.own_quota(now, tenant, 100.0);
             writeln!(transcript, "{me} {tenant} {ends:?} {heard:?} {room:.6?}").expect("written");
         }
-        let avoided = views.avoided(now, &receivers);
+        let avoided = views.ejected(now, &receivers);
         let avoided: Vec<bool> = receivers.iter().map(|receiver| avoided.contains(receiver)).collect();
         let alive: Vec<bool> = (0..6).map(|number| views.members().is_alive(number, now)).collect();
         writeln!(transcript, "{me} avoids {avoided:?} hears {alive:?}").expect("written");
--- a/crates/sender/src/gossip/shared.rs
+++ b/crates/sender/src/gossip/shared.rs
@@ -61,7 +61,7 @@
 
     /// The notes that are due.
     pub fn notes_due(&mut self, wall: u64) -> Vec<OutgoingDatagram> {
-        self.views.notes_due(wall, &mut self.post)
+        self.views.due_datagrams(wall, &mut self.post)
     }
 
     /// Takes in a datagram of another sender.
@@ -70,16 +70,16 @@
     ///
     /// [`FleetViewError`] says why it was dropped.
     pub fn hear(&mut self, wall: u64, from: usize, note: &[u8]) -> Result<(), FleetViewError> {
-        self.views.hear(wall, from, note)
+        self.views.receive(wall, from, note)
     }
 
     /// Takes in what the host did, and says what it is to be told.
     pub fn exchange(&mut self, wall: u64, activity: &ActivityReport) -> Vec<Input> {
         for &(receiver, seen) in &activity.seen {
-            self.views.judgements().record_call(wall, receiver, seen);
+            self.views.record_call(wall, receiver, seen);
         }
         for &(tenant, messages) in &activity.taken_on {
-            (0..messages).for_each(|_| self.views.counts().record_message(wall, tenant));
+            (0..messages).for_each(|_| self.views.record_message(wall, tenant));
         }
         let mut told = Vec::new();
         if self.judges {
@@ -92,7 +92,7 @@
         }
         if !self.quotas.is_empty() {
             let of = |(tenant, quota): (usize, &f64)| {
-                self.views.room(wall, u16::try_from(tenant).unwrap_or(u16::MAX), *quota)
+                self.views.own_quota(wall, u16::try_from(tenant).unwrap_or(u16::MAX), *quota)
             };
             told.push(Input::Quotas(self.quotas.iter().enumerate().map(of).collect()));
         }
@@ -108,7 +108,7 @@
         let mut avoided = Vec::new();
         for receivers in partners.values() {
             let names: Vec<Receiver> = receivers.iter().map(|(name, _)| *name).collect();
-            let judged = self.views.avoided(wall, &names);
+            let judged = self.views.ejected(wall, &names);
             avoided
                 .extend(receivers.iter().filter(|(name, _)| judged.contains(name)).map(|(_, route)| *route));
         }
