--- a/crates/gossip/tests/fleet_view/main.rs
+++ b/crates/gossip/tests/fleet_view/main.rs
@@ -1,5 +1,5 @@
-//! Many senders' views, joined by a wire that loses, doubles, delays, cuts and replays.
+//! Fleet views of many senders over a simulated network that loses, duplicates, delays, partitions and replays datagrams.
 
 mod outlier_detection;
+mod simulated_fleet;
 mod tenant_usage;
-mod world;
--- /dev/null
+++ b/crates/gossip/tests/fleet_view/simulated_fleet.rs
@@ -0,0 +1,214 @@
+//! Many senders' fleet views over a simulated network and simulated clocks, stepped from a seed.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use rudderspindle_gossip::{Class, DatagramBudget, EPOCH, FleetView, Incarnation, Kind, LocalSender};
+
+/// Messages that one sender accepts in a second at most.
+pub const MAX_MESSAGES_PER_SECOND: u32 = 100;
+/// When a simulation starts, ms since 1970.
+pub const START: u64 = 1_700_000_000_000;
+/// Length of a step, ms.
+const STEP: u64 = 50;
+/// Datagrams that are kept to be replayed.
+const MAX_LOGGED: usize = 4_000;
+/// Age from which a datagram may be replayed, ms.
+const MIN_REPLAY_AGE: u64 = 60_000;
+/// Longest transmission of a datagram, ms.
+const MAX_DELAY: u64 = 150;
+
+/// One sender's process and what outlives it.
+pub struct Sender {
+    pub view: FleetView,
+    budget: DatagramBudget,
+    stored_incarnation: Option<Incarnation>,
+    /// How far its clock is ahead, ms.
+    pub clock_offset: i64,
+}
+
+impl Sender {
+    fn new(local: LocalSender, zones: &[u16], clock_offset: i64) -> Self {
+        Self {
+            view: FleetView::new(local, zones.to_vec()).expect("a sender of the fleet"),
+            budget: report_budget(),
+            stored_incarnation: Some(local.incarnation),
+            clock_offset,
+        }
+    }
+}
+
+/// A datagram on its way, or in the log.
+#[derive(Clone)]
+struct Transmission {
+    from: usize,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+/// The arrival of a datagram; several may arrive at once.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Arrival {
+    time: u64,
+    unique: u64,
+}
+
+/// A fleet, its network, and the true number of accepted messages.
+pub struct SimulatedFleet {
+    pub now: u64,
+    pub senders: Vec<Sender>,
+    zones: Vec<u16>,
+    /// Probability that a datagram is lost.
+    pub loss: f64,
+    /// Probability that a datagram is duplicated.
+    pub duplication: f64,
+    /// Probability that an old datagram is replayed in a step.
+    pub replay: f64,
+    /// Partitioned links, as sender and receiver.
+    pub partitions: BTreeSet<(usize, usize)>,
+    in_flight: BTreeMap<Arrival, Transmission>,
+    /// With the time at which each was sent.
+    log: VecDeque<(u64, Transmission)>,
+    /// Messages accepted by the fleet, by epoch of each sender's own clock and tenant.
+    pub truth: BTreeMap<(u64, u16), u64>,
+    /// Messages accepted by one sender in an epoch.
+    accepted: BTreeMap<(usize, u64), u32>,
+    /// Datagrams sent, by sender and second.
+    pub sent: BTreeMap<(usize, u64), u64>,
+    seed: u64,
+}
+
+/// A budget that only reports take part in; they are answered, so each costs two.
+pub fn report_budget() -> DatagramBudget {
+    DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })])
+}
+
+fn local_sender(number: usize, incarnation: Incarnation) -> LocalSender {
+    LocalSender {
+        number,
+        incarnation,
+        complete_from: incarnation.0,
+        max_messages_per_second: MAX_MESSAGES_PER_SECOND,
+    }
+}
+
+impl SimulatedFleet {
+    pub fn new(zones: &[u16], seed: u64) -> Self {
+        let incarnation = Incarnation(START - 10_000);
+        let sender = |number| Sender::new(local_sender(number, incarnation), zones, 0);
+        Self {
+            now: START,
+            senders: (0..zones.len()).map(sender).collect(),
+            zones: zones.to_vec(),
+            loss: 0.0,
+            duplication: 0.0,
+            replay: 0.0,
+            partitions: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
+            log: VecDeque::new(),
+            truth: BTreeMap::new(),
+            accepted: BTreeMap::new(),
+            sent: BTreeMap::new(),
+            seed,
+        }
+    }
+
+    /// A random number, by SplitMix64.
+    pub fn random(&mut self) -> u64 {
+        self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.seed ^ (self.seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    /// True with this probability.
+    pub fn chance(&mut self, probability: f64) -> bool {
+        ((self.random() >> 11) as f64 / (1_u64 << 53) as f64) < probability
+    }
+
+    /// A sender's own clock.
+    pub fn clock(&self, sender: usize) -> u64 {
+        self.now.saturating_add_signed(self.senders[sender].clock_offset)
+    }
+
+    /// A sender accepts a message, unless it has accepted its maximum.
+    pub fn accept_message(&mut self, sender: usize, tenant: u16) {
+        let clock = self.clock(sender);
+        let epoch = clock / EPOCH;
+        let accepted = self.accepted.entry((sender, epoch)).or_default();
+        if *accepted < MAX_MESSAGES_PER_SECOND {
+            *accepted += 1;
+            *self.truth.entry((epoch, tenant)).or_default() += 1;
+            self.senders[sender].view.record_message(clock, tenant);
+        }
+    }
+
+    /// Kills a sender and starts it again at once, with its state folder or with an empty one.
+    pub fn restart(&mut self, sender: usize, keeps_folder: bool) {
+        let clock = self.clock(sender);
+        let stored = self.senders[sender].stored_incarnation.filter(|_| keeps_folder);
+        let local = local_sender(sender, Incarnation::next(stored, clock));
+        let clock_offset = self.senders[sender].clock_offset;
+        self.senders[sender] = Sender::new(local, &self.zones, clock_offset);
+    }
+
+    fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        assert!(bytes.len() <= 256, "{} bytes", bytes.len());
+        *self.sent.entry((from, self.now / 1_000)).or_default() += 1;
+        let transmission = Transmission { from, to, bytes };
+        let copies = if self.chance(self.duplication) { 2 } else { 1 };
+        for _ in 0..copies {
+            if !self.chance(self.loss) && !self.partitions.contains(&(from, to)) {
+                let time = self.now + 1 + self.random() % MAX_DELAY;
+                let unique = self.random();
+                self.in_flight.insert(Arrival { time, unique }, transmission.clone());
+            }
+        }
+        self.log.push_back((self.now, transmission));
+        if self.log.len() > MAX_LOGGED {
+            self.log.pop_front();
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        self.deliver();
+        self.replay_oldest();
+        for sender in 0..self.senders.len() {
+            self.send_due(sender);
+        }
+    }
+
+    fn deliver(&mut self) {
+        while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().time <= self.now) {
+            let Transmission { from, to, bytes } = entry.remove();
+            let clock = self.clock(to);
+            // A datagram that is dropped changes nothing; the readings are what is checked.
+            let _ = self.senders[to].view.receive(clock, from, &bytes);
+        }
+    }
+
+    fn replay_oldest(&mut self) {
+        let replays = self.chance(self.replay);
+        let oldest = self.log.front().filter(|(sent_at, _)| replays && sent_at + MIN_REPLAY_AGE <= self.now);
+        if let Some((_, transmission)) = oldest.cloned() {
+            self.log.pop_front();
+            self.in_flight.insert(Arrival { time: self.now, unique: 0 }, transmission);
+        }
+    }
+
+    fn send_due(&mut self, number: usize) {
+        let clock = self.clock(number);
+        let sender = &mut self.senders[number];
+        for (to, bytes) in sender.view.due_datagrams(clock, &mut sender.budget) {
+            self.send(number, to, bytes);
+        }
+    }
+
+    /// Simulates so many ms; `before_step` is called before each step of 50 ms.
+    pub fn run(&mut self, duration_ms: u64, mut before_step: impl FnMut(&mut Self)) {
+        for _ in 0..duration_ms / STEP {
+            before_step(self);
+            self.step();
+        }
+    }
+}
