--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -25,15 +25,13 @@
 /// How long usage of others counts as current, ms; without any, no share of a quota is computed.
 pub const USAGE_TIMEOUT: u64 = 5_000;
 
-/// A note, and the number of the sender that it goes to.
-type OutgoingDatagram = (usize, Vec<u8>);
-
 /// What one sender knows of its fleet, and the datagrams by which it spreads.
 ///
 /// Beyond what its parts hold, it keeps who reported in at most three rounds.
 ///
 /// ```
 /// use rudderspindle_gossip::{Class, Incarnation, Kind, DatagramBudget, FleetView, LocalSender};
+/// use rudderspindle_gossip::OutgoingDatagram;
 /// let local = |number| LocalSender {
 ///     number,
 ///     incarnation: Incarnation(1),
@@ -46,11 +44,11 @@
 /// let (mut first_budget, mut second_budget) = (budget(), budget());
 /// first.record_message(10_000, 7);
 /// for now in (10_000..14_000).step_by(100) {
-///     for (_, datagram) in first.due_datagrams(now, &mut first_budget) {
-///         second.receive(now, 0, &datagram).expect("a valid datagram");
+///     for OutgoingDatagram { bytes, .. } in first.due_datagrams(now, &mut first_budget) {
+///         second.receive(now, 0, &bytes).expect("a valid datagram");
 ///     }
-///     for (_, datagram) in second.due_datagrams(now, &mut second_budget) {
-///         first.receive(now, 1, &datagram).expect("a valid datagram");
+///     for OutgoingDatagram { bytes, .. } in second.due_datagrams(now, &mut second_budget) {
+///         first.receive(now, 1, &bytes).expect("a valid datagram");
 ///     }
 /// }
 /// let read = second.usage().read(14_000, 7, 1);
--- a/crates/gossip/src/fleet_view/sending.rs
+++ b/crates/gossip/src/fleet_view/sending.rs
@@ -3,14 +3,16 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
+use super::FleetView;
 use super::message::{
     EncodedVote, MAX_OBSERVERS, MAX_RECEIVERS, MAX_REGISTERS, MAX_SLICES, ObserverEntry, ReceiverEntry,
     RegisterEntry, Report, SliceEntry, Summary, VoteEntry, epoch_of,
 };
-use super::{FleetView, OutgoingDatagram};
 use crate::datagram_budget::DatagramBudget;
 use crate::envelope::{EnvelopeError, Kind};
+use crate::outgoing_datagram::OutgoingDatagram;
 use crate::outlier_detection::{Receiver, Vote};
+use crate::peer_selection::hash_words;
 use crate::tenant_usage::EPOCH;
 
 /// When reports begin in a round, ms after its start: the answers of the round before have arrived by then.
@@ -72,22 +74,19 @@
         budget: &mut DatagramBudget,
         datagrams: &mut Vec<OutgoingDatagram>,
     ) {
-        while let Some(&aggregator) = self.pending_aggregators.first() {
+        while let Some(&to) = self.pending_aggregators.first() {
             budget.want(Kind::Report, now);
             if !budget.take(Kind::Report, now) {
                 break;
             }
             self.pending_aggregators.remove(0);
-            datagrams.extend(self.report(now, round).ok().map(|bytes| (aggregator, bytes)));
+            datagrams.extend(self.report(now, round).ok().map(|bytes| OutgoingDatagram { to, bytes }));
         }
     }
 
     /// The aggregators of a round: the first of an order that is drawn anew for each round, the same at every sender.
     fn aggregators(&self, now: u64, round: u64) -> Vec<usize> {
-        let hash = |number: usize| {
-            let words = [round, number as u64 | AGGREGATOR_HASH_DOMAIN];
-            crc32fast::hash(&words.map(u64::to_le_bytes).concat())
-        };
+        let hash = |number: usize| hash_words([round, number as u64 | AGGREGATOR_HASH_DOMAIN]);
         let mut order: Vec<usize> = (0..self.zones.len()).collect();
         order.sort_by_cached_key(|number| (hash(*number), *number));
         let needs_second = self.has_missed_summary(round) || self.outliers.has_down_votes(now);
@@ -137,14 +136,14 @@
         let votes = self.outliers.relayable_votes(now);
         let mut summaries: BTreeMap<u16, Option<Vec<u8>>> = BTreeMap::new();
         let mut datagrams = Vec::new();
-        for &reporter in reporters {
-            let Some(&zone) = self.zones.get(reporter) else { continue };
+        for &to in reporters {
+            let Some(&zone) = self.zones.get(to) else { continue };
             let summary = summaries.entry(zone).or_insert_with(|| {
                 let incarnation = self.local.incarnation.0;
                 let receivers = self.receivers(round, zone, &votes);
                 Summary { incarnation, round, slices: slices.clone(), receivers }.encode().ok()
             });
-            datagrams.extend(summary.clone().map(|bytes| (reporter, bytes)));
+            datagrams.extend(summary.clone().map(|bytes| OutgoingDatagram { to, bytes }));
         }
         datagrams
     }
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -2,6 +2,7 @@
 use crate::datagram_budget::{Class, DatagramBudget};
 use crate::envelope::{Kind, MAX_BODY_LEN, seal};
 use crate::membership::Incarnation;
+use crate::outgoing_datagram::OutgoingDatagram;
 use crate::outlier_detection::{ObserverVote, Vote};
 use crate::tenant_usage::{EPOCH, Register, RegisterKey, WindowSlice};
 use message::{
@@ -49,7 +50,7 @@
     }
     let datagrams = aggregator.summaries(NOW, ROUND, &(1..4).collect());
     assert_eq!(datagrams.len(), 3);
-    for (to, datagram) in datagrams {
+    for OutgoingDatagram { to, bytes: datagram } in datagrams {
         assert!(datagram.len() <= 256, "{} bytes", datagram.len());
         let mut reader = fleet_view(to, MAX_SENDERS);
         reader.receive(NOW, 0, &datagram).expect("a summary");
--- a/crates/gossip/tests/fleet_view/simulated_fleet.rs
+++ b/crates/gossip/tests/fleet_view/simulated_fleet.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use rudderspindle_gossip::{Class, DatagramBudget, EPOCH, FleetView, Incarnation, Kind, LocalSender};
+use rudderspindle_gossip::{
+    Class, DatagramBudget, EPOCH, FleetView, Incarnation, Kind, LocalSender, OutgoingDatagram,
+};
 
 /// Messages that one sender accepts in a second at most.
 pub const MAX_MESSAGES_PER_SECOND: u32 = 100;
@@ -199,7 +201,7 @@
     fn send_due(&mut self, number: usize) {
         let clock = self.clock(number);
         let sender = &mut self.senders[number];
-        for (to, bytes) in sender.view.due_datagrams(clock, &mut sender.budget) {
+        for OutgoingDatagram { to, bytes } in sender.view.due_datagrams(clock, &mut sender.budget) {
             self.send(number, to, bytes);
         }
     }
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -2,7 +2,7 @@
 
 use super::simulated_fleet::{START, SimulatedFleet, report_budget};
 use proptest::prelude::*;
-use rudderspindle_gossip::{FleetViewError, Incarnation, UsageInterval, read_epochs};
+use rudderspindle_gossip::{FleetViewError, Incarnation, OutgoingDatagram, UsageInterval, read_epochs};
 
 /// A reading that does not hold the true number.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -129,7 +129,7 @@
     let mut dropped = 0;
     for later in 0..80 {
         let now = fleet.now + later * 250;
-        for (to, bytes) in replaced.due_datagrams(now, &mut budget) {
+        for OutgoingDatagram { to, bytes } in replaced.due_datagrams(now, &mut budget) {
             let view = &mut fleet.senders[to].view;
             let received = view.receive(now, 1, &bytes);
             assert_eq!(received, Err(FleetViewError::StaleIncarnation), "sender {to}");
--- /dev/null
+++ b/crates/policy/src/policy/scope.rs
@@ -0,0 +1,103 @@
+//! Which throttle and which circuit breaker stand for a route, or for all routes that share a limit. No decision.
+
+use super::state::{Destination, Throttle};
+use crate::circuit_breaker::CircuitBreaker;
+use crate::interface::{Listing, RouteId};
+
+/// What a throttle or a circuit breaker covers: one route, or all routes of a destination.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Scope {
+    /// One route, by its index in the destination.
+    Route(usize),
+    /// All routes of the destination.
+    All,
+}
+
+impl Destination {
+    /// The throttle that a route's calls are counted at.
+    pub(super) fn throttle(&self, route: usize) -> &Throttle {
+        if self.routes_apart { &self.routes[route].throttle } else { &self.shared_throttle }
+    }
+
+    /// [`Destination::throttle`], mutably.
+    pub(super) fn throttle_mut(&mut self, route: usize) -> &mut Throttle {
+        if self.routes_apart { &mut self.routes[route].throttle } else { &mut self.shared_throttle }
+    }
+
+    /// The scopes whose circuit breakers cover a route, the widest first.
+    pub(super) fn breaker_scopes(&self, route: usize) -> impl Iterator<Item = Scope> + use<> {
+        let shared = (!self.routes_apart).then_some(Scope::All);
+        shared.into_iter().chain([Scope::Route(route)])
+    }
+
+    /// The scopes that have a circuit breaker, the widest first.
+    pub(super) fn all_breaker_scopes(&self) -> impl Iterator<Item = Scope> + use<> {
+        let shared = (!self.routes_apart).then_some(Scope::All);
+        shared.into_iter().chain((0..self.routes.len()).map(Scope::Route))
+    }
+
+    /// The scopes that have a throttle of their own.
+    pub(super) fn throttle_scopes(&self) -> impl Iterator<Item = Scope> + use<> {
+        let shared = (!self.routes_apart).then_some(Scope::All);
+        let routes = if self.routes_apart { self.routes.len() } else { 0 };
+        shared.into_iter().chain((0..routes).map(Scope::Route))
+    }
+
+    /// The scope of the throttle of a named route, or of all routes where they share one.
+    pub(super) fn throttle_scope(&self, route: Option<RouteId>) -> Option<Scope> {
+        if !self.routes_apart {
+            return Some(Scope::All);
+        }
+        self.route_index(route?).map(Scope::Route)
+    }
+
+    /// The index of a route.
+    pub(super) fn route_index(&self, route: RouteId) -> Option<usize> {
+        self.routes.iter().position(|candidate| candidate.id == route)
+    }
+
+    /// The indices of the routes that the list says may be sent to.
+    pub(super) fn ready_routes(&self) -> impl Iterator<Item = usize> {
+        (0..self.routes.len()).filter(|&index| self.routes[index].listing == Listing::Ready)
+    }
+
+    /// The route that a scope covers; none for all routes.
+    pub(super) fn route_of(&self, scope: Scope) -> Option<RouteId> {
+        match scope {
+            Scope::Route(index) => Some(self.routes[index].id),
+            Scope::All => None,
+        }
+    }
+
+    /// The circuit breaker of a scope.
+    pub(super) fn breaker(&self, scope: Scope) -> &CircuitBreaker {
+        match scope {
+            Scope::Route(index) => &self.routes[index].throttle.breaker,
+            Scope::All => &self.shared_throttle.breaker,
+        }
+    }
+
+    /// [`Destination::breaker`], mutably.
+    pub(super) fn breaker_mut(&mut self, scope: Scope) -> &mut CircuitBreaker {
+        match scope {
+            Scope::Route(index) => &mut self.routes[index].throttle.breaker,
+            Scope::All => &mut self.shared_throttle.breaker,
+        }
+    }
+
+    /// The throttle that a scope's calls are counted at.
+    pub(super) fn throttle_of(&self, scope: Scope) -> &Throttle {
+        match scope {
+            Scope::Route(index) => self.throttle(index),
+            Scope::All => &self.shared_throttle,
+        }
+    }
+
+    /// [`Destination::throttle_of`], mutably.
+    pub(super) fn throttle_of_mut(&mut self, scope: Scope) -> &mut Throttle {
+        match scope {
+            Scope::Route(index) => self.throttle_mut(index),
+            Scope::All => &mut self.shared_throttle,
+        }
+    }
+}
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 use rudderspindle_gossip::{
-    Fleet, Incarnation, Kind, LimitId, MAX_MESSAGE_LEN, OutgoingDatagram, Own, PermitLedger, Ramp, open,
+    DemandExchange, Incarnation, Kind, LimitId, LocalDemand, MAX_MESSAGE_LEN, OutgoingDatagram, PermitLedger,
+    Ramp, open,
 };
 use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::*;
@@ -18,7 +19,7 @@
 use tokio::time::sleep;
 
 use crate::config::Notes;
-use crate::event::{ActivityReport, Input};
+use crate::event::{ActivityReport, CapacityUpdate, Input, LimitDemand, LimitKey, PermitUpdate};
 use crate::fleet_file::FleetFile;
 use shared::{LOOK, Shared};
 
@@ -48,7 +49,7 @@
 #[derive(Debug)]
 pub(crate) struct GossipTask {
     notes: Notes,
-    fleet: Fleet,
+    fleet: DemandExchange,
     together: FleetSettings,
     permits: Option<PermitLedger>,
     shared: Option<Shared>,
@@ -59,7 +60,7 @@
 impl GossipTask {
     /// A sender whose notes come and go as told, and whose partners return from an outage like that.
     pub(crate) fn new(notes: Notes, ramp: Ramp, together: FleetSettings) -> Self {
-        let fleet = Fleet::new(notes.me, notes.peers.len(), ramp);
+        let fleet = DemandExchange::new(notes.me, notes.peers.len(), ramp);
         Self { notes, fleet, together, permits: None, shared: None, gates: Vec::new() }
     }
 
@@ -101,7 +102,7 @@
         let mut buffer = [0; MAX_MESSAGE_LEN + 1];
         let (mut report_at, mut offer_at) = (self.next_report(wall), self.next_offer(wall));
         loop {
-            let dealing = self.permits.as_ref().and_then(PermitLedger::next_deal);
+            let dealing = self.permits.as_ref().and_then(PermitLedger::next_allocation);
             let look = self.shared.as_ref().map(|_| wall_ms() / LOOK * LOOK + LOOK);
             let due = [Some(report_at), self.fleet.next_sums(), dealing, offer_at, look];
             let next = due.into_iter().flatten().min().unwrap_or(report_at);
@@ -115,7 +116,7 @@
                 }
                 () = sleep(Duration::from_millis(next.saturating_sub(wall_ms()))) => {
                     let mut datagrams = self.fleet.sums(wall_ms());
-                    datagrams.extend(self.permits.iter_mut().flat_map(|permits| permits.deal(wall_ms())));
+                    datagrams.extend(self.permits.iter_mut().flat_map(|permits| permits.allocate(wall_ms())));
                     datagrams.extend(self.shared.iter_mut().flat_map(|shared| shared.notes_due(wall_ms())));
                     if wall_ms() >= report_at {
                         let Some(report) = self.report(&host).await else { return };
@@ -127,7 +128,7 @@
                         datagrams.extend(offer);
                         offer_at = self.next_offer(wall_ms());
                     }
-                    for (to, note) in datagrams {
+                    for OutgoingDatagram { to, bytes: note } in datagrams {
                         // One that cannot go now is as good as lost on its way.
                         let _ = self.notes.peers.get(to).map(|addr| socket.try_send_to(&note, *addr));
                     }
@@ -152,7 +153,7 @@
         let wall = wall_ms();
         let heard = match (open(note).map(|(kind, _)| kind), &mut self.permits, &mut self.shared) {
             (Ok(Kind::PermitOffer | Kind::PermitGrant), Some(permits), _) => {
-                permits.hear(wall, from, note).map_err(|error| error.to_string())
+                permits.receive(wall, from, note).map_err(|error| error.to_string())
             }
             (Ok(Kind::Report | Kind::Summary), _, Some(shared)) => {
                 shared.hear(wall, from, note).map(|()| false).map_err(|error| error.to_string())
@@ -167,18 +168,25 @@
     }
 
     /// What the host wants and does; what others make of that goes back to it.
-    async fn demands(&mut self, host: &mpsc::Sender<Input>) -> Option<(Vec<(LimitId, Demand)>, Vec<Own>)> {
+    async fn demands(&mut self, host: &mpsc::Sender<Input>) -> Option<(Vec<LimitDemand>, Vec<LocalDemand>)> {
         let (asker, activity) = oneshot::channel();
-        host.send(Input::Demands(asker)).await.ok()?;
+        host.send(Input::ReportActivity(asker)).await.ok()?;
         let activity: ActivityReport = activity.await.ok()?;
         let told = self.shared.as_mut().map(|shared| shared.exchange(wall_ms(), &activity));
         for input in told.into_iter().flatten() {
             host.send(input).await.ok()?;
         }
         let demands = activity.demands;
-        let own = demands.iter().map(|(gate, want)| {
-            let Demand { limit, wanted, called, refused, failed, .. } = *want;
-            Own { gate: *gate, limit, wanted, called, refused, failed }
+        let own = demands.iter().map(|LimitDemand { limit: limit_id, demand }| {
+            let Demand { limit, wanted, called, refused, failed, .. } = *demand;
+            LocalDemand {
+                limit_id: *limit_id,
+                limit,
+                demand: wanted,
+                calls: called,
+                rejected: refused,
+                failed,
+            }
         });
         let own = own.collect();
         Some((demands, own))
@@ -190,16 +198,19 @@
         let datagrams = self.fleet.report(wall_ms(), &own);
         let rooms = self.fleet.rooms(wall_ms());
         let open = |gate, limit| if rooms.is_some() { self.fleet.open(gate, limit) } else { 1.0 };
-        let of =
-            |(gate, want): &(LimitId, Demand)| (*gate, want.destination, want.route, open(*gate, want.limit));
+        let of = |LimitDemand { limit: gate, demand: want }: &LimitDemand| {
+            (*gate, want.destination, want.route, open(*gate, want.limit))
+        };
         self.gates = demands.iter().map(of).collect();
         let Some(rooms) = rooms else { return Some(datagrams) };
         let near: HashMap<_, _> = rooms.iter().copied().collect();
-        let room = |(gate, want): &(_, Demand)| {
-            let calls = near.get(gate).copied().unwrap_or(f64::INFINITY);
-            (want.destination, want.route, calls, self.fleet.wanted(*gate))
+        let share = |LimitDemand { limit: gate, demand: want }: &LimitDemand| CapacityUpdate {
+            limit: LimitKey { destination: want.destination, route: want.route },
+            calls: near.get(gate).copied().unwrap_or(f64::INFINITY),
+            fleet_demand: self.fleet.wanted(*gate),
         };
-        host.send(Input::CapacityShares(demands.iter().map(room).collect(), LASTS)).await.ok()?;
+        let shares = demands.iter().map(share).collect();
+        host.send(Input::CapacityShares { shares, valid_for: LASTS }).await.ok()?;
         Some(datagrams)
     }
 
@@ -214,8 +225,10 @@
     async fn tell_turns(&self, host: &mpsc::Sender<Input>) -> bool {
         let Some(permits) = &self.permits else { return true };
         let wall = wall_ms();
-        let turns =
-            |&(gate, destination, route, open): &_| (destination, route, permits.turns(wall, gate, open));
-        host.send(Input::Permits(self.gates.iter().map(turns).collect())).await.is_ok()
+        let update = |&(gate, destination, route, open): &_| PermitUpdate {
+            limit: LimitKey { destination, route },
+            permits: permits.permits(wall, gate, open),
+        };
+        host.send(Input::Permits(self.gates.iter().map(update).collect())).await.is_ok()
     }
 }
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_gossip::{Fleet, Incarnation, PermitLedger, Ramp};
-use rudderspindle_policy::Sender;
+use rudderspindle_gossip::{DemandExchange, Incarnation, PermitLedger, Ramp};
+use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::*;
 
 use super::client::Client;
@@ -78,7 +78,7 @@
     let seed = scene.seed * 64 + n as u64 * 8 + starts;
     let settings = config(scene);
     let (start, later) = (settings.ramp(0.0), settings.ramp(1_000.0));
-    let mut sender = Sender::new(settings, seed).expect("settings that work");
+    let mut sender = Policy::new(settings, seed).expect("settings that work");
     if scene.notes.is_some() {
         sender.hear_notes();
     }
@@ -90,7 +90,7 @@
     let permits = || PermitLedger::new(n, scene.senders, Incarnation(starts + 1), wall(now, ahead));
     Client {
         sender,
-        fleet: Fleet::new(n, scene.senders, Ramp { start, growth: later - start }),
+        fleet: DemandExchange::new(n, scene.senders, Ramp { start, growth: later - start }),
         permits: strict.then(permits),
         takes: BTreeMap::new(),
         ahead,
