--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -1,5 +1,5 @@
-//! Whole runs of a few senders: who tells whom what and when, and what each knows at the end, as the version before the
-//! renames had it.
+//! Golden transcripts of a few senders: which datagrams they exchange and when, and what each knows at the end, as the
+//! version before the renames had it.
 
 use std::fmt::Write;
 use std::fs;
@@ -24,18 +24,18 @@
     assert_eq!(transcript.lines().count(), golden.lines().count(), "lines of {file}");
 }
 
-/// Milliseconds since the start, sender, reader and datagram.
-fn write_letters(transcript: &mut String, now: u64, from: usize, datagrams: &[OutgoingDatagram]) {
+/// Writes a line for each datagram: milliseconds since the start, sender, receiver and bytes.
+fn write_datagrams(transcript: &mut String, now: u64, from: usize, datagrams: &[OutgoingDatagram]) {
     for OutgoingDatagram { to, bytes: datagram } in datagrams {
         let hex: String = datagram.iter().map(|byte| format!("{byte:02x}")).collect();
         writeln!(transcript, "{} {from} {to} {hex}", now - START).expect("written");
     }
 }
 
-/// Whether the reader took the datagram in.
-fn write_heard(transcript: &mut String, reader: usize, taken_in: bool) {
-    let heard = if taken_in { "heard" } else { "dropped" };
-    writeln!(transcript, "{heard} by {reader}").expect("written");
+/// Writes a line on whether the receiver accepted a datagram.
+fn write_received(transcript: &mut String, receiver: usize, accepted: bool) {
+    let outcome = if accepted { "heard" } else { "dropped" };
+    writeln!(transcript, "{outcome} by {receiver}").expect("written");
 }
 
 /// Three gates, one of which refuses and one of which fails, at a sender that calls more the higher its number.
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn senders_that_share_limits_tell_and_know_the_same_as_before() {
+fn the_demand_exchange_has_the_golden_transcript() {
     let mut fleets: Vec<DemandExchange> =
         (0..4).map(|me| DemandExchange::new(me, 4, Ramp { start: 0.28, growth: 0.15 })).collect();
     let mut due: Vec<u64> = fleets.iter().map(|fleet| fleet.next_report(START)).collect();
@@ -72,10 +72,10 @@
             if fleets[from].next_sums().is_some_and(|at| at <= now) {
                 datagrams.extend(fleets[from].sums(now));
             }
-            write_letters(&mut transcript, now, from, &datagrams);
+            write_datagrams(&mut transcript, now, from, &datagrams);
             for OutgoingDatagram { to, bytes: datagram } in datagrams {
                 let heard = fleets[to].hear(now, from, &datagram);
-                write_heard(&mut transcript, to, heard.is_ok());
+                write_received(&mut transcript, to, heard.is_ok());
             }
         }
     }
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn senders_that_lend_rights_tell_and_hold_the_same_as_before() {
+fn the_permit_protocol_has_the_golden_transcript() {
     let new = |me| PermitLedger::new(me, 3, Incarnation(START - 1_000 + me as u64), START);
     let mut tier: Vec<PermitLedger> = (0..3).map(new).collect();
     let mut due: Vec<u64> = tier.iter().map(|permits| permits.next_offer(START)).collect();
@@ -106,10 +106,10 @@
             if tier[from].next_allocation().is_some_and(|at| at <= now) {
                 datagrams.extend(tier[from].allocate(now));
             }
-            write_letters(&mut transcript, now, from, &datagrams);
+            write_datagrams(&mut transcript, now, from, &datagrams);
             for OutgoingDatagram { to, bytes: datagram } in datagrams {
                 let heard = tier[to].receive(now, from, &datagram);
-                write_heard(&mut transcript, to, heard.is_ok());
+                write_received(&mut transcript, to, heard.is_ok());
             }
         }
     }
@@ -126,46 +126,61 @@
     assert_golden("transcript-rights.txt", &transcript);
 }
 
-#[test]
-fn senders_that_share_counts_and_judgements_tell_and_know_the_same_as_before() {
+/// The views of six senders in two zones.
+fn fleet_views() -> Vec<FleetView> {
     let incarnation = Incarnation(START - 10_000);
-    let new = |number| {
+    let view = |number| {
         let complete_from = incarnation.0;
         let local = LocalSender { number, incarnation, complete_from, max_messages_per_second: 100 };
-        FleetView::new(local, vec![0, 0, 0, 0, 1, 1])
+        FleetView::new(local, vec![0, 0, 0, 0, 1, 1]).expect("a sender of the fleet")
     };
-    let mut views: Vec<FleetView> = (0..6).map(|me| new(me).expect("one of the tier")).collect();
-    let post = || DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
-    let mut posts: Vec<DatagramBudget> = (0..6).map(|_| post()).collect();
+    (0..6).map(view).collect()
+}
+
+#[test]
+fn the_fleet_view_has_the_golden_transcript() {
+    let mut views = fleet_views();
+    let budget = || DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })]);
+    let mut budgets: Vec<DatagramBudget> = (0..6).map(|_| budget()).collect();
     let receivers = ["a", "b", "c"].map(|receiver| Receiver::of(7, receiver));
     let mut transcript = String::new();
     for now in (START..START + 6_000).step_by(100) {
         for from in 0..views.len() {
             views[from].record_message(now, (now / 300 % 4) as u16 * (from as u16 + 1));
-            let seen = if from < 4 { CallResult::Failed } else { CallResult::Answered };
-            views[from].record_call(now, receivers[0], seen);
+            let result = if from < 4 { CallResult::Failed } else { CallResult::Answered };
+            views[from].record_call(now, receivers[0], result);
             views[from].record_call(now, receivers[1], CallResult::Answered);
-            let datagrams = views[from].due_datagrams(now, &mut posts[from]);
-            write_letters(&mut transcript, now, from, &datagrams);
-            for OutgoingDatagram { to, bytes: datagram } in datagrams {
-                let heard = views[to].receive(now, from, &datagram);
-                write_heard(&mut transcript, to, heard.is_ok());
+            let datagrams = views[from].due_datagrams(now, &mut budgets[from]);
+            write_datagrams(&mut transcript, now, from, &datagrams);
+            for OutgoingDatagram { to, bytes } in datagrams {
+                let received = views[to].receive(now, from, &bytes);
+                write_received(&mut transcript, to, received.is_ok());
             }
         }
     }
-    let now = START + 6_000;
-    for (me, views) in views.iter_mut().enumerate() {
-        for tenant in 0..4 {
-            let read = views.usage().read(now, tenant, 5);
-            let (ends, heard) =
-                ((read.min, read.max), (read.senders, read.newest_epoch_end.map(|at| at - START)));
-            let room = views.own_quota(now, tenant, 100.0);
-            writeln!(transcript, "{me} {tenant} {ends:?} {heard:?} {room:.6?}").expect("written");
-        }
-        let avoided = views.ejected(now, &receivers);
-        let avoided: Vec<bool> = receivers.iter().map(|receiver| avoided.contains(receiver)).collect();
-        let alive: Vec<bool> = (0..6).map(|number| views.members().is_alive(number, now)).collect();
-        writeln!(transcript, "{me} avoids {avoided:?} hears {alive:?}").expect("written");
+    for (number, view) in views.iter_mut().enumerate() {
+        write_view(&mut transcript, START + 6_000, number, view, &receivers);
     }
     assert_golden("transcript-views.txt", &transcript);
 }
+
+/// Writes what a sender knows at the end.
+fn write_view(
+    transcript: &mut String,
+    now: u64,
+    number: usize,
+    view: &mut FleetView,
+    receivers: &[Receiver; 3],
+) {
+    for tenant in 0..4 {
+        let read = view.usage().read(now, tenant, 5);
+        let bounds = (read.min, read.max);
+        let known = (read.senders, read.newest_epoch_end.map(|end| end - START));
+        let quota = view.own_quota(now, tenant, 100.0);
+        writeln!(transcript, "{number} {tenant} {bounds:?} {known:?} {quota:.6?}").expect("written");
+    }
+    let ejected = view.ejected(now, receivers);
+    let ejected: Vec<bool> = receivers.iter().map(|receiver| ejected.contains(receiver)).collect();
+    let alive: Vec<bool> = (0..6).map(|sender| view.members().is_alive(sender, now)).collect();
+    writeln!(transcript, "{number} avoids {ejected:?} hears {alive:?}").expect("written");
+}
--- a/crates/gossip/tests/registers_model.rs
+++ b/crates/gossip/tests/registers_model.rs
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Content {
-    Register(Vec<(u16, u32)>, u32, bool),
+    Register { totals: Vec<(u16, u32)>, rest: u32, partial: bool },
     WindowSlice(WindowSlice),
 }
 
@@ -59,8 +59,11 @@
     Report(usize),
     Aggregate,
     Receive(usize, Message),
-    /// Whether the state folder is kept.
-    Kill(usize, bool),
+    /// The sender is killed and starts again, with its state folder or with an empty one.
+    Kill {
+        sender: usize,
+        keeps_folder: bool,
+    },
     EpochEnds,
 }
 
@@ -87,15 +90,13 @@
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         let epoch = (state.now / EPOCH - 1) as usize;
         if epoch < EPOCHS as usize {
-            let has_more = |n: usize| state.truth[epoch][n] < ACCEPTED[epoch][n];
-            actions.extend((0..SENDERS).filter(|n| has_more(*n)).map(Action::Accept));
+            let has_more = |sender: usize| state.truth[epoch][sender] < ACCEPTED[epoch][sender];
+            actions.extend((0..SENDERS).filter(|sender| has_more(*sender)).map(Action::Accept));
             actions.push(Action::EpochEnds);
         }
         if state.kills == 0 {
-            actions.extend(
-                [(AGGREGATOR, true), (2, true), (2, false)]
-                    .map(|(n, keeps_folder)| Action::Kill(n, keeps_folder)),
-            );
+            let kills = [(AGGREGATOR, true), (2, true), (2, false)];
+            actions.extend(kills.map(|(sender, keeps_folder)| Action::Kill { sender, keeps_folder }));
         }
         if epoch > 0 {
             actions.push(Action::Report(2));
@@ -104,10 +105,10 @@
         for message in &state.in_flight {
             let readers = match message.content {
                 Content::WindowSlice(_) => [Some(READER), None],
-                Content::Register(..) => [Some(READER), Some(AGGREGATOR)],
+                Content::Register { .. } => [Some(READER), Some(AGGREGATOR)],
             };
-            let readers = readers.into_iter().flatten().filter(|n| *n != message.from);
-            actions.extend(readers.map(|n| Action::Receive(n, message.clone())));
+            let readers = readers.into_iter().flatten().filter(|reader| *reader != message.from);
+            actions.extend(readers.map(|reader| Action::Receive(reader, message.clone())));
         }
     }
 
@@ -117,55 +118,21 @@
         let epoch = now / EPOCH - 1;
         match action {
             Action::EpochEnds => state.now = (now / EPOCH + 1) * EPOCH,
-            Action::Accept(n) => {
-                state.usage[n].record_message(now, TENANT);
-                state.truth[epoch as usize][n] += 1;
+            Action::Accept(sender) => {
+                state.usage[sender].record_message(now, TENANT);
+                state.truth[epoch as usize][sender] += 1;
             }
             Action::Report(from) => {
                 let Register { totals, rest, partial } = state.usage[from].own_register(now, epoch)?;
-                let content = Content::Register(totals.into_iter().collect(), rest, partial);
-                state.in_flight.insert(Message {
-                    from,
-                    incarnation: state.incarnations[from],
-                    epoch,
-                    content,
-                });
+                let totals = totals.into_iter().collect();
+                state.send(from, epoch, Content::Register { totals, rest, partial });
             }
             Action::Aggregate => {
                 let slice = state.usage[AGGREGATOR].aggregate(now, epoch)?;
-                let from = AGGREGATOR;
-                let content = Content::WindowSlice(slice);
-                state.in_flight.insert(Message {
-                    from,
-                    incarnation: state.incarnations[from],
-                    epoch,
-                    content,
-                });
-            }
-            Action::Receive(n, message) => {
-                if state.members[n].record_message(message.from, message.incarnation, now)
-                    != Ok(IncarnationOrder::Older)
-                {
-                    match message.content {
-                        Content::WindowSlice(slice) => {
-                            state.usage[n].merge_slice(now, message.from, message.epoch, &slice)
-                        }
-                        Content::Register(totals, rest, partial) => {
-                            let register = Register { totals: totals.into_iter().collect(), rest, partial };
-                            let key = RegisterKey { sender: message.from, incarnation: message.incarnation };
-                            state.usage[n].merge_register(now, key, message.epoch, &register)
-                        }
-                    };
-                }
-            }
-            Action::Kill(n, keeps_folder) => {
-                state.kills += 1;
-                state.now += 600;
-                let stored = keeps_folder.then_some(state.incarnations[n]);
-                state.incarnations[n] = Incarnation::next(stored, state.now);
-                state.usage[n] = TenantUsage::new(local_sender(n, state.incarnations[n], state.now), SENDERS);
-                state.members[n] = MembershipList::new(SENDERS);
+                state.send(AGGREGATOR, epoch, Content::WindowSlice(slice));
             }
+            Action::Receive(reader, message) => state.receive(reader, message),
+            Action::Kill { sender, keeps_folder } => state.kill(sender, keeps_folder),
         }
         Some(state)
     }
@@ -183,6 +150,38 @@
 }
 
 impl State {
+    fn send(&mut self, from: usize, epoch: u64, content: Content) {
+        let incarnation = self.incarnations[from];
+        self.in_flight.insert(Message { from, incarnation, epoch, content });
+    }
+
+    fn receive(&mut self, reader: usize, message: Message) {
+        let Message { from, incarnation, epoch, content } = message;
+        let order = self.members[reader].record_message(from, incarnation, self.now);
+        if order == Ok(IncarnationOrder::Older) {
+            return;
+        }
+        let usage = &mut self.usage[reader];
+        match content {
+            Content::WindowSlice(slice) => usage.merge_slice(self.now, from, epoch, &slice),
+            Content::Register { totals, rest, partial } => {
+                let register = Register { totals: totals.into_iter().collect(), rest, partial };
+                let key = RegisterKey { sender: from, incarnation };
+                usage.merge_register(self.now, key, epoch, &register)
+            }
+        };
+    }
+
+    fn kill(&mut self, sender: usize, keeps_folder: bool) {
+        self.kills += 1;
+        self.now += 600;
+        let stored = keeps_folder.then_some(self.incarnations[sender]);
+        let incarnation = Incarnation::next(stored, self.now);
+        self.incarnations[sender] = incarnation;
+        self.usage[sender] = TenantUsage::new(local_sender(sender, incarnation, self.now), SENDERS);
+        self.members[sender] = MembershipList::new(SENDERS);
+    }
+
     /// What each sender reads of each epoch that is over, and the true number.
     fn readings(&self) -> impl Iterator<Item = ((u64, u64), u64)> + '_ {
         let over = 1..self.now / EPOCH;
