--- a/crates/gossip/src/fleet_view/error.rs
+++ b/crates/gossip/src/fleet_view/error.rs
@@ -18,7 +18,7 @@
     #[error("it is of another round")]
     WrongRound,
     /// The sender's number is this sender's own, or beyond the fleet's size.
-    #[error("it comes from no other sender of the tier")]
+    #[error("it comes from no other sender of the fleet")]
     UnknownSender,
     /// The datagram is of a process that was replaced.
     #[error("it comes from an older process under that number")]
