--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -65,7 +65,7 @@
 
     /// The datagrams that are due.
     pub(super) fn due_datagrams(&mut self, now: u64) -> Vec<OutgoingDatagram> {
-        self.view.notes_due(now, &mut self.budget)
+        self.view.due_datagrams(now, &mut self.budget)
     }
 
     /// Handles a datagram of another sender.
@@ -74,7 +74,7 @@
     ///
     /// [`FleetViewError`] says why it was dropped.
     pub(super) fn receive(&mut self, now: u64, from: usize, message: &[u8]) -> Result<(), FleetViewError> {
-        self.view.hear(now, from, message)
+        self.view.receive(now, from, message)
     }
 
     /// Records the engine's activity, and returns what the engine is to be told.
@@ -90,11 +90,11 @@
 
     fn record(&mut self, now: u64, activity: &ActivityReport) {
         for result in &activity.results {
-            self.view.judgements().record_call(now, result.receiver, result.result);
+            self.view.record_call(now, result.receiver, result.result);
         }
         for usage in &activity.accepted {
             for _ in 0..usage.messages {
-                self.view.counts().record_message(now, usage.tenant);
+                self.view.record_message(now, usage.tenant);
             }
         }
     }
@@ -124,7 +124,7 @@
         let mut ejected_routes = Vec::new();
         for receivers in by_destination.values() {
             let names: Vec<Receiver> = receivers.iter().map(|listed| listed.receiver).collect();
-            let ejected = self.view.avoided(now, &names);
+            let ejected = self.view.ejected(now, &names);
             let of_ejected = receivers.iter().filter(|listed| ejected.contains(&listed.receiver));
             ejected_routes.extend(of_ejected.map(|listed| listed.route));
         }
@@ -137,7 +137,7 @@
         let mut shares = Vec::with_capacity(self.quotas.len());
         for (tenant, quota) in self.quotas.iter().enumerate() {
             let number = u16::try_from(tenant).unwrap_or(u16::MAX);
-            shares.push(TenantQuota { tenant, messages_per_s: self.view.room(now, number, *quota) });
+            shares.push(TenantQuota { tenant, messages_per_s: self.view.own_quota(now, number, *quota) });
         }
         shares
     }
