--- a/crates/benchmarks/src/evening.rs
+++ b/crates/benchmarks/src/evening.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use indicatif::{ProgressBar, ProgressStyle};
-use rudderspindle_testkit::checker::{Accounting, Return, Verdict, check_events};
+use rudderspindle_testkit::checker::{Accounting, Recovery, Verdict, check_events};
 use rudderspindle_testkit::event_log;
 use rudderspindle_testkit::program::Launch;
 use rudderspindle_testkit::scenario::Scenario;
@@ -68,7 +68,7 @@
         if let Some(keep) = &keep {
             keep_evidence(keep, seed, &played)?;
         }
-        if !verdict.in_doubt() || tries == AGAIN {
+        if !verdict.is_inconclusive() || tries == AGAIN {
             return Ok(Round { seed, script, played, verdict, tries });
         }
         tries += 1;
@@ -86,7 +86,7 @@
     );
     bar.enable_steady_tick(Duration::from_millis(500));
     let (mut late, mut peak_kib) = (0, 0);
-    let mut returns: Vec<Return> = Vec::new();
+    let mut returns: Vec<Recovery> = Vec::new();
     let draw = |seed| (seed, Scenario::evening(seed, common.seconds.unwrap_or(SECONDS)));
     let wanted = |script: &Scenario| having.is_none_or(|having| having.holds(script));
     let scripts = (first..=u64::MAX).map(draw).filter(|(_, script)| wanted(script));
@@ -103,47 +103,47 @@
         late += tries;
         peak_kib = peak_kib.max(played.peak_kib);
         bar.suspend(|| print_round(seed, &script, &played, &verdict));
-        if !verdict.in_doubt() {
+        if !verdict.is_inconclusive() {
             check(&mut report, seed, &played, &verdict, common.keep.as_deref());
             add(&mut total, &verdict.accounting);
-            returns.extend(verdict.returns);
+            returns.extend(verdict.recoveries);
         }
         bar.inc(1);
     }
     bar.finish_and_clear();
-    if total.taken_on == 0 {
+    if total.accepted == 0 {
         report.broken("nothing was taken on: every round was late, or no sender answered".to_owned());
     }
     for (name, value) in [
-        ("handed_in_count", total.handed_in),
-        ("taken_on_count", total.taken_on),
+        ("handed_in_count", total.submitted),
+        ("taken_on_count", total.accepted),
         ("delivered_count", total.delivered),
-        ("refused_count", total.refused + total.refused_at_the_door),
-        ("failed_count", total.failed + total.failed_at_the_door),
+        ("refused_count", total.rejected + total.rejected_on_submission),
+        ("failed_count", total.failed + total.failed_on_submission),
         ("lost_count", total.lost),
-        ("doubled_count", total.doubled),
+        ("doubled_count", total.duplicated),
         ("late_runs_count", late),
         ("memory_peak_kib", peak_kib),
     ] {
         report.figure(name, value);
     }
-    let worst = |of: &dyn Fn(&Return) -> bool| {
-        returns.iter().filter(|r| of(r)).map(|r| r.worst_ratio).fold(0.0, f64::max)
+    let worst = |of: &dyn Fn(&Recovery) -> bool| {
+        returns.iter().filter(|r| of(r)).map(|r| r.peak_ratio).fold(0.0, f64::max)
     };
-    let shut_or_refused = |r: &Return| r.shared && matches!(r.kind.as_str(), "shut" | "refuse");
+    let shut_or_refused = |r: &Recovery| r.shared && matches!(r.kind.as_str(), "shut" | "refuse");
     report.figure("return_worst_ratio", worst(&|_| true));
     report.figure("return_worst_shared_shut_or_refused_ratio", worst(&shut_or_refused));
     report.figure("returns_count", returns.len());
     let share = |part: u64, of: u64| part as f64 / of.max(1) as f64;
-    report.figure("in_time_share", share(total.in_time, total.handed_in));
-    report.figure("calls_refused_share", share(total.calls_refused, total.calls));
+    report.figure("in_time_share", share(total.in_time, total.submitted));
+    report.figure("calls_refused_share", share(total.calls_rejected, total.calls));
     Ok(report)
 }
 
 fn check(report: &mut Report, seed: u64, played: &Played, verdict: &Verdict, kept: Option<&Path>) {
     let at = kept
         .map_or("keep it with --keep".to_owned(), |k| k.join(format!("{seed}.jsonl")).display().to_string());
-    for breach in &verdict.breaches {
+    for breach in &verdict.violations {
         report.broken(format!(
             "seed {seed}: {:?}: {} (lines {:?}; {at})",
             breach.rule, breach.what, breach.lines
@@ -152,27 +152,27 @@
     for failed in &played.failed {
         report.broken(format!("seed {seed}: {failed}"));
     }
-    if verdict.accounting.doubled > 0 {
-        report.broken(format!("seed {seed}: {} doubled", verdict.accounting.doubled));
+    if verdict.accounting.duplicated > 0 {
+        report.broken(format!("seed {seed}: {} doubled", verdict.accounting.duplicated));
     }
 }
 
 fn add(total: &mut Accounting, a: &Accounting) {
-    total.handed_in += a.handed_in;
-    total.taken_on += a.taken_on;
-    total.refused_at_the_door += a.refused_at_the_door;
-    total.failed_at_the_door += a.failed_at_the_door;
-    total.unheard += a.unheard;
+    total.submitted += a.submitted;
+    total.accepted += a.accepted;
+    total.rejected_on_submission += a.rejected_on_submission;
+    total.failed_on_submission += a.failed_on_submission;
+    total.unanswered += a.unanswered;
     total.delivered += a.delivered;
-    total.refused += a.refused;
+    total.rejected += a.rejected;
     total.failed += a.failed;
-    total.open += a.open;
+    total.pending += a.pending;
     total.lost += a.lost;
-    total.doubled += a.doubled;
+    total.duplicated += a.duplicated;
     total.in_time += a.in_time;
     total.late += a.late;
     total.calls += a.calls;
-    total.calls_refused += a.calls_refused;
+    total.calls_rejected += a.calls_rejected;
 }
 
 fn print_round(seed: u64, script: &Scenario, played: &Played, verdict: &Verdict) {
@@ -182,7 +182,7 @@
         println!("  {happening:?}");
     }
     print!("{verdict}");
-    println!("evening {seed}: return_worst_ratio {:.2}", verdict.return_worst_ratio());
+    println!("evening {seed}: return_worst_ratio {:.2}", verdict.peak_recovery_ratio());
     for failed in &played.failed {
         println!("FAILED: {failed}");
     }
--- a/crates/benchmarks/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -116,7 +116,7 @@
     seed: u64,
     seconds: Duration,
 ) -> Result<Measured, RigError> {
-    let evidence = EventLog::begin(Vec::new(), Vec::new(), Rules::default());
+    let evidence = EventLog::start(Vec::new(), Vec::new(), Rules::default());
     let entry = |(n, addr): (usize, &SocketAddr)| Entry {
         id: format!("r{n}"),
         addr: *addr,
--- a/crates/daemon/tests/evening/mod.rs
+++ b/crates/daemon/tests/evening/mod.rs
@@ -20,7 +20,7 @@
         let played = World::set_up(&script, &stage).await.expect("a world").play().await;
         assert_eq!(played.failed, Vec::<String>::new());
         let verdict = check_events(&played.lines);
-        if !verdict.in_doubt() {
+        if !verdict.is_inconclusive() {
             return (played.lines, verdict);
         }
     }
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -93,8 +93,8 @@
     for _ in 0..3 {
         let verdict = play().await;
         // On a machine that is too busy what the judge says is worth nothing.
-        if !verdict.in_doubt() {
-            assert!(verdict.clean() && verdict.accounting.open == 0, "{verdict}");
+        if !verdict.is_inconclusive() {
+            assert!(verdict.is_clean() && verdict.accounting.pending == 0, "{verdict}");
             assert!(verdict.accounting.delivered > 200, "{verdict}");
             return;
         }
@@ -112,10 +112,10 @@
     println!("{HEAD}");
     rows.iter().for_each(|row| println!("{row}"));
     println!("{:?}", verdict.accounting);
-    assert!(!verdict.in_doubt(), "the stand-ins were late: this machine is too busy to tell anything");
+    assert!(!verdict.is_inconclusive(), "the stand-ins were late: this machine is too busy to tell anything");
     // Late ends are no fault here: a process stopped for longer than its messages last cannot end them in time.
     let accounts = &verdict.accounting;
-    assert_eq!((accounts.lost, accounts.doubled, accounts.open), (0, 0, 0), "{verdict}");
+    assert_eq!((accounts.lost, accounts.duplicated, accounts.pending), (0, 0, 0), "{verdict}");
     let strict = |row: &cluster::Row| row.usage.worst <= 1.10 && row.usage.refused <= 0.05;
     let over: Vec<String> = rows.iter().filter(|row| !strict(row)).map(ToString::to_string).collect();
     assert!(over.is_empty(), "over the limit or refused too often:\n{HEAD}\n{}", over.join("\n"));
--- a/crates/daemon/tests/judgements.rs
+++ b/crates/daemon/tests/judgements.rs
@@ -43,5 +43,5 @@
     assert_eq!(logs(folder.path(), 1, AVOIDED), 0);
     let verdict = tier.ended().await;
     let accounts = &verdict.accounting;
-    assert_eq!((accounts.doubled, accounts.open), (0, 0), "{verdict}");
+    assert_eq!((accounts.duplicated, accounts.pending), (0, 0), "{verdict}");
 }
--- a/crates/daemon/tests/returns.rs
+++ b/crates/daemon/tests/returns.rs
@@ -60,17 +60,17 @@
 #[tokio::test]
 async fn a_partner_shut_as_a_whole_is_asked_gently_when_it_opens() {
     let (_, verdict) = evening::play(SHUT, LONGEST).await;
-    assert!(verdict.clean(), "{verdict}");
-    let [back] = &verdict.returns[..] else { panic!("it came back once:\n{verdict}") };
-    assert!(back.shared && back.kind == "shut" && back.worst_calls > 0, "{verdict}");
-    assert!(back.worst_ratio <= 1.8, "{verdict}");
-    assert!(verdict.accounting.delivered * 2 > verdict.accounting.handed_in, "{verdict}");
+    assert!(verdict.is_clean(), "{verdict}");
+    let [back] = &verdict.recoveries[..] else { panic!("it came back once:\n{verdict}") };
+    assert!(back.shared && back.kind == "shut" && back.peak_calls > 0, "{verdict}");
+    assert!(back.peak_ratio <= 1.8, "{verdict}");
+    assert!(verdict.accounting.delivered * 2 > verdict.accounting.submitted, "{verdict}");
 }
 
 #[tokio::test]
 async fn nor_does_a_sender_that_was_killed_forget_that_it_is_cold() {
     let (_, verdict) = evening::play(&format!("{SHUT}{KILLED}"), LONGEST).await;
-    assert!(verdict.clean(), "{verdict}");
-    let [back] = &verdict.returns[..] else { panic!("it came back once:\n{verdict}") };
-    assert!(back.worst_ratio > 0.0 && back.worst_ratio <= 1.8, "{verdict}");
+    assert!(verdict.is_clean(), "{verdict}");
+    let [back] = &verdict.recoveries[..] else { panic!("it came back once:\n{verdict}") };
+    assert!(back.peak_ratio > 0.0 && back.peak_ratio <= 1.8, "{verdict}");
 }
--- a/crates/daemon/tests/rights.rs
+++ b/crates/daemon/tests/rights.rs
@@ -59,7 +59,7 @@
     sleep(Duration::from_millis(2_500)).await;
     let usage = tier.usage(from..tier.evidence().now());
     rows.push(Row { phase: "one comes back with an empty folder", usage });
-    (rows, tier.ended().await.in_doubt())
+    (rows, tier.ended().await.is_inconclusive())
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/takeover_evening.rs
+++ b/crates/daemon/tests/takeover_evening.rs
@@ -49,9 +49,9 @@
 async fn an_evening_with_takeovers_breaks_no_rule_and_loses_nothing() {
     let script = format!("{TRAFFIC}{}{HAPPENINGS}", evening::partners(1.0));
     let (_, verdict) = evening::play(&script, Duration::from_secs(6)).await;
-    assert!(verdict.clean() && verdict.accounting.open == 0, "{verdict}");
-    let (taken, failed_at_the_door) = (verdict.accounting.taken_on, verdict.accounting.failed_at_the_door);
+    assert!(verdict.is_clean() && verdict.accounting.pending == 0, "{verdict}");
+    let (taken, failed_at_the_door) = (verdict.accounting.accepted, verdict.accounting.failed_on_submission);
     assert!(taken > 200, "{verdict}");
     // A request that a process left unread would be tried again, and one that it closed on not be heard.
-    assert!(verdict.accounting.unheard * 50 < taken && failed_at_the_door == 0, "{verdict}");
+    assert!(verdict.accounting.unanswered * 50 < taken && failed_at_the_door == 0, "{verdict}");
 }
--- a/crates/daemon/tests/troubles.rs
+++ b/crates/daemon/tests/troubles.rs
@@ -74,7 +74,9 @@
 
 fn told(lines: &[Line], who: &str, what: &str) -> Option<u64> {
     lines.iter().find_map(|line| match &line.event {
-        Event::Told { sender, phase, .. } if sender == who && phase == what => Some(line.t / 1_000),
+        Event::EndpointChanged { sender, phase, .. } if sender == who && phase == what => {
+            Some(line.t / 1_000)
+        }
         _ => None,
     })
 }
@@ -83,8 +85,8 @@
 async fn agents_and_links_fail_as_scripted_and_no_rule_is_broken() {
     let script = format!("{TRAFFIC}{}{HAPPENINGS}", evening::partners(0.0));
     let (lines, verdict) = evening::play(&script, Duration::from_secs(5)).await;
-    assert!(verdict.clean() && verdict.accounting.open == 0, "{verdict}");
-    assert!(verdict.accounting.failed + verdict.accounting.refused > 0, "no notices:\n{verdict}");
+    assert!(verdict.is_clean() && verdict.accounting.pending == 0, "{verdict}");
+    assert!(verdict.accounting.failed + verdict.accounting.rejected > 0, "no notices:\n{verdict}");
     // The one that is silent tells late; the other at once.
     let (late, soon) = (told(&lines, "n0", "DRAINING"), told(&lines, "n1", "DRAINING"));
     assert!(late.is_some_and(|t| (4_500..8_000).contains(&t)), "{late:?}");
@@ -92,9 +94,11 @@
     // Its sender has followed it to its other address.
     let moved = told(&lines, "n0", "DELETED");
     assert!(moved.is_some_and(|t| t >= 9_800), "{moved:?}");
-    let untaken =
-        |line: &&Line| matches!(&line.event, Event::Noticed { taken: false, sender, .. } if sender == "n1");
+    let untaken = |line: &&Line| matches!(&line.event, Event::Notified { acknowledged: false, sender, .. } if sender == "n1");
     assert!(lines.iter().filter(untaken).count() > 0, "every notice was taken");
-    let cut_off = lines.iter().filter(|line| matches!(&line.event, Event::Link { hides: true, .. })).count();
+    let cut_off = lines
+        .iter()
+        .filter(|line| matches!(&line.event, Event::LinkFault { hides_responses: true, .. }))
+        .count();
     assert_eq!(cut_off, 4, "each of two links fails and is well again");
 }
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -150,7 +150,7 @@
         std::fs::write(path, page::page(&tally, &verdict, end))?;
         println!("the evening as a page: {}", path.display());
     }
-    Ok(verdict.clean() && played.failed.is_empty())
+    Ok(verdict.is_clean() && played.failed.is_empty())
 }
 
 /// Takes in what is new in the evidence, a line on the screen for each thing that happened.
--- a/crates/demo/src/page.rs
+++ b/crates/demo/src/page.rs
@@ -58,7 +58,7 @@
     }
     html.push_str("<h2>The six rules</h2>\n<table>\n");
     for rule in Rule::ALL {
-        let count = verdict.breaches.iter().filter(|b| b.rule == rule).count();
+        let count = verdict.violations.iter().filter(|b| b.rule == rule).count();
         let word = if count == 0 {
             "<td>kept</td>".to_owned()
         } else {
@@ -69,18 +69,18 @@
     html.push_str("</table>\n<h2>Where the messages went</h2>\n<table>\n");
     let a = &verdict.accounting;
     for (name, n) in [
-        ("handed in", a.handed_in),
-        ("taken on", a.taken_on),
+        ("handed in", a.submitted),
+        ("taken on", a.accepted),
         ("delivered", a.delivered),
         ("of these in full within the wanted time", a.in_time),
-        ("refused by a notice", a.refused),
+        ("refused by a notice", a.rejected),
         ("failed by a notice", a.failed),
-        ("refused at the door", a.refused_at_the_door),
-        ("failed at the door", a.failed_at_the_door),
-        ("unheard by their clients", a.unheard),
-        ("open", a.open),
+        ("refused at the door", a.rejected_on_submission),
+        ("failed at the door", a.failed_on_submission),
+        ("unheard by their clients", a.unanswered),
+        ("open", a.pending),
         ("lost", a.lost),
-        ("doubled", a.doubled),
+        ("doubled", a.duplicated),
     ] {
         let _ = writeln!(html, "<tr><th>{name}</th><td class=\"n\">{n}</td></tr>");
     }
--- a/crates/demo/src/tally.rs
+++ b/crates/demo/src/tally.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use rudderspindle_testkit::event_log::{Event, Life, Line};
+use rudderspindle_testkit::event_log::{Event, Line, ProcessState};
 use rudderspindle_testkit::scenario::Scenario;
 
 /// A partner's figures in one second.
@@ -72,23 +72,23 @@
     pub fn take(&mut self, line: &Line) -> Option<String> {
         let t = line.t;
         match &line.event {
-            Event::HandedIn { txn, partner, .. } => {
-                self.of_message.insert(txn.clone(), (*partner, false));
+            Event::Submitted { message_id, receiver: partner, .. } => {
+                self.of_message.insert(message_id.clone(), (*partner, false));
             }
-            Event::Heard { txn, status: 200 | 202 } => {
-                let (partner, held) = self.of_message.get_mut(txn)?;
+            Event::Responded { message_id, status: 200 | 202 } => {
+                let (partner, held) = self.of_message.get_mut(message_id)?;
                 *held = true;
                 let partner = *partner;
                 self.count(partner, t, |s| s.offered += 1, 1);
             }
-            Event::Called { call, endpoint, txn, .. } => {
+            Event::CallReceived { call, endpoint, message_id, .. } => {
                 let partner = *self.of_endpoint.get(endpoint)?;
-                self.of_call.insert(*call, (txn.clone(), partner));
+                self.of_call.insert(*call, (message_id.clone(), partner));
             }
-            Event::Answered { call, status, wait_ms } => {
-                let (txn, partner) = self.of_call.remove(call)?;
+            Event::CallAnswered { call, status, retry_after_ms: wait_ms } => {
+                let (message_id, partner) = self.of_call.remove(call)?;
                 if *status == 200 {
-                    let held = self.of_message.get_mut(&txn).is_some_and(|m| std::mem::take(&mut m.1));
+                    let held = self.of_message.get_mut(&message_id).is_some_and(|m| std::mem::take(&mut m.1));
                     if held {
                         self.count(partner, t, |s| s.delivered += 1, -1);
                     }
@@ -99,15 +99,15 @@
                     self.partners.get_mut(&partner)?.waits.push((t, t + wait_ms * 1_000));
                 }
             }
-            Event::Noticed { txn, taken: true, .. } => {
-                let (partner, held) = self.of_message.get_mut(txn)?;
+            Event::Notified { message_id, acknowledged: true, .. } => {
+                let (partner, held) = self.of_message.get_mut(message_id)?;
                 let (partner, was) = (*partner, std::mem::take(held));
                 if was {
                     self.count(partner, t, |_| (), -1);
                 }
             }
             Event::Outage { endpoint, kind, on } => return self.outage(t, endpoint, kind, *on),
-            Event::Told { sender, endpoint, phase } => {
+            Event::EndpointChanged { sender, endpoint, phase } => {
                 let word = match phase.as_str() {
                     "DRAINING" => "drains",
                     "DELETED" => "is gone",
@@ -115,11 +115,11 @@
                 };
                 return Some(format!("{sender} is told that {endpoint} {word}"));
             }
-            Event::Sender { sender, life } => {
-                return Some(match life {
-                    Life::Ready => format!("{sender} is ready"),
-                    Life::Term => format!("{sender} is told to end, or killed"),
-                    Life::Ended => format!("{sender} has ended"),
+            Event::ProcessChanged { sender, state } => {
+                return Some(match state {
+                    ProcessState::Ready => format!("{sender} is ready"),
+                    ProcessState::Terminating => format!("{sender} is told to end, or killed"),
+                    ProcessState::Exited => format!("{sender} has ended"),
                 });
             }
             _ => {}
@@ -174,26 +174,29 @@
             Scenario::parse(include_str!("evening.toml"), Path::new("evening.toml")).expect("a script");
         let mut tally = Tally::new(&script);
         let mut at = |ms: u64, event| tally.take(&Line { t: ms * 1_000, event });
-        for (n, txn) in ["m1", "m2"].into_iter().enumerate() {
+        for (n, message_id) in ["m1", "m2"].into_iter().enumerate() {
             let text = |text: &str| text.to_owned();
-            let (txn, first) = (text(txn), text(txn));
+            let (message_id, first_message_id) = (text(message_id), text(message_id));
             let (sender, class, tenant) = (text("n0"), text("clip-drop"), text("t"));
-            let handed = Event::HandedIn {
-                txn: txn.clone(),
-                first,
+            let handed = Event::Submitted {
+                message_id: message_id.clone(),
+                first_message_id,
                 sender,
                 class,
                 tenant,
-                partner: 2,
-                left_ms: 1,
-                order: None,
+                receiver: 2,
+                time_left_ms: 1,
+                ordering_key: None,
             };
             at(n as u64, handed);
-            at(1_500, Event::Heard { txn, status: 202 });
+            at(1_500, Event::Responded { message_id, status: 202 });
         }
         let (sender, endpoint) = ("n0".to_owned(), "clubs-a".to_owned());
-        at(1_600, Event::Called { call: 1, sender, endpoint, txn: "m1".to_owned(), first_us: 0 });
-        at(2_700, Event::Answered { call: 1, status: 200, wait_ms: 0 });
+        at(
+            1_600,
+            Event::CallReceived { call: 1, sender, endpoint, message_id: "m1".to_owned(), first_us: 0 },
+        );
+        at(2_700, Event::CallAnswered { call: 1, status: 200, retry_after_ms: 0 });
         let partner = &tally.partners[&2];
         assert_eq!((partner.total.offered, partner.total.delivered, partner.total.held), (2, 1, 1));
         let held: Vec<u32> = partner.seconds.iter().map(|s| s.held).collect();
--- /dev/null
+++ b/crates/testkit/src/checker/accounting.rs
@@ -0,0 +1,80 @@
+//! Counts where the messages of a log went.
+
+use serde::Serialize;
+
+use super::messages::{FinalOutcome, Message};
+
+/// Totals of a log. Messages are counted per submission.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct Accounting {
+    /// Submissions that were written whole.
+    #[serde(rename = "handed_in")]
+    pub submitted: u64,
+    /// Submissions answered with 200 or 202.
+    #[serde(rename = "taken_on")]
+    pub accepted: u64,
+    /// Submissions answered with 429 or 503.
+    #[serde(rename = "refused_at_the_door")]
+    pub rejected_on_submission: u64,
+    /// Submissions answered with another status.
+    #[serde(rename = "failed_at_the_door")]
+    pub failed_on_submission: u64,
+    /// Submissions that were not answered while the client listened.
+    #[serde(rename = "unheard")]
+    pub unanswered: u64,
+    /// Accepted messages that were delivered.
+    pub delivered: u64,
+    /// Accepted messages that a notification rejected.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// Accepted messages that a notification failed.
+    pub failed: u64,
+    /// Accepted messages without a final outcome that is due.
+    #[serde(rename = "open")]
+    pub pending: u64,
+    /// Accepted messages whose final outcome is overdue.
+    pub lost: u64,
+    /// Messages that are not idempotent and were executed more than once.
+    #[serde(rename = "doubled")]
+    pub duplicated: u64,
+    /// Delivered messages that met their latency objective.
+    pub in_time: u64,
+    /// Delivered messages that missed it.
+    pub late: u64,
+    /// Calls that endpoints received.
+    pub calls: u64,
+    /// Calls answered with 429 or 503.
+    #[serde(rename = "calls_refused")]
+    pub calls_rejected: u64,
+}
+
+impl Accounting {
+    /// Counts the response to a submission.
+    pub(super) fn count_response(&mut self, status: u16) {
+        match status {
+            200 | 202 => self.accepted += 1,
+            429 | 503 => self.rejected_on_submission += 1,
+            _ => self.failed_on_submission += 1,
+        }
+    }
+
+    /// Counts what became of an accepted message that is not lost.
+    pub(super) fn count_outcome(&mut self, message: &Message, target_us: u64) {
+        let Some(recorded) = &message.outcome else {
+            self.pending += 1;
+            return;
+        };
+        match recorded.outcome {
+            FinalOutcome::Rejected => self.rejected += 1,
+            FinalOutcome::Failed => self.failed += 1,
+            FinalOutcome::Delivered => {
+                self.delivered += 1;
+                if recorded.at.time_us <= message.submitted.time_us + target_us {
+                    self.in_time += 1;
+                } else {
+                    self.late += 1;
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/checker/loss.rs
@@ -0,0 +1,73 @@
+//! Rule: every accepted message has exactly one final outcome, in time.
+
+use super::messages::{FinalOutcome, LogPosition, Message, ReceivedCall, RecordedOutcome};
+use super::rule::{Rule, Violation};
+use super::us;
+use crate::event_log::Rules;
+
+fn violation(what: String, lines: Vec<usize>) -> Violation {
+    Violation { rule: Rule::Loss, what, lines }
+}
+
+/// The violation of a call for a message that nobody submitted.
+pub(super) fn unknown_message(call: &ReceivedCall<'_>) -> Violation {
+    violation(format!("{} was never handed in", call.message_id), vec![call.at.line])
+}
+
+/// Checks that a message is not sent after it has ended without delivery.
+pub(super) fn check_call(message: &Message, call: &ReceivedCall<'_>, rules: &Rules) -> Option<Violation> {
+    let RecordedOutcome { outcome, at } = message.outcome?;
+    if outcome == FinalOutcome::Delivered || call.first_us <= at.time_us + us(rules.slack_ms) {
+        return None;
+    }
+    let what = format!("{} is sent after it ended as {outcome}", call.message_id);
+    Some(violation(what, vec![at.line, call.at.line]))
+}
+
+/// Records a final outcome; two that differ and are no delivery leave the client with a contradiction.
+pub(super) fn complete(
+    message_id: &str,
+    message: &mut Message,
+    outcome: FinalOutcome,
+    at: LogPosition,
+) -> Option<Violation> {
+    let Some(earlier) = message.outcome else {
+        message.outcome = Some(RecordedOutcome { outcome, at });
+        return None;
+    };
+    let contradicts = earlier.outcome != outcome
+        && earlier.outcome != FinalOutcome::Delivered
+        && outcome != FinalOutcome::Delivered;
+    contradicts.then(|| {
+        let what = format!("{message_id} has two ends, {} and {outcome}", earlier.outcome);
+        violation(what, vec![earlier.at.line, at.line])
+    })
+}
+
+/// Whether a message has no outcome although one was due before the log ended.
+pub(super) fn is_lost(message: &Message, due_us: Option<u64>, log_end_us: u64) -> bool {
+    message.outcome.is_none() && due_us.is_some_and(|due| log_end_us > due)
+}
+
+/// Checks at the end of the log that an accepted message got its outcome in time.
+pub(super) fn check_deadline(
+    message_id: &str,
+    message: &Message,
+    accepted_line: usize,
+    due_us: Option<u64>,
+    log_end_us: u64,
+) -> Option<Violation> {
+    let due = due_us?;
+    match message.outcome {
+        Some(RecordedOutcome { at, .. }) if at.time_us > due => {
+            let late_ms = (at.time_us - due) / 1_000;
+            let what = format!("{message_id} has its end {late_ms} ms too late");
+            Some(violation(what, vec![message.submitted.line, accepted_line, at.line]))
+        }
+        None if is_lost(message, due_us, log_end_us) => {
+            let what = format!("{message_id} was taken on and has no end");
+            Some(violation(what, vec![message.submitted.line, accepted_line]))
+        }
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/checker/messages.rs
@@ -0,0 +1,184 @@
+//! Messages and calls as the log shows them.
+
+use std::collections::{BTreeMap, HashMap};
+use std::fmt;
+
+/// A line of the log and its time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct LogPosition {
+    /// Number of the line, from 1.
+    pub(super) line: usize,
+    /// Microseconds on the log's clock.
+    pub(super) time_us: u64,
+}
+
+/// How a message ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum FinalOutcome {
+    Delivered,
+    Rejected,
+    Failed,
+}
+
+impl fmt::Display for FinalOutcome {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Delivered => "Delivered",
+            Self::Rejected => "Refused",
+            Self::Failed => "Failed",
+        })
+    }
+}
+
+/// The first final outcome of a message.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct RecordedOutcome {
+    pub(super) outcome: FinalOutcome,
+    pub(super) at: LogPosition,
+}
+
+/// A submitted message.
+#[derive(Debug)]
+pub(super) struct Message {
+    /// Index of its class in the header.
+    pub(super) class: usize,
+    pub(super) sender: String,
+    pub(super) submitted: LogPosition,
+    /// When its time to be delivered is over, in microseconds.
+    pub(super) deadline_us: u64,
+    pub(super) ordering_key: Option<String>,
+    /// Line in which its client read that it is accepted.
+    pub(super) accepted_line: Option<usize>,
+    pub(super) outcome: Option<RecordedOutcome>,
+    /// Ids of its calls, in the order of the log.
+    pub(super) calls: Vec<u64>,
+    /// Number of executions, without dropped repeats.
+    pub(super) executions: u32,
+}
+
+/// State of a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CallState {
+    InFlight,
+    /// Answered with this status.
+    Answered(u16),
+    /// Its connection ended first.
+    Aborted {
+        at_us: u64,
+    },
+}
+
+/// A call that an endpoint received.
+#[derive(Debug)]
+pub(super) struct Call {
+    pub(super) message_id: String,
+    pub(super) sender: String,
+    pub(super) endpoint: String,
+    /// When its first byte came, in microseconds.
+    pub(super) first_us: u64,
+    pub(super) line: usize,
+    pub(super) state: CallState,
+    /// It went over a link that loses responses: its sender may have given it up without the endpoint seeing it.
+    pub(super) unobservable: bool,
+}
+
+impl Call {
+    /// Whether the call counts as in flight for its sender.
+    pub(super) fn is_in_flight(&self) -> bool {
+        self.state == CallState::InFlight && !self.unobservable
+    }
+
+    /// Whether its sender has to assume that the call was executed.
+    pub(super) fn possibly_executed(&self) -> bool {
+        !matches!(self.state, CallState::Answered(429 | 503 | 504 | 410))
+    }
+}
+
+/// A call as an endpoint has just received it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReceivedCall<'a> {
+    pub(super) at: LogPosition,
+    pub(super) id: u64,
+    pub(super) sender: &'a str,
+    pub(super) endpoint: &'a str,
+    pub(super) message_id: &'a str,
+    /// When its first byte came, in microseconds.
+    pub(super) first_us: u64,
+}
+
+/// All messages and calls of a log so far.
+#[derive(Debug, Default)]
+pub(super) struct MessageTable {
+    messages: BTreeMap<String, Message>,
+    calls: HashMap<u64, Call>,
+}
+
+impl MessageTable {
+    /// Adds a message; a second submission of an id is the same message.
+    pub(super) fn add_message(&mut self, id: &str, message: Message) {
+        self.messages.entry(id.to_owned()).or_insert(message);
+    }
+
+    pub(super) fn message(&self, id: &str) -> Option<&Message> {
+        self.messages.get(id)
+    }
+
+    pub(super) fn message_mut(&mut self, id: &str) -> Option<&mut Message> {
+        self.messages.get_mut(id)
+    }
+
+    /// All messages, by their ids.
+    pub(super) fn messages(&self) -> impl Iterator<Item = (&String, &Message)> {
+        self.messages.iter()
+    }
+
+    /// Adds a call to its message, if there is one.
+    pub(super) fn add_call(&mut self, received: &ReceivedCall<'_>, unobservable: bool) {
+        let call = Call {
+            message_id: received.message_id.to_owned(),
+            sender: received.sender.to_owned(),
+            endpoint: received.endpoint.to_owned(),
+            first_us: received.first_us,
+            line: received.at.line,
+            state: CallState::InFlight,
+            unobservable,
+        };
+        self.calls.insert(received.id, call);
+        if let Some(message) = self.messages.get_mut(received.message_id) {
+            message.calls.push(received.id);
+        }
+    }
+
+    pub(super) fn call(&self, id: u64) -> Option<&Call> {
+        self.calls.get(&id)
+    }
+
+    /// The calls of a message, in the order of the log.
+    pub(super) fn calls_of<'a>(&'a self, message: &'a Message) -> impl Iterator<Item = &'a Call> {
+        message.calls.iter().map(|id| &self.calls[id])
+    }
+
+    /// Ends a call that is in flight; gives it back if it was.
+    pub(super) fn finish_call(&mut self, id: u64, state: CallState) -> Option<&Call> {
+        let call = self.calls.get_mut(&id).filter(|call| call.state == CallState::InFlight)?;
+        call.state = state;
+        Some(call)
+    }
+
+    /// Marks the calls in flight between a sender and an endpoint as unobservable.
+    pub(super) fn hide_calls(&mut self, sender: &str, endpoint: &str) {
+        for call in self.calls.values_mut() {
+            if call.state == CallState::InFlight && call.sender == sender && call.endpoint == endpoint {
+                call.unobservable = true;
+            }
+        }
+    }
+
+    /// Counts an execution of a call's message.
+    pub(super) fn count_execution(&mut self, call: u64) {
+        let Some(call) = self.calls.get(&call) else { return };
+        if let Some(message) = self.messages.get_mut(&call.message_id) {
+            message.executions += 1;
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/checker/ordering.rs
@@ -0,0 +1,88 @@
+//! Rule: messages of one ordering key are sent one at a time, in the order of their submission.
+
+use std::collections::HashMap;
+
+use super::messages::{Call, CallState, Message, MessageTable, ReceivedCall};
+use super::processes::Processes;
+use super::rule::{Rule, Violation};
+use super::topology::Topology;
+use super::us;
+
+/// An ordering key at one start of a sender: a restart begins a new queue.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct QueueKey {
+    sender: String,
+    start: u64,
+    ordering_key: String,
+}
+
+/// State of the rule: the messages of each ordering key, in the order of their submission.
+#[derive(Debug, Default)]
+pub(super) struct OrderingRule {
+    queues: HashMap<QueueKey, Vec<String>>,
+}
+
+impl OrderingRule {
+    /// Records the submission of a message with an ordering key.
+    pub(super) fn record_submission(
+        &mut self,
+        sender: &str,
+        start: u64,
+        ordering_key: &str,
+        message_id: &str,
+    ) {
+        let key = QueueKey { sender: sender.to_owned(), start, ordering_key: ordering_key.to_owned() };
+        self.queues.entry(key).or_default().push(message_id.to_owned());
+    }
+
+    /// Checks that the messages before a call's own are complete.
+    pub(super) fn check_call(
+        &self,
+        topology: &Topology,
+        table: &MessageTable,
+        processes: &Processes,
+        message: &Message,
+        call: &ReceivedCall<'_>,
+    ) -> Option<Violation> {
+        let ordering_key = message.ordering_key.clone().filter(|_| topology.class(message.class).ordered)?;
+        let start = processes.starts(&message.sender);
+        let key = QueueKey { sender: message.sender.clone(), start, ordering_key };
+        let queue = self.queues.get(&key)?;
+        let pause_us = us(topology.rules.ordering_pause_ms);
+        let earlier_ids = queue.iter().take_while(|id| *id != call.message_id);
+        let obstacle = earlier_ids
+            .filter_map(|id| Some((id, table.message(id)?)))
+            .find_map(|(id, earlier)| obstacle(table, id, earlier, call, pause_us))?;
+        let lines = vec![obstacle.line, call.at.line];
+        Some(Violation { rule: Rule::Ordering, what: obstacle.what, lines })
+    }
+}
+
+/// Why an earlier message of the same key forbids a call.
+struct Obstacle {
+    what: String,
+    line: usize,
+}
+
+fn obstacle(
+    table: &MessageTable,
+    earlier_id: &str,
+    earlier: &Message,
+    call: &ReceivedCall<'_>,
+    pause_us: u64,
+) -> Option<Obstacle> {
+    let id = call.message_id;
+    if let Some(in_flight) = table.calls_of(earlier).find(|other| other.is_in_flight()) {
+        let what = format!("{id} is sent while {earlier_id} is out");
+        return Some(Obstacle { what, line: in_flight.line });
+    }
+    // A message that nobody knows to be accepted may have been rejected.
+    if earlier.outcome.is_none() && earlier.accepted_line.is_some() {
+        let what = format!("{id} is sent before {earlier_id} is over");
+        return Some(Obstacle { what, line: earlier.submitted.line });
+    }
+    let may_still_run = |other: &&Call| matches!(other.state, CallState::Aborted { at_us } if call.first_us < at_us + pause_us);
+    let running = table.calls_of(earlier).find(may_still_run)?;
+    let what = format!("{id} is sent while {earlier_id} may still run");
+    Some(Obstacle { what, line: running.line })
+}
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -30,7 +30,7 @@
     /// When, after the start.
     pub at: Duration,
     /// Its first id.
-    pub txn: String,
+    pub message_id: String,
     /// Its class.
     pub class: &'static str,
     /// Its tenant.
@@ -92,7 +92,7 @@
                 draw.chance(traffic.retries.get()).then(|| Duration::from_secs_f64(draw.between(0.33, 1.2)));
             planned.push(Planned {
                 at: Duration::from_secs_f64(at),
-                txn: format!("{:08x}{number:08x}", script.seed as u32),
+                message_id: format!("{:08x}{number:08x}", script.seed as u32),
                 class,
                 tenant: tenant.unwrap_or(&TENANTS[0]).0,
                 partner,
@@ -146,8 +146,8 @@
             sleep_until(due.into()).await;
             let late = due.elapsed();
             if late > LATE {
-                let by_us = late.as_micros() as u64;
-                self.evidence.note(Event::Late { who: "clients".to_owned(), by_us });
+                let lag_us = late.as_micros() as u64;
+                self.evidence.record(Event::Lagged { who: "clients".to_owned(), lag_us });
             }
             let this = self.clone();
             open.spawn(async move { this.deliver(message).await });
@@ -159,12 +159,16 @@
     /// One message, and again as its client would.
     async fn deliver(&self, message: Planned) {
         let mut sender = message.sender;
-        let mut draw = Draw::new(u64::from_str_radix(&message.txn, 16).unwrap_or_default());
+        let mut draw = Draw::new(u64::from_str_radix(&message.message_id, 16).unwrap_or_default());
         let since = Instant::now();
         let (mut number, mut refused) = (0, false);
         while let Some(left) = message.left.checked_sub(since.elapsed()) {
-            let txn = if number == 0 { message.txn.clone() } else { format!("{}-{number}", message.txn) };
-            let pause = match self.hand_in(&message, sender, &txn, left).await {
+            let message_id = if number == 0 {
+                message.message_id.clone()
+            } else {
+                format!("{}-{number}", message.message_id)
+            };
+            let pause = match self.hand_in(&message, sender, &message_id, left).await {
                 Answer::Status { status: 429 | 503, again } if !refused => {
                     refused = true;
                     let Some(wait) = message.again else { return };
@@ -186,14 +190,14 @@
         }
     }
 
-    async fn hand_in(&self, message: &Planned, sender: usize, txn: &str, left: Duration) -> Answer {
+    async fn hand_in(&self, message: &Planned, sender: usize, message_id: &str, left: Duration) -> Answer {
         let kept = {
             let mut kept = self.kept[sender].lock().unwrap_or_else(PoisonError::into_inner);
             kept.retain(|(_, since)| since.elapsed() < KEPT);
             kept.pop()
         };
         if let Some((stream, _)) = kept {
-            match self.exchange(stream, message, sender, txn, left).await {
+            match self.exchange(stream, message, sender, message_id, left).await {
                 // It crossed the sender's close: once more on a new one, under the same id.
                 Answer::NotHandedIn => {}
                 answer => return answer,
@@ -205,7 +209,7 @@
         if stream.set_nodelay(true).is_err() {
             return Answer::NotHandedIn;
         }
-        self.exchange(stream, message, sender, txn, left).await
+        self.exchange(stream, message, sender, message_id, left).await
     }
 
     async fn exchange(
@@ -213,13 +217,13 @@
         mut stream: TcpStream,
         message: &Planned,
         sender: usize,
-        txn: &str,
+        message_id: &str,
         left: Duration,
     ) -> Answer {
         let seconds = left.as_secs_f64();
-        let key = format!("key-{}", message.txn);
+        let key = format!("key-{}", message.message_id);
         let head = format!(
-            "POST /{} HTTP/1.1\r\nHost: app.svc\r\nX-Txn: {txn}\r\nX-Org: {}\r\nX-Remaining: {seconds:.3}\r\n\
+            "POST /{} HTTP/1.1\r\nHost: app.svc\r\nX-Txn: {message_id}\r\nX-Org: {}\r\nX-Remaining: {seconds:.3}\r\n\
              X-Route-To: dest={}\r\nIdempotency-Key: {key}\r\nContent-Length: {}\r\n\r\n",
             message.class, message.tenant, message.partner, message.size,
         );
@@ -232,18 +236,18 @@
         {
             return Answer::NotHandedIn;
         }
-        self.evidence.note(Event::HandedIn {
-            txn: txn.to_owned(),
-            first: message.txn.clone(),
+        self.evidence.record(Event::Submitted {
+            message_id: message_id.to_owned(),
+            first_message_id: message.message_id.clone(),
             sender: name,
             class: message.class.to_owned(),
             tenant: message.tenant.to_owned(),
-            partner: message.partner,
-            left_ms: left.as_millis() as u64,
-            order: None,
+            receiver: message.partner,
+            time_left_ms: left.as_millis() as u64,
+            ordering_key: None,
         });
         let unheard = || {
-            self.evidence.note(Event::Unheard { txn: txn.to_owned() });
+            self.evidence.record(Event::Unanswered { message_id: message_id.to_owned() });
             Answer::Nothing
         };
         if stream.write_all(&request).await.is_err() {
@@ -255,7 +259,7 @@
         }
         let Ok(Some(answer)) = timeout(PATIENCE, read_answer(&mut stream)).await else { return unheard() };
         let (status, again, keep) = answer;
-        self.evidence.note(Event::Heard { txn: txn.to_owned(), status });
+        self.evidence.record(Event::Responded { message_id: message_id.to_owned(), status });
         if keep {
             let mut kept = self.kept[sender].lock().unwrap_or_else(PoisonError::into_inner);
             if kept.len() < MOST_KEPT {
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -70,7 +70,7 @@
         longest: Duration,
     ) -> Result<Self, EnvironmentError> {
         let (classes, rules) = (classes(longest), Rules::default());
-        let evidence = EventLog::begin(classes.clone(), endpoints(&script.partners), rules.clone());
+        let evidence = EventLog::start(classes.clone(), endpoints(&script.partners), rules.clone());
         let names: Vec<String> = (0..script.senders).map(name).collect();
         let mut partners = Vec::new();
         for plan in &script.partners {
@@ -129,14 +129,14 @@
         }
         let end = Instant::now() + self.longest + AFTER;
         // Line by line as they come: to judge all of them again and again would make the stand-ins late.
-        let (mut check_events, mut seen) = (Checker::default(), 0);
+        let (mut checker, mut seen) = (Checker::default(), 0);
         loop {
             for line in self.evidence.lines_from(seen) {
                 seen += 1;
-                check_events.take(seen, &line);
+                checker.process(seen, &line);
             }
-            if check_events.open() == 0 || Instant::now() > end {
-                return check_events.finish(self.evidence.now());
+            if checker.pending() == 0 || Instant::now() > end {
+                return checker.finish(self.evidence.now());
             }
             sleep(LOOK).await;
         }
--- a/crates/testkit/src/fake_discovery.rs
+++ b/crates/testkit/src/fake_discovery.rs
@@ -114,7 +114,7 @@
     fn told(&self, state: &mut State, endpoint: &str, phase: Phase) {
         if state.told.insert(endpoint.to_owned(), phase) != Some(phase) {
             let (sender, endpoint) = (self.sender.clone(), endpoint.to_owned());
-            self.evidence.note(Event::Told { sender, endpoint, phase: phase.word().to_owned() });
+            self.evidence.record(Event::EndpointChanged { sender, endpoint, phase: phase.word().to_owned() });
         }
     }
 }
@@ -207,7 +207,11 @@
                 "ignores_notices"
             }
         };
-        evidence.note(Event::Agent { sender: self.shared.sender.clone(), kind: kind.to_owned(), on });
+        evidence.record(Event::DiscoveryFault {
+            sender: self.shared.sender.clone(),
+            kind: kind.to_owned(),
+            on,
+        });
     }
 
     /// From now on it says nothing, or speaks again.
@@ -303,8 +307,13 @@
     let how = shared.state().notices;
     for line in &lines {
         let text = |name: &str| line[name].as_str().unwrap_or_default().to_owned();
-        let (txn, status, sender) = (text("id"), text("status"), shared.sender.clone());
-        shared.evidence.note(Event::Noticed { sender, txn, status, taken: how == Notices::Taken });
+        let (message_id, status, sender) = (text("id"), text("status"), shared.sender.clone());
+        shared.evidence.record(Event::Notified {
+            sender,
+            message_id,
+            status,
+            acknowledged: how == Notices::Taken,
+        });
     }
     match how {
         Notices::Taken => Ok(reply(StatusCode::NO_CONTENT, String::new())),
--- a/crates/testkit/src/fake_receiver.rs
+++ b/crates/testkit/src/fake_receiver.rs
@@ -106,33 +106,27 @@
     fallen: bool,
 }
 
-/// The share of its pace that something can do which came back cold `since` microseconds ago.
-fn warmth(rules: &Rules, since: u64) -> f64 {
-    let warm = since as f64 / (rules.warm_ms.max(1) * 1_000) as f64;
-    (rules.cold_from + (1.0 - rules.cold_from) * warm).min(1.0)
-}
-
 impl Gate {
     /// Counts what comes while it is cold; too much for too long pushes it over, and it stays down.
     fn push(&mut self, rules: &Rules, now: u64) {
         let Some(returned) = self.returned else { return };
         let since = now.saturating_sub(returned);
-        if since > rules.warm_ms * 1_000 {
+        if since > rules.warm_up_ms * 1_000 {
             return;
         }
-        let span = rules.fall_ms * 1_000;
+        let span = rules.overload_window_ms * 1_000;
         self.came.push_back(now);
         while self.came.front().is_some_and(|&at| at + span < now) {
             self.came.pop_front();
         }
-        let from = warmth(rules, since.saturating_sub(span));
-        let can = self.per_s * span as f64 / 1e6 * (from + warmth(rules, since)) / 2.0;
+        let from = rules.warm_share(since.saturating_sub(span));
+        let can = self.per_s * span as f64 / 1e6 * (from + rules.warm_share(since)) / 2.0;
         // A little more than the judge allows: a partner does not fall before the rule says so.
-        self.fallen |= self.came.len() as f64 > rules.fall_multiple * can + 6.0;
+        self.fallen |= self.came.len() as f64 > rules.overload_multiple * can + 6.0;
     }
 
     fn pace(&self, rules: &Rules, now: u64) -> f64 {
-        self.returned.map_or(1.0, |returned| warmth(rules, now.saturating_sub(returned)))
+        self.returned.map_or(1.0, |returned| rules.warm_share(now.saturating_sub(returned)))
     }
 }
 
@@ -280,7 +274,7 @@
             endpoint.struck.send_replace(Some(struck));
             if cold {
                 let (endpoint, kind) = (endpoint.id.clone(), kind(outage).to_owned());
-                self.shared.evidence.note(Event::Outage { endpoint, kind, on: true });
+                self.shared.evidence.record(Event::Outage { endpoint, kind, on: true });
             }
             let mut gate = locked(&endpoint.gate);
             if cold {
@@ -299,7 +293,7 @@
                 }
                 drop(gate);
                 let (endpoint, kind) = (endpoint.id.clone(), kind(outage).to_owned());
-                self.shared.evidence.note(Event::Outage { endpoint, kind, on: false });
+                self.shared.evidence.record(Event::Outage { endpoint, kind, on: false });
             }
             endpoint.struck.send_replace(None);
         }
@@ -335,7 +329,7 @@
         let fallen = locked(&endpoint.gate).fallen;
         if fallen || matches!(state, Some(Struck { outage: Outage::Refuse, .. })) {
             let (sender, endpoint) = (sender.clone(), endpoint.id.clone());
-            shared.evidence.note(Event::Turned { sender, endpoint });
+            shared.evidence.record(Event::ConnectionRefused { sender, endpoint });
             reset(&stream);
             continue;
         }
@@ -410,7 +404,7 @@
 impl Open {
     fn answer(mut self, status: u16, wait_ms: u64) -> Response<Full<Bytes>> {
         self.answered = true;
-        self.evidence.note(Event::Answered { call: self.call, status, wait_ms });
+        self.evidence.record(Event::CallAnswered { call: self.call, status, retry_after_ms: wait_ms });
         let mut reply = plain(status);
         if wait_ms > 0 {
             reply.headers_mut().insert("x-backoff-ms", wait_ms.into());
@@ -422,7 +416,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         if !self.answered {
-            self.evidence.note(Event::Cut { call: self.call });
+            self.evidence.record(Event::CallAborted { call: self.call });
         }
     }
 }
@@ -446,16 +440,16 @@
         let state = *endpoint.struck.borrow();
         let ok = state.is_none() && !locked(&endpoint.gate).fallen;
         locked(&endpoint.gate).push(&shared.rules, shared.evidence.now());
-        shared.evidence.note(Event::Probed { sender, endpoint: endpoint.id.clone(), ok });
+        shared.evidence.record(Event::HealthChecked { sender, endpoint: endpoint.id.clone(), ok });
         return Ok(plain(if ok { 200 } else { 503 }));
     }
-    let (Some(txn), "/v1/messages") = (text("x-txn"), head.uri.path()) else { return Ok(plain(400)) };
+    let (Some(message_id), "/v1/messages") = (text("x-txn"), head.uri.path()) else { return Ok(plain(400)) };
     let key = text("idempotency-key");
     let broken = || std::io::Error::from(std::io::ErrorKind::UnexpectedEof);
     Limited::new(body, MAX_BODY).collect().await.map_err(|_| broken())?;
-    let call = shared.evidence.next_call();
+    let call = shared.evidence.next_call_id();
     let id = endpoint.id.clone();
-    shared.evidence.note(Event::Called { call, sender, endpoint: id, txn, first_us });
+    shared.evidence.record(Event::CallReceived { call, sender, endpoint: id, message_id, first_us });
     let open = Open { evidence: shared.evidence.clone(), call, answered: false };
     let state = *endpoint.struck.borrow();
     let now = shared.evidence.now();
@@ -547,7 +541,7 @@
         let mut halls = locked(&shared.keys);
         !halls.entry(endpoint.hall.clone()).or_default().is_new(key, Instant::now())
     });
-    shared.evidence.note(Event::Effect { call, repeat });
+    shared.evidence.record(Event::Executed { call, repeat });
 }
 
 #[cfg(test)]
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::client::Address;
-use crate::event_log::{Event, EventLog, Life};
+use crate::event_log::{Event, EventLog, ProcessState};
 
 /// A sender is ready after so long, or never.
 const START: Duration = Duration::from_secs(20);
@@ -123,8 +123,8 @@
         self.child.as_ref().and_then(Child::id)
     }
 
-    fn life(&self, life: Life) {
-        self.evidence.note(Event::Sender { sender: self.name.clone(), life });
+    fn record_state(&self, state: ProcessState) {
+        self.evidence.record(Event::ProcessChanged { sender: self.name.clone(), state });
     }
 
     /// Starts it, and waits until it is ready.
@@ -148,7 +148,7 @@
         match timeout(START, up).await {
             Ok(Ok(true)) => {
                 self.child = Some(child);
-                self.life(Life::Ready);
+                self.record_state(ProcessState::Ready);
                 self.ready.send_replace(Some(self.addr));
                 Ok(())
             }
@@ -285,10 +285,10 @@
     /// If it cannot be waited for.
     pub async fn kill(&mut self) -> Result<(), ProgramError> {
         if let Some(mut child) = self.child.take() {
-            self.life(Life::Term);
+            self.record_state(ProcessState::Terminating);
             self.ready.send_replace(None);
             child.kill().await?;
-            self.life(Life::Ended);
+            self.record_state(ProcessState::Exited);
         }
         Ok(())
     }
@@ -300,14 +300,14 @@
     /// If it cannot be told or waited for.
     pub async fn stop(&mut self) -> Result<bool, ProgramError> {
         let Some(mut child) = self.child.take() else { return Ok(true) };
-        self.life(Life::Term);
+        self.record_state(ProcessState::Terminating);
         let ready = self.ready.clone();
         let clients_notice = async {
             sleep(Duration::from_millis(300)).await;
             ready.send_replace(None);
         };
         let (ended, ()) = tokio::join!(terminate(&mut child), clients_notice);
-        self.life(Life::Ended);
+        self.record_state(ProcessState::Exited);
         ended
     }
 }
--- a/crates/testkit/src/usage.rs
+++ b/crates/testkit/src/usage.rs
@@ -29,9 +29,9 @@
         let (mut calls, mut refused, mut delivered) = (Vec::new(), 0u64, 0u64);
         for line in lines.iter().filter(|line| span.contains(&line.t)) {
             match line.event {
-                Event::Called { .. } => calls.push(line.t),
-                Event::Answered { status: 429 | 503, .. } => refused += 1,
-                Event::Answered { status: 200, .. } => delivered += 1,
+                Event::CallReceived { .. } => calls.push(line.t),
+                Event::CallAnswered { status: 429 | 503, .. } => refused += 1,
+                Event::CallAnswered { status: 200, .. } => delivered += 1,
                 _ => {}
             }
         }
@@ -68,15 +68,16 @@
     fn calls_count_in_the_partners_seconds_and_in_any_second_but_the_first_one() {
         let called = |ms: u64| Line {
             t: ms * 1_000,
-            event: Event::Called {
+            event: Event::CallReceived {
                 call: ms,
                 sender: String::new(),
                 endpoint: String::new(),
-                txn: String::new(),
+                message_id: String::new(),
                 first_us: 0,
             },
         };
-        let answered = |status| Line { t: 2_500_000, event: Event::Answered { call: 0, status, wait_ms: 0 } };
+        let answered =
+            |status| Line { t: 2_500_000, event: Event::CallAnswered { call: 0, status, retry_after_ms: 0 } };
         // Before the span; ten in its first second; four about the turn of a second; two in one; one behind it.
         let mut lines: Vec<Line> = [400].into_iter().chain(500..510).map(called).collect();
         lines.extend([1_980, 1_990, 1_995, 2_010, 3_100, 3_200, 4_500].map(called));
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -8,9 +8,9 @@
 use tokio::sync::Mutex;
 use tokio::time::{sleep, sleep_until};
 
-use crate::checker::{Checker, LATE_US};
+use crate::checker::{Checker, MAX_LAG_US};
 use crate::client::{self, Clients, KEYED, SAFE, TENANTS};
-use crate::event_log::{Class, Effect, Endpoint, Event, EventLog, Group, Line, Rules};
+use crate::event_log::{Class, Effect, Endpoint, Event, EventLog, KeyGroup, Line, Rules};
 use crate::fake_discovery::{Entry, FakeDiscovery};
 use crate::fake_receiver::{FakeReceiver, KEY_TIME};
 use crate::fault_proxy::{Fault, FaultProxy};
@@ -35,18 +35,18 @@
 
 /// The classes, as the judge knows them.
 pub fn classes(longest: Duration) -> Vec<Class> {
-    let class = |(name, left): (&str, Duration), effect, group, window: Duration, aim_ms| Class {
+    let class = |(name, left): (&str, Duration), effect, group, window: Duration, target_ms| Class {
         name: name.to_owned(),
         effect,
         group,
         window_ms: window.as_millis() as u64,
-        aim_ms,
+        target_ms,
         deadline_ms: left.min(longest).as_millis() as u64,
         ordered: false,
     };
     vec![
-        class(KEYED, Effect::Keyed, Group::Hall, KEY_TIME, 4_000),
-        class(SAFE, Effect::Safe, Group::All, Duration::ZERO, 2_000),
+        class(KEYED, Effect::IdempotencyKey, KeyGroup::Zone, KEY_TIME, 4_000),
+        class(SAFE, Effect::Idempotent, KeyGroup::All, Duration::ZERO, 2_000),
     ]
 }
 
@@ -57,9 +57,9 @@
         let endpoints = plan.endpoints.iter();
         let endpoints = endpoints.map(move |e| Endpoint {
             id: e.id.clone(),
-            partner,
-            hall: e.hall.clone(),
-            apart,
+            receiver: partner,
+            zone: e.hall.clone(),
+            independent: apart,
             per_s,
         });
         endpoints.collect::<Vec<_>>()
@@ -77,12 +77,12 @@
 ) -> Value {
     let lane = |c: &Class| {
         let (effect, group) = match c.effect {
-            Effect::Safe => ("free", "all"),
-            Effect::Keyed => ("guarded", if c.group == Group::All { "all" } else { "zone" }),
-            Effect::Unsafe => ("single_shot", "all"),
+            Effect::Idempotent => ("free", "all"),
+            Effect::IdempotencyKey => ("guarded", if c.group == KeyGroup::All { "all" } else { "zone" }),
+            Effect::AtMostOnce => ("single_shot", "all"),
         };
-        json!({"name": c.name, "effect": effect, "group": group, "window": c.window_ms, "target": c.aim_ms,
-               "credit": if c.effect == Effect::Safe { 3.0 } else { 1.0 }, "deadline": c.deadline_ms,
+        json!({"name": c.name, "effect": effect, "group": group, "window": c.window_ms, "target": c.target_ms,
+               "credit": if c.effect == Effect::Idempotent { 3.0 } else { 1.0 }, "deadline": c.deadline_ms,
                "late_worth": 0.3})
     };
     let projects: Vec<Value> = TENANTS
@@ -100,8 +100,8 @@
                       "loses_worth": "linear"},
             "limits": {"connect_timeout": 1500.0, "idle_close": 15000.0, "max_attempts": 12, "most_held": 800,
                        "max_retry_after": 3000.0, "retry_after": true, "probing": true, "cancelling": true},
-            "rules": {"cold_from": rules.cold_from, "fall_multiple": rules.fall_multiple,
-                      "tip_after": rules.fall_ms, "warm_within": rules.warm_ms}}})
+            "rules": {"cold_from": rules.initial_capacity, "fall_multiple": rules.overload_multiple,
+                      "tip_after": rules.overload_window_ms, "warm_within": rules.warm_up_ms}}})
 }
 
 /// What cannot be staged.
@@ -158,7 +158,7 @@
     /// [`EnvironmentError`] if a part of it cannot be had.
     pub async fn set_up(script: &Scenario, stage: &TestEnvironment) -> Result<Self, EnvironmentError> {
         let (classes, rules) = (classes(stage.longest), Rules::default());
-        let evidence = EventLog::begin(classes.clone(), endpoints(&script.partners), rules.clone());
+        let evidence = EventLog::start(classes.clone(), endpoints(&script.partners), rules.clone());
         let names: Vec<String> = (0..script.senders).map(name).collect();
         let mut partners = Vec::new();
         for plan in &script.partners {
@@ -205,13 +205,13 @@
         self.clients.clone().run(planned, start).await;
         let end = Instant::now() + self.stage.longest + AFTER;
         // Line by line as they come: to judge all of them again and again would make the stand-ins late.
-        let (mut check_events, mut seen) = (Checker::default(), 0);
+        let (mut checker, mut seen) = (Checker::default(), 0);
         while Instant::now() < end {
             for line in self.evidence.lines_from(seen) {
                 seen += 1;
-                check_events.take(seen, &line);
+                checker.process(seen, &line);
             }
-            if check_events.open() == 0 {
+            if checker.pending() == 0 {
                 break;
             }
             sleep(Duration::from_millis(250)).await;
@@ -374,7 +374,7 @@
             LinkFault::Reset => ("reset", false),
         };
         let (sender, endpoint, kind) = (name(self.sender), self.endpoint.clone(), kind.to_owned());
-        evidence.note(Event::Link { sender, endpoint, kind, hides, on });
+        evidence.record(Event::LinkFault { sender, endpoint, kind, hides_responses: hides, on });
         self.link.set(if on { trouble.into() } else { Fault::default() });
         if on && trouble == LinkFault::Reset {
             self.link.reset();
@@ -442,8 +442,8 @@
         next += BEAT;
         sleep_until(next.into()).await;
         let late = next.elapsed();
-        if late.as_micros() as u64 > LATE_US / 2 {
-            evidence.note(Event::Late { who: "stand-ins".to_owned(), by_us: late.as_micros() as u64 });
+        if late.as_micros() as u64 > MAX_LAG_US / 2 {
+            evidence.record(Event::Lagged { who: "stand-ins".to_owned(), lag_us: late.as_micros() as u64 });
             next = Instant::now();
         }
     }
--- a/crates/testkit/tests/golden_data.rs
+++ b/crates/testkit/tests/golden_data.rs
@@ -162,7 +162,7 @@
     let mut broken = std::collections::BTreeSet::new();
     for seed in 0..RANDOM_LOGS {
         let verdict = check_events(&read(random_log(seed).as_bytes()).expect("a log"));
-        broken.extend(verdict.broken());
+        broken.extend(verdict.broken_rules());
         hash.add(&verdict.to_string());
         hash.add(&serde_json::to_string(&verdict).expect("JSON"));
     }
--- a/crates/testkit/tests/wrong_senders.rs
+++ b/crates/testkit/tests/wrong_senders.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rudderspindle_testkit::checker::{Rule, Verdict, check_events};
-use rudderspindle_testkit::event_log::{Class, Effect, Event, EventLog, Group, Life, Rules};
+use rudderspindle_testkit::event_log::{Class, Effect, Event, EventLog, KeyGroup, ProcessState, Rules};
 use rudderspindle_testkit::fake_discovery::{Entry, FakeDiscovery};
 use rudderspindle_testkit::fake_receiver::FakeReceiver;
 use rudderspindle_testkit::scenario::{
@@ -42,10 +42,10 @@
 fn rules() -> Rules {
     Rules {
         drain_grace_ms: 200,
-        fall_ms: 1_000,
-        warm_ms: 3_000,
-        end_ms: 100,
-        order_rest_ms: 300,
+        overload_window_ms: 1_000,
+        warm_up_ms: 3_000,
+        outcome_ms: 100,
+        ordering_pause_ms: 300,
         ..Rules::default()
     }
 }
@@ -54,17 +54,17 @@
     let class = |name: &str, effect, ordered| Class {
         name: name.to_owned(),
         effect,
-        group: Group::Hall,
+        group: KeyGroup::Zone,
         window_ms: 15_000,
-        aim_ms: 1_000,
+        target_ms: 1_000,
         deadline_ms: 5_000,
         ordered,
     };
     vec![
-        class("safe", Effect::Safe, false),
-        class("keyed", Effect::Keyed, false),
-        class("unsafe", Effect::Unsafe, false),
-        class("ordered", Effect::Safe, true),
+        class("safe", Effect::Idempotent, false),
+        class("keyed", Effect::IdempotencyKey, false),
+        class("unsafe", Effect::AtMostOnce, false),
+        class("ordered", Effect::Idempotent, true),
     ]
 }
 
@@ -163,7 +163,7 @@
     }
 
     /// Delivers a message until its time is up, and ends it.
-    async fn deliver(self: Arc<Self>, txn: String, class: String, left: Duration) {
+    async fn deliver(self: Arc<Self>, message_id: String, class: String, left: Duration) {
         let ends = Instant::now() + left;
         let ordered = class == "ordered" && self.fault != Fault::OvertakesWithinAKey;
         let _turn = if ordered { Some(self.key.lock().await) } else { None };
@@ -187,13 +187,13 @@
             };
             tries += 1;
             let until = ends.min(Instant::now() + patience);
-            let call = call(addr, &txn, until);
+            let call = call(addr, &message_id, until);
             let came = if self.fault == Fault::SendsSecondCopies {
                 tokio::select! {
                     came = call => came,
                     came = async {
                         sleep(Duration::from_millis(200)).await;
-                        self::call(addr, &txn, until).await
+                        self::call(addr, &message_id, until).await
                     } => came,
                 }
             } else {
@@ -228,7 +228,7 @@
             sleep(Duration::from_millis(400)).await;
         }
         let refused = ran.is_none() || self.fault == Fault::RefusesWhatMayHaveRun;
-        self.notice(&txn, if refused { "deferred" } else { "undeliverable" }).await;
+        self.notice(&message_id, if refused { "deferred" } else { "undeliverable" }).await;
         // What timed out may still run: the key rests.
         if timed_out && self.fault != Fault::LeavesAKeyNoRest {
             sleep(Duration::from_millis(500)).await;
@@ -275,8 +275,8 @@
         fit.next().map(|r| (r.addr, r.id.clone(), r.hall.clone()))
     }
 
-    async fn notice(&self, txn: &str, status: &str) {
-        let body = format!("{{\"id\":\"{txn}\",\"status\":\"{status}\"}}\n");
+    async fn notice(&self, message_id: &str, status: &str) {
+        let body = format!("{{\"id\":\"{message_id}\",\"status\":\"{status}\"}}\n");
         let mut stream = TcpStream::connect(self.platform).await.expect("the platform");
         let request =
             format!("POST /reports HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -285,11 +285,11 @@
     }
 }
 
-async fn call(addr: SocketAddr, txn: &str, until: Instant) -> Came {
+async fn call(addr: SocketAddr, message_id: &str, until: Instant) -> Came {
     let exchange = async {
         let mut stream = TcpStream::connect(addr).await.ok()?;
         let request = format!(
-            "POST /v1/messages HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\nIdempotency-Key: k-{txn}\r\n\
+            "POST /v1/messages HTTP/1.1\r\nHost: a\r\nX-Txn: {message_id}\r\nIdempotency-Key: k-{message_id}\r\n\
              Content-Length: 4\r\n\r\ntext"
         );
         stream.write_all(request.as_bytes()).await.ok()?;
@@ -322,7 +322,7 @@
 
 /// Plays a scene with a small sender.
 async fn play(scene: &Scene, fault: Fault) -> Verdict {
-    let evidence = EventLog::begin(classes(), endpoints(std::slice::from_ref(&scene.plan)), rules());
+    let evidence = EventLog::start(classes(), endpoints(std::slice::from_ref(&scene.plan)), rules());
     let senders = ["n0".to_owned()];
     let partner =
         FakeReceiver::start(&scene.plan, &senders, &rules(), 1, &evidence).await.expect("a partner");
@@ -341,7 +341,7 @@
     let sender = Small::start(fault, &agent, &partner);
     let mut clock = tokio::task::JoinSet::new();
     clock.spawn(keep_time(evidence.clone()));
-    evidence.note(Event::Sender { sender: "n0".to_owned(), life: Life::Ready });
+    evidence.record(Event::ProcessChanged { sender: "n0".to_owned(), state: ProcessState::Ready });
     if let Some((outage, for_ms)) = scene.outage {
         let partner = partner.clone();
         tokio::spawn(async move { partner.strike(&[], outage, Duration::from_millis(for_ms)).await });
@@ -361,20 +361,20 @@
         {
             agent.change("e0", Phase::Draining);
         }
-        let txn = format!("m{n}");
+        let message_id = format!("m{n}");
         let order = (class == "ordered").then(|| "key".to_owned());
-        evidence.note(Event::HandedIn {
-            txn: txn.clone(),
-            first: txn.clone(),
+        evidence.record(Event::Submitted {
+            message_id: message_id.clone(),
+            first_message_id: message_id.clone(),
             sender: "n0".to_owned(),
             class: class.to_owned(),
             tenant: String::new(),
-            partner: 1,
-            left_ms: left,
-            order,
+            receiver: 1,
+            time_left_ms: left,
+            ordering_key: order,
         });
-        evidence.note(Event::Heard { txn: txn.clone(), status: 202 });
-        open.spawn(sender.clone().deliver(txn, class.to_owned(), Duration::from_millis(left)));
+        evidence.record(Event::Responded { message_id: message_id.clone(), status: 202 });
+        open.spawn(sender.clone().deliver(message_id, class.to_owned(), Duration::from_millis(left)));
     }
     while open.join_next().await.is_some() {}
     // Whatever is overdue by now will not come.
@@ -388,19 +388,19 @@
     let played = async |fault| {
         for _ in 0..4 {
             let verdict = play(&scene, fault).await;
-            if !verdict.in_doubt() {
+            if !verdict.is_inconclusive() {
                 return verdict;
             }
         }
         panic!("the stand-ins were late four times");
     };
     let verdict = timeout(Duration::from_secs(60), played(Fault::None)).await.expect("in time");
-    assert!(verdict.clean(), "without a fault:\n{verdict}");
-    assert!(verdict.accounting.delivered + verdict.accounting.failed + verdict.accounting.refused > 0);
+    assert!(verdict.is_clean(), "without a fault:\n{verdict}");
+    assert!(verdict.accounting.delivered + verdict.accounting.failed + verdict.accounting.rejected > 0);
     for &fault in faults {
         let verdict = timeout(Duration::from_secs(60), played(fault)).await.expect("in time");
-        assert_eq!(verdict.broken(), BTreeSet::from([rule]), "{fault:?}:\n{verdict}");
-        let breach = &verdict.breaches[0];
+        assert_eq!(verdict.broken_rules(), BTreeSet::from([rule]), "{fault:?}:\n{verdict}");
+        let breach = &verdict.violations[0];
         assert!(!breach.lines.is_empty() && !breach.what.is_empty(), "{fault:?}: {breach:?}");
     }
 }
@@ -416,12 +416,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn messages_that_are_forgotten_or_ended_late_are_lost() {
     let scene = Scene { outage: Some((errors(), 900)), ..scene(plan(50.0, 10), ("safe", 3, 10, 500)) };
-    breaks(scene, Rule::Lost, &[Fault::ForgetsMessages, Fault::EndsThemLate]).await;
+    breaks(scene, Rule::Loss, &[Fault::ForgetsMessages, Fault::EndsThemLate]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_second_copy_while_the_first_is_out_is_doubled() {
-    breaks(scene(plan(50.0, 1_500), ("safe", 2, 10, 8_000)), Rule::Doubled, &[Fault::SendsSecondCopies])
+    breaks(scene(plan(50.0, 1_500), ("safe", 2, 10, 8_000)), Rule::Duplication, &[Fault::SendsSecondCopies])
         .await;
 }
 
@@ -429,34 +429,35 @@
 async fn what_may_have_run_is_doubled_by_a_repeat_or_a_refusal() {
     let unsafe_scene =
         || Scene { outage: Some((errors(), 400)), ..scene(plan(50.0, 10), ("unsafe", 2, 10, 900)) };
-    breaks(unsafe_scene(), Rule::Doubled, &[Fault::RepeatsWhatIsUnsafe, Fault::RefusesWhatMayHaveRun]).await;
+    breaks(unsafe_scene(), Rule::Duplication, &[Fault::RepeatsWhatIsUnsafe, Fault::RefusesWhatMayHaveRun])
+        .await;
     let keyed = Scene { outage: Some((errors(), 400)), ..scene(plan(50.0, 10), ("keyed", 2, 10, 2_000)) };
-    breaks(keyed, Rule::Doubled, &[Fault::CrossesHalls]).await;
+    breaks(keyed, Rule::Duplication, &[Fault::CrossesHalls]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_drain_that_is_ignored_or_heeded_late_is_broken() {
     let scene = Scene { drain_after: Some(100), ..scene(plan(100.0, 5), ("safe", 40, 30, 2_000)) };
-    breaks(scene, Rule::Drains, &[Fault::IgnoresDrains, Fault::HeedsDrainsLate]).await;
+    breaks(scene, Rule::Draining, &[Fault::IgnoresDrains, Fault::HeedsDrainsLate]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn who_returns_is_pushed_over_by_a_flood_or_by_hammering() {
     let scene = || Scene { outage: Some((errors(), 500)), ..scene(plan(10.0, 5), ("safe", 60, 25, 8_000)) };
-    breaks(scene(), Rule::Return, &[Fault::FloodsWhoReturns, Fault::HammersWhoReturns]).await;
+    breaks(scene(), Rule::Recovery, &[Fault::FloodsWhoReturns, Fault::HammersWhoReturns]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn order_is_broken_by_overtaking_and_by_a_key_without_rest() {
     let overtaken = scene(plan(50.0, 60), ("ordered", 4, 5, 5_000));
-    breaks(overtaken, Rule::Order, &[Fault::OvertakesWithinAKey]).await;
+    breaks(overtaken, Rule::Ordering, &[Fault::OvertakesWithinAKey]).await;
     let silent =
         Scene { outage: Some((Outage::Silent, 500)), ..scene(plan(50.0, 10), ("ordered", 3, 5, 5_000)) };
-    breaks(silent, Rule::Order, &[Fault::LeavesAKeyNoRest]).await;
+    breaks(silent, Rule::Ordering, &[Fault::LeavesAKeyNoRest]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_wait_that_is_ignored_or_kept_at_one_endpoint_only_is_broken() {
     let faults = [Fault::IgnoresWaits, Fault::WaitsAtTheEndpointOnly];
-    breaks(scene(plan(3.0, 5), ("safe", 12, 120, 6_000)), Rule::Waits, &faults).await;
+    breaks(scene(plan(3.0, 5), ("safe", 12, 120, 6_000)), Rule::RetryAfter, &faults).await;
 }
