--- a/crates/benchmarks/src/evening.rs
+++ b/crates/benchmarks/src/evening.rs
@@ -8,7 +8,7 @@
 use rudderspindle_testkit::event_log;
 use rudderspindle_testkit::program::Launch;
 use rudderspindle_testkit::scenario::Scenario;
-use rudderspindle_testkit::world::{Played, TestEnvironment, World};
+use rudderspindle_testkit::test_environment::{EnvironmentConfig, RunResult, TestEnvironment};
 
 use crate::report::Report;
 use crate::{Common, RigError};
@@ -42,7 +42,7 @@
 struct Round {
     seed: u64,
     script: Scenario,
-    played: Played,
+    played: RunResult,
     verdict: Verdict,
     tries: u64,
 }
@@ -62,8 +62,9 @@
         if folder.exists() {
             std::fs::remove_dir_all(&folder)?;
         }
-        let stage = TestEnvironment { launch: Launch::from(sender.as_path()), folder, longest: LONGEST };
-        let played = World::set_up(&script, &stage).await?.play().await;
+        let config =
+            EnvironmentConfig { launch: Launch::from(sender.as_path()), folder, max_lifetime: LONGEST };
+        let played = TestEnvironment::start(&script, &config).await?.run().await;
         let verdict = check_events(&played.lines);
         if let Some(keep) = &keep {
             keep_evidence(keep, seed, &played)?;
@@ -87,7 +88,7 @@
     bar.enable_steady_tick(Duration::from_millis(500));
     let (mut late, mut peak_kib) = (0, 0);
     let mut returns: Vec<Recovery> = Vec::new();
-    let draw = |seed| (seed, Scenario::evening(seed, common.seconds.unwrap_or(SECONDS)));
+    let draw = |seed| (seed, Scenario::random(seed, common.seconds.unwrap_or(SECONDS)));
     let wanted = |script: &Scenario| having.is_none_or(|having| having.holds(script));
     let scripts = (first..=u64::MAX).map(draw).filter(|(_, script)| wanted(script));
     let mut scripts = scripts.take(common.rounds as usize);
@@ -140,7 +141,7 @@
     Ok(report)
 }
 
-fn check(report: &mut Report, seed: u64, played: &Played, verdict: &Verdict, kept: Option<&Path>) {
+fn check(report: &mut Report, seed: u64, played: &RunResult, verdict: &Verdict, kept: Option<&Path>) {
     let at = kept
         .map_or("keep it with --keep".to_owned(), |k| k.join(format!("{seed}.jsonl")).display().to_string());
     for breach in &verdict.violations {
@@ -149,8 +150,8 @@
             breach.rule, breach.what, breach.lines
         ));
     }
-    for failed in &played.failed {
-        report.broken(format!("seed {seed}: {failed}"));
+    for failure in &played.failures {
+        report.broken(format!("seed {seed}: {failure}"));
     }
     if verdict.accounting.duplicated > 0 {
         report.broken(format!("seed {seed}: {} doubled", verdict.accounting.duplicated));
@@ -175,21 +176,21 @@
     total.calls_rejected += a.calls_rejected;
 }
 
-fn print_round(seed: u64, script: &Scenario, played: &Played, verdict: &Verdict) {
+fn print_round(seed: u64, script: &Scenario, played: &RunResult, verdict: &Verdict) {
     let per_s = script.traffic.per_s.get();
-    println!("evening {seed}: {} partners, {per_s:.0} messages a second", script.partners.len());
-    for happening in &script.happenings {
+    println!("evening {seed}: {} partners, {per_s:.0} messages a second", script.receivers.len());
+    for happening in &script.events {
         println!("  {happening:?}");
     }
     print!("{verdict}");
     println!("evening {seed}: return_worst_ratio {:.2}", verdict.peak_recovery_ratio());
-    for failed in &played.failed {
-        println!("FAILED: {failed}");
+    for failure in &played.failures {
+        println!("FAILED: {failure}");
     }
     println!();
 }
 
-fn keep_evidence(keep: &Path, seed: u64, played: &Played) -> std::io::Result<()> {
+fn keep_evidence(keep: &Path, seed: u64, played: &RunResult) -> std::io::Result<()> {
     let file = std::fs::File::create(keep.join(format!("{seed}.jsonl")))?;
     event_log::write(&played.lines, std::io::BufWriter::new(file))
 }
--- a/crates/benchmarks/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -140,14 +140,14 @@
             "rules": {"cold_from": 0.17, "fall_multiple": 2.5, "tip_after": 3000.0, "warm_within": 9300.0}}});
     let folder = tempfile::tempdir()?;
     let mut program = Program::new("n0", &binary.into(), folder.path(), config, Some(CORE), &evidence)
-        .map_err(rudderspindle_testkit::world::EnvironmentError::from)?;
-    program.start().await.map_err(rudderspindle_testkit::world::EnvironmentError::from)?;
+        .map_err(rudderspindle_testkit::test_environment::EnvironmentError::from)?;
+    program.start().await.map_err(rudderspindle_testkit::test_environment::EnvironmentError::from)?;
     let addr = *program.address().borrow();
     let Some(addr) = addr else { return Err(RigError::NoSender) };
     let cpu = || program.cpu_us().unwrap_or(0);
     let peak = || program.peak_kib().unwrap_or(0);
     let measured = under_load(addr, receivers, load, seconds, cpu, peak).await;
-    program.kill().await.map_err(rudderspindle_testkit::world::EnvironmentError::from)?;
+    program.kill().await.map_err(rudderspindle_testkit::test_environment::EnvironmentError::from)?;
     Ok(measured)
 }
 
--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -120,7 +120,7 @@
     #[error("{0}")]
     Io(#[from] std::io::Error),
     #[error("{0}")]
-    TestEnvironment(#[from] rudderspindle_testkit::world::EnvironmentError),
+    TestEnvironment(#[from] rudderspindle_testkit::test_environment::EnvironmentError),
     #[error(
         "there is no sender beside this program: build it with `cargo build --release`, or name it with --sender"
     )]
@@ -139,7 +139,8 @@
     }
 
     fn sender(&self) -> Result<PathBuf, RigError> {
-        let path = self.sender.clone().or_else(rudderspindle_testkit::world::beside_this_program);
+        let path =
+            self.sender.clone().or_else(rudderspindle_testkit::test_environment::program_beside_this_one);
         path.filter(|path| path.is_file()).ok_or(RigError::NoSender)
     }
 }
--- a/crates/daemon/tests/cluster/mod.rs
+++ b/crates/daemon/tests/cluster/mod.rs
@@ -103,49 +103,49 @@
     let all: Vec<usize> = (0..SENDERS).collect();
     let (even, odd): (Vec<usize>, Vec<usize>) = all.iter().partition(|n| *n % 2 == 0);
     let half = &all[..SENDERS / 2];
-    tier.load();
+    tier.start_load();
     // Until all have heard of one another and the queues are what they will be.
     sleep(secs(6)).await;
-    row("all hear", tier.phase(secs(10)).await);
+    row("all hear", tier.measure_usage(secs(10)).await);
 
     tier.mesh.cut(&all, half);
-    row("half hear nothing for 12 s", tier.phase(secs(12)).await);
+    row("half hear nothing for 12 s", tier.measure_usage(secs(12)).await);
     tier.mesh.heal();
-    row("they hear again", tier.phase(secs(4)).await);
+    row("they hear again", tier.measure_usage(secs(4)).await);
 
     // Halls are dealt out in turn.
     tier.mesh.cut(&even, &odd);
     tier.mesh.cut(&odd, &even);
-    row("the two halls cut from one another", tier.phase(secs(10)).await);
+    row("the two halls cut from one another", tier.measure_usage(secs(10)).await);
     tier.mesh.heal();
-    row("they are joined again", tier.phase(secs(4)).await);
+    row("they are joined again", tier.measure_usage(secs(4)).await);
 
     tier.mesh.set(&all, &all, &LinkFaults { drop: 0.5, ..LinkFaults::default() });
-    row("half of all notes lost", tier.phase(secs(10)).await);
+    row("half of all notes lost", tier.measure_usage(secs(10)).await);
     tier.mesh.heal();
 
-    let from = tier.evidence().now();
+    let from = tier.event_log().now();
     let third = &all[..SENDERS / 3];
     for &sender in third {
         tier.kill(sender).await.expect("killed");
     }
     sleep(Duration::from_millis(600)).await;
     for &sender in third {
-        tier.start_again(sender, Journal::Kept).await.expect("it starts again");
+        tier.restart(sender, Journal::Kept).await.expect("it starts again");
     }
     sleep(secs(4)).await;
-    row("a third killed, and back after 0.6 s", tier.usage(from..tier.evidence().now()));
+    row("a third killed, and back after 0.6 s", tier.usage(from..tier.event_log().now()));
 
     let three = &all[SENDERS / 2..SENDERS / 2 + 3];
-    let from = tier.evidence().now();
+    let from = tier.event_log().now();
     for &sender in three {
         tier.pause(sender).await.expect("stopped");
     }
     sleep(secs(8)).await;
     for &sender in three {
-        tier.go_on(sender).await.expect("it goes on");
+        tier.resume(sender).await.expect("it goes on");
     }
     sleep(secs(4)).await;
-    row("three stopped for 8 s, and go on", tier.usage(from..tier.evidence().now()));
-    (rows, tier.ended().await)
+    row("three stopped for 8 s, and go on", tier.usage(from..tier.event_log().now()));
+    (rows, tier.finish().await)
 }
--- a/crates/daemon/tests/evening/mod.rs
+++ b/crates/daemon/tests/evening/mod.rs
@@ -8,7 +8,7 @@
 use rudderspindle_testkit::event_log::Line;
 use rudderspindle_testkit::program::Launch;
 use rudderspindle_testkit::scenario::Scenario;
-use rudderspindle_testkit::world::{TestEnvironment, World};
+use rudderspindle_testkit::test_environment::{EnvironmentConfig, TestEnvironment};
 
 /// Plays it until the stand-ins were not late, three times at the most; no message is delivered for longer.
 pub async fn play(script: &str, longest: Duration) -> (Vec<Line>, Verdict) {
@@ -16,9 +16,9 @@
     for _ in 0..3 {
         let folder = tempfile::tempdir().expect("a folder");
         let launch = Launch::from(Path::new(env!("CARGO_BIN_EXE_rudderspindle")));
-        let stage = TestEnvironment { launch, folder: folder.path().to_owned(), longest };
-        let played = World::set_up(&script, &stage).await.expect("a world").play().await;
-        assert_eq!(played.failed, Vec::<String>::new());
+        let config = EnvironmentConfig { launch, folder: folder.path().to_owned(), max_lifetime: longest };
+        let played = TestEnvironment::start(&script, &config).await.expect("an environment").run().await;
+        assert!(played.failures.is_empty(), "{:?}", played.failures);
         let verdict = check_events(&played.lines);
         if !verdict.is_inconclusive() {
             return (played.lines, verdict);
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -38,7 +38,7 @@
 async fn play() -> Verdict {
     let (mut tier, folder) = cluster::tier(8, 1, None).await;
     let logged = |text: &str| cluster::logged(folder.path(), text);
-    tier.load();
+    tier.start_load();
     for sender in 0..SENDERS {
         soon("each has told and heard", || heard(&tier.mesh, sender).0 > 1 && told(&tier.mesh, sender) > 1)
             .await;
@@ -74,16 +74,16 @@
     sleep(Duration::from_millis(600)).await;
     assert_eq!(told(&tier.mesh, 5), silent);
     let dead = told(&tier.mesh, 3);
-    tier.go_on(5).await.expect("it goes on");
-    tier.start_again(3, Journal::Kept).await.expect("it starts again");
+    tier.resume(5).await.expect("it goes on");
+    tier.restart(3, Journal::Kept).await.expect("it starts again");
     soon("both tell again", || told(&tier.mesh, 5) > silent && told(&tier.mesh, 3) > dead).await;
 
-    let verdict = tier.ended().await;
+    let verdict = tier.finish().await;
 
     // All have their ends, so nothing is lost with a folder.
     tier.kill(7).await.expect("killed");
     let dead = told(&tier.mesh, 7);
-    tier.start_again(7, Journal::Empty).await.expect("it starts again");
+    tier.restart(7, Journal::Empty).await.expect("it starts again");
     soon("it tells again", || told(&tier.mesh, 7) > dead).await;
     verdict
 }
--- a/crates/daemon/tests/judgements.rs
+++ b/crates/daemon/tests/judgements.rs
@@ -31,17 +31,17 @@
 async fn a_receiver_that_a_hall_sees_fail_is_avoided_by_all_of_it_and_used_again_when_it_is_back() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet.example.toml");
     let (mut tier, folder) = cluster::tier(28, 3, Some(&file)).await;
-    tier.load();
+    tier.start_load();
     sleep(Duration::from_secs(3)).await;
     assert_eq!(logs(folder.path(), 0, AVOIDED), 0, "nothing fails");
-    tier.strike(&["p1-0".to_owned()], Outage::Refuse, Duration::from_secs(14)).await;
+    tier.fail(&["p1-0".to_owned()], Outage::Refuse, Duration::from_secs(14)).await;
     // A sender sees one failure and looks elsewhere for 6 s: by the second one of several the others of its hall know.
     soon("most of its hall avoid it", 14, || logs(folder.path(), 0, AVOIDED) > SENDERS / 4).await;
     let back = || logs(folder.path(), 0, NONE) >= logs(folder.path(), 0, AVOIDED);
     soon("all is given back", 16, back).await;
     // The other hall has its own receiver, and nobody there to judge this one.
     assert_eq!(logs(folder.path(), 1, AVOIDED), 0);
-    let verdict = tier.ended().await;
+    let verdict = tier.finish().await;
     let accounts = &verdict.accounting;
     assert_eq!((accounts.duplicated, accounts.pending), (0, 0), "{verdict}");
 }
--- a/crates/daemon/tests/rights.rs
+++ b/crates/daemon/tests/rights.rs
@@ -16,7 +16,7 @@
 const REFUSED: f64 = 0.05;
 
 async fn phase(tier: &mut Cluster, name: &'static str, ms: u64) -> Row {
-    Row { phase: name, usage: tier.phase(Duration::from_millis(ms)).await }
+    Row { phase: name, usage: tier.measure_usage(Duration::from_millis(ms)).await }
 }
 
 /// The phases one after another, and whether the machine was too busy to tell anything.
@@ -25,7 +25,7 @@
     let all: Vec<usize> = (0..SENDERS).collect();
     let half = &all[..SENDERS / 2];
     let mut rows = Vec::new();
-    tier.load();
+    tier.start_load();
     // Until each has its first turns and calls wait everywhere.
     sleep(Duration::from_millis(3_500)).await;
     tier.mesh.cut(&all, half);
@@ -42,24 +42,24 @@
     tier.mesh.set(&all, &all, &foul);
     rows.push(phase(&mut tier, "half of all notes lost, the others late, doubled, replayed", 4_000).await);
     // One has used a part of the second, and is back within it; another one stands still for longer than any right lasts.
-    let from = tier.evidence().now();
+    let from = tier.event_log().now();
     tier.kill(3).await.expect("killed");
     tier.pause(8).await.expect("stopped");
     sleep(Duration::from_millis(600)).await;
-    tier.start_again(3, Journal::Kept).await.expect("it starts again");
+    tier.restart(3, Journal::Kept).await.expect("it starts again");
     sleep(Duration::from_millis(2_400)).await;
-    tier.go_on(8).await.expect("it goes on");
+    tier.resume(8).await.expect("it goes on");
     sleep(Duration::from_millis(1_500)).await;
-    let usage = tier.usage(from..tier.evidence().now());
+    let usage = tier.usage(from..tier.event_log().now());
     rows.push(Row { phase: "one killed and back, one stopped and on", usage });
     tier.mesh.heal();
-    let from = tier.evidence().now();
+    let from = tier.event_log().now();
     tier.kill(5).await.expect("killed");
-    tier.start_again(5, Journal::Empty).await.expect("it starts again");
+    tier.restart(5, Journal::Empty).await.expect("it starts again");
     sleep(Duration::from_millis(2_500)).await;
-    let usage = tier.usage(from..tier.evidence().now());
+    let usage = tier.usage(from..tier.event_log().now());
     rows.push(Row { phase: "one comes back with an empty folder", usage });
-    (rows, tier.ended().await.is_inconclusive())
+    (rows, tier.finish().await.is_inconclusive())
 }
 
 #[tokio::test]
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -16,7 +16,7 @@
 use rudderspindle_testkit::event_log::EventLog;
 use rudderspindle_testkit::program::Launch;
 use rudderspindle_testkit::scenario::{Scenario, ScenarioError};
-use rudderspindle_testkit::world::{EnvironmentError, TestEnvironment, World};
+use rudderspindle_testkit::test_environment::{EnvironmentConfig, EnvironmentError, TestEnvironment};
 use screen::Screen;
 use tally::Tally;
 use tokio::time::sleep;
@@ -111,25 +111,25 @@
         arguments: vec![SENDER.to_owned()],
         variables: Vec::new(),
     };
-    let stage = TestEnvironment { launch, folder: folder.path().to_owned(), longest: LONGEST };
+    let config = EnvironmentConfig { launch, folder: folder.path().to_owned(), max_lifetime: LONGEST };
     println!(
         "{} senders, {} partners, {:.0} messages a second for {} s",
         script.senders,
-        script.partners.len(),
+        script.receivers.len(),
         script.traffic.per_s.get(),
         script.seconds
     );
-    let world = World::set_up(&script, &stage).await.map_err(DemoError::TestEnvironment)?;
-    let evidence = world.evidence();
-    let mut playing = tokio::spawn(world.play());
+    let environment = TestEnvironment::start(&script, &config).await.map_err(DemoError::TestEnvironment)?;
+    let event_log = environment.event_log();
+    let mut playing = tokio::spawn(environment.run());
     let (mut screen, mut tally) = (Screen::new(), Tally::new(&script));
     let (mut seen, mut printed) = (0, 0);
     let played = loop {
         tokio::select! {
             played = &mut playing => break played,
             () = sleep(LIVE) => {
-                show(&evidence, &mut seen, &mut tally, &mut screen);
-                let now = evidence.now() / 1_000;
+                show(&event_log, &mut seen, &mut tally, &mut screen);
+                let now = event_log.now() / 1_000;
                 if screen.is_live() || now >= printed + PLAIN {
                     screen.table(&tally);
                     printed = now;
@@ -137,25 +137,25 @@
             }
         }
     };
-    show(&evidence, &mut seen, &mut tally, &mut screen);
+    show(&event_log, &mut seen, &mut tally, &mut screen);
     screen.table(&tally);
     let played = played.map_err(std::io::Error::other)?;
     let verdict = check_events(&played.lines);
     println!("\n{verdict}");
-    for failed in &played.failed {
-        println!("FAILED: {failed}");
+    for failure in &played.failures {
+        println!("FAILED: {failure}");
     }
     if let Some(path) = &arguments.report {
         let end = played.lines.last().map_or(0, |line| line.t);
         std::fs::write(path, page::page(&tally, &verdict, end))?;
         println!("the evening as a page: {}", path.display());
     }
-    Ok(verdict.is_clean() && played.failed.is_empty())
+    Ok(verdict.is_clean() && played.failures.is_empty())
 }
 
-/// Takes in what is new in the evidence, a line on the screen for each thing that happened.
-fn show(evidence: &EventLog, seen: &mut usize, tally: &mut Tally, screen: &mut Screen) {
-    let lines = evidence.lines_from(*seen);
+/// Takes in what is new in the event_log, a line on the screen for each thing that happened.
+fn show(event_log: &EventLog, seen: &mut usize, tally: &mut Tally, screen: &mut Screen) {
+    let lines = event_log.lines_from(*seen);
     *seen += lines.len();
     for line in &lines {
         if let Some(what) = tally.take(line) {
--- a/crates/demo/src/tally.rs
+++ b/crates/demo/src/tally.rs
@@ -58,7 +58,7 @@
     /// Nothing has happened yet.
     pub fn new(script: &Scenario) -> Self {
         let mut tally = Self::default();
-        for plan in &script.partners {
+        for plan in &script.receivers {
             let partner = FakeReceiver { name: plan.name.clone(), ..FakeReceiver::default() };
             tally.partners.insert(plan.number, partner);
             for endpoint in &plan.endpoints {
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 use crate::event_log::{Event, EventLog};
-use crate::scenario::{Draw, Scenario};
+use crate::scenario::{Scenario, SeededRng};
 
 /// A client waits so long for its answer.
 const PATIENCE: Duration = Duration::from_millis(400);
@@ -61,12 +61,12 @@
 /// All that clients will hand in: the same for the same script. `longest` bounds how long a message may be
 /// delivered, so that an evening has an end.
 pub fn plan(script: &Scenario, longest: Duration) -> Vec<Planned> {
-    let mut draw = Draw::new(script.seed ^ 0x636c_6965_6e74);
+    let mut draw = SeededRng::new(script.seed ^ 0x636c_6965_6e74);
     let traffic = &script.traffic;
-    let total: f64 = script.partners.iter().map(|p| p.weight).sum();
+    let total: f64 = script.receivers.iter().map(|p| p.weight).sum();
     let (mut planned, mut at, mut number) = (Vec::new(), 0.0, 0u32);
     // Clumps bring several at once: fewer arrivals for the same messages.
-    let (clumps, clump) = (traffic.clumps.get(), f64::from(traffic.clump.max(1)));
+    let (clumps, clump) = (traffic.burst_share.get(), f64::from(traffic.burst_len.max(1)));
     let per_arrival = 1.0 + clumps / clump.max(1.0) * (clump - 1.0);
     loop {
         at += draw.exponential(per_arrival / traffic.per_s.get());
@@ -74,22 +74,23 @@
             return planned;
         }
         let mut at_weight = draw.unit() * total;
-        let partner = script.partners.iter().find(|p| {
+        let partner = script.receivers.iter().find(|p| {
             at_weight -= p.weight;
             at_weight < 0.0
         });
-        let partner = partner.or(script.partners.last()).map_or(0, |p| p.number);
-        let several = if draw.chance(clumps / clump) { traffic.clump.max(1) } else { 1 };
-        let sender = draw.whole(0, script.senders as u64) as usize;
+        let partner = partner.or(script.receivers.last()).map_or(0, |p| p.number);
+        let several = if draw.chance(clumps / clump) { traffic.burst_len.max(1) } else { 1 };
+        let sender = draw.integer(0, script.senders as u64) as usize;
         for _ in 0..several {
             let mut share = draw.unit();
             let tenant = TENANTS.iter().find(|(_, part)| {
                 share -= part;
                 share < 0.0
             });
-            let (class, left) = if draw.chance(traffic.status_share.get()) { SAFE } else { KEYED };
-            let again =
-                draw.chance(traffic.retries.get()).then(|| Duration::from_secs_f64(draw.between(0.33, 1.2)));
+            let (class, left) = if draw.chance(traffic.idempotent_share.get()) { SAFE } else { KEYED };
+            let again = draw
+                .chance(traffic.retry_share.get())
+                .then(|| Duration::from_secs_f64(draw.between(0.33, 1.2)));
             planned.push(Planned {
                 at: Duration::from_secs_f64(at),
                 message_id: format!("{:08x}{number:08x}", script.seed as u32),
@@ -99,8 +100,8 @@
                 sender,
                 left: left.min(longest),
                 again,
-                leaves: draw.chance(traffic.leave.get()),
-                size: draw.whole(50, 800) as usize,
+                leaves: draw.chance(traffic.abandon_share.get()),
+                size: draw.integer(50, 800) as usize,
             });
             number += 1;
         }
@@ -159,7 +160,7 @@
     /// One message, and again as its client would.
     async fn deliver(&self, message: Planned) {
         let mut sender = message.sender;
-        let mut draw = Draw::new(u64::from_str_radix(&message.message_id, 16).unwrap_or_default());
+        let mut draw = SeededRng::new(u64::from_str_radix(&message.message_id, 16).unwrap_or_default());
         let since = Instant::now();
         let (mut number, mut refused) = (0, false);
         while let Some(left) = message.left.checked_sub(since.elapsed()) {
@@ -274,10 +275,10 @@
         if per_s <= 0.0 {
             return;
         }
-        let mut draw = Draw::new(seed);
+        let mut draw = SeededRng::new(seed);
         loop {
             sleep(Duration::from_secs_f64(draw.exponential(1.0 / per_s))).await;
-            let sender = draw.whole(0, self.senders.len() as u64) as usize;
+            let sender = draw.integer(0, self.senders.len() as u64) as usize;
             let Some(addr) = *self.senders[sender].1.borrow() else { continue };
             let bytes = nonsense(&mut draw);
             tokio::spawn(async move {
@@ -291,12 +292,12 @@
 }
 
 /// What a bad client writes; never a message that could be taken on.
-fn nonsense(draw: &mut Draw) -> Vec<u8> {
+fn nonsense(draw: &mut SeededRng) -> Vec<u8> {
     let post = |headers: &str, body: &str| {
         format!("POST /safe HTTP/1.1\r\nHost: a\r\nX-Org: tenant-b\r\n{headers}\r\n\r\n{body}").into_bytes()
     };
-    match draw.whole(0, 8) {
-        0 => (0..200).map(|_| draw.whole(0, 256) as u8).collect(),
+    match draw.integer(0, 8) {
+        0 => (0..200).map(|_| draw.integer(0, 256) as u8).collect(),
         1 => post("X-Txn: bad\r\nX-Remaining: never\r\nX-Route-To: dest=1\r\nContent-Length: 4", "text"),
         2 => post("X-Remaining: 5\r\nX-Route-To: dest=1\r\nContent-Length: 4", "text"),
         3 => post("X-Txn: bad\r\nX-Remaining: 5\r\nX-Route-To: dest=60000\r\nContent-Length: 4", "text"),
@@ -335,7 +336,7 @@
 
     #[test]
     fn a_plan_is_the_same_for_the_same_script_and_brings_what_it_says() {
-        let script = Scenario::evening(3, 60);
+        let script = Scenario::random(3, 60);
         let planned = plan(&script, Duration::from_secs(12));
         assert_eq!(planned, plan(&script, Duration::from_secs(12)));
         let expected = script.traffic.per_s.get() * 60.0;
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -1,8 +1,8 @@
-//! Several senders, each a process of the program, joined by a mesh, before one partner with a count in each second.
+//! Several senders, each a process of the program, joined by datagram proxies, before the same receivers.
 //!
-//! Invariant: whatever happens to a test, its processes end with the tier, each by its own id.
+//! Invariant: whatever happens to a test, its processes end with the cluster, each by its own id.
 
-use std::net::{SocketAddr, UdpSocket as StdSocket};
+use std::net::{SocketAddr, UdpSocket};
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-use crate::checker::{Checker, Verdict};
+use crate::checker::Verdict;
 use crate::client::{self, Clients};
 use crate::datagram_proxy::DatagramProxy;
 use crate::event_log::{EventLog, Rules};
@@ -21,128 +21,119 @@
 use crate::fake_receiver::FakeReceiver;
 use crate::program::{Launch, Program};
 use crate::scenario::{Outage, Scenario};
+use crate::test_environment::{
+    EnvironmentError, OUTCOME_TIMEOUT, classes, configuration, endpoints, list_entries, record_lag,
+    sender_name, start_receivers, wait_for_outcomes,
+};
 use crate::usage::Usage;
-use crate::world::{EnvironmentError, classes, configuration, endpoints, entries, keep_time, name};
 
-/// So long after the last message's time is up nothing is waited for any more.
-const AFTER: Duration = Duration::from_millis(2_500);
-/// How often it is looked whether messages have their ends.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often it is checked whether messages have their outcomes.
+const OUTCOME_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a sender's folder holds when it starts again.
+/// What a sender's folder holds when it is started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Journal {
-    /// What it left.
+    /// What its earlier process left.
     Kept,
-    /// Nothing: the machine was lost.
+    /// Nothing, as after the loss of the machine.
     Empty,
 }
 
-/// Senders that run, their partner, and clients when told. Only a script's first partner counts in [`Cluster::usage`].
+/// Running senders with their receivers and clients. Only the first receiver counts in [`Cluster::usage`].
 #[derive(Debug)]
 pub struct Cluster {
-    /// The links between them.
+    /// The proxies for datagrams between the senders.
     pub mesh: DatagramProxy,
-    script: Scenario,
-    longest: Duration,
+    scenario: Scenario,
+    max_lifetime: Duration,
     folder: PathBuf,
-    evidence: EventLog,
+    event_log: EventLog,
     programs: Vec<Program>,
     clients: Arc<Clients>,
+    /// The clients' task, which ends by itself.
     load: Option<JoinHandle<()>>,
-    // They stand as long as it does.
-    _agents: Vec<FakeDiscovery>,
-    partners: Vec<Arc<FakeReceiver>>,
+    // They run until the cluster is dropped.
+    _discoveries: Vec<FakeDiscovery>,
+    receivers: Vec<Arc<FakeReceiver>>,
     _tasks: JoinSet<()>,
 }
 
 impl Cluster {
-    /// Starts all of a script's senders, with notes between them. What happens is the caller's to say: the script's
-    /// own happenings are not played. `folder` is empty; a message may be delivered for `longest` at most.
+    /// Starts all senders of a scenario, which gossip with each other. The scenario's events are not played: the
+    /// caller says what happens. `folder` is empty; no message takes longer than `max_lifetime` to be delivered.
     ///
     /// # Errors
     ///
-    /// [`EnvironmentError`] if a part of it cannot be had.
+    /// [`EnvironmentError`] if a part of it cannot be started.
     pub async fn start(
-        script: &Scenario,
+        scenario: &Scenario,
         launch: &Launch,
         folder: &Path,
-        longest: Duration,
+        max_lifetime: Duration,
     ) -> Result<Self, EnvironmentError> {
-        let (classes, rules) = (classes(longest), Rules::default());
-        let evidence = EventLog::start(classes.clone(), endpoints(&script.partners), rules.clone());
-        let names: Vec<String> = (0..script.senders).map(name).collect();
-        let mut partners = Vec::new();
-        for plan in &script.partners {
-            partners.push(Arc::new(FakeReceiver::start(plan, &names, &rules, script.seed, &evidence).await?));
-        }
-        let doors = doors(script.senders)?;
-        let mesh = DatagramProxy::start(&doors, script.seed).await?;
-        let (mut agents, mut programs, mut addresses) = (Vec::new(), Vec::new(), Vec::new());
-        for (me, name) in names.iter().enumerate() {
-            let agent = FakeDiscovery::start(name, entries(&partners, &[], me, name), &evidence).await?;
-            let mut config = configuration(&agent, &classes, &rules, names.len(), me);
-            config["peer_listen"] = json!(doors[me]);
-            config["peers"] = json!(mesh.peers(me));
+        let classes = classes(max_lifetime);
+        let rules = Rules::default();
+        let event_log = EventLog::start(classes.clone(), endpoints(&scenario.receivers), rules.clone());
+        let names: Vec<String> = (0..scenario.senders).map(sender_name).collect();
+        let receivers = start_receivers(scenario, &names, &rules, &event_log).await?;
+        let gossip_addrs = gossip_addresses(scenario.senders)?;
+        let mesh = DatagramProxy::start(&gossip_addrs, scenario.seed).await?;
+        let mut discoveries = Vec::new();
+        let mut programs = Vec::new();
+        let mut addresses = Vec::new();
+        for (index, name) in names.iter().enumerate() {
+            let entries = list_entries(&receivers, &[], index);
+            let discovery = FakeDiscovery::start(name, entries, &event_log).await?;
+            let mut config = configuration(&discovery, &classes, &rules, names.len(), index);
+            config["peer_listen"] = json!(gossip_addrs[index]);
+            config["peers"] = json!(mesh.peers(index));
             config["settings"]["limits"]["peers"] = json!(true);
-            let mut program = Program::new(name, launch, &folder.join(name), config, None, &evidence)?;
+            let mut program = Program::new(name, launch, &folder.join(name), config, None, &event_log)?;
             program.start().await?;
             addresses.push((name.clone(), program.address()));
-            agents.push(agent);
+            discoveries.push(discovery);
             programs.push(program);
         }
         let mut tasks = JoinSet::new();
-        tasks.spawn(keep_time(evidence.clone()));
-        let clients = Clients::new(addresses, &evidence);
-        let (script, folder, load) = (script.clone(), folder.to_owned(), None);
+        tasks.spawn(record_lag(event_log.clone()));
         Ok(Self {
             mesh,
-            script,
-            longest,
-            folder,
-            evidence,
+            scenario: scenario.clone(),
+            max_lifetime,
+            folder: folder.to_owned(),
+            clients: Clients::new(addresses, &event_log),
+            event_log,
             programs,
-            clients,
-            load,
-            _agents: agents,
-            partners,
+            load: None,
+            _discoveries: discoveries,
+            receivers,
             _tasks: tasks,
         })
     }
 
-    /// The log while it is written.
-    pub fn evidence(&self) -> &EventLog {
-        &self.evidence
+    /// The event log while it is written.
+    pub fn event_log(&self) -> &EventLog {
+        &self.event_log
     }
 
-    /// Clients come from now on, for the script's time.
-    pub fn load(&mut self) {
-        let planned = client::plan(&self.script, self.longest);
+    /// Starts the clients, which submit messages for the scenario's time.
+    pub fn start_load(&mut self) {
+        let planned = client::plan(&self.scenario, self.max_lifetime);
         self.load = Some(tokio::spawn(self.clients.clone().run(planned, Instant::now())));
     }
 
-    /// Waits until all clients have gone and every message has its end, or should have; what the judge says of it.
-    pub async fn ended(&mut self) -> Verdict {
+    /// Waits until all clients are done and every message has its final outcome, or should have; gives the verdict.
+    pub async fn finish(&mut self) -> Verdict {
         if let Some(load) = self.load.take() {
-            // It ends by itself, and has nothing to say.
+            // A client that panicked shows in the log.
             let _ = load.await;
         }
-        let end = Instant::now() + self.longest + AFTER;
-        // Line by line as they come: to judge all of them again and again would make the stand-ins late.
-        let (mut checker, mut seen) = (Checker::default(), 0);
-        loop {
-            for line in self.evidence.lines_from(seen) {
-                seen += 1;
-                checker.process(seen, &line);
-            }
-            if checker.pending() == 0 || Instant::now() > end {
-                return checker.finish(self.evidence.now());
-            }
-            sleep(LOOK).await;
-        }
+        let deadline = Instant::now() + self.max_lifetime + OUTCOME_TIMEOUT;
+        let checker = wait_for_outcomes(&self.event_log, deadline, OUTCOME_CHECK_INTERVAL).await;
+        checker.finish(self.event_log.now())
     }
 
-    /// Kills a sender's process outright (`kill -9`).
+    /// Kills a sender's process (`SIGKILL`).
     ///
     /// # Errors
     ///
@@ -151,71 +142,71 @@
         Ok(self.programs[sender].kill().await?)
     }
 
-    /// Starts one that was killed, and waits until it is ready.
+    /// Starts a sender that was killed, and waits until it is ready.
     ///
     /// # Errors
     ///
     /// If it does not start, or its folder cannot be emptied.
-    pub async fn start_again(&mut self, sender: usize, journal: Journal) -> Result<(), EnvironmentError> {
+    pub async fn restart(&mut self, sender: usize, journal: Journal) -> Result<(), EnvironmentError> {
         if journal == Journal::Empty {
-            let state = self.folder.join(name(sender)).join("state");
+            let state = self.folder.join(sender_name(sender)).join("state");
             std::fs::remove_dir_all(&state)?;
             std::fs::create_dir(state)?;
         }
         Ok(self.programs[sender].start().await?)
     }
 
-    /// Stops a sender's process where it is (`SIGSTOP`).
+    /// Pauses a sender's process (`SIGSTOP`).
     ///
     /// # Errors
     ///
-    /// If it cannot be told.
+    /// If it cannot be signalled.
     pub async fn pause(&self, sender: usize) -> Result<(), EnvironmentError> {
         self.signal(sender, "-STOP").await
     }
 
-    /// Lets one that was stopped go on (`SIGCONT`).
+    /// Resumes a sender's process that was paused (`SIGCONT`).
     ///
     /// # Errors
     ///
-    /// If it cannot be told.
-    pub async fn go_on(&self, sender: usize) -> Result<(), EnvironmentError> {
+    /// If it cannot be signalled.
+    pub async fn resume(&self, sender: usize) -> Result<(), EnvironmentError> {
         self.signal(sender, "-CONT").await
     }
 
     async fn signal(&self, sender: usize, signal: &str) -> Result<(), EnvironmentError> {
         let Some(pid) = self.programs[sender].pid() else { return Ok(()) };
-        let told = Command::new("kill").args([signal, &pid.to_string()]).status().await?;
-        if told.success() {
+        let status = Command::new("kill").args([signal, &pid.to_string()]).status().await?;
+        if status.success() {
             Ok(())
         } else {
             Err(std::io::Error::other(format!("kill {signal} {pid}")).into())
         }
     }
 
-    /// Strikes endpoints of the first partner, and gives them back after a time.
-    pub async fn strike(&self, endpoints: &[String], outage: Outage, for_time: Duration) {
-        if let Some(partner) = self.partners.first() {
-            partner.strike(endpoints, outage, for_time).await;
+    /// Puts endpoints of the first receiver into an outage, and returns when it is over.
+    pub async fn fail(&self, endpoints: &[String], outage: Outage, duration: Duration) {
+        if let Some(receiver) = self.receivers.first() {
+            receiver.fail(endpoints, outage, duration).await;
         }
     }
 
-    /// How the first partner's limit was used in a span of the log, microseconds.
+    /// How the first receiver's limit was used in a span of the log, in microseconds.
     pub fn usage(&self, span: Range<u64>) -> Usage {
-        let limit = self.script.partners.first().map_or(f64::INFINITY, |partner| partner.per_s.get());
-        Usage::of(&self.evidence.lines(), span, limit)
+        let limit = self.scenario.receivers.first().map_or(f64::INFINITY, |receiver| receiver.per_s.get());
+        Usage::of(&self.event_log.lines(), span, limit)
     }
 
-    /// The same from now on, for so long.
-    pub async fn phase(&self, lasts: Duration) -> Usage {
-        let from = self.evidence.now();
-        sleep(lasts).await;
-        self.usage(from..self.evidence.now())
+    /// How it is used from now on, for this time.
+    pub async fn measure_usage(&self, duration: Duration) -> Usage {
+        let from = self.event_log.now();
+        sleep(duration).await;
+        self.usage(from..self.event_log.now())
     }
 }
 
-/// Where each sender has its notes: free now, on an address of its own, where nobody takes a port by chance.
-fn doors(senders: usize) -> std::io::Result<Vec<SocketAddr>> {
-    let door = |n: usize| StdSocket::bind((format!("127.0.1.{}", n + 1), 0))?.local_addr();
-    (0..senders).map(door).collect()
+/// Free addresses for the senders' datagrams, each on a loopback address of its own whose ports nobody else uses.
+fn gossip_addresses(senders: usize) -> std::io::Result<Vec<SocketAddr>> {
+    let free_address = |n: usize| UdpSocket::bind((format!("127.0.1.{}", n + 1), 0))?.local_addr();
+    (0..senders).map(free_address).collect()
 }
--- a/crates/testkit/src/fake_discovery.rs
+++ b/crates/testkit/src/fake_discovery.rs
@@ -65,7 +65,7 @@
 impl Entry {
     fn json(&self) -> Value {
         json!({"id": self.id, "host_port": self.addr.to_string(), "locality": self.hall, "flavor": self.kind,
-               "cell": self.partner, "phase": self.phase.word(), "size": self.per_s, "up_since_ms": 0})
+               "cell": self.partner, "phase": self.phase.wire_name(), "size": self.per_s, "up_since_ms": 0})
     }
 }
 
@@ -114,7 +114,11 @@
     fn told(&self, state: &mut State, endpoint: &str, phase: Phase) {
         if state.told.insert(endpoint.to_owned(), phase) != Some(phase) {
             let (sender, endpoint) = (self.sender.clone(), endpoint.to_owned());
-            self.evidence.record(Event::EndpointChanged { sender, endpoint, phase: phase.word().to_owned() });
+            self.evidence.record(Event::EndpointChanged {
+                sender,
+                endpoint,
+                phase: phase.wire_name().to_owned(),
+            });
         }
     }
 }
@@ -198,11 +202,11 @@
                 self.silence(on);
                 "silent"
             }
-            DiscoveryFault::RefusesNotices => {
+            DiscoveryFault::RejectsNotifications => {
                 notices(Notices::Refused);
                 "refuses_notices"
             }
-            DiscoveryFault::IgnoresNotices => {
+            DiscoveryFault::IgnoresNotifications => {
                 notices(Notices::Ignored);
                 "ignores_notices"
             }
--- /dev/null
+++ b/crates/testkit/src/fake_receiver/connections.rs
@@ -0,0 +1,106 @@
+//! Accepts an endpoint's connections and serves each until it ends or an outage ends it.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
+use socket2::SockRef;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Notify;
+use tokio::task::JoinSet;
+
+use super::endpoint::{ActiveOutage, Endpoint};
+use super::{Shared, requests};
+use crate::event_log::Event;
+use crate::listen;
+use crate::scenario::Outage;
+
+/// How long an idle connection stays open.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// Makes the closing of a stream reset its connection.
+fn reset_on_close(stream: &TcpStream) {
+    let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
+}
+
+fn is(outage: Option<ActiveOutage>, kind: Outage) -> bool {
+    outage.is_some_and(|active| active.outage == kind)
+}
+
+/// Accepts connections of one sender to an endpoint until it is cancelled.
+pub(super) async fn accept(
+    shared: Arc<Shared>,
+    endpoint: Arc<Endpoint>,
+    sender: String,
+    listener: TcpListener,
+) {
+    // Owns the connections' tasks, which end with this one.
+    let mut open = JoinSet::new();
+    loop {
+        let stream = listen::next(&listener, &mut open).await;
+        if endpoint.has_collapsed() || endpoint.suffers(Outage::Refuse) {
+            let (sender, endpoint) = (sender.clone(), endpoint.id.clone());
+            shared.event_log.record(Event::ConnectionRefused { sender, endpoint });
+            reset_on_close(&stream);
+            continue;
+        }
+        let Ok(permit) = endpoint.connections.clone().try_acquire_owned() else {
+            reset_on_close(&stream);
+            continue;
+        };
+        let (shared, endpoint, sender) = (shared.clone(), endpoint.clone(), sender.clone());
+        open.spawn(async move {
+            serve(&shared, &endpoint, &sender, stream).await;
+            drop(permit);
+        });
+    }
+}
+
+/// Serves a connection until it ends, or until an outage resets it.
+async fn serve(shared: &Arc<Shared>, endpoint: &Arc<Endpoint>, sender: &str, stream: TcpStream) {
+    if stream.set_nodelay(true).is_err() {
+        return;
+    }
+    let mut outage = endpoint.outage.subscribe();
+    // A machine that has vanished answers nothing, and open connections are reset when it is back. Its kernel still
+    // reads here: else nobody would see that a sender gave a call up, and the call would count as in flight.
+    let mut has_vanished = is(*outage.borrow_and_update(), Outage::Vanish);
+    let Ok((handle, stream)) = duplicate(stream) else { return };
+    let activity = Arc::new(Notify::new());
+    let service = service_fn(|request| {
+        activity.notify_one();
+        requests::handle(shared.clone(), endpoint.clone(), sender.to_owned(), request)
+    });
+    let builder = hyper::server::conn::http1::Builder::new();
+    let mut serving = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), service));
+    loop {
+        tokio::select! {
+            _ = serving.as_mut() => return,
+            changed = outage.changed() => {
+                if changed.is_err() {
+                    return;
+                }
+                let active = *outage.borrow_and_update();
+                if has_vanished || is(active, Outage::Refuse) {
+                    break;
+                }
+                has_vanished = is(active, Outage::Vanish);
+            }
+            () = idle(&activity) => return,
+        }
+    }
+    let _ = SockRef::from(&handle).set_linger(Some(Duration::ZERO));
+}
+
+/// A second handle of a stream's socket, by which it can be reset while it is served.
+fn duplicate(stream: TcpStream) -> std::io::Result<(std::net::TcpStream, TcpStream)> {
+    let stream = stream.into_std()?;
+    let handle = stream.try_clone()?;
+    Ok((handle, TcpStream::from_std(stream)?))
+}
+
+/// Returns when there was no request for [`IDLE_TIMEOUT`].
+async fn idle(activity: &Notify) {
+    while tokio::time::timeout(IDLE_TIMEOUT, activity.notified()).await.is_ok() {}
+}
--- a/crates/testkit/src/fault_proxy.rs
+++ b/crates/testkit/src/fault_proxy.rs
@@ -40,7 +40,7 @@
         let none = Self::default();
         match trouble {
             LinkFault::Delay { ms: delay } => Self { delay: ms(delay), ..none },
-            LinkFault::LoseBack => Self { lose_back: true, ..none },
+            LinkFault::LoseResponses => Self { lose_back: true, ..none },
             LinkFault::BlackHole => Self { black_hole: true, ..none },
             LinkFault::CutAfter { bytes } => Self { cut_after: Some(bytes.into()), ..none },
             LinkFault::HalfCloseAfter { bytes } => Self { half_close_after: Some(bytes.into()), ..none },
--- a/crates/testkit/src/fault_schedule.rs
+++ b/crates/testkit/src/fault_schedule.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use crate::scenario::Draw;
+use crate::scenario::SeededRng;
 
 /// A note that is held back is late by so much more: a round of notes, 250 ms, and a little, so that the next of its
 /// way overtakes it.
@@ -39,13 +39,13 @@
 /// assert_eq!(way.carry(b"note", &foul), [(Default::default(), b"note".to_vec()), (Default::default(), b"note".to_vec())]);
 /// ```
 #[derive(Debug)]
-pub struct Way(Draw);
+pub struct Way(SeededRng);
 
 impl Way {
     /// From one sender to another, by their numbers.
     pub fn new(seed: u64, from: usize, to: usize) -> Self {
         // An odd multiplier keeps seeds apart; numbers of senders are far under 2^16.
-        Self(Draw::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((from as u64) << 16 | to as u64)))
+        Self(SeededRng::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((from as u64) << 16 | to as u64)))
     }
 
     /// What comes out at the other end for a note that goes in, and how much later; nothing, if it is lost.
@@ -58,7 +58,7 @@
         let doubled = draw.chance(weather.duplicate);
         let held = if draw.chance(weather.reorder) { HELD_BACK } else { Duration::ZERO };
         let damaged = draw.chance(weather.damage);
-        let (place, change) = (draw.whole(0, note.len().max(1) as u64), draw.whole(1, 256) as u8);
+        let (place, change) = (draw.integer(0, note.len().max(1) as u64), draw.integer(1, 256) as u8);
         if lost {
             return Vec::new();
         }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -17,5 +17,5 @@
 pub mod program;
 pub mod scenario;
 pub mod scripted_peers;
+pub mod test_environment;
 pub mod usage;
-pub mod world;
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -293,7 +293,7 @@
         Ok(())
     }
 
-    /// Tells it to stop and waits until it has; clients go on coming for a while. Whether it ended well.
+    /// Asks it to stop and waits until it has; clients go on coming for a while. Whether it ended well.
     ///
     /// # Errors
     ///
@@ -312,7 +312,7 @@
     }
 }
 
-/// Tells a process to stop and waits until it has; one that has not in time is killed. Whether it ended well.
+/// Asks a process to stop and waits until it has; one that has not in time is killed. Whether it ended well.
 async fn terminate(child: &mut Child) -> Result<bool, ProgramError> {
     if let Some(pid) = child.id() {
         Command::new("kill").args(["-TERM", &pid.to_string()]).status().await?;
--- /dev/null
+++ b/crates/testkit/src/scenario/rng.rs
@@ -0,0 +1,52 @@
+//! A seeded generator of random figures, the same on every machine.
+
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::{RngCore, SeedableRng};
+
+use super::units::{Ms, Share};
+
+/// Draws figures from a seed.
+#[derive(Clone, Debug)]
+pub struct SeededRng(ChaCha8Rng);
+
+impl SeededRng {
+    /// A generator that starts from a seed.
+    pub fn new(seed: u64) -> Self {
+        Self(ChaCha8Rng::seed_from_u64(seed))
+    }
+
+    /// Uniform from 0 up to but not including 1.
+    pub fn unit(&mut self) -> f64 {
+        (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    /// Uniform between two figures.
+    pub fn between(&mut self, low: f64, high: f64) -> f64 {
+        low + (high - low) * self.unit()
+    }
+
+    /// An integer from `low` up to but not including `high`.
+    pub fn integer(&mut self, low: u64, high: u64) -> u64 {
+        low + (self.unit() * (high - low) as f64) as u64
+    }
+
+    /// True with this probability.
+    pub fn chance(&mut self, probability: f64) -> bool {
+        self.unit() < probability
+    }
+
+    /// Exponentially distributed with this mean, as times between independent events are.
+    pub fn exponential(&mut self, mean: f64) -> f64 {
+        -mean * (1.0 - self.unit()).ln()
+    }
+
+    /// A share, uniform between two figures.
+    pub(super) fn share(&mut self, low: f64, high: f64) -> Share {
+        Share::clamped(self.between(low, high))
+    }
+
+    /// A time of whole milliseconds, from `low` up to but not including `high`.
+    pub(super) fn ms(&mut self, low: u64, high: u64) -> Ms {
+        Ms(self.integer(low, high))
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/scenario/validation.rs
@@ -0,0 +1,136 @@
+//! Checks that the fields of a scenario fit together.
+
+use std::collections::BTreeSet;
+
+use super::{ReceiverPlan, Scenario, ScheduledEvent};
+
+/// Most senders of a scenario.
+const MAX_SENDERS: usize = 16;
+
+/// A field that does not fit the others, by its TOML name.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum Inconsistency {
+    /// Number of senders out of range.
+    #[error("senders: {0} is not from 1 to 16")]
+    Senders(usize),
+    /// There is no receiver.
+    #[error("partners: there are none")]
+    NoReceivers,
+    /// A receiver has no endpoint.
+    #[error("partners[{receiver}].endpoints: there are none")]
+    NoEndpoints {
+        /// Index of the receiver.
+        receiver: usize,
+    },
+    /// A receiver's weight is not a positive number.
+    #[error("partners[{receiver}].weight: {weight} is not above 0")]
+    Weight {
+        /// Index of the receiver.
+        receiver: usize,
+        /// The weight.
+        weight: f64,
+    },
+    /// Two endpoints have the same id.
+    #[error("partners[{receiver}].endpoints: {id} is there twice")]
+    DuplicateEndpoint {
+        /// Index of the second one's receiver.
+        receiver: usize,
+        /// The id.
+        id: String,
+    },
+    /// An event names something that does not exist.
+    #[error("happenings[{event}]: there is no {missing}")]
+    UnknownTarget {
+        /// Index of the event.
+        event: usize,
+        /// What it names.
+        missing: Target,
+    },
+}
+
+/// What an event happens to.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum Target {
+    /// A receiver, by its number.
+    #[error("partner {0}")]
+    Receiver(u16),
+    /// An endpoint, by its id.
+    #[error("endpoint {0}")]
+    Endpoint(String),
+    /// A sender, by its index.
+    #[error("sender {0}")]
+    Sender(usize),
+}
+
+impl Scenario {
+    /// Checks what the types cannot express.
+    ///
+    /// # Errors
+    ///
+    /// The first [`Inconsistency`].
+    pub(super) fn validate(&self) -> Result<(), Inconsistency> {
+        if self.senders == 0 || self.senders > MAX_SENDERS {
+            return Err(Inconsistency::Senders(self.senders));
+        }
+        if self.receivers.is_empty() {
+            return Err(Inconsistency::NoReceivers);
+        }
+        let mut endpoint_ids = BTreeSet::new();
+        for (index, receiver) in self.receivers.iter().enumerate() {
+            validate_receiver(index, receiver, &mut endpoint_ids)?;
+        }
+        for (index, event) in self.events.iter().enumerate() {
+            if let Some(missing) = self.missing_target(event, &endpoint_ids) {
+                return Err(Inconsistency::UnknownTarget { event: index, missing });
+            }
+        }
+        Ok(())
+    }
+
+    fn missing_target(&self, event: &ScheduledEvent, endpoint_ids: &BTreeSet<&str>) -> Option<Target> {
+        let receiver_target = |number: u16| {
+            let exists = self.receivers.iter().any(|receiver| receiver.number == number);
+            (!exists).then_some(Target::Receiver(number))
+        };
+        let endpoint_target = |id: &String| {
+            let exists = endpoint_ids.contains(id.as_str());
+            (!exists).then(|| Target::Endpoint(id.clone()))
+        };
+        let sender_target = |index: usize| (index >= self.senders).then_some(Target::Sender(index));
+        match event {
+            ScheduledEvent::Outage { receiver, endpoints, .. } => {
+                receiver_target(*receiver).or_else(|| endpoints.iter().find_map(endpoint_target))
+            }
+            ScheduledEvent::List { endpoint, .. } => endpoint_target(endpoint),
+            ScheduledEvent::Stale { .. } => None,
+            ScheduledEvent::Kill { sender, .. }
+            | ScheduledEvent::Restart { sender, .. }
+            | ScheduledEvent::Upgrade { sender, .. }
+            | ScheduledEvent::Discovery { sender, .. }
+            | ScheduledEvent::MoveDiscovery { sender, .. } => sender_target(*sender),
+            ScheduledEvent::Link { sender, receiver, .. } => {
+                sender_target(*sender).or_else(|| receiver_target(*receiver))
+            }
+        }
+    }
+}
+
+fn validate_receiver<'a>(
+    index: usize,
+    receiver: &'a ReceiverPlan,
+    endpoint_ids: &mut BTreeSet<&'a str>,
+) -> Result<(), Inconsistency> {
+    if receiver.endpoints.is_empty() {
+        return Err(Inconsistency::NoEndpoints { receiver: index });
+    }
+    let weight = receiver.weight;
+    if !weight.is_finite() || weight <= 0.0 {
+        return Err(Inconsistency::Weight { receiver: index, weight });
+    }
+    for endpoint in &receiver.endpoints {
+        if !endpoint_ids.insert(&endpoint.id) {
+            return Err(Inconsistency::DuplicateEndpoint { receiver: index, id: endpoint.id.clone() });
+        }
+    }
+    Ok(())
+}
--- a/crates/testkit/src/scripted_peers.rs
+++ b/crates/testkit/src/scripted_peers.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for tests that want every answer as told, call by call: a platform, a receiver, and one that writes
-//! bytes as they are. For worlds that follow a plan see [`crate::world`].
+//! bytes as they are. For worlds that follow a plan see [`crate::test_environment`].
 //!
 //! Made for tests: what should not happen panics and says so.
 
--- /dev/null
+++ b/crates/testkit/src/test_environment.rs
@@ -0,0 +1,206 @@
+//! Everything around real sender processes in a test: starts receivers, discovery services, proxies and clients,
+//! plays a scenario and gives back the event log.
+
+mod configuration;
+mod failures;
+mod links;
+mod monitor;
+mod player;
+
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use tokio::sync::Mutex;
+use tokio::task::JoinSet;
+
+pub(crate) use configuration::sender_name;
+pub use configuration::{classes, configuration, endpoints};
+use failures::Failures;
+pub use failures::RunFailure;
+pub(crate) use links::list_entries;
+use links::{ProxiedLink, start_proxies};
+pub use monitor::record_lag;
+pub(crate) use monitor::wait_for_outcomes;
+use player::Player;
+
+use crate::client::{self, Clients};
+use crate::event_log::{EventLog, Line, Rules};
+use crate::fake_discovery::FakeDiscovery;
+use crate::fake_receiver::FakeReceiver;
+use crate::program::{Launch, Program, ProgramError};
+use crate::scenario::{Scenario, ScheduledEvent};
+
+/// Time after the last message's lifetime in which outcomes are awaited.
+pub(crate) const OUTCOME_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How often it is checked whether messages have their outcomes.
+const OUTCOME_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Distinguishes the seed of malformed requests from the scenario's.
+const MALFORMED_SEED: u64 = 0xbad;
+
+/// How a scenario is played.
+#[derive(Clone, Debug)]
+pub struct EnvironmentConfig {
+    /// How a sender is started.
+    pub launch: Launch,
+    /// An empty folder for configurations, journals and logs.
+    pub folder: PathBuf,
+    /// Longest time a message may take to be delivered, which bounds the length of a test.
+    pub max_lifetime: Duration,
+}
+
+/// Error of starting a test environment.
+#[derive(Debug, thiserror::Error)]
+pub enum EnvironmentError {
+    /// Sockets or files of the fakes.
+    #[error("{0}")]
+    Io(#[from] std::io::Error),
+    /// A sender.
+    #[error("{0}")]
+    Program(#[from] ProgramError),
+}
+
+/// Result of playing a scenario.
+#[derive(Debug, Default)]
+pub struct RunResult {
+    /// The event log.
+    pub lines: Vec<Line>,
+    /// Failures of senders to start, stop or hand over.
+    pub failures: Vec<RunFailure>,
+    /// Processor time of the processes that ran at the end, in microseconds.
+    pub cpu_us: u64,
+    /// The highest memory use of such a process, in KiB.
+    pub peak_kib: u64,
+}
+
+/// A running test environment.
+#[derive(Debug)]
+pub struct TestEnvironment {
+    scenario: Scenario,
+    config: EnvironmentConfig,
+    event_log: EventLog,
+    receivers: Vec<Arc<FakeReceiver>>,
+    discoveries: Vec<Arc<FakeDiscovery>>,
+    programs: Vec<Arc<Mutex<Program>>>,
+    clients: Arc<Clients>,
+    links: Vec<Arc<ProxiedLink>>,
+}
+
+/// Starts a scenario's receivers.
+///
+/// # Errors
+///
+/// An error of the sockets.
+pub(crate) async fn start_receivers(
+    scenario: &Scenario,
+    sender_names: &[String],
+    rules: &Rules,
+    event_log: &EventLog,
+) -> std::io::Result<Vec<Arc<FakeReceiver>>> {
+    let mut receivers = Vec::new();
+    for plan in &scenario.receivers {
+        let receiver = FakeReceiver::start(plan, sender_names, rules, scenario.seed, event_log).await?;
+        receivers.push(Arc::new(receiver));
+    }
+    Ok(receivers)
+}
+
+impl TestEnvironment {
+    /// Starts the receivers, discovery services and senders of a scenario.
+    ///
+    /// # Errors
+    ///
+    /// [`EnvironmentError`] if one of them cannot be started.
+    pub async fn start(scenario: &Scenario, config: &EnvironmentConfig) -> Result<Self, EnvironmentError> {
+        let classes = classes(config.max_lifetime);
+        let rules = Rules::default();
+        let event_log = EventLog::start(classes.clone(), endpoints(&scenario.receivers), rules.clone());
+        let sender_names: Vec<String> = (0..scenario.senders).map(sender_name).collect();
+        let receivers = start_receivers(scenario, &sender_names, &rules, &event_log).await?;
+        let links = start_proxies(scenario, &receivers, &sender_names).await?;
+        let mut discoveries = Vec::new();
+        let mut programs = Vec::new();
+        let mut addresses = Vec::new();
+        for (index, name) in sender_names.iter().enumerate() {
+            let entries = list_entries(&receivers, &links, index);
+            let discovery = FakeDiscovery::start(name, entries, &event_log).await?;
+            let program_config = configuration(&discovery, &classes, &rules, scenario.senders, index);
+            let folder = config.folder.join(name);
+            let mut program = Program::new(name, &config.launch, &folder, program_config, None, &event_log)?;
+            if is_upgraded(scenario, index) {
+                program.keep_door()?;
+            }
+            program.start().await?;
+            addresses.push((name.clone(), program.address()));
+            discoveries.push(Arc::new(discovery));
+            programs.push(Arc::new(Mutex::new(program)));
+        }
+        let clients = Clients::new(addresses, &event_log);
+        let (scenario, config) = (scenario.clone(), config.clone());
+        Ok(Self { scenario, config, event_log, receivers, discoveries, programs, clients, links })
+    }
+
+    /// The event log while it is written.
+    pub fn event_log(&self) -> EventLog {
+        self.event_log.clone()
+    }
+
+    /// Plays the scenario until every accepted message has its final outcome, or should have.
+    pub async fn run(self) -> RunResult {
+        let start = Instant::now();
+        let failures = Failures::default();
+        // Cancelled when the run returns.
+        let mut tasks = JoinSet::new();
+        self.start_tasks(start, &failures, &mut tasks);
+        let planned = client::plan(&self.scenario, self.config.max_lifetime);
+        self.clients.clone().run(planned, start).await;
+        let deadline = Instant::now() + self.config.max_lifetime + OUTCOME_TIMEOUT;
+        wait_for_outcomes(&self.event_log, deadline, OUTCOME_CHECK_INTERVAL).await;
+        let mut result = RunResult::default();
+        self.stop_programs(&failures, &mut result).await;
+        result.failures = failures.take();
+        result.lines = self.event_log.lines();
+        result
+    }
+
+    fn start_tasks(&self, start: Instant, failures: &Failures, tasks: &mut JoinSet<()>) {
+        let malformed_per_s = self.scenario.traffic.malformed_per_s;
+        tasks.spawn(record_lag(self.event_log.clone()));
+        tasks.spawn(self.clients.clone().misbehave(malformed_per_s, self.scenario.seed ^ MALFORMED_SEED));
+        let mut player = Player {
+            scenario: &self.scenario,
+            receivers: &self.receivers,
+            discoveries: &self.discoveries,
+            programs: &self.programs,
+            links: &self.links,
+            event_log: &self.event_log,
+            failures,
+            start,
+            tasks,
+        };
+        player.schedule_all();
+    }
+
+    async fn stop_programs(&self, failures: &Failures, result: &mut RunResult) {
+        for program in &self.programs {
+            let mut program = program.lock().await;
+            result.cpu_us += program.cpu_us().unwrap_or(0);
+            result.peak_kib = result.peak_kib.max(program.peak_kib().unwrap_or(0));
+            failures.check_exit(program.stop().await, RunFailure::UncleanExit);
+        }
+    }
+}
+
+/// Whether the scenario upgrades this sender, whose listening socket has to outlast its process then.
+fn is_upgraded(scenario: &Scenario, index: usize) -> bool {
+    let is_upgrade =
+        |event: &ScheduledEvent| matches!(event, ScheduledEvent::Upgrade { sender, .. } if *sender == index);
+    scenario.events.iter().any(is_upgrade)
+}
+
+/// The sender's program in the folder of the running program, where cargo puts both.
+pub fn program_beside_this_one() -> Option<PathBuf> {
+    let folder = std::env::current_exe().ok()?;
+    let path = folder.parent()?.join("rudderspindle");
+    path.exists().then_some(path)
+}
--- /dev/null
+++ b/crates/testkit/src/test_environment/monitor.rs
@@ -0,0 +1,48 @@
+//! Watches a running test: whether this process keeps up, and whether all messages have their outcomes.
+
+use std::time::{Duration, Instant};
+
+use tokio::time::{sleep, sleep_until};
+
+use crate::checker::{Checker, MAX_LAG_US};
+use crate::event_log::{Event, EventLog};
+
+/// How often the lag of this process is measured.
+const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Lag that is recorded, in microseconds.
+const RECORDED_LAG_US: u64 = MAX_LAG_US / 2;
+
+/// Records when this process lags, until it is cancelled: delays that it causes are not the sender's fault.
+pub async fn record_lag(event_log: EventLog) {
+    let mut next = Instant::now();
+    loop {
+        next += LAG_CHECK_INTERVAL;
+        sleep_until(next.into()).await;
+        let lag_us = next.elapsed().as_micros() as u64;
+        if lag_us > RECORDED_LAG_US {
+            event_log.record(Event::Lagged { who: "stand-ins".to_owned(), lag_us });
+            next = Instant::now();
+        }
+    }
+}
+
+/// Waits until every accepted message has its final outcome or the deadline has passed, looking once per interval.
+pub(crate) async fn wait_for_outcomes(
+    event_log: &EventLog,
+    deadline: Instant,
+    interval: Duration,
+) -> Checker {
+    // Each line is checked once: to check the whole log again and again would make the fakes lag.
+    let mut checker = Checker::default();
+    let mut checked = 0;
+    loop {
+        for line in event_log.lines_from(checked) {
+            checked += 1;
+            checker.process(checked, &line);
+        }
+        if checker.pending() == 0 || Instant::now() > deadline {
+            return checker;
+        }
+        sleep(interval).await;
+    }
+}
--- a/crates/testkit/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -8,7 +8,7 @@
 use rudderspindle_testkit::event_log::{
     Class, Effect, Endpoint, Event, KeyGroup, Line, ProcessState, Rules, VERSION, read, write,
 };
-use rudderspindle_testkit::scenario::Draw;
+use rudderspindle_testkit::scenario::SeededRng;
 
 /// A log that is written by hand: times in milliseconds.
 struct Log(Vec<Line>);
@@ -306,16 +306,16 @@
 /// A long evening of a sender that keeps every rule, drawn from a seed: calls are refused with waits, fail, are cut
 /// by kills and drains, and all are heeded.
 fn clean_log(seed: u64, messages: u64) -> Log {
-    let mut draw = Draw::new(seed);
+    let mut draw = SeededRng::new(seed);
     let mut log = Log::new();
     log.life(0, ProcessState::Ready);
     let (mut now, mut call) = (1, 0);
     let mut wait_until = 0;
     let mut drained = false;
     for n in 0..messages {
-        let class = ["safe", "keyed", "unsafe", "ordered"][draw.whole(0, 4) as usize];
+        let class = ["safe", "keyed", "unsafe", "ordered"][draw.integer(0, 4) as usize];
         let message_id = format!("m{n}");
-        now += draw.whole(1, 400);
+        now += draw.integer(1, 400);
         if draw.chance(0.02) {
             log.life(now, ProcessState::Terminating)
                 .life(now + 5, ProcessState::Exited)
@@ -335,7 +335,7 @@
         let started = now;
         let mut hall: Option<&str> = None;
         loop {
-            now = (now + draw.whole(1, 200)).max(wait_until);
+            now = (now + draw.integer(1, 200)).max(wait_until);
             let over = now - started > 9_000;
             let may_repeat = match class {
                 "unsafe" => hall.is_none(),
@@ -364,10 +364,10 @@
             };
             call += 1;
             log.call(now, call, &message_id, endpoint);
-            now += draw.whole(1, 300);
-            match draw.whole(0, 10) {
+            now += draw.integer(1, 300);
+            match draw.integer(0, 10) {
                 0 => {
-                    let wait = draw.whole(0, 800);
+                    let wait = draw.integer(0, 800);
                     log.answer(now, call, 429, wait);
                     wait_until = now + wait;
                 }
--- a/crates/testkit/tests/golden_data.rs
+++ b/crates/testkit/tests/golden_data.rs
@@ -7,7 +7,7 @@
 
 use rudderspindle_testkit::checker::check_events;
 use rudderspindle_testkit::event_log::{read, write};
-use rudderspindle_testkit::scenario::{Draw, Scenario};
+use rudderspindle_testkit::scenario::{Scenario, SeededRng};
 use serde_json::{Value, json};
 
 const EVENTS: &str = include_str!("golden/every_event.jsonl");
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_seed_draws_the_same_scenario_as_before() {
-    let text = |seed| toml::to_string(&Scenario::evening(seed, 40)).expect("TOML");
+    let text = |seed| toml::to_string(&Scenario::random(seed, 40)).expect("TOML");
     assert_eq!(text(7), DRAWN);
     let mut hash = Hash::new();
     for seed in 0..DRAWN_SEEDS {
@@ -76,39 +76,39 @@
 }
 
 /// Draws one event that may follow; ids are few, so that events meet.
-fn random_event(draw: &mut Draw, t: u64, calls: &mut u64) -> Value {
-    let sender = format!("n{}", draw.whole(0, 2));
-    let endpoint = ["a", "b", "r1", "r2"][draw.whole(0, 4) as usize];
-    let txn = format!("m{}", draw.whole(0, 12));
+fn random_event(draw: &mut SeededRng, t: u64, calls: &mut u64) -> Value {
+    let sender = format!("n{}", draw.integer(0, 2));
+    let endpoint = ["a", "b", "r1", "r2"][draw.integer(0, 4) as usize];
+    let txn = format!("m{}", draw.integer(0, 12));
     let class = ["safe", "keyed_all", "keyed_hall", "keyed_endpoint", "unsafe", "ordered"];
-    let class = class[draw.whole(0, 6) as usize];
-    let status = [200, 200, 202, 429, 503, 500, 504, 410][draw.whole(0, 8) as usize];
-    let call = draw.whole(1, (*calls).max(1) + 1);
+    let class = class[draw.integer(0, 6) as usize];
+    let status = [200, 200, 202, 429, 503, 500, 504, 410][draw.integer(0, 8) as usize];
+    let call = draw.integer(1, (*calls).max(1) + 1);
     let on = draw.chance(0.5);
-    match draw.whole(0, 24) {
+    match draw.integer(0, 24) {
         0..=3 => {
             json!({"t": t, "ev": "handed_in", "txn": txn, "first": txn, "sender": sender, "class": class,
-            "tenant": "t", "partner": 1, "left_ms": draw.whole(0, 4_000),
+            "tenant": "t", "partner": 1, "left_ms": draw.integer(0, 4_000),
             "order": if class == "ordered" { Some("key") } else { None }})
         }
         4..=6 => json!({"t": t, "ev": "heard", "txn": txn, "status": status}),
         7 => json!({"t": t, "ev": "unheard", "txn": txn}),
         8..=11 => {
             *calls += 1;
-            let first_us = t - draw.whole(0, 5_000).min(t);
+            let first_us = t - draw.integer(0, 5_000).min(t);
             json!({"t": t, "ev": "called", "call": *calls, "sender": sender, "endpoint": endpoint, "txn": txn,
                 "first_us": first_us})
         }
         12 => json!({"t": t, "ev": "effect", "call": call, "repeat": on}),
         13..=14 => {
-            let wait_ms = if on { draw.whole(0, 1_500) } else { 0 };
+            let wait_ms = if on { draw.integer(0, 1_500) } else { 0 };
             json!({"t": t, "ev": "answered", "call": call, "status": status, "wait_ms": wait_ms})
         }
         15 => json!({"t": t, "ev": "cut", "call": call}),
         16 => json!({"t": t, "ev": "probed", "sender": sender, "endpoint": endpoint, "ok": on}),
         17 => json!({"t": t, "ev": "turned", "sender": sender, "endpoint": endpoint}),
         18 => {
-            let phase = ["SERVING", "DRAINING", "DELETED"][draw.whole(0, 3) as usize];
+            let phase = ["SERVING", "DRAINING", "DELETED"][draw.integer(0, 3) as usize];
             json!({"t": t, "ev": "told", "sender": sender, "endpoint": endpoint, "phase": phase})
         }
         19 => {
@@ -118,20 +118,20 @@
         }
         20 => json!({"t": t, "ev": "outage", "endpoint": endpoint, "kind": "shut", "on": on}),
         21 => {
-            let kind = ["silent", "refuses_notices", "ignores_notices"][draw.whole(0, 3) as usize];
+            let kind = ["silent", "refuses_notices", "ignores_notices"][draw.integer(0, 3) as usize];
             json!({"t": t, "ev": "agent", "sender": sender, "kind": kind, "on": on})
         }
         22 => json!({"t": t, "ev": "link", "sender": sender, "endpoint": endpoint, "kind": "lose_back",
             "hides": draw.chance(0.5), "on": on}),
         _ => {
-            let life = ["ready", "term", "ended"][draw.whole(0, 3) as usize];
+            let life = ["ready", "term", "ended"][draw.integer(0, 3) as usize];
             json!({"t": t, "ev": "sender", "sender": sender, "life": life})
         }
     }
 }
 
 fn random_log(seed: u64) -> String {
-    let mut draw = Draw::new(seed);
+    let mut draw = SeededRng::new(seed);
     let class = |name: &str, effect: &str, group: &str, ordered: bool| {
         json!({"name": name, "effect": effect, "group": group, "window_ms": 900, "aim_ms": 300,
             "deadline_ms": 2_000, "ordered": ordered})
@@ -149,7 +149,7 @@
     let mut text = format!("{world}\n");
     let (mut t, mut calls) = (0, 0);
     for _ in 0..300 {
-        t += draw.whole(0, 60_000);
+        t += draw.integer(0, 60_000);
         let event = random_event(&mut draw, t, &mut calls);
         text.push_str(&format!("{event}\n"));
     }
--- a/crates/testkit/tests/wrong_senders.rs
+++ b/crates/testkit/tests/wrong_senders.rs
@@ -11,9 +11,9 @@
 use rudderspindle_testkit::fake_discovery::{Entry, FakeDiscovery};
 use rudderspindle_testkit::fake_receiver::FakeReceiver;
 use rudderspindle_testkit::scenario::{
-    EndpointPlan, Limit, Ms, Outage, PerSecond, Phase, ReceiverPlan, Share, Tells,
+    EndpointPlan, Limit, Ms, Outage, PerSecond, Phase, ReceiverPlan, RetryAfterPolicy, Share,
 };
-use rudderspindle_testkit::world::{endpoints, keep_time};
+use rudderspindle_testkit::test_environment::{endpoints, record_lag};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
@@ -70,19 +70,19 @@
 
 fn plan(per_s: f64, work_ms: u64) -> ReceiverPlan {
     let ms = |ms| Ms::try_from(ms).expect("in range");
-    let endpoint = |id: &str, hall: &str| EndpointPlan { id: id.to_owned(), hall: hall.to_owned() };
+    let endpoint = |id: &str, hall: &str| EndpointPlan { id: id.to_owned(), zone: hall.to_owned() };
     ReceiverPlan {
         number: 1,
         name: "partner".to_owned(),
         endpoints: vec![endpoint("e0", "hall-a"), endpoint("e1", "hall-b")],
-        apart: false,
+        independent: false,
         per_s: PerSecond::try_from(per_s).expect("in range"),
-        limit: Limit::Span { span_ms: ms(1_000) },
-        refused_count: false,
-        tells: Tells { share: Share::try_from(1.0).expect("in range"), wait_ms: None },
-        work_ms: ms(work_ms),
-        queue: 1_000,
-        connections: 1_000,
+        limit: Limit::Window { window_ms: ms(1_000) },
+        counts_rejected: false,
+        retry_after: RetryAfterPolicy { share: Share::try_from(1.0).expect("in range"), wait_ms: None },
+        service_time_ms: ms(work_ms),
+        max_queued: 1_000,
+        max_connections: 1_000,
         weight: 1.0,
     }
 }
@@ -129,7 +129,7 @@
     fn start(fault: Fault, agent: &FakeDiscovery, partner: &FakeReceiver) -> Arc<Self> {
         let route = |e: &EndpointPlan| {
             let addr = partner.addr("n0", &e.id).expect("an address");
-            Route { id: e.id.clone(), addr, hall: e.hall.clone(), drained: None }
+            Route { id: e.id.clone(), addr, hall: e.zone.clone(), drained: None }
         };
         let routes = partner.plan().endpoints.iter().map(route).collect();
         let state = Mutex::new(State { routes, ..State::default() });
@@ -330,7 +330,7 @@
     let entry = |e: &EndpointPlan| Entry {
         id: e.id.clone(),
         addr: partner.addr("n0", &e.id).expect("an address"),
-        hall: e.hall.clone(),
+        hall: e.zone.clone(),
         kind: "any-size".to_owned(),
         partner: 1,
         phase: Phase::Serving,
@@ -340,11 +340,11 @@
     let agent = FakeDiscovery::start("n0", entries, &evidence).await.expect("an agent");
     let sender = Small::start(fault, &agent, &partner);
     let mut clock = tokio::task::JoinSet::new();
-    clock.spawn(keep_time(evidence.clone()));
+    clock.spawn(record_lag(evidence.clone()));
     evidence.record(Event::ProcessChanged { sender: "n0".to_owned(), state: ProcessState::Ready });
     if let Some((outage, for_ms)) = scene.outage {
         let partner = partner.clone();
-        tokio::spawn(async move { partner.strike(&[], outage, Duration::from_millis(for_ms)).await });
+        tokio::spawn(async move { partner.fail(&[], outage, Duration::from_millis(for_ms)).await });
         // The outage has begun before the first message.
         while evidence.lines().len() < 3 {
             tokio::task::yield_now().await;
