--- a/crates/benchmarks/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -120,9 +120,9 @@
     let entry = |(n, addr): (usize, &SocketAddr)| Entry {
         id: format!("r{n}"),
         addr: *addr,
-        hall: "hall-a".to_owned(),
+        zone: "hall-a".to_owned(),
         kind: "any-size".to_owned(),
-        partner: n as u16,
+        receiver: n as u16,
         phase: Phase::Serving,
         per_s: 1e6,
     };
--- a/crates/daemon/tests/golden/clients.rs
+++ b/crates/daemon/tests/golden/clients.rs
@@ -4,7 +4,7 @@
 use tokio::io::AsyncReadExt;
 
 use crate::common::{
-    Act, FakePlatform, Folder, Program, Receiver, config, lasting, member, raw_hand_in, set_up, soon,
+    Act, FakePlatform, Folder, Program, Receiver, config, lasting, member, raw_submission, set_up, soon,
 };
 use crate::expected::{assert_golden, printable, section};
 use crate::normalise::date;
@@ -16,7 +16,7 @@
 
 /// A hand-in that can be taken, as a client writes it.
 fn good() -> String {
-    String::from_utf8(raw_hand_in("m1", LENGTH, BODY)).expect("text")
+    String::from_utf8(raw_submission("m1", LENGTH, BODY)).expect("text")
 }
 
 /// The same with something in it replaced, which must be there.
--- a/crates/daemon/tests/golden/log_lines.rs
+++ b/crates/daemon/tests/golden/log_lines.rs
@@ -5,7 +5,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::common::{
-    Act, FakePlatform, Folder, Receiver, config, lasting, list, member, raw_hand_in, soon, status,
+    Act, FakePlatform, Folder, Receiver, config, lasting, list, member, raw_submission, soon, status,
 };
 use crate::expected::assert_golden;
 use crate::logged::Logged;
@@ -25,7 +25,7 @@
 async fn hand_in(program: &Logged) {
     let addr = program.address_after("listening on ");
     let mut stream = TcpStream::connect(addr).await.expect("a connection");
-    stream.write_all(&raw_hand_in("m1", "Content-Length: 4", "text")).await.expect("writable");
+    stream.write_all(&raw_submission("m1", "Content-Length: 4", "text")).await.expect("writable");
     assert_eq!(status(&mut stream).await, Some(202));
 }
 
--- a/crates/daemon/tests/golden/receivers.rs
+++ b/crates/daemon/tests/golden/receivers.rs
@@ -1,7 +1,7 @@
 //! Requests as receivers get them: first and repeated attempts, with and without an idempotency key.
 
 use crate::common::{
-    FakePlatform, Folder, Program, config, lasting, member, raw_hand_in, rest_of_answer, status,
+    FakePlatform, Folder, Program, config, lasting, member, raw_submission, rest_of_answer, status,
 };
 use crate::expected::assert_golden;
 use crate::normalise::{known, remaining_time};
@@ -27,7 +27,7 @@
 #[tokio::test]
 async fn attempts_of_a_message_without_a_key_are_these_bytes() {
     let (_platform, mut receiver, program, _folder) = set_up().await;
-    let mut client = program.raw(&raw_hand_in("m1", "Content-Length: 4", "text")).await;
+    let mut client = program.raw(&raw_submission("m1", "Content-Length: 4", "text")).await;
     assert_eq!(status(&mut client).await, Some(202));
     rest_of_answer(&mut client).await;
     let first = receiver.next().await;
--- a/crates/daemon/tests/kills.rs
+++ b/crates/daemon/tests/kills.rs
@@ -52,7 +52,7 @@
 }
 
 fn raw(class: &str) -> Vec<u8> {
-    let text = String::from_utf8(raw_hand_in("m1", "Content-Length: 4", "text")).expect("text");
+    let text = String::from_utf8(raw_submission("m1", "Content-Length: 4", "text")).expect("text");
     text.replace("POST /safe", &format!("POST /{class}"))
         .replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\n\r\n")
         .into()
--- a/crates/daemon/tests/operator.rs
+++ b/crates/daemon/tests/operator.rs
@@ -76,7 +76,7 @@
 async fn a_drained_sender_serves_who_comes_lets_nobody_stay_and_comes_back() {
     let (_platform, mut receiver, program, _folder, control) = set_up(&[]).await;
     // One at rest, and one whose message is half-way when the drain begins.
-    let hand_in = |message_id| raw_hand_in(message_id, "Content-Length: 4", "text");
+    let hand_in = |message_id| raw_submission(message_id, "Content-Length: 4", "text");
     let mut rests = program.raw(&hand_in("m1")).await;
     assert_eq!(status(&mut rests).await, Some(202));
     let whole = hand_in("m2");
--- a/crates/daemon/tests/service.rs
+++ b/crates/daemon/tests/service.rs
@@ -30,7 +30,7 @@
     for n in 0..100 {
         kept.push(program.raw(b"").await);
         let since = Instant::now();
-        let mut stream = program.raw(&raw_hand_in(&format!("m{n}"), "Content-Length: 4", "text")).await;
+        let mut stream = program.raw(&raw_submission(&format!("m{n}"), "Content-Length: 4", "text")).await;
         assert_eq!(status(&mut stream).await, Some(202));
         // Not only once the silent ones' own time is up.
         assert!(since.elapsed() < Duration::from_secs(1), "m{n}: {:?}", since.elapsed());
@@ -49,7 +49,7 @@
     let since = Instant::now();
     let mut kept = Vec::new();
     for n in 0..30 {
-        let mut stream = program.raw(&raw_hand_in(&format!("m{n}"), "Content-Length: 4", "text")).await;
+        let mut stream = program.raw(&raw_submission(&format!("m{n}"), "Content-Length: 4", "text")).await;
         assert_eq!(status(&mut stream).await, Some(202));
         assert_eq!(receiver.call().await.message_id, format!("m{n}"));
         kept.push(stream);
@@ -60,7 +60,7 @@
         rest(stream).await;
     }
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
-    let again = raw_hand_in("again", "Content-Length: 4", "text");
+    let again = raw_submission("again", "Content-Length: 4", "text");
     rest_of_answer(&mut last[10]).await;
     last[10].write_all(&again).await.expect("it is kept");
     assert_eq!(status(&mut last[10]).await, Some(202));
@@ -80,7 +80,7 @@
         }
         tokio::time::sleep(Duration::from_millis(310)).await;
     }
-    early.write_all(&raw_hand_in("late", "Content-Length: 4", "text")).await.expect("it is kept");
+    early.write_all(&raw_submission("late", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut early).await, Some(202));
     assert_eq!(receiver.call().await.message_id, "late");
 }
@@ -98,7 +98,7 @@
         }
         tokio::time::sleep(Duration::from_millis(310)).await;
     }
-    client.write_all(&raw_hand_in("m1", "Content-Length: 4", "text")).await.expect("it is kept");
+    client.write_all(&raw_submission("m1", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut client).await, Some(202));
     assert_eq!(receiver.call().await.message_id, "m1");
 }
@@ -109,7 +109,7 @@
     let (_platform, mut receiver, program, _folder, _) = set_up(&[], LONG).await;
     let mut client = program.raw(b"").await;
     for n in 0..3 {
-        client.write_all(&raw_hand_in(&format!("r{n}"), "Content-Length: 4", "text")).await.expect("kept");
+        client.write_all(&raw_submission(&format!("r{n}"), "Content-Length: 4", "text")).await.expect("kept");
         assert_eq!(status(&mut client).await, Some(202));
         rest_of_answer(&mut client).await;
         assert_eq!(receiver.call().await.message_id, format!("r{n}"));
@@ -120,7 +120,7 @@
         assert_eq!(status(&mut stream).await, Some(200), "{n}");
         once.push(stream);
     }
-    client.write_all(&raw_hand_in("last", "Content-Length: 4", "text")).await.expect("it is kept");
+    client.write_all(&raw_submission("last", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut client).await, Some(202));
     assert_eq!(receiver.call().await.message_id, "last");
 }
@@ -128,7 +128,7 @@
 #[tokio::test]
 async fn a_client_that_says_nothing_or_trickles_is_let_go_in_time() {
     let (_platform, mut receiver, program, _folder, _) = set_up(&[], LONG).await;
-    let whole = raw_hand_in("slow", "Content-Length: 4", "text");
+    let whole = raw_submission("slow", "Content-Length: 4", "text");
     let silent = async {
         let mut stream = program.raw(b"").await;
         assert_eq!(status(&mut stream).await, None);
@@ -168,13 +168,13 @@
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("noise", vec![0x16, 3, 1, 0, 0xff, b'\r', b'\n', b'\r', b'\n']),
         ("endless head", endless.into_bytes()),
-        ("negative length", raw_hand_in("m1", "Content-Length: -4", "text")),
-        ("huge length", raw_hand_in("m2", "Content-Length: 18446744073709551615", "text")),
-        ("60 MB", raw_hand_in("m3", "Content-Length: 60000000", "text")),
-        ("no length that is one", raw_hand_in("m4", "Content-Length: four", "text")),
-        ("two lengths", raw_hand_in("m5", "Content-Length: 4\r\nContent-Length: 5", "text")),
-        ("chunks", raw_hand_in("m6", "Transfer-Encoding: chunked", "4\r\ntext\r\n0\r\n\r\n")),
-        ("no id", raw_hand_in("", "Content-Length: 4", "text")),
+        ("negative length", raw_submission("m1", "Content-Length: -4", "text")),
+        ("huge length", raw_submission("m2", "Content-Length: 18446744073709551615", "text")),
+        ("60 MB", raw_submission("m3", "Content-Length: 60000000", "text")),
+        ("no length that is one", raw_submission("m4", "Content-Length: four", "text")),
+        ("two lengths", raw_submission("m5", "Content-Length: 4\r\nContent-Length: 5", "text")),
+        ("chunks", raw_submission("m6", "Transfer-Encoding: chunked", "4\r\ntext\r\n0\r\n\r\n")),
+        ("no id", raw_submission("", "Content-Length: 4", "text")),
     ];
     for (what, bytes) in cases {
         let since = Instant::now();
@@ -193,14 +193,14 @@
 #[tokio::test]
 async fn a_request_hidden_in_a_body_is_not_handed_in() {
     let (_platform, mut receiver, program, _folder, _) = set_up(&[], LONG).await;
-    let hidden = String::from_utf8(raw_hand_in("hidden", "Content-Length: 4", "text")).expect("text");
+    let hidden = String::from_utf8(raw_submission("hidden", "Content-Length: 4", "text")).expect("text");
     for fields in [
         "Content-Length: LENGTH\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: LENGTH",
     ] {
         let body = format!("4\r\ntext\r\n0\r\n\r\n{hidden}");
         let fields = fields.replace("LENGTH", &body.len().to_string());
-        let mut stream = program.raw(&raw_hand_in("outer", &fields, &body)).await;
+        let mut stream = program.raw(&raw_submission("outer", &fields, &body)).await;
         assert_eq!(status(&mut stream).await, Some(400));
         let rest = String::from_utf8_lossy(&rest(&mut stream).await).into_owned();
         assert!(!rest.contains("HTTP/1.1"), "{rest}");
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -151,7 +151,7 @@
     }
     assert!(elsewhere.nobody_came());
     let mut client = tokio::net::TcpStream::connect(addr).await.expect("a connection");
-    let whole = raw_hand_in("m1", "Content-Length: 4", "text");
+    let whole = raw_submission("m1", "Content-Length: 4", "text");
     tokio::io::AsyncWriteExt::write_all(&mut client, &whole).await.expect("writable");
     assert_eq!(status(&mut client).await, Some(202));
     assert_eq!(receiver.call().await.message_id, "m1");
--- a/crates/daemon/tests/shutdown.rs
+++ b/crates/daemon/tests/shutdown.rs
@@ -13,7 +13,7 @@
 const LONG: f64 = 60_000.0;
 
 fn request(message_id: &str) -> Vec<u8> {
-    raw_hand_in(message_id, "Content-Length: 4", "text")
+    raw_submission(message_id, "Content-Length: 4", "text")
 }
 
 /// Bytes that have come to the other end of a client's connection and that nobody has read, as the system has it;
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -59,7 +59,7 @@
     }
     // One client has connected before the new process came, and one has begun to speak.
     let mut fresh = old.raw(b"").await;
-    let whole = raw_hand_in("m4", "Content-Length: 4", "text");
+    let whole = raw_submission("m4", "Content-Length: 4", "text");
     let mut slow = old.raw(&whole[..40]).await;
     // What was accepted is in the old process's hands.
     assert_eq!(old.hand_in("safe", "m3", text()).await.status(), 202);
@@ -69,7 +69,7 @@
     old.says("stopping").await;
     for (stream, bytes, message_id) in [
         (&mut slow, &whole[40..], "m4"),
-        (&mut fresh, &raw_hand_in("m5", "Content-Length: 4", "text")[..], "m5"),
+        (&mut fresh, &raw_submission("m5", "Content-Length: 4", "text")[..], "m5"),
     ] {
         stream.write_all(bytes).await.expect("it is open");
         assert_eq!(status(stream).await, Some(202), "{message_id}");
--- /dev/null
+++ b/crates/testkit/src/fake_discovery/list.rs
@@ -0,0 +1,107 @@
+//! The endpoint list of a sender, its changes, and the watches that get them.
+
+use std::collections::BTreeMap;
+
+use serde_json::{Value, json};
+use tokio::sync::mpsc;
+
+use super::NotificationMode;
+use super::entry::Entry;
+use crate::scenario::Phase;
+
+/// Lines that may wait on one watch; a watch that is further behind is closed.
+const MAX_WAITING_LINES: usize = 1_024;
+
+/// A line of a watch, and the change that it announces.
+#[derive(Clone, Debug)]
+pub(super) struct Change {
+    pub(super) line: String,
+    pub(super) endpoint: String,
+    pub(super) phase: Phase,
+}
+
+/// A change with its revision, for watches that begin later.
+#[derive(Debug)]
+struct RecordedChange {
+    revision: u64,
+    entry: Value,
+    change: Change,
+}
+
+/// State of a discovery service.
+#[derive(Debug)]
+pub(super) struct ListState {
+    revision: u64,
+    changes: Vec<RecordedChange>,
+    entries: Vec<Entry>,
+    watches: Vec<mpsc::Sender<Change>>,
+    /// How notifications are answered.
+    pub(super) notification_mode: NotificationMode,
+    /// The phase of each changed endpoint that was last announced to the sender.
+    announced: BTreeMap<String, Phase>,
+}
+
+impl ListState {
+    pub(super) fn new(entries: Vec<Entry>) -> Self {
+        Self {
+            revision: 1,
+            changes: Vec::new(),
+            entries,
+            watches: Vec::new(),
+            notification_mode: NotificationMode::Acknowledge,
+            announced: BTreeMap::new(),
+        }
+    }
+
+    /// The whole list as it is on the wire.
+    pub(super) fn whole(&self) -> Value {
+        let members: Vec<Value> = self.entries.iter().map(Entry::json).collect();
+        json!({"revision": self.revision, "complete": true, "members": members})
+    }
+
+    /// The changes after a revision as they are on the wire.
+    fn changes_after(&self, revision: u64) -> Value {
+        let later = self.changes.iter().filter(|recorded| recorded.revision > revision);
+        let members: Vec<Value> = later.map(|recorded| recorded.entry.clone()).collect();
+        json!({"revision": self.revision, "complete": false, "members": members})
+    }
+
+    /// Changes an endpoint's phase and sends that to the watches.
+    pub(super) fn change(&mut self, endpoint: &str, phase: Phase) {
+        let Some(entry) = self.entries.iter_mut().find(|entry| entry.id == endpoint) else { return };
+        entry.phase = phase;
+        let entry = entry.json();
+        if phase == Phase::Deleted {
+            self.entries.retain(|entry| entry.id != endpoint);
+        }
+        self.revision += 1;
+        let revision = self.revision;
+        let line = json!({"revision": revision, "complete": false, "members": [&entry]}).to_string();
+        let change = Change { line, endpoint: endpoint.to_owned(), phase };
+        self.watches.retain(|watch| watch.try_send(change.clone()).is_ok());
+        self.changes.push(RecordedChange { revision, entry, change });
+    }
+
+    /// The phases that a request announces: all changes, or those after the revision that a watch begins at.
+    pub(super) fn changes_since(&self, revision: Option<u64>) -> Vec<(String, Phase)> {
+        let since = revision.filter(|revision| *revision <= self.revision).unwrap_or(0);
+        let later = self.changes.iter().filter(|recorded| recorded.revision > since);
+        later.map(|recorded| (recorded.change.endpoint.clone(), recorded.change.phase)).collect()
+    }
+
+    /// Records that a phase is announced to the sender; whether that is news.
+    pub(super) fn announce(&mut self, endpoint: &str, phase: Phase) -> bool {
+        self.announced.insert(endpoint.to_owned(), phase) != Some(phase)
+    }
+
+    /// Begins a watch from a revision: its first line, and the changes to come.
+    pub(super) fn watch(&mut self, from: Option<u64>) -> (String, mpsc::Receiver<Change>) {
+        let (lines, next) = mpsc::channel(MAX_WAITING_LINES);
+        let first = match from {
+            Some(revision) if revision <= self.revision => self.changes_after(revision),
+            _ => self.whole(),
+        };
+        self.watches.push(lines);
+        (first.to_string(), next)
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/scripted_peers/raw_client.rs
@@ -0,0 +1,59 @@
+//! Clients' connections, written and read by hand.
+
+use std::net::SocketAddr;
+
+use tokio::io::AsyncReadExt;
+use tokio::net::{TcpSocket, TcpStream};
+
+use super::soon;
+
+/// The bytes of a submission.
+pub fn raw_submission(message_id: &str, length: &str, body: &str) -> Vec<u8> {
+    format!(
+        "POST /safe HTTP/1.1\r\nHost: app.svc\r\nX-Txn: {message_id}\r\nX-Org: acme\r\nX-Remaining: 60\r\n\
+         X-Route-To: dest=7\r\n{length}\r\n\r\n{body}"
+    )
+    .into_bytes()
+}
+
+/// Reads the status of the next response; `None` if the connection ends instead.
+pub async fn status(stream: &mut TcpStream) -> Option<u16> {
+    let mut head = [0; 12];
+    match soon("an answer or a close", stream.read_exact(&mut head)).await {
+        Ok(_) => Some(String::from_utf8_lossy(&head[9..]).parse().expect("a status")),
+        Err(_) => None,
+    }
+}
+
+/// Reads the rest of a response after [`status`], up to where the next one would begin.
+pub async fn rest_of_answer(stream: &mut TcpStream) {
+    let mut seen = Vec::new();
+    let length = |head: &str| {
+        let field = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+        field.map_or(0, |length| length.parse::<usize>().expect("a length"))
+    };
+    loop {
+        let text = String::from_utf8_lossy(&seen);
+        if let Some((head, body)) = text.split_once("\r\n\r\n")
+            && body.len() >= length(&head.to_lowercase())
+        {
+            return;
+        }
+        soon("an answer", stream.read_buf(&mut seen)).await.expect("readable");
+    }
+}
+
+/// Connects from a certain loopback address.
+pub async fn connect_from(from: &str, to: SocketAddr) -> TcpStream {
+    let socket = TcpSocket::new_v4().expect("a socket");
+    socket.bind(SocketAddr::new(from.parse().expect("an address"), 0)).expect("a free port");
+    soon("a connection", socket.connect(to)).await.expect("a connection")
+}
+
+/// Reads until the connection ends.
+pub async fn rest(stream: &mut TcpStream) -> Vec<u8> {
+    let mut rest = Vec::new();
+    // A reset ends it as well.
+    let _ = soon("the end", stream.read_to_end(&mut rest)).await;
+    rest
+}
--- a/crates/testkit/src/test_environment/links.rs
+++ b/crates/testkit/src/test_environment/links.rs
@@ -106,9 +106,9 @@
             entries.push(Entry {
                 id: endpoint.id.clone(),
                 addr: link.map_or(direct, |link| link.proxy.addr()),
-                hall: endpoint.zone.clone(),
+                zone: endpoint.zone.clone(),
                 kind: if plan.independent { "big-platform" } else { "any-size" }.to_owned(),
-                partner: plan.number,
+                receiver: plan.number,
                 phase: Phase::Serving,
                 per_s: plan.per_s.get(),
             });
--- a/crates/testkit/src/test_environment/player.rs
+++ b/crates/testkit/src/test_environment/player.rs
@@ -119,12 +119,12 @@
     }
 
     fn schedule_discovery_fault(&mut self, window: FaultWindow, sender: usize, fault: DiscoveryFault) {
-        let (discovery, event_log) = (self.discoveries[sender].clone(), self.event_log.clone());
+        let discovery = self.discoveries[sender].clone();
         self.tasks.spawn(async move {
             sleep_until(window.begin.into()).await;
-            discovery.suffer(fault, true, &event_log);
+            discovery.set_fault(fault, true);
             sleep(window.duration).await;
-            discovery.suffer(fault, false, &event_log);
+            discovery.set_fault(fault, false);
         });
     }
 
--- a/crates/testkit/tests/wrong_senders.rs
+++ b/crates/testkit/tests/wrong_senders.rs
@@ -330,9 +330,9 @@
     let entry = |e: &EndpointPlan| Entry {
         id: e.id.clone(),
         addr: partner.addr("n0", &e.id).expect("an address"),
-        hall: e.zone.clone(),
+        zone: e.zone.clone(),
         kind: "any-size".to_owned(),
-        partner: 1,
+        receiver: 1,
         phase: Phase::Serving,
         per_s: scene.plan.per_s.get(),
     };
