--- a/crates/testkit/tests/golden_data.rs
+++ b/crates/testkit/tests/golden_data.rs
@@ -4,8 +4,10 @@
 //! The files under `tests/golden` are never regenerated: logs and scenarios that were kept must stay readable.
 
 use std::path::Path;
+use std::time::Duration;
 
 use rudderspindle_testkit::checker::check_events;
+use rudderspindle_testkit::client::plan;
 use rudderspindle_testkit::event_log::{read, write};
 use rudderspindle_testkit::scenario::{Scenario, SeededRng};
 use serde_json::{Value, json};
@@ -20,6 +22,8 @@
 
 /// Seeds whose drawn scenarios are hashed together.
 const DRAWN_SEEDS: u64 = 500;
+/// Seeds whose clients' messages are hashed together.
+const PLANNED_SEEDS: u64 = 50;
 /// Random logs whose verdicts are hashed together.
 const RANDOM_LOGS: u64 = 400;
 
@@ -169,3 +173,26 @@
     assert_eq!(broken.len(), 6, "the logs break every rule: {broken:?}");
     assert_eq!(hash.0, golden_hash("verdicts"), "{:016x}", hash.0);
 }
+
+#[test]
+fn a_scenario_brings_the_same_messages_as_before() {
+    let mut hash = Hash::new();
+    for seed in 0..PLANNED_SEEDS {
+        for message in plan(&Scenario::random(seed, 40), Duration::from_secs(12)) {
+            hash.add(&format!(
+                "{} {} {} {} {} {} {} {:?} {} {}\n",
+                message.at.as_nanos(),
+                message.message_id,
+                message.class,
+                message.tenant,
+                message.partner,
+                message.sender,
+                message.left.as_nanos(),
+                message.again.map(|pause| pause.as_nanos()),
+                message.leaves,
+                message.size,
+            ));
+        }
+    }
+    assert_eq!(hash.0, golden_hash("planned"), "{:016x}", hash.0);
+}
