--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -1,101 +1,89 @@
-//! A sender's process: started with a configuration, killed, stopped, started again.
+//! A sender's processes: started with a configuration, killed, stopped, started again, and replaced under load.
 
-use std::net::{SocketAddr, TcpListener as StdListener};
-use std::os::fd::AsRawFd;
+mod launch;
+mod probe;
+
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::Stdio;
 use std::time::Duration;
 
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
+pub use launch::Launch;
+use launch::{Spawned, free_address};
+use probe::{Probe, Startup};
+
 use crate::client::Address;
 use crate::event_log::{Event, EventLog, ProcessState};
 
-/// A sender is ready after so long, or never.
-const START: Duration = Duration::from_secs(20);
-/// After SIGTERM it has ended after so long, or is killed.
-const STOP: Duration = Duration::from_millis(3_700);
-
-/// Connections that may wait at a kept door.
+/// Time within which a process exits after SIGTERM; then it is killed.
+const STOP_TIMEOUT: Duration = Duration::from_millis(3_700);
+/// How long clients still come to a process that was asked to stop.
+const CLIENTS_NOTICE_STOP: Duration = Duration::from_millis(300);
+/// Backlog of a listening socket that outlasts the processes.
 const BACKLOG: i32 = 128;
+/// Lines of a process's log that an error shows.
+const LOG_TAIL_LINES: usize = 3;
 
-/// A sender that cannot be had.
+/// Error of a sender's process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
-    /// A file or socket.
+    /// A file, socket or signal.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// It ended before it was ready.
+    /// It exited before it was ready.
     #[error("{name} ended before it was ready: {log}")]
-    Ended {
-        /// Which.
+    Exited {
+        /// Name of the sender.
         name: String,
-        /// The end of its log.
+        /// The last lines of its log, the last one first.
         log: String,
     },
     /// It was not ready in time.
     #[error("{name} was not ready in time")]
-    Late {
-        /// Which.
+    TimedOut {
+        /// Name of the sender.
         name: String,
     },
 }
 
-/// The program that is a sender, and its arguments.
-#[derive(Clone, Debug)]
-pub struct Launch {
-    /// The program.
-    pub program: PathBuf,
-    /// What it takes to be a sender.
-    pub arguments: Vec<String>,
-    /// Variables that it gets besides those of every sender.
-    pub variables: Vec<(String, String)>,
-}
-
-impl From<&Path> for Launch {
-    fn from(program: &Path) -> Self {
-        Self { program: program.to_owned(), arguments: Vec::new(), variables: Vec::new() }
-    }
-}
-
-/// One sender and its folder, through all its processes.
+/// One sender with its folder, through all its processes.
 #[derive(Debug)]
 pub struct Program {
     name: String,
     launch: Launch,
     folder: PathBuf,
+    /// Address at which clients reach it.
     addr: SocketAddr,
     cpu: Option<usize>,
     child: Option<Child>,
     /// The clients' listening socket, if it outlasts the processes.
-    door: Option<Socket>,
+    listener: Option<Socket>,
     ready: watch::Sender<Option<SocketAddr>>,
-    evidence: EventLog,
+    event_log: EventLog,
 }
 
 impl Program {
-    /// A sender that is not started yet. `folder` outlasts its processes; `config` is written there with an
-    /// address to listen on. On `cpu` alone, if given and the machine can.
+    /// A sender that is not started yet. `folder` outlasts its processes; `config` is written there with an address to
+    /// listen on. It runs on the processor `cpu` alone, if one is given.
     ///
     /// # Errors
     ///
-    /// If the folder or a port cannot be had.
+    /// If the folder cannot be written or there is no free port.
     pub fn new(
         name: &str,
         launch: &Launch,
         folder: &Path,
         mut config: Value,
         cpu: Option<usize>,
-        evidence: &EventLog,
+        event_log: &EventLog,
     ) -> Result<Self, ProgramError> {
-        // Free now, and so most likely also in a moment; kept over restarts.
-        let addr = StdListener::bind("127.0.0.1:0")?.local_addr()?;
+        // Kept over restarts.
+        let addr = free_address()?;
         config["listen"] = addr.to_string().into();
         config["name"] = name.into();
         std::fs::create_dir_all(folder.join("state"))?;
@@ -107,145 +95,95 @@
             addr,
             cpu,
             child: None,
-            door: None,
+            listener: None,
             ready: watch::channel(None).0,
-            evidence: evidence.clone(),
+            event_log: event_log.clone(),
         })
     }
 
-    /// Where it is while it is ready.
+    /// Its address while it is ready.
     pub fn address(&self) -> Address {
         self.ready.subscribe()
     }
 
-    /// Its process's id, while it has one.
+    /// Id of its process, while it has one.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
     fn record_state(&self, state: ProcessState) {
-        self.evidence.record(Event::ProcessChanged { sender: self.name.clone(), state });
+        self.event_log.record(Event::ProcessChanged { sender: self.name.clone(), state });
     }
 
-    /// Starts it, and waits until it is ready.
+    fn spawn(&self) -> std::io::Result<Spawned> {
+        self.launch.spawn(&self.folder, self.cpu, self.listener.as_ref())
+    }
+
+    /// Starts a process, and waits until it is ready.
     ///
     /// # Errors
     ///
     /// If it does not start or is not ready in time.
     pub async fn start(&mut self) -> Result<(), ProgramError> {
-        let (mut child, _) = self.spawn()?;
-        let up = async {
-            loop {
-                if child.try_wait()?.is_some() {
-                    return Ok::<bool, std::io::Error>(false);
-                }
-                if is_ready(self.addr).await {
-                    return Ok(true);
-                }
-                sleep(Duration::from_millis(5)).await;
-            }
-        };
-        match timeout(START, up).await {
-            Ok(Ok(true)) => {
-                self.child = Some(child);
-                self.record_state(ProcessState::Ready);
-                self.ready.send_replace(Some(self.addr));
-                Ok(())
-            }
-            Ok(Ok(false)) => Err(ProgramError::Ended { name: self.name.clone(), log: self.last_of_log() }),
-            Ok(Err(error)) => Err(error.into()),
-            Err(_) => Err(ProgramError::Late { name: self.name.clone() }),
-        }
+        let Spawned { mut child, .. } = self.spawn()?;
+        let startup = Probe::Clients(self.addr).wait_until_ready(&mut child).await?;
+        self.check_startup(startup)?;
+        self.child = Some(child);
+        self.record_state(ProcessState::Ready);
+        self.ready.send_replace(Some(self.addr));
+        Ok(())
     }
 
-    /// One more process, and where operators reach it if it has a kept door.
-    fn spawn(&self) -> Result<(Child, Option<SocketAddr>), ProgramError> {
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.folder.join("log"))?;
-        let mut command = match self.cpu {
-            Some(cpu) => {
-                let mut command = Command::new("taskset");
-                command.arg("-c").arg(cpu.to_string()).arg(&self.launch.program);
-                command
-            }
-            None => Command::new(&self.launch.program),
-        };
-        let mut control = None;
-        if let Some(door) = &self.door {
-            // Free now, and so most likely also in a moment.
-            let addr = StdListener::bind("127.0.0.1:0")?.local_addr()?;
-            command
-                .env("RELAY_ACCEPT_FD", door.as_raw_fd().to_string())
-                .env("RELAY_CONTROL", addr.to_string());
-            control = Some(addr);
+    fn check_startup(&self, startup: Startup) -> Result<(), ProgramError> {
+        let name = self.name.clone();
+        match startup {
+            Startup::Ready => Ok(()),
+            Startup::Exited => Err(ProgramError::Exited { name, log: self.log_tail() }),
+            Startup::TimedOut => Err(ProgramError::TimedOut { name }),
         }
-        let child = command
-            .args(&self.launch.arguments)
-            .envs(self.launch.variables.clone())
-            .env("RELAY_CONFIG", self.folder.join("config.json"))
-            .env("RELAY_STATE", self.folder.join("state"))
-            .stdin(Stdio::null())
-            .stdout(Stdio::null())
-            .stderr(log)
-            .kill_on_drop(true)
-            .spawn()?;
-        Ok((child, control))
     }
 
-    /// Keeps the clients' listening socket for all its processes, so that one can take over from another.
+    /// Keeps the clients' listening socket open over all processes, so that one can take over from another.
     ///
     /// # Errors
     ///
-    /// If the address cannot be had.
-    pub fn keep_door(&mut self) -> Result<(), ProgramError> {
-        let door = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-        door.set_reuse_address(true)?;
-        door.bind(&self.addr.into())?;
-        door.listen(BACKLOG)?;
-        door.set_cloexec(false)?;
-        self.door = Some(door);
+    /// If the address cannot be bound.
+    pub fn keep_listener(&mut self) -> Result<(), ProgramError> {
+        let listener = Socket::new(Domain::IPV4, Type::STREAM, None)?;
+        listener.set_reuse_address(true)?;
+        listener.bind(&self.addr.into())?;
+        listener.listen(BACKLOG)?;
+        listener.set_cloexec(false)?;
+        self.listener = Some(listener);
         Ok(())
     }
 
-    /// Starts it a second time beside itself, and stops the first process once the second says that it can serve.
-    /// Whether the first ended well, and in time. It needs a kept door; without a process it does nothing.
+    /// Starts a second process, and stops the first one when the second can serve. Whether the first exited cleanly
+    /// and in time. It needs a kept listener; without a process it does nothing.
     ///
     /// # Errors
     ///
     /// If the second does not start or is not ready in time.
     pub async fn upgrade(&mut self) -> Result<bool, ProgramError> {
         let Some(mut old) = self.child.take() else { return Ok(true) };
-        let (mut new, control) = self.spawn()?;
-        let Some(control) = control else { return Err(ProgramError::Late { name: self.name.clone() }) };
-        let up = async {
-            while !serves(control).await {
-                if new.try_wait()?.is_some() {
-                    return Ok::<bool, std::io::Error>(false);
-                }
-                sleep(Duration::from_millis(5)).await;
-            }
-            Ok(true)
-        };
-        match timeout(START, up).await {
-            Ok(Ok(true)) => self.child = Some(new),
-            Ok(Ok(false)) => {
-                return Err(ProgramError::Ended { name: self.name.clone(), log: self.last_of_log() });
-            }
-            Ok(Err(error)) => return Err(error.into()),
-            Err(_) => return Err(ProgramError::Late { name: self.name.clone() }),
-        }
+        let Spawned { child: mut new, control } = self.spawn()?;
+        let Some(control) = control else { return Err(ProgramError::TimedOut { name: self.name.clone() }) };
+        let startup = Probe::Control(control).wait_until_ready(&mut new).await?;
+        self.check_startup(startup)?;
+        self.child = Some(new);
         terminate(&mut old).await
     }
 
-    fn last_of_log(&self) -> String {
+    fn log_tail(&self) -> String {
         let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
-        log.lines().rev().take(3).collect::<Vec<_>>().join(" | ")
+        log.lines().rev().take(LOG_TAIL_LINES).collect::<Vec<_>>().join(" | ")
     }
 
-    /// Replaces keys of its configuration, and tells its process, if it has one, to read it again.
+    /// Replaces keys of its configuration, and makes its process, if it has one, read it again.
     ///
     /// # Errors
     ///
-    /// If the file cannot be replaced or the process not be told.
+    /// If the file cannot be replaced or the process not be signalled.
     pub async fn reconfigure(&mut self, keys: &[(&str, Value)]) -> Result<(), ProgramError> {
         let path = self.folder.join("config.json");
         let mut config: Value =
@@ -253,7 +191,7 @@
         for (key, value) in keys {
             config[*key] = value.clone();
         }
-        // Replaced as a whole: whoever reads it now reads one or the other.
+        // Replaced atomically: a reader sees one or the other.
         let new = self.folder.join("config.json.new");
         std::fs::write(&new, config.to_string())?;
         std::fs::rename(new, path)?;
@@ -263,22 +201,22 @@
         Ok(())
     }
 
-    /// Its processor time so far, microseconds, from the process's own accounting.
+    /// Processor time of its process so far, in microseconds.
     pub fn cpu_us(&self) -> Option<u64> {
-        // utime and stime are the 14th and 15th fields; the name before them may hold spaces.
+        // The first field of schedstat is the time on the processor in nanoseconds.
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid()?)).ok()?;
         let ns: u64 = stat.split_whitespace().next()?.parse().ok()?;
         Some(ns / 1_000)
     }
 
-    /// The most memory that it held, KiB.
+    /// The highest memory use of its process, in KiB.
     pub fn peak_kib(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid()?)).ok()?;
-        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
+        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
         line.split_whitespace().next()?.parse().ok()
     }
 
-    /// Kills it outright.
+    /// Kills its process (`SIGKILL`).
     ///
     /// # Errors
     ///
@@ -293,31 +231,32 @@
         Ok(())
     }
 
-    /// Asks it to stop and waits until it has; clients go on coming for a while. Whether it ended well.
+    /// Asks its process to stop and waits until it has exited; clients still come for a while. Whether it exited
+    /// cleanly and in time.
     ///
     /// # Errors
     ///
-    /// If it cannot be told or waited for.
+    /// If it cannot be signalled or waited for.
     pub async fn stop(&mut self) -> Result<bool, ProgramError> {
         let Some(mut child) = self.child.take() else { return Ok(true) };
         self.record_state(ProcessState::Terminating);
         let ready = self.ready.clone();
         let clients_notice = async {
-            sleep(Duration::from_millis(300)).await;
+            sleep(CLIENTS_NOTICE_STOP).await;
             ready.send_replace(None);
         };
-        let (ended, ()) = tokio::join!(terminate(&mut child), clients_notice);
+        let (exited_cleanly, ()) = tokio::join!(terminate(&mut child), clients_notice);
         self.record_state(ProcessState::Exited);
-        ended
+        exited_cleanly
     }
 }
 
-/// Asks a process to stop and waits until it has; one that has not in time is killed. Whether it ended well.
+/// Asks a process to stop and waits until it has exited; kills it after [`STOP_TIMEOUT`]. Whether it exited cleanly.
 async fn terminate(child: &mut Child) -> Result<bool, ProgramError> {
     if let Some(pid) = child.id() {
         Command::new("kill").args(["-TERM", &pid.to_string()]).status().await?;
     }
-    match timeout(STOP, child.wait()).await {
+    match timeout(STOP_TIMEOUT, child.wait()).await {
         Ok(status) => Ok(status?.success()),
         Err(_) => {
             child.kill().await?;
@@ -325,26 +264,3 @@
         }
     }
 }
-
-/// Whether a process says to operators that it can serve.
-async fn serves(control: SocketAddr) -> bool {
-    answers(control, b"status\n", b"done").await
-}
-
-/// Whether it is ready for clients.
-async fn is_ready(addr: SocketAddr) -> bool {
-    let ask = b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-    answers(addr, ask, b"HTTP/1.1 200").await
-}
-
-/// Whether what is asked there is answered soon, and so.
-async fn answers<const N: usize>(addr: SocketAddr, ask: &[u8], wanted: &[u8; N]) -> bool {
-    let answer = async {
-        let mut stream = TcpStream::connect(addr).await.ok()?;
-        stream.write_all(ask).await.ok()?;
-        let mut head = [0; N];
-        stream.read_exact(&mut head).await.ok()?;
-        Some(&head == wanted)
-    };
-    timeout(Duration::from_secs(1), answer).await.ok().flatten().unwrap_or(false)
-}
--- /dev/null
+++ b/crates/testkit/src/program/probe.rs
@@ -0,0 +1,77 @@
+//! Asks a process whether it is ready.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::process::Child;
+use tokio::time::{sleep, timeout};
+
+/// Time that one probe may take.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time within which a process becomes ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Pause between probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Where and how a process is probed.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum Probe {
+    /// The readiness request at the clients' address.
+    Clients(SocketAddr),
+    /// The status command at the control listener.
+    Control(SocketAddr),
+}
+
+/// What came of waiting for a process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Startup {
+    Ready,
+    Exited,
+    TimedOut,
+}
+
+impl Probe {
+    async fn is_ready(self) -> bool {
+        match self {
+            Self::Clients(addr) => {
+                let request = b"GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
+                responds(addr, request, b"HTTP/1.1 200").await
+            }
+            Self::Control(addr) => responds(addr, b"status\n", b"done").await,
+        }
+    }
+
+    /// Waits until a process is ready or has exited.
+    ///
+    /// # Errors
+    ///
+    /// If the process's state cannot be read.
+    pub(super) async fn wait_until_ready(self, child: &mut Child) -> std::io::Result<Startup> {
+        let ready = async {
+            loop {
+                if child.try_wait()?.is_some() {
+                    return Ok::<Startup, std::io::Error>(Startup::Exited);
+                }
+                if self.is_ready().await {
+                    return Ok(Startup::Ready);
+                }
+                sleep(PROBE_INTERVAL).await;
+            }
+        };
+        timeout(START_TIMEOUT, ready).await.unwrap_or(Ok(Startup::TimedOut))
+    }
+}
+
+/// Whether the response to a request begins as expected, and in time.
+async fn responds<const N: usize>(addr: SocketAddr, request: &[u8], expected: &[u8; N]) -> bool {
+    let response = async {
+        let mut stream = TcpStream::connect(addr).await.ok()?;
+        stream.write_all(request).await.ok()?;
+        let mut head = [0; N];
+        stream.read_exact(&mut head).await.ok()?;
+        Some(&head == expected)
+    };
+    timeout(PROBE_TIMEOUT, response).await.ok().flatten().unwrap_or(false)
+}
--- a/crates/testkit/src/test_environment.rs
+++ b/crates/testkit/src/test_environment.rs
@@ -128,7 +128,7 @@
             let folder = config.folder.join(name);
             let mut program = Program::new(name, &config.launch, &folder, program_config, None, &event_log)?;
             if is_upgraded(scenario, index) {
-                program.keep_door()?;
+                program.keep_listener()?;
             }
             program.start().await?;
             addresses.push((name.clone(), program.address()));
@@ -166,7 +166,8 @@
     fn start_tasks(&self, start: Instant, failures: &Failures, tasks: &mut JoinSet<()>) {
         let malformed_per_s = self.scenario.traffic.malformed_per_s;
         tasks.spawn(record_lag(self.event_log.clone()));
-        tasks.spawn(self.clients.clone().misbehave(malformed_per_s, self.scenario.seed ^ MALFORMED_SEED));
+        tasks
+            .spawn(self.clients.clone().send_malformed(malformed_per_s, self.scenario.seed ^ MALFORMED_SEED));
         let mut player = Player {
             scenario: &self.scenario,
             receivers: &self.receivers,
--- a/crates/testkit/tests/golden_data.rs
+++ b/crates/testkit/tests/golden_data.rs
@@ -185,12 +185,12 @@
                 message.message_id,
                 message.class,
                 message.tenant,
-                message.partner,
+                message.receiver,
                 message.sender,
-                message.left.as_nanos(),
-                message.again.map(|pause| pause.as_nanos()),
-                message.leaves,
-                message.size,
+                message.lifetime.as_nanos(),
+                message.retry_pause.map(|pause| pause.as_nanos()),
+                message.disconnects,
+                message.body_len,
             ));
         }
     }
