--- a/crates/gossip/tests/fleet_view/world.rs
+++ b/crates/gossip/tests/fleet_view/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use rudderspindle_gossip::{
-    Class, DatagramBudget, EPOCH, FleetView, Incarnation, Kind, LocalSender, OutgoingDatagram,
+    DatagramBudget, DatagramClass, EPOCH, FleetView, Incarnation, Kind, LocalSender, OutgoingDatagram,
 };
 
 /// Messages a second of one sender at most.
@@ -44,7 +44,7 @@
 }
 
 fn post() -> DatagramBudget {
-    DatagramBudget::new(&[(Kind::Report, Class { rank: 0, every: 0, cost: 2 })])
+    DatagramBudget::new(&[DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 }])
 }
 
 fn views(number: usize, halls: &[u16], incarnation: Incarnation) -> FleetView {
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -57,17 +57,13 @@
             return None;
         }
         if let Some(answer) = self.answer_at_once(&submission, intake) {
-            if matches!(answer, Answer::Refused { .. }) {
-                self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
-            }
-            intake.answers.push(PendingAnswer { channel: submission.answer, answer });
+            self.answer(submission, answer, intake);
             return None;
         }
         let record = self.record_of(&submission, now);
         let journal_bytes = intake.journal_bytes + record.reserved_bytes();
         if self.tracked.len() >= self.settings.max_pending || !self.store.has_space_for(journal_bytes) {
-            self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
-            intake.answers.push(PendingAnswer { channel: submission.answer, answer: Answer::REFUSED });
+            self.answer(submission, Answer::REFUSED, intake);
             return None;
         }
         if !Store::fits_batch(journal_bytes) {
@@ -78,6 +74,14 @@
         Some(self.track_new(submission, record, now, intake))
     }
 
+    /// Answers a submission with this batch.
+    fn answer(&self, submission: Submission, answer: Answer, intake: &mut Intake) {
+        if matches!(answer, Answer::Refused { .. }) {
+            self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
+        }
+        intake.answers.push(PendingAnswer { channel: submission.answer, answer });
+    }
+
     /// The answer to a submission that does not depend on capacity: of an unknown destination, or of a message that
     /// is known already.
     fn answer_at_once(&mut self, submission: &Submission, intake: &Intake) -> Option<Answer> {
@@ -87,7 +91,7 @@
             return Some(if no_list { Answer::REFUSED } else { Answer::UnknownDestination });
         }
         if let Some(id) = self.tracked.find(&submission.message_id) {
-            // Accepted once, for each client that hears so: to forget the earlier client would allow anybody who
+            // Accepted once, for each client that has this answer: to forget the earlier one would allow anybody who
             // knows the id to withdraw the message by disconnecting.
             let undecided = intake.new.iter().any(|new| new.id == id);
             let added = !undecided && self.tracked.add_submission(id, submission.id);
--- a/crates/sender/src/engine/outage_records.rs
+++ b/crates/sender/src/engine/outage_records.rs
@@ -5,7 +5,6 @@
 
 use super::Engine;
 use crate::handover::{self, HandoverMessage};
-use crate::outbound::MAX_BACKOFF_MS;
 
 impl Engine {
     /// Records with this batch what a later process must know of an outage.
@@ -44,18 +43,18 @@
             HandoverMessage::OutageState {
                 destination: endpoint.destination,
                 receiver: endpoint.receiver.to_string(),
-                outage: to_handover(outage),
+                outage: handover::OutageState::from(outage),
             }
         };
         self.store.outage_records().map(message).collect()
     }
 
-    /// Records the outages that the running process has told this one, with values out of range clamped.
+    /// Records the outages received from the running process, with values out of range clamped.
     pub fn restore_outages(store: &mut Store, messages: &[HandoverMessage]) {
         for message in messages {
             if let HandoverMessage::OutageState { destination, receiver, outage } = message {
                 let endpoint = journal::EndpointKey::new(*destination, receiver.as_str());
-                store.record_outage(endpoint, Some(from_handover(*outage)));
+                store.record_outage(endpoint, Some(outage.clamped().into()));
             }
         }
     }
@@ -79,24 +78,5 @@
     }
 }
 
-fn to_handover(outage: journal::OutageState) -> handover::OutageState {
-    match outage {
-        journal::OutageState::Down { wait } => handover::OutageState::Down { wait },
-        journal::OutageState::WarmingUp { ago, part } => handover::OutageState::WarmingUp { ago, part },
-    }
-}
-
-fn from_handover(outage: handover::OutageState) -> journal::OutageState {
-    match outage {
-        handover::OutageState::Down { wait } => {
-            journal::OutageState::Down { wait: wait.min(MAX_BACKOFF_MS as u64) }
-        }
-        handover::OutageState::WarmingUp { ago, part } => {
-            let ago = ago.max(-(MAX_BACKOFF_MS as i64));
-            journal::OutageState::WarmingUp { ago, part: part.clamp(0.0, 1.0) }
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -2,17 +2,17 @@
 
 use std::path::Path;
 
-use rudderspindle_gossip::{Incarnation, Ramp};
+use rudderspindle_gossip::{Incarnation, RecoveryRamp};
 use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::{Millis, Settings};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-use crate::config::{Config, Notes, StartError};
+use crate::config::{Config, GossipConfig, StartError};
 use crate::engine::LimitSharing;
 use crate::event::Input;
 use crate::fleet_file::FleetFile;
-use crate::gossip::{FLEET, FleetSettings, GossipTask};
+use crate::gossip::{FLEET_LOG_TARGET, FleetSettings, GossipTask};
 use crate::incarnation;
 
 /// Time after the start of a recovery ramp at which its growth is read from the settings.
@@ -21,9 +21,9 @@
 /// The gossip with other senders, as configured.
 #[derive(Debug)]
 pub(super) struct FleetGossip {
-    notes: Notes,
+    config: GossipConfig,
     file: FleetFile,
-    ramp: Ramp,
+    ramp: RecoveryRamp,
     /// Messages per second of each tenant, over all senders.
     quotas: Vec<f64>,
 }
@@ -31,11 +31,11 @@
 impl FleetGossip {
     /// The configured gossip; `None` if there is none, or if the fleet is too small for it.
     pub fn new(config: &Config, settings: &Settings, file: FleetFile) -> Option<Self> {
-        let notes = config.notes().filter(|notes| notes.peers.len() >= file.share().from())?;
+        let config = config.gossip().filter(|gossip| gossip.peers.len() >= file.share().min_senders())?;
         let start = settings.ramp(0.0);
-        let ramp = Ramp { start, growth: settings.ramp(RAMP_SAMPLE) - start };
+        let ramp = RecoveryRamp { initial_fraction: start, growth_per_s: settings.ramp(RAMP_SAMPLE) - start };
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
-        Some(Self { notes, file, ramp, quotas })
+        Some(Self { config, file, ramp, quotas })
     }
 
     /// How limits are shared.
@@ -45,7 +45,7 @@
 
     /// Whether the senders share a view of receivers and of tenants' usage.
     pub fn has_fleet_view(&self) -> bool {
-        self.file.share().judges() || self.file.share().counts()
+        self.file.share().detects_outliers() || self.file.share().shares_quotas()
     }
 
     /// Spawns the gossip. It ends when the engine does.
@@ -54,12 +54,12 @@
     ///
     /// [`StartError::State`] if the incarnation's number cannot be stored.
     pub fn spawn(self, state: &Path, to_engine: mpsc::Sender<Input>) -> Result<(), StartError> {
-        let life = self.start_incarnation(state)?;
+        let incarnation = self.start_incarnation(state)?;
         let strict = self.limit_sharing() == LimitSharing::Permits;
-        let Self { notes, file, ramp, quotas } = self;
-        tracing::info!(target: FLEET, senders = notes.peers.len(), strict, "limits are shared by notes");
-        let settings = FleetSettings { file, quotas, life };
-        spawn_local(GossipTask::new(notes, ramp, settings).run(to_engine));
+        let Self { config, file, ramp, quotas } = self;
+        tracing::info!(target: FLEET_LOG_TARGET, senders = config.peers.len(), strict, "limits are shared by notes");
+        let settings = FleetSettings { fleet_file: file, tenant_quotas: quotas, incarnation };
+        spawn_local(GossipTask::new(config, ramp, settings).run(to_engine));
         Ok(())
     }
 
