--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -74,7 +74,7 @@
         let (to_engine, inputs) = mpsc::channel(INPUT_QUEUE_LEN);
         let peer_process = Rc::new(PeerProcess::default());
         let handover = join_peer_process(state, &mut store, &peer_process, &to_engine).await;
-        let shared = Shared::new(settings, names, config.limits.share(), peer_process, to_engine);
+        let shared = Shared::new(settings, names, config.limits.max_connections(), peer_process, to_engine);
 
         let seed = seed(&config);
         let schedule = PollSchedule::new(shared.settings.discovery, shared.settings.peers_total, seed);
@@ -201,7 +201,7 @@
     Engine::new(dependencies, &configured, fetched)
 }
 
-/// Passes the waits and counts on to the engine that the running process has told at the start.
+/// Forwards the backoffs and counts to the engine that the running process has sent at the start.
 async fn forward(messages: Vec<HandoverMessage>, to_engine: &mpsc::Sender<Input>) {
     for message in messages {
         if let Some(input) = message.into_input() {
@@ -212,7 +212,7 @@
 
 fn inbound_limits(config: &Config) -> inbound::Limits {
     inbound::Limits {
-        max_connections: config.limits.share(),
+        max_connections: config.limits.max_connections(),
         max_unfinished_body_bytes: config.limits.body_bytes(),
     }
 }
