--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -115,7 +115,7 @@
         /// The route, where routes have limits of their own.
         route: Option<RouteId>,
         /// One for each call.
-        turns: Vec<Permit>,
+        permits: Vec<Permit>,
     },
     /// Routes that other senders have ejected as outliers, in place of those reported before: others go
     /// first.
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -37,7 +37,9 @@
                     CapacityReport { calls_per_wanted: *calls, wanted_by_all: *wanted, valid_for: *lasts };
                 self.apply_capacity(*destination, *route, &report);
             }
-            Event::Permits { destination, route, turns } => self.apply_permits(*destination, *route, turns),
+            Event::Permits { destination, route, permits } => {
+                self.apply_permits(*destination, *route, permits);
+            }
             Event::EjectedReceivers(ejected) => self.apply_ejections(ejected),
             Event::Quota { tenant, per_s } => self.quotas.set_share(*tenant, *per_s),
             Event::Started { id, attempt } => self.apply_start_of_response(*id, *attempt),
@@ -58,17 +60,17 @@
     }
 
     /// Another process of this sender uses so many of its slots now.
-    pub fn share_slots(&mut self, used: usize) {
+    pub fn set_slots_used_by_peer(&mut self, used: usize) {
         self.slots_used_by_peer = used;
     }
 
     /// From now on the host reports what other senders want.
-    pub fn hear_notes(&mut self) {
+    pub fn expect_capacity_reports(&mut self) {
         self.expects_capacity = true;
     }
 
     /// From now on the host hands out permits: no call starts without one.
-    pub fn keep_rights(&mut self) {
+    pub fn require_permits(&mut self) {
         self.needs_permits = true;
     }
 
--- a/crates/policy/src/policy/metrics.rs
+++ b/crates/policy/src/policy/metrics.rs
@@ -36,12 +36,12 @@
     }
 
     /// Number of messages that it can admit before it sheds any.
-    pub fn room(&self) -> usize {
+    pub fn free_capacity(&self) -> usize {
         self.shed_threshold().saturating_sub(self.messages.len())
     }
 
     /// Number of listed routes that take no ordinary calls now: draining, down, or within a Retry-After.
-    pub fn avoided(&self) -> usize {
+    pub fn routes_out_of_rotation(&self) -> usize {
         let out_of_rotation = |destination: &Destination| {
             (0..destination.routes.len()).filter(|&index| self.is_out_of_rotation(destination, index)).count()
         };
--- a/crates/policy/src/settings/tests.rs
+++ b/crates/policy/src/settings/tests.rs
@@ -1,14 +1,14 @@
-//! Settings read, and what is refused. No decision.
+//! Tests of reading settings. No decision.
 
 use serde_json::{Value, json};
 
 use super::{names, parse, read};
 use crate::interface::{Effect, KeyGroup};
 
-mod refused;
+mod invalid;
 
-/// Settings with all that is read, each value within its range.
-fn whole() -> Value {
+/// Settings with every key that is read, each value within its range.
+fn complete() -> Value {
     json!({"az": 0, "azs": ["left", "right"], "kinds": ["k"], "peers_total": 2, "tick": 5.0, "weights": "rough",
         "discovery": "on_request", "over_share_worth": 0.2, "tariffs": {"cross_zone": 0.1},
         "lanes": [
@@ -26,9 +26,9 @@
                   "turn_gap": 10.0, "ask_within": 2000.0}})
 }
 
-/// The same with another value at one place; `None` takes the key away.
+/// The same with another value at one place; `None` removes the key.
 fn with(pointer: &str, value: Option<Value>) -> Value {
-    let mut json = whole();
+    let mut json = complete();
     let (parent, key) = pointer.rsplit_once('/').expect("a place");
     match (json.pointer_mut(parent).expect("a parent"), value) {
         (Value::Object(parent), Some(value)) => _ = parent.insert(key.to_owned(), value),
@@ -39,9 +39,9 @@
 }
 
 #[test]
-fn what_is_left_out_or_unknown_or_written_another_way_is_no_reason_to_refuse() {
-    // Window and group mean something in a keyed class only: the first one's window is 0.
-    let settings = read(&whole()).expect("settings");
+fn missing_and_unknown_keys_and_other_notations_are_accepted() {
+    // Window and group matter to a class with idempotency keys only: the first one's window is 0.
+    let settings = read(&complete()).expect("settings");
     assert_eq!(settings.classes[0].effect, Effect::Idempotent);
     assert_eq!(settings.classes[1].effect, Effect::IdempotencyKey { group: KeyGroup::Zone, window: 1000.0 });
     assert_eq!((settings.classes[1].latency_objective, settings.classes[1].value), (9000.0, 1.0));
@@ -50,7 +50,7 @@
         of("/lanes/0/window", json!("none")),
         of("/lanes/0/group", json!("every")),
         of("/lanes/0/credit", json!(0)),
-        // Later than the deadline: all that is delivered earns its full worth.
+        // Later than the deadline: every delivery has its full value.
         of("/lanes/0/target", json!(10_000)),
         of("/lanes/0/novel", json!({"a": [1]})),
         of("/novel", json!(-1)),
@@ -106,9 +106,9 @@
     }
 }
 
-/// Two checks of one thing must not differ: settings that are read can be used.
+/// Two checks of one thing must not differ: settings that can be read are valid.
 #[test]
-fn whatever_stands_at_a_key_it_is_refused_by_that_key_or_the_settings_can_work() {
+fn any_value_at_any_key_is_an_error_that_names_the_key_or_gives_valid_settings() {
     fn keys(at: &str, json: &Value, found: &mut Vec<String>) {
         let mut below = |key: &str, value: &Value| keys(&format!("{at}/{key}"), value, found);
         match json {
@@ -119,7 +119,7 @@
         found.push(at.to_owned());
     }
     let mut found = Vec::new();
-    keys("", &whole(), &mut found);
+    keys("", &complete(), &mut found);
     found.retain(|key| !key.is_empty());
     assert!(found.len() > 50, "{found:?}");
     let odd = [
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_text_that_is_no_json_or_has_a_number_beyond_all_numbers_is_refused() {
+fn a_text_that_is_not_json_or_has_a_number_out_of_range_is_an_error() {
     for text in ["", "{", "{\"az\": 1e400}", "{\"az\": NaN}"] {
         let error = parse(text.as_bytes()).expect_err(text).to_string();
         assert!(error.starts_with("unreadable settings: ") && !error.contains('\n'), "{error}");
--- a/crates/policy/src/settings/tests/refused.rs
+++ b/crates/policy/src/settings/tests/invalid.rs
@@ -1,13 +1,13 @@
-//! Each refusal names its key and what would be right. No decision.
+//! Invalid settings: each error names its key and what is valid. No decision.
 
 use serde_json::{Value, json};
 
 use super::super::{names, read};
 use super::with;
 
-fn refused(json: &Value) -> String {
+fn error_of(json: &Value) -> String {
     match read(json) {
-        Ok(_) => names(json).expect_err("it is refused").to_string(),
+        Ok(_) => names(json).expect_err("an error").to_string(),
         Err(error) => error.to_string(),
     }
 }
@@ -19,7 +19,7 @@
 const PART: &str = "a number from 0 to 1 is wanted";
 
 #[test]
-fn what_cannot_work_is_refused_in_one_line_that_names_the_key_and_what_would_be_right() {
+fn an_invalid_value_is_an_error_of_one_line_that_names_the_key_and_what_is_valid() {
     let of = |pointer, value: Value| with(pointer, Some(value));
     for (json, line) in [
         (with("/lanes/0/effect", None), format!(r#"settings.lanes[0].effect ("first") is missing: {EFFECT}"#)),
@@ -91,12 +91,12 @@
         (of("/rules/tip_after", json!(-1)),
          "settings.rules.tip_after is -1: a number of ms, 0 or more is wanted".into()),
     ] {
-        assert_eq!(refused(&json), line);
+        assert_eq!(error_of(&json), line);
     }
 }
 
 #[test]
-fn a_value_that_is_long_or_has_line_breaks_is_shown_short_and_in_one_line() {
-    let line = refused(&with("/lanes/0/effect", Some(json!("a\nb".repeat(1000)))));
+fn a_value_that_is_long_or_has_line_breaks_is_shown_shortened_on_one_line() {
+    let line = error_of(&with("/lanes/0/effect", Some(json!("a\nb".repeat(1000)))));
     assert!(line.len() < 300 && !line.contains('\n'), "{line}");
 }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,10 +1,10 @@
-//! Many senders before one partner with a limit that refused calls use up, in simulated time: what is
-//! harmless for one must not hurt when a hundred do it.
+//! Many senders before one receiver with a limit that rejected calls use up, in simulated time: what is harmless
+//! for one must not hurt when a hundred do it.
 
 use rudderspindle_simulation::partner::*;
 
-/// An evening of 24 s without an outage, at so many times what the partner takes.
-fn evening(seed: u64, senders: usize, load: f64) -> Scene {
+/// A scene of 24 s without an outage; the load is a multiple of the limit.
+fn calm_scene(seed: u64, senders: usize, load: f64) -> Scene {
     let calm = Scene::draw(seed, |_| Outage::Refuse);
     Scene {
         senders,
@@ -22,71 +22,95 @@
     }
 }
 
-/// Refusals a delivered message, and the share of what could be delivered that was.
-fn figures(scene: &Scene) -> (f64, f64) {
+/// The figures of one scene, or their means over several.
+struct Figures {
+    /// Rejections for each delivered message.
+    rejections: f64,
+    /// The share that was delivered of what could be.
+    delivered: f64,
+}
+
+fn figures(scene: &Scene) -> Figures {
     let seen = play(scene);
-    let room = scene.told * scene.ends / 1_000.0;
+    let capacity = scene.told * scene.ends / 1_000.0;
     let delivered = seen.delivered as f64;
-    (seen.refused as f64 / delivered, delivered / room.min(seen.asked as f64))
+    Figures {
+        rejections: seen.refused as f64 / delivered,
+        delivered: delivered / capacity.min(seen.asked as f64),
+    }
 }
 
-fn mean(figures: impl Iterator<Item = (f64, f64)>) -> (f64, f64) {
-    let all: Vec<(f64, f64)> = figures.collect();
-    let of = |f: &dyn Fn(&(f64, f64)) -> f64| all.iter().map(f).sum::<f64>() / all.len() as f64;
-    (of(&|f| f.0), of(&|f| f.1))
+fn mean(figures: impl Iterator<Item = Figures>) -> Figures {
+    let all: Vec<Figures> = figures.collect();
+    let scenes = all.len() as f64;
+    Figures {
+        rejections: all.iter().map(|scene| scene.rejections).sum::<f64>() / scenes,
+        delivered: all.iter().map(|scene| scene.delivered).sum::<f64>() / scenes,
+    }
 }
 
 #[test]
-fn a_fleet_that_is_handed_more_than_the_limit_does_not_saturate_it_with_refused_calls() {
+fn an_overloaded_fleet_does_not_saturate_the_limit_with_rejected_calls() {
     for (senders, most) in [(1, 0.05), (3, 0.25), (30, 0.45), (100, 0.35)] {
-        let (refused, used) = mean((0..4).map(|seed| figures(&evening(seed, senders, 1.2))));
-        println!("{senders} senders: {refused:.2} refusals a delivered message, use {used:.2}");
-        assert!(refused < most, "{senders} senders: {refused:.2} refusals a delivered message");
+        let Figures { rejections, delivered: used } =
+            mean((0..4).map(|seed| figures(&calm_scene(seed, senders, 1.2))));
+        println!("{senders} senders: {rejections:.2} rejections per delivered message, use {used:.2}");
+        assert!(rejections < most, "{senders} senders: {rejections:.2} rejections per delivered message");
         assert!(used > 0.68, "{senders} senders: {used:.2} of the limit used");
     }
 }
 
 #[test]
-fn a_lone_busy_sender_among_idle_ones_gets_nearly_the_whole_limit() {
-    // What is shared at first is its own after a while.
-    let lone = |seed| Scene { busy: 1, ends: 120_000.0, ..evening(seed, 100, 0.9) };
-    let (refused, used) = mean((0..4).map(|seed| figures(&lone(seed))));
-    println!("one of a hundred: {refused:.2} refusals a delivered message, use {used:.2}");
-    assert!(used > 0.85 && refused < 0.1, "use {used:.2}, {refused:.2} refusals a delivered message");
+fn a_single_busy_sender_among_idle_ones_gets_nearly_the_whole_limit() {
+    // An equal part at first, and the whole after a while.
+    let lone = |seed| Scene { busy: 1, ends: 120_000.0, ..calm_scene(seed, 100, 0.9) };
+    let Figures { rejections, delivered: used } = mean((0..4).map(|seed| figures(&lone(seed))));
+    println!("one of a hundred: {rejections:.2} rejections per delivered message, use {used:.2}");
+    assert!(
+        used > 0.85 && rejections < 0.1,
+        "use {used:.2}, {rejections:.2} rejections per delivered message"
+    );
 }
 
-/// Waits end for all who were told one alike. A hundred that come back at once keep a limit that refused
-/// calls use up full for good, though each of them asks but once a wait.
+/// Senders with the same Retry-After return at the same time. A hundred of them could use up a limit with
+/// rejected calls for good, though each calls but once.
 #[test]
-fn a_fleet_finds_its_way_back_to_a_limit_that_was_halved_for_nine_seconds() {
+fn a_fleet_recovers_after_a_limit_was_halved_for_nine_seconds() {
     let limit = Limit::Rate { halved: 8_000.0..17_000.0, wait: 750.0, owed: 1_500.0 };
     for (senders, least) in [(30, 0.7), (100, 0.6)] {
-        let scene =
-            |seed| Scene { limit: limit.clone(), told: 75.0, ends: 40_000.0, ..evening(seed, senders, 0.9) };
-        let (refused, delivered) = mean((0..4).map(|seed| figures(&scene(seed))));
+        let scene = |seed| Scene {
+            limit: limit.clone(),
+            told: 75.0,
+            ends: 40_000.0,
+            ..calm_scene(seed, senders, 0.9)
+        };
+        let Figures { rejections, delivered } = mean((0..4).map(|seed| figures(&scene(seed))));
         println!(
-            "{senders} senders, halved: {refused:.2} refusals a delivered message, delivered {delivered:.2}"
+            "{senders} senders, halved: {rejections:.2} rejections per delivered message, delivered {delivered:.2}"
+        );
+        assert!(
+            delivered > least,
+            "{senders} senders: {delivered:.2} delivered, {rejections:.2} rejections each"
         );
-        assert!(delivered > least, "{senders} senders: {delivered:.2} delivered, {refused:.2} refusals each");
     }
 }
 
-/// A hundred polite trials, each at its own part, are a push of their own on a partner that comes back cold.
+/// The probes of a hundred senders, each within its share, could overload a receiver that returns.
 #[test]
-fn a_fleet_does_not_push_over_a_partner_that_returns_after_five_seconds() {
+fn a_fleet_does_not_overload_a_receiver_that_returns_after_five_seconds() {
     for senders in [30, 100] {
         let scene =
-            |seed| Scene { struck: 0..2, from: 8_000.0, until: 13_000.0, ..evening(seed, senders, 1.2) };
+            |seed| Scene { struck: 0..2, from: 8_000.0, until: 13_000.0, ..calm_scene(seed, senders, 1.2) };
         let worst = (0..6).map(|seed| play(&scene(seed)).worst).fold(0.0, f64::max);
-        println!("{senders} senders: pushed to {worst:.2} times what it could do");
-        assert!(worst < 2.5, "{senders} senders: pushed to {worst:.2} times what it could do");
+        println!("{senders} senders: sent {worst:.2} times what it could take");
+        assert!(worst < 2.5, "{senders} senders: sent {worst:.2} times what it could take");
     }
 }
 
-/// Hardly one sender of hundreds sees enough of an outage to know of it, and what the others send at full
-/// pace would push over whoever returns. Notes tell all of them what all saw fail.
+/// Hardly one sender of hundreds sees enough of an outage, and the others at full pace would overload the
+/// receiver on its return. The fleet's reports show all of them what all saw fail.
 #[test]
-fn word_of_an_outage_reaches_senders_that_saw_little_of_it() {
+fn reports_of_an_outage_reach_senders_that_saw_little_of_it() {
     for outage in [Outage::Refuse, Outage::Silent, Outage::Errors { share: 1.0 }, Outage::Shut { tells: 0.3 }]
     {
         let scene = |seed| Scene {
@@ -96,19 +120,18 @@
             until: 13_000.0,
             told: 75.0,
             notes: Some(Notes { lost: 0.0, cut: 0.0..0.0 }),
-            ..evening(seed, 300, 1.2)
+            ..calm_scene(seed, 300, 1.2)
         };
         let worst = (0..2).map(|seed| play(&scene(seed)).worst).fold(0.0, f64::max);
-        println!("{outage:?}: pushed to {worst:.2} times what it could do");
-        assert!(worst < 2.5, "{outage:?}: pushed to {worst:.2} times what it could do");
+        println!("{outage:?}: sent {worst:.2} times what it could take");
+        assert!(worst < 2.5, "{outage:?}: sent {worst:.2} times what it could take");
     }
 }
 
-/// The limit falls, waits of 3 s are told, and then nobody gets through for two seconds: the cut is over
-/// while most of the waits are not. And as many messages as three senders in ten more would bring come at
-/// once when it is over.
+/// The limit falls, Retry-After is 3 s, and then nobody gets through for two seconds: the interruption is over
+/// before most Retry-Afters are, and three times the usual messages come in the second after it.
 #[test]
-fn a_cut_that_ends_inside_told_waits_while_the_limit_is_lowered_ends_in_no_push_and_no_lock() {
+fn an_interruption_within_retry_after_leads_to_no_overload_and_no_saturation() {
     for senders in [30, 300] {
         let scene = |seed| Scene {
             limit: Limit::Rate { halved: 5_000.0..20_000.0, wait: 3_000.0, owed: 1_500.0 },
@@ -120,25 +143,25 @@
             swell: (3.0, 10_000.0..11_000.0),
             ends: 40_000.0,
             notes: Some(Notes { lost: 0.0, cut: 0.0..0.0 }),
-            ..evening(seed, senders, 0.8)
+            ..calm_scene(seed, senders, 0.8)
         };
         for seed in 0..2 {
             let seen = play(&scene(seed));
             let (worst, delivered) = (seen.worst, seen.delivered as f64 / seen.asked as f64);
             println!(
-                "{senders} senders: pushed to {worst:.2}, delivered {delivered:.2}, {} refused",
+                "{senders} senders: sent {worst:.2} times what it could take, delivered {delivered:.2}, {} refused",
                 seen.refused
             );
-            assert!(worst < 2.5, "{senders} senders: pushed to {worst:.2} times what it could do");
+            assert!(worst < 2.5, "{senders} senders: sent {worst:.2} times what it could take");
             assert!(delivered > 0.4, "{senders} senders: {delivered:.2} delivered");
-            // Where the waits are not kept it is 335 to 550.
+            // Without Retry-After it is 335 to 550.
             assert!(seen.refused < 300, "{senders} senders: {} refused", seen.refused);
         }
     }
 }
 
-/// The limits of the full fleet: a plain rate, of which refused calls use up as much as others.
-fn by_rate(seed: u64, senders: usize, notes: Option<Notes>) -> Scene {
+/// A scene with the limit of the full fleet: a plain rate, of which rejected calls use up as much as others.
+fn rate_limited_scene(seed: u64, senders: usize, notes: Option<Notes>) -> Scene {
     let limit = Limit::Rate { halved: 0.0..0.0, wait: 750.0, owed: f64::INFINITY };
     Scene {
         limit,
@@ -146,50 +169,60 @@
         ends: 40_000.0,
         notes,
         swell: (2.5, 8_000.0..10_000.0),
-        ..evening(seed, senders, 0.85)
+        ..calm_scene(seed, senders, 0.85)
     }
 }
 
-/// What each of hundreds does at its own fair part locks a limit for good once a swell has overrun it:
-/// refused calls use it up, and hardly one sender sees more than one of them. Told what all want, they share
-/// it.
+/// Hundreds of senders at their fair parts saturate a limit for good once a burst has exceeded it: rejected calls
+/// use it up, and hardly one sender sees more than one of them. With reports of all demand they share it.
 #[test]
-fn senders_that_tell_one_another_what_they_want_find_out_of_a_limit_that_refuses_all() {
+fn senders_that_report_their_demand_recover_from_a_saturated_limit() {
     for (senders, least, gain) in [(30, 0.9, 0.0), (300, 0.7, 0.05)] {
-        let of =
-            |notes: Option<Notes>| mean((0..2).map(|seed| figures(&by_rate(seed, senders, notes.clone()))));
-        let (alone_refused, alone) = of(None);
+        let of = |notes: Option<Notes>| {
+            mean((0..2).map(|seed| figures(&rate_limited_scene(seed, senders, notes.clone()))))
+        };
+        let Figures { rejections: alone_rejections, delivered: alone } = of(None);
         let none = Notes { lost: 0.0, cut: 0.0..0.0 };
-        let (refused, delivered) = of(Some(none.clone()));
-        let (half_refused, half) = of(Some(Notes { lost: 0.5, ..none.clone() }));
-        let (cut_refused, cut) = of(Some(Notes { cut: 6_000.0..16_000.0, ..none }));
+        let Figures { rejections, delivered } = of(Some(none.clone()));
+        let Figures { rejections: half_rejections, delivered: half } =
+            of(Some(Notes { lost: 0.5, ..none.clone() }));
+        let Figures { rejections: cut_rejections, delivered: cut } =
+            of(Some(Notes { cut: 6_000.0..16_000.0, ..none }));
         println!(
-            "{senders} senders, delivered and refusals each: {alone:.2} {alone_refused:.2} without notes, \
-            {delivered:.2} {refused:.2} with them, {half:.2} {half_refused:.2} with half of them lost, \
-            {cut:.2} {cut_refused:.2} with none for 10 s"
+            "{senders} senders, delivered and rejections each: {alone:.2} {alone_rejections:.2} without reports, \
+            {delivered:.2} {rejections:.2} with them, {half:.2} {half_rejections:.2} with half of them lost, \
+            {cut:.2} {cut_rejections:.2} with none for 10 s"
         );
         assert!(delivered > least && delivered > alone + gain, "{senders} senders: {delivered:.2} delivered");
-        assert!(refused < 0.5 * alone_refused, "{senders} senders: {refused:.2} refusals each");
-        // Half of the notes are better than none, where those that are lost are reckoned with; that none come
-        // for a time costs little.
-        assert!(half > alone - 0.05 + gain, "{senders} senders: {half:.2} delivered, half of the notes lost");
+        assert!(rejections < 0.5 * alone_rejections, "{senders} senders: {rejections:.2} rejections each");
+        // Half of the reports are better than none, as lost ones are estimated; an interruption of reports costs little.
+        assert!(
+            half > alone - 0.05 + gain,
+            "{senders} senders: {half:.2} delivered, half of the reports lost"
+        );
         assert!(cut > alone - 0.15, "{senders} senders: {cut:.2} delivered with none for 10 s");
-        assert!(half_refused < 0.9 * alone_refused, "{senders} senders: {half_refused:.2} refusals each");
-        assert!(cut_refused < 1.5 * alone_refused, "{senders} senders: {cut_refused:.2} refusals each");
+        assert!(
+            half_rejections < 0.9 * alone_rejections,
+            "{senders} senders: {half_rejections:.2} rejections each"
+        );
+        assert!(
+            cut_rejections < 1.5 * alone_rejections,
+            "{senders} senders: {cut_rejections:.2} rejections each"
+        );
     }
 }
 
-/// Hundreds that begin together, as after a failure, have all heard of nothing yet, and each has work for the
-/// same partner: what each lets go at once is more than it takes in seconds.
+/// Hundreds that start together, as after a failure, have no reports yet, and each has messages for the same
+/// receiver: one call of each at once would be more than it takes in seconds.
 #[test]
-fn senders_that_begin_together_do_not_all_call_at_once() {
+fn senders_that_start_together_do_not_all_call_at_once() {
     let scene = |seed| Scene {
         notes: Some(Notes { lost: 0.0, cut: 0.0..0.0 }),
         swell: (15.0, 0.0..400.0),
         ends: 12_000.0,
-        ..evening(seed, 300, 0.8)
+        ..calm_scene(seed, 300, 0.8)
     };
-    let (refused, _) = mean((0..3).map(|seed| figures(&scene(seed))));
-    println!("300 senders that begin together: {refused:.2} refusals a delivered message");
-    assert!(refused < 0.1, "{refused:.2} refusals a delivered message");
+    let Figures { rejections, .. } = mean((0..3).map(|seed| figures(&scene(seed))));
+    println!("300 senders that start together: {rejections:.2} rejections per delivered message");
+    assert!(rejections < 0.1, "{rejections:.2} rejections per delivered message");
 }
--- a/crates/policy/tests/replay/module.rs
+++ b/crates/policy/tests/replay/module.rs
@@ -54,9 +54,9 @@
         }
         let Some(sender) = self.0.get_mut(&instance) else { return true };
         match input {
-            Input::HearNotes => sender.hear_notes(),
-            Input::KeepRights => sender.keep_rights(),
-            Input::ShareSlots { used } => sender.share_slots(*used),
+            Input::HearNotes => sender.expect_capacity_reports(),
+            Input::KeepRights => sender.require_permits(),
+            Input::ShareSlots { used } => sender.set_slots_used_by_peer(*used),
             _ => return false,
         }
         true
@@ -96,7 +96,7 @@
         Input::Turns { limit, turns } => {
             let (destination, route) = named(limit);
             let turn = |(number, from, until)| Permit { number, from, until };
-            Event::Permits { destination, route, turns: turns.into_iter().map(turn).collect() }
+            Event::Permits { destination, route, permits: turns.into_iter().map(turn).collect() }
         }
         Input::Avoid { routes } => Event::EjectedReceivers(routes.into_iter().map(RouteId).collect()),
         Input::Quota { tenant, per_s } => Event::Quota { tenant, per_s },
@@ -209,7 +209,12 @@
 }
 
 fn figures(sender: &Policy) -> String {
-    let mut text = format!("figures {} {} {}\n", sender.remembered(), sender.room(), sender.avoided());
+    let mut text = format!(
+        "figures {} {} {}\n",
+        sender.remembered(),
+        sender.free_capacity(),
+        sender.routes_out_of_rotation()
+    );
     for want in sender.demands() {
         let (limit, wanted) = (bits(want.limit), bits(want.wanted));
         let counts = format!("{} {} {}", want.called, want.refused, want.failed);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,7 +1,6 @@
-//! What a partner that returns cold gets from all senders together, in simulated time: N calls in the fall
-//! time, and what chance may add to them, 2 root N + 2. Counted are calls of senders that had been told of
-//! the outage, by a failure at the least: whoever was handed nothing in it cannot know. The whole table is
-//! `rig fleet-limit --returns`.
+//! What a returning receiver gets from all senders together, in simulated time: N calls in the time that overloads
+//! it, and what chance may add to them, 2 root N + 2. Only calls of senders that had seen a failure in the outage
+//! are counted: others cannot know of it. `rudderspindle-bench fleet-limit --returns` prints the whole table.
 
 use rudderspindle_simulation::partner::*;
 
@@ -13,8 +12,7 @@
     Outage::Shut { tells: 0.0 },
 ];
 
-/// An outage in which two messages at the least come to each sender; a tenth of these begin anew after the
-/// return.
+/// An outage in which at least two messages come to each sender; a tenth of them restart after the return.
 fn scene(seed: u64, senders: usize, told: f64, load: f64, outage: Outage) -> Scene {
     let calm = Scene::draw(seed, |_| outage);
     let comes = (calm.until - calm.from) / 1_000.0 * load * told;
@@ -32,32 +30,32 @@
     }
 }
 
-/// The hardest push of told senders over what may be, over all outages, and which scene it was.
-fn hardest(senders: usize, told: f64, load: f64, notes: &Option<Notes>) -> (f64, String) {
-    let mut hardest = (0.0, String::new());
+/// The highest load from senders that know of the outage over the bound, over all outages, and its scene.
+fn highest_load(senders: usize, told: f64, load: f64, notes: &Option<Notes>) -> (f64, String) {
+    let mut highest = (0.0, String::new());
     for seed in 0..3 {
         for outage in OUTAGES {
             let scene = Scene { notes: notes.clone(), ..scene(seed, senders, told, load, outage) };
             let push = play(&scene).push[1];
-            if push.told_ratio() > hardest.0 {
-                hardest = (push.told_ratio(), format!("seed {seed}, {outage:?}: {push:?}"));
+            if push.told_ratio() > highest.0 {
+                highest = (push.told_ratio(), format!("seed {seed}, {outage:?}: {push:?}"));
             }
         }
     }
-    hardest
+    highest
 }
 
 fn assert_bound(senders: usize, told: f64, notes: &Option<Notes>) {
-    // As much as it takes, and three times that: each sender holds more than its part could send.
+    // As much as it takes, and three times that: each sender has more messages than its share allows.
     for load in [0.9, 3.0] {
-        let (ratio, what) = hardest(senders, told, load, notes);
+        let (ratio, what) = highest_load(senders, told, load, notes);
         println!("{senders} senders, {told} a second, load {load}: {ratio:.2}");
         assert!(ratio <= 1.0, "{senders} senders, {told} a second, load {load}: {ratio:.2}, {what}");
     }
 }
 
 #[test]
-fn without_notes_a_cold_partner_gets_no_more_than_it_bears_from_2_to_30_senders_together() {
+fn without_reports_2_to_30_senders_do_not_overload_a_returning_receiver() {
     for senders in [2, 10, 20, 30] {
         assert_bound(senders, 5.0, &None);
         assert_bound(senders, 75.0, &None);
@@ -65,7 +63,7 @@
 }
 
 #[test]
-fn with_notes_and_with_half_of_them_lost_it_gets_no_more_than_it_bears() {
+fn with_reports_and_with_half_of_them_lost_they_do_not_overload_it() {
     for lost in [0.0, 0.5] {
         let notes = Some(Notes { lost, cut: 0.0..0.0 });
         for senders in [20, 30] {
@@ -76,7 +74,7 @@
 }
 
 #[test]
-fn parts_of_a_fleet_that_hear_only_themselves_do_not_each_take_the_whole_of_a_cold_partner() {
+fn a_partitioned_fleet_does_not_overload_a_returning_receiver() {
     let cut = Some(Notes { lost: 0.0, cut: 6_000.0..f64::INFINITY });
     for senders in [20, 30] {
         assert_bound(senders, 75.0, &cut);
@@ -84,18 +82,17 @@
 }
 
 #[test]
-fn three_hundred_senders_push_a_large_partner_no_further() {
+fn three_hundred_senders_do_not_overload_a_large_returning_receiver() {
     for notes in [None, Some(Notes { lost: 0.0, cut: 0.0..0.0 })] {
-        let (ratio, what) = hardest(300, 75.0, 0.9, &notes);
+        let (ratio, what) = highest_load(300, 75.0, 0.9, &notes);
         println!("300 senders: {ratio:.2}");
         assert!(ratio <= 1.0, "300 senders: {ratio:.2}, {what}");
     }
 }
 
-/// What notes are for: one busy sender among many may take more than an equal part, as the others want
-/// nothing.
+/// With reports a busy sender among many may take more than an equal part, as the others want nothing.
 #[test]
-fn notes_give_the_few_who_have_work_what_the_others_leave() {
+fn with_reports_busy_senders_get_what_idle_ones_leave() {
     let served = |notes: Option<Notes>| -> f64 {
         let of = |seed| {
             let calm = scene(seed, 30, 75.0, 0.9, Outage::Refuse);
@@ -104,9 +101,10 @@
         };
         (0..3).map(of).sum::<f64>() / 3.0
     };
-    let (alone, told) = (served(None), served(Some(Notes { lost: 0.0, cut: 0.0..0.0 })));
+    let alone = served(None);
+    let reported = served(Some(Notes { lost: 0.0, cut: 0.0..0.0 }));
     println!(
-        "three of thirty busy: {alone:.2} of what a warming partner can do without notes, {told:.2} with them"
+        "three of thirty busy: {alone:.2} of what a returning receiver can take without reports, {reported:.2} with them"
     );
-    assert!(told > 0.6 && told > 2.0 * alone, "{told:.2} with notes, {alone:.2} without");
+    assert!(reported > 0.6 && reported > 2.0 * alone, "{reported:.2} with reports, {alone:.2} without");
 }
--- a/crates/policy/tests/throttle/slots.rs
+++ b/crates/policy/tests/throttle/slots.rs
@@ -39,14 +39,14 @@
     let settings = Settings { slots: 6, ..idempotent_settings() };
     let mut harness = Harness::new(settings, 1);
     let hot = |n| RouteEntry { rate: 1_000.0, ..entry(u64::from(n) + 1, n, 0, 0) };
-    harness.policy.share_slots(4);
+    harness.policy.set_slots_used_by_peer(4);
     let messages: Vec<Event> = (0..6).map(|n| message(n, 0, n as u16)).collect();
     harness.step(0.0, &[list((0..6).map(hot).collect())]);
     assert_eq!(sends(&harness.step(1_000.0, &messages)).len(), 2);
-    harness.policy.share_slots(0);
+    harness.policy.set_slots_used_by_peer(0);
     assert_eq!(sends(&harness.step(1_000.0, &[message(9, 0, 0)])).len(), 4);
     // One is ours even if the other process uses all: or the messages here would starve.
-    harness.policy.share_slots(6);
+    harness.policy.set_slots_used_by_peer(6);
     let answers: Vec<Event> = (0..6).map(|n| outcome(n, 0, Outcome::Ok, 0.0)).collect();
     assert_eq!(sends(&harness.step(5.0, &answers)), [(9, 1)]);
     assert_eq!(sends(&harness.step(1_000.0, &[message(20, 0, 0), message(21, 0, 1)])), []);
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -192,7 +192,7 @@
     /// When the next batch is due without inputs.
     fn next_due(&self) -> Instant {
         let now = Instant::now();
-        let can_recover = !self.backlog.is_empty() && self.policy.room() > 0;
+        let can_recover = !self.backlog.is_empty() && self.policy.free_capacity() > 0;
         let latest = if !self.carried.is_empty() || can_recover {
             now
         } else if self.stop.is_some() {
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -47,7 +47,7 @@
             Input::RetryAfter { destination, receiver, wait } => {
                 events.extend(self.apply_peer_backoff(destination, receiver.as_deref(), wait));
             }
-            Input::PeerCallsInFlight(calls) => self.policy.share_slots(calls),
+            Input::PeerCallsInFlight(calls) => self.policy.set_slots_used_by_peer(calls),
             Input::CapacityShares { shares, valid_for } => {
                 events.extend(shares.into_iter().map(|share| capacity_event(share, valid_for)));
             }
@@ -107,7 +107,7 @@
     Event::Permits {
         destination: update.limit.destination,
         route: update.limit.route,
-        turns: update.permits.into_iter().map(relative).collect(),
+        permits: update.permits.into_iter().map(relative).collect(),
     }
 }
 
--- a/crates/sender/src/engine/dependencies.rs
+++ b/crates/sender/src/engine/dependencies.rs
@@ -75,10 +75,10 @@
         let mut policy = Policy::new(self.settings.clone(), self.seed)?;
         match self.limit_sharing {
             LimitSharing::Equal => {}
-            LimitSharing::Demand => policy.hear_notes(),
+            LimitSharing::Demand => policy.expect_capacity_reports(),
             LimitSharing::Permits => {
-                policy.hear_notes();
-                policy.keep_rights();
+                policy.expect_capacity_reports();
+                policy.require_permits();
             }
         }
         Ok(policy)
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -119,7 +119,7 @@
     /// Moves messages from the backlog to the policy: as many as it has capacity for beside the new ones of this
     /// batch, so that none is shed untried, and those whose deadline is over.
     pub(super) fn take_from_backlog(&mut self, now: Instant, new_messages: usize) -> Vec<Event> {
-        let capacity = self.policy.room().saturating_sub(new_messages);
+        let capacity = self.policy.free_capacity().saturating_sub(new_messages);
         let taken = self.backlog.take(capacity, now);
         taken.into_iter().map(|message| self.track_recovered(now, message)).collect()
     }
--- a/crates/sender/src/engine/status.rs
+++ b/crates/sender/src/engine/status.rs
@@ -32,7 +32,7 @@
         EngineStatus {
             open_requests: self.tracked.len() + self.backlog.len(),
             registry_entries: self.endpoints.listed_count(),
-            out_of_rotation: self.policy.avoided(),
+            out_of_rotation: self.policy.routes_out_of_rotation(),
         }
     }
 }
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -27,7 +27,7 @@
 
     /// Claims what was shared with the peer process.
     pub(super) fn peer_disconnected(&mut self) {
-        self.policy.share_slots(0);
+        self.policy.set_slots_used_by_peer(0);
         // If it was the owner of the journal, the journal's lock tells when it has ended.
         if self.store.is_owner() {
             self.share_disk(false);
--- a/crates/simulation/src/partner/client.rs
+++ b/crates/simulation/src/partner/client.rs
@@ -112,7 +112,7 @@
                 until: from_now(turn.until),
             });
             let (destination, route) = (want.destination, want.route);
-            self.events.push(Event::Permits { destination, route, turns: turns.collect() });
+            self.events.push(Event::Permits { destination, route, permits: turns.collect() });
         }
     }
 }
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -80,11 +80,11 @@
     let (start, later) = (settings.ramp(0.0), settings.ramp(1_000.0));
     let mut sender = Policy::new(settings, seed).expect("settings that work");
     if scene.notes.is_some() {
-        sender.hear_notes();
+        sender.expect_capacity_reports();
     }
     let strict = scene.notes.is_some() && scene.bound == Bound::Strict;
     if strict {
-        sender.keep_rights();
+        sender.require_permits();
     }
     let ahead = (scene.clocks as f64 * Draw::new(scene.seed ^ (0xc10c + n as u64)).unit()).round() as u64;
     let permits = || PermitLedger::new(n, scene.senders, Incarnation(starts + 1), wall(now, ahead));
