--- /dev/null
+++ b/crates/simulator-adapter/src/frame/record/messages.rs
@@ -0,0 +1,69 @@
+//! Records of messages and of their attempts.
+
+use rudderspindle_policy::interface::{DestinationId, Event, Message, MessageHandle, Outcome};
+
+use super::super::MalformedFrame;
+use super::super::fields::FieldReader;
+use super::{Record, attempt_outcome, instance_id};
+
+/// Bit of a message's options that says that its work estimate is valid.
+const HAS_WORK_ESTIMATE: u8 = 1;
+
+pub(super) fn message(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
+    let instance = instance_id(fields)?;
+    let id = message_handle(fields)?;
+    let class = usize::from(fields.u8()?);
+    let tenant = fields.u32()? as usize;
+    let ordering_key = fields.u64()?;
+    let time_left = fields.f64()?;
+    let work_estimate = fields.f64()?;
+    let destination = destination(fields)?;
+    let options = fields.u8()?;
+    let work_guess = (options & HAS_WORK_ESTIMATE != 0).then_some(work_estimate);
+    let message = Message { id, class, tenant, ordering_key, time_left, work_guess, destination };
+    Ok(Record::Event { instance, event: Event::Message(message) })
+}
+
+pub(super) fn started(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
+    let instance = instance_id(fields)?;
+    let id = message_handle(fields)?;
+    fields.skip_f64()?;
+    let attempt = u32::from(fields.u8()?);
+    let _route = fields.route()?;
+    Ok(Record::Event { instance, event: Event::Started { id, attempt } })
+}
+
+pub(super) fn outcome(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
+    let instance = instance_id(fields)?;
+    let id = message_handle(fields)?;
+    fields.skip_f64()?;
+    let attempt = u32::from(fields.u8()?);
+    let detail = fields.u32()?;
+    let closed = fields.u8()? != 0;
+    let outcome = attempt_outcome(fields)?;
+    let _route = fields.route()?;
+    fields.skip_load()?;
+    // Only for a rejection is the detail a Retry-After, ms.
+    let retry_after = if outcome == Outcome::Rejected { f64::from(detail) } else { 0.0 };
+    Ok(Record::Event { instance, event: Event::Outcome { id, attempt, outcome, retry_after, closed } })
+}
+
+pub(super) fn dropped(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
+    let instance = instance_id(fields)?;
+    let id = message_handle(fields)?;
+    Ok(Record::Event { instance, event: Event::Dropped(id) })
+}
+
+fn message_handle(fields: &mut FieldReader<'_>) -> Result<MessageHandle, MalformedFrame> {
+    Ok(MessageHandle(fields.u32()?))
+}
+
+/// A destination's number, which the protocol writes as a floating-point number.
+fn destination(fields: &mut FieldReader<'_>) -> Result<DestinationId, MalformedFrame> {
+    let value = fields.f32()?;
+    if value.fract() == 0.0 && (0.0..=f32::from(u16::MAX)).contains(&value) {
+        Ok(DestinationId(value as u16))
+    } else {
+        Err(MalformedFrame::InvalidDestination(value))
+    }
+}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,16 +1,35 @@
-//! Hosts many senders on the simulator's wire: batches on standard input, replies on standard output.
+//! Runs many senders' policies on a simulator's wire: batches on standard input, replies on standard output.
+//!
+//! Exit status 0 at the end of input; 1 with one line on standard error if the input is malformed.
 #![forbid(unsafe_code)]
 
 mod frame;
+mod host;
 
-use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
-use frame::{Batch, Record, Reply};
-use rudderspindle_policy::Policy;
-use rudderspindle_policy::interface::*;
-use rudderspindle_policy::settings;
+use thiserror::Error;
+
+use frame::ReadBatchError;
+use host::{Host, HostError};
+
+/// Capacity of the buffer before standard input, in bytes.
+const INPUT_BUFFER_LEN: usize = 1 << 16;
+
+/// Why the program stopped before the end of input.
+#[derive(Debug, Error)]
+enum RunError {
+    /// The next batch could not be read.
+    #[error(transparent)]
+    Read(#[from] ReadBatchError),
+    /// A batch could not be answered.
+    #[error(transparent)]
+    Host(#[from] HostError),
+    /// The reply could not be written.
+    #[error(transparent)]
+    Write(#[from] io::Error),
+}
 
 fn main() -> ExitCode {
     match run() {
@@ -22,72 +41,15 @@
     }
 }
 
-fn run() -> Result<(), Box<dyn std::error::Error>> {
-    let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
+fn run() -> Result<(), RunError> {
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_LEN, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut host = Host::default();
     while let Some(batch) = frame::read_batch(&mut input)? {
         let number = batch.number;
         let reply = host.answer(batch)?;
-        output.write_all(&reply.bytes(number))?;
+        output.write_all(&reply.to_bytes(number))?;
         output.flush()?;
     }
     Ok(())
 }
-
-#[derive(Default)]
-struct Host {
-    senders: BTreeMap<u32, Policy>,
-    sheets: BTreeMap<u32, Vec<RouteEntry>>,
-}
-
-impl Host {
-    fn answer(&mut self, batch: Batch) -> Result<Reply, String> {
-        let mut pending: BTreeMap<u32, Vec<Event>> = BTreeMap::new();
-        for record in batch.records {
-            match record {
-                Record::Up { instance, seed, info } => {
-                    let settings = settings::parse(&info).map_err(|e| e.to_string())?;
-                    let sender =
-                        Policy::new(settings, seed).map_err(|e| format!("unreadable settings: {e}"))?;
-                    self.senders.insert(instance, sender);
-                    pending.insert(instance, Vec::new());
-                }
-                Record::PowerOff { instance } => {
-                    self.senders.remove(&instance);
-                    pending.remove(&instance);
-                }
-                Record::Sheet { set, entries } => {
-                    self.sheets.insert(set, entries);
-                }
-                Record::Update { instance, kind, set } => {
-                    let entries = || {
-                        let sheet = self.sheets.get(&set).cloned();
-                        sheet.ok_or_else(|| format!("malformed frame: list {set} was never sent"))
-                    };
-                    let change = match kind {
-                        0 => ListChange::Full(entries()?),
-                        1 => ListChange::Failed,
-                        2 => ListChange::Delta(entries()?),
-                        4 => ListChange::Cached(entries()?),
-                        other => return Err(format!("malformed frame: unknown list kind {other}")),
-                    };
-                    pending.entry(instance).or_default().push(Event::List(change));
-                }
-                Record::Event { instance, event } => pending.entry(instance).or_default().push(event),
-                Record::Peer { instance } => {
-                    pending.entry(instance).or_default();
-                }
-            }
-        }
-        let mut reply = Reply::default();
-        let mut actions = Vec::new();
-        for (instance, events) in pending {
-            if let Some(sender) = self.senders.get_mut(&instance) {
-                sender.handle(batch.now, &events, &mut actions);
-                actions.drain(..).for_each(|action| reply.push(instance, &action));
-            }
-        }
-        Ok(reply)
-    }
-}
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -3,21 +3,21 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const INFO: &str = r#"{"az": 0, "peers_total": 1, "novel": {"a": [1]},
+const SETTINGS: &str = r#"{"az": 0, "peers_total": 1, "novel": {"a": [1]},
  "extra": {"bundle_max": [1], "calls_out": 8, "kind_apart": [false], "loses_worth": "linear"},
  "kinds": ["k"], "lanes": [{"credit": 1.0, "deadline": 9000.0, "effect": "free", "group": "all",
  "late_worth": 0.3, "name": "c", "target": 2000.0}], "limits": {"max_attempts": 4, "most_held": 50},
  "rules": {"cold_from": 0.2, "fall_multiple": 2.0, "tip_after": 3000.0, "warm_within": 9000.0},
  "tick": 5.0, "weights": "nominal"}"#;
 
-fn play(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_rudderspindle-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // An adapter that has already given up closes its end; what it says is what counts.
+    // A failed adapter closes its input early: its exit status and standard error are what the tests check.
     let _ = child.stdin.take().expect("piped").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
@@ -35,20 +35,21 @@
     [&header.concat()[..], &body].concat()
 }
 
-fn up(info: &str) -> Vec<u8> {
-    let length = (info.len() as u32).to_be_bytes();
-    record(24, &[&3u32.to_be_bytes(), &7u64.to_be_bytes(), &length, info.as_bytes()])
+fn start(settings: &str) -> Vec<u8> {
+    let length = (settings.len() as u32).to_be_bytes();
+    record(24, &[&3u32.to_be_bytes(), &7u64.to_be_bytes(), &length, settings.as_bytes()])
 }
 
 const RECEIVER: [u8; 6] = [10, 18, 74, 7, 0x2b, 0xc3];
 
+/// A sender that starts, gets its list and then a message.
 fn first_batch() -> Vec<u8> {
-    let line: [&[u8]; 7] =
+    let entry: [&[u8]; 7] =
         [&RECEIVER, &[0], &[0, 0], &[0, 57], &[1], &4f32.to_be_bytes(), &0f64.to_be_bytes()];
     let one = 1u32.to_be_bytes();
-    let sheet = record(20, &[&0u32.to_be_bytes(), &one, &line.concat()]);
+    let list = record(20, &[&0u32.to_be_bytes(), &one, &entry.concat()]);
     let update = record(22, &[&3u32.to_be_bytes(), &[4], &one, &0u32.to_be_bytes()]);
-    let inbound: [&[u8]; 9] = [
+    let message: [&[u8]; 9] = [
         &3u32.to_be_bytes(),
         &77u32.to_be_bytes(),
         &[0],
@@ -59,12 +60,12 @@
         &57f32.to_be_bytes(),
         &[0],
     ];
-    batch(1, 1000.0, &[up(INFO), sheet, update, record(17, &inbound)])
+    batch(1, 1000.0, &[start(SETTINGS), list, update, record(17, &message)])
 }
 
 #[test]
 fn a_message_is_sent_to_the_route_on_the_list_and_unknown_settings_are_skipped() {
-    let out = play(&first_batch());
+    let out = run_adapter(&first_batch());
     assert!(out.status.success(), "{out:?}");
     let reply = &out.stdout;
     assert_eq!(reply[0..8], [0, 0, 0, 1, 0, 0, 0, 1], "a send, and nothing due that needs a wake-up");
@@ -90,7 +91,7 @@
     ];
     let second = batch(2, 1012.0, &[record(23, &response), record(18, &[&3u32.to_be_bytes()])]);
     let third = batch(3, 1020.0, &[record(19, &[&3u32.to_be_bytes(), &1u64.to_be_bytes()])]);
-    let out = play(&[first_batch(), second, third].concat());
+    let out = run_adapter(&[first_batch(), second, third].concat());
     assert!(out.status.success(), "{out:?}");
     let tail = &out.stdout[out.stdout.len() - 24..];
     assert_eq!(tail, [0, 0, 0, 2, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0]);
@@ -106,21 +107,21 @@
         ("unknown record code 99", batch(1, 0.0, &[record(99, &[])])),
         ("bytes too many", batch(1, 0.0, &[oversized])),
         ("cut short", batch(1, 0.0, &[record(18, &[&[0]])])),
-        ("unreadable settings", batch(1, 0.0, &[up("{")])),
-        ("no class", batch(1, 0.0, &[up(&INFO.replace("\"lanes\"", "\"lanez\""))])),
-        ("calls_out", batch(1, 0.0, &[up(&INFO.replace("calls_out", "calls"))])),
+        ("unreadable settings", batch(1, 0.0, &[start("{")])),
+        ("no class", batch(1, 0.0, &[start(&SETTINGS.replace("\"lanes\"", "\"lanez\""))])),
+        ("calls_out", batch(1, 0.0, &[start(&SETTINGS.replace("calls_out", "calls"))])),
     ];
     for (expected, input) in cases {
-        let out = play(&input);
-        let said = String::from_utf8_lossy(&out.stderr);
-        assert_eq!(out.status.code(), Some(1), "{expected}: {said}");
-        assert_eq!(said.lines().count(), 1, "{expected}: {said}");
-        assert!(said.contains(expected), "{expected}: {said}");
+        let out = run_adapter(&input);
+        let error = String::from_utf8_lossy(&out.stderr);
+        assert_eq!(out.status.code(), Some(1), "{expected}: {error}");
+        assert_eq!(error.lines().count(), 1, "{expected}: {error}");
+        assert!(error.contains(expected), "{expected}: {error}");
     }
 }
 
 #[test]
 fn the_end_of_input_is_success() {
-    let out = play(&[]);
+    let out = run_adapter(&[]);
     assert!(out.status.success() && out.stdout.is_empty() && out.stderr.is_empty(), "{out:?}");
 }
