--- a/crates/benchmarks/src/fleet_limit/bounds.rs
+++ b/crates/benchmarks/src/fleet_limit/bounds.rs
@@ -2,8 +2,8 @@
 
 use std::ops::Range;
 
-use rudderspindle_simulation::leased::options;
-use rudderspindle_simulation::partner::{Bound, Notes, Scene, Seen, most_by_rights, play};
+use rudderspindle_simulation::leased::{Comparison, Conditions, Figures, compare};
+use rudderspindle_simulation::partner::{Bound, Notes, Scene, Seen, max_calls_by_permits, play};
 
 use super::{FALLS_AT, FleetArguments, Held, Sum, strikes};
 use crate::report::Report;
@@ -54,11 +54,16 @@
     for &lost in &losses {
         let played: Vec<_> = seeds
             .clone()
-            .map(|seed| options(usize::from(fleet.senders), fleet.limit, fleet.load, lost, seed))
+            .map(|seed| {
+                let (senders, limit, load) = (usize::from(fleet.senders), fleet.limit, fleet.load);
+                compare(&Conditions { senders, limit, load, lost, seed })
+            })
             .collect();
-        let row = ["rights", "leased"].iter().enumerate().map(|(n, name)| {
-            let used = played.iter().map(|way| way[n].used).sum::<f64>() / played.len() as f64;
-            let second = played.iter().map(|way| way[n].worst_second).fold(0.0, f64::max);
+        let schemes: [(&str, fn(&Comparison) -> Figures); 2] =
+            [("rights", |played| played.permits), ("leased", |played| played.leased_quotas)];
+        let row = schemes.iter().map(|(name, of)| {
+            let used = played.iter().map(|played| of(played).used).sum::<f64>() / played.len() as f64;
+            let second = played.iter().map(|played| of(played).worst_second).fold(0.0, f64::max);
             let key = format!("lost_{:.0}_{name}", lost * 100.0);
             report.figure(&format!("{key}_use_share"), used);
             report.figure(&format!("{key}_worst_second_ratio"), second);
@@ -70,7 +75,8 @@
 
 fn check(key: &str, scene: &Scene, seen: &Seen, report: &mut Report) {
     for span in SPANS {
-        let (most, bound) = (seen.most_within(span) as f64, most_by_rights(scene.told, span, scene.clocks));
+        let (most, bound) =
+            (seen.most_within(span) as f64, max_calls_by_permits(scene.told, span, scene.clocks));
         if most > bound {
             let seed = scene.seed;
             report.broken(format!("{key}, seed {seed}: {most} calls in {span} ms, {bound:.1} may be"));
--- a/crates/simulation/src/leased.rs
+++ b/crates/simulation/src/leased.rs
@@ -1,136 +1,220 @@
-//! Two ways to keep a fleet under a limit, in one small world without decision modules: rights that are given up before
-//! the note leaves, and shares by sums under a lease. Played to choose between them; only the first one ships.
+//! Compares two ways to keep a fleet under a limit, without policies: permits that are given up before the datagram
+//! leaves, and quotas by sums under a lease.
+//!
+//! Only the permits ship; the quotas are here to show why.
 
-mod share;
+mod leased_quota;
+mod network;
 
 use std::collections::{BTreeMap, VecDeque};
+use std::ops::Range;
 
 use rudderspindle_gossip::{Incarnation, LimitId, LocalDemand, PermitLedger};
 
 use crate::partner::Draw;
-use share::Share;
-
-/// How the world goes on, ms since 1970 when it begins, and for how long.
-const STEP: u64 = 5;
-const DAWN: u64 = 1_700_000_000_000;
-const LASTS: u64 = 60_000;
-/// A message that has not gone by then is over, ms.
-const LIFE: u64 = 4_000;
-/// How long a note is under way, ms.
-const UNDER_WAY: (f64, f64) = (1.5, 30.0);
-/// After so long other senders are the busy ones, ms; a third of all gets nine tenths of what comes.
-const MOVES: u64 = 1_500;
-const BUSY: (f64, f64) = (1.0 / 3.0, 0.9);
-/// What became of one way.
+use leased_quota::LeasedQuota;
+use network::{LossyNetwork, Outgoing};
+
+/// A tick of the simulation, ms.
+const TICK: u64 = 5;
+/// Wall clock at the start of a simulation, ms since 1970.
+const START_WALL: u64 = 1_700_000_000_000;
+/// How long a simulation lasts, ms.
+const DURATION: u64 = 60_000;
+/// How long a message waits for its call before it is given up, ms.
+const MESSAGE_TTL: u64 = 4_000;
+/// How often the busy senders change, ms.
+const BUSY_PERIOD: u64 = 1_500;
+/// The busy senders' share of the fleet.
+const BUSY_SENDERS: f64 = 1.0 / 3.0;
+/// The share of the messages that comes to the busy senders alone.
+const BUSY_TRAFFIC: f64 = 0.9;
+/// Distinguishes the network's random draws from those of the traffic.
+const NETWORK_SEED: u64 = 0x9057;
+
+/// What one scheme came to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figures {
     /// Calls in the worst second over the limit.
     pub worst_second: f64,
-    /// Calls over what could be called: all that came, at most the limit.
+    /// Calls over what could be called: all messages, at most the limit.
     pub used: f64,
 }
 
+/// What both schemes came to in the same conditions.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Comparison {
+    /// Permits, each held by one sender at a time.
+    pub permits: Figures,
+    /// Quotas by sums, under a lease.
+    pub leased_quotas: Figures,
+}
+
+/// The conditions that both schemes are compared in.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Conditions {
+    /// Senders of the fleet.
+    pub senders: usize,
+    /// Calls a second of the whole fleet.
+    pub limit: f64,
+    /// Messages over the limit.
+    pub load: f64,
+    /// Share of the datagrams that are lost, from 0 to 1.
+    pub lost: f64,
+    /// Seed of all random draws.
+    pub seed: u64,
+}
+
 /// One sender's part of the limit.
-trait Allotted {
-    type Note;
-    /// What it tells whom, given what it wants; called every [`STEP`].
-    fn tell(&mut self, wall: u64, wanted: f64) -> Vec<(usize, Self::Note)>;
-    fn hear(&mut self, wall: u64, from: usize, note: Self::Note);
+trait LimitShare {
+    /// A message to another sender.
+    type Datagram;
+
+    /// Datagrams to send, given the calls that this sender wants; called every [`TICK`].
+    fn send(&mut self, wall: u64, demand: f64) -> Vec<Outgoing<Self::Datagram>>;
+
+    /// Handles a datagram.
+    fn receive(&mut self, wall: u64, from: usize, datagram: Self::Datagram);
+
     /// Takes the right to one call, if there is one.
-    fn call(&mut self, wall: u64) -> bool;
+    fn try_call(&mut self, wall: u64) -> bool;
 }
 
-/// Rights, and the turns that were used.
-struct Owner {
+/// A sender that calls by permits.
+struct PermitHolder {
     permits: PermitLedger,
-    gate: LimitId,
+    limit_id: LimitId,
     limit: f64,
+    /// When each used permit expires, by its number.
     used: BTreeMap<u64, u64>,
 }
 
-impl Allotted for Owner {
-    type Note = Vec<u8>;
+impl LimitShare for PermitHolder {
+    type Datagram = Vec<u8>;
 
-    fn tell(&mut self, wall: u64, wanted: f64) -> Vec<(usize, Vec<u8>)> {
+    fn send(&mut self, wall: u64, demand: f64) -> Vec<Outgoing<Vec<u8>>> {
         let mut datagrams = self.permits.allocate(wall);
-        if self.permits.next_offer(wall - STEP) <= wall {
-            let own = LocalDemand {
-                limit_id: self.gate,
+        if self.permits.next_offer(wall - TICK) <= wall {
+            let demand = LocalDemand {
+                limit_id: self.limit_id,
                 limit: self.limit,
-                demand: wanted,
+                demand,
                 calls: 0,
                 rejected: 0,
                 failed: 0,
             };
-            datagrams.extend(self.permits.offer(wall, &[own]));
+            datagrams.extend(self.permits.offer(wall, &[demand]));
         }
-        datagrams.into_iter().map(|datagram| (datagram.to, datagram.bytes)).collect()
+        let outgoing = datagrams.into_iter();
+        outgoing.map(|datagram| Outgoing { to: datagram.to, datagram: datagram.bytes }).collect()
     }
 
-    fn hear(&mut self, wall: u64, from: usize, note: Vec<u8>) {
-        // What comes too late is dropped.
-        let _ = self.permits.receive(wall, from, &note);
+    fn receive(&mut self, wall: u64, from: usize, datagram: Vec<u8>) {
+        // A datagram that comes too late is an error and has no effect, as in the real fleet.
+        let _ = self.permits.receive(wall, from, &datagram);
     }
 
-    fn call(&mut self, wall: u64) -> bool {
+    fn try_call(&mut self, wall: u64) -> bool {
         self.used.retain(|_, until| *until > wall);
-        let turns = self.permits.permits(wall, self.gate, 1.0);
-        let free = turns.iter().find(|turn| turn.from <= wall && !self.used.contains_key(&turn.number));
-        free.is_some_and(|turn| self.used.insert(turn.number, turn.until).is_none())
+        let permits = self.permits.permits(wall, self.limit_id, 1.0);
+        let unused =
+            permits.iter().find(|permit| permit.from <= wall && !self.used.contains_key(&permit.number));
+        unused.is_some_and(|permit| self.used.insert(permit.number, permit.until).is_none())
     }
 }
 
-/// So many senders before a limit, calls a second, with so many messages a second over it for senders that change, and
-/// with that share of the notes lost: by rights, and by shares under a lease.
-pub fn options(senders: usize, limit: f64, load: f64, lost: f64, seed: u64) -> [Figures; 2] {
-    let gate = LimitId::of(0, None);
-    let permits = |n| PermitLedger::new(n, senders, Incarnation(1), DAWN);
-    let owner = |n| Owner { permits: permits(n), gate, limit, used: BTreeMap::new() };
-    let share = |n| Share::new(n, senders, limit);
-    [
-        play((0..senders).map(owner).collect(), limit, load, lost, seed),
-        play((0..senders).map(share).collect(), limit, load, lost, seed),
-    ]
+/// Runs both schemes in the same conditions.
+pub fn compare(conditions: &Conditions) -> Comparison {
+    let Conditions { senders, limit, .. } = *conditions;
+    let permit_holder = |sender| PermitHolder {
+        permits: PermitLedger::new(sender, senders, Incarnation(1), START_WALL),
+        limit_id: LimitId::of(0, None),
+        limit,
+        used: BTreeMap::new(),
+    };
+    let leased_quota = |sender| LeasedQuota::new(sender, senders, limit);
+    Comparison {
+        permits: run(conditions, (0..senders).map(permit_holder).collect()),
+        leased_quotas: run(conditions, (0..senders).map(leased_quota).collect()),
+    }
 }
 
-fn play<A: Allotted>(mut all: Vec<A>, limit: f64, load: f64, lost: f64, seed: u64) -> Figures {
-    let (mut comes, mut post) = (Draw::new(seed), Draw::new(seed ^ 0x9057));
-    let mut waiting = vec![VecDeque::new(); all.len()];
-    let mut under_way: Vec<(u64, usize, usize, A::Note)> = Vec::new();
-    let (mut came, mut calls, mut first_busy) = (0.0, Vec::new(), 0);
-    for wall in (DAWN..DAWN + LASTS).step_by(STEP as usize) {
-        if wall % MOVES < STEP {
-            first_busy = (comes.unit() * all.len() as f64) as usize;
+fn run<S: LimitShare>(conditions: &Conditions, mut shares: Vec<S>) -> Figures {
+    let mut traffic = Traffic::new(conditions);
+    let mut network = LossyNetwork::new(conditions.lost, conditions.seed ^ NETWORK_SEED);
+    let mut waiting = vec![VecDeque::new(); shares.len()];
+    let mut calls = Vec::new();
+    for wall in simulated_time().step_by(TICK as usize) {
+        traffic.arrive(wall, &mut waiting);
+        for delivery in network.arrived(wall) {
+            shares[delivery.to].receive(wall, delivery.from, delivery.datagram);
         }
-        let mut expected = load * limit * STEP as f64 / 1_000.0;
-        while expected > 0.0 {
-            let some = if comes.unit() < BUSY.1 { BUSY.0 } else { 1.0 };
-            let to = (first_busy + (comes.unit() * some * all.len() as f64) as usize) % all.len();
-            if comes.unit() < expected {
-                waiting[to].push_back(wall);
-                came += 1.0;
+        for (sender, (share, waiting)) in shares.iter_mut().zip(&mut waiting).enumerate() {
+            waiting.retain(|submitted_at| submitted_at + MESSAGE_TTL > wall);
+            for outgoing in share.send(wall, waiting.len() as f64) {
+                network.send(wall, sender, outgoing);
             }
-            expected -= 1.0;
+            while !waiting.is_empty() && share.try_call(wall) {
+                waiting.pop_front();
+                calls.push(wall);
+            }
+        }
+    }
+    figures(conditions.limit, traffic.messages, &calls)
+}
+
+fn simulated_time() -> Range<u64> {
+    START_WALL..START_WALL + DURATION
+}
+
+/// Messages that come to the fleet, most of them to a third of the senders that changes again and again.
+struct Traffic {
+    rng: Draw,
+    senders: usize,
+    /// Mean number of messages in a tick.
+    per_tick: f64,
+    first_busy: usize,
+    /// Messages so far.
+    messages: f64,
+}
+
+impl Traffic {
+    fn new(conditions: &Conditions) -> Self {
+        Self {
+            rng: Draw::new(conditions.seed),
+            senders: conditions.senders,
+            per_tick: conditions.load * conditions.limit * TICK as f64 / 1_000.0,
+            first_busy: 0,
+            messages: 0.0,
         }
-        for (_, from, to, note) in under_way.extract_if(.., |n| n.0 <= wall).collect::<Vec<_>>() {
-            all[to].hear(wall, from, note);
+    }
+
+    fn arrive(&mut self, wall: u64, waiting: &mut [VecDeque<u64>]) {
+        if wall % BUSY_PERIOD < TICK {
+            self.first_busy = (self.rng.unit() * self.senders as f64) as usize;
         }
-        for (n, one) in all.iter_mut().enumerate() {
-            waiting[n].retain(|at| at + LIFE > wall);
-            for (to, note) in one.tell(wall, waiting[n].len() as f64) {
-                let late = UNDER_WAY.0 + (UNDER_WAY.1 - UNDER_WAY.0) * post.unit();
-                if post.unit() >= lost {
-                    under_way.push((wall + late as u64, n, to, note));
-                }
-            }
-            while !waiting[n].is_empty() && one.call(wall) {
-                waiting[n].pop_front();
-                calls.push(wall);
+        let mut expected = self.per_tick;
+        while expected > 0.0 {
+            let to = self.draw_sender();
+            if self.rng.unit() < expected {
+                waiting[to].push_back(wall);
+                self.messages += 1.0;
             }
+            expected -= 1.0;
         }
     }
-    let before = |n: usize| calls.partition_point(|at| at + 1_000 <= calls[n]);
-    let worst = (0..calls.len()).map(|n| n + 1 - before(n)).max().unwrap_or(0);
-    let could = f64::min(came, limit * LASTS as f64 / 1_000.0);
-    Figures { worst_second: worst as f64 / limit, used: calls.len() as f64 / could.max(1.0) }
+
+    fn draw_sender(&mut self) -> usize {
+        let part = if self.rng.unit() < BUSY_TRAFFIC { BUSY_SENDERS } else { 1.0 };
+        let offset = (self.rng.unit() * part * self.senders as f64) as usize;
+        (self.first_busy + offset) % self.senders
+    }
+}
+
+/// Figures of calls in order of time.
+fn figures(limit: f64, messages: f64, calls: &[u64]) -> Figures {
+    let a_second_before = |n: usize| calls.partition_point(|at| at + 1_000 <= calls[n]);
+    let worst = (0..calls.len()).map(|n| n + 1 - a_second_before(n)).max().unwrap_or(0);
+    let possible = f64::min(messages, limit * DURATION as f64 / 1_000.0);
+    Figures { worst_second: worst as f64 / limit, used: calls.len() as f64 / possible.max(1.0) }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,9 @@
-//! Many decision modules before one partner, stepped in simulated time.
+//! Many policies before one receiver, stepped in simulated time, for tests and benchmarks.
 //!
-//! A [`Scene`](partner::Scene) says how many senders there are, what the partner takes and what strikes it;
-//! [`play`](partner::play) hands the real [`Policy`](rudderspindle_policy::Policy)s their events and counts what reaches the
-//! partner. The seed decides all that chance decides. No I/O, no clock, nothing that ships depends on it.
+//! A [`Scene`](partner::Scene) says how many senders there are, what the receiver's limit is and what outage it has;
+//! [`play`](partner::play) runs the real [`Policy`](rudderspindle_policy::Policy) of each sender and counts the calls
+//! that reach the receiver. All random draws come from the scene's seed, so a scene always gives the same figures.
+//! There is no I/O and no clock here, and no program that ships depends on this package.
 #![forbid(unsafe_code)]
 
 pub mod leased;
--- a/crates/simulation/src/lists.rs
+++ b/crates/simulation/src/lists.rs
@@ -1,73 +1,99 @@
-//! Senders that ask one discovery for the list, in simulated time: when does each ask, and when has it its list?
+//! Simulates a fleet that polls one discovery service for the endpoint list.
 
-/// What takes longer to answer is not answered, s.
-const PATIENCE: f64 = 2.0;
-/// So long after discovery can be reached a scene is over, s.
-const ENDS: f64 = 60.0;
+/// How long a request waits for its answer before it fails, s.
+const REQUEST_TIMEOUT: f64 = 2.0;
+/// How long a simulation goes on after discovery is reachable, s.
+const MAX_DURATION: f64 = 60.0;
 
-/// A sender's pauses, s: before its first request (`None`), after a refusal that came so late, and, where nobody answers
-/// (infinitely late), from that request to the next.
+/// A sender's poll schedule: the pause before its first request (`None`), or after a request that failed so many
+/// seconds after it was sent (infinity where discovery cannot be reached). In seconds.
 pub type Pauses = Box<dyn FnMut(Option<f64>) -> f64>;
 
-/// What becomes of requests whose answers would take over two seconds.
+/// What becomes of a request that would be answered after its timeout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Overload {
-    /// They are turned away at once, which costs nothing.
+    /// It is rejected at once, at no cost.
     TurnsAway,
-    /// They stand in the queue for two seconds and fail then, and are worked off all the same.
+    /// It waits in the queue, fails at its timeout and is worked off all the same.
     WorksOff,
 }
 
-/// A discovery that works off one request at a time.
+/// A discovery service that works off one request at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct Discovery {
-    /// What a request takes, s.
+    /// Time that one request takes, s.
     pub cost: f64,
-    /// What it does when it has too much to do.
+    /// How it handles overload.
     pub overload: Overload,
-    /// Until then it says nothing, s.
+    /// When it becomes reachable, s.
     pub silent_until: f64,
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Debug)]
 pub struct Played {
-    /// The second at which each sender had its list, if it ever had.
+    /// When each sender got its list, s; `None` if it never did.
     pub got: Vec<Option<f64>>,
-    /// The second of each request.
+    /// When each request was sent, s.
     pub asked: Vec<f64>,
 }
 
-/// All senders start at once.
+/// Runs senders that all start at time 0 until each has its list, or for a minute after discovery is reachable.
 pub fn lists(discovery: Discovery, mut senders: Vec<Pauses>) -> Played {
     let mut due: Vec<f64> = senders.iter_mut().map(|pause| pause(None)).collect();
     let mut played = Played { got: vec![None; senders.len()], asked: Vec::new() };
-    let mut free_at = discovery.silent_until;
-    loop {
-        let waiting = (0..senders.len()).filter(|&s| played.got[s].is_none());
-        let Some(next) = waiting.min_by(|&a, &b| due[a].total_cmp(&due[b])) else { return played };
+    let mut queue = RequestQueue { discovery, free_at: discovery.silent_until };
+    while let Some(next) = next_sender(&due, &played.got) {
         let now = due[next];
-        if now > discovery.silent_until + ENDS {
-            return played;
+        if now > discovery.silent_until + MAX_DURATION {
+            break;
         }
         played.asked.push(now);
-        if now < discovery.silent_until {
-            due[next] = now + senders[next](Some(f64::INFINITY));
-            continue;
+        match queue.request(now) {
+            RequestResult::Answered { at } => played.got[next] = Some(at),
+            RequestResult::Failed { after } => due[next] = now + after + senders[next](Some(after)),
+            RequestResult::Unreachable => due[next] = now + senders[next](Some(f64::INFINITY)),
         }
-        let ends = free_at.max(now) + discovery.cost;
-        let in_time = match discovery.overload {
-            Overload::TurnsAway => ends - now <= PATIENCE,
-            Overload::WorksOff => free_at - now <= PATIENCE,
-        };
-        if in_time {
-            played.got[next] = Some(ends);
-        } else {
-            let after = if discovery.overload == Overload::TurnsAway { 0.0 } else { PATIENCE };
-            due[next] = now + after + senders[next](Some(after));
+    }
+    played
+}
+
+/// The sender without a list that sends its next request first.
+fn next_sender(due: &[f64], got: &[Option<f64>]) -> Option<usize> {
+    let waiting = (0..due.len()).filter(|&sender| got[sender].is_none());
+    waiting.min_by(|&a, &b| due[a].total_cmp(&due[b]))
+}
+
+/// What becomes of one request; times in seconds.
+enum RequestResult {
+    Answered { at: f64 },
+    Failed { after: f64 },
+    Unreachable,
+}
+
+/// The requests that discovery has yet to work off.
+struct RequestQueue {
+    discovery: Discovery,
+    /// When the last of them is done, s.
+    free_at: f64,
+}
+
+impl RequestQueue {
+    fn request(&mut self, now: f64) -> RequestResult {
+        if now < self.discovery.silent_until {
+            return RequestResult::Unreachable;
         }
-        if in_time || discovery.overload == Overload::WorksOff {
-            free_at = ends;
+        let done_at = self.free_at.max(now) + self.discovery.cost;
+        match self.discovery.overload {
+            Overload::TurnsAway if done_at - now > REQUEST_TIMEOUT => RequestResult::Failed { after: 0.0 },
+            Overload::WorksOff if self.free_at - now > REQUEST_TIMEOUT => {
+                self.free_at = done_at;
+                RequestResult::Failed { after: REQUEST_TIMEOUT }
+            }
+            Overload::TurnsAway | Overload::WorksOff => {
+                self.free_at = done_at;
+                RequestResult::Answered { at: done_at }
+            }
         }
     }
 }
--- /dev/null
+++ b/crates/simulation/src/partner/open_messages.rs
@@ -0,0 +1,29 @@
+//! The messages of a sender that have no final outcome yet.
+
+use std::collections::BTreeMap;
+
+use rudderspindle_policy::interface::{DestinationId, Message, MessageHandle, Millis};
+
+/// A message without a final outcome.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct OpenMessage {
+    pub class: usize,
+    pub submitted_at: Millis,
+    pub attempts: u32,
+}
+
+/// A sender's open messages by id, kept over a restart.
+pub(super) type OpenMessages = BTreeMap<u32, OpenMessage>;
+
+/// The policy's view of a message to the receiver.
+pub(super) fn message(id: u32, class: usize, time_left: Millis) -> Message {
+    Message {
+        id: MessageHandle(id),
+        class,
+        tenant: 0,
+        ordering_key: 0,
+        time_left,
+        work_guess: None,
+        destination: DestinationId(0),
+    }
+}
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -1,235 +1,244 @@
-//! Plays a scene.
+//! Runs a scene tick by tick.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
+use std::ops::Range;
 
-use rudderspindle_gossip::{DemandExchange, Incarnation, PermitLedger, Ramp};
-use rudderspindle_policy::Policy;
-use rudderspindle_policy::interface::*;
+use rudderspindle_policy::interface::{Action, Event, Millis, Outcome, RouteId};
 
-use super::client::Client;
-use super::limit::Counter;
-use super::post::{DatagramBudget, wall};
-use super::scene::Bound;
-use super::seen::Knows;
-use super::{DEADLINE, Draw, LATE_VALUE, LATENCY_OBJECTIVE, RECOVERY_DURATION, Scene, Seen, TICK, VALUE};
-use super::{aged, config, handed_in, listed};
+use super::draw::Draw;
+use super::network::Network;
+use super::open_messages::{OpenMessage, message};
+use super::receiver::{Call, Receiver};
+use super::scene::Scene;
+use super::seen::{RecoveryCall, Seen};
+use super::sender::{RememberedOutage, SimulatedSender, WakeUp};
+use super::settings::DEADLINE;
+use super::{RECOVERY_DURATION, TICK, list_event};
 use crate::parts::outcome;
 
-/// An outcome on its way.
-struct Due {
+/// How long before a scene's end the last message is submitted, ms.
+const QUIET_END: Millis = 4_000.0;
+/// Share of the messages that are of class 1.
+const CLASS_1_SHARE: f64 = 0.44;
+/// Distinguishes the network's draws from those of the load and the receiver.
+const NETWORK_SEED: u64 = 0x9057;
+
+/// An outcome that its sender does not know yet.
+struct PendingOutcome {
     at: Millis,
-    client: usize,
-    starts: u64,
+    sender: usize,
+    /// Restarts of the sender when it made the call: after another one it does not get the outcome.
+    restarts: u64,
     event: Event,
     delivers: bool,
-    /// Whether it came to nothing in the outage.
-    struck: bool,
+    /// Whether the call failed in the outage.
+    failed_in_outage: bool,
 }
 
-/// A scene as it stands.
-struct Play<'a> {
+/// A scene at one moment.
+struct Simulation<'a> {
     scene: &'a Scene,
     now: Millis,
-    draw: Draw,
-    clients: Vec<Client>,
-    post: DatagramBudget,
-    due: Vec<Due>,
-    counter: Counter,
-    /// Calls of the fall time.
-    recent: VecDeque<(Millis, Knows)>,
+    rng: Draw,
+    senders: Vec<SimulatedSender>,
+    network: Network,
+    pending: Vec<PendingOutcome>,
+    receiver: Receiver,
+    /// Calls of the recovery ramp within the overload duration.
+    recent: VecDeque<RecoveryCall>,
     next_id: u32,
-    next_message: Millis,
-    restart: Option<(std::ops::Range<usize>, Millis)>,
+    next_message_at: Millis,
+    /// The scene's restart until it is over.
+    restart: Option<(Range<usize>, Millis)>,
+    /// The scene's added routes until they are listed.
     added: Option<(u64, Millis)>,
     seen: Seen,
 }
 
-/// Plays a scene to its end.
+/// Runs a scene to its end.
 pub fn play(scene: &Scene) -> Seen {
-    let mut play = Play {
-        scene,
-        now: 0.0,
-        draw: Draw::new(scene.seed),
-        clients: (0..scene.senders).map(|n| fresh(scene, n, 0, 0.0)).collect(),
-        post: DatagramBudget::new(scene.seed ^ 0x9057),
-        due: Vec::new(),
-        counter: Counter::default(),
-        recent: VecDeque::new(),
-        next_id: 0,
-        next_message: 0.0,
-        restart: scene.restart.clone(),
-        added: scene.added,
-        seen: Seen::default(),
-    };
-    while play.now < scene.ends {
-        play.now += TICK;
-        play.change();
-        play.hand_in();
-        if let Some(notes) = &scene.notes {
-            play.post.pass(notes, play.now, &mut play.clients, &mut play.seen);
-        }
-        play.bring_outcomes();
-        play.decide();
+    let mut simulation = Simulation::new(scene);
+    while simulation.now < scene.ends {
+        simulation.step();
     }
-    play.seen
+    simulation.seen
 }
 
-fn fresh(scene: &Scene, n: usize, starts: u64, now: Millis) -> Client {
-    let seed = scene.seed * 64 + n as u64 * 8 + starts;
-    let settings = config(scene);
-    let (start, later) = (settings.ramp(0.0), settings.ramp(1_000.0));
-    let mut sender = Policy::new(settings, seed).expect("settings that work");
-    if scene.notes.is_some() {
-        sender.hear_notes();
-    }
-    let strict = scene.notes.is_some() && scene.bound == Bound::Strict;
-    if strict {
-        sender.keep_rights();
+impl<'a> Simulation<'a> {
+    fn new(scene: &'a Scene) -> Self {
+        Self {
+            scene,
+            now: 0.0,
+            rng: Draw::new(scene.seed),
+            senders: (0..scene.senders).map(|index| SimulatedSender::new(scene, index, 0, 0.0)).collect(),
+            network: Network::new(scene.seed ^ NETWORK_SEED),
+            pending: Vec::new(),
+            receiver: Receiver::default(),
+            recent: VecDeque::new(),
+            next_id: 0,
+            next_message_at: 0.0,
+            restart: scene.restart.clone(),
+            added: scene.added,
+            seen: Seen::default(),
+        }
     }
-    let ahead = (scene.clocks as f64 * Draw::new(scene.seed ^ (0xc10c + n as u64)).unit()).round() as u64;
-    let permits = || PermitLedger::new(n, scene.senders, Incarnation(starts + 1), wall(now, ahead));
-    Client {
-        sender,
-        fleet: DemandExchange::new(n, scene.senders, Ramp { start, growth: later - start }),
-        permits: strict.then(permits),
-        takes: BTreeMap::new(),
-        ahead,
-        up: true,
-        events: vec![listed(scene, 0..scene.routes)],
-        wake: None,
-        open: BTreeMap::new(),
-        memories: BTreeMap::new(),
-        starts,
-        told: false,
+
+    fn step(&mut self) {
+        self.now += TICK;
+        self.kill_and_restart();
+        self.add_routes();
+        self.submit_messages();
+        if let Some(notes) = &self.scene.notes {
+            self.seen.note_bytes += self.network.step(notes, self.now, &mut self.senders);
+        }
+        self.deliver_outcomes();
+        for sender in 0..self.senders.len() {
+            self.decide(sender);
+        }
     }
-}
 
-impl Play<'_> {
-    /// A sender ends or begins anew, or the list grows.
-    fn change(&mut self) {
+    fn kill_and_restart(&mut self) {
         let now = self.now;
-        if let Some((ending, _)) = self.restart.as_ref().filter(|r| r.1 <= now) {
-            self.clients[ending.clone()].iter_mut().for_each(|client| client.up = false);
-        }
-        let back = self.restart.take_if(|r| r.1 + self.scene.gone <= now);
-        for who in back.into_iter().flat_map(|(who, _)| who) {
-            let (open, memories) = (self.clients[who].open.clone(), self.clients[who].memories.clone());
-            let mut client = fresh(self.scene, who, self.clients[who].starts + 1, now);
-            for (&route, &(at, outage)) in &memories {
-                let (outage, destination) = (aged(outage, now - at), DestinationId(0));
-                client.events.push(Event::Remembered { destination, route, outage });
+        if let Some((killed, at)) = &self.restart
+            && *at <= now
+        {
+            for sender in &mut self.senders[killed.clone()] {
+                sender.up = false;
             }
-            (client.memories, client.told) = (memories, self.clients[who].told);
-            for (id, (class, at, attempts)) in open {
-                let left = DEADLINE - (now - at);
-                let past = AttemptHistory { attempts, possibly_executed: None };
-                if left > 0.0 {
-                    client.events.push(Event::Recovered(handed_in(id, class, left), past));
-                    client.open.insert(id, (class, at, attempts));
-                }
+        }
+        if let Some((restarted, _)) = self.restart.take_if(|(_, at)| *at + self.scene.gone <= now) {
+            for index in restarted {
+                self.senders[index] = self.senders[index].restarted(self.scene, index, now);
             }
-            self.clients[who] = client;
         }
-        if let Some((routes, _)) = self.added.take_if(|a| a.1 <= now) {
-            let more = listed(self.scene, 0..self.scene.routes + routes);
-            self.clients.iter_mut().for_each(|c| c.events.push(more.clone()));
+    }
+
+    fn add_routes(&mut self) {
+        if let Some((added, _)) = self.added.take_if(|(_, at)| *at <= self.now) {
+            let list = list_event(self.scene, self.scene.routes + added);
+            for sender in &mut self.senders {
+                sender.events.push(list.clone());
+            }
         }
     }
 
-    fn hand_in(&mut self) {
-        let (scene, now) = (self.scene, self.now);
-        while self.next_message <= now && now < scene.ends - 4_000.0 {
-            let times = if scene.swell.1.contains(&now) { scene.swell.0 } else { 1.0 };
-            self.next_message += self.draw.exponential(1_000.0 / (times * scene.load * scene.told));
-            let to = (self.draw.unit() * scene.busy as f64) as usize;
-            let to = if self.clients[to].up { to } else { (to + 1) % scene.senders };
-            let class = usize::from(self.draw.unit() < 0.44);
-            let id = self.next_id;
-            self.clients[to].events.push(Event::Message(handed_in(id, class, DEADLINE)));
-            self.clients[to].open.insert(id, (class, now, 0));
-            (self.next_id, self.seen.asked) = (id + 1, self.seen.asked + 1);
-            self.seen.offered[class] += VALUE[class];
+    fn submit_messages(&mut self) {
+        let scene = self.scene;
+        while self.next_message_at <= self.now && self.now < scene.ends - QUIET_END {
+            let (factor, swell) = &scene.swell;
+            let factor = if swell.contains(&self.now) { *factor } else { 1.0 };
+            self.next_message_at += self.rng.exponential(1_000.0 / (factor * scene.load * scene.told));
+            let drawn = (self.rng.unit() * scene.busy as f64) as usize;
+            let to = if self.senders[drawn].up { drawn } else { (drawn + 1) % scene.senders };
+            let class = usize::from(self.rng.unit() < CLASS_1_SHARE);
+            self.submit(to, class);
         }
     }
 
-    fn bring_outcomes(&mut self) {
+    fn submit(&mut self, to: usize, class: usize) {
+        let id = self.next_id;
+        self.next_id += 1;
+        let sender = &mut self.senders[to];
+        sender.events.push(Event::Message(message(id, class, DEADLINE)));
+        sender.open.insert(id, OpenMessage { class, submitted_at: self.now, attempts: 0 });
+        self.seen.count_submission(class);
+    }
+
+    fn deliver_outcomes(&mut self) {
         let now = self.now;
-        self.due.sort_by(|a, b| a.at.total_cmp(&b.at));
-        let later = self.due.partition_point(|d| d.at <= now);
-        for d in self.due.drain(..later) {
-            let client = &mut self.clients[d.client];
-            client.told |= d.struck;
-            if client.starts != d.starts || !client.up {
+        self.pending.sort_by(|a, b| a.at.total_cmp(&b.at));
+        let due = self.pending.partition_point(|pending| pending.at <= now);
+        for pending in self.pending.drain(..due) {
+            let sender = &mut self.senders[pending.sender];
+            sender.saw_failure |= pending.failed_in_outage;
+            if sender.restarts != pending.restarts || !sender.up {
                 continue;
             }
-            if let (true, Event::Outcome { id, .. }) = (d.delivers, &d.event)
-                && let Some((class, at, _)) = client.open.remove(&id.0)
+            if pending.delivers
+                && let Event::Outcome { id, .. } = &pending.event
+                && let Some(open) = sender.open.remove(&id.0)
             {
-                self.seen.delivered += 1;
-                let warming = self.scene.until..self.scene.until + RECOVERY_DURATION;
-                self.seen.served += usize::from(warming.contains(&now));
-                self.seen.in_time += usize::from(now - at <= LATENCY_OBJECTIVE[class]);
-                let late = ((now - at - LATENCY_OBJECTIVE[class]) / (DEADLINE - LATENCY_OBJECTIVE[class]))
-                    .clamp(0.0, 1.0);
-                self.seen.earned[class] += VALUE[class] * (1.0 - late * (1.0 - LATE_VALUE));
+                self.seen.count_delivery(self.scene, open.class, now, open.submitted_at);
             }
-            client.events.push(d.event);
+            sender.events.push(pending.event);
         }
     }
 
-    fn decide(&mut self) {
+    /// Lets a sender's policy act if there is anything for it to act on.
+    fn decide(&mut self, index: usize) {
         let now = self.now;
-        for n in 0..self.clients.len() {
-            let client = &mut self.clients[n];
-            if !client.up {
-                continue;
-            }
-            if let Some((_, token)) = client.wake.take_if(|w| w.0 <= now) {
-                client.events.push(Event::Wake(token));
-            }
-            if client.events.is_empty() {
-                continue;
-            }
-            let mut actions = Vec::new();
-            client.sender.handle(now, &std::mem::take(&mut client.events), &mut actions);
-            for action in actions {
-                self.carry_out(n, action);
-            }
+        let sender = &mut self.senders[index];
+        if !sender.up {
+            return;
+        }
+        if let Some(wake_up) = sender.wake_up.take_if(|wake_up| wake_up.at <= now) {
+            sender.events.push(Event::Wake(wake_up.token));
+        }
+        if sender.events.is_empty() {
+            return;
+        }
+        let events = std::mem::take(&mut sender.events);
+        let mut actions = Vec::new();
+        sender.policy.handle(now, &events, &mut actions);
+        for action in actions {
+            self.carry_out(index, action);
         }
     }
 
-    fn carry_out(&mut self, n: usize, action: Action) {
-        let (now, scene, client) = (self.now, self.scene, &mut self.clients[n]);
+    fn carry_out(&mut self, index: usize, action: Action) {
+        let now = self.now;
+        let sender = &mut self.senders[index];
         match action {
-            Action::Wake { delay, token } => client.wake = Some((now + delay, token)),
-            Action::Refuse { id, .. } | Action::Fail { id } => drop(client.open.remove(&id.0)),
-            Action::Send { id, route, timeout, .. } => {
-                let Some(entry) = client.open.get_mut(&id.0) else { panic!("{id:?} was over") };
-                let attempt = entry.2;
-                entry.2 += 1;
-                let starts = client.starts;
-                let on = (scene.from..scene.until).contains(&now) && scene.struck.contains(&(route.0 - 1));
-                self.seen.starts.push(now);
-                self.seen.trials += usize::from(on);
-                if now >= scene.until && now < scene.until + RECOVERY_DURATION {
-                    let call = (now - scene.until, client.knows(route));
-                    self.seen.push(&mut self.recent, call, scene.told);
-                    self.seen.came.push((now - scene.until, n, route.0));
-                }
-                let (after, what, wait) =
-                    self.counter.answer(scene, now, on, timeout, &mut self.draw, &mut self.seen);
-                let event = outcome(id.0, attempt, what, wait);
-                self.due.push(Due {
-                    at: now + after,
-                    client: n,
-                    starts,
-                    event,
-                    delivers: what == Outcome::Ok,
-                    struck: on && what != Outcome::Ok,
-                });
+            Action::Wake { delay, token } => sender.wake_up = Some(WakeUp { at: now + delay, token }),
+            Action::Refuse { id, .. } | Action::Fail { id } => {
+                sender.open.remove(&id.0);
+            }
+            Action::Send { id, route, timeout, .. } => self.call(index, id.0, route, timeout),
+            Action::Remember { route, outage, .. } => {
+                sender.remembered.insert(route, RememberedOutage { at: now, outage });
             }
-            Action::Remember { route, outage, .. } => drop(client.memories.insert(route, (now, outage))),
             Action::Cancel { .. } | Action::HealthCheck { .. } | Action::Subscribe => {}
         }
     }
+
+    fn call(&mut self, index: usize, id: u32, route: RouteId, timeout: Millis) {
+        let sender = &mut self.senders[index];
+        let restarts = sender.restarts;
+        let Some(open) = sender.open.get_mut(&id) else { panic!("message {id} has its final outcome") };
+        let attempt = open.attempts;
+        open.attempts += 1;
+        let in_outage = self.is_in_outage(route);
+        self.count_call(index, route, in_outage);
+        let call = Call { now: self.now, timeout, in_outage };
+        let answer = self.receiver.answer(self.scene, call, &mut self.rng);
+        self.seen.refused += usize::from(answer.over_limit);
+        self.pending.push(PendingOutcome {
+            at: self.now + answer.after,
+            sender: index,
+            restarts,
+            event: outcome(id, attempt, answer.outcome, answer.retry_after),
+            delivers: answer.outcome == Outcome::Ok,
+            failed_in_outage: in_outage && answer.outcome != Outcome::Ok,
+        });
+    }
+
+    fn is_in_outage(&self, route: RouteId) -> bool {
+        let Scene { from, until, struck, .. } = self.scene;
+        (*from..*until).contains(&self.now) && struck.contains(&(route.0 - 1))
+    }
+
+    fn count_call(&mut self, index: usize, route: RouteId, in_outage: bool) {
+        let Scene { until, told, .. } = *self.scene;
+        self.seen.starts.push(self.now);
+        self.seen.trials += usize::from(in_outage);
+        if self.now >= until && self.now < until + RECOVERY_DURATION {
+            let call = RecoveryCall {
+                since_return: self.now - until,
+                sender: index,
+                route: route.0,
+                knowledge: self.senders[index].knowledge(route),
+            };
+            self.seen.count_recovery_call(&mut self.recent, call, told);
+        }
+    }
 }
--- a/crates/simulation/src/partner/scene.rs
+++ b/crates/simulation/src/partner/scene.rs
@@ -1,146 +1,152 @@
-//! What is played: how many senders, what the partner takes, what strikes it.
+//! What is simulated: the fleet, the receiver's limit, its outage and the load.
+
+use std::ops::Range;
 
 use rudderspindle_policy::interface::Millis;
 
 use super::draw::Draw;
 
-/// What may strike the partner.
+/// Distinguishes a scene's own draws from those of its simulation.
+const SCENE_SEED: u64 = 0x5ce0e;
+/// How long a drawn scene goes on after its outage, ms.
+const AFTER_OUTAGE: Millis = 14_000.0;
+
+/// How an outage shows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outage {
-    /// All calls are refused; this share of the refusals tells when it opens.
+    /// Calls are rejected.
     Shut {
-        /// From 0 to 1.
+        /// Share of the rejections with a Retry-After of the outage's end, from 0 to 1.
         tells: f64,
     },
     /// Connections are refused.
     Refuse,
-    /// Nothing is answered.
+    /// Calls are not answered.
     Silent,
-    /// This share of the calls fails.
+    /// Calls are answered with an error.
     Errors {
-        /// From 0 to 1.
+        /// Share of the calls that are, from 0 to 1; the others are served.
         share: f64,
     },
 }
 
-/// What a partner takes while it is well. Refused calls use the limit up, too.
+/// How a receiver without an outage limits its calls. Rejected calls use the limit up, too.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Limit {
-    /// A count in each second; those refused in one take as much as this part of the next one's.
+    /// A number of calls in each second.
     Span {
-        /// From 0 to 1.
+        /// The part of a second's limit that calls rejected in the second before may use up, from 0 to 1.
         carried: f64,
     },
-    /// A plain rate, halved for a time. Each refusal tells a wait of so long; what they use up is owed, at most
-    /// what comes in so long.
+    /// A token bucket.
     Rate {
-        /// When.
-        halved: std::ops::Range<Millis>,
-        /// The wait told, ms.
+        /// When its rate is halved, ms.
+        halved: Range<Millis>,
+        /// The Retry-After of each rejection, ms.
         wait: Millis,
-        /// The most that is owed, in ms of the whole rate.
+        /// The maximum debt from rejected calls, in ms of the whole rate.
         owed: Millis,
     },
 }
 
-/// What senders tell one another.
+/// The network that carries the senders' gossip.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Notes {
-    /// The share of the notes that are lost, from 0 to 1.
+    /// Share of the datagrams that are lost, from 0 to 1.
     pub lost: f64,
-    /// When none arrives, ms.
-    pub cut: std::ops::Range<Millis>,
+    /// When all are lost, ms.
+    pub cut: Range<Millis>,
 }
 
-/// What holds a fleet that hears notes to a limit.
+/// What keeps senders with gossip to the limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Bound {
-    /// What notes leave to each.
+    /// A capacity share for each sender.
     #[default]
     Use,
-    /// Each call needs a turn as well, and a turn is one sender's.
+    /// In addition a permit for each call; each permit is held by one sender.
     Strict,
 }
 
-/// An evening at one partner.
+/// A fleet, its receiver, and what happens to them.
 #[derive(Clone, Debug)]
 pub struct Scene {
-    /// Decides all that chance decides.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Senders.
+    /// Number of senders.
     pub senders: usize,
-    /// So many of them, the first ones, are handed messages.
+    /// Number of senders that messages are submitted to: the first ones.
     pub busy: usize,
-    /// How many they are told that they are.
+    /// Number of senders in the fleet by the senders' settings.
     pub peers: usize,
-    /// What it takes of that.
+    /// How the receiver limits its calls.
     pub limit: Limit,
-    /// Calls a second that it takes, as the list tells.
+    /// The limit, calls a second, which the endpoint list announces.
     pub told: f64,
-    /// Its endpoints.
+    /// Number of the receiver's routes.
     pub routes: u64,
-    /// Whether each has a limit of its own.
+    /// Whether senders see a separate limit at each route.
     pub apart: bool,
-    /// What strikes it.
+    /// How the outage shows.
     pub outage: Outage,
-    /// Which routes it strikes.
-    pub struck: std::ops::Range<u64>,
-    /// Since when, ms.
+    /// Routes in the outage, by index.
+    pub struck: Range<u64>,
+    /// Start of the outage, ms.
     pub from: Millis,
-    /// When it returns, cold, ms.
+    /// End of the outage and start of the recovery ramp, ms.
     pub until: Millis,
-    /// Messages a second over what the partner takes.
+    /// Messages over the limit.
     pub load: f64,
-    /// A swell: so many times as many messages, for a time.
-    pub swell: (f64, std::ops::Range<Millis>),
-    /// Notes between the senders; none where they have none.
+    /// A factor on the load, and when it applies, ms.
+    pub swell: (f64, Range<Millis>),
+    /// The network between the senders; `None` if they have no gossip.
     pub notes: Option<Notes>,
-    /// What holds those that have notes to the limit.
+    /// What keeps senders with gossip to the limit.
     pub bound: Bound,
-    /// How far the senders' clocks are apart at most, ms.
+    /// Largest difference between two senders' clocks, ms.
     pub clocks: u64,
-    /// Mean time that a call takes, ms.
+    /// Mean time that the receiver takes for a call, ms.
     pub work: Millis,
-    /// Senders that begin anew then, and have forgotten all but their messages and what their hosts remember.
-    pub restart: Option<(std::ops::Range<usize>, Millis)>,
-    /// So long after its end, ms; what would be handed to it goes to the next one meanwhile.
+    /// Senders that are killed, and when, ms. They restart with their open messages and remembered outages only.
+    pub restart: Option<(Range<usize>, Millis)>,
+    /// How long killed senders are down, ms; their messages are submitted to the next one meanwhile.
     pub gone: Millis,
-    /// Routes that the list adds then, under new ids.
+    /// Number of routes that the endpoint list gains, and when, ms.
     pub added: Option<(u64, Millis)>,
-    /// The scene's end, ms; messages come until 4 s before.
+    /// End of the scene, ms. Messages are submitted until 4 s before.
     pub ends: Millis,
 }
 
 impl Scene {
-    /// A scene whose figures lie within those seen in service.
+    /// A scene with two senders, its figures drawn from ranges as seen in production; `outage` gets a draw from 0 to 1.
     pub fn draw(seed: u64, outage: impl Fn(f64) -> Outage) -> Self {
-        let mut draw = Draw::new(seed ^ 0x5ce0e);
-        let from = 6_000.0 + 2_000.0 * draw.unit();
-        let until = from + 7_600.0 + 6_400.0 * draw.unit();
-        let routes = 1 + (draw.unit() * 4.0) as u64;
+        let mut rng = Draw::new(seed ^ SCENE_SEED);
+        let from = 6_000.0 + 2_000.0 * rng.unit();
+        let until = from + 7_600.0 + 6_400.0 * rng.unit();
+        let routes = 1 + (rng.unit() * 4.0) as u64;
         Self {
             seed,
             senders: 2,
             busy: 2,
             peers: 2,
             limit: Limit::Span { carried: 0.0 },
-            told: 6.0 + 18.0 * draw.unit(),
+            told: 6.0 + 18.0 * rng.unit(),
             routes,
             apart: false,
-            outage: outage(draw.unit()),
+            outage: outage(rng.unit()),
             struck: 0..routes,
             from,
             until,
-            load: 0.45 + 0.5 * draw.unit(),
+            load: 0.45 + 0.5 * rng.unit(),
             swell: (1.0, 0.0..0.0),
             notes: None,
             bound: Bound::Use,
             clocks: 0,
-            work: 60.0 + 240.0 * draw.unit(),
+            work: 60.0 + 240.0 * rng.unit(),
             restart: None,
             gone: 0.0,
             added: None,
-            ends: until + 14_000.0,
+            ends: until + AFTER_OUTAGE,
         }
     }
 }
--- a/crates/simulation/src/parts.rs
+++ b/crates/simulation/src/parts.rs
@@ -1,8 +1,11 @@
-//! Settings, list entries and outcomes as tests and scenes use them.
+//! Settings, list entries and events shared by scenes and tests.
 
-use rudderspindle_policy::interface::*;
+use rudderspindle_policy::interface::{
+    Class, DestinationId, Discovery, Effect, Event, Kind, LateDecay, ListChange, Listing, MessageHandle,
+    Millis, Outcome, RateHint, RouteEntry, RouteId, Settings,
+};
 
-/// A class of worth 1, wanted within 2 s and given up after 10 s.
+/// A class of value 1 with a latency objective of 2 s and a deadline of 10 s.
 pub fn class(effect: Effect) -> Class {
     Class {
         value: 1.0,
@@ -15,7 +18,9 @@
     }
 }
 
-/// Settings for one sender with such classes: kinds 0 with one limit, 1 with routes apart, 2 with calls of eight.
+/// Settings for a single sender with these classes.
+///
+/// Destinations of kind 0 have one limit, of kind 1 a limit for each route, of kind 2 up to eight messages a call.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         zone: 0,
@@ -52,7 +57,7 @@
     }
 }
 
-/// A line of the list: a route that is ready, of a destination told at 10 calls a second.
+/// An entry of the endpoint list: a ready route of a destination with a nominal rate of 10 calls a second.
 pub fn entry(route: u64, destination: u16, kind: u16, zone: u8) -> RouteEntry {
     RouteEntry {
         route: RouteId(route),
@@ -64,12 +69,14 @@
     }
 }
 
-/// A whole list.
+/// The event of a complete endpoint list.
 pub fn list(entries: Vec<RouteEntry>) -> Event {
     Event::List(ListChange::Full(entries))
 }
 
-/// What came of an attempt, with the wait told, ms.
+/// The event of an attempt's outcome, with the Retry-After that came with it, ms; 0 for none.
+///
+/// [`Outcome::Ok`] completes the message, any other leaves it open.
 pub fn outcome(id: u32, attempt: u32, outcome: Outcome, retry_after: Millis) -> Event {
     let closed = outcome == Outcome::Ok;
     Event::Outcome { id: MessageHandle(id), attempt, outcome, retry_after, closed }
--- a/crates/simulation/tests/options.rs
+++ b/crates/simulation/tests/options.rs
@@ -1,29 +1,36 @@
-//! Rights that are given up before the note leaves, and shares by sums under a lease, in the same world.
+//! Permits that are given up before the datagram leaves, and quotas by sums under a lease, in the same conditions.
 
-use rudderspindle_simulation::leased::options;
-use rudderspindle_simulation::partner::most_by_rights;
+use rudderspindle_simulation::leased::{Comparison, Conditions, compare};
+use rudderspindle_simulation::partner::max_calls_by_permits;
 
 const SENDERS: usize = 12;
 const LIMIT: f64 = 60.0;
 
+fn in_conditions(lost: f64, seed: u64) -> Comparison {
+    compare(&Conditions { senders: SENDERS, limit: LIMIT, load: 1.2, lost, seed })
+}
+
 #[test]
-fn with_half_of_the_notes_lost_rights_keep_their_bound_and_shares_under_a_lease_do_not() {
+fn with_half_of_the_datagrams_lost_permits_keep_their_bound_and_leased_quotas_do_not() {
     for seed in 5..8 {
-        let [permits, shares] = options(SENDERS, LIMIT, 1.2, 0.5, seed);
-        println!("seed {seed}: {permits:?}, {shares:?}");
-        assert!(permits.worst_second * LIMIT <= most_by_rights(LIMIT, 1_000.0, 0), "{permits:?}");
-        // What was given out, and from each sender a call that had come due before.
+        let Comparison { permits, leased_quotas } = in_conditions(0.5, seed);
+        println!("seed {seed}: {permits:?}, {leased_quotas:?}");
+        assert!(permits.worst_second * LIMIT <= max_calls_by_permits(LIMIT, 1_000.0, 0), "{permits:?}");
+        // What was allocated, and from each sender a call that had come due before.
         let bound = 0.95 * LIMIT + SENDERS as f64;
-        assert!(shares.worst_second * LIMIT > bound, "{shares:?}");
+        assert!(leased_quotas.worst_second * LIMIT > bound, "{leased_quotas:?}");
     }
 }
 
 #[test]
-fn rights_use_more_than_shares_under_a_lease_where_all_hear_and_where_nobody_does() {
+fn permits_use_more_than_leased_quotas_without_loss_and_with_total_loss() {
     for (lost, least) in [(0.0, 0.9), (1.0, 0.65)] {
-        let [permits, shares] = options(SENDERS, LIMIT, 1.2, lost, 5);
-        println!("{lost} lost: {permits:?}, {shares:?}");
-        assert!(permits.used > least && permits.used > shares.used + 0.1, "{permits:?}, {shares:?}");
-        assert!(permits.worst_second * LIMIT <= most_by_rights(LIMIT, 1_000.0, 0), "{permits:?}");
+        let Comparison { permits, leased_quotas } = in_conditions(lost, 5);
+        println!("{lost} lost: {permits:?}, {leased_quotas:?}");
+        assert!(
+            permits.used > least && permits.used > leased_quotas.used + 0.1,
+            "{permits:?}, {leased_quotas:?}"
+        );
+        assert!(permits.worst_second * LIMIT <= max_calls_by_permits(LIMIT, 1_000.0, 0), "{permits:?}");
     }
 }
--- a/crates/simulation/tests/strict.rs
+++ b/crates/simulation/tests/strict.rs
@@ -1,11 +1,11 @@
-//! Thirty senders before one limit, each call of which needs a turn.
+//! Thirty senders before one limit, each of whose calls needs a permit.
 
 use rudderspindle_simulation::partner::*;
 
 const LIMIT: f64 = 60.0;
 
-/// An evening of 16 s at more than the partner takes.
-fn evening(seed: u64, lost: f64) -> Scene {
+/// A scene of 16 s without an outage, at more than the receiver's limit.
+fn overloaded(seed: u64, lost: f64) -> Scene {
     let calm = Scene::draw(seed, |_| Outage::Refuse);
     Scene {
         senders: 30,
@@ -27,17 +27,17 @@
 
 fn assert_bound(scene: &Scene, seen: &Seen) {
     for span in [50.0, 250.0, 1_000.0, 4_000.0] {
-        let (most, bound) = (seen.most_within(span), most_by_rights(scene.told, span, scene.clocks));
+        let (most, bound) = (seen.most_within(span), max_calls_by_permits(scene.told, span, scene.clocks));
         assert!(most as f64 <= bound, "{most} calls in {span} ms, {bound} may be");
     }
     assert!(seen.most_in_whole_second() <= seen.most_in_second());
 }
 
 #[test]
-fn whatever_is_lost_no_span_has_more_calls_than_the_bound_and_hardly_one_is_refused() {
+fn whatever_is_lost_no_span_has_more_calls_than_the_bound_and_few_are_rejected() {
     for lost in [0.0, 0.5, 1.0] {
         for seed in 0..2 {
-            let scene = evening(seed, lost);
+            let scene = overloaded(seed, lost);
             let seen = play(&scene);
             let (refused, delivered) = (seen.refused as f64, seen.delivered as f64);
             println!(
@@ -46,26 +46,26 @@
             );
             assert_bound(&scene, &seen);
             assert!(refused < 0.05 * delivered, "{lost} lost: {refused} refused, {delivered} delivered");
-            // Less what a start costs, and the last seconds, in which nothing comes.
+            // Less what the start costs, and the last seconds, in which no message is submitted.
             let least = if lost == 0.0 { 0.75 } else { 0.4 };
             assert!(delivered > least * LIMIT * 16.0, "{lost} lost: {delivered} delivered");
         }
     }
 }
 
-/// What is not held by turns breaks the bound: the check sees it.
+/// A control: the check detects senders without permits.
 #[test]
-fn without_turns_the_bound_is_broken_where_half_of_the_notes_are_lost() {
-    let scene = Scene { bound: Bound::Use, ..evening(0, 0.5) };
+fn without_permits_the_bound_is_broken_where_half_of_the_datagrams_are_lost() {
+    let scene = Scene { bound: Bound::Use, ..overloaded(0, 0.5) };
     let most = play(&scene).most_in_second() as f64;
-    assert!(most > most_by_rights(LIMIT, 1_000.0, 0), "{most} calls in the worst second");
+    assert!(most > max_calls_by_permits(LIMIT, 1_000.0, 0), "{most} calls in the worst second");
 }
 
 #[test]
-fn the_bound_holds_where_a_sender_is_killed_after_it_used_its_turns_and_is_back_0_6_s_later() {
+fn the_bound_holds_where_a_sender_is_killed_after_it_used_its_permits_and_restarts_0_6_s_later() {
     for at in [6_100.0, 6_600.0, 7_350.0, 7_900.0] {
-        // All of it goes to one sender's messages, so that it has used all of what it has.
-        let scene = Scene { busy: 1, restart: Some((0..1, at)), gone: 600.0, ..evening(3, 0.0) };
+        // All messages come to one sender, so that it has used all of its permits.
+        let scene = Scene { busy: 1, restart: Some((0..1, at)), gone: 600.0, ..overloaded(3, 0.0) };
         let seen = play(&scene);
         assert_bound(&scene, &seen);
         let before = seen.starts.iter().filter(|start| (at - 1_000.0..at).contains(*start)).count();
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn clocks_that_are_200_ms_apart_widen_the_bound_by_no_more() {
+fn clocks_200_ms_apart_widen_the_bound_by_no_more() {
     for lost in [0.0, 0.5, 1.0] {
-        let scene = Scene { clocks: 200, ..evening(4, lost) };
+        let scene = Scene { clocks: 200, ..overloaded(4, lost) };
         let seen = play(&scene);
         println!("{lost} lost: worst second {}", seen.most_in_second());
         assert_bound(&scene, &seen);
@@ -86,9 +86,10 @@
     }
 }
 
-/// Turns know of no outage: where notes tell of one, those that are too many are left out, the same at every sender.
+/// Permits are allocated for the whole limit: during a recovery each sender leaves the same surplus ones unused, by the
+/// fleet's reports.
 #[test]
-fn strict_senders_do_not_push_over_a_partner_that_returns_from_an_outage() {
+fn senders_with_permits_do_not_overload_a_receiver_that_returns_from_an_outage() {
     for lost in [0.0, 0.5] {
         let down = (8_000.0, 13_000.0);
         let scene = Scene {
@@ -100,7 +101,7 @@
             from: down.0,
             until: down.1,
             ends: 24_000.0,
-            ..evening(5, lost)
+            ..overloaded(5, lost)
         };
         let seen = play(&scene);
         println!("{lost} lost: pushed to {:.2} times what it could do", seen.worst);
@@ -109,11 +110,11 @@
     }
 }
 
-/// Of a partner that lowers its limit without a word, the turns it has none for are left out, as notes tell.
+/// Where a receiver lowers its limit without announcing it, the surplus permits are left unused, by the fleet's reports.
 #[test]
-fn strict_senders_are_seldom_refused_where_the_limit_is_halved() {
+fn senders_with_permits_are_seldom_rejected_where_the_limit_is_halved() {
     let limit = Limit::Rate { halved: 8_000.0..17_000.0, wait: 750.0, owed: 1_500.0 };
-    let scene = Scene { limit, ends: 24_000.0, ..evening(5, 0.0) };
+    let scene = Scene { limit, ends: 24_000.0, ..overloaded(5, 0.0) };
     let seen = play(&scene);
     let refused = seen.refused as f64 / seen.delivered as f64;
     println!("{refused:.2} refusals a delivered message");
