--- a/crates/daemon/tests/calls.rs
+++ b/crates/daemon/tests/calls.rs
@@ -2,21 +2,13 @@
 
 mod common;
 
-use std::net::SocketAddr;
-
 use bytes::Bytes;
 use common::*;
 use serde_json::Value;
-use socket2::{Domain, SockRef, Socket, Type};
+use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const LONG: f64 = 60_000.0;
-
-fn text() -> Bytes {
-    Bytes::from_static(b"text")
-}
-
 /// A sender before a receiver that the test plays itself, byte for byte.
 struct Played {
     platform: FakePlatform,
@@ -30,7 +22,7 @@
     async fn start(listener: TcpListener) -> Self {
         let platform = FakePlatform::start().await;
         let addr = listener.local_addr().expect("an address");
-        let config = config(platform.addr, &[member("r1", addr, 7, "SERVING")], LONG);
+        let config = config(platform.addr, &[member("r1", addr, 7, "SERVING")], DEADLINE_MS);
         *platform.list.lock().expect("a list") = Some(config["known"].clone());
         let folder = lasting();
         let program = Program::start(&config, &folder.1).await;
@@ -96,7 +88,7 @@
     played.hand_in("once", "m2").await;
     assert_eq!(call(&mut stream).await, "m2");
     drop(stream);
-    assert_eq!(played.platform.report().await.0, [("m2".to_owned(), "undeliverable".to_owned())]);
+    assert_eq!(played.platform.report().await.0, [undeliverable("m2")]);
     played.hand_in("safe", "m3").await;
     let mut stream = played.accept().await;
     assert_eq!(call(&mut stream).await, "m3", "m2 went again");
@@ -116,14 +108,7 @@
 /// it as one that may have run, and perhaps after its key is forgotten.
 #[tokio::test]
 async fn nothing_of_a_call_arrives_after_the_program_was_killed() {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_tcp_mss(536).expect("a segment size");
-    socket.set_recv_buffer_size(2_048).expect("a window");
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(&any.into()).expect("a port");
-    socket.listen(16).expect("a listener");
-    socket.set_nonblocking(true).expect("non-blocking");
-    let played = Played::start(TcpListener::from_std(socket.into()).expect("a listener")).await;
+    let played = Played::start(listener_with_small_window()).await;
     let large = Bytes::from(vec![b'x'; 60_000]);
     assert_eq!(played.program.hand_in("once", "m1", large.clone()).await.status(), 202);
     let mut stream = played.accept().await;
--- /dev/null
+++ b/crates/daemon/tests/client_connections.rs
@@ -0,0 +1,146 @@
+//! Which client connections stay open: silent ones and idle ones make way for clients that submit.
+
+mod common;
+
+use std::time::{Duration, Instant};
+
+use common::*;
+use tokio::io::AsyncWriteExt;
+
+/// Accepting used to stop when all places were taken, by clients that ask once and stay or that say nothing.
+#[tokio::test]
+async fn idle_connections_do_not_keep_other_clients_out() {
+    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let mut kept = Vec::new();
+    for n in 0..100 {
+        kept.push(program.raw(b"").await);
+        let since = Instant::now();
+        let mut stream = program.raw(&raw_hand_in(&format!("m{n}"), "Content-Length: 4", "text")).await;
+        assert_eq!(status(&mut stream).await, Some(202));
+        // Not only once the silent ones' own time is up.
+        assert!(since.elapsed() < Duration::from_secs(1), "m{n}: {:?}", since.elapsed());
+        assert_eq!(receiver.call().await.message_id, format!("m{n}"));
+        kept.push(stream);
+    }
+    assert_eq!(program.readiness().await, 200);
+}
+
+/// Clients have only so many connections between them, too: with all of them resting at the sender, nothing
+/// more could be handed in until it let go of some.
+#[tokio::test]
+async fn most_connections_that_idle_after_one_request_are_closed_at_once() {
+    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let since = Instant::now();
+    let mut kept = Vec::new();
+    for n in 0..30 {
+        let mut stream = program.raw(&raw_hand_in(&format!("m{n}"), "Content-Length: 4", "text")).await;
+        assert_eq!(status(&mut stream).await, Some(202));
+        assert_eq!(receiver.call().await.message_id, format!("m{n}"));
+        kept.push(stream);
+    }
+    // A quarter of the 44 places is for connections that rest.
+    let mut last = kept.split_off(30 - 11);
+    for stream in &mut kept {
+        rest(stream).await;
+    }
+    assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
+    let again = raw_hand_in("again", "Content-Length: 4", "text");
+    rest_of_answer(&mut last[10]).await;
+    last[10].write_all(&again).await.expect("it is kept");
+    assert_eq!(status(&mut last[10]).await, Some(202));
+}
+
+/// A newcomer that is silent for long is still heard when those that push for places come from elsewhere.
+#[tokio::test]
+async fn a_client_that_sends_its_first_request_late_is_served_beside_hundreds_of_silent_connections() {
+    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let mut early = program.raw(b"").await;
+    // Time must pass until it is the newcomer that has been silent longest.
+    tokio::time::sleep(Duration::from_millis(400)).await;
+    let mut silent = Vec::new();
+    for _ in 0..5 {
+        for _ in 0..40 {
+            silent.push(connect_from("127.0.0.2", program.addr).await);
+        }
+        tokio::time::sleep(Duration::from_millis(310)).await;
+    }
+    early.write_all(&raw_hand_in("late", "Content-Length: 4", "text")).await.expect("it is kept");
+    assert_eq!(status(&mut early).await, Some(202));
+    assert_eq!(receiver.call().await.message_id, "late");
+}
+
+#[tokio::test]
+async fn a_client_that_checks_readiness_and_submits_later_is_served_beside_hundreds_of_silent_connections() {
+    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let mut client = program.raw(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await;
+    assert_eq!(status(&mut client).await, Some(200));
+    rest_of_answer(&mut client).await;
+    let mut silent = Vec::new();
+    for _ in 0..5 {
+        for _ in 0..40 {
+            silent.push(connect_from("127.0.0.1", program.addr).await);
+        }
+        tokio::time::sleep(Duration::from_millis(310)).await;
+    }
+    client.write_all(&raw_hand_in("m1", "Content-Length: 4", "text")).await.expect("it is kept");
+    assert_eq!(status(&mut client).await, Some(202));
+    assert_eq!(receiver.call().await.message_id, "m1");
+}
+
+/// One that has come back is worth more than any number that asked once.
+#[tokio::test]
+async fn a_client_with_repeated_requests_keeps_its_connection_beside_hundreds_that_idle_after_one() {
+    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let mut client = program.raw(b"").await;
+    for n in 0..3 {
+        client.write_all(&raw_hand_in(&format!("r{n}"), "Content-Length: 4", "text")).await.expect("kept");
+        assert_eq!(status(&mut client).await, Some(202));
+        rest_of_answer(&mut client).await;
+        assert_eq!(receiver.call().await.message_id, format!("r{n}"));
+    }
+    let mut once = Vec::new();
+    for n in 0..200 {
+        let mut stream = program.raw(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await;
+        assert_eq!(status(&mut stream).await, Some(200), "{n}");
+        once.push(stream);
+    }
+    client.write_all(&raw_hand_in("last", "Content-Length: 4", "text")).await.expect("it is kept");
+    assert_eq!(status(&mut client).await, Some(202));
+    assert_eq!(receiver.call().await.message_id, "last");
+}
+
+#[tokio::test]
+async fn a_client_that_is_silent_or_trickles_bytes_is_disconnected_in_time() {
+    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let whole = raw_hand_in("slow", "Content-Length: 4", "text");
+    let silent = async {
+        let mut stream = program.raw(b"").await;
+        assert_eq!(status(&mut stream).await, None);
+    };
+    let half_a_head = async {
+        let mut stream = program.raw(&whole[..40]).await;
+        assert_eq!(status(&mut stream).await, None);
+    };
+    let half_a_body = async {
+        let mut stream = program.raw(&whole[..whole.len() - 1]).await;
+        assert!(status(&mut stream).await.is_none_or(|status| status == 408));
+    };
+    // Each byte comes well within any patience for one.
+    let trickle = async {
+        let mut stream = program.raw(b"").await;
+        for byte in &whole[..100] {
+            if stream.write_all(&[*byte]).await.is_err() {
+                return;
+            }
+            tokio::time::sleep(Duration::from_millis(100)).await;
+        }
+        panic!("a client that trickles is heard for good");
+    };
+    let since = Instant::now();
+    tokio::join!(silent, half_a_head, half_a_body, async {
+        trickle.await;
+        // A byte that meets the close is lost, and the next one notices.
+        assert!(since.elapsed() < REJECTION_TIMEOUT + Duration::from_millis(200), "{:?}", since.elapsed());
+    });
+    assert!(receiver.nothing_called());
+}
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,187 +1,85 @@
-//! The built program under test, and what stands round it.
+//! Fixtures of the tests of the built program: its peers, its state folder and the program itself.
 #![allow(dead_code, reason = "each test file uses its part")]
 
+mod program;
+
 use std::net::SocketAddr;
-use std::os::fd::AsRawFd;
-use std::path::Path;
-use std::process::{ExitStatus, Stdio};
+use std::path::{Path, PathBuf};
+use std::time::Duration;
 
 use bytes::Bytes;
-use http_body_util::Full;
-use hyper::body::Incoming;
-use hyper::{Request, Response};
-use hyper_util::rt::TokioIo;
+pub use program::*;
 pub use rudderspindle_testkit::scripted_peers::*;
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use tempfile::TempDir;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
-use tokio::net::TcpStream;
-use tokio::process::{Child, ChildStderr, Command};
+use tokio::net::TcpListener;
 
-/// A platform, one receiver for destination 7 and a sender, with a deadline for its messages.
-pub async fn set_up(acts: &[Act], deadline: f64) -> (FakePlatform, Receiver, Program, Folder, Value) {
-    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
-    let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], deadline);
-    *platform.list.lock().expect("a list") = Some(config["known"].clone());
-    let folder = lasting();
-    let program = Program::start(&config, &folder.1).await;
-    (platform, receiver, program, folder, config)
-}
+/// Deadline of the messages of most tests, in milliseconds: longer than any test takes.
+pub const DEADLINE_MS: f64 = 60_000.0;
 
-/// What keeps a folder, and the state's path in it.
-pub type Folder = (TempDir, std::path::PathBuf);
-
-/// The built program, killed when dropped.
-pub struct Program {
-    pub addr: SocketAddr,
-    /// Where operators call, if anywhere.
-    pub operators: Option<SocketAddr>,
-    pub child: Child,
-    log: Lines<BufReader<ChildStderr>>,
-}
+/// How soon a client whose request cannot be read gets an error or a closed connection.
+pub const REJECTION_TIMEOUT: Duration = Duration::from_secs(3);
 
-pub fn spawn(config: &Value, state: &Path) -> Child {
-    spawn_at(None, config, state)
+/// The body of most messages.
+pub fn text() -> Bytes {
+    Bytes::from_static(b"text")
 }
 
-/// The program, with clients at a listener that it inherits, if there is one.
-fn spawn_at(door: Option<&Socket>, config: &Value, state: &Path) -> Child {
-    command(door, config, state).spawn().expect("the program starts")
+/// The notification that a message is undeliverable, as [`FakePlatform::report`] returns it.
+pub fn undeliverable(message_id: &str) -> (String, String) {
+    (message_id.to_owned(), "undeliverable".to_owned())
 }
 
-fn command(door: Option<&Socket>, config: &Value, state: &Path) -> Command {
-    let path = state.with_extension("json");
-    std::fs::write(&path, config.to_string()).expect("a configuration file");
-    let mut program = Command::new(env!("CARGO_BIN_EXE_rudderspindle"));
-    if let Some(door) = door {
-        program.env("RELAY_ACCEPT_FD", door.as_raw_fd().to_string());
+/// Collects notifications until there are `count` of them, and sorts them by message id.
+pub async fn notifications(platform: &mut FakePlatform, count: usize) -> Vec<(String, String)> {
+    let mut all = Vec::new();
+    while all.len() < count {
+        all.extend(platform.report().await.0);
     }
-    program.env("RELAY_CONFIG", path).env("RELAY_STATE", state);
-    program.stderr(Stdio::piped()).kill_on_drop(true);
-    program
+    all.sort();
+    all
 }
 
-impl Program {
-    pub async fn start(config: &Value, state: &Path) -> Self {
-        Self::begin(spawn(config, state)).await
-    }
-
-    /// One whose clients come by a listener that outlasts it.
-    pub async fn start_at(door: &Socket, config: &Value, state: &Path) -> Self {
-        Self::begin(spawn_at(Some(door), config, state)).await
-    }
-
-    /// One that stops for good at a named point, and says in its log that it has reached it.
-    pub async fn start_until(point: &str, config: &Value, state: &Path) -> Self {
-        let mut program = command(None, config, state);
-        Self::begin(program.env("RELAY_FAILPOINT", point).spawn().expect("the program starts")).await
-    }
-
-    async fn begin(mut child: Child) -> Self {
-        let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let mut operators = None;
-        let addr = loop {
-            let line = soon("the address", log.next_line()).await.expect("a log").expect("it goes on");
-            if let Some(addr) = line.strip_prefix("operators: listening on ") {
-                operators = Some(addr.parse().expect("an address"));
-            }
-            if let Some(addr) = line.strip_prefix("listening on ") {
-                break addr.parse().expect("an address");
-            }
-        };
-        Self { addr, operators, child, log }
-    }
-
-    /// The next line of the log that holds `text`.
-    pub async fn says(&mut self, text: &str) {
-        let found = async {
-            while let Ok(Some(line)) = self.log.next_line().await {
-                if line.contains(text) {
-                    return true;
-                }
-            }
-            false
-        };
-        assert!(soon(text, found).await, "the log ended without {text:?}");
-    }
-
-    /// What the log still says until the program ends.
-    pub async fn rest_of_log(&mut self) -> Vec<String> {
-        let mut lines = Vec::new();
-        while let Some(line) = soon("the log's end", self.log.next_line()).await.expect("a log") {
-            lines.push(line);
-        }
-        lines
-    }
-
-    pub async fn kill(mut self) {
-        self.child.kill().await.expect("it can be killed");
-    }
-
-    pub async fn terminate(&self) {
-        self.signal("-TERM").await;
-    }
-
-    /// Replaces the configuration, which may be none at all, and tells the program.
-    pub async fn configure(&self, config: &str, state: &Path) {
-        std::fs::write(state.with_extension("json"), config).expect("a configuration file");
-        self.signal("-HUP").await;
-    }
-
-    /// Sends a signal, as `kill` names it.
-    pub async fn signal(&self, name: &str) {
-        signal(&self.child, name).await;
-    }
-
-    /// A client's connection on which bytes are written as they are.
-    pub async fn raw(&self, bytes: &[u8]) -> TcpStream {
-        let mut stream = TcpStream::connect(self.addr).await.expect("a connection");
-        stream.write_all(bytes).await.expect("writable");
-        stream
-    }
-
-    pub async fn exit(&mut self) -> ExitStatus {
-        soon("the end", self.child.wait()).await.expect("a status")
-    }
-
-    /// Hands a message for destination 7 in, as a client of its own.
-    pub async fn hand_in(&self, class: &str, message_id: &str, body: Bytes) -> Response<Incoming> {
-        self.hand_in_within(class, message_id, body, "60").await
+/// Submits messages until one reaches the receiver, which needs the endpoint list that names it.
+pub async fn submit_until_called(program: &Program, receiver: &mut Receiver) {
+    while receiver.nothing_called() {
+        program.hand_in("safe", "probe", text()).await;
+        tokio::time::sleep(Duration::from_millis(5)).await;
     }
+}
 
-    pub async fn hand_in_within(
-        &self,
-        class: &str,
-        message_id: &str,
-        body: Bytes,
-        left: &str,
-    ) -> Response<Incoming> {
-        let request = Request::post(format!("/{class}"))
-            .header("x-txn", message_id)
-            .header("x-org", "acme")
-            .header("x-remaining", left)
-            .header("x-route-to", "dest=7")
-            .header("idempotency-key", format!("key-{message_id}"));
-        self.request(request.body(Full::new(body)).expect("a request")).await.expect("an answer")
-    }
+/// Starts a platform and one receiver, which its endpoint list names for destination 7; with a configuration for them.
+pub async fn start_peers(acts: &[Act], deadline_ms: f64) -> (FakePlatform, Receiver, Value) {
+    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
+    let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], deadline_ms);
+    *platform.list.lock().expect("a list") = Some(config["known"].clone());
+    (platform, receiver, config)
+}
 
-    pub async fn request(&self, mut request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
-        let stream = TcpStream::connect(self.addr).await.expect("a connection");
-        request.headers_mut().insert("host", "app.svc".parse().expect("a value"));
-        let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-        tokio::spawn(connection);
-        soon("an answer", sender.send_request(request)).await
-    }
+/// A listener whose connections take few bytes at a time: a large body cannot leave the sender at once.
+pub fn listener_with_small_window() -> TcpListener {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    socket.set_tcp_mss(536).expect("a segment size");
+    socket.set_recv_buffer_size(2_048).expect("a window");
+    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    socket.bind(&any.into()).expect("a port");
+    socket.listen(16).expect("a listener");
+    socket.set_nonblocking(true).expect("non-blocking");
+    TcpListener::from_std(socket.into()).expect("a listener")
 }
 
-/// Sends a program a signal, as `kill` names it.
-pub async fn signal(program: &Child, name: &str) {
-    let pid = program.id().expect("it runs").to_string();
-    let sent = Command::new("kill").args([name, &pid]).status().await.expect("kill runs");
-    assert!(sent.success());
+/// A platform, one receiver for destination 7 and a sender, with a deadline for its messages.
+pub async fn set_up(acts: &[Act], deadline: f64) -> (FakePlatform, Receiver, Program, Folder, Value) {
+    let (platform, receiver, config) = start_peers(acts, deadline).await;
+    let folder = lasting();
+    let program = Program::start(&config, &folder.1).await;
+    (platform, receiver, program, folder, config)
 }
 
+/// What keeps a folder, and the state's path in it.
+pub type Folder = (TempDir, PathBuf);
+
 /// A listening socket that the platform keeps, for programs that it starts.
 pub fn kept_door() -> Socket {
     let door = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -4,13 +4,10 @@
 
 use std::time::{Duration, Instant};
 
-use bytes::Bytes;
 use common::*;
 use tokio::net::TcpStream;
 use tokio::process::Command;
 
-const LONG: f64 = 60_000.0;
-
 /// From here on the program may have so many descriptors open.
 async fn limit(program: &Program, descriptors: usize) {
     let pid = program.child.id().expect("it runs").to_string();
@@ -29,26 +26,26 @@
 
 #[tokio::test]
 async fn calls_and_notices_have_descriptors_while_clients_idle_on_all_of_theirs() {
-    let (mut platform, mut receiver, program, _folder, _) = set_up(&[Act::Break], LONG).await;
+    let (mut platform, mut receiver, program, _folder, _) = set_up(&[Act::Break], DEADLINE_MS).await;
     // As many as `limits.sockets` says, and not one more.
     limit(&program, 128).await;
     let _idle = idle(&program, 200).await;
-    assert_eq!(program.hand_in("once", "m1", Bytes::from_static(b"text")).await.status(), 202);
+    assert_eq!(program.hand_in("once", "m1", text()).await.status(), 202);
     assert_eq!(receiver.call().await.message_id, "m1");
-    assert_eq!(platform.report().await.0, [("m1".to_owned(), "undeliverable".to_owned())]);
+    assert_eq!(platform.report().await.0, [undeliverable("m1")]);
 }
 
 #[tokio::test]
 async fn without_a_descriptor_for_a_client_idle_ones_go_and_the_log_says_so_once() {
-    let (_platform, mut receiver, mut program, _folder, _) = set_up(&[], LONG).await;
-    assert_eq!(program.hand_in("safe", "m0", Bytes::from_static(b"text")).await.status(), 202);
+    let (_platform, mut receiver, mut program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    assert_eq!(program.hand_in("safe", "m0", text()).await.status(), 202);
     // The call leaves a connection that is kept for the next.
     assert_eq!(receiver.call().await.message_id, "m0");
     let open = std::fs::read_dir(format!("/proc/{}/fd", program.child.id().expect("it runs")));
     limit(&program, open.expect("a process").count() + 10).await;
     let _idle = idle(&program, 30).await;
     let since = Instant::now();
-    assert_eq!(program.hand_in("safe", "m1", Bytes::from_static(b"text")).await.status(), 202);
+    assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
     // Not only once the idle ones' own time is up.
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
     assert_eq!(receiver.call().await.message_id, "m1");
--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -5,27 +5,17 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use bytes::Bytes;
 use common::*;
 use rudderspindle_journal::{Message, PossibleExecution, Status, Store, wall_ms};
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{UnixListener, UnixStream};
 
-const LONG: f64 = 60_000.0;
 /// The wait that an owner tells in these tests, and one that it was told.
 const WAIT: Duration = Duration::from_millis(1_500);
 /// Calls that come so soon after a wait was told are let through, as the protocol has it.
 const CROSSED: Duration = Duration::from_millis(100);
 
-fn text() -> Bytes {
-    Bytes::from_static(b"text")
-}
-
-fn undeliverable(message_id: &str) -> (String, String) {
-    (message_id.to_owned(), "undeliverable".to_owned())
-}
-
 fn message(class: &str, message_id: &str) -> Message {
     Message {
         message_id: message_id.into(),
@@ -45,21 +35,11 @@
 async fn site(acts: &[Act]) -> (FakePlatform, [Receiver; 2], Folder, Value) {
     let platform = FakePlatform::start().await;
     let receivers = [Receiver::start(acts).await, Receiver::start(&[]).await];
-    let config = config(platform.addr, &[member("r1", receivers[0].addr, 7, "SERVING")], LONG);
+    let config = config(platform.addr, &[member("r1", receivers[0].addr, 7, "SERVING")], DEADLINE_MS);
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
     (platform, receivers, lasting(), config)
 }
 
-/// So many notices, in the order of their ids.
-async fn notices(platform: &mut FakePlatform, most: usize) -> Vec<(String, String)> {
-    let mut all = Vec::new();
-    while all.len() < most {
-        all.extend(platform.report().await.0);
-    }
-    all.sort();
-    all
-}
-
 fn socket(state: &Path) -> std::path::PathBuf {
     state.join("handover")
 }
@@ -117,7 +97,7 @@
         let heard = said >= 2;
         assert!(!heard || after > WAIT - Duration::from_millis(50), "{said} lines, called after {after:?}");
         let expected = [undeliverable("ended"), undeliverable("tried")];
-        assert_eq!(notices(&mut platform, 2).await, expected, "{said} lines");
+        assert_eq!(notifications(&mut platform, 2).await, expected, "{said} lines");
         assert!(receiver.nothing_called() && platform.nothing_reported(), "{said} lines");
     }
 }
--- a/crates/daemon/tests/kills.rs
+++ b/crates/daemon/tests/kills.rs
@@ -2,11 +2,9 @@
 
 mod common;
 
-use bytes::Bytes;
 use common::*;
 use serde_json::Value;
 
-const LONG: f64 = 60_000.0;
 /// Every class: may be repeated at will, by its key, not at all.
 const CLASSES: [&str; 3] = ["safe", "keyed", "once"];
 
@@ -19,9 +17,7 @@
 
 impl Site {
     async fn new(acts: &[Act]) -> Self {
-        let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
-        let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], LONG);
-        *platform.list.lock().expect("a list") = Some(config["known"].clone());
+        let (platform, receiver, config) = start_peers(acts, DEADLINE_MS).await;
         Self { platform, receiver, folder: lasting(), config }
     }
 
@@ -43,14 +39,6 @@
     }
 }
 
-fn text() -> Bytes {
-    Bytes::from_static(b"text")
-}
-
-fn undeliverable(message_id: &str) -> Vec<(String, String)> {
-    vec![(message_id.to_owned(), "undeliverable".to_owned())]
-}
-
 fn raw(class: &str) -> Vec<u8> {
     let text = String::from_utf8(raw_hand_in("m1", "Content-Length: 4", "text")).expect("text");
     text.replace("POST /safe", &format!("POST /{class}"))
@@ -89,7 +77,7 @@
         assert!(site.receiver.nothing_called());
         let program = site.start().await;
         if class == "once" {
-            assert_eq!(site.platform.report().await.0, undeliverable("m1"));
+            assert_eq!(site.platform.report().await.0, [undeliverable("m1")]);
         } else {
             assert_eq!(site.receiver.call().await.message_id, "m1");
         }
@@ -110,7 +98,7 @@
         assert!(site.receiver.nothing_called());
         let program = site.start().await;
         if class == "once" {
-            assert_eq!(site.platform.report().await.0, undeliverable("m1"));
+            assert_eq!(site.platform.report().await.0, [undeliverable("m1")]);
         } else {
             assert_eq!(site.receiver.call().await.message_id, "m1");
         }
@@ -129,7 +117,7 @@
         program.kill().await;
         let program = site.start().await;
         if class == "once" {
-            assert_eq!(site.platform.report().await.0, undeliverable("m1"));
+            assert_eq!(site.platform.report().await.0, [undeliverable("m1")]);
         } else {
             let again = site.receiver.call().await;
             assert_eq!((&again.message_id, &again.body), (&first.message_id, &first.body));
@@ -146,11 +134,11 @@
     let mut program = site.until("acknowledged-before-record").await;
     assert_eq!(program.hand_in("once", "m1", text()).await.status(), 202);
     assert_eq!(site.receiver.call().await.message_id, "m1");
-    assert_eq!(site.platform.report().await, (undeliverable("m1"), 204));
+    assert_eq!(site.platform.report().await, (vec![undeliverable("m1")], 204));
     program.says("failpoint reached").await;
     program.kill().await;
     let program = site.start().await;
-    assert_eq!(site.platform.report().await, (undeliverable("m1"), 204));
+    assert_eq!(site.platform.report().await, (vec![undeliverable("m1")], 204));
     // Its end is on record once an operator's stop has let the engine settle it.
     program.terminate().await;
     let mut program = program;
@@ -180,6 +168,6 @@
     }
     program.kill().await;
     let program = site.start().await;
-    assert_eq!(site.platform.report().await, (undeliverable("m1"), 204));
+    assert_eq!(site.platform.report().await, (vec![undeliverable("m1")], 204));
     site.nothing_more(&program).await;
 }
--- a/crates/daemon/tests/operator.rs
+++ b/crates/daemon/tests/operator.rs
@@ -5,20 +5,15 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use bytes::Bytes;
 use common::*;
-use http_body_util::Full;
-use hyper::Request;
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const LONG: f64 = 60_000.0;
-
 /// A sender with a control listener, and where that is.
 async fn set_up(acts: &[Act]) -> (FakePlatform, Receiver, Program, Folder, SocketAddr) {
     let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
-    let mut config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], LONG);
+    let mut config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], DEADLINE_MS);
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
     config["control"] = json!("127.0.0.1:0");
     let folder = lasting();
@@ -43,18 +38,13 @@
     serde_json::from_str(figures).expect("figures")
 }
 
-async fn ready(program: &Program) -> u16 {
-    let request = Request::get("/-/ready").body(Full::default()).expect("a request");
-    program.request(request).await.expect("an answer").status().as_u16()
-}
-
 #[tokio::test]
 async fn figures_tell_of_each_end_and_of_what_is_open() {
     let (_platform, mut receiver, program, _folder, control) =
         set_up(&[Act::Say(200, None), Act::Say(500, None), Act::Hang]).await;
     assert_eq!(call(control, "status\n").await, "done\n");
     for (class, message_id) in [("safe", "m1"), ("once", "m2"), ("safe", "m3")] {
-        let answer = program.hand_in(class, message_id, Bytes::from_static(b"text")).await;
+        let answer = program.hand_in(class, message_id, text()).await;
         assert_eq!(answer.status(), 202);
         receiver.call().await;
     }
@@ -82,10 +72,10 @@
     let whole = hand_in("m2");
     let mut comes = program.raw(&whole[..30]).await;
     let mut fresh = program.raw(b"").await;
-    assert_eq!(ready(&program).await, 200);
+    assert_eq!(program.readiness().await, 200);
     assert_eq!(call(control, "standby\n").await, "done\n");
     rest(&mut rests).await;
-    assert_eq!(ready(&program).await, 503);
+    assert_eq!(program.readiness().await, 503);
     comes.write_all(&whole[30..]).await.expect("it is open");
     assert_eq!(status(&mut comes).await, Some(202));
     rest(&mut comes).await;
@@ -96,7 +86,7 @@
         assert_eq!(receiver.call().await.message_id, message_id);
     }
     assert_eq!(call(control, "active\n").await, "done\n");
-    assert_eq!(ready(&program).await, 200);
+    assert_eq!(program.readiness().await, 200);
     let mut stays = program.raw(&hand_in("m4")).await;
     assert_eq!(status(&mut stays).await, Some(202));
     rest_of_answer(&mut stays).await;
--- a/crates/daemon/tests/ready.rs
+++ b/crates/daemon/tests/ready.rs
@@ -6,8 +6,6 @@
 
 use bytes::Bytes;
 use common::*;
-use http_body_util::Full;
-use hyper::Request;
 use rudderspindle_journal::{Message, Store, wall_ms};
 use tokio::net::TcpListener;
 
@@ -46,8 +44,7 @@
     config["limits"]["disk_mb"] = DISK_MB.into();
     let begun = Instant::now();
     let program = Program::start(&config, state).await;
-    let ready = Request::get("/-/ready").body(Full::default()).expect("a request");
-    assert_eq!(program.request(ready).await.expect("an answer").status(), 200);
+    assert_eq!(program.readiness().await, 200);
     (begun.elapsed(), program)
 }
 
--- a/crates/daemon/tests/repeats.rs
+++ b/crates/daemon/tests/repeats.rs
@@ -4,23 +4,13 @@
 
 use std::time::{Duration, Instant};
 
-use bytes::Bytes;
 use common::*;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpSocket, TcpStream};
 
-const LONG: f64 = 60_000.0;
 /// As short as settings have it.
 const WINDOW: Duration = Duration::from_secs(1);
 
-fn text() -> Bytes {
-    Bytes::from_static(b"text")
-}
-
-fn undeliverable(message_id: &str) -> (String, String) {
-    (message_id.to_owned(), "undeliverable".to_owned())
-}
-
 /// An attempt that is never answered may have run. Its repeats come before the receivers of its zone forget the
 /// key, and to no other zone; then the message ends.
 #[tokio::test]
@@ -32,7 +22,7 @@
     far["locality"] = "b".into();
     // After a failure the far one would go first.
     let members = [member("r1", known.addr, 7, "SERVING"), far];
-    let mut config = config(platform.addr, &members, LONG);
+    let mut config = config(platform.addr, &members, DEADLINE_MS);
     config["settings"]["lanes"][1]["window"] = (WINDOW.as_millis() as f64).into();
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
     let (folder, mut platform) = (lasting(), platform);
@@ -63,7 +53,7 @@
     let slow = slow.listen(0).expect("a listener");
     let addr = slow.local_addr().expect("an address");
     let _waiting = TcpStream::connect(addr).await.expect("a connection");
-    let mut config = config(platform.addr, &[member("r1", first.addr, 7, "SERVING")], LONG);
+    let mut config = config(platform.addr, &[member("r1", first.addr, 7, "SERVING")], DEADLINE_MS);
     config["settings"]["lanes"][1]["window"] = (WINDOW.as_millis() as f64).into();
     config["settings"]["limits"]["connect_timeout"] = 5_000.0.into();
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -9,7 +9,6 @@
 use rudderspindle_journal::{Message, PossibleExecution, Store, wall_ms};
 use serde_json::Value;
 
-const LONG: f64 = 60_000.0;
 const HOUR: u64 = 3_600_000;
 
 /// A message as an earlier process left it: of a class, with so much of its time left by the clock.
@@ -21,7 +20,7 @@
         destination: 7,
         key: Some(Bytes::from(format!("key-{message_id}"))),
         deadline: wall_ms() + left_ms,
-        body: Bytes::from_static(b"text"),
+        body: text(),
         attempts: 0,
         possibly_executed: None,
         in_flight: None,
@@ -49,20 +48,10 @@
 
 /// A platform and a receiver for destination 7 that the platform lists, a folder, and a configuration.
 async fn site(acts: &[Act], deadline: f64) -> (FakePlatform, Receiver, Folder, Value) {
-    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
-    let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], deadline);
-    *platform.list.lock().expect("a list") = Some(config["known"].clone());
+    let (platform, receiver, config) = start_peers(acts, deadline).await;
     (platform, receiver, lasting(), config)
 }
 
-fn text() -> Bytes {
-    Bytes::from_static(b"text")
-}
-
-fn undeliverable(message_id: &str) -> (String, String) {
-    (message_id.to_owned(), "undeliverable".to_owned())
-}
-
 /// A message that an earlier process handed in last shows that all before it has been decided on.
 async fn expect_only(receiver: &mut Receiver, txns: &[&str]) {
     for message_id in txns {
@@ -77,7 +66,7 @@
 #[tokio::test]
 async fn a_keyed_message_is_repeated_after_a_restart_only_within_its_keys_window() {
     for (ago, repeated) in [(100, true), (1_100, false)] {
-        let (mut platform, mut receiver, folder, mut config) = site(&[], LONG).await;
+        let (mut platform, mut receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
         config["settings"]["lanes"][1]["window"] = 1_000.0.into();
         write_journal(&folder.1, vec![(left_behind("keyed", "m1", 50_000), Some(wall_ms() - ago))]);
         let program = Program::start(&config, &folder.1).await;
@@ -94,7 +83,7 @@
 /// Nothing tells how long ago an attempt was, also not one whose own time has come again.
 #[tokio::test]
 async fn a_clock_set_back_between_two_processes_begins_no_keys_window_anew() {
-    let (mut platform, mut receiver, folder, config) = site(&[], LONG).await;
+    let (mut platform, mut receiver, folder, config) = site(&[], DEADLINE_MS).await;
     let now = wall_ms();
     let messages = vec![
         (left_behind("keyed", "m1", 50_000), Some(now - 1_000)),
@@ -139,7 +128,7 @@
 /// No chance decides, also not that of a hash map's order: equal ones go in the order of their ids.
 #[tokio::test]
 async fn what_is_found_untried_goes_out_in_one_order_whatever_the_journals_order_is() {
-    let (_platform, mut receiver, folder, mut config) = site(&[], LONG).await;
+    let (_platform, mut receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
     config["settings"]["extra"]["calls_out"] = 1.into();
     write_journal(&folder.1, untried(40));
     let _program = Program::start(&config, &folder.1).await;
@@ -151,7 +140,7 @@
 /// Settings may have become smaller, and a successor takes over as much again as it holds.
 #[tokio::test]
 async fn more_than_may_be_held_is_tried_all_the_same_and_none_is_given_up_for_it() {
-    let (mut platform, mut receiver, folder, mut config) = site(&[], LONG).await;
+    let (mut platform, mut receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
     config["settings"]["limits"]["most_held"] = 10.into();
     write_journal(&folder.1, untried(60));
     let _program = Program::start(&config, &folder.1).await;
@@ -165,7 +154,7 @@
 /// What waits for room is owed its end all the while.
 #[tokio::test]
 async fn what_is_found_and_never_finds_room_ends_when_its_time_is_up() {
-    let (mut platform, _receiver, folder, mut config) = site(&[], LONG).await;
+    let (mut platform, _receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
     config["settings"]["limits"]["most_held"] = 4.into();
     config["settings"]["lanes"][1]["credit"] = 2.0.into();
     config["known"]["members"] = Value::Array(Vec::new());
@@ -189,7 +178,7 @@
 #[tokio::test]
 async fn a_successor_that_takes_over_as_much_as_it_holds_gives_none_of_it_up() {
     let wait = Act::Say(429, Some(("x-backoff-ms", "3000")));
-    let (mut platform, mut receiver, folder, mut config) = site(&[wait], LONG).await;
+    let (mut platform, mut receiver, folder, mut config) = site(&[wait], DEADLINE_MS).await;
     config["settings"]["limits"]["most_held"] = 20.into();
     let mut old = Program::start(&config, &folder.1).await;
     assert_eq!(old.hand_in("safe", "old-0", text()).await.status(), 202);
@@ -213,7 +202,7 @@
 
 #[tokio::test]
 async fn messages_of_a_class_that_is_no_more_fail_with_one_line_of_the_log() {
-    let (mut platform, mut receiver, folder, config) = site(&[], LONG).await;
+    let (mut platform, mut receiver, folder, config) = site(&[], DEADLINE_MS).await;
     let gone = |n| (left_behind("gone", &format!("m{n}"), 50_000), None);
     write_journal(&folder.1, (0..3).map(gone).collect());
     let mut child = spawn(&config, &folder.1);
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -10,8 +10,6 @@
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, BufReader};
 
-const LONG: f64 = 60_000.0;
-
 /// An address at which a test sees whether anybody came.
 struct Watched(TcpListener);
 
@@ -55,7 +53,7 @@
 async fn a_configuration_that_cannot_work_ends_the_program_in_one_line_before_anything_is_begun() {
     let (clients, discovery) = (Watched::new(), Watched::new());
     let (_folder, state) = lasting();
-    let mut good = config(discovery.addr(), &[], LONG);
+    let mut good = config(discovery.addr(), &[], DEADLINE_MS);
     // A port that is taken: whoever tries to listen there says so instead.
     good["listen"] = clients.addr().to_string().into();
     let said = last_words(&good, &state).await;
@@ -75,7 +73,7 @@
 #[tokio::test]
 async fn a_configuration_that_is_doubtful_and_cannot_work_is_refused_in_one_line_too() {
     let (_folder, state) = lasting();
-    let doubtful = with(&config(Watched::new().addr(), &[], LONG), "/settings/peers_total", None);
+    let doubtful = with(&config(Watched::new().addr(), &[], DEADLINE_MS), "/settings/peers_total", None);
     for (pointer, value, key, _) in refusals() {
         if pointer.starts_with("/settings/peers_total") || pointer == "/settings" {
             continue;
@@ -88,7 +86,7 @@
 #[tokio::test]
 async fn a_number_beyond_all_numbers_is_refused_with_its_place() {
     let (_folder, state) = lasting();
-    let text = config(Watched::new().addr(), &[], LONG).to_string().replace("15000.0", "1e400");
+    let text = config(Watched::new().addr(), &[], DEADLINE_MS).to_string().replace("15000.0", "1e400");
     std::fs::write(state.with_extension("json"), text).expect("a file");
     let mut program = tokio::process::Command::new(env!("CARGO_BIN_EXE_rudderspindle"));
     program.env("RELAY_CONFIG", state.with_extension("json")).env("RELAY_STATE", &state);
@@ -104,7 +102,7 @@
 async fn a_configuration_that_says_little_or_more_than_is_known_still_works() {
     let (platform, mut receiver) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let members = [member("r1", receiver.addr, 7, "SERVING")];
-    let whole = config(platform.addr, &members, LONG);
+    let whole = config(platform.addr, &members, DEADLINE_MS);
     *platform.list.lock().expect("a list") = Some(whole["known"].clone());
     let mut more = whole.clone();
     more["limits"]["sockets"] = json!(128.0);
@@ -115,7 +113,7 @@
         "limits": {"sockets": 128, "disk_mb": 3}, "settings": {"kinds": ["shared"], "azs": ["a", "b"],
         "extra": {"calls_out": 16}, "limits": {"most_held": 100, "max_attempts": 4},
         "projects": [{"name": "acme"}]}});
-    little["settings"]["lanes"] = json!([{"name": "safe", "effect": "free", "deadline": LONG}]);
+    little["settings"]["lanes"] = json!([{"name": "safe", "effect": "free", "deadline": DEADLINE_MS}]);
     for (n, config) in [whole, more, little].iter().enumerate() {
         let folder = lasting();
         let program = Program::start(config, &folder.1).await;
@@ -128,7 +126,7 @@
 #[tokio::test]
 async fn on_sighup_each_such_configuration_is_one_line_and_changes_nothing() {
     let (platform, mut receiver) = (FakePlatform::start().await, Receiver::start(&[]).await);
-    let good = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], LONG);
+    let good = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], DEADLINE_MS);
     *platform.list.lock().expect("a list") = Some(good["known"].clone());
     let (_folder, state) = lasting();
     let mut child = spawn(&good, &state);
@@ -157,3 +155,24 @@
     assert_eq!(receiver.call().await.message_id, "m1");
     child.kill().await.expect("it can be killed");
 }
+
+#[tokio::test]
+async fn an_invalid_configuration_ends_the_program_with_one_line() {
+    let (_folder, state) = lasting();
+    let good = config("127.0.0.1:1".parse().expect("an address"), &[], DEADLINE_MS);
+    let mut in_order = good["settings"].clone();
+    in_order["lanes"][1]["in_order"] = true.into();
+    for (key, value) in [
+        ("listen", serde_json::json!("nowhere")),
+        ("limits", serde_json::json!({"sockets": 3, "disk_mb": 3})),
+        ("settings", serde_json::json!({"lanes": 5})),
+        ("settings", serde_json::json!({})),
+        ("settings", in_order),
+    ] {
+        let mut bad = good.clone();
+        bad[key] = value;
+        let output = soon("the end", spawn(&bad, &state).wait_with_output()).await.expect("an end");
+        let log = String::from_utf8(output.stderr).expect("text");
+        assert!(!output.status.success() && log.lines().count() == 1, "{key}: {log}");
+    }
+}
--- a/crates/daemon/tests/shutdown.rs
+++ b/crates/daemon/tests/shutdown.rs
@@ -3,15 +3,12 @@
 mod common;
 
 use std::net::SocketAddr;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
-use bytes::Bytes;
 use common::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const LONG: f64 = 60_000.0;
-
 fn request(message_id: &str) -> Vec<u8> {
     raw_hand_in(message_id, "Content-Length: 4", "text")
 }
@@ -63,7 +60,7 @@
 
 #[tokio::test]
 async fn a_request_of_which_any_part_is_read_at_sigterm_is_taken_on_once_the_rest_has_come() {
-    let (mut platform, mut receiver, mut program, _folder, _) = set_up(&[], LONG).await;
+    let (mut platform, mut receiver, mut program, _folder, _) = set_up(&[], DEADLINE_MS).await;
     let whole = |part: usize| request(&format!("m{part}"));
     let head = whole(0).len() - 4;
     // Nothing, half a head, a whole head, half a body.
@@ -90,7 +87,7 @@
 /// The program is held while everything comes to its sockets, so that it finds all of it and the signal at once.
 #[tokio::test]
 async fn what_lies_in_the_listen_backlog_or_on_a_resting_connection_at_sigterm_is_taken_on() {
-    let (mut platform, mut receiver, mut program, _folder, _) = set_up(&[], LONG).await;
+    let (mut platform, mut receiver, mut program, _folder, _) = set_up(&[], DEADLINE_MS).await;
     let mut resting = program.raw(&request("first")).await;
     assert_eq!(status(&mut resting).await, Some(202));
     rest_of_answer(&mut resting).await;
@@ -118,13 +115,13 @@
 
 #[tokio::test]
 async fn a_second_sigterm_changes_nothing() {
-    let (_platform, mut receiver, mut program, _folder, _) = set_up(&[Act::Hang], LONG).await;
-    assert_eq!(program.hand_in("safe", "m1", Bytes::from_static(b"text")).await.status(), 202);
+    let (_platform, mut receiver, mut program, _folder, _) = set_up(&[Act::Hang], DEADLINE_MS).await;
+    assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
     receiver.call().await;
     program.terminate().await;
     program.says("stopping").await;
     program.terminate().await;
-    assert_eq!(program.hand_in("safe", "m2", Bytes::from_static(b"text")).await.status(), 202);
+    assert_eq!(program.hand_in("safe", "m2", text()).await.status(), 202);
     assert_eq!(receiver.call().await.message_id, "m2");
     program.terminate().await;
     assert_eq!(program.exit().await.code(), Some(0));
@@ -133,8 +130,8 @@
 /// It is told to end while it waits for a list that does not come.
 #[tokio::test]
 async fn sigterm_before_the_program_is_ready_ends_it_well_and_loses_nothing() {
-    let (_platform, mut receiver, program, folder, mut config) = set_up(&[Act::Hang], LONG).await;
-    assert_eq!(program.hand_in("safe", "m1", Bytes::from_static(b"text")).await.status(), 202);
+    let (_platform, mut receiver, program, folder, mut config) = set_up(&[Act::Hang], DEADLINE_MS).await;
+    assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
     assert_eq!(receiver.call().await.message_id, "m1");
     program.kill().await;
     let discovery = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -157,12 +154,12 @@
 /// half of one that it has.
 #[tokio::test]
 async fn of_what_a_sigkill_after_sigterm_meets_only_what_was_answered_is_sent() {
-    let (mut platform, mut receiver, mut program, folder, config) = set_up(&[Act::Hang], LONG).await;
+    let (mut platform, mut receiver, mut program, folder, config) = set_up(&[Act::Hang], DEADLINE_MS).await;
     let mut half = program.raw(&request("half")[..60]).await;
     lie_unread(&half, 0).await;
     program.terminate().await;
     program.says("stopping").await;
-    let answer = program.hand_in("safe", "answered", Bytes::from_static(b"text")).await;
+    let answer = program.hand_in("safe", "answered", text()).await;
     assert_eq!(answer.status(), 202);
     assert_eq!(receiver.call().await.message_id, "answered");
     program.signal("-STOP").await;
@@ -176,7 +173,7 @@
     let program = Program::start(&config, &folder.1).await;
     assert_eq!(receiver.call().await.message_id, "answered");
     // Behind it in the journal there is nothing else.
-    assert_eq!(program.hand_in("safe", "last", Bytes::from_static(b"text")).await.status(), 202);
+    assert_eq!(program.hand_in("safe", "last", text()).await.status(), 202);
     assert_eq!(receiver.call().await.message_id, "last");
     assert!(receiver.nothing_called() && platform.nothing_reported());
 }
@@ -184,7 +181,7 @@
 /// Many hand in while the signal comes: whatever the journal is writing just then, each hears what holds.
 #[tokio::test]
 async fn each_of_many_that_hand_in_at_sigterm_is_answered_and_what_is_taken_on_is_delivered() {
-    let (mut platform, mut receiver, mut program, folder, config) = set_up(&[], LONG).await;
+    let (mut platform, mut receiver, mut program, folder, config) = set_up(&[], DEADLINE_MS).await;
     let mut clients = Vec::new();
     for n in 0..30 {
         let bytes = request(&format!("m{n:02}"));
@@ -207,3 +204,29 @@
     assert_eq!(called(&mut receiver, taken.len()).await, taken);
     assert!(receiver.nothing_called() && platform.nothing_reported());
 }
+
+#[tokio::test]
+async fn sigterm_lets_calls_finish_and_leaves_the_rest_in_the_journal() {
+    // The unsafe one is waited for until its time is up, which is longer than a stop may take.
+    let (mut platform, mut receiver, mut program, folder, config) =
+        set_up(&[Act::Hang, Act::Hang], DEADLINE_MS).await;
+    for (class, message_id) in [("keyed", "m1"), ("once", "m0")] {
+        program.hand_in(class, message_id, text()).await;
+        assert_eq!(receiver.call().await.message_id, message_id);
+    }
+    let told = Instant::now();
+    program.terminate().await;
+    program.says("stopping").await;
+    // Clients still come: their messages are taken on and sent, and their connections close.
+    let answer = program.hand_in("safe", "m2", text()).await;
+    assert_eq!(answer.status(), 202);
+    assert_eq!(answer.headers()["connection"], "close");
+    assert_eq!(receiver.call().await.message_id, "m2");
+    assert_eq!(program.readiness().await, 503);
+    assert_eq!(program.exit().await.code(), Some(0));
+    assert!(told.elapsed() < Duration::from_millis(3_700), "{:?}", told.elapsed());
+    let _program = Program::start(&config, &folder.1).await;
+    assert_eq!(platform.report().await.0, [undeliverable("m0")]);
+    assert_eq!(receiver.call().await.message_id, "m1");
+    assert!(receiver.nothing_called() && platform.nothing_reported());
+}
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -5,7 +5,6 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use bytes::Bytes;
 use common::*;
 use serde_json::Value;
 use tokio::io::AsyncWriteExt;
@@ -21,9 +20,7 @@
 
 impl Site {
     async fn new(acts: &[Act], deadline: f64) -> Self {
-        let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
-        let config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], deadline);
-        *platform.list.lock().expect("a list") = Some(config["known"].clone());
+        let (platform, receiver, config) = start_peers(acts, deadline).await;
         Self { platform, receiver, door: kept_door(), folder: lasting(), config }
     }
 
@@ -35,23 +32,9 @@
     }
 }
 
-fn text() -> Bytes {
-    Bytes::from_static(b"text")
-}
-
-/// The status that a notice tells, by id.
-async fn notices(platform: &mut FakePlatform, most: usize) -> Vec<(String, String)> {
-    let mut all = Vec::new();
-    while all.len() < most {
-        all.extend(platform.report().await.0);
-    }
-    all.sort();
-    all
-}
-
 #[tokio::test]
 async fn clients_notice_nothing_of_a_new_version_and_what_the_old_one_holds_passes_to_it() {
-    let mut site = Site::new(&[Act::Hang, Act::Hang], 60_000.0).await;
+    let mut site = Site::new(&[Act::Hang, Act::Hang], DEADLINE_MS).await;
     let mut old = site.start().await;
     for (class, message_id) in [("safe", "m1"), ("once", "m2")] {
         assert_eq!(old.hand_in(class, message_id, text()).await.status(), 202);
@@ -79,7 +62,7 @@
     new.says("taken over: 2 messages").await;
     // Both attempts may have run: the one that may be repeated is, the other one fails, once.
     assert_eq!(site.receiver.call().await.message_id, "m1");
-    assert_eq!(notices(&mut site.platform, 1).await, [("m2".to_owned(), "undeliverable".to_owned())]);
+    assert_eq!(notifications(&mut site.platform, 1).await, [undeliverable("m2")]);
     assert_eq!(new.hand_in("safe", "m6", text()).await.status(), 202);
     assert_eq!(site.receiver.call().await.message_id, "m6");
     // The next version finds the one that is the owner now.
@@ -94,7 +77,7 @@
 /// The old process is killed while both serve; and nobody tells the new one.
 #[tokio::test]
 async fn a_kill_of_the_old_process_passes_what_it_held_to_the_new_one() {
-    let mut site = Site::new(&[Act::Hang], 60_000.0).await;
+    let mut site = Site::new(&[Act::Hang], DEADLINE_MS).await;
     let old = site.start().await;
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
     assert_eq!(site.receiver.call().await.message_id, "m1");
@@ -108,7 +91,7 @@
 async fn a_wait_told_to_either_process_binds_both() {
     // Told to the old one before the new one has come.
     let wait = Act::Say(429, Some(("x-backoff-ms", "1500")));
-    let mut site = Site::new(&[wait], 60_000.0).await;
+    let mut site = Site::new(&[wait], DEADLINE_MS).await;
     let old = site.start().await;
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
     site.receiver.call().await;
@@ -146,7 +129,7 @@
 /// A listener that cannot be used is one clear error.
 #[tokio::test]
 async fn a_descriptor_that_is_no_listener_ends_the_start() {
-    let site = Site::new(&[], 60_000.0).await;
+    let site = Site::new(&[], DEADLINE_MS).await;
     for (number, says) in [
         ("x", "RELAY_ACCEPT_FD is \"x\""),
         ("2", "RELAY_ACCEPT_FD is \"2\""),
