--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -42,9 +42,14 @@
 pub use fleet_view::{FleetView, FleetViewError, MAX_SENDERS, STALE};
 pub use limit_estimate::RecoveryRamp;
 pub use limit_id::LimitId;
-pub use membership::{Fate, Incarnation, Roster, Standing, TooFarAhead};
+pub use membership::{
+    Incarnation, IncarnationOrder, IncarnationTooFarAhead, MemberEvent, MembershipList, NewestIncarnation,
+};
 pub use message::{GossipError, MAX_MESSAGE_LEN};
 pub use outgoing_datagram::OutgoingDatagram;
-pub use outlier_detection::{OutlierDetector, Receiver, Seen, Word};
+pub use outlier_detection::{CallResult, ObserverVote, OutlierDetector, Receiver, ReceiverVote, Vote};
 pub use permits::{Permit, PermitError, PermitLedger};
-pub use tenant_usage::{EPOCH, Interval, LAG, MAX_USAGE, Quota, Register, TenantUsage, WindowSlice, part};
+pub use tenant_usage::{
+    EPOCH, LAG, LocalSender, MAX_TOTAL_SHARE, QuotaBucket, Register, RegisterKey, TenantTotal, TenantUsage,
+    UsageInterval, WindowSlice, quota_share, read_epochs,
+};
