--- a/crates/gossip/src/demand_exchange/aggregator_selection.rs
+++ b/crates/gossip/src/demand_exchange/aggregator_selection.rs
@@ -51,7 +51,7 @@
         self.silent_since.retain(|_, since| *since + SILENCE_ROUNDS > round);
     }
 
-    /// Records that a sender was heard.
+    /// Records that a message of a sender arrived.
     pub fn record_alive(&mut self, sender: usize) {
         self.silent_since.remove(&sender);
     }
--- a/crates/gossip/src/permits/exhaustive.rs
+++ b/crates/gossip/src/permits/exhaustive.rs
@@ -5,61 +5,15 @@
 //! Every permit is used as soon as it is usable, so that its use needs no action of its own. A paused process leaves out
 //! offers and allocations and goes on later: any action may be left out.
 
-use std::collections::{BTreeMap, BTreeSet};
+mod state;
+
 use std::time::{Duration, Instant};
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-use super::rounds::PERMIT_VALIDITY;
 use super::schedule::PermitSchedule;
 use super::*;
-use crate::demand_exchange::LocalDemand;
-
-const SENDERS: usize = 3;
-/// Limit of all senders, in calls a second: one or two permits for each in a term.
-const LIMIT: f64 = 9.0;
-/// Offers are sent in the middle of a round, grants at its start; datagrams are received at either.
-const HALF_ROUND: u64 = ROUND / 2;
-/// How often a sender looks for permits, in milliseconds: at least once while each is valid.
-const POLL_INTERVAL: u64 = PERMIT_VALIDITY / 2;
-/// Rounds without faults before the check, after which the allocators are known to be alive.
-const WARM_UP_ROUNDS: u64 = 4;
-const LIMIT_ID: LimitId = LimitId(7);
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Process {
-    sender: usize,
-    incarnation: Incarnation,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Datagram {
-    from: usize,
-    to: usize,
-    bytes: Vec<u8>,
-}
-
-/// A permit that two processes used.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct DoubleUse {
-    number: u64,
-    processes: [Process; 2],
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct State {
-    wall: u64,
-    /// `None` while no process of a sender runs.
-    ledgers: Vec<Option<PermitLedger>>,
-    incarnations: [u64; SENDERS],
-    /// How far each clock was set back, in milliseconds.
-    clock_lag: [u64; SENDERS],
-    faults: u32,
-    /// Everything that was sent: each datagram may be received never, once or again, in any order.
-    network: BTreeSet<Datagram>,
-    used: BTreeMap<u64, Process>,
-    double_use: Option<DoubleUse>,
-}
+use state::{Datagram, HALF_ROUND, LIMIT, LIMIT_ID, SENDERS, State};
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
@@ -81,97 +35,6 @@
     max_faults: u32,
 }
 
-impl State {
-    fn new(first_round: u64) -> Self {
-        let wall = (first_round - WARM_UP_ROUNDS) * ROUND;
-        let ledger = |sender| Some(PermitLedger::new(sender, SENDERS, Incarnation(1), wall));
-        let mut state = Self {
-            wall,
-            ledgers: (0..SENDERS).map(ledger).collect(),
-            incarnations: [1; SENDERS],
-            clock_lag: [0; SENDERS],
-            faults: 0,
-            network: BTreeSet::new(),
-            used: BTreeMap::new(),
-            double_use: None,
-        };
-        while state.wall < first_round * ROUND {
-            (0..SENDERS).for_each(|sender| state.offer(sender));
-            (0..SENDERS).for_each(|sender| state.allocate(sender));
-            while let Some(datagram) = state.network.pop_first() {
-                state.receive(&datagram);
-            }
-            state.pass_time();
-        }
-        state
-    }
-
-    fn clock(&self, sender: usize) -> u64 {
-        self.wall - self.clock_lag[sender]
-    }
-
-    /// One sender releases all its permits, the other two need all of them, in rotation.
-    fn offer(&mut self, sender: usize) {
-        let clock = self.clock(sender);
-        // By the true time: a sender whose clock was set back needs another number in the same round.
-        let demand = if (self.wall / ROUND) as usize % SENDERS == sender { 0.0 } else { 30.0 };
-        let demand =
-            LocalDemand { limit_id: LIMIT_ID, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 };
-        let offer = self.ledgers[sender].as_mut().and_then(|ledger| ledger.offer(clock, &[demand]));
-        self.send(sender, offer);
-    }
-
-    fn allocate(&mut self, sender: usize) {
-        let clock = self.clock(sender);
-        let grants = self.ledgers[sender].as_mut().map_or(Vec::new(), |ledger| ledger.allocate(clock));
-        self.send(sender, grants);
-    }
-
-    fn send(&mut self, from: usize, datagrams: impl IntoIterator<Item = OutgoingDatagram>) {
-        for OutgoingDatagram { to, bytes } in datagrams {
-            self.network.insert(Datagram { from, to, bytes });
-        }
-    }
-
-    fn receive(&mut self, datagram: &Datagram) {
-        let clock = self.clock(datagram.to);
-        if let Some(ledger) = &mut self.ledgers[datagram.to] {
-            // Late and duplicate messages are dropped.
-            let _ = ledger.receive(clock, datagram.from, &datagram.bytes);
-        }
-    }
-
-    fn pass_time(&mut self) {
-        for _ in 0..HALF_ROUND / POLL_INTERVAL {
-            self.wall += POLL_INTERVAL;
-            self.use_permits();
-        }
-        for sender in 0..SENDERS {
-            let clock = self.clock(sender);
-            if let Some(ledger) = &mut self.ledgers[sender] {
-                ledger.observe_clock(clock);
-            }
-        }
-    }
-
-    /// Every sender uses the permits that it may.
-    fn use_permits(&mut self) {
-        for sender in 0..SENDERS {
-            let clock = self.clock(sender);
-            let process = Process { sender, incarnation: Incarnation(self.incarnations[sender]) };
-            let ledger = self.ledgers[sender].as_ref();
-            let permits = ledger.map_or(Vec::new(), |ledger| ledger.permits(clock, LIMIT_ID, 1.0));
-            for permit in permits.iter().filter(|permit| permit.from <= clock) {
-                let first = *self.used.entry(permit.number).or_insert(process);
-                if first != process {
-                    let processes = [first, process];
-                    self.double_use = Some(DoubleUse { number: permit.number, processes });
-                }
-            }
-        }
-    }
-}
-
 impl Model for Cluster {
     type State = State;
     type Action = Action;
--- /dev/null
+++ b/crates/gossip/src/permits/exhaustive/state.rs
@@ -0,0 +1,147 @@
+//! The state of the model: three senders, their clocks, and every datagram that was sent.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::demand_exchange::LocalDemand;
+use crate::limit_id::LimitId;
+use crate::membership::Incarnation;
+use crate::outgoing_datagram::OutgoingDatagram;
+use crate::permits::PermitLedger;
+use crate::permits::rounds::{PERMIT_VALIDITY, ROUND};
+
+pub(super) const SENDERS: usize = 3;
+/// Limit of all senders, in calls a second: one or two permits for each in a term.
+pub(super) const LIMIT: f64 = 9.0;
+/// Offers are sent in the middle of a round, grants at its start; datagrams are received at either.
+pub(super) const HALF_ROUND: u64 = ROUND / 2;
+/// How often a sender looks for permits, in milliseconds: at least once while each is valid.
+pub(super) const POLL_INTERVAL: u64 = PERMIT_VALIDITY / 2;
+/// Rounds without faults before the check, after which the allocators are known to be alive.
+pub(super) const WARM_UP_ROUNDS: u64 = 4;
+pub(super) const LIMIT_ID: LimitId = LimitId(7);
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Process {
+    pub(super) sender: usize,
+    pub(super) incarnation: Incarnation,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) struct Datagram {
+    pub(super) from: usize,
+    pub(super) to: usize,
+    pub(super) bytes: Vec<u8>,
+}
+
+/// A permit that two processes used.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct DoubleUse {
+    pub(super) number: u64,
+    pub(super) processes: [Process; 2],
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct State {
+    pub(super) wall: u64,
+    /// `None` while no process of a sender runs.
+    pub(super) ledgers: Vec<Option<PermitLedger>>,
+    pub(super) incarnations: [u64; SENDERS],
+    /// How far each clock was set back, in milliseconds.
+    pub(super) clock_lag: [u64; SENDERS],
+    pub(super) faults: u32,
+    /// Everything that was sent: each datagram may be received never, once or again, in any order.
+    pub(super) network: BTreeSet<Datagram>,
+    pub(super) used: BTreeMap<u64, Process>,
+    pub(super) double_use: Option<DoubleUse>,
+}
+
+impl State {
+    pub(super) fn new(first_round: u64) -> Self {
+        let wall = (first_round - WARM_UP_ROUNDS) * ROUND;
+        let ledger = |sender| Some(PermitLedger::new(sender, SENDERS, Incarnation(1), wall));
+        let mut state = Self {
+            wall,
+            ledgers: (0..SENDERS).map(ledger).collect(),
+            incarnations: [1; SENDERS],
+            clock_lag: [0; SENDERS],
+            faults: 0,
+            network: BTreeSet::new(),
+            used: BTreeMap::new(),
+            double_use: None,
+        };
+        while state.wall < first_round * ROUND {
+            (0..SENDERS).for_each(|sender| state.offer(sender));
+            (0..SENDERS).for_each(|sender| state.allocate(sender));
+            while let Some(datagram) = state.network.pop_first() {
+                state.receive(&datagram);
+            }
+            state.pass_time();
+        }
+        state
+    }
+
+    pub(super) fn clock(&self, sender: usize) -> u64 {
+        self.wall - self.clock_lag[sender]
+    }
+
+    /// One sender releases all its permits, the other two need all of them, in rotation.
+    pub(super) fn offer(&mut self, sender: usize) {
+        let clock = self.clock(sender);
+        // By the true time: a sender whose clock was set back needs another number in the same round.
+        let demand = if (self.wall / ROUND) as usize % SENDERS == sender { 0.0 } else { 30.0 };
+        let demand =
+            LocalDemand { limit_id: LIMIT_ID, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 };
+        let offer = self.ledgers[sender].as_mut().and_then(|ledger| ledger.offer(clock, &[demand]));
+        self.send(sender, offer);
+    }
+
+    pub(super) fn allocate(&mut self, sender: usize) {
+        let clock = self.clock(sender);
+        let grants = self.ledgers[sender].as_mut().map_or(Vec::new(), |ledger| ledger.allocate(clock));
+        self.send(sender, grants);
+    }
+
+    fn send(&mut self, from: usize, datagrams: impl IntoIterator<Item = OutgoingDatagram>) {
+        for OutgoingDatagram { to, bytes } in datagrams {
+            self.network.insert(Datagram { from, to, bytes });
+        }
+    }
+
+    pub(super) fn receive(&mut self, datagram: &Datagram) {
+        let clock = self.clock(datagram.to);
+        if let Some(ledger) = &mut self.ledgers[datagram.to] {
+            // Late and duplicate messages are dropped.
+            let _ = ledger.receive(clock, datagram.from, &datagram.bytes);
+        }
+    }
+
+    pub(super) fn pass_time(&mut self) {
+        for _ in 0..HALF_ROUND / POLL_INTERVAL {
+            self.wall += POLL_INTERVAL;
+            self.use_permits();
+        }
+        for sender in 0..SENDERS {
+            let clock = self.clock(sender);
+            if let Some(ledger) = &mut self.ledgers[sender] {
+                ledger.observe_clock(clock);
+            }
+        }
+    }
+
+    /// Every sender uses the permits that it may.
+    pub(super) fn use_permits(&mut self) {
+        for sender in 0..SENDERS {
+            let clock = self.clock(sender);
+            let process = Process { sender, incarnation: Incarnation(self.incarnations[sender]) };
+            let ledger = self.ledgers[sender].as_ref();
+            let permits = ledger.map_or(Vec::new(), |ledger| ledger.permits(clock, LIMIT_ID, 1.0));
+            for permit in permits.iter().filter(|permit| permit.from <= clock) {
+                let first = *self.used.entry(permit.number).or_insert(process);
+                if first != process {
+                    let processes = [first, process];
+                    self.double_use = Some(DoubleUse { number: permit.number, processes });
+                }
+            }
+        }
+    }
+}
--- a/crates/gossip/src/permits/offering.rs
+++ b/crates/gossip/src/permits/offering.rs
@@ -88,7 +88,7 @@
         (entry.released > 0 || entry.requested > 0).then_some(entry)
     }
 
-    /// Gives up what the entries release, before anybody is told of it.
+    /// Gives up what the entries release, before the offer is sent.
     fn release(&mut self, round: u64, entries: &[PermitOfferEntry]) {
         for entry in entries.iter().filter(|entry| entry.released > 0) {
             if let Some(holding) = self.holdings.get_mut(&LimitId(entry.limit_id)) {
