--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -38,7 +38,7 @@
 async fn play() -> Verdict {
     let (mut tier, folder) = cluster::tier(8, 1, None).await;
     let logged = |text: &str| cluster::logged(folder.path(), text);
-    tier.load();
+    tier.start_load();
     for sender in 0..SENDERS {
         soon("each has told and heard", || heard(&tier.mesh, sender).0 > 1 && told(&tier.mesh, sender) > 1)
             .await;
@@ -74,16 +74,16 @@
     sleep(Duration::from_millis(600)).await;
     assert_eq!(told(&tier.mesh, 5), silent);
     let dead = told(&tier.mesh, 3);
-    tier.go_on(5).await.expect("it goes on");
-    tier.start_again(3, Journal::Kept).await.expect("it starts again");
+    tier.resume(5).await.expect("it goes on");
+    tier.restart(3, Journal::Kept).await.expect("it starts again");
     soon("both tell again", || told(&tier.mesh, 5) > silent && told(&tier.mesh, 3) > dead).await;
 
-    let verdict = tier.ended().await;
+    let verdict = tier.finish().await;
 
     // All have their ends, so nothing is lost with a folder.
     tier.kill(7).await.expect("killed");
     let dead = told(&tier.mesh, 7);
-    tier.start_again(7, Journal::Empty).await.expect("it starts again");
+    tier.restart(7, Journal::Empty).await.expect("it starts again");
     soon("it tells again", || told(&tier.mesh, 7) > dead).await;
     verdict
 }
@@ -93,8 +93,8 @@
     for _ in 0..3 {
         let verdict = play().await;
         // On a machine that is too busy what the judge says is worth nothing.
-        if !verdict.in_doubt() {
-            assert!(verdict.clean() && verdict.accounting.open == 0, "{verdict}");
+        if !verdict.is_inconclusive() {
+            assert!(verdict.is_clean() && verdict.accounting.pending == 0, "{verdict}");
             assert!(verdict.accounting.delivered > 200, "{verdict}");
             return;
         }
@@ -112,10 +112,10 @@
     println!("{HEAD}");
     rows.iter().for_each(|row| println!("{row}"));
     println!("{:?}", verdict.accounting);
-    assert!(!verdict.in_doubt(), "the stand-ins were late: this machine is too busy to tell anything");
+    assert!(!verdict.is_inconclusive(), "the stand-ins were late: this machine is too busy to tell anything");
     // Late ends are no fault here: a process stopped for longer than its messages last cannot end them in time.
     let accounts = &verdict.accounting;
-    assert_eq!((accounts.lost, accounts.doubled, accounts.open), (0, 0, 0), "{verdict}");
+    assert_eq!((accounts.lost, accounts.duplicated, accounts.pending), (0, 0, 0), "{verdict}");
     let strict = |row: &cluster::Row| row.usage.worst <= 1.10 && row.usage.refused <= 0.05;
     let over: Vec<String> = rows.iter().filter(|row| !strict(row)).map(ToString::to_string).collect();
     assert!(over.is_empty(), "over the limit or refused too often:\n{HEAD}\n{}", over.join("\n"));
