--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -51,4 +51,11 @@
             BreakerState::Closed | BreakerState::SlowStart { .. } => false,
         }
     }
+
+    /// Begins slow start, or begins it anew: no call goes before `since`, nor before `next_call_at` at first.
+    pub fn begin_slow_start(&mut self, since: Millis, share: f64, next_call_at: Millis) {
+        let earliest = if self.is_in_slow_start() { since } else { since.max(next_call_at) };
+        self.state = BreakerState::SlowStart { since, share };
+        self.next_call_at = self.next_call_at.max(earliest);
+    }
 }
--- a/crates/policy/src/circuit_breaker/state.rs
+++ b/crates/policy/src/circuit_breaker/state.rs
@@ -121,11 +121,4 @@
             _ => BreakerState::Open { probe_at, since: now, silent },
         };
     }
-
-    /// Begins slow start, or begins it anew: no call goes before `since`, nor before `next_call_at` at first.
-    pub fn begin_slow_start(&mut self, since: Millis, share: f64, next_call_at: Millis) {
-        let earliest = if self.is_in_slow_start() { since } else { since.max(next_call_at) };
-        self.state = BreakerState::SlowStart { since, share };
-        self.next_call_at = self.next_call_at.max(earliest);
-    }
 }
--- a/crates/policy/src/key_ordering.rs
+++ b/crates/policy/src/key_ordering.rs
@@ -44,12 +44,14 @@
         }
     }
 
-    /// Whether the message is the first of its key and the key does not pause for it.
-    pub fn is_next(&self, key: u64, id: MessageHandle, now: Millis) -> bool {
-        let Some(queue) = self.queues.get(&key) else { return true };
-        let is_first = queue.messages.front() == Some(&id);
-        let is_paused = queue.paused_until > now && queue.paused_by != Some(id);
-        is_first && !is_paused
+    /// Whether no message of its key was accepted before it.
+    pub fn is_first(&self, key: u64, id: MessageHandle) -> bool {
+        self.queues.get(&key).is_none_or(|queue| queue.messages.front() == Some(&id))
+    }
+
+    /// Whether its key pauses for the message.
+    pub fn is_paused(&self, key: u64, id: MessageHandle, now: Millis) -> bool {
+        self.queues.get(&key).is_some_and(|queue| queue.paused_until > now && queue.paused_by != Some(id))
     }
 
     /// When the keys that pause now go on.
--- a/crates/policy/src/policy/bookkeeping.rs
+++ b/crates/policy/src/policy/bookkeeping.rs
@@ -32,13 +32,11 @@
         settled.is_first
     }
 
-    /// Counts a message that has come; the first one at a destination queues up behind all senders' calls.
+    /// Counts a message that has come.
     pub(super) fn count_arrival(&mut self, id: DestinationId) {
         let Some(mut destination) = self.destinations.get_mut(&id).map(std::mem::take) else { return };
         destination.arrival_rate.came(self.now);
-        if destination.waiting.len() == 1 {
-            self.queue_up(&mut destination);
-        }
+        self.queue_up(&mut destination);
         self.destinations.insert(id, destination);
     }
 
@@ -66,12 +64,6 @@
         call
     }
 
-    /// Whether the message is the first of its ordering key, and the key does not pause.
-    pub(super) fn is_next_of_its_key(&self, id: MessageHandle) -> bool {
-        let Some(message) = self.messages.get(&id) else { return false };
-        self.key_ordering.is_next(message.ordering_key, id, self.now)
-    }
-
     /// The possible execution in the history of a recovered message.
     pub(super) fn possible_execution(&self, history: &AttemptHistory) -> Option<PossibleExecution> {
         let prior = history.possibly_executed?;
--- a/crates/policy/src/policy/demand.rs
+++ b/crates/policy/src/policy/demand.rs
@@ -31,6 +31,9 @@
 impl Policy {
     /// The first message at a destination takes its place among the calls of all senders.
     pub(super) fn queue_up(&mut self, destination: &mut Destination) {
+        if destination.waiting.len() != 1 {
+            return;
+        }
         for scope in destination.throttle_scopes() {
             let Some(pace) = destination.fleet_pace(scope, self.now) else { continue };
             let draw = self.rng.unit();
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -117,6 +117,14 @@
             && age > LOST_STRETCH * destination.overdue_after(index)
     }
 
+    /// Whether a message may go as far as its ordering key is concerned: one at a time, in the order of
+    /// acceptance.
+    fn is_next_of_its_key(&self, id: MessageHandle) -> bool {
+        let Some(message) = self.messages.get(&id) else { return false };
+        let key = message.ordering_key;
+        self.key_ordering.is_first(key, id) && !self.key_ordering.is_paused(key, id, self.now)
+    }
+
     /// Departure (calls are overdue, with no answer since): a silent route is down before its calls time out.
     fn open_silent_breakers(&mut self, destination: &mut Destination) {
         for scope in destination.all_breaker_scopes() {
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -3,10 +3,28 @@
 use super::Policy;
 use super::scope::Scope;
 use super::settlement::AttemptResult;
-use super::state::Destination;
+use super::state::{Destination, PossibleExecution};
 use crate::interface::{Action, Effect, Millis, Outcome};
 
 impl Policy {
+    /// Records at the message what an attempt may have done; its ordering key pauses while the attempt may
+    /// run.
+    pub(super) fn record_at_message(&mut self, result: &AttemptResult, execution: Option<PossibleExecution>) {
+        let Some(message) = self.messages.get_mut(&result.id) else { return };
+        if result.outcome == Outcome::AttemptsExhausted {
+            message.attempts = self.settings.max_attempts;
+        }
+        if !result.outcome.possibly_executed() || result.outcome == Outcome::Ok {
+            return;
+        }
+        message.possibly_executed = message.possibly_executed.or(execution);
+        let may_still_run = result.outcome != Outcome::Error;
+        if may_still_run {
+            let until = self.now + self.settings.ordering_key_pause;
+            self.key_ordering.pause(message.ordering_key, result.id, until);
+        }
+    }
+
     /// Decides whether the message of a result waits for a retry, or is completed.
     pub(super) fn retry_or_complete(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&result.id) else { return };
@@ -59,3 +77,8 @@
         throttle.shows_outage(self.now, result.outcome, result.retry_after)
     }
 }
+
+/// Whether an outcome says anything about the limit or the receiver.
+pub(super) fn counts_at_throttle(outcome: Outcome) -> bool {
+    !matches!(outcome, Outcome::NotSent | Outcome::AttemptsExhausted | Outcome::Cancelled)
+}
--- a/crates/policy/src/policy/settlement.rs
+++ b/crates/policy/src/policy/settlement.rs
@@ -1,6 +1,7 @@
 //! Settles the result of an attempt at its message, its call and its route. No decision.
 
 use super::Policy;
+use super::outcomes::counts_at_throttle;
 use super::state::{Destination, PossibleExecution};
 use crate::calls::Call;
 use crate::interface::{Action, DestinationId, MessageHandle, Millis, Outcome};
@@ -40,24 +41,6 @@
         self.retry_or_complete(result, actions);
     }
 
-    /// Records at the message what an attempt may have done; its ordering key pauses while the attempt may
-    /// run.
-    fn record_at_message(&mut self, result: &AttemptResult, execution: Option<PossibleExecution>) {
-        let Some(message) = self.messages.get_mut(&result.id) else { return };
-        if result.outcome == Outcome::AttemptsExhausted {
-            message.attempts = self.settings.max_attempts;
-        }
-        if !result.outcome.possibly_executed() || result.outcome == Outcome::Ok {
-            return;
-        }
-        message.possibly_executed = message.possibly_executed.or(execution);
-        let may_still_run = result.outcome != Outcome::Error;
-        if may_still_run {
-            let until = self.now + self.settings.ordering_key_pause;
-            self.key_ordering.pause(message.ordering_key, result.id, until);
-        }
-    }
-
     /// Settles an attempt at its call; where and when it may have been executed, if the call is known.
     fn settle_attempt(
         &mut self,
@@ -87,9 +70,7 @@
             destination.calls.count_later_answer(call.route, call.sent_at);
         }
         let is_first_result = self.release_slot(destination, index, call.id);
-        let says_nothing =
-            matches!(result.outcome, Outcome::NotSent | Outcome::AttemptsExhausted | Outcome::Cancelled);
-        if is_first_result && !says_nothing {
+        if is_first_result && counts_at_throttle(result.outcome) {
             self.apply_call_result(destination, index, &call, result);
         }
         Some(PossibleExecution { sent_at: call.sent_at, route: call.route, zone })
@@ -104,8 +85,8 @@
         result: &AttemptResult,
     ) {
         let outcome = result.outcome;
-        if outcome == Outcome::Ok && (call.used_up_pace || !destination.waiting.is_empty()) {
-            self.grow_pace(destination.throttle_mut(index));
+        if outcome == Outcome::Ok {
+            self.grow_pace(destination, index, call);
         }
         let shows_outage = self.record_at_throttle(destination, index, result);
         let result = CallResult { sent_at: call.sent_at, outcome, shows_outage };
--- a/crates/policy/src/policy/throttle.rs
+++ b/crates/policy/src/policy/throttle.rs
@@ -3,7 +3,8 @@
 use rudderspindle_gossip::CapacityShare;
 
 use super::Policy;
-use super::state::{ConsecutiveRejections, Throttle};
+use super::state::{ConsecutiveRejections, Destination, Throttle};
+use crate::calls::Call;
 use crate::interface::{Millis, Outcome};
 use crate::window::{WindowBounds, WindowCounts};
 
@@ -43,8 +44,12 @@
         (self.settings.peers_total as f64 / SMALL_FLEET).max(1.0)
     }
 
-    /// A call was accepted while messages wait: the pace grows.
-    pub(super) fn grow_pace(&self, throttle: &mut Throttle) {
+    /// A call was accepted: the pace grows if it limits the calls.
+    pub(super) fn grow_pace(&self, destination: &mut Destination, index: usize, call: &Call) {
+        if !call.used_up_pace && destination.waiting.is_empty() {
+            return;
+        }
+        let throttle = destination.throttle_mut(index);
         let since_cut = ((self.now - throttle.pace_cut_at) / COUNT_WINDOW.max_span).min(1.0);
         let gain = PACE_GAIN
             * throttle.time_scale
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,6 +1,11 @@
 //! Decides whether a message is within its tenant's share of what this sender is given.
 
+mod state;
+
+pub(crate) use state::Quotas;
+
 use crate::interface::{Millis, Settings, Tenant};
+use state::TokenBucket;
 
 /// A tenant's burst within its quota, in ms of that quota.
 const BURST: Millis = 2_000.0;
@@ -9,39 +14,7 @@
 /// The time over which arrivals are averaged is this at the least, ms.
 const MIN_ARRIVAL_SPAN: Millis = 1_000.0;
 
-/// A token bucket for each tenant.
-#[derive(Debug)]
-pub(crate) struct Quotas {
-    buckets: Vec<TokenBucket>,
-    /// Messages of all tenants so far.
-    arrivals: f64,
-}
-
-/// What is left of a tenant's quota at this sender.
-#[derive(Clone, Copy, Debug)]
-struct TokenBucket {
-    /// Messages left within the quota.
-    tokens: f64,
-    refilled_at: Millis,
-    /// Messages per second that the fleet's counts leave to this sender, where they are known.
-    reported_per_s: Option<f64>,
-}
-
 impl Quotas {
-    /// Quotas of which nothing is used.
-    pub fn new(tenants: usize) -> Self {
-        let full = TokenBucket { tokens: f64::INFINITY, refilled_at: 0.0, reported_per_s: None };
-        Self { buckets: vec![full; tenants], arrivals: 0.0 }
-    }
-
-    /// Sets this sender's share of a tenant's quota, in messages per second; none where nothing is known of
-    /// others.
-    pub fn set_share(&mut self, tenant: usize, per_s: Option<f64>) {
-        if let Some(bucket) = self.buckets.get_mut(tenant) {
-            bucket.reported_per_s = per_s;
-        }
-    }
-
     /// Counts a message of this tenant; whether it is within the quota. A message of no tenant is.
     pub fn admits(&mut self, now: Millis, settings: &Settings, tenant: usize) -> bool {
         self.arrivals += 1.0;
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many senders before one receiver with a limit that rejected calls use up, in simulated time: what is harmless
-//! for one must not hurt when a hundred do it.
+//! Many senders before one receiver with a limit that rejected calls use up, in simulated time: what is
+//! harmless for one must not hurt when a hundred do it.
 
 use rudderspindle_simulation::partner::*;
 
@@ -128,8 +128,8 @@
     }
 }
 
-/// The limit falls, Retry-After is 3 s, and then nobody gets through for two seconds: the interruption is over
-/// before most Retry-Afters are, and three times the usual messages come in the second after it.
+/// The limit falls, Retry-After is 3 s, and then nobody gets through for two seconds: the interruption is
+/// over before most Retry-Afters are, and three times the usual messages come in the second after it.
 #[test]
 fn an_interruption_within_retry_after_leads_to_no_overload_and_no_saturation() {
     for senders in [30, 300] {
@@ -173,8 +173,9 @@
     }
 }
 
-/// Hundreds of senders at their fair parts saturate a limit for good once a burst has exceeded it: rejected calls
-/// use it up, and hardly one sender sees more than one of them. With reports of all demand they share it.
+/// Hundreds of senders at their fair parts saturate a limit for good once a burst has exceeded it: rejected
+/// calls use it up, and hardly one sender sees more than one of them. With reports of all demand they share
+/// it.
 #[test]
 fn senders_that_report_their_demand_recover_from_a_saturated_limit() {
     for (senders, least, gain) in [(30, 0.9, 0.0), (300, 0.7, 0.05)] {
@@ -195,7 +196,8 @@
         );
         assert!(delivered > least && delivered > alone + gain, "{senders} senders: {delivered:.2} delivered");
         assert!(rejections < 0.5 * alone_rejections, "{senders} senders: {rejections:.2} rejections each");
-        // Half of the reports are better than none, as lost ones are estimated; an interruption of reports costs little.
+        // Half of the reports are better than none, as lost ones are estimated; an interruption of reports
+        // costs little.
         assert!(
             half > alone - 0.05 + gain,
             "{senders} senders: {half:.2} delivered, half of the reports lost"
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,6 +1,7 @@
-//! What a returning receiver gets from all senders together, in simulated time: N calls in the time that overloads
-//! it, and what chance may add to them, 2 root N + 2. Only calls of senders that had seen a failure in the outage
-//! are counted: others cannot know of it. `rudderspindle-bench fleet-limit --returns` prints the whole table.
+//! What a returning receiver gets from all senders together, in simulated time: N calls in the time that
+//! overloads it, and what chance may add to them, 2 root N + 2. Only calls of senders that had seen a failure
+//! in the outage are counted: others cannot know of it. `rudderspindle-bench fleet-limit --returns` prints
+//! the whole table.
 
 use rudderspindle_simulation::partner::*;
 
