--- a/crates/simulation/src/partner/network.rs
+++ b/crates/simulation/src/partner/network.rs
@@ -73,7 +73,7 @@
             // A datagram that comes too late is an error and has no effect, as in the real fleet.
             match protocol {
                 Protocol::Demand => {
-                    let _ = receiver.demand_exchange.hear(wall, from, &bytes);
+                    let _ = receiver.demand_exchange.receive(wall, from, &bytes);
                 }
                 Protocol::Permits => {
                     let _ = receiver.receive_permits(wall, from, &bytes);
--- a/crates/simulation/src/partner/sender.rs
+++ b/crates/simulation/src/partner/sender.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use rudderspindle_gossip::{
-    DemandExchange, Incarnation, LimitId, LocalDemand, OutgoingDatagram, PermitError, PermitLedger, Ramp,
+    DemandExchange, Incarnation, LimitId, LocalDemand, OutgoingDatagram, PermitError, PermitLedger,
+    RecoveryRamp,
 };
 use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{
@@ -81,7 +82,7 @@
             let wall = wall_clock(now, clock_ahead);
             PermitLedger::new(index, scene.senders, Incarnation(restarts + 1), wall)
         };
-        let ramp = Ramp { start, growth: after_a_second - start };
+        let ramp = RecoveryRamp { initial_fraction: start, growth_per_s: after_a_second - start };
         Self {
             policy,
             demand_exchange: DemandExchange::new(index, scene.senders, ramp),
@@ -152,17 +153,17 @@
     /// Tells the policy its capacity by the last round of sums, if there was one.
     fn update_capacity(&mut self, wall: u64, demands: &[Demand]) {
         self.available_fractions.clear();
-        let Some(shares) = self.demand_exchange.rooms(wall) else { return };
+        let Some(capacities) = self.demand_exchange.capacities(wall) else { return };
         for demand in demands {
             let limit_id = limit_id(demand);
-            let fraction = self.demand_exchange.open(limit_id, demand.limit);
+            let fraction = self.demand_exchange.available_fraction(limit_id, demand.limit);
             self.available_fractions.insert(limit_id, fraction);
-            let share = shares.iter().find(|(id, _)| *id == limit_id);
+            let capacity = capacities.iter().find(|capacity| capacity.limit_id == limit_id);
             self.events.push(Event::Capacity {
                 destination: demand.destination,
                 route: demand.route,
-                calls: share.map_or(f64::INFINITY, |(_, calls)| *calls),
-                wanted: self.demand_exchange.wanted(limit_id),
+                calls: capacity.map_or(f64::INFINITY, |capacity| capacity.rate_per_demand),
+                wanted: self.demand_exchange.fleet_demand(limit_id),
                 lasts: CAPACITY_VALIDITY,
             });
         }
