--- a/crates/policy/src/policy/metrics.rs
+++ b/crates/policy/src/policy/metrics.rs
@@ -1,4 +1,4 @@
-//! What a host may read: demand and what was done, routes out of rotation, and how much is remembered. No decision.
+//! Figures for the host: demand, routes out of rotation, and how much is remembered. No decision.
 
 use rudderspindle_gossip::CapacityShare;
 
@@ -8,7 +8,7 @@
 use crate::interface::{Demand, DestinationId, Listing};
 
 impl Policy {
-    /// What is wanted of each limit, and what was done to it so far.
+    /// The demand of each limit, with the calls made so far.
     pub fn demands(&self) -> Vec<Demand> {
         let mut demands = Vec::new();
         for (&id, destination) in &self.destinations {
@@ -37,12 +37,12 @@
     }
 
     /// Number of messages that it can admit before it sheds any.
-    pub fn room(&self) -> usize {
+    pub fn free_capacity(&self) -> usize {
         self.shed_threshold().saturating_sub(self.messages.len())
     }
 
     /// Number of listed routes that take no ordinary calls now: draining, down, or within a Retry-After.
-    pub fn avoided(&self) -> usize {
+    pub fn routes_out_of_rotation(&self) -> usize {
         let out_of_rotation = |destination: &Destination| {
             (0..destination.routes.len()).filter(|&index| self.is_out_of_rotation(destination, index)).count()
         };
