--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,5 +1,6 @@
-//! What stands round a sender in tests and measurements: partners, the platform's agent, clients and links, all
-//! on loopback, each driven by a script and a seed; and the judge of the six rules, which believes them alone.
+//! Everything around a sender in tests and measurements: fake receivers, discovery services, clients and links with
+//! faults, all on loopback and driven by scenarios and seeds; clusters of sender processes; and the checker of the six
+//! rules, which believes only what the fakes recorded.
 //!
 //! Nothing that ships depends on this crate, and it knows nothing of how the sender works.
 
--- a/crates/testkit/src/listen.rs
+++ b/crates/testkit/src/listen.rs
@@ -1,4 +1,4 @@
-//! Taking connections in, and letting go of the tasks of those that have ended.
+//! Accepts connections, and reaps the tasks of those that have ended.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Pause after a connection could not be accepted.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Pause after an error of accepting.
+const ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// The next connection; tasks in `open` that have ended are let go meanwhile.
+/// Accepts the next connection, and meanwhile reaps the tasks in `open` that have ended.
 pub(crate) async fn next(listener: &TcpListener, open: &mut JoinSet<()>) -> TcpStream {
     loop {
         tokio::select! {
             Some(_) = open.join_next(), if !open.is_empty() => {}
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => return stream,
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(ERROR_PAUSE).await,
             },
         }
     }
