--- /dev/null
+++ b/crates/testkit/tests/wrong_senders/main.rs
@@ -0,0 +1,107 @@
+//! The checker against senders that are wrong on purpose: each breaks one rule, and that one is reported. The same
+//! minimal sender without its fault is found to be clean in the same test run.
+
+mod call;
+mod faulty_sender;
+mod test_run;
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use rudderspindle_testkit::checker::Rule;
+use rudderspindle_testkit::scenario::{Outage, ReceiverPlan, Share};
+use tokio::time::timeout;
+
+use faulty_sender::Fault;
+use test_run::{TestRun, plan, play};
+
+/// Checks that the sender without a fault is clean, and that each fault breaks this rule alone.
+async fn breaks(test_run: TestRun, rule: Rule, faults: &[Fault]) {
+    // A run in which the fakes lagged proves nothing and is repeated.
+    let played = async |fault| {
+        for _ in 0..4 {
+            let verdict = play(&test_run, fault).await;
+            if !verdict.is_inconclusive() {
+                return verdict;
+            }
+        }
+        panic!("the stand-ins were late four times");
+    };
+    let verdict = timeout(Duration::from_secs(60), played(Fault::None)).await.expect("in time");
+    assert!(verdict.is_clean(), "without a fault:\n{verdict}");
+    assert!(verdict.accounting.delivered + verdict.accounting.failed + verdict.accounting.rejected > 0);
+    for &fault in faults {
+        let verdict = timeout(Duration::from_secs(60), played(fault)).await.expect("in time");
+        assert_eq!(verdict.broken_rules(), BTreeSet::from([rule]), "{fault:?}:\n{verdict}");
+        let violation = &verdict.violations[0];
+        assert!(!violation.lines.is_empty() && !violation.what.is_empty(), "{fault:?}: {violation:?}");
+    }
+}
+
+fn errors() -> Outage {
+    Outage::Errors { share: Share::try_from(1.0).expect("in range") }
+}
+
+fn test_run(plan: ReceiverPlan, messages: (&'static str, usize, u64, u64)) -> TestRun {
+    TestRun { plan, messages, outage: None, drain_after: None }
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn forgotten_messages_and_late_outcomes_break_the_rule_of_loss() {
+    let test_run =
+        TestRun { outage: Some((errors(), 900)), ..test_run(plan(50.0, 10), ("safe", 3, 10, 500)) };
+    breaks(test_run, Rule::Loss, &[Fault::ForgetsMessages, Fault::CompletesLate]).await;
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn concurrent_attempts_break_the_rule_of_duplication() {
+    breaks(
+        test_run(plan(50.0, 1_500), ("safe", 2, 10, 8_000)),
+        Rule::Duplication,
+        &[Fault::SendsConcurrentAttempts],
+    )
+    .await;
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn repeating_or_rejecting_a_possible_execution_breaks_the_rule_of_duplication() {
+    let unsafe_run =
+        || TestRun { outage: Some((errors(), 400)), ..test_run(plan(50.0, 10), ("unsafe", 2, 10, 900)) };
+    breaks(
+        unsafe_run(),
+        Rule::Duplication,
+        &[Fault::RepeatsPossibleExecutions, Fault::RejectsPossibleExecutions],
+    )
+    .await;
+    let keyed =
+        TestRun { outage: Some((errors(), 400)), ..test_run(plan(50.0, 10), ("keyed", 2, 10, 2_000)) };
+    breaks(keyed, Rule::Duplication, &[Fault::CrossesZones]).await;
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn ignoring_a_drain_or_reacting_late_breaks_the_rule_of_draining() {
+    let test_run = TestRun { drain_after: Some(100), ..test_run(plan(100.0, 5), ("safe", 40, 30, 2_000)) };
+    breaks(test_run, Rule::Draining, &[Fault::IgnoresDrains, Fault::ReactsToDrainsLate]).await;
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn overloading_a_recovering_receiver_breaks_the_rule_of_recovery() {
+    let test_run =
+        || TestRun { outage: Some((errors(), 500)), ..test_run(plan(10.0, 5), ("safe", 60, 25, 8_000)) };
+    breaks(test_run(), Rule::Recovery, &[Fault::FloodsRecoveringReceivers, Fault::IgnoresRecovery]).await;
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn reordering_or_skipping_the_pause_breaks_the_rule_of_ordering() {
+    let overtaken = test_run(plan(50.0, 60), ("ordered", 4, 5, 5_000));
+    breaks(overtaken, Rule::Ordering, &[Fault::ReordersWithinKey]).await;
+    let silent =
+        TestRun { outage: Some((Outage::Silent, 500)), ..test_run(plan(50.0, 10), ("ordered", 3, 5, 5_000)) };
+    breaks(silent, Rule::Ordering, &[Fault::SkipsOrderingPause]).await;
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn ignoring_a_retry_after_or_keeping_it_for_one_endpoint_breaks_its_rule() {
+    let faults = [Fault::IgnoresRetryAfter, Fault::ScopesRetryAfterToEndpoint];
+    breaks(test_run(plan(3.0, 5), ("safe", 12, 120, 6_000)), Rule::RetryAfter, &faults).await;
+}
