--- a/crates/benchmarks/src/evening.rs
+++ b/crates/benchmarks/src/evening.rs
@@ -11,7 +11,7 @@
 use rudderspindle_testkit::world::{Played, TestEnvironment, World};
 
 use crate::report::Report;
-use crate::{Common, RigError};
+use crate::{BenchmarkError, CommonArguments};
 
 /// Clients come for so long if nothing else is said.
 const SECONDS: u16 = 45;
@@ -53,7 +53,7 @@
     script: Scenario,
     sender: PathBuf,
     keep: Option<PathBuf>,
-) -> Result<Round, RigError> {
+) -> Result<Round, BenchmarkError> {
     let mut tries = 0;
     loop {
         let folder = tempfile::tempdir()?;
@@ -75,7 +75,11 @@
     }
 }
 
-pub async fn run(common: &Common, having: Option<Having>, jobs: u16) -> Result<Report, RigError> {
+pub async fn run(
+    common: &CommonArguments,
+    having: Option<Having>,
+    jobs: u16,
+) -> Result<Report, BenchmarkError> {
     let (first, binary) = (common.seed(), common.sender()?);
     let mut report = Report::new("evening", first);
     let mut total = Accounting::default();
--- a/crates/benchmarks/src/fleet_limit.rs
+++ b/crates/benchmarks/src/fleet_limit.rs
@@ -1,22 +1,24 @@
-//! `rig fleet-limit`: many senders before one partner in simulated time: with notes, without, and as if they were few.
+//! `fleet-limit`: a fleet before one receiver's limit in simulated time: with gossip, without, and as if it were small.
 
 mod bounds;
-mod returns;
-mod sum;
+mod recovery;
+mod totals;
+
+use std::ops::Range;
 
 use clap::{Args, ValueEnum};
 use rudderspindle_simulation::partner::{Limit, Notes, Outage, Scene, play};
 
-use crate::Common;
+use crate::CommonArguments;
 use crate::report::Report;
-use sum::Sum;
+use totals::Totals;
 
-/// Simulated seconds of a round if nothing else is said.
+/// Default duration of a round, simulated s.
 const SECONDS: u16 = 40;
-/// What the baseline's senders are told: so many share a limit without having to think of a fleet.
-const FEW: usize = 3;
-/// A cold partner that is sent more than so many times what it can do falls over.
-const FALLS_AT: f64 = 2.5;
+/// The number of senders by the settings of the baseline's senders, whatever their real number.
+const SMALL_FLEET: usize = 3;
+/// How many times what it can take a recovering receiver bears before it fails again.
+const OVERLOAD_MULTIPLE: f64 = 2.5;
 
 /// The fleet.
 #[derive(Clone, Debug, Args)]
@@ -34,57 +36,62 @@
     #[arg(long, value_parser = share)]
     lost: Option<f64>,
     /// What holds senders with notes to the limit.
-    #[arg(long, value_enum, default_value_t = Held::Use)]
-    bound: Held,
+    #[arg(long, value_enum, default_value_t = BoundArgument::Use)]
+    bound: BoundArgument,
     /// Instead: what a partner that returns cold gets from each of these fleets together, against what it bears.
     #[arg(long, value_name = "SENDERS", value_delimiter = ',', value_parser = clap::value_parser!(u16).range(1..=1_000))]
     returns: Vec<u16>,
 }
 
-/// What holds senders with notes to the limit.
+/// What keeps senders with gossip to the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-enum Held {
-    /// What notes leave to each.
+enum BoundArgument {
+    /// A capacity share for each sender.
     Use,
-    /// Turns: each call needs one.
+    /// Permits: each call needs one.
     Strict,
-    /// One beside the other.
+    /// Both, side by side.
     Both,
 }
 
-/// A limit, and from when until when the partner is down, ms.
-type Strike = (&'static str, Limit, Option<(f64, f64)>);
+/// A kind of limit, and when the receiver is down, ms.
+struct LimitCase {
+    name: &'static str,
+    limit: Limit,
+    outage: Option<Range<f64>>,
+}
 
-fn strikes() -> [Strike; 3] {
+fn limit_cases() -> [LimitCase; 3] {
     let halved = Limit::Rate { halved: 8_000.0..17_000.0, wait: 750.0, owed: 1_500.0 };
     let spans = Limit::Span { carried: 0.5 };
     [
-        ("spans", spans.clone(), None),
-        ("halved rate", halved, None),
-        ("outage", spans, Some((8_000.0, 13_000.0))),
+        LimitCase { name: "spans", limit: spans.clone(), outage: None },
+        LimitCase { name: "halved rate", limit: halved, outage: None },
+        LimitCase { name: "outage", limit: spans, outage: Some(8_000.0..13_000.0) },
     ]
 }
 
 impl FleetArguments {
-    /// A scene of so many ms whose senders have neither notes nor word of their number.
-    fn scene(&self, seed: u64, (_, limit, down): &Strike, ends: f64) -> Scene {
-        let (from, until) = down.unwrap_or((f64::INFINITY, f64::INFINITY));
-        let calm = Scene::draw(seed, |_| Outage::Refuse);
+    /// A scene of `ends` ms whose senders have no gossip and the settings of a small fleet.
+    fn scene(&self, seed: u64, case: &LimitCase, ends: f64) -> Scene {
+        let never = f64::INFINITY..f64::INFINITY;
+        let outage = case.outage.clone().unwrap_or(never);
+        let drawn = Scene::draw(seed, |_| Outage::Refuse);
         let senders = usize::from(self.senders);
         Scene {
             senders,
             busy: senders,
-            peers: FEW.min(senders),
-            limit: limit.clone(),
+            peers: SMALL_FLEET.min(senders),
+            limit: case.limit.clone(),
             told: self.limit,
             routes: 2,
             struck: 0..2,
             load: self.load,
             work: 150.0,
-            from,
-            until,
+            from: outage.start,
+            until: outage.end,
             ends,
-            ..calm
+            ..drawn
         }
     }
 }
@@ -96,43 +103,58 @@
         .ok_or_else(|| "a share from 0 to 1 is wanted".to_owned())
 }
 
-/// Plays the scenes in turn, each with a fleet whose senders tell one another what they want, with one that only knows its
-/// number, and with one that does not; or, where turns are asked for, with a fleet that has notes, over the notes' loss.
-pub fn run(common: &Common, fleet: &FleetArguments) -> Report {
+/// Simulates each limit case with a fleet that has gossip, with one that only knows its size, and with one that does not;
+/// or, where bounds are asked for, with a fleet that has gossip, over the loss of datagrams.
+pub fn run(common: &CommonArguments, fleet: &FleetArguments) -> Report {
     let seed = common.seed();
+    let seeds = seed..seed.wrapping_add(common.rounds);
     let mut report = Report::new("fleet-limit", seed);
     let ends = f64::from(common.seconds.unwrap_or(SECONDS)) * 1_000.0;
     if !fleet.returns.is_empty() {
-        returns::run(&(seed..seed.wrapping_add(common.rounds)), &fleet.returns, &mut report);
+        recovery::run(&seeds, &fleet.returns, &mut report);
         return report;
     }
-    let senders = usize::from(fleet.senders);
-    println!("seed {seed}, {senders} senders, {} calls a second, load {}", fleet.limit, fleet.load);
-    if fleet.bound != Held::Use {
-        bounds::run(seed..seed.wrapping_add(common.rounds), fleet, ends, &mut report);
-        return report;
+    println!("seed {seed}, {} senders, {} calls a second, load {}", fleet.senders, fleet.limit, fleet.load);
+    if fleet.bound == BoundArgument::Use {
+        let seeds: Vec<u64> = (0..common.rounds).map(|round| seed.wrapping_add(round)).collect();
+        run_limit_cases(&seeds, fleet, ends, &mut report);
+    } else {
+        bounds::run(&seeds, fleet, ends, &mut report);
     }
-    let (used, earned, refused) = ("use (share)", "worth (share)", "refusals per delivered");
-    println!("{:<28} {used:>12} {earned:>14} {refused:>24} {:>14}", "scene", "worst push");
-    for strike in &strikes() {
-        let name = strike.0;
-        let notes = Notes { lost: fleet.lost.unwrap_or(0.0), cut: 0.0..0.0 };
-        for (peers, notes, who) in [
-            (senders, Some(notes), "with notes"),
-            (senders, None, "told"),
-            (FEW.min(senders), None, "as if few"),
-        ] {
-            let mut sum = Sum::default();
-            for round in 0..common.rounds {
-                let calm = fleet.scene(seed.wrapping_add(round), strike, ends);
-                let scene = Scene { peers, notes: notes.clone(), ..calm };
-                sum.add(&scene, &play(&scene));
+    report
+}
+
+/// What the senders of a fleet know of each other.
+struct FleetKnowledge {
+    name: &'static str,
+    /// Number of senders by their settings.
+    peers: usize,
+    notes: Option<Notes>,
+}
+
+fn run_limit_cases(seeds: &[u64], fleet: &FleetArguments, ends: f64, report: &mut Report) {
+    let senders = usize::from(fleet.senders);
+    let (used, earned, rejected) = ("use (share)", "worth (share)", "refusals per delivered");
+    println!("{:<28} {used:>12} {earned:>14} {rejected:>24} {:>14}", "scene", "worst push");
+    let gossip = Notes { lost: fleet.lost.unwrap_or(0.0), cut: 0.0..0.0 };
+    let fleets = [
+        FleetKnowledge { name: "with notes", peers: senders, notes: Some(gossip) },
+        FleetKnowledge { name: "told", peers: senders, notes: None },
+        FleetKnowledge { name: "as if few", peers: SMALL_FLEET.min(senders), notes: None },
+    ];
+    for case in &limit_cases() {
+        for FleetKnowledge { name, peers, notes } in &fleets {
+            let mut totals = Totals::default();
+            for &seed in seeds {
+                let base = fleet.scene(seed, case, ends);
+                let scene = Scene { peers: *peers, notes: notes.clone(), ..base };
+                totals.add(&scene, &play(&scene));
             }
-            sum.report(&format!("{name}, {who}"), &mut report);
-            if peers == senders && sum.push() > FALLS_AT {
-                report.broken(format!("{name}: pushed to {:.2} times what it could do", sum.push()));
+            totals.report(&format!("{}, {name}", case.name), report);
+            let overload = totals.worst_overload();
+            if *peers == senders && overload > OVERLOAD_MULTIPLE {
+                report.broken(format!("{}: pushed to {overload:.2} times what it could do", case.name));
             }
         }
     }
-    report
 }
--- /dev/null
+++ b/crates/benchmarks/src/http2/goaway.rs
@@ -0,0 +1,101 @@
+//! Measures how soon a call is answered that is made as the connection gets a GOAWAY.
+
+use std::io;
+
+use bytes::Bytes;
+use hyper::Request;
+use rudderspindle_http2::client::{CallDeadlines, Endpoint};
+use rudderspindle_http2::outcome::DeliveryOutcome;
+use rudderspindle_http2::pool::PoolLimits;
+use rudderspindle_testkit::frames::Frames;
+use rudderspindle_testkit::scripted_peers::soon;
+use tokio::net::TcpListener;
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::Instant;
+
+use super::{DEADLINE, connect};
+use crate::BenchmarkError;
+
+/// GOAWAYs that are timed.
+const ROUNDS: usize = 50;
+/// Settings of the receiver's connections.
+const MAX_CONCURRENT_STREAMS: u32 = 100;
+const WINDOW: u32 = 65_535;
+/// Status of each response.
+const CREATED: u16 = 201;
+
+/// What to do with a call that was not executed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Retry {
+    Never,
+    AtOnce,
+}
+
+/// The time from each GOAWAY to the answer of the call made at that moment, ms.
+///
+/// Two calls are in flight; the GOAWAY covers the first one and not the second.
+pub(super) async fn run() -> Result<Vec<f64>, BenchmarkError> {
+    let listener = TcpListener::bind("127.0.0.1:0").await?;
+    let addr = listener.local_addr()?;
+    let endpoint = Endpoint::new(PoolLimits::default(), move || connect(addr));
+    let call = |retry| {
+        let endpoint = endpoint.clone();
+        let until = Instant::now() + DEADLINE;
+        // The task ends with its call, by its deadline.
+        spawn_local(async move {
+            loop {
+                let request = Request::post("http://gw.example.org/drop").body(()).expect("a request");
+                let deadlines = CallDeadlines { response: until, request: until };
+                let ended = endpoint.call(request, Bytes::from_static(b"text"), deadlines).await;
+                let outcome = ended.stream.delivery(ended.request_complete);
+                let retries = retry == Retry::AtOnce && outcome == DeliveryOutcome::NotExecuted;
+                if !retries || Instant::now() >= until {
+                    return outcome;
+                }
+            }
+        })
+    };
+    let mut times = Vec::new();
+    let mut connection = None;
+    for _ in 0..ROUNDS {
+        let in_flight = [call(Retry::Never), call(Retry::Never)];
+        let mut old = match connection.take() {
+            Some(connection) => connection,
+            None => accept(&listener).await?,
+        };
+        let streams = [old.request().await, old.request().await];
+        let goaway_at = Instant::now();
+        old.go_away(streams[0], 0).await;
+        let next = call(Retry::AtOnce);
+        let mut new = accept(&listener).await?;
+        let stream = new.request().await;
+        new.head(stream, CREATED, None, true).await;
+        let next = next.await.map_err(io::Error::other)?;
+        times.push(goaway_at.elapsed().as_secs_f64() * 1_000.0);
+        old.head(streams[0], CREATED, None, true).await;
+        check_outcomes(next, in_flight).await?;
+        connection = Some(new);
+    }
+    Ok(times)
+}
+
+async fn accept(listener: &TcpListener) -> Result<Frames, BenchmarkError> {
+    let (stream, _) = soon("a connection", listener.accept()).await?;
+    Ok(Frames::accept(stream, MAX_CONCURRENT_STREAMS, WINDOW).await)
+}
+
+/// Checks that the next call and the one below the GOAWAY were delivered, and that the one above was not executed.
+async fn check_outcomes(
+    next: DeliveryOutcome,
+    in_flight: [JoinHandle<DeliveryOutcome>; 2],
+) -> Result<(), BenchmarkError> {
+    let mut outcomes = vec![next];
+    for call in in_flight {
+        outcomes.push(call.await.map_err(io::Error::other)?);
+    }
+    if outcomes == [DeliveryOutcome::Delivered, DeliveryOutcome::Delivered, DeliveryOutcome::NotExecuted] {
+        Ok(())
+    } else {
+        Err(io::Error::other(format!("after a GOAWAY: {outcomes:?}")).into())
+    }
+}
--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -1,5 +1,7 @@
-//! Measurements of the project's own, each a subcommand. The conventions: a table to read, and one JSON object as
-//! the very last line; exit status 0 all checks kept, 1 a rule broken or something lost, 2 it could not run.
+//! The project's benchmarks, one subcommand each.
+//!
+//! Each prints a table and, as its last line, one JSON object. Exit status 0: all checks passed; 1: a check failed;
+//! 2: the benchmark could not run.
 
 mod evening;
 mod fleet_limit;
@@ -8,11 +10,13 @@
 mod load;
 mod relay;
 mod report;
+mod statistics;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
+use tokio::runtime::{Builder, Runtime};
 
 use report::Report;
 
@@ -21,15 +25,15 @@
 #[command(name = "rig")]
 struct Arguments {
     #[command(subcommand)]
-    what: What,
+    benchmark: Benchmark,
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
+enum Benchmark {
     /// An evening against two sender processes, with troubles drawn from the seed, judged.
     Evening {
         #[command(flatten)]
-        common: Common,
+        common: CommonArguments,
         /// Plays only seeds that draw this; others are passed over and count for no round.
         #[arg(long)]
         having: Option<evening::Having>,
@@ -40,28 +44,28 @@
     /// What a message costs the sender on one core, beside a bare relay.
     Load {
         #[command(flatten)]
-        common: Common,
+        common: CommonArguments,
         #[command(flatten)]
-        load: LoadArguments,
+        load: load::LoadArguments,
     },
     /// Many senders before one partner's limit, in simulated time: use, refusals, the hardest push when it is cold.
     FleetLimit {
         #[command(flatten)]
-        common: Common,
+        common: CommonArguments,
         #[command(flatten)]
         fleet: fleet_limit::FleetArguments,
     },
     /// Many senders that start together before one discovery, in simulated time: when each has its list.
     FleetList {
         #[command(flatten)]
-        common: Common,
+        common: CommonArguments,
         #[command(flatten)]
         fleet: fleet_list::ListArguments,
     },
     /// Bursts to one partner over HTTP/2 and over HTTP/1.1, in turn, and how soon a call is answered after a GOAWAY.
     Http2 {
         #[command(flatten)]
-        common: Common,
+        common: CommonArguments,
         #[command(flatten)]
         bursts: http2::Http2Arguments,
     },
@@ -74,26 +78,9 @@
     },
 }
 
-/// How much load.
+/// Arguments of every benchmark.
 #[derive(Clone, Debug, Args)]
-struct LoadArguments {
-    /// Clients, each with a connection of its own, that hand in as fast as they are answered.
-    #[arg(long, default_value_t = 64)]
-    clients: usize,
-    /// Destinations, each with one endpoint.
-    #[arg(long, default_value_t = 32)]
-    destinations: usize,
-    /// How long a receiver takes to answer, milliseconds.
-    #[arg(long, default_value_t = 0)]
-    partner_ms: u16,
-    /// Shortest time between two batches, milliseconds; the site fixes 1. Longer hides the price of small batches.
-    #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=100))]
-    tick_ms: u16,
-}
-
-/// What all subcommands take.
-#[derive(Clone, Debug, Args)]
-struct Common {
+struct CommonArguments {
     /// Decides everything that chance decides; drawn and printed if not given.
     #[arg(long)]
     seed: Option<u64>,
@@ -114,55 +101,65 @@
     keep: Option<PathBuf>,
 }
 
-/// Why a measurement could not run.
+/// Why a benchmark could not run.
 #[derive(Debug, thiserror::Error)]
-enum RigError {
+enum BenchmarkError {
+    /// A file, a socket or a process failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
+    /// The test environment could not be set up.
     #[error("{0}")]
     TestEnvironment(#[from] rudderspindle_testkit::world::EnvironmentError),
+    /// The sender's program was not found, or did not listen.
     #[error(
         "there is no sender beside this program: build it with `cargo build --release`, or name it with --sender"
     )]
     NoSender,
+    /// The relay did not start.
     #[error("the relay did not say where it listens")]
     NoRelay,
 }
 
-impl Common {
+impl CommonArguments {
+    /// The seed, or an arbitrary one.
     fn seed(&self) -> u64 {
         self.seed.unwrap_or_else(|| {
-            // Any will do: it is printed.
-            let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-            since.map_or(1, |t| u64::from(t.subsec_nanos()))
+            let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+            since_epoch.map_or(1, |time| u64::from(time.subsec_nanos()))
         })
     }
 
-    fn sender(&self) -> Result<PathBuf, RigError> {
+    /// The path of the sender's program.
+    fn sender(&self) -> Result<PathBuf, BenchmarkError> {
         let path = self.sender.clone().or_else(rudderspindle_testkit::world::beside_this_program);
-        path.filter(|path| path.is_file()).ok_or(RigError::NoSender)
+        path.filter(|path| path.is_file()).ok_or(BenchmarkError::NoSender)
     }
 }
 
-/// Whether all checks were kept.
-fn run(what: &What) -> Result<bool, RigError> {
-    let runtime = || tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let (report, common): (Report, &Common) = match what {
-        What::Evening { common, having, jobs } => {
-            (runtime()?.block_on(evening::run(common, *having, *jobs))?, common)
+/// Runs a benchmark and prints its report; whether all checks passed.
+fn run(benchmark: &Benchmark) -> Result<bool, BenchmarkError> {
+    let (report, common): (Report, &CommonArguments) = match benchmark {
+        Benchmark::Evening { common, having, jobs } => {
+            (multi_thread_runtime()?.block_on(evening::run(common, *having, *jobs))?, common)
         }
-        What::Load { common, load } => (runtime()?.block_on(load::run(common, load))?, common),
-        What::FleetLimit { common, fleet } => (fleet_limit::run(common, fleet), common),
-        What::FleetList { common, fleet } => (fleet_list::run(common, fleet), common),
-        What::Http2 { common, bursts } => (http2::run(common, bursts)?, common),
-        What::Relay { to } => return Ok(relay::run(to).map(|()| true)?),
+        Benchmark::Load { common, load } => {
+            (multi_thread_runtime()?.block_on(load::run(common, load))?, common)
+        }
+        Benchmark::FleetLimit { common, fleet } => (fleet_limit::run(common, fleet), common),
+        Benchmark::FleetList { common, fleet } => (fleet_list::run(common, fleet), common),
+        Benchmark::Http2 { common, bursts } => (http2::run(common, bursts)?, common),
+        Benchmark::Relay { to } => return Ok(relay::run(to).map(|()| true)?),
     };
     Ok(report.print(common.json.as_deref())?)
 }
 
+fn multi_thread_runtime() -> std::io::Result<Runtime> {
+    Builder::new_multi_thread().worker_threads(2).enable_all().build()
+}
+
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    match run(&arguments.what) {
+    match run(&arguments.benchmark) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
--- a/crates/benchmarks/src/relay.rs
+++ b/crates/benchmarks/src/relay.rs
@@ -1,8 +1,10 @@
-//! The floor that the HTTP library sets: a relay without journal and decisions. It answers 202 once a message is
-//! whole, and posts it to its destination on a kept connection.
+//! The baseline of `load`: a relay on the same HTTP library, without a journal or a policy.
+//!
+//! It answers 202 once a message is complete, and posts it to its destination on a pooled connection.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
+use std::error::Error;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -10,79 +12,100 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
+use hyper::http::request::Parts;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-type Kept = Rc<RefCell<Vec<SendRequest<Full<Bytes>>>>>;
+/// A destination and the idle connections to it.
+struct Destination {
+    addr: SocketAddr,
+    idle: RefCell<Vec<SendRequest<Full<Bytes>>>>,
+}
 
-/// Relays to these addresses until it is killed; prints where it listens.
+/// Relays to these destinations until the process is killed; prints where it listens.
+///
+/// # Errors
+///
+/// If it cannot listen, or accepting a connection fails.
 pub fn run(to: &[SocketAddr]) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         println!("{}", listener.local_addr()?);
-        let kept: Rc<Vec<(SocketAddr, Kept)>> =
-            Rc::new(to.iter().map(|addr| (*addr, Kept::default())).collect());
+        let destinations: Rc<[Rc<Destination>]> =
+            to.iter().map(|addr| Rc::new(Destination { addr: *addr, idle: RefCell::default() })).collect();
         loop {
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
-            let kept = kept.clone();
+            let destinations = destinations.clone();
+            // The task ends with its connection.
             spawn_local(async move {
-                let service = service_fn(|request| take(request, kept.clone()));
-                let builder = hyper::server::conn::http1::Builder::new();
-                let _ = builder.serve_connection(TokioIo::new(stream), service).await;
+                let service = service_fn(|request| accept(request, destinations.clone()));
+                let server = hyper::server::conn::http1::Builder::new();
+                let _ = server.serve_connection(TokioIo::new(stream), service).await;
             });
         }
     })
 }
 
-async fn take(
+async fn accept(
     request: Request<Incoming>,
-    kept: Rc<Vec<(SocketAddr, Kept)>>,
+    destinations: Rc<[Rc<Destination>]>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (head, body) = request.into_parts();
-    let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
-    let to: Option<usize> = text("x-route-to").and_then(|v| v.strip_prefix("dest=")?.parse().ok());
-    let txn = text("x-txn").unwrap_or_default().to_owned();
-    let (status, answer) = match (to.filter(|to| *to < kept.len()), body.collect().await) {
-        (Some(to), Ok(body)) => {
+    let destination = destination_index(&head).and_then(|index| destinations.get(index).cloned());
+    let message_id = header(&head, "x-txn").unwrap_or_default().to_owned();
+    let (status, text) = match (destination, body.collect().await) {
+        (Some(destination), Ok(body)) => {
+            // The task ends with its call; a failed one loses the message, as the baseline has no journal.
             spawn_local(async move {
-                let (addr, kept) = &kept[to];
-                let _ = post(*addr, kept, &txn, body.to_bytes()).await;
+                let _ = destination.post(&message_id, body.to_bytes()).await;
             });
             (StatusCode::ACCEPTED, "taken on")
         }
         _ => (StatusCode::BAD_REQUEST, "no"),
     };
-    let mut reply = Response::new(Full::from(answer));
-    *reply.status_mut() = status;
-    Ok(reply)
+    let mut response = Response::new(Full::from(text));
+    *response.status_mut() = status;
+    Ok(response)
 }
 
-async fn post(
-    addr: SocketAddr,
-    kept: &Kept,
-    txn: &str,
-    body: Bytes,
-) -> Result<(), Box<dyn std::error::Error>> {
-    let free = kept.borrow_mut().pop();
-    let mut sender = match free {
-        Some(sender) if !sender.is_closed() => sender,
-        _ => {
-            let stream = TcpStream::connect(addr).await?;
-            stream.set_nodelay(true)?;
-            let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-            spawn_local(connection);
-            sender
+fn header<'a>(head: &'a Parts, name: &str) -> Option<&'a str> {
+    head.headers.get(name)?.to_str().ok()
+}
+
+fn destination_index(head: &Parts) -> Option<usize> {
+    header(head, "x-route-to")?.strip_prefix("dest=")?.parse().ok()
+}
+
+impl Destination {
+    async fn post(&self, message_id: &str, body: Bytes) -> Result<(), Box<dyn Error>> {
+        let mut connection = self.connection().await?;
+        let request = Request::post("/v1/messages")
+            .header("host", self.addr.to_string())
+            .header("x-txn", message_id)
+            .body(Full::new(body))?;
+        let response = connection.send_request(request).await?;
+        response.into_body().collect().await?;
+        connection.ready().await?;
+        self.idle.borrow_mut().push(connection);
+        Ok(())
+    }
+
+    /// An idle connection that is still open, or a new one.
+    async fn connection(&self) -> Result<SendRequest<Full<Bytes>>, Box<dyn Error>> {
+        let idle = self.idle.borrow_mut().pop();
+        if let Some(connection) = idle.filter(|connection| !connection.is_closed()) {
+            return Ok(connection);
         }
-    };
-    let request = Request::post("/v1/messages").header("host", addr.to_string()).header("x-txn", txn);
-    let response = sender.send_request(request.body(Full::new(body))?).await?;
-    response.into_body().collect().await?;
-    sender.ready().await?;
-    kept.borrow_mut().push(sender);
-    Ok(())
+        let stream = TcpStream::connect(self.addr).await?;
+        stream.set_nodelay(true)?;
+        let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
+        // The task ends with its connection.
+        spawn_local(connection);
+        Ok(sender)
+    }
 }
--- a/crates/benchmarks/src/report.rs
+++ b/crates/benchmarks/src/report.rs
@@ -1,42 +1,46 @@
-//! What every measurement ends with.
+//! The report that every benchmark ends with.
 
 use std::path::Path;
 
 use serde_json::{Map, Value, json};
 
-/// Figures and broken checks.
+/// The figures and failed checks of a benchmark.
 #[derive(Debug)]
 pub struct Report {
-    rig: &'static str,
+    benchmark: &'static str,
     seed: u64,
     figures: Map<String, Value>,
     broken: Vec<String>,
 }
 
 impl Report {
-    /// One without figures yet.
-    pub fn new(rig: &'static str, seed: u64) -> Self {
-        Self { rig, seed, figures: Map::new(), broken: Vec::new() }
+    /// A report without figures.
+    pub fn new(benchmark: &'static str, seed: u64) -> Self {
+        Self { benchmark, seed, figures: Map::new(), broken: Vec::new() }
     }
 
-    /// A figure; its name carries its unit, or says `ratio` or `share`.
+    /// Adds a figure, whose name carries its unit or says `ratio`, `share` or `count`.
     pub fn figure(&mut self, name: &str, value: impl Into<Value>) {
         self.figures.insert(name.to_owned(), value.into());
     }
 
-    /// A check that was not kept.
-    pub fn broken(&mut self, what: String) {
-        self.broken.push(what);
+    /// Adds a failed check.
+    pub fn broken(&mut self, check: String) {
+        self.broken.push(check);
     }
 
-    /// Prints the last line, and writes it to a file if wanted; whether all checks were kept.
-    pub fn print(self, to: Option<&Path>) -> std::io::Result<bool> {
+    /// Prints the report as one line of JSON, and writes it to a file if one is given; whether all checks passed.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be written.
+    pub fn print(self, file: Option<&Path>) -> std::io::Result<bool> {
         let ok = self.broken.is_empty();
-        let line = json!({"rig": self.rig, "seed": self.seed, "ok": ok, "figures": self.figures,
+        let line = json!({"rig": self.benchmark, "seed": self.seed, "ok": ok, "figures": self.figures,
                           "broken": self.broken})
         .to_string();
-        if let Some(path) = to {
-            std::fs::write(path, format!("{line}\n"))?;
+        if let Some(file) = file {
+            std::fs::write(file, format!("{line}\n"))?;
         }
         println!("{line}");
         Ok(ok)
