--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -109,7 +109,7 @@
     Io(#[from] std::io::Error),
     /// The test environment could not be set up.
     #[error("{0}")]
-    TestEnvironment(#[from] rudderspindle_testkit::world::EnvironmentError),
+    TestEnvironment(#[from] rudderspindle_testkit::test_environment::EnvironmentError),
     /// The sender's program was not found, or did not listen.
     #[error(
         "there is no sender beside this program: build it with `cargo build --release`, or name it with --sender"
@@ -131,7 +131,8 @@
 
     /// The path of the sender's program.
     fn sender(&self) -> Result<PathBuf, BenchmarkError> {
-        let path = self.sender.clone().or_else(rudderspindle_testkit::world::beside_this_program);
+        let path =
+            self.sender.clone().or_else(rudderspindle_testkit::test_environment::program_beside_this_one);
         path.filter(|path| path.is_file()).ok_or(BenchmarkError::NoSender)
     }
 }
--- a/crates/simulation/src/partner/sender.rs
+++ b/crates/simulation/src/partner/sender.rs
@@ -71,11 +71,11 @@
         let seed = scene.seed * 64 + index as u64 * 8 + restarts;
         let mut policy = Policy::new(settings, seed).expect("settings that work");
         if scene.notes.is_some() {
-            policy.hear_notes();
+            policy.expect_capacity_reports();
         }
         let strict = scene.notes.is_some() && scene.bound == Bound::Strict;
         if strict {
-            policy.keep_rights();
+            policy.require_permits();
         }
         let clock_ahead = draw_clock(scene, index);
         let permits = || {
@@ -208,7 +208,7 @@
             self.events.push(Event::Permits {
                 destination: demand.destination,
                 route: demand.route,
-                turns: held.collect(),
+                permits: held.collect(),
             });
         }
     }
