--- a/crates/testkit/src/datagram_proxy.rs
+++ b/crates/testkit/src/datagram_proxy.rs
@@ -1,7 +1,7 @@
-//! Datagram links between every two senders: each sees each other one at an address of the mesh's.
+//! UDP proxies between all pairs of senders: each reaches each other one at an address of the proxy's.
 //!
 //! Invariant: what reaches a sender comes from the address at which it sees the one that sent it, and nothing reaches
-//! it over a way that is cut. For each two senders there are two sockets, one for what either sees of the other.
+//! it over a link that is cut. For each two senders there are two sockets, one for what either sees of the other.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,23 +11,24 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-use crate::fault_schedule::{LinkFaults, Way};
+use crate::fault_schedule::{LinkFaultSampler, LinkFaults};
 
-/// Notes are 256 bytes at most; what is longer is carried as well, so that its receiver can refuse it.
-const LONGEST: usize = 2_048;
-/// Notes that one way holds back at most, a minute's replays of a busy sender and more; others are dropped.
-const MAX_HELD: usize = 4_096;
+/// Maximum length of a forwarded datagram, in bytes; more than the 256 of a valid one, so that its receiver can reject
+/// longer ones.
+const MAX_DATAGRAM_LEN: usize = 2_048;
+/// Datagrams that one link delays at once: more than a minute's replays of a busy sender. Others are dropped.
+const MAX_DELAYED: usize = 4_096;
 
-/// What a way has done with notes.
+/// Counts of a link's datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
-    /// Notes that came from the sender.
+    /// Datagrams that came from the sender.
     pub sent: u64,
-    /// Notes written to the receiver, each copy counted.
+    /// Datagrams written to the receiver, each copy counted.
     pub passed: u64,
     /// Their bytes.
     pub passed_bytes: u64,
-    /// Notes and copies that came to nothing: lost, cut off, or too many held.
+    /// Datagrams and copies that were lost, cut off, or one too many to delay.
     pub dropped: u64,
     /// Their bytes.
     pub dropped_bytes: u64,
@@ -35,14 +36,14 @@
 
 #[derive(Debug)]
 struct State {
-    way: Way,
-    weather: LinkFaults,
+    sampler: LinkFaultSampler,
+    faults: LinkFaults,
     cut: bool,
     counts: DatagramCounts,
 }
 
 impl State {
-    fn drop_note(&mut self, bytes: usize) {
+    fn count_dropped(&mut self, bytes: usize) {
         self.counts.dropped += 1;
         self.counts.dropped_bytes += bytes as u64;
     }
@@ -52,23 +53,24 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Links between senders, which stand until it is dropped.
+/// Proxies between senders, which run until it is dropped.
 #[derive(Debug)]
 pub struct DatagramProxy {
-    doors: Vec<SocketAddr>,
-    /// Where the first sees the second.
-    seen: BTreeMap<(usize, usize), SocketAddr>,
-    /// From the first to the second.
-    ways: BTreeMap<(usize, usize), Arc<Mutex<State>>>,
+    addrs: Vec<SocketAddr>,
+    /// The address at which the first sender reaches the second.
+    peer_addrs: BTreeMap<(usize, usize), SocketAddr>,
+    /// The link from the first sender to the second.
+    links: BTreeMap<(usize, usize), Arc<Mutex<State>>>,
     _tasks: JoinSet<()>,
 }
 
 impl DatagramProxy {
-    /// Links between senders with notes at `doors`, by number, in calm weather. `seed` decides what is left to chance.
+    /// Starts proxies between senders that receive datagrams at `addrs`, by index, without faults. `seed` decides what is
+    /// left to chance.
     ///
     /// # Errors
     ///
-    /// What the sockets say.
+    /// An error of the sockets.
     ///
     /// ```
     /// # use rudderspindle_testkit::datagram_proxy::DatagramProxy;
@@ -82,103 +84,109 @@
     /// # Ok(())
     /// # }
     /// ```
-    pub async fn start(doors: &[SocketAddr], seed: u64) -> std::io::Result<Self> {
+    pub async fn start(addrs: &[SocketAddr], seed: u64) -> std::io::Result<Self> {
         let mut sockets = BTreeMap::new();
-        for (a, b) in pairs(doors.len()) {
+        for (a, b) in pairs(addrs.len()) {
             sockets.insert((a, b), Arc::new(UdpSocket::bind("127.0.0.1:0").await?));
         }
-        let (mut seen, mut ways, mut tasks) = (BTreeMap::new(), BTreeMap::new(), JoinSet::new());
-        for (&(from, to), near) in &sockets {
-            let (weather, cut, counts) = Default::default();
-            let state = Arc::new(Mutex::new(State { way: Way::new(seed, from, to), weather, cut, counts }));
-            seen.insert((from, to), near.local_addr()?);
-            ways.insert((from, to), state.clone());
-            let Some(far) = sockets.get(&(to, from)) else { continue };
-            tasks.spawn(carry((near.clone(), doors[from]), (far.clone(), doors[to]), state));
+        let (mut peer_addrs, mut links, mut tasks) = (BTreeMap::new(), BTreeMap::new(), JoinSet::new());
+        for (&(from, to), inbound) in &sockets {
+            let (faults, cut, counts) = Default::default();
+            let state = Arc::new(Mutex::new(State {
+                sampler: LinkFaultSampler::new(seed, from, to),
+                faults,
+                cut,
+                counts,
+            }));
+            peer_addrs.insert((from, to), inbound.local_addr()?);
+            links.insert((from, to), state.clone());
+            let Some(outbound) = sockets.get(&(to, from)) else { continue };
+            tasks.spawn(carry((inbound.clone(), addrs[from]), (outbound.clone(), addrs[to]), state));
         }
-        Ok(Self { doors: doors.to_vec(), seen, ways, _tasks: tasks })
+        Ok(Self { addrs: addrs.to_vec(), peer_addrs, links, _tasks: tasks })
     }
 
-    /// Where a sender finds each of them, in the order of their numbers, itself at its own door: its `peers`.
+    /// The addresses at which a sender reaches each of them, by index, with its own address for itself: its `peers`.
     pub fn peers(&self, me: usize) -> Vec<SocketAddr> {
-        let place = |(other, door): (usize, &SocketAddr)| *self.seen.get(&(me, other)).unwrap_or(door);
-        self.doors.iter().enumerate().map(place).collect()
+        let place = |(other, addr): (usize, &SocketAddr)| *self.peer_addrs.get(&(me, other)).unwrap_or(addr);
+        self.addrs.iter().enumerate().map(place).collect()
     }
 
     fn each(&self, from: &[usize], to: &[usize], change: impl Fn(&mut State)) {
-        for ((a, b), state) in &self.ways {
+        for ((a, b), state) in &self.links {
             if from.contains(a) && to.contains(b) {
                 change(&mut locked(state));
             }
         }
     }
 
-    /// The weather from now on for what each of `from` sends to each of `to`.
-    pub fn set(&self, from: &[usize], to: &[usize], weather: &LinkFaults) {
-        self.each(from, to, |state| state.weather = weather.clone());
+    /// Sets the faults of the links from each of `from` to each of `to`.
+    pub fn set(&self, from: &[usize], to: &[usize], faults: &LinkFaults) {
+        self.each(from, to, |state| state.faults = faults.clone());
     }
 
-    /// From now on nothing passes from any of `from` to any of `to`, also of what is on its way. The other direction
+    /// Cuts the links from each of `from` to each of `to`, also for datagrams that are being delayed. The other direction
     /// stays as it is.
     pub fn cut(&self, from: &[usize], to: &[usize]) {
         self.each(from, to, |state| state.cut = true);
     }
 
-    /// All cuts end and the weather is calm. What is held back comes when it is due.
+    /// Ends all cuts and faults. Delayed datagrams arrive when they are due.
     pub fn heal(&self) {
-        for state in self.ways.values() {
+        for state in self.links.values() {
             let mut state = locked(state);
-            (state.weather, state.cut) = Default::default();
+            (state.faults, state.cut) = Default::default();
         }
     }
 
-    /// What became of notes from one sender to another; nothing, if there is no such way.
+    /// The counts of the link from one sender to another; zeros if there is no such link.
     pub fn counts(&self, from: usize, to: usize) -> DatagramCounts {
-        self.ways.get(&(from, to)).map(|state| locked(state).counts).unwrap_or_default()
+        self.links.get(&(from, to)).map(|state| locked(state).counts).unwrap_or_default()
     }
 }
 
-/// All that are not of one and the same.
+/// All ordered pairs of different senders.
 fn pairs(senders: usize) -> impl Iterator<Item = (usize, usize)> {
     (0..senders).flat_map(move |a| (0..senders).filter(move |b| *b != a).map(move |b| (a, b)))
 }
 
 type End = (Arc<UdpSocket>, SocketAddr);
 
-/// Carries one way: what comes to `near` from its sender goes from `far` to the other.
-async fn carry(near: End, far: End, state: Arc<Mutex<State>>) {
-    let (mut held, mut number, mut buffer) = (BTreeMap::<(Instant, u64), Vec<u8>>::new(), 0, [0; LONGEST]);
+/// Forwards one link until it is cancelled: what comes to `inbound` from its sender goes from `outbound` to the other.
+async fn carry(inbound: End, outbound: End, state: Arc<Mutex<State>>) {
+    let (mut delayed, mut number, mut buffer) =
+        (BTreeMap::<(Instant, u64), Vec<u8>>::new(), 0, [0; MAX_DATAGRAM_LEN]);
     loop {
-        let due = held.first_key_value().map(|(&(due, _), _)| due);
+        let due = delayed.first_key_value().map(|(&(due, _), _)| due);
         tokio::select! {
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                let Some((_, note)) = held.pop_first() else { continue };
-                pass(&far, &note, &state).await;
+                let Some((_, datagram)) = delayed.pop_first() else { continue };
+                pass(&outbound, &datagram, &state).await;
             }
-            got = near.0.recv_from(&mut buffer) => {
-                // Strangers are not carried: their notes would come in the sender's name.
+            got = inbound.0.recv_from(&mut buffer) => {
+                // Datagrams of others are not forwarded: they would arrive in the sender's name.
                 let Ok((length, source)) = got else { continue };
-                if source != near.1 {
+                if source != inbound.1 {
                     continue;
                 }
                 let copies = {
                     let mut state = locked(&state);
                     state.counts.sent += 1;
-                    let State { way, weather, .. } = &mut *state;
-                    let copies = way.carry(&buffer[..length], weather);
+                    let State { sampler, faults, .. } = &mut *state;
+                    let copies = sampler.sample(&buffer[..length], faults);
                     if copies.is_empty() {
-                        state.drop_note(length);
+                        state.count_dropped(length);
                     }
                     copies
                 };
-                for (late, note) in copies {
-                    if late.is_zero() {
-                        pass(&far, &note, &state).await;
-                    } else if held.len() < MAX_HELD {
+                for (delay, datagram) in copies {
+                    if delay.is_zero() {
+                        pass(&outbound, &datagram, &state).await;
+                    } else if delayed.len() < MAX_DELAYED {
                         number += 1;
-                        held.insert((Instant::now() + late, number), note);
+                        delayed.insert((Instant::now() + delay, number), datagram);
                     } else {
-                        locked(&state).drop_note(note.len());
+                        locked(&state).count_dropped(datagram.len());
                     }
                 }
             }
@@ -186,15 +194,15 @@
     }
 }
 
-/// Writes a note to its receiver, unless the way is cut.
-async fn pass((socket, door): &End, note: &[u8], state: &Mutex<State>) {
+/// Sends a datagram to its receiver, unless the link is cut.
+async fn pass((socket, addr): &End, datagram: &[u8], state: &Mutex<State>) {
     let cut = locked(state).cut;
-    let sent = !cut && socket.send_to(note, door).await.is_ok();
+    let sent = !cut && socket.send_to(datagram, addr).await.is_ok();
     let mut state = locked(state);
     if sent {
         state.counts.passed += 1;
-        state.counts.passed_bytes += note.len() as u64;
+        state.counts.passed_bytes += datagram.len() as u64;
     } else {
-        state.drop_note(note.len());
+        state.count_dropped(datagram.len());
     }
 }
--- a/crates/testkit/src/fault_schedule.rs
+++ b/crates/testkit/src/fault_schedule.rs
@@ -1,127 +1,79 @@
-//! What befalls notes on their way from one sender to another. No sockets and no clock.
+//! Draws the faults of datagram links from a seed, without sockets or a clock.
 //!
-//! Invariant: every note takes the same number of draws, whatever the weather, and every way has draws of its own; so
-//! what befalls the n-th note of a way depends on the seed and on that way's weather at that moment alone.
+//! Invariant: every datagram takes the same number of draws, whatever the faults, and every link has draws of its own;
+//! so what happens to a link's n-th datagram depends on the seed and on the link's faults at that moment alone.
 
 use std::ops::Range;
 use std::time::Duration;
 
 use crate::scenario::SeededRng;
 
-/// A note that is held back is late by so much more: a round of notes, 250 ms, and a little, so that the next of its
-/// way overtakes it.
-pub const HELD_BACK: Duration = Duration::from_millis(300);
+#[cfg(test)]
+mod tests;
+
+/// Additional delay of a reordered datagram: a gossip interval of 250 ms and a little, so that the link's next datagram
+/// overtakes it.
+pub const REORDER_DELAY: Duration = Duration::from_millis(300);
 
-/// How notes fare on a way. Shares are from 0 (never, as by default) to 1 (always).
+/// Faults of a datagram link. Shares are from 0 (never, as by default) to 1 (always).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// Share that is lost.
+    /// Share of datagrams that are lost.
     pub drop: f64,
-    /// How late each is: evenly between the two; by the first, if the second is not above it.
+    /// Delay, uniform in the range; its start, if the range is empty.
     pub delay: Range<Duration>,
-    /// Share that comes twice, each copy with a delay of its own.
+    /// Share that is duplicated, each copy with a delay of its own.
     pub duplicate: f64,
-    /// Share that is held back by [`HELD_BACK`].
+    /// Share that is delayed by [`REORDER_DELAY`].
     pub reorder: f64,
-    /// Share that comes with one of its bytes changed, all copies alike.
+    /// Share with one corrupted byte, the same in all copies.
     pub damage: f64,
-    /// Each that is not lost comes once more so much later.
+    /// Time after which each datagram that is not lost is replayed.
     pub replay_after: Option<Duration>,
 }
 
-/// A way from one sender to another, with chance of its own.
+/// Draws what happens to the datagrams from one sender to another, from a seed of the link's own.
 ///
 /// ```
-/// # use rudderspindle_testkit::fault_schedule::{Way, LinkFaults};
-/// let mut way = Way::new(7, 0, 1);
+/// # use rudderspindle_testkit::fault_schedule::{LinkFaultSampler, LinkFaults};
+/// let mut link = LinkFaultSampler::new(7, 0, 1);
 /// let foul = LinkFaults { duplicate: 1.0, ..LinkFaults::default() };
 /// // Both copies at once.
-/// assert_eq!(way.carry(b"note", &foul), [(Default::default(), b"note".to_vec()), (Default::default(), b"note".to_vec())]);
+/// assert_eq!(link.sample(b"datagram", &foul), [(Default::default(), b"datagram".to_vec()), (Default::default(), b"datagram".to_vec())]);
 /// ```
 #[derive(Debug)]
-pub struct Way(SeededRng);
+pub struct LinkFaultSampler(SeededRng);
 
-impl Way {
-    /// From one sender to another, by their numbers.
+impl LinkFaultSampler {
+    /// A sampler for the link between two senders, by their indices.
     pub fn new(seed: u64, from: usize, to: usize) -> Self {
-        // An odd multiplier keeps seeds apart; numbers of senders are far under 2^16.
+        // An odd multiplier keeps seeds apart; indices of senders are far under 2^16.
         Self(SeededRng::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((from as u64) << 16 | to as u64)))
     }
 
-    /// What comes out at the other end for a note that goes in, and how much later; nothing, if it is lost.
-    pub fn carry(&mut self, note: &[u8], weather: &LinkFaults) -> Vec<(Duration, Vec<u8>)> {
-        let draw = &mut self.0;
-        let lost = draw.chance(weather.drop);
-        let span = weather.delay.end.saturating_sub(weather.delay.start);
-        let mut late = || weather.delay.start + span.mul_f64(draw.unit());
-        let (first, second) = (late(), late());
-        let doubled = draw.chance(weather.duplicate);
-        let held = if draw.chance(weather.reorder) { HELD_BACK } else { Duration::ZERO };
-        let damaged = draw.chance(weather.damage);
-        let (place, change) = (draw.integer(0, note.len().max(1) as u64), draw.integer(1, 256) as u8);
-        if lost {
+    /// The copies of a datagram that arrive, and the delay of each; none if it is lost.
+    pub fn sample(&mut self, datagram: &[u8], faults: &LinkFaults) -> Vec<(Duration, Vec<u8>)> {
+        let rng = &mut self.0;
+        let is_lost = rng.chance(faults.drop);
+        let span = faults.delay.end.saturating_sub(faults.delay.start);
+        let mut delay = || faults.delay.start + span.mul_f64(rng.unit());
+        let first = delay();
+        let second = delay();
+        let is_duplicated = rng.chance(faults.duplicate);
+        let reorder_delay = if rng.chance(faults.reorder) { REORDER_DELAY } else { Duration::ZERO };
+        let is_damaged = rng.chance(faults.damage);
+        let position = rng.integer(0, datagram.len().max(1) as u64) as usize;
+        let change = rng.integer(1, 256) as u8;
+        if is_lost {
             return Vec::new();
         }
-        let mut note = note.to_vec();
-        if let Some(byte) = note.get_mut(place as usize).filter(|_| damaged) {
+        let mut datagram = datagram.to_vec();
+        if let Some(byte) = datagram.get_mut(position).filter(|_| is_damaged) {
             *byte ^= change;
         }
-        let mut copies = vec![(first + held, note.clone())];
-        copies.extend(doubled.then(|| (second + held, note.clone())));
-        copies.extend(weather.replay_after.map(|after| (first + held + after, note)));
+        let mut copies = vec![(first + reorder_delay, datagram.clone())];
+        copies.extend(is_duplicated.then(|| (second + reorder_delay, datagram.clone())));
+        copies.extend(faults.replay_after.map(|after| (first + reorder_delay + after, datagram)));
         copies
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MS: Duration = Duration::from_millis(1);
-
-    type Copies = Vec<(Duration, Vec<u8>)>;
-
-    #[test]
-    fn each_trouble_befalls_its_share_of_the_notes_and_no_others() {
-        let outcomes = |weather: &LinkFaults| {
-            let mut way = Way::new(1, 2, 3);
-            (0..4_000).map(|_| way.carry(b"a note", weather)).collect::<Vec<Copies>>()
-        };
-        let whole = (Duration::ZERO, b"a note".to_vec());
-        let one_in_four = |weather: LinkFaults, befallen: fn(&Copies) -> bool| {
-            let (hit, spared): (Vec<Copies>, Vec<Copies>) =
-                outcomes(&weather).into_iter().partition(befallen);
-            assert!(spared.iter().all(|copies| copies[..] == [whole.clone()]), "{weather:?}");
-            assert!((900..1_100).contains(&hit.len()), "{} of 4000: {weather:?}", hit.len());
-        };
-        let calm = LinkFaults::default;
-        one_in_four(LinkFaults { drop: 0.25, ..calm() }, Vec::is_empty);
-        one_in_four(LinkFaults { duplicate: 0.25, ..calm() }, |o| o.len() == 2 && o[0] == o[1]);
-        one_in_four(LinkFaults { reorder: 0.25, ..calm() }, |o| o.len() == 1 && o[0].0 == HELD_BACK);
-        one_in_four(LinkFaults { damage: 0.25, ..calm() }, |o| {
-            o[0].1.len() == 6 && o[0].1.iter().zip(b"a note").filter(|(a, b)| a != b).count() == 1
-        });
-        let late = outcomes(&LinkFaults { delay: 10 * MS..30 * MS, ..calm() });
-        assert!(late.iter().all(|o| o.len() == 1 && (10 * MS..30 * MS).contains(&o[0].0)));
-        assert!(late.iter().any(|o| o[0].0 < 12 * MS) && late.iter().any(|o| o[0].0 > 28 * MS));
-        let again = outcomes(&LinkFaults { replay_after: Some(60_000 * MS), ..calm() });
-        assert!(again.iter().all(|o| o[..] == [whole.clone(), (60_000 * MS, whole.1.clone())]));
-    }
-
-    #[test]
-    fn what_befalls_a_note_hangs_on_its_way_and_its_number_and_not_on_what_the_weather_was() {
-        let foul =
-            LinkFaults { drop: 0.5, damage: 0.5, delay: Duration::ZERO..99 * MS, ..LinkFaults::default() };
-        let after = |before: &LinkFaults, (from, to)| {
-            let mut way = Way::new(9, from, to);
-            (0..50).for_each(|_| drop(way.carry(b"another", before)));
-            (0..50).map(|_| way.carry(b"a note", &foul)).collect::<Vec<_>>()
-        };
-        let wild = LinkFaults { duplicate: 0.7, drop: 1.0, reorder: 0.2, ..LinkFaults::default() };
-        assert_eq!(after(&LinkFaults::default(), (1, 2)), after(&wild, (1, 2)));
-        assert_ne!(after(&wild, (1, 2)), after(&wild, (2, 1)));
-        // Nothing to change in it, and nothing breaks.
-        let damage = LinkFaults { damage: 1.0, ..LinkFaults::default() };
-        assert_eq!(Way::new(0, 0, 0).carry(b"", &damage), [(Duration::ZERO, Vec::new())]);
-    }
-}
