--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -2,6 +2,7 @@
 
 mod launch;
 mod probe;
+mod resources;
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 pub use launch::Launch;
-use launch::{Spawned, free_address};
+use launch::{Spawned, free_address, log_tail};
 use probe::{Probe, Startup};
 
 use crate::client::Address;
@@ -26,8 +27,6 @@
 const CLIENTS_NOTICE_STOP: Duration = Duration::from_millis(300);
 /// Backlog of a listening socket that outlasts the processes.
 const BACKLOG: i32 = 128;
-/// Lines of a process's log that an error shows.
-const LOG_TAIL_LINES: usize = 3;
 
 /// Error of a sender's process.
 #[derive(Debug, thiserror::Error)]
@@ -138,7 +137,7 @@
         let name = self.name.clone();
         match startup {
             Startup::Ready => Ok(()),
-            Startup::Exited => Err(ProgramError::Exited { name, log: self.log_tail() }),
+            Startup::Exited => Err(ProgramError::Exited { name, log: log_tail(&self.folder) }),
             Startup::TimedOut => Err(ProgramError::TimedOut { name }),
         }
     }
@@ -174,11 +173,6 @@
         terminate(&mut old).await
     }
 
-    fn log_tail(&self) -> String {
-        let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
-        log.lines().rev().take(LOG_TAIL_LINES).collect::<Vec<_>>().join(" | ")
-    }
-
     /// Replaces keys of its configuration, and makes its process, if it has one, read it again.
     ///
     /// # Errors
@@ -201,21 +195,6 @@
         Ok(())
     }
 
-    /// Processor time of its process so far, in microseconds.
-    pub fn cpu_us(&self) -> Option<u64> {
-        // The first field of schedstat is the time on the processor in nanoseconds.
-        let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid()?)).ok()?;
-        let ns: u64 = stat.split_whitespace().next()?.parse().ok()?;
-        Some(ns / 1_000)
-    }
-
-    /// The highest memory use of its process, in KiB.
-    pub fn peak_kib(&self) -> Option<u64> {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid()?)).ok()?;
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
-        line.split_whitespace().next()?.parse().ok()
-    }
-
     /// Kills its process (`SIGKILL`).
     ///
     /// # Errors
--- a/crates/testkit/src/program/launch.rs
+++ b/crates/testkit/src/program/launch.rs
@@ -8,6 +8,9 @@
 use socket2::Socket;
 use tokio::process::{Child, Command};
 
+/// Lines of a process's log that an error shows.
+const LOG_TAIL_LINES: usize = 3;
+
 /// The sender's program with its arguments and environment.
 #[derive(Clone, Debug)]
 pub struct Launch {
@@ -81,3 +84,9 @@
         command
     }
 }
+
+/// The last lines of the log in a process's folder, the last one first.
+pub(super) fn log_tail(folder: &Path) -> String {
+    let log = std::fs::read_to_string(folder.join("log")).unwrap_or_default();
+    log.lines().rev().take(LOG_TAIL_LINES).collect::<Vec<_>>().join(" | ")
+}
--- /dev/null
+++ b/crates/testkit/src/program/resources.rs
@@ -0,0 +1,20 @@
+//! What a sender's process has used, from the system's accounting.
+
+use super::Program;
+
+impl Program {
+    /// Processor time of its process so far, in microseconds.
+    pub fn cpu_us(&self) -> Option<u64> {
+        // The first field of schedstat is the time on the processor in nanoseconds.
+        let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid()?)).ok()?;
+        let ns: u64 = stat.split_whitespace().next()?.parse().ok()?;
+        Some(ns / 1_000)
+    }
+
+    /// The highest memory use of its process, in KiB.
+    pub fn peak_kib(&self) -> Option<u64> {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid()?)).ok()?;
+        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
+        line.split_whitespace().next()?.parse().ok()
+    }
+}
