--- a/crates/daemon/tests/calls.rs
+++ b/crates/daemon/tests/broken_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that break at a forced moment: may the message have run, and does it go again?
+//! Calls broken at a forced moment: whether the message is possibly executed, and whether it is retried.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// A sender before a receiver that the test plays itself, byte for byte.
-struct Played {
+struct ScriptedReceiver {
     platform: FakePlatform,
     listener: TcpListener,
     program: Program,
@@ -18,7 +18,7 @@
     _config: Value,
 }
 
-impl Played {
+impl ScriptedReceiver {
     async fn start(listener: TcpListener) -> Self {
         let platform = FakePlatform::start().await;
         let addr = listener.local_addr().expect("an address");
@@ -58,62 +58,62 @@
     stream.set_zero_linger().expect("it can be reset");
 }
 
-/// The first line has told: delivered, whatever becomes of the rest.
+/// The status line decides: delivered, whatever becomes of the rest.
 #[tokio::test]
-async fn a_reset_between_the_first_line_of_200_and_its_end_is_a_delivery() {
-    let mut played = Played::start(any_port().await).await;
-    played.hand_in("safe", "m1").await;
-    let mut stream = played.accept().await;
+async fn a_reset_between_a_status_line_of_200_and_its_end_is_a_delivery() {
+    let mut scripted = ScriptedReceiver::start(any_port().await).await;
+    scripted.hand_in("safe", "m1").await;
+    let mut stream = scripted.accept().await;
     assert_eq!(call(&mut stream).await, "m1");
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Len").await.expect("writable");
     reset(stream);
     // What comes next is another message, so that the first one did not go again.
-    played.hand_in("once", "m2").await;
-    let mut stream = played.accept().await;
+    scripted.hand_in("once", "m2").await;
+    let mut stream = scripted.accept().await;
     assert_eq!(call(&mut stream).await, "m2");
     stream.write_all(GOOD).await.expect("writable");
-    assert!(played.platform.nothing_reported());
+    assert!(scripted.platform.nothing_reported());
 }
 
 /// A kept connection is closed when the next request has been written to it: that may have run. Neither we nor
 /// the HTTP library send it again where it may not be repeated; where it may, it goes once more.
 #[tokio::test]
-async fn a_kept_connection_that_ends_under_a_request_is_a_reset_and_no_resend() {
-    let mut played = Played::start(any_port().await).await;
-    played.hand_in("once", "m1").await;
-    let mut stream = played.accept().await;
+async fn a_pooled_connection_that_closes_under_a_request_is_a_reset_without_resend() {
+    let mut scripted = ScriptedReceiver::start(any_port().await).await;
+    scripted.hand_in("once", "m1").await;
+    let mut stream = scripted.accept().await;
     assert_eq!(call(&mut stream).await, "m1");
     stream.write_all(GOOD).await.expect("writable");
     // On the same connection, as nothing else is accepted.
-    played.hand_in("once", "m2").await;
+    scripted.hand_in("once", "m2").await;
     assert_eq!(call(&mut stream).await, "m2");
     drop(stream);
-    assert_eq!(played.platform.report().await.0, [undeliverable("m2")]);
-    played.hand_in("safe", "m3").await;
-    let mut stream = played.accept().await;
+    assert_eq!(scripted.platform.report().await.0, [undeliverable("m2")]);
+    scripted.hand_in("safe", "m3").await;
+    let mut stream = scripted.accept().await;
     assert_eq!(call(&mut stream).await, "m3", "m2 went again");
     stream.write_all(GOOD).await.expect("writable");
-    played.hand_in("safe", "m4").await;
+    scripted.hand_in("safe", "m4").await;
     assert_eq!(call(&mut stream).await, "m4");
     reset(stream);
-    let mut stream = played.accept().await;
+    let mut stream = scripted.accept().await;
     assert_eq!(call(&mut stream).await, "m4");
     stream.write_all(GOOD).await.expect("writable");
-    played.hand_in("safe", "m5").await;
+    scripted.hand_in("safe", "m5").await;
     assert_eq!(call(&mut stream).await, "m5", "m4 went a third time");
-    assert!(played.platform.nothing_reported());
+    assert!(scripted.platform.nothing_reported());
 }
 
 /// What the system holds of a call when the program dies goes with it: it would run after the restart has counted
 /// it as one that may have run, and perhaps after its key is forgotten.
 #[tokio::test]
 async fn nothing_of_a_call_arrives_after_the_program_was_killed() {
-    let played = Played::start(listener_with_small_window()).await;
+    let scripted = ScriptedReceiver::start(listener_with_small_window()).await;
     let large = Bytes::from(vec![b'x'; 60_000]);
-    assert_eq!(played.program.hand_in("once", "m1", large.clone()).await.status(), 202);
-    let mut stream = played.accept().await;
+    assert_eq!(scripted.program.hand_in("once", "m1", large.clone()).await.status(), 202);
+    let mut stream = scripted.accept().await;
     stream.readable().await.expect("the first bytes");
-    played.program.kill().await;
+    scripted.program.kill().await;
     let read = rest(&mut stream).await.len();
     let unread = SockRef::from(&stream).recv_buffer_size().expect("a size");
     // No more than had come by then.
--- a/crates/daemon/tests/client_connections.rs
+++ b/crates/daemon/tests/client_connections.rs
@@ -25,8 +25,8 @@
     assert_eq!(program.readiness().await, 200);
 }
 
-/// Clients have only so many connections between them, too: with all of them resting at the sender, nothing
-/// more could be handed in until it let go of some.
+/// Clients have a limited number of connections, too: with all of them idle at the sender, nothing more could be
+/// submitted until it closed some.
 #[tokio::test]
 async fn most_connections_that_idle_after_one_request_are_closed_at_once() {
     let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
@@ -50,7 +50,7 @@
     assert_eq!(status(&mut last[10]).await, Some(202));
 }
 
-/// A newcomer that is silent for long is still heard when those that push for places come from elsewhere.
+/// A new client that is silent for long is still served when those that compete for slots come from other addresses.
 #[tokio::test]
 async fn a_client_that_sends_its_first_request_late_is_served_beside_hundreds_of_silent_connections() {
     let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
--- a/crates/daemon/tests/cluster/mod.rs
+++ b/crates/daemon/tests/cluster/mod.rs
@@ -1,9 +1,9 @@
-//! Twelve senders before one partner, and the faults that the table tells of.
+//! A cluster of twelve senders before one destination, and the phases of faults in which its calls are counted.
 #![allow(dead_code, reason = "each test uses its part")]
 
 use std::fmt;
 use std::path::Path;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use rudderspindle_testkit::checker::Verdict;
 use rudderspindle_testkit::cluster::{Cluster, Journal};
@@ -14,17 +14,17 @@
 use tempfile::TempDir;
 use tokio::time::sleep;
 
-/// More than ten tell one another what they want.
+/// Number of senders: above ten they exchange their demand by gossip.
 pub const SENDERS: usize = 12;
-/// Calls a second that the partner takes.
+/// Limit of the destination, in calls a second.
 pub const LIMIT: f64 = 60.0;
-/// No message is delivered for longer.
-pub const LONGEST: Duration = Duration::from_secs(6);
+/// Maximum lifetime of a message.
+pub const MAX_MESSAGE_LIFETIME: Duration = Duration::from_secs(6);
 
-/// So many senders that are handed 90 messages a second for so long, and what keeps their folder. A file of the
-/// operator's for the fleet, if any.
-pub async fn tier(seconds: u16, seed: u64, fleet_file: Option<&Path>) -> (Cluster, TempDir) {
-    let script = format!(
+/// Starts the senders for a load of 90 messages a second; with the folder that holds their state. `fleet_file` is the
+/// operator's fleet configuration.
+pub async fn start(seconds: u16, seed: u64, fleet_file: Option<&Path>) -> (Cluster, TempDir) {
+    let scenario = format!(
         r#"
 seed = {seed}
 seconds = {seconds}
@@ -53,23 +53,47 @@
 endpoints = [{{ id = "p1-0", hall = "hall-a" }}, {{ id = "p1-1", hall = "hall-b" }}]
 "#
     );
-    let script = Scenario::parse(&script, Path::new("fleet.toml")).expect("a script");
+    let scenario = Scenario::parse(&scenario, Path::new("fleet.toml")).expect("a scenario");
     let mut launch = Launch::from(Path::new(env!("CARGO_BIN_EXE_rudderspindle")));
-    // Notes that a sender drops are told there.
+    // Datagrams that a sender drops are logged there.
     launch.variables.push(("RELAY_LOG".to_owned(), "info,notes=debug".to_owned()));
     launch.variables.extend(fleet_file.map(|path| ("RELAY_FLEET".to_owned(), path.display().to_string())));
     let folder = tempfile::tempdir().expect("a folder");
-    let tier = Cluster::start(&script, &launch, folder.path(), LONGEST).await.expect("senders");
-    (tier, folder)
+    let cluster =
+        Cluster::start(&scenario, &launch, folder.path(), MAX_MESSAGE_LIFETIME).await.expect("senders");
+    (cluster, folder)
+}
+
+/// Polls a condition until it holds; panics after `timeout`.
+pub async fn wait_until(
+    what: &str,
+    timeout: Duration,
+    poll_interval: Duration,
+    mut condition: impl FnMut() -> bool,
+) {
+    let deadline = Instant::now() + timeout;
+    while !condition() {
+        assert!(Instant::now() < deadline, "{what}: not within {timeout:?}");
+        sleep(poll_interval).await;
+    }
+}
+
+/// The log of a sender so far.
+fn log(folder: &Path, sender: usize) -> String {
+    std::fs::read_to_string(folder.join(format!("n{sender}/log"))).expect("a log")
+}
+
+/// How many of these senders have this text in their logs.
+pub fn count_logged(folder: &Path, senders: impl IntoIterator<Item = usize>, text: &str) -> usize {
+    senders.into_iter().filter(|sender| log(folder, *sender).contains(text)).count()
 }
 
 /// Whether any sender's log holds this.
 pub fn logged(folder: &Path, text: &str) -> bool {
-    let log = |n: usize| std::fs::read_to_string(folder.join(format!("n{n}/log"))).expect("a log");
-    (0..SENDERS).any(|n| log(n).contains(text))
+    (0..SENDERS).any(|sender| log(folder, sender).contains(text))
 }
 
-/// What one phase came to.
+/// The measured usage of one phase.
 #[derive(Clone, Debug)]
 pub struct Row {
     pub phase: &'static str,
@@ -87,65 +111,65 @@
     }
 }
 
-fn secs(s: u64) -> Duration {
-    Duration::from_secs(s)
+fn secs(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
 }
 
-/// The head of the table; calls are shares of the limit.
+/// The head of the table; calls are in shares of the limit.
 pub const HEAD: &str = "| phase | mean | first second | worst second after it | worst sliding second | refused for each delivered |
 | --- | --- | --- | --- | --- | --- |";
 
-/// Plays all phases, with an operator's file or without; and what the judge says of all of it. It takes 85 s.
-pub async fn table(fleet_file: Option<&Path>) -> (Vec<Row>, Verdict) {
-    let (mut tier, _folder) = tier(79, 35, fleet_file).await;
+/// Runs all phases, with a fleet configuration or without, and checks the whole run. It takes 85 s.
+pub async fn measure_phases(fleet_file: Option<&Path>) -> (Vec<Row>, Verdict) {
+    let (mut cluster, _folder) = start(79, 35, fleet_file).await;
     let mut rows = Vec::new();
     let mut row = |phase, usage| rows.push(Row { phase, usage });
     let all: Vec<usize> = (0..SENDERS).collect();
     let (even, odd): (Vec<usize>, Vec<usize>) = all.iter().partition(|n| *n % 2 == 0);
     let half = &all[..SENDERS / 2];
-    tier.load();
-    // Until all have heard of one another and the queues are what they will be.
+    cluster.load();
+    // Until all have received gossip of one another and the queues are steady.
     sleep(secs(6)).await;
-    row("all hear", tier.phase(secs(10)).await);
+    row("all hear", cluster.phase(secs(10)).await);
 
-    tier.mesh.cut(&all, half);
-    row("half hear nothing for 12 s", tier.phase(secs(12)).await);
-    tier.mesh.heal();
-    row("they hear again", tier.phase(secs(4)).await);
+    cluster.mesh.cut(&all, half);
+    row("half hear nothing for 12 s", cluster.phase(secs(12)).await);
+    cluster.mesh.heal();
+    row("they hear again", cluster.phase(secs(4)).await);
 
-    // Halls are dealt out in turn.
-    tier.mesh.cut(&even, &odd);
-    tier.mesh.cut(&odd, &even);
-    row("the two halls cut from one another", tier.phase(secs(10)).await);
-    tier.mesh.heal();
-    row("they are joined again", tier.phase(secs(4)).await);
+    // Zones are assigned in turn.
+    cluster.mesh.cut(&even, &odd);
+    cluster.mesh.cut(&odd, &even);
+    row("the two halls cut from one another", cluster.phase(secs(10)).await);
+    cluster.mesh.heal();
+    row("they are joined again", cluster.phase(secs(4)).await);
 
-    tier.mesh.set(&all, &all, &LinkFaults { drop: 0.5, ..LinkFaults::default() });
-    row("half of all notes lost", tier.phase(secs(10)).await);
-    tier.mesh.heal();
+    cluster.mesh.set(&all, &all, &LinkFaults { drop: 0.5, ..LinkFaults::default() });
+    row("half of all notes lost", cluster.phase(secs(10)).await);
+    cluster.mesh.heal();
 
-    let from = tier.evidence().now();
+    let from = cluster.evidence().now();
     let third = &all[..SENDERS / 3];
     for &sender in third {
-        tier.kill(sender).await.expect("killed");
+        cluster.kill(sender).await.expect("killed");
     }
     sleep(Duration::from_millis(600)).await;
     for &sender in third {
-        tier.start_again(sender, Journal::Kept).await.expect("it starts again");
+        cluster.start_again(sender, Journal::Kept).await.expect("it starts again");
     }
     sleep(secs(4)).await;
-    row("a third killed, and back after 0.6 s", tier.usage(from..tier.evidence().now()));
+    row("a third killed, and back after 0.6 s", cluster.usage(from..cluster.evidence().now()));
 
     let three = &all[SENDERS / 2..SENDERS / 2 + 3];
-    let from = tier.evidence().now();
+    let from = cluster.evidence().now();
     for &sender in three {
-        tier.pause(sender).await.expect("stopped");
+        cluster.pause(sender).await.expect("stopped");
     }
     sleep(secs(8)).await;
     for &sender in three {
-        tier.go_on(sender).await.expect("it goes on");
+        cluster.go_on(sender).await.expect("it goes on");
     }
     sleep(secs(4)).await;
-    row("three stopped for 8 s, and go on", tier.usage(from..tier.evidence().now()));
-    (rows, tier.ended().await)
+    row("three stopped for 8 s, and go on", cluster.usage(from..cluster.evidence().now()));
+    (rows, cluster.ended().await)
 }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -77,20 +77,20 @@
     (platform, receiver, program, folder, config)
 }
 
-/// What keeps a folder, and the state's path in it.
+/// A temporary folder, removed when dropped, and the path of the state in it.
 pub type Folder = (TempDir, PathBuf);
 
-/// A listening socket that the platform keeps, for programs that it starts.
-pub fn kept_door() -> Socket {
-    let door = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+/// A listening socket that programs inherit and that outlasts them.
+pub fn inherited_listener() -> Socket {
+    let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    door.bind(&any.into()).expect("a port");
-    door.listen(128).expect("it listens");
-    door.set_cloexec(false).expect("children have it");
-    door
+    listener.bind(&any.into()).expect("a port");
+    listener.listen(128).expect("it listens");
+    listener.set_cloexec(false).expect("children have it");
+    listener
 }
 
-/// A folder that outlasts programs.
+/// A state folder that outlasts programs.
 pub fn lasting() -> Folder {
     let folder = tempfile::tempdir().expect("a folder");
     let state = folder.path().join("state");
--- a/crates/daemon/tests/common/program.rs
+++ b/crates/daemon/tests/common/program.rs
@@ -20,27 +20,27 @@
 /// The built program, killed when dropped.
 pub struct Program {
     pub addr: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Address of the control listener, if it has one.
     pub operators: Option<SocketAddr>,
     pub child: Child,
     log: Lines<BufReader<ChildStderr>>,
 }
 
 pub fn spawn(config: &Value, state: &Path) -> Child {
-    spawn_at(None, config, state)
+    spawn_with_listener(None, config, state)
 }
 
-/// The program, with clients at a listener that it inherits, if there is one.
-fn spawn_at(door: Option<&Socket>, config: &Value, state: &Path) -> Child {
-    command(door, config, state).spawn().expect("the program starts")
+/// Spawns the program, with a listener for clients that it inherits, if any.
+fn spawn_with_listener(listener: Option<&Socket>, config: &Value, state: &Path) -> Child {
+    command(listener, config, state).spawn().expect("the program starts")
 }
 
-fn command(door: Option<&Socket>, config: &Value, state: &Path) -> Command {
+fn command(listener: Option<&Socket>, config: &Value, state: &Path) -> Command {
     let path = state.with_extension("json");
     std::fs::write(&path, config.to_string()).expect("a configuration file");
     let mut program = Command::new(env!("CARGO_BIN_EXE_rudderspindle"));
-    if let Some(door) = door {
-        program.env("RELAY_ACCEPT_FD", door.as_raw_fd().to_string());
+    if let Some(listener) = listener {
+        program.env("RELAY_ACCEPT_FD", listener.as_raw_fd().to_string());
     }
     program.env("RELAY_CONFIG", path).env("RELAY_STATE", state);
     program.stderr(Stdio::piped()).kill_on_drop(true);
@@ -52,12 +52,12 @@
         Self::begin(spawn(config, state)).await
     }
 
-    /// One whose clients come by a listener that outlasts it.
-    pub async fn start_at(door: &Socket, config: &Value, state: &Path) -> Self {
-        Self::begin(spawn_at(Some(door), config, state)).await
+    /// Starts the program with a listener for clients that it inherits.
+    pub async fn start_with_listener(listener: &Socket, config: &Value, state: &Path) -> Self {
+        Self::begin(spawn_with_listener(Some(listener), config, state)).await
     }
 
-    /// One that stops for good at a named point, and says in its log that it has reached it.
+    /// Starts the program with a failpoint, at which it stops for good and logs that it has reached it.
     pub async fn start_until(point: &str, config: &Value, state: &Path) -> Self {
         let mut program = command(None, config, state);
         Self::begin(program.env("RELAY_FAILPOINT", point).spawn().expect("the program starts")).await
@@ -78,7 +78,7 @@
         Self { addr, operators, child, log }
     }
 
-    /// The next line of the log that holds `text`.
+    /// Waits for a line of the log that contains `text`.
     pub async fn says(&mut self, text: &str) {
         let found = async {
             while let Ok(Some(line)) = self.log.next_line().await {
@@ -91,7 +91,7 @@
         assert!(soon(text, found).await, "the log ended without {text:?}");
     }
 
-    /// What the log still says until the program ends.
+    /// The remaining lines of the log, until the program ends.
     pub async fn rest_of_log(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
         while let Some(line) = soon("the log's end", self.log.next_line()).await.expect("a log") {
@@ -108,7 +108,7 @@
         self.signal("-TERM").await;
     }
 
-    /// Replaces the configuration, which may be none at all, and tells the program.
+    /// Replaces the configuration file by any text and sends SIGHUP.
     pub async fn configure(&self, config: &str, state: &Path) {
         std::fs::write(state.with_extension("json"), config).expect("a configuration file");
         self.signal("-HUP").await;
@@ -119,7 +119,7 @@
         signal(&self.child, name).await;
     }
 
-    /// A client's connection on which bytes are written as they are.
+    /// Connects as a client and writes raw bytes.
     pub async fn raw(&self, bytes: &[u8]) -> TcpStream {
         let mut stream = TcpStream::connect(self.addr).await.expect("a connection");
         stream.write_all(bytes).await.expect("writable");
@@ -136,7 +136,7 @@
         self.request(ready).await.expect("an answer").status().as_u16()
     }
 
-    /// Hands a message for destination 7 in, as a client of its own.
+    /// Submits a message for destination 7 on a connection of its own.
     pub async fn hand_in(&self, class: &str, message_id: &str, body: Bytes) -> Response<Incoming> {
         self.hand_in_within(class, message_id, body, "60").await
     }
--- a/crates/daemon/tests/configuration_reload.rs
+++ b/crates/daemon/tests/configuration_reload.rs
@@ -16,7 +16,7 @@
 async fn on_sighup_discovery_and_notifications_move_to_the_new_address() {
     let (mut old, mut first, mut program, folder, config) = set_up(&[], DEADLINE_MS).await;
     let (_, lines) = old.watch().await;
-    // A notice that the old address never takes.
+    // A notification that the old address never acknowledges.
     old.answer_reports(&[500; 100]);
     assert_eq!(program.hand_in_within("safe", "late", text(), "0").await.status(), 503);
     first.then(&[Act::Break]);
@@ -64,7 +64,7 @@
     assert!(second.nothing_called() && first.nothing_called());
 }
 
-/// While the new address is silent the list stays as it was told last.
+/// While the new address is silent the last endpoint list stays in force.
 #[tokio::test]
 async fn a_new_discovery_address_that_is_silent_leaves_the_endpoint_list_unchanged() {
     let (_old, mut receiver, mut program, folder, mut config) = set_up(&[], DEADLINE_MS).await;
@@ -77,7 +77,7 @@
     assert_eq!(receiver.call().await.message_id, "m1");
 }
 
-/// Half of a list has come when the configuration moves discovery: no word of that half counts, nor of the rest.
+/// Half of a list has been read when the configuration moves discovery: neither that half nor the rest is applied.
 #[tokio::test]
 async fn a_partly_read_list_is_discarded_once_discovery_has_moved() {
     let old = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/daemon/tests/operator.rs
+++ b/crates/daemon/tests/control.rs
@@ -1,4 +1,4 @@
-//! The operator's side: calls on the control listener, figures, drains.
+//! Commands on the control listener: status, metrics, drain and reactivation.
 
 mod common;
 
@@ -31,15 +31,15 @@
     answer
 }
 
-async fn figures(control: SocketAddr) -> Value {
+async fn metrics(control: SocketAddr) -> Value {
     let answer = call(control, "stats\n").await;
-    let (figures, end) = answer.split_once('\n').expect("two lines");
+    let (metrics, end) = answer.split_once('\n').expect("two lines");
     assert_eq!(end, "end\n");
-    serde_json::from_str(figures).expect("figures")
+    serde_json::from_str(metrics).expect("metrics")
 }
 
 #[tokio::test]
-async fn figures_tell_of_each_end_and_of_what_is_open() {
+async fn metrics_count_each_final_outcome_and_what_is_pending() {
     let (_platform, mut receiver, program, _folder, control) =
         set_up(&[Act::Say(200, None), Act::Say(500, None), Act::Hang]).await;
     assert_eq!(call(control, "status\n").await, "done\n");
@@ -49,21 +49,21 @@
         receiver.call().await;
     }
     // The third is out; the ends of the others may be a batch away.
-    let mut told = figures(control).await;
+    let mut reported = metrics(control).await;
     let since = Instant::now();
-    while told["faulted"]["once"] != 1 || told["fulfilled"]["safe"] != 1 {
-        assert!(since.elapsed() < Duration::from_secs(10), "{told}");
+    while reported["faulted"]["once"] != 1 || reported["fulfilled"]["safe"] != 1 {
+        assert!(since.elapsed() < Duration::from_secs(10), "{reported}");
         tokio::time::sleep(Duration::from_millis(5)).await;
-        told = figures(control).await;
+        reported = metrics(control).await;
     }
-    assert_eq!(told["relayed"], 3);
-    assert_eq!(told["open_requests"], 1);
-    assert_eq!(told["registry_entries"], 1);
-    assert_eq!(told["throttled"]["safe"], 0);
+    assert_eq!(reported["relayed"], 3);
+    assert_eq!(reported["open_requests"], 1);
+    assert_eq!(reported["registry_entries"], 1);
+    assert_eq!(reported["throttled"]["safe"], 0);
 }
 
 #[tokio::test]
-async fn a_drained_sender_serves_who_comes_lets_nobody_stay_and_comes_back() {
+async fn a_drained_sender_serves_requests_without_keep_alive_and_can_be_reactivated() {
     let (_platform, mut receiver, program, _folder, control) = set_up(&[]).await;
     // One at rest, and one whose message is half-way when the drain begins.
     let hand_in = |message_id| raw_hand_in(message_id, "Content-Length: 4", "text");
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn callers_that_complete_nothing_keep_nobody_from_calling() {
+async fn incomplete_control_requests_do_not_block_other_callers() {
     let (_platform, _receiver, _program, _folder, control) = set_up(&[]).await;
     let mut silent = Vec::new();
     for n in 0..40 {
--- a/crates/daemon/tests/kills.rs
+++ b/crates/daemon/tests/crash_points.rs
@@ -1,4 +1,4 @@
-//! The program is killed between two steps of a message's way, and started again.
+//! Kills at named failpoints between two steps of a message, each followed by a restart.
 
 mod common;
 
@@ -31,7 +31,8 @@
         Program::start(&self.config, &self.folder.1).await
     }
 
-    /// A further message, decided on after all that a start takes up, shows that nothing else is called or told.
+    /// A further message, decided on after all that a start recovers, shows that there is no other call or
+    /// notification.
     async fn nothing_more(&mut self, program: &Program) {
         assert_eq!(program.hand_in("safe", "last", text()).await.status(), 202);
         assert_eq!(self.receiver.call().await.message_id, "last");
@@ -46,7 +47,7 @@
         .into()
 }
 
-/// Hands a message in and kills the program when it has reached the point; its client has heard nothing.
+/// Submits a message and kills the program when it has reached the failpoint; the client has no response.
 async fn kill_before_the_answer(program: Program, class: &str) {
     let mut program = program;
     let mut client = program.raw(&raw(class)).await;
@@ -56,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn killed_before_the_record_a_message_was_never_taken_on_and_may_come_again() {
+async fn killed_before_the_record_a_message_was_never_accepted_and_may_be_submitted_again() {
     for class in CLASSES {
         let mut site = Site::new(&[]).await;
         kill_before_the_answer(site.until("taken-on-before-record").await, class).await;
@@ -70,7 +71,7 @@
 
 /// Its first attempt is on record with it, and may have gone out for all that the journal says.
 #[tokio::test]
-async fn killed_between_the_record_and_the_202_a_message_is_owed_its_end() {
+async fn killed_between_the_record_and_the_202_a_message_still_reaches_a_final_outcome() {
     for class in CLASSES {
         let mut site = Site::new(&[]).await;
         kill_before_the_answer(site.until("taken-on-recorded").await, class).await;
@@ -85,9 +86,9 @@
     }
 }
 
-/// A first attempt was turned away; the second one is on record, and not a byte of it has gone out.
+/// A first attempt was rejected; the second one is on record, and not a byte of it has been sent.
 #[tokio::test]
-async fn killed_between_an_attempts_record_and_its_first_byte_it_may_have_run() {
+async fn killed_between_an_attempts_record_and_its_first_byte_it_counts_as_possibly_executed() {
     for class in CLASSES {
         let mut site = Site::new(&[Act::Say(429, Some(("x-backoff-ms", "20")))]).await;
         let mut program = site.until("attempt-1-recorded").await;
@@ -107,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn killed_between_the_answer_and_its_record_only_what_may_be_repeated_is() {
+async fn killed_between_a_response_and_its_record_only_idempotent_messages_are_retried() {
     for class in CLASSES {
         let mut site = Site::new(&[]).await;
         let mut program = site.until("delivered-before-record").await;
@@ -127,9 +128,9 @@
     }
 }
 
-/// The platform has the notice, and the journal does not know: it is told once more, and then not again.
+/// The platform has the notification, and the journal has no record of it: it is sent once more, and then not again.
 #[tokio::test]
-async fn killed_between_a_notices_acknowledgement_and_its_record_it_is_told_once_more() {
+async fn killed_between_an_acknowledgement_and_its_record_a_notification_is_sent_once_more() {
     let mut site = Site::new(&[Act::Break]).await;
     let mut program = site.until("acknowledged-before-record").await;
     assert_eq!(program.hand_in("once", "m1", text()).await.status(), 202);
@@ -147,9 +148,9 @@
     site.nothing_more(&program).await;
 }
 
-/// Without an answer the notice is sent again, also by the process after the one that was killed over it.
+/// Without a response the notification is sent again, also by the process after the one that was killed.
 #[tokio::test]
-async fn killed_while_a_notice_has_no_answer_it_is_told_again() {
+async fn killed_while_a_notification_is_unanswered_it_is_sent_again() {
     let mut site = Site::new(&[Act::Break]).await;
     let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let mut config = site.config.clone();
--- a/crates/daemon/tests/crash_recovery.rs
+++ b/crates/daemon/tests/crash_recovery.rs
@@ -6,6 +6,7 @@
 
 use common::*;
 
+/// Whether any file of the state folder contains these bytes.
 fn journal_holds(state: &std::path::Path, bytes: &[u8]) -> bool {
     let files =
         std::fs::read_dir(state).expect("a folder").filter_map(|file| std::fs::read(file.ok()?.path()).ok());
@@ -30,7 +31,7 @@
     assert!(receiver.nothing_called() && platform.nothing_reported());
 }
 
-/// An attempt in zone a is cut by a kill; the next one, after the restart, is turned away; after the next kill
+/// An attempt in zone a is interrupted by a kill; the next one, after the restart, is rejected; after the next kill
 /// only an endpoint in zone b is left, which does not know the key.
 #[tokio::test]
 async fn an_attempt_interrupted_by_a_kill_counts_as_possibly_executed_after_a_second_kill() {
@@ -121,14 +122,14 @@
     assert_eq!(program.hand_in("safe", "m4", text()).await.status(), 202);
 }
 
-/// All that is held is taken up again after a kill, and a new client is heard at once beside it.
+/// All pending messages are resumed after a kill, and a new client is served at once beside them.
 #[tokio::test]
 async fn ninety_pending_messages_and_a_retry_after_survive_a_kill() {
     let acts = [Act::Say(429, Some(("x-backoff-ms", "6000")))];
     let (mut platform, mut receiver, program, folder, config) = set_up(&acts, DEADLINE_MS).await;
     program.hand_in("safe", "m0", text()).await;
     receiver.call().await;
-    let told = std::time::Instant::now();
+    let received_at = std::time::Instant::now();
     for n in 1..90 {
         assert_eq!(program.hand_in("safe", &format!("m{n}"), text()).await.status(), 202, "m{n}");
     }
@@ -138,9 +139,9 @@
     let mut missing: std::collections::BTreeSet<String> = (0..90).map(|n| format!("m{n}")).collect();
     missing.insert("new".to_owned());
     missing.remove(&receiver.call().await.message_id);
-    // What was told to the process that was killed holds for the one after it.
-    let waited = told.elapsed().as_millis();
-    assert!(waited >= 5_900, "sent {waited} ms after a wait of 6 s was told");
+    // A Retry-After that the killed process received holds for the one after it.
+    let waited = received_at.elapsed().as_millis();
+    assert!(waited >= 5_900, "sent {waited} ms after a Retry-After of 6 s was received");
     while !missing.is_empty() {
         missing.remove(&receiver.call().await.message_id);
     }
@@ -149,8 +150,8 @@
     program.exit().await;
 }
 
-/// A client that heard nothing hands the same message in elsewhere, and both who have it are killed twice. The key holds
-/// in one hall: there both may ask again, and in the other neither may, however little the two know of one another.
+/// A client without a response submits the same message to a second sender, and both senders are killed twice. The key
+/// is known in one zone: both may retry there and neither in the other, although the two know nothing of one another.
 #[tokio::test]
 async fn two_senders_with_the_same_message_keep_to_the_zone_that_knows_its_key_over_two_kills() {
     let (mut platform, mut here) = (FakePlatform::start().await, Receiver::start(&[Act::Hang; 4]).await);
--- a/crates/daemon/tests/delivery.rs
+++ b/crates/daemon/tests/delivery.rs
@@ -77,12 +77,12 @@
     let acts = [Act::Say(429, Some(("x-backoff-ms", "700")))];
     let (_platform, mut receiver, program, _folder, _) = set_up(&acts, DEADLINE_MS).await;
     program.hand_in("safe", "m1", text()).await;
-    let told = receiver.call().await.at;
+    let received_at = receiver.call().await.at;
     for message_id in ["m2", "m3", "m4"] {
         assert_eq!(program.hand_in("safe", message_id, text()).await.status(), 202);
     }
     for _ in 0..4 {
-        let waited = receiver.call().await.at - told;
+        let waited = receiver.call().await.at - received_at;
         assert!(waited >= wait, "{waited:?}");
     }
 }
@@ -93,9 +93,9 @@
         // All slots taken: never ran, so even an unsafe message goes again.
         Act::Say(503, Some(("x-egress-full", "1"))),
         Act::Say(200, None),
-        // All attempts used: its end is still owed, at once.
+        // All attempts used: its final outcome is still due, at once.
         Act::Say(504, None),
-        // Over: nothing is owed.
+        // Complete: no notification is due.
         Act::Say(410, None),
     ];
     let (mut platform, mut receiver, program, _folder, _) = set_up(&acts, DEADLINE_MS).await;
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn calls_and_notices_have_descriptors_while_clients_idle_on_all_of_theirs() {
+async fn calls_and_notifications_have_descriptors_while_clients_idle_on_all_of_theirs() {
     let (mut platform, mut receiver, program, _folder, _) = set_up(&[Act::Break], DEADLINE_MS).await;
     // As many as `limits.sockets` says, and not one more.
     limit(&program, 128).await;
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn without_a_descriptor_for_a_client_idle_ones_go_and_the_log_says_so_once() {
+async fn without_a_descriptor_for_a_new_client_idle_ones_are_closed_and_the_log_says_so_once() {
     let (_platform, mut receiver, mut program, _folder, _) = set_up(&[], DEADLINE_MS).await;
     assert_eq!(program.hand_in("safe", "m0", text()).await.status(), 202);
     // The call leaves a connection that is kept for the next.
--- a/crates/daemon/tests/endpoint_discovery.rs
+++ b/crates/daemon/tests/endpoint_discovery.rs
@@ -36,7 +36,7 @@
     assert!(first.nothing_called() && second.nothing_called());
 }
 
-/// What a restart finds in its configuration may be older than what the sender was told before it.
+/// The list in the configuration may be older than the one that the sender had before its restart.
 #[tokio::test]
 async fn recovered_messages_do_not_go_to_a_receiver_that_is_draining_in_the_newest_list() {
     let (platform, mut first, program, folder, config) = set_up(&[Act::Hang], DEADLINE_MS).await;
@@ -59,7 +59,7 @@
     let mut config = config(platform.addr, &[member("r1", first.addr, 7, "SERVING")], DEADLINE_MS);
     config["settings"]["peers_total"] = 20.into();
     config["settings"]["discovery"] = "on_request".into();
-    // Whoever asks for the whole list hears of another receiver.
+    // A request for the complete list returns another receiver.
     let whole = list(9, true, &[member("r2", second.addr, 7, "SERVING")]);
     *platform.list.lock().expect("a list") = Some(whole.clone());
     let folder = lasting();
@@ -73,8 +73,8 @@
     submit_until_called(&program, &mut second).await;
 }
 
-/// Where changes are pushed, what the agent has counts as told: a fleet's sender that waits for a turn to ask
-/// goes on calling receivers that are gone.
+/// Where changes are pushed, a list that the agent has is in force: a sender that waited for its slot in the poll
+/// schedule would go on calling receivers that are gone.
 #[tokio::test]
 async fn a_sender_of_a_large_fleet_with_its_own_discovery_agent_starts_with_the_agents_list() {
     let (platform, mut first) = (FakePlatform::start().await, Receiver::start(&[]).await);
@@ -89,8 +89,9 @@
     assert!(first.nothing_called());
 }
 
-/// Discovery is drowned while a fleet starts, and this one is killed twice before it has heard: what it holds goes by
-/// the list that it knew, and once the late one has come nothing goes where that does not lead.
+/// Discovery is overloaded while a fleet starts, and this sender is killed twice before its list arrives: pending
+/// messages
+/// go by the known list, and once the late one has come nothing goes to a receiver that is not in it.
 #[tokio::test]
 async fn a_list_that_arrives_late_after_two_restarts_is_applied_from_then_on() {
     let (mut platform, mut old) = (FakePlatform::start().await, Receiver::start(&[Act::Hang; 2]).await);
@@ -123,7 +124,8 @@
     assert!(old.nothing_called() && platform.nothing_reported());
 }
 
-/// A receiver is replaced at its address under a new id while it has calls: what may have run is not sent to the new one
+/// A receiver is replaced at its address under a new id while it has calls: what may have run is not sent to the new
+/// one
 /// as if it never had, and new messages do not wait for the old one.
 #[tokio::test]
 async fn a_receiver_replaced_at_its_address_holds_up_no_call_and_gets_no_unsafe_retry() {
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -1,9 +1,9 @@
-//! Several senders, each a process, with notes between them and faults among them.
+//! Gossip between twelve sender processes over lost datagrams, partitions, kills and pauses.
 
 mod cluster;
 
 use std::path::PathBuf;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use rudderspindle_testkit::checker::Verdict;
 use rudderspindle_testkit::cluster::Journal;
@@ -11,43 +11,41 @@
 use rudderspindle_testkit::fault_schedule::LinkFaults;
 use tokio::time::sleep;
 
-use cluster::{HEAD, SENDERS, table};
+use cluster::{HEAD, SENDERS, measure_phases, wait_until};
 
-/// Waits until something is so.
-async fn soon(what: &str, mut is: impl FnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(20);
-    while !is() {
-        assert!(Instant::now() < end, "{what}: not within 20 s");
-        sleep(Duration::from_millis(20)).await;
-    }
+/// Waits until a condition holds.
+async fn eventually(what: &str, condition: impl FnMut() -> bool) {
+    wait_until(what, Duration::from_secs(20), Duration::from_millis(20), condition).await;
 }
 
-/// Notes that have come to a sender, and that came to nothing on their way to it.
-fn heard(mesh: &DatagramProxy, to: usize) -> (u64, u64) {
+/// Datagrams that were delivered to a sender, and that were lost on their way to it.
+fn received(mesh: &DatagramProxy, to: usize) -> (u64, u64) {
     let counts = (0..SENDERS).map(|from| mesh.counts(from, to));
     counts.fold((0, 0), |sum, counts| (sum.0 + counts.passed, sum.1 + counts.dropped))
 }
 
-/// Notes that a sender has sent.
-fn told(mesh: &DatagramProxy, from: usize) -> u64 {
+/// Datagrams that a sender has sent.
+fn sent_by(mesh: &DatagramProxy, from: usize) -> u64 {
     (0..SENDERS).map(|to| mesh.counts(from, to)).map(|counts| counts.sent).sum()
 }
 
-/// Twelve processes hear one another; one is cut off, the others' notes suffer, one is killed, one stopped, and each is
-/// heard again.
-async fn play() -> Verdict {
-    let (mut tier, folder) = cluster::tier(8, 1, None).await;
+/// Runs twelve processes: one is cut off, datagrams of the others are damaged, one is killed, one paused, and each is
+/// received from again.
+async fn run() -> Verdict {
+    let (mut cluster, folder) = cluster::start(8, 1, None).await;
     let logged = |text: &str| cluster::logged(folder.path(), text);
-    tier.load();
+    cluster.load();
     for sender in 0..SENDERS {
-        soon("each has told and heard", || heard(&tier.mesh, sender).0 > 1 && told(&tier.mesh, sender) > 1)
-            .await;
+        eventually("each has sent and received", || {
+            received(&cluster.mesh, sender).0 > 1 && sent_by(&cluster.mesh, sender) > 1
+        })
+        .await;
     }
-    assert!(!logged("from no other sender"), "each knows whose notes it gets");
+    assert!(!logged("from no other sender"), "each knows the senders of its datagrams");
 
-    // One hears nothing any more, and is heard; the foul weather of the others is nobody's undoing.
+    // One receives nothing any more and is still received from; faults between the others cut nobody off.
     let others: Vec<usize> = (1..SENDERS).collect();
-    let foul = LinkFaults {
+    let faults = LinkFaults {
         drop: 0.1,
         delay: Duration::from_millis(1)..Duration::from_millis(40),
         duplicate: 0.2,
@@ -55,65 +53,70 @@
         damage: 0.2,
         replay_after: Some(Duration::from_secs(2)),
     };
-    tier.mesh.set(&others, &others, &foul);
-    tier.mesh.cut(&others, &[0]);
-    let (before, sent) = (heard(&tier.mesh, 0), told(&tier.mesh, 0));
-    soon("it is cut off", || heard(&tier.mesh, 0).1 > before.1 + 1).await;
-    soon("it goes on telling", || told(&tier.mesh, 0) > sent + 3).await;
-    assert_eq!(heard(&tier.mesh, 0).0, before.0);
-    soon("damage and doubles reach programs", || logged("check does not fit") && logged("was heard before"))
-        .await;
-    tier.mesh.heal();
-    soon("it hears again", || heard(&tier.mesh, 0).0 > before.0).await;
+    cluster.mesh.set(&others, &others, &faults);
+    cluster.mesh.cut(&others, &[0]);
+    let (before, sent) = (received(&cluster.mesh, 0), sent_by(&cluster.mesh, 0));
+    eventually("it is cut off", || received(&cluster.mesh, 0).1 > before.1 + 1).await;
+    eventually("it goes on sending", || sent_by(&cluster.mesh, 0) > sent + 3).await;
+    assert_eq!(received(&cluster.mesh, 0).0, before.0);
+    eventually("damaged and duplicated datagrams reach programs", || {
+        logged("check does not fit") && logged("was heard before")
+    })
+    .await;
+    cluster.mesh.heal();
+    eventually("it receives again", || received(&cluster.mesh, 0).0 > before.0).await;
 
-    tier.pause(5).await.expect("stopped");
-    // What it had written has been carried by then.
+    cluster.pause(5).await.expect("stopped");
+    // What it had written has been forwarded by then.
     sleep(Duration::from_millis(100)).await;
-    let silent = told(&tier.mesh, 5);
-    tier.kill(3).await.expect("killed");
+    let sent_before_pause = sent_by(&cluster.mesh, 5);
+    cluster.kill(3).await.expect("killed");
     sleep(Duration::from_millis(600)).await;
-    assert_eq!(told(&tier.mesh, 5), silent);
-    let dead = told(&tier.mesh, 3);
-    tier.go_on(5).await.expect("it goes on");
-    tier.start_again(3, Journal::Kept).await.expect("it starts again");
-    soon("both tell again", || told(&tier.mesh, 5) > silent && told(&tier.mesh, 3) > dead).await;
+    assert_eq!(sent_by(&cluster.mesh, 5), sent_before_pause);
+    let sent_before_kill = sent_by(&cluster.mesh, 3);
+    cluster.go_on(5).await.expect("it goes on");
+    cluster.start_again(3, Journal::Kept).await.expect("it starts again");
+    eventually("both send again", || {
+        sent_by(&cluster.mesh, 5) > sent_before_pause && sent_by(&cluster.mesh, 3) > sent_before_kill
+    })
+    .await;
 
-    let verdict = tier.ended().await;
+    let verdict = cluster.ended().await;
 
-    // All have their ends, so nothing is lost with a folder.
-    tier.kill(7).await.expect("killed");
-    let dead = told(&tier.mesh, 7);
-    tier.start_again(7, Journal::Empty).await.expect("it starts again");
-    soon("it tells again", || told(&tier.mesh, 7) > dead).await;
+    // All messages have their final outcomes, so nothing is lost with a folder.
+    cluster.kill(7).await.expect("killed");
+    let sent_before_kill = sent_by(&cluster.mesh, 7);
+    cluster.start_again(7, Journal::Empty).await.expect("it starts again");
+    eventually("it sends again", || sent_by(&cluster.mesh, 7) > sent_before_kill).await;
     verdict
 }
 
 #[tokio::test]
-async fn twelve_processes_hear_one_another_and_lose_nothing_over_a_kill_a_stop_and_a_cut() {
+async fn twelve_processes_gossip_and_lose_nothing_over_a_kill_a_pause_and_a_partition() {
     for _ in 0..3 {
-        let verdict = play().await;
-        // On a machine that is too busy what the judge says is worth nothing.
+        let verdict = run().await;
+        // On a machine that is too busy the verdict says nothing.
         if !verdict.in_doubt() {
             assert!(verdict.clean() && verdict.accounting.open == 0, "{verdict}");
             assert!(verdict.accounting.delivered > 200, "{verdict}");
             return;
         }
     }
-    panic!("the stand-ins were late three times: this machine is too busy to tell anything");
+    panic!("the fakes were late three times: this machine is too busy for a result");
 }
 
 /// By hand: `cargo test --release -p rudderspindle --test fleet -- --ignored --nocapture`; with an operator's file for
 /// the fleet if the variable `RELAY_FLEET` names one.
 #[tokio::test]
-#[ignore = "measures for 85 s; what is shared by sums alone does not keep these bounds"]
-async fn the_table_shows_every_phase_within_the_partners_limit() {
+#[ignore = "measures for 85 s; sharing by aggregates alone does not keep these bounds"]
+async fn every_measured_phase_stays_within_the_receivers_limit() {
     let file = std::env::var_os("RELAY_FLEET").map(PathBuf::from);
-    let (rows, verdict) = table(file.as_deref()).await;
+    let (rows, verdict) = measure_phases(file.as_deref()).await;
     println!("{HEAD}");
     rows.iter().for_each(|row| println!("{row}"));
     println!("{:?}", verdict.accounting);
-    assert!(!verdict.in_doubt(), "the stand-ins were late: this machine is too busy to tell anything");
-    // Late ends are no fault here: a process stopped for longer than its messages last cannot end them in time.
+    assert!(!verdict.in_doubt(), "the fakes were late: this machine is too busy for a result");
+    // Late outcomes are no fault here: a process paused for longer than its messages live cannot complete them in time.
     let accounts = &verdict.accounting;
     assert_eq!((accounts.lost, accounts.doubled, accounts.open), (0, 0, 0), "{verdict}");
     let strict = |row: &cluster::Row| row.usage.worst <= 1.10 && row.usage.refused <= 0.05;
--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Two processes of one sender, cut off at each message of their handover.
+//! Two processes of one sender, interrupted at each message of their handover.
 
 mod common;
 
@@ -11,9 +11,9 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{UnixListener, UnixStream};
 
-/// The wait that an owner tells in these tests, and one that it was told.
+/// The Retry-After that an owner announces in these tests, and the one that it receives.
 const WAIT: Duration = Duration::from_millis(1_500);
-/// Calls that come so soon after a wait was told are let through, as the protocol has it.
+/// Calls within this time after a Retry-After was received are let through, as the protocol specifies.
 const CROSSED: Duration = Duration::from_millis(100);
 
 fn message(class: &str, message_id: &str) -> Message {
@@ -57,7 +57,7 @@
 
 /// The owner is scripted: it says so many lines and half of the next one, and is gone, with its lock.
 #[tokio::test]
-async fn an_owner_that_dies_at_any_message_leaves_all_that_it_owed_to_its_successor_once() {
+async fn an_owner_that_dies_at_any_handover_message_leaves_its_pending_work_to_its_successor_once() {
     for said in 0..=lines().len() {
         let (mut platform, [mut receiver, _], folder, config) = site(&[]).await;
         let mut owner = Store::open(&folder.1, 3_000_000).expect("a journal");
@@ -84,16 +84,16 @@
         let mut hello = String::new();
         soon("a line", stream.read_line(&mut hello)).await.expect("readable");
         assert_eq!(hello, "{\"hello\":1}\n");
-        let mut words: String = lines()[..said].iter().map(|line| format!("{line}\n")).collect();
-        words.extend(lines().get(said).map(|line| line[..line.len() / 2].to_owned()));
-        stream.write_all(words.as_bytes()).await.expect("writable");
-        let told = Instant::now();
+        let mut messages: String = lines()[..said].iter().map(|line| format!("{line}\n")).collect();
+        messages.extend(lines().get(said).map(|line| line[..line.len() / 2].to_owned()));
+        stream.write_all(messages.as_bytes()).await.expect("writable");
+        let received_at = Instant::now();
         drop((stream, listener, owner));
         let mut program = starting.await.expect("it starts");
         program.says("taken over: 2 messages, 1 notices").await;
         let call = receiver.call().await;
         assert_eq!(call.message_id, "untried", "{said} lines");
-        let after = call.at.duration_since(told);
+        let after = call.at.duration_since(received_at);
         let heard = said >= 2;
         assert!(!heard || after > WAIT - Duration::from_millis(50), "{said} lines, called after {after:?}");
         let expected = [undeliverable("ended"), undeliverable("tried")];
@@ -104,7 +104,7 @@
 
 /// Whoever can reach the socket may say anything or nothing, and stay.
 #[tokio::test]
-async fn connections_that_say_nothing_or_nonsense_keep_no_successor_from_being_told() {
+async fn silent_or_malformed_connections_do_not_keep_a_successor_from_being_informed() {
     let (_platform, [mut receiver, _], folder, config) = site(&[]).await;
     let mut old = Program::start(&config, &folder.1).await;
     let mut rogues = Vec::new();
@@ -113,7 +113,7 @@
         [&b""[..], b"{\"hello\":", b"nonsense\n", b"{\"hello\":2}\n", b"\"room\"\n", b"\n", &long, b""]
     {
         let mut rogue = UnixStream::connect(socket(&folder.1)).await.expect("a connection");
-        // It may be turned away while it is still talking.
+        // It may be disconnected while it is still writing.
         let _ = rogue.write_all(said).await;
         rogues.push(rogue);
     }
@@ -122,20 +122,20 @@
     receiver.then(&[Act::Say(429, Some(("x-backoff-ms", "1500")))]);
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
     assert_eq!(receiver.call().await.message_id, "m1");
-    let told = Instant::now();
-    // What crosses the word is let through: only what comes later shows whether the new one has heard it.
+    let received_at = Instant::now();
+    // Calls that cross the announcement are let through: only later ones show whether the new process has received it.
     tokio::time::sleep(CROSSED).await;
     assert_eq!(new.hand_in("safe", "m2", text()).await.status(), 202);
     for _ in 0..2 {
         let call = receiver.call().await;
-        let after = call.at.duration_since(told);
+        let after = call.at.duration_since(received_at);
         assert!(after > WAIT - Duration::from_millis(50), "{} came after {after:?}", call.message_id);
     }
 }
 
 /// A successor that is gone at once, or whose connection breaks, leaves the owner the whole folder.
 #[tokio::test]
-async fn a_successor_that_dies_before_it_has_heard_all_leaves_room_for_the_next_one() {
+async fn a_successor_that_dies_during_the_handover_makes_way_for_the_next_one() {
     let (_platform, [mut receiver, _], folder, config) = site(&[Act::Hang]).await;
     let mut old = Program::start(&config, &folder.1).await;
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
@@ -145,7 +145,7 @@
         let mut next = UnixStream::connect(socket(&folder.1)).await.expect("a connection");
         next.write_all(b"{\"hello\":1}\n").await.expect("writable");
         if let Some(before) = before.replace(next) {
-            // What comes later is heard: the one before ends only now that the next one has spoken.
+            // Later connections are read too: the previous one ends only now that the next one has sent its message.
             let mut stranger = UnixStream::connect(socket(&folder.1)).await.expect("a connection");
             stranger.write_all(b"{\"hello\":2}\n").await.expect("writable");
             old.says("turned away").await;
@@ -163,9 +163,9 @@
 }
 
 #[tokio::test]
-async fn when_both_processes_die_a_third_one_owes_what_either_did_once() {
+async fn when_both_processes_die_a_third_one_takes_over_the_pending_work_of_both_once() {
     let (mut platform, [mut receiver, _], folder, config) = site(&[Act::Hang; 4]).await;
-    // Nobody acknowledges notices until the third one is there.
+    // Nobody acknowledges notifications until the third process runs.
     platform.answer_reports(&[500; 1_000]);
     let mut old = Program::start(&config, &folder.1).await;
     for (class, message_id) in [("safe", "old-safe"), ("once", "old-once")] {
@@ -178,7 +178,7 @@
         assert_eq!(new.hand_in(class, message_id, text()).await.status(), 202);
         assert_eq!(receiver.call().await.message_id, message_id);
     }
-    // In either order; the second one may have taken over what the first one held by then, or not.
+    // In either order; the second one may have taken over the messages of the first one by then, or not.
     new.kill().await;
     old.kill().await;
     let third = Program::start(&config, &folder.1).await;
@@ -199,7 +199,7 @@
 
 /// Each of the two has its own watch; what is taken over goes by the list as it is by then.
 #[tokio::test]
-async fn a_list_that_changes_while_both_run_is_heeded_by_both() {
+async fn an_endpoint_list_that_changes_while_both_run_is_applied_by_both() {
     let (mut platform, [mut first, mut second], folder, config) = site(&[Act::Hang]).await;
     let old = Program::start(&config, &folder.1).await;
     let (_, to_old) = platform.watch().await;
--- a/crates/daemon/tests/repeats.rs
+++ b/crates/daemon/tests/idempotency_window.rs
@@ -1,4 +1,4 @@
-//! Repeats of a keyed message: within the window from its first attempt, where its key is known.
+//! Retries of a keyed message: within the idempotency window from its first attempt, where its key is known.
 
 mod common;
 
@@ -14,7 +14,7 @@
 /// An attempt that is never answered may have run. Its repeats come before the receivers of its zone forget the
 /// key, and to no other zone; then the message ends.
 #[tokio::test]
-async fn repeats_come_within_the_window_and_only_where_the_key_is_known() {
+async fn retries_come_within_the_window_and_only_where_the_key_is_known() {
     let platform = FakePlatform::start().await;
     let mut known = Receiver::start(&[Act::Hang; 8]).await;
     let mut elsewhere = Receiver::start(&[]).await;
@@ -30,7 +30,7 @@
     let handed_in = Instant::now();
     assert_eq!(program.hand_in("keyed", "m1", text()).await.status(), 202);
     assert_eq!(platform.report().await.0, [undeliverable("m1")]);
-    // The window runs from no earlier than the hand-in.
+    // The window starts no earlier than the submission.
     assert!(handed_in.elapsed() < WINDOW + Duration::from_millis(500), "{:?}", handed_in.elapsed());
     let mut calls = Vec::new();
     while let Ok(call) = known.calls.try_recv() {
@@ -44,7 +44,7 @@
 
 /// The repeat's connection does not come up before the window is over: nothing of it goes when it does.
 #[tokio::test]
-async fn a_repeat_whose_connection_comes_up_after_the_window_does_not_go() {
+async fn a_retry_whose_connection_is_established_after_the_window_is_not_sent() {
     let platform = FakePlatform::start().await;
     let mut first = Receiver::start(&[Act::Hang; 8]).await;
     // With one connection that nobody accepts the queue is full, and the next one's SYN is dropped.
--- a/crates/daemon/tests/refusals/mod.rs
+++ b/crates/daemon/tests/invalid_configurations/mod.rs
@@ -1,9 +1,9 @@
-//! Configurations that cannot work, and what is to be said of each.
+//! Invalid configurations, and the error that each of them has to produce.
 
 use serde_json::{Value, json};
 
-/// Places, what stands there, the key that the line names and what it says would be right.
-pub fn refusals() -> Vec<(&'static str, Option<Value>, &'static str, &'static str)> {
+/// JSON pointer, invalid value (`None`: the key is removed), key that the error names and what it says is valid.
+pub fn invalid_configurations() -> Vec<(&'static str, Option<Value>, &'static str, &'static str)> {
     let span = "a number of ms above 0 is wanted";
     let effect = r#"one of "free", "guarded", "single_shot" is wanted"#;
     let (whole, part) = ("a whole number from 1 to 4294967295 is wanted", "a number from 0 to 1 is wanted");
--- a/crates/daemon/tests/load_shedding.rs
+++ b/crates/daemon/tests/load_shedding.rs
@@ -61,7 +61,7 @@
         let answer = program.hand_in("once", &format!("m{n}"), text()).await;
         refused += u32::from(answer.status() == 503);
     }
-    // At most 95 of 100 are held: the others are refused or deferred, a minute before their time is up.
+    // At most 95 of 100 are pending: the others are rejected or deferred, a minute before their deadline.
     while refused < 15 {
         for (_, status) in platform.report().await.0 {
             assert_eq!(status, "deferred");
--- a/crates/daemon/tests/notifications.rs
+++ b/crates/daemon/tests/notifications.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// The acknowledgement of the first one's notice would have ended the second one in the journal.
+/// The acknowledgement of the first one's notification would have completed the second one in the journal.
 #[tokio::test]
 async fn a_message_id_with_a_pending_notification_is_not_accepted_again() {
     let (mut platform, mut receiver, program, _folder, _) = set_up(&[Act::Break], DEADLINE_MS).await;
--- a/crates/daemon/tests/troubles.rs
+++ b/crates/daemon/tests/outages.rs
@@ -1,6 +1,6 @@
-//! What a script does to agents and links, with real senders: it happens, it is in the log, and no rule is broken.
+//! Scripted outages of discovery agents and links with real senders: each is in the event log, and no rule is violated.
 
-mod evening;
+mod scenario;
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
 bad_per_s = 1.0
 "#;
 
-const HAPPENINGS: &str = r#"
-# Its messages end with notices from about 5 s on.
+const EVENTS: &str = r#"
+# Its messages end with notifications from about 5 s on.
 [[happenings]]
 what = "outage"
 at_ms = 500
@@ -72,7 +72,7 @@
 trouble = { kind = "lose_back" }
 "#;
 
-fn told(lines: &[Line], who: &str, what: &str) -> Option<u64> {
+fn announced_at_ms(lines: &[Line], who: &str, what: &str) -> Option<u64> {
     lines.iter().find_map(|line| match &line.event {
         Event::Told { sender, phase, .. } if sender == who && phase == what => Some(line.t / 1_000),
         _ => None,
@@ -80,21 +80,22 @@
 }
 
 #[tokio::test]
-async fn agents_and_links_fail_as_scripted_and_no_rule_is_broken() {
-    let script = format!("{TRAFFIC}{}{HAPPENINGS}", evening::partners(0.0));
-    let (lines, verdict) = evening::play(&script, Duration::from_secs(5)).await;
+async fn discovery_agents_and_links_fail_as_scripted_and_no_rule_is_violated() {
+    let script = format!("{TRAFFIC}{}{EVENTS}", scenario::destinations(0.0));
+    let (lines, verdict) = scenario::run(&script, Duration::from_secs(5)).await;
     assert!(verdict.clean() && verdict.accounting.open == 0, "{verdict}");
-    assert!(verdict.accounting.failed + verdict.accounting.refused > 0, "no notices:\n{verdict}");
-    // The one that is silent tells late; the other at once.
-    let (late, soon) = (told(&lines, "n0", "DRAINING"), told(&lines, "n1", "DRAINING"));
-    assert!(late.is_some_and(|t| (4_500..8_000).contains(&t)), "{late:?}");
-    assert!(soon.is_some_and(|t| (2_500..3_500).contains(&t)), "{soon:?}");
-    // Its sender has followed it to its other address.
-    let moved = told(&lines, "n0", "DELETED");
+    assert!(verdict.accounting.failed + verdict.accounting.refused > 0, "no notifications:\n{verdict}");
+    // The silent agent announces the drain late, the other one at once.
+    let (delayed, immediate) =
+        (announced_at_ms(&lines, "n0", "DRAINING"), announced_at_ms(&lines, "n1", "DRAINING"));
+    assert!(delayed.is_some_and(|t| (4_500..8_000).contains(&t)), "{delayed:?}");
+    assert!(immediate.is_some_and(|t| (2_500..3_500).contains(&t)), "{immediate:?}");
+    // The sender has followed its agent to the other address.
+    let moved = announced_at_ms(&lines, "n0", "DELETED");
     assert!(moved.is_some_and(|t| t >= 9_800), "{moved:?}");
-    let untaken =
+    let unacknowledged =
         |line: &&Line| matches!(&line.event, Event::Noticed { taken: false, sender, .. } if sender == "n1");
-    assert!(lines.iter().filter(untaken).count() > 0, "every notice was taken");
+    assert!(lines.iter().filter(unacknowledged).count() > 0, "every notification was acknowledged");
     let cut_off = lines.iter().filter(|line| matches!(&line.event, Event::Link { hides: true, .. })).count();
-    assert_eq!(cut_off, 4, "each of two links fails and is well again");
+    assert_eq!(cut_off, 4, "each of two links fails and recovers");
 }
--- a/crates/daemon/tests/rights.rs
+++ b/crates/daemon/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Twelve processes with rights to call, and faults among them: the limit holds, whoever hears nothing.
+//! Call permits shared by twelve processes: the limit holds over lost datagrams, kills and pauses.
 
 mod cluster;
 
@@ -10,28 +10,29 @@
 use rudderspindle_testkit::fault_schedule::LinkFaults;
 use tokio::time::sleep;
 
-/// In any second so much of the limit at most may start: turns are 0.95 of it, each for a tenth of a second.
-const MOST: f64 = 1.10;
-/// Refused for each delivered, at the most.
-const REFUSED: f64 = 0.05;
+/// Maximum of calls that start in any second, in shares of the limit: permits are for 0.95 of it, a tenth of a second
+/// each.
+const MAX_USAGE: f64 = 1.10;
+/// Maximum of rejected calls for each delivered message.
+const MAX_REJECTED: f64 = 0.05;
 
-async fn phase(tier: &mut Cluster, name: &'static str, ms: u64) -> Row {
-    Row { phase: name, usage: tier.phase(Duration::from_millis(ms)).await }
+async fn phase(cluster: &mut Cluster, name: &'static str, ms: u64) -> Row {
+    Row { phase: name, usage: cluster.phase(Duration::from_millis(ms)).await }
 }
 
-/// The phases one after another, and whether the machine was too busy to tell anything.
-async fn play(file: &Path) -> (Vec<Row>, bool) {
-    let (mut tier, _folder) = cluster::tier(19, 7, Some(file)).await;
+/// Runs the phases one after another; with whether the machine was too busy for a result.
+async fn run(file: &Path) -> (Vec<Row>, bool) {
+    let (mut cluster, _folder) = cluster::start(19, 7, Some(file)).await;
     let all: Vec<usize> = (0..SENDERS).collect();
     let half = &all[..SENDERS / 2];
     let mut rows = Vec::new();
-    tier.load();
-    // Until each has its first turns and calls wait everywhere.
+    cluster.load();
+    // Until each has its first permits and calls are queued everywhere.
     sleep(Duration::from_millis(3_500)).await;
-    tier.mesh.cut(&all, half);
-    rows.push(phase(&mut tier, "half hear nothing, and are heard", 4_000).await);
-    tier.mesh.heal();
-    let foul = LinkFaults {
+    cluster.mesh.cut(&all, half);
+    rows.push(phase(&mut cluster, "half hear nothing, and are heard", 4_000).await);
+    cluster.mesh.heal();
+    let faults = LinkFaults {
         drop: 0.5,
         duplicate: 0.3,
         reorder: 0.3,
@@ -39,49 +40,49 @@
         replay_after: Some(Duration::from_millis(700)),
         ..LinkFaults::default()
     };
-    tier.mesh.set(&all, &all, &foul);
-    rows.push(phase(&mut tier, "half of all notes lost, the others late, doubled, replayed", 4_000).await);
-    // One has used a part of the second, and is back within it; another one stands still for longer than any right lasts.
-    let from = tier.evidence().now();
-    tier.kill(3).await.expect("killed");
-    tier.pause(8).await.expect("stopped");
+    cluster.mesh.set(&all, &all, &faults);
+    rows.push(phase(&mut cluster, "half of all notes lost, the others late, doubled, replayed", 4_000).await);
+    // One is killed within a second and restarted within it; another one is paused for longer than any permit lasts.
+    let from = cluster.evidence().now();
+    cluster.kill(3).await.expect("killed");
+    cluster.pause(8).await.expect("stopped");
     sleep(Duration::from_millis(600)).await;
-    tier.start_again(3, Journal::Kept).await.expect("it starts again");
+    cluster.start_again(3, Journal::Kept).await.expect("it starts again");
     sleep(Duration::from_millis(2_400)).await;
-    tier.go_on(8).await.expect("it goes on");
+    cluster.go_on(8).await.expect("it goes on");
     sleep(Duration::from_millis(1_500)).await;
-    let usage = tier.usage(from..tier.evidence().now());
+    let usage = cluster.usage(from..cluster.evidence().now());
     rows.push(Row { phase: "one killed and back, one stopped and on", usage });
-    tier.mesh.heal();
-    let from = tier.evidence().now();
-    tier.kill(5).await.expect("killed");
-    tier.start_again(5, Journal::Empty).await.expect("it starts again");
+    cluster.mesh.heal();
+    let from = cluster.evidence().now();
+    cluster.kill(5).await.expect("killed");
+    cluster.start_again(5, Journal::Empty).await.expect("it starts again");
     sleep(Duration::from_millis(2_500)).await;
-    let usage = tier.usage(from..tier.evidence().now());
+    let usage = cluster.usage(from..cluster.evidence().now());
     rows.push(Row { phase: "one comes back with an empty folder", usage });
-    (rows, tier.ended().await.in_doubt())
+    (rows, cluster.ended().await.in_doubt())
 }
 
 #[tokio::test]
-async fn a_limit_holds_in_every_second_while_notes_are_lost_and_processes_die_and_stop() {
+async fn a_limit_holds_in_every_second_while_datagrams_are_lost_and_processes_die_and_pause() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet.example.toml");
     for _ in 0..3 {
-        let (rows, in_doubt) = play(&file).await;
+        let (rows, in_doubt) = run(&file).await;
         // On a machine that is too busy calls bunch on their way.
         if !in_doubt {
-            let keeps = |row: &Row| row.usage.worst_sliding <= MOST && row.usage.refused <= REFUSED;
+            let keeps = |row: &Row| row.usage.worst_sliding <= MAX_USAGE && row.usage.refused <= MAX_REJECTED;
             let table: Vec<String> = rows.iter().map(ToString::to_string).collect();
             assert!(rows.iter().all(keeps), "{HEAD}\n{}", table.join("\n"));
-            // What is bound is also used: nobody waits for what a deaf one could have.
+            // The limit is also used: nobody waits for permits that a cut-off process could hold.
             assert!(rows[0].usage.mean >= 0.85, "{HEAD}\n{}", table.join("\n"));
             return;
         }
     }
-    panic!("the stand-ins were late three times: this machine is too busy to tell anything");
+    panic!("the fakes were late three times: this machine is too busy for a result");
 }
 
 #[tokio::test]
-async fn a_file_that_cannot_be_used_ends_the_start_with_one_line_that_names_the_place() {
+async fn an_invalid_fleet_file_ends_the_start_with_one_line_that_names_its_position() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("fleet.toml");
     std::fs::write(&file, "[share]\nbound = \"tight\"\n").expect("written");
--- a/crates/daemon/tests/ready.rs
+++ b/crates/daemon/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! How long a start takes with a journal as full as it gets, while discovery is down.
+//! Time until a start is ready with a full journal, while discovery is down.
 
 mod common;
 
@@ -50,7 +50,7 @@
 
 /// The bound is the standing test's; the figures are printed.
 #[tokio::test]
-async fn a_full_journal_and_a_discovery_that_is_silent_or_refuses_keep_no_start_from_being_ready() {
+async fn a_full_journal_and_a_silent_or_refusing_discovery_do_not_keep_a_start_from_being_ready() {
     let silent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let refusing = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let refuses = refusing.local_addr().expect("an address");
--- a/crates/daemon/tests/readme.rs
+++ b/crates/daemon/tests/readme.rs
@@ -5,7 +5,7 @@
 use common::*;
 
 #[tokio::test]
-async fn the_configuration_in_readme_starts_and_takes_a_message_on() {
+async fn the_configuration_in_readme_starts_and_accepts_a_message() {
     let readme = concat!(env!("CARGO_MANIFEST_DIR"), "/../../README.md");
     let readme = std::fs::read_to_string(readme).expect("README");
     let (_, rest) = readme.split_once("```json\n").expect("a configuration");
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A start on what an earlier process left in its journal, and kills at named points.
+//! A start on the journal of an earlier process: order, limits, clocks and classes that changed in between.
 
 mod common;
 
@@ -52,9 +52,9 @@
     (platform, receiver, lasting(), config)
 }
 
-/// A message that an earlier process handed in last shows that all before it has been decided on.
-async fn expect_only(receiver: &mut Receiver, txns: &[&str]) {
-    for message_id in txns {
+/// The last message of an earlier process shows that all before it have been decided on.
+async fn expect_only(receiver: &mut Receiver, message_ids: &[&str]) {
+    for message_id in message_ids {
         assert_eq!(receiver.call().await.message_id, *message_id);
     }
     assert!(receiver.nothing_called());
@@ -64,7 +64,7 @@
 
 /// The window is 1 s, as short as it gets.
 #[tokio::test]
-async fn a_keyed_message_is_repeated_after_a_restart_only_within_its_keys_window() {
+async fn a_keyed_message_is_retried_after_a_restart_only_within_its_idempotency_window() {
     for (ago, repeated) in [(100, true), (1_100, false)] {
         let (mut platform, mut receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
         config["settings"]["lanes"][1]["window"] = 1_000.0.into();
@@ -80,9 +80,9 @@
     }
 }
 
-/// Nothing tells how long ago an attempt was, also not one whose own time has come again.
+/// The age of an attempt is unknown, also that of one whose recorded time has come again.
 #[tokio::test]
-async fn a_clock_set_back_between_two_processes_begins_no_keys_window_anew() {
+async fn a_clock_set_back_between_two_processes_restarts_no_idempotency_window() {
     let (mut platform, mut receiver, folder, config) = site(&[], DEADLINE_MS).await;
     let now = wall_ms();
     let messages = vec![
@@ -105,9 +105,9 @@
     expect_only(&mut receiver, &[]).await;
 }
 
-/// Nobody is there to deliver it to: it ends by its notice, and not an hour late.
+/// There is no receiver: the message ends with its notification, and not an hour late.
 #[tokio::test]
-async fn a_clock_set_back_gives_no_message_more_time_than_its_class_has() {
+async fn a_clock_set_back_gives_no_message_more_time_than_its_class_allows() {
     let (mut platform, _receiver, folder, mut config) = site(&[], 1_000.0).await;
     config["known"]["members"] = Value::Array(Vec::new());
     *platform.list.lock().expect("a list") = Some(config["known"].clone());
@@ -127,7 +127,7 @@
 
 /// No chance decides, also not that of a hash map's order: equal ones go in the order of their ids.
 #[tokio::test]
-async fn what_is_found_untried_goes_out_in_one_order_whatever_the_journals_order_is() {
+async fn recovered_untried_messages_are_sent_in_one_order_whatever_the_journals_order_is() {
     let (_platform, mut receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
     config["settings"]["extra"]["calls_out"] = 1.into();
     write_journal(&folder.1, untried(40));
@@ -139,7 +139,7 @@
 
 /// Settings may have become smaller, and a successor takes over as much again as it holds.
 #[tokio::test]
-async fn more_than_may_be_held_is_tried_all_the_same_and_none_is_given_up_for_it() {
+async fn more_recovered_messages_than_the_pending_limit_are_all_attempted() {
     let (mut platform, mut receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
     config["settings"]["limits"]["most_held"] = 10.into();
     write_journal(&folder.1, untried(60));
@@ -151,9 +151,9 @@
     assert!(platform.nothing_reported());
 }
 
-/// What waits for room is owed its end all the while.
+/// A message that waits for capacity still reaches a final outcome.
 #[tokio::test]
-async fn what_is_found_and_never_finds_room_ends_when_its_time_is_up() {
+async fn a_recovered_message_that_never_gets_capacity_ends_at_its_deadline() {
     let (mut platform, _receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
     config["settings"]["limits"]["most_held"] = 4.into();
     config["settings"]["lanes"][1]["credit"] = 2.0.into();
@@ -176,7 +176,7 @@
 
 /// Both have all that they may hold.
 #[tokio::test]
-async fn a_successor_that_takes_over_as_much_as_it_holds_gives_none_of_it_up() {
+async fn a_successor_that_takes_over_as_much_as_it_already_has_drops_none_of_it() {
     let wait = Act::Say(429, Some(("x-backoff-ms", "3000")));
     let (mut platform, mut receiver, folder, mut config) = site(&[wait], DEADLINE_MS).await;
     config["settings"]["limits"]["most_held"] = 20.into();
@@ -201,7 +201,7 @@
 }
 
 #[tokio::test]
-async fn messages_of_a_class_that_is_no_more_fail_with_one_line_of_the_log() {
+async fn messages_of_a_removed_class_fail_with_one_log_line() {
     let (mut platform, mut receiver, folder, config) = site(&[], DEADLINE_MS).await;
     let gone = |n| (left_behind("gone", &format!("m{n}"), 50_000), None);
     write_journal(&folder.1, (0..3).map(gone).collect());
--- a/crates/daemon/tests/evening/mod.rs
+++ b/crates/daemon/tests/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted evening with real sender processes, judged.
+//! Runs of a scripted scenario with real sender processes, checked against the delivery rules.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use std::path::Path;
@@ -10,25 +10,28 @@
 use rudderspindle_testkit::scenario::Scenario;
 use rudderspindle_testkit::world::{TestEnvironment, World};
 
-/// Plays it until the stand-ins were not late, three times at the most; no message is delivered for longer.
-pub async fn play(script: &str, longest: Duration) -> (Vec<Line>, Verdict) {
-    let script = Scenario::parse(script, Path::new("test.toml")).expect("a script");
+/// Runs the scenario until the fakes kept their times, at most three times; `longest` is the maximum lifetime of a
+/// message.
+pub async fn run(script: &str, longest: Duration) -> (Vec<Line>, Verdict) {
+    let scenario = Scenario::parse(script, Path::new("test.toml")).expect("a script");
     for _ in 0..3 {
         let folder = tempfile::tempdir().expect("a folder");
         let launch = Launch::from(Path::new(env!("CARGO_BIN_EXE_rudderspindle")));
         let stage = TestEnvironment { launch, folder: folder.path().to_owned(), longest };
-        let played = World::set_up(&script, &stage).await.expect("a world").play().await;
+        let played = World::set_up(&scenario, &stage).await.expect("a world").play().await;
         assert_eq!(played.failed, Vec::<String>::new());
         let verdict = check_events(&played.lines);
         if !verdict.in_doubt() {
             return (played.lines, verdict);
         }
     }
-    panic!("the stand-ins were late three times: this machine is too busy to tell anything");
+    panic!("the fakes were late three times: this machine is too busy for a result");
 }
 
-/// A large partner whose endpoints are apart and that tells its waits, and a small one that tells this share of them.
-pub fn partners(tells: f64) -> String {
+/// Two destinations: a large one with independent endpoints that always sends Retry-After, and a small one that sends
+/// it
+/// with this share of its rejections.
+pub fn destinations(retry_after_share: f64) -> String {
     format!(
         r#"
 [[partners]]
@@ -49,7 +52,7 @@
 name = "small"
 per_s = 10.0
 limit = {{ kind = "span", span_ms = 1000 }}
-tells = {{ share = {tells:.1} }}
+tells = {{ share = {retry_after_share:.1} }}
 work_ms = 80
 queue = 8
 connections = 32
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,12 +1,12 @@
-//! Configurations that cannot work: refused in one line, with nothing begun; while the program runs, nothing changes.
+//! Invalid configurations: rejected with one line and no side effect, at the start and on SIGHUP.
 
 mod common;
-mod refusals;
+mod invalid_configurations;
 
 use std::net::{SocketAddr, TcpListener};
 
 use common::*;
-use refusals::refusals;
+use invalid_configurations::invalid_configurations;
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, BufReader};
 
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn a_configuration_that_cannot_work_ends_the_program_in_one_line_before_anything_is_begun() {
+async fn an_invalid_configuration_ends_the_program_with_one_line_before_any_side_effect() {
     let (clients, discovery) = (Watched::new(), Watched::new());
     let (_folder, state) = lasting();
     let mut good = config(discovery.addr(), &[], DEADLINE_MS);
@@ -58,7 +58,7 @@
     good["listen"] = clients.addr().to_string().into();
     let said = last_words(&good, &state).await;
     assert!(said.contains("cannot listen on"), "{said}");
-    for (pointer, value, key, right) in refusals() {
+    for (pointer, value, key, right) in invalid_configurations() {
         let said = last_words(&with(&good, pointer, value), &state).await;
         assert_eq!(said.lines().count(), 1, "{pointer}: {said}");
         assert!(said.starts_with(&format!("rudderspindle: {key}")), "{pointer}: {said}");
@@ -71,10 +71,10 @@
 
 /// What is doubtful about a configuration is said of one that is used; otherwise the reason is all that is said.
 #[tokio::test]
-async fn a_configuration_that_is_doubtful_and_cannot_work_is_refused_in_one_line_too() {
+async fn an_invalid_configuration_that_also_has_warnings_is_rejected_with_one_line() {
     let (_folder, state) = lasting();
     let doubtful = with(&config(Watched::new().addr(), &[], DEADLINE_MS), "/settings/peers_total", None);
-    for (pointer, value, key, _) in refusals() {
+    for (pointer, value, key, _) in invalid_configurations() {
         if pointer.starts_with("/settings/peers_total") || pointer == "/settings" {
             continue;
         }
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn a_number_beyond_all_numbers_is_refused_with_its_place() {
+async fn a_number_out_of_range_is_rejected_with_its_position() {
     let (_folder, state) = lasting();
     let text = config(Watched::new().addr(), &[], DEADLINE_MS).to_string().replace("15000.0", "1e400");
     std::fs::write(state.with_extension("json"), text).expect("a file");
@@ -99,7 +99,7 @@
 
 /// Numbers as other programs write them, what nobody knows, and no more than has to be there.
 #[tokio::test]
-async fn a_configuration_that_says_little_or_more_than_is_known_still_works() {
+async fn a_minimal_configuration_or_one_with_unknown_keys_works() {
     let (platform, mut receiver) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let members = [member("r1", receiver.addr, 7, "SERVING")];
     let whole = config(platform.addr, &members, DEADLINE_MS);
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn on_sighup_each_such_configuration_is_one_line_and_changes_nothing() {
+async fn on_sighup_each_invalid_configuration_logs_one_line_and_changes_nothing() {
     let (platform, mut receiver) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let good = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], DEADLINE_MS);
     *platform.list.lock().expect("a list") = Some(good["known"].clone());
@@ -137,7 +137,7 @@
     let mut moved = good.clone();
     moved["discovery"] = elsewhere.addr().to_string().into();
     let pid = child.id().expect("it runs").to_string();
-    for (pointer, value, key, right) in refusals() {
+    for (pointer, value, key, right) in invalid_configurations() {
         let bad = with(&moved, pointer, value);
         std::fs::write(state.with_extension("json"), bad.to_string()).expect("a file");
         let sent = tokio::process::Command::new("kill").args(["-HUP", &pid]).status().await;
--- a/crates/daemon/tests/shutdown.rs
+++ b/crates/daemon/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM and SIGKILL against what is on its way just then, byte by byte in a forced order.
+//! SIGTERM and SIGKILL against requests and calls in progress, byte by byte in a forced order.
 
 mod common;
 
@@ -50,16 +50,16 @@
 
 /// The ids of the next calls, in order of the alphabet.
 async fn called(receiver: &mut Receiver, calls: usize) -> Vec<String> {
-    let mut txns = Vec::new();
-    while txns.len() < calls {
-        txns.push(receiver.call().await.message_id);
+    let mut message_ids = Vec::new();
+    while message_ids.len() < calls {
+        message_ids.push(receiver.call().await.message_id);
     }
-    txns.sort();
-    txns
+    message_ids.sort();
+    message_ids
 }
 
 #[tokio::test]
-async fn a_request_of_which_any_part_is_read_at_sigterm_is_taken_on_once_the_rest_has_come() {
+async fn a_request_partly_read_at_sigterm_is_accepted_once_the_rest_has_come() {
     let (mut platform, mut receiver, mut program, _folder, _) = set_up(&[], DEADLINE_MS).await;
     let whole = |part: usize| request(&format!("m{part}"));
     let head = whole(0).len() - 4;
@@ -84,9 +84,9 @@
     assert!(receiver.nothing_called() && platform.nothing_reported());
 }
 
-/// The program is held while everything comes to its sockets, so that it finds all of it and the signal at once.
+/// The program is paused while all requests come to its sockets, so that it finds them and the signal at once.
 #[tokio::test]
-async fn what_lies_in_the_listen_backlog_or_on_a_resting_connection_at_sigterm_is_taken_on() {
+async fn requests_in_the_listen_backlog_or_on_an_idle_connection_at_sigterm_are_accepted() {
     let (mut platform, mut receiver, mut program, _folder, _) = set_up(&[], DEADLINE_MS).await;
     let mut resting = program.raw(&request("first")).await;
     assert_eq!(status(&mut resting).await, Some(202));
@@ -127,9 +127,9 @@
     assert_eq!(program.exit().await.code(), Some(0));
 }
 
-/// It is told to end while it waits for a list that does not come.
+/// SIGTERM comes while it waits for a list that does not come.
 #[tokio::test]
-async fn sigterm_before_the_program_is_ready_ends_it_well_and_loses_nothing() {
+async fn sigterm_before_the_program_is_ready_ends_it_cleanly_and_loses_nothing() {
     let (_platform, mut receiver, program, folder, mut config) = set_up(&[Act::Hang], DEADLINE_MS).await;
     assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
     assert_eq!(receiver.call().await.message_id, "m1");
@@ -150,10 +150,10 @@
     assert_eq!(receiver.call().await.message_id, "m1");
 }
 
-/// The program is held and then killed while it stops: with a call out, with a request that it has not read, and with
+/// The program is paused and then killed while it stops: with a call out, with a request that it has not read, and with
 /// half of one that it has.
 #[tokio::test]
-async fn of_what_a_sigkill_after_sigterm_meets_only_what_was_answered_is_sent() {
+async fn after_sigterm_and_sigkill_only_acknowledged_messages_are_sent() {
     let (mut platform, mut receiver, mut program, folder, config) = set_up(&[Act::Hang], DEADLINE_MS).await;
     let mut half = program.raw(&request("half")[..60]).await;
     lie_unread(&half, 0).await;
@@ -178,9 +178,9 @@
     assert!(receiver.nothing_called() && platform.nothing_reported());
 }
 
-/// Many hand in while the signal comes: whatever the journal is writing just then, each hears what holds.
+/// Many submit while the signal comes: whatever the journal is writing just then, each gets the right response.
 #[tokio::test]
-async fn each_of_many_that_hand_in_at_sigterm_is_answered_and_what_is_taken_on_is_delivered() {
+async fn each_of_many_submissions_at_sigterm_is_answered_and_accepted_messages_are_delivered() {
     let (mut platform, mut receiver, mut program, folder, config) = set_up(&[], DEADLINE_MS).await;
     let mut clients = Vec::new();
     for n in 0..30 {
@@ -214,17 +214,17 @@
         program.hand_in(class, message_id, text()).await;
         assert_eq!(receiver.call().await.message_id, message_id);
     }
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     program.terminate().await;
     program.says("stopping").await;
-    // Clients still come: their messages are taken on and sent, and their connections close.
+    // Clients still connect: their messages are accepted and sent, and their connections close.
     let answer = program.hand_in("safe", "m2", text()).await;
     assert_eq!(answer.status(), 202);
     assert_eq!(answer.headers()["connection"], "close");
     assert_eq!(receiver.call().await.message_id, "m2");
     assert_eq!(program.readiness().await, 503);
     assert_eq!(program.exit().await.code(), Some(0));
-    assert!(told.elapsed() < Duration::from_millis(3_700), "{:?}", told.elapsed());
+    assert!(terminated_at.elapsed() < Duration::from_millis(3_700), "{:?}", terminated_at.elapsed());
     let _program = Program::start(&config, &folder.1).await;
     assert_eq!(platform.report().await.0, [undeliverable("m0")]);
     assert_eq!(receiver.call().await.message_id, "m1");
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new process beside the running one: same folder, same listening socket, nothing lost, doubled or forced.
+//! An upgrade: a new process beside the running one, with the same folder and listening socket.
 
 mod common;
 
@@ -13,7 +13,7 @@
 struct Site {
     platform: FakePlatform,
     receiver: Receiver,
-    door: socket2::Socket,
+    listener: socket2::Socket,
     folder: Folder,
     config: Value,
 }
@@ -21,19 +21,19 @@
 impl Site {
     async fn new(acts: &[Act], deadline: f64) -> Self {
         let (platform, receiver, config) = start_peers(acts, deadline).await;
-        Self { platform, receiver, door: kept_door(), folder: lasting(), config }
+        Self { platform, receiver, listener: inherited_listener(), folder: lasting(), config }
     }
 
     async fn start(&self) -> Program {
-        let program = Program::start_at(&self.door, &self.config, &self.folder.1).await;
-        let addr: SocketAddr = self.door.local_addr().expect("an address").as_socket().expect("TCP");
+        let program = Program::start_with_listener(&self.listener, &self.config, &self.folder.1).await;
+        let addr: SocketAddr = self.listener.local_addr().expect("an address").as_socket().expect("TCP");
         assert_eq!(program.addr, addr);
         program
     }
 }
 
 #[tokio::test]
-async fn clients_notice_nothing_of_a_new_version_and_what_the_old_one_holds_passes_to_it() {
+async fn an_upgrade_is_invisible_to_clients_and_the_new_process_takes_over_pending_messages() {
     let mut site = Site::new(&[Act::Hang, Act::Hang], DEADLINE_MS).await;
     let mut old = site.start().await;
     for (class, message_id) in [("safe", "m1"), ("once", "m2")] {
@@ -44,7 +44,7 @@
     let mut fresh = old.raw(b"").await;
     let whole = raw_hand_in("m4", "Content-Length: 4", "text");
     let mut slow = old.raw(&whole[..40]).await;
-    // What was accepted is in the old process's hands.
+    // Accepted messages belong to the old process.
     assert_eq!(old.hand_in("safe", "m3", text()).await.status(), 202);
     assert_eq!(site.receiver.call().await.message_id, "m3");
     let mut new = site.start().await;
@@ -74,9 +74,9 @@
     assert!(site.receiver.nothing_called());
 }
 
-/// The old process is killed while both serve; and nobody tells the new one.
+/// The old process is killed while both serve; nothing announces that to the new one.
 #[tokio::test]
-async fn a_kill_of_the_old_process_passes_what_it_held_to_the_new_one() {
+async fn a_kill_of_the_old_process_passes_its_pending_messages_to_the_new_one() {
     let mut site = Site::new(&[Act::Hang], DEADLINE_MS).await;
     let old = site.start().await;
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
@@ -88,30 +88,30 @@
 }
 
 #[tokio::test]
-async fn a_wait_told_to_either_process_binds_both() {
-    // Told to the old one before the new one has come.
+async fn a_retry_after_received_by_either_process_binds_both() {
+    // Received by the old process before the new one has started.
     let wait = Act::Say(429, Some(("x-backoff-ms", "1500")));
     let mut site = Site::new(&[wait], DEADLINE_MS).await;
     let old = site.start().await;
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
     site.receiver.call().await;
-    let told = Instant::now();
+    let received_at = Instant::now();
     let mut new = site.start().await;
     old.terminate().await;
     assert_eq!(new.hand_in("safe", "m2", text()).await.status(), 202);
     for _ in 0..2 {
         let call = site.receiver.call().await;
-        let after = call.at.duration_since(told);
+        let after = call.at.duration_since(received_at);
         assert!(after > Duration::from_millis(1_450), "{} came after {after:?}", call.message_id);
     }
-    // Told to the new one while the old one still has a message: it waits in the old one, or passes over.
+    // Received by the new process while the old one still has a message: it waits in the old one, or is taken over.
     new.says("taken over").await;
     let mut newest = site.start().await;
     site.receiver.then(&[wait]);
-    // Both accept: whoever has it hears of the wait, and the other one must keep to it.
+    // Both accept: one of them receives the Retry-After, and the other one must apply it.
     assert_eq!(new.hand_in("safe", "m3", text()).await.status(), 202);
     site.receiver.call().await;
-    let told = Instant::now();
+    let received_at = Instant::now();
     for n in 0..6 {
         assert_eq!(newest.hand_in("safe", &format!("n{n}"), text()).await.status(), 202);
     }
@@ -119,8 +119,9 @@
     newest.says("taken over").await;
     for _ in 0..7 {
         let call = site.receiver.call().await;
-        let after = call.at.duration_since(told);
-        // The word passes between two processes: what crosses it is let through, as the protocol has it.
+        let after = call.at.duration_since(received_at);
+        // The Retry-After is passed between two processes: calls that cross it are let through, as the protocol
+        // specifies.
         let crossed = after < Duration::from_millis(100);
         assert!(crossed || after > Duration::from_millis(1_450), "{} came after {after:?}", call.message_id);
     }
@@ -128,7 +129,7 @@
 
 /// A listener that cannot be used is one clear error.
 #[tokio::test]
-async fn a_descriptor_that_is_no_listener_ends_the_start() {
+async fn a_descriptor_that_is_not_a_listener_ends_the_start() {
     let site = Site::new(&[], DEADLINE_MS).await;
     for (number, says) in [
         ("x", "RELAY_ACCEPT_FD is \"x\""),
