--- a/crates/daemon/tests/client_connections.rs
+++ b/crates/daemon/tests/client_connections.rs
@@ -15,7 +15,7 @@
     for n in 0..100 {
         kept.push(program.raw(b"").await);
         let since = Instant::now();
-        let mut stream = program.raw(&raw_hand_in(&format!("m{n}"), "Content-Length: 4", "text")).await;
+        let mut stream = program.raw(&raw_submission(&format!("m{n}"), "Content-Length: 4", "text")).await;
         assert_eq!(status(&mut stream).await, Some(202));
         // Not only once the silent ones' own time is up.
         assert!(since.elapsed() < Duration::from_secs(1), "m{n}: {:?}", since.elapsed());
@@ -33,7 +33,7 @@
     let since = Instant::now();
     let mut kept = Vec::new();
     for n in 0..30 {
-        let mut stream = program.raw(&raw_hand_in(&format!("m{n}"), "Content-Length: 4", "text")).await;
+        let mut stream = program.raw(&raw_submission(&format!("m{n}"), "Content-Length: 4", "text")).await;
         assert_eq!(status(&mut stream).await, Some(202));
         assert_eq!(receiver.call().await.message_id, format!("m{n}"));
         kept.push(stream);
@@ -44,7 +44,7 @@
         rest(stream).await;
     }
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
-    let again = raw_hand_in("again", "Content-Length: 4", "text");
+    let again = raw_submission("again", "Content-Length: 4", "text");
     rest_of_answer(&mut last[10]).await;
     last[10].write_all(&again).await.expect("it is kept");
     assert_eq!(status(&mut last[10]).await, Some(202));
@@ -64,7 +64,7 @@
         }
         tokio::time::sleep(Duration::from_millis(310)).await;
     }
-    early.write_all(&raw_hand_in("late", "Content-Length: 4", "text")).await.expect("it is kept");
+    early.write_all(&raw_submission("late", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut early).await, Some(202));
     assert_eq!(receiver.call().await.message_id, "late");
 }
@@ -82,7 +82,7 @@
         }
         tokio::time::sleep(Duration::from_millis(310)).await;
     }
-    client.write_all(&raw_hand_in("m1", "Content-Length: 4", "text")).await.expect("it is kept");
+    client.write_all(&raw_submission("m1", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut client).await, Some(202));
     assert_eq!(receiver.call().await.message_id, "m1");
 }
@@ -93,7 +93,7 @@
     let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
     let mut client = program.raw(b"").await;
     for n in 0..3 {
-        client.write_all(&raw_hand_in(&format!("r{n}"), "Content-Length: 4", "text")).await.expect("kept");
+        client.write_all(&raw_submission(&format!("r{n}"), "Content-Length: 4", "text")).await.expect("kept");
         assert_eq!(status(&mut client).await, Some(202));
         rest_of_answer(&mut client).await;
         assert_eq!(receiver.call().await.message_id, format!("r{n}"));
@@ -104,7 +104,7 @@
         assert_eq!(status(&mut stream).await, Some(200), "{n}");
         once.push(stream);
     }
-    client.write_all(&raw_hand_in("last", "Content-Length: 4", "text")).await.expect("it is kept");
+    client.write_all(&raw_submission("last", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut client).await, Some(202));
     assert_eq!(receiver.call().await.message_id, "last");
 }
@@ -112,7 +112,7 @@
 #[tokio::test]
 async fn a_client_that_is_silent_or_trickles_bytes_is_disconnected_in_time() {
     let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
-    let whole = raw_hand_in("slow", "Content-Length: 4", "text");
+    let whole = raw_submission("slow", "Content-Length: 4", "text");
     let silent = async {
         let mut stream = program.raw(b"").await;
         assert_eq!(status(&mut stream).await, None);
--- a/crates/daemon/tests/cluster/mod.rs
+++ b/crates/daemon/tests/cluster/mod.rs
@@ -127,49 +127,49 @@
     let all: Vec<usize> = (0..SENDERS).collect();
     let (even, odd): (Vec<usize>, Vec<usize>) = all.iter().partition(|n| *n % 2 == 0);
     let half = &all[..SENDERS / 2];
-    cluster.load();
+    cluster.start_load();
     // Until all have received gossip of one another and the queues are steady.
     sleep(secs(6)).await;
-    row("all hear", cluster.phase(secs(10)).await);
+    row("all hear", cluster.measure_usage(secs(10)).await);
 
     cluster.mesh.cut(&all, half);
-    row("half hear nothing for 12 s", cluster.phase(secs(12)).await);
+    row("half hear nothing for 12 s", cluster.measure_usage(secs(12)).await);
     cluster.mesh.heal();
-    row("they hear again", cluster.phase(secs(4)).await);
+    row("they hear again", cluster.measure_usage(secs(4)).await);
 
     // Zones are assigned in turn.
     cluster.mesh.cut(&even, &odd);
     cluster.mesh.cut(&odd, &even);
-    row("the two halls cut from one another", cluster.phase(secs(10)).await);
+    row("the two halls cut from one another", cluster.measure_usage(secs(10)).await);
     cluster.mesh.heal();
-    row("they are joined again", cluster.phase(secs(4)).await);
+    row("they are joined again", cluster.measure_usage(secs(4)).await);
 
     cluster.mesh.set(&all, &all, &LinkFaults { drop: 0.5, ..LinkFaults::default() });
-    row("half of all notes lost", cluster.phase(secs(10)).await);
+    row("half of all notes lost", cluster.measure_usage(secs(10)).await);
     cluster.mesh.heal();
 
-    let from = cluster.evidence().now();
+    let from = cluster.event_log().now();
     let third = &all[..SENDERS / 3];
     for &sender in third {
         cluster.kill(sender).await.expect("killed");
     }
     sleep(Duration::from_millis(600)).await;
     for &sender in third {
-        cluster.start_again(sender, Journal::Kept).await.expect("it starts again");
+        cluster.restart(sender, Journal::Kept).await.expect("it starts again");
     }
     sleep(secs(4)).await;
-    row("a third killed, and back after 0.6 s", cluster.usage(from..cluster.evidence().now()));
+    row("a third killed, and back after 0.6 s", cluster.usage(from..cluster.event_log().now()));
 
     let three = &all[SENDERS / 2..SENDERS / 2 + 3];
-    let from = cluster.evidence().now();
+    let from = cluster.event_log().now();
     for &sender in three {
         cluster.pause(sender).await.expect("stopped");
     }
     sleep(secs(8)).await;
     for &sender in three {
-        cluster.go_on(sender).await.expect("it goes on");
+        cluster.resume(sender).await.expect("it goes on");
     }
     sleep(secs(4)).await;
-    row("three stopped for 8 s, and go on", cluster.usage(from..cluster.evidence().now()));
-    (rows, cluster.ended().await)
+    row("three stopped for 8 s, and go on", cluster.usage(from..cluster.event_log().now()));
+    (rows, cluster.finish().await)
 }
--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control.rs
@@ -66,7 +66,7 @@
 async fn a_drained_sender_serves_requests_without_keep_alive_and_can_be_reactivated() {
     let (_platform, mut receiver, program, _folder, control) = set_up(&[]).await;
     // One at rest, and one whose message is half-way when the drain begins.
-    let hand_in = |message_id| raw_hand_in(message_id, "Content-Length: 4", "text");
+    let hand_in = |message_id| raw_submission(message_id, "Content-Length: 4", "text");
     let mut rests = program.raw(&hand_in("m1")).await;
     assert_eq!(status(&mut rests).await, Some(202));
     let whole = hand_in("m2");
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -34,7 +34,7 @@
 async fn run() -> Verdict {
     let (mut cluster, folder) = cluster::start(8, 1, None).await;
     let logged = |text: &str| cluster::logged(folder.path(), text);
-    cluster.load();
+    cluster.start_load();
     for sender in 0..SENDERS {
         eventually("each has sent and received", || {
             received(&cluster.mesh, sender).0 > 1 && sent_by(&cluster.mesh, sender) > 1
@@ -74,19 +74,19 @@
     sleep(Duration::from_millis(600)).await;
     assert_eq!(sent_by(&cluster.mesh, 5), sent_before_pause);
     let sent_before_kill = sent_by(&cluster.mesh, 3);
-    cluster.go_on(5).await.expect("it goes on");
-    cluster.start_again(3, Journal::Kept).await.expect("it starts again");
+    cluster.resume(5).await.expect("it goes on");
+    cluster.restart(3, Journal::Kept).await.expect("it starts again");
     eventually("both send again", || {
         sent_by(&cluster.mesh, 5) > sent_before_pause && sent_by(&cluster.mesh, 3) > sent_before_kill
     })
     .await;
 
-    let verdict = cluster.ended().await;
+    let verdict = cluster.finish().await;
 
     // All messages have their final outcomes, so nothing is lost with a folder.
     cluster.kill(7).await.expect("killed");
     let sent_before_kill = sent_by(&cluster.mesh, 7);
-    cluster.start_again(7, Journal::Empty).await.expect("it starts again");
+    cluster.restart(7, Journal::Empty).await.expect("it starts again");
     eventually("it sends again", || sent_by(&cluster.mesh, 7) > sent_before_kill).await;
     verdict
 }
@@ -96,8 +96,8 @@
     for _ in 0..3 {
         let verdict = run().await;
         // On a machine that is too busy the verdict says nothing.
-        if !verdict.in_doubt() {
-            assert!(verdict.clean() && verdict.accounting.open == 0, "{verdict}");
+        if !verdict.is_inconclusive() {
+            assert!(verdict.is_clean() && verdict.accounting.pending == 0, "{verdict}");
             assert!(verdict.accounting.delivered > 200, "{verdict}");
             return;
         }
@@ -115,10 +115,10 @@
     println!("{HEAD}");
     rows.iter().for_each(|row| println!("{row}"));
     println!("{:?}", verdict.accounting);
-    assert!(!verdict.in_doubt(), "the fakes were late: this machine is too busy for a result");
+    assert!(!verdict.is_inconclusive(), "the fakes were late: this machine is too busy for a result");
     // Late outcomes are no fault here: a process paused for longer than its messages live cannot complete them in time.
     let accounts = &verdict.accounting;
-    assert_eq!((accounts.lost, accounts.doubled, accounts.open), (0, 0, 0), "{verdict}");
+    assert_eq!((accounts.lost, accounts.duplicated, accounts.pending), (0, 0, 0), "{verdict}");
     let strict = |row: &cluster::Row| row.usage.worst <= 1.10 && row.usage.refused <= 0.05;
     let over: Vec<String> = rows.iter().filter(|row| !strict(row)).map(ToString::to_string).collect();
     assert!(over.is_empty(), "over the limit or refused too often:\n{HEAD}\n{}", over.join("\n"));
--- a/crates/daemon/tests/invalid_configurations/mod.rs
+++ b/crates/daemon/tests/invalid_configurations/mod.rs
@@ -3,6 +3,7 @@
 use serde_json::{Value, json};
 
 /// JSON pointer, invalid value (`None`: the key is removed), key that the error names and what it says is valid.
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 pub fn invalid_configurations() -> Vec<(&'static str, Option<Value>, &'static str, &'static str)> {
     let span = "a number of ms above 0 is wanted";
     let effect = r#"one of "free", "guarded", "single_shot" is wanted"#;
--- a/crates/daemon/tests/malformed_requests.rs
+++ b/crates/daemon/tests/malformed_requests.rs
@@ -80,13 +80,13 @@
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("noise", vec![0x16, 3, 1, 0, 0xff, b'\r', b'\n', b'\r', b'\n']),
         ("endless head", endless.into_bytes()),
-        ("negative length", raw_hand_in("m1", "Content-Length: -4", "text")),
-        ("huge length", raw_hand_in("m2", "Content-Length: 18446744073709551615", "text")),
-        ("60 MB", raw_hand_in("m3", "Content-Length: 60000000", "text")),
-        ("no length that is one", raw_hand_in("m4", "Content-Length: four", "text")),
-        ("two lengths", raw_hand_in("m5", "Content-Length: 4\r\nContent-Length: 5", "text")),
-        ("chunks", raw_hand_in("m6", "Transfer-Encoding: chunked", "4\r\ntext\r\n0\r\n\r\n")),
-        ("no id", raw_hand_in("", "Content-Length: 4", "text")),
+        ("negative length", raw_submission("m1", "Content-Length: -4", "text")),
+        ("huge length", raw_submission("m2", "Content-Length: 18446744073709551615", "text")),
+        ("60 MB", raw_submission("m3", "Content-Length: 60000000", "text")),
+        ("no length that is one", raw_submission("m4", "Content-Length: four", "text")),
+        ("two lengths", raw_submission("m5", "Content-Length: 4\r\nContent-Length: 5", "text")),
+        ("chunks", raw_submission("m6", "Transfer-Encoding: chunked", "4\r\ntext\r\n0\r\n\r\n")),
+        ("no id", raw_submission("", "Content-Length: 4", "text")),
     ];
     for (what, bytes) in cases {
         let since = Instant::now();
@@ -105,14 +105,14 @@
 #[tokio::test]
 async fn a_request_smuggled_in_a_body_is_not_submitted() {
     let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
-    let hidden = String::from_utf8(raw_hand_in("hidden", "Content-Length: 4", "text")).expect("text");
+    let hidden = String::from_utf8(raw_submission("hidden", "Content-Length: 4", "text")).expect("text");
     for fields in [
         "Content-Length: LENGTH\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: LENGTH",
     ] {
         let body = format!("4\r\ntext\r\n0\r\n\r\n{hidden}");
         let fields = fields.replace("LENGTH", &body.len().to_string());
-        let mut stream = program.raw(&raw_hand_in("outer", &fields, &body)).await;
+        let mut stream = program.raw(&raw_submission("outer", &fields, &body)).await;
         assert_eq!(status(&mut stream).await, Some(400));
         let rest = String::from_utf8_lossy(&rest(&mut stream).await).into_owned();
         assert!(!rest.contains("HTTP/1.1"), "{rest}");
--- a/crates/daemon/tests/outages.rs
+++ b/crates/daemon/tests/outages.rs
@@ -74,7 +74,9 @@
 
 fn announced_at_ms(lines: &[Line], who: &str, what: &str) -> Option<u64> {
     lines.iter().find_map(|line| match &line.event {
-        Event::Told { sender, phase, .. } if sender == who && phase == what => Some(line.t / 1_000),
+        Event::EndpointChanged { sender, phase, .. } if sender == who && phase == what => {
+            Some(line.t / 1_000)
+        }
         _ => None,
     })
 }
@@ -83,8 +85,8 @@
 async fn discovery_agents_and_links_fail_as_scripted_and_no_rule_is_violated() {
     let script = format!("{TRAFFIC}{}{EVENTS}", scenario::destinations(0.0));
     let (lines, verdict) = scenario::run(&script, Duration::from_secs(5)).await;
-    assert!(verdict.clean() && verdict.accounting.open == 0, "{verdict}");
-    assert!(verdict.accounting.failed + verdict.accounting.refused > 0, "no notifications:\n{verdict}");
+    assert!(verdict.is_clean() && verdict.accounting.pending == 0, "{verdict}");
+    assert!(verdict.accounting.failed + verdict.accounting.rejected > 0, "no notifications:\n{verdict}");
     // The silent agent announces the drain late, the other one at once.
     let (delayed, immediate) =
         (announced_at_ms(&lines, "n0", "DRAINING"), announced_at_ms(&lines, "n1", "DRAINING"));
@@ -93,9 +95,11 @@
     // The sender has followed its agent to the other address.
     let moved = announced_at_ms(&lines, "n0", "DELETED");
     assert!(moved.is_some_and(|t| t >= 9_800), "{moved:?}");
-    let unacknowledged =
-        |line: &&Line| matches!(&line.event, Event::Noticed { taken: false, sender, .. } if sender == "n1");
+    let unacknowledged = |line: &&Line| matches!(&line.event, Event::Notified { acknowledged: false, sender, .. } if sender == "n1");
     assert!(lines.iter().filter(unacknowledged).count() > 0, "every notification was acknowledged");
-    let cut_off = lines.iter().filter(|line| matches!(&line.event, Event::Link { hides: true, .. })).count();
+    let cut_off = lines
+        .iter()
+        .filter(|line| matches!(&line.event, Event::LinkFault { hides_responses: true, .. }))
+        .count();
     assert_eq!(cut_off, 4, "each of two links fails and recovers");
 }
--- a/crates/daemon/tests/outlier_detection.rs
+++ b/crates/daemon/tests/outlier_detection.rs
@@ -26,10 +26,10 @@
 async fn a_receiver_that_fails_for_one_zone_is_ejected_in_all_of_it_and_used_again_when_it_recovers() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet.example.toml");
     let (mut cluster, folder) = cluster::start(28, 3, Some(&file)).await;
-    cluster.load();
+    cluster.start_load();
     sleep(Duration::from_secs(3)).await;
     assert_eq!(logs(folder.path(), 0, EJECTED), 0, "nothing fails");
-    cluster.strike(&["p1-0".to_owned()], Outage::Refuse, Duration::from_secs(14)).await;
+    cluster.fail(&["p1-0".to_owned()], Outage::Refuse, Duration::from_secs(14)).await;
     // A sender sees one failure and calls elsewhere for 6 s: after two of several senders the others of the zone are
     // informed.
     eventually("most senders of its zone eject it", 14, || logs(folder.path(), 0, EJECTED) > SENDERS / 4)
@@ -38,7 +38,7 @@
     eventually("all are restored", 16, restored).await;
     // The other zone has its own receiver, and nobody there reports this one.
     assert_eq!(logs(folder.path(), 1, EJECTED), 0);
-    let verdict = cluster.ended().await;
+    let verdict = cluster.finish().await;
     let accounts = &verdict.accounting;
-    assert_eq!((accounts.doubled, accounts.open), (0, 0), "{verdict}");
+    assert_eq!((accounts.duplicated, accounts.pending), (0, 0), "{verdict}");
 }
--- a/crates/daemon/tests/permits.rs
+++ b/crates/daemon/tests/permits.rs
@@ -17,7 +17,7 @@
 const MAX_REJECTED: f64 = 0.05;
 
 async fn phase(cluster: &mut Cluster, name: &'static str, ms: u64) -> Row {
-    Row { phase: name, usage: cluster.phase(Duration::from_millis(ms)).await }
+    Row { phase: name, usage: cluster.measure_usage(Duration::from_millis(ms)).await }
 }
 
 /// Runs the phases one after another; with whether the machine was too busy for a result.
@@ -26,7 +26,7 @@
     let all: Vec<usize> = (0..SENDERS).collect();
     let half = &all[..SENDERS / 2];
     let mut rows = Vec::new();
-    cluster.load();
+    cluster.start_load();
     // Until each has its first permits and calls are queued everywhere.
     sleep(Duration::from_millis(3_500)).await;
     cluster.mesh.cut(&all, half);
@@ -43,24 +43,24 @@
     cluster.mesh.set(&all, &all, &faults);
     rows.push(phase(&mut cluster, "half of all notes lost, the others late, doubled, replayed", 4_000).await);
     // One is killed within a second and restarted within it; another one is paused for longer than any permit lasts.
-    let from = cluster.evidence().now();
+    let from = cluster.event_log().now();
     cluster.kill(3).await.expect("killed");
     cluster.pause(8).await.expect("stopped");
     sleep(Duration::from_millis(600)).await;
-    cluster.start_again(3, Journal::Kept).await.expect("it starts again");
+    cluster.restart(3, Journal::Kept).await.expect("it starts again");
     sleep(Duration::from_millis(2_400)).await;
-    cluster.go_on(8).await.expect("it goes on");
+    cluster.resume(8).await.expect("it goes on");
     sleep(Duration::from_millis(1_500)).await;
-    let usage = cluster.usage(from..cluster.evidence().now());
+    let usage = cluster.usage(from..cluster.event_log().now());
     rows.push(Row { phase: "one killed and back, one stopped and on", usage });
     cluster.mesh.heal();
-    let from = cluster.evidence().now();
+    let from = cluster.event_log().now();
     cluster.kill(5).await.expect("killed");
-    cluster.start_again(5, Journal::Empty).await.expect("it starts again");
+    cluster.restart(5, Journal::Empty).await.expect("it starts again");
     sleep(Duration::from_millis(2_500)).await;
-    let usage = cluster.usage(from..cluster.evidence().now());
+    let usage = cluster.usage(from..cluster.event_log().now());
     rows.push(Row { phase: "one comes back with an empty folder", usage });
-    (rows, cluster.ended().await.in_doubt())
+    (rows, cluster.finish().await.is_inconclusive())
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/scenario/mod.rs
+++ b/crates/daemon/tests/scenario/mod.rs
@@ -8,7 +8,7 @@
 use rudderspindle_testkit::event_log::Line;
 use rudderspindle_testkit::program::Launch;
 use rudderspindle_testkit::scenario::Scenario;
-use rudderspindle_testkit::world::{TestEnvironment, World};
+use rudderspindle_testkit::test_environment::{EnvironmentConfig, TestEnvironment};
 
 /// Runs the scenario until the fakes kept their times, at most three times; `longest` is the maximum lifetime of a
 /// message.
@@ -17,11 +17,11 @@
     for _ in 0..3 {
         let folder = tempfile::tempdir().expect("a folder");
         let launch = Launch::from(Path::new(env!("CARGO_BIN_EXE_rudderspindle")));
-        let stage = TestEnvironment { launch, folder: folder.path().to_owned(), longest };
-        let played = World::set_up(&scenario, &stage).await.expect("a world").play().await;
-        assert_eq!(played.failed, Vec::<String>::new());
+        let config = EnvironmentConfig { launch, folder: folder.path().to_owned(), max_lifetime: longest };
+        let played = TestEnvironment::start(&scenario, &config).await.expect("an environment").run().await;
+        assert!(played.failures.is_empty(), "{:?}", played.failures);
         let verdict = check_events(&played.lines);
-        if !verdict.in_doubt() {
+        if !verdict.is_inconclusive() {
             return (played.lines, verdict);
         }
     }
--- a/crates/daemon/tests/shutdown.rs
+++ b/crates/daemon/tests/shutdown.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 fn request(message_id: &str) -> Vec<u8> {
-    raw_hand_in(message_id, "Content-Length: 4", "text")
+    raw_submission(message_id, "Content-Length: 4", "text")
 }
 
 /// Bytes that have come to the other end of a client's connection and that nobody has read, as the system has it;
--- a/crates/daemon/tests/slow_start.rs
+++ b/crates/daemon/tests/slow_start.rs
@@ -63,17 +63,17 @@
 #[tokio::test]
 async fn a_destination_that_recovers_from_a_full_outage_is_ramped_up_slowly() {
     let (_, verdict) = scenario::run(OUTAGE, MAX_MESSAGE_LIFETIME).await;
-    assert!(verdict.clean(), "{verdict}");
-    let [recovery] = &verdict.returns[..] else { panic!("it recovered once:\n{verdict}") };
-    assert!(recovery.shared && recovery.kind == "shut" && recovery.worst_calls > 0, "{verdict}");
-    assert!(recovery.worst_ratio <= 1.8, "{verdict}");
-    assert!(verdict.accounting.delivered * 2 > verdict.accounting.handed_in, "{verdict}");
+    assert!(verdict.is_clean(), "{verdict}");
+    let [recovery] = &verdict.recoveries[..] else { panic!("it recovered once:\n{verdict}") };
+    assert!(recovery.shared && recovery.kind == "shut" && recovery.peak_calls > 0, "{verdict}");
+    assert!(recovery.peak_ratio <= 1.8, "{verdict}");
+    assert!(verdict.accounting.delivered * 2 > verdict.accounting.submitted, "{verdict}");
 }
 
 #[tokio::test]
 async fn a_sender_that_was_killed_still_ramps_a_recovering_destination_up_slowly() {
     let (_, verdict) = scenario::run(&format!("{OUTAGE}{KILL}"), MAX_MESSAGE_LIFETIME).await;
-    assert!(verdict.clean(), "{verdict}");
-    let [recovery] = &verdict.returns[..] else { panic!("it recovered once:\n{verdict}") };
-    assert!(recovery.worst_ratio > 0.0 && recovery.worst_ratio <= 1.8, "{verdict}");
+    assert!(verdict.is_clean(), "{verdict}");
+    let [recovery] = &verdict.recoveries[..] else { panic!("it recovered once:\n{verdict}") };
+    assert!(recovery.peak_ratio > 0.0 && recovery.peak_ratio <= 1.8, "{verdict}");
 }
--- a/crates/daemon/tests/takeover_scenario.rs
+++ b/crates/daemon/tests/takeover_scenario.rs
@@ -49,11 +49,11 @@
 async fn a_scenario_with_takeovers_violates_no_rule_and_loses_nothing() {
     let script = format!("{TRAFFIC}{}{EVENTS}", scenario::destinations(1.0));
     let (_, verdict) = scenario::run(&script, Duration::from_secs(6)).await;
-    assert!(verdict.clean() && verdict.accounting.open == 0, "{verdict}");
+    assert!(verdict.is_clean() && verdict.accounting.pending == 0, "{verdict}");
     let (accepted, failed_on_submission) =
-        (verdict.accounting.taken_on, verdict.accounting.failed_at_the_door);
+        (verdict.accounting.accepted, verdict.accounting.failed_on_submission);
     assert!(accepted > 200, "{verdict}");
     // A request that a process left unread would be submitted again, and one whose connection it closed stay
     // unanswered.
-    assert!(verdict.accounting.unheard * 50 < accepted && failed_on_submission == 0, "{verdict}");
+    assert!(verdict.accounting.unanswered * 50 < accepted && failed_on_submission == 0, "{verdict}");
 }
--- a/crates/sender/src/discovery/tests/silence.rs
+++ b/crates/sender/src/discovery/tests/silence.rs
@@ -24,6 +24,7 @@
 }
 
 /// Whatever was received last, the watch is opened again, and missed changes are received in time.
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 #[tokio::test]
 async fn an_idle_watch_is_opened_again_and_missed_changes_are_received_in_time() {
     let test = async |idle: Idle, discovery_mode: Discovery| {
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -7,6 +7,7 @@
 use super::*;
 
 /// Every row of the protocol's table without a complete response, and every way to get there.
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 #[test]
 fn possible_execution_follows_the_protocols_table() {
     for interruption in [
