--- a/crates/testkit/tests/wrong_senders/faulty_sender.rs
+++ b/crates/testkit/tests/wrong_senders/faulty_sender.rs
@@ -1,6 +1,5 @@
 //! A minimal sender that keeps the rules, unless its fault says otherwise.
 
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -12,6 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until};
 
+use crate::backoffs::Backoffs;
 use crate::call::{self, CallResult};
 
 /// What is wrong with a sender.
@@ -46,8 +46,8 @@
 #[derive(Debug, Default)]
 struct State {
     routes: Vec<Route>,
-    /// When each Retry-After ends, by endpoint; the receiver's own under the empty name.
-    backoffs: HashMap<String, Instant>,
+    /// The Retry-Afters by endpoint; the receiver's own under the empty name.
+    backoffs: Backoffs,
     /// Until when the receiver may be down or warming up, which limits the rate of calls.
     recovering_until: Option<Instant>,
     next_call: Option<Instant>,
@@ -187,7 +187,7 @@
         let scope = if self.fault == Fault::ScopesRetryAfterToEndpoint { endpoint } else { "" };
         if self.fault != Fault::IgnoresRetryAfter {
             let until = Instant::now() + Duration::from_millis(wait_ms);
-            state.backoffs.insert(scope.to_owned(), until);
+            state.backoffs.record(scope, until);
         }
     }
 
@@ -195,9 +195,7 @@
     fn choose(&self, executed_in: Option<&str>, class: &str) -> Option<(SocketAddr, String, String)> {
         let mut state = self.state.lock().expect("a state");
         let now = Instant::now();
-        let is_backing_off =
-            |id: &str, state: &State| state.backoffs.get(id).is_some_and(|until| *until > now);
-        if is_backing_off("", &state) {
+        if state.backoffs.is_active("", now) {
             return None;
         }
         let is_careless = match self.fault {
@@ -214,7 +212,7 @@
         let open = state
             .routes
             .iter()
-            .filter(|r| r.drained_at.is_none_or(|at| at > now) && !is_backing_off(&r.id, &state));
+            .filter(|r| r.drained_at.is_none_or(|at| at > now) && !state.backoffs.is_active(&r.id, now));
         let zone = executed_in.filter(|_| class == "keyed");
         let mut fit = open.filter(|r| match zone {
             Some(zone) if self.fault == Fault::CrossesZones => r.zone != zone,
--- a/crates/testkit/tests/wrong_senders/main.rs
+++ b/crates/testkit/tests/wrong_senders/main.rs
@@ -1,6 +1,7 @@
 //! The checker against senders that are wrong on purpose: each breaks one rule, and that one is reported. The same
 //! minimal sender without its fault is found to be clean in the same test run.
 
+mod backoffs;
 mod call;
 mod faulty_sender;
 mod test_run;
@@ -10,8 +11,9 @@
 
 use rudderspindle_testkit::checker::Rule;
 use rudderspindle_testkit::scenario::{Outage, ReceiverPlan, Share};
-use tokio::time::timeout;
+use tokio::time::{Instant, timeout};
 
+use backoffs::Backoffs;
 use faulty_sender::Fault;
 use test_run::{TestRun, plan, play};
 
@@ -25,7 +27,7 @@
                 return verdict;
             }
         }
-        panic!("the stand-ins were late four times");
+        panic!("the fakes lagged four times");
     };
     let verdict = timeout(Duration::from_secs(60), played(Fault::None)).await.expect("in time");
     assert!(verdict.is_clean(), "without a fault:\n{verdict}");
@@ -105,3 +107,18 @@
     let faults = [Fault::IgnoresRetryAfter, Fault::ScopesRetryAfterToEndpoint];
     breaks(test_run(plan(3.0, 5), ("safe", 12, 120, 6_000)), Rule::RetryAfter, &faults).await;
 }
+
+/// Responses to concurrent calls arrive in any order, and their Retry-Afters end up to a millisecond apart.
+#[test]
+fn an_earlier_end_of_a_retry_after_replaces_no_later_one() {
+    let now = Instant::now();
+    let after_ms = |ms| now + Duration::from_millis(ms);
+    let mut backoffs = Backoffs::default();
+    backoffs.record("", after_ms(2));
+    backoffs.record("", after_ms(1));
+    assert!(backoffs.is_active("", after_ms(1)), "the earlier end has replaced the later one");
+    assert!(!backoffs.is_active("", after_ms(2)));
+    backoffs.record("", after_ms(3));
+    assert!(backoffs.is_active("", after_ms(2)) && !backoffs.is_active("", after_ms(3)));
+    assert!(!backoffs.is_active("e0", now), "another scope");
+}
