--- a/crates/journal/src/outage_records.rs
+++ b/crates/journal/src/outage_records.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long a record stays valid beyond the wait that it holds, in milliseconds: by then the endpoint has recovered, or
+/// How long a record stays valid beyond the Retry-After that it holds, in milliseconds: by then the endpoint has recovered, or
 /// its state is known anew.
 const RECORD_LIFETIME_MS: u64 = 60_000;
 /// Maximum number of records; the oldest is evicted. Together they fill less than a segment.
@@ -14,15 +14,15 @@
 pub enum OutageState {
     /// In an outage.
     Down {
-        /// What is left of the announced Retry-After, in milliseconds; 0 if there was none.
-        wait: u64,
+        /// Remaining time of the announced Retry-After, in milliseconds; 0 for none.
+        retry_after_remaining: u64,
     },
     /// In the recovery ramp after an outage.
     WarmingUp {
-        /// Milliseconds since the ramp began; negative while a wait must pass first.
-        ago: i64,
+        /// Milliseconds since the recovery; negative while a Retry-After has to pass first.
+        since_recovery: i64,
         /// This sender's share of the ramp, from 0 to 1.
-        part: f64,
+        ramp_share: f64,
     },
 }
 
@@ -55,17 +55,24 @@
 
 impl OutageRecord {
     fn is_expired(&self, now_ms: u64) -> bool {
-        let wait = if let OutageState::Down { wait } = self.outage { wait } else { 0 };
-        now_ms.saturating_sub(self.recorded_at) > wait.saturating_add(RECORD_LIFETIME_MS)
+        let retry_after_remaining = match self.outage {
+            OutageState::Down { retry_after_remaining } => retry_after_remaining,
+            OutageState::WarmingUp { .. } => 0,
+        };
+        let lifetime = retry_after_remaining.saturating_add(RECORD_LIFETIME_MS);
+        now_ms.saturating_sub(self.recorded_at) > lifetime
     }
 
     /// The state after the time since it was recorded has passed. If the wall clock was set back no time has passed.
     fn state_at(&self, now_ms: u64) -> OutageState {
         let elapsed = now_ms.saturating_sub(self.recorded_at);
         match self.outage {
-            OutageState::Down { wait } => OutageState::Down { wait: wait.saturating_sub(elapsed) },
-            OutageState::WarmingUp { ago, part } => {
-                OutageState::WarmingUp { ago: ago.saturating_add_unsigned(elapsed), part }
+            OutageState::Down { retry_after_remaining } => {
+                OutageState::Down { retry_after_remaining: retry_after_remaining.saturating_sub(elapsed) }
+            }
+            OutageState::WarmingUp { since_recovery, ramp_share } => {
+                let since_recovery = since_recovery.saturating_add_unsigned(elapsed);
+                OutageState::WarmingUp { since_recovery, ramp_share }
             }
         }
     }
--- a/crates/journal/src/outage_records/tests.rs
+++ b/crates/journal/src/outage_records/tests.rs
@@ -9,21 +9,27 @@
 #[test]
 fn an_outage_record_ages_with_the_wall_clock_and_not_when_it_is_set_back() {
     let mut outage_records = OutageRecords::default();
-    outage_records.set(EndpointKey::new(7, ""), record(100_000, OutageState::Down { wait: 11_000 }));
     outage_records
-        .set(EndpointKey::new(8, "r1"), record(100_000, OutageState::WarmingUp { ago: -500, part: 0.5 }));
+        .set(EndpointKey::new(7, ""), record(100_000, OutageState::Down { retry_after_remaining: 11_000 }));
+    outage_records.set(
+        EndpointKey::new(8, "r1"),
+        record(100_000, OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.5 }),
+    );
     let states_at = |now_ms| {
         outage_records
             .states_at(now_ms)
             .map(|(endpoint, outage)| (endpoint.destination, outage))
             .collect::<Vec<_>>()
     };
-    let warming_up = |ago| (8, OutageState::WarmingUp { ago, part: 0.5 });
-    assert_eq!(states_at(104_000), [(7, OutageState::Down { wait: 7_000 }), warming_up(3_500)]);
-    assert_eq!(states_at(130_000), [(7, OutageState::Down { wait: 0 }), warming_up(29_500)]);
+    let warming_up = |since_recovery| (8, OutageState::WarmingUp { since_recovery, ramp_share: 0.5 });
+    assert_eq!(
+        states_at(104_000),
+        [(7, OutageState::Down { retry_after_remaining: 7_000 }), warming_up(3_500)]
+    );
+    assert_eq!(states_at(130_000), [(7, OutageState::Down { retry_after_remaining: 0 }), warming_up(29_500)]);
     // The clock was set back: the wait is no longer than it was.
-    assert_eq!(states_at(0), [(7, OutageState::Down { wait: 11_000 }), warming_up(-500)]);
-    assert_eq!(states_at(165_000), [(7, OutageState::Down { wait: 0 })]);
+    assert_eq!(states_at(0), [(7, OutageState::Down { retry_after_remaining: 11_000 }), warming_up(-500)]);
+    assert_eq!(states_at(165_000), [(7, OutageState::Down { retry_after_remaining: 0 })]);
     assert_eq!(states_at(172_000), []);
 }
 
@@ -31,7 +37,10 @@
 fn the_number_of_outage_records_is_bounded_and_the_oldest_is_evicted() {
     let mut outage_records = OutageRecords::default();
     for n in 0..3_000u16 {
-        outage_records.set(EndpointKey::new(n, ""), record(u64::from(n), OutageState::Down { wait: 0 }));
+        outage_records.set(
+            EndpointKey::new(n, ""),
+            record(u64::from(n), OutageState::Down { retry_after_remaining: 0 }),
+        );
     }
     assert_eq!(outage_records.0.len(), MAX_RECORDS);
     assert_eq!(outage_records.states_at(3_000).map(|(endpoint, _)| endpoint.destination).min(), Some(2_000));
--- a/crates/journal/src/record/decode.rs
+++ b/crates/journal/src/record/decode.rs
@@ -116,12 +116,12 @@
     let recorded_at = fields.u64()?;
     let code = fields.u8()?;
     let duration_ms = fields.i64()?;
-    let part = fields.f64()?;
+    let ramp_share = fields.f64()?;
     let outage = match code {
         outage_code::HEALTHY => None,
-        outage_code::DOWN => Some(OutageState::Down { wait: duration_ms.try_into().ok()? }),
-        outage_code::WARMING_UP if (0.0..=1.0).contains(&part) => {
-            Some(OutageState::WarmingUp { ago: duration_ms, part })
+        outage_code::DOWN => Some(OutageState::Down { retry_after_remaining: duration_ms.try_into().ok()? }),
+        outage_code::WARMING_UP if (0.0..=1.0).contains(&ramp_share) => {
+            Some(OutageState::WarmingUp { since_recovery: duration_ms, ramp_share })
         }
         _ => return None,
     };
--- a/crates/journal/src/record/encode.rs
+++ b/crates/journal/src/record/encode.rs
@@ -90,10 +90,14 @@
     recorded_at: u64,
     outage: Option<OutageState>,
 ) {
-    let (code, duration_ms, part) = match outage {
+    let (code, duration_ms, ramp_share) = match outage {
         None => (outage_code::HEALTHY, 0, 0.0),
-        Some(OutageState::Down { wait }) => (outage_code::DOWN, wait.min(i64::MAX as u64) as i64, 0.0),
-        Some(OutageState::WarmingUp { ago, part }) => (outage_code::WARMING_UP, ago, part),
+        Some(OutageState::Down { retry_after_remaining }) => {
+            (outage_code::DOWN, retry_after_remaining.min(i64::MAX as u64) as i64, 0.0)
+        }
+        Some(OutageState::WarmingUp { since_recovery, ramp_share }) => {
+            (outage_code::WARMING_UP, since_recovery, ramp_share)
+        }
     };
     append_record(batch, RecordKind::Outage, |payload| {
         write_text(payload, &endpoint.receiver);
@@ -101,7 +105,7 @@
         payload.extend(recorded_at.to_le_bytes());
         payload.push(code);
         payload.extend(duration_ms.to_le_bytes());
-        payload.extend(part.to_le_bytes());
+        payload.extend(ramp_share.to_le_bytes());
     });
 }
 
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -197,9 +197,12 @@
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
     let destination = EndpointKey::new(7, "");
     let receiver = EndpointKey::new(8, "r1");
-    store.record_outage(destination.clone(), Some(OutageState::Down { wait: 50_000 }));
-    store.record_outage(receiver.clone(), Some(OutageState::WarmingUp { ago: 100, part: 0.25 }));
-    store.record_outage(EndpointKey::new(9, ""), Some(OutageState::Down { wait: 0 }));
+    store.record_outage(destination.clone(), Some(OutageState::Down { retry_after_remaining: 50_000 }));
+    store.record_outage(
+        receiver.clone(),
+        Some(OutageState::WarmingUp { since_recovery: 100, ramp_share: 0.25 }),
+    );
+    store.record_outage(EndpointKey::new(9, ""), Some(OutageState::Down { retry_after_remaining: 0 }));
     store.record_outage(EndpointKey::new(9, ""), None);
     store.commit().expect("written");
     // Until the first segment has been compacted.
@@ -215,12 +218,16 @@
     let store = Store::open(folder.path(), BUDGET).expect("a journal");
     let known: Vec<(EndpointKey, OutageState)> =
         store.outage_records().map(|(endpoint, outage)| (endpoint.clone(), outage)).collect();
-    let [(first, OutageState::Down { wait }), (second, OutageState::WarmingUp { ago, part })] = &known[..]
+    let [
+        (first, OutageState::Down { retry_after_remaining }),
+        (second, OutageState::WarmingUp { since_recovery, ramp_share }),
+    ] = &known[..]
     else {
         panic!("{known:?}")
     };
-    assert_eq!((first, second, *part), (&destination, &receiver, 0.25));
-    assert!((40_000..=50_000).contains(wait) && (100..10_000).contains(ago), "{known:?}");
+    assert_eq!((first, second, *ramp_share), (&destination, &receiver, 0.25));
+    let is_aged = (40_000..=50_000).contains(retry_after_remaining) && (100..10_000).contains(since_recovery);
+    assert!(is_aged, "{known:?}");
 }
 
 #[test]
@@ -231,15 +238,20 @@
         &mut batch,
         &EndpointKey::new(7, ""),
         wall_ms(),
-        Some(OutageState::WarmingUp { ago: 0, part: 7.5 }),
+        Some(OutageState::WarmingUp { since_recovery: 0, ramp_share: 7.5 }),
     );
     append_outage(
         &mut batch,
         &EndpointKey::new(8, ""),
         wall_ms(),
-        Some(OutageState::WarmingUp { ago: 0, part: f64::NAN }),
+        Some(OutageState::WarmingUp { since_recovery: 0, ramp_share: f64::NAN }),
+    );
+    append_outage(
+        &mut batch,
+        &EndpointKey::new(9, ""),
+        wall_ms(),
+        Some(OutageState::Down { retry_after_remaining: 5 }),
     );
-    append_outage(&mut batch, &EndpointKey::new(9, ""), wall_ms(), Some(OutageState::Down { wait: 5 }));
     assert_eq!(replay_segment(&batch, 0, &mut state), batch.len());
     let destinations = state.outage_records.states_at(wall_ms()).map(|(endpoint, _)| endpoint.destination);
     assert_eq!(destinations.collect::<Vec<_>>(), [9]);
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -47,14 +47,23 @@
     store.acknowledge(&"acknowledged".into());
     store.start_attempt(&"m-ran".into(), ran(6));
     store.commit().expect("written");
-    store.record_outage(EndpointKey::new(7, ""), Some(OutageState::Down { wait: 0 }));
-    store.record_outage(EndpointKey::new(7, "receiver-1"), Some(OutageState::Down { wait: 11_000 }));
+    store.record_outage(EndpointKey::new(7, ""), Some(OutageState::Down { retry_after_remaining: 0 }));
+    store.record_outage(
+        EndpointKey::new(7, "receiver-1"),
+        Some(OutageState::Down { retry_after_remaining: 11_000 }),
+    );
     store.record_outage(
         EndpointKey::new(8, "receiver-2"),
-        Some(OutageState::WarmingUp { ago: -500, part: 0.25 }),
+        Some(OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.25 }),
+    );
+    store.record_outage(
+        EndpointKey::new(9, ""),
+        Some(OutageState::WarmingUp { since_recovery: 4_000, ramp_share: 1.0 }),
+    );
+    store.record_outage(
+        EndpointKey::new(10, "receiver-3"),
+        Some(OutageState::Down { retry_after_remaining: 1 }),
     );
-    store.record_outage(EndpointKey::new(9, ""), Some(OutageState::WarmingUp { ago: 4_000, part: 1.0 }));
-    store.record_outage(EndpointKey::new(10, "receiver-3"), Some(OutageState::Down { wait: 1 }));
     store.record_outage(EndpointKey::new(10, "receiver-3"), None);
     store.commit().expect("written");
     drop(store);
@@ -83,10 +92,10 @@
             ("n-3".into(), Status::Deferred(Some(70_000))),
         ],
         outage_records: vec![
-            (7, "".into(), OutageState::Down { wait: 0 }),
-            (7, "receiver-1".into(), OutageState::Down { wait: 11_000 }),
-            (8, "receiver-2".into(), OutageState::WarmingUp { ago: -500, part: 0.25 }),
-            (9, "".into(), OutageState::WarmingUp { ago: 4_000, part: 1.0 }),
+            (7, "".into(), OutageState::Down { retry_after_remaining: 0 }),
+            (7, "receiver-1".into(), OutageState::Down { retry_after_remaining: 11_000 }),
+            (8, "receiver-2".into(), OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.25 }),
+            (9, "".into(), OutageState::WarmingUp { since_recovery: 4_000, ramp_share: 1.0 }),
         ],
         latest_attempt: ran(200).at,
         reports: vec![],
@@ -110,7 +119,7 @@
     store.start_attempt(&"m-full-ü".into(), ran(4_000_000_000_000));
     store.record_outage(
         EndpointKey::new(8, "receiver-2"),
-        Some(OutageState::WarmingUp { ago: -500, part: 0.25 }),
+        Some(OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.25 }),
     );
     store.commit().expect("written");
 }
@@ -126,7 +135,11 @@
     let expected = Told {
         open: vec![Message { attempts: 4, in_flight: None, ..full_message() }],
         owed: vec![],
-        outage_records: vec![(8, "receiver-2".into(), OutageState::WarmingUp { ago: -500, part: 0.25 })],
+        outage_records: vec![(
+            8,
+            "receiver-2".into(),
+            OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.25 },
+        )],
         latest_attempt: ran(4_000_000_000_000).at,
         reports: vec![],
     };
--- a/crates/policy/src/circuit_breaker/state.rs
+++ b/crates/policy/src/circuit_breaker/state.rs
@@ -86,11 +86,11 @@
             BreakerState::Closed => (ReportedOutage::Healthy, OutageState::Healthy),
             BreakerState::Open { since, .. } => (
                 ReportedOutage::Down { since, retry_after_until },
-                OutageState::Down { wait: (retry_after_until - now).max(0.0) },
+                OutageState::Down { retry_after_remaining: (retry_after_until - now).max(0.0) },
             ),
             BreakerState::SlowStart { since, share } => (
                 ReportedOutage::WarmingUp { since },
-                OutageState::WarmingUp { ago: now - since, part: share },
+                OutageState::WarmingUp { since_recovery: now - since, ramp_share: share },
             ),
         };
         let reported_before = std::mem::replace(&mut self.reported, report);
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -6,12 +6,16 @@
 mod action;
 mod checks;
 mod event;
+mod limit;
 mod list;
 mod settings;
 
 pub use action::{Action, Demand};
 pub use checks::SettingsError;
-pub use event::{Event, OutageState, Outcome, Permit};
+pub use event::{AttemptResult, Event, Outcome};
+pub use limit::{
+    CapacityUpdate, LimitScope, OutageState, Permit, PermitUpdate, RememberedOutage, RetryAfterUpdate,
+};
 pub use list::{AttemptHistory, ListChange, Listing, Message, PriorExecution, RouteEntry};
 pub use settings::{Class, Discovery, Effect, KeyGroup, Kind, LateDecay, RateHint, Settings, Tenant};
 
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,22 +1,20 @@
 //! The actions that a policy asks its host for, and its demand. No decision.
 
-use super::{DestinationId, MessageHandle, Millis, OutageState, RouteId};
+use super::{LimitScope, MessageHandle, Millis, OutageState, RouteId};
 
-/// What a sender wants of a limit, and the calls that it has made there since it started.
+/// A sender's demand at one limit, and the calls that it has made there since it started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// The destination.
-    pub destination: DestinationId,
-    /// The route, where routes have limits of their own.
-    pub route: Option<RouteId>,
+    /// The limit.
+    pub scope: LimitScope,
     /// The listed limit, in calls per second of all senders together.
     pub limit: f64,
-    /// Calls wanted now: for waiting messages, and for those expected before the next report.
-    pub wanted: f64,
+    /// Calls for messages that wait, and for those expected before the next report.
+    pub calls_wanted: f64,
     /// Calls made.
     pub called: u64,
     /// Calls that the destination rejected.
-    pub refused: u64,
+    pub rejected: u64,
     /// Calls that failed: without an answer, or with an error.
     pub failed: u64,
 }
@@ -35,7 +33,7 @@
         timeout: Millis,
         /// The last byte must be written within this time; later it must not be sent any more, as the window
         /// of its idempotency key may be over.
-        within: Millis,
+        start_within: Millis,
     },
     /// Complete a message undelivered; the client may safely submit it again.
     Refuse {
@@ -70,13 +68,11 @@
     },
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Remember an outage over a restart, in place of what was to be remembered of the same destination or
-    /// route. It may be forgotten after a minute: by then it is known anew.
+    /// Record an outage for the time after a restart, in place of the record of the same scope. The record
+    /// may be dropped after a minute.
     Remember {
-        /// The destination.
-        destination: DestinationId,
-        /// The route, where routes have limits of their own.
-        route: Option<RouteId>,
+        /// What is in the outage.
+        scope: LimitScope,
         /// Its state.
         outage: OutageState,
     },
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -1,38 +1,9 @@
 //! The events that a host reports to a policy. No decision.
 
-use super::{AttemptHistory, DestinationId, ListChange, Message, MessageHandle, Millis, RouteId};
-
-/// The outage of a destination whose routes share a limit, or of a route with a limit of its own, as far as
-/// it must be known after a restart: without it a sender would send at full pace to what is down or warming
-/// up.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum OutageState {
-    /// No outage is known.
-    Healthy,
-    /// It is in an outage.
-    Down {
-        /// What is left of its Retry-After; 0 for none.
-        wait: Millis,
-    },
-    /// It has returned from an outage.
-    WarmingUp {
-        /// Time since its return; below 0 where its Retry-After is not over yet.
-        ago: Millis,
-        /// This sender's share of the recovery ramp, from 0 to 1.
-        part: f64,
-    },
-}
-
-/// The permission to start one call.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Permit {
-    /// Identifies it at its limit; one that was used stays used when it is reported again.
-    pub number: u64,
-    /// When it becomes valid, from now; below 0 where it is valid already.
-    pub from: Millis,
-    /// When it expires, from now.
-    pub until: Millis,
-}
+use super::{
+    AttemptHistory, CapacityUpdate, ListChange, Message, MessageHandle, Millis, PermitUpdate,
+    RememberedOutage, RetryAfterUpdate, RouteId,
+};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,6 +38,21 @@
     }
 }
 
+/// The result of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AttemptResult {
+    /// The message.
+    pub id: MessageHandle,
+    /// Number of the attempt, from 0.
+    pub attempt: u32,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// For [`Outcome::Rejected`]: its Retry-After; 0 for none.
+    pub retry_after: Millis,
+    /// Whether the message is completed: it needs neither a retry nor a final outcome.
+    pub completed: bool,
+}
+
 /// What has happened since the last batch, or was learnt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
@@ -76,47 +62,14 @@
     Message(Message),
     /// A message that was accepted before a restart has no final outcome yet.
     Recovered(Message, AttemptHistory),
-    /// An outage that was to be remembered over a restart, as it is now. Comes after the list.
-    Remembered {
-        /// The destination.
-        destination: DestinationId,
-        /// The route, where routes have limits of their own.
-        route: Option<RouteId>,
-        /// Its state.
-        outage: OutageState,
-    },
+    /// An outage from before a restart. Follows the endpoint list.
+    Remembered(RememberedOutage),
     /// Another process of this sender has received a Retry-After.
-    RetryAfter {
-        /// The destination.
-        destination: DestinationId,
-        /// The route, where routes have limits of their own.
-        route: Option<RouteId>,
-        /// What is left of it.
-        wait: Millis,
-    },
-    /// How much of a limit is left to this sender, by the demand of all senders.
-    Capacity {
-        /// The destination.
-        destination: DestinationId,
-        /// The route, where routes have limits of their own.
-        route: Option<RouteId>,
-        /// Calls per second for each call that is wanted; infinite where the limit suffices for all.
-        calls: f64,
-        /// Calls wanted by all senders, with an estimate for those that have not reported; 0 where that is
-        /// unknown.
-        wanted: f64,
-        /// How long this is valid.
-        lasts: Millis,
-    },
-    /// The permits of a limit that this sender may use, in place of those reported before.
-    Permits {
-        /// The destination.
-        destination: DestinationId,
-        /// The route, where routes have limits of their own.
-        route: Option<RouteId>,
-        /// One for each call.
-        permits: Vec<Permit>,
-    },
+    RetryAfter(RetryAfterUpdate),
+    /// This sender's share of a limit has changed.
+    Capacity(CapacityUpdate),
+    /// The permits of a limit, in place of those reported before.
+    Permits(PermitUpdate),
     /// Routes that other senders have ejected as outliers, in place of those reported before: others go
     /// first.
     EjectedReceivers(Vec<RouteId>),
@@ -135,18 +88,7 @@
         attempt: u32,
     },
     /// An attempt has ended.
-    Outcome {
-        /// The message.
-        id: MessageHandle,
-        /// Number of the attempt, from 0.
-        attempt: u32,
-        /// How it ended.
-        outcome: Outcome,
-        /// For [`Outcome::Rejected`]: its Retry-After; 0 for none.
-        retry_after: Millis,
-        /// Whether the message is completed.
-        closed: bool,
-    },
+    Outcome(AttemptResult),
     /// The client has gone away. Attempts in flight are still reported.
     Dropped(MessageHandle),
     /// A wake-up asked for with [`Action::Wake`](super::Action::Wake).
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -74,9 +74,9 @@
 //!
 //! // The host makes the call, and reports its outcome with the next batch.
 //! let delivered =
-//!     Event::Outcome { id: MessageHandle(1), attempt: 0, outcome: Outcome::Ok, retry_after: 0.0, closed: true };
+//!     AttemptResult { id: MessageHandle(1), attempt: 0, outcome: Outcome::Ok, retry_after: 0.0, completed: true };
 //! actions.clear();
-//! policy.handle(1_250.0, &[delivered], &mut actions);
+//! policy.handle(1_250.0, &[Event::Outcome(delivered)], &mut actions);
 //! # Ok(())
 //! # }
 //! ```
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -1,24 +1,14 @@
 //! Applies each event to the state, or passes it on to the step that decides. No decision.
 
-use rudderspindle_gossip::{CapacityShare, CapacityUpdate, PermitLease, ScheduledCall};
+use rudderspindle_gossip::{CapacityShare, PermitLease, ScheduledCall};
 
 use super::Policy;
-use super::settlement::AttemptResult;
 use super::state::Throttle;
 use crate::interface::{
-    Action, AttemptHistory, DestinationId, Event, MessageHandle, Millis, Permit, RouteId,
+    Action, AttemptHistory, CapacityUpdate, Event, LimitScope, MessageHandle, Permit, PermitUpdate,
+    RetryAfterUpdate, RouteId,
 };
 
-/// What the fleet leaves of a limit to this sender.
-struct CapacityReport {
-    /// Calls per second for each call that is wanted.
-    calls_per_wanted: f64,
-    /// Calls wanted by all senders.
-    wanted_by_all: f64,
-    /// How long the report holds.
-    valid_for: Millis,
-}
-
 impl Policy {
     /// Applies one event.
     pub(super) fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
@@ -26,33 +16,14 @@
             Event::List(change) => self.apply_list_change(change),
             Event::Message(message) => self.admit(message, &AttemptHistory::default()),
             Event::Recovered(message, history) => self.admit(message, history),
-            Event::Remembered { destination, route, outage } => {
-                self.restore_outage(*destination, *route, *outage);
-            }
-            Event::RetryAfter { destination, route, wait } => {
-                self.apply_retry_after(*destination, *route, *wait);
-            }
-            Event::Capacity { destination, route, calls, wanted, lasts } => {
-                let report =
-                    CapacityReport { calls_per_wanted: *calls, wanted_by_all: *wanted, valid_for: *lasts };
-                self.apply_capacity(*destination, *route, &report);
-            }
-            Event::Permits { destination, route, permits } => {
-                self.apply_permits(*destination, *route, permits);
-            }
+            Event::Remembered(remembered) => self.restore_outage(remembered),
+            Event::RetryAfter(update) => self.apply_retry_after(update),
+            Event::Capacity(update) => self.apply_capacity(update),
+            Event::Permits(update) => self.apply_permits(update),
             Event::EjectedReceivers(ejected) => self.apply_ejections(ejected),
             Event::Quota { tenant, per_s } => self.quotas.set_share(*tenant, *per_s),
             Event::Started { id, attempt } => self.apply_start_of_response(*id, *attempt),
-            Event::Outcome { id, attempt, outcome, retry_after, closed } => {
-                let result = AttemptResult {
-                    id: *id,
-                    attempt: *attempt,
-                    outcome: *outcome,
-                    retry_after: *retry_after,
-                    closed: *closed,
-                };
-                self.apply_result(&result, actions);
-            }
+            Event::Outcome(result) => self.apply_result(result, actions),
             Event::Dropped(id) => self.complete(*id),
             Event::Wake(token) => self.wake_timer.fired(*token),
             Event::HealthChecked { .. } => {}
@@ -86,28 +57,28 @@
         capacity
     }
 
-    fn throttle_at(&mut self, destination: DestinationId, route: Option<RouteId>) -> Option<&mut Throttle> {
-        let destination = self.destinations.get_mut(&destination)?;
-        let scope = destination.throttle_scope(route)?;
+    fn throttle_at(&mut self, limit: LimitScope) -> Option<&mut Throttle> {
+        let destination = self.destinations.get_mut(&limit.destination)?;
+        let scope = destination.throttle_scope(limit.route)?;
         Some(destination.throttle_of_mut(scope))
     }
 
-    fn apply_retry_after(&mut self, destination: DestinationId, route: Option<RouteId>, wait: Millis) {
-        let until = self.now + wait;
-        if let Some(throttle) = self.throttle_at(destination, route) {
+    fn apply_retry_after(&mut self, update: &RetryAfterUpdate) {
+        let until = self.now + update.remaining;
+        if let Some(throttle) = self.throttle_at(update.scope) {
             throttle.retry_after_until = throttle.retry_after_until.max(until);
         }
     }
 
-    fn apply_capacity(&mut self, id: DestinationId, route: Option<RouteId>, report: &CapacityReport) {
-        let Some(destination) = self.destinations.get_mut(&id) else { return };
-        let Some(scope) = destination.throttle_scope(route) else { return };
+    fn apply_capacity(&mut self, update: &CapacityUpdate) {
+        let Some(destination) = self.destinations.get_mut(&update.scope.destination) else { return };
+        let Some(scope) = destination.throttle_scope(update.scope.route) else { return };
         let demand = destination.demand(scope, self.now);
         let throttle = destination.throttle_of_mut(scope);
-        let update = CapacityUpdate {
-            rate_per_demand: report.calls_per_wanted,
-            fleet_demand: report.wanted_by_all,
-            valid_for: report.valid_for,
+        let update = rudderspindle_gossip::CapacityUpdate {
+            rate_per_demand: update.calls_per_demand,
+            fleet_demand: update.total_demand,
+            valid_for: update.valid_for,
             own_demand: demand.wanted,
             limit: demand.limit,
         };
@@ -116,15 +87,15 @@
         throttle.next_draw_at = throttle.capacity.apply(self.now, &update, scheduled);
     }
 
-    fn apply_permits(&mut self, destination: DestinationId, route: Option<RouteId>, permits: &[Permit]) {
+    fn apply_permits(&mut self, update: &PermitUpdate) {
         let now = self.now;
-        let Some(throttle) = self.throttle_at(destination, route) else { return };
+        let Some(throttle) = self.throttle_at(update.scope) else { return };
         let lease = |permit: &Permit| PermitLease {
             number: permit.number,
             from: now + permit.from,
             until: now + permit.until,
         };
-        let leases: Vec<PermitLease> = permits.iter().map(lease).collect();
+        let leases: Vec<PermitLease> = update.permits.iter().map(lease).collect();
         throttle.capacity.set_leases(now, &leases);
     }
 
--- a/crates/policy/src/policy/metrics.rs
+++ b/crates/policy/src/policy/metrics.rs
@@ -5,7 +5,7 @@
 use super::Policy;
 use super::scope::Scope;
 use super::state::Destination;
-use crate::interface::{Demand, DestinationId, Listing};
+use crate::interface::{Demand, DestinationId, LimitScope, Listing};
 
 impl Policy {
     /// The demand of each limit, with the calls made so far.
@@ -23,10 +23,9 @@
 
     fn demand_of(&self, id: DestinationId, destination: &Destination, scope: Scope) -> Demand {
         let demand = destination.demand(scope, self.now);
-        let CapacityShare { calls: called, rejected: refused, failed, .. } =
-            destination.throttle_of(scope).capacity;
-        let route = destination.route_of(scope);
-        Demand { destination: id, route, limit: demand.limit, wanted: demand.wanted, called, refused, failed }
+        let CapacityShare { calls: called, rejected, failed, .. } = destination.throttle_of(scope).capacity;
+        let scope = LimitScope { destination: id, route: destination.route_of(scope) };
+        Demand { scope, limit: demand.limit, calls_wanted: demand.wanted, called, rejected, failed }
     }
 
     /// Number of routes, destinations, messages and ordering keys that are remembered.
--- a/crates/policy/src/policy/outage_memory.rs
+++ b/crates/policy/src/policy/outage_memory.rs
@@ -3,7 +3,7 @@
 use super::Policy;
 use super::scope::Scope;
 use super::state::Destination;
-use crate::interface::{Action, DestinationId, Millis, OutageState, RouteId};
+use crate::interface::{Action, DestinationId, LimitScope, Millis, OutageState, RememberedOutage};
 
 impl Policy {
     /// Has the host remember the outages of a destination, where they have changed.
@@ -14,31 +14,36 @@
             let retry_after_until = destination.throttle_of(scope).retry_after_until;
             let breaker = destination.breaker_mut(scope);
             if let Some(outage) = breaker.unreported_outage(self.now, retry_after_until) {
-                actions.push(Action::Remember { destination: id, route, outage });
+                let scope = LimitScope { destination: id, route };
+                actions.push(Action::Remember { scope, outage });
             }
         }
     }
 
     /// Restores what the host remembered of a destination's outage, or of that of a route with a limit of its
     /// own.
-    pub(super) fn restore_outage(&mut self, id: DestinationId, route: Option<RouteId>, outage: OutageState) {
+    pub(super) fn restore_outage(&mut self, remembered: &RememberedOutage) {
+        let LimitScope { destination: id, route } = remembered.scope;
         let Some(mut destination) = self.destinations.get_mut(&id).map(std::mem::take) else { return };
         let scope = destination.throttle_scope(route).filter(|_| destination.routes_apart || route.is_none());
         if let Some(scope) = scope {
-            match outage {
+            match remembered.outage {
                 OutageState::Healthy => {}
-                OutageState::Down { wait } => self.restore_open_breaker(&mut destination, scope, wait),
-                OutageState::WarmingUp { ago, part } => {
-                    self.restore_slow_start(&mut destination, scope, self.now - ago, part);
+                OutageState::Down { retry_after_remaining } => {
+                    self.restore_open_breaker(&mut destination, scope, retry_after_remaining);
+                }
+                OutageState::WarmingUp { since_recovery, ramp_share } => {
+                    let since = self.now - since_recovery;
+                    self.restore_slow_start(&mut destination, scope, since, ramp_share);
                 }
             }
         }
         self.destinations.insert(id, destination);
     }
 
-    fn restore_open_breaker(&mut self, destination: &mut Destination, scope: Scope, wait: Millis) {
+    fn restore_open_breaker(&mut self, destination: &mut Destination, scope: Scope, remaining: Millis) {
         let throttle = destination.throttle_of_mut(scope);
-        throttle.retry_after_until = throttle.retry_after_until.max(self.now + wait);
+        throttle.retry_after_until = throttle.retry_after_until.max(self.now + remaining);
         destination.breaker_mut(scope).failing_since = self.now;
         self.open_breaker(destination, scope, 0.0, false);
     }
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -2,9 +2,8 @@
 
 use super::Policy;
 use super::scope::Scope;
-use super::settlement::AttemptResult;
 use super::state::{Destination, PossibleExecution};
-use crate::interface::{Action, Effect, Millis, Outcome};
+use crate::interface::{Action, AttemptResult, Effect, Millis, Outcome};
 
 impl Policy {
     /// Records at the message what an attempt may have done; its ordering key pauses while the attempt may
@@ -30,7 +29,7 @@
         let Some(message) = self.messages.get(&result.id) else { return };
         let effect = self.settings.classes[message.weight.class].effect;
         let must_not_retry = message.possibly_executed.is_some() && effect == Effect::NotIdempotent;
-        if result.closed || message.completed || result.outcome == Outcome::Ok {
+        if result.completed || message.completed || result.outcome == Outcome::Ok {
             self.complete(result.id);
         } else if must_not_retry || message.weight.expires_at <= self.now {
             self.refuse_or_fail(result.id, 0.0, actions);
--- a/crates/policy/src/policy/send.rs
+++ b/crates/policy/src/policy/send.rs
@@ -31,8 +31,8 @@
             message.in_flight = Some(InFlightAttempt { attempt: message.attempts, call: call.id });
             message.attempts += 1;
             message.counted_as_dropped = false;
-            let within = message.outcome_due_at - self.now;
-            actions.push(Action::Send { id, route: call.route, timeout, within });
+            let start_within = message.outcome_due_at - self.now;
+            actions.push(Action::Send { id, route: call.route, timeout, start_within });
         }
     }
 
--- a/crates/policy/src/policy/settlement.rs
+++ b/crates/policy/src/policy/settlement.rs
@@ -4,19 +4,7 @@
 use super::outcomes::counts_at_throttle;
 use super::state::{Destination, PossibleExecution};
 use crate::calls::Call;
-use crate::interface::{Action, DestinationId, MessageHandle, Millis, Outcome};
-
-/// The result of an attempt, as the host reports it.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct AttemptResult {
-    pub(super) id: MessageHandle,
-    pub(super) attempt: u32,
-    pub(super) outcome: Outcome,
-    /// The Retry-After of a rejection, ms; 0 for none.
-    pub(super) retry_after: Millis,
-    /// Whether the message is completed.
-    pub(super) closed: bool,
-}
+use crate::interface::{Action, AttemptResult, DestinationId, Millis, Outcome};
 
 /// The result of a call: that of the first of its attempts that has one.
 #[derive(Clone, Copy, Debug)]
--- a/crates/policy/tests/common/delivery_rules.rs
+++ b/crates/policy/tests/common/delivery_rules.rs
@@ -8,9 +8,9 @@
     /// Checks an action, and records it.
     pub(super) fn check(&mut self, action: &Action, completed_before: &[MessageHandle]) {
         match *action {
-            Action::Send { id, route, within, .. } => {
+            Action::Send { id, route, start_within, .. } => {
                 assert!(!completed_before.contains(&id), "{id:?} was sent after its end");
-                self.check_send(id, route, within);
+                self.check_send(id, route, start_within);
                 let sent = Attempt { route, sent_at: self.now, outcome: None };
                 self.accepted.get_mut(&id).expect("accepted").attempts.push(sent);
             }
@@ -36,7 +36,7 @@
         accepted.completed = true;
     }
 
-    fn check_send(&self, id: MessageHandle, route: RouteId, within: Millis) {
+    fn check_send(&self, id: MessageHandle, route: RouteId, start_within: Millis) {
         let entry = &self.listed[&route];
         let accepted = &self.accepted[&id];
         assert!(!accepted.completed, "{id:?} was sent after its end");
@@ -48,7 +48,7 @@
         assert!(self.now >= shared.max(own), "sent within a Retry-After");
         let in_flight = accepted.attempts.last().is_some_and(|attempt| attempt.outcome.is_none());
         assert!(!in_flight, "two attempts in flight");
-        self.check_effect(accepted, entry, within);
+        self.check_effect(accepted, entry, start_within);
         self.check_order(id);
     }
 
@@ -61,13 +61,16 @@
         }
     }
 
-    fn check_effect(&self, accepted: &AcceptedMessage, entry: &RouteEntry, within: Millis) {
+    fn check_effect(&self, accepted: &AcceptedMessage, entry: &RouteEntry, start_within: Millis) {
         for earlier in accepted.attempts.iter().filter(|attempt| is_possibly_executed(attempt)) {
             match self.settings.classes[accepted.message.class].effect {
                 Effect::Idempotent => {}
                 Effect::NotIdempotent => panic!("a message that must not be repeated was sent again"),
                 Effect::IdempotencyKey { group, window } => {
-                    assert!(self.now + within <= earlier.sent_at + window, "may go after the key's window");
+                    assert!(
+                        self.now + start_within <= earlier.sent_at + window,
+                        "may go after the key's window"
+                    );
                     let first = &self.listed[&earlier.route];
                     match group {
                         KeyGroup::All => {}
--- a/crates/policy/tests/common/harness.rs
+++ b/crates/policy/tests/common/harness.rs
@@ -102,9 +102,7 @@
             Event::Dropped(id) => {
                 self.accepted.entry(*id).and_modify(|message| message.completed = true);
             }
-            Event::Outcome { id, attempt, outcome, retry_after, closed } => {
-                self.record_outcome(*id, *attempt, *outcome, *retry_after, *closed);
-            }
+            Event::Outcome(result) => self.record_outcome(result),
             Event::List(ListChange::Full(entries) | ListChange::Cached(entries)) => {
                 self.listed.values_mut().for_each(|entry| entry.listing = Listing::Gone);
                 self.listed.extend(entries.iter().map(|entry| (entry.route, entry.clone())));
@@ -130,16 +128,10 @@
         self.order.push(message.id);
     }
 
-    fn record_outcome(
-        &mut self,
-        id: MessageHandle,
-        attempt: u32,
-        outcome: Outcome,
-        retry_after: Millis,
-        closed: bool,
-    ) {
+    fn record_outcome(&mut self, result: &AttemptResult) {
+        let AttemptResult { id, attempt, outcome, retry_after, completed } = *result;
         let Some(accepted) = self.accepted.get_mut(&id) else { return };
-        accepted.completed |= closed;
+        accepted.completed |= completed;
         let Some(attempt) = accepted.attempts.get_mut(attempt as usize) else { return };
         attempt.outcome = Some(outcome);
         let entry = &self.listed[&attempt.route];
--- a/crates/policy/tests/recovery/restart.rs
+++ b/crates/policy/tests/recovery/restart.rs
@@ -6,14 +6,14 @@
 
 #[test]
 fn a_restarted_sender_goes_on_with_the_remembered_outage() {
-    for (kind, scope) in [(0, None), (1, Some(RouteId(1)))] {
+    for (kind, route) in [(0, None), (1, Some(RouteId(1)))] {
         for seed in 0..20 {
             // Down within a Retry-After: once that is over one probe goes.
             let mut harness = with_routes(1..=1, kind, seed);
             let returned_at = harness.now + 4_000.0;
-            let destination = DestinationId(0);
-            let remembered = |outage| Event::Remembered { destination, route: scope, outage };
-            let mut first = vec![remembered(OutageState::Down { wait: 4_000.0 })];
+            let scope = LimitScope { destination: DestinationId(0), route };
+            let remembered = |outage| Event::Remembered(RememberedOutage { scope, outage });
+            let mut first = vec![remembered(OutageState::Down { retry_after_remaining: 4_000.0 })];
             first.extend(messages(0..80));
             let calls = play_calls(&mut harness, first, 9_000.0, &mut BTreeMap::new(), |_, _| OK);
             assert!(
@@ -24,7 +24,8 @@
             // Warming up for 1 s: it goes on with the ramp.
             let mut harness = with_routes(1..=1, kind, seed);
             let now = harness.now;
-            let mut first = vec![remembered(OutageState::WarmingUp { ago: 1_000.0, part: 0.5 })];
+            let mut first =
+                vec![remembered(OutageState::WarmingUp { since_recovery: 1_000.0, ramp_share: 0.5 })];
             first.extend(messages(0..80));
             let calls = play_calls(&mut harness, first, 2_000.0, &mut BTreeMap::new(), |_, _| OK);
             let bound = 1.0 + 1.35 * (ramp_of_one(3.0) - ramp_of_one(1.0));
@@ -39,8 +40,9 @@
     let mut reported = Vec::new();
     let mut record = |actions: Vec<Action>| {
         for action in &actions {
-            if let Action::Remember { destination, route, outage } = action {
-                assert_eq!((*destination, *route), (DestinationId(0), None), "routes that share a limit");
+            if let Action::Remember { scope, outage } = action {
+                let shared = LimitScope { destination: DestinationId(0), route: None };
+                assert_eq!(*scope, shared, "routes that share a limit");
                 reported.push(*outage);
             }
         }
@@ -58,11 +60,8 @@
     }
     let attempt = u32::from(first.iter().any(|(id, _)| *id == probe[0].0));
     record(harness.step(50.0, &[outcome(probe[0].0, attempt, Outcome::Ok, 0.0)]));
-    assert!(matches!(reported[0], OutageState::Down { wait } if wait == 9_000.0), "{reported:?}");
+    assert_eq!(reported[0], OutageState::Down { retry_after_remaining: 9_000.0 }, "{reported:?}");
     let last = reported.last().expect("a report");
-    assert!(
-        matches!(last, OutageState::WarmingUp { ago, part } if *ago == 0.0 && *part == 0.5),
-        "{reported:?}"
-    );
+    assert_eq!(*last, OutageState::WarmingUp { since_recovery: 0.0, ramp_share: 0.5 }, "{reported:?}");
     assert!(reported.len() <= 1 + first.len(), "{reported:?}");
 }
--- a/crates/policy/tests/replay/module.rs
+++ b/crates/policy/tests/replay/module.rs
@@ -70,7 +70,7 @@
         Input::Started { id, attempt } => Event::Started { id: MessageHandle(id), attempt },
         Input::Outcome { id, attempt, end, wait, closed } => {
             let (id, outcome, retry_after) = (MessageHandle(id), outcome(end), f64::from(wait));
-            Event::Outcome { id, attempt, outcome, retry_after, closed }
+            Event::Outcome(AttemptResult { id, attempt, outcome, retry_after, completed: closed })
         }
         Input::Dropped { id } => Event::Dropped(MessageHandle(id)),
         Input::Wake { token } => Event::Wake(token),
@@ -82,21 +82,20 @@
             Event::Recovered(message_of(&message), AttemptHistory { attempts, possibly_executed: ran })
         }
         Input::Remembered { limit, belief } => {
-            let (destination, route) = named(limit);
-            Event::Remembered { destination, route, outage: outage(belief) }
+            Event::Remembered(RememberedOutage { scope: named(limit), outage: outage(belief) })
         }
         Input::Waits { limit, wait } => {
-            let (destination, route) = named(limit);
-            Event::RetryAfter { destination, route, wait }
+            Event::RetryAfter(RetryAfterUpdate { scope: named(limit), remaining: wait })
         }
         Input::CapacityShare { limit, calls, wanted, lasts } => {
-            let (destination, route) = named(limit);
-            Event::Capacity { destination, route, calls, wanted, lasts }
+            let scope = named(limit);
+            let (calls_per_demand, total_demand, valid_for) = (calls, wanted, lasts);
+            Event::Capacity(CapacityUpdate { scope, calls_per_demand, total_demand, valid_for })
         }
         Input::Turns { limit, turns } => {
-            let (destination, route) = named(limit);
             let turn = |(number, from, until)| Permit { number, from, until };
-            Event::Permits { destination, route, permits: turns.into_iter().map(turn).collect() }
+            let permits = turns.into_iter().map(turn).collect();
+            Event::Permits(PermitUpdate { scope: named(limit), permits })
         }
         Input::Avoid { routes } => Event::EjectedReceivers(routes.into_iter().map(RouteId).collect()),
         Input::Quota { tenant, per_s } => Event::Quota { tenant, per_s },
@@ -105,8 +104,8 @@
     })
 }
 
-fn named(limit: Limit) -> (DestinationId, Option<RouteId>) {
-    (DestinationId(limit.destination), limit.route.map(RouteId))
+fn named(limit: Limit) -> LimitScope {
+    LimitScope { destination: DestinationId(limit.destination), route: limit.route.map(RouteId) }
 }
 
 fn list(change: Change, lines: &[RouteLine]) -> ListChange {
@@ -156,8 +155,8 @@
 fn outage(belief: Belief) -> OutageState {
     match belief {
         Belief::Nothing => OutageState::Healthy,
-        Belief::Down { wait } => OutageState::Down { wait },
-        Belief::Cold { ago, part } => OutageState::WarmingUp { ago, part },
+        Belief::Down { wait } => OutageState::Down { retry_after_remaining: wait },
+        Belief::Cold { ago, part } => OutageState::WarmingUp { since_recovery: ago, ramp_share: part },
     }
 }
 
@@ -179,15 +178,16 @@
     format!("{:016x}", number.to_bits())
 }
 
-fn limit_text(destination: DestinationId, route: Option<RouteId>) -> String {
+fn limit_text(scope: LimitScope) -> String {
+    let LimitScope { destination, route } = scope;
     route.map_or_else(|| format!("{} all", destination.0), |route| format!("{} {}", destination.0, route.0))
 }
 
 /// An action as words and numbers of this test's own.
 fn line(action: &Action) -> String {
     match *action {
-        Action::Send { id, route, timeout, within } => {
-            format!("send {} {} {} {}", id.0, route.0, bits(timeout), bits(within))
+        Action::Send { id, route, timeout, start_within } => {
+            format!("send {} {} {} {}", id.0, route.0, bits(timeout), bits(start_within))
         }
         Action::Refuse { id, retry_after } => format!("refuse {} {}", id.0, bits(retry_after)),
         Action::Fail { id } => format!("fail {}", id.0),
@@ -195,13 +195,15 @@
         Action::Cancel { id, attempt } => format!("cancel {} {attempt}", id.0),
         Action::HealthCheck { route } => format!("probe {}", route.0),
         Action::Subscribe => "subscribe".to_owned(),
-        Action::Remember { destination, route, outage } => {
-            let limit = limit_text(destination, route);
+        Action::Remember { scope, outage } => {
+            let limit = limit_text(scope);
             match outage {
                 OutageState::Healthy => format!("remember {limit} nothing"),
-                OutageState::Down { wait } => format!("remember {limit} down {}", bits(wait)),
-                OutageState::WarmingUp { ago, part } => {
-                    format!("remember {limit} cold {} {}", bits(ago), bits(part))
+                OutageState::Down { retry_after_remaining } => {
+                    format!("remember {limit} down {}", bits(retry_after_remaining))
+                }
+                OutageState::WarmingUp { since_recovery, ramp_share } => {
+                    format!("remember {limit} cold {} {}", bits(since_recovery), bits(ramp_share))
                 }
             }
         }
@@ -216,9 +218,9 @@
         sender.routes_out_of_rotation()
     );
     for want in sender.demands() {
-        let (limit, wanted) = (bits(want.limit), bits(want.wanted));
-        let counts = format!("{} {} {}", want.called, want.refused, want.failed);
-        text += &format!("want {} {limit} {wanted} {counts}\n", limit_text(want.destination, want.route));
+        let (limit, wanted) = (bits(want.limit), bits(want.calls_wanted));
+        let counts = format!("{} {} {}", want.called, want.rejected, want.failed);
+        text += &format!("want {} {limit} {wanted} {counts}\n", limit_text(want.scope));
     }
     text
 }
--- a/crates/policy/tests/rules/ordering.rs
+++ b/crates/policy/tests/rules/ordering.rs
@@ -9,14 +9,14 @@
     let first = harness
         .step(0.0, &[list(vec![entry(1, 0, 0, 0)]), keyed_message(1, 0, 0, 9), keyed_message(2, 0, 0, 9)]);
     assert_eq!(sends(&first), [(1, 1)]);
-    let closed = Event::Outcome {
+    let completed = AttemptResult {
         id: MessageHandle(1),
         attempt: 0,
         outcome: Outcome::Timeout,
         retry_after: 0.0,
-        closed: true,
+        completed: true,
     };
-    let done = harness.step(10.0, &[closed]);
+    let done = harness.step(10.0, &[Event::Outcome(completed)]);
     assert!(sends(&done).is_empty());
     let before = harness.now;
     let next = harness.run(3_000.0);
--- a/crates/policy/tests/throttle/fleet_reports.rs
+++ b/crates/policy/tests/throttle/fleet_reports.rs
@@ -4,7 +4,9 @@
 
 /// The capacity that the fleet leaves to a sender, for each call that it wants.
 fn capacity(calls: f64) -> Event {
-    Event::Capacity { destination: DestinationId(0), route: None, calls, wanted: 0.0, lasts: 20_000.0 }
+    let scope = LimitScope { destination: DestinationId(0), route: None };
+    let valid_for = 20_000.0;
+    Event::Capacity(CapacityUpdate { scope, calls_per_demand: calls, total_demand: 0.0, valid_for })
 }
 
 /// Nothing waits, and yet it wants the calls of the messages that will come before the next report.
@@ -16,10 +18,10 @@
         harness.step(100.0, &[message(n, 0, 0)]);
         harness.step(0.0, &[outcome(n, 0, Outcome::Ok, 0.0)]);
     }
-    let wanted = harness.policy.demands()[0].wanted;
+    let wanted = harness.policy.demands()[0].calls_wanted;
     assert!((4.0..6.0).contains(&wanted), "{wanted} wanted of ten a second that come");
     harness.step(5_000.0, &[]);
-    assert!(harness.policy.demands()[0].wanted < 0.1);
+    assert!(harness.policy.demands()[0].calls_wanted < 0.1);
 }
 
 /// All senders with the same Retry-After return when it is over: each keeps to the pace that the fleet leaves
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -4,7 +4,7 @@
 
 use rudderspindle_gossip::Receiver;
 use rudderspindle_journal::{self as journal, PossibleExecution};
-use rudderspindle_policy::interface::{Event, MessageHandle, Millis, Outcome, RouteId};
+use rudderspindle_policy::interface::{self, Event, MessageHandle, Millis, Outcome, RouteId};
 use tokio::time::Instant;
 
 use super::time::from_millis;
@@ -29,7 +29,7 @@
     /// How long to wait for the response; 0 for as long as the message's deadline allows.
     pub timeout: Millis,
     /// How soon the request must be written; infinite if only the message's deadline limits that.
-    pub within: Millis,
+    pub start_within: Millis,
 }
 
 impl Engine {
@@ -39,7 +39,7 @@
         if self.stop.is_some_and(|at| now - at >= SHUTDOWN_SEND_PERIOD) {
             return None;
         }
-        let AttemptRequest { id, route, timeout, within } = request;
+        let AttemptRequest { id, route, timeout, start_within } = request;
         let margin = from_millis(DEADLINE_MARGIN_TICKS * self.settings.tick) + REQUEST_TRANSIT_TIME;
         let message = self.tracked.get_mut(id)?;
         let last = message.deadline.checked_sub(margin).unwrap_or(now);
@@ -52,7 +52,7 @@
         let execution = PossibleExecution { at: journal::wall_ms(), receiver, zone };
         self.store.start_attempt(&message.message_id, execution);
         let until = if timeout == 0.0 { last } else { (now + from_millis(timeout)).min(last) };
-        let within = Duration::try_from_secs_f64(within.max(0.0) / 1_000.0);
+        let start_within = Duration::try_from_secs_f64(start_within.max(0.0) / 1_000.0);
         Some(Call {
             id,
             attempt,
@@ -61,7 +61,7 @@
             key: message.key.clone(),
             body: message.body.clone(),
             until,
-            latest: within.map_or(message.deadline, |within| now + within),
+            latest: start_within.map_or(message.deadline, |start_within| now + start_within),
         })
     }
 
@@ -84,8 +84,8 @@
                 self.store.finish_attempt(&message.message_id, attempt, outcome.possibly_executed());
             }
         }
-        let closed = !self.tracked.contains(id);
-        Event::Outcome { id, attempt, outcome, retry_after, closed }
+        let completed = !self.tracked.contains(id);
+        Event::Outcome(interface::AttemptResult { id, attempt, outcome, retry_after, completed })
     }
 
     /// Asks a call to end. Its result comes from the call itself, as that of any other; only then the policy sends
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -1,13 +1,13 @@
 //! Runs a batch: translates the inputs into events for the policy, and has its decisions carried out.
 
 use rudderspindle_journal as journal;
-use rudderspindle_policy::interface::{Action, Event, Millis, Permit};
+use rudderspindle_policy::interface::{self, Action, Event, Millis, Permit};
 use tokio::time::Instant;
 
 use super::Engine;
 use super::intake::Intake;
 use super::time::to_millis;
-use crate::event::{CapacityUpdate, Input, PermitUpdate, TenantQuota};
+use crate::event::{Input, PermitUpdate, TenantQuota};
 
 impl Engine {
     /// Handles these inputs, and all that is due, as one batch.
@@ -48,9 +48,7 @@
                 events.extend(self.apply_peer_backoff(destination, receiver.as_deref(), wait));
             }
             Input::PeerCallsInFlight(calls) => self.policy.set_slots_used_by_peer(calls),
-            Input::CapacityShares { shares, valid_for } => {
-                events.extend(shares.into_iter().map(|share| capacity_event(share, valid_for)));
-            }
+            Input::CapacityUpdates(updates) => events.extend(updates.into_iter().map(Event::Capacity)),
             Input::Permits(updates) => {
                 let wall = journal::wall_ms() as Millis;
                 events.extend(updates.into_iter().map(|update| permits_event(update, wall)));
@@ -86,16 +84,6 @@
     }
 }
 
-fn capacity_event(share: CapacityUpdate, valid_for: Millis) -> Event {
-    Event::Capacity {
-        destination: share.limit.destination,
-        route: share.limit.route,
-        calls: share.calls,
-        wanted: share.fleet_demand,
-        lasts: valid_for,
-    }
-}
-
 /// The permits with their times relative to now (`wall`, milliseconds since 1970), so that later changes of the wall
 /// clock do not matter.
 fn permits_event(update: PermitUpdate, wall: Millis) -> Event {
@@ -104,11 +92,8 @@
         from: permit.from as Millis - wall,
         until: permit.until as Millis - wall,
     };
-    Event::Permits {
-        destination: update.limit.destination,
-        route: update.limit.route,
-        permits: update.permits.into_iter().map(relative).collect(),
-    }
+    let permits = update.permits.into_iter().map(relative).collect();
+    Event::Permits(interface::PermitUpdate { scope: update.scope, permits })
 }
 
 fn quota_event(quota: TenantQuota) -> Event {
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -94,16 +94,14 @@
     fn apply_actions(&mut self, now: Instant, actions: Vec<Action>, effects: &mut Effects) {
         for action in actions {
             match action {
-                Action::Send { id, route, timeout, within } => {
-                    let request = AttemptRequest { id, route, timeout, within };
+                Action::Send { id, route, timeout, start_within } => {
+                    let request = AttemptRequest { id, route, timeout, start_within };
                     effects.calls.extend(self.reserve_attempt(now, request));
                 }
                 Action::Wake { delay, token } => self.wakes.push((now + from_millis(delay), token)),
                 Action::Cancel { id, attempt } => self.cancel(id, attempt),
                 Action::HealthCheck { route } => self.outbound.start_health_check(route),
-                Action::Remember { destination, route, outage } => {
-                    self.record_outage(destination, route, outage);
-                }
+                Action::Remember { scope, outage } => self.record_outage(scope, outage),
                 // The watch on the endpoint list is always on, and completions are recorded by now.
                 Action::Subscribe | Action::Refuse { .. } | Action::Fail { .. } => {}
             }
--- a/crates/sender/src/engine/commit/tests.rs
+++ b/crates/sender/src/engine/commit/tests.rs
@@ -1,7 +1,7 @@
 //! Nothing is answered or sent before the write, and nothing of a batch that could not be written is.
 
 use rudderspindle_journal::Store;
-use rudderspindle_policy::interface::{Action, RouteId};
+use rudderspindle_policy::interface::{self, Action, RouteId};
 use tokio::sync::oneshot::error::TryRecvError;
 
 use super::super::tests::{engine, submission};
@@ -17,7 +17,7 @@
 }
 
 fn send(id: MessageHandle) -> Action {
-    Action::Send { id, route: RouteId(0), timeout: 1_000.0, within: f64::INFINITY }
+    Action::Send { id, route: RouteId(0), timeout: 1_000.0, start_within: f64::INFINITY }
 }
 
 #[tokio::test]
@@ -34,8 +34,10 @@
         assert_eq!(answered.try_recv(), Ok(Answer::REFUSED));
         assert!(engine.calls.is_empty() && engine.tracked.is_empty());
         assert!(!engine.store.contains(&"m1".into()));
-        let [Event::Dropped(dropped), Event::Outcome { id: ended, outcome: Outcome::NotSent, .. }] =
-            engine.carried[..]
+        let [
+            Event::Dropped(dropped),
+            Event::Outcome(interface::AttemptResult { id: ended, outcome: Outcome::NotSent, .. }),
+        ] = engine.carried[..]
         else {
             panic!("the policy is told {:?}", engine.carried)
         };
--- a/crates/sender/src/engine/outage_records.rs
+++ b/crates/sender/src/engine/outage_records.rs
@@ -1,19 +1,17 @@
 //! Outages that outlive the process: the journal's records, in the terms of the policy and of the handover.
 
 use rudderspindle_journal::{self as journal, Store};
-use rudderspindle_policy::interface::{DestinationId, Event, Millis, OutageState, RouteId};
+use rudderspindle_policy::interface::{
+    DestinationId, Event, LimitScope, Millis, OutageState, RememberedOutage,
+};
 
 use super::Engine;
 use crate::handover::{self, HandoverMessage};
 
 impl Engine {
     /// Records with this batch what a later process must know of an outage.
-    pub(super) fn record_outage(
-        &mut self,
-        destination: DestinationId,
-        route: Option<RouteId>,
-        outage: OutageState,
-    ) {
+    pub(super) fn record_outage(&mut self, scope: LimitScope, outage: OutageState) {
+        let LimitScope { destination, route } = scope;
         let receiver = match route {
             None => "".into(),
             Some(route) => match self.outbound.receiver_location(route) {
@@ -31,8 +29,8 @@
         let event = |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| {
             let receiver = &endpoint.receiver;
             let route = if receiver.is_empty() { None } else { Some(self.endpoints.find(receiver)?) };
-            let destination = DestinationId(endpoint.destination);
-            Some(Event::Remembered { destination, route, outage: from_record(outage) })
+            let scope = LimitScope { destination: DestinationId(endpoint.destination), route };
+            Some(Event::Remembered(RememberedOutage { scope, outage: from_record(outage) }))
         };
         self.store.outage_records().filter_map(event).collect()
     }
@@ -64,17 +62,23 @@
 fn to_record(outage: OutageState) -> Option<journal::OutageState> {
     match outage {
         OutageState::Healthy => None,
-        OutageState::Down { wait } => Some(journal::OutageState::Down { wait: wait as u64 }),
-        OutageState::WarmingUp { ago, part } => {
-            Some(journal::OutageState::WarmingUp { ago: ago as i64, part })
+        OutageState::Down { retry_after_remaining } => {
+            Some(journal::OutageState::Down { retry_after_remaining: retry_after_remaining as u64 })
+        }
+        OutageState::WarmingUp { since_recovery, ramp_share } => {
+            Some(journal::OutageState::WarmingUp { since_recovery: since_recovery as i64, ramp_share })
         }
     }
 }
 
 fn from_record(outage: journal::OutageState) -> OutageState {
     match outage {
-        journal::OutageState::Down { wait } => OutageState::Down { wait: wait as Millis },
-        journal::OutageState::WarmingUp { ago, part } => OutageState::WarmingUp { ago: ago as Millis, part },
+        journal::OutageState::Down { retry_after_remaining } => {
+            OutageState::Down { retry_after_remaining: retry_after_remaining as Millis }
+        }
+        journal::OutageState::WarmingUp { since_recovery, ramp_share } => {
+            OutageState::WarmingUp { since_recovery: since_recovery as Millis, ramp_share }
+        }
     }
 }
 
--- a/crates/sender/src/engine/outage_records/tests.rs
+++ b/crates/sender/src/engine/outage_records/tests.rs
@@ -7,9 +7,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), 3_000_000).expect("a journal");
     let outages = [
-        (1, handover::OutageState::Down { wait: u64::MAX }),
-        (2, handover::OutageState::WarmingUp { ago: i64::MIN, part: 7.5 }),
-        (3, handover::OutageState::WarmingUp { ago: 5, part: -1.0 }),
+        (1, handover::OutageState::Down { retry_after_remaining: u64::MAX }),
+        (2, handover::OutageState::WarmingUp { since_recovery: i64::MIN, ramp_share: 7.5 }),
+        (3, handover::OutageState::WarmingUp { since_recovery: 5, ramp_share: -1.0 }),
     ];
     let messages = outages.map(|(destination, outage)| HandoverMessage::OutageState {
         destination,
@@ -19,8 +19,12 @@
     Engine::restore_outages(&mut store, &messages);
     for (key, outage) in store.outage_records() {
         let fits = match outage {
-            journal::OutageState::Down { wait } => key.destination == 1 && wait <= 60_000,
-            journal::OutageState::WarmingUp { ago, part } => ago >= -60_000 && (0.0..=1.0).contains(&part),
+            journal::OutageState::Down { retry_after_remaining } => {
+                key.destination == 1 && retry_after_remaining <= 60_000
+            }
+            journal::OutageState::WarmingUp { since_recovery, ramp_share } => {
+                since_recovery >= -60_000 && (0.0..=1.0).contains(&ramp_share)
+            }
         };
         assert!(fits, "{key:?}: {outage:?}");
     }
--- a/crates/sender/src/engine/status.rs
+++ b/crates/sender/src/engine/status.rs
@@ -17,11 +17,11 @@
     /// The demand for each limit, without receivers that are no longer listed.
     fn demands(&self) -> Vec<LimitDemand> {
         let named = |demand: Demand| {
-            let receiver = match demand.route {
+            let receiver = match demand.scope.route {
                 Some(route) => Some(self.outbound.receiver_location(route)?.receiver),
                 None => None,
             };
-            let limit = LimitId::of(demand.destination.0, receiver.as_deref());
+            let limit = LimitId::of(demand.scope.destination.0, receiver.as_deref());
             Some(LimitDemand { limit, demand })
         };
         self.policy.demands().into_iter().filter_map(named).collect()
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -1,6 +1,6 @@
 //! The engine's part in a takeover, while two processes of one sender run.
 
-use rudderspindle_policy::interface::{DestinationId, Event, Millis};
+use rudderspindle_policy::interface::{DestinationId, Event, LimitScope, Millis, RetryAfterUpdate};
 use tokio::time::Instant;
 
 use super::Engine;
@@ -67,7 +67,8 @@
         let destination = DestinationId(destination);
         let wait = wait.clamp(0.0, MAX_BACKOFF_MS);
         self.outbound.apply_backoff(destination, route, wait);
-        Some(Event::RetryAfter { destination, route, wait })
+        let scope = LimitScope { destination, route };
+        Some(Event::RetryAfter(RetryAfterUpdate { scope, remaining: wait }))
     }
 
     /// Takes the journal over if its owner has ended, with all messages and notifications that are in it.
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -9,14 +9,14 @@
 
 use hyper::header::HeaderName;
 use rudderspindle_journal::MessageId;
-use rudderspindle_policy::interface::{MessageHandle, Millis, Outcome, RouteId};
+use rudderspindle_policy::interface::{CapacityUpdate, MessageHandle, Millis, Outcome, RouteId};
 use tokio::sync::oneshot;
 
 pub(crate) use activity::MAX_CALL_RESULTS;
 pub use activity::{AcceptedMessages, ActivityReport, LimitDemand, ListedReceiver, ReceiverResult};
 pub use delivery::{Answer, AttemptResult, Call, Submission, SubmissionId};
 pub use endpoints::{Endpoint, EndpointList};
-pub use limits::{CapacityUpdate, LimitKey, PermitUpdate, TenantQuota};
+pub use limits::{PermitUpdate, TenantQuota};
 
 use crate::metrics::EngineStatus;
 
@@ -73,12 +73,7 @@
     /// Report the current demand, and the activity since the last report.
     ReportActivity(oneshot::Sender<ActivityReport>),
     /// This sender's shares of the limits that it has demand for.
-    CapacityShares {
-        /// One share for each limit.
-        shares: Vec<CapacityUpdate>,
-        /// How long the shares are valid.
-        valid_for: Millis,
-    },
+    CapacityUpdates(Vec<CapacityUpdate>),
     /// The permits that this sender holds, for each limit that needs them.
     Permits(Vec<PermitUpdate>),
     /// The receivers that the other senders of this zone consider down. Replaces the previous set.
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -15,8 +15,9 @@
 use tokio::time::sleep;
 
 use crate::config::GossipConfig;
-use crate::event::{Input, LimitKey};
+use crate::event::Input;
 use crate::fleet_file::FleetFile;
+use rudderspindle_policy::interface::LimitScope;
 use shared_view::SharedView;
 
 /// Log target of datagrams that are dropped.
@@ -41,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReportedLimit {
     id: LimitId,
-    key: LimitKey,
+    scope: LimitScope,
     /// Share of the limit that the destination is believed to accept, from 0 to 1.
     open_share: f64,
 }
--- a/crates/sender/src/gossip/engine.rs
+++ b/crates/sender/src/gossip/engine.rs
@@ -4,11 +4,11 @@
 
 use rudderspindle_gossip::{LimitCapacity, LimitId, LocalDemand, OutgoingDatagram};
 use rudderspindle_journal::wall_ms;
-use rudderspindle_policy::interface::Millis;
+use rudderspindle_policy::interface::{CapacityUpdate, Millis};
 use tokio::sync::{mpsc, oneshot};
 
 use super::{GossipTask, ReportedLimit};
-use crate::event::{ActivityReport, CapacityUpdate, Input, LimitDemand, LimitKey, PermitUpdate};
+use crate::event::{ActivityReport, Input, LimitDemand, PermitUpdate};
 
 /// How long capacity shares are in effect, in milliseconds.
 const CAPACITY_SHARE_LIFETIME: Millis = 1_000.0;
@@ -59,8 +59,7 @@
         for LimitDemand { limit: id, demand } in demands {
             let open_share =
                 if have_sums { self.demand_exchange.available_fraction(*id, demand.limit) } else { 1.0 };
-            let key = LimitKey { destination: demand.destination, route: demand.route };
-            limits.push(ReportedLimit { id: *id, key, open_share });
+            limits.push(ReportedLimit { id: *id, scope: demand.scope, open_share });
         }
         limits
     }
@@ -69,15 +68,16 @@
     fn capacity_shares(&self, demands: &[LimitDemand], capacities: &[LimitCapacity]) -> Input {
         let by_limit: HashMap<LimitId, f64> =
             capacities.iter().map(|capacity| (capacity.limit_id, capacity.rate_per_demand)).collect();
-        let mut shares = Vec::with_capacity(demands.len());
+        let mut updates = Vec::with_capacity(demands.len());
         for LimitDemand { limit: id, demand } in demands {
-            shares.push(CapacityUpdate {
-                limit: LimitKey { destination: demand.destination, route: demand.route },
-                calls: by_limit.get(id).copied().unwrap_or(f64::INFINITY),
-                fleet_demand: self.demand_exchange.fleet_demand(*id),
+            updates.push(CapacityUpdate {
+                scope: demand.scope,
+                calls_per_demand: by_limit.get(id).copied().unwrap_or(f64::INFINITY),
+                total_demand: self.demand_exchange.fleet_demand(*id),
+                valid_for: CAPACITY_SHARE_LIFETIME,
             });
         }
-        Input::CapacityShares { shares, valid_for: CAPACITY_SHARE_LIFETIME }
+        Input::CapacityUpdates(updates)
     }
 
     /// Offers the permits that this sender does not need, and tells the engine which ones it has.
@@ -99,7 +99,7 @@
         let mut updates = Vec::with_capacity(self.limits.len());
         for limit in &self.limits {
             let permits = ledger.permits(now, limit.id, limit.open_share);
-            updates.push(PermitUpdate { limit: limit.key, permits });
+            updates.push(PermitUpdate { scope: limit.scope, permits });
         }
         engine.send(Input::Permits(updates)).await.map_err(|_| EngineClosed)
     }
@@ -110,9 +110,9 @@
     let local = demands.iter().map(|LimitDemand { limit, demand }| LocalDemand {
         limit_id: *limit,
         limit: demand.limit,
-        demand: demand.wanted,
+        demand: demand.calls_wanted,
         calls: demand.called,
-        rejected: demand.refused,
+        rejected: demand.rejected,
         failed: demand.failed,
     });
     local.collect()
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -14,8 +14,8 @@
 const LIMIT: f64 = 60.0;
 
 fn demand(wanted: f64) -> LimitDemand {
-    let destination = DestinationId(7);
-    let demand = Demand { destination, route: None, limit: LIMIT, wanted, called: 0, refused: 0, failed: 0 };
+    let scope = LimitScope { destination: DestinationId(7), route: None };
+    let demand = Demand { scope, limit: LIMIT, calls_wanted: wanted, called: 0, rejected: 0, failed: 0 };
     LimitDemand { limit: LimitId::of(7, None), demand }
 }
 
@@ -54,9 +54,9 @@
                 let activity = ActivityReport { demands: vec![demand(wanted)], ..ActivityReport::default() };
                 let _ = reply.send(activity);
             }
-            Input::CapacityShares { shares, .. } => {
-                if let Some(share) = shares.first().filter(|share| share.calls < 0.9)
-                    && first_share.replace(share.calls).is_none()
+            Input::CapacityUpdates(updates) => {
+                if let Some(share) = updates.first().filter(|share| share.calls_per_demand < 0.9)
+                    && first_share.replace(share.calls_per_demand).is_none()
                 {
                     limited_senders.set(limited_senders.get() + 1);
                 }
--- a/crates/sender/src/handover/message.rs
+++ b/crates/sender/src/handover/message.rs
@@ -60,16 +60,19 @@
 pub enum OutageState {
     /// In an outage.
     Down {
-        /// The rest of a Retry-After backoff, in milliseconds; 0 if there is none.
-        wait: u64,
+        /// Remaining time of the Retry-After, in milliseconds; 0 for none.
+        #[serde(rename = "wait")]
+        retry_after_remaining: u64,
     },
     /// In slow start after an outage.
     #[serde(rename = "cold")]
     WarmingUp {
-        /// Time since slow start began, in milliseconds; negative while a backoff delays it.
-        ago: i64,
+        /// Milliseconds since the recovery; negative while a Retry-After has to pass first.
+        #[serde(rename = "ago")]
+        since_recovery: i64,
         /// This sender's share of the recovery ramp, from 0 to 1.
-        part: f64,
+        #[serde(rename = "part")]
+        ramp_share: f64,
     },
 }
 
@@ -78,10 +81,13 @@
     #[must_use]
     pub fn clamped(self) -> Self {
         match self {
-            Self::Down { wait } => Self::Down { wait: wait.min(MAX_BACKOFF_MS as u64) },
-            Self::WarmingUp { ago, part } => {
-                Self::WarmingUp { ago: ago.max(-(MAX_BACKOFF_MS as i64)), part: part.clamp(0.0, 1.0) }
+            Self::Down { retry_after_remaining } => {
+                Self::Down { retry_after_remaining: retry_after_remaining.min(MAX_BACKOFF_MS as u64) }
             }
+            Self::WarmingUp { since_recovery, ramp_share } => Self::WarmingUp {
+                since_recovery: since_recovery.max(-(MAX_BACKOFF_MS as i64)),
+                ramp_share: ramp_share.clamp(0.0, 1.0),
+            },
         }
     }
 }
@@ -89,8 +95,10 @@
 impl From<journal::OutageState> for OutageState {
     fn from(outage: journal::OutageState) -> Self {
         match outage {
-            journal::OutageState::Down { wait } => Self::Down { wait },
-            journal::OutageState::WarmingUp { ago, part } => Self::WarmingUp { ago, part },
+            journal::OutageState::Down { retry_after_remaining } => Self::Down { retry_after_remaining },
+            journal::OutageState::WarmingUp { since_recovery, ramp_share } => {
+                Self::WarmingUp { since_recovery, ramp_share }
+            }
         }
     }
 }
@@ -98,8 +106,10 @@
 impl From<OutageState> for journal::OutageState {
     fn from(outage: OutageState) -> Self {
         match outage {
-            OutageState::Down { wait } => Self::Down { wait },
-            OutageState::WarmingUp { ago, part } => Self::WarmingUp { ago, part },
+            OutageState::Down { retry_after_remaining } => Self::Down { retry_after_remaining },
+            OutageState::WarmingUp { since_recovery, ramp_share } => {
+                Self::WarmingUp { since_recovery, ramp_share }
+            }
         }
     }
 }
--- a/crates/simulation/src/partner.rs
+++ b/crates/simulation/src/partner.rs
@@ -53,8 +53,12 @@
 pub fn aged(outage: OutageState, elapsed: Millis) -> OutageState {
     match outage {
         OutageState::Healthy => OutageState::Healthy,
-        OutageState::Down { wait } => OutageState::Down { wait: (wait - elapsed).max(0.0) },
-        OutageState::WarmingUp { ago, part } => OutageState::WarmingUp { ago: ago + elapsed, part },
+        OutageState::Down { retry_after_remaining } => {
+            OutageState::Down { retry_after_remaining: (retry_after_remaining - elapsed).max(0.0) }
+        }
+        OutageState::WarmingUp { since_recovery, ramp_share } => {
+            OutageState::WarmingUp { since_recovery: since_recovery + elapsed, ramp_share }
+        }
     }
 }
 
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/partner/play.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-use rudderspindle_policy::interface::{Action, Event, Millis, Outcome, RouteId};
+use rudderspindle_policy::interface::{Action, AttemptResult, Event, Millis, Outcome, RouteId};
 
 use super::draw::Draw;
 use super::network::Network;
@@ -155,7 +155,7 @@
                 continue;
             }
             if pending.delivers
-                && let Event::Outcome { id, .. } = &pending.event
+                && let Event::Outcome(AttemptResult { id, .. }) = &pending.event
                 && let Some(open) = sender.open.remove(&id.0)
             {
                 self.seen.count_delivery(self.scene, open.class, now, open.submitted_at);
@@ -194,8 +194,8 @@
                 sender.open.remove(&id.0);
             }
             Action::Send { id, route, timeout, .. } => self.call(index, id.0, route, timeout),
-            Action::Remember { route, outage, .. } => {
-                sender.remembered.insert(route, RememberedOutage { at: now, outage });
+            Action::Remember { scope, outage } => {
+                sender.remembered.insert(scope.route, RememberedOutage { at: now, outage });
             }
             Action::Cancel { .. } | Action::HealthCheck { .. } | Action::Subscribe => {}
         }
--- a/crates/simulation/src/partner/sender.rs
+++ b/crates/simulation/src/partner/sender.rs
@@ -8,7 +8,8 @@
 };
 use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{
-    AttemptHistory, Demand, DestinationId, Event, Millis, OutageState, Permit, RouteId,
+    self, AttemptHistory, CapacityUpdate, Demand, DestinationId, Event, LimitScope, Millis, OutageState,
+    Permit, PermitUpdate, RouteId,
 };
 
 use super::draw::Draw;
@@ -106,7 +107,8 @@
         sender.remembered.clone_from(&self.remembered);
         for (&route, remembered) in &self.remembered {
             let outage = aged(remembered.outage, now - remembered.at);
-            sender.events.push(Event::Remembered { destination: DestinationId(0), route, outage });
+            let scope = LimitScope { destination: DestinationId(0), route };
+            sender.events.push(Event::Remembered(interface::RememberedOutage { scope, outage }));
         }
         for (&id, open) in &self.open {
             let time_left = DEADLINE - (now - open.submitted_at);
@@ -159,13 +161,12 @@
             let fraction = self.demand_exchange.available_fraction(limit_id, demand.limit);
             self.available_fractions.insert(limit_id, fraction);
             let capacity = capacities.iter().find(|capacity| capacity.limit_id == limit_id);
-            self.events.push(Event::Capacity {
-                destination: demand.destination,
-                route: demand.route,
-                calls: capacity.map_or(f64::INFINITY, |capacity| capacity.rate_per_demand),
-                wanted: self.demand_exchange.fleet_demand(limit_id),
-                lasts: CAPACITY_VALIDITY,
-            });
+            self.events.push(Event::Capacity(CapacityUpdate {
+                scope: demand.scope,
+                calls_per_demand: capacity.map_or(f64::INFINITY, |capacity| capacity.rate_per_demand),
+                total_demand: self.demand_exchange.fleet_demand(limit_id),
+                valid_for: CAPACITY_VALIDITY,
+            }));
         }
     }
 
@@ -205,11 +206,8 @@
                 from: from_now(permit.from),
                 until: from_now(permit.until),
             });
-            self.events.push(Event::Permits {
-                destination: demand.destination,
-                route: demand.route,
-                permits: held.collect(),
-            });
+            let update = PermitUpdate { scope: demand.scope, permits: held.collect() };
+            self.events.push(Event::Permits(update));
         }
     }
 }
@@ -220,16 +218,17 @@
 }
 
 fn limit_id(demand: &Demand) -> LimitId {
-    LimitId::of(demand.destination.0, demand.route.map(|route| route.0.to_string()).as_deref())
+    let LimitScope { destination, route } = demand.scope;
+    LimitId::of(destination.0, route.map(|route| route.0.to_string()).as_deref())
 }
 
 fn local_demands(demands: &[Demand]) -> Vec<LocalDemand> {
     let local_demand = |demand: &Demand| LocalDemand {
         limit_id: limit_id(demand),
         limit: demand.limit,
-        demand: demand.wanted,
+        demand: demand.calls_wanted,
         calls: demand.called,
-        rejected: demand.refused,
+        rejected: demand.rejected,
         failed: demand.failed,
     };
     demands.iter().map(local_demand).collect()
--- a/crates/simulation/src/parts.rs
+++ b/crates/simulation/src/parts.rs
@@ -1,8 +1,8 @@
 //! Settings, list entries and events shared by scenes and tests.
 
 use rudderspindle_policy::interface::{
-    Class, DestinationId, Discovery, Effect, Event, Kind, LateDecay, ListChange, Listing, MessageHandle,
-    Millis, Outcome, RateHint, RouteEntry, RouteId, Settings,
+    AttemptResult, Class, DestinationId, Discovery, Effect, Event, Kind, LateDecay, ListChange, Listing,
+    MessageHandle, Millis, Outcome, RateHint, RouteEntry, RouteId, Settings,
 };
 
 /// A class of value 1 with a latency objective of 2 s and a deadline of 10 s.
@@ -78,6 +78,6 @@
 ///
 /// [`Outcome::Ok`] completes the message, any other leaves it open.
 pub fn outcome(id: u32, attempt: u32, outcome: Outcome, retry_after: Millis) -> Event {
-    let closed = outcome == Outcome::Ok;
-    Event::Outcome { id: MessageHandle(id), attempt, outcome, retry_after, closed }
+    let completed = outcome == Outcome::Ok;
+    Event::Outcome(AttemptResult { id: MessageHandle(id), attempt, outcome, retry_after, completed })
 }
--- a/crates/simulator-adapter/src/frame/record/messages.rs
+++ b/crates/simulator-adapter/src/frame/record/messages.rs
@@ -1,6 +1,6 @@
 //! Records of messages and of their attempts.
 
-use rudderspindle_policy::interface::{DestinationId, Event, Message, MessageHandle, Outcome};
+use rudderspindle_policy::interface::{AttemptResult, DestinationId, Event, Message, MessageHandle, Outcome};
 
 use super::super::MalformedFrame;
 use super::super::fields::FieldReader;
@@ -39,13 +39,14 @@
     fields.skip_f64()?;
     let attempt = u32::from(fields.u8()?);
     let detail = fields.u32()?;
-    let closed = fields.u8()? != 0;
+    let completed = fields.u8()? != 0;
     let outcome = attempt_outcome(fields)?;
     let _route = fields.route()?;
     fields.skip_load()?;
     // Only for a rejection is the detail a Retry-After, ms.
     let retry_after = if outcome == Outcome::Rejected { f64::from(detail) } else { 0.0 };
-    Ok(Record::Event { instance, event: Event::Outcome { id, attempt, outcome, retry_after, closed } })
+    let result = AttemptResult { id, attempt, outcome, retry_after, completed };
+    Ok(Record::Event { instance, event: Event::Outcome(result) })
 }
 
 pub(super) fn dropped(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
