--- a/crates/policy/tests/replay/adapter.rs
+++ b/crates/policy/tests/replay/adapter.rs
@@ -4,8 +4,9 @@
 
 use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{
-    Action, AttemptHistory, DestinationId, Event, ListChange, Listing, Message, MessageHandle, OutageState,
-    Outcome, Permit, PriorExecution, RouteEntry, RouteId,
+    Action, AttemptHistory, AttemptResult, CapacityUpdate, DestinationId, Event, LimitScope, ListChange,
+    Listing, Message, MessageHandle, OutageState, Outcome, Permit, PermitUpdate, PriorExecution,
+    RememberedOutage, RetryAfterUpdate, RouteEntry, RouteId,
 };
 use rudderspindle_policy::settings;
 use rudderspindle_policy_replay as replay;
@@ -78,13 +79,13 @@
         Input::List { update, entries } => Event::List(list_change(update, &entries)),
         Input::Message(message) => Event::Message(message_of(&message)),
         Input::Started { id, attempt } => Event::Started { id: MessageHandle(id), attempt },
-        Input::Outcome { id, attempt, outcome, retry_after, completed } => Event::Outcome {
+        Input::Outcome { id, attempt, outcome, retry_after, completed } => Event::Outcome(AttemptResult {
             id: MessageHandle(id),
             attempt,
             outcome: attempt_outcome(outcome),
             retry_after: f64::from(retry_after),
-            closed: completed,
-        },
+            completed,
+        }),
         Input::Dropped { id } => Event::Dropped(MessageHandle(id)),
         Input::Wake { token } => Event::Wake(token),
         Input::HealthChecked { route, outcome } => {
@@ -95,26 +96,18 @@
             Event::Recovered(message_of(&message), AttemptHistory { attempts, possibly_executed })
         }
         Input::Remembered { limit, outage } => {
-            let (destination, route) = named(limit);
-            Event::Remembered { destination, route, outage: outage_state(outage) }
+            Event::Remembered(RememberedOutage { scope: limit_scope(limit), outage: outage_state(outage) })
         }
         Input::RetryAfter { limit, remaining } => {
-            let (destination, route) = named(limit);
-            Event::RetryAfter { destination, route, wait: remaining }
+            Event::RetryAfter(RetryAfterUpdate { scope: limit_scope(limit), remaining })
         }
         Input::Capacity { limit, calls_per_demand, total_demand, valid_for } => {
-            let (destination, route) = named(limit);
-            Event::Capacity {
-                destination,
-                route,
-                calls: calls_per_demand,
-                wanted: total_demand,
-                lasts: valid_for,
-            }
+            let scope = limit_scope(limit);
+            Event::Capacity(CapacityUpdate { scope, calls_per_demand, total_demand, valid_for })
         }
         Input::Permits { limit, permits } => {
-            let (destination, route) = named(limit);
-            Event::Permits { destination, route, permits: permits.into_iter().map(permit).collect() }
+            let permits = permits.into_iter().map(permit).collect();
+            Event::Permits(PermitUpdate { scope: limit_scope(limit), permits })
         }
         Input::EjectedReceivers { routes } => {
             Event::EjectedReceivers(routes.into_iter().map(RouteId).collect())
@@ -125,8 +118,8 @@
     })
 }
 
-fn named(limit: Limit) -> (DestinationId, Option<RouteId>) {
-    (DestinationId(limit.destination), limit.route.map(RouteId))
+fn limit_scope(limit: Limit) -> LimitScope {
+    LimitScope { destination: DestinationId(limit.destination), route: limit.route.map(RouteId) }
 }
 
 fn permit(permit: PermitInput) -> Permit {
@@ -186,8 +179,10 @@
 fn outage_state(outage: Outage) -> OutageState {
     match outage {
         Outage::Healthy => OutageState::Healthy,
-        Outage::Down { retry_after } => OutageState::Down { wait: retry_after },
-        Outage::WarmingUp { since, share } => OutageState::WarmingUp { ago: since, part: share },
+        Outage::Down { retry_after } => OutageState::Down { retry_after_remaining: retry_after },
+        Outage::WarmingUp { since, share } => {
+            OutageState::WarmingUp { since_recovery: since, ramp_share: share }
+        }
     }
 }
 
@@ -209,15 +204,16 @@
     format!("{:016x}", number.to_bits())
 }
 
-fn limit_text(destination: DestinationId, route: Option<RouteId>) -> String {
+fn limit_text(scope: LimitScope) -> String {
+    let LimitScope { destination, route } = scope;
     route.map_or_else(|| format!("{} all", destination.0), |route| format!("{} {}", destination.0, route.0))
 }
 
 /// An action in words of the golden files.
 fn action_text(action: &Action) -> String {
     match *action {
-        Action::Send { id, route, timeout, within } => {
-            format!("send {} {} {} {}", id.0, route.0, bits(timeout), bits(within))
+        Action::Send { id, route, timeout, start_within } => {
+            format!("send {} {} {} {}", id.0, route.0, bits(timeout), bits(start_within))
         }
         Action::Refuse { id, retry_after } => format!("refuse {} {}", id.0, bits(retry_after)),
         Action::Fail { id } => format!("fail {}", id.0),
@@ -225,13 +221,15 @@
         Action::Cancel { id, attempt } => format!("cancel {} {attempt}", id.0),
         Action::HealthCheck { route } => format!("probe {}", route.0),
         Action::Subscribe => "subscribe".to_owned(),
-        Action::Remember { destination, route, outage } => {
-            let limit = limit_text(destination, route);
+        Action::Remember { scope, outage } => {
+            let limit = limit_text(scope);
             match outage {
                 OutageState::Healthy => format!("remember {limit} nothing"),
-                OutageState::Down { wait } => format!("remember {limit} down {}", bits(wait)),
-                OutageState::WarmingUp { ago, part } => {
-                    format!("remember {limit} cold {} {}", bits(ago), bits(part))
+                OutageState::Down { retry_after_remaining } => {
+                    format!("remember {limit} down {}", bits(retry_after_remaining))
+                }
+                OutageState::WarmingUp { since_recovery, ramp_share } => {
+                    format!("remember {limit} cold {} {}", bits(since_recovery), bits(ramp_share))
                 }
             }
         }
@@ -247,9 +245,9 @@
         policy.routes_out_of_rotation()
     );
     for demand in policy.demands() {
-        let (limit, wanted) = (bits(demand.limit), bits(demand.wanted));
-        let counts = format!("{} {} {}", demand.called, demand.refused, demand.failed);
-        text += &format!("want {} {limit} {wanted} {counts}\n", limit_text(demand.destination, demand.route));
+        let (limit, wanted) = (bits(demand.limit), bits(demand.calls_wanted));
+        let counts = format!("{} {} {}", demand.called, demand.rejected, demand.failed);
+        text += &format!("want {} {limit} {wanted} {counts}\n", limit_text(demand.scope));
     }
     text
 }
