--- a/crates/journal/src/entries.rs
+++ b/crates/journal/src/entries.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::MessageId;
-use crate::message::{Message, Notice, Status, TakenOver};
+use crate::message::{Message, PendingNotification, Status, TakenOver};
 use crate::record::FRAME_LEN;
 
 /// Bytes that are reserved for a notification's record besides its frame and its id.
@@ -98,9 +98,11 @@
     }
 
     /// The notifications that are not acknowledged, in no particular order.
-    pub fn pending_notifications(&self) -> impl Iterator<Item = Notice> + '_ {
+    pub fn pending_notifications(&self) -> impl Iterator<Item = PendingNotification> + '_ {
         self.by_id.iter().filter_map(|(message_id, entry)| match entry.state {
-            EntryState::Notification(status) => Some(Notice { message_id: message_id.clone(), status }),
+            EntryState::Notification(status) => {
+                Some(PendingNotification { message_id: message_id.clone(), status })
+            }
             EntryState::Message(_) => None,
         })
     }
@@ -133,7 +135,8 @@
             match &entry.state {
                 EntryState::Message(message) => taken_over.pending_messages.push(message.clone()),
                 EntryState::Notification(status) => {
-                    let notification = Notice { message_id: message_id.clone(), status: *status };
+                    let notification =
+                        PendingNotification { message_id: message_id.clone(), status: *status };
                     taken_over.pending_notifications.push(notification);
                 }
             }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -60,7 +60,7 @@
 mod wall_clock;
 
 pub use error::JournalError;
-pub use message::{Message, Notice, PossibleExecution, Status, TakenOver};
+pub use message::{Message, PendingNotification, PossibleExecution, Status, TakenOver};
 pub use message_id::MessageId;
 pub use outage_records::{EndpointKey, OutageState};
 pub use store::Store;
--- a/crates/journal/src/message.rs
+++ b/crates/journal/src/message.rs
@@ -82,7 +82,7 @@
 
 /// A pending notification: the final status of an accepted message that was not delivered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Notice {
+pub struct PendingNotification {
     /// The message's id.
     pub message_id: MessageId,
     /// Its final status.
@@ -104,5 +104,5 @@
     /// Messages that are not complete, with their attempt history.
     pub pending_messages: Vec<Message>,
     /// Notifications that have not been acknowledged.
-    pub pending_notifications: Vec<Notice>,
+    pub pending_notifications: Vec<PendingNotification>,
 }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -8,7 +8,7 @@
 
 use crate::entries::{Entries, Entry, EntryState};
 use crate::folder_lock::FolderLock;
-use crate::message::{Message, Notice, PossibleExecution, Status};
+use crate::message::{Message, PendingNotification, PossibleExecution, Status};
 use crate::outage_records::{EndpointKey, OutageRecord, OutageRecords, OutageState};
 use crate::record::{
     append_accepted, append_acknowledged, append_attempt_finished, append_attempt_started, append_completed,
@@ -109,7 +109,7 @@
     }
 
     /// The notifications that are not acknowledged, in no particular order.
-    pub fn pending_notifications(&self) -> impl Iterator<Item = Notice> + '_ {
+    pub fn pending_notifications(&self) -> impl Iterator<Item = PendingNotification> + '_ {
         self.entries.pending_notifications()
     }
 
--- a/crates/journal/src/store/tests/takeover.rs
+++ b/crates/journal/src/store/tests/takeover.rs
@@ -32,7 +32,7 @@
     let over = successor.take_over().expect("readable").expect("the owner has ended");
     assert_eq!(
         over.pending_notifications,
-        [Notice { message_id: "m1".into(), status: Status::Undeliverable }]
+        [PendingNotification { message_id: "m1".into(), status: Status::Undeliverable }]
     );
     assert_eq!(over.pending_messages.len(), 1);
     // Its attempt has no outcome and never will have one.
--- a/crates/journal/tests/golden_folders/takeover.rs
+++ b/crates/journal/tests/golden_folders/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use rudderspindle_journal::{Message, Notice, Status, Store, TakenOver};
+use rudderspindle_journal::{Message, PendingNotification, Status, Store, TakenOver};
 
 use crate::support::*;
 
@@ -53,7 +53,7 @@
     let over = successor.take_over().expect("readable").expect("the owner has ended");
     let expected = TakenOver {
         pending_messages: vec![message("o-open"), ran_once("o-ran", 1)],
-        pending_notifications: vec![Notice {
+        pending_notifications: vec![PendingNotification {
             message_id: "o-notice".into(),
             status: Status::Deferred(Some(70_000)),
         }],
@@ -103,7 +103,10 @@
             Message { attempts: 2, ..ran_once("o-ran", 1) },
             message("s-open"),
         ],
-        pending_notifications: vec![Notice { message_id: "o-open".into(), status: Status::Undeliverable }],
+        pending_notifications: vec![PendingNotification {
+            message_id: "o-open".into(),
+            status: Status::Undeliverable,
+        }],
     };
     assert_eq!(taken_over(over), expected);
     assert_eq!(successor.latest_attempt(), ran(3).at);
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -68,7 +68,7 @@
     /// Whether a successor can accept clients from the same listening socket.
     shared_listener: bool,
     /// Zero of the policy's clock.
-    origin: Instant,
+    policy_epoch: Instant,
     /// When the last batch began.
     last_batch: Instant,
     /// When the engine was asked to stop.
@@ -84,9 +84,9 @@
     /// The policy's timers, with their tokens.
     wakes: Vec<(Instant, u64)>,
     /// Inputs for the next batch.
-    deferred: Vec<Input>,
+    next_batch_inputs: Vec<Input>,
     /// Events for the next batch.
-    carried: Vec<Event>,
+    next_batch_events: Vec<Event>,
     activity: ActivityLog,
 }
 
@@ -104,17 +104,17 @@
     ) -> Result<Self, SettingsError> {
         let mut engine = Self::build(dependencies)?;
         let entries = engine.apply_entries(configured);
-        engine.carried.push(Event::List(ListChange::Cached(entries)));
+        engine.next_batch_events.push(Event::List(ListChange::Cached(entries)));
         // The configured list may be older than what an earlier process knew: no recovered message may go to a
         // receiver that drains by now.
         if let Some(list) = fetched {
             let entries = engine.apply_entries(list);
-            engine.carried.push(Event::List(ListChange::Full(entries)));
+            engine.next_batch_events.push(Event::List(ListChange::Full(entries)));
         }
-        engine.carried.extend(engine.recorded_outages());
+        engine.next_batch_events.extend(engine.recorded_outages());
         let open = engine.store.pending_messages().cloned().collect();
         let pending_notifications = engine.store.pending_notifications().collect();
-        engine.recover(engine.origin, open, pending_notifications);
+        engine.recover(engine.policy_epoch, open, pending_notifications);
         engine.run_batch(Vec::new());
         Ok(engine)
     }
@@ -139,7 +139,7 @@
             peer_process,
             inputs,
             shared_listener,
-            origin: now,
+            policy_epoch: now,
             last_batch: now,
             stop: None,
             tracked: TrackedMessages::default(),
@@ -147,8 +147,8 @@
             calls: HashMap::new(),
             announced_calls: 0,
             wakes: Vec::new(),
-            deferred: Vec::new(),
-            carried: Vec::new(),
+            next_batch_inputs: Vec::new(),
+            next_batch_events: Vec::new(),
             activity: ActivityLog::new(record_activity),
         })
     }
@@ -170,7 +170,7 @@
     /// Waits until a batch is due; returns its inputs, or `None` if there can be no more.
     async fn next_inputs(&mut self) -> Option<Vec<Input>> {
         let due = self.next_due();
-        let mut inputs = std::mem::take(&mut self.deferred);
+        let mut inputs = std::mem::take(&mut self.next_batch_inputs);
         if inputs.is_empty() {
             tokio::select! {
                 received = self.inputs.recv_many(&mut inputs, MAX_BATCH_INPUTS) => {
@@ -193,7 +193,7 @@
     fn next_due(&self) -> Instant {
         let now = Instant::now();
         let can_recover = !self.backlog.is_empty() && self.policy.free_capacity() > 0;
-        let latest = if !self.carried.is_empty() || can_recover {
+        let latest = if !self.next_batch_events.is_empty() || can_recover {
             now
         } else if self.stop.is_some() {
             now + SHUTDOWN_CHECK_INTERVAL
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -9,7 +9,7 @@
 
 use super::time::from_millis;
 use super::{Engine, SHUTDOWN_SEND_PERIOD};
-use crate::event::{AttemptResult, Call, MESSAGE_LOG};
+use crate::event::{Call, CallOutcome, MESSAGE_LOG};
 use crate::metrics::FinalOutcome;
 use crate::outbound::ReceiverLocation;
 
@@ -51,29 +51,29 @@
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
         let execution = PossibleExecution { at: journal::wall_ms(), receiver, zone };
         self.store.start_attempt(&message.message_id, execution);
-        let until = if timeout == 0.0 { last } else { (now + from_millis(timeout)).min(last) };
+        let response_deadline = if timeout == 0.0 { last } else { (now + from_millis(timeout)).min(last) };
         let within = Duration::try_from_secs_f64(within.max(0.0) / 1_000.0);
         Some(Call {
             id,
             attempt,
             route,
             message_id: message.message_id.clone(),
-            key: message.key.clone(),
+            idempotency_key: message.idempotency_key.clone(),
             body: message.body.clone(),
-            until,
-            latest: within.map_or(message.deadline, |within| now + within),
+            response_deadline,
+            write_deadline: within.map_or(message.deadline, |within| now + within),
         })
     }
 
     /// Records an attempt's result with this batch; a delivered message is complete.
-    pub(super) fn record_result(&mut self, id: MessageHandle, attempt: u32, result: AttemptResult) -> Event {
+    pub(super) fn record_result(&mut self, id: MessageHandle, attempt: u32, result: CallOutcome) -> Event {
         self.calls.remove(&id);
-        let AttemptResult { outcome, retry_after, closed } = result;
+        let CallOutcome { outcome, retry_after, completed } = result;
         let receiver = self.tracked.get_mut(id).and_then(|message| message.receiver.take());
         self.activity.record_outcome(receiver, outcome);
         if let Some(message) = self.tracked.get(id) {
             tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, ?outcome, retry_after, "outcome");
-            if closed {
+            if completed {
                 failpoint!("delivered-before-record");
                 self.store.complete(&message.message_id, None);
                 if outcome == Outcome::Ok {
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -14,12 +14,12 @@
     pub(super) fn run_batch(&mut self, inputs: Vec<Input>) {
         let now = Instant::now();
         self.last_batch = now;
-        let mut events = std::mem::take(&mut self.carried);
+        let mut events = std::mem::take(&mut self.next_batch_events);
         let mut intake = Intake::default();
         for input in inputs {
             self.handle_input(input, now, &mut intake, &mut events);
         }
-        events.append(&mut self.carried);
+        events.append(&mut self.next_batch_events);
         events.extend(self.take_from_backlog(now, intake.new.len()));
         events.extend(self.due_wakes(now));
         let actions = self.decide(now, &events);
@@ -58,15 +58,15 @@
             Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
             Input::Quotas(quotas) => events.extend(quotas.into_iter().map(quota_event)),
             // The requester may have ended by now.
-            Input::TakeOver(answer) => {
+            Input::TakeOver(response) => {
                 self.take_over_journal(now);
-                let _ = answer.send(self.store.is_owner());
+                let _ = response.send(self.store.is_owner());
             }
-            Input::ReportActivity(answer) => {
-                let _ = answer.send(self.report_activity());
+            Input::ReportActivity(response) => {
+                let _ = response.send(self.report_activity());
             }
-            Input::QueryStatus(answer) => {
-                let _ = answer.send(self.status());
+            Input::QueryStatus(response) => {
+                let _ = response.send(self.status());
             }
             Input::Stop => self.stop = self.stop.or(Some(now)),
         }
@@ -81,7 +81,7 @@
     /// Lets the policy decide.
     fn decide(&mut self, now: Instant, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.policy.handle(to_millis(now - self.origin), events, &mut actions);
+        self.policy.handle(to_millis(now - self.policy_epoch), events, &mut actions);
         actions
     }
 }
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -1,36 +1,36 @@
 //! Carries out what the policy has decided for a batch, with one write to the journal.
 //!
-//! Invariant: nothing is answered or sent before the write. All that comes before it changes only the engine and the
+//! Invariant: no response and no call is sent before the write. All that comes before it changes only the engine and the
 //! journal's buffer, and collects [`Effects`]; these are executed after it. If it fails, submissions are refused and
 //! attempts dropped. Completions stay in the journal's buffer until a later write: their messages are not sent again,
 //! and their notifications go to the platform. Cancellations and health checks promise nothing, and go at once.
 
 use std::collections::BTreeMap;
 
-use rudderspindle_journal::{Notice, Status};
+use rudderspindle_journal::{PendingNotification, Status};
 use rudderspindle_policy::interface::{Action, Event, MessageHandle, Millis, Outcome};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
 use super::Engine;
 use super::attempts::AttemptRequest;
-use super::intake::{Intake, NewSubmission, PendingAnswer};
+use super::intake::{Intake, NewSubmission, PendingResponse};
 use super::time::from_millis;
-use crate::event::{Answer, AttemptResult, Call, MESSAGE_LOG};
+use crate::event::{Call, CallOutcome, MESSAGE_LOG, SubmissionResponse};
 use crate::metrics::FinalOutcome;
 
 /// Messages that the policy completes without delivery, by handle.
 type Completions = BTreeMap<MessageHandle, Status>;
 
-/// What is answered and sent once the batch is written.
+/// The responses and calls that are sent once the batch is written.
 #[derive(Debug, Default)]
 struct Effects {
-    /// Answers to submissions that were not accepted by this batch.
-    answers: Vec<PendingAnswer>,
+    /// Responses to submissions that were not accepted by this batch.
+    responses: Vec<PendingResponse>,
     /// Submissions that are accepted.
     accepted: Vec<AcceptedSubmission>,
     /// Notifications for the platform.
-    notifications: Vec<Notice>,
+    notifications: Vec<PendingNotification>,
     /// Attempts that are reserved.
     calls: Vec<Call>,
 }
@@ -39,13 +39,13 @@
 #[derive(Debug)]
 struct AcceptedSubmission {
     id: MessageHandle,
-    channel: oneshot::Sender<Answer>,
+    channel: oneshot::Sender<SubmissionResponse>,
 }
 
 impl Engine {
     /// Records the decisions in one write, and only then acts on them.
     pub(super) fn carry_out(&mut self, now: Instant, intake: Intake, actions: Vec<Action>) {
-        let mut effects = Effects { answers: intake.answers, ..Effects::default() };
+        let mut effects = Effects { responses: intake.responses, ..Effects::default() };
         let mut completions = completions(&actions);
         self.record_submissions(intake.new, &mut completions, &mut effects);
         self.record_completions(now, completions, &mut effects);
@@ -55,7 +55,7 @@
     }
 
     /// Records the submissions that are accepted. A message that the batch of its submission completes was never
-    /// accepted: its client is answered at once, and there is no notification.
+    /// accepted: its client has a response at once, and there is no notification.
     fn record_submissions(
         &mut self,
         submissions: Vec<NewSubmission>,
@@ -66,7 +66,7 @@
             if let Some(status) = completions.remove(&id) {
                 self.tracked.remove(id);
                 self.metrics.record_outcome(class, status.into());
-                effects.answers.push(PendingAnswer { channel, answer: answer_of(status) });
+                effects.responses.push(PendingResponse { channel, response: response_to(status) });
             } else {
                 tracing::debug!(target: MESSAGE_LOG, message_id = &*record.message_id, class = &*record.class,
                     destination = record.destination, "accepted");
@@ -86,7 +86,7 @@
             tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, ?status, "completed");
             self.store.complete(&message.message_id, Some(status));
             self.metrics.record_outcome(message.class, status.into());
-            effects.notifications.push(Notice { message_id: message.message_id, status });
+            effects.notifications.push(PendingNotification { message_id: message.message_id, status });
         }
     }
 
@@ -132,29 +132,29 @@
         for AcceptedSubmission { id, channel } in effects.accepted.drain(..) {
             if let Some(message) = self.tracked.remove(id) {
                 self.store.discard(&message.message_id);
-                self.carried.push(Event::Dropped(id));
+                self.next_batch_events.push(Event::Dropped(id));
                 self.metrics.record_outcome(message.class, FinalOutcome::Rejected);
             }
-            effects.answers.push(PendingAnswer { channel, answer: Answer::REFUSED });
+            effects.responses.push(PendingResponse { channel, response: SubmissionResponse::REFUSED });
         }
         for call in effects.calls.drain(..) {
-            let event = self.record_result(call.id, call.attempt, AttemptResult::from(Outcome::NotSent));
-            self.carried.push(event);
+            let event = self.record_result(call.id, call.attempt, CallOutcome::from(Outcome::NotSent));
+            self.next_batch_events.push(event);
         }
     }
 
-    /// Answers clients, notifies the platform, starts calls, and tells the peer process of them.
+    /// Responds to clients, notifies the platform, starts calls, and tells the peer process of them.
     fn execute(&mut self, effects: Effects) {
-        let Effects { answers, accepted, notifications, calls } = effects;
-        for PendingAnswer { channel, answer } in answers {
+        let Effects { responses, accepted, notifications, calls } = effects;
+        for PendingResponse { channel, response } in responses {
             // A client that has disconnected is reported as a withdrawal.
-            let _ = channel.send(answer);
+            let _ = channel.send(response);
         }
         for AcceptedSubmission { channel, .. } in accepted {
-            let _ = channel.send(Answer::Accepted);
+            let _ = channel.send(SubmissionResponse::Accepted);
         }
-        for notice in notifications {
-            self.notifications.push(notice);
+        for notification in notifications {
+            self.notifications.push(notification);
         }
         for call in calls {
             let id = call.id;
@@ -176,11 +176,13 @@
     actions.iter().filter_map(completion).collect()
 }
 
-/// The answer to a submission that the policy does not accept.
-fn answer_of(status: Status) -> Answer {
+/// The response to a submission that the policy does not accept.
+fn response_to(status: Status) -> SubmissionResponse {
     match status {
-        Status::Undeliverable => Answer::Failed,
-        Status::Deferred(retry_after) => Answer::Refused { retry_after: retry_after.unwrap_or(0) as Millis },
+        Status::Undeliverable => SubmissionResponse::Failed,
+        Status::Deferred(retry_after) => {
+            SubmissionResponse::Refused { retry_after: retry_after.unwrap_or(0) as Millis }
+        }
     }
 }
 
--- a/crates/sender/src/engine/commit/tests.rs
+++ b/crates/sender/src/engine/commit/tests.rs
@@ -31,13 +31,13 @@
         assert_eq!(answered.try_recv(), Err(TryRecvError::Empty));
         engine.store = Store::open(full_disk.path(), 0).expect("a journal");
         engine.carry_out(Instant::now(), intake, vec![send(id)]);
-        assert_eq!(answered.try_recv(), Ok(Answer::REFUSED));
+        assert_eq!(answered.try_recv(), Ok(SubmissionResponse::REFUSED));
         assert!(engine.calls.is_empty() && engine.tracked.is_empty());
         assert!(!engine.store.contains(&"m1".into()));
         let [Event::Dropped(dropped), Event::Outcome { id: ended, outcome: Outcome::NotSent, .. }] =
-            engine.carried[..]
+            engine.next_batch_events[..]
         else {
-            panic!("the policy is told {:?}", engine.carried)
+            panic!("the policy is told {:?}", engine.next_batch_events)
         };
         assert_eq!((dropped, ended), (id, id));
     };
@@ -52,7 +52,7 @@
         let (input, mut answered) = submission(1, "m1");
         let (intake, id) = admit(&mut engine, input);
         engine.carry_out(Instant::now(), intake, vec![send(id)]);
-        assert_eq!(answered.try_recv(), Ok(Answer::Accepted));
+        assert_eq!(answered.try_recv(), Ok(SubmissionResponse::Accepted));
         assert!(engine.calls.contains_key(&id));
         let recorded = engine.store.pending_message(&"m1".into()).expect("it is on record");
         assert_eq!(recorded.attempts, 1);
@@ -65,9 +65,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let cases = [
-            (Answer::Failed, None),
-            (Answer::REFUSED, Some(0.0)),
-            (Answer::Refused { retry_after: 250.0 }, Some(250.0)),
+            (SubmissionResponse::Failed, None),
+            (SubmissionResponse::REFUSED, Some(0.0)),
+            (SubmissionResponse::Refused { retry_after: 250.0 }, Some(250.0)),
         ];
         let (mut engine, _inputs) = engine(folder.path());
         for (number, (expected, retry_after)) in cases.into_iter().enumerate() {
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -8,7 +8,7 @@
 use super::Engine;
 use super::time::to_millis;
 use super::tracked_messages::TrackedMessage;
-use crate::event::{Answer, Input, MESSAGE_LOG, Submission, SubmissionId};
+use crate::event::{Input, MESSAGE_LOG, Submission, SubmissionId, SubmissionResponse};
 use crate::metrics::FinalOutcome;
 
 /// The submissions of one batch.
@@ -18,8 +18,8 @@
     journal_bytes: u64,
     /// Submissions of messages that the policy decides about.
     pub new: Vec<NewSubmission>,
-    /// Submissions that are answered without the policy.
-    pub answers: Vec<PendingAnswer>,
+    /// Submissions with a response that does not depend on the policy.
+    pub responses: Vec<PendingResponse>,
 }
 
 /// A submitted message that this batch decides about.
@@ -31,21 +31,21 @@
     pub class: usize,
     /// Its record, written if the message is accepted.
     pub record: journal::Message,
-    /// Where the answer goes.
-    pub channel: oneshot::Sender<Answer>,
+    /// Where the response goes.
+    pub channel: oneshot::Sender<SubmissionResponse>,
 }
 
-/// An answer that is sent once the batch is in the journal.
+/// A response that is sent once the batch is in the journal.
 #[derive(Debug)]
-pub(super) struct PendingAnswer {
+pub(super) struct PendingResponse {
     /// Where it goes.
-    pub channel: oneshot::Sender<Answer>,
-    /// The answer.
-    pub answer: Answer,
+    pub channel: oneshot::Sender<SubmissionResponse>,
+    /// The response.
+    pub response: SubmissionResponse,
 }
 
 impl Engine {
-    /// Admits a submission; returns the message for the policy. A submission that is refused or answered at once goes
+    /// Admits a submission; returns the message for the policy. A submission that is refused or accepted at once goes
     /// into `intake`, one that does not fit into this batch is left for the next.
     pub(super) fn admit(
         &mut self,
@@ -53,52 +53,56 @@
         now: Instant,
         intake: &mut Intake,
     ) -> Option<Message> {
-        if submission.answer.is_closed() {
+        if submission.response.is_closed() {
             return None;
         }
-        if let Some(answer) = self.answer_at_once(&submission, intake) {
-            self.answer(submission, answer, intake);
+        if let Some(response) = self.immediate_response(&submission, intake) {
+            self.respond(submission, response, intake);
             return None;
         }
         let record = self.record_of(&submission, now);
         let journal_bytes = intake.journal_bytes + record.reserved_bytes();
         if self.tracked.len() >= self.settings.max_pending || !self.store.has_space_for(journal_bytes) {
-            self.answer(submission, Answer::REFUSED, intake);
+            self.respond(submission, SubmissionResponse::REFUSED, intake);
             return None;
         }
         if !Store::fits_batch(journal_bytes) {
-            self.deferred.push(Input::Submitted(submission));
+            self.next_batch_inputs.push(Input::Submitted(submission));
             return None;
         }
         intake.journal_bytes = journal_bytes;
         Some(self.track_new(submission, record, now, intake))
     }
 
-    /// Answers a submission with this batch.
-    fn answer(&self, submission: Submission, answer: Answer, intake: &mut Intake) {
-        if matches!(answer, Answer::Refused { .. }) {
+    /// Responds to a submission with this batch.
+    fn respond(&self, submission: Submission, response: SubmissionResponse, intake: &mut Intake) {
+        if matches!(response, SubmissionResponse::Refused { .. }) {
             self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
         }
-        intake.answers.push(PendingAnswer { channel: submission.answer, answer });
+        intake.responses.push(PendingResponse { channel: submission.response, response });
     }
 
-    /// The answer to a submission that does not depend on capacity: of an unknown destination, or of a message that
+    /// The response to a submission that does not depend on capacity: of an unknown destination, or of a message that
     /// is known already.
-    fn answer_at_once(&mut self, submission: &Submission, intake: &Intake) -> Option<Answer> {
+    fn immediate_response(&mut self, submission: &Submission, intake: &Intake) -> Option<SubmissionResponse> {
         if !self.endpoints.serves(submission.destination) {
             // Before the first list every destination is unknown.
             let no_list = self.endpoints.is_empty();
-            return Some(if no_list { Answer::REFUSED } else { Answer::UnknownDestination });
+            return Some(if no_list {
+                SubmissionResponse::REFUSED
+            } else {
+                SubmissionResponse::UnknownDestination
+            });
         }
         if let Some(id) = self.tracked.find(&submission.message_id) {
-            // Accepted once, for each client that has this answer: to forget the earlier one would allow anybody who
+            // Accepted once, for each client that has this response: to forget the earlier one would allow anybody who
             // knows the id to withdraw the message by disconnecting.
             let undecided = intake.new.iter().any(|new| new.id == id);
             let added = !undecided && self.tracked.add_submission(id, submission.id);
-            return Some(if added { Answer::Accepted } else { Answer::REFUSED });
+            return Some(if added { SubmissionResponse::Accepted } else { SubmissionResponse::REFUSED });
         }
         // While its notification is pending: the acknowledgement must not complete a new message with the same id.
-        self.store.contains(&submission.message_id).then_some(Answer::REFUSED)
+        self.store.contains(&submission.message_id).then_some(SubmissionResponse::REFUSED)
     }
 
     fn record_of(&self, submission: &Submission, now: Instant) -> journal::Message {
@@ -108,7 +112,7 @@
             class: self.names.classes.get(submission.class).map_or("", String::as_str).into(),
             tenant: self.names.tenants.get(submission.tenant).map_or("", String::as_str).into(),
             destination: submission.destination.0,
-            key: submission.key.clone(),
+            key: submission.idempotency_key.clone(),
             deadline: journal::wall_ms() + time_left.as_millis() as u64,
             body: submission.body.clone(),
             attempts: 0,
@@ -130,24 +134,24 @@
             class,
             tenant,
             destination,
-            key,
+            idempotency_key,
             body,
             deadline,
-            answer,
+            response,
         } = submission;
         let id = self.track(TrackedMessage {
             message_id,
             class,
             recovered: false,
             submissions: vec![submission_id],
-            key,
+            idempotency_key,
             body,
             deadline,
             attempts: 0,
             receiver: None,
         });
         self.activity.record_accepted(tenant);
-        intake.new.push(NewSubmission { id, class, record, channel: answer });
+        intake.new.push(NewSubmission { id, class, record, channel: response });
         Message {
             id,
             class,
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rudderspindle_journal::{self as journal, MessageId, Notice, Status};
+use rudderspindle_journal::{self as journal, MessageId, PendingNotification, Status};
 use rudderspindle_policy::interface::{
     AttemptHistory, DestinationId, Event, Message, Millis, PriorExecution,
 };
@@ -46,12 +46,12 @@
         &mut self,
         now: Instant,
         messages: Vec<journal::Message>,
-        mut pending: Vec<Notice>,
+        mut pending: Vec<PendingNotification>,
     ) {
         // The order of the journal's map is random.
         pending.sort_unstable_by(|a, b| a.message_id.cmp(&b.message_id));
-        for notice in pending {
-            self.notifications.push(notice);
+        for notification in pending {
+            self.notifications.push(notification);
         }
         let wall = journal::wall_ms();
         let time = RecoveryTime { now, wall, set_back: self.store.latest_attempt() > wall };
@@ -111,7 +111,7 @@
             message_ids.sort_unstable();
             for message_id in message_ids {
                 self.store.complete(&message_id, Some(Status::Undeliverable));
-                self.notifications.push(Notice { message_id, status: Status::Undeliverable });
+                self.notifications.push(PendingNotification { message_id, status: Status::Undeliverable });
             }
         }
     }
@@ -159,7 +159,7 @@
             class,
             recovered: true,
             submissions: Vec::new(),
-            key: record.key,
+            idempotency_key: record.key,
             body: record.body,
             deadline,
             attempts,
--- a/crates/sender/src/engine/recovery/tests.rs
+++ b/crates/sender/src/engine/recovery/tests.rs
@@ -46,7 +46,7 @@
         tokio::time::advance(Duration::from_millis(4_001)).await;
         engine.run_batch(Vec::new());
         assert!(engine.backlog.is_empty());
-        let pending: Vec<Notice> =
+        let pending: Vec<PendingNotification> =
             engine.store.pending_notifications().filter(|n| n.message_id.starts_with("found-")).collect();
         assert_eq!(pending.len(), 45);
     };
--- a/crates/sender/src/engine/takeover/tests.rs
+++ b/crates/sender/src/engine/takeover/tests.rs
@@ -4,7 +4,7 @@
 
 use super::super::tests::{engine, submission};
 use super::*;
-use crate::event::{Answer, Input, SubmissionId};
+use crate::event::{Input, SubmissionId, SubmissionResponse};
 
 #[tokio::test(start_paused = true)]
 async fn a_backoff_of_any_length_from_the_peer_process_holds_for_a_minute_at_most() {
@@ -16,7 +16,7 @@
             tokio::time::advance(Duration::from_millis(MAX_BACKOFF_MS as u64 + 1)).await;
             let (input, answered) = submission(1, "m1");
             engine.run_batch(vec![input]);
-            assert_eq!(answered.await, Ok(Answer::Accepted));
+            assert_eq!(answered.await, Ok(SubmissionResponse::Accepted));
             assert_eq!(engine.calls.len(), 1, "after a wait of {wait} ms");
             engine.run_batch(vec![Input::Withdrawn(SubmissionId(1))]);
         }
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -6,7 +6,7 @@
 
 use super::tracked_messages::MAX_CLIENTS_PER_MESSAGE;
 use super::*;
-use crate::event::{Answer, Submission, SubmissionId};
+use crate::event::{Submission, SubmissionId, SubmissionResponse};
 
 mod cancels;
 mod deadline;
@@ -37,8 +37,8 @@
     (Engine::new(dependencies, &list, None).expect("an engine"), to_engine)
 }
 
-pub(super) fn submission(number: u64, message_id: &str) -> (Input, oneshot::Receiver<Answer>) {
-    let (answer, answered) = oneshot::channel();
+pub(super) fn submission(number: u64, message_id: &str) -> (Input, oneshot::Receiver<SubmissionResponse>) {
+    let (response, answered) = oneshot::channel();
     let (message_id, body) = (message_id.into(), Bytes::from_static(b"text"));
     let (deadline, destination) = (Instant::now() + Duration::from_secs(9), DestinationId(7));
     let submission = Submission {
@@ -47,10 +47,10 @@
         class: 0,
         tenant: 0,
         destination,
-        key: None,
+        idempotency_key: None,
         body,
         deadline,
-        answer,
+        response,
     };
     (Input::Submitted(submission), answered)
 }
@@ -65,7 +65,8 @@
             let (input, answered) = submission(number, "m1");
             engine.run_batch(vec![input]);
             let is_refused = number > MAX_CLIENTS_PER_MESSAGE as u64;
-            let expected = if is_refused { Answer::REFUSED } else { Answer::Accepted };
+            let expected =
+                if is_refused { SubmissionResponse::REFUSED } else { SubmissionResponse::Accepted };
             assert_eq!(answered.await, Ok(expected));
         }
         for number in 2..=MAX_CLIENTS_PER_MESSAGE as u64 + 1 {
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -22,7 +22,7 @@
 async fn call(engine: &mut Engine, listener: &TcpListener, number: u64) -> TcpStream {
     let (input, answered) = submission(number, &format!("m{number}"));
     engine.run_batch(vec![input]);
-    assert_eq!(answered.await, Ok(Answer::Accepted));
+    assert_eq!(answered.await, Ok(SubmissionResponse::Accepted));
     let (mut stream, _) = soon(listener.accept()).await.expect("a connection");
     request(&mut stream).await;
     stream
--- a/crates/sender/src/engine/tests/deadline.rs
+++ b/crates/sender/src/engine/tests/deadline.rs
@@ -18,7 +18,7 @@
         let deadline = Instant::now() + Duration::from_millis(500);
         message.deadline = deadline;
         engine.run_batch(vec![Input::Submitted(message)]);
-        assert_eq!(answered.await, Ok(Answer::Accepted));
+        assert_eq!(answered.await, Ok(SubmissionResponse::Accepted));
         let (mut stream, _) = soon(listener.accept()).await.expect("a connection");
         let text = String::from_utf8(request(&mut stream).await).expect("text");
         let remaining = text.lines().find_map(|line| line.strip_prefix("x-remaining: ")).expect("a time");
@@ -34,7 +34,8 @@
             engine.tracked.is_empty()
         })
         .await;
-        let pending: Vec<_> = engine.store.pending_notifications().map(|notice| notice.message_id).collect();
+        let pending: Vec<_> =
+            engine.store.pending_notifications().map(|notification| notification.message_id).collect();
         assert_eq!(pending, ["m1".into()]);
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/engine/tracked_messages.rs
+++ b/crates/sender/src/engine/tracked_messages.rs
@@ -26,7 +26,7 @@
     /// left, a client may have the answer that the message is accepted: it must not be withdrawn.
     pub submissions: Vec<SubmissionId>,
     /// Its idempotency key, if it has one.
-    pub key: Option<Bytes>,
+    pub idempotency_key: Option<Bytes>,
     /// Its payload.
     pub body: Bytes,
     /// Its deadline.
--- a/crates/sender/src/engine/tracked_messages/tests.rs
+++ b/crates/sender/src/engine/tracked_messages/tests.rs
@@ -9,7 +9,7 @@
         class: 0,
         recovered,
         submissions,
-        key: None,
+        idempotency_key: None,
         body: Bytes::new(),
         deadline: Instant::now(),
         attempts: 0,
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -14,7 +14,7 @@
 
 pub(crate) use activity::MAX_CALL_RESULTS;
 pub use activity::{AcceptedMessages, ActivityReport, LimitDemand, ListedReceiver, ReceiverResult};
-pub use delivery::{Answer, AttemptResult, Call, Submission, SubmissionId};
+pub use delivery::{Call, CallOutcome, Submission, SubmissionId, SubmissionResponse};
 pub use endpoints::{Endpoint, EndpointList};
 pub use limits::{CapacityUpdate, LimitKey, PermitUpdate, TenantQuota};
 
@@ -31,7 +31,7 @@
 pub enum Input {
     /// A client has submitted a message.
     Submitted(Submission),
-    /// The client of this submission has disconnected before it was answered.
+    /// The client of this submission has disconnected before it had a response.
     Withdrawn(SubmissionId),
     /// An attempt has ended.
     Outcome {
@@ -40,7 +40,7 @@
         /// Index of the attempt, from 0.
         attempt: u32,
         /// How the attempt ended.
-        result: AttemptResult,
+        result: CallOutcome,
     },
     /// A health check has ended.
     HealthChecked {
@@ -68,7 +68,7 @@
     },
     /// The number of calls that the peer process has in flight.
     PeerCallsInFlight(usize),
-    /// Take over the journal if its owner has ended. The answer says whether this process owns the journal now.
+    /// Take over the journal if its owner has ended. The response says whether this process owns the journal now.
     TakeOver(oneshot::Sender<bool>),
     /// Report the current demand, and the activity since the last report.
     ReportActivity(oneshot::Sender<ActivityReport>),
--- a/crates/sender/src/event/delivery.rs
+++ b/crates/sender/src/event/delivery.rs
@@ -1,4 +1,4 @@
-//! A message on its way through the sender: its submission, the answer to it, and the attempts to deliver it.
+//! A message on its way through the sender: its submission, the response to it, and the attempts to deliver it.
 
 use bytes::Bytes;
 use rudderspindle_journal::MessageId;
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SubmissionId(pub u64);
 
-/// A message that a client submits, and the channel for the answer.
+/// A message that a client submits, and the channel for the response to it.
 #[derive(Debug)]
 pub struct Submission {
     /// The submission's id.
@@ -24,18 +24,18 @@
     /// The destination.
     pub destination: DestinationId,
     /// The idempotency key, if the client gave one.
-    pub key: Option<Bytes>,
+    pub idempotency_key: Option<Bytes>,
     /// The payload.
     pub body: Bytes,
     /// The message's deadline.
     pub deadline: Instant,
-    /// Receives the answer. It is closed once the client has disconnected.
-    pub answer: oneshot::Sender<Answer>,
+    /// Receives the response. It is closed once the client has disconnected.
+    pub response: oneshot::Sender<SubmissionResponse>,
 }
 
-/// The answer to a submission.
+/// The response to a submission.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum SubmissionResponse {
     /// The message is in the journal: it will be delivered, or its client notified.
     Accepted,
     /// The message was shed.
@@ -49,7 +49,7 @@
     UnknownDestination,
 }
 
-impl Answer {
+impl SubmissionResponse {
     /// The message was shed, without advice on when to submit it again.
     pub const REFUSED: Self = Self::Refused { retry_after: 0.0 };
 }
@@ -66,28 +66,28 @@
     /// The message's id on the wire.
     pub message_id: MessageId,
     /// The idempotency key, if the message has one.
-    pub key: Option<Bytes>,
+    pub idempotency_key: Option<Bytes>,
     /// The payload.
     pub body: Bytes,
     /// When to stop waiting for the response.
-    pub until: Instant,
+    pub response_deadline: Instant,
     /// When the request must be written at the latest; it is not sent later than this.
-    pub latest: Instant,
+    pub write_deadline: Instant,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AttemptResult {
+pub struct CallOutcome {
     /// The result in the policy's terms.
     pub outcome: Outcome,
     /// The wait that the receiver asked for; 0 for none.
     pub retry_after: Millis,
     /// Whether the message is complete: it needs neither a further attempt nor a notification.
-    pub closed: bool,
+    pub completed: bool,
 }
 
-impl From<Outcome> for AttemptResult {
+impl From<Outcome> for CallOutcome {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, retry_after: 0.0, closed: outcome == Outcome::Ok }
+        Self { outcome, retry_after: 0.0, completed: outcome == Outcome::Ok }
     }
 }
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -18,7 +18,7 @@
 use super::request_head::SubmissionHead;
 use super::response::{HttpResponse, text_response};
 use crate::admission_state::AdmissionState;
-use crate::event::{Answer, Input, Submission, SubmissionId};
+use crate::event::{Input, Submission, SubmissionId, SubmissionResponse};
 use crate::metrics::FinalOutcome;
 
 const READY_PATH: &str = "/-/ready";
@@ -75,13 +75,13 @@
         let body = self.receive_body(&head, request.into_body(), connection).await?;
         connection.request_started();
         self.slots.borrow_mut().request_started(connection.id, self.now());
-        let (answer, decision) = oneshot::channel();
-        let submission = self.submission(head, body, answer);
+        let (response, decision) = oneshot::channel();
+        let submission = self.submission(head, body, response);
         let id = submission.id;
         self.send_to_engine(submission)?;
         connection.submission_started(id);
-        let decision = decision.await.unwrap_or(Answer::REFUSED);
-        if decision == Answer::Accepted {
+        let decision = decision.await.unwrap_or(SubmissionResponse::REFUSED);
+        if decision == SubmissionResponse::Accepted {
             connection.submission_accepted(id);
         } else {
             connection.submission_refused();
@@ -108,7 +108,12 @@
     }
 
     /// Numbers a submission. The message's time counts from its last byte, and its class bounds it.
-    fn submission(&self, head: SubmissionHead, body: Bytes, answer: oneshot::Sender<Answer>) -> Submission {
+    fn submission(
+        &self,
+        head: SubmissionHead,
+        body: Bytes,
+        response: oneshot::Sender<SubmissionResponse>,
+    ) -> Submission {
         let max_remaining_s = self.settings.classes[head.class].deadline / 1_000.0;
         let remaining = Duration::from_secs_f64(head.remaining_s.min(max_remaining_s));
         let number = self.next_submission.get();
@@ -119,10 +124,10 @@
             class: head.class,
             tenant: head.tenant,
             destination: head.destination,
-            key: head.idempotency_key,
+            idempotency_key: head.idempotency_key,
             body,
             deadline: Instant::now() + remaining,
-            answer,
+            response,
         }
     }
 
@@ -132,12 +137,12 @@
         sent.map_err(|_| self.reject_for_capacity(class))
     }
 
-    fn response_to(&self, decision: Answer) -> Result<HttpResponse, RequestRejection> {
+    fn response_to(&self, decision: SubmissionResponse) -> Result<HttpResponse, RequestRejection> {
         match decision {
-            Answer::Accepted => Ok(text_response(StatusCode::ACCEPTED, "taken on")),
-            Answer::Refused { retry_after } => Err(self.overloaded(retry_after)),
-            Answer::Failed => Err(RequestRejection::Failed),
-            Answer::UnknownDestination => Err(RequestRejection::UnknownDestination),
+            SubmissionResponse::Accepted => Ok(text_response(StatusCode::ACCEPTED, "taken on")),
+            SubmissionResponse::Refused { retry_after } => Err(self.overloaded(retry_after)),
+            SubmissionResponse::Failed => Err(RequestRejection::Failed),
+            SubmissionResponse::UnknownDestination => Err(RequestRejection::UnknownDestination),
         }
     }
 
--- a/crates/sender/src/inbound/tests.rs
+++ b/crates/sender/src/inbound/tests.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use super::*;
-use crate::event::Answer;
+use crate::event::SubmissionResponse;
 
 const REQUEST: &[u8] = b"POST /safe HTTP/1.1\r\nHost: a\r\nX-Txn: m1\r\nX-Remaining: 5\r\n\
     X-Route-To: dest=7\r\nContent-Length: 4\r\n\r\ntext";
@@ -83,7 +83,7 @@
             let Some(Input::Submitted(submission)) = self.inputs.recv().await else {
                 panic!("not submitted")
             };
-            submission.answer.send(Answer::Accepted).expect("it waits for the decision");
+            submission.response.send(SubmissionResponse::Accepted).expect("it waits for the decision");
             std::future::pending::<()>().await;
         };
         let either = async {
@@ -150,7 +150,7 @@
         let mut client = setup.connect().await;
         client.write_all(REQUEST).await.expect("writable");
         let Input::Submitted(submission) = setup.next_input().await else { panic!("not submitted") };
-        submission.answer.send(Answer::Accepted).expect("it waits for the decision");
+        submission.response.send(SubmissionResponse::Accepted).expect("it waits for the decision");
         let mut head = [0; 12];
         client.read_exact(&mut head).await.expect("a response");
         assert_eq!(&head, b"HTTP/1.1 202");
--- a/crates/sender/src/notifications.rs
+++ b/crates/sender/src/notifications.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use rudderspindle_journal::{MessageId, Notice};
+use rudderspindle_journal::{MessageId, PendingNotification};
 use tokio::sync::{Notify, mpsc, watch};
 
 use crate::event::Input;
@@ -19,25 +19,25 @@
 /// Queue of notifications that have not been acknowledged. The journal's space bounds its length.
 #[derive(Debug, Default)]
 pub struct Notifications {
-    pending: RefCell<VecDeque<PendingNotification>>,
+    pending: RefCell<VecDeque<QueuedNotification>>,
     next_number: Cell<u64>,
     pushed: Notify,
 }
 
 /// A notification that has not been acknowledged.
 #[derive(Clone, Debug)]
-struct PendingNotification {
+struct QueuedNotification {
     /// Identifies the notification: two may have the same message id.
     number: u64,
-    notice: Notice,
+    notification: PendingNotification,
 }
 
 impl Notifications {
     /// Queues a notification.
-    pub fn push(&self, notice: Notice) {
+    pub fn push(&self, notification: PendingNotification) {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
-        self.pending.borrow_mut().push_back(PendingNotification { number, notice });
+        self.pending.borrow_mut().push_back(QueuedNotification { number, notification });
         self.pushed.notify_one();
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// The notifications at the head of the queue, up to `max_len`.
-    fn batch(&self, max_len: usize) -> Vec<PendingNotification> {
+    fn batch(&self, max_len: usize) -> Vec<QueuedNotification> {
         self.pending.borrow().iter().take(max_len).cloned().collect()
     }
 
@@ -71,7 +71,7 @@
         self.pending.borrow_mut().retain(|pending| {
             let is_acknowledged = numbers.contains(&pending.number);
             if is_acknowledged {
-                acknowledged.push(pending.notice.message_id.clone());
+                acknowledged.push(pending.notification.message_id.clone());
             }
             !is_acknowledged
         });
--- a/crates/sender/src/notifications/delivery.rs
+++ b/crates/sender/src/notifications/delivery.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use super::request::{Connection, post};
-use super::{Notifications, PendingNotification};
+use super::{Notifications, QueuedNotification};
 use crate::event::Input;
 use crate::platform::HttpError;
 
@@ -180,7 +180,7 @@
     }
 
     /// Starts a request; it is cancelled with [`Requests`].
-    fn send(&mut self, addr: SocketAddr, batch: Vec<PendingNotification>) {
+    fn send(&mut self, addr: SocketAddr, batch: Vec<QueuedNotification>) {
         let idle_connection = self.idle_connection.take();
         self.next_at = Instant::now() + self.retry_interval;
         self.retry_interval = (self.retry_interval * 2).min(MAX_RETRY_INTERVAL);
--- a/crates/sender/src/notifications/request.rs
+++ b/crates/sender/src/notifications/request.rs
@@ -5,9 +5,9 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, StatusCode, header};
-use rudderspindle_journal::{Notice, Status};
+use rudderspindle_journal::{PendingNotification, Status};
 
-use super::PendingNotification;
+use super::QueuedNotification;
 use crate::platform::{self, HttpError, connect};
 
 /// A connection that notifications are sent on.
@@ -22,7 +22,7 @@
 pub(super) async fn post(
     addr: SocketAddr,
     idle_connection: Option<Connection>,
-    batch: &[PendingNotification],
+    batch: &[QueuedNotification],
 ) -> Result<Connection, HttpError> {
     let mut connection = match idle_connection.filter(|connection| !connection.sender.is_closed()) {
         Some(connection) => connection,
@@ -40,18 +40,18 @@
 }
 
 /// The body of a request.
-fn encode(batch: &[PendingNotification]) -> String {
+fn encode(batch: &[QueuedNotification]) -> String {
     let mut lines = String::new();
     for pending in batch {
-        lines.push_str(&line(&pending.notice).to_string());
+        lines.push_str(&line(&pending.notification).to_string());
         lines.push('\n');
     }
     lines
 }
 
-fn line(notice: &Notice) -> serde_json::Value {
-    let id = &*notice.message_id;
-    match notice.status {
+fn line(notification: &PendingNotification) -> serde_json::Value {
+    let id = &*notification.message_id;
+    match notification.status {
         Status::Undeliverable => serde_json::json!({ "id": id, "status": "undeliverable" }),
         Status::Deferred(None) => serde_json::json!({ "id": id, "status": "deferred" }),
         Status::Deferred(Some(ms)) => {
--- a/crates/sender/src/notifications/tests.rs
+++ b/crates/sender/src/notifications/tests.rs
@@ -51,7 +51,8 @@
 
 impl RunningDelivery {
     fn push(&self, message_id: &str) {
-        self.notifications.push(Notice { message_id: message_id.into(), status: Status::Undeliverable });
+        self.notifications
+            .push(PendingNotification { message_id: message_id.into(), status: Status::Undeliverable });
     }
 
     async fn next_acknowledged(&mut self) -> Vec<String> {
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -16,7 +16,7 @@
 use super::request::{OutgoingRequest, PreparedRequest, RequestTimes};
 use super::response::{ReliableResponse, UsedConnection};
 use super::routes::Target;
-use crate::event::{AttemptResult, Call, MESSAGE_LOG};
+use crate::event::{Call, CallOutcome, MESSAGE_LOG};
 
 /// How long the rest of a response's head may take after its first byte: it is written at once.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
@@ -33,7 +33,7 @@
 /// What came of an exchange.
 #[derive(Debug)]
 pub(super) struct Exchanged {
-    pub(super) result: AttemptResult,
+    pub(super) result: CallOutcome,
     /// The connection, if it may be used again.
     pub(super) used_connection: Option<UsedConnection>,
 }
@@ -105,16 +105,16 @@
         if let Some(connection) = self.idle.take(exchange.route) {
             return Ok(AcquiredConnection { connection, reused: true });
         }
-        let RequestTimes { respond_by, send_by, .. } = exchange.times;
+        let RequestTimes { response_deadline, write_deadline, .. } = exchange.times;
         let connected = tokio::select! {
             biased;
             () = exchange.cancelled.notified() => Err(Interruption::Cancelled),
-            connected = self.connect(target.addr, respond_by.min(send_by)) => connected,
+            connected = self.connect(target.addr, response_deadline.min(write_deadline)) => connected,
         };
         match connected {
             Ok(connection) => Ok(AcquiredConnection { connection, reused: false }),
             // That it had so little time says nothing of the receiver.
-            Err(_) if Instant::now() >= send_by => Err(Outcome::NotSent),
+            Err(_) if Instant::now() >= write_deadline => Err(Outcome::NotSent),
             Err(interruption) => Err(outcome_without_response(
                 RequestProgress::NotStarted,
                 ResponseProgress::Nothing,
@@ -126,13 +126,13 @@
     /// The request, if it may still be sent: since the decision its receiver may have started to drain or to back off, or
     /// its time may have passed, above all while connections were opened or turned out to be closed.
     fn prepare(&self, exchange: &Exchange<'_>, target: Target) -> Option<PreparedRequest> {
-        let RequestTimes { respond_by, send_by, .. } = exchange.times;
+        let RequestTimes { response_deadline, write_deadline, .. } = exchange.times;
         let now = Instant::now();
-        let too_late = now >= send_by.min(respond_by);
+        let too_late = now >= write_deadline.min(response_deadline);
         if too_late || !self.accepts_calls(exchange.route) {
             return None;
         }
-        exchange.request.prepare(target.addr, respond_by, now).ok()
+        exchange.request.prepare(target.addr, response_deadline, now).ok()
     }
 
     /// Sends the request over a connection. Returns none if that was a pooled one which turned out to be unusable
@@ -145,12 +145,13 @@
         prepared: PreparedRequest,
     ) -> Option<Exchanged> {
         let AcquiredConnection { mut connection, reused } = acquired;
-        let respond_by = prepared.respond_by;
+        let response_deadline = prepared.response_deadline;
         let progress = connection.write_progress.clone();
         self.track_request(exchange, &mut connection);
         let response = send(&mut connection, exchange, prepared).await;
         // The timer fires up to a tick late, and a response received in that tick is returned ahead of it.
-        let late = progress.first_byte_received_at().is_some_and(|received_at| received_at >= respond_by);
+        let late =
+            progress.first_byte_received_at().is_some_and(|received_at| received_at >= response_deadline);
         let interruption = match response {
             Ok(response) if late => {
                 // What it says of the receiver holds all the same.
@@ -160,7 +161,7 @@
             }
             Ok(response) => {
                 let request_progress = RequestProgress::of(&progress);
-                match ReliableResponse::read(response, request_progress, respond_by).await {
+                match ReliableResponse::read(response, request_progress, response_deadline).await {
                     Some(response) => {
                         return Some(self.complete(exchange, target, connection, reused, response));
                     }
@@ -185,7 +186,7 @@
             connection.write_progress.count_when_complete(self.metrics.clone());
         }
         if exchange.times.keyed_retry {
-            let limit = exchange.times.send_by.saturating_duration_since(Instant::now());
+            let limit = exchange.times.write_deadline.saturating_duration_since(Instant::now());
             connection.limit_unacknowledged(Some(limit));
         }
     }
@@ -227,8 +228,8 @@
             response.map_err(|_| Interruption::ConnectionBroken)
         }
         () = progress.response_head_overdue(RESPONSE_HEAD_TIMEOUT) => Err(Interruption::ConnectionBroken),
-        () = sleep_until(prepared.respond_by) => Err(Interruption::TimedOut),
-        () = progress.write_incomplete_at(exchange.times.send_by) => Err(Interruption::TimedOut),
+        () = sleep_until(prepared.response_deadline) => Err(Interruption::TimedOut),
+        () = progress.write_incomplete_at(exchange.times.write_deadline) => Err(Interruption::TimedOut),
         () = exchange.cancelled.notified() => Err(Interruption::Cancelled),
     }
 }
--- a/crates/sender/src/outbound/outcome.rs
+++ b/crates/sender/src/outbound/outcome.rs
@@ -5,7 +5,7 @@
 use hyper::header::{HeaderMap, HeaderName};
 use rudderspindle_policy::interface::{Millis, Outcome};
 
-use crate::event::AttemptResult;
+use crate::event::CallOutcome;
 use crate::write_progress::WriteProgress;
 
 const X_BACKOFF_MS: HeaderName = HeaderName::from_static("x-backoff-ms");
@@ -103,14 +103,14 @@
 }
 
 /// The result that a complete response stands for.
-pub(super) fn result_of_response(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
+pub(super) fn result_of_response(status: StatusCode, headers: &HeaderMap) -> CallOutcome {
     match status.as_u16() {
         200 => Outcome::Ok.into(),
-        429 => AttemptResult { retry_after: retry_after(headers), ..Outcome::Rejected.into() },
+        429 => CallOutcome { retry_after: retry_after(headers), ..Outcome::Rejected.into() },
         503 if headers.get(X_EGRESS_FULL).is_some_and(|value| value == "1") => Outcome::NotSent.into(),
-        503 => AttemptResult { retry_after: retry_after(headers), ..Outcome::Rejected.into() },
+        503 => CallOutcome { retry_after: retry_after(headers), ..Outcome::Rejected.into() },
         504 => Outcome::AttemptsExhausted.into(),
-        410 => AttemptResult { closed: true, ..Outcome::NotSent.into() },
+        410 => CallOutcome { completed: true, ..Outcome::NotSent.into() },
         // 500, and any other status: it may have been executed.
         _ => Outcome::Error.into(),
     }
--- a/crates/sender/src/outbound/request.rs
+++ b/crates/sender/src/outbound/request.rs
@@ -34,10 +34,10 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestTimes {
     /// When the response is no longer waited for.
-    pub(super) respond_by: Instant,
+    pub(super) response_deadline: Instant,
     /// When the last byte must have been written: later the request is not sent.
-    pub(super) send_by: Instant,
-    /// Whether it must not arrive after `send_by` either: an earlier attempt may have been executed, and the receiver
+    pub(super) write_deadline: Instant,
+    /// Whether it must not arrive after `write_deadline` either: an earlier attempt may have been executed, and the receiver
     /// forgets its idempotency key then.
     pub(super) keyed_retry: bool,
 }
@@ -47,7 +47,7 @@
 pub(super) struct PreparedRequest {
     pub(super) request: Request<Full<Bytes>>,
     /// When the receiver takes the request for given up, and its response is no longer waited for.
-    pub(super) respond_by: Instant,
+    pub(super) response_deadline: Instant,
 }
 
 impl OutgoingRequest<'_> {
@@ -55,13 +55,13 @@
     pub(super) fn times(&self) -> RequestTimes {
         match self {
             Self::Call(call) => RequestTimes {
-                respond_by: call.until,
-                send_by: call.latest,
-                keyed_retry: call.key.is_some() && call.attempt > 0,
+                response_deadline: call.response_deadline,
+                write_deadline: call.write_deadline,
+                keyed_retry: call.idempotency_key.is_some() && call.attempt > 0,
             },
             Self::HealthCheck => {
                 let deadline = Instant::now() + HEALTH_CHECK_TIMEOUT;
-                RequestTimes { respond_by: deadline, send_by: deadline, keyed_retry: false }
+                RequestTimes { response_deadline: deadline, write_deadline: deadline, keyed_retry: false }
             }
         }
     }
@@ -83,16 +83,16 @@
     pub(super) fn prepare(
         &self,
         addr: SocketAddr,
-        respond_by: Instant,
+        response_deadline: Instant,
         now: Instant,
     ) -> hyper::http::Result<PreparedRequest> {
         let host = HeaderValue::from_str(&addr.to_string())?;
-        let remaining = whole_milliseconds(respond_by.saturating_duration_since(now));
+        let remaining = whole_milliseconds(response_deadline.saturating_duration_since(now));
         let request = match self {
             Self::Call(call) => call_request(call, host, remaining)?,
             Self::HealthCheck => Request::get(HEALTH_PATH).header(HOST, host).body(Full::default())?,
         };
-        Ok(PreparedRequest { request, respond_by: now + remaining })
+        Ok(PreparedRequest { request, response_deadline: now + remaining })
     }
 }
 
@@ -105,7 +105,7 @@
         .header(HOST, host)
         .header(X_TXN, &*call.message_id)
         .header(X_REMAINING, format!("{:.3}", remaining.as_secs_f64()));
-    if let Some(key) = &call.key {
+    if let Some(key) = &call.idempotency_key {
         request = request.header(IDEMPOTENCY_KEY, &**key);
     }
     request.body(Full::new(call.body.clone()))
--- a/crates/sender/src/outbound/response.rs
+++ b/crates/sender/src/outbound/response.rs
@@ -12,7 +12,7 @@
 use super::Outbound;
 use super::connection::Connection;
 use super::outcome::{RequestProgress, is_reliable, result_of_response};
-use crate::event::AttemptResult;
+use crate::event::CallOutcome;
 
 /// How long the rest of a response may take before its connection is given up.
 const RESPONSE_BODY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -20,7 +20,7 @@
 /// A response that is relied on.
 #[derive(Debug)]
 pub(super) struct ReliableResponse {
-    pub(super) result: AttemptResult,
+    pub(super) result: CallOutcome,
     /// The body, where it has not been read.
     pub(super) unread_body: Option<Incoming>,
 }
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 use super::*;
-use crate::event::AttemptResult;
+use crate::event::CallOutcome;
 
 mod deadline;
 mod idle_connections;
@@ -58,16 +58,16 @@
 }
 
 fn call() -> Call {
-    let until = Instant::now() + Duration::from_secs(5);
+    let deadline = Instant::now() + Duration::from_secs(5);
     Call {
         id: MessageHandle(3),
         attempt: 0,
         route: ROUTE,
         message_id: "m1".into(),
-        key: None,
+        idempotency_key: None,
         body: Bytes::from_static(b"text"),
-        until,
-        latest: until,
+        response_deadline: deadline,
+        write_deadline: deadline,
     }
 }
 
--- a/crates/sender/src/outbound/tests/deadline.rs
+++ b/crates/sender/src/outbound/tests/deadline.rs
@@ -4,19 +4,19 @@
 
 /// A call whose request has been received, and the deadline that its receiver was told.
 async fn received_call(outbound: &Rc<Outbound>, listener: &TcpListener) -> (TcpStream, Instant) {
-    let until = Instant::now() + Duration::from_millis(400);
-    outbound.start_call(Call { until, latest: until, ..call() });
+    let deadline = Instant::now() + Duration::from_millis(400);
+    outbound.start_call(Call { response_deadline: deadline, write_deadline: deadline, ..call() });
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut request = Vec::new();
     while !request.ends_with(b"text") {
         assert!(stream.read_buf(&mut request).await.expect("a request") > 0, "it ends too early");
     }
-    (stream, until)
+    (stream, deadline)
 }
 
 /// Blocks the runtime until after the deadline, so that the response and the time-out are noticed in one tick.
-fn block_until_after(until: Instant) {
-    std::thread::sleep(until.saturating_duration_since(Instant::now()) + Duration::from_millis(2));
+fn block_until_after(deadline: Instant) {
+    std::thread::sleep(deadline.saturating_duration_since(Instant::now()) + Duration::from_millis(2));
 }
 
 /// The receiver has been told how long the sender waits. A response after that goes to a sender that has given the call
@@ -26,8 +26,8 @@
     let test = async {
         for status in ["200 OK", "500 No", "429 No\r\nX-Backoff-Ms: 250"] {
             let (outbound, listener, mut inputs) = set_up().await;
-            let (stream, until) = received_call(&outbound, &listener).await;
-            block_until_after(until);
+            let (stream, deadline) = received_call(&outbound, &listener).await;
+            block_until_after(deadline);
             let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
             assert_eq!(stream.try_write(response.as_bytes()).expect("writable"), response.len());
             let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
@@ -44,14 +44,14 @@
 async fn an_endless_rejection_delays_its_call_no_longer_than_its_deadline() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        let (mut stream, until) = received_call(&outbound, &listener).await;
+        let (mut stream, deadline) = received_call(&outbound, &listener).await;
         // So late that half a second more would be far beyond the deadline.
-        tokio::time::sleep_until(until - Duration::from_millis(50)).await;
+        tokio::time::sleep_until(deadline - Duration::from_millis(50)).await;
         let half = b"HTTP/1.1 503 No\r\nContent-Length: 8\r\n\r\nhalf";
         stream.write_all(half).await.expect("writable");
         let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         assert_eq!(report, Outcome::Error.into());
-        assert!(until.elapsed() < Duration::from_millis(300), "{:?} late", until.elapsed());
+        assert!(deadline.elapsed() < Duration::from_millis(300), "{:?} late", deadline.elapsed());
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/outbound/tests/interrupted.rs
+++ b/crates/sender/src/outbound/tests/interrupted.rs
@@ -36,7 +36,11 @@
         ] {
             let (outbound, listener, mut inputs) = set_up_narrow().await;
             let call = call_of_size(size);
-            let out = outbound.start_call(if cancelled { call } else { Call { until: soon(), ..call } });
+            let out = outbound.start_call(if cancelled {
+                call
+            } else {
+                Call { response_deadline: soon(), ..call }
+            });
             let (mut stream, _) = listener.accept().await.expect("a connection");
             stream.readable().await.expect("the first bytes");
             if cancelled {
@@ -60,14 +64,20 @@
 async fn a_retry_buffered_by_the_kernel_does_not_arrive_after_the_key_window() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up_narrow().await;
-        let latest = Instant::now() + Duration::from_secs(1);
-        let until = latest + Duration::from_secs(4);
-        let key = Some(Bytes::from_static(b"k"));
-        outbound.start_call(Call { until, latest, key, attempt: 1, ..call_of_size(MEDIUM) });
+        let write_deadline = Instant::now() + Duration::from_secs(1);
+        let response_deadline = write_deadline + Duration::from_secs(4);
+        let idempotency_key = Some(Bytes::from_static(b"k"));
+        outbound.start_call(Call {
+            response_deadline,
+            write_deadline,
+            idempotency_key,
+            attempt: 1,
+            ..call_of_size(MEDIUM)
+        });
         let (mut stream, _) = listener.accept().await.expect("a connection");
         // It may have been executed: its last byte was written.
         assert_eq!(outcome(&mut inputs).await, Outcome::Reset);
-        assert!(Instant::now() < until);
+        assert!(Instant::now() < response_deadline);
         assert!(read_to_end(&mut stream).await < MEDIUM, "all of it was received");
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -78,7 +88,7 @@
 async fn a_connection_that_carried_a_keyed_retry_has_no_limit_afterwards() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
-        let keyed_retry = Call { key: Some(Bytes::from_static(b"k")), attempt: 1, ..call() };
+        let keyed_retry = Call { idempotency_key: Some(Bytes::from_static(b"k")), attempt: 1, ..call() };
         let _stream = complete_call(&outbound, &listener, &mut inputs, keyed_retry).await;
         let connection = outbound.idle.take(ROUTE).expect("it is pooled");
         let socket = connection.socket.upgrade().expect("open");
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -77,8 +77,8 @@
 }
 
 /// Complete responses and their results.
-fn responses() -> Vec<(&'static str, AttemptResult)> {
-    let rejected = |wait| AttemptResult { retry_after: wait, ..Outcome::Rejected.into() };
+fn responses() -> Vec<(&'static str, CallOutcome)> {
+    let rejected = |wait| CallOutcome { retry_after: wait, ..Outcome::Rejected.into() };
     vec![
         ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody", Outcome::Ok.into()),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", Outcome::Ok.into()),
@@ -94,7 +94,7 @@
 
 /// The result of a response that is cut there: 200 counts once its status line is complete; that a call was never executed
 /// only from a complete response.
-fn result_if_cut(text: &str, complete: AttemptResult, at: usize) -> AttemptResult {
+fn result_if_cut(text: &str, complete: CallOutcome, at: usize) -> CallOutcome {
     let head = text.find("HTTP/1.1 1").map_or(0, |_| "HTTP/1.1 100 Continue\r\n\r\n".len());
     match complete.outcome {
         _ if at == text.len() => complete,
@@ -107,7 +107,7 @@
 }
 
 /// Plays a receiver that writes its response in these pieces and then closes the connection.
-async fn result_of(pieces: &[&[u8]], reset: bool) -> AttemptResult {
+async fn result_of(pieces: &[&[u8]], reset: bool) -> CallOutcome {
     let (outbound, listener, mut inputs) = set_up().await;
     outbound.start_call(call());
     let (mut stream, _) = listener.accept().await.expect("a connection");
--- a/crates/sender/src/outbound/tests/responses.rs
+++ b/crates/sender/src/outbound/tests/responses.rs
@@ -4,7 +4,7 @@
 
 #[tokio::test]
 async fn responses_have_the_results_of_the_protocol() {
-    let report = |outcome, wait, closed| AttemptResult { outcome, retry_after: wait, closed };
+    let report = |outcome, wait, completed| CallOutcome { outcome, retry_after: wait, completed };
     let cases = [
         ("200 OK", report(Outcome::Ok, 0.0, true)),
         ("500 No", report(Outcome::Error, 0.0, false)),
--- a/crates/sender/src/outbound/tests/withheld.rs
+++ b/crates/sender/src/outbound/tests/withheld.rs
@@ -36,16 +36,16 @@
         let _first = TcpStream::connect(addr).await.expect("a connection");
         outbound.update_route(ROUTE, route(addr, Listing::Ready));
         let started = Instant::now();
-        let latest = started + Duration::from_millis(300);
-        outbound.start_call(Call { latest, ..call() });
+        let write_deadline = started + Duration::from_millis(300);
+        outbound.start_call(Call { write_deadline, ..call() });
         let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         // Not what a failure to connect would be: nothing is known of the receiver.
         assert_eq!(report, Outcome::NotSent.into());
-        assert!(Instant::now() >= latest);
+        assert!(Instant::now() >= write_deadline);
         // Nor is one sent over an idle connection if its time was over before its task began.
         let (outbound, listener, mut inputs) = set_up().await;
         let stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
-        outbound.start_call(Call { latest: Instant::now(), ..call() });
+        outbound.start_call(Call { write_deadline: Instant::now(), ..call() });
         let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
         assert_eq!(report, Outcome::NotSent.into());
         assert!(stream.try_read(&mut [0; 1]).is_err(), "something of it was sent");
