--- a/crates/benchmarks/src/fleet_list.rs
+++ b/crates/benchmarks/src/fleet_list.rs
@@ -49,7 +49,7 @@
     let discovery = Discovery::OnRequest { ask_within: POLL_DEADLINE };
     let first_seed = seed.wrapping_mul(10_000);
     let schedule =
-        |sender: u64| PollSchedule::new(discovery, peers, first_seed.wrapping_add(sender)).pauses();
+        |sender: u64| PollSchedule::new(discovery, peers, first_seed.wrapping_add(sender)).delays();
     let schedules =
         (0..u64::from(fleet.senders)).map(|sender| Box::new(schedule(sender)) as Pauses).collect();
     let cost = f64::from(fleet.request_ms) / 1_000.0;
--- a/crates/sender/src/accept.rs
+++ b/crates/sender/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, also across times in which the process has no descriptors left.
+//! Accepts connections, and continues after failures such as a lack of descriptors.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,13 +7,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep};
 
-/// Pause after a connection could not be accepted.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Failures with no longer pause between them are one outage, which is logged once.
-const OUTAGE_GAP: Duration = Duration::from_secs(5);
-/// The system has no descriptor left.
+/// Delay before the next attempt to accept a connection after one has failed.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Of failures that follow each other within this time only the first is logged.
+const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// Error number: the system has no descriptor left.
 const ENFILE: i32 = 23;
-/// The process has no descriptor left.
+/// Error number: the process has no descriptor left.
 const EMFILE: i32 = 24;
 
 /// A listener, and when it last failed.
@@ -25,7 +25,7 @@
 }
 
 impl Acceptor {
-    /// Accepts from `listener`; `peers` names those who connect in the log.
+    /// Accepts from `listener`; the log names those that connect as `peers`.
     pub(crate) fn new(listener: TcpListener, peers: &'static str) -> Self {
         Self { listener, peers, last_failure: None }
     }
@@ -35,8 +35,7 @@
         loop {
             match self.listener.accept().await {
                 Ok((stream, peer)) => {
-                    // Responses are small, and each must be sent before its connection may be closed. Where it cannot
-                    // be set, connections work without.
+                    // Responses are small and must not wait for more data. The connection also works without the option.
                     let _ = stream.set_nodelay(true);
                     return (stream, peer);
                 }
@@ -45,7 +44,7 @@
                     if matches!(error.raw_os_error(), Some(ENFILE | EMFILE)) {
                         free_descriptor();
                     }
-                    sleep(RETRY_PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -54,7 +53,7 @@
     fn log_failure(&mut self, error: &io::Error) {
         let now = Instant::now();
         let previous = self.last_failure.replace(now);
-        if previous.is_none_or(|previous| now - previous > OUTAGE_GAP) {
+        if previous.is_none_or(|previous| now - previous > FAILURE_LOG_INTERVAL) {
             tracing::warn!("{}: a connection could not be accepted: {error}", self.peers);
         }
     }
--- a/crates/sender/src/activity.rs
+++ b/crates/sender/src/activity.rs
@@ -7,7 +7,7 @@
 
 use crate::event::{AcceptedMessages, ActivityReport, MAX_CALL_RESULTS, ReceiverResult};
 
-/// The activity since the last report. Stays empty while disabled, as when nobody asks for reports.
+/// The activity since the last report. Stays empty while disabled.
 #[derive(Debug)]
 pub(crate) struct ActivityLog {
     enabled: bool,
@@ -28,8 +28,8 @@
         self.enabled
     }
 
-    /// Records an attempt's outcome. Attempts that were not sent or were cancelled say nothing about the receiver's
-    /// health and are ignored.
+    /// Records an attempt's outcome. Attempts that were not sent or were cancelled are ignored: they do not depend on the
+    /// receiver's health.
     pub fn record_outcome(&mut self, receiver: Option<Receiver>, outcome: Outcome) {
         let result = match outcome {
             Outcome::Ok | Outcome::Rejected => CallResult::Answered,
--- a/crates/sender/src/admission_state.rs
+++ b/crates/sender/src/admission_state.rs
@@ -3,15 +3,15 @@
 /// Admission state of clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdmissionState {
-    /// Clients connect and stay connected.
+    /// Connections and requests are accepted.
     #[default]
     Accepting,
-    /// An operator drains this sender: a client's request is served and its connection closed. Accepted messages are
+    /// An operator drains this sender: each connection is closed after its next response. Accepted messages are
     /// delivered.
     Drained,
     /// The process is stopping.
     Stopping,
-    /// The process is stopping, and another one accepts clients on the same listening socket without interruption.
+    /// The process is stopping, and its successor accepts clients on the same listening socket.
     HandingOver,
 }
 
@@ -21,7 +21,7 @@
         matches!(self, Self::Stopping | Self::HandingOver)
     }
 
-    /// The state after an operator has requested another one: a process that is stopping goes on stopping.
+    /// The state after an operator has requested another one; a process that is stopping stays in its state.
     #[must_use]
     pub fn after_request(self, requested: Self) -> Self {
         if self.is_stopping() { self } else { requested }
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -52,9 +52,9 @@
         }
         settings.peers_total = fleet_size.senders;
         settings.validate()?;
-        // Last: a configuration that is rejected logs nothing else.
-        if let Some(doubt) = fleet_size.doubt {
-            tracing::warn!("{doubt}; reckoning with {} senders", fleet_size.senders);
+        // Last, so that a configuration that is rejected is logged by its error alone.
+        if let Some(warning) = fleet_size.warning {
+            tracing::warn!(reason = %warning, senders = fleet_size.senders, "number of senders is ambiguous");
         }
         Ok(Self { config, settings, names, fleet: FleetFile::default() })
     }
@@ -66,14 +66,14 @@
         self
     }
 
-    /// Adds the operator's file on the fleet.
+    /// Replaces the fleet file.
     #[must_use]
     pub fn with_fleet(mut self, fleet: FleetFile) -> Self {
         self.fleet = fleet;
         self
     }
 
-    /// The operator's file on the fleet; its defaults without one.
+    /// The fleet file; its defaults if there is none.
     pub fn fleet(&self) -> &FleetFile {
         &self.fleet
     }
@@ -90,7 +90,7 @@
     serde_json::from_slice(&text).map_err(|error| StartError::Malformed { path: path.to_owned(), error })
 }
 
-/// Rejects classes that are delivered in order: the protocol has no key to order them by.
+/// Rejects classes that are delivered in order: the protocol has no ordering key.
 fn reject_ordered_classes(settings: &Settings, names: &Names) -> Result<(), StartError> {
     let mut classes = names.classes.iter().zip(&settings.classes);
     match classes.find(|(_, class)| class.ordered) {
@@ -99,7 +99,7 @@
     }
 }
 
-/// The number of senders by `settings.peers_total`, as far as it is configured, and by `peers`.
+/// The number of senders by `settings.peers_total`, if it is configured, and by `peers`.
 fn fleet_size(config: &Config, settings: &Settings) -> FleetSize {
     let is_configured = config.settings.get("peers_total").is_some_and(|value| !value.is_null());
     FleetSize::new(is_configured.then_some(settings.peers_total), config.peers.len())
--- a/crates/sender/src/config/file.rs
+++ b/crates/sender/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration's own keys, as they are in the file. Unknown keys are ignored.
+//! The configuration's own keys, without the policy's settings. Unknown keys are ignored.
 
 use std::net::SocketAddr;
 
@@ -10,24 +10,24 @@
 use super::limits::Limits;
 use crate::event::EndpointList;
 
-/// The configuration as its file has it.
+/// The contents of the configuration file.
 #[derive(Debug)]
 pub(crate) struct Config {
-    /// Where clients connect.
+    /// The address for clients.
     pub(crate) listen: SocketAddr,
-    /// The platform, for discovery and notifications.
+    /// The platform's address, for discovery and notifications.
     pub(crate) discovery: SocketAddr,
-    /// Where operators connect; `None` for no control listener.
+    /// The address of the control listener; `None` for none.
     pub(crate) control: Option<SocketAddr>,
-    /// Seed of the random choices, as hexadecimal text.
+    /// Seed of the random numbers, as hexadecimal text.
     pub(crate) seed: String,
-    /// Resources of the process.
+    /// Resource limits of the process.
     pub(crate) limits: Limits,
     /// The last known endpoint list.
     pub(crate) known: Option<EndpointList>,
     /// The gossip address of each sender of the fleet, by its number.
     pub(crate) peers: Vec<String>,
-    /// Where gossip is received.
+    /// The address on which gossip is received.
     pub(crate) peer_listen: Option<SocketAddr>,
     /// The settings of the policy.
     pub(super) settings: Value,
@@ -54,8 +54,8 @@
         })
     }
 
-    /// How this sender gossips with others; `None` if it does not. A configuration of peers that cannot be used is logged,
-    /// and the sender works without gossip.
+    /// The configuration of gossip; `None` if there is none. A configuration that cannot be used is logged, and the
+    /// sender works without gossip.
     pub(crate) fn gossip(&self) -> Option<GossipConfig> {
         if !self.allows_gossip() || self.peers.is_empty() {
             return None;
@@ -63,7 +63,7 @@
         match self.gossip_config() {
             Ok(config) => Some(config),
             Err(error) => {
-                tracing::warn!("{error}; going without notes to other senders");
+                tracing::warn!(%error, "gossip disabled");
                 None
             }
         }
--- a/crates/sender/src/config/fleet_size.rs
+++ b/crates/sender/src/config/fleet_size.rs
@@ -1,17 +1,17 @@
-//! How many senders share each destination's limit.
+//! The number of senders that share each destination's limit.
 
-/// The number of senders, by the two keys that tell it.
+/// The number of senders, from the two keys that state it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FleetSize {
-    /// The larger number, as each sender's share decreases with it; 0 if only a 0 is configured.
+    /// The larger of the two numbers, which gives each sender the smaller share; 0 if only a 0 is configured.
     pub(super) senders: usize,
-    /// Why the number is doubtful.
-    pub(super) doubt: Option<FleetSizeDoubt>,
+    /// Why the number may be wrong.
+    pub(super) warning: Option<FleetSizeWarning>,
 }
 
-/// Why the number of senders is doubtful.
+/// Why the number of senders may be wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(super) enum FleetSizeDoubt {
+pub(super) enum FleetSizeWarning {
     /// The two keys disagree.
     #[error("settings.peers_total is {peers_total}, and peers lists {peers}")]
     Contradiction {
@@ -20,26 +20,26 @@
         /// The number of listed peers.
         peers: usize,
     },
-    /// Neither key is there.
+    /// Neither key is configured.
     #[error("neither settings.peers_total nor peers tells how many senders there are")]
     Unknown,
-    /// Only `peers` is there.
+    /// Only `peers` is configured.
     #[error("settings.peers_total is missing")]
     MissingTotal,
 }
 
 impl FleetSize {
-    /// The number of senders for a configured number and a number of listed peers, 0 if there is no list.
+    /// Determines the number of senders from the configured number and the number of listed peers, 0 without a list.
     pub(super) fn new(peers_total: Option<usize>, peers: usize) -> Self {
         match (peers_total, peers) {
-            (Some(peers_total), 0) => Self { senders: peers_total, doubt: None },
-            (Some(peers_total), peers) if peers_total == peers => Self { senders: peers, doubt: None },
+            (Some(peers_total), 0) => Self { senders: peers_total, warning: None },
+            (Some(peers_total), peers) if peers_total == peers => Self { senders: peers, warning: None },
             (Some(peers_total), peers) => {
-                let doubt = FleetSizeDoubt::Contradiction { peers_total, peers };
-                Self { senders: peers_total.max(peers), doubt: Some(doubt) }
+                let warning = FleetSizeWarning::Contradiction { peers_total, peers };
+                Self { senders: peers_total.max(peers), warning: Some(warning) }
             }
-            (None, 0) => Self { senders: 1, doubt: Some(FleetSizeDoubt::Unknown) },
-            (None, peers) => Self { senders: peers, doubt: Some(FleetSizeDoubt::MissingTotal) },
+            (None, 0) => Self { senders: 1, warning: Some(FleetSizeWarning::Unknown) },
+            (None, peers) => Self { senders: peers, warning: Some(FleetSizeWarning::MissingTotal) },
         }
     }
 }
--- a/crates/sender/src/config/gossip.rs
+++ b/crates/sender/src/config/gossip.rs
@@ -1,4 +1,4 @@
-//! The part of the configuration that gossip between senders needs.
+//! The configuration of gossip between senders.
 
 use std::net::{AddrParseError, SocketAddr};
 
@@ -7,22 +7,22 @@
 pub(crate) struct GossipConfig {
     /// This sender's number.
     pub me: usize,
-    /// Where this sender receives gossip.
+    /// The address on which this sender receives gossip.
     pub listen: SocketAddr,
-    /// Where each sender receives gossip, by its number.
+    /// The address on which each sender receives gossip, by its number.
     pub peers: Vec<SocketAddr>,
 }
 
-/// Why a sender cannot gossip.
+/// Why the configuration of gossip cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum GossipConfigError {
-    /// This sender's number is missing, or has no address.
+    /// This sender's number is missing, or is not that of a listed peer.
     #[error("settings.me is not a number below that of peers, {peers}")]
     InvalidNumber {
         /// The number of senders.
         peers: usize,
     },
-    /// There is no address to receive gossip at.
+    /// The address on which gossip is received is missing.
     #[error("peers are listed, and peer_listen is missing")]
     MissingListenAddress,
     /// The address of a sender cannot be parsed.
@@ -31,11 +31,11 @@
 }
 
 impl GossipConfig {
-    /// Validates what the configuration says of gossip.
+    /// Validates the configuration of gossip.
     ///
     /// # Errors
     ///
-    /// [`GossipConfigError`] if something is missing or cannot be used.
+    /// [`GossipConfigError`] if a value is missing or invalid.
     pub(super) fn new(
         me: Option<u64>,
         listen: Option<SocketAddr>,
--- a/crates/sender/src/config/limits.rs
+++ b/crates/sender/src/config/limits.rs
@@ -3,13 +3,13 @@
 use rudderspindle_journal::MAX_BODY;
 use rudderspindle_policy::settings::{Field, Range, ReadError};
 
-/// Descriptors for neither clients nor receivers: files, listeners, discovery, the runtime.
+/// Descriptors reserved for files, listeners, discovery and the runtime.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// Minimum number of descriptors: with it there is one for clients and one for receivers.
+/// Minimum number of descriptors: the reserved ones, one for a client and one for a receiver.
 const MIN_DESCRIPTORS: u32 = RESERVED_DESCRIPTORS as u32 + 2;
 /// Share of the memory limit for bodies of requests that have not been received completely.
 const BODY_MEMORY_SHARE: f64 = 0.125;
-/// Minimum effective memory limit, in MB, also where none is configured: with less there is space for a few bodies only.
+/// Minimum effective memory limit, in MB, and the one in effect if none is configured.
 const MIN_MEMORY_MB: f64 = 8.0;
 
 const DISK_RANGE: Range = Range::new("a number of MB above 0", |x| x > 0.0);
@@ -38,12 +38,12 @@
         })
     }
 
-    /// Maximum number of connections of clients, and as many to receivers.
+    /// Maximum number of connections of clients; the same number is allowed to receivers.
     pub(crate) fn max_connections(&self) -> usize {
         self.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2
     }
 
-    /// Memory for bodies that have not been received completely, in bytes: at most what all clients' connections can hold.
+    /// Memory for bodies that have not been received completely, in bytes; at most one body for each client connection.
     pub(crate) fn body_bytes(&self) -> usize {
         let share = self.memory_mb.max(MIN_MEMORY_MB) * 1_000_000.0 * BODY_MEMORY_SHARE;
         (share as usize).min(self.max_connections().saturating_mul(MAX_BODY))
--- a/crates/sender/src/config/start_error.rs
+++ b/crates/sender/src/config/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a sender cannot start.
+//! Errors of a start.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     Malformed {
         /// The file.
         path: PathBuf,
-        /// The cause, with its place in the file.
+        /// The cause, with its position in the file.
         #[source]
         error: serde_json::Error,
     },
@@ -41,7 +41,7 @@
         "settings.peers_total is 0, and peers lists nobody: a whole number of senders from 1 on is wanted"
     )]
     NoSenders,
-    /// A class, by its name, is to be delivered in order, which the protocol does not support.
+    /// A class, by its name, is configured to be delivered in order, which the protocol does not support.
     #[error(
         "settings.lanes[*].in_order ({0:?}) is true: false is wanted, as messages come without a key for it"
     )]
@@ -55,7 +55,7 @@
         #[source]
         error: JournalError,
     },
-    /// The state that outlasts the process cannot be written.
+    /// The persistent state of the process cannot be written.
     #[error("the folder {path} keeps nothing: {error}")]
     State {
         /// The folder.
--- a/crates/sender/src/config/tests.rs
+++ b/crates/sender/src/config/tests.rs
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn the_larger_of_two_numbers_of_senders_is_used_and_each_doubt_is_one_line() {
-    assert_eq!(FleetSize::new(Some(3), 3), FleetSize { senders: 3, doubt: None });
+fn the_larger_of_two_numbers_of_senders_is_used_and_each_warning_is_one_line() {
+    assert_eq!(FleetSize::new(Some(3), 3), FleetSize { senders: 3, warning: None });
     // A fleet without gossip lists nobody.
-    assert_eq!(FleetSize::new(Some(3), 0), FleetSize { senders: 3, doubt: None });
+    assert_eq!(FleetSize::new(Some(3), 0), FleetSize { senders: 3, warning: None });
     for (peers_total, peers, expected, text) in [
         (Some(3), 100, 100, "peers_total is 3, and peers lists 100"),
         (Some(100), 3, 100, "peers_total is 100, and peers lists 3"),
@@ -42,14 +42,14 @@
     ] {
         let size = FleetSize::new(peers_total, peers);
         assert_eq!(size.senders, expected, "{peers_total:?} {peers}");
-        let doubt = size.doubt.map(|doubt| doubt.to_string());
+        let warning = size.warning.map(|warning| warning.to_string());
         assert!(
-            doubt.as_deref().is_some_and(|line| line.contains(text) && !line.contains('\n')),
-            "{doubt:?}"
+            warning.as_deref().is_some_and(|line| line.contains(text) && !line.contains('\n')),
+            "{warning:?}"
         );
     }
     // Rejected with the settings, as a number of senders that cannot be.
-    assert_eq!(FleetSize::new(Some(0), 0), FleetSize { senders: 0, doubt: None });
+    assert_eq!(FleetSize::new(Some(0), 0), FleetSize { senders: 0, warning: None });
 }
 
 #[test]
--- a/crates/sender/src/connection_slots.rs
+++ b/crates/sender/src/connection_slots.rs
@@ -1,10 +1,9 @@
 //! Decides which client connection is closed when connections are scarce. No I/O and no clock.
 //!
-//! A client that keeps its connection after a response takes a slot that others need. Idle connections (no request
-//! open) therefore hold at most one in [`IDLE_SHARE_DIVISOR`] slots, however many are free: beyond that the one that
-//! has been idle longest is closed, and one that sent a single request before one that has sent several. When all
-//! slots are taken, closing connections are no longer waited for; then silent newcomers are closed first, from the
-//! address that holds most of them.
+//! Idle connections (no request open) hold at most 1 / [`IDLE_SHARE_DIVISOR`] of the slots, whether or not others are
+//! free. Beyond that the longest idle one is closed; connections with a single request go before those with several.
+//! When all slots are taken, connections that are closing are dropped first, then new connections without a request,
+//! from the address that has most of them.
 
 mod candidates;
 
@@ -16,24 +15,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Idle connections may hold one slot in so many.
+/// Idle connections hold at most 1 / IDLE_SHARE_DIVISOR of the slots.
 const IDLE_SHARE_DIVISOR: usize = 4;
-/// A client connects because it has something to send: one that is silent for longer is closed first when slots run
-/// out.
+/// Time after which a new connection without a request may be evicted ahead of idle connections.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SlotState {
-    /// It has had no response yet.
+    /// No response has been sent.
     New,
-    /// It has had one response and has no request open.
+    /// One response has been sent, and no request is open.
     IdleAfterFirst,
-    /// It has had several responses and has no request open.
+    /// Several responses have been sent, and no request is open.
     IdleAfterSeveral,
-    /// A complete request has been received and has no response yet.
+    /// A complete request has been received, and its response has not been sent.
     RequestOpen,
-    /// It is being closed, and what its client still sends is discarded.
+    /// The connection is being closed; received bytes are discarded.
     Closing,
 }
 
@@ -41,12 +39,12 @@
 struct Slot {
     address: IpAddr,
     state: SlotState,
-    /// When it entered its state.
+    /// When the connection entered its state.
     since: Duration,
     responses: u32,
 }
 
-/// A connection in the queue of its state, ordered by the time since when it has been there.
+/// A connection in the queue of its state, ordered by when it entered the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueEntry {
     since: Duration,
@@ -55,7 +53,7 @@
 
 type Queue = BTreeSet<QueueEntry>;
 
-/// The connections that hold a slot. Times count from any moment, the same for all.
+/// The connections that hold a slot. All times count from the same arbitrary moment.
 #[derive(Debug)]
 pub struct ConnectionSlots {
     max_idle: usize,
@@ -68,7 +66,7 @@
 }
 
 impl ConnectionSlots {
-    /// All of `total` slots are free.
+    /// Creates `total` free slots.
     pub fn new(total: usize) -> Self {
         Self {
             max_idle: (total / IDLE_SHARE_DIVISOR).max(1),
@@ -80,20 +78,20 @@
         }
     }
 
-    /// A connection was accepted from `address`.
+    /// Records a connection that was accepted from `address`.
     pub fn opened(&mut self, id: ConnectionId, address: IpAddr, now: Duration) {
         self.closed(id);
         self.slots.insert(id, Slot { address, state: SlotState::New, since: now, responses: 0 });
         self.new.insert(QueueEntry { since: now, id });
     }
 
-    /// A complete request was received.
+    /// Records that a complete request was received.
     pub fn request_started(&mut self, id: ConnectionId, now: Duration) {
         self.set_state(id, SlotState::RequestOpen, now);
     }
 
-    /// The request has its response. Returns another connection that must be closed for it if too many are idle;
-    /// `request_arriving` tells whether some of a connection's next request has been received.
+    /// Records that the request has its response. Returns another connection to close if too many are idle;
+    /// `request_arriving` says whether part of a connection's next request has been received.
     pub fn request_finished(
         &mut self,
         id: ConnectionId,
@@ -113,12 +111,12 @@
         Some(surplus)
     }
 
-    /// The connection is being closed.
+    /// Records that the connection is being closed.
     pub fn closing(&mut self, id: ConnectionId, now: Duration) {
         self.set_state(id, SlotState::Closing, now);
     }
 
-    /// The connection is closed and its slot free.
+    /// Records that the connection is closed, and frees its slot.
     pub fn closed(&mut self, id: ConnectionId) {
         if let Some(slot) = self.slots.remove(&id)
             && let Some(queue) = self.queue(slot.state)
@@ -127,23 +125,23 @@
         }
     }
 
-    /// Removes the connection to close when all slots are taken; none if all have a request open.
-    /// `request_arriving` tells whether some of a connection's next request has been received, and `has_unread`
-    /// (which costs more, and is asked of few) whether bytes have been received that nobody has read yet.
+    /// Removes the connection to close when all slots are taken; `None` if all have a request open.
+    /// `request_arriving` says whether part of a connection's next request has been received; `has_unread`, which
+    /// costs a system call, says whether received bytes have not been read.
     pub fn evict(
         &mut self,
         now: Duration,
         request_arriving: impl Fn(ConnectionId) -> bool,
         has_unread: impl Fn(ConnectionId) -> bool,
     ) -> Option<ConnectionId> {
-        let mut spared = HashSet::new();
+        let mut excluded = HashSet::new();
         loop {
-            let candidate = self.eviction_candidate(now, &request_arriving, &spared)?;
+            let candidate = self.eviction_candidate(now, &request_arriving, &excluded)?;
             if self.slots[&candidate].state == SlotState::Closing || !has_unread(candidate) {
                 self.closed(candidate);
                 return Some(candidate);
             }
-            spared.insert(candidate);
+            excluded.insert(candidate);
         }
     }
 
--- a/crates/sender/src/connection_slots/candidates.rs
+++ b/crates/sender/src/connection_slots/candidates.rs
@@ -7,59 +7,55 @@
 
 use super::{ConnectionId, ConnectionSlots, NEW_CONNECTION_GRACE, Queue, QueueEntry};
 
-/// Silent newcomers from one address.
-struct SilentNewcomers {
+/// New connections without a request from one address.
+struct OverdueConnections {
     count: usize,
-    longest_silent: QueueEntry,
+    oldest: QueueEntry,
 }
 
 impl ConnectionSlots {
-    /// The connection to evict next, other than the `spared` ones; none if all others have a request open.
+    /// The connection to evict next, other than the `excluded` ones; `None` if all others have a request open.
     pub(super) fn eviction_candidate(
         &self,
         now: Duration,
         request_arriving: &impl Fn(ConnectionId) -> bool,
-        spared: &HashSet<ConnectionId>,
+        excluded: &HashSet<ConnectionId>,
     ) -> Option<ConnectionId> {
-        let silent = |entry: &&QueueEntry| !spared.contains(&entry.id) && !request_arriving(entry.id);
+        let evictable = |entry: &&QueueEntry| !excluded.contains(&entry.id) && !request_arriving(entry.id);
         let entry = self
             .closing
             .first()
             .copied()
-            .or_else(|| self.longest_silent_newcomer(now, silent))
-            .or_else(|| self.idle_after_first.iter().find(silent).copied())
-            .or_else(|| self.idle_after_several.iter().find(silent).copied())
-            .or_else(|| self.new.iter().find(silent).copied())
+            .or_else(|| self.oldest_overdue(now, evictable))
+            .or_else(|| self.idle_after_first.iter().find(evictable).copied())
+            .or_else(|| self.idle_after_several.iter().find(evictable).copied())
+            .or_else(|| self.new.iter().find(evictable).copied())
             // All others are receiving a request: the one that has taken longest.
-            .or_else(|| self.longest_without_request(spared));
+            .or_else(|| self.longest_without_request(excluded));
         entry.map(|entry| entry.id)
     }
 
-    /// Of the newcomers silent for over [`NEW_CONNECTION_GRACE`], the longest silent one from the address that has
+    /// Of the new connections without a request for over [`NEW_CONNECTION_GRACE`], the oldest from the address that has
     /// most of them.
-    fn longest_silent_newcomer(
-        &self,
-        now: Duration,
-        silent: impl Fn(&&QueueEntry) -> bool,
-    ) -> Option<QueueEntry> {
+    fn oldest_overdue(&self, now: Duration, evictable: impl Fn(&&QueueEntry) -> bool) -> Option<QueueEntry> {
         let overdue =
             self.new.iter().take_while(|entry| now.saturating_sub(entry.since) > NEW_CONNECTION_GRACE);
-        let mut by_address: HashMap<IpAddr, SilentNewcomers> = HashMap::new();
-        for &entry in overdue.filter(silent) {
-            let newcomers = by_address
+        let mut by_address: HashMap<IpAddr, OverdueConnections> = HashMap::new();
+        for &entry in overdue.filter(evictable) {
+            let connections = by_address
                 .entry(self.slots[&entry.id].address)
-                .or_insert(SilentNewcomers { count: 0, longest_silent: entry });
-            newcomers.count += 1;
+                .or_insert(OverdueConnections { count: 0, oldest: entry });
+            connections.count += 1;
         }
         by_address
             .into_values()
-            .max_by_key(|newcomers| (newcomers.count, Reverse(newcomers.longest_silent)))
-            .map(|newcomers| newcomers.longest_silent)
+            .max_by_key(|connections| (connections.count, Reverse(connections.oldest)))
+            .map(|connections| connections.oldest)
     }
 
     /// The connection without a complete request that has been in its state for longest.
-    fn longest_without_request(&self, spared: &HashSet<ConnectionId>) -> Option<QueueEntry> {
-        let first_of = |queue: &Queue| queue.iter().find(|entry| !spared.contains(&entry.id)).copied();
+    fn longest_without_request(&self, excluded: &HashSet<ConnectionId>) -> Option<QueueEntry> {
+        let first_of = |queue: &Queue| queue.iter().find(|entry| !excluded.contains(&entry.id)).copied();
         [&self.new, &self.idle_after_first, &self.idle_after_several].into_iter().filter_map(first_of).min()
     }
 }
--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -1,4 +1,4 @@
-//! Control listener: operators send one command line a connection and get one response.
+//! Control listener: accepts one command line for each connection and sends one response.
 //!
 //! | command | response |
 //! | --- | --- |
@@ -38,7 +38,7 @@
 const MAX_LINE_LEN: u64 = 256;
 /// How long a command may take to be read, executed and answered.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the engine is queried for its status before the last known one is reported. Operators wait 1 s.
+/// How long the engine's status is waited for before the last known one is reported; clients time out after 1 s.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Serves the control protocol.
@@ -53,8 +53,8 @@
 }
 
 impl ControlListener {
-    /// Accepts connections forever; each is served by a task of its own, which ends by [`COMMAND_TIMEOUT`] or when newer
-    /// connections need its descriptor.
+    /// Accepts connections without end. Each is served by a task that ends after [`COMMAND_TIMEOUT`] at the latest, or
+    /// when newer connections need its descriptor.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let open = Rc::new(OpenConnections::default());
         let mut acceptor = Acceptor::new(listener, "control");
@@ -69,7 +69,7 @@
         tokio::select! {
             biased;
             () = guard.close_requested() => {}
-            // An operator that sends nothing, or does not read the response, is disconnected.
+            // A client that sends nothing, or does not read the response, is disconnected.
             _ = timeout(COMMAND_TIMEOUT, self.serve_command(&mut stream)) => {}
         }
         graceful_close::finish(&Rc::new(RefCell::new(stream)), guard.close_requested()).await;
@@ -103,7 +103,7 @@
 
     /// Changes the admission state, unless the process is stopping.
     fn set_admission(&self, requested: AdmissionState) -> Response {
-        // Copied first: it must not be borrowed while it is replaced.
+        // Copied: the state must not be borrowed while it is replaced.
         let from = *self.admission_state.borrow();
         let to = from.after_request(requested);
         if self.admission_state.send_replace(to) != to {
@@ -112,7 +112,7 @@
         if to == requested { Response::Done } else { Response::Stopping }
     }
 
-    /// Queries the engine for its status; the last known one stays if it does not respond in time.
+    /// Queries the engine for its status; keeps the last known one if it does not respond in time.
     async fn update_engine_status(&self) {
         let (status, reported) = oneshot::channel();
         if self.engine.try_send(Input::QueryStatus(status)).is_ok()
--- a/crates/sender/src/control/command.rs
+++ b/crates/sender/src/control/command.rs
@@ -35,7 +35,7 @@
 }
 
 impl Command {
-    /// Parses a received line, which has to be complete.
+    /// Parses a received line, which must be complete.
     ///
     /// # Errors
     ///
--- a/crates/sender/src/control/connections.rs
+++ b/crates/sender/src/control/connections.rs
@@ -1,4 +1,4 @@
-//! The open connections of the control listener, bounded in number.
+//! The open connections of the control listener, limited in number.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 /// Maximum number of open connections; beyond it the oldest one is closed.
 const MAX_CONNECTIONS: usize = 12;
 
-/// The open connections, by the order in which they were accepted.
+/// The open connections by number, in the order in which they were accepted.
 #[derive(Debug, Default)]
 pub(super) struct OpenConnections(RefCell<BTreeMap<u64, Rc<Notify>>>);
 
--- a/crates/sender/src/control/response.rs
+++ b/crates/sender/src/control/response.rs
@@ -4,7 +4,7 @@
 
 use super::command::UnknownCommand;
 
-/// The response to a command. [`fmt::Display`] gives the bytes on the wire, with the end of the last line.
+/// The response to a command. [`fmt::Display`] writes its encoding, with the end of the last line.
 #[derive(Debug)]
 pub(super) enum Response {
     /// The command is in effect.
--- a/crates/sender/src/discovery/client.rs
+++ b/crates/sender/src/discovery/client.rs
@@ -14,17 +14,17 @@
 use crate::event::EndpointList;
 use crate::platform::{Connection, Driver, HttpError, connect};
 
-/// How long a starting process waits for the full list: a discovery that does not respond must not delay the start.
+/// How long a starting process waits for the full list.
 pub(super) const STARTUP_FETCH_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The body of a response, on a connection of its own that is closed when this is dropped.
+/// The body of a response; its connection is closed when this is dropped.
 #[derive(Debug)]
 pub(super) struct StreamingResponse {
     pub(super) body: Incoming,
     _driver: Driver,
 }
 
-/// Fetches the full list for a start of the process; `None` if it does not arrive in time.
+/// Fetches the full list at the start of the process; `None` if that fails or takes too long.
 pub async fn fetch(addr: SocketAddr) -> Option<EndpointList> {
     let list = timeout(STARTUP_FETCH_TIMEOUT, fetch_full_list(addr, STARTUP_FETCH_TIMEOUT)).await;
     match list.unwrap_or(Err(HttpError::TimedOut.into())) {
--- a/crates/sender/src/discovery/decoder.rs
+++ b/crates/sender/src/discovery/decoder.rs
@@ -1,7 +1,7 @@
 //! Incremental decoder for the body of a watch, independent of how the bytes are split into frames. No I/O, no clock.
 //!
-//! A list is one JSON object, on one line or indented over several; between two lists an empty line is a heartbeat. Each
-//! byte is scanned once, and a list is parsed once, when its closing bracket has arrived.
+//! A list is one JSON object on one line or several. An empty line between two lists is a heartbeat. Each byte is
+//! scanned once, and a list is parsed once its closing bracket has arrived.
 
 use crate::event::EndpointList;
 
@@ -83,7 +83,7 @@
             _ if self.escaped => self.escaped = false,
             b'\\' => self.escaped = true,
             b'"' => self.in_string = false,
-            // JSON does not allow it in a string.
+            // Not allowed in a JSON string.
             b'\n' => return Err(DecodeError::UnterminatedString),
             _ => {}
         }
--- a/crates/sender/src/discovery/session.rs
+++ b/crates/sender/src/discovery/session.rs
@@ -1,4 +1,4 @@
-//! One connection's watch: the full list first where changes alone do not suffice, then changes as they come.
+//! The watch on one connection: the full list first if its revision is not known, then changes as they arrive.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,35 +16,34 @@
 use crate::event::{EndpointList, Input};
 use crate::platform::HttpError;
 
-/// Idle time after which a watch is dead: discovery sends a heartbeat every 2 s.
+/// Maximum time between two events of a watch; discovery sends a heartbeat every 2 s.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Minimum time for a full list to arrive, once its response has begun in time.
+/// Minimum timeout of a request for the full list.
 const MIN_FULL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a watcher has received so far; it outlasts the sessions.
+/// The progress of a watch over all of its sessions.
 #[derive(Debug)]
 pub(super) struct WatchProgress {
-    /// Revision of the last list; `None` if only the full list can tell what has changed since.
+    /// Revision of the last list; `None` if the full list has to be fetched.
     pub(super) revision: Option<u64>,
-    /// When the last request began or, on a watch, when the last event came. Changes before this time are known, or
-    /// could not be had.
+    /// When the last request began or, on a watch, when the last event arrived.
     pub(super) last_activity: Instant,
-    /// Whether an event came in the current session.
+    /// Whether an event arrived in the current session.
     pub(super) received_event: bool,
 }
 
-/// One connection's watch.
+/// The watch on one connection.
 #[derive(Debug)]
 pub(super) struct Session<'a> {
     pub(super) addr: SocketAddr,
-    /// How long a response may take to begin.
+    /// Maximum time until a response begins.
     pub(super) response_timeout: Duration,
     pub(super) progress: &'a mut WatchProgress,
     pub(super) engine: &'a mpsc::Sender<Input>,
 }
 
 impl Session<'_> {
-    /// Passes lists to the engine until the watch ends, and returns why it ended.
+    /// Sends lists to the engine until the watch ends; returns why it ended.
     pub(super) async fn run(&mut self) -> WatchError {
         match self.watch().await {
             Ok(never) => match never {},
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Fetches the full list and passes it to the engine; returns its revision.
+    /// Fetches the full list and sends it to the engine; returns its revision.
     async fn load_full_list(&mut self) -> Result<u64, WatchError> {
         tracing::debug!(target: LOG_TARGET, addr = %self.addr, "requesting the full list");
         let list_timeout = self.response_timeout.max(MIN_FULL_LIST_TIMEOUT);
@@ -84,8 +83,7 @@
         Ok(revision)
     }
 
-    /// Feeds the next frame of the body to the decoder. Only complete events keep a watch from being idle: bytes of a
-    /// list that never ends do not.
+    /// Feeds the next frame of the body to the decoder. Only complete events restart the idle timeout.
     async fn receive_frame(&self, body: &mut Incoming, decoder: &mut Decoder) -> Result<(), WatchError> {
         let idle_at = self.progress.last_activity + WATCH_IDLE_TIMEOUT;
         let frame = timeout_at(idle_at, body.frame()).await.map_err(|_| HttpError::TimedOut)?;
@@ -105,7 +103,7 @@
         self.deliver(list).await
     }
 
-    /// Passes a list to the engine; from here on changes are requested from its revision on.
+    /// Sends a list to the engine; later watches start at its revision.
     async fn deliver(&mut self, list: EndpointList) -> Result<(), WatchError> {
         self.progress.revision = Some(list.revision);
         self.engine.send(Input::List(list)).await.map_err(|_| WatchError::EngineClosed)
--- a/crates/sender/src/discovery/watcher.rs
+++ b/crates/sender/src/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! Keeps a watch open for as long as the engine runs: reconnects after failures, and follows changes of the address.
+//! Keeps a watch open while the engine runs: reconnects after failures and after changes of the address.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 use crate::platform::HttpError;
 use crate::poll_schedule::PollSchedule;
 
-/// Watches the discovery at the configured address, from `revision` on or else from the full list on, and passes lists to
-/// the engine. Ends when the engine has ended, or the address can no longer change.
+/// Watches discovery at the configured address and sends its lists to the engine. Starts at `revision`, or with the full
+/// list if that is `None`. Ends when the engine has ended or the address can no longer change.
 pub async fn watch(
     address: watch::Receiver<SocketAddr>,
     revision: Option<u64>,
@@ -37,7 +37,7 @@
 /// How a session ended.
 #[derive(Debug)]
 enum SessionEnd {
-    /// It failed or was closed.
+    /// The watch failed or was closed.
     Failed { addr: SocketAddr, error: WatchError },
     /// The configuration names another address.
     AddressChanged,
@@ -47,18 +47,18 @@
 
 impl Watcher {
     async fn run(mut self) {
-        let mut pause = self.schedule.initial_delay();
+        let mut delay = self.schedule.initial_delay();
         loop {
-            pause = match self.run_session(pause).await {
-                SessionEnd::Failed { addr, error } => self.pause_after_failure(addr, &error),
+            delay = match self.run_session(delay).await {
+                SessionEnd::Failed { addr, error } => self.delay_after_failure(addr, &error),
                 SessionEnd::AddressChanged => self.reset_for_new_address(),
                 SessionEnd::ShutDown => return,
             };
         }
     }
 
-    /// Runs a session after a pause. A change of the address ends both at once.
-    async fn run_session(&mut self, pause: Duration) -> SessionEnd {
+    /// Runs a session after a delay. A change of the address ends both at once.
+    async fn run_session(&mut self, delay: Duration) -> SessionEnd {
         self.progress.received_event = false;
         let addr = *self.address.borrow_and_update();
         let mut session = Session {
@@ -67,8 +67,8 @@
             progress: &mut self.progress,
             engine: &self.engine,
         };
-        let session_after_pause = async {
-            sleep(pause).await;
+        let delayed_session = async {
+            sleep(delay).await;
             session.run().await
         };
         tokio::select! {
@@ -77,37 +77,37 @@
                 Ok(()) => SessionEnd::AddressChanged,
                 Err(_) => SessionEnd::ShutDown,
             },
-            error = session_after_pause => match error {
+            error = delayed_session => match error {
                 WatchError::EngineClosed => SessionEnd::ShutDown,
                 error => SessionEnd::Failed { addr, error },
             },
         }
     }
 
-    /// Starts over with the full list of the new address, whose revisions are unrelated to those received so far. The
-    /// addresses of many senders change at the same moment: the first request is delayed as at a start.
+    /// Resets the progress, as the new address has revisions of its own. The first request is delayed as at a start: the
+    /// addresses of many senders may change at the same moment.
     fn reset_for_new_address(&mut self) -> Duration {
         self.progress.revision = None;
         self.schedule.record_success();
         self.schedule.initial_delay()
     }
 
-    /// The pause until the next session.
-    fn pause_after_failure(&mut self, addr: SocketAddr, error: &WatchError) -> Duration {
+    /// The delay until the next session.
+    fn delay_after_failure(&mut self, addr: SocketAddr, error: &WatchError) -> Duration {
         if matches!(error, WatchError::Unreadable(_)) {
-            // Changes were missed: only the full list has them.
+            // Changes were missed; only the full list has them.
             self.progress.revision = None;
         }
         let elapsed = self.progress.last_activity.elapsed();
         if self.progress.received_event {
             tracing::warn!("discovery: {error}; watching again");
             self.schedule.record_success();
-            return self.schedule.pause_after_failure(elapsed);
+            return self.schedule.delay_after_failure(elapsed);
         }
         tracing::debug!(target: LOG_TARGET, %addr, %error, "request failed");
         match error {
-            WatchError::Http(HttpError::Status(_)) => self.schedule.pause_after_rejection(elapsed),
-            _ => self.schedule.pause_after_failure(elapsed),
+            WatchError::Http(HttpError::Status(_)) => self.schedule.delay_after_rejection(elapsed),
+            _ => self.schedule.delay_after_failure(elapsed),
         }
     }
 }
--- a/crates/sender/src/graceful_close.rs
+++ b/crates/sender/src/graceful_close.rs
@@ -1,7 +1,7 @@
-//! Closes a connection without a reset, so that what was written before still reaches the peer.
+//! Closes a connection without a reset, so that the peer receives all that was written before.
 //!
-//! The system answers a close over unread bytes with a reset, which discards what the peer has not read yet. So the
-//! writing half is shut down first, and what the peer still sends is read and discarded.
+//! Closing a socket with unread bytes sends a reset, and the peer loses what it has not read yet. So the writing half is
+//! shut down first, and received bytes are discarded until the peer closes its side.
 
 use std::future::poll_fn;
 use std::io::{ErrorKind, Result};
@@ -16,11 +16,10 @@
 
 use crate::write_progress::SharedSocket;
 
-/// A peer that reads learns of the shutdown within a round trip, and closes its side then. One that has not done so by
-/// now is taken for gone.
+/// How long the peer has to close its side after the shutdown.
 pub(crate) const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes that are discarded at most. A well-behaved peer can have one request in transit, of 64 KiB and its head: this
-/// is room for several. A peer that sends more may be reset.
+/// Maximum number of bytes that are discarded; a peer that sends more may be reset. A request has up to 64 KiB and its
+/// head.
 const MAX_DISCARDED: usize = 256 * 1024;
 /// Bytes read by one call.
 const READ_CHUNK_SIZE: usize = 4 * 1024;
@@ -57,12 +56,11 @@
 }
 
 fn shut_down_writing(socket: &SharedSocket) {
-    // It fails if the connection has ended already; then reading fails as well.
+    // Fails only if the connection has ended; reading fails as well then.
     let _ = SockRef::from(&*socket.borrow()).shutdown(Shutdown::Write);
 }
 
-/// Discards what the system has received, also what the runtime has not noticed yet. Returns whether the peer has closed
-/// its side.
+/// Discards what the system has received, without waiting. Returns whether the peer has closed its side.
 fn discard_received(socket: &SharedSocket, discard_limit: &mut usize) -> bool {
     let mut bytes = [MaybeUninit::uninit(); READ_CHUNK_SIZE];
     while *discard_limit > 0 {
@@ -75,7 +73,7 @@
     false
 }
 
-/// Discards what is received until the peer closes its side. Returns false if the limit is reached before.
+/// Discards received bytes until the peer closes its side; returns `false` if the limit is reached before.
 async fn discard_until_closed(socket: &SharedSocket, discard_limit: &mut usize) -> bool {
     while *discard_limit > 0 {
         match read(socket).await {
--- a/crates/sender/src/handover/codec.rs
+++ b/crates/sender/src/handover/codec.rs
@@ -1,4 +1,4 @@
-//! The encoding of messages between two processes: one JSON value a line, in both directions.
+//! The encoding of messages between two processes: one JSON value for each line, in both directions.
 
 use std::io;
 
@@ -7,10 +7,10 @@
 
 use super::message::HandoverMessage;
 
-/// Maximum encoded length of a [`HandoverMessage`], with the end of its line, in bytes.
+/// Maximum encoded length of a [`HandoverMessage`] with its line end, in bytes.
 const MAX_MESSAGE_LEN: u64 = 2_048;
 
-/// Why a connection between two processes cannot be used further.
+/// Why a connection between two processes failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum HandoverError {
     /// The socket failed.
@@ -19,7 +19,7 @@
     /// A line is not a message of this version.
     #[error("malformed message: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The owner closed the connection before it had sent all of its state.
+    /// The owner closed the connection before the end of the state transfer.
     #[error("the connection was closed before the state was complete")]
     Incomplete,
 }
@@ -33,7 +33,7 @@
         Self(BufReader::new(socket))
     }
 
-    /// Reads the next message; `None` at the end of the connection.
+    /// Reads the next message; `None` once the connection is closed.
     ///
     /// # Errors
     ///
--- a/crates/sender/src/handover/connection.rs
+++ b/crates/sender/src/handover/connection.rs
@@ -1,4 +1,4 @@
-//! The established connection of two processes: messages in both directions until one of them ends.
+//! An established connection between two processes, with messages in both directions until one of them ends.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use super::peer_process::PeerProcess;
 use crate::event::Input;
 
-/// Maximum number of queued messages; a process that does not read so many is treated as gone.
+/// Maximum number of queued messages; further ones are dropped.
 const MAX_QUEUED_MESSAGES: usize = 2_048;
 
 /// Both directions of a connection to the other process.
@@ -29,8 +29,8 @@
         Self { reader: MessageReader::new(reader), writer: MessageWriter::new(writer) }
     }
 
-    /// Connects `peer_process` and starts the task that carries messages in both directions. It ends with the
-    /// connection, or when the engine has ended; the engine is told that the other process is gone.
+    /// Connects `peer_process` and spawns the task that sends and receives messages. The task ends with the connection or
+    /// when the engine has ended, and reports the disconnection to the engine.
     pub(super) fn spawn_exchange(self, peer_process: Rc<PeerProcess>, engine: mpsc::Sender<Input>) {
         let (outgoing, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
         peer_process.connect(outgoing);
@@ -46,7 +46,7 @@
     }
 }
 
-/// Passes received messages to the engine, until the connection fails or ends.
+/// Sends received messages to the engine, until the connection fails or ends.
 async fn receive(mut reader: MessageReader, engine: &mpsc::Sender<Input>) {
     while let Ok(Some(message)) = reader.read().await {
         let Some(input) = message.into_input() else { continue };
@@ -56,7 +56,7 @@
     }
 }
 
-/// Writes queued messages, until the other process no longer reads.
+/// Writes queued messages, until a write fails or times out.
 async fn transmit(mut writer: MessageWriter, mut queued: mpsc::Receiver<HandoverMessage>) {
     while let Some(message) = queued.recv().await {
         let written = timeout(HANDOVER_TIMEOUT, writer.write(&message)).await;
--- a/crates/sender/src/handover/owner.rs
+++ b/crates/sender/src/handover/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side: the process that owns the folder accepts one successor at a time.
+//! The owner's side: the process that owns the state folder accepts one successor at a time.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -18,10 +18,10 @@
 
 /// Maximum number of connections in the handshake.
 const MAX_HANDSHAKES: usize = 8;
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next attempt to accept a connection after one has failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts successors, one at a time, until the engine ends. Each is reported to the engine, and so is what it sends.
+/// Accepts successors, one at a time, until the engine ends. The engine receives each one's connection and messages.
 pub async fn accept_successors(folder: PathBuf, peer_process: Rc<PeerProcess>, engine: mpsc::Sender<Input>) {
     let listener = match bind(&folder) {
         Ok(listener) => listener,
@@ -30,7 +30,7 @@
             return;
         }
     };
-    // Handshakes run beside each other: a silent connection does not delay another. They are cancelled with this task.
+    // Handshakes run concurrently, so that one does not delay another. They are cancelled with this task.
     let mut handshakes = JoinSet::new();
     while !engine.is_closed() {
         while handshakes.try_join_next().is_some() {}
@@ -41,20 +41,20 @@
             Ok((stream, _)) => {
                 handshakes.spawn_local(accept_successor(stream, peer_process.clone(), engine.clone()));
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Binds the socket; one that an earlier process left behind is replaced, as this process owns the folder.
+/// Binds the socket, and replaces that of an earlier process: this process owns the folder.
 fn bind(folder: &Path) -> io::Result<UnixListener> {
     let path = folder.join(SOCKET_NAME);
     let _ = std::fs::remove_file(&path);
     UnixListener::bind(&path)
 }
 
-/// Performs the handshake with a connection, and makes it the successor once an earlier successor has disconnected:
-/// a process that connects meanwhile has seen the lock of that one free, and waits until its connection has ended here.
+/// Performs the handshake with a connection, and makes it the successor once an earlier successor has disconnected. Of an
+/// earlier successor that has ended, the lock may be free before its connection is closed here.
 pub(super) async fn accept_successor(
     stream: UnixStream,
     peer_process: Rc<PeerProcess>,
--- a/crates/sender/src/handover/peer_process.rs
+++ b/crates/sender/src/handover/peer_process.rs
@@ -1,4 +1,4 @@
-//! The handle on the connection to the other process of this sender.
+//! The connection to the other process of this sender, as the other tasks see it.
 
 use std::cell::RefCell;
 
@@ -6,7 +6,7 @@
 
 use super::message::HandoverMessage;
 
-/// The connection to the other process of this sender, if there is one; messages are dropped while there is none.
+/// The connection to the other process of this sender. Messages are dropped while there is none.
 #[derive(Debug, Default)]
 pub struct PeerProcess {
     outgoing: RefCell<Option<mpsc::Sender<HandoverMessage>>>,
@@ -21,12 +21,11 @@
     /// Queues a message for the other process; dropped if it is not connected or its queue is full.
     pub fn send(&self, message: HandoverMessage) {
         if let Some(outgoing) = &*self.outgoing.borrow() {
-            // A process that lets its queue fill up does not read any more.
             let _ = outgoing.try_send(message);
         }
     }
 
-    /// Waits until no other process is connected and [`PeerProcess::disconnect`] has been called for the last one.
+    /// Waits until [`PeerProcess::disconnect`] has been called for the connected process, if there is one.
     pub(super) async fn disconnected(&self) {
         loop {
             let Some(outgoing) = self.outgoing.borrow().clone() else { return };
@@ -34,12 +33,12 @@
         }
     }
 
-    /// Directs messages to the queue of a new connection.
+    /// Sends messages to the queue of a new connection from now on.
     pub(super) fn connect(&self, outgoing: mpsc::Sender<HandoverMessage>) {
         *self.outgoing.borrow_mut() = Some(outgoing);
     }
 
-    /// Forgets the connection after its end.
+    /// Removes the connection.
     pub(super) fn disconnect(&self) {
         *self.outgoing.borrow_mut() = None;
     }
--- a/crates/sender/src/handover/successor.rs
+++ b/crates/sender/src/handover/successor.rs
@@ -1,4 +1,4 @@
-//! The successor's side: a starting process reads the state of the process that owns the folder.
+//! The successor's side: a starting process receives the state of the process that owns the state folder.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -19,12 +19,12 @@
 pub struct HandoverState {
     /// Outages, backoffs and calls in flight, in the order in which the owner sent them.
     pub messages: Vec<HandoverMessage>,
-    /// Whether the owner sent all of its state, and shares the disk space.
+    /// Whether the transfer was completed, with which the owner shares the disk space.
     pub is_complete: bool,
 }
 
-/// Requests the state of the process that owns the folder, and stays connected to it. What has arrived when it fails or
-/// the time is over is returned: a successor continues without the rest.
+/// Requests the state of the process that owns the folder, and stays connected to it. If that fails or takes too long,
+/// returns the messages received by then.
 pub async fn connect_to_owner(
     folder: &Path,
     peer_process: &Rc<PeerProcess>,
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters of this process, and the engine's status, as one JSON line for operators.
 //!
-//! Counted where the event occurs; a reader never waits for the engine.
+//! Events are counted where they occur; reading the counters does not wait for the engine.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,14 +8,14 @@
 use rudderspindle_journal::Status;
 use serde::Serialize;
 
-/// The final outcome of a message, as its client is told.
+/// The final outcome of a message, as reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
     /// Delivered.
     Delivered,
-    /// Shed: refused when it was submitted, or returned by a notification.
+    /// Shed: refused when it was submitted, or reported as deferred in a notification.
     Rejected,
-    /// Failed for good.
+    /// Failed: no further attempt is made.
     Failed,
 }
 
@@ -31,11 +31,11 @@
 /// The engine's status at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EngineStatus {
-    /// Messages that are accepted and not complete.
+    /// Number of messages that are accepted and not complete.
     pub open_requests: usize,
-    /// Receivers in the endpoint list.
+    /// Number of receivers in the endpoint list.
     pub registry_entries: usize,
-    /// Receivers in the endpoint list that this sender does not call at present.
+    /// Number of receivers in the endpoint list that this sender does not call at present.
     pub out_of_rotation: usize,
 }
 
@@ -46,9 +46,9 @@
     classes: Vec<String>,
     /// Final outcomes by class.
     outcomes: RefCell<Vec<OutcomeCounts>>,
-    /// Calls whose request was written completely.
+    /// Number of calls whose request was written completely.
     calls_written: Cell<u64>,
-    /// Open connections of clients.
+    /// Number of open connections of clients.
     clients: Cell<usize>,
     /// The engine's status as last reported.
     engine_status: Cell<EngineStatus>,
@@ -62,7 +62,7 @@
     failed: u64,
 }
 
-/// The JSON line.
+/// The JSON line; its keys are part of the control protocol.
 #[derive(Serialize)]
 struct Report<'a> {
     #[serde(rename = "fulfilled")]
--- a/crates/sender/src/platform.rs
+++ b/crates/sender/src/platform.rs
@@ -16,7 +16,7 @@
 /// Why a request to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HttpError {
-    /// The response did not come in time.
+    /// The response did not arrive in time.
     #[error("no answer in time")]
     TimedOut,
     /// The connection could not be opened.
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -1,18 +1,15 @@
-//! Polling schedule for the endpoint list: request timeouts, retry pauses and jitter. No I/O, no clock.
+//! Polling schedule for the endpoint list: request timeouts, retry delays and jitter. No I/O and no clock.
 //!
-//! Where changes are pushed, discovery is an agent on the sender's own machine: it responds at once, at no cost, and its
-//! list is in effect at once. A sender polls it at once and, while it does not respond, after a short constant pause:
-//! what the agent receives when discovery recovers is in effect at that moment.
+//! Where changes are pushed, discovery is an agent on the sender's own machine, and its list is in effect at once. The
+//! sender polls it without an initial delay and retries after a short constant delay.
 //!
-//! Where changes are fetched on request, all senders poll one discovery, and a change is in effect some time after
-//! discovery has it, whether a sender has fetched it or not. So from the start of a request that fails, or from the last
-//! event of a watch, to the start of the next request it takes [`MAX_POLL_GAP`] at most, however often requests fail.
-//! Within that bound the requests of a fleet are staggered with jitter, so that a discovery that has just recovered does
-//! not get all of them at once.
+//! Where changes are fetched on request, all senders poll one discovery service, and a change is in effect
+//! [`CHANGE_IN_EFFECT_AFTER`] after the service has it. From the start of a request that fails, or the last event of a
+//! watch, to the start of the next request it takes at most [`MAX_POLL_GAP`]. Within that bound the requests of a fleet
+//! are staggered with jitter, so that a service that has just recovered does not receive all of them at once.
 //!
-//! A discovery that sheds load rejects requests at once, at no cost, and serves those that it accepts. One that queues
-//! requests and fails them later serves nobody while so many poll so often: only there are the pauses longer, as no
-//! sender would get a list otherwise.
+//! A service that sheds load rejects requests at once and serves those that it accepts. One that queues requests and
+//! fails them later would serve no sender at this rate, so the delays after such rejections are longer.
 
 use std::time::Duration;
 
@@ -20,50 +17,50 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rudderspindle_policy::interface::Discovery;
 
-/// Time after which a change that discovery has is in effect.
+/// Time from a change in discovery until it is in effect.
 const CHANGE_IN_EFFECT_AFTER: Duration = Duration::from_secs(6);
-/// Maximum response time of a discovery that many senders poll: it rejects what would take longer.
+/// Maximum response time of a discovery service that many senders poll; it rejects requests that would take longer.
 const MAX_RESPONSE_TIME: Duration = Duration::from_secs(2);
-/// Share of a request's time for connecting, and for the work at both ends.
+/// Allowance in a request's time for connecting and for the processing at both ends.
 const REQUEST_OVERHEAD: Duration = Duration::from_millis(250);
 /// Maximum time from the start of a failed request to the start of the next one, whose response then arrives before the
-/// changes that it reports are in effect.
+/// changes in it are in effect.
 const MAX_POLL_GAP: Duration =
     CHANGE_IN_EFFECT_AFTER.saturating_sub(MAX_RESPONSE_TIME).saturating_sub(REQUEST_OVERHEAD);
 /// How long a local agent's response may take to begin.
 const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause after a failed request to a local agent.
-const AGENT_RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Assumed cost of a request for discovery; times the number of senders, it is the length of a round.
-const ASSUMED_REQUEST_COST: Duration = Duration::from_millis(100);
-/// Maximum length of a round that needs no staggering.
+/// Delay after a failed request to a local agent.
+const AGENT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time in a round for each sender's request.
+const ROUND_TIME_PER_SENDER: Duration = Duration::from_millis(100);
+/// Maximum length of a round without staggering.
 const MAX_UNSTAGGERED_ROUND: Duration = Duration::from_secs(1);
-/// First pause of the exponential backoff, and the shortest pause of all.
+/// First delay of the exponential backoff, and the minimum of all delays.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest pause of the exponential backoff.
+/// Maximum delay of the exponential backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// A request that is rejected after this time has waited in a queue.
+/// Response time from which on a rejected request counts as having waited in a queue.
 const QUEUED_REJECTION_AFTER: Duration = Duration::from_secs(1);
-/// Longest pause after a rejection from a queue, in rounds.
+/// Maximum delay after a rejection from a queue, in rounds.
 const QUEUED_REJECTION_ROUNDS: f64 = 1.5;
-/// Maximum length of a round: every sender gets changes in the end, however many senders there are.
+/// Maximum length of a round.
 const MAX_ROUND: Duration = Duration::from_secs(20);
-/// Share of the configured polling deadline that is used: the request itself takes time, too.
+/// Share of the configured polling deadline that is used; the rest is for the request itself.
 const POLL_DEADLINE_SHARE: f64 = 0.9;
-/// Longest pause after a rejection from a queue, in polling deadlines.
+/// Maximum delay after a rejection from a queue, in polling deadlines.
 const QUEUED_REJECTION_DEADLINES: u32 = 4;
 
 /// How a sender polls discovery.
 #[derive(Debug)]
 enum PollStrategy {
-    /// A local agent of its own: constant pauses.
+    /// A local agent: constant delays.
     LocalAgent,
     /// One of a few senders: exponential backoff.
     Backoff {
-        /// The pause after the next failure.
-        next_pause: Duration,
+        /// The delay after the next failure.
+        next_delay: Duration,
     },
-    /// One of many senders: pauses with jitter that spread their requests over a round.
+    /// One of many senders: delays with jitter that spread their requests over a round.
     Staggered {
         /// Time in which each sender polls once.
         round: Duration,
@@ -77,9 +74,9 @@
     fn new(discovery: Discovery, senders: usize) -> Self {
         let Discovery::OnRequest { ask_within } = discovery else { return Self::LocalAgent };
         let senders = u32::try_from(senders).unwrap_or(u32::MAX);
-        let round = ASSUMED_REQUEST_COST.saturating_mul(senders).min(MAX_ROUND);
+        let round = ROUND_TIME_PER_SENDER.saturating_mul(senders).min(MAX_ROUND);
         if round <= MAX_UNSTAGGERED_ROUND {
-            return Self::Backoff { next_pause: MIN_BACKOFF };
+            return Self::Backoff { next_delay: MIN_BACKOFF };
         }
         let configured = Duration::try_from_secs_f64(ask_within / 1_000.0).ok();
         let poll_within = configured
@@ -89,7 +86,7 @@
     }
 }
 
-/// Timeouts and pauses of one sender's requests to discovery.
+/// Timeouts and delays of one sender's requests to discovery.
 #[derive(Debug)]
 pub struct PollSchedule {
     rng: ChaCha8Rng,
@@ -102,13 +99,13 @@
         Self { rng: ChaCha8Rng::seed_from_u64(seed), strategy: PollStrategy::new(discovery, peers) }
     }
 
-    /// Whether there are so many senders that their requests are staggered.
+    /// Whether the senders' requests are staggered.
     pub(crate) fn is_staggered(&self) -> bool {
         matches!(self.strategy, PollStrategy::Staggered { .. })
     }
 
-    /// The delay of the first request after a start or a change of the address: many senders start, and change, at the
-    /// same moment, above all after a failure.
+    /// The delay of the first request after a start or a change of the address. Many senders may start at the same
+    /// moment.
     pub(crate) fn initial_delay(&mut self) -> Duration {
         match self.strategy {
             PollStrategy::LocalAgent | PollStrategy::Backoff { .. } => Duration::ZERO,
@@ -122,7 +119,7 @@
     pub(crate) fn response_timeout(&self) -> Duration {
         match self.strategy {
             PollStrategy::LocalAgent => AGENT_RESPONSE_TIMEOUT,
-            // A rejection may come just when the response should have begun.
+            // Late enough to receive a rejection after the full response time.
             PollStrategy::Backoff { .. } | PollStrategy::Staggered { .. } => {
                 MAX_RESPONSE_TIME + REQUEST_OVERHEAD
             }
@@ -131,54 +128,54 @@
 
     /// Resets the exponential backoff after a response.
     pub(crate) fn record_success(&mut self) {
-        if let PollStrategy::Backoff { next_pause } = &mut self.strategy {
-            *next_pause = MIN_BACKOFF;
+        if let PollStrategy::Backoff { next_delay } = &mut self.strategy {
+            *next_delay = MIN_BACKOFF;
         }
     }
 
-    /// The pause after a request that failed, or a watch that ended. `elapsed` is the time since the start of the request,
+    /// The delay after a request that failed, or a watch that ended. `elapsed` is the time since the start of the request,
     /// or since the last event of the watch.
-    pub(crate) fn pause_after_failure(&mut self, elapsed: Duration) -> Duration {
-        let max_pause = MAX_POLL_GAP.saturating_sub(elapsed).max(MIN_BACKOFF);
+    pub(crate) fn delay_after_failure(&mut self, elapsed: Duration) -> Duration {
+        let max_delay = MAX_POLL_GAP.saturating_sub(elapsed).max(MIN_BACKOFF);
         match &mut self.strategy {
-            PollStrategy::LocalAgent => AGENT_RETRY_PAUSE,
-            PollStrategy::Backoff { next_pause } => {
-                let pause = *next_pause;
-                *next_pause = (pause * 2).min(MAX_BACKOFF);
-                pause.min(max_pause)
+            PollStrategy::LocalAgent => AGENT_RETRY_DELAY,
+            PollStrategy::Backoff { next_delay } => {
+                let delay = *next_delay;
+                *next_delay = (delay * 2).min(MAX_BACKOFF);
+                delay.min(max_delay)
             }
             PollStrategy::Staggered { round, .. } => {
-                let max_pause = max_pause.min(*round);
-                self.jitter(max_pause)
+                let max_delay = max_delay.min(*round);
+                self.jitter(max_delay)
             }
         }
     }
 
-    /// The pause after a request that discovery rejected when `elapsed` had passed since its start.
-    pub(crate) fn pause_after_rejection(&mut self, elapsed: Duration) -> Duration {
+    /// The delay after a request that discovery rejected `elapsed` after its start.
+    pub(crate) fn delay_after_rejection(&mut self, elapsed: Duration) -> Duration {
         match self.strategy {
             PollStrategy::Staggered { round, poll_within } if elapsed >= QUEUED_REJECTION_AFTER => {
-                let max_pause = round.mul_f64(QUEUED_REJECTION_ROUNDS).min(MAX_ROUND);
-                self.jitter(max_pause.min(poll_within * QUEUED_REJECTION_DEADLINES))
+                let max_delay = round.mul_f64(QUEUED_REJECTION_ROUNDS).min(MAX_ROUND);
+                self.jitter(max_delay.min(poll_within * QUEUED_REJECTION_DEADLINES))
             }
-            _ => self.pause_after_failure(elapsed),
+            _ => self.delay_after_failure(elapsed),
         }
     }
 
-    /// The schedule as a function for simulated time, in seconds. Its argument is `None` for the delay of the first
-    /// request; the time after which the last request was rejected, for the pause from then on; or infinity for a request
-    /// without a response, for the time from that request to the next.
-    pub fn pauses(mut self) -> impl FnMut(Option<f64>) -> f64 {
+    /// The schedule as a function for simulated time, in seconds. With `None` it returns the delay of the first request;
+    /// with the time after which the last request was rejected, the delay from the rejection to the next request; with
+    /// infinity, for a request without a response, the time from that request to the next.
+    pub fn delays(mut self) -> impl FnMut(Option<f64>) -> f64 {
         move |rejected_after| {
-            let pause = match rejected_after.map(Duration::try_from_secs_f64) {
+            let delay = match rejected_after.map(Duration::try_from_secs_f64) {
                 None => self.initial_delay(),
-                Some(Ok(elapsed)) => self.pause_after_rejection(elapsed),
+                Some(Ok(elapsed)) => self.delay_after_rejection(elapsed),
                 Some(Err(_)) => {
                     let elapsed = self.response_timeout();
-                    elapsed + self.pause_after_failure(elapsed)
+                    elapsed + self.delay_after_failure(elapsed)
                 }
             };
-            pause.as_secs_f64()
+            delay.as_secs_f64()
         }
     }
 
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -11,7 +11,7 @@
 const FLEETS: [usize; 5] = [1, 30, 100, 300, usize::MAX];
 
 fn schedules(senders: usize, seed: u64) -> Vec<Pauses> {
-    let pauses = |n| PollSchedule::new(ON_REQUEST, senders, seed * 1_000 + n as u64).pauses();
+    let pauses = |n| PollSchedule::new(ON_REQUEST, senders, seed * 1_000 + n as u64).delays();
     (0..senders).map(|n| Box::new(pauses(n)) as Pauses).collect()
 }
 
@@ -35,11 +35,11 @@
             for n in 0..1_000 {
                 // Timed out, rejected at once, rejected late but not from a queue.
                 let (elapsed, pause) = match n % 3 {
-                    0 => (timeout, schedule.pause_after_failure(timeout)),
-                    1 => (Duration::ZERO, schedule.pause_after_rejection(Duration::ZERO)),
+                    0 => (timeout, schedule.delay_after_failure(timeout)),
+                    1 => (Duration::ZERO, schedule.delay_after_rejection(Duration::ZERO)),
                     _ => (
                         QUEUED_REJECTION_AFTER * 9 / 10,
-                        schedule.pause_after_rejection(QUEUED_REJECTION_AFTER * 9 / 10),
+                        schedule.delay_after_rejection(QUEUED_REJECTION_AFTER * 9 / 10),
                     ),
                 };
                 let reported = elapsed + pause + MAX_RESPONSE_TIME;
@@ -74,7 +74,7 @@
     let idle = Duration::from_secs(3);
     for peers in FLEETS {
         let mut schedule = PollSchedule::new(ON_REQUEST, peers, 1);
-        let latest = (0..1_000).map(|_| schedule.pause_after_failure(idle)).max().expect("a pause");
+        let latest = (0..1_000).map(|_| schedule.delay_after_failure(idle)).max().expect("a pause");
         assert!(
             idle + latest + MAX_RESPONSE_TIME + REQUEST_OVERHEAD <= CHANGE_IN_EFFECT_AFTER,
             "{peers}: {latest:?}"
@@ -92,9 +92,9 @@
         for _ in 0..100 {
             let timeout = schedule.response_timeout();
             for pause in [
-                schedule.pause_after_failure(timeout),
-                schedule.pause_after_rejection(timeout),
-                schedule.pause_after_rejection(Duration::ZERO),
+                schedule.delay_after_failure(timeout),
+                schedule.delay_after_rejection(timeout),
+                schedule.delay_after_rejection(Duration::ZERO),
             ] {
                 assert!(timeout + pause <= Duration::from_millis(400), "{timeout:?} and {pause:?}");
             }
@@ -107,10 +107,10 @@
     let mut schedule = PollSchedule::new(ON_REQUEST, 3, 1);
     assert_eq!(schedule.initial_delay(), Duration::ZERO);
     let pauses: Vec<u128> =
-        (0..6).map(|_| schedule.pause_after_failure(Duration::ZERO).as_millis()).collect();
+        (0..6).map(|_| schedule.delay_after_failure(Duration::ZERO).as_millis()).collect();
     assert_eq!(pauses, [50, 100, 200, 400, 800, 1_000]);
     schedule.record_success();
-    assert_eq!(schedule.pause_after_failure(Duration::ZERO), MIN_BACKOFF);
+    assert_eq!(schedule.delay_after_failure(Duration::ZERO), MIN_BACKOFF);
 }
 
 /// Only a discovery that queues requests is polled less often than its changes come into effect.
@@ -119,7 +119,7 @@
     for (ask_within, failed) in [(POLL_DEADLINE, 20), (2_000.0, 8), (0.0, 20)] {
         for peers in [100, 300, usize::MAX] {
             let mut schedule = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
-            let latest = (0..100).map(|_| schedule.pause_after_rejection(QUEUED_REJECTION_AFTER)).max();
+            let latest = (0..100).map(|_| schedule.delay_after_rejection(QUEUED_REJECTION_AFTER)).max();
             assert!(latest <= Some(Duration::from_secs(failed)), "{peers}, {ask_within}: {latest:?}");
             assert!(latest > Some(MAX_POLL_GAP), "{peers}, {ask_within}: {latest:?}");
         }
@@ -177,7 +177,7 @@
     for elapsed in [Duration::from_secs(3), Duration::ZERO] {
         let senders = 300;
         let pause =
-            |n| PollSchedule::new(ON_REQUEST, senders, n).pause_after_failure(elapsed).as_millis() / 100;
+            |n| PollSchedule::new(ON_REQUEST, senders, n).delay_after_failure(elapsed).as_millis() / 100;
         let pauses: Vec<u128> = (0..senders as u64).map(pause).collect();
         let max = (0..60).map(|at| pauses.iter().filter(|&&pause| pause == at).count()).max().expect("some");
         assert!(max * 5 <= senders, "{max} of {senders} within a tenth of a second, {elapsed:?}");
@@ -201,7 +201,7 @@
 /// The reason for staggering: with the backoff of a single sender, many senders never get through a queue.
 #[test]
 fn a_hundred_senders_without_staggering_starve_each_other() {
-    let alone = |_| Box::new(PollSchedule::new(ON_REQUEST, 1, 0).pauses()) as Pauses;
+    let alone = |_| Box::new(PollSchedule::new(ON_REQUEST, 1, 0).delays()) as Pauses;
     let discovery = lists::Discovery { cost: 0.1, overload: Overload::WorksOff, silent_until: 0.0 };
     let played = lists(discovery, (0..100).map(alone).collect());
     let starved = played.got.iter().filter(|at| at.is_none()).count();
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -51,11 +51,11 @@
 
 impl Service {
     /// Starts a sender on the journal in the folder `state`, and listens. Its tasks run on the current
-    /// [`tokio::task::LocalSet`] and end with it; to drop that has the effect of a kill.
+    /// [`tokio::task::LocalSet`] and end with it; dropping the set has the effect of a kill.
     ///
     /// With `listener`, a listening socket that another process of this sender may hold as well, clients are accepted
-    /// from that instead of the configured address. Another process may use the folder then: this one is its
-    /// successor, and takes over when it has ended.
+    /// from that instead of the configured address. If another process uses the folder, this one is its successor and
+    /// takes over when it has ended.
     ///
     /// # Errors
     ///
@@ -67,7 +67,7 @@
     ) -> Result<Self, StartError> {
         let ValidatedConfig { mut config, settings, names, fleet } = config;
         let shared_listener = listener.is_some();
-        // Before the folder is touched: it is left alone by a process that cannot listen.
+        // First: a process that cannot listen must not change the folder.
         let listeners = Listeners::bind(&config, listener).await?;
         let gossip = FleetGossip::new(&config, &settings, fleet);
         let mut store = open_store(state, &config)?;
@@ -80,7 +80,7 @@
         let schedule = PollSchedule::new(shared.settings.discovery, shared.settings.peers_total, seed);
         let fetched = fetch_list(&config, &schedule).await;
         let revision = initial_revision(&schedule, fetched.as_ref());
-        // Before the first client is accepted: recovered messages go first.
+        // Before the first client is accepted, as recovered messages have priority.
         let dependencies =
             engine_dependencies(&shared, seed, store, inputs, shared_listener, gossip.as_ref());
         let engine = build_engine(dependencies, &mut config, fetched.as_ref())?;
@@ -103,19 +103,19 @@
         Ok(Self { engine, inbound, control, addr: listeners.addr })
     }
 
-    /// The address that clients connect to.
+    /// The address for clients.
     pub fn local_addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The handle that controls this service.
+    /// Returns a handle that controls this service.
     pub fn control(&self) -> Control {
         self.control.clone()
     }
 
-    /// Runs until the service has been asked to stop with [`Control::stop`], and has.
+    /// Runs until the service has stopped after [`Control::stop`].
     pub async fn run(self) {
-        // Keeps the channels open that clients' connections and the watches read until the end.
+        // Keeps the channels to client connections and watches open until the end.
         let _control = self.control;
         self.engine.run().await;
         self.inbound.shut_down().await;
@@ -123,17 +123,17 @@
 }
 
 impl Control {
-    /// Asks the service to stop. It still serves clients for a while, waits for calls in flight, and leaves the
-    /// remaining messages in the journal. [`Service::run`] ends within 3.5 s.
+    /// Shuts down gracefully: serves clients for a short time, waits for calls in flight, and leaves the remaining
+    /// messages in the journal. [`Service::run`] ends within 3.5 s.
     pub async fn stop(&self) {
         let has_successor = self.shared_listener && self.peer_process.is_connected();
         let state = if has_successor { AdmissionState::HandingOver } else { AdmissionState::Stopping };
         self.admission.send_replace(state);
-        // If the engine has ended, the service has stopped already.
+        // Fails only if the engine has ended.
         let _ = self.to_engine.send(Input::Stop).await;
     }
 
-    /// Applies what can change of a configuration while the service runs: the address of discovery.
+    /// Applies the one value of a configuration that can change while the service runs: the address of discovery.
     pub fn configure(&self, config: &ValidatedConfig) {
         let new_address = config.discovery();
         self.discovery.send_if_modified(|address| std::mem::replace(address, new_address) != new_address);
@@ -151,8 +151,8 @@
     u64::from_str_radix(&config.seed, 16).unwrap_or_default()
 }
 
-/// The endpoint list that discovery has now, whatever its revision: the configured one may be another address's. Senders
-/// that share a schedule do not ask for it all at once: theirs comes with the watch.
+/// The current endpoint list of discovery; the configured one may be older or from another address. `None` for staggered
+/// senders, which receive it with their watch.
 async fn fetch_list(config: &Config, schedule: &PollSchedule) -> Option<EndpointList> {
     if schedule.is_staggered() { None } else { discovery::fetch(config.discovery).await }
 }
@@ -201,7 +201,7 @@
     Engine::new(dependencies, &configured, fetched)
 }
 
-/// Forwards the backoffs and counts to the engine that the running process has sent at the start.
+/// Forwards the backoffs and the number of calls in flight from the owner to the engine.
 async fn forward(messages: Vec<HandoverMessage>, to_engine: &mpsc::Sender<Input>) {
     for message in messages {
         if let Some(input) = message.into_input() {
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -1,4 +1,4 @@
-//! Which limits and views this sender shares with the rest of its fleet.
+//! Starts the gossip with the other senders of the fleet, as configured.
 
 use std::path::Path;
 
@@ -15,7 +15,7 @@
 use crate::gossip::{FLEET_LOG_TARGET, FleetSettings, GossipTask};
 use crate::incarnation;
 
-/// Time after the start of a recovery ramp at which its growth is read from the settings.
+/// Time after the start of a recovery ramp at which its growth is sampled, in milliseconds.
 const RAMP_SAMPLE: Millis = 1_000.0;
 
 /// The gossip with other senders, as configured.
@@ -29,7 +29,7 @@
 }
 
 impl FleetGossip {
-    /// The configured gossip; `None` if there is none, or if the fleet is too small for it.
+    /// The configured gossip; `None` if there is none or the fleet is too small for it.
     pub fn new(config: &Config, settings: &Settings, file: FleetFile) -> Option<Self> {
         let config = config.gossip().filter(|gossip| gossip.peers.len() >= file.share().min_senders())?;
         let start = settings.ramp(0.0);
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Starts an incarnation if anything that is shared needs its number.
+    /// Starts an incarnation if permits or the fleet view need its number.
     fn start_incarnation(&self, state: &Path) -> Result<Option<Incarnation>, StartError> {
         if self.limit_sharing() != LimitSharing::Permits && !self.has_fleet_view() {
             return Ok(None);
--- a/crates/sender/src/service/listeners.rs
+++ b/crates/sender/src/service/listeners.rs
@@ -11,14 +11,14 @@
 pub(super) struct Listeners {
     /// For clients.
     pub clients: TcpListener,
-    /// The address that clients connect to.
+    /// The address of the listener for clients.
     pub addr: SocketAddr,
     /// For operators, if the configuration has an address for it.
     pub control: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Binds the configured addresses. For clients `inherited` is used instead, if it is given.
+    /// Binds the configured addresses. If `inherited` is given, it is used for clients instead.
     ///
     /// # Errors
     ///
--- a/crates/sender/src/service/ownership.rs
+++ b/crates/sender/src/service/ownership.rs
@@ -1,4 +1,4 @@
-//! Joins the other process of this sender, if there is one: as the journal's owner or as its successor.
+//! Connects to the other process of this sender, as the journal's owner or as its successor.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -12,11 +12,11 @@
 use crate::event::Input;
 use crate::handover::{self, HandoverState, PeerProcess};
 
-/// How often a successor checks whether the journal's owner has ended.
+/// Interval in which a successor checks whether the journal's owner has ended.
 const TAKEOVER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// As the journal's owner waits for a successor; as a successor asks the owner for its state and waits for its end.
-/// What it spawns ends when the engine does.
+/// Accepts successors if this process owns the journal. Else requests the owner's state, and takes over once the owner
+/// has ended. The spawned tasks end when the engine does.
 pub(super) async fn join_peer_process(
     state: &Path,
     store: &mut Store,
@@ -33,12 +33,12 @@
     handover_state
 }
 
-/// Has the engine take the journal over once its owner has ended; from then on the next successor may connect.
+/// Lets the engine take over the journal once its owner has ended, and then accepts successors.
 async fn take_over(state: PathBuf, peer_process: Rc<PeerProcess>, to_engine: mpsc::Sender<Input>) {
     loop {
         tokio::time::sleep(TAKEOVER_CHECK_INTERVAL).await;
-        let (answer, is_owner) = oneshot::channel();
-        if to_engine.send(Input::TakeOver(answer)).await.is_err() {
+        let (response, is_owner) = oneshot::channel();
+        if to_engine.send(Input::TakeOver(response)).await.is_err() {
             return;
         }
         if is_owner.await.unwrap_or(false) {
--- a/crates/sender/src/service/tasks.rs
+++ b/crates/sender/src/service/tasks.rs
@@ -42,7 +42,7 @@
 }
 
 impl Shared {
-    /// Builds what is shared; `max_connections` limits those to receivers.
+    /// Creates the shared parts; `max_connections` limits the connections to receivers.
     pub fn new(
         settings: Settings,
         names: Names,
@@ -85,8 +85,8 @@
         spawn_local(async move { outbound.sweep().await });
     }
 
-    /// Spawns the task that accepts clients. [`Inbound::shut_down`] ends their connections; it ends itself when the
-    /// listener is handed over, else with the local set.
+    /// Spawns the task that accepts clients; [`Inbound::shut_down`] closes their connections. The task ends when the
+    /// listener is handed over, or with the local set.
     pub fn spawn_inbound(
         &self,
         listener: TcpListener,
@@ -105,7 +105,7 @@
         inbound
     }
 
-    /// Spawns the task that answers operators. It ends with the local set.
+    /// Spawns the task that serves operators. It ends with the local set.
     pub fn spawn_control(&self, listener: TcpListener, admission: watch::Sender<AdmissionState>) {
         if let Ok(addr) = listener.local_addr() {
             tracing::info!("operators: listening on {addr}");
--- a/crates/sender/src/write_progress.rs
+++ b/crates/sender/src/write_progress.rs
@@ -1,4 +1,4 @@
-//! Tracks how much of a message was written to a connection and what was received in return, which decides whether a
+//! Tracks how much of a message was written to a connection and what was received in return. This decides whether a
 //! request may have been executed.
 
 mod response_head;
@@ -27,7 +27,7 @@
     first_byte_received_at: Cell<Option<Instant>>,
     /// The head of the current response; only on a connection to a receiver.
     response_head: Option<RefCell<ResponseHead>>,
-    /// Where the message is counted when its last byte is written, until it is.
+    /// The metrics that count the message once its last byte is written; `None` after that.
     uncounted: RefCell<Option<Rc<Metrics>>>,
     /// Notified whenever bytes are received.
     bytes_received: Notify,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Counts the current message as relayed once its last byte is written.
+    /// Counts the current message as a written call once its last byte is written.
     pub(crate) fn count_when_complete(&self, metrics: Rc<Metrics>) {
         *self.uncounted.borrow_mut() = Some(metrics);
     }
@@ -70,7 +70,7 @@
         self.write_complete.get()
     }
 
-    /// When the first byte of the message being received arrived, if one has.
+    /// When the first byte of the message being received arrived; `None` before that.
     pub(crate) fn first_byte_received_at(&self) -> Option<Instant> {
         self.first_byte_received_at.get()
     }
@@ -124,7 +124,7 @@
         self.bytes_received.notify_one();
     }
 
-    /// Returns whether the message being received has begun, interim responses aside.
+    /// Returns whether the message being received has begun, not counting interim responses.
     fn append_to_response_head(&self, bytes: &[u8]) -> bool {
         let Some(head) = &self.response_head else { return true };
         let mut head = head.borrow_mut();
--- a/crates/sender/src/write_progress/response_head.rs
+++ b/crates/sender/src/write_progress/response_head.rs
@@ -1,4 +1,4 @@
-//! Buffers the beginning of a response to tell which status its first line states.
+//! Buffers the beginning of a response, and reads the status in its first line.
 
 /// Bytes of a response that are buffered: interim (1xx) responses and the status line.
 const MAX_BUFFERED_HEAD: usize = 2 * 1024;
@@ -7,14 +7,14 @@
 const INTERIM_STATUS: &[u8] = b"HTTP/1.1 1";
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// The first bytes of one response, without the interim (1xx) responses ahead of it.
+/// The first bytes of one response, without the interim (1xx) responses before it.
 #[derive(Debug, Default)]
 pub(super) struct ResponseHead {
     buffered: Vec<u8>,
 }
 
 impl ResponseHead {
-    /// Forgets the response; the next byte belongs to another one.
+    /// Clears the buffer; the next byte belongs to another response.
     pub(super) fn clear(&mut self) {
         self.buffered.clear();
     }
@@ -33,7 +33,7 @@
         !self.buffered.is_empty() && !self.buffered.starts_with(INTERIM_STATUS)
     }
 
-    /// Whether the status line is complete and its status is 200, whatever follows it.
+    /// Whether the status line is complete and its status is 200.
     pub(super) fn has_ok_status_line(&self) -> bool {
         let Some(line_end) = self.buffered.iter().position(|&byte| byte == b'\n') else { return false };
         let line = &self.buffered[..line_end];
@@ -42,7 +42,7 @@
         version.starts_with(b"HTTP/1.") && after_status.first().is_none_or(u8::is_ascii_whitespace)
     }
 
-    /// Length of the interim response at the front, if it is complete.
+    /// Length of the interim response at the beginning, if it is complete.
     fn interim_response_end(&self) -> Option<usize> {
         if !self.buffered.starts_with(INTERIM_STATUS) {
             return None;
--- a/crates/sender/src/write_progress/tracked_stream.rs
+++ b/crates/sender/src/write_progress/tracked_stream.rs
@@ -17,8 +17,7 @@
 /// Bytes read by one call.
 const READ_CHUNK_SIZE: usize = 4 * 1024;
 
-/// A socket that outlives the HTTP connection over it, so that its owner decides how it is closed and thereby what
-/// becomes of bytes in transit.
+/// A socket that outlives the HTTP connection over it, so that its owner decides how it is closed.
 pub(crate) type SharedSocket = Rc<RefCell<TcpStream>>;
 
 /// A stream that records its progress.
@@ -28,13 +27,13 @@
 }
 
 impl TrackedStream {
-    /// Wraps `socket`; what passes over it is recorded in `progress`.
+    /// Wraps `socket`; reads and writes are recorded in `progress`.
     pub(crate) fn new(socket: SharedSocket, progress: Rc<WriteProgress>) -> Self {
         Self { socket, progress }
     }
 
-    /// Fails if a request is about to begin on a connection that has unread bytes or has ended: left-over bytes would
-    /// be read as its response, and an ended connection would lose it.
+    /// Fails if a request is about to begin on a connection that has unread bytes or has ended: unread bytes would be
+    /// taken for its response, and an ended connection would lose it.
     fn check_no_unsolicited_bytes(&self) -> Result<()> {
         if !self.progress.tracks_responses() || self.progress.write_started() {
             return Ok(());
@@ -60,7 +59,7 @@
         context: &mut Context<'_>,
         mut target: ReadBufCursor<'_>,
     ) -> Poll<Result<()>> {
-        // A separate buffer, as bytes put into hyper's cursor cannot be looked at again.
+        // A separate buffer: bytes that were put into hyper's cursor cannot be read again.
         let mut bytes = [0; READ_CHUNK_SIZE];
         let capacity = target.remaining().min(READ_CHUNK_SIZE);
         let mut chunk = ReadBuf::new(&mut bytes[..capacity]);
@@ -95,8 +94,8 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
-        // hyper flushes only once everything it has encoded is written, and it encodes a message with a ready body as
-        // one: after the first byte, a flush means that the last one is written too.
+        // hyper flushes only after it has written everything that is encoded, and encodes a message with a ready body
+        // in one piece: a flush after the first byte means that the last byte is written.
         if self.progress.write_started() {
             self.progress.record_write_complete();
         }
