--- a/crates/daemon/src/environment.rs
+++ b/crates/daemon/src/environment.rs
@@ -8,20 +8,20 @@
 
 /// The configuration file.
 const CONFIG: &str = "RELAY_CONFIG";
-/// The folder of the journal and of all else that outlasts the process.
+/// The folder of the journal and the other persistent state.
 const STATE: &str = "RELAY_STATE";
-/// The operator's file on how senders act together; optional.
+/// The fleet file; optional.
 const FLEET: &str = "RELAY_FLEET";
 /// The address of the control listener; optional.
 const CONTROL: &str = "RELAY_CONTROL";
 
-/// Why the variables cannot be used.
+/// Errors of the environment variables.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum EnvironmentError {
     /// A required variable is not set.
     #[error("{0} is not set")]
     NotSet(&'static str),
-    /// The control address is none.
+    /// The control address cannot be parsed.
     #[error("{CONTROL} is {0:?}, not an address and a port")]
     InvalidControlAddress(String),
 }
@@ -35,7 +35,7 @@
     required_path(CONFIG)
 }
 
-/// The folder of all that outlasts the process.
+/// The folder of the persistent state.
 ///
 /// # Errors
 ///
@@ -56,7 +56,7 @@
     }
 }
 
-/// The address of the control listener, if one is wanted.
+/// The address of the control listener; `None` if the variable is not set.
 ///
 /// # Errors
 ///
--- a/crates/daemon/src/inherited_listener.rs
+++ b/crates/daemon/src/inherited_listener.rs
@@ -1,8 +1,8 @@
 //! The listening socket that the platform keeps open while processes are replaced.
 //!
-//! `RELAY_ACCEPT_FD` names its descriptor. `listenfd` checks such a descriptor and takes it over; it reads systemd's
-//! variables, and without `unsafe` a process cannot set variables of its own. So the program executes itself again, once
-//! and in its own place, with the variables translated.
+//! `RELAY_ACCEPT_FD` names its descriptor. `listenfd` validates such a descriptor and takes it over, but reads systemd's
+//! variables, and a process cannot set its own variables without `unsafe`. So the program replaces itself once by `exec`,
+//! with the variables translated.
 
 use std::net::TcpListener;
 use std::os::unix::process::CommandExt;
@@ -18,18 +18,18 @@
 const LISTEN_FDS: &str = "LISTEN_FDS";
 /// systemd's variable: the number of the first descriptor.
 const LISTEN_FDS_FIRST_FD: &str = "LISTEN_FDS_FIRST_FD";
-/// systemd's variable: the process that the descriptors are meant for.
+/// systemd's variable: the process that the descriptors are passed to.
 const LISTEN_PID: &str = "LISTEN_PID";
-/// The lowest number that a listening socket can have: lower ones are standard input, output and error.
+/// The lowest possible descriptor of a listening socket; lower ones are standard input, output and error.
 const MIN_DESCRIPTOR: u32 = 3;
 
 /// Why the inherited socket cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InheritedListenerError {
-    /// The variable's value is no number of a descriptor.
+    /// The variable's value is not the number of a descriptor.
     #[error("{ACCEPT_FD} is {0:?}, not the number of a descriptor from {MIN_DESCRIPTOR} on")]
     InvalidDescriptor(String),
-    /// The descriptor is no listening TCP socket.
+    /// The descriptor is not a listening TCP socket.
     #[error("{ACCEPT_FD}: the descriptor is no listening TCP socket: {0}")]
     NotAListener(std::io::Error),
     /// The program cannot execute itself again.
@@ -37,8 +37,8 @@
     Execute(std::io::Error),
 }
 
-/// Executes this program again with the variables that `listenfd` reads, if the platform's variable is set; does not
-/// return then. The descriptor stays open.
+/// Executes this program again with the variables that `listenfd` reads, if the platform's variable is set. Returns only
+/// on failure or if the variable is not set. The descriptor stays open.
 ///
 /// # Errors
 ///
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,6 +1,6 @@
 //! The sender as a program: its environment variables, its log and its signals.
 //!
-//! It is a library so that another program can run as a sender, too: the demo executes itself as one.
+//! A library, so that another program can also run as a sender: the demo executes itself as one.
 //!
 //! ```no_run
 //! // With RELAY_CONFIG and RELAY_STATE set:
@@ -39,7 +39,7 @@
     Runtime(#[from] std::io::Error),
 }
 
-/// Runs a sender until it has shut down after SIGTERM. A failure is one line of the log.
+/// Runs a sender until it has shut down after SIGTERM. A failure is logged as one line.
 pub fn main() -> ExitCode {
     logging::init();
     match run() {
@@ -60,7 +60,7 @@
 }
 
 async fn serve(config_path: PathBuf, state_folder: &Path) -> Result<(), ProgramError> {
-    // Before anything else: a signal ends the process until its handler is registered.
+    // First: without a handler a signal ends the process.
     let signals = Signals::register()?;
     let config = read_config(&config_path)?;
     let fleet = config.fleet().clone();
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-/// The configuration with all that the environment adds to it.
+/// Reads the configuration, the fleet file and the control address.
 fn read_config(path: &Path) -> Result<ValidatedConfig, ProgramError> {
     let config = ValidatedConfig::read(path)?.with_fleet(environment::read_fleet_file()?);
     Ok(match environment::control_address()? {
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,7 +1,7 @@
 //! The log: one line for each event on standard error, without time, level or colours.
 //!
 //! `RELAY_LOG` sets the levels by target in `tracing`'s syntax. The default is `info`; `info,story=debug` adds the events
-//! of each message under its id.
+//! of each message.
 
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::filter::{ParseError, Targets};
@@ -11,10 +11,10 @@
 /// The variable that sets the levels.
 const LOG: &str = "RELAY_LOG";
 
-/// The levels that are in force, and why the wanted ones are not.
+/// The levels in effect, and why the requested ones are not.
 struct LogFilter {
     targets: Targets,
-    /// The directives could not be parsed; `targets` are the default.
+    /// Why the directives cannot be parsed; `targets` are the default then.
     error: Option<ParseError>,
 }
 
@@ -32,19 +32,19 @@
     }
 }
 
-/// Sends the log to standard error from now on. Lines that cannot be written are dropped.
+/// Directs the log to standard error. Lines that cannot be written are dropped.
 pub(crate) fn init() {
     let directives = std::env::var(LOG).unwrap_or_default();
     let LogFilter { targets, error } = LogFilter::from_directives(&directives);
     let lines = fmt::layer().without_time().with_level(false).with_target(false).with_ansi(false);
     let lines = lines.with_writer(std::io::stderr).log_internal_errors(false).with_filter(targets);
-    // Fails only if a subscriber has been set before, and this is the only place that sets one.
+    // Fails only if a subscriber is already set; this is the only place that sets one.
     let _ = tracing::subscriber::set_global_default(tracing_subscriber::registry().with(lines));
     if let Some(error) = error {
         tracing::warn!(
             %error,
             directives,
-            "{LOG} cannot be parsed, info is in force: a level or target=level,... is expected"
+            "{LOG} cannot be parsed and info is used: a level or target=level,... is expected"
         );
     }
 }
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGHUP reads the configuration again, SIGTERM shuts down gracefully.
+//! Signals: SIGHUP reloads the configuration, SIGTERM shuts down gracefully.
 
 use std::path::{Path, PathBuf};
 
@@ -8,14 +8,14 @@
 
 use crate::environment::read_fleet_file;
 
-/// Registered signal handlers. From their registration on a signal no longer ends the process.
+/// Registered signal handlers: these signals no longer end the process.
 #[derive(Debug)]
 pub(crate) struct Signals {
     hangup: Signal,
     terminate: Signal,
 }
 
-/// Why a configuration cannot be put into force.
+/// Why a configuration cannot be applied.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error(transparent)]
@@ -36,26 +36,26 @@
         Ok(Self { hangup, terminate })
     }
 
-    /// Handles signals in two tasks, which the process's `LocalSet` owns and ends with. `fleet_in_force` is the fleet
-    /// file that the service was started with.
-    pub fn handle(self, config_path: PathBuf, fleet_in_force: FleetFile, control: Control) {
-        spawn_local(reload_on_hangup(self.hangup, config_path, fleet_in_force, control.clone()));
+    /// Handles signals in two tasks, which end with the current `LocalSet`. `active_fleet` is the fleet file that the
+    /// service was started with.
+    pub fn handle(self, config_path: PathBuf, active_fleet: FleetFile, control: Control) {
+        spawn_local(reload_on_hangup(self.hangup, config_path, active_fleet, control.clone()));
         spawn_local(stop_on_terminate(self.terminate, control));
     }
 }
 
-/// Reads both files again on each SIGHUP, and changes nothing unless both can be used. The configuration's `discovery`
-/// takes effect at once, the fleet file at the next start.
+/// Reads both files on each SIGHUP, and changes nothing unless both are valid. The configuration's `discovery` takes
+/// effect at once, the fleet file at the next start.
 async fn reload_on_hangup(
     mut hangup: Signal,
     config_path: PathBuf,
-    fleet_in_force: FleetFile,
+    active_fleet: FleetFile,
     control: Control,
 ) {
     while hangup.recv().await.is_some() {
         match read_files(&config_path) {
             Ok((config, fleet)) => {
-                if fleet != fleet_in_force {
+                if fleet != active_fleet {
                     tracing::info!(target: "fleet", "the fleet's file has changed: in force from the next start");
                 }
                 tracing::info!("configuration read again: discovery at {}", config.discovery());
@@ -72,7 +72,7 @@
     Ok((config, fleet))
 }
 
-/// Stops the service on SIGTERM.
+/// Shuts the service down on SIGTERM.
 async fn stop_on_terminate(mut terminate: Signal, control: Control) {
     terminate.recv().await;
     tracing::info!("stopping");
