--- a/crates/policy/src/calls.rs
+++ b/crates/policy/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls in flight to one destination. No decision.
+//! The calls in flight to one destination.
 
 use crate::interface::{Millis, RouteId};
 
@@ -8,27 +8,27 @@
     pub id: u64,
     pub route: RouteId,
     pub sent_at: Millis,
-    /// Whether it used up what the pace allowed.
-    pub used_up_pace: bool,
+    /// Whether the send rate allowed no earlier call.
+    pub is_rate_limited: bool,
     /// Whether any of its messages has an outcome.
     pub has_outcome: bool,
-    /// Calls sent later by its route that were answered well.
-    pub later_answers: u32,
-    /// Messages without an outcome.
+    /// Number of successful calls that were sent later by its route.
+    pub later_successes: u32,
+    /// Number of messages without an outcome.
     messages_left: usize,
     is_cancelled: bool,
 }
 
 impl Call {
-    /// A call with so many messages that was sent just now.
-    pub fn new(id: u64, route: RouteId, sent_at: Millis, messages: usize, used_up_pace: bool) -> Self {
+    /// A call with this many messages that is sent now.
+    pub fn new(id: u64, route: RouteId, sent_at: Millis, messages: usize, is_rate_limited: bool) -> Self {
         Self {
             id,
             route,
             sent_at,
-            used_up_pace,
+            is_rate_limited,
             has_outcome: false,
-            later_answers: 0,
+            later_successes: 0,
             messages_left: messages,
             is_cancelled: false,
         }
@@ -40,14 +40,14 @@
     }
 }
 
-/// Which of a call's outcomes one was.
+/// Which of a call's results one was.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Settled {
+pub(crate) struct ResultPosition {
     pub is_first: bool,
     pub is_last: bool,
 }
 
-/// The calls of a destination, no more than the sender has slots.
+/// The calls of a destination, at most as many as the sender has slots.
 #[derive(Debug, Default)]
 pub(crate) struct Calls(Vec<Call>);
 
@@ -62,16 +62,16 @@
         self.0.iter()
     }
 
-    /// A call as it is now.
+    /// A copy of a call.
     pub fn get(&self, id: u64) -> Option<Call> {
         self.0.iter().find(|call| call.id == id).copied()
     }
 
-    /// A call by this route was answered well: counts it at those that were sent before.
-    pub fn count_later_answer(&mut self, route: RouteId, sent_at: Millis) {
+    /// Counts a success at the calls that were sent earlier by the same route.
+    pub fn count_later_success(&mut self, route: RouteId, sent_at: Millis) {
         for call in &mut self.0 {
             if call.route == route && call.sent_at < sent_at {
-                call.later_answers = call.later_answers.saturating_add(1);
+                call.later_successes = call.later_successes.saturating_add(1);
             }
         }
     }
@@ -83,9 +83,11 @@
         }
     }
 
-    /// One of a call's messages has its outcome; the call is dropped with the last one.
-    pub fn settle(&mut self, id: u64) -> Settled {
-        let Some(index) = self.0.iter().position(|call| call.id == id) else { return Settled::default() };
+    /// Records the outcome of one of a call's messages; the call is dropped with the last one.
+    pub fn record_result(&mut self, id: u64) -> ResultPosition {
+        let Some(index) = self.0.iter().position(|call| call.id == id) else {
+            return ResultPosition::default();
+        };
         let call = &mut self.0[index];
         call.messages_left -= 1;
         let is_first = !call.has_outcome;
@@ -94,6 +96,6 @@
         if is_last {
             self.0.swap_remove(index);
         }
-        Settled { is_first, is_last }
+        ResultPosition { is_first, is_last }
     }
 }
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -1,61 +1,238 @@
-//! The circuit breaker of a route, or of all routes that share a limit: closed, open, half-open, slow start.
+//! The circuit breaker of a route, or of all routes that share a limit.
 //!
 //! The scope of an outage is that of the limit. Where routes have limits of their own, each has one
 //! [`CircuitBreaker`]. Where they share a limit there is one more, of all of them: an outage that a rejection
 //! shows, or that most routes show, is the destination's, so there is one half-open probe and one recovery
-//! ramp, whichever route is used. Its state goes before that of a route, which still shows when a single
-//! route fails beside healthy ones.
+//! ramp, whichever route is used. When the shared breaker leaves the closed state, those of the routes are
+//! closed; they show when a single route fails beside healthy ones.
+//!
+//! | from | on | to |
+//! | --- | --- | --- |
+//! | closed, slow start | a rejection that shows an outage, or too many failures in a row | open |
+//! | closed, slow start | overdue calls without an answer since | open, unresponsive |
+//! | closed, slow start | many errors among the answers | slow start, from its beginning |
+//! | open | `probe_at` is reached | half-open: one call may start |
+//! | half-open | the probe starts | open, with a later `probe_at` |
+//! | open | a failure of a call that was sent since, a rejection that shows an outage | open, new `probe_at` |
+//! | open | a success of a call that was sent since; of any call if it is unresponsive | slow start |
+//! | slow start | a call starts after the end of the recovery ramp | closed |
+//! | any state of a route | the shared breaker opens or begins slow start | closed |
+//!
+//! Failures and errors of calls that were sent before the present state began are not counted.
 
+mod outage_report;
+mod recovery;
 mod state;
 
-pub(crate) use state::{BreakerState, CircuitBreaker};
+pub(crate) use recovery::RecoveryLimits;
 
-use crate::interface::Millis;
+use crate::context::Context;
+use crate::interface::{Millis, OutageState, Outcome};
+use outage_report::OutageReport;
+use state::BreakerState;
 
-/// An error rate above this is like the one after an outage.
+/// Weight of the newest answer in the error rate.
+const ERROR_WEIGHT: f64 = 0.25;
+/// Error rate above which a breaker has many errors.
 const MAX_ERROR_RATE: f64 = 0.45;
-/// In slow start, an error rate above this shows that it has not recovered: two errors among a few answers.
+/// The same in slow start: two errors among a few answers.
 const MAX_SLOW_START_ERROR_RATE: f64 = 0.3;
-/// An error rate above this shows an error among the last four answers or so.
+/// Error rate above which one of about the last four answers was an error.
 const RECENT_ERROR_RATE: f64 = 0.1;
 
+/// The state of a circuit breaker, with the failures and errors that change it.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct CircuitBreaker {
+    state: BreakerState,
+    /// In slow start: when the next call may start.
+    next_call_at: Millis,
+    last_answer_at: Millis,
+    /// Failures since the last success.
+    consecutive_failures: u32,
+    /// Smoothed share of errors among answers, from 0 to 1.
+    error_rate: f64,
+    outage_report: OutageReport,
+}
+
+/// Conditions.
 impl CircuitBreaker {
+    /// Whether it is closed.
+    pub fn is_closed(&self) -> bool {
+        self.state == BreakerState::Closed
+    }
+
+    /// Whether it is open, or half-open.
+    pub fn is_open(&self) -> bool {
+        matches!(self.state, BreakerState::Open { .. })
+    }
+
+    /// Whether it is in slow start.
+    pub fn is_in_slow_start(&self) -> bool {
+        matches!(self.state, BreakerState::SlowStart { .. })
+    }
+
+    /// Whether a call has failed since the last success.
+    pub fn is_failing(&self) -> bool {
+        self.consecutive_failures > 0
+    }
+
     /// Whether at least this many calls in a row have failed.
     pub fn has_failed(&self, times: f64) -> bool {
         f64::from(self.consecutive_failures) >= times
     }
 
-    /// Whether about half of the answers are errors, or some in slow start.
+    /// Whether about half of the answers are errors; in slow start, about a third.
     pub fn has_many_errors(&self) -> bool {
         let max_error_rate = if self.is_in_slow_start() { MAX_SLOW_START_ERROR_RATE } else { MAX_ERROR_RATE };
         self.error_rate > max_error_rate
     }
 
-    /// Whether anything is wrong with it, be it little.
-    pub fn is_impaired(&self) -> bool {
-        self.is_failing() || self.error_rate > RECENT_ERROR_RATE || self.state != BreakerState::Closed
+    /// Whether the breaker is not closed, or recent calls have failed.
+    pub fn is_degraded(&self) -> bool {
+        self.is_failing() || self.error_rate > RECENT_ERROR_RATE || !self.is_closed()
     }
 
-    /// Whether the outcome of a call that was sent then says anything about the present state.
-    pub fn is_concerned_by(&self, sent_at: Millis) -> bool {
+    /// Whether the result of a call sent at `sent_at` counts in the present state.
+    pub fn counts_call_sent_at(&self, sent_at: Millis) -> bool {
         match self.state {
             BreakerState::Closed => true,
             BreakerState::Open { since, .. } | BreakerState::SlowStart { since, .. } => sent_at >= since,
         }
     }
 
-    /// Whether a success of a call that was sent then proves that an outage has ended.
-    pub fn is_return_proven_by(&self, sent_at: Millis) -> bool {
+    /// Whether a successful call sent at `sent_at` shows that the outage has ended.
+    pub fn is_outage_ended_by(&self, sent_at: Millis) -> bool {
         match self.state {
-            BreakerState::Open { since, silent, .. } => silent || sent_at >= since,
+            BreakerState::Open { since, unresponsive, .. } => unresponsive || sent_at >= since,
             BreakerState::Closed | BreakerState::SlowStart { .. } => false,
         }
     }
 
-    /// Begins slow start, or begins it anew: no call goes before `since`, nor before `next_call_at` at first.
-    pub fn begin_slow_start(&mut self, since: Millis, share: f64, next_call_at: Millis) {
+    /// When it lets the next call start; always (negative infinite) while it is closed.
+    pub fn next_call_at(&self) -> Millis {
+        match self.state {
+            BreakerState::Closed => f64::NEG_INFINITY,
+            BreakerState::Open { probe_at, .. } => probe_at,
+            BreakerState::SlowStart { .. } => self.next_call_at,
+        }
+    }
+
+    /// When the last answer arrived.
+    pub fn last_answer_at(&self) -> Millis {
+        self.last_answer_at
+    }
+}
+
+/// Reports.
+impl CircuitBreaker {
+    /// The outage that the host must remember over a restart, if it has changed since the last report.
+    pub fn unreported_outage(&mut self, now: Millis, retry_after_until: Millis) -> Option<OutageState> {
+        self.outage_report.update(now, self.state, retry_after_until)
+    }
+}
+
+/// Results of calls.
+impl CircuitBreaker {
+    /// Records that a call was answered.
+    pub fn record_answer(&mut self, now: Millis) {
+        self.last_answer_at = now;
+    }
+
+    /// Counts the result of a call, other than a rejection above the limit.
+    pub fn record_result(&mut self, outcome: Outcome) {
+        match outcome {
+            Outcome::Ok => self.error_rate += ERROR_WEIGHT * (0.0 - self.error_rate),
+            Outcome::Error => self.error_rate += ERROR_WEIGHT * (1.0 - self.error_rate),
+            _ => {}
+        }
+        if outcome == Outcome::Ok {
+            self.consecutive_failures = 0;
+        } else {
+            self.consecutive_failures += 1;
+        }
+    }
+}
+
+/// Transitions.
+impl CircuitBreaker {
+    /// Closes it, and clears failures and errors.
+    pub fn reset(&mut self) {
+        *self = Self {
+            last_answer_at: self.last_answer_at,
+            outage_report: self.outage_report,
+            ..Self::default()
+        };
+    }
+
+    /// Opens it after failures, or keeps it open; the next probe starts after `min_pause` at the earliest.
+    pub fn open(&mut self, context: &mut Context, limits: &RecoveryLimits, min_pause: Millis) {
+        let probe_at = limits.next_probe_at(context, min_pause);
+        self.open_until(context.now, probe_at, false);
+    }
+
+    /// Opens it because calls are overdue.
+    pub fn open_unresponsive(&mut self, context: &mut Context, limits: &RecoveryLimits) {
+        let probe_at = limits.next_probe_at(context, 0.0);
+        self.open_until(context.now, probe_at, true);
+    }
+
+    fn open_until(&mut self, now: Millis, probe_at: Millis, unresponsive: bool) {
+        self.state = match self.state {
+            BreakerState::Open { since, unresponsive, .. } => {
+                BreakerState::Open { since, probe_at, unresponsive }
+            }
+            _ => BreakerState::Open { since: now, probe_at, unresponsive },
+        };
+    }
+
+    /// Begins slow start, or begins it again. The call sent at `sent_at` was the first one of the ramp that
+    /// begins at `since`.
+    pub fn begin_slow_start(
+        &mut self,
+        context: &mut Context,
+        limits: &RecoveryLimits,
+        since: Millis,
+        sent_at: Millis,
+    ) {
+        let draw = context.rng.pause(1.0);
+        let next_call_at = limits.next_slow_start_call_at(&context.settings, since, sent_at, draw);
+        self.enter_slow_start(since, limits.share, next_call_at);
+    }
+
+    /// Continues a slow start from before a restart; the restart was at a random time between two calls.
+    pub fn restore_slow_start(
+        &mut self,
+        context: &mut Context,
+        limits: &RecoveryLimits,
+        since: Millis,
+        share: f64,
+    ) {
+        let draw = context.rng.unit();
+        let next_call_at = limits.next_slow_start_call_at(&context.settings, since, context.now, draw);
+        self.enter_slow_start(since, share, next_call_at);
+    }
+
+    fn enter_slow_start(&mut self, since: Millis, share: f64, next_call_at: Millis) {
         let earliest = if self.is_in_slow_start() { since } else { since.max(next_call_at) };
         self.state = BreakerState::SlowStart { since, share };
         self.next_call_at = self.next_call_at.max(earliest);
     }
+
+    /// Schedules the next probe, or the next call of slow start, when a call starts; slow start may end.
+    ///
+    /// `min_pause` is the time after which the call is overdue: one probe at a time is in flight.
+    pub fn record_call(&mut self, context: &mut Context, limits: &RecoveryLimits, min_pause: Millis) {
+        match self.state {
+            BreakerState::Closed => {}
+            BreakerState::Open { .. } => self.open(context, limits, min_pause),
+            BreakerState::SlowStart { since, .. } => {
+                let now = context.now;
+                let draw = context.rng.pause(1.0);
+                self.next_call_at = limits.next_slow_start_call_at(&context.settings, since, now, draw);
+                if context.settings.recovery_progress(now - since) >= 1.0 {
+                    self.state = BreakerState::Closed;
+                }
+            }
+        }
+    }
 }
--- /dev/null
+++ b/crates/policy/src/circuit_breaker/outage_report.rs
@@ -0,0 +1,48 @@
+//! Which outage the host was last told to remember over a restart.
+
+use super::state::BreakerState;
+use crate::interface::{Millis, OutageState};
+
+/// The last report to the host.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct OutageReport {
+    last: ReportedOutage,
+}
+
+/// What identifies an outage.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+enum ReportedOutage {
+    #[default]
+    Healthy,
+    Down {
+        since: Millis,
+        retry_after_until: Millis,
+    },
+    WarmingUp {
+        since: Millis,
+    },
+}
+
+impl OutageReport {
+    /// The outage to remember, if it is another one than the last report's.
+    pub fn update(
+        &mut self,
+        now: Millis,
+        state: BreakerState,
+        retry_after_until: Millis,
+    ) -> Option<OutageState> {
+        let (report, outage) = match state {
+            BreakerState::Closed => (ReportedOutage::Healthy, OutageState::Healthy),
+            BreakerState::Open { since, .. } => (
+                ReportedOutage::Down { since, retry_after_until },
+                OutageState::Down { retry_after_remaining: (retry_after_until - now).max(0.0) },
+            ),
+            BreakerState::SlowStart { since, share } => (
+                ReportedOutage::WarmingUp { since },
+                OutageState::WarmingUp { since_recovery: now - since, ramp_share: share },
+            ),
+        };
+        let last = std::mem::replace(&mut self.last, report);
+        (last != report).then_some(outage)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/destination/outage_memory.rs
@@ -0,0 +1,40 @@
+//! Reports the outages that the host remembers over a restart, and restores them.
+
+use super::Destination;
+use crate::context::Context;
+use crate::interface::{Action, Millis, OutageState, RememberedOutage};
+
+impl Destination {
+    /// Has the host remember the outages that have changed.
+    pub fn report_outages(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        for scope in self.throttle_scopes() {
+            let retry_after_until = self.throttle_of(scope).retry_after_until();
+            let outage = self.breaker_mut(scope).unreported_outage(now, retry_after_until);
+            if let Some(outage) = outage {
+                let scope = self.limit_scope(scope);
+                actions.push(Action::Remember { scope, outage });
+            }
+        }
+    }
+
+    /// Restores an outage that the host has remembered.
+    pub fn restore_outage(&mut self, context: &mut Context, remembered: &RememberedOutage) {
+        let route = remembered.scope.route;
+        let names_a_limit = self.routes_apart || route.is_none();
+        let Some(scope) = self.throttle_scope(route).filter(|_| names_a_limit) else { return };
+        match remembered.outage {
+            OutageState::Healthy => {}
+            OutageState::Down { retry_after_remaining } => {
+                let until = context.now + retry_after_remaining;
+                self.throttle_of_mut(scope).extend_retry_after(until);
+                let limits = self.recovery_limits(context, scope);
+                self.breaker_mut(scope).open(context, &limits, 0.0);
+            }
+            OutageState::WarmingUp { since_recovery, ramp_share } => {
+                let since = context.now - since_recovery;
+                let limits = self.recovery_limits(context, scope);
+                self.breaker_mut(scope).restore_slow_start(context, &limits, since, ramp_share);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/destination/results.rs
@@ -0,0 +1,70 @@
+//! Records the results of attempts at their call, its route, its throttle and its circuit breakers.
+
+use super::Destination;
+use super::outage_detection::CallResult;
+use super::scope::Scope;
+use crate::calls::Call;
+use crate::context::Context;
+use crate::interface::{AttemptResult, Outcome};
+use crate::messages::PossibleExecution;
+use crate::slots::CallSlots;
+
+impl Destination {
+    /// Records the result of an attempt. Returns when and by which route it may have been executed, if its
+    /// call is known.
+    pub fn record_result(
+        &mut self,
+        context: &mut Context,
+        slots: &mut CallSlots,
+        call: u64,
+        result: &AttemptResult,
+    ) -> Option<PossibleExecution> {
+        let call = self.calls.get(call)?;
+        let index = self.route_index(call.route)?;
+        let zone = self.routes[index].zone;
+        // The messages of a call may report the same Retry-After in several batches: the last one counts.
+        if result.outcome == Outcome::Rejected && result.retry_after > 0.0 {
+            let shared_rate = self.shared_rate(Scope::Route(index), context.now);
+            self.throttle_mut(index).back_off(context, result.retry_after, shared_rate);
+        }
+        if result.outcome == Outcome::Ok {
+            self.calls.count_later_success(call.route, call.sent_at);
+        }
+        let position = self.calls.record_result(call.id);
+        if position.is_last {
+            self.routes[index].calls_in_flight -= 1;
+            slots.release();
+        }
+        if position.is_first && counts_at_throttle(result.outcome) {
+            self.record_call_result(context, index, &call, result);
+        }
+        Some(PossibleExecution { sent_at: call.sent_at, route: call.route, zone })
+    }
+
+    /// Records the first result of a call at its throttle and its circuit breakers.
+    fn record_call_result(
+        &mut self,
+        context: &mut Context,
+        index: usize,
+        call: &Call,
+        result: &AttemptResult,
+    ) {
+        let outcome = result.outcome;
+        let is_rate_limited = call.is_rate_limited || !self.waiting.is_empty();
+        if outcome == Outcome::Ok && is_rate_limited {
+            self.throttle_mut(index).increase_send_rate(context);
+        }
+        let shows_outage = self.throttle_mut(index).record_result(context, outcome, result.retry_after);
+        let result = CallResult { sent_at: call.sent_at, outcome, shows_outage };
+        self.record_at_breakers(context, index, &result);
+        self.react_to_result(context, index, &result);
+        if outcome == Outcome::Ok {
+            self.throttle_mut(index).record_latency(context.now - call.sent_at);
+        }
+    }
+}
+
+/// Whether an outcome shows anything of the limit or the receiver.
+fn counts_at_throttle(outcome: Outcome) -> bool {
+    !matches!(outcome, Outcome::NotSent | Outcome::AttemptsExhausted | Outcome::Cancelled)
+}
--- /dev/null
+++ b/crates/policy/src/destination/route.rs
@@ -0,0 +1,59 @@
+//! A route: one endpoint of a destination.
+
+use crate::circuit_breaker::CircuitBreaker;
+use crate::interface::{Listing, Millis, RouteEntry, RouteId};
+use crate::throttle::Throttle;
+
+/// How long a route that the list removed is kept, in ms: the list may name it again.
+const REMOVED_ROUTE_TTL: Millis = 60_000.0;
+
+/// An endpoint. Removed some time after the list removed it, once no call is in flight to it.
+#[derive(Debug)]
+pub(super) struct Route {
+    pub id: RouteId,
+    pub zone: u8,
+    pub listing: Listing,
+    /// Whether other senders have ejected it as an outlier.
+    pub ejected: bool,
+    /// Used if it has a limit of its own.
+    pub throttle: Throttle,
+    pub breaker: CircuitBreaker,
+    pub calls_in_flight: usize,
+    pub last_used_at: Millis,
+    /// Since when the list no longer names it.
+    removed_at: Option<Millis>,
+}
+
+impl Route {
+    /// A route that no call has used yet.
+    pub fn new(entry: &RouteEntry, throttle: Throttle) -> Self {
+        Self {
+            id: entry.route,
+            zone: entry.zone,
+            listing: entry.listing,
+            ejected: false,
+            throttle,
+            breaker: CircuitBreaker::default(),
+            calls_in_flight: 0,
+            last_used_at: 0.0,
+            removed_at: None,
+        }
+    }
+
+    /// Whether the list says that calls may start.
+    pub fn is_ready(&self) -> bool {
+        self.listing == Listing::Ready
+    }
+
+    /// Notes since when the list no longer names it.
+    pub fn update_removal(&mut self, now: Millis) {
+        let is_removed = self.listing == Listing::Gone;
+        self.removed_at = is_removed.then(|| self.removed_at.unwrap_or(now));
+    }
+
+    /// Whether it was removed long ago and no call is in flight.
+    pub fn is_forgotten(&self, now: Millis) -> bool {
+        let removed_long_ago = self.removed_at.is_some_and(|at| now - at > REMOVED_ROUTE_TTL);
+        self.calls_in_flight == 0 && removed_long_ago
+    }
+}
--- a/crates/policy/src/policy/scope.rs
+++ b/crates/policy/src/destination/scope.rs
@@ -1,8 +1,9 @@
-//! Which throttle and circuit breaker stand for a route, or for all that share a limit. No decision.
+//! Which throttle and which circuit breakers cover a route.
 
-use super::state::{Destination, Throttle};
+use super::Destination;
 use crate::circuit_breaker::CircuitBreaker;
-use crate::interface::{Listing, RouteId};
+use crate::interface::{LimitScope, RouteId};
+use crate::throttle::Throttle;
 
 /// What a throttle or a circuit breaker covers: one route, or all routes of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,7 +15,7 @@
 }
 
 impl Destination {
-    /// The throttle that a route's calls are counted at.
+    /// The throttle that counts a route's calls.
     pub(super) fn throttle(&self, route: usize) -> &Throttle {
         if self.routes_apart { &self.routes[route].throttle } else { &self.shared_throttle }
     }
@@ -24,23 +25,57 @@
         if self.routes_apart { &mut self.routes[route].throttle } else { &mut self.shared_throttle }
     }
 
+    /// The throttle that counts a scope's calls.
+    pub(super) fn throttle_of(&self, scope: Scope) -> &Throttle {
+        match scope {
+            Scope::Route(index) => self.throttle(index),
+            Scope::All => &self.shared_throttle,
+        }
+    }
+
+    /// [`Destination::throttle_of`], mutably.
+    pub(super) fn throttle_of_mut(&mut self, scope: Scope) -> &mut Throttle {
+        match scope {
+            Scope::Route(index) => self.throttle_mut(index),
+            Scope::All => &mut self.shared_throttle,
+        }
+    }
+
+    /// The circuit breaker of a scope.
+    pub(super) fn breaker(&self, scope: Scope) -> &CircuitBreaker {
+        match scope {
+            Scope::Route(index) => &self.routes[index].breaker,
+            Scope::All => &self.shared_breaker,
+        }
+    }
+
+    /// [`Destination::breaker`], mutably.
+    pub(super) fn breaker_mut(&mut self, scope: Scope) -> &mut CircuitBreaker {
+        match scope {
+            Scope::Route(index) => &mut self.routes[index].breaker,
+            Scope::All => &mut self.shared_breaker,
+        }
+    }
+
     /// The scopes whose circuit breakers cover a route, the widest first.
     pub(super) fn breaker_scopes(&self, route: usize) -> impl Iterator<Item = Scope> + use<> {
-        let shared = (!self.routes_apart).then_some(Scope::All);
-        shared.into_iter().chain([Scope::Route(route)])
+        self.shared_scope().into_iter().chain([Scope::Route(route)])
     }
 
     /// The scopes that have a circuit breaker, the widest first.
     pub(super) fn all_breaker_scopes(&self) -> impl Iterator<Item = Scope> + use<> {
-        let shared = (!self.routes_apart).then_some(Scope::All);
-        shared.into_iter().chain((0..self.routes.len()).map(Scope::Route))
+        self.shared_scope().into_iter().chain((0..self.routes.len()).map(Scope::Route))
     }
 
     /// The scopes that have a throttle of their own.
     pub(super) fn throttle_scopes(&self) -> impl Iterator<Item = Scope> + use<> {
-        let shared = (!self.routes_apart).then_some(Scope::All);
         let routes = if self.routes_apart { self.routes.len() } else { 0 };
-        shared.into_iter().chain((0..routes).map(Scope::Route))
+        self.shared_scope().into_iter().chain((0..routes).map(Scope::Route))
+    }
+
+    /// The scope of all routes, if they share a limit.
+    fn shared_scope(&self) -> Option<Scope> {
+        (!self.routes_apart).then_some(Scope::All)
     }
 
     /// The scope of the throttle of a named route, or of all routes where they share one.
@@ -51,53 +86,17 @@
         self.route_index(route?).map(Scope::Route)
     }
 
-    /// The index of a route.
-    pub(super) fn route_index(&self, route: RouteId) -> Option<usize> {
-        self.routes.iter().position(|candidate| candidate.id == route)
-    }
-
-    /// The indices of the routes that the list says may be sent to.
-    pub(super) fn ready_routes(&self) -> impl Iterator<Item = usize> {
-        (0..self.routes.len()).filter(|&index| self.routes[index].listing == Listing::Ready)
-    }
-
-    /// The route that a scope covers; none for all routes.
-    pub(super) fn route_of(&self, scope: Scope) -> Option<RouteId> {
-        match scope {
+    /// How the host names a scope that has a throttle.
+    pub(super) fn limit_scope(&self, scope: Scope) -> LimitScope {
+        let route = match scope {
             Scope::Route(index) => Some(self.routes[index].id),
             Scope::All => None,
-        }
-    }
-
-    /// The circuit breaker of a scope.
-    pub(super) fn breaker(&self, scope: Scope) -> &CircuitBreaker {
-        match scope {
-            Scope::Route(index) => &self.routes[index].throttle.breaker,
-            Scope::All => &self.shared_throttle.breaker,
-        }
-    }
-
-    /// [`Destination::breaker`], mutably.
-    pub(super) fn breaker_mut(&mut self, scope: Scope) -> &mut CircuitBreaker {
-        match scope {
-            Scope::Route(index) => &mut self.routes[index].throttle.breaker,
-            Scope::All => &mut self.shared_throttle.breaker,
-        }
-    }
-
-    /// The throttle that a scope's calls are counted at.
-    pub(super) fn throttle_of(&self, scope: Scope) -> &Throttle {
-        match scope {
-            Scope::Route(index) => self.throttle(index),
-            Scope::All => &self.shared_throttle,
-        }
+        };
+        LimitScope { destination: self.id, route }
     }
 
-    /// [`Destination::throttle_of`], mutably.
-    pub(super) fn throttle_of_mut(&mut self, scope: Scope) -> &mut Throttle {
-        match scope {
-            Scope::Route(index) => self.throttle_mut(index),
-            Scope::All => &mut self.shared_throttle,
-        }
+    /// The indices of the routes that the list says may be sent to.
+    pub(super) fn ready_routes(&self) -> impl Iterator<Item = usize> {
+        (0..self.routes.len()).filter(|&index| self.routes[index].is_ready())
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,7 +1,7 @@
-//! The types between a host and a [`Policy`](crate::Policy): settings, ids, events and actions. No decision.
+//! The types between a host and a [`Policy`](crate::Policy): settings, ids, events and actions.
 //!
-//! Types only: every decision is made in the files that `deploy/balancer.toml` names under `policy`. Times
-//! are milliseconds; the host's clock may start anywhere, but must not go back.
+//! Types only, without decisions. Times are milliseconds; the host's clock may start anywhere, but must not go
+//! back.
 
 mod action;
 mod checks;
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,4 +1,4 @@
-//! The actions that a policy asks its host for, and its demand. No decision.
+//! The actions that a policy asks its host for, and its demand.
 
 use super::{LimitScope, MessageHandle, Millis, OutageState, RouteId};
 
--- a/crates/policy/src/interface/checks.rs
+++ b/crates/policy/src/interface/checks.rs
@@ -1,4 +1,4 @@
-//! Validation of settings. No decision.
+//! Validation of settings.
 
 use super::{Class, Effect, Settings};
 
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! The events that a host reports to a policy. No decision.
+//! The events that a host reports to a policy.
 
 use super::{
     AttemptHistory, CapacityUpdate, ListChange, Message, MessageHandle, Millis, PermitUpdate,
--- a/crates/policy/src/interface/limit.rs
+++ b/crates/policy/src/interface/limit.rs
@@ -1,4 +1,4 @@
-//! A limit on calls, and what the host reports about one. No decision.
+//! A limit on calls, and what the host reports about one.
 
 use super::{DestinationId, Millis, RouteId};
 
--- a/crates/policy/src/interface/list.rs
+++ b/crates/policy/src/interface/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, and the messages that are submitted. No decision.
+//! The endpoint list, and the messages that are submitted.
 
 use super::{DestinationId, MessageHandle, Millis, RouteId};
 
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a policy. No decision.
+//! The settings of a policy.
 
 use super::Millis;
 
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,13 +1,17 @@
-//! The mean latency of calls and its deviation, smoothed. No decision.
+//! The smoothed mean latency of calls and its deviation.
 
 use crate::interface::Millis;
 
-/// The mean before any call was answered, ms.
+/// The mean before any call was answered, in ms.
 const INITIAL_MEAN: Millis = 400.0;
 /// Weight of the newest call in the mean.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
 /// Weight of the newest call in the deviation.
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
+/// A call is overdue after the mean latency and this many deviations.
+const OVERDUE_DEVIATIONS: f64 = 4.0;
+/// Minimum time after which a call is overdue, in ms: short stalls are no outage.
+const MIN_OVERDUE: Millis = 1_000.0;
 
 /// The latency of the answered calls through a throttle.
 #[derive(Clone, Copy, Debug)]
@@ -23,15 +27,15 @@
 }
 
 impl Latency {
-    /// A call was answered after so long.
+    /// Records the latency of an answered call.
     pub fn record(&mut self, latency: Millis) {
         let error = latency - self.mean;
         self.mean += error * MEAN_WEIGHT;
         self.deviation += (error.abs() - self.deviation) * DEVIATION_WEIGHT;
     }
 
-    /// The mean and so many deviations.
-    pub fn upper_bound(&self, deviations: f64) -> Millis {
-        self.mean + deviations * self.deviation
+    /// How long a call may be in flight before it is overdue.
+    pub fn overdue_after(&self) -> Millis {
+        (self.mean + OVERDUE_DEVIATIONS * self.deviation).max(MIN_OVERDUE)
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decisions of a sender: client-side load balancing, admission and retry policy. No decision.
+//! The decisions of a sender: client-side load balancing, admission and retry policy.
 //!
 //! A [`Policy`] takes messages, decides when and by which route each is tried, and gives every one of them
 //! one final outcome. It does no I/O, has no clock and starts no thread: the host hands in the events since
@@ -85,14 +85,21 @@
 
 mod calls;
 mod circuit_breaker;
+mod context;
+mod destination;
+mod destinations;
 pub mod interface;
 mod key_ordering;
 mod latency;
+mod messages;
 mod policy;
 mod priority_weight;
 mod quota;
 mod rng;
 pub mod settings;
+mod slots;
+mod subscription;
+mod throttle;
 mod wake_timer;
 mod window;
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,139 +1,113 @@
-//! The policy of one sender: its state, and the order of the steps of a batch. No decision.
+//! The policy of one sender: its state, and the steps of a batch.
 //!
-//! Each step decides in a module of its own. The ordinary path: for each throttle (of a destination, or of a
-//! route where routes have limits of their own) requests and accepts are counted over a window
-//! ([`throttle`]); a new call or a retry is dropped locally with probability `max(0, (requests - K * accepts)
-//! / (requests + 1))`, goes first to another route whose own draw passes ([`route_choice`]), else backs off
-//! for a random pause and draws again while time remains, else is refused or failed ([`completion`]). A
-//! comment that begins with "Departure" marks where the code departs from this path, and names the condition.
+//! Each type that owns state decides about it: [`Destination`] with its throttles and circuit breakers,
+//! [`PendingMessages`], [`CallSlots`], [`Quotas`]. A comment that begins with "Departure" marks where the code
+//! departs from the ordinary path that [`Policy::handle`] describes, and names the condition in parentheses.
 
-mod admission;
-mod availability;
-mod bookkeeping;
 mod completion;
-mod demand;
-mod dispatch;
 mod events;
 mod metrics;
-mod outage_detection;
-mod outage_memory;
-mod outcomes;
-mod queue_order;
-mod route_choice;
-mod route_defaults;
-mod route_list;
-mod routes;
-mod scope;
-mod send;
-mod settlement;
-mod slow_start;
-mod state;
-mod subscription;
-mod throttle;
 
-use std::collections::{BTreeMap, BTreeSet};
-
-use crate::interface::{
-    Action, DestinationId, Discovery, Event, MessageHandle, Millis, Settings, SettingsError,
-};
-use crate::key_ordering::KeyOrdering;
+use crate::context::Context;
+use crate::destination::{Destination, DestinationQueue, Dispatch};
+use crate::destinations::Destinations;
+use crate::interface::{Action, Event, Millis, Settings, SettingsError};
+use crate::messages::PendingMessages;
 use crate::quota::Quotas;
 use crate::rng::Rng;
+use crate::slots::CallSlots;
+use crate::subscription::Subscription;
+use crate::throttle::CapacitySource;
 use crate::wake_timer::WakeTimer;
-use state::{Destination, PendingMessage};
 
 /// The decisions of one sender.
 #[derive(Debug)]
 pub struct Policy {
-    settings: Settings,
-    /// Whether the host reports what other senders want.
-    expects_capacity: bool,
-    /// Whether no call starts without a permit.
-    needs_permits: bool,
-    rng: Rng,
-    /// The host's clock at the first batch: all times kept here count from it.
+    context: Context,
+    /// The host's clock at the first batch: all times count from it.
     started_at: Option<Millis>,
-    now: Millis,
-    destinations: BTreeMap<DestinationId, Destination>,
-    /// Destinations with waiting messages: only these are looked at.
-    busy: BTreeSet<DestinationId>,
-    messages: BTreeMap<MessageHandle, PendingMessage>,
-    calls_in_flight: usize,
-    /// Slots that another process of this sender uses.
-    slots_used_by_peer: usize,
-    next_call: u64,
-    key_ordering: KeyOrdering,
+    messages: PendingMessages,
+    destinations: Destinations,
+    slots: CallSlots,
     quotas: Quotas,
+    capacity_source: CapacitySource,
+    subscription: Subscription,
     wake_timer: WakeTimer,
-    /// When to subscribe to the endpoint list.
-    subscribe_at: Option<Millis>,
 }
 
 impl Policy {
-    /// A policy without any state; draws are the same for the same seed.
+    /// A policy without any state; its draws are the same for the same seed.
     ///
     /// # Errors
     ///
     /// [`SettingsError`] if the settings cannot work.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let on_request = matches!(settings.discovery, Discovery::OnRequest { .. });
         Ok(Self {
-            expects_capacity: false,
-            needs_permits: false,
-            rng: Rng::new(seed),
             started_at: None,
-            now: 0.0,
-            destinations: BTreeMap::new(),
-            busy: BTreeSet::new(),
-            messages: BTreeMap::new(),
-            calls_in_flight: 0,
-            slots_used_by_peer: 0,
-            next_call: 0,
-            key_ordering: KeyOrdering::default(),
+            messages: PendingMessages::default(),
+            destinations: Destinations::default(),
+            slots: CallSlots::new(settings.slots),
             quotas: Quotas::new(settings.tenants.len()),
+            capacity_source: CapacitySource::default(),
+            subscription: Subscription::new(settings.discovery),
             wake_timer: WakeTimer::default(),
-            subscribe_at: on_request.then_some(0.0),
-            settings,
+            context: Context { now: 0.0, settings, rng: Rng::new(seed) },
         })
     }
 
-    /// Takes in all events of a batch, then decides once; what is to be done is appended to `actions`.
+    /// Applies all events of a batch, then decides once; what is to be done is appended to `actions`.
+    ///
+    /// Requests and accepts are counted over a window, for each throttle: that of a destination, or of a
+    /// route where routes have limits of their own. A new call or a retry is dropped locally with probability
+    /// `max(0, (requests - K * accepts) / (requests + 1))`. It is sent by another route if that one's draw
+    /// passes, else it backs off for a random pause and draws again while time remains, else its message is
+    /// refused or failed.
     pub fn handle(&mut self, now: Millis, events: &[Event], actions: &mut Vec<Action>) {
-        self.now = now - *self.started_at.get_or_insert(now);
+        self.context.now = now - *self.started_at.get_or_insert(now);
         for event in events {
-            self.apply(event, actions);
+            self.count_or_apply(event, actions);
+        }
+        if self.subscription.take_due(self.context.now) {
+            actions.push(Action::Subscribe);
         }
-        self.subscribe_if_due(actions);
-        self.key_ordering.forget_idle(self.now);
-        let busy: Vec<DestinationId> = self.busy.iter().copied().collect();
-        self.complete_due_messages(&busy, actions);
+        self.messages.remove_idle_keys(self.context.now);
+        self.refuse_or_fail_due_messages(actions);
         self.shed_load(actions);
-        self.dispatch(&busy, actions);
-        self.set_wake_timer(actions);
+        self.draw_and_send(actions);
+        self.wake_for_next_draw(actions);
     }
 
-    /// Asks to be woken when the next thing is due, if no wake-up comes before.
-    fn set_wake_timer(&mut self, actions: &mut Vec<Action>) {
-        let destinations = &self.destinations;
-        self.busy
-            .retain(|id| destinations.get(id).is_some_and(|destination| !destination.waiting.is_empty()));
-        let busy = self.busy.iter().filter_map(|id| self.destinations.get(id));
-        let next_at = busy
-            .map(|destination| self.next_due_at(destination))
-            .chain(self.key_ordering.pause_ends(self.now))
-            .chain(self.subscribe_at)
-            .fold(f64::INFINITY, f64::min);
-        actions.extend(self.wake_timer.set(self.now, next_at, self.settings.tick));
+    /// Serves the destinations in the order of their most urgent calls: each draws for its messages.
+    fn draw_and_send(&mut self, actions: &mut Vec<Action>) {
+        let queue = |destination: &Destination| destination.queue(&self.context, &self.messages);
+        let mut queues: Vec<DestinationQueue> = self.destinations.busy().map(queue).collect();
+        queues.sort_by(DestinationQueue::order);
+        let mut dispatch = Dispatch {
+            context: &mut self.context,
+            messages: &mut self.messages,
+            slots: &mut self.slots,
+            actions,
+        };
+        for queue in queues {
+            if let Some(destination) = self.destinations.get_mut(queue.destination) {
+                destination.serve(&mut dispatch, queue.messages);
+                destination.report_outages(dispatch.context.now, dispatch.actions);
+            }
+        }
     }
 
-    /// When something is due at a destination with waiting messages: a final outcome, or a draw.
-    fn next_due_at(&self, destination: &Destination) -> Millis {
-        let outcomes = destination.waiting.iter().filter_map(|id| self.messages.get(id));
-        let opens = (0..destination.routes.len()).map(|index| destination.opens_at(index, self.now));
-        outcomes
-            .map(|message| message.outcome_due_at)
-            .chain(opens.filter(|&opens_at| opens_at > self.now))
-            .fold(f64::INFINITY, f64::min)
+    /// Requests a wake-up for the next draw or final outcome, if no earlier one is pending.
+    fn wake_for_next_draw(&mut self, actions: &mut Vec<Action>) {
+        self.destinations.remove_idle_from_busy();
+        let now = self.context.now;
+        let next_at = self
+            .destinations
+            .busy()
+            .map(|destination| destination.next_due_at(&self.messages, now))
+            .chain(self.messages.key_pause_ends(now))
+            .chain(self.subscription.due_at())
+            .fold(f64::INFINITY, f64::min);
+        actions.extend(self.wake_timer.set(now, next_at, self.context.settings.tick));
     }
 }
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -1,117 +1,123 @@
-//! Applies each event to the state, or passes it on to the step that decides. No decision.
-
-use rudderspindle_gossip::{CapacityShare, PermitLease, ScheduledCall};
+//! Applies each event to the type that owns the state.
 
 use super::Policy;
-use super::state::Throttle;
 use crate::interface::{
-    Action, AttemptHistory, CapacityUpdate, Event, LimitScope, MessageHandle, Permit, PermitUpdate,
-    RetryAfterUpdate, RouteId,
+    Action, AttemptHistory, AttemptResult, Event, ListChange, Message, MessageHandle, Outcome,
 };
+use crate::messages::PendingMessage;
 
 impl Policy {
-    /// Applies one event.
-    pub(super) fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
+    /// Applies one event: results and new messages are counted.
+    pub(super) fn count_or_apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
+        let now = self.context.now;
         match event {
             Event::List(change) => self.apply_list_change(change),
             Event::Message(message) => self.admit(message, &AttemptHistory::default()),
             Event::Recovered(message, history) => self.admit(message, history),
-            Event::Remembered(remembered) => self.restore_outage(remembered),
-            Event::RetryAfter(update) => self.apply_retry_after(update),
-            Event::Capacity(update) => self.apply_capacity(update),
-            Event::Permits(update) => self.apply_permits(update),
-            Event::EjectedReceivers(ejected) => self.apply_ejections(ejected),
+            Event::Remembered(remembered) => {
+                if let Some(destination) = self.destinations.get_mut(remembered.scope.destination) {
+                    destination.restore_outage(&mut self.context, remembered);
+                }
+            }
+            Event::RetryAfter(update) => {
+                if let Some(destination) = self.destinations.get_mut(update.scope.destination) {
+                    destination.apply_retry_after(now, update);
+                }
+            }
+            Event::Capacity(update) => {
+                if let Some(destination) = self.destinations.get_mut(update.scope.destination) {
+                    destination.apply_capacity(now, update);
+                }
+            }
+            Event::Permits(update) => {
+                if let Some(destination) = self.destinations.get_mut(update.scope.destination) {
+                    destination.apply_permits(now, update);
+                }
+            }
+            Event::EjectedReceivers(ejected) => self.destinations.apply_ejections(ejected),
             Event::Quota { tenant, per_s } => self.quotas.set_share(*tenant, *per_s),
-            Event::Started { id, attempt } => self.apply_start_of_response(*id, *attempt),
-            Event::Outcome(result) => self.apply_result(result, actions),
+            Event::Started { id, attempt } => self.messages.record_start_of_response(*id, *attempt),
+            Event::Outcome(result) => self.record_result(result, actions),
             Event::Dropped(id) => self.complete(*id),
             Event::Wake(token) => self.wake_timer.fired(*token),
             Event::HealthChecked { .. } => {}
         }
     }
 
-    /// Another process of this sender uses so many of its slots now.
+    /// Sets how many slots another process of this sender uses.
     pub fn set_slots_used_by_peer(&mut self, used: usize) {
-        self.slots_used_by_peer = used;
+        self.slots.set_used_by_peer(used);
     }
 
-    /// From now on the host reports what other senders want.
+    /// Declares that the host will report the demand of other senders.
     pub fn expect_capacity_reports(&mut self) {
-        self.expects_capacity = true;
+        self.capacity_source.reports_capacity = true;
     }
 
-    /// From now on the host hands out permits: no call starts without one.
+    /// Declares that the host will report permits: no call starts without one.
     pub fn require_permits(&mut self) {
-        self.needs_permits = true;
-    }
-
-    /// The capacity of a limit before anything was reported of it.
-    pub(super) fn unreported_capacity(&self, limit: f64) -> CapacityShare {
-        let mut capacity = CapacityShare::default();
-        if self.expects_capacity {
-            capacity = CapacityShare::equal(self.now, limit, self.settings.peers_total);
-        }
-        if self.needs_permits {
-            capacity = capacity.requiring_permits();
-        }
-        capacity
+        self.capacity_source.requires_permits = true;
     }
 
-    fn throttle_at(&mut self, limit: LimitScope) -> Option<&mut Throttle> {
-        let destination = self.destinations.get_mut(&limit.destination)?;
-        let scope = destination.throttle_scope(limit.route)?;
-        Some(destination.throttle_of_mut(scope))
+    fn apply_list_change(&mut self, change: &ListChange) {
+        let entries = match change {
+            ListChange::Full(entries) | ListChange::Cached(entries) => {
+                self.destinations.remove_all_routes();
+                entries
+            }
+            ListChange::Delta(entries) => entries,
+            ListChange::Failed => {
+                self.subscription.back_off(&mut self.context);
+                return;
+            }
+        };
+        self.destinations.apply_entries(&self.context, entries, self.capacity_source);
     }
 
-    fn apply_retry_after(&mut self, update: &RetryAfterUpdate) {
-        let until = self.now + update.remaining;
-        if let Some(throttle) = self.throttle_at(update.scope) {
-            throttle.retry_after_until = throttle.retry_after_until.max(until);
+    /// Accepts a message with the attempts of before a restart; one that is pending already is ignored.
+    fn admit(&mut self, message: &Message, history: &AttemptHistory) {
+        if self.messages.contains(message.id) {
+            return;
+        }
+        let within_quota = self.quotas.admits(self.context.now, &self.context.settings, message.tenant);
+        let pending = PendingMessage::new(&self.context, message, history, within_quota);
+        self.messages.insert(message.id, pending);
+        self.enqueue(message.id);
+        if let Some(destination) = self.destinations.get_mut(message.destination) {
+            destination.record_arrival(&mut self.context);
         }
     }
 
-    fn apply_capacity(&mut self, update: &CapacityUpdate) {
-        let Some(destination) = self.destinations.get_mut(&update.scope.destination) else { return };
-        let Some(scope) = destination.throttle_scope(update.scope.route) else { return };
-        let demand = destination.demand(scope, self.now);
-        let throttle = destination.throttle_of_mut(scope);
-        let update = rudderspindle_gossip::CapacityUpdate {
-            rate_per_demand: update.calls_per_demand,
-            fleet_demand: update.total_demand,
-            valid_for: update.valid_for,
-            own_demand: demand.wanted,
-            limit: demand.limit,
-        };
-        let scheduled =
-            ScheduledCall { due_at: throttle.next_draw_at, not_before: throttle.retry_after_until };
-        throttle.next_draw_at = throttle.capacity.apply(self.now, &update, scheduled);
+    /// Lets a message wait at its destination until it is sent or its final outcome is due.
+    fn enqueue(&mut self, id: MessageHandle) {
+        let Some(message) = self.messages.get_mut(id) else { return };
+        message.schedule_outcome(&self.context);
+        self.destinations.enqueue(message.destination, id);
     }
 
-    fn apply_permits(&mut self, update: &PermitUpdate) {
-        let now = self.now;
-        let Some(throttle) = self.throttle_at(update.scope) else { return };
-        let lease = |permit: &Permit| PermitLease {
-            number: permit.number,
-            from: now + permit.from,
-            until: now + permit.until,
+    /// Records the result of an attempt; its message is completed, or waits for a retry.
+    fn record_result(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
+        let Some(in_flight) = self.messages.take_in_flight(result.id, result.attempt) else { return };
+        let Some(destination) = self.messages.get(result.id).map(|message| message.destination) else {
+            return;
         };
-        let leases: Vec<PermitLease> = update.permits.iter().map(lease).collect();
-        throttle.capacity.set_leases(now, &leases);
-    }
-
-    fn apply_ejections(&mut self, ejected: &[RouteId]) {
-        for destination in self.destinations.values_mut() {
-            for route in &mut destination.routes {
-                route.ejected = ejected.contains(&route.id);
-            }
+        let mut execution = None;
+        if let Some(destination) = self.destinations.get_mut(destination) {
+            execution = destination.record_result(&mut self.context, &mut self.slots, in_flight.call, result);
+            destination.report_outages(self.context.now, actions);
         }
+        self.messages.record_result(&self.context, result, execution);
+        self.retry_or_complete(result, actions);
     }
 
-    /// A response that has begun to stream is the client's: the message no longer runs out of time.
-    fn apply_start_of_response(&mut self, id: MessageHandle, attempt: u32) {
-        let Some(message) = self.messages.get_mut(&id) else { return };
-        if message.in_flight.is_some_and(|in_flight| in_flight.attempt == attempt) {
-            message.weight.expires_at = f64::INFINITY;
+    fn retry_or_complete(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
+        let Some(message) = self.messages.get(result.id) else { return };
+        if result.completed || message.completed || result.outcome == Outcome::Ok {
+            self.complete(result.id);
+        } else if message.may_be_retried(&self.context) {
+            self.enqueue(result.id);
+        } else {
+            self.refuse_or_fail(result.id, 0.0, actions);
         }
     }
 }
--- a/crates/policy/src/priority_weight.rs
+++ b/crates/policy/src/priority_weight.rs
@@ -1,8 +1,8 @@
-//! The value of a message as time goes by, as the settings define it. No decision.
+//! The value of a message over time, as the settings define it.
 
 use crate::interface::{LateDecay, Millis, Settings};
 
-/// What the value of one message depends on.
+/// What the value of a message depends on.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PriorityWeight {
     /// Index of its class.
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,21 +1,48 @@
-//! Decides whether a message is within its tenant's share of what this sender is given.
-
-mod state;
-
-pub(crate) use state::Quotas;
+//! Tenant quotas: whether a message is within its tenant's quota at this sender.
 
 use crate::interface::{Millis, Settings, Tenant};
-use state::TokenBucket;
 
-/// A tenant's burst within its quota, in ms of that quota.
+/// Burst of a tenant within its quota, in ms of that quota.
 const BURST: Millis = 2_000.0;
-/// A tenant's least burst, in messages.
+/// Minimum burst of a tenant, in messages.
 const MIN_BURST: f64 = 4.0;
-/// The time over which arrivals are averaged is this at the least, ms.
+/// Minimum time over which arrivals are averaged, in ms.
 const MIN_ARRIVAL_SPAN: Millis = 1_000.0;
 
+/// A token bucket for each tenant.
+#[derive(Debug)]
+pub(crate) struct Quotas {
+    buckets: Vec<TokenBucket>,
+    /// Messages of all tenants so far.
+    arrivals: f64,
+}
+
+/// What is left of a tenant's quota at this sender.
+#[derive(Clone, Copy, Debug)]
+struct TokenBucket {
+    /// Messages left within the quota.
+    tokens: f64,
+    refilled_at: Millis,
+    /// This sender's share of the quota, in messages per second, while the fleet reports it.
+    reported_per_s: Option<f64>,
+}
+
 impl Quotas {
-    /// Counts a message of this tenant; whether it is within the quota. A message of no tenant is.
+    /// Quotas of which nothing is used.
+    pub fn new(tenants: usize) -> Self {
+        let full = TokenBucket { tokens: f64::INFINITY, refilled_at: 0.0, reported_per_s: None };
+        Self { buckets: vec![full; tenants], arrivals: 0.0 }
+    }
+
+    /// Sets this sender's share of a tenant's quota, in messages per second; `None` where the usage of the
+    /// fleet is unknown.
+    pub fn set_share(&mut self, tenant: usize, per_s: Option<f64>) {
+        if let Some(bucket) = self.buckets.get_mut(tenant) {
+            bucket.reported_per_s = per_s;
+        }
+    }
+
+    /// Counts a message of this tenant. Returns whether it is within the quota; a message without tenant is.
     pub fn admits(&mut self, now: Millis, settings: &Settings, tenant: usize) -> bool {
         self.arrivals += 1.0;
         let Some(settings_of_tenant) = settings.tenants.get(tenant) else { return true };
@@ -34,7 +61,7 @@
     if equal_part * BURST >= MIN_BURST {
         return equal_part;
     }
-    // Departure (an equal part is few messages): the tenant's share of what arrives here, if that is more.
+    // Departure (an equal part is few messages): the tenant's share of the arrivals here, if that is more.
     let all_quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
     equal_part.max(tenant.quota_per_s / all_quotas * arrivals / now.max(MIN_ARRIVAL_SPAN))
 }
--- a/crates/policy/src/quota/tests.rs
+++ b/crates/policy/src/quota/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the tenant quotas. No decision.
+//! Tests of the tenant quotas.
 
 use super::*;
 
--- a/crates/policy/src/rng.rs
+++ b/crates/policy/src/rng.rs
@@ -1,13 +1,13 @@
-//! Random draws from a seed. No decision.
+//! Random draws from a seed.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
 use crate::interface::Millis;
 
-/// A pause is this multiple of its mean at the least,
+/// Minimum pause, as a multiple of its mean.
 const MIN_PAUSE: f64 = 0.6;
-/// and this one at the most.
+/// Maximum pause, as a multiple of its mean.
 const MAX_PAUSE: f64 = 1.4;
 
 /// A generator whose draws are the same for the same seed.
@@ -15,12 +15,12 @@
 pub(crate) struct Rng(ChaCha8Rng);
 
 impl Rng {
-    /// A generator of its own for each seed.
+    /// A generator that starts from this seed.
     pub fn new(seed: u64) -> Self {
         Self(ChaCha8Rng::seed_from_u64(seed))
     }
 
-    /// A number from 0 up to 1, evenly distributed.
+    /// A number from 0 up to (not including) 1, evenly distributed.
     pub fn unit(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's settings, which are JSON, into [`Settings`]. No decision.
+//! Reads the platform's settings, which are JSON, into [`Settings`].
 
 mod field;
 
--- a/crates/policy/src/settings/field.rs
+++ b/crates/policy/src/settings/field.rs
@@ -1,4 +1,4 @@
-//! Reads a configuration value with its type and range, or names its key in an error. No decision.
+//! Reads a configuration value with its type and range, or names its key in an error.
 
 use serde_json::Value;
 
--- a/crates/policy/src/settings/tests.rs
+++ b/crates/policy/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of reading settings. No decision.
+//! Tests of reading settings.
 
 use serde_json::{Value, json};
 
--- a/crates/policy/src/settings/tests/invalid.rs
+++ b/crates/policy/src/settings/tests/invalid.rs
@@ -1,4 +1,4 @@
-//! Invalid settings: each error names its key and what is valid. No decision.
+//! Invalid settings: each error names its key and what is valid.
 
 use serde_json::{Value, json};
 
--- /dev/null
+++ b/crates/policy/src/slots.rs
@@ -0,0 +1,41 @@
+//! The slots of this sender: how many calls may be in flight at once.
+
+/// The slots in use, by this process and by another process of the same sender.
+#[derive(Debug)]
+pub(crate) struct CallSlots {
+    total: usize,
+    in_use: usize,
+    used_by_peer: usize,
+    next_call_id: u64,
+}
+
+impl CallSlots {
+    /// Slots of which none is in use.
+    pub fn new(total: usize) -> Self {
+        Self { total, in_use: 0, used_by_peer: 0, next_call_id: 0 }
+    }
+
+    /// Sets how many slots another process of this sender uses.
+    pub fn set_used_by_peer(&mut self, used: usize) {
+        self.used_by_peer = used;
+    }
+
+    /// Number of slots that neither this process nor the other one uses; the other one leaves at least one.
+    pub fn free(&self) -> usize {
+        let used_by_peer = self.used_by_peer.min(self.total.saturating_sub(1));
+        self.total.saturating_sub(self.in_use + used_by_peer)
+    }
+
+    /// Takes a slot for a new call; returns the call's id.
+    pub fn acquire(&mut self) -> u64 {
+        let id = self.next_call_id;
+        self.next_call_id += 1;
+        self.in_use += 1;
+        id
+    }
+
+    /// Frees the slot of a call that has ended.
+    pub fn release(&mut self) {
+        self.in_use -= 1;
+    }
+}
--- /dev/null
+++ b/crates/policy/src/throttle/send_rate.rs
@@ -0,0 +1,82 @@
+//! The send rate of a throttle: additive increase, multiplicative decrease.
+
+use crate::context::Context;
+use crate::interface::Millis;
+use crate::window::{COUNT_WINDOW, WindowCounts};
+
+/// Minimum factor of a reduction.
+const MIN_REDUCTION_FACTOR: f64 = 0.5;
+/// Maximum factor of a reduction.
+const MAX_REDUCTION_FACTOR: f64 = 0.85;
+/// Minimum rate, as a share of an equal part of the limit.
+const MIN_RATE_SHARE: f64 = 0.8;
+/// Minimum initial rate, in calls per second: in a large fleet few senders use a small limit.
+const MIN_INITIAL_RATE: f64 = 0.25;
+/// Rejections within this time of a reduction, in ms, have the same cause and reduce no further.
+const REDUCTION_INTERVAL: Millis = 400.0;
+/// Increase for an accepted call, as a share of the limit. In a fleet it is smaller for a new throttle and
+/// after a reduction, as all senders increase at the same time.
+const INCREASE_SHARE: f64 = 0.007;
+
+/// The rate at which calls start, in calls per second.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct SendRate {
+    /// The limit of all senders together.
+    limit: f64,
+    initial: f64,
+    current: f64,
+    reduced_at: Millis,
+}
+
+impl SendRate {
+    /// The rate of a limit of which nothing else is known.
+    pub fn new(now: Millis, limit: f64, senders: usize) -> Self {
+        let initial = (limit / senders as f64).max(MIN_INITIAL_RATE).min(limit);
+        Self { limit, initial, current: initial, reduced_at: now - REDUCTION_INTERVAL }
+    }
+
+    /// The limit of all senders together.
+    pub fn limit(&self) -> f64 {
+        self.limit
+    }
+
+    /// The rate now.
+    pub fn current(&self) -> f64 {
+        self.current
+    }
+
+    /// The greater one of the present and the initial rate.
+    pub fn current_or_initial(&self) -> f64 {
+        self.current.max(self.initial)
+    }
+
+    /// Returns to the initial rate.
+    pub fn reset(&mut self) {
+        self.current = self.initial;
+    }
+
+    /// Increases the rate for an accepted call.
+    pub fn increase(&mut self, context: &Context, time_scale: f64) {
+        let settings = &context.settings;
+        let since_reduction = ((context.now - self.reduced_at) / COUNT_WINDOW.max_span).min(1.0);
+        let share = INCREASE_SHARE
+            * time_scale
+            * settings.rate_uncertainty()
+            * settings.fleet_scale().powf(since_reduction - 1.0);
+        self.current = (self.current + share * self.limit).min(self.limit);
+    }
+
+    /// Whether a rejection at `now` belongs to another overshoot than the last reduction.
+    pub fn may_be_reduced(&self, now: Millis) -> bool {
+        now - self.reduced_at > REDUCTION_INTERVAL
+    }
+
+    /// Reduces the rate to what the drop formula lets through of the calls of a span, within bounds.
+    pub fn reduce(&mut self, now: Millis, counts: WindowCounts, span: Millis, senders: usize) {
+        self.reduced_at = now;
+        let sent_rate = (counts.requests * 1_000.0 / span).max(self.initial);
+        let factor = counts.passed_share().clamp(MIN_REDUCTION_FACTOR, MAX_REDUCTION_FACTOR);
+        let min_rate = self.limit / senders as f64 * MIN_RATE_SHARE;
+        self.current = (self.current.min(sent_rate) * factor).max(min_rate);
+    }
+}
--- a/crates/policy/src/wake_timer.rs
+++ b/crates/policy/src/wake_timer.rs
@@ -1,11 +1,11 @@
-//! The one wake-up that the host keeps for the policy. No decision.
+//! The wake-up that the policy has requested from its host.
 
 use crate::interface::{Action, Millis};
 
-/// A wake-up comes no sooner than this, ms.
+/// Minimum delay of a wake-up, in ms.
 const MIN_DELAY: Millis = 1.0;
 
-/// The wake-up that is due next; older ones are ignored.
+/// The newest wake-up that was requested; older ones are ignored.
 #[derive(Debug, Default)]
 pub(crate) struct WakeTimer {
     due_at: Option<Millis>,
@@ -13,17 +13,17 @@
 }
 
 impl WakeTimer {
-    /// The host's timer with this token has fired.
+    /// Records that the host's timer with this token has fired.
     pub fn fired(&mut self, token: u64) {
         if token == self.token {
             self.due_at = None;
         }
     }
 
-    /// Asks for a wake-up at `at`, no sooner than in a tick; nothing if one comes before.
+    /// Requests a wake-up at `at`, but not within the next tick; `None` if an earlier one is pending.
     pub fn set(&mut self, now: Millis, at: Millis, tick: Millis) -> Option<Action> {
-        let fires_before = self.due_at.is_some_and(|due_at| due_at > now && due_at <= at);
-        if at == f64::INFINITY || fires_before {
+        let fires_earlier = self.due_at.is_some_and(|due_at| due_at > now && due_at <= at);
+        if at == f64::INFINITY || fires_earlier {
             return None;
         }
         let delay = (at - now).max(tick).max(MIN_DELAY);
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -1,15 +1,21 @@
-//! Counts requests and accepts over a sliding window. No decision.
+//! Counts requests and accepts over a sliding window, and the drop probability that they give.
 
 use std::collections::VecDeque;
 
 use crate::interface::Millis;
 
+/// K of the drop formula (no unit): the design's default.
+const ACCEPTS_MULTIPLIER: f64 = 1.5;
+/// The window of a throttle.
+pub(crate) const COUNT_WINDOW: WindowBounds =
+    WindowBounds { min_span: 6_000.0, max_span: 20_000.0, min_samples: 12.0 };
+
 /// How far back a window reaches.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WindowBounds {
-    /// At least, ms.
+    /// Minimum span, in ms.
     pub min_span: Millis,
-    /// At most, ms, while it holds fewer requests than `min_samples`.
+    /// Maximum span, in ms, while the window holds fewer requests than `min_samples`.
     pub max_span: Millis,
     pub min_samples: f64,
 }
@@ -21,7 +27,21 @@
     pub accepts: f64,
 }
 
-/// The recent requests and accepts of a throttle. Entries are dropped as it is read.
+impl WindowCounts {
+    /// The probability with which a call is dropped locally, with this many more requests that were not
+    /// accepted.
+    pub fn drop_probability(self, more_requests: usize) -> f64 {
+        let requests = self.requests + more_requests as f64;
+        ((requests - ACCEPTS_MULTIPLIER * self.accepts) / (requests + 1.0)).max(0.0)
+    }
+
+    /// The share of the requests that the drop formula lets through; above 1 where it drops none.
+    pub fn passed_share(self) -> f64 {
+        ACCEPTS_MULTIPLIER * self.accepts / self.requests.max(1.0)
+    }
+}
+
+/// The recent requests and accepts of a throttle. Old entries are dropped when it is read.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Window {
     entries: VecDeque<Entry>,
@@ -43,13 +63,13 @@
         self.total.accepts += accepts;
     }
 
-    /// Forgets all entries.
+    /// Removes all entries.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Drops the entries that are too old, with time running `time_scale` times as fast; the counts of the
-    /// rest, if there is any.
+    /// Drops the entries that are too old, with their age multiplied by `time_scale`. Returns the counts of
+    /// the others, `None` if there are none.
     pub fn counts(&mut self, now: Millis, time_scale: f64, bounds: WindowBounds) -> Option<WindowCounts> {
         while let Some(&oldest) = self.entries.front() {
             let has_few_others = self.total.requests - oldest.counts.requests < bounds.min_samples;
--- a/crates/policy/src/window/tests.rs
+++ b/crates/policy/src/window/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the sliding window. No decision.
+//! Tests of the sliding window.
 
 use super::*;
 
