--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -1,11 +1,12 @@
-//! The engine: gathers events into batches, lets the policy decide, writes the journal, and only then acts.
+//! The engine: gathers inputs into batches, lets the policy decide, writes the journal, and only then acts.
 //!
-//! One batch at a time, at most one each tick. The engine runs as one task and owns all its state; other tasks send
-//! it an [`Input`], and share only what [`EngineIo`] names.
+//! There is one batch at a time, and at most one for each tick. The engine runs as one task and owns its state; other
+//! tasks send it an [`Input`], and share only the parts in [`EngineIo`].
 
 mod attempts;
 mod backlog;
 mod batch;
+mod calls_in_flight;
 mod commit;
 mod dependencies;
 mod endpoint_table;
@@ -13,41 +14,34 @@
 mod intake;
 mod outage_records;
 mod recovery;
+mod shutdown;
 mod status;
 mod takeover;
 mod time;
+mod timers;
 mod tracked_messages;
 
-use std::collections::HashMap;
-use std::rc::Rc;
 use std::time::Duration;
 
 use rudderspindle_journal::Store;
 use rudderspindle_policy::Policy;
-use rudderspindle_policy::interface::{Event, ListChange, MessageHandle, Settings, SettingsError};
+use rudderspindle_policy::interface::{Event, ListChange, Settings, SettingsError};
 use rudderspindle_policy::settings::Names;
-use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
 use crate::activity::ActivityLog;
 use crate::event::{EndpointList, Input};
-use crate::handover::PeerProcess;
-use crate::metrics::Metrics;
-use crate::notifications::Notifications;
-use crate::outbound::{CallHandle, Outbound};
 use backlog::Backlog;
+use calls_in_flight::CallsInFlight;
 pub use dependencies::{EngineDependencies, EngineIo, LimitSharing, PolicyOptions};
 use endpoint_table::EndpointTable;
+pub use outage_records::restore_outages;
+use shutdown::{RemainingWork, Shutdown};
 use time::from_millis;
+use timers::Timers;
 use tracked_messages::TrackedMessages;
 
-/// How long after the request to stop attempts may still start: later ones may not finish.
-const SHUTDOWN_SEND_PERIOD: Duration = Duration::from_millis(2_000);
-/// Minimum time to stop if clients have no other process to go to: some still connect after the request.
-const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(600);
-/// Maximum time to stop. Calls in flight by then stay in the journal as attempts that may have been executed.
-const MAX_SHUTDOWN_TIME: Duration = Duration::from_millis(3_300);
-/// How often the engine checks whether it can stop.
+/// Interval in which the engine checks whether it can stop.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum time between two batches.
 const MAX_BATCH_INTERVAL: Duration = Duration::from_secs(3600);
@@ -57,42 +51,30 @@
 /// The engine of one sender process.
 pub struct Engine {
     policy: Policy,
+    /// Zero of the policy's clock.
+    policy_epoch: Instant,
+    timers: Timers,
     settings: Settings,
     names: Names,
     store: Store,
-    outbound: Rc<Outbound>,
-    notifications: Rc<Notifications>,
-    metrics: Rc<Metrics>,
-    peer_process: Rc<PeerProcess>,
-    inputs: mpsc::Receiver<Input>,
-    /// Whether a successor can accept clients from the same listening socket.
-    shared_listener: bool,
-    /// Zero of the policy's clock.
-    policy_epoch: Instant,
+    io: EngineIo,
+    shutdown: Shutdown,
     /// When the last batch began.
     last_batch: Instant,
-    /// When the engine was asked to stop.
-    stop: Option<Instant>,
-    tracked: TrackedMessages,
-    /// Recovered messages that the policy has no capacity for yet.
-    backlog: Backlog,
-    endpoints: EndpointTable,
-    /// Calls in flight.
-    calls: HashMap<MessageHandle, CallHandle>,
-    /// Number of calls in flight as last announced to the peer process.
-    announced_calls: usize,
-    /// The policy's timers, with their tokens.
-    wakes: Vec<(Instant, u64)>,
     /// Inputs for the next batch.
     next_batch_inputs: Vec<Input>,
     /// Events for the next batch.
     next_batch_events: Vec<Event>,
+    tracked: TrackedMessages,
+    /// Recovered messages that the policy has no capacity for yet.
+    backlog: Backlog,
+    endpoints: EndpointTable,
+    calls: CallsInFlight,
     activity: ActivityLog,
 }
 
 impl Engine {
-    /// An engine that has applied the configured endpoint list and the fetched one, and has recovered what its journal
-    /// holds.
+    /// Creates an engine, applies the configured endpoint list and the fetched one, and recovers the journal.
     ///
     /// # Errors
     ///
@@ -105,75 +87,66 @@
         let mut engine = Self::build(dependencies)?;
         let entries = engine.apply_entries(configured);
         engine.next_batch_events.push(Event::List(ListChange::Cached(entries)));
-        // The configured list may be older than what an earlier process knew: no recovered message may go to a
-        // receiver that drains by now.
+        // The configured list may be old: recovered messages must not go to a receiver that is draining by now.
         if let Some(list) = fetched {
             let entries = engine.apply_entries(list);
             engine.next_batch_events.push(Event::List(ListChange::Full(entries)));
         }
-        engine.next_batch_events.extend(engine.recorded_outages());
-        let open = engine.store.pending_messages().cloned().collect();
+        let outages = outage_records::recorded_outages(&engine.store, &engine.endpoints);
+        engine.next_batch_events.extend(outages);
+        let pending_messages = engine.store.pending_messages().cloned().collect();
         let pending_notifications = engine.store.pending_notifications().collect();
-        engine.recover(engine.policy_epoch, open, pending_notifications);
+        engine.recover(engine.policy_epoch, pending_messages, pending_notifications);
         engine.run_batch(Vec::new());
         Ok(engine)
     }
 
-    /// An engine that knows no receiver and no message.
+    /// Creates an engine without receivers and messages.
     fn build(dependencies: EngineDependencies) -> Result<Self, SettingsError> {
         let EngineDependencies { policy: options, store, io, shared_listener, record_activity } =
             dependencies;
         let policy = options.build()?;
         let PolicyOptions { settings, names, .. } = options;
-        let EngineIo { outbound, notifications, metrics, peer_process, inputs } = io;
         let now = Instant::now();
         Ok(Self {
             policy,
+            policy_epoch: now,
+            timers: Timers::default(),
             endpoints: EndpointTable::new(names.zones.clone()),
             settings,
             names,
             store,
-            outbound,
-            notifications,
-            metrics,
-            peer_process,
-            inputs,
-            shared_listener,
-            policy_epoch: now,
+            io,
+            shutdown: Shutdown::new(shared_listener),
             last_batch: now,
-            stop: None,
-            tracked: TrackedMessages::default(),
-            backlog: Backlog::default(),
-            calls: HashMap::new(),
-            announced_calls: 0,
-            wakes: Vec::new(),
             next_batch_inputs: Vec::new(),
             next_batch_events: Vec::new(),
+            tracked: TrackedMessages::default(),
+            backlog: Backlog::default(),
+            calls: CallsInFlight::default(),
             activity: ActivityLog::new(record_activity),
         })
     }
 
-    /// Runs until the engine has been asked to stop and has, or until nobody can send it inputs any more.
+    /// Runs until the shutdown is complete, or until the channel of inputs is closed.
     pub async fn run(mut self) {
         while let Some(inputs) = self.next_inputs().await {
             self.run_batch(inputs);
-            if self.has_stopped() {
-                // Another process may own the journal from now on, and call again.
-                for call in self.calls.values() {
-                    call.cancel();
-                }
+            if self.shutdown.is_complete(Instant::now(), self.remaining_work()) {
+                // Another process may own the journal from now on, and send the messages again.
+                self.calls.cancel_all();
                 return;
             }
         }
     }
 
-    /// Waits until a batch is due; returns its inputs, or `None` if there can be no more.
+    /// Waits until a batch is due; returns its inputs, or `None` if the channel of inputs is closed.
     async fn next_inputs(&mut self) -> Option<Vec<Input>> {
         let due = self.next_due();
         let mut inputs = std::mem::take(&mut self.next_batch_inputs);
         if inputs.is_empty() {
             tokio::select! {
-                received = self.inputs.recv_many(&mut inputs, MAX_BATCH_INPUTS) => {
+                received = self.io.inputs.recv_many(&mut inputs, MAX_BATCH_INPUTS) => {
                     if received == 0 {
                         return None;
                     }
@@ -183,7 +156,7 @@
         }
         sleep_until(self.last_batch + from_millis(self.settings.tick)).await;
         while inputs.len() < MAX_BATCH_INPUTS {
-            let Ok(input) = self.inputs.try_recv() else { break };
+            let Ok(input) = self.io.inputs.try_recv() else { break };
             inputs.push(input);
         }
         Some(inputs)
@@ -195,24 +168,22 @@
         let can_recover = !self.backlog.is_empty() && self.policy.free_capacity() > 0;
         let latest = if !self.next_batch_events.is_empty() || can_recover {
             now
-        } else if self.stop.is_some() {
+        } else if self.shutdown.is_requested() {
             now + SHUTDOWN_CHECK_INTERVAL
         } else {
             now + MAX_BATCH_INTERVAL
         };
-        let wakes = self.wakes.iter().map(|(at, _)| *at);
-        wakes.chain(self.backlog.deadlines()).fold(latest, Instant::min)
+        self.timers.due_times().chain(self.backlog.deadlines()).fold(latest, Instant::min)
     }
 
-    /// Whether the engine is done: asked to stop, and there is nothing left that it can do, or its time is over.
-    fn has_stopped(&self) -> bool {
-        let Some(stopping) = self.stop.map(|at| at.elapsed()) else { return false };
-        let is_idle = self.calls.is_empty() && self.notifications.is_idle();
-        let is_done = is_idle && (self.tracked.is_empty() || stopping >= SHUTDOWN_SEND_PERIOD);
-        // A client in the middle of a request would have to repeat it elsewhere.
-        let no_clients = self.metrics.clients() == 0;
-        let min_time = if self.shared_listener { Duration::ZERO } else { MIN_SHUTDOWN_TIME };
-        stopping >= MAX_SHUTDOWN_TIME || (is_done && no_clients && stopping >= min_time)
+    /// What has to be done before the engine can stop.
+    fn remaining_work(&self) -> RemainingWork {
+        RemainingWork {
+            calls: self.calls.len(),
+            has_notifications: !self.io.notifications.is_idle(),
+            messages: self.tracked.len(),
+            clients: self.io.metrics.clients(),
+        }
     }
 }
 
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -4,11 +4,11 @@
 
 use rudderspindle_gossip::Receiver;
 use rudderspindle_journal::{self as journal, PossibleExecution};
-use rudderspindle_policy::interface::{self, Event, MessageHandle, Millis, Outcome, RouteId};
+use rudderspindle_policy::interface::{AttemptResult, Event, MessageHandle, Millis, Outcome, RouteId};
 use tokio::time::Instant;
 
+use super::Engine;
 use super::time::from_millis;
-use super::{Engine, SHUTDOWN_SEND_PERIOD};
 use crate::event::{Call, CallOutcome, MESSAGE_LOG};
 use crate::metrics::FinalOutcome;
 use crate::outbound::ReceiverLocation;
@@ -36,14 +36,14 @@
     /// Reserves an attempt in the journal; returns the call to make once that is written. While stopping no attempt
     /// starts too late: the message then stays in the journal for the next process.
     pub(super) fn reserve_attempt(&mut self, now: Instant, request: AttemptRequest) -> Option<Call> {
-        if self.stop.is_some_and(|at| now - at >= SHUTDOWN_SEND_PERIOD) {
+        if !self.shutdown.allows_attempts(now) {
             return None;
         }
         let AttemptRequest { id, route, timeout, start_within } = request;
         let margin = from_millis(DEADLINE_MARGIN_TICKS * self.settings.tick) + REQUEST_TRANSIT_TIME;
         let message = self.tracked.get_mut(id)?;
         let last = message.deadline.checked_sub(margin).unwrap_or(now);
-        let ReceiverLocation { receiver, zone } = self.outbound.receiver_location(route)?;
+        let ReceiverLocation { receiver, zone } = self.io.outbound.receiver_location(route)?;
         let attempt = message.attempts;
         message.attempts += 1;
         let destination = self.endpoints.destination(&receiver);
@@ -67,7 +67,7 @@
 
     /// Records an attempt's result with this batch; a delivered message is complete.
     pub(super) fn record_result(&mut self, id: MessageHandle, attempt: u32, result: CallOutcome) -> Event {
-        self.calls.remove(&id);
+        self.calls.remove(id);
         let CallOutcome { outcome, retry_after, completed } = result;
         let receiver = self.tracked.get_mut(id).and_then(|message| message.receiver.take());
         self.activity.record_outcome(receiver, outcome);
@@ -77,7 +77,7 @@
                 failpoint!("delivered-before-record");
                 self.store.complete(&message.message_id, None);
                 if outcome == Outcome::Ok {
-                    self.metrics.record_outcome(message.class, FinalOutcome::Delivered);
+                    self.io.metrics.record_outcome(message.class, FinalOutcome::Delivered);
                 }
                 self.tracked.remove(id);
             } else {
@@ -85,14 +85,6 @@
             }
         }
         let completed = !self.tracked.contains(id);
-        Event::Outcome(interface::AttemptResult { id, attempt, outcome, retry_after, completed })
-    }
-
-    /// Asks a call to end. Its result comes from the call itself, as that of any other; only then the policy sends
-    /// the message again, so that no attempt's result is taken for that of another.
-    pub(super) fn cancel(&mut self, id: MessageHandle, attempt: u32) {
-        if let Some(call) = self.calls.get(&id).filter(|call| call.attempt == attempt) {
-            call.cancel();
-        }
+        Event::Outcome(AttemptResult { id, attempt, outcome, retry_after, completed })
     }
 }
--- a/crates/sender/src/engine/backlog.rs
+++ b/crates/sender/src/engine/backlog.rs
@@ -1,4 +1,4 @@
-//! Messages of the journal that the policy has no capacity for yet.
+//! Recovered messages that the policy has no capacity for yet.
 
 use rudderspindle_journal as journal;
 use rudderspindle_policy::interface::PriorExecution;
@@ -38,7 +38,7 @@
         self.0.len()
     }
 
-    /// Whether no message waits.
+    /// Whether there is no message.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -48,7 +48,7 @@
         self.0.iter().map(|message| message.deadline)
     }
 
-    /// Adds messages. Of equal value, those with the earlier deadline go first.
+    /// Adds messages. Among messages of equal value, the one with the earlier deadline is taken first.
     pub fn extend(&mut self, messages: impl IntoIterator<Item = RecoveredMessage>) {
         self.0.extend(messages);
         self.0.sort_unstable_by(|a, b| {
@@ -57,7 +57,7 @@
         });
     }
 
-    /// Removes the `count` most valuable messages, the most valuable first, and then those whose deadline is over.
+    /// Removes the `count` most valuable messages, the most valuable first, and then all whose deadline is over.
     pub fn take(&mut self, count: usize, now: Instant) -> Vec<RecoveredMessage> {
         let rest = self.0.len().saturating_sub(count);
         let mut taken = self.0.split_off(rest);
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Runs a batch: translates the inputs into events for the policy, and has its decisions carried out.
+//! Runs a batch: translates the inputs into events for the policy, and carries out its decisions.
 
 use rudderspindle_journal as journal;
 use rudderspindle_policy::interface::{self, Action, Event, Millis, Permit};
@@ -10,7 +10,7 @@
 use crate::event::{Input, PermitUpdate, TenantQuota};
 
 impl Engine {
-    /// Handles these inputs, and all that is due, as one batch.
+    /// Handles these inputs, the due timers and the backlog as one batch.
     pub(super) fn run_batch(&mut self, inputs: Vec<Input>) {
         let now = Instant::now();
         self.last_batch = now;
@@ -21,12 +21,12 @@
         }
         events.append(&mut self.next_batch_events);
         events.extend(self.take_from_backlog(now, intake.new.len()));
-        events.extend(self.due_wakes(now));
+        events.extend(self.timers.take_due(now).into_iter().map(Event::Wake));
         let actions = self.decide(now, &events);
         self.carry_out(now, intake, actions);
     }
 
-    /// Handles an input; what the policy has to know of it goes to `events`.
+    /// Handles an input, and adds its events for the policy to `events`.
     fn handle_input(&mut self, input: Input, now: Instant, intake: &mut Intake, events: &mut Vec<Event>) {
         match input {
             Input::Submitted(submission) => {
@@ -55,7 +55,7 @@
             }
             Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
             Input::Quotas(quotas) => events.extend(quotas.into_iter().map(quota_event)),
-            // The requester may have ended by now.
+            // The receivers of these responses may have ended.
             Input::TakeOver(response) => {
                 self.take_over_journal(now);
                 let _ = response.send(self.store.is_owner());
@@ -66,17 +66,11 @@
             Input::QueryStatus(response) => {
                 let _ = response.send(self.status());
             }
-            Input::Stop => self.stop = self.stop.or(Some(now)),
+            Input::Stop => self.shutdown.request(now),
         }
     }
 
-    /// Removes the timers that are due; returns their events.
-    fn due_wakes(&mut self, now: Instant) -> Vec<Event> {
-        let due = self.wakes.extract_if(.., |(at, _)| *at <= now);
-        due.map(|(_, token)| Event::Wake(token)).collect()
-    }
-
-    /// Lets the policy decide.
+    /// Passes the events to the policy; returns its actions.
     fn decide(&mut self, now: Instant, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(to_millis(now - self.policy_epoch), events, &mut actions);
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -1,4 +1,4 @@
-//! Carries out what the policy has decided for a batch, with one write to the journal.
+//! Carries out the policy's decisions for a batch, with one write to the journal.
 //!
 //! Invariant: no response and no call is sent before the write. All that comes before it changes only the engine and the
 //! journal's buffer, and collects [`Effects`]; these are executed after it. If it fails, submissions are refused and
@@ -15,6 +15,7 @@
 use super::Engine;
 use super::attempts::AttemptRequest;
 use super::intake::{Intake, NewSubmission, PendingResponse};
+use super::outage_records::record_outage;
 use super::time::from_millis;
 use crate::event::{Call, CallOutcome, MESSAGE_LOG, SubmissionResponse};
 use crate::metrics::FinalOutcome;
@@ -22,16 +23,16 @@
 /// Messages that the policy completes without delivery, by handle.
 type Completions = BTreeMap<MessageHandle, Status>;
 
-/// The responses and calls that are sent once the batch is written.
+/// What is sent once the batch is written.
 #[derive(Debug, Default)]
 struct Effects {
     /// Responses to submissions that were not accepted by this batch.
     responses: Vec<PendingResponse>,
-    /// Submissions that are accepted.
+    /// Submissions that are accepted by this batch.
     accepted: Vec<AcceptedSubmission>,
     /// Notifications for the platform.
     notifications: Vec<PendingNotification>,
-    /// Attempts that are reserved.
+    /// The calls of reserved attempts.
     calls: Vec<Call>,
 }
 
@@ -54,8 +55,8 @@
         self.execute(effects);
     }
 
-    /// Records the submissions that are accepted. A message that the batch of its submission completes was never
-    /// accepted: its client has a response at once, and there is no notification.
+    /// Records the accepted submissions. A message that is completed by the batch of its submission is not accepted: its
+    /// client has the response, and there is no notification.
     fn record_submissions(
         &mut self,
         submissions: Vec<NewSubmission>,
@@ -65,7 +66,7 @@
         for NewSubmission { id, class, record, channel } in submissions {
             if let Some(status) = completions.remove(&id) {
                 self.tracked.remove(id);
-                self.metrics.record_outcome(class, status.into());
+                self.io.metrics.record_outcome(class, status.into());
                 effects.responses.push(PendingResponse { channel, response: response_to(status) });
             } else {
                 tracing::debug!(target: MESSAGE_LOG, message_id = &*record.message_id, class = &*record.class,
@@ -85,7 +86,7 @@
             }
             tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, ?status, "completed");
             self.store.complete(&message.message_id, Some(status));
-            self.metrics.record_outcome(message.class, status.into());
+            self.io.metrics.record_outcome(message.class, status.into());
             effects.notifications.push(PendingNotification { message_id: message.message_id, status });
         }
     }
@@ -98,17 +99,19 @@
                     let request = AttemptRequest { id, route, timeout, start_within };
                     effects.calls.extend(self.reserve_attempt(now, request));
                 }
-                Action::Wake { delay, token } => self.wakes.push((now + from_millis(delay), token)),
-                Action::Cancel { id, attempt } => self.cancel(id, attempt),
-                Action::HealthCheck { route } => self.outbound.start_health_check(route),
-                Action::Remember { scope, outage } => self.record_outage(scope, outage),
-                // The watch on the endpoint list is always on, and completions are recorded by now.
+                Action::Wake { delay, token } => self.timers.set(now + from_millis(delay), token),
+                Action::Cancel { id, attempt } => self.calls.cancel(id, attempt),
+                Action::HealthCheck { route } => self.io.outbound.start_health_check(route),
+                Action::Remember { scope, outage } => {
+                    record_outage(&mut self.store, &self.io.outbound, scope, outage);
+                }
+                // The endpoint list is always watched, and completions have been recorded.
                 Action::Subscribe | Action::Refuse { .. } | Action::Fail { .. } => {}
             }
         }
     }
 
-    /// Writes the batch to the journal; undoes what must not happen if that fails.
+    /// Writes the batch to the journal; if that fails, removes the effects that depend on it.
     fn write(&mut self, effects: &mut Effects) {
         if !effects.accepted.is_empty() {
             failpoint!("taken-on-before-record");
@@ -131,7 +134,7 @@
             if let Some(message) = self.tracked.remove(id) {
                 self.store.discard(&message.message_id);
                 self.next_batch_events.push(Event::Dropped(id));
-                self.metrics.record_outcome(message.class, FinalOutcome::Rejected);
+                self.io.metrics.record_outcome(message.class, FinalOutcome::Rejected);
             }
             effects.responses.push(PendingResponse { channel, response: SubmissionResponse::REFUSED });
         }
@@ -141,22 +144,22 @@
         }
     }
 
-    /// Responds to clients, notifies the platform, starts calls, and tells the peer process of them.
+    /// Sends the responses and notifications, starts the calls, and announces their number to the peer process.
     fn execute(&mut self, effects: Effects) {
         let Effects { responses, accepted, notifications, calls } = effects;
         for PendingResponse { channel, response } in responses {
-            // A client that has disconnected is reported as a withdrawal.
+            // Fails if the client has disconnected, which is reported as a withdrawal.
             let _ = channel.send(response);
         }
         for AcceptedSubmission { channel, .. } in accepted {
             let _ = channel.send(SubmissionResponse::Accepted);
         }
         for notification in notifications {
-            self.notifications.push(notification);
+            self.io.notifications.push(notification);
         }
         for call in calls {
             let id = call.id;
-            self.calls.insert(id, self.outbound.start_call(call));
+            self.calls.insert(id, self.io.outbound.start_call(call));
         }
         self.announce_changed_calls();
     }
--- a/crates/sender/src/engine/commit/tests.rs
+++ b/crates/sender/src/engine/commit/tests.rs
@@ -1,7 +1,7 @@
 //! Nothing is answered or sent before the write, and nothing of a batch that could not be written is.
 
 use rudderspindle_journal::Store;
-use rudderspindle_policy::interface::{self, Action, RouteId};
+use rudderspindle_policy::interface::{Action, AttemptResult, RouteId};
 use tokio::sync::oneshot::error::TryRecvError;
 
 use super::super::tests::{engine, submission};
@@ -36,7 +36,7 @@
         assert!(!engine.store.contains(&"m1".into()));
         let [
             Event::Dropped(dropped),
-            Event::Outcome(interface::AttemptResult { id: ended, outcome: Outcome::NotSent, .. }),
+            Event::Outcome(AttemptResult { id: ended, outcome: Outcome::NotSent, .. }),
         ] = engine.next_batch_events[..]
         else {
             panic!("the policy is told {:?}", engine.next_batch_events)
@@ -55,7 +55,7 @@
         let (intake, id) = admit(&mut engine, input);
         engine.carry_out(Instant::now(), intake, vec![send(id)]);
         assert_eq!(answered.try_recv(), Ok(SubmissionResponse::Accepted));
-        assert!(engine.calls.contains_key(&id));
+        assert!(engine.calls.contains(id));
         let recorded = engine.store.pending_message(&"m1".into()).expect("it is on record");
         assert_eq!(recorded.attempts, 1);
     };
@@ -82,7 +82,7 @@
             engine.carry_out(Instant::now(), intake, vec![action]);
             assert_eq!(answered.try_recv(), Ok(expected));
             assert!(engine.tracked.is_empty() && !engine.store.contains(&"m1".into()));
-            assert!(engine.notifications.is_idle());
+            assert!(engine.io.notifications.is_idle());
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/engine/dependencies.rs
+++ b/crates/sender/src/engine/dependencies.rs
@@ -1,4 +1,4 @@
-//! What an engine is built from.
+//! The parts that an engine is created from.
 
 use std::rc::Rc;
 
@@ -14,9 +14,9 @@
 use crate::notifications::Notifications;
 use crate::outbound::Outbound;
 
-/// What an engine is built from.
+/// The parts that an engine is created from.
 pub struct EngineDependencies {
-    /// What the policy is built from.
+    /// The options of the policy.
     pub policy: PolicyOptions,
     /// The journal.
     pub store: Store,
@@ -28,7 +28,7 @@
     pub record_activity: bool,
 }
 
-/// What a policy is built from.
+/// The options of a policy.
 pub struct PolicyOptions {
     /// The settings.
     pub settings: Settings,
@@ -40,18 +40,18 @@
     pub limit_sharing: LimitSharing,
 }
 
-/// How this sender shares the receivers' limits with the others of the fleet.
+/// How the limits of receivers are shared with the other senders of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitSharing {
     /// Each sender assumes an equal share.
     Equal,
-    /// By the demand that the senders gossip.
+    /// By the demand that the senders report to each other.
     Demand,
-    /// By permits besides: no call goes without one.
+    /// By demand, and each call needs a permit.
     Permits,
 }
 
-/// The tasks around the engine.
+/// The engine's connections to the tasks around it.
 pub struct EngineIo {
     /// The calls to receivers.
     pub outbound: Rc<Outbound>,
--- a/crates/sender/src/engine/endpoint_table.rs
+++ b/crates/sender/src/engine/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The receivers, destinations and zones that the engine knows, with their ids in the policy.
+//! The known receivers, destinations and zones, with their ids in the policy.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -10,11 +10,11 @@
 
 use crate::event::ListedReceiver;
 
-/// How long a removed receiver keeps its id: longer than the policy remembers it. Its removal may only be due to a
-/// list that lags, and it must not return as a receiver without a history.
+/// How long a removed receiver keeps its id; longer than the policy keeps the receiver's state, so that a receiver that
+/// is listed again does not lose it.
 const REMOVED_RECEIVER_RETENTION: Duration = Duration::from_secs(70);
 
-/// What the engine knows of a receiver.
+/// A known receiver.
 #[derive(Debug)]
 struct KnownReceiver {
     /// Its id in the policy.
@@ -25,7 +25,7 @@
     removed_at: Option<Instant>,
 }
 
-/// The known receivers, listed or removed a short while ago.
+/// The receivers that are listed or were removed recently.
 #[derive(Debug)]
 pub(super) struct EndpointTable {
     /// By the receiver's id in the list.
@@ -37,7 +37,7 @@
 }
 
 impl EndpointTable {
-    /// A table without receivers; `zones` are those of the settings.
+    /// Creates a table without receivers; `zones` are those of the settings.
     pub fn new(zones: Vec<String>) -> Self {
         Self { receivers: HashMap::new(), next_route: 0, destinations: HashSet::new(), zones }
     }
@@ -47,7 +47,7 @@
         self.destinations.contains(&destination)
     }
 
-    /// Whether no destination is known, as before the first list.
+    /// Whether no destination is known.
     pub fn is_empty(&self) -> bool {
         self.destinations.is_empty()
     }
@@ -67,7 +67,7 @@
                 Some(ListedReceiver { destination, route: known.route, receiver })
             })
             .collect();
-        // The order of the map is random.
+        // The map has no defined order.
         listed.sort_unstable();
         listed
     }
@@ -94,7 +94,7 @@
         route
     }
 
-    /// The id of a zone. A zone that the settings do not name gets an id of its own.
+    /// The id of a zone. A zone that is not in the settings gets a new id.
     pub fn zone(&mut self, zone: &str) -> u8 {
         let known = self.zones.iter().position(|name| name == zone);
         let next = self.zones.len();
@@ -115,14 +115,14 @@
         }
     }
 
-    /// Marks all receivers as removed that a complete list does not have.
+    /// Marks all receivers as removed that are not in a complete list.
     pub fn remove_all_but(&mut self, listed: &HashSet<RouteId>, now: Instant) {
         for known in self.receivers.values_mut().filter(|known| !listed.contains(&known.route)) {
             known.removed_at = known.removed_at.or(Some(now));
         }
     }
 
-    /// Forgets receivers that were removed long ago: all day receivers are replaced by new ones with new ids.
+    /// Discards receivers whose retention is over.
     pub fn forget_removed(&mut self, now: Instant) {
         self.receivers
             .retain(|_, known| known.removed_at.is_none_or(|at| now - at < REMOVED_RECEIVER_RETENTION));
--- a/crates/sender/src/engine/endpoints.rs
+++ b/crates/sender/src/engine/endpoints.rs
@@ -10,7 +10,7 @@
 use crate::outbound::Route;
 
 impl Engine {
-    /// Applies a list from discovery; calls follow it at once.
+    /// Applies a list from discovery.
     pub(super) fn apply_list(&mut self, list: &EndpointList) -> ListChange {
         let entries = self.apply_entries(list);
         if list.complete { ListChange::Full(entries) } else { ListChange::Delta(entries) }
@@ -23,7 +23,7 @@
             list.members.iter().map(|endpoint| self.apply_endpoint(endpoint, now)).collect();
         if list.complete {
             let listed: HashSet<RouteId> = entries.iter().map(|entry| entry.route).collect();
-            self.outbound.retain_routes(&listed);
+            self.io.outbound.retain_routes(&listed);
             self.endpoints.remove_all_but(&listed, now);
         }
         self.endpoints.forget_removed(now);
@@ -54,7 +54,7 @@
             has_own_backoff: self.settings.kinds.get(kind).is_some_and(|kind| kind.routes_apart),
             listing,
         };
-        self.outbound.update_route(entry.route, route);
+        self.io.outbound.update_route(entry.route, route);
         entry
     }
 
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -45,8 +45,8 @@
 }
 
 impl Engine {
-    /// Admits a submission; returns the message for the policy. A submission that is refused or accepted at once goes
-    /// into `intake`, one that does not fit into this batch is left for the next.
+    /// Admits a submission; returns the message for the policy. A submission whose response does not depend on the policy
+    /// is added to `intake`; one that does not fit into this batch is left for the next.
     pub(super) fn admit(
         &mut self,
         submission: Submission,
@@ -77,13 +77,12 @@
     /// Responds to a submission with this batch.
     fn respond(&self, submission: Submission, response: SubmissionResponse, intake: &mut Intake) {
         if matches!(response, SubmissionResponse::Refused { .. }) {
-            self.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
+            self.io.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
         }
         intake.responses.push(PendingResponse { channel: submission.response, response });
     }
 
-    /// The response to a submission that does not depend on capacity: of an unknown destination, or of a message that
-    /// is known already.
+    /// The response to a submission for an unknown destination, or of a message that is already known.
     fn immediate_response(&mut self, submission: &Submission, intake: &Intake) -> Option<SubmissionResponse> {
         if !self.endpoints.serves(submission.destination) {
             // Before the first list every destination is unknown.
@@ -95,13 +94,13 @@
             });
         }
         if let Some(id) = self.tracked.find(&submission.message_id) {
-            // Accepted once, for each client that has this response: to forget the earlier one would allow anybody who
-            // knows the id to withdraw the message by disconnecting.
+            // Each client that submits the message is counted: else any client that knows the id could withdraw the
+            // message by disconnecting.
             let undecided = intake.new.iter().any(|new| new.id == id);
             let added = !undecided && self.tracked.add_submission(id, submission.id);
             return Some(if added { SubmissionResponse::Accepted } else { SubmissionResponse::REFUSED });
         }
-        // While its notification is pending: the acknowledgement must not complete a new message with the same id.
+        // While a notification is pending: its acknowledgement must not complete a new message with the same id.
         self.store.contains(&submission.message_id).then_some(SubmissionResponse::REFUSED)
     }
 
@@ -163,12 +162,12 @@
         }
     }
 
-    /// Tracks a message under a handle that no call in flight has.
+    /// Tracks a message under a handle that no call in flight uses.
     pub(super) fn track(&mut self, message: TrackedMessage) -> MessageHandle {
-        self.tracked.insert(message, |id| self.calls.contains_key(&id))
+        self.tracked.insert(message, |id| self.calls.contains(id))
     }
 
-    /// Removes a submission whose client has disconnected; completes its message if no other client has submitted it.
+    /// Removes a submission whose client has disconnected, and completes its message if no other client has submitted it.
     pub(super) fn withdraw(&mut self, submission: SubmissionId) -> Option<Event> {
         let (id, message) = self.tracked.withdraw(submission)?;
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, "withdrawn");
--- a/crates/sender/src/engine/outage_records.rs
+++ b/crates/sender/src/engine/outage_records.rs
@@ -1,59 +1,57 @@
-//! Outages that outlive the process: the journal's records, in the terms of the policy and of the handover.
+//! Persistent records of outages, converted from and to the types of the policy and of the handover.
 
 use rudderspindle_journal::{self as journal, Store};
 use rudderspindle_policy::interface::{
     DestinationId, Event, LimitScope, Millis, OutageState, RememberedOutage,
 };
 
-use super::Engine;
+use super::endpoint_table::EndpointTable;
 use crate::handover::{self, HandoverMessage};
+use crate::outbound::Outbound;
 
-impl Engine {
-    /// Records with this batch what a later process must know of an outage.
-    pub(super) fn record_outage(&mut self, scope: LimitScope, outage: OutageState) {
-        let LimitScope { destination, route } = scope;
-        let receiver = match route {
-            None => "".into(),
-            Some(route) => match self.outbound.receiver_location(route) {
-                Some(location) => location.receiver,
-                // It is no longer listed.
-                None => return,
-            },
-        };
-        let endpoint = journal::EndpointKey::new(destination.0, receiver);
-        self.store.record_outage(endpoint, to_record(outage));
-    }
+/// Records with the current batch the state of an outage, for a later process.
+pub(super) fn record_outage(store: &mut Store, outbound: &Outbound, scope: LimitScope, outage: OutageState) {
+    let LimitScope { destination, route } = scope;
+    let receiver = match route {
+        None => "".into(),
+        Some(route) => match outbound.receiver_location(route) {
+            Some(location) => location.receiver,
+            // The receiver is no longer listed.
+            None => return,
+        },
+    };
+    let endpoint = journal::EndpointKey::new(destination.0, receiver);
+    store.record_outage(endpoint, to_record(outage));
+}
 
-    /// The outages on record, as events for the policy.
-    pub(super) fn recorded_outages(&self) -> Vec<Event> {
-        let event = |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| {
-            let receiver = &endpoint.receiver;
-            let route = if receiver.is_empty() { None } else { Some(self.endpoints.find(receiver)?) };
-            let scope = LimitScope { destination: DestinationId(endpoint.destination), route };
-            Some(Event::Remembered(RememberedOutage { scope, outage: from_record(outage) }))
-        };
-        self.store.outage_records().filter_map(event).collect()
-    }
+/// The outages on record, as events for the policy.
+pub(super) fn recorded_outages(store: &Store, endpoints: &EndpointTable) -> Vec<Event> {
+    let event = |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| {
+        let receiver = &endpoint.receiver;
+        let route = if receiver.is_empty() { None } else { Some(endpoints.find(receiver)?) };
+        let scope = LimitScope { destination: DestinationId(endpoint.destination), route };
+        Some(Event::Remembered(RememberedOutage { scope, outage: from_record(outage) }))
+    };
+    store.outage_records().filter_map(event).collect()
+}
 
-    /// The outages on record, as messages for a successor process.
-    pub(super) fn outage_messages(&self) -> Vec<HandoverMessage> {
-        let message = |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| {
-            HandoverMessage::OutageState {
-                destination: endpoint.destination,
-                receiver: endpoint.receiver.to_string(),
-                outage: handover::OutageState::from(outage),
-            }
+/// The outages on record, as messages for a successor process.
+pub(super) fn outage_messages(store: &Store) -> Vec<HandoverMessage> {
+    let message =
+        |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| HandoverMessage::OutageState {
+            destination: endpoint.destination,
+            receiver: endpoint.receiver.to_string(),
+            outage: handover::OutageState::from(outage),
         };
-        self.store.outage_records().map(message).collect()
-    }
+    store.outage_records().map(message).collect()
+}
 
-    /// Records the outages received from the running process, with values out of range clamped.
-    pub fn restore_outages(store: &mut Store, messages: &[HandoverMessage]) {
-        for message in messages {
-            if let HandoverMessage::OutageState { destination, receiver, outage } = message {
-                let endpoint = journal::EndpointKey::new(*destination, receiver.as_str());
-                store.record_outage(endpoint, Some(outage.clamped().into()));
-            }
+/// Records the outages received from the owner, with values out of range clamped.
+pub fn restore_outages(store: &mut Store, messages: &[HandoverMessage]) {
+    for message in messages {
+        if let HandoverMessage::OutageState { destination, receiver, outage } = message {
+            let endpoint = journal::EndpointKey::new(*destination, receiver.as_str());
+            store.record_outage(endpoint, Some(outage.clamped().into()));
         }
     }
 }
--- a/crates/sender/src/engine/outage_records/tests.rs
+++ b/crates/sender/src/engine/outage_records/tests.rs
@@ -16,7 +16,7 @@
         receiver: "".into(),
         outage,
     });
-    Engine::restore_outages(&mut store, &messages);
+    restore_outages(&mut store, &messages);
     for (key, outage) in store.outage_records() {
         let fits = match outage {
             journal::OutageState::Down { retry_after_remaining } => {
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -18,7 +18,7 @@
 use super::tracked_messages::TrackedMessage;
 use crate::event::MESSAGE_LOG;
 
-/// Time left from which on a message that was never tried returns to the backlog when the policy sheds it.
+/// Minimum remaining time of a message that returns to the backlog when the policy sheds it.
 const MIN_TIME_TO_REQUEUE: Duration = Duration::from_millis(500);
 
 /// The clocks at the time of a recovery.
@@ -32,7 +32,7 @@
 }
 
 impl RecoveryTime {
-    /// How long ago an attempt was made; as long as possible if the wall clock does not tell.
+    /// The age of an attempt; the maximum if the wall clock was set back.
     fn age_of_attempt(&self, started_at: u64) -> Millis {
         let started_at = if self.set_back { 0 } else { started_at };
         self.wall.saturating_sub(started_at) as Millis
@@ -51,7 +51,7 @@
         // The order of the journal's map is random.
         pending.sort_unstable_by(|a, b| a.message_id.cmp(&b.message_id));
         for notification in pending {
-            self.notifications.push(notification);
+            self.io.notifications.push(notification);
         }
         let wall = journal::wall_ms();
         let time = RecoveryTime { now, wall, set_back: self.store.latest_attempt() > wall };
@@ -81,7 +81,7 @@
         class: usize,
         message: journal::Message,
     ) -> RecoveredMessage {
-        // Whatever the clock says, no message has more time than its class allows.
+        // The wall clock may have been set back.
         let max_time_left = self.settings.classes[class].deadline as u64;
         let time_left = message.deadline.saturating_sub(time.wall).min(max_time_left);
         let possibly_executed = message.possibly_executed.as_ref().map(|execution| {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Fails the messages whose class the settings no longer have.
+    /// Fails the messages whose class is no longer in the settings.
     fn fail_unknown_classes(&mut self, unknown_classes: BTreeMap<Rc<str>, Vec<MessageId>>) {
         for (class, mut message_ids) in unknown_classes {
             tracing::warn!(
@@ -111,21 +111,21 @@
             message_ids.sort_unstable();
             for message_id in message_ids {
                 self.store.complete(&message_id, Some(Status::Undeliverable));
-                self.notifications.push(PendingNotification { message_id, status: Status::Undeliverable });
+                self.io.notifications.push(PendingNotification { message_id, status: Status::Undeliverable });
             }
         }
     }
 
-    /// Moves messages from the backlog to the policy: as many as it has capacity for beside the new ones of this
-    /// batch, so that none is shed untried, and those whose deadline is over.
+    /// Moves messages from the backlog to the policy: those whose deadline is over, and as many as it has capacity for
+    /// besides the new ones of this batch, so that none is shed without an attempt.
     pub(super) fn take_from_backlog(&mut self, now: Instant, new_messages: usize) -> Vec<Event> {
         let capacity = self.policy.free_capacity().saturating_sub(new_messages);
         let taken = self.backlog.take(capacity, now);
         taken.into_iter().map(|message| self.track_recovered(now, message)).collect()
     }
 
-    /// Returns a message that the policy has shed to the backlog, if an earlier process accepted it, it was never
-    /// tried and there is time left. Says whether it did.
+    /// Returns a message that the policy has shed to the backlog, if an earlier process accepted it, no attempt was made
+    /// and enough time is left. Returns whether that is so.
     pub(super) fn return_to_backlog(&mut self, now: Instant, shed: &TrackedMessage) -> bool {
         let untried = shed.attempts == 0 && shed.recovered;
         if !untried || shed.deadline.saturating_duration_since(now) < MIN_TIME_TO_REQUEUE {
--- a/crates/sender/src/engine/status.rs
+++ b/crates/sender/src/engine/status.rs
@@ -1,4 +1,4 @@
-//! What the engine reports: its demand and activity to the gossip, its status to operators.
+//! The engine's reports: demand and activity for the gossip, and the status for operators.
 
 use rudderspindle_gossip::LimitId;
 use rudderspindle_policy::interface::Demand;
@@ -14,11 +14,11 @@
         ActivityReport { demands: self.demands(), listed, ..self.activity.take() }
     }
 
-    /// The demand for each limit, without receivers that are no longer listed.
+    /// The demand for each limit, without those of receivers that are no longer listed.
     fn demands(&self) -> Vec<LimitDemand> {
         let named = |demand: Demand| {
             let receiver = match demand.scope.route {
-                Some(route) => Some(self.outbound.receiver_location(route)?.receiver),
+                Some(route) => Some(self.io.outbound.receiver_location(route)?.receiver),
                 None => None,
             };
             let limit = LimitId::of(demand.scope.destination.0, receiver.as_deref());
@@ -27,7 +27,7 @@
         self.policy.demands().into_iter().filter_map(named).collect()
     }
 
-    /// The status at this moment.
+    /// The current status.
     pub(super) fn status(&self) -> EngineStatus {
         EngineStatus {
             open_requests: self.tracked.len() + self.backlog.len(),
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -4,31 +4,32 @@
 use tokio::time::Instant;
 
 use super::Engine;
+use super::outage_records::outage_messages;
 use crate::handover::HandoverMessage;
 use crate::outbound::MAX_BACKOFF_MS;
 
 impl Engine {
-    /// Shares the disk with a successor, and sends it what is known of outages and waits.
+    /// Shares the disk with a successor, and sends it the state of outages and backoffs.
     pub(super) fn successor_connected(&mut self) {
         if !self.store.is_owner() {
             return;
         }
         self.share_disk(true);
         tracing::info!("handover: a successor has come");
-        for message in self.outage_messages() {
-            self.peer_process.send(message);
+        for message in outage_messages(&self.store) {
+            self.io.peer_process.send(message);
         }
-        for message in self.outbound.active_backoffs() {
-            self.peer_process.send(message);
+        for message in self.io.outbound.active_backoffs() {
+            self.io.peer_process.send(message);
         }
         self.announce_calls();
-        self.peer_process.send(HandoverMessage::FreeSpace);
+        self.io.peer_process.send(HandoverMessage::FreeSpace);
     }
 
-    /// Claims what was shared with the peer process.
+    /// Takes back the connection slots and the disk space that were shared with the peer process.
     pub(super) fn peer_disconnected(&mut self) {
         self.policy.set_slots_used_by_peer(0);
-        // If it was the owner of the journal, the journal's lock tells when it has ended.
+        // If the peer owned the journal, the journal's lock says when it has ended.
         if self.store.is_owner() {
             self.share_disk(false);
         }
@@ -40,19 +41,18 @@
         }
     }
 
-    /// Tells the peer process how many calls are in flight here, if that has changed.
+    /// Announces the number of calls in flight to the peer process, if it has changed.
     pub(super) fn announce_changed_calls(&mut self) {
-        if self.peer_process.is_connected() && self.announced_calls != self.calls.len() {
+        if self.io.peer_process.is_connected() && self.calls.is_announcement_due() {
             self.announce_calls();
         }
     }
 
     fn announce_calls(&mut self) {
-        self.announced_calls = self.calls.len();
-        self.peer_process.send(HandoverMessage::CallsInFlight(self.announced_calls));
+        self.io.peer_process.send(self.calls.announce());
     }
 
-    /// Applies a wait that a receiver has asked the peer process for.
+    /// Applies a backoff that a receiver has requested from the peer process.
     pub(super) fn apply_peer_backoff(
         &mut self,
         destination: u16,
@@ -61,17 +61,17 @@
     ) -> Option<Event> {
         let route = match receiver {
             None => None,
-            // A receiver that is not known here gets no calls anyway.
+            // No calls are sent to a receiver that is not known here.
             Some(receiver) => Some(self.endpoints.find(receiver)?),
         };
         let destination = DestinationId(destination);
         let wait = wait.clamp(0.0, MAX_BACKOFF_MS);
-        self.outbound.apply_backoff(destination, route, wait);
+        self.io.outbound.apply_backoff(destination, route, wait);
         let scope = LimitScope { destination, route };
         Some(Event::RetryAfter(RetryAfterUpdate { scope, remaining: wait }))
     }
 
-    /// Takes the journal over if its owner has ended, with all messages and notifications that are in it.
+    /// Takes over the journal with its messages and notifications, if its owner has ended.
     pub(super) fn take_over_journal(&mut self, now: Instant) {
         match self.store.take_over() {
             Ok(None) => {}
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -1,12 +1,17 @@
 //! A whole engine on a journal of its own, without its run loop.
 
+use std::rc::Rc;
+
 use bytes::Bytes;
 use rudderspindle_policy::interface::DestinationId;
-use tokio::sync::oneshot;
+use tokio::sync::{mpsc, oneshot};
 
 use super::tracked_messages::MAX_CLIENTS_PER_MESSAGE;
 use super::*;
 use crate::event::{Submission, SubmissionId, SubmissionResponse};
+use crate::handover::PeerProcess;
+use crate::metrics::Metrics;
+use crate::outbound::Outbound;
 
 mod cancels;
 mod deadline;
@@ -111,8 +116,8 @@
             tokio::time::advance(Duration::from_millis(500)).await;
             engine.run_batch(Vec::new());
             let entries = engine.endpoints.entries() + engine.tracked.entries();
-            let entries = entries + engine.calls.len() + engine.wakes.len();
-            after.push(entries + engine.outbound.remembered() + engine.policy.remembered());
+            let entries = entries + engine.calls.len() + engine.timers.len();
+            after.push(entries + engine.io.outbound.remembered() + engine.policy.remembered());
         }
         let (half, end) = (after[599], after[1_199]);
         assert!(end <= half + 10 && end < 600, "{half} half-way, {end} at the end");
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -53,14 +53,14 @@
 /// Runs a batch with the inputs that have arrived.
 pub(super) fn run_batch(engine: &mut Engine) {
     let mut inputs = Vec::new();
-    while let Ok(input) = engine.inputs.try_recv() {
+    while let Ok(input) = engine.io.inputs.try_recv() {
         inputs.push(input);
     }
     engine.run_batch(inputs);
 }
 
 fn cancel(engine: &mut Engine) {
-    let id = *engine.calls.keys().next().expect("a call is out");
+    let id = engine.calls.ids().next().expect("a call is out");
     let attempt = engine.tracked.get(id).expect("it is tracked").attempts - 1;
     engine.carry_out(Instant::now(), Intake::default(), vec![Action::Cancel { id, attempt }]);
 }
@@ -76,7 +76,7 @@
         let before = engine.policy.remembered();
         let mut stream = call(&mut engine, &listener, 1).await;
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("writable");
-        until(|| !engine.inputs.is_empty()).await;
+        until(|| !engine.io.inputs.is_empty()).await;
         cancel(&mut engine);
         for _ in 0..3 {
             run_batch(&mut engine);
@@ -101,7 +101,7 @@
         let answer = b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 30000\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(answer).await.expect("writable");
         // The wait is noted before the result is sent.
-        until(|| !engine.outbound.active_backoffs().is_empty()).await;
+        until(|| !engine.io.outbound.active_backoffs().is_empty()).await;
         cancel(&mut engine);
         until(|| {
             run_batch(&mut engine);
--- /dev/null
+++ b/crates/sender/src/engine/timers.rs
@@ -0,0 +1,37 @@
+//! The timers that the policy has set.
+
+use tokio::time::Instant;
+
+/// A timer, with the token that identifies it to the policy.
+#[derive(Clone, Copy, Debug)]
+struct Timer {
+    due_at: Instant,
+    token: u64,
+}
+
+/// The policy's timers, in the order in which they were set.
+#[derive(Debug, Default)]
+pub(super) struct Timers(Vec<Timer>);
+
+impl Timers {
+    /// Sets a timer.
+    pub fn set(&mut self, due_at: Instant, token: u64) {
+        self.0.push(Timer { due_at, token });
+    }
+
+    /// Removes the timers that are due at `now`; returns their tokens in the order in which they were set.
+    pub fn take_due(&mut self, now: Instant) -> Vec<u64> {
+        self.0.extract_if(.., |timer| timer.due_at <= now).map(|timer| timer.token).collect()
+    }
+
+    /// When the timers are due, in the order in which they were set.
+    pub fn due_times(&self) -> impl Iterator<Item = Instant> + '_ {
+        self.0.iter().map(|timer| timer.due_at)
+    }
+
+    /// Number of timers.
+    #[cfg(test)]
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
+}
--- a/crates/sender/src/engine/tracked_messages.rs
+++ b/crates/sender/src/engine/tracked_messages.rs
@@ -1,4 +1,4 @@
-//! The table of the messages that the engine has accepted or is about to, until they are complete.
+//! The messages that the engine has accepted or decides about, until they are complete.
 
 use std::collections::HashMap;
 
@@ -10,20 +10,20 @@
 
 use crate::event::SubmissionId;
 
-/// Maximum number of clients that submit the same message; further ones are refused.
+/// Maximum number of clients that may submit the same message; further ones are refused.
 pub(super) const MAX_CLIENTS_PER_MESSAGE: usize = 4;
 
-/// A message that the engine is responsible for.
+/// A tracked message.
 #[derive(Debug)]
 pub(super) struct TrackedMessage {
     /// The id that the client gave it.
     pub message_id: MessageId,
     /// Index of its class in the settings.
     pub class: usize,
-    /// Whether an earlier process accepted it and answered its client.
+    /// Whether an earlier process accepted it and responded to its client.
     pub recovered: bool,
-    /// Its submissions, without those whose client disconnected before it was answered. While one is
-    /// left, a client may have the answer that the message is accepted: it must not be withdrawn.
+    /// Its submissions, without those whose client disconnected before the response. While there is one, a client may
+    /// know that the message is accepted, and it must not be withdrawn.
     pub submissions: Vec<SubmissionId>,
     /// Its idempotency key, if it has one.
     pub idempotency_key: Option<Bytes>,
@@ -60,6 +60,7 @@
     }
 
     /// Whether there is no message.
+    #[cfg(test)]
     pub fn is_empty(&self) -> bool {
         self.messages.is_empty()
     }
@@ -84,7 +85,7 @@
         self.by_id.get(message_id).copied()
     }
 
-    /// Tracks a message under a new handle, which is none of those `in_use`.
+    /// Tracks a message under a new handle that is not `in_use`.
     pub fn insert(
         &mut self,
         message: TrackedMessage,
@@ -103,7 +104,7 @@
         handle
     }
 
-    /// Adds a submission to a message that is tracked already; `false` if it has too many.
+    /// Adds a submission to a tracked message; returns `false` if it has too many.
     pub fn add_submission(&mut self, handle: MessageHandle, id: SubmissionId) -> bool {
         let Some(message) = self.messages.get_mut(&handle) else { return false };
         if message.clients() >= MAX_CLIENTS_PER_MESSAGE {
--- a/crates/sender/src/service/ownership.rs
+++ b/crates/sender/src/service/ownership.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
-use crate::engine::Engine;
+use crate::engine::restore_outages;
 use crate::event::Input;
 use crate::handover::{self, HandoverState, PeerProcess};
 
@@ -28,7 +28,7 @@
         return HandoverState::default();
     }
     let handover_state = handover::connect_to_owner(state, peer_process, to_engine).await;
-    Engine::restore_outages(store, &handover_state.messages);
+    restore_outages(store, &handover_state.messages);
     spawn_local(take_over(state.to_owned(), peer_process.clone(), to_engine.clone()));
     handover_state
 }
