--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -1,4 +1,4 @@
-//! The messages between the engine and the tasks around it, so that none of these tasks has to know the engine.
+//! The messages between the engine and the tasks around it, so that the tasks do not depend on the engine.
 //!
 //! Spans of time are milliseconds ([`Millis`]); rates are events per second.
 
@@ -23,7 +23,7 @@
 /// HTTP header of a message's idempotency key, in client requests and in calls to receivers.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Log target of the events of each message; each line carries its `message_id`.
+/// Log target of the events of each message; each line has its `message_id`.
 pub(crate) const MESSAGE_LOG: &str = "story";
 
 /// An event for the engine.
@@ -57,13 +57,13 @@
     SuccessorConnected,
     /// The connection to the peer process, successor or predecessor, has ended.
     PeerDisconnected,
-    /// A receiver has asked the peer process to wait before the next call.
+    /// A receiver has requested a backoff from the peer process.
     RetryAfter {
         /// The receiver's destination.
         destination: u16,
-        /// The receiver's id; `None` if the wait holds for the whole destination.
+        /// The receiver's id; `None` if the backoff applies to the whole destination.
         receiver: Option<String>,
-        /// The remaining wait. It comes from another process and may be any number.
+        /// The remaining time. Received from another process, so it may be any number.
         wait: Millis,
     },
     /// The number of calls that the peer process has in flight.
--- a/crates/sender/src/event/activity.rs
+++ b/crates/sender/src/event/activity.rs
@@ -1,4 +1,4 @@
-//! What the engine reports to the gossip with other senders.
+//! The activity that the engine reports to the gossip task.
 
 use rudderspindle_gossip::{CallResult, LimitId, Receiver};
 use rudderspindle_policy::interface::{Demand, DestinationId, RouteId};
@@ -28,12 +28,12 @@
     pub demand: Demand,
 }
 
-/// What an attempt's result says about the receiver's health.
+/// The result of an attempt, as evidence of the receiver's health.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceiverResult {
     /// The receiver.
     pub receiver: Receiver,
-    /// Whether it answered.
+    /// Whether it responded.
     pub result: CallResult,
 }
 
--- a/crates/sender/src/event/delivery.rs
+++ b/crates/sender/src/event/delivery.rs
@@ -1,4 +1,4 @@
-//! A message on its way through the sender: its submission, the response to it, and the attempts to deliver it.
+//! The submission of a message, the response to it, and the attempts to deliver the message.
 
 use bytes::Bytes;
 use rudderspindle_journal::MessageId;
@@ -29,14 +29,14 @@
     pub body: Bytes,
     /// The message's deadline.
     pub deadline: Instant,
-    /// Receives the response. It is closed once the client has disconnected.
+    /// The channel for the response; closed once the client has disconnected.
     pub response: oneshot::Sender<SubmissionResponse>,
 }
 
 /// The response to a submission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SubmissionResponse {
-    /// The message is in the journal: it will be delivered, or its client notified.
+    /// The message is in the journal: it will be delivered, or its client will be notified.
     Accepted,
     /// The message was shed.
     Refused {
@@ -69,18 +69,18 @@
     pub idempotency_key: Option<Bytes>,
     /// The payload.
     pub body: Bytes,
-    /// When to stop waiting for the response.
+    /// When the response must have arrived.
     pub response_deadline: Instant,
-    /// When the request must be written at the latest; it is not sent later than this.
+    /// When the request must be written completely; it is not sent later than this.
     pub write_deadline: Instant,
 }
 
-/// How an attempt ended.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallOutcome {
-    /// The result in the policy's terms.
+    /// The outcome in the policy's terms.
     pub outcome: Outcome,
-    /// The wait that the receiver asked for; 0 for none.
+    /// The backoff that the receiver requests; 0 for none.
     pub retry_after: Millis,
     /// Whether the message is complete: it needs neither a further attempt nor a notification.
     pub completed: bool,
--- a/crates/sender/src/event/endpoints.rs
+++ b/crates/sender/src/event/endpoints.rs
@@ -1,13 +1,13 @@
-//! The endpoint list as discovery sends it.
+//! The endpoint list in the encoding of discovery.
 
 use serde::Deserialize;
 
 /// An endpoint list, or the changed entries of one.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
-    /// The list's revision at the discovery service.
+    /// The list's revision.
     pub revision: u64,
-    /// Whether this is the complete list, so that what it lacks has been removed.
+    /// Whether this is the complete list; receivers that are not in it have been removed then.
     pub complete: bool,
     /// The entries.
     pub members: Vec<Endpoint>,
@@ -32,7 +32,7 @@
     pub destination: u16,
     /// Its lifecycle phase: `SERVING`, `DELETED`, or another while it drains.
     pub phase: String,
-    /// The rate that it announces, in calls per second; 0 for none.
+    /// Its announced rate limit, in calls per second; 0 for none.
     #[serde(default, rename = "size")]
     pub rate: f64,
 }
--- a/crates/sender/src/inbound.rs
+++ b/crates/sender/src/inbound.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, serves the requests on them, and decides when each connection is closed.
+//! Accepts client connections, serves their requests, and closes them.
 
 mod connection;
 mod conversation;
@@ -32,15 +32,15 @@
 use connection::ClientConnection;
 use slots::OpenConnection;
 
-/// How often overdue connections are looked for.
+/// Interval in which overdue connections are closed.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Bounds of what all clients together may use.
+/// Resource limits of all clients together.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Open connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Bytes of request bodies that have not been received completely.
+    /// Maximum size of the request bodies that have not been received completely, in bytes.
     pub max_unfinished_body_bytes: usize,
 }
 
@@ -55,7 +55,7 @@
     free_slots: Arc<Semaphore>,
     connections: RefCell<BTreeMap<ConnectionId, Rc<ClientConnection>>>,
     slots: RefCell<ConnectionSlots>,
-    /// The moment from which times in `slots` count.
+    /// The moment from which the times in `slots` count.
     started_at: Instant,
     /// One permit for each byte that unfinished request bodies may still use.
     free_body_bytes: Arc<Semaphore>,
@@ -66,7 +66,7 @@
 }
 
 impl Inbound {
-    /// No connection is open. Submissions go to `to_engine`.
+    /// Creates the state without connections. Submissions are sent to `to_engine`.
     pub fn new(
         settings: Settings,
         names: Names,
@@ -91,10 +91,10 @@
         }
     }
 
-    /// Accepts connections until another process does so alone.
+    /// Accepts connections until the listener is handed over.
     ///
-    /// Tasks: one closes overdue connections until the runtime ends, and one serves each connection until that is
-    /// closed; [`Inbound::shut_down`] closes them all.
+    /// Spawns a task that closes overdue connections until the runtime ends, and a task for each connection that serves it
+    /// until it is closed; [`Inbound::shut_down`] closes them all.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         spawn_local(self.clone().close_overdue_connections());
         let mut admission_state = self.admission_state.clone();
--- a/crates/sender/src/inbound/connection.rs
+++ b/crates/sender/src/inbound/connection.rs
@@ -1,5 +1,5 @@
-//! The state of one client connection: whether a request is open, until when the next one must be received, and whether
-//! the response to the last submission was written.
+//! The state of one client connection: its current request, the deadline of the next one, and whether the response to
+//! the last submission was written.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,51 +14,51 @@
 use crate::graceful_close;
 use crate::write_progress::{SharedSocket, WriteProgress};
 
-/// A client's first request must be complete so long after it connected.
+/// Maximum time from the connection to the complete first request.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// A later request must be complete so long after its first byte. Bytes that trickle in do not extend it.
+/// Maximum time from the first byte of a later request to the complete request. Further bytes do not extend it.
 const NEXT_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// How long a connection is kept for its next request, while others do not need its slot.
+/// How long an idle connection is kept, unless its slot is needed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Which request a connection is at.
+/// The request that a connection is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestState {
-    /// Nothing has been answered since the connection was opened.
+    /// No response has been sent on the connection.
     AwaitingFirst { opened_at: Instant },
-    /// A complete request has been received and is not answered.
+    /// A complete request has been received, and its response has not been sent.
     Open,
-    /// All requests are answered; the next one may be arriving.
+    /// All requests have their response; the next one may be arriving.
     AwaitingNext { responded_at: Instant },
 }
 
-/// The last submission of a connection that the engine has.
+/// The last submission of a connection that was sent to the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum LastSubmission {
-    /// There is none, or the engine did not accept it.
+    /// There is none, or the engine has refused it.
     #[default]
     None,
-    /// The engine has not answered yet.
+    /// The engine has not responded.
     AwaitingDecision(SubmissionId),
-    /// The engine has accepted it, and the write progress is that of its 202.
+    /// The engine has accepted it; the write progress is that of the response with status 202.
     Accepted(SubmissionId),
 }
 
-/// A client's connection. Its task serves and closes it; others only ask for the close.
+/// A client's connection. Only its task serves and closes it; others request the close.
 #[derive(Debug)]
 pub(super) struct ClientConnection {
     pub(super) id: ConnectionId,
     request_state: Cell<RequestState>,
     last_submission: Cell<LastSubmission>,
     pub(super) close_requested: Notify,
-    /// The descriptor is needed: the connection's close is not waited for.
+    /// Notified when the connection must be closed without waiting for the client.
     pub(super) close_immediately: Notify,
     pub(super) socket: SharedSocket,
     pub(super) write_progress: Rc<WriteProgress>,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
+    /// The state of a connection that was just accepted.
     pub(super) fn new(id: ConnectionId, stream: TcpStream) -> Self {
         Self {
             id,
@@ -71,39 +71,39 @@
         }
     }
 
-    /// Asks the connection's task to close it gracefully.
+    /// Requests a graceful close.
     pub(super) fn request_close(&self) {
         self.close_requested.notify_one();
     }
 
-    /// Asks the connection's task to close it without waiting for the client.
+    /// Requests a close that does not wait for the client.
     pub(super) fn request_immediate_close(&self) {
         self.close_immediately.notify_one();
         self.request_close();
     }
 
-    /// Whether bytes have been received that were not read.
+    /// Whether received bytes have not been read.
     pub(super) fn has_unread(&self) -> bool {
         graceful_close::has_unread(&self.socket)
     }
 
-    /// Whether some of the next request has been read.
+    /// Whether a part of the next request has been read.
     pub(super) fn is_request_arriving(&self) -> bool {
         self.write_progress.first_byte_received_at().is_some()
     }
 
-    /// A complete request has been received.
+    /// Records that a complete request was received.
     pub(super) fn request_started(&self) {
         self.request_state.set(RequestState::Open);
     }
 
-    /// The request has its response; the next one may follow.
+    /// Records that the request has its response.
     pub(super) fn request_finished(&self) {
         self.request_state.set(RequestState::AwaitingNext { responded_at: Instant::now() });
         self.write_progress.reset_received();
     }
 
-    /// When the request that is arriving, or may arrive, must be complete; none while a request is open.
+    /// When the next request must be complete; `None` while a request is open.
     pub(super) fn request_deadline(&self) -> Option<Instant> {
         match self.request_state.get() {
             RequestState::AwaitingFirst { opened_at } => Some(opened_at + FIRST_REQUEST_TIMEOUT),
@@ -120,28 +120,28 @@
         self.request_deadline().is_some_and(|deadline| deadline <= now)
     }
 
-    /// Whether it has had a response, and nothing of a further request has been read.
+    /// Whether a response has been sent and no byte of a further request has been read.
     pub(super) fn is_idle(&self) -> bool {
         matches!(self.request_state.get(), RequestState::AwaitingNext { .. }) && !self.is_request_arriving()
     }
 
-    /// The engine was given a submission of this connection.
+    /// Records that a submission of this connection was sent to the engine.
     pub(super) fn submission_started(&self, id: SubmissionId) {
         self.last_submission.set(LastSubmission::AwaitingDecision(id));
     }
 
-    /// The engine has accepted the submission; what is written from here on is its 202.
+    /// Records that the engine has accepted the submission; the next bytes written are those of its response.
     pub(super) fn submission_accepted(&self, id: SubmissionId) {
         self.write_progress.reset();
         self.last_submission.set(LastSubmission::Accepted(id));
     }
 
-    /// The engine has refused the submission.
+    /// Records that the engine has refused the submission.
     pub(super) fn submission_refused(&self) {
         self.last_submission.set(LastSubmission::None);
     }
 
-    /// The submission of which the client has received no response.
+    /// The submission whose response has not begun to be written.
     pub(super) fn unacknowledged_submission(&self) -> Option<SubmissionId> {
         match self.last_submission.get() {
             LastSubmission::None => None,
--- a/crates/sender/src/inbound/conversation.rs
+++ b/crates/sender/src/inbound/conversation.rs
@@ -1,4 +1,4 @@
-//! Serves one client connection from its first request to its close.
+//! Serves one client connection from its first request until it is closed.
 
 use std::pin::pin;
 
@@ -13,10 +13,10 @@
 use crate::write_progress::{MAX_BUFFER, TrackedStream};
 
 impl Inbound {
-    /// Serves requests until the connection has to end, then closes it.
+    /// Serves requests until the connection ends or its close is requested, then closes it.
     pub(super) async fn serve(&self, connection: &ClientConnection) {
         self.serve_requests(connection).await;
-        // The client never received the 202 and may submit its message elsewhere: the message is dropped here.
+        // The client has received no response and may submit its message elsewhere, so the message is withdrawn.
         if let Some(submission) = connection.unacknowledged_submission() {
             let _ = self.to_engine.send(Input::Withdrawn(submission)).await;
         }
@@ -24,7 +24,7 @@
         graceful_close::finish(&connection.socket, connection.close_immediately.notified()).await;
     }
 
-    /// Responds to requests until the connection has to end.
+    /// Responds to requests until the connection ends or its close is requested.
     async fn serve_requests(&self, connection: &ClientConnection) {
         let mut admission_state = self.admission_state.clone();
         admission_state.mark_changed();
@@ -34,11 +34,11 @@
         loop {
             tokio::select! {
                 biased;
-                // First: a request that is read once the connection was chosen to be closed would be lost with it.
+                // First: a request that is read after the close was requested would be lost.
                 () = connection.close_requested.notified() => return,
-                // How it ended shows in the submission that is still unacknowledged.
+                // The state of the last submission says how it ended.
                 _ = http.as_mut() => return,
-                // A request that is arriving is served first; its response ends the connection.
+                // A request that is arriving is served; the connection is closed after its response.
                 Ok(()) = admission_state.changed() => {
                     let accepting = *admission_state.borrow_and_update() == AdmissionState::Accepting;
                     if !accepting && connection.is_idle() && !connection.has_unread() {
--- a/crates/sender/src/inbound/rejection.rs
+++ b/crates/sender/src/inbound/rejection.rs
@@ -1,4 +1,4 @@
-//! The reasons for which a request is not accepted, and the response to each.
+//! The reasons for rejecting a request, and the response to each.
 
 use std::error::Error;
 
@@ -8,59 +8,59 @@
 
 use super::response::{HttpResponse, text_response};
 
-/// Why a request is not accepted; its display text is the response's body.
+/// Why a request is rejected; the display text is the body of the response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestRejection {
-    /// hyper lets the header override a Content-Length and reads on behind the last chunk: another request may be
-    /// hidden in what the length says is the body. No supported client sends it.
+    /// The request has a `Transfer-Encoding`. hyper prefers it to a Content-Length, so that a request could be smuggled in
+    /// the body. No supported client sends it.
     #[error("Transfer-Encoding")]
     TransferEncoding,
-    /// The body is longer than the journal stores.
+    /// The body is longer than [`rudderspindle_journal::MAX_BODY`].
     #[error("body too large")]
     BodyTooLarge,
-    /// The path names no class of the settings.
+    /// The path does not name a class of the settings.
     #[error("unknown class")]
     UnknownClass,
-    /// `X-Txn` is missing, or is no id.
+    /// `X-Txn` is missing or invalid.
     #[error("bad X-Txn")]
     InvalidMessageId,
-    /// `X-Org` names no tenant of the settings.
+    /// `X-Org` does not name a tenant of the settings.
     #[error("unknown tenant")]
     UnknownTenant,
-    /// `X-Route-To` is missing, or names no destination.
+    /// `X-Route-To` is missing or does not name a destination.
     #[error("bad X-Route-To")]
     InvalidDestination,
-    /// `X-Remaining` is missing, or is no time.
+    /// `X-Remaining` is missing or not a time.
     #[error("bad X-Remaining")]
     InvalidRemainingTime,
-    /// `Idempotency-Key` is too long, or missing where the class needs one.
+    /// `Idempotency-Key` is too long, or missing although the class requires one.
     #[error("bad Idempotency-Key")]
     InvalidIdempotencyKey,
-    /// The connection ended within the body, or its framing is broken.
+    /// The connection ended within the body, or the framing of the body is invalid.
     #[error("unfinished body")]
     IncompleteBody(#[source] Box<dyn Error + Send + Sync>),
     /// The body was not received in time.
     #[error("unfinished body")]
     BodyTimeout,
-    /// There is no capacity for the message now.
+    /// There is no capacity for the message at present.
     #[error("refused")]
     Overloaded {
-        /// When the client may try again, if it is advised.
+        /// When the client may retry; `None` for no advice.
         retry_after: Option<Millis>,
     },
-    /// The engine could not accept the message.
+    /// The message cannot be delivered.
     #[error("failed")]
     Failed,
-    /// The destination has no receiver on the list.
+    /// The destination has no receiver in the endpoint list.
     #[error("unknown destination")]
     UnknownDestination,
-    /// The process admits no clients, or is about to end.
+    /// The process does not accept clients.
     #[error("not ready")]
     NotReady,
-    /// The readiness check was asked for by another method.
+    /// The readiness check was requested by another method than GET.
     #[error("GET only")]
     GetOnly,
-    /// A message was submitted by another method.
+    /// A message was submitted by another method than POST.
     #[error("POST only")]
     PostOnly,
 }
--- a/crates/sender/src/inbound/request_body.rs
+++ b/crates/sender/src/inbound/request_body.rs
@@ -16,7 +16,7 @@
 /// is not complete by the deadline.
 pub(super) async fn read(body: Incoming, deadline: Instant) -> Result<Bytes, RequestRejection> {
     match timeout_at(deadline, Limited::new(body, MAX_BODY).collect()).await {
-        // A copy: a body that was received as one piece would keep the connection's whole buffer in memory.
+        // Copied: a body received in one piece would keep the connection's whole buffer in memory.
         Ok(Ok(body)) => Ok(Bytes::copy_from_slice(&body.to_bytes())),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestRejection::BodyTooLarge),
         Ok(Err(error)) => Err(RequestRejection::IncompleteBody(error)),
--- a/crates/sender/src/inbound/request_head.rs
+++ b/crates/sender/src/inbound/request_head.rs
@@ -19,7 +19,7 @@
 /// Maximum length of an id or a key, in bytes.
 const MAX_NAME_LEN: usize = 256;
 
-/// What the head of a submission says.
+/// The head of a submission.
 #[derive(Debug)]
 pub(super) struct SubmissionHead {
     /// Index of the class.
@@ -28,7 +28,7 @@
     /// Index of the tenant.
     pub(super) tenant: usize,
     pub(super) destination: DestinationId,
-    /// The time in which the client wants the message delivered, in seconds.
+    /// Time until the message's deadline, in seconds.
     pub(super) remaining_s: f64,
     pub(super) idempotency_key: Option<Bytes>,
     /// Length of the body in bytes; at most [`MAX_BODY`].
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// The first reason for which the request cannot be accepted.
+    /// [`RequestRejection`] with the first invalid value.
     pub(super) fn parse<B: Body>(
         request: &Request<B>,
         settings: &Settings,
@@ -78,13 +78,13 @@
     Ok(body_len as u32)
 }
 
-/// The class that the first segment of the path names.
+/// The class named by the first segment of the path.
 fn class(path: &str, names: &Names) -> Option<usize> {
     let class = path.trim_start_matches('/').split('/').next().unwrap_or_default();
     names.classes.iter().position(|name| name == class)
 }
 
-/// The tenant that `X-Org` names; the only one if the header is missing and the settings name none.
+/// The tenant named by `X-Org`; 0 if the header is missing and the settings name no tenants.
 fn tenant(headers: &HeaderMap, names: &Names) -> Option<usize> {
     match header_text(headers, &X_ORG) {
         Some(tenant) => names.tenants.iter().position(|name| name == tenant),
@@ -115,7 +115,7 @@
     Ok(key.map(|key| Bytes::copy_from_slice(key.as_bytes())))
 }
 
-/// A header's text, if it is there and 1 to [`MAX_NAME_LEN`] bytes long.
+/// A header's text; `None` if it is missing or not 1 to [`MAX_NAME_LEN`] bytes long.
 fn header_text<'a>(headers: &'a HeaderMap, header: &HeaderName) -> Option<&'a str> {
     headers.get(header)?.to_str().ok().filter(|text| (1..=MAX_NAME_LEN).contains(&text.len()))
 }
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -1,4 +1,4 @@
-//! Handles one request of a client: a readiness check, or a message that is submitted to the engine.
+//! Handles one request: a readiness check, or a message that is submitted to the engine.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 const READY_PATH: &str = "/-/ready";
 
 impl Inbound {
-    /// Handles a request, and takes note that it has its response.
+    /// Handles a request, and records that it has its response.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -34,7 +34,7 @@
         let mut response = result.unwrap_or_else(RequestRejection::into_response);
         if response.status().is_client_error() || *self.admission_state.borrow() != AdmissionState::Accepting
         {
-            // What follows on the connection of a client that cannot be understood may be the rest of a body.
+            // After a malformed request the next bytes may be the rest of its body.
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         connection.request_finished();
@@ -55,7 +55,8 @@
         }
     }
 
-    /// A process that hands over its clients to a successor is ready as well: both are the same sender.
+    /// Responds to the readiness check. While the process hands over its clients it is ready as well: its successor is the
+    /// same sender.
     fn check_readiness(&self) -> Result<HttpResponse, RequestRejection> {
         match *self.admission_state.borrow() {
             AdmissionState::Accepting | AdmissionState::HandingOver => {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Submits a message to the engine and waits for its decision.
+    /// Submits a message to the engine and waits for the response.
     async fn submit(
         &self,
         request: Request<Incoming>,
@@ -97,7 +98,7 @@
         connection: &ClientConnection,
     ) -> Result<Bytes, RequestRejection> {
         let _reservation = self.reserve_body_bytes(head)?;
-        // A request that is being received has a deadline.
+        // There is a deadline while a request is being received.
         let deadline = connection.request_deadline().unwrap_or_else(Instant::now);
         request_body::read(body, deadline).await
     }
@@ -107,7 +108,7 @@
         reservation.map_err(|_| self.reject_for_capacity(head.class))
     }
 
-    /// Numbers a submission. The message's time counts from its last byte, and its class bounds it.
+    /// Creates a submission. The message's remaining time counts from its last byte, and is limited by its class.
     fn submission(
         &self,
         head: SubmissionHead,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// The rejection of a message that the engine does not know of, which is therefore counted here.
+    /// Rejects a message that is not sent to the engine, which would count it otherwise.
     fn reject_for_capacity(&self, class: usize) -> RequestRejection {
         self.metrics.record_outcome(class, FinalOutcome::Rejected);
         self.overloaded(0.0)
--- a/crates/sender/src/inbound/shutdown.rs
+++ b/crates/sender/src/inbound/shutdown.rs
@@ -7,16 +7,16 @@
 use super::Inbound;
 use crate::graceful_close;
 
-/// A connection that is in the listener's queue is accepted within this time.
+/// How long connections in the listener's queue are still accepted.
 pub(super) const LAST_ACCEPT_GRACE: Duration = Duration::from_millis(20);
-/// How long requests are still answered, with a refusal: one that is being received may yet be completed.
+/// How long requests that are being received may still be completed; they are refused.
 pub(super) const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long connections may then take to close.
+/// How long the connections may take to close after that.
 const LAST_CLOSE_TIMEOUT: Duration = Duration::from_millis(40);
 
 impl Inbound {
-    /// Closes every connection before the process ends, in less than 200 ms. The engine has stopped, so that requests
-    /// are refused.
+    /// Closes all connections before the process ends, in less than 200 ms. The engine has stopped, so requests are
+    /// refused.
     pub async fn shut_down(&self) {
         sleep(LAST_ACCEPT_GRACE).await;
         let _ = timeout(LAST_RESPONSE_TIMEOUT, self.all_closed()).await;
@@ -29,7 +29,7 @@
         self.abandon_all();
     }
 
-    /// Prepares the connections that are still open for being dropped.
+    /// Shuts down the connections that are still open, so that dropping them sends no reset.
     pub(super) fn abandon_all(&self) {
         for connection in self.connections.borrow().values() {
             graceful_close::abandon(&connection.socket);
--- a/crates/sender/src/inbound/slots.rs
+++ b/crates/sender/src/inbound/slots.rs
@@ -1,4 +1,4 @@
-//! Holds one slot for each open client connection, and evicts a connection when all slots are taken.
+//! Assigns a slot to each open client connection, and evicts a connection when all slots are taken.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 /// An open connection and its slot. Dropping it closes the socket and frees the slot.
 pub(super) struct OpenConnection {
     inbound: Rc<Inbound>,
-    // Dropped before the slot, so that the descriptor is closed when the next connection is accepted.
+    // Dropped before the slot: the descriptor must be closed before the next connection is accepted.
     connection: Rc<ClientConnection>,
     _slot: OwnedSemaphorePermit,
 }
@@ -52,15 +52,15 @@
 }
 
 impl Inbound {
-    /// Waits for the slot of one more connection. Accepting never stops, or clients that keep idle connections or send
-    /// nothing at all would lock out all others.
+    /// Waits for the slot of a new connection, for which another connection is evicted if necessary: idle connections must
+    /// not keep others out.
     pub(super) async fn acquire_slot(&self) -> OwnedSemaphorePermit {
         loop {
             if let Ok(slot) = self.free_slots.clone().try_acquire_owned() {
                 return slot;
             }
             self.evict_connection();
-            // The evicted connection's task ends at once; or all have a request open, which the engine answers soon.
+            // The evicted connection ends at once; if all have a request open, a response is due soon.
             let freed = self.free_slots.clone().acquire_owned();
             if let Ok(Ok(slot)) = timeout(SLOT_RETRY_INTERVAL, freed).await {
                 return slot;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Closes one connection, if any may be closed.
+    /// Closes a connection that can be evicted, if there is one.
     pub(super) fn evict_connection(&self) {
         let request_arriving = |id| self.is_request_arriving(id);
         let has_unread = |id| self.has_unread(id);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Frees the slot of a connection that has been idle for long, if too many are idle after this one's response.
+    /// Closes the longest idle connection if too many are idle after this one's response.
     pub(super) fn close_surplus_idle_connection(&self, responded: ConnectionId) {
         let request_arriving = |id| self.is_request_arriving(id) || self.has_unread(id);
         let surplus = self.slots.borrow_mut().request_finished(responded, self.now(), request_arriving);
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Whether some of a connection's next request has been received.
+    /// Whether a part of a connection's next request has been read.
     pub(super) fn is_request_arriving(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(|connection| connection.is_request_arriving())
     }
 
-    /// Whether bytes of a client have been received that were not read: a request may be among them.
+    /// Whether bytes received on a connection have not been read; they may begin a request.
     pub(super) fn has_unread(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(|connection| connection.has_unread())
     }
--- a/crates/sender/src/notifications.rs
+++ b/crates/sender/src/notifications.rs
@@ -1,4 +1,4 @@
-//! Notifications to the platform about accepted messages that were not delivered, repeated until acknowledged.
+//! Notifications to the platform about accepted messages that were not delivered; repeated until acknowledged.
 
 mod delivery;
 mod request;
@@ -16,7 +16,7 @@
 use crate::event::Input;
 use delivery::Delivery;
 
-/// Queue of notifications that have not been acknowledged. The journal's space bounds its length.
+/// Queue of notifications that have not been acknowledged. Its length is limited by the journal's space.
 #[derive(Debug, Default)]
 pub struct Notifications {
     pending: RefCell<VecDeque<QueuedNotification>>,
@@ -24,10 +24,10 @@
     pushed: Notify,
 }
 
-/// A notification that has not been acknowledged.
+/// A notification in the queue.
 #[derive(Clone, Debug)]
 struct QueuedNotification {
-    /// Identifies the notification: two may have the same message id.
+    /// Identifies the notification; two may have the same message id.
     number: u64,
     notification: PendingNotification,
 }
@@ -46,8 +46,8 @@
         self.pending.borrow().is_empty()
     }
 
-    /// Sends notifications to the address in force, and reports to the engine which have been acknowledged. Ends when an
-    /// acknowledgement cannot be reported, because the engine has ended.
+    /// Sends notifications to the configured address, and reports acknowledgements to the engine. Ends when the engine has
+    /// ended.
     pub async fn run(&self, address: watch::Receiver<SocketAddr>, engine: mpsc::Sender<Input>) {
         Delivery::new(self, address, engine).run().await;
     }
--- a/crates/sender/src/notifications/delivery.rs
+++ b/crates/sender/src/notifications/delivery.rs
@@ -1,7 +1,7 @@
-//! When notifications are sent, and what follows from each response.
+//! Sends notifications and handles the responses.
 //!
-//! A response normally comes at once. Without one the request is repeated on another connection: a repeated notification
-//! does no harm, and a late one is lost. Earlier requests are still waited for, as a busy platform responds late.
+//! A request without a response is repeated on another connection, as a notification may be repeated but must not be late.
+//! Responses to earlier requests still count.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use crate::event::Input;
 use crate::platform::HttpError;
 
-/// Time from the first request to its repetition; doubled for each further one up to [`MAX_RETRY_INTERVAL`].
+/// Time from the first request to the second; doubled after each request up to [`MAX_RETRY_INTERVAL`].
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum time from a request to its repetition.
+/// Maximum time from a request to the next one.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a response is waited for, beside newer requests.
+/// Timeout of a response; newer requests do not end it.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of notifications in one request.
 const MAX_BATCH_LEN: usize = 200;
@@ -34,18 +34,18 @@
     requests: Requests,
 }
 
-/// What happens next.
+/// An event of the delivery.
 #[derive(Debug)]
 enum DeliveryEvent {
     /// The queue is no longer empty.
     Pushed,
     /// The configuration names another address.
     AddressChanged,
-    /// It is time for the next request.
+    /// The next request is due.
     RequestDue,
     /// A request has ended.
     Completed(CompletedRequest),
-    /// A request's task failed; the request is repeated in time.
+    /// A request's task failed; the request is repeated.
     TaskFailed,
 }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The address in force. When it has changed, requests to the old one are cancelled: what that has not acknowledged is
+    /// The configured address. If it has changed, requests to the old one are cancelled; unacknowledged notifications are
     /// sent to the new one.
     fn current_address(&mut self) -> SocketAddr {
         if self.address.has_changed().unwrap_or(false) {
@@ -90,7 +90,7 @@
 
     async fn next_event(&mut self) -> DeliveryEvent {
         if self.notifications.is_idle() {
-            // The address is followed also while idle: the idle connection is the old address's.
+            // Also while idle: the idle connection belongs to the old address.
             return tokio::select! {
                 () = self.notifications.pushed.notified() => DeliveryEvent::Pushed,
                 () = address_changed(&mut self.address) => DeliveryEvent::AddressChanged,
@@ -112,7 +112,7 @@
         self.requests.send(addr, batch);
     }
 
-    /// Removes acknowledged notifications from the queue. Other requests in flight are cancelled, as they repeat them.
+    /// Removes acknowledged notifications from the queue, and cancels the other requests in flight, which repeat them.
     fn acknowledge(&mut self, numbers: &[u64], connection: Connection) -> Vec<MessageId> {
         self.requests = Requests { idle_connection: Some(connection), ..Requests::default() };
         self.notifications.acknowledge(numbers)
@@ -125,7 +125,7 @@
         }
         let retry_at = Instant::now() + retry_interval / 4;
         if matches!(error, HttpError::Status(_)) {
-            // One that the platform cannot read must not delay the others: one at a time, in rotation.
+            // One notification for each request, in rotation: one that the platform rejects must not delay the others.
             self.requests = Requests::one_by_one(retry_interval, retry_at);
             self.notifications.rotate();
         }
@@ -133,7 +133,7 @@
     }
 }
 
-/// Waits until the address changes, and leaves the change to be seen. Without an owner it can no longer change.
+/// Waits until the address changes, and leaves the change marked. Never resolves once the address can no longer change.
 async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
@@ -146,11 +146,11 @@
 struct CompletedRequest {
     /// The numbers of its notifications.
     numbers: Vec<u64>,
-    /// The connection that it was acknowledged on.
+    /// The connection, if the notifications were acknowledged.
     result: Result<Connection, HttpError>,
 }
 
-/// Requests in flight, and when the next one is due. Dropping it cancels them.
+/// The requests in flight, and when the next one is due. Dropping it cancels the requests.
 #[derive(Debug)]
 struct Requests {
     in_flight: JoinSet<CompletedRequest>,
@@ -179,7 +179,7 @@
         Self { retry_interval, next_at, max_batch_len: 1, ..Self::default() }
     }
 
-    /// Starts a request; it is cancelled with [`Requests`].
+    /// Spawns a request; it is cancelled when [`Requests`] is dropped.
     fn send(&mut self, addr: SocketAddr, batch: Vec<QueuedNotification>) {
         let idle_connection = self.idle_connection.take();
         self.next_at = Instant::now() + self.retry_interval;
--- a/crates/sender/src/notifications/request.rs
+++ b/crates/sender/src/notifications/request.rs
@@ -1,4 +1,4 @@
-//! One request with notifications: a line of JSON for each, acknowledged by status 204.
+//! A request with notifications: one line of JSON for each, acknowledged by status 204.
 
 use std::net::SocketAddr;
 
@@ -13,12 +13,12 @@
 /// A connection that notifications are sent on.
 pub(super) type Connection = platform::Connection<Full<Bytes>>;
 
-/// Sends notifications on the idle connection, or on a new one, and waits for the acknowledgement. Returns the connection,
+/// Sends notifications on the idle connection or a new one, and waits for the acknowledgement. Returns the connection,
 /// which is idle again.
 ///
 /// # Errors
 ///
-/// [`HttpError`] if they have not been acknowledged.
+/// [`HttpError`] if the notifications were not acknowledged.
 pub(super) async fn post(
     addr: SocketAddr,
     idle_connection: Option<Connection>,
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -1,4 +1,4 @@
-//! Sends calls and health checks to receivers, over pooled connections and within the receivers' backoffs.
+//! Sends calls and health checks to receivers, over pooled connections and outside the receivers' backoffs.
 
 mod backoff;
 mod connection;
@@ -29,20 +29,19 @@
 use routes::RouteTable;
 pub use routes::{ReceiverLocation, Route};
 
-/// How often expired idle connections and backoffs are removed.
+/// Interval in which expired idle connections and backoffs are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Cancels a call that is in flight.
 #[derive(Debug)]
 pub struct CallHandle {
-    /// The attempt that the call makes.
+    /// Index of the attempt, from 0.
     pub attempt: u32,
     cancelled: Rc<Notify>,
 }
 
 impl CallHandle {
-    /// Asks for the call's end. Its one outcome is still reported, and is what the call knows by then: a response that
-    /// has been read, or is being reported, is not lost.
+    /// Cancels the call. Its one outcome is still reported; a response that has been read by then counts.
     pub fn cancel(&self) {
         self.cancelled.notify_one();
     }
@@ -58,13 +57,13 @@
     free_connections: Arc<Semaphore>,
     connect_timeout: Duration,
     metrics: Rc<Metrics>,
-    /// Is notified of every backoff that a receiver asks for.
+    /// Receives every backoff that a receiver requests.
     peer_process: Rc<PeerProcess>,
     to_engine: mpsc::Sender<Input>,
 }
 
 impl Outbound {
-    /// No route is known, and at most `max_connections` may be opened. Outcomes go to `to_engine`.
+    /// Creates the state without routes; at most `max_connections` may be open. Outcomes are sent to `to_engine`.
     pub fn new(
         settings: &Settings,
         max_connections: usize,
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Takes in an entry of the endpoint list. Idle connections that it makes useless are closed.
+    /// Applies an entry of the endpoint list. Idle connections that it makes useless are closed.
     pub fn update_route(&self, id: RouteId, route: Route) {
         let connections_usable =
             route.listing == Listing::Ready && self.routes.address_matches(id, route.addr);
@@ -96,7 +95,7 @@
         self.routes.update(id, route);
     }
 
-    /// Removes all routes that a complete endpoint list does not name.
+    /// Removes all routes that are not in a complete endpoint list.
     pub fn retain_routes(&self, listed: &HashSet<RouteId>) {
         self.routes.retain(listed);
         self.idle.retain_routes(listed);
@@ -117,9 +116,8 @@
         }
     }
 
-    /// Starts a call, whose one outcome is reported to the engine.
-    ///
-    /// Its task ends by itself, at the call's deadline at the latest; [`CallHandle::cancel`] ends it before.
+    /// Spawns a call, whose one outcome is reported to the engine. The call ends at its deadline at the latest;
+    /// [`CallHandle::cancel`] ends it earlier.
     pub fn start_call(self: &Rc<Self>, call: Call) -> CallHandle {
         let cancelled = Rc::new(Notify::new());
         let handle = CallHandle { attempt: call.attempt, cancelled: cancelled.clone() };
@@ -134,9 +132,8 @@
         handle
     }
 
-    /// Starts a health check, whose outcome is reported to the engine.
-    ///
-    /// Its task ends by itself, after [`request::HEALTH_CHECK_TIMEOUT`] at the latest.
+    /// Spawns a health check, whose outcome is reported to the engine. It ends after [`request::HEALTH_CHECK_TIMEOUT`] at
+    /// the latest.
     pub fn start_health_check(self: &Rc<Self>, route: RouteId) {
         let outbound = self.clone();
         spawn_local(async move {
--- a/crates/sender/src/outbound/backoff.rs
+++ b/crates/sender/src/outbound/backoff.rs
@@ -1,4 +1,4 @@
-//! Keeps calls from receivers that asked for a pause, and shares these pauses with the peer process.
+//! Withholds calls from receivers that requested a backoff, and shares the backoffs with the peer process.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,29 +10,29 @@
 use super::{MAX_BACKOFF_MS, Outbound};
 use crate::handover::HandoverMessage;
 
-/// What a backoff holds for: a route with backoffs of its own, or else a destination.
+/// What a backoff applies to: a route with separate backoffs, or a whole destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum BackoffScope {
     Route(RouteId),
     Destination(DestinationId),
 }
 
-/// What is left of a backoff.
+/// The remaining time of a backoff.
 #[derive(Clone, Copy, Debug)]
 struct RemainingBackoff {
     scope: BackoffScope,
     remaining: Millis,
 }
 
-/// Until when nothing may be sent, by scope.
+/// The time until which no call may be sent, by scope.
 #[derive(Debug, Default)]
 pub(super) struct Backoffs {
     backoff_until: RefCell<HashMap<BackoffScope, Instant>>,
 }
 
 impl Backoffs {
-    /// Starts a backoff that ends after `wait`, or extends the present one. The scope may be that of a route that has
-    /// left the list since: its destination has others.
+    /// Starts a backoff that ends after `wait`, or extends the present one. The scope may be that of a route that is no
+    /// longer listed.
     pub(super) fn extend(&self, scope: BackoffScope, wait: Millis) {
         let until = Instant::now() + Duration::from_secs_f64(wait / 1_000.0);
         let mut backoff_until = self.backoff_until.borrow_mut();
@@ -66,19 +66,19 @@
 }
 
 impl Outbound {
-    /// Applies a backoff that the peer process reports, of a route or else of a whole destination.
+    /// Applies a backoff that the peer process reports, of a route or of a whole destination.
     pub fn apply_backoff(&self, destination: DestinationId, route: Option<RouteId>, wait: Millis) {
         let scope = route.map_or(BackoffScope::Destination(destination), BackoffScope::Route);
         self.backoffs.extend(scope, wait.clamp(0.0, MAX_BACKOFF_MS));
     }
 
-    /// Every backoff that has not been removed, as one process reports it to the other.
+    /// The active backoffs as messages for the peer process.
     pub fn active_backoffs(&self) -> Vec<HandoverMessage> {
         let remaining = self.backoffs.remaining().into_iter();
         remaining.map(|backoff| self.backoff_message(backoff.scope, backoff.remaining)).collect()
     }
 
-    /// Applies the backoff that a receiver asks for, if it asks for one, and reports it to the peer process.
+    /// Applies the backoff that a receiver requests, if any, and reports it to the peer process.
     pub(super) fn apply_retry_after(&self, scope: BackoffScope, wait: Millis) {
         if wait > 0.0 {
             self.backoffs.extend(scope, wait);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether the route takes calls at this moment.
+    /// Whether calls may be sent to the route at this moment.
     pub(super) fn accepts_calls(&self, id: RouteId) -> bool {
         self.routes.ready_backoff_scope(id).is_some_and(|scope| !self.backoffs.is_active(scope))
     }
--- a/crates/sender/src/outbound/connection.rs
+++ b/crates/sender/src/outbound/connection.rs
@@ -1,4 +1,4 @@
-//! Opens connections to receivers, and closes each so that nothing given up is executed later.
+//! Opens connections to receivers, and closes them so that an interrupted call is not executed later.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use super::outcome::Interruption;
 use crate::write_progress::{MAX_BUFFER, TrackedStream, WriteProgress};
 
-/// A time-out of 0 would mean none.
+/// Minimum user timeout; 0 would mean none.
 const MIN_USER_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// A connection to a receiver. Dropping it closes it: with a reset, unless it is idle.
@@ -33,7 +33,7 @@
     task: JoinHandle<()>,
     idle_since: Instant,
     is_idle: bool,
-    /// Whether the system's time-out for unacknowledged bytes is set.
+    /// Whether the system's timeout for unacknowledged bytes is set.
     has_user_timeout: bool,
 }
 
@@ -41,8 +41,8 @@
     async fn open(addr: SocketAddr, slot: OwnedSemaphorePermit) -> Option<Self> {
         let stream = TcpStream::connect(addr).await.ok()?;
         stream.set_nodelay(true).ok()?;
-        // Whatever ends a connection with a call in flight, be it this process's death, discards what the system still
-        // holds of the call: later it would be executed after it was given up.
+        // When a connection with a call in flight ends, also by the end of this process, the system must discard the rest
+        // of the call: it could be executed after the call was interrupted.
         let _ = stream.set_zero_linger();
         let write_progress = Rc::new(WriteProgress::tracking_responses());
         let stream = Rc::new(RefCell::new(stream));
@@ -51,7 +51,7 @@
         let (sender, http) = http1::Builder::new().max_buf_size(MAX_BUFFER).handshake(tracked).await.ok()?;
         let task = spawn_local(async move {
             let _slot = slot;
-            // How it ended shows in the request that was in flight.
+            // The request in flight reports how it ended.
             let _ = http.await;
         });
         Some(Self {
@@ -71,29 +71,29 @@
         self.addr
     }
 
-    /// Since when it has been idle.
+    /// Since when the connection has been idle.
     pub(super) fn idle_since(&self) -> Instant {
         self.idle_since
     }
 
-    /// Nothing is in flight on it.
+    /// Marks the connection as idle.
     pub(super) fn become_idle(&mut self) {
         self.is_idle = true;
         self.idle_since = Instant::now();
     }
 
-    /// A request is about to be sent over it.
+    /// Marks the connection as in use.
     pub(super) fn leave_idle(&mut self) {
         self.is_idle = false;
     }
 
-    /// Whether it is open and has not been idle for too long.
+    /// Whether the connection is open and has not been idle for too long.
     pub(super) fn is_reusable(&self, now: Instant, max_idle_time: Duration) -> bool {
         !self.sender.is_closed() && now - self.idle_since < max_idle_time
     }
 
-    /// Limits how long the system sends again what is not acknowledged, or keeps what the receiver does not accept; the
-    /// system's default if `None`. Where the limit cannot be set, the request's own times bound it.
+    /// Limits how long the system retransmits unacknowledged bytes, or buffers bytes that the receiver does not accept;
+    /// `None` for the system's default. If the limit cannot be set, the request's deadlines apply.
     pub(super) fn limit_unacknowledged(&mut self, limit: Option<Duration>) {
         if !self.has_user_timeout && limit.is_none() {
             return;
@@ -117,11 +117,11 @@
 }
 
 impl Outbound {
-    /// Opens a connection to a receiver, which takes until `deadline` at most.
+    /// Opens a connection to a receiver, by `deadline` at the latest.
     ///
     /// # Errors
     ///
-    /// [`Interruption::Withheld`] if all slots are taken, [`Interruption::ConnectionBroken`] if it cannot be opened.
+    /// [`Interruption::Withheld`] if all slots are taken, [`Interruption::ConnectionBroken`] if the connection fails.
     pub(super) async fn connect(
         &self,
         addr: SocketAddr,
@@ -133,7 +133,7 @@
         opened.ok().flatten().ok_or(Interruption::ConnectionBroken)
     }
 
-    /// The slot of one more connection, for which an idle one is closed if need be.
+    /// Acquires the slot of a new connection, for which an idle one is closed if necessary.
     async fn acquire_slot(&self, deadline: Instant) -> Option<OwnedSemaphorePermit> {
         if let Ok(slot) = self.free_connections.clone().try_acquire_owned() {
             return Some(slot);
@@ -141,7 +141,7 @@
         if !self.idle.close_longest_idle() {
             return None;
         }
-        // The slot of the connection that was closed is free once its task has been dropped.
+        // The slot of the closed connection is free once its task has been dropped.
         let freed = timeout_at(deadline, self.free_connections.clone().acquire_owned()).await;
         freed.ok()?.ok()
     }
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -13,36 +13,36 @@
 use super::outcome::{
     Interruption, RequestProgress, ResponseProgress, outcome_without_response, result_of_response,
 };
-use super::request::{OutgoingRequest, PreparedRequest, RequestTimes};
+use super::request::{OutgoingRequest, PreparedRequest, RequestDeadlines};
 use super::response::{ReliableResponse, UsedConnection};
 use super::routes::Target;
 use crate::event::{Call, CallOutcome, MESSAGE_LOG};
 
-/// How long the rest of a response's head may take after its first byte: it is written at once.
+/// Maximum time from the first byte of a response to the end of its head.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A call or a health check, and what bounds it.
+/// A call or a health check, with its deadlines and its cancellation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Exchange<'a> {
     route: RouteId,
     request: OutgoingRequest<'a>,
-    times: RequestTimes,
+    deadlines: RequestDeadlines,
     cancelled: &'a Notify,
 }
 
-/// What came of an exchange.
+/// The result of an exchange.
 #[derive(Debug)]
 pub(super) struct Exchanged {
     pub(super) result: CallOutcome,
-    /// The connection, if it may be used again.
+    /// The connection, if it may be reused.
     pub(super) used_connection: Option<UsedConnection>,
 }
 
-/// A connection to send a request over.
+/// A connection for a request.
 #[derive(Debug)]
 struct AcquiredConnection {
     connection: Connection,
-    /// Whether it was idle in the pool, and may turn out to have been closed by the receiver.
+    /// Whether it is from the pool, and may have been closed by the receiver.
     reused: bool,
 }
 
@@ -58,7 +58,7 @@
     }
 
     fn new(route: RouteId, request: OutgoingRequest<'a>, cancelled: &'a Notify) -> Self {
-        Self { route, request, times: request.times(), cancelled }
+        Self { route, request, deadlines: request.deadlines(), cancelled }
     }
 
     fn message_id(&self) -> Option<&str> {
@@ -67,14 +67,14 @@
 }
 
 impl From<Outcome> for Exchanged {
-    /// An exchange whose connection is not used again.
+    /// The result of an exchange whose connection is not reused.
     fn from(outcome: Outcome) -> Self {
         Self { result: outcome.into(), used_connection: None }
     }
 }
 
 impl Outbound {
-    /// Sends a request within its times and reads the head of its response.
+    /// Sends a request within its deadlines and reads the head of the response.
     pub(super) async fn exchange(&self, exchange: &Exchange<'_>) -> Exchanged {
         loop {
             let Some(target) = self.routes.target(exchange.route) else { return Outcome::NotSent.into() };
@@ -105,7 +105,7 @@
         if let Some(connection) = self.idle.take(exchange.route) {
             return Ok(AcquiredConnection { connection, reused: true });
         }
-        let RequestTimes { response_deadline, write_deadline, .. } = exchange.times;
+        let RequestDeadlines { response_deadline, write_deadline, .. } = exchange.deadlines;
         let connected = tokio::select! {
             biased;
             () = exchange.cancelled.notified() => Err(Interruption::Cancelled),
@@ -113,7 +113,7 @@
         };
         match connected {
             Ok(connection) => Ok(AcquiredConnection { connection, reused: false }),
-            // That it had so little time says nothing of the receiver.
+            // The time was too short for a conclusion about the receiver.
             Err(_) if Instant::now() >= write_deadline => Err(Outcome::NotSent),
             Err(interruption) => Err(outcome_without_response(
                 RequestProgress::NotStarted,
@@ -123,10 +123,10 @@
         }
     }
 
-    /// The request, if it may still be sent: since the decision its receiver may have started to drain or to back off, or
-    /// its time may have passed, above all while connections were opened or turned out to be closed.
+    /// The request, if it may still be sent: since the decision, and while a connection was opened, the receiver may have
+    /// begun to drain or to back off, or a deadline may have passed.
     fn prepare(&self, exchange: &Exchange<'_>, target: Target) -> Option<PreparedRequest> {
-        let RequestTimes { response_deadline, write_deadline, .. } = exchange.times;
+        let RequestDeadlines { response_deadline, write_deadline, .. } = exchange.deadlines;
         let now = Instant::now();
         let too_late = now >= write_deadline.min(response_deadline);
         if too_late || !self.accepts_calls(exchange.route) {
@@ -135,8 +135,8 @@
         exchange.request.prepare(target.addr, response_deadline, now).ok()
     }
 
-    /// Sends the request over a connection. Returns none if that was a pooled one which turned out to be unusable
-    /// before a byte was written, which is no attempt yet.
+    /// Sends the request over a connection. Returns `None` if a pooled connection was unusable before a byte was written;
+    /// that is no attempt.
     async fn exchange_over(
         &self,
         acquired: AcquiredConnection,
@@ -149,12 +149,12 @@
         let progress = connection.write_progress.clone();
         self.track_request(exchange, &mut connection);
         let response = send(&mut connection, exchange, prepared).await;
-        // The timer fires up to a tick late, and a response received in that tick is returned ahead of it.
+        // The timer has the resolution of a tick; a response in the same tick is returned before it fires.
         let late =
             progress.first_byte_received_at().is_some_and(|received_at| received_at >= response_deadline);
         let interruption = match response {
             Ok(response) if late => {
-                // What it says of the receiver holds all the same.
+                // The backoff in the response applies although the response is late.
                 let result = result_of_response(response.status(), response.headers());
                 self.apply_retry_after(target.backoff_scope, result.retry_after);
                 Interruption::TimedOut
@@ -185,13 +185,13 @@
         if matches!(exchange.request, OutgoingRequest::Call(_)) {
             connection.write_progress.count_when_complete(self.metrics.clone());
         }
-        if exchange.times.keyed_retry {
-            let limit = exchange.times.write_deadline.saturating_duration_since(Instant::now());
+        if exchange.deadlines.keyed_retry {
+            let limit = exchange.deadlines.write_deadline.saturating_duration_since(Instant::now());
             connection.limit_unacknowledged(Some(limit));
         }
     }
 
-    /// The result of a response that is relied on.
+    /// The result of a reliable response.
     fn complete(
         &self,
         exchange: &Exchange<'_>,
@@ -204,7 +204,7 @@
         tracing::debug!(target: MESSAGE_LOG, message_id = exchange.message_id(), addr = %target.addr, reused,
             outcome = ?result.outcome, retry_after_ms = result.retry_after, "response received");
         self.apply_retry_after(target.backoff_scope, result.retry_after);
-        // Nothing more is sent of a call that was rejected before its last byte was.
+        // If a call is rejected before its last byte is written, the rest must not be sent.
         let request_complete = RequestProgress::of(&connection.write_progress) == RequestProgress::Complete;
         let used_connection = request_complete.then_some(UsedConnection { connection, unread_body });
         Exchanged { result, used_connection }
@@ -215,7 +215,7 @@
 ///
 /// # Errors
 ///
-/// Why it is no longer waited for.
+/// [`Interruption`]: why the response is no longer waited for.
 async fn send(
     connection: &mut Connection,
     exchange: &Exchange<'_>,
@@ -229,7 +229,7 @@
         }
         () = progress.response_head_overdue(RESPONSE_HEAD_TIMEOUT) => Err(Interruption::ConnectionBroken),
         () = sleep_until(prepared.response_deadline) => Err(Interruption::TimedOut),
-        () = progress.write_incomplete_at(exchange.times.write_deadline) => Err(Interruption::TimedOut),
+        () = progress.write_incomplete_at(exchange.deadlines.write_deadline) => Err(Interruption::TimedOut),
         () = exchange.cancelled.notified() => Err(Interruption::Cancelled),
     }
 }
--- a/crates/sender/src/outbound/outcome.rs
+++ b/crates/sender/src/outbound/outcome.rs
@@ -1,5 +1,5 @@
-//! Determines the outcome of an attempt, and so whether it may have been executed: the protocol's table 'Senders to
-//! receivers', row by row. [`Outcome::possibly_executed`] says of each outcome whether its call may have been.
+//! Determines the outcome of an attempt, and so whether it may have been executed, by the protocol's table 'Senders to
+//! receivers'. [`Outcome::possibly_executed`] says for each outcome whether its call may have been executed.
 
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderName};
@@ -11,7 +11,7 @@
 const X_BACKOFF_MS: HeaderName = HeaderName::from_static("x-backoff-ms");
 const X_EGRESS_FULL: HeaderName = HeaderName::from_static("x-egress-full");
 
-/// Longest backoff that a receiver may ask for; a longer one is cut, so that one bad figure does not shut it out.
+/// Maximum backoff that a receiver can request, in milliseconds; a longer one is reduced to this.
 pub const MAX_BACKOFF_MS: Millis = 60_000.0;
 
 /// How much of a request was written.
@@ -25,12 +25,12 @@
     Complete,
 }
 
-/// What was received, where that is no complete response.
+/// What was received of a response that is not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseProgress {
     /// No byte of a response.
     Nothing,
-    /// A status line that says 200; what follows it is unusable.
+    /// A status line with status 200; the rest is unusable.
     OkStatusLine,
     /// Anything else.
     Unusable,
@@ -61,18 +61,17 @@
 /// Why a response is no longer waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Interruption {
-    /// The connection could not be opened or ended, or what was received is no response.
+    /// The connection could not be opened or ended, or the received bytes are not a response.
     ConnectionBroken,
     /// A deadline passed.
     TimedOut,
     /// The engine cancelled the call.
     Cancelled,
-    /// The request must not be sent any more: its time has passed, its receiver drains or backs off, or there is no
-    /// connection to send it with.
+    /// The request must not be sent: a deadline has passed, the receiver drains or backs off, or there is no connection.
     Withheld,
 }
 
-/// The outcome of an attempt without a response that can be relied on.
+/// The outcome of an attempt without a reliable response.
 pub(super) fn outcome_without_response(
     request: RequestProgress,
     response: ResponseProgress,
@@ -82,27 +81,27 @@
     use RequestProgress::{Complete, NotStarted, Partial};
     use ResponseProgress::{Nothing, OkStatusLine, Unusable};
     match (request, response, interruption) {
-        // Never executed: what is received before the last byte is written is no response to this call. What this
-        // process did itself says nothing of the receiver.
+        // Never executed: bytes received before the last byte is written are not a response to this call. An interruption
+        // by this process is no failure of the receiver.
         (NotStarted | Partial, _, Cancelled | Withheld) => Outcome::NotSent,
         (NotStarted | Partial, _, ConnectionBroken | TimedOut) => Outcome::ConnectFailed,
-        // The status line has said enough.
+        // The status line suffices.
         (Complete, OkStatusLine, _) => Outcome::Ok,
         (Complete, Nothing | Unusable, Cancelled | Withheld) => Outcome::Cancelled,
-        // It was executed, and the receiver is up.
+        // Executed, and the receiver is up.
         (Complete, Unusable, ConnectionBroken | TimedOut) => Outcome::Error,
         (Complete, Nothing, ConnectionBroken) => Outcome::Reset,
         (Complete, Nothing, TimedOut) => Outcome::Timeout,
     }
 }
 
-/// Whether a response of this outcome is relied on with so much of the request written. Before the last byte is, a
-/// response that says that the call was executed answers something else, and the call must not go on.
+/// Whether a response of this outcome is reliable at this progress of the request. Before the last byte is written, a
+/// response that says that the call was executed is not a response to this call.
 pub(super) fn is_reliable(request: RequestProgress, outcome: Outcome) -> bool {
     request == RequestProgress::Complete || !outcome.possibly_executed()
 }
 
-/// The result that a complete response stands for.
+/// The result of a complete response.
 pub(super) fn result_of_response(status: StatusCode, headers: &HeaderMap) -> CallOutcome {
     match status.as_u16() {
         200 => Outcome::Ok.into(),
@@ -111,7 +110,7 @@
         503 => CallOutcome { retry_after: retry_after(headers), ..Outcome::Rejected.into() },
         504 => Outcome::AttemptsExhausted.into(),
         410 => CallOutcome { completed: true, ..Outcome::NotSent.into() },
-        // 500, and any other status: it may have been executed.
+        // 500 and any other status: possibly executed.
         _ => Outcome::Error.into(),
     }
 }
--- a/crates/sender/src/outbound/pool.rs
+++ b/crates/sender/src/outbound/pool.rs
@@ -1,4 +1,4 @@
-//! Pools idle connections to receivers for further requests.
+//! Keeps idle connections to receivers for further requests.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -10,8 +10,8 @@
 use super::Outbound;
 use super::connection::Connection;
 
-/// How long before the receiver closes an idle connection it is given up here. The receiver's clock started earlier:
-/// when it wrote its response.
+/// How long before the receiver's idle timeout a connection is closed here. The receiver's timeout starts earlier, when
+/// it writes its response.
 pub(super) const IDLE_CLOSE_MARGIN: Duration = Duration::from_secs(2);
 
 /// The idle connections of each route, the longest idle first.
@@ -22,12 +22,12 @@
 }
 
 impl IdlePool {
-    /// A pool without connections; each is kept for `max_idle_time`.
+    /// Creates an empty pool; connections are kept for `max_idle_time`.
     pub(super) fn new(max_idle_time: Duration) -> Self {
         Self { by_route: RefCell::default(), max_idle_time }
     }
 
-    /// Takes the connection that was used last, so that the others can expire.
+    /// Takes the most recently used connection, so that the others can expire.
     pub(super) fn take(&self, route: RouteId) -> Option<Connection> {
         let now = Instant::now();
         let mut by_route = self.by_route.borrow_mut();
@@ -59,7 +59,7 @@
         });
     }
 
-    /// Closes the longest idle connection of all; returns false if there is none.
+    /// Closes the longest idle connection of all routes; returns `false` if there is none.
     pub(super) fn close_longest_idle(&self) -> bool {
         let mut by_route = self.by_route.borrow_mut();
         let occupied = by_route.values_mut().filter(|connections| !connections.is_empty());
@@ -86,8 +86,7 @@
 }
 
 impl Outbound {
-    /// Pools a connection on which nothing is in flight, or closes it if it is of no use: the receiver may have moved
-    /// in the meantime.
+    /// Returns a connection without a request in flight to the pool, or closes it if the route has another address now.
     pub(super) fn return_to_pool(&self, route: RouteId, mut connection: Connection) {
         connection.become_idle();
         if self.routes.is_ready_at(route, connection.addr()) && !connection.sender.is_closed() {
--- a/crates/sender/src/outbound/request.rs
+++ b/crates/sender/src/outbound/request.rs
@@ -1,4 +1,4 @@
-//! Builds the requests that are sent to receivers, and the times that each must keep to.
+//! Builds the requests to receivers, with their deadlines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,52 +21,52 @@
 /// How long the response to a health check is waited for.
 pub(super) const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is sent to a receiver.
+/// A request to a receiver.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum OutgoingRequest<'a> {
     /// A message.
     Call(&'a Call),
-    /// The question whether it is up.
+    /// A health check.
     HealthCheck,
 }
 
-/// The times that a request must keep to.
+/// The deadlines of a request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct RequestTimes {
-    /// When the response is no longer waited for.
+pub(super) struct RequestDeadlines {
+    /// When the response must have arrived.
     pub(super) response_deadline: Instant,
-    /// When the last byte must have been written: later the request is not sent.
+    /// When the last byte must have been written.
     pub(super) write_deadline: Instant,
-    /// Whether it must not arrive after `write_deadline` either: an earlier attempt may have been executed, and the receiver
-    /// forgets its idempotency key then.
+    /// Whether the request must also not arrive after `write_deadline`: an earlier attempt may have been executed, and the
+    /// receiver discards its idempotency key then.
     pub(super) keyed_retry: bool,
 }
 
-/// A request that is ready to be written.
+/// A request that is ready to be sent.
 #[derive(Debug)]
 pub(super) struct PreparedRequest {
     pub(super) request: Request<Full<Bytes>>,
-    /// When the receiver takes the request for given up, and its response is no longer waited for.
+    /// When the time announced to the receiver is over, and its response no longer counts.
     pub(super) response_deadline: Instant,
 }
 
 impl OutgoingRequest<'_> {
-    /// The times of this request if it begins now.
-    pub(super) fn times(&self) -> RequestTimes {
+    /// The deadlines of this request if it begins now.
+    pub(super) fn deadlines(&self) -> RequestDeadlines {
         match self {
-            Self::Call(call) => RequestTimes {
+            Self::Call(call) => RequestDeadlines {
                 response_deadline: call.response_deadline,
                 write_deadline: call.write_deadline,
                 keyed_retry: call.idempotency_key.is_some() && call.attempt > 0,
             },
             Self::HealthCheck => {
                 let deadline = Instant::now() + HEALTH_CHECK_TIMEOUT;
-                RequestTimes { response_deadline: deadline, write_deadline: deadline, keyed_retry: false }
+                RequestDeadlines { response_deadline: deadline, write_deadline: deadline, keyed_retry: false }
             }
         }
     }
 
-    /// The message that it carries.
+    /// The id of the message in the request.
     pub(super) fn message_id(&self) -> Option<&MessageId> {
         match self {
             Self::Call(call) => Some(&call.message_id),
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Builds the request to a receiver at `addr`. The receiver is told the time left, in whole milliseconds, and that
-    /// time is kept to: a later response does not count, as the receiver takes its call for given up then.
+    /// Builds the request to a receiver at `addr`. It announces the remaining time in whole milliseconds; a later response
+    /// does not count, as the receiver treats the call as abandoned.
     ///
     /// # Errors
     ///
-    /// A header that cannot be encoded.
+    /// An error if a header cannot be encoded.
     pub(super) fn prepare(
         &self,
         addr: SocketAddr,
@@ -111,7 +111,7 @@
     request.body(Full::new(call.body.clone()))
 }
 
-/// Rounds down to what `X-Remaining` can express.
+/// Rounds down to the resolution of `X-Remaining`.
 fn whole_milliseconds(time: Duration) -> Duration {
     time - Duration::from_nanos(u64::from(time.subsec_nanos()) % 1_000_000)
 }
--- a/crates/sender/src/outbound/response.rs
+++ b/crates/sender/src/outbound/response.rs
@@ -1,4 +1,4 @@
-//! Reads the response to a request, and makes its connection usable again.
+//! Reads the response to a request, and returns its connection to the pool.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 use super::outcome::{RequestProgress, is_reliable, result_of_response};
 use crate::event::CallOutcome;
 
-/// How long the rest of a response may take before its connection is given up.
+/// Maximum time for the rest of a response; after that its connection is closed.
 const RESPONSE_BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A response that is relied on.
+/// A response whose result is reliable.
 #[derive(Debug)]
 pub(super) struct ReliableResponse {
     pub(super) result: CallOutcome,
-    /// The body, where it has not been read.
+    /// The body, if it has not been read.
     pub(super) unread_body: Option<Incoming>,
 }
 
@@ -29,13 +29,13 @@
 #[derive(Debug)]
 pub(super) struct UsedConnection {
     pub(super) connection: Connection,
-    /// The body that has not been read from it.
+    /// The body, if it has not been read.
     pub(super) unread_body: Option<Incoming>,
 }
 
 impl ReliableResponse {
-    /// Interprets a response; none if it cannot be relied on. That a call was never executed is believed only of a
-    /// response that is well-formed to its end: a malformed one may say anything, and its call was executed.
+    /// Interprets a response; `None` if it is not reliable. A response that says that the call was not executed counts only
+    /// if it is well-formed to its end.
     pub(super) async fn read(
         response: Response<Incoming>,
         request: RequestProgress,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Reads a body to its end; returns false if that is not near: receivers write at full speed what they write.
+/// Reads a body to its end; returns `false` if it is too long or takes too long.
 async fn drain(body: Incoming, deadline: Instant) -> bool {
     if body.size_hint().lower() > MAX_BODY as u64 {
         return false;
--- a/crates/sender/src/outbound/routes.rs
+++ b/crates/sender/src/outbound/routes.rs
@@ -1,4 +1,4 @@
-//! The routes of the endpoint list, as far as calls need them.
+//! The routes of the endpoint list, with what is needed to call them.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -12,30 +12,30 @@
 /// A receiver as the endpoint list describes it.
 #[derive(Debug)]
 pub struct Route {
-    /// Where it listens; none if the list's address cannot be read.
+    /// Its address; `None` if the address in the list cannot be parsed.
     pub addr: Option<SocketAddr>,
     /// The receiver's name.
     pub receiver: Rc<str>,
-    /// The zone that it is in.
+    /// Its zone.
     pub zone: Rc<str>,
-    /// The destination that it serves.
+    /// Its destination.
     pub destination: DestinationId,
-    /// Whether its backoffs are its own, and not its destination's.
+    /// Whether its backoffs apply to it alone, and not to its destination.
     pub has_own_backoff: bool,
-    /// Whether it takes calls.
+    /// Whether it accepts calls.
     pub listing: Listing,
 }
 
-/// Which receiver a route leads to, and where that is.
+/// The receiver of a route, and its zone.
 #[derive(Clone, Debug)]
 pub struct ReceiverLocation {
     /// The receiver's name.
     pub receiver: Rc<str>,
-    /// The zone that it is in.
+    /// Its zone.
     pub zone: Rc<str>,
 }
 
-/// Where a request is sent.
+/// The address that a request is sent to, and the scope of its backoffs.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Target {
     pub(super) addr: SocketAddr,
@@ -59,8 +59,7 @@
 }
 
 impl RouteTable {
-    /// Adds or replaces a route, or removes it if it has left the list: receivers come and go all day under ever new
-    /// names.
+    /// Adds or replaces a route, or removes it if it is no longer listed.
     pub(super) fn update(&self, id: RouteId, route: Route) {
         let mut routes = self.routes.borrow_mut();
         if route.listing == Listing::Gone {
@@ -80,27 +79,27 @@
         self.routes.borrow().get(&id).is_some_and(|route| route.addr == addr)
     }
 
-    /// Whether the route takes calls at this address.
+    /// Whether the route accepts calls at this address.
     pub(super) fn is_ready_at(&self, id: RouteId, addr: SocketAddr) -> bool {
         let routes = self.routes.borrow();
         routes.get(&id).is_some_and(|route| route.listing == Listing::Ready && route.addr == Some(addr))
     }
 
-    /// Where requests of a route go; none if it is not on the list or has no address.
+    /// The target of a route; `None` if it is not listed or has no address.
     pub(super) fn target(&self, id: RouteId) -> Option<Target> {
         let routes = self.routes.borrow();
         let route = routes.get(&id)?;
         Some(Target { addr: route.addr?, backoff_scope: route.backoff_scope(id) })
     }
 
-    /// The backoff scope of a route that takes calls.
+    /// The backoff scope of a route; `None` if it does not accept calls.
     pub(super) fn ready_backoff_scope(&self, id: RouteId) -> Option<BackoffScope> {
         let routes = self.routes.borrow();
         let route = routes.get(&id)?;
         (route.listing == Listing::Ready).then(|| route.backoff_scope(id))
     }
 
-    /// The destination that a route serves.
+    /// The destination of a route.
     pub(super) fn destination(&self, id: RouteId) -> Option<DestinationId> {
         self.routes.borrow().get(&id).map(|route| route.destination)
     }
