--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -13,7 +13,7 @@
 //! | closed, slow start | many errors among the answers | slow start, from its beginning |
 //! | open | `probe_at` is reached | half-open: one call may start |
 //! | half-open | the probe starts | open, with a later `probe_at` |
-//! | open | a failure of a call that was sent since, a rejection that shows an outage | open, new `probe_at` |
+//! | open | a failure of a call that was sent since, or another sign of an outage | open, new `probe_at` |
 //! | open | a success of a call that was sent since; of any call if it is unresponsive | slow start |
 //! | slow start | a call starts after the end of the recovery ramp | closed |
 //! | any state of a route | the shared breaker opens or begins slow start | closed |
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,7 +1,6 @@
 //! The types between a host and a [`Policy`](crate::Policy): settings, ids, events and actions.
 //!
-//! Types only, without decisions. Times are milliseconds; the host's clock may start anywhere, but must not go
-//! back.
+//! Types only, without decisions. Times are in milliseconds, on a monotonic clock of the host.
 
 mod action;
 mod checks;
@@ -22,7 +21,7 @@
 /// A duration or a point in time, in milliseconds.
 pub type Millis = f64;
 
-/// Identifies a message; chosen by the host and never used again for another one.
+/// Identifies a message; the host never uses it for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageHandle(pub u32);
 
@@ -30,6 +29,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteId(pub u64);
 
-/// Identifies a receiver's system, which is reached by one or more routes.
+/// Identifies a destination, which has one or more routes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DestinationId(pub u16);
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,4 +1,4 @@
-//! The actions that a policy asks its host for, and its demand.
+//! The actions that a policy returns to its host, and its demand.
 
 use super::{LimitScope, MessageHandle, Millis, OutageState, RouteId};
 
@@ -19,27 +19,27 @@
     pub failed: u64,
 }
 
-/// What the host is to do.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the next attempt of a message. Attempts of one batch by one route share a call as far as the
-    /// `bundle_max` of the destination's kind allows.
+    /// Start the next attempt of a message. Attempts of one batch of events by one route share calls, each
+    /// with at most `bundle_max` messages of the destination's kind.
     Send {
         /// The message.
         id: MessageHandle,
-        /// The route to send it by.
+        /// The route that it is sent by.
         route: RouteId,
         /// Time-out of the attempt.
         timeout: Millis,
-        /// The last byte must be written within this time; later it must not be sent any more, as the window
-        /// of its idempotency key may be over.
+        /// The last byte must be written within this time, else the attempt must not be sent: the window of
+        /// the message's idempotency key may be over.
         start_within: Millis,
     },
     /// Complete a message undelivered; the client may safely submit it again.
     Refuse {
         /// The message.
         id: MessageHandle,
-        /// How long the client should wait before; 0 for no advice.
+        /// Retry-After for the client; 0 for none.
         retry_after: Millis,
     },
     /// Complete a message as failed; it may or may not have taken effect.
@@ -47,7 +47,7 @@
         /// The message.
         id: MessageHandle,
     },
-    /// Ask for [`Event::Wake`](super::Event::Wake) after a delay.
+    /// Report [`Event::Wake`](super::Event::Wake) after a delay.
     Wake {
         /// The delay from now.
         delay: Millis,
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -5,7 +5,7 @@
     RememberedOutage, RetryAfterUpdate, RouteId,
 };
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Delivered.
@@ -14,9 +14,9 @@
     Error,
     /// Rejected unprocessed, as above the limit or in an outage.
     Rejected,
-    /// No answer in time; it may have taken effect or may still.
+    /// No answer in time; it may have taken effect, or may still do so.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection; it has not taken effect.
     ConnectFailed,
     /// The connection broke; it may have taken effect.
     Reset,
@@ -24,12 +24,12 @@
     Cancelled,
     /// Never sent.
     NotSent,
-    /// Never sent: the message has had all its attempts. Its final outcome is still due.
+    /// Never sent, as no attempt is left. The final outcome of the message is still due.
     AttemptsExhausted,
 }
 
 impl Outcome {
-    /// Whether the attempt may have taken effect, or may still.
+    /// Whether the attempt may have taken effect, or may still do so.
     pub fn possibly_executed(self) -> bool {
         match self {
             Self::Ok | Self::Error | Self::Timeout | Self::Reset | Self::Cancelled => true,
@@ -45,7 +45,7 @@
     pub id: MessageHandle,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
     /// For [`Outcome::Rejected`]: its Retry-After; 0 for none.
     pub retry_after: Millis,
@@ -53,7 +53,7 @@
     pub completed: bool,
 }
 
-/// What has happened since the last batch, or was learnt.
+/// An event since the last batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list has changed.
@@ -70,17 +70,17 @@
     Capacity(CapacityUpdate),
     /// The permits of a limit, in place of those reported before.
     Permits(PermitUpdate),
-    /// Routes that other senders have ejected as outliers, in place of those reported before: others go
-    /// first.
+    /// Routes that other senders have ejected as outliers, in place of those reported before; other routes
+    /// are preferred.
     EjectedReceivers(Vec<RouteId>),
     /// This sender's share of a tenant's quota, by the usage of the whole fleet.
     Quota {
         /// The tenant, by index.
         tenant: usize,
-        /// Messages per second; none where nothing is known of other senders.
+        /// Messages per second; `None` if the usage of other senders is unknown.
         per_s: Option<f64>,
     },
-    /// A streamed response has begun: from here the attempt takes as long as the client lets it.
+    /// A response has started to stream: the attempt now lasts until the client or the destination ends it.
     Started {
         /// The message.
         id: MessageHandle,
@@ -89,9 +89,9 @@
     },
     /// An attempt has ended.
     Outcome(AttemptResult),
-    /// The client has gone away. Attempts in flight are still reported.
+    /// The client has disconnected. The results of attempts in flight are still reported.
     Dropped(MessageHandle),
-    /// A wake-up asked for with [`Action::Wake`](super::Action::Wake).
+    /// A wake-up that [`Action::Wake`](super::Action::Wake) has requested.
     Wake(u64),
     /// The result of a health check.
     HealthChecked {
--- a/crates/policy/src/interface/limit.rs
+++ b/crates/policy/src/interface/limit.rs
@@ -71,7 +71,7 @@
     pub permits: Vec<Permit>,
 }
 
-/// The permission to start one call.
+/// A permit to start one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Permit {
     /// Identifies it at its limit; a permit that was used stays used when it is reported again.
--- a/crates/policy/src/interface/list.rs
+++ b/crates/policy/src/interface/list.rs
@@ -2,10 +2,10 @@
 
 use super::{DestinationId, MessageHandle, Millis, RouteId};
 
-/// What the endpoint list says of a route. It says nothing of its health.
+/// The state of a route in the endpoint list, which does not include its health.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Listing {
-    /// May be sent to.
+    /// Takes calls.
     #[default]
     Ready,
     /// Draining: takes no new calls.
@@ -25,7 +25,7 @@
     pub zone: u8,
     /// Its destination's kind.
     pub kind: u16,
-    /// What the list says of it.
+    /// Its state in the list.
     pub listing: Listing,
     /// The listed rate; see [`RateHint`](super::RateHint).
     pub rate: f64,
@@ -51,22 +51,22 @@
     pub id: MessageHandle,
     /// Its class.
     pub class: usize,
-    /// Its tenant, where there are any.
+    /// Its tenant; ignored where there are none.
     pub tenant: usize,
     /// Its ordering key; 0 for none.
     pub ordering_key: u64,
     /// Time until it expires.
     pub time_left: Millis,
-    /// An estimate of the time that its processing takes, where there is one.
+    /// An estimate of its processing time, if known.
     pub work_guess: Option<Millis>,
-    /// The destination that it must be delivered to.
+    /// Its destination.
     pub destination: DestinationId,
 }
 
 /// The attempts of a message before a restart, as the host has recorded them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptHistory {
-    /// Number of attempts; none of them is in flight any more.
+    /// Number of attempts; none of them is in flight.
     pub attempts: u32,
     /// The first attempt that may have taken effect.
     pub possibly_executed: Option<PriorExecution>,
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -7,7 +7,7 @@
 pub enum Effect {
     /// A retry is harmless.
     Idempotent,
-    /// The routes of one group discard retries with the same idempotency key for some time.
+    /// The routes of a group discard retries with the same idempotency key for a limited time.
     IdempotencyKey {
         /// The routes that share their idempotency keys.
         group: KeyGroup,
@@ -25,7 +25,7 @@
     All,
     /// The routes of the destination in one zone.
     Zone,
-    /// The route that was used, alone.
+    /// Only the route that was used.
     Route,
 }
 
@@ -34,7 +34,7 @@
 pub enum LateDecay {
     /// Evenly, down to the late value at the deadline.
     Linear,
-    /// By half with each further latency objective, but not below the late value.
+    /// By half for each further latency objective, down to the late value.
     Halving,
 }
 
@@ -43,26 +43,26 @@
 pub struct Class {
     /// Value of a delivery within the latency objective (no unit).
     pub value: f64,
-    /// A delivery within this time has its full value.
+    /// Time within which a delivery has its full value.
     pub latency_objective: Millis,
-    /// The latency objective grows by this multiple of the message's estimated work; 0 where it does not.
+    /// The latency objective increases by this multiple of the message's estimated processing time.
     pub latency_objective_stretch: f64,
     /// Time from the first submission until a message expires.
     pub deadline: Millis,
-    /// Share of the value that is left at the deadline, from 0 to 1.
+    /// Share of the value that remains at the deadline, from 0 to 1.
     pub late_value: f64,
     /// What a retry may do.
     pub effect: Effect,
-    /// Whether messages with the same ordering key go one at a time, in the order they were accepted.
+    /// Whether messages with the same ordering key are sent one at a time, in the order of acceptance.
     pub ordered: bool,
 }
 
 /// A kind of destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kind {
-    /// Most messages that may share one call.
+    /// Maximum number of messages in one call.
     pub bundle_max: usize,
-    /// Whether each route has a limit and outages of its own.
+    /// Whether each route has its own limit and outages.
     pub routes_apart: bool,
 }
 
@@ -80,7 +80,7 @@
     None,
     /// Calls per second that the destination, or the route, accepts from all senders together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The same, with an error of up to half.
     Rough,
 }
 
@@ -91,12 +91,12 @@
     Pushed,
     /// They arrive only after a subscription or fetch.
     OnRequest {
-        /// A sender that has not asked for so long counts as informed.
+        /// Time without a subscription or fetch after which a sender counts as informed.
         ask_within: Millis,
     },
 }
 
-/// The settings of a policy; fixed while it runs.
+/// The settings of a policy; they do not change while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The zone of this sender.
@@ -113,13 +113,13 @@
     pub over_quota_value: f64,
     /// How values fall after the latency objective.
     pub late_decay: LateDecay,
-    /// Most calls in flight.
+    /// Maximum number of calls in flight.
     pub slots: usize,
-    /// Most pending messages, sent or not; more are rejected before they reach the policy.
+    /// Maximum number of pending messages; the host rejects more.
     pub max_pending: usize,
-    /// Most attempts for one message.
+    /// Maximum number of attempts of a message.
     pub max_attempts: u32,
-    /// Longest Retry-After that clients honour.
+    /// Maximum Retry-After that clients honour.
     pub max_retry_after: Millis,
     /// Whether a Retry-After is passed on to clients.
     pub retry_after: bool,
@@ -127,7 +127,7 @@
     pub health_checks: bool,
     /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Concurrent calls on one connection.
+    /// Maximum number of concurrent calls on one connection.
     pub streams_per_connection: usize,
     /// Time after which an idle connection is closed.
     pub idle_close: Millis,
@@ -141,16 +141,16 @@
     pub cross_zone_price: f64,
     /// Price of a message that a route with a limit of its own accepts, by zone.
     pub zone_fees: Vec<f64>,
-    /// Least share of its capacity that a destination has when it returns, above 0 up to 1.
+    /// Minimum share of its capacity that a destination has when it recovers from an outage, above 0 up to 1.
     pub recovery_start_share: f64,
-    /// Time after its return by which a destination has all of its capacity.
+    /// Time from the recovery until a destination has its whole capacity.
     pub recovery_duration: Millis,
-    /// A destination fails if it is sent more than this multiple of its present capacity
+    /// Multiple of its current capacity above which calls overload a destination.
     pub overload_multiple: f64,
-    /// for this long.
+    /// Time for which the calls must exceed that multiple to overload it.
     pub overload_duration: Millis,
-    /// Pause of an ordering key after an attempt that may still be running.
+    /// Time for which an ordering key is paused after an attempt that may still be running.
     pub ordering_key_pause: Millis,
-    /// Shortest time between two batches.
+    /// Minimum time between two batches.
     pub tick: Millis,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,13 +1,17 @@
 //! The decisions of a sender: client-side load balancing, admission and retry policy.
 //!
-//! A [`Policy`] takes messages, decides when and by which route each is tried, and gives every one of them
-//! one final outcome. It does no I/O, has no clock and starts no thread: the host hands in the events since
-//! the last batch, and carries out the actions that come back. Its draws come from a seed, so that the same
-//! events give the same actions.
+//! A [`Policy`] decides when and by which route each message is sent, and gives every message one final
+//! outcome. It does no I/O, has no clock and starts no thread: the host calls it with the events since the
+//! last batch, and carries out the actions that it returns. Its random draws are seeded: the same events give
+//! the same actions.
 //!
 //! ```
 //! use rudderspindle_policy::Policy;
-//! use rudderspindle_policy::interface::*;
+//! use rudderspindle_policy::interface::{
+//!     Action, AttemptResult, Class, DestinationId, Discovery, Effect, Event, KeyGroup, Kind, LateDecay,
+//!     ListChange, Listing, Message, MessageHandle, Outcome, RateHint, RouteEntry, RouteId, Settings,
+//!     SettingsError,
+//! };
 //!
 //! # fn main() -> Result<(), SettingsError> {
 //! let notice = Class {
@@ -72,9 +76,14 @@
 //! policy.handle(1_000.0, &batch, &mut actions);
 //! assert!(matches!(actions[0], Action::Send { id: MessageHandle(1), route: RouteId(1), .. }));
 //!
-//! // The host makes the call, and reports its outcome with the next batch.
-//! let delivered =
-//!     AttemptResult { id: MessageHandle(1), attempt: 0, outcome: Outcome::Ok, retry_after: 0.0, completed: true };
+//! // The host makes the call, and reports its outcome in the next batch.
+//! let delivered = AttemptResult {
+//!     id: MessageHandle(1),
+//!     attempt: 0,
+//!     outcome: Outcome::Ok,
+//!     retry_after: 0.0,
+//!     completed: true,
+//! };
 //! actions.clear();
 //! policy.handle(1_250.0, &[Event::Outcome(delivered)], &mut actions);
 //! # Ok(())
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,8 +1,9 @@
 //! The policy of one sender: its state, and the steps of a batch.
 //!
 //! Each type that owns state decides about it: [`Destination`] with its throttles and circuit breakers,
-//! [`PendingMessages`], [`CallSlots`], [`Quotas`]. A comment that begins with "Departure" marks where the code
-//! departs from the ordinary path that [`Policy::handle`] describes, and names the condition in parentheses.
+//! [`PendingMessages`], [`CallSlots`], [`Quotas`]. A comment that begins with "Departure" marks where the
+//! code departs from the ordinary path that [`Policy::handle`] describes, and names the condition in
+//! parentheses.
 
 mod completion;
 mod events;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -9,24 +9,23 @@
 
 /// The key of the settings in a configuration.
 const KEY: &str = "settings";
-/// Most that the fractions of all tenants may sum to: thirds are written as 0.34, and that must not prevent a
-/// start.
+/// Maximum sum of the fractions of all tenants: thirds may be written as 0.34.
 const MAX_SUM_OF_FRACTIONS: f64 = 1.01;
 
-/// A duration that must not be empty.
+/// A duration above 0.
 const DURATION: Range = Range::new("a number of ms above 0", |x| x > 0.0);
-/// A duration that may be empty.
+/// A duration of 0 or more.
 const PAUSE: Range = Range::new("a number of ms, 0 or more", |x| x >= 0.0);
-/// An amount.
+/// A number of 0 or more.
 const NOT_NEGATIVE: Range = Range::new("a number, 0 or more", |x| x >= 0.0);
-/// A fraction of a whole.
+/// A fraction from 0 to 1.
 const FRACTION: Range = Range::new("a number from 0 to 1", |x| (0.0..=1.0).contains(&x));
-/// A fraction that must not be empty.
+/// A fraction above 0.
 const POSITIVE_FRACTION: Range = Range::new("a number above 0, 1 at the most,", |x| x > 0.0 && x <= 1.0);
-/// A factor.
+/// A factor above 0.
 const MULTIPLE: Range = Range::new("a number above 0", |x| x > 0.0);
 
-/// The names in the settings of what the interface numbers, by index.
+/// The names of classes, tenants, zones and kinds; the policy's interface refers to them by index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     /// Classes of message.
@@ -173,7 +172,8 @@
 }
 
 fn class(field: Field<'_>) -> Result<Class, ReadError> {
-    // What may be done twice is never a guess, so that there is no default. `None` is an idempotency key.
+    // There is no default: whether a message may take effect twice must be stated. `None` is an idempotency
+    // key.
     let effects =
         [("free", Some(Effect::Idempotent)), ("guarded", None), ("single_shot", Some(Effect::NotIdempotent))];
     let effect = match field.child("effect").variant(&effects)? {
--- a/crates/policy/src/settings/field.rs
+++ b/crates/policy/src/settings/field.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-/// Most characters of an invalid value that an error shows.
+/// Maximum number of characters of an invalid value in an error.
 const MAX_SHOWN_LEN: usize = 60;
 
 /// Why settings cannot be read.
@@ -26,7 +26,7 @@
     entry_name: Option<String>,
     /// The value, shortened.
     found: String,
-    /// What would be valid, in words.
+    /// What is valid, in words.
     expected: String,
 }
 
@@ -51,7 +51,7 @@
 
 impl std::error::Error for ReadError {}
 
-/// The valid range of a number, in words and as a test.
+/// The valid range of a number, in words and as a predicate.
 #[derive(Clone, Copy, Debug)]
 pub struct Range {
     expected: &'static str,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The variant that one of some names stands for.
+    /// The variant of a name.
     ///
     /// # Errors
     ///
@@ -220,7 +220,7 @@
         if self.is_missing() { Ok(default) } else { self.variant(variants) }
     }
 
-    /// The error that names this key, its value and what would be valid.
+    /// The error that names this key, its value and what is valid.
     pub fn invalid(&self, expected: &str) -> ReadError {
         let value = if self.is_missing() { "missing".to_owned() } else { self.value.to_string() };
         let mut found: String = value.chars().take(MAX_SHOWN_LEN).collect();
