--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -1,32 +1,32 @@
-//! Runs a batch: translates the inputs into events for the policy, and has its decisions carried out.
+//! Runs a batch: translates the inputs into events for the policy, and carries out its decisions.
 
 use rudderspindle_journal as journal;
-use rudderspindle_policy::interface::{Action, Event, Millis, Permit};
+use rudderspindle_policy::interface::{self, Action, Event, Millis, Permit};
 use tokio::time::Instant;
 
 use super::Engine;
 use super::intake::Intake;
 use super::time::to_millis;
-use crate::event::{CapacityUpdate, Input, PermitUpdate, TenantQuota};
+use crate::event::{Input, PermitUpdate, TenantQuota};
 
 impl Engine {
-    /// Handles these inputs, and all that is due, as one batch.
+    /// Handles these inputs, the due timers and the backlog as one batch.
     pub(super) fn run_batch(&mut self, inputs: Vec<Input>) {
         let now = Instant::now();
         self.last_batch = now;
-        let mut events = std::mem::take(&mut self.carried);
+        let mut events = std::mem::take(&mut self.next_batch_events);
         let mut intake = Intake::default();
         for input in inputs {
             self.handle_input(input, now, &mut intake, &mut events);
         }
-        events.append(&mut self.carried);
+        events.append(&mut self.next_batch_events);
         events.extend(self.take_from_backlog(now, intake.new.len()));
-        events.extend(self.due_wakes(now));
+        events.extend(self.timers.take_due(now).into_iter().map(Event::Wake));
         let actions = self.decide(now, &events);
         self.carry_out(now, intake, actions);
     }
 
-    /// Handles an input; what the policy has to know of it goes to `events`.
+    /// Handles an input, and adds its events for the policy to `events`.
     fn handle_input(&mut self, input: Input, now: Instant, intake: &mut Intake, events: &mut Vec<Event>) {
         match input {
             Input::Submitted(submission) => {
@@ -48,54 +48,36 @@
                 events.extend(self.apply_peer_backoff(destination, receiver.as_deref(), wait));
             }
             Input::PeerCallsInFlight(calls) => self.policy.set_slots_used_by_peer(calls),
-            Input::CapacityShares { shares, valid_for } => {
-                events.extend(shares.into_iter().map(|share| capacity_event(share, valid_for)));
-            }
+            Input::CapacityUpdates(updates) => events.extend(updates.into_iter().map(Event::Capacity)),
             Input::Permits(updates) => {
                 let wall = journal::wall_ms() as Millis;
                 events.extend(updates.into_iter().map(|update| permits_event(update, wall)));
             }
             Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
             Input::Quotas(quotas) => events.extend(quotas.into_iter().map(quota_event)),
-            // The requester may have ended by now.
-            Input::TakeOver(answer) => {
+            // The receivers of these responses may have ended.
+            Input::TakeOver(response) => {
                 self.take_over_journal(now);
-                let _ = answer.send(self.store.is_owner());
+                let _ = response.send(self.store.is_owner());
             }
-            Input::ReportActivity(answer) => {
-                let _ = answer.send(self.report_activity());
+            Input::ReportActivity(response) => {
+                let _ = response.send(self.report_activity());
             }
-            Input::QueryStatus(answer) => {
-                let _ = answer.send(self.status());
+            Input::QueryStatus(response) => {
+                let _ = response.send(self.status());
             }
-            Input::Stop => self.stop = self.stop.or(Some(now)),
+            Input::Stop => self.shutdown.request(now),
         }
     }
 
-    /// Removes the timers that are due; returns their events.
-    fn due_wakes(&mut self, now: Instant) -> Vec<Event> {
-        let due = self.wakes.extract_if(.., |(at, _)| *at <= now);
-        due.map(|(_, token)| Event::Wake(token)).collect()
-    }
-
-    /// Lets the policy decide.
+    /// Passes the events to the policy; returns its actions.
     fn decide(&mut self, now: Instant, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.policy.handle(to_millis(now - self.origin), events, &mut actions);
+        self.policy.handle(to_millis(now - self.policy_epoch), events, &mut actions);
         actions
     }
 }
 
-fn capacity_event(share: CapacityUpdate, valid_for: Millis) -> Event {
-    Event::Capacity {
-        destination: share.limit.destination,
-        route: share.limit.route,
-        calls: share.calls,
-        wanted: share.fleet_demand,
-        lasts: valid_for,
-    }
-}
-
 /// The permits with their times relative to now (`wall`, milliseconds since 1970), so that later changes of the wall
 /// clock do not matter.
 fn permits_event(update: PermitUpdate, wall: Millis) -> Event {
@@ -104,11 +86,8 @@
         from: permit.from as Millis - wall,
         until: permit.until as Millis - wall,
     };
-    Event::Permits {
-        destination: update.limit.destination,
-        route: update.limit.route,
-        permits: update.permits.into_iter().map(relative).collect(),
-    }
+    let permits = update.permits.into_iter().map(relative).collect();
+    Event::Permits(interface::PermitUpdate { scope: update.scope, permits })
 }
 
 fn quota_event(quota: TenantQuota) -> Event {
