--- a/crates/benchmarks/src/http2/goaway.rs
+++ b/crates/benchmarks/src/http2/goaway.rs
@@ -8,7 +8,7 @@
 use rudderspindle_http2::outcome::DeliveryOutcome;
 use rudderspindle_http2::pool::PoolLimits;
 use rudderspindle_testkit::frames::Frames;
-use rudderspindle_testkit::scripted_peers::soon;
+use rudderspindle_testkit::scripted_peers::with_timeout;
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
@@ -80,7 +80,7 @@
 }
 
 async fn accept(listener: &TcpListener) -> Result<Frames, BenchmarkError> {
-    let (stream, _) = soon("a connection", listener.accept()).await?;
+    let (stream, _) = with_timeout("a connection", listener.accept()).await?;
     Ok(Frames::accept(stream, MAX_CONCURRENT_STREAMS, WINDOW).await)
 }
 
--- a/crates/daemon/tests/client_connections.rs
+++ b/crates/daemon/tests/client_connections.rs
@@ -1,44 +1,47 @@
-//! Which client connections stay open: silent ones and idle ones make way for clients that submit.
+//! Which client connections stay open: silent and idle ones are closed for clients that submit.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::*;
+use common::fixture::{Fixture, set_up};
+use common::{DEADLINE_MS, REJECTION_TIMEOUT};
+use rudderspindle_testkit::scripted_peers::{connect_from, raw_submission, rest, rest_of_answer, status};
 use tokio::io::AsyncWriteExt;
 
-/// Accepting used to stop when all places were taken, by clients that ask once and stay or that say nothing.
+/// Silent connections and connections that idle after one request do not use up the slots.
 #[tokio::test]
 async fn idle_connections_do_not_keep_other_clients_out() {
-    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, mut receiver, program, folder: _folder, .. } =
+        set_up(&[], DEADLINE_MS).await;
     let mut kept = Vec::new();
     for n in 0..100 {
         kept.push(program.raw(b"").await);
         let since = Instant::now();
         let mut stream = program.raw(&raw_submission(&format!("m{n}"), "Content-Length: 4", "text")).await;
         assert_eq!(status(&mut stream).await, Some(202));
-        // Not only once the silent ones' own time is up.
+        // Sooner than the timeout of the silent ones.
         assert!(since.elapsed() < Duration::from_secs(1), "m{n}: {:?}", since.elapsed());
-        assert_eq!(receiver.call().await.message_id, format!("m{n}"));
+        assert_eq!(receiver.next_call().await.message_id, format!("m{n}"));
         kept.push(stream);
     }
     assert_eq!(program.readiness().await, 200);
 }
 
-/// Clients have a limited number of connections, too: with all of them idle at the sender, nothing more could be
-/// submitted until it closed some.
+/// A client that has used up its own connections could submit nothing more until the sender closed some.
 #[tokio::test]
 async fn most_connections_that_idle_after_one_request_are_closed_at_once() {
-    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, mut receiver, program, folder: _folder, .. } =
+        set_up(&[], DEADLINE_MS).await;
     let since = Instant::now();
     let mut kept = Vec::new();
     for n in 0..30 {
         let mut stream = program.raw(&raw_submission(&format!("m{n}"), "Content-Length: 4", "text")).await;
         assert_eq!(status(&mut stream).await, Some(202));
-        assert_eq!(receiver.call().await.message_id, format!("m{n}"));
+        assert_eq!(receiver.next_call().await.message_id, format!("m{n}"));
         kept.push(stream);
     }
-    // A quarter of the 44 places is for connections that rest.
+    // A quarter of the 44 slots is for idle connections.
     let mut last = kept.split_off(30 - 11);
     for stream in &mut kept {
         rest(stream).await;
@@ -53,9 +56,10 @@
 /// A new client that is silent for long is still served when those that compete for slots come from other addresses.
 #[tokio::test]
 async fn a_client_that_sends_its_first_request_late_is_served_beside_hundreds_of_silent_connections() {
-    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, mut receiver, program, folder: _folder, .. } =
+        set_up(&[], DEADLINE_MS).await;
     let mut early = program.raw(b"").await;
-    // Time must pass until it is the newcomer that has been silent longest.
+    // Time for it to become the connection that has been silent longest.
     tokio::time::sleep(Duration::from_millis(400)).await;
     let mut silent = Vec::new();
     for _ in 0..5 {
@@ -66,12 +70,13 @@
     }
     early.write_all(&raw_submission("late", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut early).await, Some(202));
-    assert_eq!(receiver.call().await.message_id, "late");
+    assert_eq!(receiver.next_call().await.message_id, "late");
 }
 
 #[tokio::test]
 async fn a_client_that_checks_readiness_and_submits_later_is_served_beside_hundreds_of_silent_connections() {
-    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, mut receiver, program, folder: _folder, .. } =
+        set_up(&[], DEADLINE_MS).await;
     let mut client = program.raw(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await;
     assert_eq!(status(&mut client).await, Some(200));
     rest_of_answer(&mut client).await;
@@ -84,19 +89,20 @@
     }
     client.write_all(&raw_submission("m1", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut client).await, Some(202));
-    assert_eq!(receiver.call().await.message_id, "m1");
+    assert_eq!(receiver.next_call().await.message_id, "m1");
 }
 
-/// One that has come back is worth more than any number that asked once.
+/// A connection with repeated requests is kept over those with one request.
 #[tokio::test]
 async fn a_client_with_repeated_requests_keeps_its_connection_beside_hundreds_that_idle_after_one() {
-    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, mut receiver, program, folder: _folder, .. } =
+        set_up(&[], DEADLINE_MS).await;
     let mut client = program.raw(b"").await;
     for n in 0..3 {
         client.write_all(&raw_submission(&format!("r{n}"), "Content-Length: 4", "text")).await.expect("kept");
         assert_eq!(status(&mut client).await, Some(202));
         rest_of_answer(&mut client).await;
-        assert_eq!(receiver.call().await.message_id, format!("r{n}"));
+        assert_eq!(receiver.next_call().await.message_id, format!("r{n}"));
     }
     let mut once = Vec::new();
     for n in 0..200 {
@@ -106,12 +112,13 @@
     }
     client.write_all(&raw_submission("last", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut client).await, Some(202));
-    assert_eq!(receiver.call().await.message_id, "last");
+    assert_eq!(receiver.next_call().await.message_id, "last");
 }
 
 #[tokio::test]
 async fn a_client_that_is_silent_or_trickles_bytes_is_disconnected_in_time() {
-    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, mut receiver, program, folder: _folder, .. } =
+        set_up(&[], DEADLINE_MS).await;
     let whole = raw_submission("slow", "Content-Length: 4", "text");
     let silent = async {
         let mut stream = program.raw(b"").await;
@@ -125,7 +132,7 @@
         let mut stream = program.raw(&whole[..whole.len() - 1]).await;
         assert!(status(&mut stream).await.is_none_or(|status| status == 408));
     };
-    // Each byte comes well within any patience for one.
+    // Each byte arrives within the timeout for one.
     let trickle = async {
         let mut stream = program.raw(b"").await;
         for byte in &whole[..100] {
@@ -134,13 +141,13 @@
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        panic!("a client that trickles is heard for good");
+        panic!("a client that trickles is never disconnected");
     };
     let since = Instant::now();
     tokio::join!(silent, half_a_head, half_a_body, async {
         trickle.await;
-        // A byte that meets the close is lost, and the next one notices.
+        // The first write after the close succeeds, the next one fails.
         assert!(since.elapsed() < REJECTION_TIMEOUT + Duration::from_millis(200), "{:?}", since.elapsed());
     });
-    assert!(receiver.nothing_called());
+    assert!(receiver.has_no_calls());
 }
--- a/crates/daemon/tests/cluster/mod.rs
+++ b/crates/daemon/tests/cluster/mod.rs
@@ -21,9 +21,14 @@
 /// Maximum lifetime of a message.
 pub const MAX_MESSAGE_LIFETIME: Duration = Duration::from_secs(6);
 
-/// Starts the senders for a load of 90 messages a second; with the folder that holds their state. `fleet_file` is the
-/// operator's fleet configuration.
-pub async fn start(seconds: u16, seed: u64, fleet_file: Option<&Path>) -> (Cluster, TempDir) {
+/// A cluster, and the folder that holds its state.
+pub struct StartedCluster {
+    pub cluster: Cluster,
+    pub folder: TempDir,
+}
+
+/// Starts the senders for a load of 90 messages a second. `fleet_file` is the operator's fleet configuration.
+pub async fn start(seconds: u16, seed: u64, fleet_file: Option<&Path>) -> StartedCluster {
     let scenario = format!(
         r#"
 seed = {seed}
@@ -55,13 +60,13 @@
     );
     let scenario = Scenario::parse(&scenario, Path::new("fleet.toml")).expect("a scenario");
     let mut launch = Launch::from(Path::new(env!("CARGO_BIN_EXE_rudderspindle")));
-    // Datagrams that a sender drops are logged there.
+    // Dropped datagrams are logged at the level debug.
     launch.variables.push(("RELAY_LOG".to_owned(), "info,notes=debug".to_owned()));
     launch.variables.extend(fleet_file.map(|path| ("RELAY_FLEET".to_owned(), path.display().to_string())));
     let folder = tempfile::tempdir().expect("a folder");
     let cluster =
         Cluster::start(&scenario, &launch, folder.path(), MAX_MESSAGE_LIFETIME).await.expect("senders");
-    (cluster, folder)
+    StartedCluster { cluster, folder }
 }
 
 /// Polls a condition until it holds; panics after `timeout`.
@@ -88,7 +93,7 @@
     senders.into_iter().filter(|sender| log(folder, *sender).contains(text)).count()
 }
 
-/// Whether any sender's log holds this.
+/// Whether any sender's log contains this text.
 pub fn logged(folder: &Path, text: &str) -> bool {
     (0..SENDERS).any(|sender| log(folder, sender).contains(text))
 }
@@ -115,37 +120,43 @@
     Duration::from_secs(seconds)
 }
 
-/// The head of the table; calls are in shares of the limit.
-pub const HEAD: &str = "| phase | mean | first second | worst second after it | worst sliding second | refused for each delivered |
+/// Head of the table; calls are shares of the limit.
+pub const HEAD: &str = "| phase | mean | first second | worst second after it | worst sliding second | rejected for each delivered |
 | --- | --- | --- | --- | --- | --- |";
 
+/// The usage in each phase of a run, and the verdict on the run.
+pub struct PhaseMeasurements {
+    pub rows: Vec<Row>,
+    pub verdict: Verdict,
+}
+
 /// Runs all phases, with a fleet configuration or without, and checks the whole run. It takes 85 s.
-pub async fn measure_phases(fleet_file: Option<&Path>) -> (Vec<Row>, Verdict) {
-    let (mut cluster, _folder) = start(79, 35, fleet_file).await;
+pub async fn measure_phases(fleet_file: Option<&Path>) -> PhaseMeasurements {
+    let StartedCluster { mut cluster, folder: _folder } = start(79, 35, fleet_file).await;
     let mut rows = Vec::new();
     let mut row = |phase, usage| rows.push(Row { phase, usage });
     let all: Vec<usize> = (0..SENDERS).collect();
     let (even, odd): (Vec<usize>, Vec<usize>) = all.iter().partition(|n| *n % 2 == 0);
     let half = &all[..SENDERS / 2];
     cluster.start_load();
-    // Until all have received gossip of one another and the queues are steady.
+    // Time for gossip between all senders and for steady queues.
     sleep(secs(6)).await;
-    row("all hear", cluster.measure_usage(secs(10)).await);
+    row("all links up", cluster.measure_usage(secs(10)).await);
 
     cluster.mesh.cut(&all, half);
-    row("half hear nothing for 12 s", cluster.measure_usage(secs(12)).await);
+    row("half receive nothing for 12 s", cluster.measure_usage(secs(12)).await);
     cluster.mesh.heal();
-    row("they hear again", cluster.measure_usage(secs(4)).await);
+    row("they receive again", cluster.measure_usage(secs(4)).await);
 
-    // Zones are assigned in turn.
+    // Zones alternate by index.
     cluster.mesh.cut(&even, &odd);
     cluster.mesh.cut(&odd, &even);
-    row("the two halls cut from one another", cluster.measure_usage(secs(10)).await);
+    row("the two zones partitioned", cluster.measure_usage(secs(10)).await);
     cluster.mesh.heal();
-    row("they are joined again", cluster.measure_usage(secs(4)).await);
+    row("the partition healed", cluster.measure_usage(secs(4)).await);
 
     cluster.mesh.set(&all, &all, &LinkFaults { drop: 0.5, ..LinkFaults::default() });
-    row("half of all notes lost", cluster.measure_usage(secs(10)).await);
+    row("half of all datagrams lost", cluster.measure_usage(secs(10)).await);
     cluster.mesh.heal();
 
     let from = cluster.event_log().now();
@@ -155,21 +166,21 @@
     }
     sleep(Duration::from_millis(600)).await;
     for &sender in third {
-        cluster.restart(sender, Journal::Kept).await.expect("it starts again");
+        cluster.restart(sender, Journal::Kept).await.expect("restarted");
     }
     sleep(secs(4)).await;
-    row("a third killed, and back after 0.6 s", cluster.usage(from..cluster.event_log().now()));
+    row("a third killed, restarted after 0.6 s", cluster.usage(from..cluster.event_log().now()));
 
     let three = &all[SENDERS / 2..SENDERS / 2 + 3];
     let from = cluster.event_log().now();
     for &sender in three {
-        cluster.pause(sender).await.expect("stopped");
+        cluster.pause(sender).await.expect("paused");
     }
     sleep(secs(8)).await;
     for &sender in three {
-        cluster.resume(sender).await.expect("it goes on");
+        cluster.resume(sender).await.expect("resumed");
     }
     sleep(secs(4)).await;
-    row("three stopped for 8 s, and go on", cluster.usage(from..cluster.event_log().now()));
-    (rows, cluster.finish().await)
+    row("three paused for 8 s, and resumed", cluster.usage(from..cluster.event_log().now()));
+    PhaseMeasurements { rows, verdict: cluster.finish().await }
 }
--- a/crates/daemon/tests/common/program.rs
+++ b/crates/daemon/tests/common/program.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use rudderspindle_testkit::scripted_peers::soon;
+use rudderspindle_testkit::scripted_peers::with_timeout;
 use serde_json::Value;
 use socket2::Socket;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
@@ -19,9 +19,10 @@
 
 /// The built program, killed when dropped.
 pub struct Program {
+    /// Address of the listener for clients.
     pub addr: SocketAddr,
     /// Address of the control listener, if it has one.
-    pub operators: Option<SocketAddr>,
+    pub control: Option<SocketAddr>,
     pub child: Child,
     log: Lines<BufReader<ChildStderr>>,
 }
@@ -30,7 +31,7 @@
     spawn_with_listener(None, config, state)
 }
 
-/// Spawns the program, with a listener for clients that it inherits, if any.
+/// Spawns the program, which inherits the listener for clients if there is one.
 fn spawn_with_listener(listener: Option<&Socket>, config: &Value, state: &Path) -> Child {
     command(listener, config, state).spawn().expect("the program starts")
 }
@@ -57,29 +58,30 @@
         Self::begin(spawn_with_listener(Some(listener), config, state)).await
     }
 
-    /// Starts the program with a failpoint, at which it stops for good and logs that it has reached it.
-    pub async fn start_until(point: &str, config: &Value, state: &Path) -> Self {
+    /// Starts the program with a failpoint: it logs that it has reached the point, and stops there.
+    pub async fn start_with_failpoint(point: &str, config: &Value, state: &Path) -> Self {
         let mut program = command(None, config, state);
         Self::begin(program.env("RELAY_FAILPOINT", point).spawn().expect("the program starts")).await
     }
 
     async fn begin(mut child: Child) -> Self {
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let mut operators = None;
+        let mut control = None;
         let addr = loop {
-            let line = soon("the address", log.next_line()).await.expect("a log").expect("it goes on");
+            let line =
+                with_timeout("the address", log.next_line()).await.expect("a log").expect("a further line");
             if let Some(addr) = line.strip_prefix("operators: listening on ") {
-                operators = Some(addr.parse().expect("an address"));
+                control = Some(addr.parse().expect("an address"));
             }
             if let Some(addr) = line.strip_prefix("listening on ") {
                 break addr.parse().expect("an address");
             }
         };
-        Self { addr, operators, child, log }
+        Self { addr, control, child, log }
     }
 
     /// Waits for a line of the log that contains `text`.
-    pub async fn says(&mut self, text: &str) {
+    pub async fn wait_for_log_line(&mut self, text: &str) {
         let found = async {
             while let Ok(Some(line)) = self.log.next_line().await {
                 if line.contains(text) {
@@ -88,13 +90,14 @@
             }
             false
         };
-        assert!(soon(text, found).await, "the log ended without {text:?}");
+        assert!(with_timeout(text, found).await, "the log ended without {text:?}");
     }
 
     /// The remaining lines of the log, until the program ends.
     pub async fn rest_of_log(&mut self) -> Vec<String> {
         let mut lines = Vec::new();
-        while let Some(line) = soon("the log's end", self.log.next_line()).await.expect("a log") {
+        while let Some(line) = with_timeout("the end of the log", self.log.next_line()).await.expect("a log")
+        {
             lines.push(line);
         }
         lines
@@ -108,7 +111,7 @@
         self.signal("-TERM").await;
     }
 
-    /// Replaces the configuration file by any text and sends SIGHUP.
+    /// Replaces the configuration file by a text and sends SIGHUP.
     pub async fn configure(&self, config: &str, state: &Path) {
         std::fs::write(state.with_extension("json"), config).expect("a configuration file");
         self.signal("-HUP").await;
@@ -126,22 +129,23 @@
         stream
     }
 
+    /// Waits until it has exited.
     pub async fn exit(&mut self) -> ExitStatus {
-        soon("the end", self.child.wait()).await.expect("a status")
+        with_timeout("the exit", self.child.wait()).await.expect("a status")
     }
 
     /// The status of a readiness check.
     pub async fn readiness(&self) -> u16 {
         let ready = Request::get("/-/ready").body(Full::default()).expect("a request");
-        self.request(ready).await.expect("an answer").status().as_u16()
+        self.request(ready).await.expect("a response").status().as_u16()
     }
 
     /// Submits a message for destination 7 on a connection of its own.
-    pub async fn hand_in(&self, class: &str, message_id: &str, body: Bytes) -> Response<Incoming> {
-        self.hand_in_within(class, message_id, body, "60").await
+    pub async fn submit(&self, class: &str, message_id: &str, body: Bytes) -> Response<Incoming> {
+        self.submit_with_time_left(class, message_id, body, "60").await
     }
 
-    pub async fn hand_in_within(
+    pub async fn submit_with_time_left(
         &self,
         class: &str,
         message_id: &str,
@@ -154,7 +158,7 @@
             .header("x-remaining", left)
             .header("x-route-to", "dest=7")
             .header("idempotency-key", format!("key-{message_id}"));
-        self.request(request.body(Full::new(body)).expect("a request")).await.expect("an answer")
+        self.request(request.body(Full::new(body)).expect("a request")).await.expect("a response")
     }
 
     pub async fn request(&self, mut request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
@@ -162,7 +166,7 @@
         request.headers_mut().insert("host", "app.svc".parse().expect("a value"));
         let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(connection);
-        soon("an answer", sender.send_request(request)).await
+        with_timeout("a response", sender.send_request(request)).await
     }
 }
 
--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control.rs
@@ -5,29 +5,21 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use common::*;
-use serde_json::{Value, json};
+use common::body;
+use common::fixture::{ControlFixture, set_up_with_control};
+use rudderspindle_testkit::scripted_peers::{
+    ScriptedResponse, raw_submission, rest, rest_of_answer, status, with_timeout,
+};
+use serde_json::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A sender with a control listener, and where that is.
-async fn set_up(acts: &[Act]) -> (FakePlatform, Receiver, Program, Folder, SocketAddr) {
-    let (platform, receiver) = (FakePlatform::start().await, Receiver::start(acts).await);
-    let mut config = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], DEADLINE_MS);
-    *platform.list.lock().expect("a list") = Some(config["known"].clone());
-    config["control"] = json!("127.0.0.1:0");
-    let folder = lasting();
-    let program = Program::start(&config, &folder.1).await;
-    let control = program.operators.expect("it says where operators call");
-    (platform, receiver, program, folder, control)
-}
-
-/// All that is answered to one line.
+/// The whole response to a line.
 async fn call(control: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(control).await.expect("a connection");
     stream.write_all(line.as_bytes()).await.expect("writable");
     let mut answer = String::new();
-    soon("an answer", stream.read_to_string(&mut answer)).await.expect("readable");
+    with_timeout("an answer", stream.read_to_string(&mut answer)).await.expect("readable");
     answer
 }
 
@@ -40,15 +32,20 @@
 
 #[tokio::test]
 async fn metrics_count_each_final_outcome_and_what_is_pending() {
-    let (_platform, mut receiver, program, _folder, control) =
-        set_up(&[Act::Say(200, None), Act::Say(500, None), Act::Hang]).await;
+    let ControlFixture { platform: _platform, mut receiver, program, folder: _folder, control } =
+        set_up_with_control(&[
+            ScriptedResponse::Status(200),
+            ScriptedResponse::Status(500),
+            ScriptedResponse::NoResponse,
+        ])
+        .await;
     assert_eq!(call(control, "status\n").await, "done\n");
     for (class, message_id) in [("safe", "m1"), ("once", "m2"), ("safe", "m3")] {
-        let answer = program.hand_in(class, message_id, text()).await;
+        let answer = program.submit(class, message_id, body()).await;
         assert_eq!(answer.status(), 202);
-        receiver.call().await;
+        receiver.next_call().await;
     }
-    // The third is out; the ends of the others may be a batch away.
+    // The third call is in flight; the outcomes of the others may be recorded one batch later.
     let mut reported = metrics(control).await;
     let since = Instant::now();
     while reported["faulted"]["once"] != 1 || reported["fulfilled"]["safe"] != 1 {
@@ -64,39 +61,46 @@
 
 #[tokio::test]
 async fn a_drained_sender_serves_requests_without_keep_alive_and_can_be_reactivated() {
-    let (_platform, mut receiver, program, _folder, control) = set_up(&[]).await;
-    // One at rest, and one whose message is half-way when the drain begins.
-    let hand_in = |message_id| raw_submission(message_id, "Content-Length: 4", "text");
-    let mut rests = program.raw(&hand_in("m1")).await;
-    assert_eq!(status(&mut rests).await, Some(202));
-    let whole = hand_in("m2");
-    let mut comes = program.raw(&whole[..30]).await;
+    let ControlFixture { platform: _platform, mut receiver, program, folder: _folder, control } =
+        set_up_with_control(&[]).await;
+    // An idle connection, one with a half-sent request, and a new one when the drain begins.
+    let submit = |message_id| raw_submission(message_id, "Content-Length: 4", "text");
+    let mut idle = program.raw(&submit("m1")).await;
+    assert_eq!(status(&mut idle).await, Some(202));
+    let whole = submit("m2");
+    let mut partial = program.raw(&whole[..30]).await;
     let mut fresh = program.raw(b"").await;
     assert_eq!(program.readiness().await, 200);
     assert_eq!(call(control, "standby\n").await, "done\n");
-    rest(&mut rests).await;
+    rest(&mut idle).await;
     assert_eq!(program.readiness().await, 503);
-    comes.write_all(&whole[30..]).await.expect("it is open");
-    assert_eq!(status(&mut comes).await, Some(202));
-    rest(&mut comes).await;
-    fresh.write_all(&hand_in("m3")).await.expect("it is open");
+    partial.write_all(&whole[30..]).await.expect("it is open");
+    assert_eq!(status(&mut partial).await, Some(202));
+    rest(&mut partial).await;
+    fresh.write_all(&submit("m3")).await.expect("it is open");
     assert_eq!(status(&mut fresh).await, Some(202));
     rest(&mut fresh).await;
     for message_id in ["m1", "m2", "m3"] {
-        assert_eq!(receiver.call().await.message_id, message_id);
+        assert_eq!(receiver.next_call().await.message_id, message_id);
     }
     assert_eq!(call(control, "active\n").await, "done\n");
     assert_eq!(program.readiness().await, 200);
-    let mut stays = program.raw(&hand_in("m4")).await;
-    assert_eq!(status(&mut stays).await, Some(202));
-    rest_of_answer(&mut stays).await;
-    stays.write_all(&hand_in("m5")).await.expect("it is kept");
-    assert_eq!(status(&mut stays).await, Some(202));
+    let mut kept = program.raw(&submit("m4")).await;
+    assert_eq!(status(&mut kept).await, Some(202));
+    rest_of_answer(&mut kept).await;
+    kept.write_all(&submit("m5")).await.expect("it is kept");
+    assert_eq!(status(&mut kept).await, Some(202));
 }
 
 #[tokio::test]
 async fn incomplete_control_requests_do_not_block_other_callers() {
-    let (_platform, _receiver, _program, _folder, control) = set_up(&[]).await;
+    let ControlFixture {
+        platform: _platform,
+        receiver: _receiver,
+        program: _program,
+        folder: _folder,
+        control,
+    } = set_up_with_control(&[]).await;
     let mut silent = Vec::new();
     for n in 0..40 {
         let mut stream = TcpStream::connect(control).await.expect("a connection");
--- a/crates/daemon/tests/crash_points.rs
+++ b/crates/daemon/tests/crash_points.rs
@@ -1,42 +1,45 @@
-//! Kills at named failpoints between two steps of a message, each followed by a restart.
+//! Kills at failpoints between two steps of a message, each followed by a restart.
 
 mod common;
 
-use common::*;
-use serde_json::Value;
+use common::fixture::Site;
+use common::program::Program;
+use common::{DEADLINE_MS, body};
+use rudderspindle_testkit::scripted_peers::{
+    Call, Notification, NotificationRequest, ScriptedResponse, raw_submission, status, with_timeout,
+};
 
-/// Every class: may be repeated at will, by its key, not at all.
+/// The classes: idempotent, with an idempotency key, at most once.
 const CLASSES: [&str; 3] = ["safe", "keyed", "once"];
 
-struct Site {
-    platform: FakePlatform,
-    receiver: Receiver,
-    folder: Folder,
-    config: Value,
-}
-
 impl Site {
-    async fn new(acts: &[Act]) -> Self {
-        let (platform, receiver, config) = start_peers(acts, DEADLINE_MS).await;
-        Self { platform, receiver, folder: lasting(), config }
-    }
-
-    /// A program that stops at the point.
-    async fn until(&self, point: &str) -> Program {
-        Program::start_until(point, &self.config, &self.folder.1).await
+    /// A program that stops at a failpoint.
+    async fn start_with_failpoint(&self, failpoint: &str) -> Program {
+        Program::start_with_failpoint(failpoint, &self.config, &self.folder.state).await
     }
 
-    /// The one after it has been killed.
-    async fn start(&self) -> Program {
-        Program::start(&self.config, &self.folder.1).await
+    /// Starts the program after a kill and checks that `m1` is resumed, and nothing else: it is undeliverable if it
+    /// must not be repeated, and sent again otherwise. Returns the call, if there is one.
+    async fn expect_resumption(&mut self, class: &str) -> Option<Call> {
+        let program = self.start().await;
+        let call = if class == "once" {
+            let notifications = self.platform.next_notifications().await.notifications;
+            assert_eq!(notifications, [Notification::undeliverable("m1")]);
+            None
+        } else {
+            let call = self.receiver.next_call().await;
+            assert_eq!(call.message_id, "m1");
+            Some(call)
+        };
+        self.expect_nothing_more(&program).await;
+        call
     }
 
-    /// A further message, decided on after all that a start recovers, shows that there is no other call or
-    /// notification.
-    async fn nothing_more(&mut self, program: &Program) {
-        assert_eq!(program.hand_in("safe", "last", text()).await.status(), 202);
-        assert_eq!(self.receiver.call().await.message_id, "last");
-        assert!(self.receiver.nothing_called() && self.platform.nothing_reported());
+    /// Checks that there is no other call or notification: a new message is decided on after all recovered ones.
+    async fn expect_nothing_more(&mut self, program: &Program) {
+        assert_eq!(program.submit("safe", "last", body()).await.status(), 202);
+        assert_eq!(self.receiver.next_call().await.message_id, "last");
+        assert!(self.receiver.has_no_calls() && self.platform.has_no_notifications());
     }
 }
 
@@ -48,10 +51,10 @@
 }
 
 /// Submits a message and kills the program when it has reached the failpoint; the client has no response.
-async fn kill_before_the_answer(program: Program, class: &str) {
+async fn kill_before_response(program: Program, class: &str) {
     let mut program = program;
     let mut client = program.raw(&raw(class)).await;
-    program.says("failpoint reached").await;
+    program.wait_for_log_line("failpoint reached").await;
     program.kill().await;
     assert_eq!(status(&mut client).await, None);
 }
@@ -59,116 +62,110 @@
 #[tokio::test]
 async fn killed_before_the_record_a_message_was_never_accepted_and_may_be_submitted_again() {
     for class in CLASSES {
-        let mut site = Site::new(&[]).await;
-        kill_before_the_answer(site.until("taken-on-before-record").await, class).await;
+        let mut site = Site::new(&[], DEADLINE_MS).await;
+        kill_before_response(site.start_with_failpoint("accepted-before-record").await, class).await;
         let program = site.start().await;
-        site.nothing_more(&program).await;
+        site.expect_nothing_more(&program).await;
         let mut client = program.raw(&raw(class)).await;
         assert_eq!(status(&mut client).await, Some(202));
-        assert_eq!(site.receiver.call().await.message_id, "m1");
+        assert_eq!(site.receiver.next_call().await.message_id, "m1");
     }
 }
 
-/// Its first attempt is on record with it, and may have gone out for all that the journal says.
+/// The first attempt is recorded with the message and counts as possibly executed.
 #[tokio::test]
 async fn killed_between_the_record_and_the_202_a_message_still_reaches_a_final_outcome() {
     for class in CLASSES {
-        let mut site = Site::new(&[]).await;
-        kill_before_the_answer(site.until("taken-on-recorded").await, class).await;
-        assert!(site.receiver.nothing_called());
-        let program = site.start().await;
-        if class == "once" {
-            assert_eq!(site.platform.report().await.0, [undeliverable("m1")]);
-        } else {
-            assert_eq!(site.receiver.call().await.message_id, "m1");
-        }
-        site.nothing_more(&program).await;
+        let mut site = Site::new(&[], DEADLINE_MS).await;
+        kill_before_response(site.start_with_failpoint("accepted-recorded").await, class).await;
+        assert!(site.receiver.has_no_calls());
+        site.expect_resumption(class).await;
     }
 }
 
-/// A first attempt was rejected; the second one is on record, and not a byte of it has been sent.
+/// The first attempt was rejected; the second one is recorded, and no byte of it was sent.
 #[tokio::test]
 async fn killed_between_an_attempts_record_and_its_first_byte_it_counts_as_possibly_executed() {
     for class in CLASSES {
-        let mut site = Site::new(&[Act::Say(429, Some(("x-backoff-ms", "20")))]).await;
-        let mut program = site.until("attempt-1-recorded").await;
-        assert_eq!(program.hand_in(class, "m1", text()).await.status(), 202);
-        assert_eq!(site.receiver.call().await.message_id, "m1");
-        program.says("failpoint reached").await;
+        let mut site =
+            Site::new(&[ScriptedResponse::StatusWithHeader(429, "x-backoff-ms", "20")], DEADLINE_MS).await;
+        let mut program = site.start_with_failpoint("attempt-1-recorded").await;
+        assert_eq!(program.submit(class, "m1", body()).await.status(), 202);
+        assert_eq!(site.receiver.next_call().await.message_id, "m1");
+        program.wait_for_log_line("failpoint reached").await;
         program.kill().await;
-        assert!(site.receiver.nothing_called());
-        let program = site.start().await;
-        if class == "once" {
-            assert_eq!(site.platform.report().await.0, [undeliverable("m1")]);
-        } else {
-            assert_eq!(site.receiver.call().await.message_id, "m1");
-        }
-        site.nothing_more(&program).await;
+        assert!(site.receiver.has_no_calls());
+        site.expect_resumption(class).await;
     }
 }
 
 #[tokio::test]
 async fn killed_between_a_response_and_its_record_only_idempotent_messages_are_retried() {
     for class in CLASSES {
-        let mut site = Site::new(&[]).await;
-        let mut program = site.until("delivered-before-record").await;
-        assert_eq!(program.hand_in(class, "m1", text()).await.status(), 202);
-        let first = site.receiver.call().await;
-        program.says("failpoint reached").await;
+        let mut site = Site::new(&[], DEADLINE_MS).await;
+        let mut program = site.start_with_failpoint("delivered-before-record").await;
+        assert_eq!(program.submit(class, "m1", body()).await.status(), 202);
+        let first = site.receiver.next_call().await;
+        program.wait_for_log_line("failpoint reached").await;
         program.kill().await;
-        let program = site.start().await;
-        if class == "once" {
-            assert_eq!(site.platform.report().await.0, [undeliverable("m1")]);
-        } else {
-            let again = site.receiver.call().await;
+        assert_eq!(first.message_id, "m1");
+        if let Some(again) = site.expect_resumption(class).await {
             assert_eq!((&again.message_id, &again.body), (&first.message_id, &first.body));
             assert_eq!(again.headers["idempotency-key"], first.headers["idempotency-key"]);
         }
-        site.nothing_more(&program).await;
     }
 }
 
-/// The platform has the notification, and the journal has no record of it: it is sent once more, and then not again.
+/// The journal has no record of the acknowledgement: the notification is sent once more, and then not again.
 #[tokio::test]
 async fn killed_between_an_acknowledgement_and_its_record_a_notification_is_sent_once_more() {
-    let mut site = Site::new(&[Act::Break]).await;
-    let mut program = site.until("acknowledged-before-record").await;
-    assert_eq!(program.hand_in("once", "m1", text()).await.status(), 202);
-    assert_eq!(site.receiver.call().await.message_id, "m1");
-    assert_eq!(site.platform.report().await, (vec![undeliverable("m1")], 204));
-    program.says("failpoint reached").await;
+    let mut site = Site::new(&[ScriptedResponse::Disconnect], DEADLINE_MS).await;
+    let mut program = site.start_with_failpoint("acknowledged-before-record").await;
+    assert_eq!(program.submit("once", "m1", body()).await.status(), 202);
+    assert_eq!(site.receiver.next_call().await.message_id, "m1");
+    assert_eq!(
+        site.platform.next_notifications().await,
+        NotificationRequest::one(Notification::undeliverable("m1"), 204)
+    );
+    program.wait_for_log_line("failpoint reached").await;
     program.kill().await;
     let program = site.start().await;
-    assert_eq!(site.platform.report().await, (vec![undeliverable("m1")], 204));
-    // Its end is on record once an operator's stop has let the engine settle it.
+    assert_eq!(
+        site.platform.next_notifications().await,
+        NotificationRequest::one(Notification::undeliverable("m1"), 204)
+    );
+    // A graceful shutdown records its completion.
     program.terminate().await;
     let mut program = program;
     assert!(program.exit().await.success());
     let program = site.start().await;
-    site.nothing_more(&program).await;
+    site.expect_nothing_more(&program).await;
 }
 
-/// Without a response the notification is sent again, also by the process after the one that was killed.
+/// An unanswered notification is repeated, also by the next process.
 #[tokio::test]
 async fn killed_while_a_notification_is_unanswered_it_is_sent_again() {
-    let mut site = Site::new(&[Act::Break]).await;
+    let mut site = Site::new(&[ScriptedResponse::Disconnect], DEADLINE_MS).await;
     let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let mut config = site.config.clone();
     config["discovery"] = silent.local_addr().expect("an address").to_string().into();
-    let program = Program::start(&config, &site.folder.1).await;
-    assert_eq!(program.hand_in("once", "m1", text()).await.status(), 202);
-    assert_eq!(site.receiver.call().await.message_id, "m1");
+    let program = Program::start(&config, &site.folder.state).await;
+    assert_eq!(program.submit("once", "m1", body()).await.status(), 202);
+    assert_eq!(site.receiver.next_call().await.message_id, "m1");
     loop {
-        let (mut stream, _) = soon("a connection", silent.accept()).await.expect("a connection");
+        let (mut stream, _) = with_timeout("a connection", silent.accept()).await.expect("a connection");
         let mut seen = vec![0; 12];
         let read = tokio::io::AsyncReadExt::read_exact(&mut stream, &mut seen);
-        // The list is asked for on connections of its own.
-        if soon("a request", read).await.is_ok() && seen.starts_with(b"POST /report") {
+        // The list is requested on other connections.
+        if with_timeout("a request", read).await.is_ok() && seen.starts_with(b"POST /report") {
             break;
         }
     }
     program.kill().await;
     let program = site.start().await;
-    assert_eq!(site.platform.report().await, (vec![undeliverable("m1")], 204));
-    site.nothing_more(&program).await;
+    assert_eq!(
+        site.platform.next_notifications().await,
+        NotificationRequest::one(Notification::undeliverable("m1"), 204)
+    );
+    site.expect_nothing_more(&program).await;
 }
--- a/crates/daemon/tests/golden/clients.rs
+++ b/crates/daemon/tests/golden/clients.rs
@@ -1,37 +1,40 @@
-//! Answers as clients get them: taken on, refused, and requests that cannot be taken.
+//! Responses to clients: accepted, rejected and invalid submissions, and readiness.
 
+use rudderspindle_testkit::scripted_peers::{
+    FakePlatform, Receiver, ScriptedResponse, config, member, raw_submission, with_timeout,
+};
 use serde_json::Value;
 use tokio::io::AsyncReadExt;
 
-use crate::common::{
-    Act, FakePlatform, Folder, Program, Receiver, config, lasting, member, raw_submission, set_up, soon,
-};
+use crate::common::DEADLINE_MS;
+use crate::common::fixture::{Fixture, set_up};
+use crate::common::folder::persistent_folder;
+use crate::common::program::Program;
 use crate::expected::{assert_golden, printable, section};
 use crate::normalise::date;
 
-const DEADLINE_MS: f64 = 60_000.0;
 const LENGTH: &str = "Content-Length: 4";
 const BODY: &str = "text";
 const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// A hand-in that can be taken, as a client writes it.
+/// A valid submission as a client writes it.
 fn good() -> String {
     String::from_utf8(raw_submission("m1", LENGTH, BODY)).expect("text")
 }
 
-/// The same with something in it replaced, which must be there.
+/// A valid submission with one part replaced.
 fn with(old: &str, new: &str) -> String {
     let good = good();
     assert!(good.contains(old), "{old} is not in {good}");
     good.replace(old, new)
 }
 
-/// The whole answer to a request on a connection of its own.
+/// The whole response to a request on a new connection.
 async fn answer(program: &Program, request: &str) -> String {
     let mut stream = program.raw(request.as_bytes()).await;
     let mut bytes = Vec::new();
     while !is_whole(&bytes) {
-        let count = soon("an answer", stream.read_buf(&mut bytes)).await.expect("readable");
+        let count = with_timeout("an answer", stream.read_buf(&mut bytes)).await.expect("readable");
         assert!(count > 0, "the connection ended within {}", printable(&bytes));
     }
     date(&printable(&bytes))
@@ -44,43 +47,47 @@
     body.len() >= length.expect("a length").parse().expect("a length")
 }
 
-/// A sender that three messages may wait at, and whose only receiver takes none; `keyed` is worth more than `safe`.
-async fn small() -> (FakePlatform, Receiver, Program, Folder) {
+/// A sender that accepts three messages at most and whose only receiver is draining; `keyed` has a higher value than
+/// `safe`.
+async fn small() -> Fixture {
     let (platform, receiver) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let mut config: Value = config(platform.addr, &[member("r1", receiver.addr, 7, "DRAINING")], DEADLINE_MS);
     config["settings"]["limits"]["most_held"] = 4.into();
     config["settings"]["lanes"][1]["credit"] = 5.0.into();
-    *platform.list.lock().expect("a list") = Some(config["known"].clone());
-    let folder = lasting();
-    let program = Program::start(&config, &folder.1).await;
-    (platform, receiver, program, folder)
+    platform.set_list(config["known"].clone());
+    let folder = persistent_folder();
+    let program = Program::start(&config, &folder.state).await;
+    Fixture { platform, receiver, program, folder, config }
 }
 
 #[tokio::test]
 async fn a_message_that_is_taken_on_is_answered_with_these_bytes() {
-    let (_platform, _receiver, program, _folder, _config) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, config: _config } =
+        set_up(&[], DEADLINE_MS).await;
     assert_golden("client_taken_on.txt", &answer(&program, &good()).await);
 }
 
 #[tokio::test]
 async fn a_message_without_time_is_refused_with_these_bytes() {
-    let (_platform, _receiver, program, _folder, _config) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, config: _config } =
+        set_up(&[], DEADLINE_MS).await;
     let late = with("X-Remaining: 60", "X-Remaining: 0");
     assert_golden("client_refused.txt", &answer(&program, &late).await);
 }
 
 #[tokio::test]
 async fn a_message_that_finds_no_room_is_refused_with_a_time_with_these_bytes() {
-    let (_platform, _receiver, program, _folder) = small().await;
+    let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, .. } = small().await;
     for message_id in ["k1", "k2", "k3"] {
-        assert_eq!(program.hand_in("keyed", message_id, BODY.into()).await.status(), 202, "{message_id}");
+        assert_eq!(program.submit("keyed", message_id, BODY.into()).await.status(), 202, "{message_id}");
     }
     assert_golden("client_refused_with_time.txt", &answer(&program, &good()).await);
 }
 
 #[tokio::test]
 async fn a_destination_or_class_that_nobody_knows_is_answered_with_these_bytes() {
-    let (_platform, _receiver, program, _folder, _config) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, config: _config } =
+        set_up(&[], DEADLINE_MS).await;
     let destination = answer(&program, &with("dest=7", "dest=8")).await;
     let class = answer(&program, &with("/safe", "/nothing")).await;
     let text = section("unknown destination", &destination) + &section("unknown class", &class);
@@ -89,7 +96,8 @@
 
 #[tokio::test]
 async fn bad_requests_are_answered_with_these_bytes() {
-    let (_platform, mut receiver, program, _folder, _config) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, mut receiver, program, folder: _folder, config: _config } =
+        set_up(&[], DEADLINE_MS).await;
     let cases = [
         ("no id", with("X-Txn: m1\r\n", "")),
         ("unknown tenant", with("X-Org: acme", "X-Org: nobody")),
@@ -106,32 +114,35 @@
         text += &section(title, &answer(&program, &request).await);
     }
     assert_golden("client_bad_requests.txt", &text);
-    assert!(receiver.nothing_called());
+    assert!(receiver.has_no_calls());
 }
 
 #[tokio::test]
 async fn a_request_that_is_too_large_is_answered_with_these_bytes() {
-    let (_platform, _receiver, program, _folder, _config) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, config: _config } =
+        set_up(&[], DEADLINE_MS).await;
     let large = with(LENGTH, "Content-Length: 65537");
     assert_golden("client_too_large.txt", &answer(&program, &large).await);
 }
 
 #[tokio::test]
 async fn readiness_is_answered_with_these_bytes() {
-    let (_platform, _receiver, program, _folder, _config) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, config: _config } =
+        set_up(&[], DEADLINE_MS).await;
     let text = section("ready", &answer(&program, READY).await);
     let posted = answer(&program, &READY.replace("GET", "POST")).await;
     assert_golden("client_ready.txt", &(text + &section("not asked by GET", &posted)));
 }
 
-/// A call that is out keeps the program from its end for a while.
+/// A call in flight delays the exit of the program.
 #[tokio::test]
 async fn clients_of_a_program_that_stops_are_answered_with_these_bytes() {
-    let (_platform, mut receiver, mut program, _folder, _config) = set_up(&[Act::Hang], DEADLINE_MS).await;
-    assert_eq!(program.hand_in("once", "m0", BODY.into()).await.status(), 202);
-    receiver.call().await;
+    let Fixture { platform: _platform, mut receiver, mut program, folder: _folder, config: _config } =
+        set_up(&[ScriptedResponse::NoResponse], DEADLINE_MS).await;
+    assert_eq!(program.submit("once", "m0", BODY.into()).await.status(), 202);
+    receiver.next_call().await;
     program.terminate().await;
-    program.says("stopping").await;
+    program.wait_for_log_line("stopping").await;
     let text = section("readiness", &answer(&program, READY).await);
     assert_golden(
         "client_while_stopping.txt",
--- a/crates/daemon/tests/golden/expected.rs
+++ b/crates/daemon/tests/golden/expected.rs
@@ -1,18 +1,18 @@
-//! The golden files, and how bytes are written in them.
+//! The golden files, and the notation of bytes in them.
 
 use std::fmt::Write;
 use std::path::Path;
 
-/// Compares a text with the golden file of that name, whole.
+/// Compares a text with a golden file.
 pub fn assert_golden(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/files").join(name);
     let expected =
         std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
-    assert_eq!(text, expected, "left is what came, right is {name}");
+    assert_eq!(text, expected, "left is actual, right is {name}");
 }
 
-/// Bytes as text: each end of a line is shown and followed by a real one, what cannot be printed is `\x` and its code,
-/// and the last line is ended.
+/// Bytes as text: `\n` is escaped and followed by a line break, other control and non-ASCII bytes are written as `\x` and
+/// their code, and the text ends with a line break.
 pub fn printable(bytes: &[u8]) -> String {
     let mut text = String::new();
     for &byte in bytes {
--- a/crates/daemon/tests/golden/log_errors.rs
+++ b/crates/daemon/tests/golden/log_errors.rs
@@ -1,19 +1,20 @@
-//! Lines on standard error, and the exit status, of a program that cannot start.
+//! Log lines and exit status of a program that cannot start.
 
 use std::net::SocketAddr;
 use std::path::Path;
 
+use rudderspindle_testkit::scripted_peers::{FakePlatform, config, with_timeout};
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 use tokio::process::Command;
 
-use crate::common::{FakePlatform, Program, config, lasting, soon};
+use crate::common::DEADLINE_MS;
+use crate::common::folder::persistent_folder;
+use crate::common::program::Program;
 use crate::expected::{assert_golden, section};
 use crate::normalise::known;
 
-const DEADLINE_MS: f64 = 60_000.0;
-
-/// What a start with these variables logs until its end, and its exit status.
+/// The log and exit status of a start with these variables.
 async fn failed_start(variables: &[(&str, &str)]) -> String {
     let mut program = Command::new(env!("CARGO_BIN_EXE_rudderspindle"));
     for name in
@@ -22,7 +23,7 @@
         program.env_remove(name);
     }
     program.envs(variables.iter().copied()).kill_on_drop(true);
-    let output = soon("the end", program.output()).await.expect("it runs");
+    let output = with_timeout("the end", program.output()).await.expect("it runs");
     let code = output.status.code().expect("it ended by itself");
     assert_eq!(output.stdout, b"", "nothing goes to standard output");
     format!("{}exit status {code}\n", String::from_utf8(output.stderr).expect("text"))
@@ -33,7 +34,7 @@
     config(nobody, &[], DEADLINE_MS)
 }
 
-/// What a start with this text as configuration logs, with the file's and the folder's names replaced.
+/// The log of a start with this text as configuration, with the paths of file and folder replaced.
 async fn refused(text: &str, state: &Path) -> String {
     let file = state.with_extension("json");
     std::fs::write(&file, text).expect("a configuration file");
@@ -44,10 +45,10 @@
 
 #[tokio::test]
 async fn a_start_without_what_it_needs_ends_with_these_lines() {
-    let folder = lasting();
-    let file = folder.1.with_extension("json");
+    let folder = persistent_folder();
+    let file = folder.state.with_extension("json");
     std::fs::write(&file, good().to_string()).expect("a configuration file");
-    let (file, state) = (file.to_str().expect("text"), folder.1.to_str().expect("text"));
+    let (file, state) = (file.to_str().expect("text"), folder.state.to_str().expect("text"));
     let missing = format!("{file}.missing");
     let both = [("RELAY_CONFIG", file), ("RELAY_STATE", state)];
     let cases: [(&str, &[(&str, &str)]); 5] = [
@@ -66,8 +67,8 @@
 
 #[tokio::test]
 async fn a_configuration_that_cannot_be_used_ends_the_program_with_these_lines() {
-    let folder = lasting();
-    let mut text = section("no JSON", &refused("{", &folder.1).await);
+    let folder = persistent_folder();
+    let mut text = section("no JSON", &refused("{", &folder.state).await);
     let cases = [
         ("/listen", json!("nowhere")),
         ("/discovery", json!(5)),
@@ -87,27 +88,27 @@
         let (parent, key) = place.rsplit_once('/').expect("a place");
         let mut config = good();
         config.pointer_mut(parent).expect("a place")[key] = value;
-        text += &section(place, &refused(&config.to_string(), &folder.1).await);
+        text += &section(place, &refused(&config.to_string(), &folder.state).await);
     }
     assert_golden("log_of_refused_configurations.txt", &text);
 }
 
 #[tokio::test]
 async fn an_address_that_is_taken_ends_the_program_with_this_line() {
-    let (folder, taken) = (lasting(), TcpListener::bind("127.0.0.1:0").await.expect("a port"));
+    let (folder, taken) = (persistent_folder(), TcpListener::bind("127.0.0.1:0").await.expect("a port"));
     let addr = taken.local_addr().expect("an address").to_string();
     let mut config = good();
     config["listen"] = json!(addr);
-    let said = refused(&config.to_string(), &folder.1).await;
+    let said = refused(&config.to_string(), &folder.state).await;
     assert_golden("log_of_a_taken_address.txt", &known(&said, &addr, "ADDRESS"));
 }
 
 #[tokio::test]
 async fn a_third_program_on_one_folder_ends_with_this_line() {
-    let (platform, folder) = (FakePlatform::start().await, lasting());
+    let (platform, folder) = (FakePlatform::start().await, persistent_folder());
     let config = config(platform.addr, &[], DEADLINE_MS);
-    let _first = Program::start(&config, &folder.1).await;
-    let _second = Program::start(&config, &folder.1).await;
-    let said = refused(&config.to_string(), &folder.1).await;
+    let _first = Program::start(&config, &folder.state).await;
+    let _second = Program::start(&config, &folder.state).await;
+    let said = refused(&config.to_string(), &folder.state).await;
     assert_golden("log_of_a_third_program.txt", &said);
 }
--- a/crates/daemon/tests/golden/logged.rs
+++ b/crates/daemon/tests/golden/logged.rs
@@ -1,13 +1,14 @@
-//! A running program of which every line of its log is kept.
+//! A running program whose whole log is kept.
 
 use std::path::Path;
 use std::process::ExitStatus;
 
+use rudderspindle_testkit::scripted_peers::with_timeout;
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, BufReader, Lines};
 use tokio::process::{Child, ChildStderr};
 
-use crate::common::{signal, soon, spawn};
+use crate::common::program::{signal, spawn};
 use crate::normalise::{is_loopback_address, value_after};
 
 /// The program, and the lines that it has logged so far.
@@ -17,6 +18,13 @@
     seen: Vec<String>,
 }
 
+/// A program that has exited.
+pub struct Exit {
+    /// Its whole log, with its addresses replaced.
+    pub log: String,
+    pub status: ExitStatus,
+}
+
 impl Logged {
     /// Starts it and waits until it listens.
     pub async fn start(config: &Value, state: &Path) -> Self {
@@ -27,10 +35,10 @@
         logged
     }
 
-    /// Reads on until a line begins so, and returns the rest of that line.
+    /// Reads until a line starts with `start`, and returns the rest of that line.
     pub async fn until(&mut self, start: &str) -> String {
         loop {
-            let line = soon(start, self.log.next_line()).await.expect("a log").expect("it goes on");
+            let line = with_timeout(start, self.log.next_line()).await.expect("a log").expect("it goes on");
             self.seen.push(line.clone());
             if let Some(rest) = line.strip_prefix(start) {
                 return rest.to_owned();
@@ -38,7 +46,7 @@
         }
     }
 
-    /// Where a line that has been read says that the program listens.
+    /// The address in a line that has been read and starts with `start`.
     pub fn address_after(&self, start: &str) -> &str {
         self.seen.iter().find_map(|line| line.strip_prefix(start)).expect("an address")
     }
@@ -53,18 +61,18 @@
         self.child.kill().await.expect("it can be killed");
     }
 
-    /// Waits for the program's end: its whole log, with its addresses replaced, and its exit status.
-    pub async fn end(mut self) -> (String, ExitStatus) {
-        while let Some(line) = soon("the log's end", self.log.next_line()).await.expect("a log") {
+    /// Waits until the program exits.
+    pub async fn wait_for_exit(mut self) -> Exit {
+        while let Some(line) = with_timeout("the log's end", self.log.next_line()).await.expect("a log") {
             self.seen.push(line);
         }
-        let status = soon("the end", self.child.wait()).await.expect("a status");
+        let status = with_timeout("the end", self.child.wait()).await.expect("a status");
         let mut text = self.seen.join("\n") + "\n";
         for start in ["operators: listening on ", "listening on "] {
             if text.lines().any(|line| line.starts_with(start)) {
                 text = value_after(&text, start, "", is_loopback_address, "ADDRESS");
             }
         }
-        (text, status)
+        Exit { log: text, status }
     }
 }
--- a/crates/daemon/tests/golden/main.rs
+++ b/crates/daemon/tests/golden/main.rs
@@ -1,7 +1,7 @@
-//! The bytes and lines that the program exchanges with its surroundings, compared with files written earlier.
+//! The bytes that the program exchanges with its peers, and its log lines, compared with golden files.
 //!
-//! Each comparison is of whole texts. What differs from run to run is replaced by a named placeholder first, and only
-//! if it has exactly the form that it must have.
+//! Whole texts are compared. Values that differ from run to run are replaced by named placeholders first, and only if
+//! they have exactly the expected form.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/daemon/tests/golden/normalise.rs
+++ b/crates/daemon/tests/golden/normalise.rs
@@ -1,12 +1,20 @@
-//! Replaces what differs from run to run by named placeholders; anything of another form is a failure.
+//! Replaces values that differ from run to run by named placeholders, and panics if one has an unexpected form.
 
-/// Replaces a value that the test knows, which must be there.
+/// Replaces a known value.
+///
+/// # Panics
+///
+/// If the text does not contain it.
 pub fn known(text: &str, value: &str, placeholder: &str) -> String {
     assert!(text.contains(value), "{value} is not in {text}");
     text.replace(value, placeholder)
 }
 
-/// Replaces the rest of the one line that begins with `start`, up to `end`, if it has the right form.
+/// Replaces the value between `start` and `end` in the only line that starts with `start`.
+///
+/// # Panics
+///
+/// If there is not exactly one such line, or the value does not have the expected form.
 pub fn value_after(
     text: &str,
     start: &str,
@@ -24,12 +32,12 @@
     text.replacen(&format!("{start}{value}{end}"), &format!("{start}{placeholder}{end}"), 1)
 }
 
-/// A request's remaining time, which is at most 60 s.
+/// Replaces a request's remaining time, which is at most 60 s.
 pub fn remaining_time(request: &str) -> String {
     value_after(request, "x-remaining: ", "\\r\\n", is_remaining_time, "SECONDS")
 }
 
-/// An answer's date.
+/// Replaces a response's date.
 pub fn date(answer: &str) -> String {
     value_after(answer, "date: ", "\\r\\n", is_date, "DATE")
 }
@@ -43,7 +51,7 @@
     digits(seconds) && digits(decimals) && decimals.len() == 3 && plain && in_range
 }
 
-/// A date as HTTP writes it, such as `Wed, 02 Dec 2026 05:11:44 GMT`.
+/// An HTTP date, such as `Wed, 02 Dec 2026 05:11:44 GMT`.
 fn is_date(text: &str) -> bool {
     const DAYS: [&str; 7] = ["Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"];
     const MONTHS: [&str; 12] =
@@ -60,7 +68,7 @@
     port.parse::<u16>().is_ok_and(|number| number > 0 && number.to_string() == port)
 }
 
-/// JSON on one line, as it stands, with each number outside strings replaced by its kind.
+/// Replaces each number outside strings by its kind.
 pub fn number_kinds(json: &str) -> String {
     let (mut text, mut number, mut in_string, mut escaped) = (String::new(), String::new(), false, false);
     for c in json.chars() {
@@ -82,7 +90,7 @@
     text + &kind(&number)
 }
 
-/// The kind of a number; nothing for nothing.
+/// The kind of a number; empty for an empty text.
 fn kind(number: &str) -> String {
     let kind = match number {
         "" => "",
--- a/crates/daemon/tests/golden/recorder.rs
+++ b/crates/daemon/tests/golden/recorder.rs
@@ -1,26 +1,26 @@
-//! A peer of the program that keeps each request as it came, byte for byte, and answers as told.
+//! A peer of the program that records each request byte for byte and answers as the test directs.
 
 use std::net::SocketAddr;
 
+use rudderspindle_testkit::scripted_peers::with_timeout;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-use crate::common::soon;
 use crate::expected::printable;
 
-/// The head of an answer whose body ends with the connection.
+/// The head of a response whose body ends with the connection.
 pub const OPEN_ENDED: &str = "HTTP/1.1 200 OK\r\n\r\n";
 
-/// An answer that a recorder gives by itself.
+/// A response that a recorder writes without the test.
 pub enum AtOnce {
-    /// The connection is closed behind it.
+    /// The connection is closed after it.
     Closing(String),
     /// The connection stays open, and the test may write more.
     Open(String),
 }
 
-/// What answers a request at once, from the request and some material; `None` leaves it to the test.
+/// Gives the response to a request, from the request and a fixed text; `None` leaves it to the test.
 pub type AnswerAtOnce = fn(&str, &str) -> Option<AtOnce>;
 
 /// A listener whose requests are recorded.
@@ -29,7 +29,7 @@
     requests: UnboundedReceiver<Recorded>,
 }
 
-/// One request. Its connection is read on once this is dropped.
+/// A recorded request. The next one on its connection is read when this is dropped.
 pub struct Recorded {
     bytes: Vec<u8>,
     to_connection: UnboundedSender<Command>,
@@ -41,12 +41,12 @@
 }
 
 impl Recorder {
-    /// Starts one that leaves each answer to the test.
+    /// Starts a recorder whose requests the test answers.
     pub async fn start() -> Self {
         Self::start_with(String::new(), |_, _| None).await
     }
 
-    /// Starts one that gives some answers itself, from the request and `material`.
+    /// Starts a recorder that answers some requests itself, from the request and `material`.
     pub async fn start_with(material: String, answer: AnswerAtOnce) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
@@ -61,10 +61,10 @@
 
     /// The next request, whatever it is.
     pub async fn next(&mut self) -> Recorded {
-        soon("a request", self.requests.recv()).await.expect("a recorder")
+        with_timeout("a request", self.requests.recv()).await.expect("a recorder")
     }
 
-    /// The next request that begins so.
+    /// The next request that starts with `start`.
     pub async fn next_of(&mut self, start: &str) -> Recorded {
         loop {
             let request = self.next().await;
@@ -76,28 +76,28 @@
 }
 
 impl Recorded {
-    /// The request as golden files have it.
+    /// The request in the form of the golden files.
     pub fn text(&self) -> String {
         printable(&self.bytes)
     }
 
-    /// Writes bytes of an answer.
+    /// Writes a part of a response.
     pub fn write(&self, text: &str) {
         assert!(self.to_connection.send(Command::Write(text.to_owned())).is_ok(), "the connection is gone");
     }
 
-    /// Writes a whole answer without a body.
+    /// Writes a response without a body.
     pub fn answer(self, status: &str) {
         self.write(&format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n"));
     }
 
-    /// Ends the connection.
+    /// Closes the connection.
     pub fn close(self) {
         assert!(self.to_connection.send(Command::Close).is_ok(), "the connection is gone");
     }
 }
 
-/// Records what comes over a connection, until it ends.
+/// Records the requests of a connection until it ends.
 async fn record(
     mut stream: TcpStream,
     material: String,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Reads one request to the end of its body; nothing if the connection ends first.
+/// Reads one request; `None` if the connection ends first.
 async fn read_request(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     loop {
--- a/crates/daemon/tests/invalid_configurations/mod.rs
+++ b/crates/daemon/tests/invalid_configurations/mod.rs
@@ -2,9 +2,30 @@
 
 use serde_json::{Value, json};
 
-/// JSON pointer, invalid value (`None`: the key is removed), key that the error names and what it says is valid.
+/// An invalid value in a configuration, and the error that it produces.
+pub struct InvalidConfiguration {
+    /// JSON pointer to the value.
+    pub pointer: &'static str,
+    /// The invalid value; `None` removes the key.
+    pub value: Option<Value>,
+    /// Key and value as the error names them.
+    pub key: &'static str,
+    /// Valid values as the error names them.
+    pub expected: &'static str,
+}
+
+fn case(
+    pointer: &'static str,
+    value: Option<Value>,
+    key: &'static str,
+    expected: &'static str,
+) -> InvalidConfiguration {
+    InvalidConfiguration { pointer, value, key, expected }
+}
+
+/// All cases.
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-pub fn invalid_configurations() -> Vec<(&'static str, Option<Value>, &'static str, &'static str)> {
+pub fn invalid_configurations() -> Vec<InvalidConfiguration> {
     let span = "a number of ms above 0 is wanted";
     let effect = r#"one of "free", "guarded", "single_shot" is wanted"#;
     let (whole, part) = ("a whole number from 1 to 4294967295 is wanted", "a number from 0 to 1 is wanted");
@@ -13,105 +34,115 @@
     let address = "an address and a port, as in \"127.0.0.1:9000\", is wanted";
     let one = "a list of one at least, as there is no class of message otherwise, is wanted";
     vec![
-        ("/settings/lanes/1/effect", None, r#"settings.lanes[1].effect ("keyed") is missing"#, effect),
-        (
+        case("/settings/lanes/1/effect", None, r#"settings.lanes[1].effect ("keyed") is missing"#, effect),
+        case(
             "/settings/lanes/1/effect",
             Some(json!("sure")),
             r#"settings.lanes[1].effect ("keyed") is "sure""#,
             effect,
         ),
-        (
+        case(
             "/settings/lanes/1/group",
             Some(json!("every")),
             r#"settings.lanes[1].group ("keyed") is "every""#,
             r#"one of "all", "zone", "cell" is wanted"#,
         ),
-        ("/settings/lanes/1/window", Some(json!(0)), r#"settings.lanes[1].window ("keyed") is 0"#, span),
-        ("/settings/lanes/1/window", Some(json!(-1)), r#"settings.lanes[1].window ("keyed") is -1"#, span),
-        (
+        case("/settings/lanes/1/window", Some(json!(0)), r#"settings.lanes[1].window ("keyed") is 0"#, span),
+        case(
+            "/settings/lanes/1/window",
+            Some(json!(-1)),
+            r#"settings.lanes[1].window ("keyed") is -1"#,
+            span,
+        ),
+        case(
             "/settings/lanes/1/window",
             Some(json!("1s")),
             r#"settings.lanes[1].window ("keyed") is "1s""#,
             span,
         ),
-        ("/settings/lanes/1/window", None, r#"settings.lanes[1].window ("keyed") is missing"#, span),
-        ("/settings/lanes/0/deadline", Some(json!(0)), r#"settings.lanes[0].deadline ("safe") is 0"#, span),
-        (
+        case("/settings/lanes/1/window", None, r#"settings.lanes[1].window ("keyed") is missing"#, span),
+        case(
+            "/settings/lanes/0/deadline",
+            Some(json!(0)),
+            r#"settings.lanes[0].deadline ("safe") is 0"#,
+            span,
+        ),
+        case(
             "/settings/lanes/0/deadline",
             Some(json!(-9.5)),
             r#"settings.lanes[0].deadline ("safe") is -9.5"#,
             span,
         ),
-        (
+        case(
             "/settings/lanes/0/deadline",
             Some(json!(true)),
             r#"settings.lanes[0].deadline ("safe") is true"#,
             span,
         ),
-        ("/settings/lanes/0/deadline", None, r#"settings.lanes[0].deadline ("safe") is missing"#, span),
-        ("/settings/lanes/0/name", None, "settings.lanes[0].name is missing", "a name is wanted"),
-        (
+        case("/settings/lanes/0/deadline", None, r#"settings.lanes[0].deadline ("safe") is missing"#, span),
+        case("/settings/lanes/0/name", None, "settings.lanes[0].name is missing", "a name is wanted"),
+        case(
             "/settings/lanes/2/name",
             Some(json!("safe")),
             r#"settings.lanes[2].name ("safe") is "safe""#,
             "another name than that of settings.lanes[0] is wanted",
         ),
-        (
+        case(
             "/settings/lanes/1/in_order",
             Some(json!(true)),
             r#"settings.lanes[*].in_order ("keyed") is true"#,
             "false is wanted, as messages come without a key for it",
         ),
-        ("/settings/lanes", Some(json!([])), "settings.lanes is []", one),
-        ("/settings/lanes", None, "settings.lanes is missing", one),
-        ("/settings", None, "settings.kinds is missing", "a list of one at least"),
-        (
+        case("/settings/lanes", Some(json!([])), "settings.lanes is []", one),
+        case("/settings/lanes", None, "settings.lanes is missing", one),
+        case("/settings", None, "settings.kinds is missing", "a list of one at least"),
+        case(
             "/settings/projects/0/fraction",
             Some(json!(1.01)),
             r#"settings.projects[0].fraction ("acme") is 1.01"#,
             part,
         ),
-        (
+        case(
             "/settings/projects",
             Some(json!([{"fraction": 0.75}, {"fraction": 0.5}])),
             "settings.projects[*].fraction in all is 1.25",
             "a sum of 1 at the most is wanted",
         ),
-        (
+        case(
             "/settings/projects/0/quota_per_s",
             Some(json!(-1)),
             r#"settings.projects[0].quota_per_s ("acme") is -1"#,
             "a number, 0 or more is wanted",
         ),
-        ("/settings/extra/calls_out", Some(json!(0)), "settings.extra.calls_out is 0", whole),
-        ("/settings/limits/max_attempts", Some(json!(2.5)), "settings.limits.max_attempts is 2.5", whole),
-        ("/settings/limits/most_held", Some(json!(-300)), "settings.limits.most_held is -300", whole),
-        (
+        case("/settings/extra/calls_out", Some(json!(0)), "settings.extra.calls_out is 0", whole),
+        case("/settings/limits/max_attempts", Some(json!(2.5)), "settings.limits.max_attempts is 2.5", whole),
+        case("/settings/limits/most_held", Some(json!(-300)), "settings.limits.most_held is -300", whole),
+        case(
             "/settings/peers_total",
             Some(json!(0)),
             "settings.peers_total is 0, and peers lists nobody",
             "a whole number of senders from 1 on is wanted",
         ),
-        ("/limits/sockets", Some(json!(0)), "limits.sockets is 0", sockets),
-        ("/limits/sockets", Some(json!(41)), "limits.sockets is 41", sockets),
-        ("/limits/sockets", Some(json!(-64)), "limits.sockets is -64", sockets),
-        ("/limits/sockets", None, "limits.sockets is missing", sockets),
-        ("/limits/disk_mb", Some(json!(0)), "limits.disk_mb is 0", disk),
-        ("/limits/disk_mb", Some(json!(-3.0)), "limits.disk_mb is -3.0", disk),
-        ("/limits/disk_mb", Some(json!("3")), "limits.disk_mb is \"3\"", disk),
-        ("/limits/disk_mb", None, "limits.disk_mb is missing", disk),
-        (
+        case("/limits/sockets", Some(json!(0)), "limits.sockets is 0", sockets),
+        case("/limits/sockets", Some(json!(41)), "limits.sockets is 41", sockets),
+        case("/limits/sockets", Some(json!(-64)), "limits.sockets is -64", sockets),
+        case("/limits/sockets", None, "limits.sockets is missing", sockets),
+        case("/limits/disk_mb", Some(json!(0)), "limits.disk_mb is 0", disk),
+        case("/limits/disk_mb", Some(json!(-3.0)), "limits.disk_mb is -3.0", disk),
+        case("/limits/disk_mb", Some(json!("3")), "limits.disk_mb is \"3\"", disk),
+        case("/limits/disk_mb", None, "limits.disk_mb is missing", disk),
+        case(
             "/limits/memory_mb",
             Some(json!(-1)),
             "limits.memory_mb is -1",
             "a number of MB, 0 or more is wanted",
         ),
-        ("/limits", None, "limits.sockets is missing", sockets),
-        ("/listen", Some(json!("here")), "listen is \"here\"", address),
-        ("/listen", None, "listen is missing", address),
-        ("/discovery", None, "discovery is missing", address),
-        ("/control", Some(json!(9000)), "control is 9000", address),
-        ("/seed", Some(json!(5)), "seed is 5", "a text is wanted"),
-        ("/known", Some(json!(5)), "known is 5", "a list of receivers"),
+        case("/limits", None, "limits.sockets is missing", sockets),
+        case("/listen", Some(json!("here")), "listen is \"here\"", address),
+        case("/listen", None, "listen is missing", address),
+        case("/discovery", None, "discovery is missing", address),
+        case("/control", Some(json!(9000)), "control is 9000", address),
+        case("/seed", Some(json!(5)), "seed is 5", "a text is wanted"),
+        case("/known", Some(json!(5)), "known is 5", "a list of receivers"),
     ]
 }
--- a/crates/daemon/tests/malformed_requests.rs
+++ b/crates/daemon/tests/malformed_requests.rs
@@ -1,19 +1,22 @@
-//! Malformed and invalid requests: each gets an error, and none is accepted.
+//! Malformed and invalid requests: each gets an error and none is accepted.
 
 mod common;
 
 use std::time::Instant;
 
 use bytes::Bytes;
-use common::*;
+use common::fixture::{Fixture, set_up};
+use common::folder::disk_use;
+use common::{DEADLINE_MS, REJECTION_TIMEOUT, body};
 use http_body_util::Full;
 use hyper::Request;
+use rudderspindle_testkit::scripted_peers::{raw_submission, rest, status, with_timeout};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 #[tokio::test]
 async fn invalid_requests_get_their_status_and_nothing_is_accepted() {
-    let (mut platform, mut receiver, program, folder, _) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { mut platform, mut receiver, program, folder, .. } = set_up(&[], DEADLINE_MS).await;
     let good = [
         ("x-txn", "m1"),
         ("x-org", "acme"),
@@ -40,11 +43,11 @@
         for (header, usual) in good {
             request = request.header(header, if header == name { value } else { usual });
         }
-        let answer = program.request(request.body(Full::new(text())).expect("a request")).await;
+        let answer = program.request(request.body(Full::new(body())).expect("a request")).await;
         assert_eq!(answer.expect("an answer").status(), status, "{path} {name} {value:?}");
     }
     let large = Bytes::from(vec![0; 64 * 1024 + 1]);
-    assert_eq!(program.hand_in("safe", "m1", large).await.status(), 413);
+    assert_eq!(program.submit("safe", "m1", large).await.status(), 413);
     let put = Request::put("/safe").body(Full::default()).expect("a request");
     assert_eq!(program.request(put).await.expect("an answer").status(), 405);
     for raw in [
@@ -55,7 +58,7 @@
         let mut stream = tokio::net::TcpStream::connect(program.addr).await.expect("a connection");
         stream.write_all(raw).await.expect("writable");
         let mut answer = String::new();
-        soon("an answer", stream.read_to_string(&mut answer)).await.expect("text");
+        with_timeout("an answer", stream.read_to_string(&mut answer)).await.expect("text");
         assert!(answer.starts_with("HTTP/1.1 4"), "{answer}");
     }
     // A body that ends too early.
@@ -65,17 +68,17 @@
     stream.write_all(head.as_bytes()).await.expect("writable");
     stream.shutdown().await.expect("half closed");
     let mut answer = String::new();
-    let _ = soon("the end", stream.read_to_string(&mut answer)).await;
+    let _ = with_timeout("the end", stream.read_to_string(&mut answer)).await;
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
-    assert_eq!(program.hand_in("safe", "last", text()).await.status(), 202);
-    assert_eq!(receiver.call().await.message_id, "last");
-    assert!(receiver.nothing_called() && platform.nothing_reported());
-    assert!(disk_use(&folder.1) <= 512);
+    assert_eq!(program.submit("safe", "last", body()).await.status(), 202);
+    assert_eq!(receiver.next_call().await.message_id, "last");
+    assert!(receiver.has_no_calls() && platform.has_no_notifications());
+    assert!(disk_use(&folder.state) <= 512);
 }
 
 #[tokio::test]
 async fn a_malformed_request_gets_an_error_and_submits_nothing() {
-    let (mut platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { mut platform, mut receiver, program, folder: _folder, .. } = set_up(&[], DEADLINE_MS).await;
     let endless = format!("POST /safe HTTP/1.1\r\nX-Noise: {}", "x".repeat(100_000));
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("noise", vec![0x16, 3, 1, 0, 0xff, b'\r', b'\n', b'\r', b'\n']),
@@ -91,20 +94,21 @@
     for (what, bytes) in cases {
         let since = Instant::now();
         let mut stream = TcpStream::connect(program.addr).await.expect("a connection");
-        // The sender may close before it is all written.
+        // The sender may close the connection during the write.
         let _ = stream.write_all(&bytes).await;
         let status = status(&mut stream).await;
         assert!(status.is_none_or(|status| (400..500).contains(&status)), "{what}: {status:?}");
         rest(&mut stream).await;
         assert!(since.elapsed() < REJECTION_TIMEOUT, "{what}: {:?}", since.elapsed());
     }
-    assert!(receiver.nothing_called() && platform.nothing_reported());
+    assert!(receiver.has_no_calls() && platform.has_no_notifications());
 }
 
-/// hyper lets Transfer-Encoding override a Content-Length: what hides behind the last chunk is a body's rest.
+/// hyper lets Transfer-Encoding override Content-Length: the bytes after the last chunk must not be read as a request.
 #[tokio::test]
 async fn a_request_smuggled_in_a_body_is_not_submitted() {
-    let (_platform, mut receiver, program, _folder, _) = set_up(&[], DEADLINE_MS).await;
+    let Fixture { platform: _platform, mut receiver, program, folder: _folder, .. } =
+        set_up(&[], DEADLINE_MS).await;
     let hidden = String::from_utf8(raw_submission("hidden", "Content-Length: 4", "text")).expect("text");
     for fields in [
         "Content-Length: LENGTH\r\nTransfer-Encoding: chunked",
@@ -117,6 +121,6 @@
         let rest = String::from_utf8_lossy(&rest(&mut stream).await).into_owned();
         assert!(!rest.contains("HTTP/1.1"), "{rest}");
     }
-    program.hand_in("safe", "last", text()).await;
-    assert_eq!(receiver.call().await.message_id, "last");
+    program.submit("safe", "last", body()).await;
+    assert_eq!(receiver.next_call().await.message_id, "last");
 }
--- a/crates/daemon/tests/malformed_responses.rs
+++ b/crates/daemon/tests/malformed_responses.rs
@@ -4,24 +4,38 @@
 
 use std::time::{Duration, Instant};
 
-use common::*;
+use common::folder::{Folder, persistent_folder};
+use common::program::Program;
+use common::{DEADLINE_MS, body};
+use rudderspindle_testkit::scripted_peers::{
+    FakePlatform, GOOD, MalformedResponder, Notification, RawCall, config, member,
+};
 
-/// Starts a platform, a receiver that responds with given bytes, and a sender.
-async fn set_up_malformed() -> (FakePlatform, MalformedResponder, Program, Folder) {
-    let (platform, responder) = (FakePlatform::start().await, MalformedResponder::start().await);
-    let members = [member("r1", responder.addr, 7, "SERVING")];
-    let config = config(platform.addr, &members, DEADLINE_MS);
-    *platform.list.lock().expect("a list") = Some(config["known"].clone());
-    let folder = lasting();
-    let program = Program::start(&config, &folder.1).await;
-    (platform, responder, program, folder)
+/// A sender and its peers, of which the receiver responds with scripted bytes.
+struct RawFixture {
+    platform: FakePlatform,
+    responder: MalformedResponder,
+    program: Program,
+    _folder: Folder,
 }
 
-/// An answer that cannot be read, or that does not end, comes of a call that has run: it is known as soon as
-/// it comes, also where it says that the call never ran, and ends the connection.
+impl RawFixture {
+    async fn start() -> Self {
+        let (platform, responder) = (FakePlatform::start().await, MalformedResponder::start().await);
+        let members = [member("r1", responder.addr, 7, "SERVING")];
+        let config = config(platform.addr, &members, DEADLINE_MS);
+        platform.set_list(config["known"].clone());
+        let folder = persistent_folder();
+        let program = Program::start(&config, &folder.state).await;
+        Self { platform, responder, program, _folder: folder }
+    }
+}
+
+/// A response that is malformed or has no end is a failure at once, closes the connection, and counts as a possible
+/// execution whatever its status is.
 #[tokio::test]
 async fn a_malformed_response_is_a_failure_with_possible_execution() {
-    let (mut platform, mut responder, program, _folder) = set_up_malformed().await;
+    let RawFixture { mut platform, mut responder, program, _folder } = RawFixture::start().await;
     let much = "x".repeat(100_000);
     let endless = format!("HTTP/1.1 500 No\r\nX-Noise: {much}");
     let large = format!("HTTP/1.1 503 No\r\nContent-Length: 3000000000\r\n\r\n{much}");
@@ -41,27 +55,31 @@
         let message_id = format!("m{n}");
         responder.then(&[case.as_bytes()]);
         let since = Instant::now();
-        assert_eq!(program.hand_in("once", &message_id, text()).await.status(), 202);
-        let (connection, called) = responder.call().await;
+        assert_eq!(program.submit("once", &message_id, body()).await.status(), 202);
+        let call = responder.next_call().await;
         assert_eq!(
-            (connection, &called),
-            (2 * n, &message_id),
-            "{case:?}: the connection before was used again"
+            call,
+            RawCall::new(2 * n, &message_id),
+            "{case:?}: the previous connection was used again"
+        );
+        assert_eq!(
+            platform.next_notifications().await.notifications,
+            [Notification::undeliverable(&message_id)],
+            "{case:?}"
         );
-        assert_eq!(platform.report().await.0, [(message_id, "undeliverable".to_owned())], "{case:?}");
         assert!(since.elapsed() < Duration::from_secs(3), "{case:?}: {:?}", since.elapsed());
-        // Otherwise so many in a row would make an outage.
-        program.hand_in("once", "good", text()).await;
-        assert_eq!(responder.call().await, (2 * n + 1, "good".to_owned()));
+        // A success in between: failures in a row would open the circuit breaker.
+        program.submit("once", "good", body()).await;
+        assert_eq!(responder.next_call().await, RawCall::new(2 * n + 1, "good"));
         responder.then(&[b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"]);
-        program.hand_in("once", "last", text()).await;
-        assert_eq!(responder.call().await, (2 * n + 1, "last".to_owned()));
+        program.submit("once", "last", body()).await;
+        assert_eq!(responder.next_call().await, RawCall::new(2 * n + 1, "last"));
     }
 }
 
 #[tokio::test]
 async fn a_status_line_with_200_is_a_delivery_whatever_follows() {
-    let (mut platform, mut responder, program, _folder) = set_up_malformed().await;
+    let RawFixture { mut platform, mut responder, program, _folder } = RawFixture::start().await;
     let much = "x".repeat(100_000);
     let cases = [
         "HTTP/1.1 200 OK\r\nX-Half: a head".to_owned(),
@@ -75,41 +93,45 @@
     for (n, case) in cases.iter().enumerate() {
         let message_id = format!("m{n}");
         responder.then(&[case.as_bytes()]);
-        program.hand_in("safe", &message_id, text()).await;
-        // A message that may be repeated would be.
-        assert_eq!(responder.call().await, (n, message_id), "{case:?}");
-        // Until it is known, the connection is not free; then it must be gone.
+        program.submit("safe", &message_id, body()).await;
+        // An idempotent message would be retried after a failure.
+        assert_eq!(responder.next_call().await, RawCall::new(n, message_id), "{case:?}");
+        // The connection is busy until the response is rejected, and closed after that.
         tokio::time::sleep(Duration::from_millis(800)).await;
     }
-    assert!(responder.calls.try_recv().is_err() && platform.nothing_reported());
+    assert!(responder.calls.try_recv().is_err() && platform.has_no_notifications());
 }
 
 #[tokio::test]
 async fn surplus_bytes_after_a_response_are_not_the_next_response() {
-    let (mut platform, mut responder, program, _folder) = set_up_malformed().await;
+    let RawFixture { mut platform, mut responder, program, _folder } = RawFixture::start().await;
     for (n, parts) in [&[GOOD, GOOD][..], &[GOOD, b"noise"], &[GOOD, b"", GOOD]].iter().enumerate() {
         let (first, second) = (format!("a{n}"), format!("b{n}"));
         responder.then(parts);
-        program.hand_in("once", &first, text()).await;
-        assert_eq!(responder.call().await.1, first);
+        program.submit("once", &first, body()).await;
+        assert_eq!(responder.next_call().await.message_id, first);
         if parts.len() == 3 {
             tokio::time::sleep(Duration::from_millis(900)).await;
         }
         responder.then(&[b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"]);
-        program.hand_in("once", &second, text()).await;
-        assert_eq!(responder.call().await.1, second);
-        assert_eq!(platform.report().await.0, [(second, "undeliverable".to_owned())], "{parts:?}");
+        program.submit("once", &second, body()).await;
+        assert_eq!(responder.next_call().await.message_id, second);
+        assert_eq!(
+            platform.next_notifications().await.notifications,
+            [Notification::undeliverable(&second)],
+            "{parts:?}"
+        );
     }
 }
 
 #[tokio::test]
 async fn a_response_may_come_long_after_interim_responses() {
-    let (mut platform, mut responder, program, _folder) = set_up_malformed().await;
+    let RawFixture { mut platform, mut responder, program, _folder } = RawFixture::start().await;
     responder.then(&[b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n", b"", GOOD]);
-    program.hand_in("once", "m1", text()).await;
-    assert_eq!(responder.call().await, (0, "m1".to_owned()));
+    program.submit("once", "m1", body()).await;
+    assert_eq!(responder.next_call().await, RawCall::new(0, "m1"));
     tokio::time::sleep(Duration::from_millis(900)).await;
-    program.hand_in("once", "m2", text()).await;
-    assert_eq!(responder.call().await, (0, "m2".to_owned()));
-    assert!(platform.nothing_reported());
+    program.submit("once", "m2", body()).await;
+    assert_eq!(responder.next_call().await, RawCall::new(0, "m2"));
+    assert!(platform.has_no_notifications());
 }
--- a/crates/daemon/tests/notifications.rs
+++ b/crates/daemon/tests/notifications.rs
@@ -1,66 +1,78 @@
-//! Notifications of final outcomes to the platform: in time, repeated until acknowledged, then forgotten.
+//! Notifications of final outcomes to the platform: in time, and repeated until they are acknowledged.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::*;
+use common::fixture::{Fixture, set_up};
+use common::program::Program;
+use common::{DEADLINE_MS, body};
+use rudderspindle_testkit::scripted_peers::{Notification, NotificationRequest, ScriptedResponse};
 
 #[tokio::test]
 async fn a_notification_is_repeated_until_it_is_acknowledged_and_then_forgotten() {
-    let (mut platform, mut receiver, program, folder, config) = set_up(&[Act::Break], DEADLINE_MS).await;
-    platform.answer_reports(&[500, 503, 400]);
-    program.hand_in("once", "m1", text()).await;
-    receiver.call().await;
+    let Fixture { mut platform, mut receiver, program, folder, config } =
+        set_up(&[ScriptedResponse::Disconnect], DEADLINE_MS).await;
+    platform.script_statuses(&[500, 503, 400]);
+    program.submit("once", "m1", body()).await;
+    receiver.next_call().await;
     for status in [500, 503] {
-        assert_eq!(platform.report().await, (vec![undeliverable("m1")], status));
+        assert_eq!(
+            platform.next_notifications().await,
+            NotificationRequest::one(Notification::undeliverable("m1"), status)
+        );
     }
-    // Also across a kill; the third may be of before or after it.
+    // Also after a kill; the third response may be before or after it.
     program.kill().await;
-    let program = Program::start(&config, &folder.1).await;
+    let program = Program::start(&config, &folder.state).await;
     loop {
-        let (notices, status) = platform.report().await;
-        assert_eq!(notices, [undeliverable("m1")]);
+        let NotificationRequest { notifications: notices, status } = platform.next_notifications().await;
+        assert_eq!(notices, [Notification::undeliverable("m1")]);
         if status == 204 {
             break;
         }
     }
-    // A further message ends in a batch after the acknowledgement, so that is on record by then.
-    receiver.then(&[Act::Break]);
-    program.hand_in("once", "m2", text()).await;
-    assert_eq!(platform.report().await, (vec![undeliverable("m2")], 204));
+    // Another message ends in a later batch, which shows that the acknowledgement is recorded.
+    receiver.then(&[ScriptedResponse::Disconnect]);
+    program.submit("once", "m2", body()).await;
+    assert_eq!(
+        platform.next_notifications().await,
+        NotificationRequest::one(Notification::undeliverable("m2"), 204)
+    );
     program.kill().await;
-    receiver.then(&[Act::Break]);
-    let program = Program::start(&config, &folder.1).await;
-    program.hand_in("once", "m3", text()).await;
+    receiver.then(&[ScriptedResponse::Disconnect]);
+    let program = Program::start(&config, &folder.state).await;
+    program.submit("once", "m3", body()).await;
     loop {
-        let (notices, _) = platform.report().await;
-        assert!(!notices.contains(&undeliverable("m1")));
-        if notices.contains(&undeliverable("m3")) {
+        let NotificationRequest { notifications: notices, .. } = platform.next_notifications().await;
+        assert!(!notices.contains(&Notification::undeliverable("m1")));
+        if notices.contains(&Notification::undeliverable("m3")) {
             break;
         }
     }
 }
 
-/// The acknowledgement of the first one's notification would have completed the second one in the journal.
+/// The acknowledgement of the first notification would complete the second message in the journal.
 #[tokio::test]
 async fn a_message_id_with_a_pending_notification_is_not_accepted_again() {
-    let (mut platform, mut receiver, program, _folder, _) = set_up(&[Act::Break], DEADLINE_MS).await;
-    platform.answer_reports(&[500; 100]);
-    program.hand_in("once", "m1", text()).await;
-    receiver.call().await;
-    platform.report().await;
-    assert_eq!(program.hand_in("once", "m1", text()).await.status(), 503);
-    assert!(receiver.nothing_called());
+    let Fixture { mut platform, mut receiver, program, folder: _folder, .. } =
+        set_up(&[ScriptedResponse::Disconnect], DEADLINE_MS).await;
+    platform.script_statuses(&[500; 100]);
+    program.submit("once", "m1", body()).await;
+    receiver.next_call().await;
+    platform.next_notifications().await;
+    assert_eq!(program.submit("once", "m1", body()).await.status(), 503);
+    assert!(receiver.has_no_calls());
 }
 
 #[tokio::test]
 async fn a_notification_comes_in_time_when_no_receiver_responds() {
-    let (mut platform, mut receiver, program, _folder, _) = set_up(&[Act::Hang; 4], DEADLINE_MS).await;
-    let handed = Instant::now();
-    program.hand_in_within("keyed", "m1", text(), "0.8").await;
-    receiver.call().await;
-    assert_eq!(platform.report().await.0, [undeliverable("m1")]);
-    let after = handed.elapsed();
+    let Fixture { mut platform, mut receiver, program, folder: _folder, .. } =
+        set_up(&[ScriptedResponse::NoResponse; 4], DEADLINE_MS).await;
+    let submitted_at = Instant::now();
+    program.submit_with_time_left("keyed", "m1", body(), "0.8").await;
+    receiver.next_call().await;
+    assert_eq!(platform.next_notifications().await.notifications, [Notification::undeliverable("m1")]);
+    let after = submitted_at.elapsed();
     assert!(after < Duration::from_millis(800 + 300), "{after:?}");
 }
--- a/crates/daemon/tests/outages.rs
+++ b/crates/daemon/tests/outages.rs
@@ -1,4 +1,4 @@
-//! Scripted outages of discovery agents and links with real senders: each is in the event log, and no rule is violated.
+//! Scripted outages of discovery services and links: each is in the event log, and no rule is violated.
 
 mod scenario;
 
@@ -6,6 +6,8 @@
 
 use rudderspindle_testkit::event_log::{Event, Line};
 
+use scenario::CheckedRun;
+
 const TRAFFIC: &str = r#"
 seed = 8
 seconds = 12
@@ -38,7 +40,7 @@
 sender = 1
 fault = "rejects_notifications"
 
-# Sender 0 does not hear of the drain until its agent speaks again.
+# Sender 0 is not notified of the drain until its discovery service recovers.
 [[events]]
 what = "discovery"
 at_ms = 2000
@@ -84,15 +86,15 @@
 #[tokio::test]
 async fn discovery_agents_and_links_fail_as_scripted_and_no_rule_is_violated() {
     let script = format!("{TRAFFIC}{}{EVENTS}", scenario::destinations(0.0));
-    let (lines, verdict) = scenario::run(&script, Duration::from_secs(5)).await;
+    let CheckedRun { lines, verdict } = scenario::run(&script, Duration::from_secs(5)).await;
     assert!(verdict.is_clean() && verdict.accounting.pending == 0, "{verdict}");
     assert!(verdict.accounting.failed + verdict.accounting.rejected > 0, "no notifications:\n{verdict}");
-    // The silent agent announces the drain late, the other one at once.
+    // The silent discovery service announces the drain late, the other one at once.
     let (delayed, immediate) =
         (announced_at_ms(&lines, "n0", "DRAINING"), announced_at_ms(&lines, "n1", "DRAINING"));
     assert!(delayed.is_some_and(|t| (4_500..8_000).contains(&t)), "{delayed:?}");
     assert!(immediate.is_some_and(|t| (2_500..3_500).contains(&t)), "{immediate:?}");
-    // The sender has followed its agent to the other address.
+    // The sender uses the new address of its discovery service.
     let moved = announced_at_ms(&lines, "n0", "DELETED");
     assert!(moved.is_some_and(|t| t >= 9_800), "{moved:?}");
     let unacknowledged = |line: &&Line| matches!(&line.event, Event::Notified { acknowledged: false, sender, .. } if sender == "n1");
--- a/crates/daemon/tests/permits.rs
+++ b/crates/daemon/tests/permits.rs
@@ -5,13 +5,13 @@
 use std::path::Path;
 use std::time::Duration;
 
-use cluster::{HEAD, Row, SENDERS};
 use rudderspindle_testkit::cluster::{Cluster, Journal};
 use rudderspindle_testkit::fault_schedule::LinkFaults;
 use tokio::time::sleep;
 
-/// Maximum of calls that start in any second, in shares of the limit: permits are for 0.95 of it, a tenth of a second
-/// each.
+use cluster::{HEAD, Row, SENDERS, StartedCluster};
+
+/// Maximum of calls that start in any second, as a share of the limit. Permits cover 0.95 of it, each for 0.1 s.
 const MAX_USAGE: f64 = 1.10;
 /// Maximum of rejected calls for each delivered message.
 const MAX_REJECTED: f64 = 0.05;
@@ -20,17 +20,24 @@
     Row { phase: name, usage: cluster.measure_usage(Duration::from_millis(ms)).await }
 }
 
-/// Runs the phases one after another; with whether the machine was too busy for a result.
-async fn run(file: &Path) -> (Vec<Row>, bool) {
-    let (mut cluster, _folder) = cluster::start(19, 7, Some(file)).await;
+/// The usage in each phase of a run.
+struct PermitRun {
+    rows: Vec<Row>,
+    /// Whether the machine was too busy for a result.
+    is_inconclusive: bool,
+}
+
+/// Runs the phases one after another.
+async fn run(file: &Path) -> PermitRun {
+    let StartedCluster { mut cluster, folder: _folder } = cluster::start(19, 7, Some(file)).await;
     let all: Vec<usize> = (0..SENDERS).collect();
     let half = &all[..SENDERS / 2];
     let mut rows = Vec::new();
     cluster.start_load();
-    // Until each has its first permits and calls are queued everywhere.
+    // Time for the first permits and for queued calls at all senders.
     sleep(Duration::from_millis(3_500)).await;
     cluster.mesh.cut(&all, half);
-    rows.push(phase(&mut cluster, "half hear nothing, and are heard", 4_000).await);
+    rows.push(phase(&mut cluster, "half receive nothing, but send", 4_000).await);
     cluster.mesh.heal();
     let faults = LinkFaults {
         drop: 0.5,
@@ -41,44 +48,47 @@
         ..LinkFaults::default()
     };
     cluster.mesh.set(&all, &all, &faults);
-    rows.push(phase(&mut cluster, "half of all notes lost, the others late, doubled, replayed", 4_000).await);
-    // One is killed within a second and restarted within it; another one is paused for longer than any permit lasts.
+    rows.push(
+        phase(&mut cluster, "half of all datagrams lost, the others delayed, duplicated, replayed", 4_000)
+            .await,
+    );
+    // One is killed and restarted within a second; another one is paused for longer than the lifetime of a permit.
     let from = cluster.event_log().now();
     cluster.kill(3).await.expect("killed");
-    cluster.pause(8).await.expect("stopped");
+    cluster.pause(8).await.expect("paused");
     sleep(Duration::from_millis(600)).await;
-    cluster.restart(3, Journal::Kept).await.expect("it starts again");
+    cluster.restart(3, Journal::Kept).await.expect("restarted");
     sleep(Duration::from_millis(2_400)).await;
-    cluster.resume(8).await.expect("it goes on");
+    cluster.resume(8).await.expect("resumed");
     sleep(Duration::from_millis(1_500)).await;
     let usage = cluster.usage(from..cluster.event_log().now());
-    rows.push(Row { phase: "one killed and back, one stopped and on", usage });
+    rows.push(Row { phase: "one killed and restarted, one paused and resumed", usage });
     cluster.mesh.heal();
     let from = cluster.event_log().now();
     cluster.kill(5).await.expect("killed");
-    cluster.restart(5, Journal::Empty).await.expect("it starts again");
+    cluster.restart(5, Journal::Empty).await.expect("restarted");
     sleep(Duration::from_millis(2_500)).await;
     let usage = cluster.usage(from..cluster.event_log().now());
-    rows.push(Row { phase: "one comes back with an empty folder", usage });
-    (rows, cluster.finish().await.is_inconclusive())
+    rows.push(Row { phase: "one restarted with an empty folder", usage });
+    PermitRun { rows, is_inconclusive: cluster.finish().await.is_inconclusive() }
 }
 
 #[tokio::test]
 async fn a_limit_holds_in_every_second_while_datagrams_are_lost_and_processes_die_and_pause() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet.example.toml");
     for _ in 0..3 {
-        let (rows, in_doubt) = run(&file).await;
-        // On a machine that is too busy calls bunch on their way.
-        if !in_doubt {
+        let PermitRun { rows, is_inconclusive } = run(&file).await;
+        // On a busy machine calls arrive in bursts.
+        if !is_inconclusive {
             let keeps = |row: &Row| row.usage.worst_sliding <= MAX_USAGE && row.usage.refused <= MAX_REJECTED;
             let table: Vec<String> = rows.iter().map(ToString::to_string).collect();
             assert!(rows.iter().all(keeps), "{HEAD}\n{}", table.join("\n"));
-            // The limit is also used: nobody waits for permits that a cut-off process could hold.
+            // The limit is used: permits of a partitioned process do not stay unused.
             assert!(rows[0].usage.mean >= 0.85, "{HEAD}\n{}", table.join("\n"));
             return;
         }
     }
-    panic!("the fakes were late three times: this machine is too busy for a result");
+    panic!("the fakes lagged three times: this machine is too busy for a result");
 }
 
 #[tokio::test]
@@ -93,9 +103,9 @@
     std::fs::write(folder.path().join("config.json"), config.to_string()).expect("written");
     let mut program = tokio::process::Command::new(env!("CARGO_BIN_EXE_rudderspindle"));
     program.env("RELAY_CONFIG", folder.path().join("config.json")).env("RELAY_STATE", folder.path());
-    let ended = program.env("RELAY_FLEET", &file).output().await.expect("it runs");
-    let log = String::from_utf8_lossy(&ended.stderr);
-    assert!(!ended.status.success());
+    let output = program.env("RELAY_FLEET", &file).output().await.expect("it runs");
+    let log = String::from_utf8_lossy(&output.stderr);
+    assert!(!output.status.success());
     assert!(log.contains("fleet.toml, line 2: unknown variant `tight`, expected `use` or `strict`"), "{log}");
     assert_eq!(log.lines().filter(|line| line.contains("fleet")).count(), 1, "{log}");
 }
--- a/crates/daemon/tests/readiness.rs
+++ b/crates/daemon/tests/readiness.rs
@@ -5,14 +5,16 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use common::*;
+use common::folder::persistent_folder;
+use common::program::Program;
 use rudderspindle_journal::{Message, Store, wall_ms};
+use rudderspindle_testkit::scripted_peers::{config, member};
 use tokio::net::TcpListener;
 
-/// So much that what is done for each pair of messages would take longer than a start may.
+/// Size of the journal: quadratic work over its messages would exceed the time limit of a start.
 const DISK_MB: u64 = 80;
 
-/// As many messages as the journal takes on, with little and with much in them.
+/// Fills the journal with messages; returns their number.
 fn fill(state: &std::path::Path, body: usize) -> usize {
     let mut store = Store::open(state, DISK_MB * 1_000_000).expect("a journal");
     for n in 0.. {
@@ -34,21 +36,25 @@
         store.accept(message);
         store.commit().expect("written");
     }
-    unreachable!("it has no end")
+    unreachable!("the loop returns")
 }
 
-/// Until the program answers `/-/ready` with 200.
-async fn time_to_ready(discovery: std::net::SocketAddr, state: &std::path::Path) -> (Duration, Program) {
+/// A program that has answered `/-/ready` with 200, and how long its start took.
+struct ReadyProgram {
+    program: Program,
+    startup: Duration,
+}
+
+async fn start_until_ready(discovery: std::net::SocketAddr, state: &std::path::Path) -> ReadyProgram {
     let receiver: std::net::SocketAddr = "127.0.0.1:1".parse().expect("an address");
     let mut config = config(discovery, &[member("r1", receiver, 7, "SERVING")], 300_000.0);
     config["limits"]["disk_mb"] = DISK_MB.into();
     let begun = Instant::now();
     let program = Program::start(&config, state).await;
     assert_eq!(program.readiness().await, 200);
-    (begun.elapsed(), program)
+    ReadyProgram { startup: begun.elapsed(), program }
 }
 
-/// The bound is the standing test's; the figures are printed.
 #[tokio::test]
 async fn a_full_journal_and_a_silent_or_refusing_discovery_do_not_keep_a_start_from_being_ready() {
     let silent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -58,15 +64,15 @@
     for body in [100, 60_000] {
         for (name, discovery) in [("silent", silent.local_addr().expect("an address")), ("refusing", refuses)]
         {
-            let folder = lasting();
-            let held = fill(&folder.1, body);
-            // A second start takes up what the first one has left.
+            let folder = persistent_folder();
+            let pending = fill(&folder.state, body);
+            // The second start recovers what the first one has left.
             for start in ["first", "second"] {
-                let (took, program) = time_to_ready(discovery, &folder.1).await;
+                let ReadyProgram { program, startup } = start_until_ready(discovery, &folder.state).await;
                 println!(
-                    "{held} messages of {body} bytes, discovery {name}, {start} start: ready after {took:?}"
+                    "{pending} messages of {body} bytes, discovery {name}, {start} start: ready after {startup:?}"
                 );
-                assert!(took < Duration::from_secs(10), "{took:?}");
+                assert!(startup < Duration::from_secs(10), "{startup:?}");
                 program.kill().await;
             }
         }
--- a/crates/daemon/tests/readme.rs
+++ b/crates/daemon/tests/readme.rs
@@ -1,8 +1,9 @@
-//! The configuration that README prints works as printed.
+//! The configuration in README.md works as printed.
 
 mod common;
 
-use common::*;
+use common::folder::persistent_folder;
+use common::program::Program;
 
 #[tokio::test]
 async fn the_configuration_in_readme_starts_and_accepts_a_message() {
@@ -11,10 +12,10 @@
     let (_, rest) = readme.split_once("```json\n").expect("a configuration");
     let (text, _) = rest.split_once("```").expect("its end");
     let mut config: serde_json::Value = serde_json::from_str(text).expect("JSON");
-    // The ports are this machine's to give.
+    // Any free port.
     config["listen"] = "127.0.0.1:0".into();
-    let folder = lasting();
-    let program = Program::start(&config, &folder.1).await;
+    let folder = persistent_folder();
+    let program = Program::start(&config, &folder.state).await;
     let request = hyper::Request::post("/clip-status")
         .header("x-txn", "9b1f03aa")
         .header("x-org", "narmada-sports")
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -5,14 +5,17 @@
 use std::path::Path;
 
 use bytes::Bytes;
-use common::*;
+use common::fixture::Site;
+use common::program::{Program, spawn};
+use common::{DEADLINE_MS, body, next_notifications};
 use rudderspindle_journal::{Message, PossibleExecution, Store, wall_ms};
+use rudderspindle_testkit::scripted_peers::{Notification, Receiver, ScriptedResponse};
 use serde_json::Value;
 
-const HOUR: u64 = 3_600_000;
+const HOUR_MS: u64 = 3_600_000;
 
-/// A message as an earlier process left it: of a class, with so much of its time left by the clock.
-fn left_behind(class: &str, message_id: &str, left_ms: u64) -> Message {
+/// A pending message of an earlier process.
+fn pending_message(class: &str, message_id: &str, left_ms: u64) -> Message {
     Message {
         message_id: message_id.into(),
         class: class.into(),
@@ -20,201 +23,213 @@
         destination: 7,
         key: Some(Bytes::from(format!("key-{message_id}"))),
         deadline: wall_ms() + left_ms,
-        body: text(),
+        body: body(),
         attempts: 0,
         possibly_executed: None,
         in_flight: None,
     }
 }
 
-/// An attempt to `r1`, of which no outcome is on record.
-fn ran(at: u64) -> PossibleExecution {
+/// An attempt at `r1` without a recorded outcome.
+fn attempt(at: u64) -> PossibleExecution {
     PossibleExecution { at, receiver: "r1".into(), zone: "a".into() }
 }
 
-/// Writes a journal as an earlier process would have: messages, and when their one attempt went out, if one did.
-fn write_journal(state: &Path, messages: Vec<(Message, Option<u64>)>) {
+/// A message in the journal of an earlier process.
+struct Recorded {
+    message: Message,
+    /// When its only attempt started, in Unix milliseconds, if there was one.
+    attempt_at: Option<u64>,
+}
+
+fn not_attempted(message: Message) -> Recorded {
+    Recorded { message, attempt_at: None }
+}
+
+fn attempted(message: Message, at: u64) -> Recorded {
+    Recorded { message, attempt_at: Some(at) }
+}
+
+/// Writes the journal of an earlier process.
+fn write_journal(state: &Path, messages: Vec<Recorded>) {
     let mut store = Store::open(state, 3_000_000).expect("a journal");
-    for (message, attempt_at) in messages {
+    for Recorded { message, attempt_at } in messages {
         let message_id = message.message_id.clone();
         store.accept(message);
         store.commit().expect("written");
         if let Some(at) = attempt_at {
-            store.start_attempt(&message_id, ran(at));
+            store.start_attempt(&message_id, attempt(at));
             store.commit().expect("written");
         }
     }
 }
 
-/// A platform and a receiver for destination 7 that the platform lists, a folder, and a configuration.
-async fn site(acts: &[Act], deadline: f64) -> (FakePlatform, Receiver, Folder, Value) {
-    let (platform, receiver, config) = start_peers(acts, deadline).await;
-    (platform, receiver, lasting(), config)
-}
-
-/// The last message of an earlier process shows that all before it have been decided on.
+/// Checks that exactly these messages are called, in this order.
 async fn expect_only(receiver: &mut Receiver, message_ids: &[&str]) {
     for message_id in message_ids {
-        assert_eq!(receiver.call().await.message_id, *message_id);
+        assert_eq!(receiver.next_call().await.message_id, *message_id);
     }
-    assert!(receiver.nothing_called());
+    assert!(receiver.has_no_calls());
 }
 
-// ---- The key's window over a restart -------------------------------------------------------------------
-
-/// The window is 1 s, as short as it gets.
+/// The window is 1 s, the shortest that is valid.
 #[tokio::test]
 async fn a_keyed_message_is_retried_after_a_restart_only_within_its_idempotency_window() {
     for (ago, repeated) in [(100, true), (1_100, false)] {
-        let (mut platform, mut receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
+        let Site { mut platform, mut receiver, folder, mut config } = Site::new(&[], DEADLINE_MS).await;
         config["settings"]["lanes"][1]["window"] = 1_000.0.into();
-        write_journal(&folder.1, vec![(left_behind("keyed", "m1", 50_000), Some(wall_ms() - ago))]);
-        let program = Program::start(&config, &folder.1).await;
+        write_journal(
+            &folder.state,
+            vec![attempted(pending_message("keyed", "m1", 50_000), wall_ms() - ago)],
+        );
+        let program = Program::start(&config, &folder.state).await;
         if repeated {
             expect_only(&mut receiver, &["m1"]).await;
         } else {
-            assert_eq!(platform.report().await.0, [undeliverable("m1")]);
-            assert_eq!(program.hand_in("safe", "m2", text()).await.status(), 202);
+            assert_eq!(
+                platform.next_notifications().await.notifications,
+                [Notification::undeliverable("m1")]
+            );
+            assert_eq!(program.submit("safe", "m2", body()).await.status(), 202);
             expect_only(&mut receiver, &["m2"]).await;
         }
     }
 }
 
-/// The age of an attempt is unknown, also that of one whose recorded time has come again.
+/// After the clock was set back the age of an attempt is unknown, even if its recorded time is in the past.
 #[tokio::test]
 async fn a_clock_set_back_between_two_processes_restarts_no_idempotency_window() {
-    let (mut platform, mut receiver, folder, config) = site(&[], DEADLINE_MS).await;
+    let Site { mut platform, mut receiver, folder, config } = Site::new(&[], DEADLINE_MS).await;
     let now = wall_ms();
     let messages = vec![
-        (left_behind("keyed", "m1", 50_000), Some(now - 1_000)),
-        (left_behind("safe", "m2", 50_000), Some(now + HOUR)),
-        (left_behind("keyed", "m3", 50_000), Some(now + HOUR)),
+        attempted(pending_message("keyed", "m1", 50_000), now - 1_000),
+        attempted(pending_message("safe", "m2", 50_000), now + HOUR_MS),
+        attempted(pending_message("keyed", "m3", 50_000), now + HOUR_MS),
     ];
-    write_journal(&folder.1, messages);
-    let mut program = Program::start(&config, &folder.1).await;
-    let mut notices = Vec::new();
-    while notices.len() < 2 {
-        notices.extend(platform.report().await.0);
-    }
-    notices.sort();
-    assert_eq!(notices, [undeliverable("m1"), undeliverable("m3")]);
-    // What may be repeated at will is.
+    write_journal(&folder.state, messages);
+    let mut program = Program::start(&config, &folder.state).await;
+    let expected = [Notification::undeliverable("m1"), Notification::undeliverable("m3")];
+    assert_eq!(next_notifications(&mut platform, 2).await, expected);
+    // The idempotent message is retried.
     expect_only(&mut receiver, &["m2"]).await;
     program.terminate().await;
     assert!(program.exit().await.success());
     expect_only(&mut receiver, &[]).await;
 }
 
-/// There is no receiver: the message ends with its notification, and not an hour late.
+/// There is no receiver: the message ends with its notification at the deadline of its class.
 #[tokio::test]
 async fn a_clock_set_back_gives_no_message_more_time_than_its_class_allows() {
-    let (mut platform, _receiver, folder, mut config) = site(&[], 1_000.0).await;
+    let Site { mut platform, receiver: _receiver, folder, mut config } = Site::new(&[], 1_000.0).await;
     config["known"]["members"] = Value::Array(Vec::new());
-    *platform.list.lock().expect("a list") = Some(config["known"].clone());
-    write_journal(&folder.1, vec![(left_behind("safe", "m1", HOUR), None)]);
-    let _program = Program::start(&config, &folder.1).await;
-    assert_eq!(platform.report().await.0, [("m1".to_owned(), "deferred".to_owned())]);
+    platform.set_list(config["known"].clone());
+    write_journal(&folder.state, vec![not_attempted(pending_message("safe", "m1", HOUR_MS))]);
+    let _program = Program::start(&config, &folder.state).await;
+    assert_eq!(platform.next_notifications().await.notifications, [Notification::deferred("m1")]);
 }
 
-// ---- What is found untried -----------------------------------------------------------------------------
-
-/// Untried messages of one class with one deadline, in no order.
-fn untried(most: usize) -> Vec<(Message, Option<u64>)> {
+/// Messages of one class with one deadline that were not attempted, in no order.
+fn not_attempted_messages(count: usize) -> Vec<Recorded> {
     let deadline = wall_ms() + 50_000;
-    let message = |n| Message { deadline, ..left_behind("safe", &format!("m{:03}", n * 37 % most), 0) };
-    (0..most).map(|n| (message(n), None)).collect()
+    let message = |n| Message { deadline, ..pending_message("safe", &format!("m{:03}", n * 37 % count), 0) };
+    (0..count).map(|n| not_attempted(message(n))).collect()
 }
 
-/// No chance decides, also not that of a hash map's order: equal ones go in the order of their ids.
+/// Equal messages are sent in the order of their ids, not in a hash map's order.
 #[tokio::test]
 async fn recovered_untried_messages_are_sent_in_one_order_whatever_the_journals_order_is() {
-    let (_platform, mut receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
+    let Site { platform: _platform, mut receiver, folder, mut config } = Site::new(&[], DEADLINE_MS).await;
     config["settings"]["extra"]["calls_out"] = 1.into();
-    write_journal(&folder.1, untried(40));
-    let _program = Program::start(&config, &folder.1).await;
+    write_journal(&folder.state, not_attempted_messages(40));
+    let _program = Program::start(&config, &folder.state).await;
     for n in 0..40 {
-        assert_eq!(receiver.call().await.message_id, format!("m{n:03}"));
+        assert_eq!(receiver.next_call().await.message_id, format!("m{n:03}"));
     }
 }
 
-/// Settings may have become smaller, and a successor takes over as much again as it holds.
+/// A limit may be lower after a restart, and a successor takes over messages beyond its own limit.
 #[tokio::test]
 async fn more_recovered_messages_than_the_pending_limit_are_all_attempted() {
-    let (mut platform, mut receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
+    let Site { mut platform, mut receiver, folder, mut config } = Site::new(&[], DEADLINE_MS).await;
     config["settings"]["limits"]["most_held"] = 10.into();
-    write_journal(&folder.1, untried(60));
-    let _program = Program::start(&config, &folder.1).await;
+    write_journal(&folder.state, not_attempted_messages(60));
+    let _program = Program::start(&config, &folder.state).await;
     let mut seen = std::collections::BTreeSet::new();
     while seen.len() < 60 {
-        seen.insert(receiver.call().await.message_id);
+        seen.insert(receiver.next_call().await.message_id);
     }
-    assert!(platform.nothing_reported());
+    assert!(platform.has_no_notifications());
 }
 
 /// A message that waits for capacity still reaches a final outcome.
 #[tokio::test]
 async fn a_recovered_message_that_never_gets_capacity_ends_at_its_deadline() {
-    let (mut platform, _receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
+    let Site { mut platform, receiver: _receiver, folder, mut config } = Site::new(&[], DEADLINE_MS).await;
     config["settings"]["limits"]["most_held"] = 4.into();
     config["settings"]["lanes"][1]["credit"] = 2.0.into();
     config["known"]["members"] = Value::Array(Vec::new());
-    *platform.list.lock().expect("a list") = Some(config["known"].clone());
-    // Those worth more have the room to themselves, and nobody is there to deliver them to.
-    let first = |n| (left_behind("keyed", &format!("k{n}"), 50_000), None);
-    let late = |n| (left_behind("safe", &format!("m{n}"), 1_500), None);
-    write_journal(&folder.1, (0..3).map(first).chain((0..9).map(late)).collect());
-    let _program = Program::start(&config, &folder.1).await;
+    platform.set_list(config["known"].clone());
+    // The messages of higher value use the whole capacity, and there is no receiver.
+    let first = |n| not_attempted(pending_message("keyed", &format!("k{n}"), 50_000));
+    let late = |n| not_attempted(pending_message("safe", &format!("m{n}"), 1_500));
+    write_journal(&folder.state, (0..3).map(first).chain((0..9).map(late)).collect());
+    let _program = Program::start(&config, &folder.state).await;
     let mut ended = Vec::new();
     while ended.len() < 9 {
-        ended.extend(platform.report().await.0);
+        ended.extend(platform.next_notifications().await.notifications);
     }
-    assert!(
-        ended.iter().all(|(message_id, status)| message_id.starts_with('m') && status == "deferred"),
-        "{ended:?}"
-    );
+    let is_expected = |ended: &Notification| ended.message_id.starts_with('m') && ended.status == "deferred";
+    assert!(ended.iter().all(is_expected), "{ended:?}");
 }
 
-/// Both have all that they may hold.
+/// Both processes are at their pending limit.
 #[tokio::test]
 async fn a_successor_that_takes_over_as_much_as_it_already_has_drops_none_of_it() {
-    let wait = Act::Say(429, Some(("x-backoff-ms", "3000")));
-    let (mut platform, mut receiver, folder, mut config) = site(&[wait], DEADLINE_MS).await;
+    let wait = ScriptedResponse::StatusWithHeader(429, "x-backoff-ms", "3000");
+    let Site { mut platform, mut receiver, folder, mut config } = Site::new(&[wait], DEADLINE_MS).await;
     config["settings"]["limits"]["most_held"] = 20.into();
-    let mut old = Program::start(&config, &folder.1).await;
-    assert_eq!(old.hand_in("safe", "old-0", text()).await.status(), 202);
-    receiver.call().await;
+    let mut old = Program::start(&config, &folder.state).await;
+    assert_eq!(old.submit("safe", "old-0", body()).await.status(), 202);
+    receiver.next_call().await;
     for n in 1..15 {
-        assert_eq!(old.hand_in("safe", &format!("old-{n}"), text()).await.status(), 202);
+        assert_eq!(old.submit("safe", &format!("old-{n}"), body()).await.status(), 202);
     }
-    let mut new = Program::start(&config, &folder.1).await;
-    old.says("a successor has come").await;
+    let mut new = Program::start(&config, &folder.state).await;
+    old.wait_for_log_line("a successor has come").await;
     for n in 0..15 {
-        assert_eq!(new.hand_in("safe", &format!("new-{n}"), text()).await.status(), 202);
+        assert_eq!(new.submit("safe", &format!("new-{n}"), body()).await.status(), 202);
     }
     old.kill().await;
-    new.says("taken over").await;
+    new.wait_for_log_line("taken over").await;
     let mut seen = std::collections::BTreeSet::new();
     while seen.len() < 30 {
-        seen.insert(receiver.call().await.message_id);
+        seen.insert(receiver.next_call().await.message_id);
     }
-    assert!(platform.nothing_reported());
+    assert!(platform.has_no_notifications());
 }
 
 #[tokio::test]
 async fn messages_of_a_removed_class_fail_with_one_log_line() {
-    let (mut platform, mut receiver, folder, config) = site(&[], DEADLINE_MS).await;
-    let gone = |n| (left_behind("gone", &format!("m{n}"), 50_000), None);
-    write_journal(&folder.1, (0..3).map(gone).collect());
-    let mut child = spawn(&config, &folder.1);
+    let Site { mut platform, mut receiver, folder, config } = Site::new(&[], DEADLINE_MS).await;
+    let gone = |n| not_attempted(pending_message("gone", &format!("m{n}"), 50_000));
+    write_journal(&folder.state, (0..3).map(gone).collect());
+    let mut child = spawn(&config, &folder.state);
     let mut ended = Vec::new();
     while ended.len() < 3 {
-        ended.extend(platform.report().await.0);
+        ended.extend(platform.next_notifications().await.notifications);
     }
-    assert_eq!(ended, [undeliverable("m0"), undeliverable("m1"), undeliverable("m2")]);
+    assert_eq!(
+        ended,
+        [
+            Notification::undeliverable("m0"),
+            Notification::undeliverable("m1"),
+            Notification::undeliverable("m2")
+        ]
+    );
     child.start_kill().expect("it runs");
     let log = child.wait_with_output().await.expect("its log").stderr;
     let log = String::from_utf8(log).expect("text");
     let lines: Vec<&str> = log.lines().filter(|line| line.contains("gone")).collect();
     assert_eq!(lines, ["journal: 3 messages are of class gone, which is no more: given up"]);
-    assert!(receiver.nothing_called());
+    assert!(receiver.has_no_calls());
 }
--- a/crates/daemon/tests/scenario/mod.rs
+++ b/crates/daemon/tests/scenario/mod.rs
@@ -10,27 +10,38 @@
 use rudderspindle_testkit::scenario::Scenario;
 use rudderspindle_testkit::test_environment::{EnvironmentConfig, TestEnvironment};
 
-/// Runs the scenario until the fakes kept their times, at most three times; `longest` is the maximum lifetime of a
-/// message.
-pub async fn run(script: &str, longest: Duration) -> (Vec<Line>, Verdict) {
+/// How often a run is repeated in which the fakes lagged.
+const MAX_RUNS: usize = 3;
+
+/// The event log of a run, and the verdict on it.
+pub struct CheckedRun {
+    pub lines: Vec<Line>,
+    pub verdict: Verdict,
+}
+
+/// Runs the scenario until a run is conclusive, at most [`MAX_RUNS`] times.
+pub async fn run(script: &str, max_message_lifetime: Duration) -> CheckedRun {
     let scenario = Scenario::parse(script, Path::new("test.toml")).expect("a script");
-    for _ in 0..3 {
+    for _ in 0..MAX_RUNS {
         let folder = tempfile::tempdir().expect("a folder");
         let launch = Launch::from(Path::new(env!("CARGO_BIN_EXE_rudderspindle")));
-        let config = EnvironmentConfig { launch, folder: folder.path().to_owned(), max_lifetime: longest };
+        let config = EnvironmentConfig {
+            launch,
+            folder: folder.path().to_owned(),
+            max_lifetime: max_message_lifetime,
+        };
         let played = TestEnvironment::start(&scenario, &config).await.expect("an environment").run().await;
         assert!(played.failures.is_empty(), "{:?}", played.failures);
         let verdict = check_events(&played.lines);
         if !verdict.is_inconclusive() {
-            return (played.lines, verdict);
+            return CheckedRun { lines: played.lines, verdict };
         }
     }
-    panic!("the fakes were late three times: this machine is too busy for a result");
+    panic!("the fakes lagged in each run: this machine is too busy for a result");
 }
 
 /// Two destinations: a large one with independent endpoints that always sends Retry-After, and a small one that sends
-/// it
-/// with this share of its rejections.
+/// it with this share of its rejections.
 pub fn destinations(retry_after_share: f64) -> String {
     format!(
         r#"
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -5,12 +5,18 @@
 
 use std::net::{SocketAddr, TcpListener};
 
-use common::*;
-use invalid_configurations::invalid_configurations;
+use common::DEADLINE_MS;
+use common::folder::{Folder, persistent_folder};
+use common::program::{Program, spawn};
+use rudderspindle_testkit::scripted_peers::{
+    FakePlatform, Receiver, config, member, raw_submission, status, with_timeout,
+};
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, BufReader};
 
-/// An address at which a test sees whether anybody came.
+use invalid_configurations::{InvalidConfiguration, invalid_configurations};
+
+/// A listener that shows whether anyone has connected.
 struct Watched(TcpListener);
 
 impl Watched {
@@ -24,15 +30,15 @@
         self.0.local_addr().expect("an address")
     }
 
-    fn nobody_came(&self) -> bool {
+    fn has_no_connections(&self) -> bool {
         self.0.accept().is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     }
 }
 
-/// The configuration with another value at a place, or without what stands there.
+/// The configuration with another value at a JSON pointer, or without the value there.
 fn with(config: &Value, pointer: &str, value: Option<Value>) -> Value {
     let mut config = config.clone();
-    let (parent, key) = pointer.rsplit_once('/').expect("a place");
+    let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     let parent = config.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
     match value {
         Some(value) => _ = parent.insert(key.to_owned(), value),
@@ -41,9 +47,9 @@
     config
 }
 
-/// What the program says before it ends, without success.
-async fn last_words(config: &Value, state: &std::path::Path) -> String {
-    let output = soon("the end", spawn(config, state).wait_with_output()).await.expect("an end");
+/// The log of a start that fails.
+async fn failed_start_log(config: &Value, state: &std::path::Path) -> String {
+    let output = with_timeout("the end", spawn(config, state).wait_with_output()).await.expect("an end");
     let log = String::from_utf8(output.stderr).expect("text");
     assert!(!output.status.success(), "{log}");
     log
@@ -52,58 +58,58 @@
 #[tokio::test]
 async fn an_invalid_configuration_ends_the_program_with_one_line_before_any_side_effect() {
     let (clients, discovery) = (Watched::new(), Watched::new());
-    let (_folder, state) = lasting();
+    let Folder { state, root: _folder } = persistent_folder();
     let mut good = config(discovery.addr(), &[], DEADLINE_MS);
-    // A port that is taken: whoever tries to listen there says so instead.
+    // A port in use: a program that tries to listen there fails with another error.
     good["listen"] = clients.addr().to_string().into();
-    let said = last_words(&good, &state).await;
-    assert!(said.contains("cannot listen on"), "{said}");
-    for (pointer, value, key, right) in invalid_configurations() {
-        let said = last_words(&with(&good, pointer, value), &state).await;
-        assert_eq!(said.lines().count(), 1, "{pointer}: {said}");
-        assert!(said.starts_with(&format!("rudderspindle: {key}")), "{pointer}: {said}");
-        assert!(said.contains(right), "{pointer}: {said}");
+    let log = failed_start_log(&good, &state).await;
+    assert!(log.contains("cannot listen on"), "{log}");
+    for InvalidConfiguration { pointer, value, key, expected } in invalid_configurations() {
+        let log = failed_start_log(&with(&good, pointer, value), &state).await;
+        assert_eq!(log.lines().count(), 1, "{pointer}: {log}");
+        assert!(log.starts_with(&format!("rudderspindle: {key}")), "{pointer}: {log}");
+        assert!(log.contains(expected), "{pointer}: {log}");
         let left = std::fs::read_dir(&state).expect("a folder").count();
         assert_eq!(left, 0, "{pointer}");
-        assert!(clients.nobody_came() && discovery.nobody_came(), "{pointer}");
+        assert!(clients.has_no_connections() && discovery.has_no_connections(), "{pointer}");
     }
 }
 
-/// What is doubtful about a configuration is said of one that is used; otherwise the reason is all that is said.
+/// Warnings are logged for a valid configuration only.
 #[tokio::test]
 async fn an_invalid_configuration_that_also_has_warnings_is_rejected_with_one_line() {
-    let (_folder, state) = lasting();
-    let doubtful = with(&config(Watched::new().addr(), &[], DEADLINE_MS), "/settings/peers_total", None);
-    for (pointer, value, key, _) in invalid_configurations() {
+    let Folder { state, root: _folder } = persistent_folder();
+    let with_warnings = with(&config(Watched::new().addr(), &[], DEADLINE_MS), "/settings/peers_total", None);
+    for InvalidConfiguration { pointer, value, key, .. } in invalid_configurations() {
         if pointer.starts_with("/settings/peers_total") || pointer == "/settings" {
             continue;
         }
-        let said = last_words(&with(&doubtful, pointer, value), &state).await;
-        assert!(said.lines().count() == 1 && said.contains(key), "{pointer}: {said}");
+        let log = failed_start_log(&with(&with_warnings, pointer, value), &state).await;
+        assert!(log.lines().count() == 1 && log.contains(key), "{pointer}: {log}");
     }
 }
 
 #[tokio::test]
 async fn a_number_out_of_range_is_rejected_with_its_position() {
-    let (_folder, state) = lasting();
+    let Folder { state, root: _folder } = persistent_folder();
     let text = config(Watched::new().addr(), &[], DEADLINE_MS).to_string().replace("15000.0", "1e400");
     std::fs::write(state.with_extension("json"), text).expect("a file");
     let mut program = tokio::process::Command::new(env!("CARGO_BIN_EXE_rudderspindle"));
     program.env("RELAY_CONFIG", state.with_extension("json")).env("RELAY_STATE", &state);
-    let output = soon("the end", program.output()).await.expect("it runs");
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert!(!output.status.success() && said.lines().count() == 1, "{said}");
-    assert!(said.contains("number out of range at line 1 column"), "{said}");
+    let output = with_timeout("the end", program.output()).await.expect("it runs");
+    let log = String::from_utf8(output.stderr).expect("text");
+    assert!(!output.status.success() && log.lines().count() == 1, "{log}");
+    assert!(log.contains("number out of range at line 1 column"), "{log}");
     assert_eq!(std::fs::read_dir(&state).expect("a folder").count(), 0);
 }
 
-/// Numbers as other programs write them, what nobody knows, and no more than has to be there.
+/// Numbers as floats, unknown keys, and required keys only.
 #[tokio::test]
 async fn a_minimal_configuration_or_one_with_unknown_keys_works() {
     let (platform, mut receiver) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let members = [member("r1", receiver.addr, 7, "SERVING")];
     let whole = config(platform.addr, &members, DEADLINE_MS);
-    *platform.list.lock().expect("a list") = Some(whole["known"].clone());
+    platform.set_list(whole["known"].clone());
     let mut more = whole.clone();
     more["limits"]["sockets"] = json!(128.0);
     more["settings"]["extra"]["calls_out"] = json!(16.0);
@@ -115,11 +121,11 @@
         "projects": [{"name": "acme"}]}});
     little["settings"]["lanes"] = json!([{"name": "safe", "effect": "free", "deadline": DEADLINE_MS}]);
     for (n, config) in [whole, more, little].iter().enumerate() {
-        let folder = lasting();
-        let program = Program::start(config, &folder.1).await;
+        let folder = persistent_folder();
+        let program = Program::start(config, &folder.state).await;
         let message_id = format!("m{n}");
-        assert_eq!(program.hand_in("safe", &message_id, "text".into()).await.status(), 202, "{config}");
-        assert_eq!(receiver.call().await.message_id, message_id);
+        assert_eq!(program.submit("safe", &message_id, "text".into()).await.status(), 202, "{config}");
+        assert_eq!(receiver.next_call().await.message_id, message_id);
     }
 }
 
@@ -127,38 +133,38 @@
 async fn on_sighup_each_invalid_configuration_logs_one_line_and_changes_nothing() {
     let (platform, mut receiver) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let good = config(platform.addr, &[member("r1", receiver.addr, 7, "SERVING")], DEADLINE_MS);
-    *platform.list.lock().expect("a list") = Some(good["known"].clone());
-    let (_folder, state) = lasting();
+    platform.set_list(good["known"].clone());
+    let Folder { state, root: _folder } = persistent_folder();
     let mut child = spawn(&good, &state);
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-    let line = soon("a line", log.next_line()).await.expect("a log").expect("it goes on");
+    let line = with_timeout("a line", log.next_line()).await.expect("a log").expect("it goes on");
     let addr: SocketAddr = line.strip_prefix("listening on ").expect("the address").parse().expect("one");
     let elsewhere = Watched::new();
     let mut moved = good.clone();
     moved["discovery"] = elsewhere.addr().to_string().into();
     let pid = child.id().expect("it runs").to_string();
-    for (pointer, value, key, right) in invalid_configurations() {
+    for InvalidConfiguration { pointer, value, key, expected } in invalid_configurations() {
         let bad = with(&moved, pointer, value);
         std::fs::write(state.with_extension("json"), bad.to_string()).expect("a file");
         let sent = tokio::process::Command::new("kill").args(["-HUP", &pid]).status().await;
         assert!(sent.expect("kill runs").success());
-        // The next line each time: there is no other.
-        let line = soon(pointer, log.next_line()).await.expect("a log").expect("it goes on");
+        // The next line: there is exactly one for each.
+        let line = with_timeout(pointer, log.next_line()).await.expect("a log").expect("it goes on");
         assert!(line.starts_with(&format!("configuration left as it was: {key}")), "{pointer}: {line}");
-        assert!(line.contains(right), "{pointer}: {line}");
+        assert!(line.contains(expected), "{pointer}: {line}");
     }
-    assert!(elsewhere.nobody_came());
+    assert!(elsewhere.has_no_connections());
     let mut client = tokio::net::TcpStream::connect(addr).await.expect("a connection");
     let whole = raw_submission("m1", "Content-Length: 4", "text");
     tokio::io::AsyncWriteExt::write_all(&mut client, &whole).await.expect("writable");
     assert_eq!(status(&mut client).await, Some(202));
-    assert_eq!(receiver.call().await.message_id, "m1");
+    assert_eq!(receiver.next_call().await.message_id, "m1");
     child.kill().await.expect("it can be killed");
 }
 
 #[tokio::test]
 async fn an_invalid_configuration_ends_the_program_with_one_line() {
-    let (_folder, state) = lasting();
+    let Folder { state, root: _folder } = persistent_folder();
     let good = config("127.0.0.1:1".parse().expect("an address"), &[], DEADLINE_MS);
     let mut in_order = good["settings"].clone();
     in_order["lanes"][1]["in_order"] = true.into();
@@ -171,7 +177,7 @@
     ] {
         let mut bad = good.clone();
         bad[key] = value;
-        let output = soon("the end", spawn(&bad, &state).wait_with_output()).await.expect("an end");
+        let output = with_timeout("the end", spawn(&bad, &state).wait_with_output()).await.expect("an end");
         let log = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success() && log.lines().count() == 1, "{key}: {log}");
     }
--- a/crates/daemon/tests/slow_start.rs
+++ b/crates/daemon/tests/slow_start.rs
@@ -5,8 +5,9 @@
 
 use std::time::Duration;
 
-/// All traffic is for one destination: the first rejection that each sender gets announces the whole outage, at one
-/// endpoint.
+use scenario::CheckedRun;
+
+/// All traffic is for one destination: the first rejection by any endpoint announces the whole outage to a sender.
 const OUTAGE: &str = r#"
 seed = 23
 seconds = 13
@@ -62,7 +63,7 @@
 
 #[tokio::test]
 async fn a_destination_that_recovers_from_a_full_outage_is_ramped_up_slowly() {
-    let (_, verdict) = scenario::run(OUTAGE, MAX_MESSAGE_LIFETIME).await;
+    let CheckedRun { verdict, .. } = scenario::run(OUTAGE, MAX_MESSAGE_LIFETIME).await;
     assert!(verdict.is_clean(), "{verdict}");
     let [recovery] = &verdict.recoveries[..] else { panic!("it recovered once:\n{verdict}") };
     assert!(recovery.shared && recovery.kind == "shut" && recovery.peak_calls > 0, "{verdict}");
@@ -72,7 +73,7 @@
 
 #[tokio::test]
 async fn a_sender_that_was_killed_still_ramps_a_recovering_destination_up_slowly() {
-    let (_, verdict) = scenario::run(&format!("{OUTAGE}{KILL}"), MAX_MESSAGE_LIFETIME).await;
+    let CheckedRun { verdict, .. } = scenario::run(&format!("{OUTAGE}{KILL}"), MAX_MESSAGE_LIFETIME).await;
     assert!(verdict.is_clean(), "{verdict}");
     let [recovery] = &verdict.recoveries[..] else { panic!("it recovered once:\n{verdict}") };
     assert!(recovery.peak_ratio > 0.0 && recovery.peak_ratio <= 1.8, "{verdict}");
--- a/crates/daemon/tests/takeover_scenario.rs
+++ b/crates/daemon/tests/takeover_scenario.rs
@@ -5,6 +5,8 @@
 
 use std::time::Duration;
 
+use scenario::CheckedRun;
+
 const TRAFFIC: &str = r#"
 seed = 9
 seconds = 12
@@ -48,12 +50,12 @@
 #[tokio::test]
 async fn a_scenario_with_takeovers_violates_no_rule_and_loses_nothing() {
     let script = format!("{TRAFFIC}{}{EVENTS}", scenario::destinations(1.0));
-    let (_, verdict) = scenario::run(&script, Duration::from_secs(6)).await;
+    let CheckedRun { verdict, .. } = scenario::run(&script, Duration::from_secs(6)).await;
     assert!(verdict.is_clean() && verdict.accounting.pending == 0, "{verdict}");
     let (accepted, failed_on_submission) =
         (verdict.accounting.accepted, verdict.accounting.failed_on_submission);
     assert!(accepted > 200, "{verdict}");
-    // A request that a process left unread would be submitted again, and one whose connection it closed stay
+    // A request left unread by a process would be submitted again; one on a connection that it closed would stay
     // unanswered.
     assert!(verdict.accounting.unanswered * 50 < accepted && failed_on_submission == 0, "{verdict}");
 }
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -5,27 +5,26 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use common::*;
-use serde_json::Value;
+use common::fixture::Site;
+use common::program::Program;
+use common::{DEADLINE_MS, body, inherited_listener, next_notifications};
+use rudderspindle_testkit::scripted_peers::{Notification, ScriptedResponse, raw_submission, status};
 use tokio::io::AsyncWriteExt;
 
-/// What both processes of a sender have in common.
-struct Site {
-    platform: FakePlatform,
-    receiver: Receiver,
+/// What both processes of a sender share.
+struct SharedListener {
+    site: Site,
     listener: socket2::Socket,
-    folder: Folder,
-    config: Value,
 }
 
-impl Site {
-    async fn new(acts: &[Act], deadline: f64) -> Self {
-        let (platform, receiver, config) = start_peers(acts, deadline).await;
-        Self { platform, receiver, listener: inherited_listener(), folder: lasting(), config }
+impl SharedListener {
+    async fn new(responses: &[ScriptedResponse]) -> Self {
+        Self { site: Site::new(responses, DEADLINE_MS).await, listener: inherited_listener() }
     }
 
     async fn start(&self) -> Program {
-        let program = Program::start_with_listener(&self.listener, &self.config, &self.folder.1).await;
+        let Site { config, folder, .. } = &self.site;
+        let program = Program::start_with_listener(&self.listener, config, &folder.state).await;
         let addr: SocketAddr = self.listener.local_addr().expect("an address").as_socket().expect("TCP");
         assert_eq!(program.addr, addr);
         program
@@ -34,117 +33,117 @@
 
 #[tokio::test]
 async fn an_upgrade_is_invisible_to_clients_and_the_new_process_takes_over_pending_messages() {
-    let mut site = Site::new(&[Act::Hang, Act::Hang], DEADLINE_MS).await;
-    let mut old = site.start().await;
+    let mut shared = SharedListener::new(&[ScriptedResponse::NoResponse, ScriptedResponse::NoResponse]).await;
+    let mut old = shared.start().await;
     for (class, message_id) in [("safe", "m1"), ("once", "m2")] {
-        assert_eq!(old.hand_in(class, message_id, text()).await.status(), 202);
-        assert_eq!(site.receiver.call().await.message_id, message_id);
+        assert_eq!(old.submit(class, message_id, body()).await.status(), 202);
+        assert_eq!(shared.site.receiver.next_call().await.message_id, message_id);
     }
-    // One client has connected before the new process came, and one has begun to speak.
+    // One client has connected before the new process starts, and one has sent half of a request.
     let mut fresh = old.raw(b"").await;
     let whole = raw_submission("m4", "Content-Length: 4", "text");
     let mut slow = old.raw(&whole[..40]).await;
     // Accepted messages belong to the old process.
-    assert_eq!(old.hand_in("safe", "m3", text()).await.status(), 202);
-    assert_eq!(site.receiver.call().await.message_id, "m3");
-    let mut new = site.start().await;
+    assert_eq!(old.submit("safe", "m3", body()).await.status(), 202);
+    assert_eq!(shared.site.receiver.next_call().await.message_id, "m3");
+    let mut new = shared.start().await;
     old.terminate().await;
-    old.says("stopping").await;
+    old.wait_for_log_line("stopping").await;
     for (stream, bytes, message_id) in [
         (&mut slow, &whole[40..], "m4"),
         (&mut fresh, &raw_submission("m5", "Content-Length: 4", "text")[..], "m5"),
     ] {
         stream.write_all(bytes).await.expect("it is open");
         assert_eq!(status(stream).await, Some(202), "{message_id}");
-        assert_eq!(site.receiver.call().await.message_id, message_id);
+        assert_eq!(shared.site.receiver.next_call().await.message_id, message_id);
     }
     assert!(old.exit().await.success());
-    new.says("taken over: 2 messages").await;
+    new.wait_for_log_line("taken over: 2 messages").await;
     // Both attempts may have run: the one that may be repeated is, the other one fails, once.
-    assert_eq!(site.receiver.call().await.message_id, "m1");
-    assert_eq!(notifications(&mut site.platform, 1).await, [undeliverable("m2")]);
-    assert_eq!(new.hand_in("safe", "m6", text()).await.status(), 202);
-    assert_eq!(site.receiver.call().await.message_id, "m6");
-    // The next version finds the one that is the owner now.
-    let mut newest = site.start().await;
-    new.says("a successor has come").await;
+    assert_eq!(shared.site.receiver.next_call().await.message_id, "m1");
+    assert_eq!(next_notifications(&mut shared.site.platform, 1).await, [Notification::undeliverable("m2")]);
+    assert_eq!(new.submit("safe", "m6", body()).await.status(), 202);
+    assert_eq!(shared.site.receiver.next_call().await.message_id, "m6");
+    // The next process connects to the current owner.
+    let mut newest = shared.start().await;
+    new.wait_for_log_line("a successor has come").await;
     new.terminate().await;
     assert!(new.exit().await.success());
-    newest.says("taken over: 0 messages, 0 notices").await;
-    assert!(site.receiver.nothing_called());
+    newest.wait_for_log_line("taken over: 0 messages, 0 notices").await;
+    assert!(shared.site.receiver.has_no_calls());
 }
 
-/// The old process is killed while both serve; nothing announces that to the new one.
+/// The old process is killed while both serve; the new one gets no announcement of that.
 #[tokio::test]
 async fn a_kill_of_the_old_process_passes_its_pending_messages_to_the_new_one() {
-    let mut site = Site::new(&[Act::Hang], DEADLINE_MS).await;
-    let old = site.start().await;
-    assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
-    assert_eq!(site.receiver.call().await.message_id, "m1");
-    let mut new = site.start().await;
+    let mut shared = SharedListener::new(&[ScriptedResponse::NoResponse]).await;
+    let old = shared.start().await;
+    assert_eq!(old.submit("safe", "m1", body()).await.status(), 202);
+    assert_eq!(shared.site.receiver.next_call().await.message_id, "m1");
+    let mut new = shared.start().await;
     old.kill().await;
-    new.says("taken over: 1 messages").await;
-    assert_eq!(site.receiver.call().await.message_id, "m1");
+    new.wait_for_log_line("taken over: 1 messages").await;
+    assert_eq!(shared.site.receiver.next_call().await.message_id, "m1");
 }
 
 #[tokio::test]
 async fn a_retry_after_received_by_either_process_binds_both() {
     // Received by the old process before the new one has started.
-    let wait = Act::Say(429, Some(("x-backoff-ms", "1500")));
-    let mut site = Site::new(&[wait], DEADLINE_MS).await;
-    let old = site.start().await;
-    assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
-    site.receiver.call().await;
+    let wait = ScriptedResponse::StatusWithHeader(429, "x-backoff-ms", "1500");
+    let mut shared = SharedListener::new(&[wait]).await;
+    let old = shared.start().await;
+    assert_eq!(old.submit("safe", "m1", body()).await.status(), 202);
+    shared.site.receiver.next_call().await;
     let received_at = Instant::now();
-    let mut new = site.start().await;
+    let mut new = shared.start().await;
     old.terminate().await;
-    assert_eq!(new.hand_in("safe", "m2", text()).await.status(), 202);
+    assert_eq!(new.submit("safe", "m2", body()).await.status(), 202);
     for _ in 0..2 {
-        let call = site.receiver.call().await;
+        let call = shared.site.receiver.next_call().await;
         let after = call.at.duration_since(received_at);
         assert!(after > Duration::from_millis(1_450), "{} came after {after:?}", call.message_id);
     }
-    // Received by the new process while the old one still has a message: it waits in the old one, or is taken over.
-    new.says("taken over").await;
-    let mut newest = site.start().await;
-    site.receiver.then(&[wait]);
+    // Received by the new process while the old one has a pending message, which backs off there or is taken over.
+    new.wait_for_log_line("taken over").await;
+    let mut newest = shared.start().await;
+    shared.site.receiver.then(&[wait]);
     // Both accept: one of them receives the Retry-After, and the other one must apply it.
-    assert_eq!(new.hand_in("safe", "m3", text()).await.status(), 202);
-    site.receiver.call().await;
+    assert_eq!(new.submit("safe", "m3", body()).await.status(), 202);
+    shared.site.receiver.next_call().await;
     let received_at = Instant::now();
     for n in 0..6 {
-        assert_eq!(newest.hand_in("safe", &format!("n{n}"), text()).await.status(), 202);
+        assert_eq!(newest.submit("safe", &format!("n{n}"), body()).await.status(), 202);
     }
     new.terminate().await;
-    newest.says("taken over").await;
+    newest.wait_for_log_line("taken over").await;
     for _ in 0..7 {
-        let call = site.receiver.call().await;
+        let call = shared.site.receiver.next_call().await;
         let after = call.at.duration_since(received_at);
-        // The Retry-After is passed between two processes: calls that cross it are let through, as the protocol
-        // specifies.
+        // Calls that cross the announcement between the processes are allowed, as the protocol specifies.
         let crossed = after < Duration::from_millis(100);
         assert!(crossed || after > Duration::from_millis(1_450), "{} came after {after:?}", call.message_id);
     }
 }
 
-/// A listener that cannot be used is one clear error.
+/// An unusable descriptor ends the start with one error.
 #[tokio::test]
 async fn a_descriptor_that_is_not_a_listener_ends_the_start() {
-    let site = Site::new(&[], DEADLINE_MS).await;
-    for (number, says) in [
+    let shared = SharedListener::new(&[]).await;
+    for (number, expected) in [
         ("x", "RELAY_ACCEPT_FD is \"x\""),
         ("2", "RELAY_ACCEPT_FD is \"2\""),
         ("900", "no listening TCP socket"),
     ] {
-        std::fs::write(site.folder.1.with_extension("json"), site.config.to_string()).expect("writable");
+        std::fs::write(shared.site.folder.state.with_extension("json"), shared.site.config.to_string())
+            .expect("writable");
         let output = tokio::process::Command::new(env!("CARGO_BIN_EXE_rudderspindle"))
-            .env("RELAY_CONFIG", site.folder.1.with_extension("json"))
-            .env("RELAY_STATE", &site.folder.1)
+            .env("RELAY_CONFIG", shared.site.folder.state.with_extension("json"))
+            .env("RELAY_STATE", &shared.site.folder.state)
             .env("RELAY_ACCEPT_FD", number)
             .output()
             .await
             .expect("it starts");
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && log.contains(says), "{log}");
+        assert!(!output.status.success() && log.contains(expected), "{log}");
     }
 }
--- a/crates/http2/tests/client/connections.rs
+++ b/crates/http2/tests/client/connections.rs
@@ -10,7 +10,7 @@
 use rudderspindle_http2::client::Endpoint;
 use rudderspindle_http2::outcome::{DeliveryOutcome, StreamOutcome};
 use rudderspindle_http2::pool::PoolLimits;
-use rudderspindle_testkit::scripted_peers::soon;
+use rudderspindle_testkit::scripted_peers::with_timeout;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
@@ -71,7 +71,7 @@
         drop(listener);
         let endpoint = Endpoint::new(PoolLimits::default(), move || TcpStream::connect(address));
         let call = endpoint.call(request(), Bytes::new(), deadlines(LONG));
-        let failed = soon("the end of a call", call).await;
+        let failed = with_timeout("the end of a call", call).await;
         assert_eq!(failed, incomplete(StreamOutcome::NotOpened));
         assert_eq!(failed.stream.delivery(failed.request_complete), DeliveryOutcome::NotExecuted);
     })
@@ -92,7 +92,7 @@
         for attempt in 1..3 {
             let deadlines = deadlines(LONG);
             let call = endpoint.call(request(), Bytes::new(), deadlines);
-            let failed = soon("the end of a call", call).await;
+            let failed = with_timeout("the end of a call", call).await;
             assert_eq!((failed.stream, connects.get()), (StreamOutcome::NotOpened, attempt));
             assert!(Instant::now() < deadlines.response, "the call waited until its deadline");
         }
--- a/crates/http2/tests/client/harness.rs
+++ b/crates/http2/tests/client/harness.rs
@@ -13,7 +13,7 @@
 use rudderspindle_http2::outcome::StreamOutcome;
 use rudderspindle_http2::pool::PoolLimits;
 use rudderspindle_testkit::frames::Frames;
-use rudderspindle_testkit::scripted_peers::soon;
+use rudderspindle_testkit::scripted_peers::with_timeout;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::Instant;
@@ -75,7 +75,8 @@
     }
 
     async fn accept_with_window(&self, window_size: u32) -> Frames {
-        let (transport, _) = soon("a connection", self.listener.accept()).await.expect("a connection");
+        let (transport, _) =
+            with_timeout("a connection", self.listener.accept()).await.expect("a connection");
         Frames::accept(transport, MAX_STREAMS, window_size).await
     }
 
@@ -126,7 +127,7 @@
 
 /// The outcome of a call that ends soon.
 pub async fn outcome(call: JoinHandle<CallOutcome>) -> CallOutcome {
-    soon("the end of a call", call).await.expect("a call")
+    with_timeout("the end of a call", call).await.expect("a call")
 }
 
 /// The outcome of a call whose request was sent whole.
--- a/crates/testkit/src/frames.rs
+++ b/crates/testkit/src/frames.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::scripted_peers::soon;
+use crate::scripted_peers::with_timeout;
 
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 const DATA: u8 = 0;
@@ -48,7 +48,7 @@
     /// window is.
     pub async fn accept(mut io: TcpStream, streams: u32, window: u32) -> Self {
         let mut preface = [0; PREFACE.len()];
-        soon("a preface", io.read_exact(&mut preface)).await.expect("readable");
+        with_timeout("a preface", io.read_exact(&mut preface)).await.expect("readable");
         assert_eq!(preface, PREFACE);
         let mut frames = Self { io, answers_pings: true };
         frames.settings(&[(MAX_STREAMS, streams), (INITIAL_WINDOW, window)]).await;
@@ -76,10 +76,10 @@
 
     async fn read(&mut self) -> Option<Frame> {
         let mut head = [0; 9];
-        soon("a frame", self.io.read_exact(&mut head)).await.ok()?;
+        with_timeout("a frame", self.io.read_exact(&mut head)).await.ok()?;
         let length = usize::from(head[0]) << 16 | usize::from(head[1]) << 8 | usize::from(head[2]);
         let mut payload = vec![0; length];
-        soon("a frame", self.io.read_exact(&mut payload)).await.ok()?;
+        with_timeout("a frame", self.io.read_exact(&mut payload)).await.ok()?;
         let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]) & 0x7fff_ffff;
         Some(Frame { kind: head[3], flags: head[4], stream, payload })
     }
--- a/crates/testkit/src/scripted_peers/http_server.rs
+++ b/crates/testkit/src/scripted_peers/http_server.rs
@@ -27,7 +27,7 @@
     (listener, addr)
 }
 
-/// Serves each connection by `answer`; `None` closes it without a response. The task ends with the runtime.
+/// Serves each connection with the responses of `answer`; `None` closes it without one. The task ends with the runtime.
 pub(super) fn serve<F, A>(listener: TcpListener, answer: F)
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
@@ -39,7 +39,7 @@
             tokio::spawn(async move {
                 let service = service_fn(move |request| {
                     let answer = answer(request);
-                    async move { answer.await.ok_or("broken off") }
+                    async move { answer.await.ok_or("no response") }
                 });
                 let server = hyper::server::conn::http1::Builder::new();
                 let _ = server.serve_connection(TokioIo::new(stream), service).await;
--- a/crates/testkit/src/scripted_peers/malformed_responder.rs
+++ b/crates/testkit/src/scripted_peers/malformed_responder.rs
@@ -10,25 +10,41 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use super::http_server::listen;
-use super::soon;
+use super::with_timeout;
 
 /// A well-formed response.
 pub const GOOD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-/// Pause that an empty part of a response stands for.
+/// Pause for an empty part of a response.
 const PART_PAUSE: Duration = Duration::from_millis(800);
-/// End of every request's body, which no head ends with.
+/// The last bytes of every request; no head ends with them.
 const BODY_END: &[u8] = b"text";
 
 /// The parts of the responses to come.
 type Responses = Arc<Mutex<VecDeque<Vec<Vec<u8>>>>>;
 
+/// A call that was read from a connection.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RawCall {
+    /// Number of the connection, from 0.
+    pub connection: usize,
+    /// Id of the message.
+    pub message_id: String,
+}
+
+impl RawCall {
+    /// A call of a message on a connection.
+    pub fn new(connection: usize, message_id: impl Into<String>) -> Self {
+        Self { connection, message_id: message_id.into() }
+    }
+}
+
 /// A receiver that writes its responses byte for byte, and keeps connections open.
 #[derive(Debug)]
 pub struct MalformedResponder {
     /// Its address.
     pub addr: SocketAddr,
-    /// Each call: the number of its connection, and the message's id.
-    pub calls: UnboundedReceiver<(usize, String)>,
+    /// Each call.
+    pub calls: UnboundedReceiver<RawCall>,
     responses: Responses,
 }
 
@@ -36,14 +52,14 @@
     /// Starts one whose responses are well-formed until others are scripted. All bodies must end in `text`.
     pub async fn start() -> Self {
         let (listener, addr) = listen().await;
-        let (call_to, calls) = unbounded_channel();
+        let (call_sender, calls) = unbounded_channel();
         let responses = Responses::default();
         let shared_responses = responses.clone();
         // Ends with the runtime, as do the connections' tasks.
         tokio::spawn(async move {
             for number in 0.. {
                 let Ok((stream, _)) = listener.accept().await else { return };
-                tokio::spawn(serve(stream, number, call_to.clone(), shared_responses.clone()));
+                tokio::spawn(serve(stream, number, call_sender.clone(), shared_responses.clone()));
             }
         });
         Self { addr, calls, responses }
@@ -55,18 +71,13 @@
         self.responses.lock().expect("a script").push_back(parts);
     }
 
-    /// The next call: the number of its connection, and the message's id.
-    pub async fn call(&mut self) -> (usize, String) {
-        soon("a call", self.calls.recv()).await.expect("a receiver")
+    /// The next call.
+    pub async fn next_call(&mut self) -> RawCall {
+        with_timeout("a call", self.calls.recv()).await.expect("a receiver")
     }
 }
 
-async fn serve(
-    stream: TcpStream,
-    number: usize,
-    call_to: UnboundedSender<(usize, String)>,
-    responses: Responses,
-) {
+async fn serve(stream: TcpStream, number: usize, calls: UnboundedSender<RawCall>, responses: Responses) {
     let (mut from, mut to) = stream.into_split();
     let mut request = Vec::new();
     while let Ok(1..) = from.read_buf(&mut request).await {
@@ -75,7 +86,7 @@
         }
         let text = String::from_utf8_lossy(&request).into_owned();
         let message_id = text.lines().find_map(|line| line.strip_prefix("x-txn: ")).unwrap_or_default();
-        let _ = call_to.send((number, message_id.to_owned()));
+        let _ = calls.send(RawCall::new(number, message_id));
         request.clear();
         let parts = responses.lock().expect("a script").pop_front();
         for part in parts.unwrap_or_else(|| vec![GOOD.to_vec()]) {
--- a/crates/testkit/src/scripted_peers/platform.rs
+++ b/crates/testkit/src/scripted_peers/platform.rs
@@ -1,4 +1,4 @@
-//! A scripted platform: discovery, and the place for notifications.
+//! A scripted platform: serves discovery and receives notifications.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -15,27 +15,35 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use super::http_server::{Reply, listen, reply, serve};
-use super::soon;
+use super::notification::{Notification, NotificationRequest};
+use super::with_timeout;
 
-/// A platform whose responses the test gives.
+/// A watch of the endpoint list.
+#[derive(Debug)]
+pub struct Watch {
+    /// Query of its request.
+    pub query: String,
+    /// Sends its lines; the watch ends when this is dropped.
+    pub lines: UnboundedSender<String>,
+}
+
+/// A platform with scripted responses.
 #[derive(Debug)]
 pub struct FakePlatform {
     /// Its address.
     pub addr: SocketAddr,
-    /// Each watch: its query, and where its lines go. Dropping that ends the watch.
-    pub watches: UnboundedReceiver<(String, UnboundedSender<String>)>,
-    /// Each request with notifications, and the status of its response.
-    pub reports: UnboundedReceiver<(Vec<Value>, u16)>,
+    watches: UnboundedReceiver<Watch>,
+    notifications: UnboundedReceiver<NotificationRequest>,
     statuses: Arc<Mutex<VecDeque<u16>>>,
-    /// The whole list, for requests without a query.
-    pub list: Arc<Mutex<Option<Value>>>,
+    /// The complete list, for requests without a query.
+    list: Arc<Mutex<Option<Value>>>,
 }
 
 /// The server's side of a platform.
 #[derive(Clone)]
 struct Server {
-    watch_to: UnboundedSender<(String, UnboundedSender<String>)>,
-    report_to: UnboundedSender<(Vec<Value>, u16)>,
+    watches: UnboundedSender<Watch>,
+    notifications: UnboundedSender<NotificationRequest>,
     statuses: Arc<Mutex<VecDeque<u16>>>,
     list: Arc<Mutex<Option<Value>>>,
 }
@@ -43,7 +51,7 @@
 impl Server {
     async fn answer(self, request: Request<Incoming>) -> Option<Reply> {
         if request.uri().path() == "/reports" {
-            return self.accept_report(request).await;
+            return self.accept_notifications(request).await;
         }
         let Some(query) = request.uri().query() else {
             let list = self.list.lock().expect("a list").clone();
@@ -51,16 +59,17 @@
             return Some(Response::new(Full::from(text).boxed()));
         };
         let (lines, body) = unbounded_channel();
-        self.watch_to.send((query.to_owned(), lines)).ok()?;
+        self.watches.send(Watch { query: query.to_owned(), lines }).ok()?;
         Some(Response::new(LinesBody(body).boxed()))
     }
 
-    async fn accept_report(self, request: Request<Incoming>) -> Option<Reply> {
+    async fn accept_notifications(self, request: Request<Incoming>) -> Option<Reply> {
         let body = request.into_body().collect().await.ok()?.to_bytes();
         let lines = body.split(|&byte| byte == b'\n').filter(|line| !line.is_empty());
-        let notifications = lines.map(|line| serde_json::from_slice(line).expect("JSON")).collect();
+        let parsed = lines.map(|line| serde_json::from_slice::<Value>(line).expect("JSON"));
+        let notifications = parsed.map(|line| Notification::from(&line)).collect();
         let status = self.statuses.lock().expect("the statuses").pop_front().unwrap_or(204);
-        self.report_to.send((notifications, status)).ok()?;
+        self.notifications.send(NotificationRequest { notifications, status }).ok()?;
         Some(reply(status))
     }
 }
@@ -84,34 +93,42 @@
     /// Starts a platform that has no list yet.
     pub async fn start() -> Self {
         let (listener, addr) = listen().await;
-        let (watch_to, watches) = unbounded_channel();
-        let (report_to, reports) = unbounded_channel();
+        let (watch_sender, watches) = unbounded_channel();
+        let (notification_sender, notifications) = unbounded_channel();
         let statuses = Arc::new(Mutex::new(VecDeque::new()));
         let list = Arc::new(Mutex::new(None::<Value>));
-        let server = Server { watch_to, report_to, statuses: statuses.clone(), list: list.clone() };
+        let server = Server {
+            watches: watch_sender,
+            notifications: notification_sender,
+            statuses: statuses.clone(),
+            list: list.clone(),
+        };
         serve(listener, move |request| server.clone().answer(request));
-        Self { addr, watches, reports, statuses, list }
+        Self { addr, watches, notifications, statuses, list }
     }
 
     /// Sets the statuses of the next responses to notifications; after these it is 204.
-    pub fn answer_reports(&self, statuses: &[u16]) {
+    pub fn script_statuses(&self, statuses: &[u16]) {
         self.statuses.lock().expect("the statuses").extend(statuses);
     }
 
-    /// The next watch: its query, and where its lines go.
-    pub async fn watch(&mut self) -> (String, UnboundedSender<String>) {
-        soon("a watch", self.watches.recv()).await.expect("a platform")
+    /// Sets the complete list.
+    pub fn set_list(&self, list: Value) {
+        *self.list.lock().expect("a list") = Some(list);
+    }
+
+    /// The next watch.
+    pub async fn next_watch(&mut self) -> Watch {
+        with_timeout("a watch", self.watches.recv()).await.expect("a platform")
     }
 
-    /// The next request with notifications: their ids and states, and the status of its response.
-    pub async fn report(&mut self) -> (Vec<(String, String)>, u16) {
-        let (notifications, status) = soon("a notice", self.reports.recv()).await.expect("a platform");
-        let text = |value: &Value, key: &str| value[key].as_str().unwrap_or_default().to_owned();
-        (notifications.iter().map(|line| (text(line, "id"), text(line, "status"))).collect(), status)
+    /// The next request with notifications.
+    pub async fn next_notifications(&mut self) -> NotificationRequest {
+        with_timeout("a notification", self.notifications.recv()).await.expect("a platform")
     }
 
-    /// Whether no further notification has come.
-    pub fn nothing_reported(&mut self) -> bool {
-        self.reports.try_recv().is_err()
+    /// Whether no further notification has arrived.
+    pub fn has_no_notifications(&mut self) -> bool {
+        self.notifications.try_recv().is_err()
     }
 }
--- a/crates/testkit/src/scripted_peers/raw_client.rs
+++ b/crates/testkit/src/scripted_peers/raw_client.rs
@@ -1,11 +1,11 @@
-//! Clients' connections, written and read by hand.
+//! Client connections that a test writes and reads byte by byte.
 
 use std::net::SocketAddr;
 
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpSocket, TcpStream};
 
-use super::soon;
+use super::with_timeout;
 
 /// The bytes of a submission.
 pub fn raw_submission(message_id: &str, length: &str, body: &str) -> Vec<u8> {
@@ -19,7 +19,7 @@
 /// Reads the status of the next response; `None` if the connection ends instead.
 pub async fn status(stream: &mut TcpStream) -> Option<u16> {
     let mut head = [0; 12];
-    match soon("an answer or a close", stream.read_exact(&mut head)).await {
+    match with_timeout("an answer or a close", stream.read_exact(&mut head)).await {
         Ok(_) => Some(String::from_utf8_lossy(&head[9..]).parse().expect("a status")),
         Err(_) => None,
     }
@@ -39,21 +39,21 @@
         {
             return;
         }
-        soon("an answer", stream.read_buf(&mut seen)).await.expect("readable");
+        with_timeout("an answer", stream.read_buf(&mut seen)).await.expect("readable");
     }
 }
 
-/// Connects from a certain loopback address.
+/// Connects from a given loopback address.
 pub async fn connect_from(from: &str, to: SocketAddr) -> TcpStream {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(SocketAddr::new(from.parse().expect("an address"), 0)).expect("a free port");
-    soon("a connection", socket.connect(to)).await.expect("a connection")
+    with_timeout("a connection", socket.connect(to)).await.expect("a connection")
 }
 
 /// Reads until the connection ends.
 pub async fn rest(stream: &mut TcpStream) -> Vec<u8> {
     let mut rest = Vec::new();
     // A reset ends it as well.
-    let _ = soon("the end", stream.read_to_end(&mut rest)).await;
+    let _ = with_timeout("the end", stream.read_to_end(&mut rest)).await;
     rest
 }
--- a/crates/testkit/src/scripted_peers/receiver.rs
+++ b/crates/testkit/src/scripted_peers/receiver.rs
@@ -16,12 +16,12 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use super::http_server::{Reply, listen, reply};
-use super::soon;
+use super::with_timeout;
 
 /// Time in which a response is written before its connection is closed.
 const CLOSE_DELAY: Duration = Duration::from_millis(5);
 
-/// A call as its receiver got it.
+/// A call that a receiver has read.
 #[derive(Debug)]
 pub struct Call {
     /// Id of the message.
@@ -30,38 +30,40 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// When it had come whole.
+    /// When its last byte arrived.
     pub at: Instant,
 }
 
 /// How a call is answered.
 #[derive(Clone, Copy, Debug)]
-pub enum Act {
-    /// A status, with a header.
-    Say(u16, Option<(&'static str, &'static str)>),
-    /// A 200 after which the connection is closed without `Connection: close`.
-    SayAndClose,
-    /// No response, ever.
-    Hang,
+pub enum ScriptedResponse {
+    /// With a status.
+    Status(u16),
+    /// With a status and a header of this name and value.
+    StatusWithHeader(u16, &'static str, &'static str),
+    /// With a 200 after which the connection is closed without `Connection: close`.
+    OkThenClose,
+    /// Never.
+    NoResponse,
     /// The connection is closed without a response.
-    Break,
+    Disconnect,
 }
 
-/// A receiver that answers as its script says, and with 200 after that.
+/// A receiver with scripted responses; after these it answers with 200.
 #[derive(Debug)]
 pub struct Receiver {
     /// Its address.
     pub addr: SocketAddr,
     /// Each call.
     pub calls: UnboundedReceiver<Call>,
-    script: Arc<Mutex<VecDeque<Act>>>,
+    script: Arc<Mutex<VecDeque<ScriptedResponse>>>,
 }
 
 /// The server's side of a receiver, on one connection.
 #[derive(Clone)]
 struct Connection {
-    call_to: UnboundedSender<Call>,
-    script: Arc<Mutex<VecDeque<Act>>>,
+    calls: UnboundedSender<Call>,
+    script: Arc<Mutex<VecDeque<ScriptedResponse>>>,
     /// Notified when the connection is to be closed.
     close: Arc<Notify>,
 }
@@ -89,56 +91,55 @@
         let body = body.collect().await.map_err(|_| "cut short")?.to_bytes();
         let message_id = head.headers.get("x-txn").and_then(|value| value.to_str().ok());
         let message_id = message_id.unwrap_or_default().to_owned();
-        let act = self.script.lock().expect("a script").pop_front();
-        let _ = self.call_to.send(Call { message_id, headers: head.headers, body, at: Instant::now() });
-        match act.unwrap_or(Act::Say(200, None)) {
-            Act::Say(status, header) => {
+        let response = self.script.lock().expect("a script").pop_front();
+        let _ = self.calls.send(Call { message_id, headers: head.headers, body, at: Instant::now() });
+        match response.unwrap_or(ScriptedResponse::Status(200)) {
+            ScriptedResponse::Status(status) => Ok(reply(status)),
+            ScriptedResponse::StatusWithHeader(status, name, value) => {
                 let mut reply = reply(status);
-                if let Some((name, value)) = header {
-                    reply.headers_mut().insert(name, value.parse().expect("a value"));
-                }
+                reply.headers_mut().insert(name, value.parse().expect("a value"));
                 Ok(reply)
             }
-            Act::SayAndClose => {
+            ScriptedResponse::OkThenClose => {
                 self.close.notify_one();
                 Ok(reply(200))
             }
-            Act::Hang => std::future::pending().await,
-            Act::Break => Err("broken off"),
+            ScriptedResponse::NoResponse => std::future::pending().await,
+            ScriptedResponse::Disconnect => Err("disconnected by the script"),
         }
     }
 }
 
 impl Receiver {
-    /// Starts a receiver whose script begins with these acts.
-    pub async fn start(acts: &[Act]) -> Self {
+    /// Starts a receiver with these responses.
+    pub async fn start(responses: &[ScriptedResponse]) -> Self {
         let (listener, addr) = listen().await;
-        let (call_to, calls) = unbounded_channel();
-        let script = Arc::new(Mutex::new(VecDeque::from(acts.to_vec())));
+        let (call_sender, calls) = unbounded_channel();
+        let script = Arc::new(Mutex::new(VecDeque::from(responses.to_vec())));
         let shared_script = script.clone();
         // Ends with the runtime, as do the connections' tasks.
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (call_to, script) = (call_to.clone(), shared_script.clone());
-                let connection = Connection { call_to, script, close: Arc::new(Notify::new()) };
+                let (calls, script) = (call_sender.clone(), shared_script.clone());
+                let connection = Connection { calls, script, close: Arc::new(Notify::new()) };
                 tokio::spawn(connection.serve(stream));
             }
         });
         Self { addr, calls, script }
     }
 
-    /// Adds acts to the script's end.
-    pub fn then(&self, acts: &[Act]) {
-        self.script.lock().expect("a script").extend(acts);
+    /// Adds responses to the end of the script.
+    pub fn then(&self, responses: &[ScriptedResponse]) {
+        self.script.lock().expect("a script").extend(responses);
     }
 
     /// The next call.
-    pub async fn call(&mut self) -> Call {
-        soon("a call", self.calls.recv()).await.expect("a receiver")
+    pub async fn next_call(&mut self) -> Call {
+        with_timeout("a call", self.calls.recv()).await.expect("a receiver")
     }
 
-    /// Whether no further call has come.
-    pub fn nothing_called(&mut self) -> bool {
+    /// Whether no further call has arrived.
+    pub fn has_no_calls(&mut self) -> bool {
         self.calls.try_recv().is_err()
     }
 }
