--- a/crates/benchmarks/src/fleet_limit/recovery.rs
+++ b/crates/benchmarks/src/fleet_limit/recovery.rs
@@ -1,68 +1,79 @@
-//! What a recovering receiver gets from all senders together, against the calls that it tolerates.
+//! The load of a whole fleet on a receiver that recovers from an outage, over the calls that it tolerates.
+
+mod row;
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-use rudderspindle_simulation::partner::{Limit, Notes, Outage, Push, Scene, Seen, play, while_warming};
+use rudderspindle_simulation::receiver::{
+    GossipNetwork, Limit, LoadPeak, Observations, Outage, Restart, Scenario, recovery_ramp_capacity, simulate,
+};
 
 use crate::report::Report;
+use row::{Row, print_head};
 
-/// Limits of small receivers, calls a second; each is drawn from this range.
+/// Range of the limits of small receivers, calls a second.
 const SMALL_LIMITS: Range<f64> = 3.0..8.0;
 /// Limit of a large receiver, calls a second.
 const LARGE_LIMIT: f64 = 75.0;
+/// Range of the limits of random scenarios, calls a second.
+const RANDOM_LIMITS: Range<f64> = 6.0..24.0;
 /// The largest fleet that is simulated without gossip only.
-const MAX_SILENT_FLEET: usize = 10;
-/// The least number of messages submitted to each busy sender during the outage.
+const MAX_FLEET_WITHOUT_GOSSIP: usize = 10;
+/// Minimum number of messages submitted to each busy sender during the outage, on average.
 const MIN_MESSAGES: f64 = 2.0;
-/// When senders are killed, ms after the receiver's return.
+/// Time from the end of the outage to the kill of senders, ms.
 const RESTART_AFTER: f64 = 1_500.0;
-/// How long killed senders are down, ms.
+/// Downtime of killed senders, ms.
 const RESTART_DOWNTIME: f64 = 600.0;
-/// One of so many senders is killed, in scenes with a restart.
-const RESTARTED_ONE_OF: usize = 10;
-/// Scenes that are simulated in parallel.
+/// In scenarios with a restart, 1 / `RESTARTED_DIVISOR` of the senders are killed.
+const RESTARTED_DIVISOR: usize = 10;
+/// Number of scenarios that are simulated in parallel.
 const JOBS: usize = 3;
 
 const OUTAGES: [Outage; 5] = [
-    Outage::Refuse,
-    Outage::Silent,
+    Outage::RefuseConnections,
+    Outage::Unresponsive,
     Outage::Errors { share: 0.9 },
-    Outage::Shut { tells: 1.0 },
-    Outage::Shut { tells: 0.0 },
+    Outage::RejectAll { retry_after_probability: 1.0 },
+    Outage::RejectAll { retry_after_probability: 0.0 },
 ];
 
-/// How the load is spread over the fleet.
+/// The distribution of the load over the fleet.
 #[derive(Clone, Copy)]
-struct Load {
+struct LoadCase {
     name: &'static str,
-    /// One of so many senders gets messages.
-    busy_one_of: usize,
+    /// Part of its figures' names.
+    key: &'static str,
+    /// Messages are submitted to 1 / `busy_divisor` of the senders.
+    busy_divisor: usize,
     /// Messages over the limit.
     load: f64,
 }
 
-const LOADS: [Load; 3] = [
-    Load { name: "all busy", busy_one_of: 1, load: 0.9 },
-    Load { name: "few busy", busy_one_of: 10, load: 0.9 },
-    Load { name: "overrun", busy_one_of: 1, load: 3.0 },
+const LOADS: [LoadCase; 3] = [
+    LoadCase { name: "all busy", key: "all_busy", busy_divisor: 1, load: 0.9 },
+    LoadCase { name: "few busy", key: "few_busy", busy_divisor: 10, load: 0.9 },
+    LoadCase { name: "overload", key: "overrun", busy_divisor: 1, load: 3.0 },
 ];
 
-/// The fleet's gossip, with its name in the table.
-struct Gossip {
+/// The fleet's gossip.
+struct GossipCase {
     name: &'static str,
-    notes: Option<Notes>,
+    /// Part of its figures' names.
+    key: &'static str,
+    network: Option<GossipNetwork>,
 }
 
-fn gossip_cases() -> [Gossip; 4] {
-    let with_loss = |lost| Some(Notes { lost, cut: 0.0..0.0 });
-    let cut = Notes { lost: 0.0, cut: 6_000.0..f64::INFINITY };
+fn gossip_cases() -> [GossipCase; 4] {
+    let [lossless, half_lost] = [0.0, 0.5].map(GossipNetwork::with_loss);
+    let partitioned = GossipNetwork { loss: 0.0, partition: 6_000.0..f64::INFINITY };
     [
-        Gossip { name: "none", notes: None },
-        Gossip { name: "all", notes: with_loss(0.0) },
-        Gossip { name: "half lost", notes: with_loss(0.5) },
-        Gossip { name: "cut", notes: Some(cut) },
+        GossipCase { name: "no gossip", key: "notes_none", network: None },
+        GossipCase { name: "gossip", key: "notes_all", network: Some(lossless) },
+        GossipCase { name: "50% loss", key: "notes_half_lost", network: Some(half_lost) },
+        GossipCase { name: "partition", key: "notes_cut", network: Some(partitioned) },
     ]
 }
 
@@ -73,6 +84,7 @@
 }
 
 impl ReceiverSize {
+    /// The name in the table and in figures.
     fn name(self) -> &'static str {
         match self {
             Self::Small => "small",
@@ -80,11 +92,11 @@
         }
     }
 
-    /// The limit, calls a second, from that of a drawn scene.
-    fn limit(self, drawn: f64) -> f64 {
+    /// The limit, calls a second, from that of a random scenario.
+    fn limit(self, random: f64) -> f64 {
         match self {
             Self::Small => {
-                let fraction = (drawn - 6.0) / 18.0;
+                let fraction = (random - RANDOM_LIMITS.start) / (RANDOM_LIMITS.end - RANDOM_LIMITS.start);
                 SMALL_LIMITS.start + (SMALL_LIMITS.end - SMALL_LIMITS.start) * fraction
             }
             Self::Large => LARGE_LIMIT,
@@ -92,153 +104,107 @@
     }
 }
 
-/// An outage and its end, with messages for each of the busy senders.
-fn base_scene(seed: u64, senders: usize, size: ReceiverSize, load: Load) -> Scene {
-    let drawn = Scene::draw(seed, |_| Outage::Refuse);
-    let told = size.limit(drawn.told);
-    let messages = (drawn.until - drawn.from) / 1_000.0 * load.load * told;
-    let factor = (MIN_MESSAGES * senders as f64 / messages).max(1.0);
-    Scene {
-        senders,
-        busy: senders.div_ceil(load.busy_one_of),
-        peers: senders,
-        limit: Limit::Span { carried: 0.5 },
-        told,
-        load: load.load,
-        swell: (factor, drawn.from..drawn.until),
-        ..drawn
-    }
-}
-
-/// The scenes of a row: each seed with each outage, without a restart and with one.
-fn row_scenes(
-    seeds: &Range<u64>,
+/// The fleet, receiver, gossip and load of one row.
+struct RowCase<'a> {
     senders: usize,
     size: ReceiverSize,
-    gossip: &Gossip,
-    load: Load,
-) -> Vec<Scene> {
-    let mut scenes = Vec::new();
-    for seed in seeds.clone() {
-        let base = base_scene(seed, senders, size, load);
-        let restart = (0..senders.div_ceil(RESTARTED_ONE_OF), base.until + RESTART_AFTER);
-        for outage in OUTAGES {
-            for restart in [None, Some(restart.clone())] {
-                let (notes, gone) = (gossip.notes.clone(), RESTART_DOWNTIME);
-                scenes.push(Scene { outage, notes, restart, gone, ..base.clone() });
+    gossip: &'a GossipCase,
+    load: LoadCase,
+}
+
+impl RowCase<'_> {
+    fn name(&self) -> String {
+        let Self { senders, size, gossip, load } = self;
+        format!("{senders} {}, {}, {}", size.name(), gossip.name, load.name)
+    }
+
+    fn key(&self) -> String {
+        let Self { senders, size, gossip, load } = self;
+        format!("{senders}_{}_{}_{}", size.name(), gossip.key, load.key)
+    }
+
+    /// A scenario with an outage during which each busy sender gets messages.
+    fn base_scenario(&self, seed: u64) -> Scenario {
+        let Self { senders, load, .. } = *self;
+        let random = Scenario::random(seed, |_| Outage::RefuseConnections);
+        let announced_rate = self.size.limit(random.announced_rate);
+        let period = random.outage_start..random.outage_end;
+        let messages = (period.end - period.start) / 1_000.0 * load.load * announced_rate;
+        let factor = (MIN_MESSAGES * senders as f64 / messages).max(1.0);
+        Scenario {
+            senders,
+            busy_senders: senders.div_ceil(load.busy_divisor),
+            peers: senders,
+            limit: Limit::Window { carry_over: 0.5 },
+            announced_rate,
+            load: load.load,
+            load_peak: LoadPeak { factor, period },
+            gossip_network: self.gossip.network.clone(),
+            ..random
+        }
+    }
+
+    /// The scenarios of the row: each seed with each outage, without a restart and with one.
+    fn scenarios(&self, seeds: &Range<u64>) -> Vec<Scenario> {
+        let mut scenarios = Vec::new();
+        for seed in seeds.clone() {
+            let base = self.base_scenario(seed);
+            let restart = Restart {
+                senders: 0..self.senders.div_ceil(RESTARTED_DIVISOR),
+                killed_at: base.outage_end + RESTART_AFTER,
+                downtime: RESTART_DOWNTIME,
+            };
+            for outage in OUTAGES {
+                for restart in [None, Some(restart.clone())] {
+                    scenarios.push(Scenario { outage, restart, ..base.clone() });
+                }
             }
         }
+        scenarios
+    }
+
+    fn run(&self, seeds: &Range<u64>, report: &mut Report) {
+        let scenarios = self.scenarios(seeds);
+        let mut row = Row::default();
+        for (scenario, observations) in scenarios.iter().zip(simulate_all(&scenarios)) {
+            row.add(&observations, recovery_ramp_capacity(scenario.announced_rate));
+        }
+        row.report(&self.name(), &self.key(), report);
     }
-    scenes
 }
 
-/// Simulates scenes in parallel; their figures in the same order.
-fn play_all(scenes: &[Scene]) -> Vec<Seen> {
+/// Simulates scenarios in parallel; their figures in the same order.
+fn simulate_all(scenarios: &[Scenario]) -> Vec<Observations> {
     let next = AtomicUsize::new(0);
     let work = || {
         let mut done = Vec::new();
         loop {
             let index = next.fetch_add(1, Ordering::Relaxed);
-            let Some(scene) = scenes.get(index) else { return done };
-            done.push((index, play(scene)));
+            let Some(scenario) = scenarios.get(index) else { return done };
+            done.push((index, simulate(scenario)));
         }
     };
-    let mut all: Vec<(usize, Seen)> = thread::scope(|scope| {
+    let mut all: Vec<(usize, Observations)> = thread::scope(|scope| {
         let jobs: Vec<_> = (0..JOBS).map(|_| scope.spawn(work)).collect();
         jobs.into_iter().flat_map(|job| job.join().unwrap_or_default()).collect()
     });
     all.sort_by_key(|(index, _)| *index);
-    all.into_iter().map(|(_, seen)| seen).collect()
-}
-
-/// Figures of several scenes. The two elements of arrays are: all calls, and calls of senders that saw a failure.
-#[derive(Default)]
-struct Row {
-    scenes: usize,
-    overloaded: [usize; 2],
-    worst: [Push; 2],
-    /// Calls in the scenes' worst moments, by their senders' knowledge.
-    calls: [f64; 4],
-    /// The number of calls that overloads the receiver in these moments.
-    bearable: f64,
-    served: Vec<f64>,
-}
-
-impl Row {
-    /// Adds a scene; `possible` is the number of calls that the receiver could serve during its recovery ramp.
-    fn add(&mut self, seen: &Seen, possible: f64) {
-        let ratios: [fn(&Push) -> f64; 2] = [Push::ratio, Push::told_ratio];
-        for (index, ratio) in ratios.iter().enumerate() {
-            let push = seen.push[index];
-            self.overloaded[index] += usize::from(ratio(&push) > 1.0);
-            if self.worst[index].n == 0.0 || ratio(&push) > ratio(&self.worst[index]) {
-                self.worst[index] = push;
-            }
-        }
-        self.scenes += 1;
-        self.bearable += seen.push[0].n;
-        for (sum, calls) in self.calls.iter_mut().zip(seen.push[0].calls) {
-            *sum += calls as f64;
-        }
-        self.served.push(seen.served as f64 / possible);
-    }
-
-    /// Prints the row and adds its figures.
-    fn report(&self, name: &str, report: &mut Report) {
-        let [all, told] = self.worst;
-        let share = |n: f64| n / (self.scenes as f64).max(1.0);
-        let [over, told_over] = self.overloaded.map(|scenes| share(scenes as f64));
-        let [down, cold, failures, nothing] = self.calls.map(|n| n / self.bearable.max(f64::MIN_POSITIVE));
-        let served = share(self.served.iter().sum());
-        println!(
-            "{name:<34} {:>7.2} {over:>6.2} {:>8.2} {told_over:>6.2} {down:>9.2} {cold:>6.2} {failures:>6.2} \
-            {nothing:>6.2} {served:>8.2}",
-            all.ratio(),
-            told.told_ratio(),
-        );
-        let key = name.replace([' ', ','], "_").replace("__", "_");
-        report.figure(&format!("{key}_push_ratio"), all.ratio());
-        report.figure(&format!("{key}_over_share"), over);
-        report.figure(&format!("{key}_told_push_ratio"), told.told_ratio());
-        report.figure(&format!("{key}_told_over_share"), told_over);
-        report.figure(&format!("{key}_served_share"), served);
-        if self.overloaded[1] > 0 {
-            report.broken(format!("{name}: told senders pushed it over in {}", self.overloaded[1]));
-        }
-    }
-}
-
-fn print_head() {
-    println!(
-        "calls in the fall time over N + 2 root N + 2: hardest, share of the scenes over it; of told senders alone;"
-    );
-    println!(
-        "in the hardest, over N, by senders that: probe, are in slow start, saw failures, know of nothing"
-    );
-    println!(
-        "{:<34} {:>7} {:>6} {:>8} {:>6} {:>9} {:>6} {:>6} {:>6} {:>8}",
-        "fleet", "hardest", "over", "told", "over", "probe", "slow", "failed", "none", "served"
-    );
+    all.into_iter().map(|(_, observations)| observations).collect()
 }
 
-/// Prints a row for each fleet, size of receiver, kind of gossip and load. A row whose senders overload the receiver
-/// although they saw a failure is a failed check.
+/// Prints a row for each fleet, size of receiver, kind of gossip and load.
+///
+/// A row whose senders overload the receiver although they saw a failure is a failed check.
 pub(super) fn run(seeds: &Range<u64>, fleets: &[u16], report: &mut Report) {
     print_head();
     for senders in fleets.iter().copied().map(usize::from) {
         for size in [ReceiverSize::Small, ReceiverSize::Large] {
-            for gossip in gossip_cases() {
-                if gossip.notes.is_some() && senders <= MAX_SILENT_FLEET {
+            for gossip in &gossip_cases() {
+                if gossip.network.is_some() && senders <= MAX_FLEET_WITHOUT_GOSSIP {
                     continue;
                 }
                 for load in LOADS {
-                    let name = format!("{senders} {}, notes {}, {}", size.name(), gossip.name, load.name);
-                    let scenes = row_scenes(seeds, senders, size, &gossip, load);
-                    let mut row = Row::default();
-                    for (scene, seen) in scenes.iter().zip(play_all(&scenes)) {
-                        row.add(&seen, while_warming(scene.told));
-                    }
-                    row.report(&name, report);
+                    RowCase { senders, size, gossip, load }.run(seeds, report);
                 }
             }
         }
--- a/crates/benchmarks/src/fleet_limit/totals.rs
+++ b/crates/benchmarks/src/fleet_limit/totals.rs
@@ -1,83 +1,92 @@
-//! Figures of several rounds of the same kind of scene.
+//! Figures of several rounds of the same kind of scenario.
 
-use rudderspindle_simulation::partner::{Scene, Seen};
+use rudderspindle_simulation::receiver::{Observations, Scenario};
 
+use super::OVERLOAD_MULTIPLE;
 use crate::report::Report;
 
 /// Totals and maxima over rounds.
 #[derive(Default)]
 pub(super) struct Totals {
+    /// Messages that could be delivered: all submitted ones, at most the limit.
     possible: f64,
     delivered: f64,
     rejected: f64,
-    offered_value: f64,
-    earned_value: f64,
-    worst_overload: f64,
-    worst_second: f64,
+    submitted_value: f64,
+    delivered_value: f64,
+    peak_recovery_load: f64,
+    peak_second: f64,
 }
 
 /// The reported ratios.
 struct Ratios {
     /// Delivered messages over those that could be.
-    use_share: f64,
+    utilization: f64,
     /// Value of the delivered messages over that of the submitted ones.
-    earned_share: f64,
+    value_share: f64,
     /// Rejected calls for each delivered message.
     rejected_ratio: f64,
 }
 
 impl Totals {
     /// Adds a round.
-    pub fn add(&mut self, scene: &Scene, seen: &Seen) {
-        self.possible += (scene.told * scene.ends / 1_000.0).min(seen.asked as f64);
-        self.delivered += seen.delivered as f64;
-        self.rejected += seen.refused as f64;
-        self.offered_value += seen.offered.iter().sum::<f64>();
-        self.earned_value += seen.earned.iter().sum::<f64>();
-        self.worst_overload = self.worst_overload.max(seen.worst);
-        self.worst_second = self.worst_second.max(seen.most_in_second() as f64 / scene.told);
-    }
-
-    /// Calls to a recovering receiver over what it could take: the maximum.
-    pub fn worst_overload(&self) -> f64 {
-        self.worst_overload
+    pub fn add(&mut self, scenario: &Scenario, observations: &Observations) {
+        let limit = scenario.announced_rate * scenario.duration / 1_000.0;
+        let peak_second = observations.max_calls_in_second() as f64 / scenario.announced_rate;
+        self.possible += limit.min(observations.submitted as f64);
+        self.delivered += observations.delivered as f64;
+        self.rejected += observations.rejected as f64;
+        self.submitted_value += observations.submitted_value.iter().sum::<f64>();
+        self.delivered_value += observations.delivered_value.iter().sum::<f64>();
+        self.peak_recovery_load = self.peak_recovery_load.max(observations.peak_recovery_ratio);
+        self.peak_second = self.peak_second.max(peak_second);
     }
 
     fn ratios(&self) -> Ratios {
         let per = |part: f64, whole: f64| part / whole.max(1.0);
         Ratios {
-            use_share: per(self.delivered, self.possible),
-            earned_share: per(self.earned_value, self.offered_value),
+            utilization: per(self.delivered, self.possible),
+            value_share: per(self.delivered_value, self.submitted_value),
             rejected_ratio: per(self.rejected, self.delivered),
         }
     }
 
-    /// Prints a row and adds its figures.
-    pub fn report(&self, name: &str, report: &mut Report) {
-        let Ratios { use_share, earned_share, rejected_ratio } = self.ratios();
+    /// Prints a row of the table.
+    pub fn print_row(&self, name: &str) {
+        let Ratios { utilization, value_share, rejected_ratio } = self.ratios();
         println!(
-            "{name:<28} {use_share:>12.3} {earned_share:>14.3} {rejected_ratio:>24.3} {:>14.2}",
-            self.worst_overload
+            "{name:<28} {utilization:>12.3} {value_share:>14.3} {rejected_ratio:>26.3} {:>20.2}",
+            self.peak_recovery_load
         );
-        let key = name.replace([' ', ','], "_").replace("__", "_");
-        self.add_figures(&key, report);
     }
 
-    /// Adds the figures and that of the worst second's calls over the limit; the part of a row that shows them.
-    pub fn report_with_worst_second(&self, key: &str, report: &mut Report) -> String {
-        self.add_figures(key, report);
-        report.figure(&format!("{key}_worst_second_ratio"), self.worst_second);
-        let Ratios { use_share, earned_share, rejected_ratio } = self.ratios();
-        format!("{use_share:>7.3} {earned_share:>7.3} {rejected_ratio:>9.3} {:>7.2}", self.worst_second)
+    /// A cell of the table with the peak second.
+    pub fn cell(&self) -> String {
+        let Ratios { utilization, value_share, rejected_ratio } = self.ratios();
+        format!("{utilization:>7.3} {value_share:>7.3} {rejected_ratio:>9.3} {:>7.2}", self.peak_second)
     }
 
-    fn add_figures(&self, key: &str, report: &mut Report) {
-        let Ratios { use_share, earned_share, rejected_ratio } = self.ratios();
-        report.figure(&format!("{key}_use_share"), use_share);
-        report.figure(&format!("{key}_earned_share"), earned_share);
+    /// Adds the figures of the ratios and of the peak load during a recovery, if there was one.
+    pub fn add_figures(&self, key: &str, report: &mut Report) {
+        let Ratios { utilization, value_share, rejected_ratio } = self.ratios();
+        report.figure(&format!("{key}_use_share"), utilization);
+        report.figure(&format!("{key}_earned_share"), value_share);
         report.figure(&format!("{key}_refused_ratio"), rejected_ratio);
-        if self.worst_overload > 0.0 {
-            report.figure(&format!("{key}_push_ratio"), self.worst_overload);
+        if self.peak_recovery_load > 0.0 {
+            report.figure(&format!("{key}_push_ratio"), self.peak_recovery_load);
+        }
+    }
+
+    /// Adds the figure of the maximum number of calls within a second, over the limit.
+    pub fn add_peak_second(&self, key: &str, report: &mut Report) {
+        report.figure(&format!("{key}_worst_second_ratio"), self.peak_second);
+    }
+
+    /// A recovering receiver that was overloaded is a failed check.
+    pub fn check_recovery_load(&self, name: &str, report: &mut Report) {
+        let load = self.peak_recovery_load;
+        if load > OVERLOAD_MULTIPLE {
+            report.failed_check(format!("{name}: load {load:.2} times the recovering receiver's capacity"));
         }
     }
 }
--- a/crates/benchmarks/src/http2.rs
+++ b/crates/benchmarks/src/http2.rs
@@ -1,7 +1,7 @@
 //! `http2`: bursts of calls to one receiver over HTTP/2 and over HTTP/1.1 with a pooled connection for each call in
-//! flight, in turn; and how soon the next call is answered after a GOAWAY.
+//! flight, alternating; and the time from a GOAWAY to the response of the next call.
 //!
-//! It measures the client of `crates/http2` alone: there is no journal and no policy.
+//! It measures the client of `crates/http2` without a journal or a policy.
 
 mod bursts;
 mod goaway;
@@ -17,31 +17,32 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::task::LocalSet;
 
+use crate::arguments::CommonArguments;
+use crate::error::BenchmarkError;
+use crate::median::median;
 use crate::report::Report;
-use crate::statistics::median;
-use crate::{BenchmarkError, CommonArguments};
 use bursts::BurstFigures;
 use receiver::ReceiverThread;
 
 /// Default duration of each run, s.
-const SECONDS: u16 = 8;
-/// Runs of each protocol, in turn.
+const DEFAULT_SECONDS: u16 = 8;
+/// Number of alternating runs of the two protocols.
 const PAIRS: u64 = 3;
-/// How long a call may take.
+/// Maximum duration of a call.
 const DEADLINE: Duration = Duration::from_secs(12);
-/// The most that the call after a GOAWAY should take, ms.
+/// Objective for the time from a GOAWAY to the response of the next call, ms.
 const GOAWAY_OBJECTIVE_MS: f64 = 50.0;
 
 /// The bursts and the receiver.
 #[derive(Clone, Debug, Args)]
 pub struct Http2Arguments {
-    /// Calls in a burst, on average; a burst comes each second, on average.
+    /// Mean number of calls in a burst; the mean interval between bursts is one second.
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u16).range(1..=5_000))]
     burst: u16,
-    /// Calls that the partner works on at once; others wait for it.
+    /// Number of calls that the receiver processes at once; others wait.
     #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u16).range(1..=1_000))]
     workers: u16,
-    /// How long it works on a call, milliseconds, on average.
+    /// Mean service time of a call, milliseconds.
     #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u16).range(1..=5_000))]
     work_ms: u16,
 }
@@ -73,7 +74,7 @@
     }
 }
 
-/// Runs the pairs and the GOAWAYs.
+/// Measures bursts over both protocols, and GOAWAYs.
 ///
 /// # Errors
 ///
@@ -81,7 +82,7 @@
 pub fn run(common: &CommonArguments, arguments: &Http2Arguments) -> Result<Report, BenchmarkError> {
     let seed = common.seed();
     let mut report = Report::new("http2", seed);
-    let duration = Duration::from_secs(u64::from(common.seconds.unwrap_or(SECONDS)));
+    let duration = Duration::from_secs(u64::from(common.seconds.unwrap_or(DEFAULT_SECONDS)));
     print_head(seed, arguments);
     let [mut http2, mut http1] = [const { Vec::new() }; 2];
     for pair in 0..PAIRS {
@@ -100,14 +101,14 @@
 
 fn print_head(seed: u64, arguments: &Http2Arguments) {
     let Http2Arguments { burst, workers, work_ms } = arguments;
-    println!("seed {seed}, bursts of {burst} a second, {workers} workers, {work_ms} ms");
+    println!("seed {seed}, bursts of {burst} calls per second, {workers} workers, service time {work_ms} ms");
     println!(
-        "{:<10} {:>16} {:>16} {:>14} {:>10}",
-        "protocol", "in 4 s (share)", "CPU a call (us)", "connections", "p99 (ms)"
+        "{:<10} {:>16} {:>18} {:>14} {:>10}",
+        "protocol", "in 4 s (share)", "CPU per call (us)", "connections", "p99 (ms)"
     );
 }
 
-/// One run against a receiver in a thread of its own.
+/// Runs one protocol against a receiver in its own thread.
 fn run_bursts(
     protocol: Protocol,
     seed: u64,
@@ -121,9 +122,9 @@
     receiver.stop()?;
     let name = protocol.name();
     let BurstFigures { in_time, cpu_us, connections, p99_ms, failed } = figures;
-    println!("{name:<10} {in_time:>16.3} {cpu_us:>16.1} {connections:>14.0} {p99_ms:>10.0}");
+    println!("{name:<10} {in_time:>16.3} {cpu_us:>18.1} {connections:>14.0} {p99_ms:>10.0}");
     if failed > 0 {
-        report.broken(format!("{name}: {failed} calls ended otherwise than delivered"));
+        report.failed_check(format!("{name}: {failed} calls were not delivered"));
     }
     Ok(figures)
 }
@@ -142,8 +143,8 @@
     times.sort_by(f64::total_cmp);
     let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
     println!(
-        "after a GOAWAY the next call is answered in {median:.1} ms (median), {worst:.1} ms (worst of {}); \
-         aim {GOAWAY_OBJECTIVE_MS} ms",
+        "GOAWAY to the next response: median {median:.1} ms, maximum of {} {worst:.1} ms, objective \
+         {GOAWAY_OBJECTIVE_MS} ms",
         times.len()
     );
     report.figure("goaway_to_answer_median_ms", median);
--- a/crates/benchmarks/src/http2/bursts.rs
+++ b/crates/benchmarks/src/http2/bursts.rs
@@ -12,7 +12,7 @@
 use rudderspindle_http2::client::{CallDeadlines, Endpoint};
 use rudderspindle_http2::outcome::DeliveryOutcome;
 use rudderspindle_http2::pool::PoolLimits;
-use rudderspindle_simulation::partner::Draw;
+use rudderspindle_testkit::scenario::SeededRng;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
@@ -21,16 +21,16 @@
 
 /// Latency objective of a call.
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(4);
-/// Over how long the calls of a burst are spread, s.
+/// Time over which the calls of a burst are spread, s.
 const BURST_SPREAD: f64 = 0.2;
-/// The maximum of the pause after a burst, beside its spread, s; uniform from 0.
+/// Maximum pause between the end of a burst and the next one, s; the pause is uniform from 0.
 const MAX_PAUSE: f64 = 1.6;
 /// Body of each call.
 const BODY: &[u8] = &[b'x'; 400];
-/// The largest latency that is told apart, us.
+/// Highest latency of the histogram, us.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// What one run measured.
+/// Figures of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct BurstFigures {
     /// Share of the calls that were delivered within the latency objective.
@@ -45,7 +45,7 @@
     pub failed: u64,
 }
 
-/// Sends bursts for so long, and waits for each call's outcome.
+/// Sends bursts for `duration`, and waits for each call's outcome.
 pub(super) async fn run(
     protocol: Protocol,
     addr: SocketAddr,
@@ -73,8 +73,8 @@
             let request = Request::post("http://gw.example.org/drop").body(()).expect("a request");
             let until = Instant::now() + DEADLINE;
             let deadlines = CallDeadlines { response: until, request: until };
-            let ended = endpoint.call(request, body, deadlines).await;
-            ended.stream.delivery(ended.request_complete) == DeliveryOutcome::Delivered
+            let result = endpoint.call(request, body, deadlines).await;
+            result.stream.delivery(result.request_complete) == DeliveryOutcome::Delivered
         }
     };
     let figures = send_bursts(call, seed, duration, burst).await?;
@@ -102,7 +102,7 @@
 where
     F: Future<Output = bool> + 'static,
 {
-    let mut rng = Draw::new(seed);
+    let mut rng = SeededRng::new(seed);
     // Each call is a task of this set, which waits for all of them below.
     let mut calls = JoinSet::new();
     let started = Instant::now();
@@ -128,9 +128,9 @@
     let mut total = 0u64;
     let mut in_time = 0u64;
     let mut failed = 0u64;
-    while let Some(ended) = calls.join_next().await {
+    while let Some(result) = calls.join_next().await {
         total += 1;
-        match ended.map_err(io::Error::other)? {
+        match result.map_err(io::Error::other)? {
             Some(latency) => {
                 in_time += u64::from(latency <= LATENCY_OBJECTIVE);
                 latencies.saturating_record(u64::try_from(latency.as_micros()).unwrap_or(u64::MAX));
@@ -148,7 +148,7 @@
     })
 }
 
-/// CPU time of this thread so far, ns.
+/// CPU time of this thread since its start, ns.
 fn cpu_ns() -> io::Result<u64> {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat")?;
     let first = stat.split(' ').next().and_then(|ns| ns.parse().ok());
--- a/crates/benchmarks/src/http2/goaway.rs
+++ b/crates/benchmarks/src/http2/goaway.rs
@@ -1,4 +1,4 @@
-//! Measures how soon a call is answered that is made as the connection gets a GOAWAY.
+//! Measures the time from a GOAWAY to the response of a call made at that moment.
 
 use std::io;
 
@@ -14,24 +14,25 @@
 use tokio::time::Instant;
 
 use super::{DEADLINE, connect};
-use crate::BenchmarkError;
+use crate::error::BenchmarkError;
 
-/// GOAWAYs that are timed.
+/// Number of measured GOAWAYs.
 const ROUNDS: usize = 50;
-/// Settings of the receiver's connections.
+/// HTTP/2 settings of the receiver's connections.
 const MAX_CONCURRENT_STREAMS: u32 = 100;
+/// Initial window of a stream, bytes.
 const WINDOW: u32 = 65_535;
 /// Status of each response.
 const CREATED: u16 = 201;
 
-/// What to do with a call that was not executed.
+/// Whether a call that was not executed is retried.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Retry {
     Never,
-    AtOnce,
+    Immediately,
 }
 
-/// The time from each GOAWAY to the answer of the call made at that moment, ms.
+/// The time from each GOAWAY to the response of the call made at that moment, ms.
 ///
 /// Two calls are in flight; the GOAWAY covers the first one and not the second.
 pub(super) async fn run() -> Result<Vec<f64>, BenchmarkError> {
@@ -46,9 +47,9 @@
             loop {
                 let request = Request::post("http://gw.example.org/drop").body(()).expect("a request");
                 let deadlines = CallDeadlines { response: until, request: until };
-                let ended = endpoint.call(request, Bytes::from_static(b"text"), deadlines).await;
-                let outcome = ended.stream.delivery(ended.request_complete);
-                let retries = retry == Retry::AtOnce && outcome == DeliveryOutcome::NotExecuted;
+                let result = endpoint.call(request, Bytes::from_static(b"text"), deadlines).await;
+                let outcome = result.stream.delivery(result.request_complete);
+                let retries = retry == Retry::Immediately && outcome == DeliveryOutcome::NotExecuted;
                 if !retries || Instant::now() >= until {
                     return outcome;
                 }
@@ -66,7 +67,7 @@
         let streams = [old.request().await, old.request().await];
         let goaway_at = Instant::now();
         old.go_away(streams[0], 0).await;
-        let next = call(Retry::AtOnce);
+        let next = call(Retry::Immediately);
         let mut new = accept(&listener).await?;
         let stream = new.request().await;
         new.head(stream, CREATED, None, true).await;
--- a/crates/benchmarks/src/http2/http1_pool.rs
+++ b/crates/benchmarks/src/http2/http1_pool.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 client with a connection for each call in flight, which is kept for the next.
+//! An HTTP/1.1 client with a pooled connection for each call in flight.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -26,7 +26,7 @@
         Self { addr, idle: RefCell::default(), opened: Cell::new(0) }
     }
 
-    /// Connections opened so far.
+    /// Number of connections opened since the pool was created.
     pub fn opened(&self) -> u32 {
         self.opened.get()
     }
--- a/crates/benchmarks/src/http2/receiver.rs
+++ b/crates/benchmarks/src/http2/receiver.rs
@@ -1,4 +1,4 @@
-//! A receiver that works on a limited number of calls at once, the same over either protocol.
+//! A receiver that processes a limited number of calls at once, over either protocol.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -15,7 +15,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use rudderspindle_simulation::partner::Draw;
+use rudderspindle_testkit::scenario::SeededRng;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, oneshot};
 use tokio::task::{LocalSet, spawn_local};
@@ -23,10 +23,10 @@
 
 use super::{Http2Arguments, Protocol, current_thread_runtime};
 
-/// Streams that a client may open on an HTTP/2 connection.
+/// Maximum number of open streams of an HTTP/2 connection.
 const MAX_CONCURRENT_STREAMS: u32 = 100;
 
-/// A receiver in a thread of its own, until it is stopped.
+/// A receiver that runs in its own thread until it is stopped.
 pub(super) struct ReceiverThread {
     /// Where it listens.
     pub addr: SocketAddr,
@@ -40,40 +40,40 @@
         let (addr_sender, addr) = mpsc::channel();
         let (stop, stopped) = oneshot::channel();
         let workers = usize::from(arguments.workers);
-        let mean_work = f64::from(arguments.work_ms) / 1_000.0;
+        let mean_service_time = f64::from(arguments.work_ms) / 1_000.0;
         let thread = thread::spawn(move || {
             let runtime = current_thread_runtime()?;
             LocalSet::new().block_on(&runtime, async {
                 let listener = TcpListener::bind("127.0.0.1:0").await?;
                 let _ = addr_sender.send(listener.local_addr()?);
-                let receiver = Rc::new(Receiver::new(workers, mean_work, seed));
+                let receiver = Rc::new(Receiver::new(workers, mean_service_time, seed));
                 tokio::select! {
                     served = receiver.serve(listener, protocol) => served,
                     _ = stopped => Ok(()),
                 }
             })
         });
-        let addr = addr.recv().map_err(|_| io::Error::other("the partner did not start"))?;
+        let addr = addr.recv().map_err(|_| io::Error::other("the receiver did not start"))?;
         Ok(Self { addr, stop, thread })
     }
 
     /// Stops the receiver and its connections.
     pub fn stop(self) -> io::Result<()> {
         drop(self.stop);
-        self.thread.join().map_err(|_| io::Error::other("the partner panicked"))?
+        self.thread.join().map_err(|_| io::Error::other("the receiver panicked"))?
     }
 }
 
 struct Receiver {
     workers: Semaphore,
-    /// Mean time that a call takes, s.
-    mean_work: f64,
-    rng: RefCell<Draw>,
+    /// Mean service time of a call, s.
+    mean_service_time: f64,
+    rng: RefCell<SeededRng>,
 }
 
 impl Receiver {
-    fn new(workers: usize, mean_work: f64, seed: u64) -> Self {
-        Self { workers: Semaphore::new(workers), mean_work, rng: RefCell::new(Draw::new(seed)) }
+    fn new(workers: usize, mean_service_time: f64, seed: u64) -> Self {
+        Self { workers: Semaphore::new(workers), mean_service_time, rng: RefCell::new(SeededRng::new(seed)) }
     }
 
     async fn serve(self: Rc<Self>, listener: TcpListener, protocol: Protocol) -> io::Result<()> {
@@ -96,16 +96,16 @@
         }
     }
 
-    /// Waits for a worker, then for its work: uniform from 0.2 to 1.8 times the mean.
-    async fn work(&self) {
+    /// Waits for a free worker, then for a service time that is uniform from 0.2 to 1.8 times the mean.
+    async fn process(&self) {
         let _worker = self.workers.acquire().await;
         let factor = 0.2 + 1.6 * self.rng.borrow_mut().unit();
-        sleep(Duration::from_secs_f64(self.mean_work * factor)).await;
+        sleep(Duration::from_secs_f64(self.mean_service_time * factor)).await;
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
         let complete = request.into_body().collect().await.is_ok();
-        self.work().await;
+        self.process().await;
         let mut response = Response::new(Full::default());
         *response.status_mut() = if complete { StatusCode::CREATED } else { StatusCode::BAD_REQUEST };
         Ok(response)
@@ -124,7 +124,7 @@
                 while let Some(Ok(data)) = body.data().await {
                     let _ = body.flow_control().release_capacity(data.len());
                 }
-                this.work().await;
+                this.process().await;
                 let response = Response::builder().status(StatusCode::CREATED).body(()).expect("a response");
                 let _ = respond.send_response(response, true);
             });
--- a/crates/benchmarks/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -1,7 +1,8 @@
-//! `load`: what a message costs the built sender on one core, beside a bare relay on the same HTTP library.
+//! `load`: the CPU cost of a message in the built sender on one core, compared with a minimal relay on the same HTTP
+//! library.
 //!
-//! Both run as processes of their own on the same core, in turn, under the same clients and receivers, which run
-//! here on the other cores. Each client submits its next message when the one before was answered.
+//! The two processes run on the same core, alternating, under the same clients and receivers, which run in this process
+//! on the other cores. Each client submits its next message when the previous one was answered.
 
 mod clients;
 mod framing;
@@ -15,38 +16,39 @@
 use clap::Args;
 use tokio::process::Command;
 
+use crate::arguments::CommonArguments;
+use crate::error::BenchmarkError;
+use crate::median::median;
 use crate::report::Report;
-use crate::statistics::median;
-use crate::{BenchmarkError, CommonArguments};
 use clients::LoadFigures;
 use receivers::Receivers;
 use targets::{measure_relay, measure_sender};
 
-/// Pairs of sender and relay in each round; the figures are medians.
+/// Number of alternating measurements of sender and relay in each round; the figures are medians.
 const PAIRS: u64 = 3;
-/// Default duration of each measurement, after the warm-up, s.
-const SECONDS: u16 = 4;
-/// The core that the measured process has to itself.
+/// Default duration of each measurement without its warm-up, s.
+const DEFAULT_SECONDS: u16 = 4;
+/// The core on which only the measured process runs.
 const CORE: usize = 0;
 
-/// How much load.
+/// The load.
 #[derive(Clone, Debug, Args)]
 pub struct LoadArguments {
-    /// Clients, each with a connection of its own, that hand in as fast as they are answered.
+    /// Number of clients, each with its own connection and one submission at a time.
     #[arg(long, default_value_t = 64)]
     clients: usize,
-    /// Destinations, each with one endpoint.
+    /// Number of destinations, each with one endpoint.
     #[arg(long, default_value_t = 32)]
     destinations: usize,
-    /// How long a receiver takes to answer, milliseconds.
-    #[arg(long, default_value_t = 0)]
-    partner_ms: u16,
-    /// Shortest time between two batches, milliseconds; the site fixes 1. Longer hides the price of small batches.
+    /// Response time of a receiver, milliseconds.
+    #[arg(long, alias = "partner-ms", default_value_t = 0)]
+    response_ms: u16,
+    /// Minimum time between two batches, milliseconds; 1 in production.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=100))]
     tick_ms: u16,
 }
 
-/// Measures the sender and the relay in turn.
+/// Measures the sender and the relay, alternating.
 ///
 /// # Errors
 ///
@@ -54,9 +56,9 @@
 pub async fn run(common: &CommonArguments, load: &LoadArguments) -> Result<Report, BenchmarkError> {
     let seed = common.seed();
     let binary = common.sender()?;
-    let duration = Duration::from_secs(common.seconds.unwrap_or(SECONDS).into());
+    let duration = Duration::from_secs(common.seconds.unwrap_or(DEFAULT_SECONDS).into());
     leave_core_to_measured_process().await?;
-    let work = Duration::from_millis(load.partner_ms.into());
+    let work = Duration::from_millis(load.response_ms.into());
     let receivers = Receivers::start(load.destinations, work).await?;
     let mut sender = Vec::new();
     let mut relay = Vec::new();
@@ -100,20 +102,23 @@
 }
 
 fn print_table(load: &LoadArguments, sender: &LoadFigures, relay: &LoadFigures) {
-    println!("{} clients, {} destinations, {} ms at each", load.clients, load.destinations, load.partner_ms);
-    println!("{:<28}{:>12}{:>12}", "", "sender", "relay");
+    println!(
+        "{} clients, {} destinations, response time {} ms",
+        load.clients, load.destinations, load.response_ms
+    );
+    println!("{:<30}{:>12}{:>12}", "", "sender", "relay");
     let rows: [(&str, Figure); 8] = [
-        ("messages a second", |run| run.per_s),
-        ("CPU, us a message", |run| run.cpu_us),
-        ("rig's own CPU, us a message", |run| run.own_cpu_us),
+        ("messages per second", |run| run.per_s),
+        ("CPU, us per message", |run| run.cpu_us),
+        ("benchmark CPU, us per message", |run| run.own_cpu_us),
         ("202 p50, ms", |run| run.p50_ms),
         ("202 p99, ms", |run| run.p99_ms),
         ("202 p99.9, ms", |run| run.p999_ms),
         ("peak memory, KiB", |run| run.peak_kib),
-        ("refused, share", |run| run.rejected),
+        ("rejected, share", |run| run.rejected),
     ];
     for (name, of) in rows {
-        println!("{name:<28}{:>12.3}{:>12.3}", of(sender), of(relay));
+        println!("{name:<30}{:>12.3}{:>12.3}", of(sender), of(relay));
     }
 }
 
--- a/crates/benchmarks/src/load/clients.rs
+++ b/crates/benchmarks/src/load/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that submit messages one after another, and what is measured meanwhile.
+//! Clients that submit messages one after another, and the measurement of the process that serves them.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -44,7 +44,7 @@
     until: Instant,
 }
 
-/// What became of submissions.
+/// Results of submissions.
 #[derive(Default)]
 struct Submissions {
     /// Time until 202 of each accepted one, us.
@@ -52,7 +52,7 @@
     rejected: u64,
 }
 
-/// Measures the process that listens at `addr`; `cpu_us` and `peak_kib` are its statistics so far.
+/// Measures the process that listens at `addr`; `cpu_us` and `peak_kib` read its statistics.
 pub(super) async fn measure(
     addr: SocketAddr,
     receivers: &Receivers,
--- a/crates/benchmarks/src/load/framing.rs
+++ b/crates/benchmarks/src/load/framing.rs
@@ -1,6 +1,7 @@
-//! Where an HTTP/1.1 message ends: as little of the protocol as clients and receivers under load need.
+//! Finds the end of an HTTP/1.1 message.
 //!
-//! Both sides of the measured processes write header names in lower case, and the length of every body.
+//! Only messages with lower-case header names and a `content-length` are supported, which is what the measured
+//! processes write.
 
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
--- a/crates/benchmarks/src/load/process.rs
+++ b/crates/benchmarks/src/load/process.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-/// CPU time of a process's main thread so far, us.
+/// CPU time of a process's main thread since its start, us.
 pub(super) fn cpu_us(pid: u32) -> u64 {
     run_time_ns(Path::new(&format!("/proc/{pid}/schedstat"))).unwrap_or(0) / 1_000
 }
@@ -14,7 +14,7 @@
     peak.and_then(|peak| peak.split_whitespace().next()?.parse().ok()).unwrap_or(0)
 }
 
-/// CPU time of this process so far, all its threads, us.
+/// CPU time of all threads of this process since its start, us.
 pub(super) fn own_cpu_us() -> u64 {
     let threads = std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
     let run_times = threads.filter_map(|thread| run_time_ns(&thread.path().join("schedstat")));
--- a/crates/benchmarks/src/load/receivers.rs
+++ b/crates/benchmarks/src/load/receivers.rs
@@ -1,4 +1,4 @@
-//! Receivers that answer every call with 200 after a set time, at as little cost as possible.
+//! Receivers that answer every call with 200 after a fixed time, with little CPU.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,14 +26,14 @@
 
 impl Receivers {
     /// Starts receivers on free ports.
-    pub async fn start(count: usize, work: Duration) -> io::Result<Self> {
+    pub async fn start(count: usize, service_time: Duration) -> io::Result<Self> {
         let calls = Arc::new(AtomicU64::new(0));
         let mut addrs = Vec::new();
         let mut listeners = JoinSet::new();
         for _ in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             addrs.push(listener.local_addr()?);
-            listeners.spawn(listen(listener, work, calls.clone()));
+            listeners.spawn(listen(listener, service_time, calls.clone()));
         }
         Ok(Self { addrs, calls, _listeners: listeners })
     }
@@ -44,14 +44,14 @@
     }
 }
 
-async fn listen(listener: TcpListener, work: Duration, calls: Arc<AtomicU64>) {
+async fn listen(listener: TcpListener, service_time: Duration, calls: Arc<AtomicU64>) {
     while let Ok((stream, _)) = listener.accept().await {
         // The task ends with its connection, at the latest with the runtime.
-        tokio::spawn(serve(stream, work, calls.clone()));
+        tokio::spawn(serve(stream, service_time, calls.clone()));
     }
 }
 
-async fn serve(mut stream: TcpStream, work: Duration, calls: Arc<AtomicU64>) {
+async fn serve(mut stream: TcpStream, service_time: Duration, calls: Arc<AtomicU64>) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
@@ -59,8 +59,8 @@
     loop {
         while let Some(length) = complete_message_len(&bytes) {
             bytes.drain(..length);
-            if !work.is_zero() {
-                sleep(work).await;
+            if !service_time.is_zero() {
+                sleep(service_time).await;
             }
             calls.fetch_add(1, Ordering::Relaxed);
             if stream.write_all(RESPONSE).await.is_err() {
--- a/crates/benchmarks/src/load/targets.rs
+++ b/crates/benchmarks/src/load/targets.rs
@@ -1,4 +1,4 @@
-//! The measured processes: the built sender with its discovery, and the bare relay.
+//! The measured processes: the built sender with its discovery, and the minimal relay.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,7 +17,7 @@
 use super::clients::{LoadFigures, measure};
 use super::receivers::Receivers;
 use super::{CORE, LoadArguments, process};
-use crate::BenchmarkError;
+use crate::error::BenchmarkError;
 
 /// Measures the built sender.
 pub(super) async fn measure_sender(
@@ -66,7 +66,7 @@
             "rules": {"cold_from": 0.17, "fall_multiple": 2.5, "tip_after": 3000.0, "warm_within": 9300.0}}})
 }
 
-/// Measures the bare relay.
+/// Measures the minimal relay.
 pub(super) async fn measure_relay(
     receivers: &Receivers,
     load: &LoadArguments,
@@ -88,7 +88,7 @@
 }
 
 impl Relay {
-    /// Starts this program's `relay` subcommand, which prints where it listens.
+    /// Starts this program's `relay` subcommand, which prints its address.
     async fn start(receivers: &Receivers) -> Result<Self, BenchmarkError> {
         let addrs: Vec<String> = receivers.addrs.iter().map(ToString::to_string).collect();
         let mut child = Command::new("taskset")
--- a/crates/benchmarks/src/statistics.rs
+++ b/crates/benchmarks/src/median.rs
@@ -1,4 +1,4 @@
-//! Statistics that several benchmarks report.
+//! The median.
 
 /// The median of these values; the upper of the two in the middle where their number is even.
 ///
--- a/crates/benchmarks/src/relay.rs
+++ b/crates/benchmarks/src/relay.rs
@@ -25,18 +25,18 @@
     idle: RefCell<Vec<SendRequest<Full<Bytes>>>>,
 }
 
-/// Relays to these destinations until the process is killed; prints where it listens.
+/// Relays to these destinations until the process is killed; prints its address.
 ///
 /// # Errors
 ///
 /// If it cannot listen, or accepting a connection fails.
-pub fn run(to: &[SocketAddr]) -> std::io::Result<()> {
+pub fn run(addrs: &[SocketAddr]) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         println!("{}", listener.local_addr()?);
         let destinations: Rc<[Rc<Destination>]> =
-            to.iter().map(|addr| Rc::new(Destination { addr: *addr, idle: RefCell::default() })).collect();
+            addrs.iter().map(|addr| Rc::new(Destination { addr: *addr, idle: RefCell::default() })).collect();
         loop {
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
@@ -64,9 +64,9 @@
             spawn_local(async move {
                 let _ = destination.post(&message_id, body.to_bytes()).await;
             });
-            (StatusCode::ACCEPTED, "taken on")
+            (StatusCode::ACCEPTED, "accepted")
         }
-        _ => (StatusCode::BAD_REQUEST, "no"),
+        _ => (StatusCode::BAD_REQUEST, "bad request"),
     };
     let mut response = Response::new(Full::from(text));
     *response.status_mut() = status;
--- a/crates/benchmarks/src/report.rs
+++ b/crates/benchmarks/src/report.rs
@@ -2,7 +2,8 @@
 
 use std::path::Path;
 
-use serde_json::{Map, Value, json};
+use serde::Serialize;
+use serde_json::{Map, Value};
 
 /// The figures and failed checks of a benchmark.
 #[derive(Debug)]
@@ -10,13 +11,24 @@
     benchmark: &'static str,
     seed: u64,
     figures: Map<String, Value>,
-    broken: Vec<String>,
+    failed_checks: Vec<String>,
+}
+
+/// The report as JSON.
+#[derive(Serialize)]
+struct ReportLine<'a> {
+    benchmark: &'a str,
+    seed: u64,
+    ok: bool,
+    figures: &'a Map<String, Value>,
+    #[serde(rename = "broken")]
+    failed_checks: &'a [String],
 }
 
 impl Report {
     /// A report without figures.
     pub fn new(benchmark: &'static str, seed: u64) -> Self {
-        Self { benchmark, seed, figures: Map::new(), broken: Vec::new() }
+        Self { benchmark, seed, figures: Map::new(), failed_checks: Vec::new() }
     }
 
     /// Adds a figure, whose name carries its unit or says `ratio`, `share` or `count`.
@@ -25,8 +37,8 @@
     }
 
     /// Adds a failed check.
-    pub fn broken(&mut self, check: String) {
-        self.broken.push(check);
+    pub fn failed_check(&mut self, check: String) {
+        self.failed_checks.push(check);
     }
 
     /// Prints the report as one line of JSON, and writes it to a file if one is given; whether all checks passed.
@@ -35,14 +47,24 @@
     ///
     /// If the file cannot be written.
     pub fn print(self, file: Option<&Path>) -> std::io::Result<bool> {
-        let ok = self.broken.is_empty();
-        let line = json!({"rig": self.benchmark, "seed": self.seed, "ok": ok, "figures": self.figures,
-                          "broken": self.broken})
-        .to_string();
+        let line = self.to_json()?;
         if let Some(file) = file {
             std::fs::write(file, format!("{line}\n"))?;
         }
         println!("{line}");
-        Ok(ok)
+        Ok(self.failed_checks.is_empty())
+    }
+
+    fn to_json(&self) -> serde_json::Result<String> {
+        serde_json::to_string(&ReportLine {
+            benchmark: self.benchmark,
+            seed: self.seed,
+            ok: self.failed_checks.is_empty(),
+            figures: &self.figures,
+            failed_checks: &self.failed_checks,
+        })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/benchmarks/src/evening/round.rs
+++ b/crates/benchmarks/src/scenario/round.rs
@@ -10,9 +10,9 @@
 use rudderspindle_testkit::scenario::Scenario;
 use rudderspindle_testkit::test_environment::{EnvironmentConfig, RunResult, TestEnvironment};
 
-use crate::BenchmarkError;
+use crate::error::BenchmarkError;
 
-/// How long a message may be delivered, so that a scenario takes about a minute.
+/// Maximum lifetime of a message, which bounds the time from the last submission to the end of a scenario.
 const MAX_LIFETIME: Duration = Duration::from_secs(12);
 /// How often an inconclusive scenario is run again.
 const MAX_RERUNS: u64 = 2;
@@ -27,7 +27,7 @@
     pub reruns: u64,
 }
 
-/// Runs a scenario until its verdict is conclusive, [`MAX_RERUNS`] times again at most.
+/// Runs a scenario until its verdict is conclusive, at most `1 + MAX_RERUNS` times.
 pub(super) async fn run(
     seed: u64,
     scenario: Scenario,
@@ -67,12 +67,12 @@
     pub fn print(&self) {
         let Self { seed, scenario, result, verdict, .. } = self;
         let per_s = scenario.traffic.per_s.get();
-        println!("evening {seed}: {} partners, {per_s:.0} messages a second", scenario.receivers.len());
+        println!("scenario {seed}: {} receivers, {per_s:.0} messages per second", scenario.receivers.len());
         for event in &scenario.events {
             println!("  {event:?}");
         }
         print!("{verdict}");
-        println!("evening {seed}: return_worst_ratio {:.2}", verdict.peak_recovery_ratio());
+        println!("scenario {seed}: peak load during a recovery {:.2}", verdict.peak_recovery_ratio());
         for failure in &result.failures {
             println!("FAILED: {failure}");
         }
--- a/crates/benchmarks/src/evening/totals.rs
+++ b/crates/benchmarks/src/scenario/totals.rs
@@ -48,7 +48,9 @@
     pub fn report(&self, report: &mut Report) {
         let total = &self.accounting;
         if total.accepted == 0 {
-            report.broken("nothing was taken on: every round was late, or no sender answered".to_owned());
+            report.failed_check(
+                "no message was accepted: all rounds were inconclusive, or no sender answered".to_owned(),
+            );
         }
         report.figure("handed_in_count", total.submitted);
         report.figure("taken_on_count", total.accepted);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 pub use harness::Harness;
 use rudderspindle_policy::interface::*;
-pub use rudderspindle_simulation::parts::{class, entry, list, outcome, settings};
+pub use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
 pub fn message(id: u32, class: usize, destination: u16) -> Event {
     keyed_message(id, class, destination, 0)
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,28 +1,28 @@
 //! Many senders before one receiver with a limit that rejected calls use up, in simulated time: what is
 //! harmless for one must not hurt when a hundred do it.
 
-use rudderspindle_simulation::partner::*;
+use rudderspindle_simulation::receiver::{GossipNetwork, Limit, LoadPeak, Outage, Scenario, simulate};
 
-/// A scene of 24 s without an outage; the load is a multiple of the limit.
-fn calm_scene(seed: u64, senders: usize, load: f64) -> Scene {
-    let calm = Scene::draw(seed, |_| Outage::Refuse);
-    Scene {
+/// A scenario of 24 s without an outage; the load is a multiple of the limit.
+fn calm_scenario(seed: u64, senders: usize, load: f64) -> Scenario {
+    let random = Scenario::random(seed, |_| Outage::RefuseConnections);
+    Scenario {
         senders,
-        busy: senders,
+        busy_senders: senders,
         peers: senders,
-        limit: Limit::Span { carried: 0.5 },
-        told: 60.0,
+        limit: Limit::Window { carry_over: 0.5 },
+        announced_rate: 60.0,
         routes: 2,
-        from: f64::INFINITY,
-        until: f64::INFINITY,
+        outage_start: f64::INFINITY,
+        outage_end: f64::INFINITY,
         load,
-        work: 150.0,
-        ends: 24_000.0,
-        ..calm
+        service_time: 150.0,
+        duration: 24_000.0,
+        ..random
     }
 }
 
-/// The figures of one scene, or their means over several.
+/// The figures of one scenario, or their means over several.
 struct Figures {
     /// Rejections for each delivered message.
     rejections: f64,
@@ -30,22 +30,22 @@
     delivered: f64,
 }
 
-fn figures(scene: &Scene) -> Figures {
-    let seen = play(scene);
-    let capacity = scene.told * scene.ends / 1_000.0;
-    let delivered = seen.delivered as f64;
+fn figures(scenario: &Scenario) -> Figures {
+    let observations = simulate(scenario);
+    let capacity = scenario.announced_rate * scenario.duration / 1_000.0;
+    let delivered = observations.delivered as f64;
     Figures {
-        rejections: seen.refused as f64 / delivered,
-        delivered: delivered / capacity.min(seen.asked as f64),
+        rejections: observations.rejected as f64 / delivered,
+        delivered: delivered / capacity.min(observations.submitted as f64),
     }
 }
 
 fn mean(figures: impl Iterator<Item = Figures>) -> Figures {
     let all: Vec<Figures> = figures.collect();
-    let scenes = all.len() as f64;
+    let scenarios = all.len() as f64;
     Figures {
-        rejections: all.iter().map(|scene| scene.rejections).sum::<f64>() / scenes,
-        delivered: all.iter().map(|scene| scene.delivered).sum::<f64>() / scenes,
+        rejections: all.iter().map(|one| one.rejections).sum::<f64>() / scenarios,
+        delivered: all.iter().map(|one| one.delivered).sum::<f64>() / scenarios,
     }
 }
 
@@ -53,7 +53,7 @@
 fn an_overloaded_fleet_does_not_saturate_the_limit_with_rejected_calls() {
     for (senders, most) in [(1, 0.05), (3, 0.25), (30, 0.45), (100, 0.35)] {
         let Figures { rejections, delivered: used } =
-            mean((0..4).map(|seed| figures(&calm_scene(seed, senders, 1.2))));
+            mean((0..4).map(|seed| figures(&calm_scenario(seed, senders, 1.2))));
         println!("{senders} senders: {rejections:.2} rejections per delivered message, use {used:.2}");
         assert!(rejections < most, "{senders} senders: {rejections:.2} rejections per delivered message");
         assert!(used > 0.68, "{senders} senders: {used:.2} of the limit used");
@@ -63,7 +63,7 @@
 #[test]
 fn a_single_busy_sender_among_idle_ones_gets_nearly_the_whole_limit() {
     // An equal part at first, and the whole after a while.
-    let lone = |seed| Scene { busy: 1, ends: 120_000.0, ..calm_scene(seed, 100, 0.9) };
+    let lone = |seed| Scenario { busy_senders: 1, duration: 120_000.0, ..calm_scenario(seed, 100, 0.9) };
     let Figures { rejections, delivered: used } = mean((0..4).map(|seed| figures(&lone(seed))));
     println!("one of a hundred: {rejections:.2} rejections per delivered message, use {used:.2}");
     assert!(
@@ -76,15 +76,15 @@
 /// rejected calls for good, though each calls but once.
 #[test]
 fn a_fleet_recovers_after_a_limit_was_halved_for_nine_seconds() {
-    let limit = Limit::Rate { halved: 8_000.0..17_000.0, wait: 750.0, owed: 1_500.0 };
+    let limit = Limit::TokenBucket { halved: 8_000.0..17_000.0, retry_after: 750.0, max_debt: 1_500.0 };
     for (senders, least) in [(30, 0.7), (100, 0.6)] {
-        let scene = |seed| Scene {
+        let scenario = |seed| Scenario {
             limit: limit.clone(),
-            told: 75.0,
-            ends: 40_000.0,
-            ..calm_scene(seed, senders, 0.9)
+            announced_rate: 75.0,
+            duration: 40_000.0,
+            ..calm_scenario(seed, senders, 0.9)
         };
-        let Figures { rejections, delivered } = mean((0..4).map(|seed| figures(&scene(seed))));
+        let Figures { rejections, delivered } = mean((0..4).map(|seed| figures(&scenario(seed))));
         println!(
             "{senders} senders, halved: {rejections:.2} rejections per delivered message, delivered {delivered:.2}"
         );
@@ -99,9 +99,13 @@
 #[test]
 fn a_fleet_does_not_overload_a_receiver_that_returns_after_five_seconds() {
     for senders in [30, 100] {
-        let scene =
-            |seed| Scene { struck: 0..2, from: 8_000.0, until: 13_000.0, ..calm_scene(seed, senders, 1.2) };
-        let worst = (0..6).map(|seed| play(&scene(seed)).worst).fold(0.0, f64::max);
+        let scenario = |seed| Scenario {
+            affected_routes: 0..2,
+            outage_start: 8_000.0,
+            outage_end: 13_000.0,
+            ..calm_scenario(seed, senders, 1.2)
+        };
+        let worst = (0..6).map(|seed| simulate(&scenario(seed)).peak_recovery_ratio).fold(0.0, f64::max);
         println!("{senders} senders: sent {worst:.2} times what it could take");
         assert!(worst < 2.5, "{senders} senders: sent {worst:.2} times what it could take");
     }
@@ -111,18 +115,22 @@
 /// receiver on its return. The fleet's reports show all of them what all saw fail.
 #[test]
 fn reports_of_an_outage_reach_senders_that_saw_little_of_it() {
-    for outage in [Outage::Refuse, Outage::Silent, Outage::Errors { share: 1.0 }, Outage::Shut { tells: 0.3 }]
-    {
-        let scene = |seed| Scene {
+    for outage in [
+        Outage::RefuseConnections,
+        Outage::Unresponsive,
+        Outage::Errors { share: 1.0 },
+        Outage::RejectAll { retry_after_probability: 0.3 },
+    ] {
+        let scenario = |seed| Scenario {
             outage,
-            struck: 0..2,
-            from: 8_000.0,
-            until: 13_000.0,
-            told: 75.0,
-            notes: Some(Notes { lost: 0.0, cut: 0.0..0.0 }),
-            ..calm_scene(seed, 300, 1.2)
+            affected_routes: 0..2,
+            outage_start: 8_000.0,
+            outage_end: 13_000.0,
+            announced_rate: 75.0,
+            gossip_network: Some(GossipNetwork::with_loss(0.0)),
+            ..calm_scenario(seed, 300, 1.2)
         };
-        let worst = (0..2).map(|seed| play(&scene(seed)).worst).fold(0.0, f64::max);
+        let worst = (0..2).map(|seed| simulate(&scenario(seed)).peak_recovery_ratio).fold(0.0, f64::max);
         println!("{outage:?}: sent {worst:.2} times what it could take");
         assert!(worst < 2.5, "{outage:?}: sent {worst:.2} times what it could take");
     }
@@ -133,43 +141,46 @@
 #[test]
 fn an_interruption_within_retry_after_leads_to_no_overload_and_no_saturation() {
     for senders in [30, 300] {
-        let scene = |seed| Scene {
-            limit: Limit::Rate { halved: 5_000.0..20_000.0, wait: 3_000.0, owed: 1_500.0 },
-            outage: Outage::Silent,
-            struck: 0..2,
-            from: 8_000.0,
-            until: 10_000.0,
-            told: 75.0,
-            swell: (3.0, 10_000.0..11_000.0),
-            ends: 40_000.0,
-            notes: Some(Notes { lost: 0.0, cut: 0.0..0.0 }),
-            ..calm_scene(seed, senders, 0.8)
+        let scenario = |seed| Scenario {
+            limit: Limit::TokenBucket { halved: 5_000.0..20_000.0, retry_after: 3_000.0, max_debt: 1_500.0 },
+            outage: Outage::Unresponsive,
+            affected_routes: 0..2,
+            outage_start: 8_000.0,
+            outage_end: 10_000.0,
+            announced_rate: 75.0,
+            load_peak: LoadPeak { factor: 3.0, period: 10_000.0..11_000.0 },
+            duration: 40_000.0,
+            gossip_network: Some(GossipNetwork::with_loss(0.0)),
+            ..calm_scenario(seed, senders, 0.8)
         };
         for seed in 0..2 {
-            let seen = play(&scene(seed));
-            let (worst, delivered) = (seen.worst, seen.delivered as f64 / seen.asked as f64);
+            let observations = simulate(&scenario(seed));
+            let (worst, delivered) = (
+                observations.peak_recovery_ratio,
+                observations.delivered as f64 / observations.submitted as f64,
+            );
             println!(
-                "{senders} senders: sent {worst:.2} times what it could take, delivered {delivered:.2}, {} refused",
-                seen.refused
+                "{senders} senders: sent {worst:.2} times what it could take, delivered {delivered:.2}, {} rejected",
+                observations.rejected
             );
             assert!(worst < 2.5, "{senders} senders: sent {worst:.2} times what it could take");
             assert!(delivered > 0.4, "{senders} senders: {delivered:.2} delivered");
             // Without Retry-After it is 335 to 550.
-            assert!(seen.refused < 300, "{senders} senders: {} refused", seen.refused);
+            assert!(observations.rejected < 300, "{senders} senders: {} rejected", observations.rejected);
         }
     }
 }
 
-/// A scene with the limit of the full fleet: a plain rate, of which rejected calls use up as much as others.
-fn rate_limited_scene(seed: u64, senders: usize, notes: Option<Notes>) -> Scene {
-    let limit = Limit::Rate { halved: 0.0..0.0, wait: 750.0, owed: f64::INFINITY };
-    Scene {
+/// A scenario whose limit is a token bucket that rejected calls use as much as accepted ones.
+fn rate_limited_scenario(seed: u64, senders: usize, gossip_network: Option<GossipNetwork>) -> Scenario {
+    let limit = Limit::TokenBucket { halved: 0.0..0.0, retry_after: 750.0, max_debt: f64::INFINITY };
+    Scenario {
         limit,
-        told: 75.0,
-        ends: 40_000.0,
-        notes,
-        swell: (2.5, 8_000.0..10_000.0),
-        ..calm_scene(seed, senders, 0.85)
+        announced_rate: 75.0,
+        duration: 40_000.0,
+        gossip_network,
+        load_peak: LoadPeak { factor: 2.5, period: 8_000.0..10_000.0 },
+        ..calm_scenario(seed, senders, 0.85)
     }
 }
 
@@ -179,16 +190,16 @@
 #[test]
 fn senders_that_report_their_demand_recover_from_a_saturated_limit() {
     for (senders, least, gain) in [(30, 0.9, 0.0), (300, 0.7, 0.05)] {
-        let of = |notes: Option<Notes>| {
-            mean((0..2).map(|seed| figures(&rate_limited_scene(seed, senders, notes.clone()))))
+        let of = |gossip: Option<GossipNetwork>| {
+            mean((0..2).map(|seed| figures(&rate_limited_scenario(seed, senders, gossip.clone()))))
         };
         let Figures { rejections: alone_rejections, delivered: alone } = of(None);
-        let none = Notes { lost: 0.0, cut: 0.0..0.0 };
-        let Figures { rejections, delivered } = of(Some(none.clone()));
+        let lossless = GossipNetwork::with_loss(0.0);
+        let Figures { rejections, delivered } = of(Some(lossless.clone()));
         let Figures { rejections: half_rejections, delivered: half } =
-            of(Some(Notes { lost: 0.5, ..none.clone() }));
+            of(Some(GossipNetwork { loss: 0.5, ..lossless.clone() }));
         let Figures { rejections: cut_rejections, delivered: cut } =
-            of(Some(Notes { cut: 6_000.0..16_000.0, ..none }));
+            of(Some(GossipNetwork { partition: 6_000.0..16_000.0, ..lossless }));
         println!(
             "{senders} senders, delivered and rejections each: {alone:.2} {alone_rejections:.2} without reports, \
             {delivered:.2} {rejections:.2} with them, {half:.2} {half_rejections:.2} with half of them lost, \
@@ -218,13 +229,13 @@
 /// receiver: one call of each at once would be more than it takes in seconds.
 #[test]
 fn senders_that_start_together_do_not_all_call_at_once() {
-    let scene = |seed| Scene {
-        notes: Some(Notes { lost: 0.0, cut: 0.0..0.0 }),
-        swell: (15.0, 0.0..400.0),
-        ends: 12_000.0,
-        ..calm_scene(seed, 300, 0.8)
+    let scenario = |seed| Scenario {
+        gossip_network: Some(GossipNetwork::with_loss(0.0)),
+        load_peak: LoadPeak { factor: 15.0, period: 0.0..400.0 },
+        duration: 12_000.0,
+        ..calm_scenario(seed, 300, 0.8)
     };
-    let Figures { rejections, .. } = mean((0..3).map(|seed| figures(&scene(seed))));
+    let Figures { rejections, .. } = mean((0..3).map(|seed| figures(&scenario(seed))));
     println!("300 senders that start together: {rejections:.2} rejections per delivered message");
     assert!(rejections < 0.1, "{rejections:.2} rejections per delivered message");
 }
--- a/crates/policy/tests/recovery/outage_scope.rs
+++ b/crates/policy/tests/recovery/outage_scope.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use rudderspindle_simulation::partner::*;
+use rudderspindle_simulation::SeededRng;
 
 use super::*;
 
@@ -113,9 +113,9 @@
     for seed in 0..40 {
         let mut harness = with_routes(1..=4, 0, seed);
         let returned_at = harness.now + 9_000.0;
-        let mut draw = Draw::new(seed);
+        let mut rng = SeededRng::new(seed);
         let answer = |now: Millis, _| {
-            if now < returned_at && draw.unit() < 0.72 { Answer::new(20.0, Outcome::Error) } else { OK }
+            if now < returned_at && rng.unit() < 0.72 { Answer::new(20.0, Outcome::Error) } else { OK }
         };
         let calls = play_calls(&mut harness, messages(0..90), 13_000.0, &mut BTreeMap::new(), answer);
         let soon = calls.iter().filter(|call| (returned_at..returned_at + 3_000.0).contains(&call.at)).count()
--- a/crates/policy/tests/recovery/scenes.rs
+++ b/crates/policy/tests/recovery/scenes.rs
@@ -1,8 +1,8 @@
-//! Scenes of many senders in simulated time.
+//! Scenarios of several senders in simulated time.
 
 use std::collections::BTreeMap;
 
-use rudderspindle_simulation::partner::*;
+use rudderspindle_simulation::receiver::{AddedRoutes, Outage, Restart, Scenario, simulate};
 
 use super::*;
 
@@ -26,45 +26,49 @@
     assert_eq!(together, 0, "more than a third within a tenth of a second: {first:?}");
 }
 
-/// The highest load after the return in one scene.
+/// The highest load after the return in one scenario.
 #[derive(Clone, Copy, Debug)]
 struct WorstLoad {
     ratio: f64,
     seed: u64,
 }
 
-/// The load after the return in random scenes, as a multiple of what the receiver could take; the worst one
+/// The load after the return in random scenarios, as a multiple of what the receiver could take; the worst one
 /// last.
-fn overload_ratios(scenes: u64, outage: fn(f64) -> Outage, change: impl Fn(&mut Scene)) -> Vec<WorstLoad> {
-    let mut all: Vec<WorstLoad> = (0..scenes)
+fn overload_ratios(
+    scenarios: u64,
+    outage: fn(f64) -> Outage,
+    change: impl Fn(&mut Scenario),
+) -> Vec<WorstLoad> {
+    let mut all: Vec<WorstLoad> = (0..scenarios)
         .map(|seed| {
-            let mut scene = Scene::draw(seed, outage);
-            change(&mut scene);
-            WorstLoad { ratio: play(&scene).worst, seed }
+            let mut scenario = Scenario::random(seed, outage);
+            change(&mut scenario);
+            WorstLoad { ratio: simulate(&scenario).peak_recovery_ratio, seed }
         })
         .collect();
     all.sort_by(|first, second| first.ratio.total_cmp(&second.ratio));
     all
 }
 
-/// At most 1.8 times what a returning receiver can take, but for one scene in fifty; never what overloads it.
+/// At most 1.8 times what a returning receiver can take, but for one scenario in fifty; never what overloads it.
 fn assert_not_overloaded(what: &str, all: &[WorstLoad]) {
     let WorstLoad { ratio: worst, seed } = all[all.len() - 1];
     let usual = all[all.len() * 49 / 50].ratio;
     assert!(worst < 2.5, "{what}: {worst:.2} times what it can take overloads it (seed {seed})");
-    assert!(usual <= 1.8, "{what}: {usual:.2} times what it can take in one scene of fifty");
+    assert!(usual <= 1.8, "{what}: {usual:.2} times what it can take in one scenario of fifty");
 }
 
 /// A kind of outage by name, drawn with a number from 0 to 1.
 type OutageKind = (&'static str, fn(f64) -> Outage);
 
 const OUTAGE_KINDS: [OutageKind; 6] = [
-    ("long Retry-After", |_| Outage::Shut { tells: 1.0 }),
-    ("seldom a long Retry-After", |draw| Outage::Shut { tells: draw * 0.56 }),
-    ("rejections without Retry-After", |_| Outage::Shut { tells: 0.0 }),
-    ("refused connections", |_| Outage::Refuse),
+    ("long Retry-After", |_| Outage::RejectAll { retry_after_probability: 1.0 }),
+    ("seldom a long Retry-After", |draw| Outage::RejectAll { retry_after_probability: draw * 0.56 }),
+    ("rejections without Retry-After", |_| Outage::RejectAll { retry_after_probability: 0.0 }),
+    ("refused connections", |_| Outage::RefuseConnections),
     ("errors", |draw| Outage::Errors { share: 0.6 + 0.36 * draw }),
-    ("silent", |_| Outage::Silent),
+    ("silent", |_| Outage::Unresponsive),
 ];
 
 #[test]
@@ -78,7 +82,11 @@
 fn a_returning_receiver_is_not_overloaded_by_a_restarted_sender() {
     for (what, outage) in OUTAGE_KINDS {
         for after in [-2_000.0, 200.0, 1_500.0] {
-            let all = overload_ratios(60, outage, |scene| scene.restart = Some((0..1, scene.until + after)));
+            let restart = |scenario: &mut Scenario| {
+                let killed_at = scenario.outage_end + after;
+                scenario.restart = Some(Restart { senders: 0..1, killed_at, downtime: 0.0 });
+            };
+            let all = overload_ratios(60, outage, restart);
             let what = format!("{what}, a sender restarted {after} ms after");
             if matches!(outage(0.0), Outage::Errors { .. }) {
                 // The error rate is not remembered, only that it was warming up: the bound is a weaker one.
@@ -93,9 +101,9 @@
 #[test]
 fn a_returning_receiver_is_not_overloaded_through_added_routes() {
     for (what, outage) in &OUTAGE_KINDS[..4] {
-        let change = |scene: &mut Scene| {
-            scene.added = Some((2, scene.until - 1_000.0));
-            scene.struck = 0..scene.routes + 2;
+        let change = |scenario: &mut Scenario| {
+            scenario.added_routes = Some(AddedRoutes { count: 2, at: scenario.outage_end - 1_000.0 });
+            scenario.affected_routes = 0..scenario.routes + 2;
         };
         assert_not_overloaded(&format!("{what}, routes added"), &overload_ratios(100, *outage, change));
     }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -3,55 +3,68 @@
 //! in the outage are counted: others cannot know of it. `rudderspindle-bench fleet-limit --returns` prints
 //! the whole table.
 
-use rudderspindle_simulation::partner::*;
+use rudderspindle_simulation::receiver::{
+    GossipNetwork, Limit, LoadPeak, Outage, Restart, Scenario, recovery_ramp_capacity, simulate,
+};
 
 const OUTAGES: [Outage; 5] = [
-    Outage::Refuse,
-    Outage::Silent,
+    Outage::RefuseConnections,
+    Outage::Unresponsive,
     Outage::Errors { share: 0.9 },
-    Outage::Shut { tells: 1.0 },
-    Outage::Shut { tells: 0.0 },
+    Outage::RejectAll { retry_after_probability: 1.0 },
+    Outage::RejectAll { retry_after_probability: 0.0 },
 ];
 
-/// An outage in which at least two messages come to each sender; a tenth of them restart after the return.
-fn scene(seed: u64, senders: usize, told: f64, load: f64, outage: Outage) -> Scene {
-    let calm = Scene::draw(seed, |_| outage);
-    let comes = (calm.until - calm.from) / 1_000.0 * load * told;
-    Scene {
+/// An outage in which at least two messages are submitted to each sender; a tenth of them restart after it.
+fn scenario(seed: u64, senders: usize, announced_rate: f64, load: f64, outage: Outage) -> Scenario {
+    let random = Scenario::random(seed, |_| outage);
+    let period = random.outage_start..random.outage_end;
+    let messages = (period.end - period.start) / 1_000.0 * load * announced_rate;
+    let restart =
+        Restart { senders: 0..senders.div_ceil(10), killed_at: random.outage_end + 1_500.0, downtime: 600.0 };
+    Scenario {
         senders,
-        busy: senders,
+        busy_senders: senders,
         peers: senders,
-        limit: Limit::Span { carried: 0.5 },
-        told,
+        limit: Limit::Window { carry_over: 0.5 },
+        announced_rate,
         load,
-        swell: ((2.0 * senders as f64 / comes).max(1.0), calm.from..calm.until),
-        restart: Some((0..senders.div_ceil(10), calm.until + 1_500.0)),
-        gone: 600.0,
-        ..calm
+        load_peak: LoadPeak { factor: (2.0 * senders as f64 / messages).max(1.0), period },
+        restart: Some(restart),
+        ..random
     }
 }
 
-/// The highest load from senders that know of the outage over the bound, over all outages, and its scene.
-fn highest_load(senders: usize, told: f64, load: f64, notes: &Option<Notes>) -> (f64, String) {
+/// The highest load from senders that know of the outage over the bound, over all outages, and its scenario.
+fn highest_load(
+    senders: usize,
+    announced_rate: f64,
+    load: f64,
+    gossip_network: &Option<GossipNetwork>,
+) -> (f64, String) {
     let mut highest = (0.0, String::new());
     for seed in 0..3 {
         for outage in OUTAGES {
-            let scene = Scene { notes: notes.clone(), ..scene(seed, senders, told, load, outage) };
-            let push = play(&scene).push[1];
-            if push.told_ratio() > highest.0 {
-                highest = (push.told_ratio(), format!("seed {seed}, {outage:?}: {push:?}"));
+            let base = scenario(seed, senders, announced_rate, load, outage);
+            let scenario = Scenario { gossip_network: gossip_network.clone(), ..base };
+            let peak = simulate(&scenario).informed_peak_load;
+            if peak.informed_ratio() > highest.0 {
+                highest = (peak.informed_ratio(), format!("seed {seed}, {outage:?}: {peak:?}"));
             }
         }
     }
     highest
 }
 
-fn assert_bound(senders: usize, told: f64, notes: &Option<Notes>) {
+fn assert_bound(senders: usize, announced_rate: f64, gossip_network: &Option<GossipNetwork>) {
     // As much as it takes, and three times that: each sender has more messages than its share allows.
     for load in [0.9, 3.0] {
-        let (ratio, what) = highest_load(senders, told, load, notes);
-        println!("{senders} senders, {told} a second, load {load}: {ratio:.2}");
-        assert!(ratio <= 1.0, "{senders} senders, {told} a second, load {load}: {ratio:.2}, {what}");
+        let (ratio, what) = highest_load(senders, announced_rate, load, gossip_network);
+        println!("{senders} senders, {announced_rate} a second, load {load}: {ratio:.2}");
+        assert!(
+            ratio <= 1.0,
+            "{senders} senders, {announced_rate} a second, load {load}: {ratio:.2}, {what}"
+        );
     }
 }
 
@@ -66,17 +79,17 @@
 #[test]
 fn with_reports_and_with_half_of_them_lost_they_do_not_overload_it() {
     for lost in [0.0, 0.5] {
-        let notes = Some(Notes { lost, cut: 0.0..0.0 });
+        let gossip = Some(GossipNetwork::with_loss(lost));
         for senders in [20, 30] {
-            assert_bound(senders, 5.0, &notes);
-            assert_bound(senders, 75.0, &notes);
+            assert_bound(senders, 5.0, &gossip);
+            assert_bound(senders, 75.0, &gossip);
         }
     }
 }
 
 #[test]
 fn a_partitioned_fleet_does_not_overload_a_returning_receiver() {
-    let cut = Some(Notes { lost: 0.0, cut: 6_000.0..f64::INFINITY });
+    let cut = Some(GossipNetwork { loss: 0.0, partition: 6_000.0..f64::INFINITY });
     for senders in [20, 30] {
         assert_bound(senders, 75.0, &cut);
     }
@@ -84,8 +97,8 @@
 
 #[test]
 fn three_hundred_senders_do_not_overload_a_large_returning_receiver() {
-    for notes in [None, Some(Notes { lost: 0.0, cut: 0.0..0.0 })] {
-        let (ratio, what) = highest_load(300, 75.0, 0.9, &notes);
+    for gossip in [None, Some(GossipNetwork::with_loss(0.0))] {
+        let (ratio, what) = highest_load(300, 75.0, 0.9, &gossip);
         println!("300 senders: {ratio:.2}");
         assert!(ratio <= 1.0, "300 senders: {ratio:.2}, {what}");
     }
@@ -94,16 +107,17 @@
 /// With reports a busy sender among many may take more than an equal part, as the others want nothing.
 #[test]
 fn with_reports_busy_senders_get_what_idle_ones_leave() {
-    let served = |notes: Option<Notes>| -> f64 {
+    let served = |gossip: Option<GossipNetwork>| -> f64 {
         let of = |seed| {
-            let calm = scene(seed, 30, 75.0, 0.9, Outage::Refuse);
-            let seen = play(&Scene { busy: 3, restart: None, notes: notes.clone(), ..calm });
-            seen.served as f64 / while_warming(75.0)
+            let base = scenario(seed, 30, 75.0, 0.9, Outage::RefuseConnections);
+            let gossip_network = gossip.clone();
+            let scenario = Scenario { busy_senders: 3, restart: None, gossip_network, ..base };
+            simulate(&scenario).delivered_during_ramp as f64 / recovery_ramp_capacity(75.0)
         };
         (0..3).map(of).sum::<f64>() / 3.0
     };
     let alone = served(None);
-    let reported = served(Some(Notes { lost: 0.0, cut: 0.0..0.0 }));
+    let reported = served(Some(GossipNetwork::with_loss(0.0)));
     println!(
         "three of thirty busy: {alone:.2} of what a returning receiver can take without reports, {reported:.2} with them"
     );
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -1,7 +1,9 @@
 //! Bounds of the pauses, and what they add up to for a simulated discovery with many senders.
 
 use rudderspindle_policy::interface::Millis;
-use rudderspindle_simulation::lists::{self, Overload, Pauses, Played, lists};
+use rudderspindle_simulation::list_polling::{
+    DiscoveryService, OverloadBehaviour, PollDelays, PollingResult, simulate_polling,
+};
 
 use super::*;
 
@@ -10,15 +12,15 @@
 /// Numbers of senders from one to the largest, with and without staggering.
 const FLEETS: [usize; 5] = [1, 30, 100, 300, usize::MAX];
 
-fn schedules(senders: usize, seed: u64) -> Vec<Pauses> {
+fn schedules(senders: usize, seed: u64) -> Vec<PollDelays> {
     let pauses = |n| PollSchedule::new(ON_REQUEST, senders, seed * 1_000 + n as u64).pauses();
-    (0..senders).map(|n| Box::new(pauses(n)) as Pauses).collect()
+    (0..senders).map(|n| Box::new(pauses(n)) as PollDelays).collect()
 }
 
 /// When the last sender gets its list, in seconds since discovery became reachable.
-fn time_of_last_list(discovery: lists::Discovery, played: &Played) -> f64 {
-    let got = played.got.iter().map(|at| at.unwrap_or(f64::INFINITY));
-    got.fold(0.0, f64::max) - discovery.silent_until
+fn time_of_last_list(discovery: DiscoveryService, result: &PollingResult) -> f64 {
+    let received = result.list_received_at.iter().map(|at| at.unwrap_or(f64::INFINITY));
+    received.fold(0.0, f64::max) - discovery.reachable_at
 }
 
 // ---- Bounds ----------------------------------------------------------------------------------------------
@@ -141,8 +143,12 @@
     for (seed, senders) in (0..20).flat_map(|seed| [1, 30, 100, 300].map(|senders| (seed, senders))) {
         for all in [2.0, 8.0] {
             let cost = cost(all, senders);
-            let discovery = lists::Discovery { cost, overload: Overload::TurnsAway, silent_until: 0.0 };
-            let last = time_of_last_list(discovery, &lists(discovery, schedules(senders, seed)));
+            let discovery = DiscoveryService {
+                request_time: cost,
+                overload: OverloadBehaviour::Reject,
+                reachable_at: 0.0,
+            };
+            let last = time_of_last_list(discovery, &simulate_polling(discovery, schedules(senders, seed)));
             // The last rejected request is retried after the longest pause.
             let within = all + MAX_POLL_GAP.as_secs_f64() + cost;
             assert!(last <= within, "seed {seed}, {senders} senders, {all} s: the last list after {last} s");
@@ -155,17 +161,19 @@
     for (seed, senders) in (0..20).flat_map(|seed| [30, 100, 300].map(|senders| (seed, senders))) {
         for all in [2.0, 8.0] {
             let cost = cost(all, senders);
-            let silent_until = 8.0 + seed as f64 / 7.0;
-            let discovery = lists::Discovery { cost, overload: Overload::TurnsAway, silent_until };
-            let played = lists(discovery, schedules(senders, seed));
-            let last = time_of_last_list(discovery, &played);
+            let reachable_at = 8.0 + seed as f64 / 7.0;
+            let discovery =
+                DiscoveryService { request_time: cost, overload: OverloadBehaviour::Reject, reachable_at };
+            let result = simulate_polling(discovery, schedules(senders, seed));
+            let last = time_of_last_list(discovery, &result);
             let within = all + MAX_POLL_GAP.as_secs_f64() + cost;
             assert!(last <= within, "seed {seed}, {senders} senders, {all} s: the last list after {last} s");
             // In any tenth of a second after the recovery; evenly spread, it would be a thirtieth of them.
-            let requests_within =
-                |from: f64| played.asked.iter().filter(|&&at| at >= from && at < from + 0.1).count();
+            let requests_within = |from: f64| {
+                result.requests_sent_at.iter().filter(|&&at| at >= from && at < from + 0.1).count()
+            };
             let max =
-                (0..40).map(|n| requests_within(silent_until + f64::from(n) * 0.1)).max().expect("some");
+                (0..40).map(|n| requests_within(reachable_at + f64::from(n) * 0.1)).max().expect("some");
             assert!(max * 5 <= senders, "seed {seed}: {max} of {senders} within a tenth of a second");
         }
     }
@@ -189,8 +197,9 @@
 fn many_senders_that_start_together_get_their_lists_from_a_queueing_discovery() {
     let cases = [(100, 0.02, 30.0), (100, 0.05, 30.0), (100, 0.1, 30.0), (300, 0.02, 30.0)];
     for (seed, (senders, cost, within)) in (0..20).flat_map(|seed| cases.map(|case| (seed, case))) {
-        let discovery = lists::Discovery { cost, overload: Overload::WorksOff, silent_until: 0.0 };
-        let last = time_of_last_list(discovery, &lists(discovery, schedules(senders, seed)));
+        let discovery =
+            DiscoveryService { request_time: cost, overload: OverloadBehaviour::Queue, reachable_at: 0.0 };
+        let last = time_of_last_list(discovery, &simulate_polling(discovery, schedules(senders, seed)));
         assert!(
             last <= within,
             "seed {seed}, {senders} senders, {cost} s a request: the last list came after {last} s"
@@ -201,9 +210,10 @@
 /// The reason for staggering: with the backoff of a single sender, many senders never get through a queue.
 #[test]
 fn a_hundred_senders_without_staggering_starve_each_other() {
-    let alone = |_| Box::new(PollSchedule::new(ON_REQUEST, 1, 0).pauses()) as Pauses;
-    let discovery = lists::Discovery { cost: 0.1, overload: Overload::WorksOff, silent_until: 0.0 };
-    let played = lists(discovery, (0..100).map(alone).collect());
-    let starved = played.got.iter().filter(|at| at.is_none()).count();
+    let alone = |_| Box::new(PollSchedule::new(ON_REQUEST, 1, 0).pauses()) as PollDelays;
+    let discovery =
+        DiscoveryService { request_time: 0.1, overload: OverloadBehaviour::Queue, reachable_at: 0.0 };
+    let result = simulate_polling(discovery, (0..100).map(alone).collect());
+    let starved = result.list_received_at.iter().filter(|at| at.is_none()).count();
     assert!(starved > 50, "only {starved} had no list after a minute");
 }
--- a/crates/simulation/src/parts.rs
+++ b/crates/simulation/src/fixtures.rs
@@ -1,4 +1,4 @@
-//! Settings, list entries and events shared by scenes and tests.
+//! Settings, list entries and events for scenarios and tests.
 
 use rudderspindle_policy::interface::{
     Class, DestinationId, Discovery, Effect, Event, Kind, LateDecay, ListChange, Listing, MessageHandle,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,12 +1,16 @@
-//! Many policies before one receiver, stepped in simulated time, for tests and benchmarks.
+//! Many policies before one receiver in simulated time, for tests and benchmarks.
 //!
-//! A [`Scene`](partner::Scene) says how many senders there are, what the receiver's limit is and what outage it has;
-//! [`play`](partner::play) runs the real [`Policy`](rudderspindle_policy::Policy) of each sender and counts the calls
-//! that reach the receiver. All random draws come from the scene's seed, so a scene always gives the same figures.
-//! There is no I/O and no clock here, and no program that ships depends on this package.
+//! A [`Scenario`](receiver::Scenario) sets the number of senders, the receiver's limit and its outage;
+//! [`simulate`](receiver::simulate) runs the real [`Policy`](rudderspindle_policy::Policy) of each sender and counts the
+//! calls that reach the receiver. All random draws come from the scenario's seed, so a scenario always gives the same
+//! figures. There is no I/O and no clock here, and no program that ships depends on this package.
 #![forbid(unsafe_code)]
 
-pub mod leased;
-pub mod lists;
-pub mod partner;
-pub mod parts;
+pub mod fixtures;
+pub mod limit_schemes;
+pub mod list_polling;
+mod permit_datagrams;
+pub mod receiver;
+mod rng;
+
+pub use rng::SeededRng;
--- a/crates/simulation/src/leased.rs
+++ b/crates/simulation/src/limit_schemes.rs
@@ -1,66 +1,67 @@
-//! Compares two ways to keep a fleet under a limit, without policies: permits that are given up before the datagram
-//! leaves, and quotas by sums under a lease.
+//! Compares two schemes that keep a fleet under a limit, without policies: permits that are released before they are
+//! offered, and leased quotas computed from the fleet's summed demand.
 //!
-//! Only the permits ship; the quotas are here to show why.
+//! Only the permits ship; the quotas serve for comparison.
 
 mod leased_quota;
-mod network;
+mod lossy_network;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 
 use rudderspindle_gossip::{Incarnation, LimitId, LocalDemand, PermitLedger};
 
-use crate::partner::Draw;
+use crate::SeededRng;
+use crate::permit_datagrams::due_permit_datagrams;
 use leased_quota::LeasedQuota;
-use network::{LossyNetwork, Outgoing};
+use lossy_network::{LossyNetwork, Outgoing};
 
 /// A tick of the simulation, ms.
 const TICK: u64 = 5;
 /// Wall clock at the start of a simulation, ms since 1970.
 const START_WALL: u64 = 1_700_000_000_000;
-/// How long a simulation lasts, ms.
+/// Duration of a simulation, ms.
 const DURATION: u64 = 60_000;
-/// How long a message waits for its call before it is given up, ms.
+/// Time after which a message without a call is dropped, ms.
 const MESSAGE_TTL: u64 = 4_000;
 /// How often the busy senders change, ms.
 const BUSY_PERIOD: u64 = 1_500;
 /// The busy senders' share of the fleet.
 const BUSY_SENDERS: f64 = 1.0 / 3.0;
-/// The share of the messages that comes to the busy senders alone.
+/// The share of the messages that is submitted to the busy senders only.
 const BUSY_TRAFFIC: f64 = 0.9;
 /// Distinguishes the network's random draws from those of the traffic.
 const NETWORK_SEED: u64 = 0x9057;
 
-/// What one scheme came to.
+/// Figures of one scheme.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figures {
-    /// Calls in the worst second over the limit.
-    pub worst_second: f64,
-    /// Calls over what could be called: all messages, at most the limit.
-    pub used: f64,
+    /// Maximum number of calls within a second, over the limit.
+    pub peak_second: f64,
+    /// Calls over the possible ones: a call for each message, at most the limit.
+    pub utilization: f64,
 }
 
-/// What both schemes came to in the same conditions.
+/// Figures of both schemes in the same conditions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comparison {
-    /// Permits, each held by one sender at a time.
+    /// Permits.
     pub permits: Figures,
-    /// Quotas by sums, under a lease.
+    /// Leased quotas.
     pub leased_quotas: Figures,
 }
 
-/// The conditions that both schemes are compared in.
+/// The conditions of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Conditions {
-    /// Senders of the fleet.
+    /// Number of senders.
     pub senders: usize,
-    /// Calls a second of the whole fleet.
+    /// Maximum rate of the whole fleet, calls a second.
     pub limit: f64,
-    /// Messages over the limit.
+    /// Messages submitted over the limit.
     pub load: f64,
     /// Share of the datagrams that are lost, from 0 to 1.
-    pub lost: f64,
+    pub loss: f64,
     /// Seed of all random draws.
     pub seed: u64,
 }
@@ -70,17 +71,17 @@
     /// A message to another sender.
     type Datagram;
 
-    /// Datagrams to send, given the calls that this sender wants; called every [`TICK`].
+    /// Datagrams to send, given this sender's demand in calls; called every [`TICK`].
     fn send(&mut self, wall: u64, demand: f64) -> Vec<Outgoing<Self::Datagram>>;
 
     /// Handles a datagram.
     fn receive(&mut self, wall: u64, from: usize, datagram: Self::Datagram);
 
-    /// Takes the right to one call, if there is one.
+    /// Uses the permission to start one call, if there is one.
     fn try_call(&mut self, wall: u64) -> bool;
 }
 
-/// A sender that calls by permits.
+/// A sender whose calls need permits.
 struct PermitHolder {
     permits: PermitLedger,
     limit_id: LimitId,
@@ -93,24 +94,15 @@
     type Datagram = Vec<u8>;
 
     fn send(&mut self, wall: u64, demand: f64) -> Vec<Outgoing<Vec<u8>>> {
-        let mut datagrams = self.permits.allocate(wall);
-        if self.permits.next_offer(wall - TICK) <= wall {
-            let demand = LocalDemand {
-                limit_id: self.limit_id,
-                limit: self.limit,
-                demand,
-                calls: 0,
-                rejected: 0,
-                failed: 0,
-            };
-            datagrams.extend(self.permits.offer(wall, &[demand]));
-        }
-        let outgoing = datagrams.into_iter();
+        let Self { limit_id, limit, .. } = *self;
+        let local_demand = LocalDemand { limit_id, limit, demand, calls: 0, rejected: 0, failed: 0 };
+        let due = due_permit_datagrams(&mut self.permits, wall, TICK, || vec![local_demand]);
+        let outgoing = due.datagrams.into_iter();
         outgoing.map(|datagram| Outgoing { to: datagram.to, datagram: datagram.bytes }).collect()
     }
 
     fn receive(&mut self, wall: u64, from: usize, datagram: Vec<u8>) {
-        // A datagram that comes too late is an error and has no effect, as in the real fleet.
+        // A datagram that arrives too late is an error without effect, as in the sender's process.
         let _ = self.permits.receive(wall, from, &datagram);
     }
 
@@ -141,7 +133,7 @@
 
 fn run<S: LimitShare>(conditions: &Conditions, mut shares: Vec<S>) -> Figures {
     let mut traffic = Traffic::new(conditions);
-    let mut network = LossyNetwork::new(conditions.lost, conditions.seed ^ NETWORK_SEED);
+    let mut network = LossyNetwork::new(conditions.loss, conditions.seed ^ NETWORK_SEED);
     let mut waiting = vec![VecDeque::new(); shares.len()];
     let mut calls = Vec::new();
     for wall in simulated_time().step_by(TICK as usize) {
@@ -167,21 +159,21 @@
     START_WALL..START_WALL + DURATION
 }
 
-/// Messages that come to the fleet, most of them to a third of the senders that changes again and again.
+/// Messages submitted to the fleet, most of them to a third of the senders that changes every [`BUSY_PERIOD`].
 struct Traffic {
-    rng: Draw,
+    rng: SeededRng,
     senders: usize,
     /// Mean number of messages in a tick.
     per_tick: f64,
     first_busy: usize,
-    /// Messages so far.
+    /// Number of messages submitted.
     messages: f64,
 }
 
 impl Traffic {
     fn new(conditions: &Conditions) -> Self {
         Self {
-            rng: Draw::new(conditions.seed),
+            rng: SeededRng::new(conditions.seed),
             senders: conditions.senders,
             per_tick: conditions.load * conditions.limit * TICK as f64 / 1_000.0,
             first_busy: 0,
@@ -211,10 +203,10 @@
     }
 }
 
-/// Figures of calls in order of time.
+/// Figures of calls in chronological order.
 fn figures(limit: f64, messages: f64, calls: &[u64]) -> Figures {
     let a_second_before = |n: usize| calls.partition_point(|at| at + 1_000 <= calls[n]);
-    let worst = (0..calls.len()).map(|n| n + 1 - a_second_before(n)).max().unwrap_or(0);
+    let peak = (0..calls.len()).map(|n| n + 1 - a_second_before(n)).max().unwrap_or(0);
     let possible = f64::min(messages, limit * DURATION as f64 / 1_000.0);
-    Figures { worst_second: worst as f64 / limit, used: calls.len() as f64 / possible.max(1.0) }
+    Figures { peak_second: peak as f64 / limit, utilization: calls.len() as f64 / possible.max(1.0) }
 }
--- a/crates/simulation/src/leased/leased_quota.rs
+++ b/crates/simulation/src/limit_schemes/leased_quota.rs
@@ -1,35 +1,36 @@
-//! Quotas by sums, under a lease.
+//! Leased quotas, computed from the fleet's summed demand.
 //!
-//! In each round the senders report their demand to one of them, which sends the sum to all: each then works out its
-//! part of the limit. Invariant: a sender's quota is the smallest of those that it worked out within a lease, and its
-//! minimum if there are none: it shrinks at once, and grows when whatever was smaller has expired.
+//! In each round the senders report their demand to an aggregator, which sends the sum to all; each then computes its
+//! quota, a part of the limit. Invariant: a sender's quota is the smallest that it computed within a lease, or its minimum
+//! without any. It decreases immediately, and increases when the smaller quotas have expired.
 
 use std::collections::BTreeMap;
 
-use super::network::Outgoing;
+use super::lossy_network::Outgoing;
 use super::{LimitShare, TICK};
 
-/// How often a quota is worked out, ms.
+/// Length of a round, ms.
 const ROUND: u64 = 500;
-/// How long a quota is relied on after its round, ms.
+/// How long a quota is valid after its round, ms.
 const LEASE: u64 = 2_000;
-/// The part of the limit that is given out, as with permits.
+/// The fraction of the limit that is allocated.
 const ALLOCATED_FRACTION: f64 = 0.95;
-/// The part of an equal share that a sender keeps when it hears from no other.
+/// A sender's minimum quota, as a fraction of an equal share.
 const MIN_FRACTION: f64 = 0.5;
-/// How long a call may start after it has come due, as long as a permit is valid, ms.
+/// How long a call may start after it is due, ms.
 const CALL_VALIDITY: u64 = 100;
-/// When in a round the first sender reports its demand, ms, and over how long the others' reports are spread.
+/// Time from the start of a round to the first sender's report, ms.
 const FIRST_REPORT: u64 = 100;
+/// Time over which the senders' reports are spread, ms.
 const REPORT_SPREAD: u64 = 300;
-/// A prime, so that another sender adds up the demand in each round.
+/// Distance between the aggregators of successive rounds; a prime, so that all senders take turns.
 const AGGREGATOR_STRIDE: u64 = 7_919;
 
-/// What senders tell each other.
+/// A datagram between senders.
 pub(super) enum QuotaDatagram {
-    /// One sender's demand, to the round's aggregator.
+    /// A sender's demand, for the round's aggregator.
     Demand { round: u64, demand: f64 },
-    /// The demand of the senders that the aggregator heard, and how many these are.
+    /// The aggregator's sum.
     Sum(DemandSum),
 }
 
@@ -38,10 +39,11 @@
 pub(super) struct DemandSum {
     round: u64,
     demand: f64,
+    /// Number of senders that reported.
     senders: usize,
 }
 
-/// What a sender reported.
+/// A sender's report.
 struct Report {
     round: u64,
     demand: f64,
@@ -55,11 +57,11 @@
     last_report: Report,
     /// Reports to this sender as the round's aggregator, by sender.
     reports: BTreeMap<usize, f64>,
-    /// Calls a second, by the round in which they were worked out.
+    /// Calls a second, by the round of their computation.
     quotas: BTreeMap<u64, f64>,
-    /// Grows by the quota; a call comes due when this passes an integer.
+    /// The integral of the quota, calls; a call is due when it passes an integer.
     phase: f64,
-    /// Until when the call that came due last may start, ms.
+    /// When the last due call may start at the latest, ms.
     due_until: u64,
 }
 
@@ -73,7 +75,7 @@
             last_report: Report { round: 0, demand: 0.0 },
             reports: BTreeMap::new(),
             quotas: BTreeMap::new(),
-            // Senders with equal quotas call one after another.
+            // Staggers the calls of senders with equal quotas.
             phase: me as f64 / senders as f64,
             due_until: 0,
         }
@@ -86,12 +88,12 @@
     }
 
     fn apply(&mut self, sum: DemandSum) {
-        // Halves of a partitioned fleet would each give out what is beyond the other's minimum.
+        // In a partitioned fleet at most one side may allocate more than the minimum quotas.
         if self.last_report.round != sum.round || sum.senders * 2 <= self.senders {
             return;
         }
-        let unheard = (self.senders - sum.senders) as f64 / self.senders as f64;
-        let available = ALLOCATED_FRACTION * self.limit * (1.0 - unheard * MIN_FRACTION);
+        let unreported = (self.senders - sum.senders) as f64 / self.senders as f64;
+        let available = ALLOCATED_FRACTION * self.limit * (1.0 - unreported * MIN_FRACTION);
         self.quotas.insert(sum.round, available * self.last_report.demand / sum.demand);
     }
 
@@ -115,7 +117,7 @@
         if round <= self.last_report.round || wall % ROUND < report_at {
             return;
         }
-        // One call more than wanted: a sender without any demand would have no quota when a message comes.
+        // One call more than the demand, so that a sender without demand has a quota for its next message.
         let demand = demand + 1.0;
         self.last_report = Report { round, demand };
         let aggregator = (round.wrapping_mul(AGGREGATOR_STRIDE) % self.senders as u64) as usize;
--- a/crates/simulation/src/leased/network.rs
+++ b/crates/simulation/src/limit_schemes/lossy_network.rs
@@ -1,9 +1,10 @@
 //! A network that delays and loses datagrams.
 
-use crate::partner::Draw;
+use crate::SeededRng;
 
-/// Minimum and maximum time that a datagram takes, ms.
+/// Minimum delay of a datagram, ms.
 const MIN_DELAY: f64 = 1.5;
+/// Maximum delay of a datagram, ms.
 const MAX_DELAY: f64 = 30.0;
 
 /// A datagram to send.
@@ -12,7 +13,7 @@
     pub datagram: D,
 }
 
-/// A datagram under way, or at its recipient.
+/// A datagram in transit or delivered.
 pub(super) struct Delivery<D> {
     arrives_at: u64,
     pub from: usize,
@@ -20,31 +21,31 @@
     pub datagram: D,
 }
 
-/// The datagrams under way.
+/// A network with its datagrams in transit.
 pub(super) struct LossyNetwork<D> {
-    rng: Draw,
+    rng: SeededRng,
     /// Share of the datagrams that are lost, from 0 to 1.
-    lost: f64,
-    under_way: Vec<Delivery<D>>,
+    loss: f64,
+    in_transit: Vec<Delivery<D>>,
 }
 
 impl<D> LossyNetwork<D> {
-    /// A network without any datagram under way.
-    pub fn new(lost: f64, seed: u64) -> Self {
-        Self { rng: Draw::new(seed), lost, under_way: Vec::new() }
+    /// A network without datagrams in transit.
+    pub fn new(loss: f64, seed: u64) -> Self {
+        Self { rng: SeededRng::new(seed), loss, in_transit: Vec::new() }
     }
 
     /// Sends a datagram, which may be lost.
     pub fn send(&mut self, wall: u64, from: usize, outgoing: Outgoing<D>) {
         let delay = MIN_DELAY + (MAX_DELAY - MIN_DELAY) * self.rng.unit();
-        if self.rng.unit() >= self.lost {
+        if self.rng.unit() >= self.loss {
             let Outgoing { to, datagram } = outgoing;
-            self.under_way.push(Delivery { arrives_at: wall + delay as u64, from, to, datagram });
+            self.in_transit.push(Delivery { arrives_at: wall + delay as u64, from, to, datagram });
         }
     }
 
     /// The datagrams that have arrived by now, in the order in which they were sent.
     pub fn arrived(&mut self, wall: u64) -> Vec<Delivery<D>> {
-        self.under_way.extract_if(.., |delivery| delivery.arrives_at <= wall).collect()
+        self.in_transit.extract_if(.., |delivery| delivery.arrives_at <= wall).collect()
     }
 }
--- a/crates/simulation/src/partner/open_messages.rs
+++ b/crates/simulation/src/receiver/open_messages.rs
@@ -1,4 +1,4 @@
-//! The messages of a sender that have no final outcome yet.
+//! The messages of a sender without a final outcome.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +12,10 @@
     pub attempts: u32,
 }
 
-/// A sender's open messages by id, kept over a restart.
+/// A sender's open messages by id, which survive a restart.
 pub(super) type OpenMessages = BTreeMap<u32, OpenMessage>;
 
-/// The policy's view of a message to the receiver.
+/// A message to the receiver, as the policy's events carry it.
 pub(super) fn message(id: u32, class: usize, time_left: Millis) -> Message {
     Message {
         id: MessageHandle(id),
--- a/crates/simulation/src/partner/settings.rs
+++ b/crates/simulation/src/receiver/settings.rs
@@ -1,29 +1,29 @@
-//! The settings of a scene's senders, and the value of its messages.
+//! The settings of a scenario's senders, and the value of its messages.
 
 use rudderspindle_policy::interface::{Class, Effect, KeyGroup, Millis, Settings};
 
-use super::{OVERLOAD_DURATION, OVERLOAD_MULTIPLE, RECOVERY_DURATION, RECOVERY_START_SHARE, Scene, TICK};
-use crate::parts::{class, settings};
+use super::{OVERLOAD_DURATION, OVERLOAD_MULTIPLE, RECOVERY_DURATION, RECOVERY_START_SHARE, Scenario, TICK};
+use crate::fixtures::{class, settings};
 
 /// Number of message classes: one with an idempotency key and one that is idempotent.
 pub(super) const CLASSES: usize = 2;
-/// How long a message may be delivered, ms.
+/// Time from a message's submission to its deadline, ms.
 pub(super) const DEADLINE: Millis = 12_000.0;
 
 /// Value of a message that is delivered in time, by class.
 const VALUE: [f64; CLASSES] = [1.0, 3.0];
 /// Latency objective, by class, ms.
 const LATENCY_OBJECTIVE: [Millis; CLASSES] = [4_000.0, 2_000.0];
-/// The part of its value that a message has left at its deadline.
+/// Value of a message at its deadline, as a fraction of its full value.
 const LATE_VALUE: f64 = 0.3;
 /// How long an idempotency key is valid, ms.
 const KEY_WINDOW: Millis = 15_000.0;
 
-/// The settings of each sender of a scene.
-pub fn settings_of(scene: &Scene) -> Settings {
+/// The settings of each sender of a scenario.
+pub fn sender_settings(scenario: &Scenario) -> Settings {
     let keyed = Effect::IdempotencyKey { group: KeyGroup::Zone, window: KEY_WINDOW };
     Settings {
-        peers_total: scene.peers,
+        peers_total: scenario.peers,
         slots: 64,
         max_pending: 800,
         max_attempts: 12,
@@ -51,12 +51,7 @@
     VALUE[class]
 }
 
-/// Whether a message of this class meets its latency objective with this latency, ms.
-pub(super) fn is_in_time(class: usize, latency: Millis) -> bool {
-    latency <= LATENCY_OBJECTIVE[class]
-}
-
-/// The value that a message of this class has when it is delivered with this latency, ms.
+/// The value of a message of this class that is delivered with this latency, ms.
 pub(super) fn delivered_value(class: usize, latency: Millis) -> f64 {
     let late = ((latency - LATENCY_OBJECTIVE[class]) / (DEADLINE - LATENCY_OBJECTIVE[class])).clamp(0.0, 1.0);
     VALUE[class] * (1.0 - late * (1.0 - LATE_VALUE))
--- a/crates/simulation/src/partner/sender.rs
+++ b/crates/simulation/src/receiver/simulated_sender.rs
@@ -1,4 +1,4 @@
-//! One simulated sender: its policy, and what its process does for the policy.
+//! One simulated sender: its policy, and the parts of its process that the policy needs.
 
 use std::collections::BTreeMap;
 
@@ -11,86 +11,88 @@
     AttemptHistory, Demand, DestinationId, Event, Millis, OutageState, Permit, RouteId,
 };
 
-use super::draw::Draw;
-use super::network::wall_clock;
+use super::clock::wall_clock;
 use super::open_messages::{OpenMessages, message};
-use super::scene::{Bound, Scene};
-use super::seen::Knows;
-use super::settings::{DEADLINE, settings_of};
-use super::{aged, list_event};
-
-/// How long the capacity of one round of sums may be relied on, ms.
+use super::recovery_load::OutageKnowledge;
+use super::scenario::{LimitEnforcement, Scenario};
+use super::settings::{DEADLINE, sender_settings};
+use super::{age_outage_state, list_event};
+use crate::SeededRng;
+use crate::permit_datagrams::{PermitDatagrams, due_permit_datagrams};
+
+/// How long the capacity from one round of sums is valid, ms.
 const CAPACITY_VALIDITY: Millis = 1_000.0;
 /// Distinguishes the draws of the senders' clocks from others.
 const CLOCK_SEED: u64 = 0xc10c;
 
-/// A wake-up that the policy asked for.
+/// A wake-up requested by the policy.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WakeUp {
     pub at: Millis,
     pub token: u64,
 }
 
-/// An outage that the policy asked to have remembered over a restart.
+/// An outage state that survives a restart.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RememberedOutage {
     pub at: Millis,
     pub outage: OutageState,
 }
 
-/// A sender of a scene.
+/// A sender of a scenario.
 pub(super) struct SimulatedSender {
     pub policy: Policy,
     pub demand_exchange: DemandExchange,
     /// Present where each call needs a permit.
     permits: Option<PermitLedger>,
-    /// The part of each limit that the receiver is believed to take, from the fleet's reports; the whole where absent.
+    /// The fraction of each limit that the receiver accepts by the fleet's reports; 1 where absent.
     available_fractions: BTreeMap<LimitId, f64>,
-    /// How far its wall clock is ahead, ms.
+    /// Offset of its wall clock, ms.
     pub clock_ahead: u64,
     /// Whether its process runs.
-    pub up: bool,
+    pub is_running: bool,
     /// Events for the policy's next batch.
     pub events: Vec<Event>,
     pub wake_up: Option<WakeUp>,
     pub open: OpenMessages,
-    /// By route where routes are apart.
+    /// Remembered outage states, by route where routes have separate limits.
     pub remembered: BTreeMap<Option<RouteId>, RememberedOutage>,
-    /// Restarts so far.
+    /// Number of restarts.
     pub restarts: u64,
-    /// Whether a call of its failed in the outage, before or after a restart.
+    /// Whether one of its calls failed in the outage, before or after a restart.
     pub saw_failure: bool,
 }
 
 impl SimulatedSender {
-    /// A sender without any state, after so many restarts.
-    pub fn new(scene: &Scene, index: usize, restarts: u64, now: Millis) -> Self {
-        let settings = settings_of(scene);
+    /// A sender without any state, after this number of restarts.
+    pub fn new(scenario: &Scenario, index: usize, restarts: u64, now: Millis) -> Self {
+        let settings = sender_settings(scenario);
         let start = settings.ramp(0.0);
         let after_a_second = settings.ramp(1_000.0);
-        let seed = scene.seed * 64 + index as u64 * 8 + restarts;
+        let seed = scenario.seed * 64 + index as u64 * 8 + restarts;
         let mut policy = Policy::new(settings, seed).expect("settings that work");
-        if scene.notes.is_some() {
+        let has_gossip = scenario.gossip_network.is_some();
+        let needs_permits = has_gossip && scenario.enforcement == LimitEnforcement::Permits;
+        if has_gossip {
             policy.expect_capacity_reports();
         }
-        let strict = scene.notes.is_some() && scene.bound == Bound::Strict;
-        if strict {
+        if needs_permits {
             policy.require_permits();
         }
-        let clock_ahead = draw_clock(scene, index);
+        let clock_ahead = draw_clock_offset(scenario, index);
         let permits = || {
             let wall = wall_clock(now, clock_ahead);
-            PermitLedger::new(index, scene.senders, Incarnation(restarts + 1), wall)
+            PermitLedger::new(index, scenario.senders, Incarnation(restarts + 1), wall)
         };
         let ramp = RecoveryRamp { initial_fraction: start, growth_per_s: after_a_second - start };
         Self {
             policy,
-            demand_exchange: DemandExchange::new(index, scene.senders, ramp),
-            permits: strict.then(permits),
+            demand_exchange: DemandExchange::new(index, scenario.senders, ramp),
+            permits: needs_permits.then(permits),
             available_fractions: BTreeMap::new(),
             clock_ahead,
-            up: true,
-            events: vec![list_event(scene, scene.routes)],
+            is_running: true,
+            events: vec![list_event(scenario, scenario.routes)],
             wake_up: None,
             open: OpenMessages::new(),
             remembered: BTreeMap::new(),
@@ -99,13 +101,13 @@
         }
     }
 
-    /// This sender after a restart: it keeps its open messages and what its policy asked to have remembered.
-    pub fn restarted(&self, scene: &Scene, index: usize, now: Millis) -> Self {
-        let mut sender = Self::new(scene, index, self.restarts + 1, now);
+    /// This sender after a restart, with its open messages and remembered outage states.
+    pub fn restarted(&self, scenario: &Scenario, index: usize, now: Millis) -> Self {
+        let mut sender = Self::new(scenario, index, self.restarts + 1, now);
         sender.saw_failure = self.saw_failure;
         sender.remembered.clone_from(&self.remembered);
         for (&route, remembered) in &self.remembered {
-            let outage = aged(remembered.outage, now - remembered.at);
+            let outage = age_outage_state(remembered.outage, now - remembered.at);
             sender.events.push(Event::Remembered { destination: DestinationId(0), route, outage });
         }
         for (&id, open) in &self.open {
@@ -119,17 +121,17 @@
         sender
     }
 
-    /// What the sender knows of the outage as it calls this route.
-    pub fn knowledge(&self, route: RouteId) -> Knows {
+    /// What the sender has observed of the outage when it calls this route.
+    pub fn knowledge(&self, route: RouteId) -> OutageKnowledge {
         let remembered = |key: Option<RouteId>| {
             let outage = self.remembered.get(&key).map(|remembered| remembered.outage);
             outage.filter(|outage| *outage != OutageState::Healthy)
         };
         match remembered(None).or(remembered(Some(route))) {
-            Some(OutageState::Down { .. }) => Knows::Down,
-            Some(_) => Knows::Cold,
-            None if self.saw_failure => Knows::Failures,
-            None => Knows::Nothing,
+            Some(OutageState::Down { .. }) => OutageKnowledge::Down,
+            Some(_) => OutageKnowledge::WarmingUp,
+            None if self.saw_failure => OutageKnowledge::SawFailures,
+            None => OutageKnowledge::Unaware,
         }
     }
 
@@ -150,7 +152,7 @@
         datagrams
     }
 
-    /// Tells the policy its capacity by the last round of sums, if there was one.
+    /// Updates the policy's capacity from the last round of sums, if there was one.
     fn update_capacity(&mut self, wall: u64, demands: &[Demand]) {
         self.available_fractions.clear();
         let Some(capacities) = self.demand_exchange.capacities(wall) else { return };
@@ -172,13 +174,10 @@
     /// The datagrams of the permits that are due, `tick` ms after the last call.
     pub fn permit_datagrams(&mut self, wall: u64, tick: u64) -> Vec<OutgoingDatagram> {
         let Some(permits) = &mut self.permits else { return Vec::new() };
-        let allocates = permits.next_allocation().is_some_and(|at| at <= wall);
-        let mut datagrams = if allocates { permits.allocate(wall) } else { Vec::new() };
-        let offers = permits.next_offer(wall - tick) <= wall;
-        if offers {
-            datagrams.extend(permits.offer(wall, &local_demands(&self.policy.demands())));
-        }
-        if allocates || offers {
+        let demands = || local_demands(&self.policy.demands());
+        let PermitDatagrams { datagrams, permits_changed } =
+            due_permit_datagrams(permits, wall, tick, demands);
+        if permits_changed {
             self.update_permits(wall);
         }
         datagrams
@@ -193,7 +192,7 @@
         Ok(())
     }
 
-    /// Tells the policy which permits it holds.
+    /// Updates the policy's permits.
     fn update_permits(&mut self, wall: u64) {
         let Some(permits) = &self.permits else { return };
         let from_now = |at: u64| at as f64 - wall as f64;
@@ -214,9 +213,9 @@
     }
 }
 
-fn draw_clock(scene: &Scene, index: usize) -> u64 {
-    let mut rng = Draw::new(scene.seed ^ (CLOCK_SEED + index as u64));
-    (scene.clocks as f64 * rng.unit()).round() as u64
+fn draw_clock_offset(scenario: &Scenario, index: usize) -> u64 {
+    let mut rng = SeededRng::new(scenario.seed ^ (CLOCK_SEED + index as u64));
+    (scenario.max_clock_skew as f64 * rng.unit()).round() as u64
 }
 
 fn limit_id(demand: &Demand) -> LimitId {
--- a/crates/simulation/src/partner/play.rs
+++ b/crates/simulation/src/receiver/simulation.rs
@@ -1,33 +1,31 @@
-//! Runs a scene tick by tick.
-
-use std::collections::VecDeque;
-use std::ops::Range;
+//! Runs a scenario tick by tick.
 
 use rudderspindle_policy::interface::{Action, Event, Millis, Outcome, RouteId};
 
-use super::draw::Draw;
-use super::network::Network;
+use super::gossip_network::SimulatedNetwork;
+use super::observations::Observations;
 use super::open_messages::{OpenMessage, message};
-use super::receiver::{Call, Receiver};
-use super::scene::Scene;
-use super::seen::{RecoveryCall, Seen};
-use super::sender::{RememberedOutage, SimulatedSender, WakeUp};
+use super::recovery_load::{RecoveryCall, RecoveryWindow};
+use super::scenario::{AddedRoutes, LoadPeak, Restart, Scenario};
 use super::settings::DEADLINE;
+use super::simulated_receiver::{Call, SimulatedReceiver};
+use super::simulated_sender::{RememberedOutage, SimulatedSender, WakeUp};
 use super::{RECOVERY_DURATION, TICK, list_event};
-use crate::parts::outcome;
+use crate::SeededRng;
+use crate::fixtures::outcome;
 
-/// How long before a scene's end the last message is submitted, ms.
+/// Time from the last submission to the end of a scenario, ms.
 const QUIET_END: Millis = 4_000.0;
 /// Share of the messages that are of class 1.
 const CLASS_1_SHARE: f64 = 0.44;
 /// Distinguishes the network's draws from those of the load and the receiver.
 const NETWORK_SEED: u64 = 0x9057;
 
-/// An outcome that its sender does not know yet.
+/// An outcome that its sender has not received yet.
 struct PendingOutcome {
     at: Millis,
     sender: usize,
-    /// Restarts of the sender when it made the call: after another one it does not get the outcome.
+    /// Number of the sender's restarts when it made the call; after another one it does not get the outcome.
     restarts: u64,
     event: Event,
     delivers: bool,
@@ -35,51 +33,52 @@
     failed_in_outage: bool,
 }
 
-/// A scene at one moment.
+/// The state of a simulation.
 struct Simulation<'a> {
-    scene: &'a Scene,
+    scenario: &'a Scenario,
     now: Millis,
-    rng: Draw,
+    rng: SeededRng,
     senders: Vec<SimulatedSender>,
-    network: Network,
+    network: SimulatedNetwork,
     pending: Vec<PendingOutcome>,
-    receiver: Receiver,
-    /// Calls of the recovery ramp within the overload duration.
-    recent: VecDeque<RecoveryCall>,
+    receiver: SimulatedReceiver,
+    recovery_window: RecoveryWindow,
     next_id: u32,
     next_message_at: Millis,
-    /// The scene's restart until it is over.
-    restart: Option<(Range<usize>, Millis)>,
-    /// The scene's added routes until they are listed.
-    added: Option<(u64, Millis)>,
-    seen: Seen,
+    /// The scenario's restart until it is over.
+    restart: Option<Restart>,
+    /// The scenario's added routes until they are listed.
+    added_routes: Option<AddedRoutes>,
+    observations: Observations,
 }
 
-/// Runs a scene to its end.
-pub fn play(scene: &Scene) -> Seen {
-    let mut simulation = Simulation::new(scene);
-    while simulation.now < scene.ends {
+/// Runs a scenario to its end.
+pub fn simulate(scenario: &Scenario) -> Observations {
+    let mut simulation = Simulation::new(scenario);
+    while simulation.now < scenario.duration {
         simulation.step();
     }
-    simulation.seen
+    simulation.observations
 }
 
 impl<'a> Simulation<'a> {
-    fn new(scene: &'a Scene) -> Self {
+    fn new(scenario: &'a Scenario) -> Self {
         Self {
-            scene,
+            scenario,
             now: 0.0,
-            rng: Draw::new(scene.seed),
-            senders: (0..scene.senders).map(|index| SimulatedSender::new(scene, index, 0, 0.0)).collect(),
-            network: Network::new(scene.seed ^ NETWORK_SEED),
+            rng: SeededRng::new(scenario.seed),
+            senders: (0..scenario.senders)
+                .map(|index| SimulatedSender::new(scenario, index, 0, 0.0))
+                .collect(),
+            network: SimulatedNetwork::new(scenario.seed ^ NETWORK_SEED),
             pending: Vec::new(),
-            receiver: Receiver::default(),
-            recent: VecDeque::new(),
+            receiver: SimulatedReceiver::default(),
+            recovery_window: RecoveryWindow::default(),
             next_id: 0,
             next_message_at: 0.0,
-            restart: scene.restart.clone(),
-            added: scene.added,
-            seen: Seen::default(),
+            restart: scenario.restart.clone(),
+            added_routes: scenario.added_routes,
+            observations: Observations::default(),
         }
     }
 
@@ -88,8 +87,8 @@
         self.kill_and_restart();
         self.add_routes();
         self.submit_messages();
-        if let Some(notes) = &self.scene.notes {
-            self.seen.note_bytes += self.network.step(notes, self.now, &mut self.senders);
+        if let Some(network) = &self.scenario.gossip_network {
+            self.observations.gossip_bytes += self.network.step(network, self.now, &mut self.senders);
         }
         self.deliver_outcomes();
         for sender in 0..self.senders.len() {
@@ -99,23 +98,21 @@
 
     fn kill_and_restart(&mut self) {
         let now = self.now;
-        if let Some((killed, at)) = &self.restart
-            && *at <= now
-        {
-            for sender in &mut self.senders[killed.clone()] {
-                sender.up = false;
+        if let Some(restart) = self.restart.as_ref().filter(|restart| restart.killed_at <= now) {
+            for sender in &mut self.senders[restart.senders.clone()] {
+                sender.is_running = false;
             }
         }
-        if let Some((restarted, _)) = self.restart.take_if(|(_, at)| *at + self.scene.gone <= now) {
-            for index in restarted {
-                self.senders[index] = self.senders[index].restarted(self.scene, index, now);
+        if let Some(restart) = self.restart.take_if(|restart| restart.killed_at + restart.downtime <= now) {
+            for index in restart.senders {
+                self.senders[index] = self.senders[index].restarted(self.scenario, index, now);
             }
         }
     }
 
     fn add_routes(&mut self) {
-        if let Some((added, _)) = self.added.take_if(|(_, at)| *at <= self.now) {
-            let list = list_event(self.scene, self.scene.routes + added);
+        if let Some(added) = self.added_routes.take_if(|added| added.at <= self.now) {
+            let list = list_event(self.scenario, self.scenario.routes + added.count);
             for sender in &mut self.senders {
                 sender.events.push(list.clone());
             }
@@ -123,13 +120,14 @@
     }
 
     fn submit_messages(&mut self) {
-        let scene = self.scene;
-        while self.next_message_at <= self.now && self.now < scene.ends - QUIET_END {
-            let (factor, swell) = &scene.swell;
-            let factor = if swell.contains(&self.now) { *factor } else { 1.0 };
-            self.next_message_at += self.rng.exponential(1_000.0 / (factor * scene.load * scene.told));
-            let drawn = (self.rng.unit() * scene.busy as f64) as usize;
-            let to = if self.senders[drawn].up { drawn } else { (drawn + 1) % scene.senders };
+        let scenario = self.scenario;
+        while self.next_message_at <= self.now && self.now < scenario.duration - QUIET_END {
+            let LoadPeak { factor, period } = &scenario.load_peak;
+            let factor = if period.contains(&self.now) { *factor } else { 1.0 };
+            let rate = factor * scenario.load * scenario.announced_rate;
+            self.next_message_at += self.rng.exponential(1_000.0 / rate);
+            let drawn = (self.rng.unit() * scenario.busy_senders as f64) as usize;
+            let to = if self.senders[drawn].is_running { drawn } else { (drawn + 1) % scenario.senders };
             let class = usize::from(self.rng.unit() < CLASS_1_SHARE);
             self.submit(to, class);
         }
@@ -141,7 +139,7 @@
         let sender = &mut self.senders[to];
         sender.events.push(Event::Message(message(id, class, DEADLINE)));
         sender.open.insert(id, OpenMessage { class, submitted_at: self.now, attempts: 0 });
-        self.seen.count_submission(class);
+        self.observations.count_submission(class);
     }
 
     fn deliver_outcomes(&mut self) {
@@ -151,24 +149,24 @@
         for pending in self.pending.drain(..due) {
             let sender = &mut self.senders[pending.sender];
             sender.saw_failure |= pending.failed_in_outage;
-            if sender.restarts != pending.restarts || !sender.up {
+            if sender.restarts != pending.restarts || !sender.is_running {
                 continue;
             }
             if pending.delivers
                 && let Event::Outcome { id, .. } = &pending.event
                 && let Some(open) = sender.open.remove(&id.0)
             {
-                self.seen.count_delivery(self.scene, open.class, now, open.submitted_at);
+                self.observations.count_delivery(self.scenario, open.class, now, open.submitted_at);
             }
             sender.events.push(pending.event);
         }
     }
 
-    /// Lets a sender's policy act if there is anything for it to act on.
+    /// Passes a sender's events to its policy and performs the policy's actions.
     fn decide(&mut self, index: usize) {
         let now = self.now;
         let sender = &mut self.senders[index];
-        if !sender.up {
+        if !sender.is_running {
             return;
         }
         if let Some(wake_up) = sender.wake_up.take_if(|wake_up| wake_up.at <= now) {
@@ -181,11 +179,11 @@
         let mut actions = Vec::new();
         sender.policy.handle(now, &events, &mut actions);
         for action in actions {
-            self.carry_out(index, action);
+            self.perform(index, action);
         }
     }
 
-    fn carry_out(&mut self, index: usize, action: Action) {
+    fn perform(&mut self, index: usize, action: Action) {
         let now = self.now;
         let sender = &mut self.senders[index];
         match action {
@@ -207,38 +205,29 @@
         let Some(open) = sender.open.get_mut(&id) else { panic!("message {id} has its final outcome") };
         let attempt = open.attempts;
         open.attempts += 1;
-        let in_outage = self.is_in_outage(route);
-        self.count_call(index, route, in_outage);
+        let in_outage = self.scenario.is_in_outage(route.0 - 1, self.now);
+        self.count_call(index, route);
         let call = Call { now: self.now, timeout, in_outage };
-        let answer = self.receiver.answer(self.scene, call, &mut self.rng);
-        self.seen.refused += usize::from(answer.over_limit);
+        let response = self.receiver.answer(self.scenario, call, &mut self.rng);
+        self.observations.rejected += usize::from(response.over_limit);
         self.pending.push(PendingOutcome {
-            at: self.now + answer.after,
+            at: self.now + response.after,
             sender: index,
             restarts,
-            event: outcome(id, attempt, answer.outcome, answer.retry_after),
-            delivers: answer.outcome == Outcome::Ok,
-            failed_in_outage: in_outage && answer.outcome != Outcome::Ok,
+            event: outcome(id, attempt, response.outcome, response.retry_after),
+            delivers: response.outcome == Outcome::Ok,
+            failed_in_outage: in_outage && response.outcome != Outcome::Ok,
         });
     }
 
-    fn is_in_outage(&self, route: RouteId) -> bool {
-        let Scene { from, until, struck, .. } = self.scene;
-        (*from..*until).contains(&self.now) && struck.contains(&(route.0 - 1))
-    }
-
-    fn count_call(&mut self, index: usize, route: RouteId, in_outage: bool) {
-        let Scene { until, told, .. } = *self.scene;
-        self.seen.starts.push(self.now);
-        self.seen.trials += usize::from(in_outage);
-        if self.now >= until && self.now < until + RECOVERY_DURATION {
-            let call = RecoveryCall {
-                since_return: self.now - until,
-                sender: index,
-                route: route.0,
-                knowledge: self.senders[index].knowledge(route),
-            };
-            self.seen.count_recovery_call(&mut self.recent, call, told);
+    fn count_call(&mut self, index: usize, route: RouteId) {
+        let Scenario { outage_end, announced_rate, .. } = *self.scenario;
+        self.observations.call_starts.push(self.now);
+        if (outage_end..outage_end + RECOVERY_DURATION).contains(&self.now) {
+            let knowledge = self.senders[index].knowledge(route);
+            let call = RecoveryCall { since_recovery: self.now - outage_end, knowledge };
+            let load = self.recovery_window.add(call, announced_rate);
+            self.observations.count_recovery_load(&load);
         }
     }
 }
