--- a/crates/simulation/src/receiver/simulation.rs
+++ b/crates/simulation/src/receiver/simulation.rs
@@ -1,6 +1,6 @@
 //! Runs a scenario tick by tick.
 
-use rudderspindle_policy::interface::{Action, Event, Millis, Outcome, RouteId};
+use rudderspindle_policy::interface::{Action, AttemptResult, Event, Millis, Outcome, RouteId};
 
 use super::gossip_network::SimulatedNetwork;
 use super::observations::Observations;
@@ -9,7 +9,7 @@
 use super::scenario::{AddedRoutes, LoadPeak, Restart, Scenario};
 use super::settings::DEADLINE;
 use super::simulated_receiver::{Call, SimulatedReceiver};
-use super::simulated_sender::{RememberedOutage, SimulatedSender, WakeUp};
+use super::simulated_sender::{SimulatedSender, StoredOutage, WakeUp};
 use super::{RECOVERY_DURATION, TICK, list_event};
 use crate::SeededRng;
 use crate::fixtures::outcome;
@@ -153,7 +153,7 @@
                 continue;
             }
             if pending.delivers
-                && let Event::Outcome { id, .. } = &pending.event
+                && let Event::Outcome(AttemptResult { id, .. }) = &pending.event
                 && let Some(open) = sender.open.remove(&id.0)
             {
                 self.observations.count_delivery(self.scenario, open.class, now, open.submitted_at);
@@ -192,8 +192,8 @@
                 sender.open.remove(&id.0);
             }
             Action::Send { id, route, timeout, .. } => self.call(index, id.0, route, timeout),
-            Action::Remember { route, outage, .. } => {
-                sender.remembered.insert(route, RememberedOutage { at: now, outage });
+            Action::Remember { scope, outage } => {
+                sender.remembered.insert(scope.route, StoredOutage { at: now, outage });
             }
             Action::Cancel { .. } | Action::HealthCheck { .. } | Action::Subscribe => {}
         }
