--- a/crates/benchmarks/src/fleet_list.rs
+++ b/crates/benchmarks/src/fleet_list.rs
@@ -36,7 +36,7 @@
     assumed_senders: usize,
 }
 
-/// Simulates each round with staggered polls, then with senders that poll as if alone.
+/// Simulates each round with staggered polls and with the polls of a single sender.
 pub fn run(common: &CommonArguments, fleet: &ListArguments) -> Report {
     let seed = common.seed();
     let mut report = Report::new("fleet-list", seed);
--- a/crates/benchmarks/src/http2/receiver.rs
+++ b/crates/benchmarks/src/http2/receiver.rs
@@ -81,8 +81,8 @@
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
             let this = self.clone();
-            // The task ends with its connection, at the latest with the thread's `LocalSet`. A connection that fails
-            // shows in the outcomes of its calls.
+            // The task ends with its connection, at the latest with the thread's `LocalSet`. A failed
+            // connection is counted in the outcomes of its calls.
             match protocol {
                 Protocol::Http2 => spawn_local(async move {
                     let _ = this.serve_http2(stream).await;
--- a/crates/benchmarks/src/load/clients.rs
+++ b/crates/benchmarks/src/load/clients.rs
@@ -63,7 +63,7 @@
 ) -> LoadFigures {
     let from = Instant::now() + WARM_UP;
     let period = Period { from, until: from + duration };
-    // Clients end by themselves at the period's end; all are waited for below.
+    // Clients return at the end of the period and are joined below.
     let mut clients = JoinSet::new();
     for client in 0..load.clients {
         clients.spawn(submit_all(addr, client, load.destinations, period));
--- a/crates/benchmarks/src/relay.rs
+++ b/crates/benchmarks/src/relay.rs
@@ -1,6 +1,6 @@
 //! The baseline of `load`: a relay on the same HTTP library, without a journal or a policy.
 //!
-//! It answers 202 once a message is complete, and posts it to its destination on a pooled connection.
+//! It answers a complete message with 202, and posts it to its destination on a pooled connection.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
--- a/crates/demo/src/html_report/plot.rs
+++ b/crates/demo/src/html_report/plot.rs
@@ -28,7 +28,7 @@
 /// Distance of the value 0 from the upper edge, SVG units.
 const BASELINE: f64 = HEIGHT - BOTTOM_MARGIN;
 
-/// A plotted figure; its dashes tell it from others without colours.
+/// A plotted figure. Its dashes distinguish it without colours.
 pub(super) struct Series {
     pub name: &'static str,
     pub colour: &'static str,
--- a/crates/simulation/src/receiver/recovery_load.rs
+++ b/crates/simulation/src/receiver/recovery_load.rs
@@ -67,7 +67,7 @@
 }
 
 impl RecoveryWindow {
-    /// Adds a call; the load then. `rate` is the receiver's limit, calls a second.
+    /// Adds a call; returns the load with it. `rate` is the receiver's limit, calls a second.
     pub fn add(&mut self, call: RecoveryCall, rate: f64) -> WindowLoad {
         self.0.push_back(call);
         let now = call.since_recovery;
--- a/crates/simulation/src/receiver/scenario.rs
+++ b/crates/simulation/src/receiver/scenario.rs
@@ -91,7 +91,7 @@
     pub senders: Range<usize>,
     /// When they are killed, ms.
     pub killed_at: Millis,
-    /// Time until they are started again, ms; messages for each go to the next sender meanwhile.
+    /// Time until they are started again, ms; their messages are submitted to the next sender meanwhile.
     pub downtime: Millis,
 }
 
--- a/crates/simulation/src/receiver/simulated_sender.rs
+++ b/crates/simulation/src/receiver/simulated_sender.rs
@@ -200,12 +200,12 @@
         for demand in &self.policy.demands() {
             let limit_id = limit_id(demand);
             let fraction = self.available_fractions.get(&limit_id).copied().unwrap_or(1.0);
-            let held = permits.permits(wall, limit_id, fraction).into_iter().map(|permit| Permit {
+            let permits = permits.permits(wall, limit_id, fraction).into_iter().map(|permit| Permit {
                 number: permit.number,
                 from: from_now(permit.from),
                 until: from_now(permit.until),
             });
-            let update = PermitUpdate { scope: demand.scope, permits: held.collect() };
+            let update = PermitUpdate { scope: demand.scope, permits: permits.collect() };
             self.events.push(Event::Permits(update));
         }
     }
--- a/crates/simulation/tests/limit_schemes.rs
+++ b/crates/simulation/tests/limit_schemes.rs
@@ -16,7 +16,7 @@
         let Comparison { permits, leased_quotas } = in_conditions(0.5, seed);
         println!("seed {seed}: {permits:?}, {leased_quotas:?}");
         assert!(permits.peak_second * LIMIT <= max_calls_by_permits(LIMIT, 1_000.0, 0), "{permits:?}");
-        // What was allocated, and from each sender a call that had come due before.
+        // The allocated calls, and one call of each sender that was due before.
         let bound = 0.95 * LIMIT + SENDERS as f64;
         assert!(leased_quotas.peak_second * LIMIT > bound, "{leased_quotas:?}");
     }
