--- a/crates/benchmarks/src/fleet_list.rs
+++ b/crates/benchmarks/src/fleet_list.rs
@@ -63,7 +63,7 @@
     let discovery = Discovery::OnRequest { ask_within: POLL_DEADLINE };
     let first_seed = seed.wrapping_mul(10_000);
     let schedule =
-        |sender: u64| PollSchedule::new(discovery, assumed_senders, first_seed.wrapping_add(sender)).pauses();
+        |sender: u64| PollSchedule::new(discovery, assumed_senders, first_seed.wrapping_add(sender)).delays();
     let schedules =
         (0..u64::from(fleet.senders)).map(|sender| Box::new(schedule(sender)) as PollDelays).collect();
     let request_time = f64::from(fleet.request_ms) / 1_000.0;
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -4,12 +4,12 @@
 
 use rudderspindle_gossip::Receiver;
 use rudderspindle_journal::{self as journal, PossibleExecution};
-use rudderspindle_policy::interface::{self, Event, MessageHandle, Millis, Outcome, RouteId};
+use rudderspindle_policy::interface::{AttemptResult, Event, MessageHandle, Millis, Outcome, RouteId};
 use tokio::time::Instant;
 
+use super::Engine;
 use super::time::from_millis;
-use super::{Engine, SHUTDOWN_SEND_PERIOD};
-use crate::event::{AttemptResult, Call, MESSAGE_LOG};
+use crate::event::{Call, CallOutcome, MESSAGE_LOG};
 use crate::metrics::FinalOutcome;
 use crate::outbound::ReceiverLocation;
 
@@ -36,14 +36,14 @@
     /// Reserves an attempt in the journal; returns the call to make once that is written. While stopping no attempt
     /// starts too late: the message then stays in the journal for the next process.
     pub(super) fn reserve_attempt(&mut self, now: Instant, request: AttemptRequest) -> Option<Call> {
-        if self.stop.is_some_and(|at| now - at >= SHUTDOWN_SEND_PERIOD) {
+        if !self.shutdown.allows_attempts(now) {
             return None;
         }
         let AttemptRequest { id, route, timeout, start_within } = request;
         let margin = from_millis(DEADLINE_MARGIN_TICKS * self.settings.tick) + REQUEST_TRANSIT_TIME;
         let message = self.tracked.get_mut(id)?;
         let last = message.deadline.checked_sub(margin).unwrap_or(now);
-        let ReceiverLocation { receiver, zone } = self.outbound.receiver_location(route)?;
+        let ReceiverLocation { receiver, zone } = self.io.outbound.receiver_location(route)?;
         let attempt = message.attempts;
         message.attempts += 1;
         let destination = self.endpoints.destination(&receiver);
@@ -51,33 +51,33 @@
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
         let execution = PossibleExecution { at: journal::wall_ms(), receiver, zone };
         self.store.start_attempt(&message.message_id, execution);
-        let until = if timeout == 0.0 { last } else { (now + from_millis(timeout)).min(last) };
+        let response_deadline = if timeout == 0.0 { last } else { (now + from_millis(timeout)).min(last) };
         let start_within = Duration::try_from_secs_f64(start_within.max(0.0) / 1_000.0);
         Some(Call {
             id,
             attempt,
             route,
             message_id: message.message_id.clone(),
-            key: message.key.clone(),
+            idempotency_key: message.idempotency_key.clone(),
             body: message.body.clone(),
-            until,
-            latest: start_within.map_or(message.deadline, |start_within| now + start_within),
+            response_deadline,
+            write_deadline: start_within.map_or(message.deadline, |start_within| now + start_within),
         })
     }
 
     /// Records an attempt's result with this batch; a delivered message is complete.
-    pub(super) fn record_result(&mut self, id: MessageHandle, attempt: u32, result: AttemptResult) -> Event {
-        self.calls.remove(&id);
-        let AttemptResult { outcome, retry_after, closed } = result;
+    pub(super) fn record_result(&mut self, id: MessageHandle, attempt: u32, result: CallOutcome) -> Event {
+        self.calls.remove(id);
+        let CallOutcome { outcome, retry_after, completed } = result;
         let receiver = self.tracked.get_mut(id).and_then(|message| message.receiver.take());
         self.activity.record_outcome(receiver, outcome);
         if let Some(message) = self.tracked.get(id) {
             tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, ?outcome, retry_after, "outcome");
-            if closed {
+            if completed {
                 failpoint!("delivered-before-record");
                 self.store.complete(&message.message_id, None);
                 if outcome == Outcome::Ok {
-                    self.metrics.record_outcome(message.class, FinalOutcome::Delivered);
+                    self.io.metrics.record_outcome(message.class, FinalOutcome::Delivered);
                 }
                 self.tracked.remove(id);
             } else {
@@ -85,14 +85,6 @@
             }
         }
         let completed = !self.tracked.contains(id);
-        Event::Outcome(interface::AttemptResult { id, attempt, outcome, retry_after, completed })
-    }
-
-    /// Asks a call to end. Its result comes from the call itself, as that of any other; only then the policy sends
-    /// the message again, so that no attempt's result is taken for that of another.
-    pub(super) fn cancel(&mut self, id: MessageHandle, attempt: u32) {
-        if let Some(call) = self.calls.get(&id).filter(|call| call.attempt == attempt) {
-            call.cancel();
-        }
+        Event::Outcome(AttemptResult { id, attempt, outcome, retry_after, completed })
     }
 }
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -1,4 +1,4 @@
-//! The messages between the engine and the tasks around it, so that none of these tasks has to know the engine.
+//! The messages between the engine and the tasks around it, so that the tasks do not depend on the engine.
 //!
 //! Spans of time are milliseconds ([`Millis`]); rates are events per second.
 
@@ -14,7 +14,7 @@
 
 pub(crate) use activity::MAX_CALL_RESULTS;
 pub use activity::{AcceptedMessages, ActivityReport, LimitDemand, ListedReceiver, ReceiverResult};
-pub use delivery::{Answer, AttemptResult, Call, Submission, SubmissionId};
+pub use delivery::{Call, CallOutcome, Submission, SubmissionId, SubmissionResponse};
 pub use endpoints::{Endpoint, EndpointList};
 pub use limits::{PermitUpdate, TenantQuota};
 
@@ -23,7 +23,7 @@
 /// HTTP header of a message's idempotency key, in client requests and in calls to receivers.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Log target of the events of each message; each line carries its `message_id`.
+/// Log target of the events of each message; each line has its `message_id`.
 pub(crate) const MESSAGE_LOG: &str = "story";
 
 /// An event for the engine.
@@ -31,7 +31,7 @@
 pub enum Input {
     /// A client has submitted a message.
     Submitted(Submission),
-    /// The client of this submission has disconnected before it was answered.
+    /// The client of this submission has disconnected before it had a response.
     Withdrawn(SubmissionId),
     /// An attempt has ended.
     Outcome {
@@ -40,7 +40,7 @@
         /// Index of the attempt, from 0.
         attempt: u32,
         /// How the attempt ended.
-        result: AttemptResult,
+        result: CallOutcome,
     },
     /// A health check has ended.
     HealthChecked {
@@ -57,18 +57,18 @@
     SuccessorConnected,
     /// The connection to the peer process, successor or predecessor, has ended.
     PeerDisconnected,
-    /// A receiver has asked the peer process to wait before the next call.
+    /// A receiver has requested a backoff from the peer process.
     RetryAfter {
         /// The receiver's destination.
         destination: u16,
-        /// The receiver's id; `None` if the wait holds for the whole destination.
+        /// The receiver's id; `None` if the backoff applies to the whole destination.
         receiver: Option<String>,
-        /// The remaining wait. It comes from another process and may be any number.
+        /// The remaining time. Received from another process, so it may be any number.
         wait: Millis,
     },
     /// The number of calls that the peer process has in flight.
     PeerCallsInFlight(usize),
-    /// Take over the journal if its owner has ended. The answer says whether this process owns the journal now.
+    /// Take over the journal if its owner has ended. The response says whether this process owns the journal now.
     TakeOver(oneshot::Sender<bool>),
     /// Report the current demand, and the activity since the last report.
     ReportActivity(oneshot::Sender<ActivityReport>),
--- a/crates/sender/src/notifications.rs
+++ b/crates/sender/src/notifications.rs
@@ -1,4 +1,4 @@
-//! Notifications to the platform about accepted messages that were not delivered, repeated until acknowledged.
+//! Notifications to the platform about accepted messages that were not delivered; repeated until acknowledged.
 
 mod delivery;
 mod request;
@@ -10,34 +10,34 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use rudderspindle_journal::{MessageId, Notice};
+use rudderspindle_journal::{MessageId, PendingNotification};
 use tokio::sync::{Notify, mpsc, watch};
 
 use crate::event::Input;
 use delivery::Delivery;
 
-/// Queue of notifications that have not been acknowledged. The journal's space bounds its length.
+/// Queue of notifications that have not been acknowledged. Its length is limited by the journal's space.
 #[derive(Debug, Default)]
 pub struct Notifications {
-    pending: RefCell<VecDeque<PendingNotification>>,
+    pending: RefCell<VecDeque<QueuedNotification>>,
     next_number: Cell<u64>,
     pushed: Notify,
 }
 
-/// A notification that has not been acknowledged.
+/// A notification in the queue.
 #[derive(Clone, Debug)]
-struct PendingNotification {
-    /// Identifies the notification: two may have the same message id.
+struct QueuedNotification {
+    /// Identifies the notification; two may have the same message id.
     number: u64,
-    notice: Notice,
+    notification: PendingNotification,
 }
 
 impl Notifications {
     /// Queues a notification.
-    pub fn push(&self, notice: Notice) {
+    pub fn push(&self, notification: PendingNotification) {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
-        self.pending.borrow_mut().push_back(PendingNotification { number, notice });
+        self.pending.borrow_mut().push_back(QueuedNotification { number, notification });
         self.pushed.notify_one();
     }
 
@@ -46,14 +46,14 @@
         self.pending.borrow().is_empty()
     }
 
-    /// Sends notifications to the address in force, and reports to the engine which have been acknowledged. Ends when an
-    /// acknowledgement cannot be reported, because the engine has ended.
+    /// Sends notifications to the configured address, and reports acknowledgements to the engine. Ends when the engine has
+    /// ended.
     pub async fn run(&self, address: watch::Receiver<SocketAddr>, engine: mpsc::Sender<Input>) {
         Delivery::new(self, address, engine).run().await;
     }
 
     /// The notifications at the head of the queue, up to `max_len`.
-    fn batch(&self, max_len: usize) -> Vec<PendingNotification> {
+    fn batch(&self, max_len: usize) -> Vec<QueuedNotification> {
         self.pending.borrow().iter().take(max_len).cloned().collect()
     }
 
@@ -71,7 +71,7 @@
         self.pending.borrow_mut().retain(|pending| {
             let is_acknowledged = numbers.contains(&pending.number);
             if is_acknowledged {
-                acknowledged.push(pending.notice.message_id.clone());
+                acknowledged.push(pending.notification.message_id.clone());
             }
             !is_acknowledged
         });
