--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use rudderspindle_journal::{Message, PossibleExecution, Status, Store, wall_ms};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_journal::{Message, PossibleExecution, Status, Store};
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{UnixListener, UnixStream};
@@ -23,7 +24,7 @@
         tenant: "acme".into(),
         destination: 7,
         key: None,
-        deadline: wall_ms() + 50_000,
+        deadline: UnixMillis::now() + 50_000,
         body: text(),
         attempts: 0,
         possibly_executed: None,
@@ -68,7 +69,7 @@
         }
         owner.start_attempt(
             &"tried".into(),
-            PossibleExecution { at: wall_ms(), receiver: "r1".into(), zone: "a".into() },
+            PossibleExecution { at: UnixMillis::now(), receiver: "r1".into(), zone: "a".into() },
         );
         owner.commit().expect("written");
         owner.complete(&"ended".into(), Some(Status::Undeliverable));
--- a/crates/daemon/tests/readiness.rs
+++ b/crates/daemon/tests/readiness.rs
@@ -6,7 +6,8 @@
 
 use bytes::Bytes;
 use common::*;
-use rudderspindle_journal::{Message, Store, wall_ms};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_journal::{Message, Store};
 use tokio::net::TcpListener;
 
 /// So much that what is done for each pair of messages would take longer than a start may.
@@ -22,7 +23,7 @@
             tenant: "acme".into(),
             destination: 7,
             key: None,
-            deadline: wall_ms() + 300_000,
+            deadline: UnixMillis::now() + 300_000,
             body: Bytes::from(vec![b'x'; body]),
             attempts: 0,
             possibly_executed: None,
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -6,7 +6,8 @@
 
 use bytes::Bytes;
 use common::*;
-use rudderspindle_journal::{Message, PossibleExecution, Store, wall_ms};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_journal::{Message, PossibleExecution, Store};
 use serde_json::Value;
 
 const HOUR: u64 = 3_600_000;
@@ -19,7 +20,7 @@
         tenant: "acme".into(),
         destination: 7,
         key: Some(Bytes::from(format!("key-{message_id}"))),
-        deadline: wall_ms() + left_ms,
+        deadline: UnixMillis::now() + left_ms,
         body: text(),
         attempts: 0,
         possibly_executed: None,
@@ -28,12 +29,12 @@
 }
 
 /// An attempt to `r1`, of which no outcome is on record.
-fn ran(at: u64) -> PossibleExecution {
+fn ran(at: UnixMillis) -> PossibleExecution {
     PossibleExecution { at, receiver: "r1".into(), zone: "a".into() }
 }
 
 /// Writes a journal as an earlier process would have: messages, and when their one attempt went out, if one did.
-fn write_journal(state: &Path, messages: Vec<(Message, Option<u64>)>) {
+fn write_journal(state: &Path, messages: Vec<(Message, Option<UnixMillis>)>) {
     let mut store = Store::open(state, 3_000_000).expect("a journal");
     for (message, attempt_at) in messages {
         let message_id = message.message_id.clone();
@@ -68,7 +69,7 @@
     for (ago, repeated) in [(100, true), (1_100, false)] {
         let (mut platform, mut receiver, folder, mut config) = site(&[], DEADLINE_MS).await;
         config["settings"]["lanes"][1]["window"] = 1_000.0.into();
-        write_journal(&folder.1, vec![(left_behind("keyed", "m1", 50_000), Some(wall_ms() - ago))]);
+        write_journal(&folder.1, vec![(left_behind("keyed", "m1", 50_000), Some(UnixMillis::now() - ago))]);
         let program = Program::start(&config, &folder.1).await;
         if repeated {
             expect_only(&mut receiver, &["m1"]).await;
@@ -84,7 +85,7 @@
 #[tokio::test]
 async fn a_clock_set_back_between_two_processes_restarts_no_idempotency_window() {
     let (mut platform, mut receiver, folder, config) = site(&[], DEADLINE_MS).await;
-    let now = wall_ms();
+    let now = UnixMillis::now();
     let messages = vec![
         (left_behind("keyed", "m1", 50_000), Some(now - 1_000)),
         (left_behind("safe", "m2", 50_000), Some(now + HOUR)),
@@ -119,8 +120,8 @@
 // ---- What is found untried -----------------------------------------------------------------------------
 
 /// Untried messages of one class with one deadline, in no order.
-fn untried(most: usize) -> Vec<(Message, Option<u64>)> {
-    let deadline = wall_ms() + 50_000;
+fn untried(most: usize) -> Vec<(Message, Option<UnixMillis>)> {
+    let deadline = UnixMillis::now() + 50_000;
     let message = |n| Message { deadline, ..left_behind("safe", &format!("m{:03}", n * 37 % most), 0) };
     (0..most).map(|n| (message(n), None)).collect()
 }
--- a/crates/gossip/src/datagram_budget.rs
+++ b/crates/gossip/src/datagram_budget.rs
@@ -5,6 +5,8 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::envelope::Kind;
 
 /// Maximum datagrams of all kinds per second in each direction, on average over a fleet of equal senders: half of the
@@ -44,10 +46,10 @@
 #[derive(Clone, Copy, Debug)]
 struct KindSchedule {
     class: DatagramClass,
-    /// When the pending request counts from, in milliseconds; `None` without one.
-    requested_at: Option<u64>,
-    /// When the next datagram may be sent at the earliest, in milliseconds.
-    next_allowed_at: u64,
+    /// When the pending request was made, or the minimum interval before it ended; `None` without a request.
+    requested_at: Option<UnixMillis>,
+    /// When the next datagram may be sent at the earliest.
+    next_allowed_at: UnixMillis,
 }
 
 /// Decides which kind of datagram may be sent next. Holds one entry for each kind.
@@ -56,41 +58,46 @@
 /// [`DatagramBudget::max_wait`].
 ///
 /// ```
+/// use rudderspindle_clock::UnixMillis;
 /// use rudderspindle_gossip::{DatagramBudget, DatagramClass, Kind};
 /// let mut budget = DatagramBudget::new(&[
 ///     DatagramClass { kind: Kind::Report, rank: 0, min_interval: 500, cost: 2 },
 ///     DatagramClass { kind: Kind::Hot, rank: 1, min_interval: 1_000, cost: 1 },
 /// ]);
-/// budget.request(Kind::Hot, 0);
-/// budget.request(Kind::Report, 0);
-/// assert!(!budget.try_acquire(Kind::Hot, 0) && budget.try_acquire(Kind::Report, 0));
-/// assert!(!budget.try_acquire(Kind::Hot, 499) && budget.try_acquire(Kind::Hot, 500));
+/// let start = UnixMillis(0);
+/// budget.request(Kind::Hot, start);
+/// budget.request(Kind::Report, start);
+/// assert!(!budget.try_acquire(Kind::Hot, start) && budget.try_acquire(Kind::Report, start));
+/// assert!(!budget.try_acquire(Kind::Hot, start + 499) && budget.try_acquire(Kind::Hot, start + 500));
 /// ```
 #[derive(Clone, Debug)]
 pub struct DatagramBudget {
     schedules: BTreeMap<Kind, KindSchedule>,
-    /// When the budget has room again, in milliseconds.
-    free_at: u64,
+    /// When the next datagram of any kind may be sent.
+    free_at: UnixMillis,
 }
 
 impl DatagramBudget {
     /// A budget for the kinds of these classes; datagrams of other kinds are never sent.
     pub fn new(classes: &[DatagramClass]) -> Self {
-        let schedule =
-            |class: &DatagramClass| KindSchedule { class: *class, requested_at: None, next_allowed_at: 0 };
+        let schedule = |class: &DatagramClass| KindSchedule {
+            class: *class,
+            requested_at: None,
+            next_allowed_at: UnixMillis::EPOCH,
+        };
         let schedules = classes.iter().map(|class| (class.kind, schedule(class))).collect();
-        Self { schedules, free_at: 0 }
+        Self { schedules, free_at: UnixMillis::EPOCH }
     }
 
     /// Requests that a datagram of the kind be sent; without effect while a request for the kind is pending.
-    pub fn request(&mut self, kind: Kind, now: u64) {
+    pub fn request(&mut self, kind: Kind, now: UnixMillis) {
         if let Some(schedule) = self.schedules.get_mut(&kind) {
             schedule.requested_at.get_or_insert(now.max(schedule.next_allowed_at));
         }
     }
 
     /// The kind of which a datagram may be sent now.
-    pub fn due(&self, now: u64) -> Option<Kind> {
+    pub fn due(&self, now: UnixMillis) -> Option<Kind> {
         if now < self.free_at {
             return None;
         }
@@ -102,7 +109,7 @@
     }
 
     /// Whether a datagram of that kind may be sent now; if so, it is taken off the budget.
-    pub fn try_acquire(&mut self, kind: Kind, now: u64) -> bool {
+    pub fn try_acquire(&mut self, kind: Kind, now: UnixMillis) -> bool {
         if self.due(now) != Some(kind) {
             return false;
         }
--- a/crates/gossip/src/datagram_budget/tests.rs
+++ b/crates/gossip/src/datagram_budget/tests.rs
@@ -16,8 +16,9 @@
         let mut budget = DatagramBudget::new(&listed);
         let mut sent = Vec::new();
         let mut waiting = BTreeMap::new();
-        for now in (0..30_000).step_by(10) {
-            let requested = requests.iter().filter(|(_, at)| at / 10 * 10 == now).map(|(kind, _)| *kind);
+        for millis in (0..30_000).step_by(10) {
+            let now = UnixMillis(millis);
+            let requested = requests.iter().filter(|(_, at)| at / 10 * 10 == millis).map(|(kind, _)| *kind);
             // One that always requests more.
             for index in requested.chain([greedy]) {
                 let kind = Kind::ALL[index];
@@ -26,8 +27,8 @@
             }
             while let Some(kind) = budget.due(now) {
                 prop_assert!(budget.try_acquire(kind, now));
-                sent.push((now, u64::from(budget.schedules[&kind].class.cost)));
-                let waited = now - waiting.remove(&kind).expect("it was requested");
+                sent.push((millis, u64::from(budget.schedules[&kind].class.cost)));
+                let waited = now.millis_since(waiting.remove(&kind).expect("it was requested"));
                 let bound = budget.max_wait(kind).expect("a kind of the budget");
                 prop_assert!(waited <= bound + 10, "{kind:?} waited {waited}, {bound} at most");
             }
--- a/crates/gossip/src/demand_exchange.rs
+++ b/crates/gossip/src/demand_exchange.rs
@@ -12,6 +12,8 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use aggregator_selection::AggregatorSelection;
 pub use limit_capacity::LimitCapacity;
 use liveness::LivenessEstimate;
@@ -75,22 +77,22 @@
         }
     }
 
-    /// When the next [`report`](Self::report) is due, in milliseconds since 1970.
-    pub fn next_report(&self, wall: u64) -> u64 {
+    /// When the next [`report`](Self::report) is due.
+    pub fn next_report(&self, now: UnixMillis) -> UnixMillis {
         let offset = self.own_number as u64 * REPORT_WINDOW / self.senders.max(1) as u64;
-        let at = wall / ROUND * ROUND + offset;
-        if at > wall { at } else { at + ROUND }
+        let at = round_start(round_at(now)) + offset;
+        if at > now { at } else { at + ROUND }
     }
 
-    /// When the next [`sums`](Self::sums) are due, in milliseconds since 1970; `None` without reports.
-    pub fn next_sums(&self) -> Option<u64> {
-        self.collecting.keys().next().map(|round| (round + 1) * ROUND)
+    /// When the next [`sums`](Self::sums) are due; `None` without reports.
+    pub fn next_sums(&self) -> Option<UnixMillis> {
+        self.collecting.keys().next().map(|round| round_start(round + 1))
     }
 
     /// Takes in what this sender does at each of its limits, and returns its reports, once a round.
-    pub fn report(&mut self, wall: u64, demands: &[LocalDemand]) -> Vec<OutgoingDatagram> {
-        let round = wall / ROUND;
-        self.record_demands(wall, demands);
+    pub fn report(&mut self, now: UnixMillis, demands: &[LocalDemand]) -> Vec<OutgoingDatagram> {
+        let round = round_at(now);
+        self.record_demands(now, demands);
         if self.last_report_round.replace(round) == Some(round) {
             return Vec::new();
         }
@@ -114,11 +116,11 @@
     }
 
     /// Keeps a history of each listed limit, and nothing of others.
-    fn record_demands(&mut self, wall: u64, demands: &[LocalDemand]) {
+    fn record_demands(&mut self, now: UnixMillis, demands: &[LocalDemand]) {
         for demand in demands {
             let history =
-                self.local.entry(demand.limit_id).or_insert_with(|| DemandHistory::new(wall / ROUND));
-            history.record(wall, demand);
+                self.local.entry(demand.limit_id).or_insert_with(|| DemandHistory::new(round_at(now)));
+            history.record(now, demand);
         }
         let is_listed = |limit_id: &LimitId| demands.iter().any(|demand| demand.limit_id == *limit_id);
         self.local.retain(|limit_id, _| is_listed(limit_id));
@@ -137,12 +139,12 @@
     ///
     /// [`GossipError`] says why it was dropped. Sums that say no more than those at hand are dropped too, but show that
     /// their sender is alive.
-    pub fn receive(&mut self, wall: u64, from: usize, datagram: &[u8]) -> Result<(), GossipError> {
+    pub fn receive(&mut self, now: UnixMillis, from: usize, datagram: &[u8]) -> Result<(), GossipError> {
         if from == self.own_number || from >= self.senders {
             return Err(GossipError::UnknownSender);
         }
         let message = GossipMessage::decode(datagram)?;
-        let current_round = wall / ROUND;
+        let current_round = round_at(now);
         let round = nearest_round(message.round, current_round).ok_or(GossipError::Round)?;
         match message.kind {
             MessageKind::Report => self.receive_report(current_round, round, from, &message.loads),
@@ -184,10 +186,10 @@
     }
 
     /// The sums of the rounds that are over, for each sender that reported in them.
-    pub fn sums(&mut self, wall: u64) -> Vec<OutgoingDatagram> {
+    pub fn sums(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         let mut datagrams = Vec::new();
         while let Some(entry) =
-            self.collecting.first_entry().filter(|entry| (entry.key() + 1) * ROUND <= wall)
+            self.collecting.first_entry().filter(|entry| round_start(entry.key() + 1) <= now)
         {
             let (round, totals) = entry.remove_entry();
             datagrams.extend(self.sums_of_round(round, totals));
@@ -230,6 +232,16 @@
     }
 }
 
+/// The round that a time lies in.
+fn round_at(now: UnixMillis) -> u64 {
+    now.0 / ROUND
+}
+
+/// When a round starts.
+fn round_start(round: u64) -> UnixMillis {
+    UnixMillis(round * ROUND)
+}
+
 /// The round near `current_round` whose low 32 bits are given.
 fn nearest_round(low_bits: u32, current_round: u64) -> Option<u64> {
     let difference = low_bits.wrapping_sub(current_round as u32) as i32;
--- a/crates/gossip/src/demand_exchange/limit_capacity.rs
+++ b/crates/gossip/src/demand_exchange/limit_capacity.rs
@@ -1,6 +1,8 @@
 //! The capacity of each limit by the sums that were received last.
 
-use super::{DemandExchange, MAX_SUMS_AGE, ROUND};
+use rudderspindle_clock::UnixMillis;
+
+use super::{DemandExchange, MAX_SUMS_AGE, ROUND, round_at};
 use crate::limit_id::LimitId;
 use crate::load_totals::Load;
 
@@ -32,8 +34,8 @@
 
     /// The capacity of each limit that is near, by the sums that were received last, and of each that is too new here to
     /// be included in them. `None` without recent sums.
-    pub fn capacities(&mut self, wall: u64) -> Option<Vec<LimitCapacity>> {
-        let round = self.usable_round(wall / ROUND)?;
+    pub fn capacities(&mut self, now: UnixMillis) -> Option<Vec<LimitCapacity>> {
+        let round = self.usable_round(round_at(now))?;
         if self.applied_round != Some(round) {
             self.apply_sums(round);
         }
--- a/crates/gossip/src/demand_exchange/local_demand.rs
+++ b/crates/gossip/src/demand_exchange/local_demand.rs
@@ -2,6 +2,8 @@
 
 use std::collections::VecDeque;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::limit_id::LimitId;
 use crate::load_totals::Load;
 
@@ -28,8 +30,7 @@
 /// Total counts of calls at some time.
 #[derive(Clone, Copy, Debug)]
 struct CallCounts {
-    /// In milliseconds since 1970.
-    wall: u64,
+    at: UnixMillis,
     calls: u64,
     rejected: u64,
     failed: u64,
@@ -52,13 +53,13 @@
         Self { first_round, limit: 0.0, demand: 0.0, counts: VecDeque::new() }
     }
 
-    /// Takes in the demand at a time, in milliseconds since 1970.
-    pub fn record(&mut self, wall: u64, local: &LocalDemand) {
+    /// Records the demand and the counts at a time.
+    pub fn record(&mut self, now: UnixMillis, local: &LocalDemand) {
         self.limit = local.limit;
         self.demand = local.demand;
         let LocalDemand { calls, rejected, failed, .. } = *local;
-        self.counts.push_back(CallCounts { wall, calls, rejected, failed });
-        while self.counts.len() > 1 && self.counts[1].wall + WINDOW <= wall {
+        self.counts.push_back(CallCounts { at: now, calls, rejected, failed });
+        while self.counts.len() > 1 && self.counts[1].at + WINDOW <= now {
             self.counts.pop_front();
         }
     }
--- a/crates/gossip/src/demand_exchange/tests.rs
+++ b/crates/gossip/src/demand_exchange/tests.rs
@@ -19,7 +19,7 @@
 fn a_new_limit_is_shared_equally_until_sums_can_include_it_and_without_sums_no_longer() {
     let limit_id = LimitId::of(7, None);
     let mut exchange = DemandExchange::new(0, 300, RAMP);
-    let start = 8 * ROUND;
+    let start = round_start(8);
     exchange.report(start, &[local_demand(limit_id, 1.0)]);
     assert_eq!(exchange.capacities(start), Some(vec![LimitCapacity { limit_id, rate_per_demand: 0.2 }]));
     assert_eq!(exchange.capacities(start + (MAX_SUMS_AGE + 1) * ROUND), None);
@@ -36,7 +36,7 @@
     let demands = [local_demand(LimitId::of(7, None), 1.0)];
     let mut means = Vec::new();
     for round in rounds {
-        let start = round * ROUND;
+        let start = round_start(round);
         for (at, is_end) in [(start + 100, false), (start + ROUND, true)] {
             let mut in_flight = Vec::new();
             for (from, exchange) in exchanges.iter_mut().enumerate().filter(|(sender, _)| runs(*sender)) {
@@ -95,22 +95,22 @@
     for round in 1_000..7_000u64 {
         let limit_id = |n: u64| LimitId::of((round / 50 * 7 + n) as u16, None);
         let demand = |n| LocalDemand { calls: round, ..local_demand(limit_id(n), 1.0) };
-        exchange.report(round * ROUND, &(0..20).map(demand).collect::<Vec<_>>());
+        exchange.report(round_start(round), &(0..20).map(demand).collect::<Vec<_>>());
         for from in (round as usize % 40..SENDERS).step_by(7) {
             // Those of other rounds are dropped.
-            let _ = exchange.receive(round * ROUND + 100, from, &false_message(round, from).encode());
+            let _ = exchange.receive(round_start(round) + 100, from, &false_message(round, from).encode());
         }
-        exchange.capacities(round * ROUND + 200);
+        exchange.capacities(round_start(round) + 200);
         assert_bounds(&exchange);
-        exchange.sums((round + 1) * ROUND);
+        exchange.sums(round_start(round + 1));
     }
     // And with no other sender left, nothing is left but its own.
     for round in 7_000..7_100 {
-        exchange.report(round * ROUND, &[]);
-        exchange.sums((round + 1) * ROUND);
+        exchange.report(round_start(round), &[]);
+        exchange.sums(round_start(round + 1));
     }
     assert!(exchange.local.is_empty() && exchange.estimates.is_empty() && exchange.collecting.is_empty());
-    assert_eq!(exchange.capacities(7_100 * ROUND), None);
+    assert_eq!(exchange.capacities(round_start(7_100)), None);
 }
 
 /// A message with limits that do not exist, of a round near the current one.
@@ -148,15 +148,15 @@
     let limit_id = LimitId::of(7, None);
     let load = Load { demand: 60.0, ..Load::default() };
     for round in 10..12u64 {
-        exchange.report(round * ROUND, &[local_demand(limit_id, 20.0)]);
+        exchange.report(round_start(round), &[local_demand(limit_id, 20.0)]);
         let sums = GossipMessage {
             kind: MessageKind::Sums { sample_bits: if round == 10 { u64::MAX } else { 0b111 } },
             round: round as u32,
             senders: 3,
             loads: vec![LimitLoad { limit_id, load }],
         };
-        exchange.receive((round + 1) * ROUND, 1, &sums.encode()).expect("sums");
+        exchange.receive(round_start(round + 1), 1, &sums.encode()).expect("sums");
     }
-    let capacities = exchange.capacities(12 * ROUND).expect("sums have come");
+    let capacities = exchange.capacities(round_start(12)).expect("sums have come");
     assert!(capacities.iter().all(|capacity| capacity.rate_per_demand > 0.9), "{capacities:?}");
 }
--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -4,7 +4,7 @@
 //!
 //! In each round every sender reports to one aggregator that is drawn anew, the same at every sender. The aggregator
 //! answers all that reported to it with a summary: their registers added up, with the numbers of the senders in the sum,
-//! and the votes on receivers by observer. All times are ms since 1970; a round is as long as an epoch.
+//! and the votes on receivers by observer. A round is as long as an epoch.
 
 mod error;
 mod message;
@@ -13,6 +13,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::membership::MembershipList;
 use crate::outlier_detection::{CallResult, OutlierDetector, Receiver};
 use crate::tenant_usage::{LocalSender, TenantUsage, quota_share};
@@ -30,20 +32,21 @@
 /// Beyond what its parts hold, it keeps who reported in at most three rounds.
 ///
 /// ```
-/// use rudderspindle_gossip::{DatagramClass, Incarnation, Kind, DatagramBudget, FleetView, LocalSender};
+/// use rudderspindle_clock::UnixMillis;
+/// use rudderspindle_gossip::{DatagramBudget, DatagramClass, FleetView, Incarnation, Kind, LocalSender};
 /// use rudderspindle_gossip::OutgoingDatagram;
 /// let local = |number| LocalSender {
 ///     number,
 ///     incarnation: Incarnation(1),
-///     complete_from: 0,
+///     complete_from: UnixMillis::EPOCH,
 ///     max_messages_per_second: 100,
 /// };
 /// let view = |number| FleetView::new(local(number), vec![0, 0]).expect("a sender of the fleet");
 /// let (mut first, mut second) = (view(0), view(1));
 /// let budget = || DatagramBudget::new(&[DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 }]);
 /// let (mut first_budget, mut second_budget) = (budget(), budget());
-/// first.record_message(10_000, 7);
-/// for now in (10_000..14_000).step_by(100) {
+/// first.record_message(UnixMillis(10_000), 7);
+/// for now in (10_000..14_000).step_by(100).map(UnixMillis) {
 ///     for OutgoingDatagram { bytes, .. } in first.due_datagrams(now, &mut first_budget) {
 ///         second.receive(now, 0, &bytes).expect("a valid datagram");
 ///     }
@@ -51,7 +54,7 @@
 ///         first.receive(now, 1, &bytes).expect("a valid datagram");
 ///     }
 /// }
-/// let read = second.usage().read(14_000, 7, 1);
+/// let read = second.usage().read(UnixMillis(14_000), 7, 1);
 /// assert_eq!((read.min, read.max, read.senders), (1, 1, 2));
 /// ```
 #[derive(Clone, Debug)]
@@ -117,12 +120,12 @@
     }
 
     /// Counts a message of a tenant (its index in the settings) that this sender accepted.
-    pub fn record_message(&mut self, now: u64, tenant: u16) {
+    pub fn record_message(&mut self, now: UnixMillis, tenant: u16) {
         self.usage.record_message(now, tenant);
     }
 
     /// Records the result of a call of this sender.
-    pub fn record_call(&mut self, now: u64, receiver: Receiver, result: CallResult) {
+    pub fn record_call(&mut self, now: UnixMillis, receiver: Receiver, result: CallResult) {
         self.outliers.record_call(now, receiver, result);
     }
 
@@ -130,7 +133,7 @@
     ///
     /// `None` if no usage of others ended within [`USAGE_TIMEOUT`]: what the sender does then is up to the caller. The
     /// share changes a few times a second.
-    pub fn own_quota(&self, now: u64, tenant: u16, fleet_quota: f64) -> Option<f64> {
+    pub fn own_quota(&self, now: UnixMillis, tenant: u16, fleet_quota: f64) -> Option<f64> {
         let fleet = self.usage.read(now, tenant, QUOTA_EPOCHS);
         fleet.newest_epoch_end.filter(|end| end.saturating_add(USAGE_TIMEOUT) > now)?;
         let own = self.usage.read_own(now, tenant, QUOTA_EPOCHS);
@@ -138,7 +141,7 @@
     }
 
     /// Which of a destination's receivers are not to be called, see [`OutlierDetector::ejected`].
-    pub fn ejected(&mut self, now: u64, receivers: &[Receiver]) -> Vec<Receiver> {
+    pub fn ejected(&mut self, now: UnixMillis, receivers: &[Receiver]) -> Vec<Receiver> {
         self.outliers.ejected(now, self.zone_senders, receivers)
     }
 }
--- a/crates/gossip/src/fleet_view/message/encoded_vote.rs
+++ b/crates/gossip/src/fleet_view/message/encoded_vote.rs
@@ -1,5 +1,6 @@
 //! The compact encoding of a vote's times, relative to the round of the message that carries it.
 
+use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
 use crate::outlier_detection::Vote;
@@ -21,8 +22,8 @@
 impl EncodedVote {
     /// Encodes a vote for a message of a round.
     pub fn new(round: u64, vote: &Vote) -> Self {
-        let last = vote.last.div_ceil(STEP);
-        let first = vote.first.div_ceil(STEP);
+        let last = vote.last.0.div_ceil(STEP);
+        let first = vote.first.0.div_ceil(STEP);
         Self {
             age: u8::try_from(base_step(round).saturating_sub(last)).unwrap_or(u8::MAX),
             duration: u16::try_from(last.saturating_sub(first)).unwrap_or(u16::MAX),
@@ -34,7 +35,8 @@
     pub fn decode(self, round: u64) -> Vote {
         let last = base_step(round).saturating_sub(u64::from(self.age));
         let first = last.saturating_sub(u64::from(self.duration));
-        Vote { last: last.saturating_mul(STEP), first: first.saturating_mul(STEP), recovered: self.recovered }
+        let time = |steps: u64| UnixMillis(steps.saturating_mul(STEP));
+        Vote { last: time(last), first: time(first), recovered: self.recovered }
     }
 }
 
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -4,7 +4,7 @@
 use crate::envelope::{open, read};
 use crate::golden::datagram;
 use crate::outlier_detection::Vote;
-use crate::tenant_usage::EPOCH;
+use crate::tenant_usage::epoch_start;
 
 const FILE: &str = "views.txt";
 const ROUND: u64 = 1_700_000_000;
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_vote_has_the_same_steps_relative_to_its_round_and_decodes_to_the_same_times() {
-    let last = ROUND * EPOCH + 130;
+    let last = epoch_start(ROUND) + 130;
     let vote = Vote { last, first: last - 60_000, recovered: true };
     let encoded = EncodedVote { age: 37, duration: 1_200, recovered: true };
     assert_eq!(EncodedVote::new(ROUND, &vote), encoded);
--- a/crates/gossip/src/fleet_view/receiving.rs
+++ b/crates/gossip/src/fleet_view/receiving.rs
@@ -1,11 +1,13 @@
 //! Datagrams of other senders.
 
+use rudderspindle_clock::UnixMillis;
+
 use super::message::{ObserverEntry, ReceiverEntry, Report, Summary, epoch_of};
 use super::{FleetView, FleetViewError};
 use crate::envelope::{Kind, open, read};
 use crate::membership::{Incarnation, IncarnationOrder};
 use crate::outlier_detection::ObserverVote;
-use crate::tenant_usage::{EPOCH, RegisterKey};
+use crate::tenant_usage::{RegisterKey, epoch_at};
 
 /// Maximum age of a summary that is still used, in rounds.
 const MAX_SUMMARY_AGE: u64 = 3;
@@ -16,7 +18,7 @@
     /// # Errors
     ///
     /// [`FleetViewError`] says why it was dropped; nothing has changed then.
-    pub fn receive(&mut self, now: u64, from: usize, datagram: &[u8]) -> Result<(), FleetViewError> {
+    pub fn receive(&mut self, now: UnixMillis, from: usize, datagram: &[u8]) -> Result<(), FleetViewError> {
         if from == self.local.number || from >= self.zones.len() {
             return Err(FleetViewError::UnknownSender);
         }
@@ -27,11 +29,11 @@
         }
     }
 
-    fn receive_report(&mut self, now: u64, from: usize, report: Report) -> Result<(), FleetViewError> {
+    fn receive_report(&mut self, now: UnixMillis, from: usize, report: Report) -> Result<(), FleetViewError> {
         let round = report.round;
         // Clocks differ by less than a round; what arrives after its round's summaries were sent is too late.
-        let oldest = self.oldest_open_round.max((now / EPOCH).saturating_sub(1));
-        if round < oldest || round > now / EPOCH + 1 {
+        let oldest = self.oldest_open_round.max(epoch_at(now).saturating_sub(1));
+        if round < oldest || round > epoch_at(now) + 1 {
             return Err(FleetViewError::WrongRound);
         }
         let incarnation = self.check_incarnation(now, from, report.incarnation)?;
@@ -52,9 +54,14 @@
         Ok(())
     }
 
-    fn receive_summary(&mut self, now: u64, from: usize, summary: Summary) -> Result<(), FleetViewError> {
+    fn receive_summary(
+        &mut self,
+        now: UnixMillis,
+        from: usize,
+        summary: Summary,
+    ) -> Result<(), FleetViewError> {
         let round = summary.round;
-        if round > now / EPOCH || round + MAX_SUMMARY_AGE < now / EPOCH {
+        if round > epoch_at(now) || round + MAX_SUMMARY_AGE < epoch_at(now) {
             return Err(FleetViewError::WrongRound);
         }
         self.check_incarnation(now, from, summary.incarnation)?;
@@ -80,7 +87,7 @@
     /// Rejects messages of replaced processes, and drops the votes of those that a newer one replaces.
     fn check_incarnation(
         &mut self,
-        now: u64,
+        now: UnixMillis,
         from: usize,
         incarnation: u64,
     ) -> Result<Incarnation, FleetViewError> {
--- a/crates/gossip/src/fleet_view/sending.rs
+++ b/crates/gossip/src/fleet_view/sending.rs
@@ -3,6 +3,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
+use rudderspindle_clock::UnixMillis;
+
 use super::FleetView;
 use super::message::{
     EncodedVote, MAX_OBSERVERS, MAX_RECEIVERS, MAX_REGISTERS, MAX_SLICES, ObserverEntry, ReceiverEntry,
@@ -13,7 +15,7 @@
 use crate::outgoing_datagram::OutgoingDatagram;
 use crate::outlier_detection::{Receiver, Vote};
 use crate::peer_selection::hash_words;
-use crate::tenant_usage::EPOCH;
+use crate::tenant_usage::{epoch_at, epoch_start};
 
 /// When reports begin in a round, ms after its start: the answers of the round before have arrived by then.
 const REPORT_START: u64 = 200;
@@ -27,8 +29,8 @@
 impl FleetView {
     /// The datagrams that are due, to be asked for a few times in a round: summaries for those that reported in a round
     /// that is over, and the own report as soon as the budget has room for it.
-    pub fn due_datagrams(&mut self, now: u64, budget: &mut DatagramBudget) -> Vec<OutgoingDatagram> {
-        let round = now / EPOCH;
+    pub fn due_datagrams(&mut self, now: UnixMillis, budget: &mut DatagramBudget) -> Vec<OutgoingDatagram> {
+        let round = epoch_at(now);
         let mut datagrams = self.due_summaries(now, round);
         self.begin_round(now, round);
         self.send_reports(now, round, budget, &mut datagrams);
@@ -36,7 +38,7 @@
     }
 
     /// Summaries of the rounds before `round`, which are closed by this.
-    fn due_summaries(&mut self, now: u64, round: u64) -> Vec<OutgoingDatagram> {
+    fn due_summaries(&mut self, now: UnixMillis, round: u64) -> Vec<OutgoingDatagram> {
         let mut datagrams = Vec::new();
         while let Some(entry) = self.reporters.first_entry().filter(|entry| *entry.key() < round) {
             let (reported_round, reporters) = entry.remove_entry();
@@ -50,12 +52,12 @@
     }
 
     /// Draws the aggregators of a round once this sender's time to report has come.
-    fn begin_round(&mut self, now: u64, round: u64) {
+    fn begin_round(&mut self, now: UnixMillis, round: u64) {
         if self.reported_round == Some(round) {
             return;
         }
         self.pending_aggregators.clear();
-        if now % EPOCH >= self.report_time() {
+        if now.millis_since(epoch_start(round)) >= self.report_time() {
             self.reported_round = Some(round);
             self.pending_aggregators = self.aggregators(now, round);
             self.update_zone_senders(now, round);
@@ -69,7 +71,7 @@
 
     fn send_reports(
         &mut self,
-        now: u64,
+        now: UnixMillis,
         round: u64,
         budget: &mut DatagramBudget,
         datagrams: &mut Vec<OutgoingDatagram>,
@@ -85,7 +87,7 @@
     }
 
     /// The aggregators of a round: the first of an order that is drawn anew for each round, the same at every sender.
-    fn aggregators(&self, now: u64, round: u64) -> Vec<usize> {
+    fn aggregators(&self, now: UnixMillis, round: u64) -> Vec<usize> {
         let hash = |number: usize| hash_words([round, number as u64 | AGGREGATOR_HASH_DOMAIN]);
         let mut order: Vec<usize> = (0..self.zones.len()).collect();
         order.sort_by_cached_key(|number| (hash(*number), *number));
@@ -97,7 +99,7 @@
 
     /// Counts the senders of the own zone whose usage or messages were received lately; unchanged after a round without
     /// a summary.
-    fn update_zone_senders(&mut self, now: u64, round: u64) {
+    fn update_zone_senders(&mut self, now: UnixMillis, round: u64) {
         if self.has_missed_summary(round) {
             return;
         }
@@ -112,7 +114,7 @@
         self.newest_summary_round + 1 < round
     }
 
-    fn report(&self, now: u64, round: u64) -> Result<Vec<u8>, EnvelopeError> {
+    fn report(&self, now: UnixMillis, round: u64) -> Result<Vec<u8>, EnvelopeError> {
         let register = |epochs_back| {
             let own = self.usage.own_register(now, epoch_of(round, epochs_back)?)?;
             Some(RegisterEntry::new(epochs_back, own))
@@ -128,7 +130,7 @@
     /// Summaries of a round for these reporters, the same for all of a zone.
     pub(super) fn summaries(
         &self,
-        now: u64,
+        now: UnixMillis,
         round: u64,
         reporters: &BTreeSet<usize>,
     ) -> Vec<OutgoingDatagram> {
@@ -148,7 +150,7 @@
         datagrams
     }
 
-    fn slices(&self, now: u64, round: u64) -> Vec<SliceEntry> {
+    fn slices(&self, now: UnixMillis, round: u64) -> Vec<SliceEntry> {
         let slice = |epochs_back| {
             let slice = self.usage.aggregate(now, epoch_of(round, epochs_back)?)?;
             Some(SliceEntry { epochs_back, slice })
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -4,28 +4,28 @@
 use crate::membership::Incarnation;
 use crate::outgoing_datagram::OutgoingDatagram;
 use crate::outlier_detection::{ObserverVote, Vote};
-use crate::tenant_usage::{EPOCH, Register, RegisterKey, WindowSlice};
+use crate::tenant_usage::{EPOCH, Register, RegisterKey, WindowSlice, epoch_at, epoch_start};
 use message::{
     EncodedVote, MAX_OBSERVERS, MAX_RECEIVERS, ObserverEntry, ReceiverEntry, RegisterEntry, Report,
     SliceEntry, Summary, VoteEntry,
 };
 use proptest::prelude::*;
 
-const NOW: u64 = 1_700_000_000_500;
-const ROUND: u64 = NOW / EPOCH;
+const NOW: UnixMillis = UnixMillis(1_700_000_000_500);
+const ROUND: u64 = NOW.0 / EPOCH;
 
 fn local(number: usize, incarnation: u64, max_messages_per_second: u32) -> LocalSender {
     LocalSender {
         number,
         incarnation: Incarnation(incarnation),
-        complete_from: incarnation,
+        complete_from: UnixMillis(incarnation),
         max_messages_per_second,
     }
 }
 
 fn fleet_view(number: usize, senders: usize) -> FleetView {
     let zones = (0..senders).map(|n| (n % 3) as u16).collect();
-    FleetView::new(local(number, NOW - 60_000, u32::MAX), zones).expect("a sender of the fleet")
+    FleetView::new(local(number, NOW.0 - 60_000, u32::MAX), zones).expect("a sender of the fleet")
 }
 
 fn vote(ago: u64) -> Vote {
@@ -54,7 +54,7 @@
         assert!(datagram.len() <= 256, "{} bytes", datagram.len());
         let mut reader = fleet_view(to, MAX_SENDERS);
         reader.receive(NOW, 0, &datagram).expect("a summary");
-        let read = reader.usage.read((ROUND + 3) * EPOCH, 60_000, 1);
+        let read = reader.usage.read(epoch_start(ROUND + 3), 60_000, 1);
         assert_eq!(read.senders, MAX_SENDERS);
         assert!(read.max >= u64::from(u32::MAX / 512) * 511, "{read:?}");
         assert!(reader.outliers.has_down_votes(NOW), "its votes are in it");
@@ -131,12 +131,12 @@
 }
 
 impl Forgery {
-    fn new(now: u64, absurd: u64, numbers: [u32; 6], bytes: [u8; 6]) -> Self {
-        let vote = Vote { last: absurd, first: u64::from(numbers[0]), recovered: false };
+    fn new(now: UnixMillis, absurd: u64, numbers: [u32; 6], bytes: [u8; 6]) -> Self {
+        let vote = Vote { last: UnixMillis(absurd), first: UnixMillis(numbers[0].into()), recovered: false };
         Self {
-            round: if numbers[0].is_multiple_of(4) { absurd } else { now / EPOCH },
+            round: if numbers[0].is_multiple_of(4) { absurd } else { epoch_at(now) },
             incarnation: if numbers[1].is_multiple_of(4) { absurd } else { u64::from(numbers[1] % 8) },
-            vote: EncodedVote::new(now / EPOCH, &vote),
+            vote: EncodedVote::new(epoch_at(now), &vote),
             numbers,
             bytes,
         }
--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -1,12 +1,13 @@
 //! Fleet membership: the newest process known under each sender number, ordered by incarnation.
 //!
 //! Invariant: of each sender number only the newest incarnation counts, from the first message received from it.
-//! All times are milliseconds since 1970.
 
 mod incarnation;
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 pub use incarnation::{Incarnation, IncarnationTooFarAhead};
 
 /// A sender from which nothing was received for this long counts as dead, ms: ten rounds of datagrams.
@@ -50,32 +51,32 @@
 pub struct NewestIncarnation {
     /// The incarnation.
     pub incarnation: Incarnation,
-    /// When its last message was received, ms since 1970.
-    pub last_received: u64,
+    /// When its last message was received.
+    pub last_received: UnixMillis,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Member {
     incarnation: Incarnation,
     /// When the first message of this incarnation was received.
-    first_received: u64,
-    last_received: u64,
+    first_received: UnixMillis,
+    last_received: UnixMillis,
     last_event: MemberEvent,
 }
 
 impl Member {
-    fn new(incarnation: Incarnation, now: u64, last_event: MemberEvent) -> Self {
+    fn new(incarnation: Incarnation, now: UnixMillis, last_event: MemberEvent) -> Self {
         Self { incarnation, first_received: now, last_received: now, last_event }
     }
 
-    fn record_older(&mut self, now: u64) -> IncarnationOrder {
+    fn record_older(&mut self, now: UnixMillis) -> IncarnationOrder {
         if now > self.first_received.saturating_add(MAX_DATAGRAM_DELAY) {
             self.last_event = MemberEvent::DuplicateDetected;
         }
         IncarnationOrder::Older
     }
 
-    fn record_current(&mut self, now: u64) -> IncarnationOrder {
+    fn record_current(&mut self, now: UnixMillis) -> IncarnationOrder {
         if now > self.last_received.saturating_add(SILENCE_TIMEOUT) {
             self.last_event = MemberEvent::Resumed;
         }
@@ -87,11 +88,13 @@
 /// The newest incarnation of each sender number: at most one entry for each sender, removed after `FORGET_TIMEOUT`.
 ///
 /// ```
+/// use rudderspindle_clock::UnixMillis;
 /// use rudderspindle_gossip::{Incarnation, IncarnationOrder, MembershipList};
+/// let now = UnixMillis(6_000);
 /// let mut members = MembershipList::new(3);
-/// assert_eq!(members.record_message(1, Incarnation(5_000), 6_000), Ok(IncarnationOrder::Newer));
-/// assert_eq!(members.record_message(1, Incarnation(4_000), 6_000), Ok(IncarnationOrder::Older));
-/// assert!(members.is_alive(1, 6_500) && !members.is_alive(1, 17_000));
+/// assert_eq!(members.record_message(1, Incarnation(5_000), now), Ok(IncarnationOrder::Newer));
+/// assert_eq!(members.record_message(1, Incarnation(4_000), now), Ok(IncarnationOrder::Older));
+/// assert!(members.is_alive(1, now + 500) && !members.is_alive(1, now + 11_000));
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MembershipList {
@@ -116,7 +119,7 @@
         &mut self,
         from: usize,
         incarnation: Incarnation,
-        now: u64,
+        now: UnixMillis,
     ) -> Result<IncarnationOrder, IncarnationTooFarAhead> {
         incarnation.check_clock(now)?;
         self.members.retain(|_, member| member.last_received.saturating_add(FORGET_TIMEOUT) > now);
@@ -140,7 +143,7 @@
     /// Whether a message of the sender number was received within `SILENCE_TIMEOUT`.
     ///
     /// Where it was not, but [`MembershipList::last_event`] knows the number, the process died, is paused or partitioned.
-    pub fn is_alive(&self, number: usize, now: u64) -> bool {
+    pub fn is_alive(&self, number: usize, now: UnixMillis) -> bool {
         let member = self.members.get(&number);
         member.is_some_and(|member| member.last_received.saturating_add(SILENCE_TIMEOUT) > now)
     }
--- a/crates/gossip/src/membership/incarnation.rs
+++ b/crates/gossip/src/membership/incarnation.rs
@@ -1,5 +1,6 @@
 //! Incarnation numbers: one for each start of a sender's process, growing under its sender number.
 
+use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
 /// How far an incarnation may be ahead of the reader's clock, ms.
@@ -15,17 +16,17 @@
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The incarnation of a process that starts at `wall_ms` (ms since 1970), after the one `stored` in its state folder.
+    /// The incarnation of a process that starts at `now`, after the one `stored` in its state folder.
     ///
     /// With an empty folder it is the clock alone; where the clock went back, it is one more than the stored one. It has
     /// to be stored before it is first announced.
-    pub fn next(stored: Option<Self>, wall_ms: u64) -> Self {
-        Self(stored.map_or(wall_ms, |stored| wall_ms.max(stored.0.saturating_add(1))))
+    pub fn next(stored: Option<Self>, now: UnixMillis) -> Self {
+        Self(stored.map_or(now.0, |stored| now.0.max(stored.0.saturating_add(1))))
     }
 
-    /// Rejects an incarnation that is over `MAX_CLOCK_LEAD` ahead of the clock `now`, ms since 1970.
-    pub(super) fn check_clock(self, now: u64) -> Result<(), IncarnationTooFarAhead> {
-        if self.0 > now.saturating_add(MAX_CLOCK_LEAD) {
+    /// Rejects an incarnation that is over `MAX_CLOCK_LEAD` ahead of the clock `now`.
+    pub(super) fn check_clock(self, now: UnixMillis) -> Result<(), IncarnationTooFarAhead> {
+        if self.0 > now.0.saturating_add(MAX_CLOCK_LEAD) {
             return Err(IncarnationTooFarAhead { announced: self.0, now });
         }
         Ok(())
@@ -38,6 +39,6 @@
 pub struct IncarnationTooFarAhead {
     /// The incarnation in the message.
     pub announced: u64,
-    /// The reader's clock, ms since 1970.
-    pub now: u64,
+    /// The reader's clock.
+    pub now: UnixMillis,
 }
--- a/crates/gossip/src/outlier_detection.rs
+++ b/crates/gossip/src/outlier_detection.rs
@@ -16,6 +16,8 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use bounded_map::evict_oldest;
 use call_history::CallHistory;
 use ejection::EjectionPeriod;
@@ -33,18 +35,19 @@
 ///
 /// It holds at most `MAX_REPORTED_VOTES` votes for each sender of the fleet and
 /// `MAX_HISTORIES` histories, all of which expire; and the ejections that follow from them, for ten seconds longer.
-/// All times are ms since 1970.
 ///
 /// ```
+/// use rudderspindle_clock::UnixMillis;
 /// use rudderspindle_gossip::{ObserverVote, OutlierDetector, Receiver, Vote};
 /// let mut detector = OutlierDetector::new(0, vec![0; 6]); // six senders in one zone
 /// let failing = Receiver::of(3, "a:1");
-/// let vote = Vote { first: 500, last: 900, recovered: false };
+/// let now = UnixMillis(1_000);
+/// let vote = Vote { first: now - 500, last: now - 100, recovered: false };
 /// for observer in 1..=3 {
-///     detector.receive_votes(1_000, observer, &[ObserverVote { receiver: failing, observer, vote }]);
+///     detector.receive_votes(now, observer, &[ObserverVote { receiver: failing, observer, vote }]);
 /// }
-/// assert_eq!(detector.ejected(1_000, 6, &[failing, Receiver::of(3, "b:1")]), [failing]);
-/// assert!(detector.ejected(3_100, 6, &[failing, Receiver::of(3, "b:1")]).is_empty());
+/// assert_eq!(detector.ejected(now, 6, &[failing, Receiver::of(3, "b:1")]), [failing]);
+/// assert!(detector.ejected(now + 2_100, 6, &[failing, Receiver::of(3, "b:1")]).is_empty());
 /// ```
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
@@ -65,14 +68,14 @@
     }
 
     /// Records the result of a call of this sender.
-    pub fn record_call(&mut self, now: u64, receiver: Receiver, result: CallResult) {
+    pub fn record_call(&mut self, now: UnixMillis, receiver: Receiver, result: CallResult) {
         self.remove_expired(now);
         self.histories.entry(receiver).or_default().record(now, result);
         evict_oldest(&mut self.histories, MAX_HISTORIES, CallHistory::last_call);
     }
 
     /// This sender's own votes, the newest first, at most `MAX_ANNOUNCED_VOTES`.
-    pub fn own_votes(&self, now: u64) -> Vec<ReceiverVote> {
+    pub fn own_votes(&self, now: UnixMillis) -> Vec<ReceiverVote> {
         let votes = self.histories.iter().filter_map(|(receiver, history)| {
             let vote = history.vote()?;
             Some(ReceiverVote { receiver: *receiver, vote })
@@ -86,7 +89,7 @@
     /// Takes in the votes, its own or others', that a sender reported.
     ///
     /// Votes of unknown senders, of the reader itself, ahead of its clock or too old are left out.
-    pub fn receive_votes(&mut self, now: u64, reporter: usize, votes: &[ObserverVote]) {
+    pub fn receive_votes(&mut self, now: UnixMillis, reporter: usize, votes: &[ObserverVote]) {
         self.remove_expired(now);
         if !self.is_peer(reporter) {
             return;
@@ -111,7 +114,7 @@
     /// The newest vote of each observer of any zone, by receiver: what an aggregator relays.
     ///
     /// Only what an observer reported itself, and own votes; relayed votes are not relayed again.
-    pub fn relayable_votes(&self, now: u64) -> BTreeMap<Receiver, BTreeMap<usize, Vote>> {
+    pub fn relayable_votes(&self, now: UnixMillis) -> BTreeMap<Receiver, BTreeMap<usize, Vote>> {
         let mut relayable: BTreeMap<Receiver, BTreeMap<usize, Vote>> = BTreeMap::new();
         for (reporter, votes) in &self.votes {
             for ObserverVote { receiver, observer, vote } in votes.valid(now) {
@@ -127,7 +130,7 @@
     }
 
     /// Whether any vote from anywhere says that a receiver is down: reports are sent to more aggregators then.
-    pub fn has_down_votes(&self, now: u64) -> bool {
+    pub fn has_down_votes(&self, now: UnixMillis) -> bool {
         let reported = self.votes.values().flat_map(|votes| votes.valid(now)).map(|reported| reported.vote);
         let own = self.own_votes(now).into_iter().map(|own| own.vote);
         reported.chain(own).any(|vote| !vote.recovered)
@@ -141,7 +144,7 @@
         self.zones.get(number) == self.zones.get(self.own_number)
     }
 
-    fn remove_expired(&mut self, now: u64) {
+    fn remove_expired(&mut self, now: UnixMillis) {
         for votes in self.votes.values_mut() {
             votes.remove_expired(now);
         }
--- a/crates/gossip/src/outlier_detection/call_history.rs
+++ b/crates/gossip/src/outlier_detection/call_history.rs
@@ -1,5 +1,7 @@
 //! The results of this sender's own calls to one receiver.
 
+use rudderspindle_clock::UnixMillis;
+
 use super::vote::{CallResult, Vote};
 
 /// Consecutive failures that make a sender vote a receiver down.
@@ -9,22 +11,22 @@
 /// How long a history is kept after the last call, ms.
 const HISTORY_TTL: u64 = 60_000;
 
-/// The recent calls to one receiver. All times are ms since 1970.
+/// The recent calls to one receiver.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct CallHistory {
     /// Failures since the last answer.
     consecutive_failures: u32,
     /// The first of them.
-    first_failure: u64,
+    first_failure: UnixMillis,
     /// The last failure.
-    last_failure: u64,
-    last_answer: Option<u64>,
+    last_failure: UnixMillis,
+    last_answer: Option<UnixMillis>,
     /// Whether the receiver was down before that answer.
     recovered: bool,
 }
 
 impl CallHistory {
-    pub fn record(&mut self, now: u64, result: CallResult) {
+    pub fn record(&mut self, now: UnixMillis, result: CallResult) {
         match result {
             CallResult::Answered => {
                 self.recovered |= self.is_down();
@@ -42,13 +44,13 @@
     }
 
     /// When the last call ended.
-    pub fn last_call(&self) -> u64 {
+    pub fn last_call(&self) -> UnixMillis {
         self.last_failure.max(self.last_answer.unwrap_or_default())
     }
 
-    /// When a call last failed, if none was answered since; 0 otherwise.
-    pub fn unanswered_failure(&self) -> u64 {
-        if self.consecutive_failures > 0 { self.last_failure } else { 0 }
+    /// When a call last failed, if none was answered since; [`UnixMillis::EPOCH`] otherwise.
+    pub fn unanswered_failure(&self) -> UnixMillis {
+        if self.consecutive_failures > 0 { self.last_failure } else { UnixMillis::EPOCH }
     }
 
     /// This sender's vote, if there is one.
@@ -61,11 +63,11 @@
     }
 
     /// Whether an answer since then, with no failure after it, refutes a vote on failures that began at `began`.
-    pub fn refutes(&self, began: u64) -> bool {
+    pub fn refutes(&self, began: UnixMillis) -> bool {
         self.consecutive_failures == 0 && self.last_answer.is_some_and(|answer| answer >= began)
     }
 
-    pub fn is_fresh(&self, now: u64) -> bool {
+    pub fn is_fresh(&self, now: UnixMillis) -> bool {
         self.last_call().saturating_add(HISTORY_TTL) > now
     }
 
--- a/crates/gossip/src/outlier_detection/ejection.rs
+++ b/crates/gossip/src/outlier_detection/ejection.rs
@@ -2,6 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use rudderspindle_clock::UnixMillis;
+
 use super::OutlierDetector;
 use super::call_history::CallHistory;
 use super::matching::max_matching;
@@ -24,19 +26,19 @@
 /// At most one in so many of a destination's receivers is ejected.
 pub const MAX_EJECTED_ONE_IN: usize = 2;
 
-/// The time in which a quorum votes a receiver down. Times are ms since 1970.
+/// The time in which a quorum votes a receiver down.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EjectionPeriod {
     /// When the quorum was first reached here.
-    started_at: u64,
+    started_at: UnixMillis,
     /// When it was last there.
-    confirmed_at: u64,
+    confirmed_at: UnixMillis,
 }
 
 /// A receiver that may be ejected; the smaller one goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    down_since: u64,
+    down_since: UnixMillis,
     receiver: Receiver,
 }
 
@@ -53,7 +55,7 @@
     ///
     /// `zone_senders` is the number of senders of this zone that are alive, this one among them. What the caller's own
     /// circuit breakers make of its calls is apart from this.
-    pub fn ejected(&mut self, now: u64, zone_senders: usize, receivers: &[Receiver]) -> Vec<Receiver> {
+    pub fn ejected(&mut self, now: UnixMillis, zone_senders: usize, receivers: &[Receiver]) -> Vec<Receiver> {
         self.ejections.retain(|_, period| period.confirmed_at.saturating_add(EJECTION_MEMORY) > now);
         let receivers: BTreeSet<Receiver> = receivers.iter().copied().collect();
         let quorum = (zone_senders / 2 + 1).clamp(MIN_QUORUM, QUORUM);
@@ -65,7 +67,7 @@
     }
 
     /// The receiver, if a quorum votes it down and this sender does not have to probe it.
-    fn candidate(&mut self, now: u64, receiver: Receiver, quorum: usize) -> Option<Candidate> {
+    fn candidate(&mut self, now: UnixMillis, receiver: Receiver, quorum: usize) -> Option<Candidate> {
         let history = self.histories.get(&receiver).copied().unwrap_or_default();
         let down_since = self.down_since(now, receiver, &history, quorum)?;
         let new_period = EjectionPeriod { started_at: now, confirmed_at: now };
@@ -76,20 +78,32 @@
         (!must_probe).then_some(Candidate { down_since, receiver })
     }
 
-    /// Since when a quorum votes a receiver down, ms since 1970; `None` if there is no quorum.
-    fn down_since(&self, now: u64, receiver: Receiver, history: &CallHistory, quorum: usize) -> Option<u64> {
+    /// Since when a quorum votes a receiver down; `None` if there is no quorum.
+    fn down_since(
+        &self,
+        now: UnixMillis,
+        receiver: Receiver,
+        history: &CallHistory,
+        quorum: usize,
+    ) -> Option<UnixMillis> {
         let observers = self.observers_of_down(now, receiver, history);
         let reporters: Vec<&BTreeSet<usize>> = observers.iter().map(|observer| &observer.reporters).collect();
         if max_matching(&reporters) < quorum {
             return None;
         }
-        let mut first_failures: Vec<u64> = observers.iter().map(|observer| observer.vote.first).collect();
+        let mut first_failures: Vec<UnixMillis> =
+            observers.iter().map(|observer| observer.vote.first).collect();
         first_failures.sort_unstable();
         first_failures.get(quorum - 1).copied()
     }
 
     /// The observers of this zone whose newest vote is that the receiver is down, by their numbers.
-    fn observers_of_down(&self, now: u64, receiver: Receiver, history: &CallHistory) -> Vec<ObserverState> {
+    fn observers_of_down(
+        &self,
+        now: UnixMillis,
+        receiver: Receiver,
+        history: &CallHistory,
+    ) -> Vec<ObserverState> {
         let mut observers: BTreeMap<usize, ObserverState> = BTreeMap::new();
         for (reporter, votes) in &self.votes {
             for ObserverVote { observer, vote, .. } in votes.valid_on(now, receiver) {
--- a/crates/gossip/src/outlier_detection/reported_votes.rs
+++ b/crates/gossip/src/outlier_detection/reported_votes.rs
@@ -2,6 +2,8 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use super::bounded_map::evict_oldest;
 use super::vote::{ObserverVote, Receiver, Vote};
 
@@ -19,12 +21,12 @@
 #[derive(Clone, Copy, Debug)]
 struct ReceivedVote {
     vote: Vote,
-    /// When it was last received, ms since 1970.
-    received_at: u64,
+    /// When it was last received.
+    received_at: UnixMillis,
 }
 
 impl ReceivedVote {
-    fn is_valid(&self, now: u64) -> bool {
+    fn is_valid(&self, now: UnixMillis) -> bool {
         self.received_at.saturating_add(VOTE_TTL) > now && self.vote.is_fresh(now)
     }
 }
@@ -37,7 +39,7 @@
 
 impl ReportedVotes {
     /// Keeps the vote, unless a newer one of the same observer on the same receiver is known.
-    pub fn insert(&mut self, now: u64, reported: ObserverVote) {
+    pub fn insert(&mut self, now: UnixMillis, reported: ObserverVote) {
         let ObserverVote { receiver, observer, vote } = reported;
         let received = ReceivedVote { vote, received_at: now };
         let known = self.votes.entry(VoteKey { receiver, observer }).or_insert(received);
@@ -48,13 +50,13 @@
     }
 
     /// The votes that count now.
-    pub fn valid(&self, now: u64) -> impl Iterator<Item = ObserverVote> {
+    pub fn valid(&self, now: UnixMillis) -> impl Iterator<Item = ObserverVote> {
         let valid = self.votes.iter().filter(move |(_, received)| received.is_valid(now));
         valid.map(|(key, received)| observer_vote(*key, *received))
     }
 
     /// The votes on a receiver that count now.
-    pub fn valid_on(&self, now: u64, receiver: Receiver) -> impl Iterator<Item = ObserverVote> {
+    pub fn valid_on(&self, now: UnixMillis, receiver: Receiver) -> impl Iterator<Item = ObserverVote> {
         let first = VoteKey { receiver, observer: 0 };
         let last = VoteKey { receiver, observer: usize::MAX };
         let valid = self.votes.range(first..=last).filter(move |(_, received)| received.is_valid(now));
@@ -65,7 +67,7 @@
         self.votes.retain(|key, _| key.observer != observer);
     }
 
-    pub fn remove_expired(&mut self, now: u64) {
+    pub fn remove_expired(&mut self, now: UnixMillis) {
         self.votes.retain(|_, received| received.is_valid(now));
     }
 
--- a/crates/gossip/src/outlier_detection/tests.rs
+++ b/crates/gossip/src/outlier_detection/tests.rs
@@ -6,13 +6,13 @@
 use super::*;
 use proptest::prelude::*;
 
-const NOW: u64 = 1_700_000_000_000;
+const NOW: UnixMillis = UnixMillis(1_700_000_000_000);
 
 fn receivers(n: usize) -> Vec<Receiver> {
     (0..n).map(|n| Receiver::of(1, &format!("r{n}"))).collect()
 }
 
-fn down(first: u64, last: u64) -> Vote {
+fn down(first: UnixMillis, last: UnixMillis) -> Vote {
     Vote { first, last, recovered: false }
 }
 
@@ -22,7 +22,7 @@
 
 /// Ten senders in a zone, five in another, of which this is number 0; the vote of each of these observers, reported by
 /// itself.
-fn detector(observers: &[usize], receiver: Receiver, vote: Vote, now: u64) -> OutlierDetector {
+fn detector(observers: &[usize], receiver: Receiver, vote: Vote, now: UnixMillis) -> OutlierDetector {
     let zones = (0..15).map(|n| u16::from(n >= 10)).collect();
     let mut detector = OutlierDetector::new(0, zones);
     observers.iter().for_each(|n| detector.receive_votes(now, *n, &of(*n, receiver, vote)));
@@ -94,12 +94,13 @@
     assert!(old_votes.ejected(NOW + 500, 10, &all).is_empty());
     let mut repeated = detector(&[], all[0], down(NOW, NOW), NOW);
     let mut ejected_at = Vec::new();
-    for now in (NOW..NOW + 20_000).step_by(500) {
+    for millis in (0..20_000).step_by(500) {
+        let now = NOW + millis;
         for stuck in 1..=3 {
             repeated.receive_votes(now, stuck, &of(stuck, all[0], down(NOW, NOW)));
         }
         if !repeated.ejected(now, 10, &all).is_empty() {
-            ejected_at.push(now - NOW);
+            ejected_at.push(millis);
         }
     }
     assert_eq!(ejected_at.last(), Some(&(EJECTION_DURATION - 500)));
@@ -110,7 +111,7 @@
 fn the_reader_probes_an_ejected_receiver_after_a_while_and_goes_by_the_result() {
     let all = receivers(2);
     let mut detector = detector(&[], all[0], down(NOW, NOW), NOW);
-    let ejected = |detector: &mut OutlierDetector, now: u64| {
+    let ejected = |detector: &mut OutlierDetector, now: UnixMillis| {
         (1..=3).for_each(|n| detector.receive_votes(now, n, &of(n, all[0], down(NOW, now))));
         detector.ejected(now, 10, &all)
     };
--- a/crates/gossip/src/outlier_detection/vote.rs
+++ b/crates/gossip/src/outlier_detection/vote.rs
@@ -1,5 +1,6 @@
 //! Receivers as the fleet names them, and the votes of observers on them.
 
+use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
 /// A vote counts for this long after its observer last saw what it says, ms, however often it is repeated.
@@ -33,17 +34,17 @@
 /// An observer's vote on a receiver. A greater one is the newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Vote {
-    /// When the observer last saw the receiver so, ms since 1970.
-    pub last: u64,
-    /// When the run of failures began, ms since 1970; of a receiver that recovered, when it answered.
-    pub first: u64,
+    /// When the observer last saw the receiver so.
+    pub last: UnixMillis,
+    /// When the run of failures began; of a receiver that recovered, when it answered.
+    pub first: UnixMillis,
     /// Whether the receiver recovered; it is down otherwise.
     pub recovered: bool,
 }
 
 impl Vote {
     /// Whether it is within [`OBSERVATION_TTL`].
-    pub(super) fn is_fresh(&self, now: u64) -> bool {
+    pub(super) fn is_fresh(&self, now: UnixMillis) -> bool {
         self.last.saturating_add(OBSERVATION_TTL) > now
     }
 }
--- a/crates/gossip/src/permits.rs
+++ b/crates/gossip/src/permits.rs
@@ -26,6 +26,8 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::limit_id::LimitId;
 use crate::membership::Incarnation;
 use crate::outgoing_datagram::OutgoingDatagram;
@@ -35,17 +37,19 @@
 pub use error::PermitError;
 use holding::PermitHolding;
 use message::{MAX_LIMITS, PermitGrant, PermitMessage};
-use rounds::{CLOCK_STEP_TOLERANCE, MAX_MESSAGE_AGE_ROUNDS, OFFER_WINDOW, ROUND, term};
+use rounds::{
+    CLOCK_STEP_TOLERANCE, MAX_MESSAGE_AGE_ROUNDS, OFFER_WINDOW, ROUND, round_at, round_start, term,
+};
 
 /// Permission to start one call, a lease that expires by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     /// Number of the permit, unique at its limit.
     pub number: u64,
-    /// Start of its validity, in milliseconds since 1970.
-    pub from: u64,
-    /// End of its validity (exclusive), in milliseconds since 1970.
-    pub until: u64,
+    /// Start of its validity.
+    pub from: UnixMillis,
+    /// End of its validity (exclusive).
+    pub until: UnixMillis,
 }
 
 /// The permits of one sender at all its limits. Nothing in it outlives the process.
@@ -57,7 +61,7 @@
     /// The round of the last offer.
     last_offer_round: u64,
     /// The latest wall clock time seen.
-    latest_wall: u64,
+    latest_time: UnixMillis,
     /// The sender asked to allocate, for each round whose term is not over.
     allocators: BTreeMap<u64, usize>,
     holdings: BTreeMap<LimitId, PermitHolding>,
@@ -67,16 +71,16 @@
 }
 
 impl PermitLedger {
-    /// The ledger of sender `own_number` of `senders`, for a process with this incarnation that starts at `wall`
-    /// (milliseconds since 1970). An earlier process of the same sender must have ended by then.
-    pub fn new(own_number: usize, senders: usize, incarnation: Incarnation, wall: u64) -> Self {
-        let round = wall / ROUND;
+    /// The ledger of sender `own_number` of `senders`, for a process with this incarnation that starts at `now`.
+    /// An earlier process of the same sender must have ended by then.
+    pub fn new(own_number: usize, senders: usize, incarnation: Incarnation, now: UnixMillis) -> Self {
+        let round = round_at(now);
         Self {
             own_number,
             senders,
             incarnation,
             last_offer_round: round,
-            latest_wall: wall,
+            latest_time: now,
             allocators: BTreeMap::new(),
             holdings: BTreeMap::new(),
             allocator_selection: AllocatorSelection::new(senders),
@@ -84,30 +88,30 @@
         }
     }
 
-    /// When the next [`offer`](Self::offer) is due, in milliseconds since 1970.
-    pub fn next_offer(&self, wall: u64) -> u64 {
+    /// When the next [`offer`](Self::offer) is due.
+    pub fn next_offer(&self, now: UnixMillis) -> UnixMillis {
         let window = OFFER_WINDOW.end - OFFER_WINDOW.start;
         let offset = self.own_number as u64 * window / self.senders.max(1) as u64;
-        let at = wall / ROUND * ROUND + OFFER_WINDOW.start + offset;
-        if at > wall { at } else { at + ROUND }
+        let at = round_start(round_at(now)) + OFFER_WINDOW.start + offset;
+        if at > now { at } else { at + ROUND }
     }
 
-    /// When the next [`allocate`](Self::allocate) is due, in milliseconds since 1970; `None` without offers.
-    pub fn next_allocation(&self) -> Option<u64> {
-        self.allocator.next_round().map(|round| (round + 1) * ROUND)
+    /// When the next [`allocate`](Self::allocate) is due; `None` without offers.
+    pub fn next_allocation(&self) -> Option<UnixMillis> {
+        self.allocator.next_round().map(|round| round_start(round + 1))
     }
 
     /// Takes in the wall clock. If it was set back, everything starts anew from the round that had been reached: until
     /// then permits were released and granted, and messages about them may still arrive.
-    fn observe_clock(&mut self, wall: u64) {
-        if wall + CLOCK_STEP_TOLERANCE < self.latest_wall {
-            let round = wall / ROUND;
-            let reached = self.last_offer_round.max(self.latest_wall / ROUND);
+    fn observe_clock(&mut self, now: UnixMillis) {
+        if now + CLOCK_STEP_TOLERANCE < self.latest_time {
+            let round = round_at(now);
+            let reached = self.last_offer_round.max(round_at(self.latest_time));
             let restart_round = if reached > round + MAX_MESSAGE_AGE_ROUNDS { round } else { reached };
-            *self = Self::new(self.own_number, self.senders, self.incarnation, restart_round * ROUND);
-            self.latest_wall = wall;
+            *self = Self::new(self.own_number, self.senders, self.incarnation, round_start(restart_round));
+            self.latest_time = now;
         }
-        self.latest_wall = self.latest_wall.max(wall);
+        self.latest_time = self.latest_time.max(now);
     }
 
     /// Takes in a datagram of another sender. Returns whether the usable [`permits`](Self::permits) may have changed.
@@ -115,14 +119,14 @@
     /// # Errors
     ///
     /// [`PermitError`] says why it was dropped; the ledger is unchanged then.
-    pub fn receive(&mut self, wall: u64, from: usize, datagram: &[u8]) -> Result<bool, PermitError> {
-        self.observe_clock(wall);
+    pub fn receive(&mut self, now: UnixMillis, from: usize, datagram: &[u8]) -> Result<bool, PermitError> {
+        self.observe_clock(now);
         if from == self.own_number || from >= self.senders {
             return Err(PermitError::UnknownSender);
         }
         match PermitMessage::decode(datagram)? {
             PermitMessage::PermitOffer(offer) => {
-                let is_counted = self.allocator.add_offer(wall / ROUND, from, offer);
+                let is_counted = self.allocator.add_offer(round_at(now), from, offer);
                 if is_counted { Ok(false) } else { Err(PermitError::Round) }
             }
             PermitMessage::PermitGrant(grant) => {
@@ -149,10 +153,10 @@
     }
 
     /// Grants the permits that were offered to this sender in rounds that are over.
-    pub fn allocate(&mut self, wall: u64) -> Vec<OutgoingDatagram> {
-        self.observe_clock(wall);
+    pub fn allocate(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
+        self.observe_clock(now);
         let grants = self.allocator.allocate(
-            wall / ROUND,
+            round_at(now),
             |senders| self.allocator_selection.candidate_bits(senders.iter().copied()),
             |limit_id| self.holdings.get(&limit_id).map(|holding| holding.schedule),
         );
@@ -171,13 +175,13 @@
     ///
     /// `available_fraction` is the fraction of the limit that the destination is believed to accept, from 0 to 1: permits
     /// are left out accordingly, the same ones at every sender.
-    pub fn permits(&self, wall: u64, limit_id: LimitId, available_fraction: f64) -> Vec<Permit> {
+    pub fn permits(&self, now: UnixMillis, limit_id: LimitId, available_fraction: f64) -> Vec<Permit> {
         // What was released is forgotten after a while, so nothing is used by a clock that was set back.
-        let is_clock_set_back = wall + CLOCK_STEP_TOLERANCE < self.latest_wall;
+        let is_clock_set_back = now + CLOCK_STEP_TOLERANCE < self.latest_time;
         let Some(holding) = self.holdings.get(&limit_id).filter(|_| !is_clock_set_back) else {
             return Vec::new();
         };
-        let mut permits = holding.usable(self.own_number, wall, term(self.last_offer_round).end);
+        let mut permits = holding.usable(self.own_number, now, term(self.last_offer_round).end);
         permits.retain(|permit| is_available(permit.number, limit_id, available_fraction));
         permits
     }
--- a/crates/gossip/src/permits/exhaustive.rs
+++ b/crates/gossip/src/permits/exhaustive.rs
@@ -46,7 +46,7 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.wall < (self.first_round + self.rounds + 2) * ROUND + HALF_ROUND {
+        if state.now < round_start(self.first_round + self.rounds + 2) + HALF_ROUND {
             actions.push(Action::PassTime);
         }
         for sender in 0..SENDERS {
@@ -54,9 +54,9 @@
                 actions.push(Action::Start(sender));
                 continue;
             }
-            if state.wall.is_multiple_of(ROUND) {
+            if state.now.0.is_multiple_of(ROUND) {
                 actions.push(Action::Allocate(sender));
-            } else if state.clock(sender) / ROUND < self.first_round + self.rounds {
+            } else if round_at(state.clock(sender)) < self.first_round + self.rounds {
                 actions.push(Action::Offer(sender));
             }
             if state.faults < self.max_faults {
--- a/crates/gossip/src/permits/exhaustive/state.rs
+++ b/crates/gossip/src/permits/exhaustive/state.rs
@@ -2,12 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::demand_exchange::LocalDemand;
 use crate::limit_id::LimitId;
 use crate::membership::Incarnation;
 use crate::outgoing_datagram::OutgoingDatagram;
 use crate::permits::PermitLedger;
-use crate::permits::rounds::{PERMIT_VALIDITY, ROUND};
+use crate::permits::rounds::{PERMIT_VALIDITY, ROUND, round_at, round_start};
 
 pub(super) const SENDERS: usize = 3;
 /// Limit of all senders, in calls a second: one or two permits for each in a term.
@@ -42,7 +44,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct State {
-    pub(super) wall: u64,
+    pub(super) now: UnixMillis,
     /// `None` while no process of a sender runs.
     pub(super) ledgers: Vec<Option<PermitLedger>>,
     pub(super) incarnations: [u64; SENDERS],
@@ -57,10 +59,10 @@
 
 impl State {
     pub(super) fn new(first_round: u64) -> Self {
-        let wall = (first_round - WARM_UP_ROUNDS) * ROUND;
-        let ledger = |sender| Some(PermitLedger::new(sender, SENDERS, Incarnation(1), wall));
+        let now = round_start(first_round - WARM_UP_ROUNDS);
+        let ledger = |sender| Some(PermitLedger::new(sender, SENDERS, Incarnation(1), now));
         let mut state = Self {
-            wall,
+            now,
             ledgers: (0..SENDERS).map(ledger).collect(),
             incarnations: [1; SENDERS],
             clock_lag: [0; SENDERS],
@@ -69,7 +71,7 @@
             used: BTreeMap::new(),
             double_use: None,
         };
-        while state.wall < first_round * ROUND {
+        while state.now < round_start(first_round) {
             (0..SENDERS).for_each(|sender| state.offer(sender));
             (0..SENDERS).for_each(|sender| state.allocate(sender));
             while let Some(datagram) = state.network.pop_first() {
@@ -80,15 +82,15 @@
         state
     }
 
-    pub(super) fn clock(&self, sender: usize) -> u64 {
-        self.wall - self.clock_lag[sender]
+    pub(super) fn clock(&self, sender: usize) -> UnixMillis {
+        self.now - self.clock_lag[sender]
     }
 
     /// One sender releases all its permits, the other two need all of them, in rotation.
     pub(super) fn offer(&mut self, sender: usize) {
         let clock = self.clock(sender);
         // By the true time: a sender whose clock was set back needs another number in the same round.
-        let demand = if (self.wall / ROUND) as usize % SENDERS == sender { 0.0 } else { 30.0 };
+        let demand = if round_at(self.now) as usize % SENDERS == sender { 0.0 } else { 30.0 };
         let demand =
             LocalDemand { limit_id: LIMIT_ID, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 };
         let offer = self.ledgers[sender].as_mut().and_then(|ledger| ledger.offer(clock, &[demand]));
@@ -117,7 +119,7 @@
 
     pub(super) fn pass_time(&mut self) {
         for _ in 0..HALF_ROUND / POLL_INTERVAL {
-            self.wall += POLL_INTERVAL;
+            self.now += POLL_INTERVAL;
             self.use_permits();
         }
         for sender in 0..SENDERS {
--- a/crates/gossip/src/permits/holding.rs
+++ b/crates/gossip/src/permits/holding.rs
@@ -4,6 +4,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use rudderspindle_clock::UnixMillis;
+
 use super::Permit;
 use super::message::{MAX_REQUESTED_PERMITS, PermitGrantEntry};
 use super::rounds::{CLOCK_STEP_TOLERANCE, PERMIT_VALIDITY, round_of_term_at, term};
@@ -16,9 +18,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PermitHolding {
     pub schedule: PermitSchedule,
-    /// Own permits that start before this are not used, in milliseconds since 1970: an earlier process may have released
-    /// or used them.
-    usable_from: u64,
+    /// Own permits that start before this are not used: an earlier process may have released or used them.
+    usable_from: UnixMillis,
     /// How many of its own permits of a round's term the sender kept, the first ones; all of them for rounds without entry.
     retained: BTreeMap<u64, usize>,
     granted: BTreeSet<u64>,
@@ -57,15 +58,15 @@
     }
 
     /// Drops what has expired, also by a clock that goes back within the tolerance.
-    pub fn remove_expired(&mut self, wall: u64) {
-        self.retained.retain(|round, _| term(*round).end + PERMIT_VALIDITY + CLOCK_STEP_TOLERANCE > wall);
+    pub fn remove_expired(&mut self, now: UnixMillis) {
+        self.retained.retain(|round, _| term(*round).end + PERMIT_VALIDITY + CLOCK_STEP_TOLERANCE > now);
         let schedule = self.schedule;
-        self.granted.retain(|&number| schedule.starts_at(number) + PERMIT_VALIDITY > wall);
+        self.granted.retain(|&number| schedule.starts_at(number) + PERMIT_VALIDITY > now);
     }
 
     /// The permits that have not expired and start before `before`, ordered by number.
-    pub fn usable(&self, sender: usize, wall: u64, before: u64) -> Vec<Permit> {
-        let time = (wall + 1).saturating_sub(PERMIT_VALIDITY)..before;
+    pub fn usable(&self, sender: usize, now: UnixMillis, before: UnixMillis) -> Vec<Permit> {
+        let time = (now + 1).saturating_sub(PERMIT_VALIDITY)..before;
         let own =
             self.schedule.owned_by(sender, time.clone()).filter(|&number| self.is_retained(sender, number));
         let granted =
--- a/crates/gossip/src/permits/offering.rs
+++ b/crates/gossip/src/permits/offering.rs
@@ -2,10 +2,12 @@
 
 use std::cmp::Reverse;
 
+use rudderspindle_clock::UnixMillis;
+
 use super::PermitLedger;
 use super::holding::PermitHolding;
 use super::message::{MAX_LIMITS, MAX_REQUESTED_PERMITS, PermitMessage, PermitOffer, PermitOfferEntry};
-use super::rounds::{ROUND, term};
+use super::rounds::{round_at, term};
 use super::schedule::PermitSchedule;
 use crate::demand_exchange::LocalDemand;
 use crate::limit_id::LimitId;
@@ -14,9 +16,9 @@
 /// The offer that is being prepared.
 struct OfferContext {
     round: u64,
-    wall: u64,
-    /// Permits that start before this are already known, in milliseconds since 1970.
-    known_until: u64,
+    now: UnixMillis,
+    /// Permits that start before this are already known.
+    known_until: UnixMillis,
     /// Whether permits may be released: only to an allocator that is known to be alive.
     may_release: bool,
 }
@@ -24,13 +26,12 @@
 impl PermitLedger {
     /// Makes this sender's offer, once a round. Later calls in a round only take in which limits there are.
     ///
-    /// `wall` is in milliseconds since 1970. Returns `None` if there is nothing to send, also when this sender allocates
-    /// the round itself.
-    pub fn offer(&mut self, wall: u64, demands: &[LocalDemand]) -> Option<OutgoingDatagram> {
-        self.observe_clock(wall);
-        let round = wall / ROUND;
-        self.refresh_holdings(wall, demands);
-        self.allocators.retain(|round, _| term(*round).end > wall);
+    /// Returns `None` if there is nothing to send, also when this sender allocates the round itself.
+    pub fn offer(&mut self, now: UnixMillis, demands: &[LocalDemand]) -> Option<OutgoingDatagram> {
+        self.observe_clock(now);
+        let round = round_at(now);
+        self.refresh_holdings(now, demands);
+        self.allocators.retain(|round, _| term(*round).end > now);
         if round <= self.last_offer_round {
             return None;
         }
@@ -38,16 +39,16 @@
         self.last_offer_round = round;
         let selected = self.allocator_selection.select(round)?;
         self.allocators.insert(round, selected.sender);
-        let context = OfferContext { round, wall, known_until, may_release: selected.is_known_alive };
+        let context = OfferContext { round, now, known_until, may_release: selected.is_known_alive };
         let entries = self.offer_entries(&context, demands);
         self.release(round, &entries);
         self.dispatch_offer(selected.sender, PermitOffer { round, incarnation: self.incarnation, entries })
     }
 
     /// Keeps a holding for each listed limit, and none for others.
-    fn refresh_holdings(&mut self, wall: u64, demands: &[LocalDemand]) {
+    fn refresh_holdings(&mut self, now: UnixMillis, demands: &[LocalDemand]) {
         // After a clock was set back, a new holding knows nothing of what was released before.
-        let first_round = (wall / ROUND).max(self.last_offer_round);
+        let first_round = round_at(now).max(self.last_offer_round);
         self.holdings.retain(|limit_id, _| demands.iter().any(|demand| demand.limit_id == *limit_id));
         for demand in demands {
             let schedule = PermitSchedule::new(demand.limit_id, demand.limit, self.senders);
@@ -58,7 +59,7 @@
             if holding.schedule != schedule {
                 *holding = PermitHolding::new(schedule, first_round);
             }
-            holding.remove_expired(wall);
+            holding.remove_expired(now);
         }
     }
 
@@ -74,7 +75,7 @@
     /// The entry for a limit; `None` where nothing is released or requested.
     fn offer_entry(&self, context: &OfferContext, demand: &LocalDemand) -> Option<PermitOfferEntry> {
         let holding = self.holdings.get(&demand.limit_id)?;
-        let available = holding.usable(self.own_number, context.wall, context.known_until).len();
+        let available = holding.usable(self.own_number, context.now, context.known_until).len();
         let needed = (demand.demand - available as f64).round().max(0.0) as usize;
         let own = holding.own_count(self.own_number, context.round);
         let released = if context.may_release { own.saturating_sub(needed) } else { 0 };
--- a/crates/gossip/src/permits/rounds.rs
+++ b/crates/gossip/src/permits/rounds.rs
@@ -2,6 +2,8 @@
 
 use std::ops::Range;
 
+use rudderspindle_clock::UnixMillis;
+
 /// Length of a round, in milliseconds.
 pub const ROUND: u64 = 500;
 /// The part of a round in which offers are sent, each sender's at its own moment, in milliseconds: the grants of the last
@@ -16,13 +18,23 @@
 /// After this many rounds (one minute) a message can no longer arrive.
 pub(crate) const MAX_MESSAGE_AGE_ROUNDS: u64 = 60_000 / ROUND;
 
-/// The time whose permits are allocated in a round, in milliseconds since 1970.
-pub(crate) fn term(round: u64) -> Range<u64> {
-    let start = (round + 1) * ROUND + GRANT_LEAD_TIME;
+/// The round that a time lies in.
+pub(crate) fn round_at(now: UnixMillis) -> u64 {
+    now.0 / ROUND
+}
+
+/// When a round starts.
+pub(crate) fn round_start(round: u64) -> UnixMillis {
+    UnixMillis(round * ROUND)
+}
+
+/// The time whose permits are allocated in a round.
+pub(crate) fn term(round: u64) -> Range<UnixMillis> {
+    let start = round_start(round + 1) + GRANT_LEAD_TIME;
     start..start + ROUND
 }
 
-/// The round in whose term a point of time lies, in milliseconds since 1970.
-pub(crate) fn round_of_term_at(wall: u64) -> u64 {
-    (wall.saturating_sub(GRANT_LEAD_TIME) / ROUND).saturating_sub(1)
+/// The round in whose term a point in time lies.
+pub(crate) fn round_of_term_at(time: UnixMillis) -> u64 {
+    round_at(time.saturating_sub(GRANT_LEAD_TIME)).saturating_sub(1)
 }
--- a/crates/gossip/src/permits/schedule.rs
+++ b/crates/gossip/src/permits/schedule.rs
@@ -2,6 +2,8 @@
 
 use std::ops::Range;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::limit_id::LimitId;
 use crate::peer_selection::hash_words;
 
@@ -37,9 +39,9 @@
         }
     }
 
-    /// When a permit starts, in milliseconds since 1970.
-    pub fn starts_at(&self, number: u64) -> u64 {
-        number.saturating_mul(self.interval_us) / 1_000
+    /// When a permit starts.
+    pub fn starts_at(&self, number: u64) -> UnixMillis {
+        UnixMillis(number.saturating_mul(self.interval_us) / 1_000)
     }
 
     /// The owner of a permit.
@@ -48,14 +50,14 @@
         (number.wrapping_add(self.phase) % self.senders) as usize
     }
 
-    /// The numbers of the permits that start in a time span, in milliseconds since 1970.
-    pub fn starting_in(&self, time: Range<u64>) -> Range<u64> {
-        let first_from = |wall: u64| wall.saturating_mul(1_000).div_ceil(self.interval_us);
+    /// The numbers of the permits that start in a time span.
+    pub fn starting_in(&self, time: Range<UnixMillis>) -> Range<u64> {
+        let first_from = |time: UnixMillis| time.0.saturating_mul(1_000).div_ceil(self.interval_us);
         first_from(time.start)..first_from(time.end)
     }
 
     /// The numbers of one sender's permits that start in a time span, ascending.
-    pub fn owned_by(&self, sender: usize, time: Range<u64>) -> impl Iterator<Item = u64> + use<> {
+    pub fn owned_by(&self, sender: usize, time: Range<UnixMillis>) -> impl Iterator<Item = u64> + use<> {
         let Range { start, end } = self.starting_in(time);
         let first_owner = start.wrapping_add(self.phase) % self.senders;
         let ahead = (sender as u64 + self.senders - first_owner) % self.senders;
--- a/crates/gossip/src/permits/schedule/tests.rs
+++ b/crates/gossip/src/permits/schedule/tests.rs
@@ -6,7 +6,7 @@
 fn every_permit_has_one_owner_and_the_senders_own_them_in_rotation() {
     for (limit, senders) in [(60.0, 12), (0.3, 300), (1_000.0, 7), (75.0, 300)] {
         let schedule = PermitSchedule::new(LimitId::of(7, None), limit, senders);
-        let time = 1_700_000_000_123..1_700_000_020_456;
+        let time = UnixMillis(1_700_000_000_123)..UnixMillis(1_700_000_020_456);
         let all = schedule.starting_in(time.clone());
         let owned_by = |sender| schedule.owned_by(sender, time.clone()).map(move |number| (number, sender));
         let mut owned: Vec<(u64, usize)> = (0..senders).flat_map(owned_by).collect();
@@ -23,6 +23,6 @@
 fn a_limit_that_is_not_a_positive_number_issues_the_fewest_permits() {
     for limit in [0.0, -3.0, f64::NAN] {
         let schedule = PermitSchedule::new(LimitId::of(7, None), limit, 3);
-        assert_eq!(schedule.starting_in(0..3_600_001).count(), 2, "{limit}");
+        assert_eq!(schedule.starting_in(UnixMillis(0)..UnixMillis(3_600_001)).count(), 2, "{limit}");
     }
 }
--- a/crates/gossip/src/permits/tests.rs
+++ b/crates/gossip/src/permits/tests.rs
@@ -72,18 +72,18 @@
         let grant = PermitGrant { round, incarnation, candidates_alive: 7, entries: vec![entry.clone()] };
         PermitMessage::PermitGrant(grant).encode().expect("short enough")
     };
-    let wall = round * ROUND + 450;
-    let count = |ledger: &PermitLedger| ledger.permits(wall, limit_id, 1.0).len();
+    let now = round_start(round) + 450;
+    let count = |ledger: &PermitLedger| ledger.permits(now, limit_id, 1.0).len();
     let own = count(&ledger);
-    assert_eq!(ledger.receive(wall, 3 - allocator, &grant(7, round)), Err(PermitError::Round));
-    assert_eq!(ledger.receive(wall, allocator, &grant(6, round)), Err(PermitError::Round));
-    assert_eq!(ledger.receive(wall, allocator, &grant(7, round - 1)), Err(PermitError::Round));
+    assert_eq!(ledger.receive(now, 3 - allocator, &grant(7, round)), Err(PermitError::Round));
+    assert_eq!(ledger.receive(now, allocator, &grant(6, round)), Err(PermitError::Round));
+    assert_eq!(ledger.receive(now, allocator, &grant(7, round - 1)), Err(PermitError::Round));
     assert_eq!(count(&ledger), own);
-    assert_eq!(ledger.receive(wall, allocator, &grant(7, round)), Ok(true));
+    assert_eq!(ledger.receive(now, allocator, &grant(7, round)), Ok(true));
     // One of three in a row is its own.
     assert_eq!(count(&ledger), own + 2);
     // A duplicate changes nothing.
-    assert_eq!(ledger.receive(wall, allocator, &grant(7, round)), Ok(true));
+    assert_eq!(ledger.receive(now, allocator, &grant(7, round)), Ok(true));
     assert_eq!(count(&ledger), own + 2);
 }
 
@@ -117,7 +117,7 @@
                 3 => cluster.partition[sender] = cluster.rng.below(2),
                 4 => recorded.extend(cluster.in_flight.iter().cloned()),
                 _ => {
-                    let arrives_at = cluster.wall + 1;
+                    let arrives_at = cluster.now + 1;
                     let replayed = recorded.drain(..).map(|datagram| InFlight { arrives_at, ..datagram });
                     cluster.in_flight.extend(replayed);
                 }
@@ -146,7 +146,7 @@
 fn over_a_long_run_no_table_grows_beyond_its_bound() {
     let mut ledger = PermitLedger::new(0, 9, Incarnation(7), START);
     for round in 1..3_600u64 {
-        let wall = START + round * ROUND + 200;
+        let now = START + round * ROUND + 200;
         let demand = |n| LocalDemand {
             limit_id: LimitId::of((round / 40 * 3 + n) as u16, None),
             limit: 30.0,
@@ -156,12 +156,12 @@
             failed: 0,
         };
         let demands: Vec<LocalDemand> = (0..20).map(demand).collect();
-        let own_offer = ledger.offer(wall, &demands);
+        let own_offer = ledger.offer(now, &demands);
         for from in 1..9 {
-            let _ = ledger.receive(wall, from, &excessive_offer(wall, from));
+            let _ = ledger.receive(now, from, &excessive_offer(now, from));
         }
         if let Some(offer) = own_offer {
-            ledger.receive(wall, offer.to, &malformed_grant(wall, &demands)).expect("it answers the offer");
+            ledger.receive(now, offer.to, &malformed_grant(now, &demands)).expect("it answers the offer");
         }
         assert!(ledger.holdings.len() <= 20 && ledger.allocators.len() <= 4 && ledger.allocator.len() <= 16);
         assert!(
@@ -169,12 +169,12 @@
             "{:?}",
             ledger.holdings.values().map(PermitHolding::len)
         );
-        ledger.allocate(wall + ROUND);
+        ledger.allocate(now + ROUND);
     }
 }
 
 /// An offer that names as many limits as fit, for a round near the current one.
-fn excessive_offer(wall: u64, from: usize) -> Vec<u8> {
+fn excessive_offer(now: UnixMillis, from: usize) -> Vec<u8> {
     let entry = |n: u32| PermitOfferEntry {
         limit_id: n,
         schedule_checksum: 3,
@@ -182,20 +182,20 @@
         requested: u8::MAX,
     };
     let entries = (0..MAX_LIMITS as u32).map(entry).collect();
-    let round = (wall / ROUND).wrapping_add(from as u64 % 3);
+    let round = round_at(now).wrapping_add(from as u64 % 3);
     let offer = PermitMessage::PermitOffer(PermitOffer { round, incarnation: Incarnation(1), entries });
     offer.encode().expect("short enough")
 }
 
 /// A grant whose numbers are not ascending and lie outside the term.
-fn malformed_grant(wall: u64, demands: &[LocalDemand]) -> Vec<u8> {
+fn malformed_grant(now: UnixMillis, demands: &[LocalDemand]) -> Vec<u8> {
     let entry = |demand: &LocalDemand| PermitGrantEntry {
         limit_id: demand.limit_id.0,
         schedule_checksum: PermitSchedule::new(demand.limit_id, 30.0, 9).checksum(),
         number_deltas: vec![0, 1, 2, u16::MAX, 1],
     };
     let entries = demands.iter().take(12).map(entry).collect();
-    let round = wall / ROUND;
+    let round = round_at(now);
     let grant = PermitGrant { round, incarnation: Incarnation(7), candidates_alive: u64::MAX, entries };
     PermitMessage::PermitGrant(grant).encode().expect("short enough")
 }
--- a/crates/gossip/src/permits/tests/cluster.rs
+++ b/crates/gossip/src/permits/tests/cluster.rs
@@ -2,6 +2,8 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::demand_exchange::LocalDemand;
 use crate::limit_id::LimitId;
 use crate::membership::Incarnation;
@@ -26,8 +28,8 @@
     }
 }
 
-/// The wall clock when a test starts, in milliseconds since 1970.
-pub(super) const START: u64 = 1_700_000_000_000;
+/// The wall clock when a test starts.
+pub(super) const START: UnixMillis = UnixMillis(1_700_000_000_000);
 /// Step of simulated time, in milliseconds.
 pub(super) const STEP: u64 = 10;
 
@@ -43,7 +45,7 @@
 /// A datagram that has not arrived yet.
 #[derive(Clone)]
 pub(super) struct InFlight {
-    pub(super) arrives_at: u64,
+    pub(super) arrives_at: UnixMillis,
     pub(super) from: usize,
     pub(super) to: usize,
     pub(super) bytes: Vec<u8>,
@@ -54,7 +56,7 @@
     pub(super) rng: TestRng,
     limit_id: LimitId,
     limit: f64,
-    pub(super) wall: u64,
+    pub(super) now: UnixMillis,
     pub(super) ledgers: Vec<PermitLedger>,
     /// Whether each process runs.
     pub(super) running: Vec<bool>,
@@ -68,7 +70,7 @@
     pub(super) in_flight: Vec<InFlight>,
     used_permits: BTreeMap<u64, (usize, Incarnation)>,
     /// When calls started.
-    call_times: Vec<u64>,
+    call_times: Vec<UnixMillis>,
 }
 
 impl Cluster {
@@ -78,7 +80,7 @@
             rng: TestRng(seed),
             limit_id: LimitId::of(7, None),
             limit,
-            wall: START,
+            now: START,
             ledgers: (0..senders).map(ledger).collect(),
             running: vec![true; senders],
             clock_offset: vec![0; senders],
@@ -91,8 +93,8 @@
         }
     }
 
-    fn clock(&self, sender: usize) -> u64 {
-        self.wall.saturating_add_signed(self.clock_offset[sender])
+    fn clock(&self, sender: usize) -> UnixMillis {
+        UnixMillis(self.now.0.saturating_add_signed(self.clock_offset[sender]))
     }
 
     /// Replaces a sender's process by a new one that remembers nothing.
@@ -105,7 +107,7 @@
     fn send(&mut self, from: usize, datagrams: impl IntoIterator<Item = OutgoingDatagram>) {
         for OutgoingDatagram { to, bytes } in datagrams {
             for _ in 0..1 + usize::from(self.rng.unit() < self.faults.duplication_rate) {
-                let arrives_at = self.wall + 1 + (self.faults.max_delay * self.rng.unit()) as u64;
+                let arrives_at = self.now + 1 + (self.faults.max_delay * self.rng.unit()) as u64;
                 if self.rng.unit() >= self.faults.loss_rate && self.partition[from] == self.partition[to] {
                     self.in_flight.push(InFlight { arrives_at, from, to, bytes: bytes.clone() });
                 }
@@ -115,7 +117,7 @@
 
     /// One step of time, with `load` messages a second arriving for all senders together.
     fn step(&mut self, load: f64) {
-        self.wall += STEP;
+        self.now += STEP;
         self.add_arrivals(load);
         self.deliver_datagrams();
         let running: Vec<usize> = (0..self.ledgers.len()).filter(|sender| self.running[*sender]).collect();
@@ -134,9 +136,9 @@
     }
 
     fn deliver_datagrams(&mut self) {
-        let wall = self.wall;
+        let now = self.now;
         let due: Vec<InFlight> =
-            self.in_flight.extract_if(.., |datagram| datagram.arrives_at <= wall).collect();
+            self.in_flight.extract_if(.., |datagram| datagram.arrives_at <= now).collect();
         for InFlight { from, to, bytes, .. } in due {
             if self.running[to] {
                 let clock = self.clock(to);
@@ -165,7 +167,7 @@
         self.use_permits(sender, clock);
     }
 
-    fn use_permits(&mut self, sender: usize, clock: u64) {
+    fn use_permits(&mut self, sender: usize, clock: UnixMillis) {
         let process = (sender, self.ledgers[sender].incarnation);
         for permit in self.ledgers[sender].permits(clock, self.limit_id, 1.0) {
             let is_own = self.used_permits.get(&permit.number) == Some(&process);
@@ -173,7 +175,7 @@
                 let before = self.used_permits.insert(permit.number, process);
                 assert_eq!(before, None, "permit {} used by {process:?}, too", permit.number);
                 self.queued[sender] -= 1;
-                self.call_times.push(self.wall);
+                self.call_times.push(self.now);
             }
         }
     }
--- a/crates/gossip/src/permits/tests/rejections.rs
+++ b/crates/gossip/src/permits/tests/rejections.rs
@@ -6,7 +6,9 @@
 use crate::permits::allocator::PermitAllocator;
 use crate::permits::allocator_selection::SelectedAllocator;
 use crate::permits::message::{PermitGrant, PermitGrantEntry, PermitMessage, PermitOffer, PermitOfferEntry};
-use crate::permits::rounds::{CLOCK_STEP_TOLERANCE, MAX_MESSAGE_AGE_ROUNDS, PERMIT_VALIDITY, ROUND, term};
+use crate::permits::rounds::{
+    CLOCK_STEP_TOLERANCE, MAX_MESSAGE_AGE_ROUNDS, PERMIT_VALIDITY, ROUND, round_start, term,
+};
 use crate::permits::schedule::PermitSchedule;
 use crate::permits::{Permit, PermitError, PermitLedger};
 
@@ -21,7 +23,7 @@
 /// One of two senders that has had permits for long, and a round in which it sends its offer to the other, which is known
 /// to be alive.
 fn settled() -> (PermitLedger, u64) {
-    let mut ledger = PermitLedger::new(0, 2, Incarnation(7), FIRST_ROUND * ROUND);
+    let mut ledger = PermitLedger::new(0, 2, Incarnation(7), round_start(FIRST_ROUND));
     let other = SelectedAllocator { sender: 1, is_known_alive: true };
     for round in FIRST_ROUND + 1.. {
         ledger.allocator_selection.record_alive(round - 1, u64::MAX);
@@ -29,7 +31,7 @@
             return (ledger, round);
         }
         // It needs all of its own.
-        ledger.offer(round * ROUND + 100, &demand(1_000.0));
+        ledger.offer(round_start(round) + 100, &demand(1_000.0));
     }
     unreachable!("the other allocates some round")
 }
@@ -43,9 +45,9 @@
 #[test]
 fn released_permits_stay_released_when_the_clock_is_set_back_before_the_offer() {
     let (mut ledger, round) = settled();
-    assert!(ledger.offer(round * ROUND + 100, &demand(0.0)).is_some());
+    assert!(ledger.offer(round_start(round) + 100, &demand(0.0)).is_some());
     assert_eq!(permits_in_term(&ledger, round), 0);
-    for at in [round * ROUND - 100, round * ROUND + 100, (round + 1) * ROUND + 100] {
+    for at in [round_start(round) - 100, round_start(round) + 100, round_start(round + 1) + 100] {
         ledger.offer(at, &demand(1_000.0));
     }
     assert_eq!(ledger.last_offer_round, round + 1);
@@ -59,7 +61,7 @@
     let (mut ledger, round) = settled();
     let early = round - MAX_MESSAGE_AGE_ROUNDS - 3;
     for round in early..early + 3 {
-        ledger.offer(round * ROUND + 100, &demand(1_000.0));
+        ledger.offer(round_start(round) + 100, &demand(1_000.0));
     }
     assert!(permits_in_term(&ledger, early + 2) > 0);
 }
@@ -67,7 +69,7 @@
 #[test]
 fn released_permits_do_not_return_when_the_clock_goes_back_within_or_beyond_the_tolerance() {
     let (mut ledger, round) = settled();
-    ledger.offer(round * ROUND + 100, &demand(0.0));
+    ledger.offer(round_start(round) + 100, &demand(0.0));
     let over = term(round).end + PERMIT_VALIDITY;
     ledger.offer(over - ROUND, &demand(1_000.0));
     ledger.offer(over, &demand(1_000.0));
@@ -90,8 +92,8 @@
             let offer = PermitOffer { round, incarnation, entries: Vec::new() };
             PermitMessage::PermitOffer(offer).encode().expect("short enough")
         };
-        assert_eq!(ledger.receive(round * ROUND + 400, 1, &offer(1)), Ok(false));
-        let over = (round + 1) * ROUND + 10;
+        assert_eq!(ledger.receive(round_start(round) + 400, 1, &offer(1)), Ok(false));
+        let over = round_start(round + 1) + 10;
         assert_eq!(ledger.allocate(over).len(), 1);
         assert_eq!(ledger.receive(over - back, 1, &offer(2)), Err(PermitError::Round));
         assert_eq!(ledger.allocate(over), []);
@@ -101,7 +103,7 @@
 #[test]
 fn a_granted_permit_outside_the_term_of_the_round_is_ignored() {
     let (mut ledger, round) = settled();
-    ledger.offer(round * ROUND + 100, &demand(1_000.0));
+    ledger.offer(round_start(round) + 100, &demand(1_000.0));
     let schedule = PermitSchedule::new(LIMIT_ID, LIMIT, 2);
     let all = schedule.starting_in(term(round));
     let two_terms = term(round).start..term(round).end + ROUND;
@@ -113,10 +115,10 @@
         }];
         let grant = PermitGrant { round, incarnation: Incarnation(7), candidates_alive: 3, entries };
         let datagram = PermitMessage::PermitGrant(grant).encode().expect("short enough");
-        assert_eq!(ledger.receive(round * ROUND + 300, 1, &datagram), Ok(true));
+        assert_eq!(ledger.receive(round_start(round) + 300, 1, &datagram), Ok(true));
     }
     // In the next round permits of two terms may be used.
-    ledger.offer((round + 1) * ROUND + 100, &demand(1_000.0));
+    ledger.offer(round_start(round + 1) + 100, &demand(1_000.0));
     let permits = ledger.permits(term(round).start, LIMIT_ID, 1.0);
     let (within, beyond): (Vec<Permit>, Vec<Permit>) =
         permits.into_iter().partition(|permit| all.contains(&permit.number));
--- a/crates/gossip/src/tenant_usage.rs
+++ b/crates/gossip/src/tenant_usage.rs
@@ -15,9 +15,12 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::membership::Incarnation;
 pub use epochs::{EPOCH, LAG, read_epochs};
 use epochs::{RETAINED_EPOCHS, is_accepted, retained_epochs};
+pub(crate) use epochs::{epoch_at, epoch_start};
 pub use local_sender::LocalSender;
 pub use quota::{MAX_TOTAL_SHARE, QuotaBucket, quota_share};
 pub use reading::UsageInterval;
@@ -46,16 +49,17 @@
 /// epochs pass.
 ///
 /// ```
+/// use rudderspindle_clock::UnixMillis;
 /// use rudderspindle_gossip::{Incarnation, LocalSender, TenantUsage};
 /// let local = LocalSender {
 ///     number: 0,
 ///     incarnation: Incarnation(1),
-///     complete_from: 0,
+///     complete_from: UnixMillis::EPOCH,
 ///     max_messages_per_second: 100,
 /// };
 /// let mut usage = TenantUsage::new(local, 3);
-/// usage.record_message(1_500, 7);
-/// let read = usage.read(5_000, 7, 1);
+/// usage.record_message(UnixMillis(1_500), 7);
+/// let read = usage.read(UnixMillis(5_000), 7, 1);
 /// assert_eq!((read.min, read.max, read.senders), (1, 201, 1)); // at most 100 from each of the other two
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -74,9 +78,9 @@
     }
 
     /// Counts a message of a tenant (its index in the settings) that this sender accepted at `now`.
-    pub fn record_message(&mut self, now: u64, tenant: u16) {
+    pub fn record_message(&mut self, now: UnixMillis, tenant: u16) {
         self.drop_old_epochs(now);
-        let epoch = now / EPOCH;
+        let epoch = epoch_at(now);
         let empty = self.local.empty_register(epoch);
         let registers = self.registers.entry(epoch).or_default();
         let own = registers.entry(self.local.register_key()).or_insert(empty);
@@ -87,9 +91,9 @@
     /// This sender's own register of an epoch, as it is announced.
     ///
     /// `None` for an epoch that is not over, is no longer retained, or ended before the process started.
-    pub fn own_register(&self, now: u64, epoch: u64) -> Option<Register> {
-        let started = epoch.saturating_add(1).saturating_mul(EPOCH) > self.local.incarnation.0;
-        let is_retained = epoch < now / EPOCH && epoch + RETAINED_EPOCHS > now / EPOCH;
+    pub fn own_register(&self, now: UnixMillis, epoch: u64) -> Option<Register> {
+        let started = epoch_start(epoch.saturating_add(1)) > UnixMillis(self.local.incarnation.0);
+        let is_retained = epoch < epoch_at(now) && epoch + RETAINED_EPOCHS > epoch_at(now);
         if !(started && is_retained) {
             return None;
         }
@@ -103,7 +107,13 @@
     ///
     /// It is rejected where its epoch is not over or no longer retained, where the sender is this one or beyond the
     /// fleet's size, and where it has more messages than a sender accepts.
-    pub fn merge_register(&mut self, now: u64, key: RegisterKey, epoch: u64, register: &Register) -> bool {
+    pub fn merge_register(
+        &mut self,
+        now: UnixMillis,
+        key: RegisterKey,
+        epoch: u64,
+        register: &Register,
+    ) -> bool {
         self.drop_old_epochs(now);
         let is_peer = self.is_peer(key.sender);
         if !is_peer || !is_accepted(now, epoch) || !register.is_plausible(self.limits.max_per_sender) {
@@ -116,8 +126,8 @@
     }
 
     /// The sum of what this sender and all that reported to it accepted in an epoch that is over.
-    pub fn aggregate(&self, now: u64, epoch: u64) -> Option<WindowSlice> {
-        if epoch >= now / EPOCH {
+    pub fn aggregate(&self, now: UnixMillis, epoch: u64) -> Option<WindowSlice> {
+        if epoch >= epoch_at(now) {
             return None;
         }
         let own = self.own_register(now, epoch);
@@ -134,7 +144,13 @@
     ///
     /// It is rejected where its epoch is not over or no longer retained, where the aggregator is this sender or beyond
     /// the fleet's size, and where no fleet of this size can have accepted that.
-    pub fn merge_slice(&mut self, now: u64, aggregator: usize, epoch: u64, slice: &WindowSlice) -> bool {
+    pub fn merge_slice(
+        &mut self,
+        now: UnixMillis,
+        aggregator: usize,
+        epoch: u64,
+        slice: &WindowSlice,
+    ) -> bool {
         self.drop_old_epochs(now);
         let is_peer = self.is_peer(aggregator);
         if !is_peer || !is_accepted(now, epoch) || !slice.is_plausible(self.limits) {
@@ -153,7 +169,7 @@
         number < self.limits.senders && number != self.local.number
     }
 
-    fn drop_old_epochs(&mut self, now: u64) {
+    fn drop_old_epochs(&mut self, now: UnixMillis) {
         let retained = retained_epochs(now);
         self.registers.retain(|epoch, _| retained.contains(epoch));
         self.slices.retain(|epoch, _| retained.contains(epoch));
--- a/crates/gossip/src/tenant_usage/local_sender.rs
+++ b/crates/gossip/src/tenant_usage/local_sender.rs
@@ -1,6 +1,8 @@
 //! What the fleet view has to know of the sender that runs in this process.
 
-use super::epochs::EPOCH;
+use rudderspindle_clock::UnixMillis;
+
+use super::epochs::{EPOCH, epoch_start};
 use super::register::{Register, RegisterKey};
 use crate::membership::Incarnation;
 
@@ -11,9 +13,9 @@
     pub number: usize,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Until when, ms since 1970, another process may have accepted messages under its number, or may still do so:
-    /// epochs that began by then are partial.
-    pub complete_from: u64,
+    /// Until when another process may have accepted messages under its number, or may still do so: epochs that began by
+    /// then are partial.
+    pub complete_from: UnixMillis,
     /// Messages that a sender accepts in a second at most, with all its processes; the same for each of the fleet.
     pub max_messages_per_second: u32,
 }
@@ -29,7 +31,7 @@
 
     /// The register of an epoch in which nothing was accepted.
     pub(super) fn empty_register(&self, epoch: u64) -> Register {
-        let partial = epoch.saturating_mul(EPOCH) <= self.complete_from;
+        let partial = epoch_start(epoch) <= self.complete_from;
         Register { partial, ..Register::default() }
     }
 }
--- a/crates/gossip/src/tenant_usage/quota.rs
+++ b/crates/gossip/src/tenant_usage/quota.rs
@@ -3,6 +3,8 @@
 //! Invariant: whatever messages are lost, all senders together admit at most twice the quota a second (and at first a
 //! burst each), as long as the readings hold the true number.
 
+use rudderspindle_clock::UnixMillis;
+
 use super::UsageInterval;
 
 /// Size of the bucket, in ms of the sender's share; the same as in the admission policy.
@@ -26,29 +28,31 @@
 /// A tenant's token bucket at one sender.
 ///
 /// ```
+/// use rudderspindle_clock::UnixMillis;
 /// use rudderspindle_gossip::QuotaBucket;
-/// let mut bucket = QuotaBucket::new(0);
-/// let admitted = (0..20).filter(|_| bucket.try_admit(0, 5.0)).count();
+/// let start = UnixMillis(0);
+/// let mut bucket = QuotaBucket::new(start);
+/// let admitted = (0..20).filter(|_| bucket.try_admit(start, 5.0)).count();
 /// assert_eq!(admitted, 10); // a burst of two seconds
-/// assert!(bucket.try_admit(200, 5.0) && !bucket.try_admit(200, 5.0));
+/// assert!(bucket.try_admit(start + 200, 5.0) && !bucket.try_admit(start + 200, 5.0));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaBucket {
     /// Messages that may be admitted; infinite before the first one, which caps it at the burst.
     tokens: f64,
-    /// When the tokens were counted, ms.
-    updated_at: u64,
+    /// When the tokens were counted.
+    updated_at: UnixMillis,
 }
 
 impl QuotaBucket {
-    /// A full bucket at `now`, ms.
-    pub fn new(now: u64) -> Self {
+    /// A full bucket at `now`.
+    pub fn new(now: UnixMillis) -> Self {
         Self { tokens: f64::INFINITY, updated_at: now }
     }
 
     /// Takes a token for a message if there is one, where `per_second` messages a second are this sender's share.
-    pub fn try_admit(&mut self, now: u64, per_second: f64) -> bool {
-        let elapsed_ms = now.saturating_sub(self.updated_at) as f64;
+    pub fn try_admit(&mut self, now: UnixMillis, per_second: f64) -> bool {
+        let elapsed_ms = now.millis_since(self.updated_at) as f64;
         self.updated_at = self.updated_at.max(now);
         let capacity = (per_second * BURST_MS / 1_000.0).max(MIN_BURST);
         let tokens = (self.tokens + elapsed_ms * per_second / 1_000.0).min(capacity);
--- a/crates/gossip/src/tenant_usage/quota/tests.rs
+++ b/crates/gossip/src/tenant_usage/quota/tests.rs
@@ -20,9 +20,9 @@
 
 #[test]
 fn a_sender_with_half_of_a_tenants_traffic_has_half_of_its_quota() {
-    let fleet = UsageInterval { min: 200, max: 220, senders: 300, newest_epoch_end: Some(1) };
+    let fleet = UsageInterval { min: 200, max: 220, senders: 300, newest_epoch_end: Some(UnixMillis(1)) };
     assert!((quota_share(110, &fleet, 300) - 0.5).abs() < 1e-9);
     assert!((quota_share(0, &fleet, 300) - 1.0 / 300.0).abs() < 1e-9);
-    let idle = UsageInterval { min: 0, max: 0, senders: 300, newest_epoch_end: Some(1) };
+    let idle = UsageInterval { min: 0, max: 0, senders: 300, newest_epoch_end: Some(UnixMillis(1)) };
     assert!((quota_share(0, &idle, 300) - 1.0 / 300.0).abs() < 1e-9);
 }
--- a/crates/gossip/src/tenant_usage/reading.rs
+++ b/crates/gossip/src/tenant_usage/reading.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use super::epochs::{EPOCH, oldest_retained_epoch, read_epochs};
+use rudderspindle_clock::UnixMillis;
+
+use super::epochs::{epoch_start, oldest_retained_epoch, read_epochs};
 use super::window_slice::{WindowSlice, combined_max};
 use super::{ReceivedSlice, TenantUsage};
 
@@ -15,15 +17,15 @@
     pub max: u64,
     /// Senders whose usage is known, this one among them, in the epoch in which they were fewest.
     pub senders: usize,
-    /// End of the newest epoch in which another sender's usage is known, ms since 1970.
-    pub newest_epoch_end: Option<u64>,
+    /// End of the newest epoch in which another sender's usage is known.
+    pub newest_epoch_end: Option<UnixMillis>,
 }
 
 impl TenantUsage {
     /// The messages of a tenant accepted by all senders within the last `epochs` of which reports can have arrived.
     ///
     /// It changes as datagrams arrive, a few times a second: to be read then, and not for each message.
-    pub fn read(&self, now: u64, tenant: u16, epochs: u64) -> UsageInterval {
+    pub fn read(&self, now: UnixMillis, tenant: u16, epochs: u64) -> UsageInterval {
         let mut total =
             UsageInterval { min: 0, max: 0, senders: self.limits.senders, newest_epoch_end: None };
         for epoch in read_epochs(now, epochs) {
@@ -37,7 +39,7 @@
     }
 
     /// The messages of a tenant accepted here within the same epochs, under this incarnation.
-    pub fn read_own(&self, now: u64, tenant: u16, epochs: u64) -> u64 {
+    pub fn read_own(&self, now: UnixMillis, tenant: u16, epochs: u64) -> u64 {
         let own_key = self.local.register_key();
         let own_total = |epoch| {
             let register = self.registers.get(&epoch)?.get(&own_key)?;
@@ -47,7 +49,7 @@
     }
 
     /// Numbers of the senders whose usage is known for a retained epoch.
-    pub fn known_senders(&self, now: u64) -> BTreeSet<usize> {
+    pub fn known_senders(&self, now: UnixMillis) -> BTreeSet<usize> {
         let oldest = oldest_retained_epoch(now);
         let slices = self.slices.range(oldest..).flat_map(|(_, slices)| slices);
         let relayed = slices.flat_map(|received| received.slice.complete_numbers());
@@ -56,13 +58,13 @@
     }
 
     /// Each slice is an interval by itself; the true number lies in all of them.
-    fn read_epoch(&self, now: u64, tenant: u16, epoch: u64) -> UsageInterval {
+    fn read_epoch(&self, now: UnixMillis, tenant: u16, epoch: u64) -> UsageInterval {
         let own = self.aggregate(now, epoch).unwrap_or_default();
         let received = self.slices.get(&epoch).into_iter().flatten();
         let received = received.map(|ReceivedSlice { slice, .. }| slice);
         let slices: Vec<&WindowSlice> = received.chain([&own]).collect();
         let senders = slices.iter().map(|slice| slice.senders()).max().unwrap_or_default();
-        let newest_epoch_end = (senders > 1).then_some((epoch + 1) * EPOCH);
+        let newest_epoch_end = (senders > 1).then_some(epoch_start(epoch + 1));
         let bounds = slices.iter().map(|slice| slice.bounds(tenant, self.limits));
         let min = bounds.clone().map(|bounds| bounds.min).max().unwrap_or_default();
         let max = combined_max(&slices, tenant, self.limits);
--- a/crates/gossip/src/tenant_usage/tests.rs
+++ b/crates/gossip/src/tenant_usage/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-const NOW: u64 = 50_000;
+const NOW: UnixMillis = UnixMillis(50_000);
 
 fn usage(senders: usize, max_messages_per_second: u32) -> TenantUsage {
     let incarnation = Incarnation(1);
-    let local = LocalSender { number: 0, incarnation, complete_from: 0, max_messages_per_second };
+    let local =
+        LocalSender { number: 0, incarnation, complete_from: UnixMillis::EPOCH, max_messages_per_second };
     TenantUsage::new(local, senders)
 }
 
@@ -18,7 +19,7 @@
 
 /// Bounds for tenant 1, and the number of senders that are known.
 fn read(usage: &TenantUsage, epoch: u64) -> (u64, u64, usize) {
-    let interval = usage.read((epoch + LAG) * EPOCH, 1, 1);
+    let interval = usage.read(epoch_start(epoch + LAG), 1, 1);
     (interval.min, interval.max, interval.senders)
 }
 
@@ -78,7 +79,7 @@
 #[test]
 fn a_false_slice_is_contradicted_by_what_is_known_here_and_the_interval_holds_both() {
     let mut usage = usage(3, 100);
-    (0..50).for_each(|_| usage.record_message(48_100, 1));
+    (0..50).for_each(|_| usage.record_message(UnixMillis(48_100), 1));
     let idle = Register::default();
     assert!(usage.merge_slice(NOW, 1, 48, &WindowSlice::sum(&[(0, &idle), (1, &idle), (2, &idle)], 3)));
     assert_eq!(read(&usage, 48), (50, 250, 3));
@@ -90,7 +91,7 @@
     let many = Register { totals: (1..=20).map(|n| (n, u32::from(n))).collect(), ..Register::default() };
     assert!(usage.merge_register(NOW, key(1, 1), 48, &many));
     for tenant in 1..=20 {
-        let read = usage.read((48 + LAG) * EPOCH, tenant, 1);
+        let read = usage.read(epoch_start(48 + LAG), tenant, 1);
         let truth = u64::from(tenant);
         assert!(read.min <= truth && truth <= read.max && read.max <= truth + 4, "{tenant}: {read:?}");
     }
@@ -100,7 +101,7 @@
 fn no_more_epochs_are_retained_than_stated_also_when_the_clock_goes_back() {
     let mut usage = usage(3, 100);
     for second in (0..600_u64).chain(100..130).chain(3_000..3_030) {
-        let now = second * EPOCH + 10;
+        let now = epoch_start(second) + 10;
         usage.record_message(now, 1);
         usage.merge_register(now, key(1, 1), second, &register(&[(1, 1)]));
         usage.merge_slice(now, 2, second, &WindowSlice::sum(&[(1, &register(&[(1, 1)]))], 3));
--- a/crates/gossip/tests/fleet_view/outlier_detection.rs
+++ b/crates/gossip/tests/fleet_view/outlier_detection.rs
@@ -28,10 +28,10 @@
     let mut ejecting = Vec::new();
     fleet.run(seconds * 1_000, |fleet| {
         // They call it again every 0.9 s.
-        if (fleet.now - START).is_multiple_of(900) {
+        if fleet.elapsed().is_multiple_of(900) {
             observers.iter().for_each(|observer| record_call(fleet, *observer, first, CallResult::Failed));
         }
-        if (fleet.now - START) % 1_000 == 950 {
+        if fleet.elapsed() % 1_000 == 950 {
             let senders = 0..fleet.senders.len();
             ejecting.push(senders.filter(|sender| !ejected(fleet, *sender).is_empty()).count());
         }
@@ -48,7 +48,7 @@
         let ejected = ejected(&mut fleet, sender);
         assert!(ejected.is_empty() || sender % 3 == 0, "sender {sender} of another zone ejects {ejected:?}");
     }
-    let after_first_second = fleet.sent.iter().filter(|((_, second), _)| *second > START / 1_000);
+    let after_first_second = fleet.sent.iter().filter(|((_, second), _)| *second > START.0 / 1_000);
     let sent: u64 = after_first_second.map(|(_, datagrams)| *datagrams).sum();
     let rate = sent as f64 / 300.0 / 6.0;
     println!("ejected by {ejecting:?} of 100, by second; {rate} datagrams a second from each");
@@ -70,7 +70,7 @@
 fn an_observer_that_votes_all_receivers_down_ejects_none_also_as_an_aggregator() {
     let mut fleet = SimulatedFleet::new(&alternating_zones(30, 1), 8);
     fleet.run(20_000, |fleet| {
-        if fleet.now.is_multiple_of(100) {
+        if fleet.now.0.is_multiple_of(100) {
             receivers().into_iter().for_each(|receiver| record_call(fleet, 4, receiver, CallResult::Failed));
         }
         for sender in (0..30).filter(|sender| *sender != 4) {
@@ -87,7 +87,7 @@
     let mut calls = 0;
     let mut ejections = 0;
     fleet.run(60_000, |fleet| {
-        if fleet.now.is_multiple_of(500) {
+        if fleet.now.0.is_multiple_of(500) {
             (0..6).for_each(|sender| record_call(fleet, sender, first, CallResult::Failed));
             // The others reach it, whenever they do not eject it.
             for sender in 6..12 {
@@ -114,7 +114,7 @@
     let mut failed_with_ejection = 0;
     let mut ejected_after_recovery = 0;
     fleet.run(40_000, |fleet| {
-        let is_down = (5_000..25_000).contains(&(fleet.now - START));
+        let is_down = (5_000..25_000).contains(&fleet.elapsed());
         for sender in 0..40 {
             // Each has a call in two seconds for it.
             if !fleet.chance(1.0 / 40.0) {
--- a/crates/gossip/tests/fleet_view/simulated_fleet.rs
+++ b/crates/gossip/tests/fleet_view/simulated_fleet.rs
@@ -2,14 +2,15 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{
     DatagramBudget, DatagramClass, EPOCH, FleetView, Incarnation, Kind, LocalSender, OutgoingDatagram,
 };
 
 /// Messages that one sender accepts in a second at most.
 pub const MAX_MESSAGES_PER_SECOND: u32 = 100;
-/// When a simulation starts, ms since 1970.
-pub const START: u64 = 1_700_000_000_000;
+/// When a simulation starts.
+pub const START: UnixMillis = UnixMillis(1_700_000_000_000);
 /// Length of a step, ms.
 const STEP: u64 = 50;
 /// Datagrams that are kept to be replayed.
@@ -50,13 +51,13 @@
 /// The arrival of a datagram; several may arrive at once.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
-    time: u64,
+    time: UnixMillis,
     unique: u64,
 }
 
 /// A fleet, its network, and the true number of accepted messages.
 pub struct SimulatedFleet {
-    pub now: u64,
+    pub now: UnixMillis,
     pub senders: Vec<Sender>,
     zones: Vec<u16>,
     /// Probability that a datagram is lost.
@@ -69,7 +70,7 @@
     pub partitions: BTreeSet<(usize, usize)>,
     in_flight: BTreeMap<Arrival, Transmission>,
     /// With the time at which each was sent.
-    log: VecDeque<(u64, Transmission)>,
+    log: VecDeque<(UnixMillis, Transmission)>,
     /// Messages accepted by the fleet, by epoch of each sender's own clock and tenant.
     pub truth: BTreeMap<(u64, u16), u64>,
     /// Messages accepted by one sender in an epoch.
@@ -88,14 +89,14 @@
     LocalSender {
         number,
         incarnation,
-        complete_from: incarnation.0,
+        complete_from: UnixMillis(incarnation.0),
         max_messages_per_second: MAX_MESSAGES_PER_SECOND,
     }
 }
 
 impl SimulatedFleet {
     pub fn new(zones: &[u16], seed: u64) -> Self {
-        let incarnation = Incarnation(START - 10_000);
+        let incarnation = Incarnation(START.0 - 10_000);
         let sender = |number| Sender::new(local_sender(number, incarnation), zones, 0);
         Self {
             now: START,
@@ -127,15 +128,20 @@
         ((self.random() >> 11) as f64 / (1_u64 << 53) as f64) < probability
     }
 
+    /// Milliseconds since the simulation started.
+    pub fn elapsed(&self) -> u64 {
+        self.now.millis_since(START)
+    }
+
     /// A sender's own clock.
-    pub fn clock(&self, sender: usize) -> u64 {
-        self.now.saturating_add_signed(self.senders[sender].clock_offset)
+    pub fn clock(&self, sender: usize) -> UnixMillis {
+        UnixMillis(self.now.0.saturating_add_signed(self.senders[sender].clock_offset))
     }
 
     /// A sender accepts a message, unless it has accepted its maximum.
     pub fn accept_message(&mut self, sender: usize, tenant: u16) {
         let clock = self.clock(sender);
-        let epoch = clock / EPOCH;
+        let epoch = clock.0 / EPOCH;
         let accepted = self.accepted.entry((sender, epoch)).or_default();
         if *accepted < MAX_MESSAGES_PER_SECOND {
             *accepted += 1;
@@ -155,7 +161,7 @@
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         assert!(bytes.len() <= 256, "{} bytes", bytes.len());
-        *self.sent.entry((from, self.now / 1_000)).or_default() += 1;
+        *self.sent.entry((from, self.now.0 / 1_000)).or_default() += 1;
         let transmission = Transmission { from, to, bytes };
         let copies = if self.chance(self.duplication) { 2 } else { 1 };
         for _ in 0..copies {
@@ -191,7 +197,7 @@
 
     fn replay_oldest(&mut self) {
         let replays = self.chance(self.replay);
-        let oldest = self.log.front().filter(|(sent_at, _)| replays && sent_at + MIN_REPLAY_AGE <= self.now);
+        let oldest = self.log.front().filter(|(sent_at, _)| replays && *sent_at + MIN_REPLAY_AGE <= self.now);
         if let Some((_, transmission)) = oldest.cloned() {
             self.log.pop_front();
             self.in_flight.insert(Arrival { time: self.now, unique: 0 }, transmission);
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -54,7 +54,7 @@
                     fleet.restart(sender, keeps_folder);
                 }
                 if result.is_ok() {
-                    result = check(fleet, sender, tenant, 1 + fleet.now / 50 % 6);
+                    result = check(fleet, sender, tenant, 1 + fleet.now.0 / 50 % 6);
                 }
             }
         });
@@ -96,14 +96,14 @@
     fleet.run(30_000, |fleet| {
         // Half of the tenant's messages come to sender 0.
         (0..4).for_each(|_| fleet.accept_message(0, 1));
-        let peer = 1 + fleet.now as usize / 50 % 11;
+        let peer = 1 + fleet.now.0 as usize / 50 % 11;
         (0..4).for_each(|_| fleet.accept_message(peer, 1));
-        match fleet.now - START {
+        match fleet.elapsed() {
             10_000 => fleet.partitions = links.iter().copied().collect(),
             20_000 => fleet.partitions.clear(),
             _ => {}
         }
-        if (fleet.now - START) % 1_000 == 500 {
+        if fleet.elapsed() % 1_000 == 500 {
             quotas.push(fleet.senders[0].view.own_quota(fleet.now, 1, 120.0));
         }
         (0..12).for_each(|sender| result = result.and(check(fleet, sender, 1, 5)));
@@ -124,7 +124,7 @@
     fleet.restart(1, true);
     fleet.run(3_000, |_| {});
     let newest = fleet.senders[0].view.members().newest(1);
-    assert_eq!(newest.map(|newest| newest.incarnation), Some(Incarnation(START + 3_000)));
+    assert_eq!(newest.map(|newest| newest.incarnation), Some(Incarnation(START.0 + 3_000)));
     let mut budget = report_budget();
     let mut dropped = 0;
     for later in 0..80 {
@@ -160,12 +160,12 @@
     let mut fleet = SimulatedFleet::new(&[0; 300], 13);
     fleet.loss = loss;
     fleet.run(12_000, |fleet| {
-        if fleet.now.is_multiple_of(250) {
+        if fleet.now.0.is_multiple_of(250) {
             (0..300).for_each(|sender| fleet.accept_message(sender, 1));
         }
     });
     (0..300).for_each(|sender| check(&fleet, sender, 1, 5).expect("the truth"));
-    let seconds = START / 1_000 + 4..START / 1_000 + 12;
+    let seconds = START.0 / 1_000 + 4..START.0 / 1_000 + 12;
     let counted = fleet.sent.iter().filter(|((_, second), _)| seconds.contains(second));
     let datagrams: u64 = counted.map(|(_, datagrams)| datagrams).sum();
     let readings = fleet.senders.iter().map(|sender| sender.view.usage().read(fleet.now, 1, 5));
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -5,13 +5,14 @@
 use std::fs;
 use std::path::Path;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{
     CallResult, DatagramBudget, DatagramClass, DemandExchange, Incarnation, Kind, LimitId, LocalDemand,
     LocalSender, PermitLedger, Receiver, RecoveryRamp,
 };
 use rudderspindle_gossip::{FleetView, OutgoingDatagram};
 
-const START: u64 = 1_700_000_000_000;
+const START: UnixMillis = UnixMillis(1_700_000_000_000);
 const STEP: u64 = 10;
 
 /// Compares line by line with a golden file.
@@ -25,10 +26,10 @@
 }
 
 /// Writes a line for each datagram: milliseconds since the start, sender, receiver and bytes.
-fn write_datagrams(transcript: &mut String, now: u64, from: usize, datagrams: &[OutgoingDatagram]) {
+fn write_datagrams(transcript: &mut String, now: UnixMillis, from: usize, datagrams: &[OutgoingDatagram]) {
     for OutgoingDatagram { to, bytes: datagram } in datagrams {
         let hex: String = datagram.iter().map(|byte| format!("{byte:02x}")).collect();
-        writeln!(transcript, "{} {from} {to} {hex}", now - START).expect("written");
+        writeln!(transcript, "{} {from} {to} {hex}", now.millis_since(START)).expect("written");
     }
 }
 
@@ -39,8 +40,8 @@
 }
 
 /// Three gates, one of which refuses and one of which fails, at a sender that calls more the higher its number.
-fn gates(now: u64, sender: usize) -> [LocalDemand; 3] {
-    let called = (now - START) / 100 * (sender as u64 + 1);
+fn gates(now: UnixMillis, sender: usize) -> [LocalDemand; 3] {
+    let called = now.millis_since(START) / 100 * (sender as u64 + 1);
     let own = |destination, receiver| {
         let gate = LimitId::of(destination, receiver);
         LocalDemand {
@@ -61,9 +62,9 @@
     let mut fleets: Vec<DemandExchange> = (0..4)
         .map(|me| DemandExchange::new(me, 4, RecoveryRamp { initial_fraction: 0.28, growth_per_s: 0.15 }))
         .collect();
-    let mut due: Vec<u64> = fleets.iter().map(|fleet| fleet.next_report(START)).collect();
+    let mut due: Vec<UnixMillis> = fleets.iter().map(|fleet| fleet.next_report(START)).collect();
     let mut transcript = String::new();
-    for now in (START..START + 2_500).step_by(STEP as usize) {
+    for now in (0..2_500).step_by(STEP as usize).map(|millis| START + millis) {
         for from in 0..fleets.len() {
             let mut datagrams = Vec::new();
             if due[from] <= now {
@@ -95,11 +96,11 @@
 
 #[test]
 fn the_permit_protocol_has_the_golden_transcript() {
-    let new = |me| PermitLedger::new(me, 3, Incarnation(START - 1_000 + me as u64), START);
+    let new = |me| PermitLedger::new(me, 3, Incarnation(START.0 - 1_000 + me as u64), START);
     let mut tier: Vec<PermitLedger> = (0..3).map(new).collect();
-    let mut due: Vec<u64> = tier.iter().map(|permits| permits.next_offer(START)).collect();
+    let mut due: Vec<UnixMillis> = tier.iter().map(|permits| permits.next_offer(START)).collect();
     let mut transcript = String::new();
-    for now in (START..START + 5_000).step_by(STEP as usize) {
+    for now in (0..5_000).step_by(STEP as usize).map(|millis| START + millis) {
         for from in 0..tier.len() {
             let mut datagrams = Vec::new();
             if due[from] <= now {
@@ -120,8 +121,10 @@
         for own in gates(START, me) {
             for open in [1.0, 0.5] {
                 let turns = permits.permits(START + 5_000, own.limit_id, open);
-                let turns: Vec<(u64, u64, u64)> =
-                    turns.iter().map(|turn| (turn.number, turn.from - START, turn.until - START)).collect();
+                let turns: Vec<(u64, u64, u64)> = turns
+                    .iter()
+                    .map(|turn| (turn.number, turn.from.millis_since(START), turn.until.millis_since(START)))
+                    .collect();
                 writeln!(transcript, "{me} {open} {turns:?}").expect("written");
             }
         }
@@ -131,9 +134,9 @@
 
 /// The views of six senders in two zones.
 fn fleet_views() -> Vec<FleetView> {
-    let incarnation = Incarnation(START - 10_000);
+    let incarnation = Incarnation(START.0 - 10_000);
     let view = |number| {
-        let complete_from = incarnation.0;
+        let complete_from = UnixMillis(incarnation.0);
         let local = LocalSender { number, incarnation, complete_from, max_messages_per_second: 100 };
         FleetView::new(local, vec![0, 0, 0, 0, 1, 1]).expect("a sender of the fleet")
     };
@@ -148,9 +151,9 @@
     let mut budgets: Vec<DatagramBudget> = (0..6).map(|_| budget()).collect();
     let receivers = ["a", "b", "c"].map(|receiver| Receiver::of(7, receiver));
     let mut transcript = String::new();
-    for now in (START..START + 6_000).step_by(100) {
+    for now in (0..6_000).step_by(100).map(|millis| START + millis) {
         for from in 0..views.len() {
-            views[from].record_message(now, (now / 300 % 4) as u16 * (from as u16 + 1));
+            views[from].record_message(now, (now.0 / 300 % 4) as u16 * (from as u16 + 1));
             let result = if from < 4 { CallResult::Failed } else { CallResult::Answered };
             views[from].record_call(now, receivers[0], result);
             views[from].record_call(now, receivers[1], CallResult::Answered);
@@ -171,7 +174,7 @@
 /// Writes what a sender knows at the end.
 fn write_view(
     transcript: &mut String,
-    now: u64,
+    now: UnixMillis,
     number: usize,
     view: &mut FleetView,
     receivers: &[Receiver; 3],
@@ -179,7 +182,7 @@
     for tenant in 0..4 {
         let read = view.usage().read(now, tenant, 5);
         let bounds = (read.min, read.max);
-        let known = (read.senders, read.newest_epoch_end.map(|end| end - START));
+        let known = (read.senders, read.newest_epoch_end.map(|end| end.millis_since(START)));
         let quota = view.own_quota(now, tenant, 100.0);
         writeln!(transcript, "{number} {tenant} {bounds:?} {known:?} {quota:.6?}").expect("written");
     }
--- a/crates/gossip/tests/registers_model.rs
+++ b/crates/gossip/tests/registers_model.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{
     EPOCH, Incarnation, IncarnationOrder, LAG, LocalSender, MembershipList, Register, RegisterKey,
     TenantUsage, WindowSlice,
@@ -22,7 +23,7 @@
 const ACCEPTED: [[u32; SENDERS]; EPOCHS as usize] = [[0, 1, 1], [0, 0, 1]];
 const TENANT: u16 = 7;
 
-fn local_sender(number: usize, incarnation: Incarnation, complete_from: u64) -> LocalSender {
+fn local_sender(number: usize, incarnation: Incarnation, complete_from: UnixMillis) -> LocalSender {
     LocalSender { number, incarnation, complete_from, max_messages_per_second: MAX_MESSAGES }
 }
 
@@ -42,7 +43,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    now: u64,
+    now: UnixMillis,
     kills: u32,
     usage: Vec<TenantUsage>,
     members: Vec<MembershipList>,
@@ -75,9 +76,10 @@
 
     fn init_states(&self) -> Vec<State> {
         let incarnations: Vec<Incarnation> = vec![Incarnation(1); SENDERS];
-        let usage = |number| TenantUsage::new(local_sender(number, incarnations[number], 0), SENDERS);
+        let usage =
+            |number| TenantUsage::new(local_sender(number, incarnations[number], UnixMillis::EPOCH), SENDERS);
         vec![State {
-            now: EPOCH,
+            now: UnixMillis(EPOCH),
             kills: 0,
             usage: (0..SENDERS).map(usage).collect(),
             members: vec![MembershipList::new(SENDERS); SENDERS],
@@ -88,7 +90,7 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let epoch = (state.now / EPOCH - 1) as usize;
+        let epoch = (state.now.0 / EPOCH - 1) as usize;
         if epoch < EPOCHS as usize {
             let has_more = |sender: usize| state.truth[epoch][sender] < ACCEPTED[epoch][sender];
             actions.extend((0..SENDERS).filter(|sender| has_more(*sender)).map(Action::Accept));
@@ -115,9 +117,9 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         let now = state.now;
-        let epoch = now / EPOCH - 1;
+        let epoch = now.0 / EPOCH - 1;
         match action {
-            Action::EpochEnds => state.now = (now / EPOCH + 1) * EPOCH,
+            Action::EpochEnds => state.now = UnixMillis((now.0 / EPOCH + 1) * EPOCH),
             Action::Accept(sender) => {
                 state.usage[sender].record_message(now, TENANT);
                 state.truth[epoch as usize][sender] += 1;
@@ -184,11 +186,11 @@
 
     /// What each sender reads of each epoch that is over, and the true number.
     fn readings(&self) -> impl Iterator<Item = ((u64, u64), u64)> + '_ {
-        let over = 1..self.now / EPOCH;
+        let over = 1..self.now.0 / EPOCH;
         over.flat_map(|epoch| {
             let truth = u64::from(self.truth[epoch as usize - 1].iter().sum::<u32>());
             self.usage.iter().map(move |usage| {
-                let read = usage.read((epoch + LAG) * EPOCH, TENANT, 1);
+                let read = usage.read(UnixMillis((epoch + LAG) * EPOCH), TENANT, 1);
                 ((read.min, read.max), truth)
             })
         })
--- a/crates/heavy-hitters/src/aggregator.rs
+++ b/crates/heavy-hitters/src/aggregator.rs
@@ -8,6 +8,8 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::datagram::OutgoingDatagram;
 use crate::digest::Digest;
 use crate::digest_store::DigestStore;
@@ -16,7 +18,6 @@
 use crate::round::{BROADCAST_ROUNDS, Round};
 use crate::sender_id::{Incarnation, SenderId};
 use crate::slice::Slice;
-use crate::timestamp::Timestamp;
 use crate::window_summary::{Acknowledgement, WindowSummary};
 
 /// A sender that has published in the open slice.
@@ -68,7 +69,7 @@
     /// Takes in a digest of another sender.
     pub(crate) fn receive(
         &mut self,
-        now: Timestamp,
+        now: UnixMillis,
         slice: Slice,
         from: SenderId,
         digest: Digest,
@@ -93,7 +94,7 @@
     /// The replies to senders that published in earlier rounds; in a broadcast to all that have published in this slice.
     pub(crate) fn poll_replies(
         &mut self,
-        now: Timestamp,
+        now: UnixMillis,
         slice: Slice,
         round: u64,
     ) -> Option<AggregatorReply> {
--- a/crates/heavy-hitters/src/digest_publisher.rs
+++ b/crates/heavy-hitters/src/digest_publisher.rs
@@ -11,13 +11,14 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::aggregator_selection::aggregators;
 use crate::digest::Digest;
 use crate::round::{BROADCAST_ROUNDS, Round};
 use crate::sender_id::{Incarnation, SenderId};
 use crate::slice::{SLICES_PER_WINDOW, Slice};
 use crate::slice_counter::SliceCounter;
-use crate::timestamp::Timestamp;
 use crate::window_summary::{Acknowledgement, WindowSummary};
 
 /// Maximum number of digests to one aggregator in one round: a new one is sent a whole window.
@@ -76,14 +77,14 @@
     }
 
     /// When this round is to be published, if it has not been and is not past.
-    pub(crate) fn next_publish_time(&self, now: Timestamp) -> Option<Timestamp> {
+    pub(crate) fn next_publish_time(&self, now: UnixMillis) -> Option<UnixMillis> {
         let round = Round::containing(now);
         let publish_time = round.publish_time(self.own_id.0, self.sender_count);
         (publish_time > now && self.last_published != Some(round)).then_some(publish_time)
     }
 
     /// Whether this round is to be published now; true once for each round.
-    pub(crate) fn take_due(&mut self, now: Timestamp) -> bool {
+    pub(crate) fn take_due(&mut self, now: UnixMillis) -> bool {
         let round = Round::containing(now);
         if now < round.publish_time(self.own_id.0, self.sender_count) || self.last_published == Some(round) {
             return false;
--- a/crates/heavy-hitters/src/heavy_hitters.rs
+++ b/crates/heavy-hitters/src/heavy_hitters.rs
@@ -3,6 +3,8 @@
 //! Invariant: it decides by summaries alone, its own among them, and keeps the better of two, so that all who receive the
 //! same decide the same.
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::aggregator::Aggregator;
 use crate::aggregator_selection::aggregators;
 use crate::datagram::OutgoingDatagram;
@@ -18,14 +20,14 @@
 use crate::settings::{Settings, SettingsError};
 use crate::slice::Slice;
 use crate::slice_counter::SliceCounter;
-use crate::timestamp::Timestamp;
 use crate::window_summary::WindowSummary;
 
 /// The heavy hitters of the fleet as one sender counts, publishes and receives them.
 ///
 /// ```
-/// use rudderspindle_heavy_hitters::{HeavyHitters, Incarnation, KeyHasher, SenderId, Settings, Timestamp};
-/// let (hasher, at) = (KeyHasher::new([7; 16]), Timestamp::from_millis);
+/// use rudderspindle_clock::UnixMillis;
+/// use rudderspindle_heavy_hitters::{HeavyHitters, Incarnation, KeyHasher, SenderId, Settings};
+/// let (hasher, at) = (KeyHasher::new([7; 16]), UnixMillis);
 /// let (own_id, incarnation) = (SenderId(0), Incarnation(1));
 /// let mut heavy_hitters =
 ///     HeavyHitters::new(Settings::default(), own_id, 1, incarnation, at(1_000_000), true).unwrap();
@@ -66,7 +68,7 @@
         own_id: SenderId,
         sender_count: usize,
         incarnation: Incarnation,
-        now: Timestamp,
+        now: UnixMillis,
         idle_before: bool,
     ) -> Result<Self, SettingsError> {
         let settings = settings.validated()?;
@@ -84,7 +86,7 @@
     }
 
     /// Counts one accepted message of a stream, with its idempotency key if it has one.
-    pub fn record(&mut self, now: Timestamp, stream: Key, idempotency_key: Option<Key>) {
+    pub fn record(&mut self, now: UnixMillis, stream: Key, idempotency_key: Option<Key>) {
         self.counter.record(now, stream, idempotency_key);
     }
 
@@ -107,19 +109,19 @@
 
     /// Whether several senders accepted this idempotency key within the last window.
     #[must_use]
-    pub fn repeated_key(&self, key: Key, now: Timestamp) -> Option<RepeatedKey> {
+    pub fn repeated_key(&self, key: Key, now: UnixMillis) -> Option<RepeatedKey> {
         find_repeated_key(self.view.as_ref()?, key, now, self.settings.slice_ms())
     }
 
     /// When to call [`HeavyHitters::poll_datagrams`] next.
     #[must_use]
-    pub fn next_poll_at(&self, now: Timestamp) -> Timestamp {
+    pub fn next_poll_at(&self, now: UnixMillis) -> UnixMillis {
         let next_round = Round::containing(now).next_start();
         self.publisher.next_publish_time(now).map_or(next_round, |publish_at| publish_at.min(next_round))
     }
 
     /// The datagrams that are to be sent at `now`.
-    pub fn poll_datagrams(&mut self, now: Timestamp) -> Vec<OutgoingDatagram> {
+    pub fn poll_datagrams(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         let slice = self.advance(now);
         let round = round_in_slice(now, self.settings.slice_ms());
         let mut datagrams = Vec::new();
@@ -144,7 +146,7 @@
     /// # Errors
     ///
     /// [`DatagramError`] says why it is dropped; nothing has changed then.
-    pub fn receive(&mut self, now: Timestamp, from: SenderId, bytes: &[u8]) -> Result<(), DatagramError> {
+    pub fn receive(&mut self, now: UnixMillis, from: SenderId, bytes: &[u8]) -> Result<(), DatagramError> {
         if from == self.own_id || from.0 >= self.sender_count {
             return Err(DatagramError::UnknownSender);
         }
@@ -200,7 +202,7 @@
     }
 
     /// Discards what the clock has left behind; the slice that is open.
-    fn advance(&mut self, now: Timestamp) -> Slice {
+    fn advance(&mut self, now: UnixMillis) -> Slice {
         let slice = Slice::containing(now, self.settings.slice_ms());
         self.counter.discard_expired(now);
         if self.current != slice {
--- a/crates/heavy-hitters/src/lib.rs
+++ b/crates/heavy-hitters/src/lib.rs
@@ -9,7 +9,8 @@
 //! ([`WindowSummary`]), which each sender reads as a [`FleetView`] and judges by itself ([`HotStreamDetector`]).
 //! [`HeavyHitters`] is all of it for one sender. [`fair_shares`] says what of a limit is a stream's fair share.
 //!
-//! No I/O and no clock: time is passed in as a [`Timestamp`], datagrams as bytes. Nothing here knows of receivers' limits,
+//! No I/O and no clock: time is passed in as a
+//! [`UnixMillis`](rudderspindle_clock::UnixMillis), datagrams as bytes. Nothing here knows of receivers' limits,
 //! messages or sockets; streams and idempotency keys come as keyed hashes ([`KeyHasher`]).
 //!
 //! Where to begin reading: `heavy_hitters` (one sender), `digest_publisher` and `aggregator` (the two sides of the gossip),
@@ -39,7 +40,6 @@
 mod slice_counter;
 mod slice_counts;
 mod space_saving;
-mod timestamp;
 mod window_summary;
 mod window_totals;
 
@@ -65,6 +65,5 @@
 pub use slice_counter::SliceCounter;
 pub use slice_counts::SliceCounts;
 pub use space_saving::{SketchEntry, SpaceSaving};
-pub use timestamp::Timestamp;
 pub use window_summary::{Acknowledgement, TopKeys, WindowSummary};
 pub use window_totals::{KeyTotal, KeyTotals, WindowTotals};
--- a/crates/heavy-hitters/src/repeated_key.rs
+++ b/crates/heavy-hitters/src/repeated_key.rs
@@ -2,10 +2,11 @@
 //!
 //! Invariant: a key is repeated only if at least two distinct senders have reported it within one window.
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::fleet_view::FleetView;
 use crate::key::Key;
 use crate::slice::SLICES_PER_WINDOW;
-use crate::timestamp::Timestamp;
 
 /// An idempotency key that several senders accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,7 +16,7 @@
     /// Lower bound of the number of copies.
     pub min_copies: u64,
     /// When the window ended in which they were accepted.
-    pub window_end: Timestamp,
+    pub window_end: UnixMillis,
 }
 
 /// Whether several senders accepted this idempotency key, by a view that is at `now` no older than a window; slices are of
@@ -25,9 +26,9 @@
 /// publish the same ones first, drawn anew for each slice, so that what comes at several of them is published by all or
 /// none.
 #[must_use]
-pub fn find_repeated_key(view: &FleetView, key: Key, now: Timestamp, slice_ms: u64) -> Option<RepeatedKey> {
-    let window_end = Timestamp::from_millis(view.slices().end.0.saturating_mul(slice_ms));
-    if now.as_millis().abs_diff(window_end.as_millis()) >= SLICES_PER_WINDOW * slice_ms {
+pub fn find_repeated_key(view: &FleetView, key: Key, now: UnixMillis, slice_ms: u64) -> Option<RepeatedKey> {
+    let window_end = UnixMillis(view.slices().end.0.saturating_mul(slice_ms));
+    if now.0.abs_diff(window_end.0) >= SLICES_PER_WINDOW * slice_ms {
         return None;
     }
     let total = view.repeated_keys().iter().find(|total| total.key == key && total.senders > 1)?;
--- a/crates/heavy-hitters/src/round.rs
+++ b/crates/heavy-hitters/src/round.rs
@@ -1,6 +1,6 @@
 //! Gossip rounds: when within a slice senders publish and aggregators reply.
 
-use crate::timestamp::Timestamp;
+use rudderspindle_clock::UnixMillis;
 
 /// Length of a round, in milliseconds: a datagram and its reply are in flight within one.
 pub const ROUND_MS: u64 = 200;
@@ -20,23 +20,23 @@
 
 impl Round {
     /// The round that contains a point in time.
-    pub fn containing(time: Timestamp) -> Self {
-        Self(time.as_millis() / ROUND_MS)
+    pub fn containing(time: UnixMillis) -> Self {
+        Self(time.0 / ROUND_MS)
     }
 
     /// When the next round begins.
-    pub fn next_start(self) -> Timestamp {
-        Timestamp::from_millis((self.0 + 1) * ROUND_MS)
+    pub fn next_start(self) -> UnixMillis {
+        UnixMillis((self.0 + 1) * ROUND_MS)
     }
 
     /// When a sender publishes in this round.
-    pub fn publish_time(self, sender_index: usize, sender_count: usize) -> Timestamp {
+    pub fn publish_time(self, sender_index: usize, sender_count: usize) -> UnixMillis {
         let offset = sender_index as u64 * PUBLISH_SPREAD_MS / sender_count.max(1) as u64;
-        Timestamp::from_millis(self.0 * ROUND_MS + PUBLISH_FROM_MS + offset)
+        UnixMillis(self.0 * ROUND_MS + PUBLISH_FROM_MS + offset)
     }
 }
 
 /// Index of the round that contains a point in time within its slice of `slice_ms` milliseconds.
-pub(crate) fn round_in_slice(time: Timestamp, slice_ms: u64) -> u64 {
-    time.as_millis() % slice_ms / ROUND_MS
+pub(crate) fn round_in_slice(time: UnixMillis, slice_ms: u64) -> u64 {
+    time.0 % slice_ms / ROUND_MS
 }
--- a/crates/heavy-hitters/src/slice.rs
+++ b/crates/heavy-hitters/src/slice.rs
@@ -1,9 +1,8 @@
 //! Window slices: the window is a whole number of them, and they are counted and forgotten one by one.
 
+use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
-use crate::timestamp::Timestamp;
-
 /// Number of slices in a window: what is known is a fifth of a window old at most when its slice closes, and a fifth is
 /// forgotten at a time. More slices cost as many more datagrams.
 pub const SLICES_PER_WINDOW: u64 = 5;
@@ -15,8 +14,8 @@
 impl Slice {
     /// The slice that contains a point in time, for slices of `slice_ms` milliseconds (at least 1).
     #[must_use]
-    pub fn containing(time: Timestamp, slice_ms: u64) -> Self {
-        Self(time.as_millis() / slice_ms)
+    pub fn containing(time: UnixMillis, slice_ms: u64) -> Self {
+        Self(time.0 / slice_ms)
     }
 
     /// The slice so many slices later.
--- a/crates/heavy-hitters/src/slice_counter.rs
+++ b/crates/heavy-hitters/src/slice_counter.rs
@@ -8,13 +8,14 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::digest::Digest;
 use crate::key::Key;
 use crate::sender_id::Incarnation;
 use crate::settings::Settings;
 use crate::slice::{SLICES_PER_WINDOW, Slice};
 use crate::slice_counts::SliceCounts;
-use crate::timestamp::Timestamp;
 
 /// The counts of one sender around the present.
 #[derive(Clone, Debug)]
@@ -34,7 +35,7 @@
     /// `idle_before` says that no earlier process of this sender accepted anything within the window before; if that is not
     /// known, it is `false`.
     #[must_use]
-    pub fn new(settings: &Settings, now: Timestamp, idle_before: bool) -> Self {
+    pub fn new(settings: &Settings, now: UnixMillis, idle_before: bool) -> Self {
         let slice_ms = settings.slice_ms().max(1);
         Self {
             slice_ms,
@@ -46,7 +47,7 @@
     }
 
     /// Counts one message of a stream, with its idempotency key if it has one.
-    pub fn record(&mut self, now: Timestamp, stream: Key, idempotency_key: Option<Key>) {
+    pub fn record(&mut self, now: UnixMillis, stream: Key, idempotency_key: Option<Key>) {
         self.discard_expired(now);
         let slice = Slice::containing(now, self.slice_ms);
         let counts = self.counts.entry(slice).or_insert_with(|| SliceCounts::new(slice, self.entries));
@@ -54,7 +55,7 @@
     }
 
     /// Discards slices that are further than a window from `now`.
-    pub fn discard_expired(&mut self, now: Timestamp) {
+    pub fn discard_expired(&mut self, now: UnixMillis) {
         let current = Slice::containing(now, self.slice_ms);
         self.counts.retain(|slice, _| slice.distance(current) <= SLICES_PER_WINDOW);
     }
--- a/crates/heavy-hitters/src/tests/slice_counter.rs
+++ b/crates/heavy-hitters/src/tests/slice_counter.rs
@@ -1,11 +1,12 @@
 //! Clocks that step.
+use rudderspindle_clock::UnixMillis;
+
 use proptest::prelude::*;
 
 use crate::key::Key;
 use crate::settings::Settings;
 use crate::slice::{SLICES_PER_WINDOW, Slice};
 use crate::slice_counter::SliceCounter;
-use crate::timestamp::Timestamp;
 
 proptest! {
     #[test]
@@ -14,10 +15,10 @@
     ) {
         let settings = Settings::default();
         let mut now_ms: u64 = 1_000_000;
-        let mut counter = SliceCounter::new(&settings, Timestamp::from_millis(now_ms), false);
+        let mut counter = SliceCounter::new(&settings, UnixMillis(now_ms), false);
         for step in steps {
             now_ms = now_ms.saturating_add_signed(step);
-            let now = Timestamp::from_millis(now_ms);
+            let now = UnixMillis(now_ms);
             counter.record(now, Key::new(1), Some(Key::new(2)));
             let current = Slice::containing(now, settings.slice_ms());
             prop_assert!(counter.slices().count() <= 2 * SLICES_PER_WINDOW as usize + 1);
@@ -29,7 +30,7 @@
 
 #[test]
 fn a_clock_that_steps_back_a_little_makes_no_published_total_smaller() {
-    let at = Timestamp::from_millis;
+    let at = UnixMillis;
     let mut counter = SliceCounter::new(&Settings::default(), at(10_000), true);
     counter.record(at(12_000), Key::new(1), None);
     counter.record(at(9_000), Key::new(1), None);
--- a/crates/heavy-hitters/tests/digest_store.rs
+++ b/crates/heavy-hitters/tests/digest_store.rs
@@ -3,9 +3,10 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_heavy_hitters::{
     DatagramError, Digest, DigestStore, FleetView, Incarnation, Key, SenderId, Settings, Slice, SliceCounter,
-    Timestamp, WindowSummary,
+    WindowSummary,
 };
 
 const SENDERS: usize = 6;
@@ -19,8 +20,8 @@
 }
 
 /// When a slice begins.
-fn start_of(slice: Slice) -> Timestamp {
-    Timestamp::from_millis(slice.0 * SETTINGS.slice_ms())
+fn start_of(slice: Slice) -> UnixMillis {
+    UnixMillis(slice.0 * SETTINGS.slice_ms())
 }
 
 /// What one sender accepted.
--- a/crates/heavy-hitters/tests/hot_streams.rs
+++ b/crates/heavy-hitters/tests/hot_streams.rs
@@ -1,9 +1,10 @@
 //! What makes a stream hot and what ends it, by views built by hand.
 
 use proptest::prelude::*;
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_heavy_hitters::{
     Acknowledgement, FleetView, HotStreamDetector, Key, KeyTotal, SLICES_PER_WINDOW, Settings, Slice,
-    Timestamp, TopKeys, WindowSummary, find_repeated_key,
+    TopKeys, WindowSummary, find_repeated_key,
 };
 
 const SENDERS: usize = 10;
@@ -92,8 +93,8 @@
     summary.keys.totals = vec![total(1, 2), total(2, 1)];
     let view = FleetView::new(summary, SENDERS, &Settings::default()).expect("nobody is counted twice");
     let find = |key, now_ms| {
-        let found = find_repeated_key(&view, Key::new(key), Timestamp::from_millis(now_ms), 2_000);
-        found.map(|key| (key.min_senders, key.min_copies, key.window_end.as_millis()))
+        let found = find_repeated_key(&view, Key::new(key), UnixMillis(now_ms), 2_000);
+        found.map(|key| (key.min_senders, key.min_copies, key.window_end.0))
     };
     assert_eq!(find(1, 20_000), Some((2, 3, 20_000)));
     assert_eq!(find(1, 29_999), Some((2, 3, 20_000)));
--- a/crates/heavy-hitters/tests/invalid_datagrams.rs
+++ b/crates/heavy-hitters/tests/invalid_datagrams.rs
@@ -2,7 +2,8 @@
 
 mod simulation;
 
-use rudderspindle_heavy_hitters::{DatagramError, Key, SenderId, Settings, Timestamp, aggregators};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_heavy_hitters::{DatagramError, Key, SenderId, Settings, aggregators};
 use simulation::traffic::accept;
 use simulation::{BEGIN_MS, DIGEST, Datagram, SUMMARY, Simulation};
 
@@ -25,7 +26,7 @@
     let other = (0..20).map(SenderId).find(|sender| !is_selected(sender)).expect("three are selected");
     let reader = (0..20).map(SenderId).rfind(|sender| !is_selected(sender)).expect("three are selected");
     let receive = |at_ms, from, body: &[u8]| {
-        simulation.senders[reader.0].clone().receive(Timestamp::from_millis(at_ms), from, body)
+        simulation.senders[reader.0].clone().receive(UnixMillis(at_ms), from, body)
     };
     assert_eq!(receive(now_ms, summary.from, &summary.body), Ok(()));
     for unknown in [other, reader, SenderId(20)] {
@@ -43,7 +44,7 @@
 /// Every bit of a datagram turned, and every shorter one: refused, or received without a panic.
 fn assert_damage_is_harmless(simulation: &Simulation, datagram: &Datagram) {
     let Datagram { from, to, body } = datagram;
-    let (now, later) = (simulation.now(), Timestamp::from_millis(simulation.now_ms + 10_000));
+    let (now, later) = (simulation.now(), UnixMillis(simulation.now_ms + 10_000));
     let mut refused = 0;
     for index in 0..body.len() {
         for bit in 0..8 {
@@ -52,7 +53,7 @@
             let mut sender = simulation.senders[to.0].clone();
             refused += usize::from(sender.receive(now, *from, &damaged).is_err());
             // What passes for consistent is read, sent on and used to decide.
-            let end_of_time = Timestamp::from_millis(u64::MAX);
+            let end_of_time = UnixMillis(u64::MAX);
             let _ = (sender.poll_datagrams(later), sender.repeated_key(Key::new(1), end_of_time));
             assert!(sender.hot_streams().count() <= 10);
         }
--- a/crates/heavy-hitters/tests/simulation/mod.rs
+++ b/crates/heavy-hitters/tests/simulation/mod.rs
@@ -8,7 +8,8 @@
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
-use rudderspindle_heavy_hitters::{HeavyHitters, Incarnation, Key, SenderId, Settings, Slice, Timestamp};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_heavy_hitters::{HeavyHitters, Incarnation, Key, SenderId, Settings, Slice};
 
 /// The simulation moves in steps of this, in milliseconds.
 pub const STEP_MS: u64 = 10;
@@ -56,13 +57,13 @@
     /// Datagrams that arrived, for a replay.
     pub delivered: Vec<Datagram>,
     in_flight: BTreeMap<Arrival, Datagram>,
-    next_poll: Vec<Timestamp>,
+    next_poll: Vec<UnixMillis>,
     rng: ChaCha8Rng,
 }
 
 impl Simulation {
     pub fn new(seed: u64, sender_count: usize, settings: Settings, begin_ms: u64) -> Self {
-        let begin = Timestamp::from_millis(begin_ms);
+        let begin = UnixMillis(begin_ms);
         let start = |index| {
             HeavyHitters::new(settings, SenderId(index), sender_count, Incarnation(1), begin, true)
                 .expect("the settings are valid")
@@ -83,8 +84,8 @@
         }
     }
 
-    pub fn now(&self) -> Timestamp {
-        Timestamp::from_millis(self.now_ms)
+    pub fn now(&self) -> UnixMillis {
+        UnixMillis(self.now_ms)
     }
 
     /// The slice that is open.
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -13,6 +13,7 @@
 //! starts alone: a crash of either process, or of both, needs no special care.
 //!
 //! ```
+//! use rudderspindle_clock::UnixMillis;
 //! use rudderspindle_journal::{Message, PossibleExecution, Status, Store};
 //!
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -24,7 +25,7 @@
 //!     tenant: "acme".into(),
 //!     destination: 7,
 //!     key: None,
-//!     deadline: rudderspindle_journal::wall_ms() + 20_000,
+//!     deadline: UnixMillis::now() + 20_000,
 //!     body: "text".into(),
 //!     attempts: 0,
 //!     possibly_executed: None,
@@ -32,7 +33,8 @@
 //! });
 //! // Only now may its client be told that it is accepted.
 //! journal.commit()?;
-//! journal.start_attempt(&"9b1f03aa".into(), PossibleExecution { at: 1, receiver: "r1".into(), zone: "left".into() });
+//! let at = UnixMillis::now();
+//! journal.start_attempt(&"9b1f03aa".into(), PossibleExecution { at, receiver: "r1".into(), zone: "left".into() });
 //! // Only now may the first byte of the attempt be sent.
 //! journal.commit()?;
 //! drop(journal);
@@ -40,7 +42,7 @@
 //! // The process was killed: the outcome of the attempt is not known.
 //! let mut journal = Store::open(folder.path(), 3_000_000)?;
 //! let message = journal.pending_messages().next().expect("it is not complete");
-//! assert_eq!(message.possibly_executed.as_ref().map(|execution| execution.at), Some(1));
+//! assert_eq!(message.possibly_executed.as_ref().map(|execution| execution.at), Some(at));
 //! journal.complete(&"9b1f03aa".into(), Some(Status::Undeliverable));
 //! journal.commit()?;
 //! # Ok(())
@@ -57,14 +59,12 @@
 mod replay;
 mod segments;
 mod store;
-mod wall_clock;
 
 pub use error::JournalError;
 pub use message::{Message, Notice, PossibleExecution, Status, TakenOver};
 pub use message_id::MessageId;
 pub use outage_records::{EndpointKey, OutageState};
 pub use store::Store;
-pub use wall_clock::wall_ms;
 
 /// Maximum length of a message's body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
--- a/crates/journal/src/message.rs
+++ b/crates/journal/src/message.rs
@@ -3,6 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
+use rudderspindle_clock::UnixMillis;
 
 use crate::MessageId;
 
@@ -12,8 +13,8 @@
 /// When and to which receiver an attempt was sent that may have been executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PossibleExecution {
-    /// When it was sent, in milliseconds of the wall clock since 1970.
-    pub at: u64,
+    /// When it was sent.
+    pub at: UnixMillis,
     /// The receiver's id.
     pub receiver: Rc<str>,
     /// The name of the receiver's zone.
@@ -33,8 +34,8 @@
     pub destination: u16,
     /// Its idempotency key, as the client gave it.
     pub key: Option<Bytes>,
-    /// Its deadline, in milliseconds of the wall clock since 1970.
-    pub deadline: u64,
+    /// Its deadline.
+    pub deadline: UnixMillis,
     /// Its body, which is forwarded unchanged: at most [`MAX_BODY`](crate::MAX_BODY) bytes.
     pub body: Bytes,
     /// Attempts that were recorded, each before its first byte was sent.
--- a/crates/journal/src/record/decode.rs
+++ b/crates/journal/src/record/decode.rs
@@ -3,6 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
+use rudderspindle_clock::UnixMillis;
 
 use super::{FieldReader, RecordKind, notification_code, outage_code};
 use crate::MessageId;
@@ -35,8 +36,8 @@
     },
     Outage {
         endpoint: EndpointKey,
-        /// In milliseconds of the wall clock since 1970.
-        recorded_at: u64,
+        /// When the state was recorded.
+        recorded_at: UnixMillis,
         /// `None` is healthy.
         outage: Option<OutageState>,
     },
@@ -66,7 +67,7 @@
     let destination = fields.u16()?;
     let has_key = fields.bool()?;
     let key = fields.bytes()?;
-    let deadline = fields.u64()?;
+    let deadline = fields.time()?;
     let attempts = fields.u32()?;
     let possibly_executed = fields.execution()?;
     let in_flight = fields.execution()?;
@@ -113,7 +114,7 @@
 /// A state that cannot be, as a negative wait or a share outside 0 to 1, is unreadable.
 fn decode_outage(receiver: Rc<str>, fields: &mut FieldReader<'_>) -> Option<Record> {
     let destination = fields.u16()?;
-    let recorded_at = fields.u64()?;
+    let recorded_at = fields.time()?;
     let code = fields.u8()?;
     let duration_ms = fields.i64()?;
     let part = fields.f64()?;
--- a/crates/journal/src/record/encode.rs
+++ b/crates/journal/src/record/encode.rs
@@ -1,5 +1,7 @@
 //! Encoding of records: each function appends one record to a batch.
 
+use rudderspindle_clock::UnixMillis;
+
 use super::{FRAME_LEN, RecordKind, notification_code, outage_code};
 use crate::MessageId;
 use crate::message::{Message, PossibleExecution, Status};
@@ -25,7 +27,7 @@
         payload.extend(message.destination.to_le_bytes());
         payload.push(u8::from(message.key.is_some()));
         write_bytes(payload, message.key.as_deref().unwrap_or_default());
-        payload.extend(message.deadline.to_le_bytes());
+        write_time(payload, message.deadline);
         payload.extend(message.attempts.to_le_bytes());
         write_execution(payload, message.possibly_executed.as_ref());
         write_execution(payload, message.in_flight.as_ref());
@@ -87,7 +89,7 @@
 pub(crate) fn append_outage(
     batch: &mut Vec<u8>,
     endpoint: &EndpointKey,
-    recorded_at: u64,
+    recorded_at: UnixMillis,
     outage: Option<OutageState>,
 ) {
     let (code, duration_ms, part) = match outage {
@@ -98,7 +100,7 @@
     append_record(batch, RecordKind::Outage, |payload| {
         write_text(payload, &endpoint.receiver);
         payload.extend(endpoint.destination.to_le_bytes());
-        payload.extend(recorded_at.to_le_bytes());
+        write_time(payload, recorded_at);
         payload.push(code);
         payload.extend(duration_ms.to_le_bytes());
         payload.extend(part.to_le_bytes());
@@ -115,11 +117,15 @@
     payload.extend(bytes);
 }
 
+fn write_time(payload: &mut Vec<u8>, time: UnixMillis) {
+    payload.extend(time.0.to_le_bytes());
+}
+
 /// Writes whether there is an execution, then its fields.
 fn write_execution(payload: &mut Vec<u8>, execution: Option<&PossibleExecution>) {
     payload.push(u8::from(execution.is_some()));
     if let Some(execution) = execution {
-        payload.extend(execution.at.to_le_bytes());
+        write_time(payload, execution.at);
         write_text(payload, &execution.receiver);
         write_text(payload, &execution.zone);
     }
--- a/crates/journal/src/record/field_reader.rs
+++ b/crates/journal/src/record/field_reader.rs
@@ -2,6 +2,8 @@
 
 use std::rc::Rc;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::message::PossibleExecution;
 
 /// Reads fields from the front of a payload; each method returns `None` if the rest of the payload is no such field.
@@ -45,6 +47,11 @@
         self.array().map(f64::from_le_bytes)
     }
 
+    /// A wall clock time.
+    pub fn time(&mut self) -> Option<UnixMillis> {
+        self.u64().map(UnixMillis)
+    }
+
     /// A byte of which every value but 0 is true.
     pub fn bool(&mut self) -> Option<bool> {
         self.u8().map(|byte| byte != 0)
@@ -68,7 +75,7 @@
         if !self.bool()? {
             return Some(None);
         }
-        let at = self.u64()?;
+        let at = self.time()?;
         let receiver = self.text()?;
         let zone = self.text()?;
         Some(Some(PossibleExecution { at, receiver, zone }))
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -4,6 +4,8 @@
 use std::fs::{self, OpenOptions};
 use std::path::Path;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::entries::{Entries, Entry, EntryState};
 use crate::message::PossibleExecution;
 use crate::outage_records::{OutageRecord, OutageRecords};
@@ -18,8 +20,8 @@
     pub entries: Entries,
     /// The outage states of endpoints.
     pub outage_records: OutageRecords,
-    /// When the latest recorded attempt was sent, in milliseconds of the wall clock since 1970; 0 if there is none.
-    pub latest_attempt: u64,
+    /// When the latest recorded attempt was sent; [`UnixMillis::EPOCH`] if there is none.
+    pub latest_attempt: UnixMillis,
 }
 
 /// Replays the segments of processes that have ended, in the order of their numbers, and truncates torn tails.
@@ -98,7 +100,8 @@
                 self.entries.insert(message_id, Entry { segment, state: EntryState::Notification(status) });
             }
             Record::Outage { endpoint, recorded_at, outage } => {
-                let record = outage.map(|outage| OutageRecord { segment, recorded_at, outage });
+                let record =
+                    outage.map(|outage| OutageRecord { segment, recorded_at: recorded_at.0, outage });
                 self.outage_records.set(endpoint, record);
             }
         }
--- a/crates/journal/src/segments/tests.rs
+++ b/crates/journal/src/segments/tests.rs
@@ -3,6 +3,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
+use rudderspindle_clock::UnixMillis;
+
 use super::*;
 use crate::message::Message;
 use crate::record::append_accepted;
@@ -56,7 +58,7 @@
         tenant: "acme".into(),
         destination: 7,
         key: None,
-        deadline: 5,
+        deadline: UnixMillis(5),
         body: vec![b'x'; 300].into(),
         attempts: 0,
         possibly_executed: None,
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -6,6 +6,8 @@
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::entries::{Entries, Entry, EntryState};
 use crate::folder_lock::FolderLock;
 use crate::message::{Message, Notice, PossibleExecution, Status};
@@ -16,7 +18,7 @@
 };
 use crate::replay::{ReplayedState, replay_segments};
 use crate::segments::{SEGMENT_SIZE, Segments, segment_numbers};
-use crate::{JournalError, MessageId, wall_ms};
+use crate::{JournalError, MessageId};
 
 /// Space that is kept free between batches, in bytes: for one batch (with short records), and for one segment that is
 /// moved.
@@ -44,8 +46,8 @@
     provisional_records: Vec<u8>,
     entries: Entries,
     outage_records: OutageRecords,
-    /// In milliseconds of the wall clock since 1970; 0 if there is none.
-    latest_attempt: u64,
+    /// When the latest attempt of an earlier process was sent; [`UnixMillis::EPOCH`] if none is on record.
+    latest_attempt: UnixMillis,
 }
 
 impl Store {
@@ -113,11 +115,10 @@
         self.entries.pending_notifications()
     }
 
-    /// When the latest attempt of an earlier process was sent, in milliseconds of the wall clock since 1970; 0 if none
-    /// is on record.
+    /// When the latest attempt of an earlier process was sent; [`UnixMillis::EPOCH`] if none is on record.
     ///
     /// If it lies in the future, the clock was set back and no time on record tells how long ago it was.
-    pub fn latest_attempt(&self) -> u64 {
+    pub fn latest_attempt(&self) -> UnixMillis {
         self.latest_attempt
     }
 
@@ -179,15 +180,15 @@
     /// Records the outage state of an endpoint in place of the earlier one; `None` is healthy.
     pub fn record_outage(&mut self, endpoint: EndpointKey, outage: Option<OutageState>) {
         let segment = self.segments.current();
-        let recorded_at = wall_ms();
+        let recorded_at = UnixMillis::now();
         append_outage(&mut self.retained_records, &endpoint, recorded_at, outage);
-        let record = outage.map(|outage| OutageRecord { segment, recorded_at, outage });
+        let record = outage.map(|outage| OutageRecord { segment, recorded_at: recorded_at.0, outage });
         self.outage_records.set(endpoint, record);
     }
 
     /// The outage states as they are now, in the order of their endpoints.
     pub fn outage_records(&self) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
-        self.outage_records.states_at(wall_ms())
+        self.outage_records.states_at(UnixMillis::now().0)
     }
 
     /// Writes the batch.
--- a/crates/journal/src/store/compaction.rs
+++ b/crates/journal/src/store/compaction.rs
@@ -1,8 +1,10 @@
 //! Compaction: frees the oldest segments by writing what is still pending in them again, at the end.
 
+use rudderspindle_clock::UnixMillis;
+
+use crate::JournalError;
 use crate::entries::EntryState;
 use crate::record::{append_accepted, append_completed, append_outage};
-use crate::{JournalError, wall_ms};
 
 use super::{RESERVE, Store};
 
@@ -10,7 +12,7 @@
     /// Compacts so that a batch can be written. If the latest attempt on record lies in the future, all older segments go:
     /// the clock was set back, and every later start would find that out again from the same records.
     pub(super) fn compact_at_start(&mut self) -> Result<(), JournalError> {
-        if self.latest_attempt > wall_ms() {
+        if self.latest_attempt > UnixMillis::now() {
             return self.compact_to(0);
         }
         self.compact()
@@ -44,7 +46,7 @@
     fn compact_oldest(&mut self) -> Result<(), JournalError> {
         let oldest = self.segments.oldest();
         let current = self.segments.current();
-        self.outage_records.remove_expired(oldest, wall_ms());
+        self.outage_records.remove_expired(oldest, UnixMillis::now().0);
         let records = self.pending_records(oldest);
         self.segments.append(&records, self.budget)?;
         self.entries.move_segment(oldest, current);
@@ -62,7 +64,7 @@
             }
         }
         for (endpoint, record) in self.outage_records.in_segment(segment) {
-            append_outage(&mut records, endpoint, record.recorded_at, Some(record.outage));
+            append_outage(&mut records, endpoint, UnixMillis(record.recorded_at), Some(record.outage));
         }
         records
     }
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -7,6 +7,7 @@
 use std::path::PathBuf;
 
 use bytes::Bytes;
+use rudderspindle_clock::UnixMillis;
 
 use super::*;
 use crate::record::{RecordKind, append_record, write_text};
@@ -22,7 +23,7 @@
         tenant: "acme".into(),
         destination: 7,
         key: Some(Bytes::from_static(b"key")),
-        deadline: 5,
+        deadline: UnixMillis(5),
         body: Bytes::from(vec![b'x'; size]),
         attempts: 0,
         possibly_executed: None,
@@ -31,7 +32,7 @@
 }
 
 fn ran(at: u64) -> PossibleExecution {
-    PossibleExecution { at, receiver: "r1".into(), zone: "a".into() }
+    PossibleExecution { at: UnixMillis(at), receiver: "r1".into(), zone: "a".into() }
 }
 
 /// The pending messages and the ids of the pending notifications, each in the order of their ids.
@@ -114,7 +115,7 @@
 fn first_execution(store: &Store, message_id: &str) -> Option<u64> {
     let message = store.pending_message(&message_id.into()).expect("a pending message");
     let execution = message.possibly_executed.as_ref().or(message.in_flight.as_ref());
-    execution.map(|execution| execution.at)
+    execution.map(|execution| execution.at.0)
 }
 
 /// An attempt interrupted by a kill, then one that was not executed, then another kill.
@@ -168,8 +169,8 @@
 fn an_attempt_in_the_future_is_reported_to_one_start_unless_a_pending_message_still_has_it() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
-    assert_eq!(store.latest_attempt(), 0);
-    let ahead = wall_ms() + 3_600_000;
+    assert_eq!(store.latest_attempt(), UnixMillis::EPOCH);
+    let ahead = UnixMillis::now().0 + 3_600_000;
     for (message_id, at) in [("completed", ahead), ("pending", ahead - 1)] {
         store.accept(message(message_id, 10));
         store.start_attempt(&message_id.into(), ran(at));
@@ -180,7 +181,7 @@
     for expected in [ahead, ahead - 1] {
         drop(store);
         store = Store::open(folder.path(), BUDGET).expect("a journal");
-        assert_eq!(store.latest_attempt(), expected);
+        assert_eq!(store.latest_attempt(), UnixMillis(expected));
         assert_eq!(first_execution(&store, "pending"), Some(ahead - 1));
     }
     store.complete(&"pending".into(), None);
@@ -188,7 +189,7 @@
     drop(store);
     // The start before this one removed the segments with that time.
     drop(Store::open(folder.path(), BUDGET).expect("a journal"));
-    assert_eq!(Store::open(folder.path(), BUDGET).expect("a journal").latest_attempt(), 0);
+    assert_eq!(Store::open(folder.path(), BUDGET).expect("a journal").latest_attempt(), UnixMillis::EPOCH);
 }
 
 #[test]
@@ -230,17 +231,23 @@
     append_outage(
         &mut batch,
         &EndpointKey::new(7, ""),
-        wall_ms(),
+        UnixMillis::now(),
         Some(OutageState::WarmingUp { ago: 0, part: 7.5 }),
     );
     append_outage(
         &mut batch,
         &EndpointKey::new(8, ""),
-        wall_ms(),
+        UnixMillis::now(),
         Some(OutageState::WarmingUp { ago: 0, part: f64::NAN }),
     );
-    append_outage(&mut batch, &EndpointKey::new(9, ""), wall_ms(), Some(OutageState::Down { wait: 5 }));
+    append_outage(
+        &mut batch,
+        &EndpointKey::new(9, ""),
+        UnixMillis::now(),
+        Some(OutageState::Down { wait: 5 }),
+    );
     assert_eq!(replay_segment(&batch, 0, &mut state), batch.len());
-    let destinations = state.outage_records.states_at(wall_ms()).map(|(endpoint, _)| endpoint.destination);
+    let destinations =
+        state.outage_records.states_at(UnixMillis::now().0).map(|(endpoint, _)| endpoint.destination);
     assert_eq!(destinations.collect::<Vec<_>>(), [9]);
 }
--- a/crates/journal/tests/golden_folders/damage.rs
+++ b/crates/journal/tests/golden_folders/damage.rs
@@ -1,5 +1,6 @@
 //! Torn and damaged segments, and outcomes that older versions wrote: what is read of them, and what is reported.
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_journal::{Message, Status};
 
 use crate::support::*;
@@ -31,7 +32,7 @@
 }
 
 /// What is told where everything was read, but for what was lost.
-fn expected(open: Vec<Message>, notices: &[&str], latest_attempt: u64, report: &str) -> Told {
+fn expected(open: Vec<Message>, notices: &[&str], latest_attempt: UnixMillis, report: &str) -> Told {
     let owed = notices.iter().map(|message_id| (message_id.to_string(), Status::Undeliverable)).collect();
     let reports = Some(report.to_string()).filter(|report| !report.is_empty());
     Told { open, owed, outage_records: vec![], latest_attempt, reports: reports.into_iter().collect() }
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -3,7 +3,8 @@
 use std::path::Path;
 
 use bytes::Bytes;
-use rudderspindle_journal::{EndpointKey, Message, OutageState, Status, wall_ms};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_journal::{EndpointKey, Message, OutageState, Status};
 
 use crate::support::*;
 
@@ -15,7 +16,7 @@
         tenant: "".into(),
         destination: 65_535,
         key: Some(Bytes::from_static(b"order-17")),
-        deadline: u64::MAX,
+        deadline: UnixMillis(u64::MAX),
         body: Bytes::from_static(&[0, 255, 10, 13, 128]),
         attempts: 3,
         possibly_executed: Some(ran(100)),
@@ -97,9 +98,9 @@
 #[test]
 fn every_kind_of_record_written_anew_has_the_bytes_of_the_golden_folder() {
     let folder = tempfile::tempdir().expect("a folder");
-    let start = wall_ms();
+    let start = UnixMillis::now();
     write_every_record(folder.path());
-    let written = with_fixed_times(segments(folder.path()), &(start..=wall_ms()));
+    let written = with_fixed_times(segments(folder.path()), &(start..=UnixMillis::now()));
     assert_eq!(written, golden_segments("every-record"));
 }
 
@@ -118,9 +119,9 @@
 #[test]
 fn records_that_move_to_a_new_segment_have_the_bytes_of_the_golden_folder() {
     let folder = tempfile::tempdir().expect("a folder");
-    let start = wall_ms();
+    let start = UnixMillis::now();
     write_an_attempt_to_come(folder.path());
-    let written = with_fixed_times(segments(folder.path()), &(start..=wall_ms()));
+    let written = with_fixed_times(segments(folder.path()), &(start..=UnixMillis::now()));
     assert_eq!(written, golden_segments("before-moving"));
     let moved = copy("before-moving");
     let expected = Told {
--- a/crates/journal/tests/golden_folders/support.rs
+++ b/crates/journal/tests/golden_folders/support.rs
@@ -6,6 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_journal::{Message, OutageState, PossibleExecution, Status, Store};
 use tempfile::TempDir;
 use tracing::field::{Field, Visit};
@@ -30,7 +31,7 @@
     pub open: Vec<Message>,
     pub owed: Vec<(String, Status)>,
     pub outage_records: Vec<(u16, String, OutageState)>,
-    pub latest_attempt: u64,
+    pub latest_attempt: UnixMillis,
     /// Warnings of damage.
     pub reports: Vec<String>,
 }
@@ -89,7 +90,7 @@
         tenant: "acme".into(),
         destination: 513,
         key: None,
-        deadline: 1_700_000_020_000,
+        deadline: UnixMillis(1_700_000_020_000),
         body: (&b"text"[..]).into(),
         attempts: 0,
         possibly_executed: None,
@@ -99,7 +100,8 @@
 
 /// An attempt so many milliseconds after a fixed time of 2023.
 pub fn ran(after: u64) -> PossibleExecution {
-    PossibleExecution { at: 1_700_000_000_000 + after, receiver: "receiver-1".into(), zone: "left".into() }
+    let at = UnixMillis(1_700_000_000_000 + after);
+    PossibleExecution { at, receiver: "receiver-1".into(), zone: "left".into() }
 }
 
 /// The payloads of whole records.
@@ -121,12 +123,12 @@
 }
 
 /// Segments whose outage memories were written at a time of the wall clock, as if at that of the golden folders.
-pub fn with_fixed_times(segments: Segments, written: &RangeInclusive<u64>) -> Segments {
+pub fn with_fixed_times(segments: Segments, written: &RangeInclusive<UnixMillis>) -> Segments {
     let fixed = |mut payload: Vec<u8>| {
         if payload[0] == OUTAGE_RECORD {
             let name = u32::from_le_bytes(payload[1..5].try_into().expect("four bytes")) as usize;
             let at = 5 + name + 2;
-            let time = u64::from_le_bytes(payload[at..at + 8].try_into().expect("eight bytes"));
+            let time = UnixMillis(u64::from_le_bytes(payload[at..at + 8].try_into().expect("eight bytes")));
             assert!(written.contains(&time), "{time} is not within {written:?}");
             payload[at..at + 8].copy_from_slice(&MEMORIES_WRITTEN.to_le_bytes());
         }
--- a/crates/placement/src/access.rs
+++ b/crates/placement/src/access.rs
@@ -1,12 +1,12 @@
 //! In which zones a sender may act for a tenant now.
 //!
 //! Invariant: for a ruled tenant nothing is open without a lease, and never more than all rule sets held allow.
+use rudderspindle_clock::UnixMillis;
 use thiserror::Error;
 
 use crate::fleet_key::TenantId;
 use crate::placement::Placement;
 use crate::round::ROUND_MS;
-use crate::timestamp::Timestamp;
 use crate::zones::ZoneSet;
 
 /// The zones to which a tenant's messages may be sent now.
@@ -49,7 +49,7 @@
 
 impl Placement {
     /// The zones to which this tenant's messages may be sent at `now`.
-    pub fn zone_access(&self, now: Timestamp, tenant: TenantId) -> ZoneAccess {
+    pub fn zone_access(&self, now: UnixMillis, tenant: TenantId) -> ZoneAccess {
         if self.has_no_rules() {
             return ZoneAccess::Closed(ClosedReason::NoRules);
         }
@@ -66,7 +66,7 @@
     /// # Errors
     ///
     /// [`AdmissionRefused`] says why not and when to retry.
-    pub fn check_admission(&self, now: Timestamp, tenant: TenantId) -> Result<(), AdmissionRefused> {
+    pub fn check_admission(&self, now: UnixMillis, tenant: TenantId) -> Result<(), AdmissionRefused> {
         let reason = match self.zone_access(now, tenant) {
             ZoneAccess::Unrestricted => return Ok(()),
             ZoneAccess::Zones(zones) if zones.contains(self.settings.own_zone) => return Ok(()),
--- a/crates/placement/src/body_disposal.rs
+++ b/crates/placement/src/body_disposal.rs
@@ -2,9 +2,10 @@
 //!
 //! Invariant: a body outside its zones is gone `erase_within_ms` after the rule that excluded it was received, and a
 //! message that may have been executed is never offered to another zone.
+use rudderspindle_clock::UnixMillis;
+
 use crate::fleet_key::TenantId;
 use crate::placement::Placement;
-use crate::timestamp::Timestamp;
 
 /// How far a message's execution has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -27,22 +28,22 @@
     /// Return the message to its client as deferred, and erase the body.
     ReturnToClient {
         /// The latest time.
-        deadline: Timestamp,
+        deadline: UnixMillis,
     },
     /// Send nothing anew, let the call end, then ask again.
     AwaitOutcome {
         /// The latest time.
-        deadline: Timestamp,
+        deadline: UnixMillis,
     },
     /// Complete the message as its class says for one that may have been executed, and erase the body.
     CompleteByClass {
         /// The latest time.
-        deadline: Timestamp,
+        deadline: UnixMillis,
     },
     /// Rewrite the message's records without the body.
     Erase {
         /// The latest time.
-        deadline: Timestamp,
+        deadline: UnixMillis,
     },
 }
 
@@ -51,13 +52,13 @@
     /// expired lease erases nothing.
     pub fn body_disposal(&self, tenant: TenantId, state: ExecutionState) -> BodyDisposal {
         let Some(&excluded_since) = self.excluded_since.get(&tenant) else { return BodyDisposal::Keep };
-        let deadline = excluded_since.plus_millis(self.settings.erase_within_ms);
+        let deadline = excluded_since.saturating_add(self.settings.erase_within_ms);
         match state {
             ExecutionState::NeverExecuted => BodyDisposal::ReturnToClient { deadline },
             ExecutionState::PossiblyExecuted => BodyDisposal::CompleteByClass { deadline },
-            ExecutionState::InFlight => {
-                BodyDisposal::AwaitOutcome { deadline: excluded_since.plus_millis(self.settings.max_call_ms) }
-            }
+            ExecutionState::InFlight => BodyDisposal::AwaitOutcome {
+                deadline: excluded_since.saturating_add(self.settings.max_call_ms),
+            },
             ExecutionState::Completed => BodyDisposal::Erase { deadline },
         }
     }
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -1,7 +1,8 @@
 //! What happened in a placement, for the host's log.
+use rudderspindle_clock::UnixMillis;
+
 use crate::rule_set_id::RuleSetId;
 use crate::sender_id::SenderId;
-use crate::timestamp::Timestamp;
 
 /// One event that an operator may want to know of; see [`Placement::take_events`](crate::Placement::take_events).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -48,11 +49,11 @@
     /// The lease is valid again.
     LeaseAcquired {
         /// When it expires unless it is renewed.
-        expires_at: Timestamp,
+        expires_at: UnixMillis,
     },
     /// The lease has expired, and ruled tenants are closed.
     LeaseExpired {
         /// When it did.
-        at: Timestamp,
+        at: UnixMillis,
     },
 }
--- a/crates/placement/src/gossip_message.rs
+++ b/crates/placement/src/gossip_message.rs
@@ -2,13 +2,13 @@
 //!
 //! Invariant: decoding any bytes ends in a message within its bounds or in an error, and allocates nothing by a length that
 //! a sender only claims: lists are arrays of fixed length, or slices of the bytes themselves.
+use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::round::Round;
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
 use crate::sender_id::{Incarnation, SenderId};
-use crate::timestamp::Timestamp;
 
 /// Maximum length of an encoded message, in bytes: 256 of a datagram, less 8 for the envelope and 8 to spare.
 pub const MAX_BODY_LEN: usize = 240;
@@ -57,7 +57,7 @@
 pub(crate) struct Heartbeat {
     pub round: Round,
     /// When it was made.
-    pub sent_at: Timestamp,
+    pub sent_at: UnixMillis,
     pub incarnation: Incarnation,
     /// Number of senders by its settings.
     pub sender_count: u16,
--- a/crates/placement/src/heartbeat_collector.rs
+++ b/crates/placement/src/heartbeat_collector.rs
@@ -4,12 +4,13 @@
 //! sets that it has; a heartbeat with a rule set that does not fit is left out whole.
 use std::collections::{BTreeMap, BTreeSet};
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::gossip_message::Heartbeat;
 use crate::round::Round;
 use crate::round_summary::{RoundSummary, SenderReport, SlotMask};
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
 use crate::sender_id::{Incarnation, SenderId};
-use crate::timestamp::Timestamp;
 
 /// How long after a round's start its aggregator sends the summary, in milliseconds: a tick of the host (100), a
 /// datagram's delay (50) and two clocks' errors (100 each), within the round.
@@ -61,11 +62,11 @@
     }
 
     /// Removes the rounds that are to be summarized at `now`, and sums them up for a fleet of `sender_count` senders.
-    pub fn due_summaries(&mut self, now: Timestamp, sender_count: u16) -> Vec<RoundSummary> {
+    pub fn due_summaries(&mut self, now: UnixMillis, sender_count: u16) -> Vec<RoundSummary> {
         let mut due = Vec::new();
         while let Some(first) = self.rounds.first_entry() {
             let round = *first.key();
-            if round.start().plus_millis(SUMMARY_DELAY_MS) > now {
+            if round.start().saturating_add(SUMMARY_DELAY_MS) > now {
                 break;
             }
             due.push(summarize(round, &first.remove(), sender_count));
--- a/crates/placement/src/held_rule_sets.rs
+++ b/crates/placement/src/held_rule_sets.rs
@@ -4,12 +4,12 @@
 //! shrink until then.
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
 use crate::fleet_key::TenantId;
 use crate::rule_set::RuleSet;
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
-use crate::timestamp::Timestamp;
 use crate::zones::ZoneSet;
 
 /// The result of offering a rule set to [`HeldRuleSets::insert`].
@@ -32,7 +32,7 @@
 pub(crate) struct HeldRuleSet {
     pub rules: RuleSet,
     /// Since when it is only announced and no majority counts it; `None` once it is acknowledged.
-    pub announced_since: Option<Timestamp>,
+    pub announced_since: Option<UnixMillis>,
 }
 
 impl HeldRuleSet {
@@ -56,7 +56,7 @@
     }
 
     /// Adds a rule set at `now`; its restrictions apply from now on.
-    pub fn insert(&mut self, id: RuleSetId, rules: RuleSet, now: Timestamp) -> Insertion {
+    pub fn insert(&mut self, id: RuleSetId, rules: RuleSet, now: UnixMillis) -> Insertion {
         if self.by_id.contains_key(&id) {
             return Insertion::AlreadyHeld;
         }
@@ -97,10 +97,10 @@
     }
 
     /// Acknowledges all rule sets that have been announced for `announce_ms` at `now`; whether there were any.
-    pub fn acknowledge_due(&mut self, now: Timestamp, announce_ms: u64) -> bool {
+    pub fn acknowledge_due(&mut self, now: UnixMillis, announce_ms: u64) -> bool {
         let mut acknowledged = false;
         for held in self.by_id.values_mut() {
-            if held.announced_since.is_some_and(|since| since.plus_millis(announce_ms) <= now) {
+            if held.announced_since.is_some_and(|since| since.saturating_add(announce_ms) <= now) {
                 held.announced_since = None;
                 acknowledged = true;
             }
--- a/crates/placement/src/incoming.rs
+++ b/crates/placement/src/incoming.rs
@@ -2,6 +2,8 @@
 //!
 //! Invariant: a message changes nothing unless all of it is within its bounds, of a current round, and from a sender that
 //! has a say in it.
+use rudderspindle_clock::UnixMillis;
+
 use crate::event::PlacementEvent;
 use crate::gossip_message::{EncodedSummary, GossipError, GossipMessage, Heartbeat, RuleSetPart};
 use crate::held_rule_sets::Insertion;
@@ -10,7 +12,6 @@
 use crate::round_summary::RoundSummary;
 use crate::rule_set_downloads::PartOutcome;
 use crate::sender_id::SenderId;
-use crate::timestamp::Timestamp;
 
 impl Placement {
     /// Takes in the body of a datagram that came from another sender at `now`.
@@ -18,7 +19,7 @@
     /// # Errors
     ///
     /// [`GossipError`] says why it is dropped; nothing has changed then.
-    pub fn receive(&mut self, now: Timestamp, from: SenderId, bytes: &[u8]) -> Result<(), GossipError> {
+    pub fn receive(&mut self, now: UnixMillis, from: SenderId, bytes: &[u8]) -> Result<(), GossipError> {
         if from.0 >= self.settings.sender_count || from == self.settings.own_id {
             return Err(GossipError::UnexpectedSender(from));
         }
@@ -38,7 +39,7 @@
 
     fn receive_heartbeat(
         &mut self,
-        now: Timestamp,
+        now: UnixMillis,
         from: SenderId,
         heartbeat: &Heartbeat,
     ) -> Result<(), GossipError> {
@@ -61,12 +62,12 @@
 
     fn receive_summary(
         &mut self,
-        now: Timestamp,
+        now: UnixMillis,
         from: SenderId,
         encoded: &EncodedSummary<'_>,
     ) -> Result<(), GossipError> {
         let round = encoded.round;
-        let over = round.start().plus_millis(self.settings.lease_ms) <= now;
+        let over = round.start().saturating_add(self.settings.lease_ms) <= now;
         if over || !self.has_begun(now, round) {
             return Err(GossipError::RoundNotCurrent(round));
         }
@@ -78,7 +79,7 @@
         Ok(())
     }
 
-    fn receive_part(&mut self, now: Timestamp, from: SenderId, part: &RuleSetPart<'_>) {
+    fn receive_part(&mut self, now: UnixMillis, from: SenderId, part: &RuleSetPart<'_>) {
         match self.downloads.receive_part(now, part, &self.settings.key, self.zone_list) {
             PartOutcome::Incomplete => {}
             PartOutcome::Complete(rules) => {
@@ -93,8 +94,8 @@
     }
 
     /// Whether a round has begun by a clock within the stated error; its start is then no later than that.
-    fn has_begun(&self, now: Timestamp, round: Round) -> bool {
-        let latest = now.plus_millis(self.settings.clock_error_ms.saturating_mul(2));
+    fn has_begun(&self, now: UnixMillis, round: Round) -> bool {
+        let latest = now.saturating_add(self.settings.clock_error_ms.saturating_mul(2));
         round.checked_start().is_some_and(|start| start <= latest)
     }
 }
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -4,19 +4,20 @@
 //! lengthen it: it ends by true time at most `lease_ms + 2 * clock_error_ms` after any heartbeat that it rests on.
 use std::collections::BTreeSet;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::round_summary::{RoundSummary, SenderReport};
 use crate::sender_id::SenderId;
 use crate::settings::Settings;
-use crate::timestamp::Timestamp;
 
 /// Until when this sender may act, and whether its acknowledgements count.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Lease {
     /// The epoch before the first renewal.
-    pub expires_at: Timestamp,
+    pub expires_at: UnixMillis,
     /// Whether this sender has all rule sets that its earlier incarnations had.
     pub voting: bool,
-    started_at: Timestamp,
+    started_at: UnixMillis,
     /// While not voting: the senders whose heartbeats were reported since the start. Emptied by the recovery.
     senders_seen: BTreeSet<SenderId>,
     /// While not voting: those of them that vote. Emptied by the recovery.
@@ -25,9 +26,9 @@
 
 impl Lease {
     /// No lease yet; `voting` if the sender starts with its state.
-    pub fn new(voting: bool, started_at: Timestamp) -> Lease {
+    pub fn new(voting: bool, started_at: UnixMillis) -> Lease {
         let (senders_seen, voting_senders_seen) = (BTreeSet::new(), BTreeSet::new());
-        Lease { expires_at: Timestamp::EPOCH, voting, started_at, senders_seen, voting_senders_seen }
+        Lease { expires_at: UnixMillis::EPOCH, voting, started_at, senders_seen, voting_senders_seen }
     }
 
     /// Takes in a summary of which this sender has all rule sets; whether it votes again from now on.
@@ -36,7 +37,7 @@
         let others = summary.reports_except(settings.own_id);
         let voting_others = others.filter(|(_, report)| report.is_voting()).count();
         if self.voting && settings.is_majority(voting_others + 1) {
-            let expires_at = summary.round.start().plus_millis(settings.lease_ms);
+            let expires_at = summary.round.start().saturating_add(settings.lease_ms);
             self.expires_at = self.expires_at.max(expires_at);
         }
         recovered
@@ -48,7 +49,7 @@
     /// all that a majority without it acknowledges, or all that all others do, in rounds that began after its start: one of
     /// those had that revision, too.
     fn try_recover(&mut self, summary: &RoundSummary, settings: &Settings) -> bool {
-        let earliest = self.started_at.plus_millis(settings.clock_error_ms.saturating_mul(2));
+        let earliest = self.started_at.saturating_add(settings.clock_error_ms.saturating_mul(2));
         if summary.round.start() < earliest {
             return false;
         }
@@ -70,7 +71,7 @@
     }
 
     /// Whether this sender may act for ruled tenants at `now`.
-    pub fn is_valid(&self, now: Timestamp) -> bool {
+    pub fn is_valid(&self, now: UnixMillis) -> bool {
         now < self.expires_at
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -39,7 +39,6 @@
 mod startup;
 mod state_record;
 mod summary_codec;
-mod timestamp;
 mod zones;
 
 #[cfg(test)]
@@ -59,5 +58,4 @@
 pub use settings::{MAX_SENDERS, Settings, SettingsError};
 pub use startup::{ReloadError, StartError};
 pub use state_record::{RecordError, StateRecord};
-pub use timestamp::Timestamp;
 pub use zones::{MAX_ZONES, ZoneList, ZoneListError, ZoneSet};
--- a/crates/placement/src/outgoing.rs
+++ b/crates/placement/src/outgoing.rs
@@ -1,4 +1,6 @@
 //! The datagrams that a sender sends: heartbeats, summaries, requests for rule sets and parts of them.
+use rudderspindle_clock::UnixMillis;
+
 use crate::datagram::OutgoingDatagram;
 use crate::event::PlacementEvent;
 use crate::gossip_message::{GossipMessage, Heartbeat};
@@ -6,11 +8,10 @@
 use crate::round::Round;
 use crate::round_summary::RoundSummary;
 use crate::sender_id::SenderId;
-use crate::timestamp::Timestamp;
 
 impl Placement {
     /// The datagrams that are to be sent at `now`; to be called every 100 ms or so, after [`Placement::poll_snapshot`].
-    pub fn poll_datagrams(&mut self, now: Timestamp) -> Vec<OutgoingDatagram> {
+    pub fn poll_datagrams(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         let round = Round::containing(now);
         self.report_expired_lease(now);
         let mut datagrams = Vec::new();
@@ -28,7 +29,7 @@
         datagrams
     }
 
-    fn report_expired_lease(&mut self, now: Timestamp) {
+    fn report_expired_lease(&mut self, now: UnixMillis) {
         if self.lease_announced && !self.lease.is_valid(now) {
             self.lease_announced = false;
             self.record_event(PlacementEvent::LeaseExpired { at: self.lease.expires_at });
@@ -36,7 +37,7 @@
     }
 
     /// Sends this sender's heartbeat of a round to its aggregators.
-    fn send_heartbeat(&mut self, now: Timestamp, round: Round, datagrams: &mut Vec<OutgoingDatagram>) {
+    fn send_heartbeat(&mut self, now: UnixMillis, round: Round, datagrams: &mut Vec<OutgoingDatagram>) {
         let heartbeat = Heartbeat {
             round,
             sent_at: now,
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -4,6 +4,8 @@
 //! sender does not hold.
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::event::PlacementEvent;
 use crate::fleet_key::TenantId;
 use crate::heartbeat_collector::HeartbeatCollector;
@@ -16,7 +18,6 @@
 use crate::sender_id::Incarnation;
 use crate::settings::Settings;
 use crate::state_record::StateRecord;
-use crate::timestamp::Timestamp;
 use crate::zones::ZoneListHash;
 
 /// Maximum number of events that wait for the host to read them; the oldest are dropped first.
@@ -35,8 +36,9 @@
 ///
 /// ```
 /// use std::collections::BTreeSet;
+/// use rudderspindle_clock::UnixMillis;
 /// use rudderspindle_placement::{
-///     ClosedReason, FleetKey, Incarnation, Placement, RuleSet, SenderId, Settings, TenantRule, Timestamp, ZoneAccess,
+///     ClosedReason, FleetKey, Incarnation, Placement, RuleSet, SenderId, Settings, TenantRule, ZoneAccess,
 ///     ZoneList,
 /// };
 ///
@@ -49,7 +51,7 @@
 ///     clock_error_ms: 100, max_call_ms: 2_000, erase_within_ms: 5_000, announce_ms: 5_000,
 ///     key: key.clone(),
 /// };
-/// let at = Timestamp::from_millis;
+/// let at = UnixMillis;
 /// let mut placement = Placement::new(settings, Some(file), None, Incarnation(1), at(10_000)).unwrap();
 /// let tenant = key.tenant_id("narmada-sports");
 /// assert_eq!(placement.zone_access(at(10_000), tenant), ZoneAccess::Closed(ClosedReason::NoLease));
@@ -82,7 +84,7 @@
     pub(crate) downloads: RuleSetDownloads,
     pub(crate) uploads: RuleSetUploads,
     /// For each tenant whose zones do not include the own one: since when.
-    pub(crate) excluded_since: BTreeMap<TenantId, Timestamp>,
+    pub(crate) excluded_since: BTreeMap<TenantId, UnixMillis>,
     /// Counts changes of what is to be persisted.
     pub(crate) generation: u64,
     /// The last generation that is on disk.
@@ -95,7 +97,7 @@
     ///
     /// To be called before each [`Placement::poll_datagrams`]. Rule sets that have been announced for `announce_ms` are
     /// acknowledged from `now` on.
-    pub fn poll_snapshot(&mut self, now: Timestamp) -> Option<Snapshot> {
+    pub fn poll_snapshot(&mut self, now: UnixMillis) -> Option<Snapshot> {
         if self.held.acknowledge_due(now, self.settings.announce_ms) {
             self.mark_changed(now);
         }
@@ -118,7 +120,7 @@
     }
 
     /// When the lease expires, the epoch before it was first acquired; to be checked last before a call's first byte.
-    pub fn lease_expires_at(&self) -> Timestamp {
+    pub fn lease_expires_at(&self) -> UnixMillis {
         self.lease.expires_at
     }
 
@@ -150,7 +152,7 @@
     }
 
     /// Notes a change of what is held: it must be persisted, and may exclude the own zone for some tenants.
-    pub(crate) fn mark_changed(&mut self, now: Timestamp) {
+    pub(crate) fn mark_changed(&mut self, now: UnixMillis) {
         self.generation += 1;
         let mut excluded_since = BTreeMap::new();
         for tenant in self.held.tenants() {
--- a/crates/placement/src/quorum.rs
+++ b/crates/placement/src/quorum.rs
@@ -1,16 +1,17 @@
 //! What a round summary changes: commits by majority, acknowledgements, downloads, recovery and the lease.
+use rudderspindle_clock::UnixMillis;
+
 use crate::event::PlacementEvent;
 use crate::placement::Placement;
 use crate::round_summary::RoundSummary;
 use crate::rule_set_id::RuleSetId;
-use crate::timestamp::Timestamp;
 
 impl Placement {
     /// Applies the summary of a current round.
     ///
     /// A rule set that a majority acknowledges is committed. One that some sender acknowledges and that is not held here
     /// must be fetched first; then the summary renews the lease.
-    pub(crate) fn apply_summary(&mut self, now: Timestamp, summary: &RoundSummary) {
+    pub(crate) fn apply_summary(&mut self, now: UnixMillis, summary: &RoundSummary) {
         for (slot, id) in summary.named() {
             self.commit_by_majority(now, summary, slot, id);
             self.acknowledge_when_spread(now, summary, slot, id);
@@ -32,7 +33,7 @@
     ///
     /// This sender's own acknowledgement counts only as it was made in that round: what it acknowledges by now it perhaps
     /// did not while the others, who may have lost their state since, did.
-    fn commit_by_majority(&mut self, now: Timestamp, summary: &RoundSummary, slot: usize, id: RuleSetId) {
+    fn commit_by_majority(&mut self, now: UnixMillis, summary: &RoundSummary, slot: usize, id: RuleSetId) {
         let acknowledging = summary.acknowledging(slot).count();
         if self.settings.is_majority(acknowledging) && self.held.commit(id) {
             self.record_event(PlacementEvent::RuleSetCommitted { id });
@@ -44,7 +45,7 @@
     /// acknowledges it, or all have it.
     fn acknowledge_when_spread(
         &mut self,
-        now: Timestamp,
+        now: UnixMillis,
         summary: &RoundSummary,
         slot: usize,
         id: RuleSetId,
--- a/crates/placement/src/round.rs
+++ b/crates/placement/src/round.rs
@@ -1,8 +1,7 @@
 //! Gossip rounds: fixed slices of the shared wall clock.
+use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
-use crate::timestamp::Timestamp;
-
 /// Length of a gossip round, in milliseconds: in a lease of 3,000 ms five rounds fit between the first summary and the
 /// end of the lease.
 pub const ROUND_MS: u64 = 500;
@@ -13,8 +12,8 @@
 
 impl Round {
     /// The round that contains a point in time.
-    pub(crate) fn containing(time: Timestamp) -> Round {
-        Round(time.as_millis() / ROUND_MS)
+    pub(crate) fn containing(time: UnixMillis) -> Round {
+        Round(time.0 / ROUND_MS)
     }
 
     /// The round's number.
@@ -28,12 +27,12 @@
     }
 
     /// When the round begins; for a round past the end of time, the end of time.
-    pub(crate) fn start(self) -> Timestamp {
-        Timestamp::from_millis(self.0.saturating_mul(ROUND_MS))
+    pub(crate) fn start(self) -> UnixMillis {
+        UnixMillis(self.0.saturating_mul(ROUND_MS))
     }
 
     /// When the round begins, or `None` if that cannot be represented.
-    pub(crate) fn checked_start(self) -> Option<Timestamp> {
-        self.0.checked_mul(ROUND_MS).map(Timestamp::from_millis)
+    pub(crate) fn checked_start(self) -> Option<UnixMillis> {
+        self.0.checked_mul(ROUND_MS).map(UnixMillis)
     }
 }
