--- a/crates/placement/src/rule_set_downloads.rs
+++ b/crates/placement/src/rule_set_downloads.rs
@@ -4,6 +4,8 @@
 //! if its content has the hash under which it was named.
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::datagram::OutgoingDatagram;
 use crate::fleet_key::{DrawSalt, FleetKey};
 use crate::gossip_message::{GossipMessage, MAX_PARTS, PartRequest, RuleSetPart};
@@ -14,7 +16,6 @@
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
 use crate::sender_id::SenderId;
 use crate::settings::Settings;
-use crate::timestamp::Timestamp;
 use crate::zones::ZoneListHash;
 
 /// Minimum time between two requests of a sender, in milliseconds: a request and its answer take two ticks of the host,
@@ -77,7 +78,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct RuleSetDownloads {
     by_id: BTreeMap<RuleSetId, Download>,
-    next_request_at: Timestamp,
+    next_request_at: UnixMillis,
 }
 
 impl RuleSetDownloads {
@@ -132,12 +133,12 @@
     }
 
     /// The request that is due at `now`, for each rule set in its turn.
-    pub fn poll_request(&mut self, now: Timestamp, settings: &Settings) -> Option<OutgoingDatagram> {
+    pub fn poll_request(&mut self, now: UnixMillis, settings: &Settings) -> Option<OutgoingDatagram> {
         if self.by_id.is_empty() || now < self.next_request_at {
             return None;
         }
-        self.next_request_at = now.plus_millis(REQUEST_INTERVAL_MS);
-        let interval = now.as_millis() / REQUEST_INTERVAL_MS;
+        self.next_request_at = now.saturating_add(REQUEST_INTERVAL_MS);
+        let interval = now.0 / REQUEST_INTERVAL_MS;
         let turn = (interval % self.by_id.len() as u64) as usize;
         let (&rule_set, download) = self.by_id.iter().nth(turn)?;
         if download.parts.is_empty() && !is_drawn_to_begin(download, interval, &settings.key, settings.own_id)
@@ -151,7 +152,7 @@
     /// Takes in a part that is within its bounds.
     pub fn receive_part(
         &mut self,
-        now: Timestamp,
+        now: UnixMillis,
         part: &RuleSetPart<'_>,
         key: &FleetKey,
         zone_list: ZoneListHash,
--- a/crates/placement/src/startup.rs
+++ b/crates/placement/src/startup.rs
@@ -4,6 +4,7 @@
 //! its recovery.
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
 use thiserror::Error;
 
 use crate::event::PlacementEvent;
@@ -18,7 +19,6 @@
 use crate::sender_id::{Incarnation, SenderId};
 use crate::settings::{Settings, SettingsError};
 use crate::state_record::StateRecord;
-use crate::timestamp::Timestamp;
 
 /// Why a reloaded file is refused; what applied before still does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -76,7 +76,7 @@
         file: Option<RuleSet>,
         record: Option<StateRecord>,
         incarnation: Incarnation,
-        now: Timestamp,
+        now: UnixMillis,
     ) -> Result<Placement, StartError> {
         settings.validate()?;
         let mut placement = Placement::without_rules(settings, incarnation, now);
@@ -94,7 +94,7 @@
     /// # Errors
     ///
     /// [`ReloadError`] says why the file is refused; nothing has changed then.
-    pub fn reload(&mut self, now: Timestamp, rules: RuleSet) -> Result<(), ReloadError> {
+    pub fn reload(&mut self, now: UnixMillis, rules: RuleSet) -> Result<(), ReloadError> {
         let (given, held) = (rules.revision(), self.held.highest_revision());
         if rules.zone_list != self.zone_list {
             return Err(ReloadError::ZoneListMismatch(given));
@@ -111,7 +111,7 @@
     /// Holds a rule set of the own file or of another sender from now on, if there is room.
     pub(crate) fn accept_rule_set(
         &mut self,
-        now: Timestamp,
+        now: UnixMillis,
         rules: RuleSet,
         from: Option<SenderId>,
     ) -> Insertion {
@@ -131,7 +131,7 @@
         insertion
     }
 
-    fn without_rules(settings: Settings, incarnation: Incarnation, now: Timestamp) -> Placement {
+    fn without_rules(settings: Settings, incarnation: Incarnation, now: UnixMillis) -> Placement {
         Placement {
             zone_list: settings.zones.hash(&settings.key),
             settings,
@@ -150,7 +150,7 @@
         }
     }
 
-    fn restore(&mut self, record: StateRecord, now: Timestamp) -> Result<(), StartError> {
+    fn restore(&mut self, record: StateRecord, now: UnixMillis) -> Result<(), StartError> {
         if record.held.by_id.values().any(|held| held.rules.zone_list != self.zone_list) {
             return Err(StartError::RecordZoneListMismatch);
         }
@@ -161,7 +161,7 @@
     }
 
     /// As [`Placement::reload`], but a file that other senders are ahead of does not prevent the start.
-    fn load_first_file(&mut self, now: Timestamp, rules: RuleSet) -> Result<(), StartError> {
+    fn load_first_file(&mut self, now: UnixMillis, rules: RuleSet) -> Result<(), StartError> {
         match self.reload(now, rules) {
             Err(ReloadError::RevisionTooLow { given, held, .. }) => {
                 self.record_event(PlacementEvent::FileOutdated { file_revision: given, held_revision: held });
--- a/crates/placement/src/state_record.rs
+++ b/crates/placement/src/state_record.rs
@@ -3,13 +3,13 @@
 //! Invariant: a record is read whole and unchanged or not at all, and no rule set that it lacks is ever acknowledged.
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::fleet_key::{FleetKey, HashDomain, TenantId};
 use crate::held_rule_sets::HeldRuleSets;
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
-use crate::timestamp::Timestamp;
 
 /// The first byte of a record.
 const VERSION: u8 = 1;
@@ -24,7 +24,7 @@
     /// Whether the sender voted: one that had no state and had not recovered does not by its record either.
     pub(crate) voting: bool,
     /// For each tenant whose zones do not include the own one: since when.
-    pub(crate) excluded_since: BTreeMap<TenantId, Timestamp>,
+    pub(crate) excluded_since: BTreeMap<TenantId, UnixMillis>,
 }
 
 /// Why a record cannot be used; the sender then starts without state.
--- a/crates/placement/src/tests/golden.rs
+++ b/crates/placement/src/tests/golden.rs
@@ -1,6 +1,8 @@
 //! Encoded bytes against the files in `tests/golden`, which are never regenerated.
 use std::collections::{BTreeMap, BTreeSet};
 
+use rudderspindle_clock::UnixMillis;
+
 use crate::fleet_key::{DrawSalt, FleetKey};
 use crate::gossip_message::{EncodedSummary, GossipMessage, Heartbeat, PartRequest, RuleSetPart};
 use crate::held_rule_sets::{HeldRuleSet, HeldRuleSets};
@@ -10,7 +12,6 @@
 use crate::rule_set_id::{ContentHash, RuleSetId};
 use crate::sender_id::Incarnation;
 use crate::state_record::StateRecord;
-use crate::timestamp::Timestamp;
 use crate::zones::{ZoneList, ZoneSet};
 
 /// The bytes of a golden file: hexadecimal digits, lines that begin with `#` and white space are skipped.
@@ -47,7 +48,7 @@
 fn a_heartbeat_has_its_golden_bytes() {
     let heartbeat = Heartbeat {
         round: Round(3_400_000_123),
-        sent_at: Timestamp::from_millis(1_700_000_061_500),
+        sent_at: UnixMillis(1_700_000_061_500),
         incarnation: Incarnation(42),
         sender_count: 300,
         voting: true,
@@ -119,13 +120,11 @@
 
 #[test]
 fn a_record_has_its_golden_bytes() {
-    let announced =
-        HeldRuleSet { rules: rules(), announced_since: Some(Timestamp::from_millis(1_700_000_000_250)) };
+    let announced = HeldRuleSet { rules: rules(), announced_since: Some(UnixMillis(1_700_000_000_250)) };
     let acknowledged = HeldRuleSet { rules: rules(), announced_since: None };
     let first = RuleSetId { revision: 6, content_hash: ContentHash(77) };
     let by_id = BTreeMap::from([(first, acknowledged), (rules().id(&key()), announced)]);
-    let excluded_since =
-        BTreeMap::from([(key().tenant_id("tapi-news"), Timestamp::from_millis(1_700_000_000_125))]);
+    let excluded_since = BTreeMap::from([(key().tenant_id("tapi-news"), UnixMillis(1_700_000_000_125))]);
     let record =
         StateRecord { held: HeldRuleSets { by_id, committed_revision: 6 }, voting: true, excluded_since };
     let golden = bytes_of(include_str!("../../tests/golden/record.hex"));
--- a/crates/placement/src/tests/gossip_message.rs
+++ b/crates/placement/src/tests/gossip_message.rs
@@ -1,4 +1,6 @@
 //! Bounds of encoded messages.
+use rudderspindle_clock::UnixMillis;
+
 use crate::gossip_message::{
     EncodedSummary, GossipError, GossipMessage, Heartbeat, MAX_BODY_LEN, MAX_PART_LEN, MAX_PARTS,
     MAX_SLOT_MASKS, PartRequest, RuleSetPart,
@@ -7,7 +9,6 @@
 use crate::rule_set_id::{ContentHash, MAX_RULE_SETS, RuleSetId};
 use crate::sender_id::Incarnation;
 use crate::settings::MAX_SENDERS;
-use crate::timestamp::Timestamp;
 
 const LARGEST_ID: RuleSetId = RuleSetId { revision: u64::MAX, content_hash: ContentHash(u64::MAX) };
 
@@ -15,7 +16,7 @@
 fn the_largest_message_of_each_kind_fits_a_body() {
     let heartbeat = Heartbeat {
         round: Round(u64::MAX),
-        sent_at: Timestamp::from_millis(u64::MAX),
+        sent_at: UnixMillis(u64::MAX),
         incarnation: Incarnation(u64::MAX),
         sender_count: u16::MAX,
         voting: true,
--- a/crates/placement/tests/large_fleet/mod.rs
+++ b/crates/placement/tests/large_fleet/mod.rs
@@ -1,7 +1,6 @@
 //! A new fleet of hundreds of senders that lose some of their datagrams.
-use rudderspindle_placement::{
-    Incarnation, MAX_BODY_LEN, Placement, SenderId, Settings, Timestamp, ZoneAccess,
-};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_placement::{Incarnation, MAX_BODY_LEN, Placement, SenderId, Settings, ZoneAccess};
 
 use crate::simulation::{START_MS, at, rules, settings, tenant};
 
@@ -38,7 +37,7 @@
         }
     }
 
-    pub fn now(&self) -> Timestamp {
+    pub fn now(&self) -> UnixMillis {
         at(self.now_ms)
     }
 
--- a/crates/placement/tests/rule_set_transfer.rs
+++ b/crates/placement/tests/rule_set_transfer.rs
@@ -6,9 +6,8 @@
 
 use large_fleet::Fleet;
 use proptest::prelude::*;
-use rudderspindle_placement::{
-    PlacementEvent, RuleSet, SenderId, TenantRule, Timestamp, ZoneAccess, ZoneList, ZoneSet,
-};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_placement::{PlacementEvent, RuleSet, SenderId, TenantRule, ZoneAccess, ZoneList, ZoneSet};
 use simulation::{LEASE_MS, PART, START_MS, Simulation, at, fixed_seed_config, key, rules, tenant};
 
 struct LeaseCoverage {
@@ -21,7 +20,7 @@
 /// Measures 300 senders with a fifth of the datagrams lost over 60 s.
 fn lease_coverage(aggregators_per_round: u8) -> LeaseCoverage {
     let mut fleet = Fleet::new(300, aggregators_per_round, 20, 5_000);
-    let begun = fleet.until_all(|sender| sender.lease_expires_at() > Timestamp::EPOCH);
+    let begun = fleet.until_all(|sender| sender.lease_expires_at() > UnixMillis::EPOCH);
     assert!(begun < 15_000, "a new fleet took {begun} ms");
     let (mut acting, sent_before) = (0, fleet.sent);
     for _ in 0..600 {
@@ -174,7 +173,7 @@
                 bytes[position] ^= flip;
                 let _ = process.receive(now, SenderId(*from as u16), &bytes);
             }
-            prop_assert!(process.lease_expires_at() <= before.max(at(now.as_millis() + LEASE_MS)));
+            prop_assert!(process.lease_expires_at() <= before.max(at(now.0 + LEASE_MS)));
             let access = process.zone_access(now, tenant());
             prop_assert!(matches!(access, ZoneAccess::Zones(ZoneSet(1)) | ZoneAccess::Closed(_)), "{access:?}");
             let due: BTreeSet<_> = process.poll_datagrams(now).into_iter().collect();
--- a/crates/placement/tests/simulation/mod.rs
+++ b/crates/placement/tests/simulation/mod.rs
@@ -10,9 +10,10 @@
 use std::sync::Arc;
 
 use proptest::test_runner::{Config, RngSeed};
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_placement::{
     FleetKey, OutgoingDatagram, Placement, PlacementEvent, ROUND_MS, RuleSet, SenderId, Settings,
-    StateRecord, TenantId, TenantRule, Timestamp, ZoneAccess, ZoneList, ZoneSet,
+    StateRecord, TenantId, TenantRule, ZoneAccess, ZoneList, ZoneSet,
 };
 
 use checker::Checker;
@@ -36,8 +37,8 @@
     Config { rng_seed, cases: given.cases.max(cases), failure_persistence: None, ..given }
 }
 
-pub fn at(millis: u64) -> Timestamp {
-    Timestamp::from_millis(millis)
+pub fn at(millis: u64) -> UnixMillis {
+    UnixMillis(millis)
 }
 
 pub fn key() -> FleetKey {
@@ -103,7 +104,7 @@
         simulation
     }
 
-    pub fn now(&self) -> Timestamp {
+    pub fn now(&self) -> UnixMillis {
         at(self.now_ms)
     }
 
--- a/crates/placement/tests/simulation/node.rs
+++ b/crates/placement/tests/simulation/node.rs
@@ -2,7 +2,8 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use rudderspindle_placement::{Incarnation, Placement, RuleSet, Settings, StateRecord, Timestamp};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_placement::{Incarnation, Placement, RuleSet, Settings, StateRecord};
 
 use super::{START_MS, at, key, settings};
 
@@ -31,7 +32,7 @@
         node
     }
 
-    pub fn start(&mut self, settings: Settings, file: Option<RuleSet>, now: Timestamp) {
+    pub fn start(&mut self, settings: Settings, file: Option<RuleSet>, now: UnixMillis) {
         let record = self.stored_record.as_ref().map(|bytes| StateRecord::decode(bytes, &key()).unwrap());
         self.incarnation += 1;
         let incarnation = Incarnation(self.incarnation);
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -2,8 +2,9 @@
 
 use std::time::Duration;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::Receiver;
-use rudderspindle_journal::{self as journal, PossibleExecution};
+use rudderspindle_journal::PossibleExecution;
 use rudderspindle_policy::interface::{Event, MessageHandle, Millis, Outcome, RouteId};
 use tokio::time::Instant;
 
@@ -49,7 +50,7 @@
         let destination = self.endpoints.destination(&receiver);
         message.receiver = destination.map(|destination| Receiver::of(destination.0, &receiver));
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
-        let execution = PossibleExecution { at: journal::wall_ms(), receiver, zone };
+        let execution = PossibleExecution { at: UnixMillis::now(), receiver, zone };
         self.store.start_attempt(&message.message_id, execution);
         let until = if timeout == 0.0 { last } else { (now + from_millis(timeout)).min(last) };
         let within = Duration::try_from_secs_f64(within.max(0.0) / 1_000.0);
--- a/crates/sender/src/engine/backlog/tests.rs
+++ b/crates/sender/src/engine/backlog/tests.rs
@@ -1,6 +1,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use rudderspindle_clock::UnixMillis;
 
 use super::*;
 
@@ -17,7 +18,7 @@
             tenant: "".into(),
             destination: 7,
             key: None,
-            deadline: 0,
+            deadline: UnixMillis::EPOCH,
             body: Bytes::new(),
             attempts: 0,
             possibly_executed: None,
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -1,6 +1,6 @@
 //! Runs a batch: translates the inputs into events for the policy, and has its decisions carried out.
 
-use rudderspindle_journal as journal;
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_policy::interface::{Action, Event, Millis, Permit};
 use tokio::time::Instant;
 
@@ -52,8 +52,8 @@
                 events.extend(shares.into_iter().map(|share| capacity_event(share, valid_for)));
             }
             Input::Permits(updates) => {
-                let wall = journal::wall_ms() as Millis;
-                events.extend(updates.into_iter().map(|update| permits_event(update, wall)));
+                let wall_now = UnixMillis::now();
+                events.extend(updates.into_iter().map(|update| permits_event(update, wall_now)));
             }
             Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
             Input::Quotas(quotas) => events.extend(quotas.into_iter().map(quota_event)),
@@ -96,18 +96,18 @@
     }
 }
 
-/// The permits with their times relative to now (`wall`, milliseconds since 1970), so that later changes of the wall
-/// clock do not matter.
-fn permits_event(update: PermitUpdate, wall: Millis) -> Event {
-    let relative = |permit: rudderspindle_gossip::Permit| Permit {
+/// The permits with their times relative to now, so that later changes of the wall clock do not matter.
+fn permits_event(update: PermitUpdate, wall_now: UnixMillis) -> Event {
+    let relative = |time: UnixMillis| time.0 as Millis - wall_now.0 as Millis;
+    let permit = |permit: rudderspindle_gossip::Permit| Permit {
         number: permit.number,
-        from: permit.from as Millis - wall,
-        until: permit.until as Millis - wall,
+        from: relative(permit.from),
+        until: relative(permit.until),
     };
     Event::Permits {
         destination: update.limit.destination,
         route: update.limit.route,
-        permits: update.permits.into_iter().map(relative).collect(),
+        permits: update.permits.into_iter().map(permit).collect(),
     }
 }
 
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -1,5 +1,6 @@
 //! Admission of submitted messages, before the policy decides about them.
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_journal::{self as journal, Store};
 use rudderspindle_policy::interface::{Event, Message, MessageHandle};
 use tokio::sync::oneshot;
@@ -109,7 +110,7 @@
             tenant: self.names.tenants.get(submission.tenant).map_or("", String::as_str).into(),
             destination: submission.destination.0,
             key: submission.key.clone(),
-            deadline: journal::wall_ms() + time_left.as_millis() as u64,
+            deadline: UnixMillis::now() + time_left.as_millis() as u64,
             body: submission.body.clone(),
             attempts: 0,
             possibly_executed: None,
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -6,6 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_journal::{self as journal, MessageId, Notice, Status};
 use rudderspindle_policy::interface::{
     AttemptHistory, DestinationId, Event, Message, Millis, PriorExecution,
@@ -25,17 +26,17 @@
 #[derive(Clone, Copy, Debug)]
 struct RecoveryTime {
     now: Instant,
-    /// The wall clock, in milliseconds since 1970.
-    wall: u64,
+    /// The wall clock.
+    wall: UnixMillis,
     /// Whether the wall clock is before the latest attempt on record.
     set_back: bool,
 }
 
 impl RecoveryTime {
     /// How long ago an attempt was made; as long as possible if the wall clock does not tell.
-    fn age_of_attempt(&self, started_at: u64) -> Millis {
-        let started_at = if self.set_back { 0 } else { started_at };
-        self.wall.saturating_sub(started_at) as Millis
+    fn age_of_attempt(&self, started_at: UnixMillis) -> Millis {
+        let started_at = if self.set_back { UnixMillis::EPOCH } else { started_at };
+        self.wall.millis_since(started_at) as Millis
     }
 }
 
@@ -53,7 +54,7 @@
         for notice in pending {
             self.notifications.push(notice);
         }
-        let wall = journal::wall_ms();
+        let wall = UnixMillis::now();
         let time = RecoveryTime { now, wall, set_back: self.store.latest_attempt() > wall };
         if time.set_back {
             tracing::warn!(
@@ -83,7 +84,7 @@
     ) -> RecoveredMessage {
         // Whatever the clock says, no message has more time than its class allows.
         let max_time_left = self.settings.classes[class].deadline as u64;
-        let time_left = message.deadline.saturating_sub(time.wall).min(max_time_left);
+        let time_left = message.deadline.millis_since(time.wall).min(max_time_left);
         let possibly_executed = message.possibly_executed.as_ref().map(|execution| {
             let execution = PriorExecution {
                 ago: time.age_of_attempt(execution.at),
--- a/crates/sender/src/engine/recovery/tests.rs
+++ b/crates/sender/src/engine/recovery/tests.rs
@@ -1,6 +1,7 @@
 //! Recovered messages beside new ones.
 
 use bytes::Bytes;
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_journal::Store;
 
 use super::super::tests::{engine, submission};
@@ -16,7 +17,7 @@
             tenant: "".into(),
             destination: 8,
             key: None,
-            deadline: journal::wall_ms() + time_left_ms,
+            deadline: UnixMillis::now() + time_left_ms,
             body: Bytes::from_static(b"text"),
             attempts: 0,
             possibly_executed: None,
--- a/crates/sender/src/gossip/engine.rs
+++ b/crates/sender/src/gossip/engine.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{LimitCapacity, LimitId, LocalDemand, OutgoingDatagram};
-use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::Millis;
 use tokio::sync::{mpsc, oneshot};
 
@@ -28,7 +28,7 @@
         engine.send(Input::ReportActivity(reply)).await.map_err(|_| EngineClosed)?;
         let activity: ActivityReport = activity.await.map_err(|_| EngineClosed)?;
         let inputs = match &mut self.shared_view {
-            Some(shared_view) => shared_view.exchange(wall_ms(), &activity),
+            Some(shared_view) => shared_view.exchange(UnixMillis::now(), &activity),
             None => Vec::new(),
         };
         for input in inputs {
@@ -43,8 +43,8 @@
         engine: &mpsc::Sender<Input>,
     ) -> Result<Vec<OutgoingDatagram>, EngineClosed> {
         let demands = self.query_demands(engine).await?;
-        let datagrams = self.demand_exchange.report(wall_ms(), &local_demands(&demands));
-        let capacities = self.demand_exchange.capacities(wall_ms());
+        let datagrams = self.demand_exchange.report(UnixMillis::now(), &local_demands(&demands));
+        let capacities = self.demand_exchange.capacities(UnixMillis::now());
         self.limits = self.reported_limits(&demands, capacities.is_some());
         if let Some(capacities) = capacities {
             let shares = self.capacity_shares(&demands, &capacities);
@@ -87,7 +87,8 @@
     ) -> Result<Option<OutgoingDatagram>, EngineClosed> {
         let demands = self.query_demands(engine).await?;
         let own_demands = local_demands(&demands);
-        let datagram = self.permits.as_mut().and_then(|permits| permits.offer(wall_ms(), &own_demands));
+        let datagram =
+            self.permits.as_mut().and_then(|permits| permits.offer(UnixMillis::now(), &own_demands));
         self.update_permits(engine).await?;
         Ok(datagram)
     }
@@ -95,7 +96,7 @@
     /// Tells the engine which permits it has, where permits are in use.
     pub(super) async fn update_permits(&self, engine: &mpsc::Sender<Input>) -> Result<(), EngineClosed> {
         let Some(ledger) = &self.permits else { return Ok(()) };
-        let now = wall_ms();
+        let now = UnixMillis::now();
         let mut updates = Vec::with_capacity(self.limits.len());
         for limit in &self.limits {
             let permits = ledger.permits(now, limit.id, limit.open_share);
--- a/crates/sender/src/gossip/exchange.rs
+++ b/crates/sender/src/gossip/exchange.rs
@@ -4,27 +4,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{Kind, MAX_MESSAGE_LEN, OutgoingDatagram, PermitLedger, ROUND, open};
-use rudderspindle_journal::wall_ms;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
 use super::engine::EngineClosed;
 use super::receive_error::ReceiveError;
-use super::shared_view::{SharedView, VIEW_INTERVAL};
+use super::shared_view::SharedView;
 use super::{FLEET_LOG_TARGET, FleetSettings, GossipTask, LOG_TARGET};
 use crate::event::Input;
 
 /// Rounds for each report where permits are in use, whose datagrams need the bandwidth.
 const ROUNDS_PER_REPORT_WITH_PERMITS: u64 = 2;
 
-/// When the engine is to be asked for its demand next, in milliseconds since 1970.
+/// When the engine is asked for its demand next.
 #[derive(Debug)]
 struct Schedule {
-    report_at: u64,
+    report_at: UnixMillis,
     /// `None` where permits are not in use.
-    offer_at: Option<u64>,
+    offer_at: Option<UnixMillis>,
 }
 
 /// What a received datagram changed.
@@ -40,7 +40,7 @@
     /// Sends and receives datagrams until the engine has ended.
     pub(super) async fn exchange(mut self, socket: UdpSocket, engine: mpsc::Sender<Input>) {
         let numbers = self.sender_numbers();
-        let now = wall_ms();
+        let now = UnixMillis::now();
         self.begin_incarnation(now);
         let mut schedule = Schedule { report_at: self.next_report(now), offer_at: self.next_offer(now) };
         // One byte more than a datagram may have, to detect longer ones.
@@ -57,7 +57,7 @@
                         return;
                     }
                 }
-                () = sleep(Duration::from_millis(wake_at.saturating_sub(wall_ms()))) => {
+                () = sleep(Duration::from_millis(wake_at.millis_since(UnixMillis::now()))) => {
                     let Ok(datagrams) = self.due_datagrams(&mut schedule, &engine).await else { return };
                     self.send(&socket, &datagrams);
                 }
@@ -72,7 +72,7 @@
 
     /// Starts permits and views where they are configured. The listening address belongs to this process now, so an
     /// earlier one with the same number has ended.
-    fn begin_incarnation(&mut self, now: u64) {
+    fn begin_incarnation(&mut self, now: UnixMillis) {
         let (me, senders) = (self.config.me, self.config.peers.len());
         let FleetSettings { fleet_file, tenant_quotas, incarnation } = &self.settings;
         let Some(incarnation) = *incarnation else { return };
@@ -87,23 +87,22 @@
         }
     }
 
-    /// When the next timer is due, in milliseconds since 1970.
-    fn next_wake(&self, schedule: &Schedule) -> u64 {
+    /// When the next timer is due.
+    fn next_wake(&self, schedule: &Schedule) -> UnixMillis {
         let deal_at = self.permits.as_ref().and_then(PermitLedger::next_allocation);
-        let view_at =
-            self.shared_view.as_ref().map(|_| wall_ms() / VIEW_INTERVAL * VIEW_INTERVAL + VIEW_INTERVAL);
+        let view_at = self.shared_view.as_ref().map(|_| SharedView::next_poll(UnixMillis::now()));
         let others = [self.demand_exchange.next_sums(), deal_at, schedule.offer_at, view_at];
-        others.into_iter().flatten().fold(schedule.report_at, u64::min)
+        others.into_iter().flatten().fold(schedule.report_at, UnixMillis::min)
     }
 
-    fn next_report(&self, now: u64) -> u64 {
+    fn next_report(&self, now: UnixMillis) -> UnixMillis {
         let next = self.demand_exchange.next_report(now);
         let cycle = ROUND * ROUNDS_PER_REPORT_WITH_PERMITS;
-        let is_skipped = self.permits.is_some() && next % cycle >= ROUND;
+        let is_skipped = self.permits.is_some() && next.0 % cycle >= ROUND;
         if is_skipped { next + ROUND } else { next }
     }
 
-    fn next_offer(&self, now: u64) -> Option<u64> {
+    fn next_offer(&self, now: UnixMillis) -> Option<UnixMillis> {
         self.permits.as_ref().map(|permits| permits.next_offer(now))
     }
 
@@ -113,20 +112,20 @@
         schedule: &mut Schedule,
         engine: &mpsc::Sender<Input>,
     ) -> Result<Vec<OutgoingDatagram>, EngineClosed> {
-        let mut datagrams = self.demand_exchange.sums(wall_ms());
+        let mut datagrams = self.demand_exchange.sums(UnixMillis::now());
         if let Some(permits) = &mut self.permits {
-            datagrams.extend(permits.allocate(wall_ms()));
+            datagrams.extend(permits.allocate(UnixMillis::now()));
         }
         if let Some(shared_view) = &mut self.shared_view {
-            datagrams.extend(shared_view.due_datagrams(wall_ms()));
+            datagrams.extend(shared_view.due_datagrams(UnixMillis::now()));
         }
-        if wall_ms() >= schedule.report_at {
+        if UnixMillis::now() >= schedule.report_at {
             datagrams.extend(self.report(engine).await?);
-            schedule.report_at = self.next_report(wall_ms());
+            schedule.report_at = self.next_report(UnixMillis::now());
         }
-        if schedule.offer_at.is_some_and(|at| wall_ms() >= at) {
+        if schedule.offer_at.is_some_and(|at| UnixMillis::now() >= at) {
             datagrams.extend(self.offer(engine).await?);
-            schedule.offer_at = self.next_offer(wall_ms());
+            schedule.offer_at = self.next_offer(UnixMillis::now());
         }
         Ok(datagrams)
     }
@@ -150,7 +149,7 @@
 
     /// Passes a datagram to the part that it is for.
     fn dispatch(&mut self, from: usize, message: &[u8]) -> Result<Received, ReceiveError> {
-        let now = wall_ms();
+        let now = UnixMillis::now();
         let kind = open(message).map(|(kind, _)| kind);
         match (kind, &mut self.permits, &mut self.shared_view) {
             (Ok(Kind::PermitOffer | Kind::PermitGrant), Some(permits), _) => {
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{
     DatagramBudget, DatagramClass, FleetView, FleetViewError, Incarnation, Kind, LocalSender,
     OutgoingDatagram, Receiver,
@@ -13,7 +14,7 @@
 use crate::fleet_file::FleetFile;
 
 /// How often it is checked whether datagrams are due, in milliseconds: a few times in the part of a round for them.
-pub(super) const VIEW_INTERVAL: u64 = 50;
+const VIEW_INTERVAL: u64 = 50;
 /// Bandwidth class of reports; each is answered, so it costs two datagrams.
 const REPORT_CLASS: DatagramClass = DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 };
 
@@ -30,7 +31,7 @@
 }
 
 impl SharedView {
-    /// A view as the operator's file asks for it; `None` if it asks for none. `now` is in milliseconds since 1970.
+    /// A view as the operator's file asks for it; `None` if it asks for none.
     ///
     /// # Errors
     ///
@@ -41,7 +42,7 @@
         senders: usize,
         quotas: &[f64],
         incarnation: Incarnation,
-        now: u64,
+        now: UnixMillis,
     ) -> Result<Option<Self>, FleetViewError> {
         let sharing = file.share();
         if !sharing.detects_outliers() && !sharing.shares_quotas() {
@@ -63,8 +64,13 @@
         }))
     }
 
+    /// When to check next whether datagrams are due.
+    pub(super) fn next_poll(now: UnixMillis) -> UnixMillis {
+        UnixMillis((now.0 / VIEW_INTERVAL + 1) * VIEW_INTERVAL)
+    }
+
     /// The datagrams that are due.
-    pub(super) fn due_datagrams(&mut self, now: u64) -> Vec<OutgoingDatagram> {
+    pub(super) fn due_datagrams(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         self.view.due_datagrams(now, &mut self.budget)
     }
 
@@ -73,12 +79,17 @@
     /// # Errors
     ///
     /// [`FleetViewError`] says why it was dropped.
-    pub(super) fn receive(&mut self, now: u64, from: usize, message: &[u8]) -> Result<(), FleetViewError> {
+    pub(super) fn receive(
+        &mut self,
+        now: UnixMillis,
+        from: usize,
+        message: &[u8],
+    ) -> Result<(), FleetViewError> {
         self.view.receive(now, from, message)
     }
 
     /// Records the engine's activity, and returns what the engine is to be told.
-    pub(super) fn exchange(&mut self, now: u64, activity: &ActivityReport) -> Vec<Input> {
+    pub(super) fn exchange(&mut self, now: UnixMillis, activity: &ActivityReport) -> Vec<Input> {
         self.record(now, activity);
         let mut inputs = Vec::new();
         inputs.extend(self.update_ejections(now, &activity.listed));
@@ -88,7 +99,7 @@
         inputs
     }
 
-    fn record(&mut self, now: u64, activity: &ActivityReport) {
+    fn record(&mut self, now: UnixMillis, activity: &ActivityReport) {
         for result in &activity.results {
             self.view.record_call(now, result.receiver, result.result);
         }
@@ -100,7 +111,7 @@
     }
 
     /// The ejected routes, if they have changed.
-    fn update_ejections(&mut self, now: u64, listed: &[ListedReceiver]) -> Option<Input> {
+    fn update_ejections(&mut self, now: UnixMillis, listed: &[ListedReceiver]) -> Option<Input> {
         if !self.detects_outliers {
             return None;
         }
@@ -116,7 +127,7 @@
 
     /// The routes to receivers that several other senders of this zone see fail, sorted. They are chosen for each
     /// destination separately.
-    fn ejected_routes(&mut self, now: u64, listed: &[ListedReceiver]) -> Vec<RouteId> {
+    fn ejected_routes(&mut self, now: UnixMillis, listed: &[ListedReceiver]) -> Vec<RouteId> {
         let mut by_destination: BTreeMap<DestinationId, Vec<ListedReceiver>> = BTreeMap::new();
         for listed in listed {
             by_destination.entry(listed.destination).or_default().push(*listed);
@@ -133,7 +144,7 @@
     }
 
     /// This sender's share of each tenant's quota, in messages a second; `None` where nothing is known of the others.
-    fn quota_shares(&self, now: u64) -> Vec<TenantQuota> {
+    fn quota_shares(&self, now: UnixMillis) -> Vec<TenantQuota> {
         let mut shares = Vec::with_capacity(self.quotas.len());
         for (tenant, quota) in self.quotas.iter().enumerate() {
             let number = u16::try_from(tenant).unwrap_or(u16::MAX);
--- a/crates/sender/src/incarnation.rs
+++ b/crates/sender/src/incarnation.rs
@@ -4,21 +4,22 @@
 use std::io;
 use std::path::Path;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::Incarnation;
 
 /// Name of the file in the state folder that holds the last number, as text.
 const FILE: &str = "incarnation";
 
 /// Starts an incarnation, and stores its number before it is announced to anybody. Without a readable file the number
-/// is that of the clock, `wall` (ms since 1970), alone.
+/// is that of the clock, `now`, alone.
 ///
 /// # Errors
 ///
 /// The file system's error if the number cannot be stored.
-pub(crate) fn start(state_folder: &Path, wall: u64) -> io::Result<Incarnation> {
+pub(crate) fn start(state_folder: &Path, now: UnixMillis) -> io::Result<Incarnation> {
     let file = state_folder.join(FILE);
     let last = std::fs::read_to_string(&file).ok().and_then(|text| text.trim().parse().ok());
-    let next = Incarnation::next(last.map(Incarnation), wall);
+    let next = Incarnation::next(last.map(Incarnation), now);
     let temporary_file = state_folder.join(format!("{FILE}.new"));
     std::fs::write(&temporary_file, next.0.to_string())?;
     std::fs::rename(temporary_file, file)?;
--- a/crates/sender/src/incarnation/tests.rs
+++ b/crates/sender/src/incarnation/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn each_incarnation_is_larger_than_the_one_before_whatever_the_clock_says() {
     let state = tempfile::tempdir().expect("a folder");
-    let start = |wall| start(state.path(), wall).expect("it is stored");
+    let start = |now| start(state.path(), UnixMillis(now)).expect("it is stored");
     assert_eq!(start(1_000), Incarnation(1_000));
     assert_eq!(start(1_000), Incarnation(1_001));
     assert_eq!(start(500), Incarnation(1_002));
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{Incarnation, RecoveryRamp};
-use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::{Millis, Settings};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
@@ -68,7 +68,7 @@
         if self.limit_sharing() != LimitSharing::Permits && !self.has_fleet_view() {
             return Ok(None);
         }
-        let started = incarnation::start(state, wall_ms());
+        let started = incarnation::start(state, UnixMillis::now());
         started.map(Some).map_err(|error| StartError::State { path: state.to_owned(), error })
     }
 }
--- a/crates/simulation/src/leased.rs
+++ b/crates/simulation/src/leased.rs
@@ -9,6 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{Incarnation, LimitId, LocalDemand, PermitLedger};
 
 use crate::partner::Draw;
@@ -86,13 +87,14 @@
     limit_id: LimitId,
     limit: f64,
     /// When each used permit expires, by its number.
-    used: BTreeMap<u64, u64>,
+    used: BTreeMap<u64, UnixMillis>,
 }
 
 impl LimitShare for PermitHolder {
     type Datagram = Vec<u8>;
 
     fn send(&mut self, wall: u64, demand: f64) -> Vec<Outgoing<Vec<u8>>> {
+        let wall = UnixMillis(wall);
         let mut datagrams = self.permits.allocate(wall);
         if self.permits.next_offer(wall - TICK) <= wall {
             let demand = LocalDemand {
@@ -111,10 +113,11 @@
 
     fn receive(&mut self, wall: u64, from: usize, datagram: Vec<u8>) {
         // A datagram that comes too late is an error and has no effect, as in the real fleet.
-        let _ = self.permits.receive(wall, from, &datagram);
+        let _ = self.permits.receive(UnixMillis(wall), from, &datagram);
     }
 
     fn try_call(&mut self, wall: u64) -> bool {
+        let wall = UnixMillis(wall);
         self.used.retain(|_, until| *until > wall);
         let permits = self.permits.permits(wall, self.limit_id, 1.0);
         let unused =
@@ -127,7 +130,7 @@
 pub fn compare(conditions: &Conditions) -> Comparison {
     let Conditions { senders, limit, .. } = *conditions;
     let permit_holder = |sender| PermitHolder {
-        permits: PermitLedger::new(sender, senders, Incarnation(1), START_WALL),
+        permits: PermitLedger::new(sender, senders, Incarnation(1), UnixMillis(START_WALL)),
         limit_id: LimitId::of(0, None),
         limit,
         used: BTreeMap::new(),
--- a/crates/simulation/src/partner/network.rs
+++ b/crates/simulation/src/partner/network.rs
@@ -1,5 +1,6 @@
 //! The fleet's network: delivers the senders' datagrams to one another, late, and loses some.
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::OutgoingDatagram;
 use rudderspindle_policy::interface::Millis;
 
@@ -8,8 +9,8 @@
 use super::scene::Notes;
 use super::sender::SimulatedSender;
 
-/// Wall clock at the start of a scene, ms since 1970.
-const START_WALL: u64 = 1_700_000_000_000;
+/// Wall clock at the start of a scene.
+const START_WALL: UnixMillis = UnixMillis(1_700_000_000_000);
 /// Minimum and maximum time that a datagram takes, ms.
 const MIN_DELAY: Millis = 1.5;
 const MAX_DELAY: Millis = 30.0;
@@ -36,8 +37,8 @@
     under_way: Vec<Datagram>,
 }
 
-/// The wall clock that is so far ahead, ms since 1970.
-pub(super) fn wall_clock(now: Millis, ahead: u64) -> u64 {
+/// The wall clock that is `ahead` ms ahead.
+pub(super) fn wall_clock(now: Millis, ahead: u64) -> UnixMillis {
     START_WALL + now as u64 + ahead
 }
 
--- a/crates/simulation/src/partner/sender.rs
+++ b/crates/simulation/src/partner/sender.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeMap;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{
     DemandExchange, Incarnation, LimitId, LocalDemand, OutgoingDatagram, PermitError, PermitLedger,
     RecoveryRamp,
@@ -134,7 +135,7 @@
     }
 
     /// The datagrams of the demand exchange that are due, `tick` ms after the last call.
-    pub fn demand_datagrams(&mut self, wall: u64, tick: u64) -> Vec<OutgoingDatagram> {
+    pub fn demand_datagrams(&mut self, wall: UnixMillis, tick: u64) -> Vec<OutgoingDatagram> {
         let sums_due = self.demand_exchange.next_sums().is_some_and(|at| at <= wall);
         let mut datagrams = if sums_due { self.demand_exchange.sums(wall) } else { Vec::new() };
         if self.demand_exchange.next_report(wall - tick) <= wall {
@@ -143,7 +144,7 @@
         datagrams
     }
 
-    fn report_demand(&mut self, wall: u64) -> Vec<OutgoingDatagram> {
+    fn report_demand(&mut self, wall: UnixMillis) -> Vec<OutgoingDatagram> {
         let demands = self.policy.demands();
         let datagrams = self.demand_exchange.report(wall, &local_demands(&demands));
         self.update_capacity(wall, &demands);
@@ -151,7 +152,7 @@
     }
 
     /// Tells the policy its capacity by the last round of sums, if there was one.
-    fn update_capacity(&mut self, wall: u64, demands: &[Demand]) {
+    fn update_capacity(&mut self, wall: UnixMillis, demands: &[Demand]) {
         self.available_fractions.clear();
         let Some(capacities) = self.demand_exchange.capacities(wall) else { return };
         for demand in demands {
@@ -170,7 +171,7 @@
     }
 
     /// The datagrams of the permits that are due, `tick` ms after the last call.
-    pub fn permit_datagrams(&mut self, wall: u64, tick: u64) -> Vec<OutgoingDatagram> {
+    pub fn permit_datagrams(&mut self, wall: UnixMillis, tick: u64) -> Vec<OutgoingDatagram> {
         let Some(permits) = &mut self.permits else { return Vec::new() };
         let allocates = permits.next_allocation().is_some_and(|at| at <= wall);
         let mut datagrams = if allocates { permits.allocate(wall) } else { Vec::new() };
@@ -185,7 +186,12 @@
     }
 
     /// Handles a datagram of the permits.
-    pub fn receive_permits(&mut self, wall: u64, from: usize, datagram: &[u8]) -> Result<(), PermitError> {
+    pub fn receive_permits(
+        &mut self,
+        wall: UnixMillis,
+        from: usize,
+        datagram: &[u8],
+    ) -> Result<(), PermitError> {
         let Some(permits) = &mut self.permits else { return Ok(()) };
         if permits.receive(wall, from, datagram)? {
             self.update_permits(wall);
@@ -194,9 +200,9 @@
     }
 
     /// Tells the policy which permits it holds.
-    fn update_permits(&mut self, wall: u64) {
+    fn update_permits(&mut self, wall: UnixMillis) {
         let Some(permits) = &self.permits else { return };
-        let from_now = |at: u64| at as f64 - wall as f64;
+        let from_now = |at: UnixMillis| at.0 as f64 - wall.0 as f64;
         for demand in &self.policy.demands() {
             let limit_id = limit_id(demand);
             let fraction = self.available_fractions.get(&limit_id).copied().unwrap_or(1.0);
