--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,47 +1,45 @@
-//! The actions that a policy asks its host for, and its demand. No decision.
+//! The actions that a policy returns to its host, and its demand.
 
-use super::{DestinationId, MessageHandle, Millis, OutageState, RouteId};
+use super::{LimitScope, MessageHandle, Millis, OutageState, RouteId};
 
-/// What a sender wants of a limit, and the calls that it has made there since it started.
+/// A sender's demand at one limit, and the calls that it has made there since it started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// The destination.
-    pub destination: DestinationId,
-    /// The route, where routes have limits of their own.
-    pub route: Option<RouteId>,
+    /// The limit.
+    pub scope: LimitScope,
     /// The listed limit, in calls per second of all senders together.
     pub limit: f64,
-    /// Calls wanted now: for waiting messages, and for those expected before the next report.
-    pub wanted: f64,
+    /// Calls for messages that wait, and for those expected before the next report.
+    pub calls_wanted: f64,
     /// Calls made.
     pub called: u64,
     /// Calls that the destination rejected.
-    pub refused: u64,
+    pub rejected: u64,
     /// Calls that failed: without an answer, or with an error.
     pub failed: u64,
 }
 
-/// What the host is to do.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the next attempt of a message. Attempts of one batch by one route share a call as far as the
-    /// `bundle_max` of the destination's kind allows.
+    /// Start the next attempt of a message. Attempts of one batch of events by one route share calls, each
+    /// with at most `bundle_max` messages of the destination's kind.
     Send {
         /// The message.
         id: MessageHandle,
-        /// The route to send it by.
+        /// The route that it is sent by.
         route: RouteId,
         /// Time-out of the attempt.
         timeout: Millis,
-        /// The last byte must be written within this time; later it must not be sent any more, as the window
-        /// of its idempotency key may be over.
-        within: Millis,
+        /// The last byte must be written within this time, else the attempt must not be sent: the window of
+        /// the message's idempotency key may be over.
+        start_within: Millis,
     },
     /// Complete a message undelivered; the client may safely submit it again.
     Refuse {
         /// The message.
         id: MessageHandle,
-        /// How long the client should wait before; 0 for no advice.
+        /// Retry-After for the client; 0 for none.
         retry_after: Millis,
     },
     /// Complete a message as failed; it may or may not have taken effect.
@@ -49,7 +47,7 @@
         /// The message.
         id: MessageHandle,
     },
-    /// Ask for [`Event::Wake`](super::Event::Wake) after a delay.
+    /// Report [`Event::Wake`](super::Event::Wake) after a delay.
     Wake {
         /// The delay from now.
         delay: Millis,
@@ -70,13 +68,11 @@
     },
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Remember an outage over a restart, in place of what was to be remembered of the same destination or
-    /// route. It may be forgotten after a minute: by then it is known anew.
+    /// Record an outage for the time after a restart, in place of the record of the same scope. The record
+    /// may be dropped after a minute.
     Remember {
-        /// The destination.
-        destination: DestinationId,
-        /// The route, where routes have limits of their own.
-        route: Option<RouteId>,
+        /// What is in the outage.
+        scope: LimitScope,
         /// Its state.
         outage: OutageState,
     },
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -1,4 +1,4 @@
-//! Handles one request of a client: a readiness check, or a message that is submitted to the engine.
+//! Handles one request: a readiness check, or a message that is submitted to the engine.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 use super::request_head::SubmissionHead;
 use super::response::{HttpResponse, text_response};
 use crate::admission_state::AdmissionState;
-use crate::event::{Answer, Input, Submission, SubmissionId};
+use crate::event::{Input, Submission, SubmissionId, SubmissionResponse};
 use crate::metrics::FinalOutcome;
 
 const READY_PATH: &str = "/-/ready";
 
 impl Inbound {
-    /// Handles a request, and takes note that it has its response.
+    /// Handles a request, and records that it has its response.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -34,7 +34,7 @@
         let mut response = result.unwrap_or_else(RequestRejection::into_response);
         if response.status().is_client_error() || *self.admission_state.borrow() != AdmissionState::Accepting
         {
-            // What follows on the connection of a client that cannot be understood may be the rest of a body.
+            // After a malformed request the next bytes may be the rest of its body.
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         connection.request_finished();
@@ -55,7 +55,8 @@
         }
     }
 
-    /// A process that hands over its clients to a successor is ready as well: both are the same sender.
+    /// Responds to the readiness check. While the process hands over its clients it is ready as well: its successor is the
+    /// same sender.
     fn check_readiness(&self) -> Result<HttpResponse, RequestRejection> {
         match *self.admission_state.borrow() {
             AdmissionState::Accepting | AdmissionState::HandingOver => {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Submits a message to the engine and waits for its decision.
+    /// Submits a message to the engine and waits for the response.
     async fn submit(
         &self,
         request: Request<Incoming>,
@@ -75,13 +76,13 @@
         let body = self.receive_body(&head, request.into_body(), connection).await?;
         connection.request_started();
         self.slots.borrow_mut().request_started(connection.id, self.now());
-        let (answer, decision) = oneshot::channel();
-        let submission = self.submission(head, body, answer);
+        let (response, decision) = oneshot::channel();
+        let submission = self.submission(head, body, response);
         let id = submission.id;
         self.send_to_engine(submission)?;
         connection.submission_started(id);
-        let decision = decision.await.unwrap_or(Answer::REFUSED);
-        if decision == Answer::Accepted {
+        let decision = decision.await.unwrap_or(SubmissionResponse::REFUSED);
+        if decision == SubmissionResponse::Accepted {
             connection.submission_accepted(id);
         } else {
             connection.submission_refused();
@@ -97,7 +98,7 @@
         connection: &ClientConnection,
     ) -> Result<Bytes, RequestRejection> {
         let _reservation = self.reserve_body_bytes(head)?;
-        // A request that is being received has a deadline.
+        // There is a deadline while a request is being received.
         let deadline = connection.request_deadline().unwrap_or_else(Instant::now);
         request_body::read(body, deadline).await
     }
@@ -107,8 +108,13 @@
         reservation.map_err(|_| self.reject_for_capacity(head.class))
     }
 
-    /// Numbers a submission. The message's time counts from its last byte, and its class bounds it.
-    fn submission(&self, head: SubmissionHead, body: Bytes, answer: oneshot::Sender<Answer>) -> Submission {
+    /// Creates a submission. The message's remaining time counts from its last byte, and is limited by its class.
+    fn submission(
+        &self,
+        head: SubmissionHead,
+        body: Bytes,
+        response: oneshot::Sender<SubmissionResponse>,
+    ) -> Submission {
         let max_remaining_s = self.settings.classes[head.class].deadline / 1_000.0;
         let remaining = Duration::from_secs_f64(head.remaining_s.min(max_remaining_s));
         let number = self.next_submission.get();
@@ -119,10 +125,10 @@
             class: head.class,
             tenant: head.tenant,
             destination: head.destination,
-            key: head.idempotency_key,
+            idempotency_key: head.idempotency_key,
             body,
             deadline: Instant::now() + remaining,
-            answer,
+            response,
         }
     }
 
@@ -132,16 +138,16 @@
         sent.map_err(|_| self.reject_for_capacity(class))
     }
 
-    fn response_to(&self, decision: Answer) -> Result<HttpResponse, RequestRejection> {
+    fn response_to(&self, decision: SubmissionResponse) -> Result<HttpResponse, RequestRejection> {
         match decision {
-            Answer::Accepted => Ok(text_response(StatusCode::ACCEPTED, "taken on")),
-            Answer::Refused { retry_after } => Err(self.overloaded(retry_after)),
-            Answer::Failed => Err(RequestRejection::Failed),
-            Answer::UnknownDestination => Err(RequestRejection::UnknownDestination),
+            SubmissionResponse::Accepted => Ok(text_response(StatusCode::ACCEPTED, "taken on")),
+            SubmissionResponse::Refused { retry_after } => Err(self.overloaded(retry_after)),
+            SubmissionResponse::Failed => Err(RequestRejection::Failed),
+            SubmissionResponse::UnknownDestination => Err(RequestRejection::UnknownDestination),
         }
     }
 
-    /// The rejection of a message that the engine does not know of, which is therefore counted here.
+    /// Rejects a message that is not sent to the engine, which would count it otherwise.
     fn reject_for_capacity(&self, class: usize) -> RequestRejection {
         self.metrics.record_outcome(class, FinalOutcome::Rejected);
         self.overloaded(0.0)
