--- a/crates/journal/src/outage_records.rs
+++ b/crates/journal/src/outage_records.rs
@@ -3,6 +3,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+use rudderspindle_clock::UnixMillis;
+
 /// How long a record stays valid beyond the Retry-After that it holds, in milliseconds: by then the endpoint has recovered, or
 /// its state is known anew.
 const RECORD_LIFETIME_MS: u64 = 60_000;
@@ -47,25 +49,25 @@
 pub(crate) struct OutageRecord {
     /// The segment that holds the record.
     pub segment: u64,
-    /// When the state was recorded, in milliseconds of the wall clock since 1970.
-    pub recorded_at: u64,
+    /// When the state was recorded.
+    pub recorded_at: UnixMillis,
     /// The state at that time.
     pub outage: OutageState,
 }
 
 impl OutageRecord {
-    fn is_expired(&self, now_ms: u64) -> bool {
+    fn is_expired(&self, now: UnixMillis) -> bool {
         let retry_after_remaining = match self.outage {
             OutageState::Down { retry_after_remaining } => retry_after_remaining,
             OutageState::WarmingUp { .. } => 0,
         };
         let lifetime = retry_after_remaining.saturating_add(RECORD_LIFETIME_MS);
-        now_ms.saturating_sub(self.recorded_at) > lifetime
+        now.millis_since(self.recorded_at) > lifetime
     }
 
     /// The state after the time since it was recorded has passed. If the wall clock was set back no time has passed.
-    fn state_at(&self, now_ms: u64) -> OutageState {
-        let elapsed = now_ms.saturating_sub(self.recorded_at);
+    fn state_at(&self, now: UnixMillis) -> OutageState {
+        let elapsed = now.millis_since(self.recorded_at);
         match self.outage {
             OutageState::Down { retry_after_remaining } => {
                 OutageState::Down { retry_after_remaining: retry_after_remaining.saturating_sub(elapsed) }
@@ -102,9 +104,9 @@
     }
 
     /// The states that are valid at this time of the wall clock, in the order of their endpoints.
-    pub fn states_at(&self, now_ms: u64) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
-        let valid = self.0.iter().filter(move |(_, record)| !record.is_expired(now_ms));
-        valid.map(move |(endpoint, record)| (endpoint, record.state_at(now_ms)))
+    pub fn states_at(&self, now: UnixMillis) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
+        let valid = self.0.iter().filter(move |(_, record)| !record.is_expired(now));
+        valid.map(move |(endpoint, record)| (endpoint, record.state_at(now)))
     }
 
     /// Adds records of an earlier process, for endpoints that have none yet.
@@ -117,8 +119,8 @@
     }
 
     /// Removes the records in a segment that have expired.
-    pub fn remove_expired(&mut self, segment: u64, now_ms: u64) {
-        self.0.retain(|_, record| record.segment != segment || !record.is_expired(now_ms));
+    pub fn remove_expired(&mut self, segment: u64, now: UnixMillis) {
+        self.0.retain(|_, record| record.segment != segment || !record.is_expired(now));
     }
 
     /// The records in a segment, in the order of their endpoints.
--- a/crates/journal/src/outage_records/tests.rs
+++ b/crates/journal/src/outage_records/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn record(recorded_at: u64, outage: OutageState) -> Option<OutageRecord> {
-    Some(OutageRecord { segment: 0, recorded_at, outage })
+    Some(OutageRecord { segment: 0, recorded_at: UnixMillis(recorded_at), outage })
 }
 
 #[test]
@@ -15,9 +15,9 @@
         EndpointKey::new(8, "r1"),
         record(100_000, OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.5 }),
     );
-    let states_at = |now_ms| {
+    let states_at = |now| {
         outage_records
-            .states_at(now_ms)
+            .states_at(UnixMillis(now))
             .map(|(endpoint, outage)| (endpoint.destination, outage))
             .collect::<Vec<_>>()
     };
@@ -43,7 +43,10 @@
         );
     }
     assert_eq!(outage_records.0.len(), MAX_RECORDS);
-    assert_eq!(outage_records.states_at(3_000).map(|(endpoint, _)| endpoint.destination).min(), Some(2_000));
+    assert_eq!(
+        outage_records.states_at(UnixMillis(3_000)).map(|(endpoint, _)| endpoint.destination).min(),
+        Some(2_000)
+    );
     outage_records.set(EndpointKey::new(2_999, ""), None);
     assert_eq!(outage_records.0.len(), MAX_RECORDS - 1);
 }
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -100,8 +100,7 @@
                 self.entries.insert(message_id, Entry { segment, state: EntryState::Notification(status) });
             }
             Record::Outage { endpoint, recorded_at, outage } => {
-                let record =
-                    outage.map(|outage| OutageRecord { segment, recorded_at: recorded_at.0, outage });
+                let record = outage.map(|outage| OutageRecord { segment, recorded_at, outage });
                 self.outage_records.set(endpoint, record);
             }
         }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -182,13 +182,13 @@
         let segment = self.segments.current();
         let recorded_at = UnixMillis::now();
         append_outage(&mut self.retained_records, &endpoint, recorded_at, outage);
-        let record = outage.map(|outage| OutageRecord { segment, recorded_at: recorded_at.0, outage });
+        let record = outage.map(|outage| OutageRecord { segment, recorded_at, outage });
         self.outage_records.set(endpoint, record);
     }
 
     /// The outage states as they are now, in the order of their endpoints.
     pub fn outage_records(&self) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
-        self.outage_records.states_at(UnixMillis::now().0)
+        self.outage_records.states_at(UnixMillis::now())
     }
 
     /// Writes the batch.
--- a/crates/journal/src/store/compaction.rs
+++ b/crates/journal/src/store/compaction.rs
@@ -46,7 +46,7 @@
     fn compact_oldest(&mut self) -> Result<(), JournalError> {
         let oldest = self.segments.oldest();
         let current = self.segments.current();
-        self.outage_records.remove_expired(oldest, UnixMillis::now().0);
+        self.outage_records.remove_expired(oldest, UnixMillis::now());
         let records = self.pending_records(oldest);
         self.segments.append(&records, self.budget)?;
         self.entries.move_segment(oldest, current);
@@ -64,7 +64,7 @@
             }
         }
         for (endpoint, record) in self.outage_records.in_segment(segment) {
-            append_outage(&mut records, endpoint, UnixMillis(record.recorded_at), Some(record.outage));
+            append_outage(&mut records, endpoint, record.recorded_at, Some(record.outage));
         }
         records
     }
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -255,6 +255,6 @@
     );
     assert_eq!(replay_segment(&batch, 0, &mut state), batch.len());
     let destinations =
-        state.outage_records.states_at(UnixMillis::now().0).map(|(endpoint, _)| endpoint.destination);
+        state.outage_records.states_at(UnixMillis::now()).map(|(endpoint, _)| endpoint.destination);
     assert_eq!(destinations.collect::<Vec<_>>(), [9]);
 }
