--- a/crates/policy/src/calls.rs
+++ b/crates/policy/src/calls.rs
@@ -62,6 +62,16 @@
         self.0.iter()
     }
 
+    /// Number of calls.
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    /// Number of calls by a route.
+    pub fn count_of(&self, route: RouteId) -> usize {
+        self.0.iter().filter(|call| call.route == route).count()
+    }
+
     /// A copy of a call.
     pub fn get(&self, id: u64) -> Option<Call> {
         self.0.iter().find(|call| call.id == id).copied()
--- a/crates/policy/src/destination.rs
+++ b/crates/policy/src/destination.rs
@@ -87,11 +87,12 @@
     }
 
     /// Drops the routes that the list removed long ago, unless a call is in flight.
-    pub fn forget_removed_routes(&mut self, now: Millis) {
+    pub fn drop_outdated_routes(&mut self, now: Millis) {
         for route in &mut self.routes {
             route.update_removal(now);
         }
-        self.routes.retain(|route| !route.is_forgotten(now));
+        let calls = &self.calls;
+        self.routes.retain(|route| calls.count_of(route.id) > 0 || !route.is_outdated(now));
     }
 
     /// Whether it has neither routes nor waiting messages.
--- a/crates/policy/src/destination/dispatch.rs
+++ b/crates/policy/src/destination/dispatch.rs
@@ -58,7 +58,7 @@
     fn may_take_slot(&self, now: Millis, free_slots: usize) -> bool {
         let is_stuck = (0..self.routes.len()).any(|index| self.unanswered_calls(index, now) > 0);
         let slots = free_slots * if is_stuck { 1 } else { SLOTS_PER_FREE_SLOT };
-        let in_flight: usize = self.routes.iter().map(|route| route.calls_in_flight).sum();
+        let in_flight = self.calls.len();
         slots > 0 && (in_flight == 0 || in_flight < slots * self.max_batch)
     }
 
--- a/crates/policy/src/destination/outage_detection.rs
+++ b/crates/policy/src/destination/outage_detection.rs
@@ -109,7 +109,8 @@
         if shows_outage || breaker.is_open() || has_failed_often {
             self.breaker_mut(scope).open(context, &limits, 0.0);
         } else if breaker.has_many_errors() && concerns_whole_scope {
-            // Departure (about half of the answers are errors, which count as accepts): it may be warming up.
+            // Departure (about half of the answers are errors): these count as accepts, but the destination may
+            // be warming up.
             let now = context.now;
             self.breaker_mut(scope).begin_slow_start(context, &limits, now, now);
         } else {
@@ -122,7 +123,7 @@
         true
     }
 
-    /// Departure (fewer failures than [`MAX_FAILURES`] open the breaker): until then calls start no faster
+    /// Departure (this sender's share of the overload is small): until the breaker opens, calls start no faster
     /// than this sender's share of the limit.
     fn back_off_to_our_share(&mut self, context: &mut Context, scope: Scope, limits: &RecoveryLimits) {
         let pause = context.rng.pause(1_000.0 / limits.rate());
@@ -131,8 +132,9 @@
 
     /// Failures in a row that open the breaker.
     ///
-    /// Departure (the fleet reports no capacity, and this sender's share of the calls that overload the
-    /// destination is small): fewer than [`MAX_FAILURES`], as the fleet overloads it before.
+    /// Departure (this sender's share of the overload is small): as many as this sender's share of the calls
+    /// that overload the destination, else the fleet would overload it before. Not while the fleet reports
+    /// capacity.
     fn max_failures(&self, context: &Context, scope: Scope, limits: &RecoveryLimits) -> f64 {
         if self.shared_rate(scope, context.now).is_some() {
             return MAX_FAILURES;
--- a/crates/policy/src/destination/results.rs
+++ b/crates/policy/src/destination/results.rs
@@ -32,7 +32,6 @@
         }
         let position = self.calls.record_result(call.id);
         if position.is_last {
-            self.routes[index].calls_in_flight -= 1;
             slots.release();
         }
         if position.is_first && counts_at_throttle(result.outcome) {
--- a/crates/policy/src/destination/route.rs
+++ b/crates/policy/src/destination/route.rs
@@ -18,7 +18,6 @@
     /// Used if it has a limit of its own.
     pub throttle: Throttle,
     pub breaker: CircuitBreaker,
-    pub calls_in_flight: usize,
     pub last_used_at: Millis,
     /// Since when the list no longer names it.
     removed_at: Option<Millis>,
@@ -34,7 +33,6 @@
             ejected: false,
             throttle,
             breaker: CircuitBreaker::default(),
-            calls_in_flight: 0,
             last_used_at: 0.0,
             removed_at: None,
         }
@@ -45,15 +43,14 @@
         self.listing == Listing::Ready
     }
 
-    /// Notes since when the list no longer names it.
+    /// Records since when the list no longer names it.
     pub fn update_removal(&mut self, now: Millis) {
         let is_removed = self.listing == Listing::Gone;
         self.removed_at = is_removed.then(|| self.removed_at.unwrap_or(now));
     }
 
-    /// Whether it was removed long ago and no call is in flight.
-    pub fn is_forgotten(&self, now: Millis) -> bool {
-        let removed_long_ago = self.removed_at.is_some_and(|at| now - at > REMOVED_ROUTE_TTL);
-        self.calls_in_flight == 0 && removed_long_ago
+    /// Whether the list removed it so long ago that it may be dropped.
+    pub fn is_outdated(&self, now: Millis) -> bool {
+        self.removed_at.is_some_and(|removed_at| now - removed_at > REMOVED_ROUTE_TTL)
     }
 }
--- a/crates/policy/src/destination/route_choice.rs
+++ b/crates/policy/src/destination/route_choice.rs
@@ -72,7 +72,7 @@
             is_not_closed: !route.breaker.is_closed(),
             probed_at: if all_are_down { route.last_used_at as u64 } else { 0 },
             in_other_zone: route.zone != context.settings.zone,
-            calls_in_flight: route.calls_in_flight,
+            calls_in_flight: self.calls.count_of(route.id),
             last_used_at: Reverse(route.last_used_at as u64),
             id: route.id,
         }
--- a/crates/policy/src/destination/send.rs
+++ b/crates/policy/src/destination/send.rs
@@ -52,7 +52,6 @@
     ) -> Call {
         let now = dispatch.context.now;
         let route = &mut self.routes[index];
-        route.calls_in_flight += 1;
         route.last_used_at = now;
         let call = Call::new(dispatch.slots.acquire(), route.id, now, messages, is_rate_limited);
         self.calls.begin(call);
--- a/crates/policy/src/destinations.rs
+++ b/crates/policy/src/destinations.rs
@@ -4,7 +4,7 @@
 
 use crate::context::Context;
 use crate::destination::Destination;
-use crate::interface::{DestinationId, Listing, MessageHandle, RouteEntry, RouteId};
+use crate::interface::{DestinationId, Listing, MessageHandle, Millis, RouteEntry, RouteId};
 use crate::throttle::CapacitySource;
 
 /// The destinations by id.
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Applies the entries of a list, and forgets what was removed long ago.
+    /// Applies the entries of a list, and drops what it removed long ago.
     pub fn apply_entries(&mut self, context: &Context, entries: &[RouteEntry], source: CapacitySource) {
         for entry in entries {
             let destination = self.by_id.get_mut(&entry.destination);
@@ -67,7 +67,7 @@
                 self.add_route(context, entry, source);
             }
         }
-        self.forget_removed_routes(context);
+        self.drop_outdated_routes(context.now);
     }
 
     fn add_route(&mut self, context: &Context, entry: &RouteEntry, source: CapacitySource) {
@@ -76,10 +76,10 @@
         self.get_or_insert(entry.destination).add_route(context, entry, kind, source);
     }
 
-    /// Removes routes that were removed from the list long ago, and unused destinations.
-    fn forget_removed_routes(&mut self, context: &Context) {
+    /// Drops the routes that the list removed long ago, and unused destinations.
+    fn drop_outdated_routes(&mut self, now: Millis) {
         for destination in self.by_id.values_mut() {
-            destination.forget_removed_routes(context.now);
+            destination.drop_outdated_routes(now);
         }
         self.by_id.retain(|_, destination| !destination.is_unused());
     }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,9 +1,26 @@
 //! The policy of one sender: its state, and the steps of a batch.
 //!
 //! Each type that owns state decides about it: [`Destination`] with its throttles and circuit breakers,
-//! [`PendingMessages`], [`CallSlots`], [`Quotas`]. A comment that begins with "Departure" marks where the
-//! code departs from the ordinary path that [`Policy::handle`] describes, and names the condition in
-//! parentheses.
+//! [`PendingMessages`], [`CallSlots`], [`Quotas`]. [`Policy::handle`] describes the ordinary path. A comment
+//! that begins with "Departure" marks where the code departs from it, under one of these conditions:
+//!
+//! | condition | departure | file |
+//! | --- | --- | --- |
+//! | a shared rate is known | a call passes without a draw | `throttle.rs` |
+//! | the message was dropped before | it counts as one request | `throttle.rs` |
+//! | a call was rejected | the send rate is reduced | `throttle.rs` |
+//! | all calls were rejected for longer than a limit lasts | an outage has begun | `throttle/rejections.rs` |
+//! | an outage was seen | the recovery ramp limits the calls | `destination/outage_detection.rs` |
+//! | calls are overdue, without an answer since | the circuit breaker opens | `destination/outage_detection.rs` |
+//! | about half of the answers are errors | slow start begins | `destination/outage_detection.rs` |
+//! | this sender's share of the overload is small | fewer failures count | `destination/outage_detection.rs` |
+//! | the circuit breaker is open | a half-open probe does not draw | `destination/route_choice.rs` |
+//! | other senders have ejected the route | other routes draw first | `destination/route_choice.rs` |
+//! | permits are required | no call starts without one | `destination/availability.rs` |
+//! | few slots are free | a destination leaves some to others | `destination/dispatch.rs` |
+//! | no slot is free | lost calls are cancelled | `destination/dispatch.rs` |
+//! | an equal part of a quota is few messages | a tenant's share of the arrivals is used | `quota.rs` |
+//! | the list arrives on request only | the policy subscribes to it | `subscription.rs` |
 
 mod completion;
 mod events;
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -61,7 +61,8 @@
     if equal_part * BURST >= MIN_BURST {
         return equal_part;
     }
-    // Departure (an equal part is few messages): the tenant's share of the arrivals here, if that is more.
+    // Departure (an equal part of a quota is few messages): the tenant's share of the arrivals at this
+    // sender, if that is more.
     let all_quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
     equal_part.max(tenant.quota_per_s / all_quotas * arrivals / now.max(MIN_ARRIVAL_SPAN))
 }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -1,6 +1,6 @@
 //! The slots of this sender: how many calls may be in flight at once.
 
-/// The slots in use, by this process and by another process of the same sender.
+/// The slots in use: one for each call of this process, and those of another process of the same sender.
 #[derive(Debug)]
 pub(crate) struct CallSlots {
     total: usize,
