--- a/crates/policy/src/destination.rs
+++ b/crates/policy/src/destination.rs
@@ -31,7 +31,7 @@
     /// Maximum number of messages in one call.
     max_batch: usize,
     /// Whether each route has a limit, and so a throttle, of its own.
-    routes_apart: bool,
+    limit_per_route: bool,
     routes: Vec<Route>,
     /// The throttle of all routes, unless each has its own.
     shared_throttle: Throttle,
@@ -52,8 +52,8 @@
     /// Adds a route that the list has named for the first time.
     pub fn add_route(&mut self, context: &Context, entry: &RouteEntry, kind: &Kind, source: CapacitySource) {
         let throttle = Throttle::for_route(context, entry, source);
-        self.max_batch = kind.bundle_max;
-        self.routes_apart = kind.routes_apart;
+        self.max_batch = kind.max_batch;
+        self.limit_per_route = kind.limit_per_route;
         if self.routes.is_empty() {
             self.shared_throttle = throttle.clone();
             self.shared_breaker = CircuitBreaker::default();
--- a/crates/policy/src/destination/availability.rs
+++ b/crates/policy/src/destination/availability.rs
@@ -35,7 +35,7 @@
     /// The overdue calls through a route's throttle.
     pub(super) fn overdue_calls(&self, index: usize, now: Millis) -> impl Iterator<Item = &Call> {
         let route = self.routes[index].id;
-        let counted = move |call: &&Call| !self.routes_apart || call.route == route;
+        let counted = move |call: &&Call| !self.limit_per_route || call.route == route;
         self.calls.iter().filter(move |call| counted(call) && self.is_overdue(call, now))
     }
 
--- a/crates/policy/src/destination/demand.rs
+++ b/crates/policy/src/destination/demand.rs
@@ -16,7 +16,7 @@
     /// The calls that the waiting and the expected messages need at a limit, in proportion to all limits.
     fn calls_wanted(&self, scope: Scope, now: Millis) -> f64 {
         let limit = self.throttle_of(scope).limit();
-        let all = if self.routes_apart {
+        let all = if self.limit_per_route {
             self.ready_routes().map(|index| self.routes[index].throttle.limit()).sum()
         } else {
             limit
--- a/crates/policy/src/destination/outage_detection.rs
+++ b/crates/policy/src/destination/outage_detection.rs
@@ -25,7 +25,7 @@
     /// What limits the calls of a scope in an outage and in slow start.
     pub(super) fn recovery_limits(&self, context: &Context, scope: Scope) -> RecoveryLimits {
         let throttle = self.throttle_of(scope);
-        let has_own_limit = self.routes_apart || scope == Scope::All;
+        let has_own_limit = self.limit_per_route || scope == Scope::All;
         RecoveryLimits {
             limit: throttle.limit(),
             share: self.recovery_share(context, scope),
--- a/crates/policy/src/destination/outage_memory.rs
+++ b/crates/policy/src/destination/outage_memory.rs
@@ -20,7 +20,7 @@
     /// Restores an outage that the host has remembered.
     pub fn restore_outage(&mut self, context: &mut Context, remembered: &RememberedOutage) {
         let route = remembered.scope.route;
-        let names_a_limit = self.routes_apart || route.is_none();
+        let names_a_limit = self.limit_per_route || route.is_none();
         let Some(scope) = self.throttle_scope(route).filter(|_| names_a_limit) else { return };
         match remembered.outage {
             OutageState::Healthy => {}
--- a/crates/policy/src/destination/scope.rs
+++ b/crates/policy/src/destination/scope.rs
@@ -17,12 +17,12 @@
 impl Destination {
     /// The throttle that counts a route's calls.
     pub(super) fn throttle(&self, route: usize) -> &Throttle {
-        if self.routes_apart { &self.routes[route].throttle } else { &self.shared_throttle }
+        if self.limit_per_route { &self.routes[route].throttle } else { &self.shared_throttle }
     }
 
     /// [`Destination::throttle`], mutably.
     pub(super) fn throttle_mut(&mut self, route: usize) -> &mut Throttle {
-        if self.routes_apart { &mut self.routes[route].throttle } else { &mut self.shared_throttle }
+        if self.limit_per_route { &mut self.routes[route].throttle } else { &mut self.shared_throttle }
     }
 
     /// The throttle that counts a scope's calls.
@@ -69,18 +69,18 @@
 
     /// The scopes that have a throttle of their own.
     pub(super) fn throttle_scopes(&self) -> impl Iterator<Item = Scope> + use<> {
-        let routes = if self.routes_apart { self.routes.len() } else { 0 };
+        let routes = if self.limit_per_route { self.routes.len() } else { 0 };
         self.shared_scope().into_iter().chain((0..routes).map(Scope::Route))
     }
 
     /// The scope of all routes, if they share a limit.
     fn shared_scope(&self) -> Option<Scope> {
-        (!self.routes_apart).then_some(Scope::All)
+        (!self.limit_per_route).then_some(Scope::All)
     }
 
     /// The scope of the throttle of a named route, or of all routes where they share one.
     pub(super) fn throttle_scope(&self, route: Option<RouteId>) -> Option<Scope> {
-        if !self.routes_apart {
+        if !self.limit_per_route {
             return Some(Scope::All);
         }
         self.route_index(route?).map(Scope::Route)
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a message. Attempts of one batch of events by one route share calls, each
-    /// with at most `bundle_max` messages of the destination's kind.
+    /// with at most `max_batch` messages of the destination's kind.
     Send {
         /// The message.
         id: MessageHandle,
--- a/crates/policy/src/interface/checks.rs
+++ b/crates/policy/src/interface/checks.rs
@@ -22,7 +22,7 @@
             ("worth", classes(|class| is_not_negative(class.value))),
             ("late_worth", classes(|class| (0.0..=1.0).contains(&class.late_value))),
             ("key window", classes(has_valid_key_window)),
-            ("bundle_max", self.kinds.iter().all(|kind| kind.bundle_max > 0)),
+            ("bundle_max", self.kinds.iter().all(|kind| kind.max_batch > 0)),
             ("quota_per_s", self.tenants.iter().all(|tenant| is_not_negative(tenant.quota_per_s))),
             ("slots", self.slots > 0),
             ("most_held", self.max_pending > 0),
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -61,9 +61,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kind {
     /// Maximum number of messages in one call.
-    pub bundle_max: usize,
+    pub max_batch: usize,
     /// Whether each route has its own limit and outages.
-    pub routes_apart: bool,
+    pub limit_per_route: bool,
 }
 
 /// A customer with a quota.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -27,7 +27,7 @@
 //!     zone: 0,
 //!     peers_total: 2,
 //!     classes: vec![notice],
-//!     kinds: vec![Kind { bundle_max: 1, routes_apart: false }],
+//!     kinds: vec![Kind { max_batch: 1, limit_per_route: false }],
 //!     tenants: vec![],
 //!     over_quota_value: 1.0,
 //!     late_decay: LateDecay::Linear,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -143,14 +143,14 @@
 fn kinds(root: &Field<'_>) -> Result<Vec<Kind>, ReadError> {
     let names = root.child("kinds");
     let extra = root.child("extra");
-    let bundles = extra.child("bundle_max");
-    let apart = extra.child("kind_apart");
+    let max_batches = extra.child("bundle_max");
+    let limits_per_route = extra.child("kind_apart");
     let kind = |index| {
-        let bundle_max = bundles.at(index).whole_or(1, 1)? as usize;
-        let routes_apart = apart.at(index).flag_or(false)?;
-        Ok(Kind { bundle_max, routes_apart })
+        let max_batch = max_batches.at(index).whole_or(1, 1)? as usize;
+        let limit_per_route = limits_per_route.at(index).flag_or(false)?;
+        Ok(Kind { max_batch, limit_per_route })
     };
-    let kinds = names.len().max(bundles.len()).max(apart.len());
+    let kinds = names.len().max(max_batches.len()).max(limits_per_route.len());
     (0..kinds).map(kind).collect()
 }
 
--- a/crates/policy/tests/common/harness.rs
+++ b/crates/policy/tests/common/harness.rs
@@ -136,8 +136,8 @@
         attempt.outcome = Some(outcome);
         let entry = &self.listed[&attempt.route];
         if outcome == Outcome::Rejected && retry_after > 0.0 {
-            let routes_apart = self.settings.kinds[usize::from(entry.kind)].routes_apart;
-            let limit = (entry.destination, routes_apart.then_some(attempt.route));
+            let limit_per_route = self.settings.kinds[usize::from(entry.kind)].limit_per_route;
+            let limit = (entry.destination, limit_per_route.then_some(attempt.route));
             let until = self.retry_after_until.entry(limit).or_default();
             *until = until.max(self.now + retry_after);
         }
--- a/crates/sender/src/engine/endpoints.rs
+++ b/crates/sender/src/engine/endpoints.rs
@@ -51,7 +51,7 @@
             receiver: endpoint.id.as_str().into(),
             zone: endpoint.zone.as_str().into(),
             destination: entry.destination,
-            has_own_backoff: self.settings.kinds.get(kind).is_some_and(|kind| kind.routes_apart),
+            has_own_backoff: self.settings.kinds.get(kind).is_some_and(|kind| kind.limit_per_route),
             listing,
         };
         self.io.outbound.update_route(entry.route, route);
--- a/crates/simulation/src/parts.rs
+++ b/crates/simulation/src/parts.rs
@@ -27,9 +27,9 @@
         peers_total: 1,
         classes,
         kinds: vec![
-            Kind { bundle_max: 1, routes_apart: false },
-            Kind { bundle_max: 1, routes_apart: true },
-            Kind { bundle_max: 8, routes_apart: false },
+            Kind { max_batch: 1, limit_per_route: false },
+            Kind { max_batch: 1, limit_per_route: true },
+            Kind { max_batch: 8, limit_per_route: false },
         ],
         tenants: vec![],
         over_quota_value: 0.2,
