--- a/crates/benchmarks/src/fleet_limit.rs
+++ b/crates/benchmarks/src/fleet_limit.rs
@@ -61,7 +61,7 @@
 /// A kind of limit, and an outage.
 struct LimitCase {
     name: &'static str,
-    /// Part of its figures' names.
+    /// Part of its metrics' names.
     key: &'static str,
     limit: Limit,
     /// When the receiver is down, ms.
@@ -133,7 +133,7 @@
 /// How the senders of a fleet account for each other.
 struct FleetCase {
     name: &'static str,
-    /// Part of its figures' names.
+    /// Part of its metrics' names.
     key: &'static str,
     /// Number of senders by their settings.
     peers: usize,
@@ -166,7 +166,7 @@
                 totals.add(&scenario, &simulate(&scenario));
             }
             totals.print_row(&format!("{}, {name}", case.name));
-            totals.add_figures(&format!("{}_{key}", case.key), report);
+            totals.add_metrics(&format!("{}_{key}", case.key), report);
             if *peers == usize::from(fleet.senders) {
                 totals.check_recovery_load(case.name, report);
             }
--- a/crates/benchmarks/src/fleet_limit/enforcement.rs
+++ b/crates/benchmarks/src/fleet_limit/enforcement.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use rudderspindle_simulation::limit_schemes::{Comparison, Conditions, Figures, compare};
+use rudderspindle_simulation::limit_schemes::{Comparison, Conditions, SchemeMetrics, compare};
 use rudderspindle_simulation::receiver::{
     GossipNetwork, LimitEnforcement, Observations, Scenario, max_calls_by_permits, simulate,
 };
@@ -20,7 +20,7 @@
 struct Mode {
     enforcement: LimitEnforcement,
     name: &'static str,
-    /// Part of its figures' names.
+    /// Part of its metrics' names.
     key: &'static str,
 }
 
@@ -28,7 +28,7 @@
     Mode { enforcement: LimitEnforcement::CapacityShares, name: "capacity shares", key: "use" };
 const PERMITS: Mode = Mode { enforcement: LimitEnforcement::Permits, name: "permits", key: "strict" };
 
-/// The simulated fleets, and the report of their figures.
+/// The simulated fleets, and the report of their metrics.
 struct Runner<'a> {
     seeds: &'a Range<u64>,
     fleet: &'a FleetArguments,
@@ -84,7 +84,7 @@
             }
         }
         totals.check_recovery_load(&key, self.report);
-        totals.add_figures(&key, self.report);
+        totals.add_metrics(&key, self.report);
         totals.add_peak_second(&key, self.report);
         totals.cell()
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Prints the figures of permits and leased quotas without policies.
+    /// Prints the metrics of permits and leased quotas without policies.
     fn compare_schemes(&mut self, losses: &[f64]) {
         println!("without policies; columns: use (share), peak second (over the limit)");
         println!("{:<5} {:>15} | {:>15}", "loss", "permits", "leased quotas");
@@ -111,8 +111,8 @@
             let senders = usize::from(senders);
             let conditions = self.seeds.clone().map(|seed| Conditions { senders, limit, load, loss, seed });
             let rounds: Vec<Comparison> = conditions.map(|conditions| compare(&conditions)).collect();
-            let permits: Vec<Figures> = rounds.iter().map(|round| round.permits).collect();
-            let quotas: Vec<Figures> = rounds.iter().map(|round| round.leased_quotas).collect();
+            let permits: Vec<SchemeMetrics> = rounds.iter().map(|round| round.permits).collect();
+            let quotas: Vec<SchemeMetrics> = rounds.iter().map(|round| round.leased_quotas).collect();
             let key = format!("lost_{:.0}", loss * 100.0);
             let permits = self.report_scheme(&format!("{key}_rights"), &permits);
             let quotas = self.report_scheme(&format!("{key}_leased"), &quotas);
@@ -120,12 +120,12 @@
         }
     }
 
-    /// Adds the figures of a scheme; its part of the row.
-    fn report_scheme(&mut self, key: &str, rounds: &[Figures]) -> String {
+    /// Adds the metrics of a scheme; its part of the row.
+    fn report_scheme(&mut self, key: &str, rounds: &[SchemeMetrics]) -> String {
         let utilization = rounds.iter().map(|round| round.utilization).sum::<f64>() / rounds.len() as f64;
         let peak_second = rounds.iter().map(|round| round.peak_second).fold(0.0, f64::max);
-        self.report.figure(&format!("{key}_use_share"), utilization);
-        self.report.figure(&format!("{key}_worst_second_ratio"), peak_second);
+        self.report.metric(&format!("{key}_use_share"), utilization);
+        self.report.metric(&format!("{key}_worst_second_ratio"), peak_second);
         format!("{utilization:>7.3} {peak_second:>7.2}")
     }
 }
--- a/crates/benchmarks/src/fleet_limit/recovery.rs
+++ b/crates/benchmarks/src/fleet_limit/recovery.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy)]
 struct LoadCase {
     name: &'static str,
-    /// Part of its figures' names.
+    /// Part of its metrics' names.
     key: &'static str,
     /// Messages are submitted to 1 / `busy_divisor` of the senders.
     busy_divisor: usize,
@@ -61,7 +61,7 @@
 /// The fleet's gossip.
 struct GossipCase {
     name: &'static str,
-    /// Part of its figures' names.
+    /// Part of its metrics' names.
     key: &'static str,
     network: Option<GossipNetwork>,
 }
@@ -84,7 +84,7 @@
 }
 
 impl ReceiverSize {
-    /// The name in the table and in figures.
+    /// The name in the table and in metrics.
     fn name(self) -> &'static str {
         match self {
             Self::Small => "small",
@@ -173,7 +173,7 @@
     }
 }
 
-/// Simulates scenarios in parallel; their figures in the same order.
+/// Simulates scenarios in parallel; returns the results in the same order.
 fn simulate_all(scenarios: &[Scenario]) -> Vec<Observations> {
     let next = AtomicUsize::new(0);
     let work = || {
--- a/crates/benchmarks/src/fleet_limit/recovery/row.rs
+++ b/crates/benchmarks/src/fleet_limit/recovery/row.rs
@@ -1,4 +1,4 @@
-//! Figures of the scenarios of one row.
+//! Totals of the scenarios of one row.
 
 use rudderspindle_simulation::receiver::Observations;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Figures of several scenarios.
+/// Totals of several scenarios.
 #[derive(Default)]
 pub(super) struct Row {
     scenarios: usize,
@@ -49,7 +49,7 @@
         self.delivered += observations.delivered_during_ramp as f64 / ramp_capacity;
     }
 
-    /// Prints the row and adds its figures.
+    /// Prints the row and adds its metrics.
     pub fn report(&self, name: &str, key: &str, report: &mut Report) {
         let per_scenario = |sum: f64| sum / (self.scenarios as f64).max(1.0);
         let over = per_scenario(self.all.overloaded as f64);
@@ -62,11 +62,11 @@
             "{name:<34} {all_max:>7.2} {over:>6.2} {informed_max:>9.2} {informed_over:>6.2} {down:>9.2} \
             {warming_up:>6.2} {failures:>6.2} {unaware:>7.2} {delivered:>10.2}"
         );
-        report.figure(&format!("{key}_push_ratio"), all_max);
-        report.figure(&format!("{key}_over_share"), over);
-        report.figure(&format!("{key}_told_push_ratio"), informed_max);
-        report.figure(&format!("{key}_told_over_share"), informed_over);
-        report.figure(&format!("{key}_served_share"), delivered);
+        report.metric(&format!("{key}_push_ratio"), all_max);
+        report.metric(&format!("{key}_over_share"), over);
+        report.metric(&format!("{key}_told_push_ratio"), informed_max);
+        report.metric(&format!("{key}_told_over_share"), informed_over);
+        report.metric(&format!("{key}_served_share"), delivered);
         if self.informed.overloaded > 0 {
             let overloaded = self.informed.overloaded;
             report.failed_check(format!(
--- a/crates/benchmarks/src/fleet_limit/totals.rs
+++ b/crates/benchmarks/src/fleet_limit/totals.rs
@@ -1,4 +1,4 @@
-//! Figures of several rounds of the same kind of scenario.
+//! Totals of several rounds of the same kind of scenario.
 
 use rudderspindle_simulation::receiver::{Observations, Scenario};
 
@@ -66,20 +66,20 @@
         format!("{utilization:>7.3} {value_share:>7.3} {rejected_ratio:>9.3} {:>7.2}", self.peak_second)
     }
 
-    /// Adds the figures of the ratios and of the peak load during a recovery, if there was one.
-    pub fn add_figures(&self, key: &str, report: &mut Report) {
+    /// Adds the metrics of the ratios and of the peak load during a recovery, if there was one.
+    pub fn add_metrics(&self, key: &str, report: &mut Report) {
         let Ratios { utilization, value_share, rejected_ratio } = self.ratios();
-        report.figure(&format!("{key}_use_share"), utilization);
-        report.figure(&format!("{key}_earned_share"), value_share);
-        report.figure(&format!("{key}_refused_ratio"), rejected_ratio);
+        report.metric(&format!("{key}_use_share"), utilization);
+        report.metric(&format!("{key}_earned_share"), value_share);
+        report.metric(&format!("{key}_refused_ratio"), rejected_ratio);
         if self.peak_recovery_load > 0.0 {
-            report.figure(&format!("{key}_push_ratio"), self.peak_recovery_load);
+            report.metric(&format!("{key}_push_ratio"), self.peak_recovery_load);
         }
     }
 
-    /// Adds the figure of the maximum number of calls within a second, over the limit.
+    /// Adds the metric of the maximum number of calls within a second, over the limit.
     pub fn add_peak_second(&self, key: &str, report: &mut Report) {
-        report.figure(&format!("{key}_worst_second_ratio"), self.peak_second);
+        report.metric(&format!("{key}_worst_second_ratio"), self.peak_second);
     }
 
     /// A recovering receiver that was overloaded is a failed check.
--- a/crates/benchmarks/src/fleet_list.rs
+++ b/crates/benchmarks/src/fleet_list.rs
@@ -30,7 +30,7 @@
 /// How senders schedule their polls.
 struct PollingCase {
     name: &'static str,
-    /// Prefix of its figures.
+    /// Prefix of its metrics.
     key: &'static str,
     /// Number of senders that the schedule assumes.
     assumed_senders: usize,
@@ -80,8 +80,8 @@
     let shown = reported.map_or("never".to_owned(), |at| format!("{at:.1}"));
     println!("{:<16} {shown:>24} {without_list:>24.3}", case.name);
     if let Some(&at) = reported {
-        report.figure(&format!("{}_nine_tenths_s", case.key), at);
+        report.metric(&format!("{}_nine_tenths_s", case.key), at);
     }
-    report.figure(&format!("{}_without_share", case.key), without_list);
+    report.metric(&format!("{}_without_share", case.key), without_list);
     without_list
 }
--- a/crates/benchmarks/src/http2.rs
+++ b/crates/benchmarks/src/http2.rs
@@ -21,7 +21,7 @@
 use crate::error::BenchmarkError;
 use crate::median::median;
 use crate::report::Report;
-use bursts::BurstFigures;
+use bursts::BurstMetrics;
 use receiver::ReceiverThread;
 
 /// Default duration of each run, s.
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The prefix of the figures' names.
+    /// The prefix of the metrics' names.
     fn key(self) -> &'static str {
         match self {
             Self::Http2 => "http2",
@@ -93,8 +93,8 @@
     for (protocol, runs) in Protocol::ALL.into_iter().zip([&http2, &http1]) {
         report_medians(protocol, runs, &mut report);
     }
-    let cpu_us = |runs: &[BurstFigures]| median(runs.iter().map(|run| run.cpu_us));
-    report.figure("cpu_ratio", cpu_us(&http2) / cpu_us(&http1).max(f64::MIN_POSITIVE));
+    let cpu_us = |runs: &[BurstMetrics]| median(runs.iter().map(|run| run.cpu_us));
+    report.metric("cpu_ratio", cpu_us(&http2) / cpu_us(&http1).max(f64::MIN_POSITIVE));
     report_goaways(&mut report)?;
     Ok(report)
 }
@@ -115,27 +115,27 @@
     duration: Duration,
     arguments: &Http2Arguments,
     report: &mut Report,
-) -> Result<BurstFigures, BenchmarkError> {
+) -> Result<BurstMetrics, BenchmarkError> {
     let receiver = ReceiverThread::start(protocol, seed, arguments)?;
     let bursts = bursts::run(protocol, receiver.addr, seed, duration, arguments.burst);
-    let figures = LocalSet::new().block_on(&current_thread_runtime()?, bursts)?;
+    let metrics = LocalSet::new().block_on(&current_thread_runtime()?, bursts)?;
     receiver.stop()?;
     let name = protocol.name();
-    let BurstFigures { in_time, cpu_us, connections, p99_ms, failed } = figures;
+    let BurstMetrics { in_time, cpu_us, connections, p99_ms, failed } = metrics;
     println!("{name:<10} {in_time:>16.3} {cpu_us:>18.1} {connections:>14.0} {p99_ms:>10.0}");
     if failed > 0 {
         report.failed_check(format!("{name}: {failed} calls were not delivered"));
     }
-    Ok(figures)
+    Ok(metrics)
 }
 
-fn report_medians(protocol: Protocol, runs: &[BurstFigures], report: &mut Report) {
+fn report_medians(protocol: Protocol, runs: &[BurstMetrics], report: &mut Report) {
     let key = protocol.key();
-    let median = |of: fn(&BurstFigures) -> f64| median(runs.iter().map(of));
-    report.figure(&format!("{key}_in_time_share"), median(|run| run.in_time));
-    report.figure(&format!("{key}_cpu_us_per_call"), median(|run| run.cpu_us));
-    report.figure(&format!("{key}_connections_count"), median(|run| run.connections));
-    report.figure(&format!("{key}_p99_ms"), median(|run| run.p99_ms));
+    let median = |of: fn(&BurstMetrics) -> f64| median(runs.iter().map(of));
+    report.metric(&format!("{key}_in_time_share"), median(|run| run.in_time));
+    report.metric(&format!("{key}_cpu_us_per_call"), median(|run| run.cpu_us));
+    report.metric(&format!("{key}_connections_count"), median(|run| run.connections));
+    report.metric(&format!("{key}_p99_ms"), median(|run| run.p99_ms));
 }
 
 fn report_goaways(report: &mut Report) -> Result<(), BenchmarkError> {
@@ -147,8 +147,8 @@
          {GOAWAY_OBJECTIVE_MS} ms",
         times.len()
     );
-    report.figure("goaway_to_answer_median_ms", median);
-    report.figure("goaway_to_answer_worst_ms", worst);
+    report.metric("goaway_to_answer_median_ms", median);
+    report.metric("goaway_to_answer_worst_ms", worst);
     Ok(())
 }
 
--- a/crates/benchmarks/src/http2/bursts.rs
+++ b/crates/benchmarks/src/http2/bursts.rs
@@ -30,9 +30,9 @@
 /// Highest latency of the histogram, us.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Figures of one run.
+/// Metrics of one run.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct BurstFigures {
+pub(super) struct BurstMetrics {
     /// Share of the calls that were delivered within the latency objective.
     pub in_time: f64,
     /// CPU time of the client, us a call.
@@ -52,14 +52,14 @@
     seed: u64,
     duration: Duration,
     burst: u16,
-) -> io::Result<BurstFigures> {
+) -> io::Result<BurstMetrics> {
     match protocol {
         Protocol::Http2 => run_http2(addr, seed, duration, burst).await,
         Protocol::Http1 => run_http1(addr, seed, duration, burst).await,
     }
 }
 
-async fn run_http2(addr: SocketAddr, seed: u64, duration: Duration, burst: u16) -> io::Result<BurstFigures> {
+async fn run_http2(addr: SocketAddr, seed: u64, duration: Duration, burst: u16) -> io::Result<BurstMetrics> {
     let opened = Rc::new(Cell::new(0u32));
     let count = opened.clone();
     let connect = move || {
@@ -77,19 +77,19 @@
             result.stream.delivery(result.request_complete) == DeliveryOutcome::Delivered
         }
     };
-    let figures = send_bursts(call, seed, duration, burst).await?;
-    Ok(BurstFigures { connections: f64::from(opened.get()), ..figures })
+    let metrics = send_bursts(call, seed, duration, burst).await?;
+    Ok(BurstMetrics { connections: f64::from(opened.get()), ..metrics })
 }
 
-async fn run_http1(addr: SocketAddr, seed: u64, duration: Duration, burst: u16) -> io::Result<BurstFigures> {
+async fn run_http1(addr: SocketAddr, seed: u64, duration: Duration, burst: u16) -> io::Result<BurstMetrics> {
     let pool = Rc::new(Http1Pool::new(addr));
     let calls = pool.clone();
     let call = move |body| {
         let pool = calls.clone();
         async move { tokio::time::timeout(DEADLINE, pool.call(body)).await.is_ok_and(|ok| ok.unwrap_or(false)) }
     };
-    let figures = send_bursts(call, seed, duration, burst).await?;
-    Ok(BurstFigures { connections: f64::from(pool.opened()), ..figures })
+    let metrics = send_bursts(call, seed, duration, burst).await?;
+    Ok(BurstMetrics { connections: f64::from(pool.opened()), ..metrics })
 }
 
 /// Sends the bursts; `call` is whether a call was delivered.
@@ -98,7 +98,7 @@
     seed: u64,
     duration: Duration,
     burst: u16,
-) -> io::Result<BurstFigures>
+) -> io::Result<BurstMetrics>
 where
     F: Future<Output = bool> + 'static,
 {
@@ -123,7 +123,7 @@
 }
 
 /// Waits for all calls.
-async fn collect(mut calls: JoinSet<Option<Duration>>, cpu_before: u64) -> io::Result<BurstFigures> {
+async fn collect(mut calls: JoinSet<Option<Duration>>, cpu_before: u64) -> io::Result<BurstMetrics> {
     let mut latencies = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3).map_err(io::Error::other)?;
     let mut total = 0u64;
     let mut in_time = 0u64;
@@ -139,7 +139,7 @@
         }
     }
     let per_call = |sum: f64| sum / total.max(1) as f64;
-    Ok(BurstFigures {
+    Ok(BurstMetrics {
         in_time: per_call(in_time as f64),
         cpu_us: per_call((cpu_ns()? - cpu_before) as f64 / 1_000.0),
         connections: 0.0,
--- a/crates/benchmarks/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -20,11 +20,11 @@
 use crate::error::BenchmarkError;
 use crate::median::median;
 use crate::report::Report;
-use clients::LoadFigures;
+use clients::LoadMetrics;
 use receivers::Receivers;
 use targets::{measure_relay, measure_sender};
 
-/// Number of alternating measurements of sender and relay in each round; the figures are medians.
+/// Number of alternating measurements of sender and relay in each round; the metrics are medians.
 const PAIRS: u64 = 3;
 /// Default duration of each measurement without its warm-up, s.
 const DEFAULT_SECONDS: u16 = 4;
@@ -72,8 +72,8 @@
     Ok(report(seed, &sender, &relay))
 }
 
-/// Selects one of the figures.
-type Figure = fn(&LoadFigures) -> f64;
+/// Selects one of the metrics.
+type Metric = fn(&LoadMetrics) -> f64;
 
 /// Moves this process to the other cores, if there are any.
 async fn leave_core_to_measured_process() -> Result<(), BenchmarkError> {
@@ -87,9 +87,9 @@
     Ok(())
 }
 
-fn medians(runs: &[LoadFigures]) -> LoadFigures {
-    let median = |of: Figure| median(runs.iter().map(of));
-    LoadFigures {
+fn medians(runs: &[LoadMetrics]) -> LoadMetrics {
+    let median = |of: Metric| median(runs.iter().map(of));
+    LoadMetrics {
         per_s: median(|run| run.per_s),
         cpu_us: median(|run| run.cpu_us),
         own_cpu_us: median(|run| run.own_cpu_us),
@@ -101,13 +101,13 @@
     }
 }
 
-fn print_table(load: &LoadArguments, sender: &LoadFigures, relay: &LoadFigures) {
+fn print_table(load: &LoadArguments, sender: &LoadMetrics, relay: &LoadMetrics) {
     println!(
         "{} clients, {} destinations, response time {} ms",
         load.clients, load.destinations, load.response_ms
     );
     println!("{:<30}{:>12}{:>12}", "", "sender", "relay");
-    let rows: [(&str, Figure); 8] = [
+    let rows: [(&str, Metric); 8] = [
         ("messages per second", |run| run.per_s),
         ("CPU, us per message", |run| run.cpu_us),
         ("benchmark CPU, us per message", |run| run.own_cpu_us),
@@ -122,19 +122,19 @@
     }
 }
 
-fn report(seed: u64, sender: &LoadFigures, relay: &LoadFigures) -> Report {
+fn report(seed: u64, sender: &LoadMetrics, relay: &LoadMetrics) -> Report {
     let mut report = Report::new("load", seed);
-    for (target, figures) in [("sender", sender), ("relay", relay)] {
-        report.figure(&format!("{target}_messages_per_s"), figures.per_s);
-        report.figure(&format!("{target}_cpu_us_per_message"), figures.cpu_us);
-        report.figure(&format!("{target}_p50_ms"), figures.p50_ms);
-        report.figure(&format!("{target}_p99_ms"), figures.p99_ms);
-        report.figure(&format!("{target}_p999_ms"), figures.p999_ms);
-        report.figure(&format!("{target}_peak_kib"), figures.peak_kib);
-        report.figure(&format!("{target}_refused_share"), figures.rejected);
+    for (target, metrics) in [("sender", sender), ("relay", relay)] {
+        report.metric(&format!("{target}_messages_per_s"), metrics.per_s);
+        report.metric(&format!("{target}_cpu_us_per_message"), metrics.cpu_us);
+        report.metric(&format!("{target}_p50_ms"), metrics.p50_ms);
+        report.metric(&format!("{target}_p99_ms"), metrics.p99_ms);
+        report.metric(&format!("{target}_p999_ms"), metrics.p999_ms);
+        report.metric(&format!("{target}_peak_kib"), metrics.peak_kib);
+        report.metric(&format!("{target}_refused_share"), metrics.rejected);
     }
-    report.figure("rig_cpu_us_per_message", sender.own_cpu_us);
-    report.figure("p50_ratio", sender.p50_ms / relay.p50_ms);
-    report.figure("cpu_ratio", sender.cpu_us / relay.cpu_us);
+    report.metric("rig_cpu_us_per_message", sender.own_cpu_us);
+    report.metric("p50_ratio", sender.p50_ms / relay.p50_ms);
+    report.metric("cpu_ratio", sender.cpu_us / relay.cpu_us);
     report
 }
--- a/crates/benchmarks/src/load/clients.rs
+++ b/crates/benchmarks/src/load/clients.rs
@@ -20,7 +20,7 @@
 
 /// What was measured of a process.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct LoadFigures {
+pub(super) struct LoadMetrics {
     /// Messages delivered a second.
     pub per_s: f64,
     /// CPU time of the measured process, us a message.
@@ -60,7 +60,7 @@
     duration: Duration,
     cpu_us: impl Fn() -> u64,
     peak_kib: impl Fn() -> u64,
-) -> LoadFigures {
+) -> LoadMetrics {
     let from = Instant::now() + WARM_UP;
     let period = Period { from, until: from + duration };
     // Clients return at the end of the period and are joined below.
@@ -81,7 +81,7 @@
     let submissions = collect(clients).await;
     // The cost is that of delivered messages.
     let messages = calls.max(1.0);
-    LoadFigures {
+    LoadMetrics {
         per_s: messages / elapsed,
         cpu_us: cpu / messages,
         own_cpu_us: own_cpu / messages,
--- a/crates/benchmarks/src/load/targets.rs
+++ b/crates/benchmarks/src/load/targets.rs
@@ -14,7 +14,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::process::{Child, Command};
 
-use super::clients::{LoadFigures, measure};
+use super::clients::{LoadMetrics, measure};
 use super::receivers::Receivers;
 use super::{CORE, LoadArguments, process};
 use crate::error::BenchmarkError;
@@ -26,7 +26,7 @@
     load: &LoadArguments,
     seed: u64,
     duration: Duration,
-) -> Result<LoadFigures, BenchmarkError> {
+) -> Result<LoadMetrics, BenchmarkError> {
     let event_log = EventLog::start(Vec::new(), Vec::new(), Rules::default());
     let entry = |(n, addr): (usize, &SocketAddr)| Entry {
         id: format!("r{n}"),
@@ -71,7 +71,7 @@
     receivers: &Receivers,
     load: &LoadArguments,
     duration: Duration,
-) -> Result<LoadFigures, BenchmarkError> {
+) -> Result<LoadMetrics, BenchmarkError> {
     let mut relay = Relay::start(receivers).await?;
     let pid = relay.child.id().unwrap_or(0);
     let cpu_us = || process::cpu_us(pid);
--- a/crates/benchmarks/src/report.rs
+++ b/crates/benchmarks/src/report.rs
@@ -5,12 +5,12 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// The figures and failed checks of a benchmark.
+/// The metrics and failed checks of a benchmark.
 #[derive(Debug)]
 pub struct Report {
     benchmark: &'static str,
     seed: u64,
-    figures: Map<String, Value>,
+    metrics: Map<String, Value>,
     failed_checks: Vec<String>,
 }
 
@@ -20,20 +20,21 @@
     benchmark: &'a str,
     seed: u64,
     ok: bool,
-    figures: &'a Map<String, Value>,
+    #[serde(rename = "figures")]
+    metrics: &'a Map<String, Value>,
     #[serde(rename = "broken")]
     failed_checks: &'a [String],
 }
 
 impl Report {
-    /// A report without figures.
+    /// A report without metrics.
     pub fn new(benchmark: &'static str, seed: u64) -> Self {
-        Self { benchmark, seed, figures: Map::new(), failed_checks: Vec::new() }
+        Self { benchmark, seed, metrics: Map::new(), failed_checks: Vec::new() }
     }
 
-    /// Adds a figure, whose name carries its unit or says `ratio`, `share` or `count`.
-    pub fn figure(&mut self, name: &str, value: impl Into<Value>) {
-        self.figures.insert(name.to_owned(), value.into());
+    /// Adds a metric, whose name carries its unit or says `ratio`, `share` or `count`.
+    pub fn metric(&mut self, name: &str, value: impl Into<Value>) {
+        self.metrics.insert(name.to_owned(), value.into());
     }
 
     /// Adds a failed check.
@@ -60,7 +61,7 @@
             benchmark: self.benchmark,
             seed: self.seed,
             ok: self.failed_checks.is_empty(),
-            figures: &self.figures,
+            metrics: &self.metrics,
             failed_checks: &self.failed_checks,
         })
     }
--- a/crates/benchmarks/src/scenario/totals.rs
+++ b/crates/benchmarks/src/scenario/totals.rs
@@ -1,4 +1,4 @@
-//! Figures of all rounds.
+//! Totals of all rounds.
 
 use rudderspindle_testkit::checker::{Accounting, Recovery};
 
@@ -44,7 +44,7 @@
         total.calls_rejected += round.calls_rejected;
     }
 
-    /// Adds the figures; that no message was accepted is a failed check.
+    /// Adds the metrics; that no message was accepted is a failed check.
     pub fn report(&self, report: &mut Report) {
         let total = &self.accounting;
         if total.accepted == 0 {
@@ -52,23 +52,23 @@
                 "no message was accepted: all rounds were inconclusive, or no sender answered".to_owned(),
             );
         }
-        report.figure("handed_in_count", total.submitted);
-        report.figure("taken_on_count", total.accepted);
-        report.figure("delivered_count", total.delivered);
-        report.figure("refused_count", total.rejected + total.rejected_on_submission);
-        report.figure("failed_count", total.failed + total.failed_on_submission);
-        report.figure("lost_count", total.lost);
-        report.figure("doubled_count", total.duplicated);
-        report.figure("late_runs_count", self.reruns);
-        report.figure("memory_peak_kib", self.peak_kib);
-        report.figure("return_worst_ratio", self.peak_recovery_ratio(|_| true));
-        report.figure(
+        report.metric("handed_in_count", total.submitted);
+        report.metric("taken_on_count", total.accepted);
+        report.metric("delivered_count", total.delivered);
+        report.metric("refused_count", total.rejected + total.rejected_on_submission);
+        report.metric("failed_count", total.failed + total.failed_on_submission);
+        report.metric("lost_count", total.lost);
+        report.metric("doubled_count", total.duplicated);
+        report.metric("late_runs_count", self.reruns);
+        report.metric("memory_peak_kib", self.peak_kib);
+        report.metric("return_worst_ratio", self.peak_recovery_ratio(|_| true));
+        report.metric(
             "return_worst_shared_shut_or_refused_ratio",
             self.peak_recovery_ratio(is_shared_shut_or_refused),
         );
-        report.figure("returns_count", self.recoveries.len());
-        report.figure("in_time_share", share(total.in_time, total.submitted));
-        report.figure("calls_refused_share", share(total.calls_rejected, total.calls));
+        report.metric("returns_count", self.recoveries.len());
+        report.metric("in_time_share", share(total.in_time, total.submitted));
+        report.metric("calls_refused_share", share(total.calls_rejected, total.calls));
     }
 
     fn peak_recovery_ratio(&self, selects: fn(&Recovery) -> bool) -> f64 {
--- a/crates/demo/src/incident/tests.rs
+++ b/crates/demo/src/incident/tests.rs
@@ -4,7 +4,7 @@
 use crate::process_signals::Signal;
 
 #[test]
-fn a_recovery_says_whether_the_receiver_warms_up() {
+fn a_recovery_is_shown_with_its_warm_up() {
     let text = |warming_up| Incident::Recovered { receiver: "Clubs".to_owned(), warming_up }.to_string();
     assert_eq!(text(true), "Clubs: recovered, warming up");
     assert_eq!(text(false), "Clubs: recovered");
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -3,7 +3,7 @@
 //! A [`Scenario`](receiver::Scenario) sets the number of senders, the receiver's limit and its outage;
 //! [`simulate`](receiver::simulate) runs the real [`Policy`](rudderspindle_policy::Policy) of each sender and counts the
 //! calls that reach the receiver. All random draws come from the scenario's seed, so a scenario always gives the same
-//! figures. There is no I/O and no clock here, and no program that ships depends on this package.
+//! result. There is no I/O and no clock here, and no program that ships depends on this package.
 #![forbid(unsafe_code)]
 
 pub mod fixtures;
--- a/crates/simulation/src/limit_schemes.rs
+++ b/crates/simulation/src/limit_schemes.rs
@@ -33,22 +33,22 @@
 /// Distinguishes the network's random draws from those of the traffic.
 const NETWORK_SEED: u64 = 0x9057;
 
-/// Figures of one scheme.
+/// Metrics of one scheme.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
+pub struct SchemeMetrics {
     /// Maximum number of calls within a second, over the limit.
     pub peak_second: f64,
     /// Calls over the possible ones: a call for each message, at most the limit.
     pub utilization: f64,
 }
 
-/// Figures of both schemes in the same conditions.
+/// Metrics of both schemes in the same conditions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comparison {
     /// Permits.
-    pub permits: Figures,
+    pub permits: SchemeMetrics,
     /// Leased quotas.
-    pub leased_quotas: Figures,
+    pub leased_quotas: SchemeMetrics,
 }
 
 /// The conditions of a comparison.
@@ -131,7 +131,7 @@
     }
 }
 
-fn run<S: LimitShare>(conditions: &Conditions, mut shares: Vec<S>) -> Figures {
+fn run<S: LimitShare>(conditions: &Conditions, mut shares: Vec<S>) -> SchemeMetrics {
     let mut traffic = Traffic::new(conditions);
     let mut network = LossyNetwork::new(conditions.loss, conditions.seed ^ NETWORK_SEED);
     let mut waiting = vec![VecDeque::new(); shares.len()];
@@ -152,7 +152,7 @@
             }
         }
     }
-    figures(conditions.limit, traffic.messages, &calls)
+    metrics(conditions.limit, traffic.messages, &calls)
 }
 
 fn simulated_time() -> Range<u64> {
@@ -203,10 +203,10 @@
     }
 }
 
-/// Figures of calls in chronological order.
-fn figures(limit: f64, messages: f64, calls: &[u64]) -> Figures {
+/// Metrics of calls in chronological order.
+fn metrics(limit: f64, messages: f64, calls: &[u64]) -> SchemeMetrics {
     let a_second_before = |n: usize| calls.partition_point(|at| at + 1_000 <= calls[n]);
     let peak = (0..calls.len()).map(|n| n + 1 - a_second_before(n)).max().unwrap_or(0);
     let possible = f64::min(messages, limit * DURATION as f64 / 1_000.0);
-    Figures { peak_second: peak as f64 / limit, utilization: calls.len() as f64 / possible.max(1.0) }
+    SchemeMetrics { peak_second: peak as f64 / limit, utilization: calls.len() as f64 / possible.max(1.0) }
 }
--- a/crates/simulation/src/receiver/observations.rs
+++ b/crates/simulation/src/receiver/observations.rs
@@ -1,4 +1,4 @@
-//! The figures of a simulation.
+//! The counts of a simulation.
 
 use rudderspindle_policy::interface::Millis;
 
@@ -6,7 +6,7 @@
 use super::settings::{CLASSES, delivered_value, full_value};
 use super::{RECOVERY_DURATION, Scenario};
 
-/// The figures of a simulation.
+/// The counts of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// Peak load during the recovery: calls within the overload duration of 3 s over the receiver's capacity.
--- a/crates/simulation/src/receiver/scenario.rs
+++ b/crates/simulation/src/receiver/scenario.rs
@@ -6,7 +6,7 @@
 
 use crate::SeededRng;
 
-/// Distinguishes the draws of a scenario's figures from those of its simulation.
+/// Distinguishes the draws of a scenario's parameters from those of its simulation.
 const SCENARIO_SEED: u64 = 0x5ce0e;
 /// Time from the end of the outage to the end of a random scenario, ms.
 const AFTER_OUTAGE: Millis = 14_000.0;
@@ -152,7 +152,7 @@
 }
 
 impl Scenario {
-    /// A scenario with two senders and random figures; `outage` is given a draw from 0 to 1.
+    /// A scenario with two senders and random parameters; `outage` is given a draw from 0 to 1.
     pub fn random(seed: u64, outage: impl Fn(f64) -> Outage) -> Self {
         let mut rng = SeededRng::new(seed ^ SCENARIO_SEED);
         let outage_start = 6_000.0 + 2_000.0 * rng.unit();
