--- a/crates/benchmarks/src/http2.rs
+++ b/crates/benchmarks/src/http2.rs
@@ -1,7 +1,7 @@
 //! `http2`: bursts of calls to one receiver over HTTP/2 and over HTTP/1.1 with a pooled connection for each call in
-//! flight, in turn; and how soon the next call is answered after a GOAWAY.
+//! flight, alternating; and the time from a GOAWAY to the response of the next call.
 //!
-//! It measures the client of `crates/http2` alone: there is no journal and no policy.
+//! It measures the client of `crates/http2` without a journal or a policy.
 
 mod bursts;
 mod goaway;
@@ -17,31 +17,32 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::task::LocalSet;
 
+use crate::arguments::CommonArguments;
+use crate::error::BenchmarkError;
+use crate::median::median;
 use crate::report::Report;
-use crate::statistics::median;
-use crate::{BenchmarkError, CommonArguments};
-use bursts::BurstFigures;
+use bursts::BurstMetrics;
 use receiver::ReceiverThread;
 
 /// Default duration of each run, s.
-const SECONDS: u16 = 8;
-/// Runs of each protocol, in turn.
+const DEFAULT_SECONDS: u16 = 8;
+/// Number of alternating runs of the two protocols.
 const PAIRS: u64 = 3;
-/// How long a call may take.
+/// Maximum duration of a call.
 const DEADLINE: Duration = Duration::from_secs(12);
-/// The most that the call after a GOAWAY should take, ms.
+/// Objective for the time from a GOAWAY to the response of the next call, ms.
 const GOAWAY_OBJECTIVE_MS: f64 = 50.0;
 
 /// The bursts and the receiver.
 #[derive(Clone, Debug, Args)]
 pub struct Http2Arguments {
-    /// Calls in a burst, on average; a burst comes each second, on average.
+    /// Mean number of calls in a burst; the mean interval between bursts is one second.
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u16).range(1..=5_000))]
     burst: u16,
-    /// Calls that the partner works on at once; others wait for it.
+    /// Number of calls that the receiver processes at once; others wait.
     #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u16).range(1..=1_000))]
     workers: u16,
-    /// How long it works on a call, milliseconds, on average.
+    /// Mean service time of a call, milliseconds.
     #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u16).range(1..=5_000))]
     work_ms: u16,
 }
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The prefix of the figures' names.
+    /// The prefix of the metrics' names.
     fn key(self) -> &'static str {
         match self {
             Self::Http2 => "http2",
@@ -73,7 +74,7 @@
     }
 }
 
-/// Runs the pairs and the GOAWAYs.
+/// Measures bursts over both protocols, and GOAWAYs.
 ///
 /// # Errors
 ///
@@ -81,7 +82,7 @@
 pub fn run(common: &CommonArguments, arguments: &Http2Arguments) -> Result<Report, BenchmarkError> {
     let seed = common.seed();
     let mut report = Report::new("http2", seed);
-    let duration = Duration::from_secs(u64::from(common.seconds.unwrap_or(SECONDS)));
+    let duration = Duration::from_secs(u64::from(common.seconds.unwrap_or(DEFAULT_SECONDS)));
     print_head(seed, arguments);
     let [mut http2, mut http1] = [const { Vec::new() }; 2];
     for pair in 0..PAIRS {
@@ -92,49 +93,49 @@
     for (protocol, runs) in Protocol::ALL.into_iter().zip([&http2, &http1]) {
         report_medians(protocol, runs, &mut report);
     }
-    let cpu_us = |runs: &[BurstFigures]| median(runs.iter().map(|run| run.cpu_us));
-    report.figure("cpu_ratio", cpu_us(&http2) / cpu_us(&http1).max(f64::MIN_POSITIVE));
+    let cpu_us = |runs: &[BurstMetrics]| median(runs.iter().map(|run| run.cpu_us));
+    report.metric("cpu_ratio", cpu_us(&http2) / cpu_us(&http1).max(f64::MIN_POSITIVE));
     report_goaways(&mut report)?;
     Ok(report)
 }
 
 fn print_head(seed: u64, arguments: &Http2Arguments) {
     let Http2Arguments { burst, workers, work_ms } = arguments;
-    println!("seed {seed}, bursts of {burst} a second, {workers} workers, {work_ms} ms");
+    println!("seed {seed}, bursts of {burst} calls per second, {workers} workers, service time {work_ms} ms");
     println!(
-        "{:<10} {:>16} {:>16} {:>14} {:>10}",
-        "protocol", "in 4 s (share)", "CPU a call (us)", "connections", "p99 (ms)"
+        "{:<10} {:>16} {:>18} {:>14} {:>10}",
+        "protocol", "in 4 s (share)", "CPU per call (us)", "connections", "p99 (ms)"
     );
 }
 
-/// One run against a receiver in a thread of its own.
+/// Runs one protocol against a receiver in its own thread.
 fn run_bursts(
     protocol: Protocol,
     seed: u64,
     duration: Duration,
     arguments: &Http2Arguments,
     report: &mut Report,
-) -> Result<BurstFigures, BenchmarkError> {
+) -> Result<BurstMetrics, BenchmarkError> {
     let receiver = ReceiverThread::start(protocol, seed, arguments)?;
     let bursts = bursts::run(protocol, receiver.addr, seed, duration, arguments.burst);
-    let figures = LocalSet::new().block_on(&current_thread_runtime()?, bursts)?;
+    let metrics = LocalSet::new().block_on(&current_thread_runtime()?, bursts)?;
     receiver.stop()?;
     let name = protocol.name();
-    let BurstFigures { in_time, cpu_us, connections, p99_ms, failed } = figures;
-    println!("{name:<10} {in_time:>16.3} {cpu_us:>16.1} {connections:>14.0} {p99_ms:>10.0}");
+    let BurstMetrics { in_time, cpu_us, connections, p99_ms, failed } = metrics;
+    println!("{name:<10} {in_time:>16.3} {cpu_us:>18.1} {connections:>14.0} {p99_ms:>10.0}");
     if failed > 0 {
-        report.broken(format!("{name}: {failed} calls ended otherwise than delivered"));
+        report.failed_check(format!("{name}: {failed} calls were not delivered"));
     }
-    Ok(figures)
+    Ok(metrics)
 }
 
-fn report_medians(protocol: Protocol, runs: &[BurstFigures], report: &mut Report) {
+fn report_medians(protocol: Protocol, runs: &[BurstMetrics], report: &mut Report) {
     let key = protocol.key();
-    let median = |of: fn(&BurstFigures) -> f64| median(runs.iter().map(of));
-    report.figure(&format!("{key}_in_time_share"), median(|run| run.in_time));
-    report.figure(&format!("{key}_cpu_us_per_call"), median(|run| run.cpu_us));
-    report.figure(&format!("{key}_connections_count"), median(|run| run.connections));
-    report.figure(&format!("{key}_p99_ms"), median(|run| run.p99_ms));
+    let median = |of: fn(&BurstMetrics) -> f64| median(runs.iter().map(of));
+    report.metric(&format!("{key}_in_time_share"), median(|run| run.in_time));
+    report.metric(&format!("{key}_cpu_us_per_call"), median(|run| run.cpu_us));
+    report.metric(&format!("{key}_connections_count"), median(|run| run.connections));
+    report.metric(&format!("{key}_p99_ms"), median(|run| run.p99_ms));
 }
 
 fn report_goaways(report: &mut Report) -> Result<(), BenchmarkError> {
@@ -142,12 +143,12 @@
     times.sort_by(f64::total_cmp);
     let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
     println!(
-        "after a GOAWAY the next call is answered in {median:.1} ms (median), {worst:.1} ms (worst of {}); \
-         aim {GOAWAY_OBJECTIVE_MS} ms",
+        "GOAWAY to the next response: median {median:.1} ms, maximum of {} {worst:.1} ms, objective \
+         {GOAWAY_OBJECTIVE_MS} ms",
         times.len()
     );
-    report.figure("goaway_to_answer_median_ms", median);
-    report.figure("goaway_to_answer_worst_ms", worst);
+    report.metric("goaway_to_answer_median_ms", median);
+    report.metric("goaway_to_answer_worst_ms", worst);
     Ok(())
 }
 
--- a/crates/benchmarks/src/load/clients.rs
+++ b/crates/benchmarks/src/load/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that submit messages one after another, and what is measured meanwhile.
+//! Clients that submit messages one after another, and the measurement of the process that serves them.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
 
 /// What was measured of a process.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct LoadFigures {
+pub(super) struct LoadMetrics {
     /// Messages delivered a second.
     pub per_s: f64,
     /// CPU time of the measured process, us a message.
@@ -44,7 +44,7 @@
     until: Instant,
 }
 
-/// What became of submissions.
+/// Results of submissions.
 #[derive(Default)]
 struct Submissions {
     /// Time until 202 of each accepted one, us.
@@ -52,7 +52,7 @@
     rejected: u64,
 }
 
-/// Measures the process that listens at `addr`; `cpu_us` and `peak_kib` are its statistics so far.
+/// Measures the process that listens at `addr`; `cpu_us` and `peak_kib` read its statistics.
 pub(super) async fn measure(
     addr: SocketAddr,
     receivers: &Receivers,
@@ -60,10 +60,10 @@
     duration: Duration,
     cpu_us: impl Fn() -> u64,
     peak_kib: impl Fn() -> u64,
-) -> LoadFigures {
+) -> LoadMetrics {
     let from = Instant::now() + WARM_UP;
     let period = Period { from, until: from + duration };
-    // Clients end by themselves at the period's end; all are waited for below.
+    // Clients return at the end of the period and are joined below.
     let mut clients = JoinSet::new();
     for client in 0..load.clients {
         clients.spawn(submit_all(addr, client, load.destinations, period));
@@ -81,7 +81,7 @@
     let submissions = collect(clients).await;
     // The cost is that of delivered messages.
     let messages = calls.max(1.0);
-    LoadFigures {
+    LoadMetrics {
         per_s: messages / elapsed,
         cpu_us: cpu / messages,
         own_cpu_us: own_cpu / messages,
--- a/crates/benchmarks/src/load/targets.rs
+++ b/crates/benchmarks/src/load/targets.rs
@@ -1,4 +1,4 @@
-//! The measured processes: the built sender with its discovery, and the bare relay.
+//! The measured processes: the built sender with its discovery, and the minimal relay.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,10 +14,10 @@
 use tokio::io::AsyncReadExt;
 use tokio::process::{Child, Command};
 
-use super::clients::{LoadFigures, measure};
+use super::clients::{LoadMetrics, measure};
 use super::receivers::Receivers;
 use super::{CORE, LoadArguments, process};
-use crate::BenchmarkError;
+use crate::error::BenchmarkError;
 
 /// Measures the built sender.
 pub(super) async fn measure_sender(
@@ -26,7 +26,7 @@
     load: &LoadArguments,
     seed: u64,
     duration: Duration,
-) -> Result<LoadFigures, BenchmarkError> {
+) -> Result<LoadMetrics, BenchmarkError> {
     let event_log = EventLog::start(Vec::new(), Vec::new(), Rules::default());
     let entry = |(n, addr): (usize, &SocketAddr)| Entry {
         id: format!("r{n}"),
@@ -66,12 +66,12 @@
             "rules": {"cold_from": 0.17, "fall_multiple": 2.5, "tip_after": 3000.0, "warm_within": 9300.0}}})
 }
 
-/// Measures the bare relay.
+/// Measures the minimal relay.
 pub(super) async fn measure_relay(
     receivers: &Receivers,
     load: &LoadArguments,
     duration: Duration,
-) -> Result<LoadFigures, BenchmarkError> {
+) -> Result<LoadMetrics, BenchmarkError> {
     let mut relay = Relay::start(receivers).await?;
     let pid = relay.child.id().unwrap_or(0);
     let cpu_us = || process::cpu_us(pid);
@@ -88,7 +88,7 @@
 }
 
 impl Relay {
-    /// Starts this program's `relay` subcommand, which prints where it listens.
+    /// Starts this program's `relay` subcommand, which prints its address.
     async fn start(receivers: &Receivers) -> Result<Self, BenchmarkError> {
         let addrs: Vec<String> = receivers.addrs.iter().map(ToString::to_string).collect();
         let mut child = Command::new("taskset")
--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -8,7 +8,8 @@
 use common::fixture::Site;
 use common::program::Program;
 use common::{DEADLINE_MS, body, next_notifications};
-use rudderspindle_journal::{Message, PossibleExecution, Status, Store, wall_ms};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_journal::{Message, PossibleExecution, Status, Store};
 use rudderspindle_testkit::scripted_peers::{
     Notification, NotificationRequest, Receiver, ScriptedResponse, Watch, list, member, with_timeout,
 };
@@ -27,7 +28,7 @@
         tenant: "acme".into(),
         destination: 7,
         key: None,
-        deadline: wall_ms() + 50_000,
+        deadline: UnixMillis::now() + 50_000,
         body: body(),
         attempts: 0,
         possibly_executed: None,
@@ -63,7 +64,7 @@
         }
         owner.start_attempt(
             &"tried".into(),
-            PossibleExecution { at: wall_ms(), receiver: "r1".into(), zone: "a".into() },
+            PossibleExecution { at: UnixMillis::now(), receiver: "r1".into(), zone: "a".into() },
         );
         owner.commit().expect("written");
         owner.complete(&"ended".into(), Some(Status::Undeliverable));
--- a/crates/daemon/tests/readiness.rs
+++ b/crates/daemon/tests/readiness.rs
@@ -7,7 +7,8 @@
 use bytes::Bytes;
 use common::folder::persistent_folder;
 use common::program::Program;
-use rudderspindle_journal::{Message, Store, wall_ms};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_journal::{Message, Store};
 use rudderspindle_testkit::scripted_peers::{config, member};
 use tokio::net::TcpListener;
 
@@ -24,7 +25,7 @@
             tenant: "acme".into(),
             destination: 7,
             key: None,
-            deadline: wall_ms() + 300_000,
+            deadline: UnixMillis::now() + 300_000,
             body: Bytes::from(vec![b'x'; body]),
             attempts: 0,
             possibly_executed: None,
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -8,7 +8,8 @@
 use common::fixture::Site;
 use common::program::{Program, spawn};
 use common::{DEADLINE_MS, body, next_notifications};
-use rudderspindle_journal::{Message, PossibleExecution, Store, wall_ms};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_journal::{Message, PossibleExecution, Store};
 use rudderspindle_testkit::scripted_peers::{Notification, Receiver, ScriptedResponse};
 use serde_json::Value;
 
@@ -22,7 +23,7 @@
         tenant: "acme".into(),
         destination: 7,
         key: Some(Bytes::from(format!("key-{message_id}"))),
-        deadline: wall_ms() + left_ms,
+        deadline: UnixMillis::now() + left_ms,
         body: body(),
         attempts: 0,
         possibly_executed: None,
@@ -31,22 +32,22 @@
 }
 
 /// An attempt at `r1` without a recorded outcome.
-fn attempt(at: u64) -> PossibleExecution {
+fn attempt(at: UnixMillis) -> PossibleExecution {
     PossibleExecution { at, receiver: "r1".into(), zone: "a".into() }
 }
 
 /// A message in the journal of an earlier process.
 struct Recorded {
     message: Message,
-    /// When its only attempt started, in Unix milliseconds, if there was one.
-    attempt_at: Option<u64>,
+    /// When its only attempt started, if there was one.
+    attempt_at: Option<UnixMillis>,
 }
 
 fn not_attempted(message: Message) -> Recorded {
     Recorded { message, attempt_at: None }
 }
 
-fn attempted(message: Message, at: u64) -> Recorded {
+fn attempted(message: Message, at: UnixMillis) -> Recorded {
     Recorded { message, attempt_at: Some(at) }
 }
 
@@ -80,7 +81,7 @@
         config["settings"]["lanes"][1]["window"] = 1_000.0.into();
         write_journal(
             &folder.state,
-            vec![attempted(pending_message("keyed", "m1", 50_000), wall_ms() - ago)],
+            vec![attempted(pending_message("keyed", "m1", 50_000), UnixMillis::now() - ago)],
         );
         let program = Program::start(&config, &folder.state).await;
         if repeated {
@@ -100,7 +101,7 @@
 #[tokio::test]
 async fn a_clock_set_back_between_two_processes_restarts_no_idempotency_window() {
     let Site { mut platform, mut receiver, folder, config } = Site::new(&[], DEADLINE_MS).await;
-    let now = wall_ms();
+    let now = UnixMillis::now();
     let messages = vec![
         attempted(pending_message("keyed", "m1", 50_000), now - 1_000),
         attempted(pending_message("safe", "m2", 50_000), now + HOUR_MS),
@@ -130,7 +131,7 @@
 
 /// Messages of one class with one deadline that were not attempted, in no order.
 fn not_attempted_messages(count: usize) -> Vec<Recorded> {
-    let deadline = wall_ms() + 50_000;
+    let deadline = UnixMillis::now() + 50_000;
     let message = |n| Message { deadline, ..pending_message("safe", &format!("m{:03}", n * 37 % count), 0) };
     (0..count).map(|n| not_attempted(message(n))).collect()
 }
