--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -56,7 +56,7 @@
         match read_files(&config_path) {
             Ok((config, fleet)) => {
                 if fleet != active_fleet {
-                    tracing::info!(target: "fleet", "the fleet's file has changed: in force from the next start");
+                    tracing::info!(target: "fleet", "fleet file changed; it takes effect at the next start");
                 }
                 tracing::info!("configuration read again: discovery at {}", config.discovery());
                 control.configure(&config);
--- a/crates/daemon/tests/golden/log_lines.rs
+++ b/crates/daemon/tests/golden/log_lines.rs
@@ -75,7 +75,7 @@
     receiver.call().await;
     let mut new = Logged::start(&config, &folder.1).await;
     let _new_watch = platform.watch().await;
-    assert_eq!(old.until("handover: a successor has come").await, "");
+    assert_eq!(old.until("successor connected").await, "");
     old.kill().await;
     new.until("handover: taken over").await;
     receiver.call().await;
--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -118,7 +118,7 @@
         rogues.push(rogue);
     }
     let new = Program::start(&config, &folder.1).await;
-    old.says("a successor has come").await;
+    old.says("successor connected").await;
     receiver.then(&[Act::Say(429, Some(("x-backoff-ms", "1500")))]);
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
     assert_eq!(receiver.call().await.message_id, "m1");
@@ -148,14 +148,14 @@
             // Later connections are read too: the previous one ends only now that the next one has sent its message.
             let mut stranger = UnixStream::connect(socket(&folder.1)).await.expect("a connection");
             stranger.write_all(b"{\"hello\":2}\n").await.expect("writable");
-            old.says("turned away").await;
+            old.says("handover rejected: unexpected first message").await;
             drop(before);
         }
-        old.says("a successor has come").await;
+        old.says("successor connected").await;
     }
     drop(before);
     let mut new = Program::start(&config, &folder.1).await;
-    old.says("a successor has come").await;
+    old.says("successor connected").await;
     old.kill().await;
     new.says("taken over: 1 messages").await;
     assert_eq!(receiver.call().await.message_id, "m1");
@@ -173,7 +173,7 @@
         assert_eq!(receiver.call().await.message_id, message_id);
     }
     let new = Program::start(&config, &folder.1).await;
-    old.says("a successor has come").await;
+    old.says("successor connected").await;
     for (class, message_id) in [("safe", "new-safe"), ("once", "new-once")] {
         assert_eq!(new.hand_in(class, message_id, text()).await.status(), 202);
         assert_eq!(receiver.call().await.message_id, message_id);
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -187,7 +187,7 @@
         assert_eq!(old.hand_in("safe", &format!("old-{n}"), text()).await.status(), 202);
     }
     let mut new = Program::start(&config, &folder.1).await;
-    old.says("a successor has come").await;
+    old.says("successor connected").await;
     for n in 0..15 {
         assert_eq!(new.hand_in("safe", &format!("new-{n}"), text()).await.status(), 202);
     }
@@ -215,6 +215,6 @@
     let log = child.wait_with_output().await.expect("its log").stderr;
     let log = String::from_utf8(log).expect("text");
     let lines: Vec<&str> = log.lines().filter(|line| line.contains("gone")).collect();
-    assert_eq!(lines, ["journal: 3 messages are of class gone, which is no more: given up"]);
+    assert_eq!(lines, ["messages failed: the settings do not have their class class=gone messages=3"]);
     assert!(receiver.nothing_called());
 }
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -67,7 +67,7 @@
     assert_eq!(site.receiver.call().await.message_id, "m6");
     // The next version finds the one that is the owner now.
     let mut newest = site.start().await;
-    new.says("a successor has come").await;
+    new.says("successor connected").await;
     new.terminate().await;
     assert!(new.exit().await.success());
     newest.says("taken over: 0 messages, 0 notices").await;
--- a/crates/sender/src/accept.rs
+++ b/crates/sender/src/accept.rs
@@ -54,7 +54,7 @@
         let now = Instant::now();
         let previous = self.last_failure.replace(now);
         if previous.is_none_or(|previous| now - previous > FAILURE_LOG_INTERVAL) {
-            tracing::warn!("{}: a connection could not be accepted: {error}", self.peers);
+            tracing::warn!(peers = self.peers, %error, "connection could not be accepted");
         }
     }
 }
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -57,7 +57,7 @@
         let time = RecoveryTime { now, wall, set_back: self.store.latest_attempt() > wall };
         if time.set_back {
             tracing::warn!(
-                "clock was set back: attempts on record count as outside their idempotency window"
+                "clock was set back; attempts on record count as outside their idempotency window"
             );
         }
         if !messages.is_empty() {
@@ -104,10 +104,7 @@
     /// Fails the messages whose class is no longer in the settings.
     fn fail_unknown_classes(&mut self, unknown_classes: BTreeMap<Rc<str>, Vec<MessageId>>) {
         for (class, mut message_ids) in unknown_classes {
-            tracing::warn!(
-                "journal: {} messages are of class {class}, which is no more: given up",
-                message_ids.len()
-            );
+            tracing::warn!(%class, messages = message_ids.len(), "messages failed: the settings do not have their class");
             message_ids.sort_unstable();
             for message_id in message_ids {
                 self.store.complete(&message_id, Some(Status::Undeliverable));
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -15,7 +15,7 @@
             return;
         }
         self.share_disk(true);
-        tracing::info!("handover: a successor has come");
+        tracing::info!("successor connected");
         for message in outage_messages(&self.store) {
             self.io.peer_process.send(message);
         }
--- a/crates/sender/src/handover/owner.rs
+++ b/crates/sender/src/handover/owner.rs
@@ -26,7 +26,7 @@
     let listener = match bind(&folder) {
         Ok(listener) => listener,
         Err(error) => {
-            tracing::warn!(%error, "handover: cannot listen; successors will not receive this process's state");
+            tracing::warn!(%error, "handover socket cannot be bound; successors start without this process's state");
             return;
         }
     };
@@ -64,16 +64,16 @@
     match timeout(HANDOVER_TIMEOUT, connection.reader.read()).await {
         Ok(Ok(Some(HandoverMessage::Hello(VERSION)))) => {}
         Ok(Ok(Some(message))) => {
-            tracing::warn!("handover: turned away: {message:?}");
+            tracing::warn!(?message, "handover rejected: unexpected first message");
             return;
         }
         _ => {
-            tracing::warn!("handover: a connection said nothing that is understood");
+            tracing::warn!("handover rejected: no valid handshake");
             return;
         }
     }
     if timeout(HANDOVER_TIMEOUT, peer_process.disconnected()).await.is_err() {
-        tracing::warn!("handover: turned away: another successor is there");
+        tracing::warn!("handover rejected: another successor is connected");
         return;
     }
     connection.spawn_exchange(peer_process, engine.clone());
--- a/crates/sender/src/handover/successor.rs
+++ b/crates/sender/src/handover/successor.rs
@@ -34,10 +34,10 @@
     match timeout(HANDOVER_TIMEOUT, request_state(folder, &mut state)).await {
         Ok(Ok(connection)) => connection.spawn_exchange(peer_process.clone(), engine.clone()),
         Ok(Err(error)) => {
-            tracing::warn!(%error, "handover: no state from the older process; continuing without it");
+            tracing::warn!(%error, "handover failed; starting without the owner's state");
         }
         Err(_) => {
-            tracing::warn!("handover: the older process does not answer; going on without what it knows");
+            tracing::warn!("handover timed out; starting without the owner's state");
         }
     }
     state
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -57,7 +57,7 @@
         let incarnation = self.start_incarnation(state)?;
         let strict = self.limit_sharing() == LimitSharing::Permits;
         let Self { config, file, ramp, quotas } = self;
-        tracing::info!(target: FLEET_LOG_TARGET, senders = config.peers.len(), strict, "limits are shared by notes");
+        tracing::info!(target: FLEET_LOG_TARGET, senders = config.peers.len(), strict, "limits are shared with other senders");
         let settings = FleetSettings { fleet_file: file, tenant_quotas: quotas, incarnation };
         spawn_local(GossipTask::new(config, ramp, settings).run(to_engine));
         Ok(())
