--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -61,7 +61,7 @@
             );
         }
         if !messages.is_empty() {
-            tracing::warn!("journal: {} messages taken up again", messages.len());
+            tracing::warn!(messages = messages.len(), "messages recovered from the journal");
         }
         let mut recovered = Vec::new();
         let mut unknown_classes = BTreeMap::<Rc<str>, Vec<MessageId>>::new();
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -77,9 +77,9 @@
             Ok(None) => {}
             Ok(Some(journal)) => {
                 tracing::info!(
-                    "handover: taken over: {} messages, {} notices",
-                    journal.pending_messages.len(),
-                    journal.pending_notifications.len()
+                    messages = journal.pending_messages.len(),
+                    notifications = journal.pending_notifications.len(),
+                    "journal taken over"
                 );
                 self.recover(now, journal.pending_messages, journal.pending_notifications);
             }
