--- a/crates/daemon/tests/golden/log_lines.rs
+++ b/crates/daemon/tests/golden/log_lines.rs
@@ -39,7 +39,7 @@
 
 /// A log without what is said of discovery: on a slow machine a start may have waited in vain for the list.
 fn without_discovery(log: &str) -> String {
-    let lines = log.lines().filter(|line| !line.starts_with("discovery: "));
+    let lines = log.lines().filter(|line| !line.starts_with("discovery "));
     lines.map(|line| format!("{line}\n")).collect()
 }
 
@@ -115,6 +115,6 @@
     let (_, lines) = platform.watch().await;
     lines.send(list(8, false, &[]).to_string()).expect("a watch");
     drop(lines);
-    let rest = program.until("discovery: the watch").await;
-    assert_golden("log_of_a_watch_that_ends.txt", &format!("discovery: the watch{rest}\n"));
+    let rest = program.until("discovery watch failed").await;
+    assert_golden("log_of_a_watch_that_ends.txt", &format!("discovery watch failed{rest}\n"));
 }
--- a/crates/sender/src/discovery/client.rs
+++ b/crates/sender/src/discovery/client.rs
@@ -30,7 +30,7 @@
     match list.unwrap_or(Err(HttpError::TimedOut.into())) {
         Ok(list) => Some(list),
         Err(error) => {
-            tracing::warn!("discovery: {error}; starting with the list as last known");
+            tracing::warn!(%error, "discovery list not received; starting with the configured one");
             None
         }
     }
--- a/crates/sender/src/discovery/watcher.rs
+++ b/crates/sender/src/discovery/watcher.rs
@@ -100,7 +100,7 @@
         }
         let elapsed = self.progress.last_activity.elapsed();
         if self.progress.received_event {
-            tracing::warn!("discovery: {error}; watching again");
+            tracing::warn!(%error, "discovery watch failed; reconnecting");
             self.schedule.record_success();
             return self.schedule.delay_after_failure(elapsed);
         }
