--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -58,10 +58,10 @@
                 if fleet != active_fleet {
                     tracing::info!(target: "fleet", "fleet file changed; it takes effect at the next start");
                 }
-                tracing::info!("configuration read again: discovery at {}", config.discovery());
+                tracing::info!(discovery = %config.discovery(), "configuration reloaded");
                 control.configure(&config);
             }
-            Err(error) => tracing::error!("configuration left as it was: {error}"),
+            Err(error) => tracing::error!(%error, "configuration not reloaded"),
         }
     }
 }
--- a/crates/daemon/tests/configuration_reload.rs
+++ b/crates/daemon/tests/configuration_reload.rs
@@ -25,11 +25,11 @@
     assert_eq!(old.report().await.1, 500);
     // A file that cannot be used changes nothing.
     program.configure("{", &folder.1).await;
-    program.says("configuration left as it was").await;
+    program.says("configuration not reloaded").await;
     std::fs::remove_file(folder.1.with_extension("json")).expect("a file");
     for bad in [config.to_string().replace("\"settings\"", "\"nothing\""), String::new()] {
         program.configure(&bad, &folder.1).await;
-        program.says("configuration left as it was").await;
+        program.says("configuration not reloaded").await;
     }
     assert!(!lines.is_closed());
     // Revisions start anew there, and the list names another receiver.
@@ -71,7 +71,7 @@
     let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     config["discovery"] = silent.local_addr().expect("an address").to_string().into();
     program.configure(&config.to_string(), &folder.1).await;
-    program.says("configuration read again").await;
+    program.says("configuration reloaded").await;
     soon("a connection", silent.accept()).await.expect("a connection");
     assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
     assert_eq!(receiver.call().await.message_id, "m1");
@@ -97,7 +97,7 @@
     *new.list.lock().expect("a list") = Some(list(1, true, &[member("r3", listed.addr, 7, "SERVING")]));
     config["discovery"] = new.addr.to_string().into();
     program.configure(&config.to_string(), &folder.1).await;
-    program.says("configuration read again").await;
+    program.says("configuration reloaded").await;
     // It may be read or not: nobody listens to it any more.
     let _ = watch.write_all(rest.as_bytes()).await;
     assert_eq!(program.hand_in("safe", "m1", text()).await.status(), 202);
--- a/crates/daemon/tests/golden/log_lines.rs
+++ b/crates/daemon/tests/golden/log_lines.rs
@@ -51,10 +51,10 @@
     let mut program = Logged::start(&config, &folder.1).await;
     let _watch = platform.watch().await;
     program.signal("-HUP").await;
-    program.until("configuration read again").await;
+    program.until("configuration reloaded").await;
     std::fs::write(&file, "{").expect("a configuration file");
     program.signal("-HUP").await;
-    program.until("configuration left as it was").await;
+    program.until("configuration not reloaded").await;
     let control = program.address_after("operators: listening on ").to_owned();
     call(&control, "standby\n").await;
     call(&control, "active\n").await;
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -144,7 +144,7 @@
         assert!(sent.expect("kill runs").success());
         // The next line each time: there is no other.
         let line = soon(pointer, log.next_line()).await.expect("a log").expect("it goes on");
-        assert!(line.starts_with(&format!("configuration left as it was: {key}")), "{pointer}: {line}");
+        assert!(line.starts_with(&format!("configuration not reloaded error={key}")), "{pointer}: {line}");
         assert!(line.contains(right), "{pointer}: {line}");
     }
     assert!(elsewhere.nobody_came());
