--- a/crates/daemon/src/logging/tests.rs
+++ b/crates/daemon/src/logging/tests.rs
@@ -2,7 +2,7 @@
 
 use tracing::Level;
 
-use super::*;
+use super::LogFilter;
 
 #[test]
 fn message_events_are_logged_only_on_request_and_invalid_directives_leave_the_default() {
--- a/crates/sender/src/config/golden.rs
+++ b/crates/sender/src/config/golden.rs
@@ -1,12 +1,13 @@
 //! Valid configurations, compared with recorded values.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use rudderspindle_policy::interface::{Class, Discovery, Effect, KeyGroup, LateDecay, RateHint};
 use serde::Deserialize;
-use serde_json::{Map, json};
+use serde_json::{Map, Value, json};
 
-use super::*;
+use super::ValidatedConfig;
+use super::file::Config;
 
 mod refused;
 
--- a/crates/sender/src/config/golden/refused.rs
+++ b/crates/sender/src/config/golden/refused.rs
@@ -3,7 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use super::*;
+use serde::Deserialize;
+use serde_json::Value;
+
+use super::super::ValidatedConfig;
+use super::{complete_config, put, read};
 
 const REFUSED: &str = include_str!("../../../tests/golden/config.refused.json");
 
--- a/crates/sender/src/connection_slots/tests.rs
+++ b/crates/sender/src/connection_slots/tests.rs
@@ -1,6 +1,9 @@
-use super::*;
+use std::net::IpAddr;
+use std::time::Duration;
 
-use proptest::prelude::*;
+use proptest::prelude::{ProptestConfig, prop, prop_assert, prop_assert_eq, proptest};
+
+use super::{ConnectionId, ConnectionSlots, SlotState};
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/sender/src/control/command/tests.rs
+++ b/crates/sender/src/control/command/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use super::{Command, UnknownCommand};
+use crate::admission_state::AdmissionState;
 
 #[test]
 fn a_command_is_one_whole_word_in_lower_case() {
--- a/crates/sender/src/control/golden.rs
+++ b/crates/sender/src/control/golden.rs
@@ -1,7 +1,13 @@
 //! The responses of the control protocol, compared with recorded ones.
 
-use super::*;
-use crate::metrics::{EngineStatus, FinalOutcome};
+use std::rc::Rc;
+
+use tokio::sync::{mpsc, watch};
+
+use super::ControlListener;
+use crate::admission_state::AdmissionState;
+use crate::event::Input;
+use crate::metrics::{EngineStatus, FinalOutcome, Metrics};
 
 const SERVING: &str = include_str!("../../tests/golden/control.serving.txt");
 const STOPPING: &str = include_str!("../../tests/golden/control.stopping.txt");
--- a/crates/sender/src/discovery/decoder/tests.rs
+++ b/crates/sender/src/discovery/decoder/tests.rs
@@ -1,9 +1,9 @@
 //! The decoded events do not depend on how the bytes of a watch are split.
 
-use proptest::prelude::*;
+use proptest::prelude::{Just, Strategy, any, prop, prop_assert, prop_assert_eq, prop_oneof, proptest};
 use serde_json::{Value, json};
 
-use super::*;
+use super::{DecodeError, Decoder, MAX_LIST_LEN, WatchEvent};
 
 /// A list's revision, whether it is complete, and its members' ids; `None` for a heartbeat.
 type Decoded = Option<(u64, bool, Vec<String>)>;
--- a/crates/sender/src/discovery/tests.rs
+++ b/crates/sender/src/discovery/tests.rs
@@ -6,7 +6,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::sleep;
 
-use self::scripted::*;
+use self::scripted::{
+    ScriptedDiscovery, WATCH_HEAD, chunk, full_response, list_json, local, start_agent_watch,
+    wait_until_closed, write,
+};
 use super::client::{STARTUP_FETCH_TIMEOUT, fetch};
 
 mod scripted;
--- a/crates/sender/src/discovery/tests/silence.rs
+++ b/crates/sender/src/discovery/tests/silence.rs
@@ -1,10 +1,14 @@
 //! A watch that has gone idle is closed and opened again; one that receives heartbeats stays open.
 
-use rudderspindle_policy::interface::Discovery;
+use std::time::{Duration, Instant};
 
-use tokio::time::timeout;
+use rudderspindle_policy::interface::Discovery;
+use tokio::io::AsyncWriteExt;
+use tokio::time::{sleep, timeout};
 
-use super::*;
+use super::scripted::{
+    ScriptedDiscovery, WATCH_HEAD, chunk, list_json, local, start_agent_watch, start_watch, write,
+};
 
 /// Changes that an idle watch misses are received within this time.
 const IN_EFFECT_WITHIN: Duration = Duration::from_secs(6);
@@ -73,7 +77,9 @@
     };
     let on_request = Discovery::OnRequest { ask_within: 10_000.0 };
     local(async {
-        use Idle::*;
+        use Idle::{
+            AfterHead, AfterHeartbeat, EmptyLinesWithinList, Trickling, WithinALine, WithoutResponse,
+        };
         let agent = async |idle| test(idle, Discovery::Pushed).await;
         let (without_response, ..) = tokio::join!(
             agent(WithoutResponse),
--- a/crates/sender/src/engine/backlog/tests.rs
+++ b/crates/sender/src/engine/backlog/tests.rs
@@ -1,8 +1,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use rudderspindle_journal as journal;
+use tokio::time::Instant;
 
-use super::*;
+use super::{Backlog, RecoveredMessage};
 
 /// A message of this value whose deadline is so many milliseconds after `now`.
 fn message(now: Instant, message_id: &str, value: f64, time_left_ms: u64) -> RecoveredMessage {
--- a/crates/sender/src/engine/commit/tests.rs
+++ b/crates/sender/src/engine/commit/tests.rs
@@ -1,12 +1,14 @@
 //! Nothing is answered or sent before the write, and nothing of a batch that could not be written is.
 
 use rudderspindle_journal::Store;
-use rudderspindle_policy::interface::{Action, AttemptResult, RouteId};
+use rudderspindle_policy::interface::{Action, AttemptResult, Event, MessageHandle, Outcome, RouteId};
 use tokio::sync::oneshot::error::TryRecvError;
+use tokio::time::Instant;
 
+use super::super::Engine;
+use super::super::intake::Intake;
 use super::super::tests::{engine, submission};
-use super::*;
-use crate::event::Input;
+use crate::event::{Input, SubmissionResponse};
 
 /// Admits a submission, without deciding about it.
 fn admit(engine: &mut Engine, input: Input) -> (Intake, MessageHandle) {
--- a/crates/sender/src/engine/endpoint_table/tests.rs
+++ b/crates/sender/src/engine/endpoint_table/tests.rs
@@ -1,4 +1,10 @@
-use super::*;
+use std::collections::HashSet;
+use std::time::Duration;
+
+use rudderspindle_policy::interface::{DestinationId, Listing, RouteId};
+use tokio::time::Instant;
+
+use super::{EndpointTable, REMOVED_RECEIVER_RETENTION};
 
 const DESTINATION: DestinationId = DestinationId(7);
 
--- a/crates/sender/src/engine/outage_records/tests.rs
+++ b/crates/sender/src/engine/outage_records/tests.rs
@@ -1,6 +1,9 @@
 //! The running process may send anything that can be parsed.
 
-use super::*;
+use rudderspindle_journal::{self as journal, Store};
+
+use super::restore_outages;
+use crate::handover::{self, HandoverMessage};
 
 #[test]
 fn outages_out_of_range_are_clamped_when_they_are_restored() {
--- a/crates/sender/src/engine/recovery/tests.rs
+++ b/crates/sender/src/engine/recovery/tests.rs
@@ -1,10 +1,11 @@
 //! Recovered messages beside new ones.
 
+use std::time::Duration;
+
 use bytes::Bytes;
-use rudderspindle_journal::Store;
+use rudderspindle_journal::{self as journal, PendingNotification, Store};
 
 use super::super::tests::{engine, submission};
-use super::*;
 
 /// Writes messages that were never tried, for a destination without receivers, into a journal.
 fn write_untried_messages(state: &std::path::Path, count: usize, time_left_ms: u64) {
--- a/crates/sender/src/engine/takeover/tests.rs
+++ b/crates/sender/src/engine/takeover/tests.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::super::tests::{engine, submission};
-use super::*;
 use crate::event::{Input, SubmissionId, SubmissionResponse};
+use crate::outbound::MAX_BACKOFF_MS;
 
 #[tokio::test(start_paused = true)]
 async fn a_backoff_of_any_length_from_the_peer_process_holds_for_a_minute_at_most() {
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -1,14 +1,18 @@
 //! A whole engine on a journal of its own, without its run loop.
 
 use std::rc::Rc;
+use std::time::Duration;
 
 use bytes::Bytes;
+use rudderspindle_journal::Store;
 use rudderspindle_policy::interface::DestinationId;
 use tokio::sync::{mpsc, oneshot};
+use tokio::time::Instant;
 
+use super::Engine;
+use super::dependencies::{EngineDependencies, EngineIo, LimitSharing, PolicyOptions};
 use super::tracked_messages::MAX_CLIENTS_PER_MESSAGE;
-use super::*;
-use crate::event::{Submission, SubmissionId, SubmissionResponse};
+use crate::event::{Input, Submission, SubmissionId, SubmissionResponse};
 use crate::handover::PeerProcess;
 use crate::metrics::Metrics;
 use crate::outbound::Outbound;
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -1,12 +1,16 @@
 //! The cancellation of a call against its result.
 
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
+use std::time::Duration;
 
 use rudderspindle_policy::interface::Action;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::Instant;
 
-use super::*;
+use super::super::Engine;
+use super::{engine, submission};
 use crate::engine::intake::Intake;
+use crate::event::{Input, SubmissionResponse};
 
 /// Makes a listener of the test the only receiver in the list.
 pub(super) async fn receiver(engine: &mut Engine) -> TcpListener {
--- a/crates/sender/src/engine/tests/deadline.rs
+++ b/crates/sender/src/engine/tests/deadline.rs
@@ -1,9 +1,13 @@
 //! A message's deadline against the response to its call.
 
+use std::time::Duration;
+
 use tokio::io::AsyncWriteExt;
+use tokio::time::Instant;
 
 use super::cancels::{receiver, request, run_batch, soon, until};
-use super::*;
+use super::{engine, submission};
+use crate::event::{Input, SubmissionResponse};
 
 /// The client's deadline counts from when it sent the message, a little earlier than the sender's. A response in between is
 /// late for the client: taken for a delivery, the message would have no outcome.
--- a/crates/sender/src/engine/tracked_messages/tests.rs
+++ b/crates/sender/src/engine/tracked_messages/tests.rs
@@ -1,4 +1,9 @@
-use super::*;
+use bytes::Bytes;
+use rudderspindle_policy::interface::MessageHandle;
+use tokio::time::Instant;
+
+use super::{MAX_CLIENTS_PER_MESSAGE, TrackedMessage, TrackedMessages};
+use crate::event::SubmissionId;
 
 const FIRST: SubmissionId = SubmissionId(1);
 const SECOND: SubmissionId = SubmissionId(2);
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -10,8 +10,10 @@
 
 use super::codec::HandoverError;
 use super::connection::Connection;
+use super::message::{HandoverMessage, OutageState};
 use super::owner::accept_successor;
-use super::*;
+use super::peer_process::PeerProcess;
+use super::successor::connect_to_owner;
 use crate::event::Input;
 
 const WRITTEN: &str = include_str!("../../tests/golden/handover.written.txt");
--- a/crates/sender/src/inbound/request_head/tests.rs
+++ b/crates/sender/src/inbound/request_head/tests.rs
@@ -1,7 +1,12 @@
+use bytes::Bytes;
 use http_body_util::Full;
-use hyper::StatusCode;
+use hyper::{Request, StatusCode};
+use rudderspindle_journal::MAX_BODY;
+use rudderspindle_policy::interface::{DestinationId, Settings};
+use rudderspindle_policy::settings::Names;
 
-use super::*;
+use super::super::rejection::RequestRejection;
+use super::{MAX_NAME_LEN, SubmissionHead};
 
 fn settings() -> (Settings, Names) {
     let json = serde_json::json!({
--- a/crates/sender/src/inbound/tests.rs
+++ b/crates/sender/src/inbound/tests.rs
@@ -3,15 +3,22 @@
 mod closing;
 
 use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
 
+use rudderspindle_journal::MAX_BODY;
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
-use tokio::task::LocalSet;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, watch};
+use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
-use super::*;
-use crate::event::SubmissionResponse;
+use super::{Inbound, Limits};
+use crate::admission_state::AdmissionState;
+use crate::connection_slots::ConnectionId;
+use crate::event::{Input, SubmissionResponse};
+use crate::metrics::Metrics;
 
 const REQUEST: &[u8] = b"POST /safe HTTP/1.1\r\nHost: a\r\nX-Txn: m1\r\nX-Remaining: 5\r\n\
     X-Route-To: dest=7\r\nContent-Length: 4\r\n\r\ntext";
--- a/crates/sender/src/inbound/tests/closing.rs
+++ b/crates/sender/src/inbound/tests/closing.rs
@@ -1,7 +1,16 @@
 //! Bytes that are received at the moment at which a connection is closed.
 
+use std::time::Duration;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::task::{LocalSet, spawn_local};
+use tokio::time::timeout;
+
 use super::super::shutdown::{LAST_ACCEPT_GRACE, LAST_RESPONSE_TIMEOUT};
-use super::*;
+use super::{InboundTest, MAX_CONNECTIONS, READY, REQUEST, TEST_TIMEOUT, freeze_clock, read_status, until};
+use crate::admission_state::AdmissionState;
+use crate::connection_slots::ConnectionId;
 use crate::graceful_close;
 
 #[tokio::test]
--- a/crates/sender/src/metrics/tests.rs
+++ b/crates/sender/src/metrics/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use rudderspindle_journal::Status;
+
+use super::{EngineStatus, FinalOutcome, Metrics};
 
 #[test]
 fn each_final_outcome_counts_once_for_its_class_and_none_for_a_class_that_does_not_exist() {
--- a/crates/sender/src/notifications/tests.rs
+++ b/crates/sender/src/notifications/tests.rs
@@ -1,15 +1,18 @@
 //! Delivery of notifications to a scripted platform.
 
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use rudderspindle_journal::Status;
+use rudderspindle_journal::{PendingNotification, Status};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, watch};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, timeout};
 
-use super::*;
+use super::Notifications;
+use crate::event::Input;
 
 /// Time-out of each step, far beyond what it takes unless something is broken.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -1,16 +1,21 @@
 //! Calls over loopback sockets, with the test in place of the receiver.
 
 use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
 
 use bytes::Bytes;
-use rudderspindle_policy::interface::{DestinationId, MessageHandle, Outcome};
+use rudderspindle_policy::interface::{DestinationId, Listing, MessageHandle, Outcome, RouteId};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use tokio::time::timeout;
+use tokio::sync::mpsc;
+use tokio::time::{Instant, timeout};
 
-use super::*;
-use crate::event::CallOutcome;
+use super::Outbound;
+use super::routes::Route;
+use crate::event::{Call, Input};
+use crate::metrics::Metrics;
 
 mod deadline;
 mod idle_connections;
--- a/crates/sender/src/outbound/tests/deadline.rs
+++ b/crates/sender/src/outbound/tests/deadline.rs
@@ -1,6 +1,16 @@
 //! A call's deadline against its response.
 
-use super::*;
+use std::rc::Rc;
+use std::time::Duration;
+
+use rudderspindle_policy::interface::Outcome;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::Instant;
+
+use super::super::Outbound;
+use super::{call, next, set_up};
+use crate::event::{Call, Input};
 
 /// A call whose request has been received, and the deadline that its receiver was told.
 async fn received_call(outbound: &Rc<Outbound>, listener: &TcpListener) -> (TcpStream, Instant) {
--- a/crates/sender/src/outbound/tests/idle_connections.rs
+++ b/crates/sender/src/outbound/tests/idle_connections.rs
@@ -1,6 +1,14 @@
 //! Idle connections and their use for further calls.
 
-use super::*;
+use std::time::Duration;
+
+use rudderspindle_policy::interface::{Listing, Outcome};
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpListener;
+use tokio::time::{Instant, timeout};
+
+use super::{ROUTE, call, complete_call, next, respond, route, set_up};
+use crate::event::Input;
 
 #[tokio::test]
 async fn an_idle_connection_is_not_used_when_the_receiver_may_be_about_to_close_it() {
--- a/crates/sender/src/outbound/tests/interrupted.rs
+++ b/crates/sender/src/outbound/tests/interrupted.rs
@@ -1,7 +1,22 @@
 //! Calls that are interrupted, of which nothing may arrive later, and retries with an idempotency key, which must not
 //! arrive after its window.
 
-use super::*;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use rudderspindle_policy::interface::{Listing, Outcome, RouteId};
+use socket2::SockRef;
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+use super::super::Outbound;
+use super::{
+    LARGE, ROUTE, call, complete_call, narrow, next, read_to_end, respond, route, set_up, set_up_with,
+};
+use crate::event::{Call, Input};
 
 /// Length of a body that the system buffers completely while nobody reads at a [`narrow`] listener.
 const MEDIUM: usize = 8_000;
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -1,10 +1,14 @@
 //! Whether a call may have been executed: the protocol's table, and responses that are cut or split at every byte.
 
-use proptest::prelude::*;
+use bytes::Bytes;
+use proptest::prelude::{Just, ProptestConfig, Strategy, prop_assert_eq};
 use proptest::test_runner::TestRunner;
+use rudderspindle_policy::interface::{Listing, Outcome};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use super::super::outcome::{Interruption, RequestProgress, ResponseProgress, outcome_without_response};
-use super::*;
+use super::{LARGE, NowOrNever, ROUTE, call, narrow, next, read_request, read_to_end, route, set_up};
+use crate::event::{Call, CallOutcome, Input};
 
 /// Every row of the protocol's table without a complete response, and every way to get there.
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
--- a/crates/sender/src/outbound/tests/responses.rs
+++ b/crates/sender/src/outbound/tests/responses.rs
@@ -1,6 +1,11 @@
 //! Results of complete responses.
 
-use super::*;
+use rudderspindle_policy::interface::Outcome;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+
+use super::super::outcome::MAX_BACKOFF_MS;
+use super::{ROUTE, call, next, respond, set_up};
+use crate::event::{CallOutcome, Input};
 
 #[tokio::test]
 async fn responses_have_the_results_of_the_protocol() {
--- a/crates/sender/src/outbound/tests/withheld.rs
+++ b/crates/sender/src/outbound/tests/withheld.rs
@@ -1,6 +1,13 @@
 //! Calls whose decision no longer holds when the first byte could be sent.
 
-use super::*;
+use std::time::Duration;
+
+use rudderspindle_policy::interface::{DestinationId, Listing, Outcome};
+use tokio::net::{TcpSocket, TcpStream};
+use tokio::time::Instant;
+
+use super::{ROUTE, call, complete_call, next, route, set_up};
+use crate::event::{Call, Input};
 
 /// The decision was right when it was made; a backoff or a drain that is reported before the call's first byte counts.
 #[tokio::test]
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -1,9 +1,14 @@
 //! Bounds of the pauses, and what they add up to for a simulated discovery with many senders.
 
-use rudderspindle_policy::interface::Millis;
+use std::time::Duration;
+
+use rudderspindle_policy::interface::{Discovery, Millis};
 use rudderspindle_simulation::lists::{self, Overload, Pauses, Played, lists};
 
-use super::*;
+use super::{
+    CHANGE_IN_EFFECT_AFTER, MAX_POLL_GAP, MAX_RESPONSE_TIME, MIN_BACKOFF, PollSchedule,
+    QUEUED_REJECTION_AFTER, REQUEST_OVERHEAD,
+};
 
 const POLL_DEADLINE: Millis = 10_000.0;
 const ON_REQUEST: Discovery = Discovery::OnRequest { ask_within: POLL_DEADLINE };
--- a/crates/sender/src/write_progress/response_head/tests.rs
+++ b/crates/sender/src/write_progress/response_head/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{MAX_BUFFERED_HEAD, ResponseHead};
 
 fn head_of(pieces: &[&str]) -> ResponseHead {
     let mut head = ResponseHead::default();
