--- a/crates/daemon/tests/configuration_reload.rs
+++ b/crates/daemon/tests/configuration_reload.rs
@@ -32,11 +32,11 @@
     assert_eq!(old.next_notifications().await.status, 500);
     // A file that cannot be used changes nothing.
     program.configure("{", &folder.state).await;
-    program.wait_for_log_line("configuration left as it was").await;
+    program.wait_for_log_line("configuration not reloaded").await;
     std::fs::remove_file(folder.state.with_extension("json")).expect("a file");
     for bad in [config.to_string().replace("\"settings\"", "\"nothing\""), String::new()] {
         program.configure(&bad, &folder.state).await;
-        program.wait_for_log_line("configuration left as it was").await;
+        program.wait_for_log_line("configuration not reloaded").await;
     }
     assert!(!lines.is_closed());
     // Its revisions start from 1, and its list names another receiver.
@@ -78,7 +78,7 @@
     let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     config["discovery"] = silent.local_addr().expect("an address").to_string().into();
     program.configure(&config.to_string(), &folder.state).await;
-    program.wait_for_log_line("configuration read again").await;
+    program.wait_for_log_line("configuration reloaded").await;
     with_timeout("a connection", silent.accept()).await.expect("a connection");
     assert_eq!(program.submit("safe", "m1", body()).await.status(), 202);
     assert_eq!(receiver.next_call().await.message_id, "m1");
@@ -104,7 +104,7 @@
     new.set_list(list(1, true, &[member("r3", listed.addr, 7, "SERVING")]));
     config["discovery"] = new.addr.to_string().into();
     program.configure(&config.to_string(), &folder.state).await;
-    program.wait_for_log_line("configuration read again").await;
+    program.wait_for_log_line("configuration reloaded").await;
     // The write may fail: the connection may be closed.
     let _ = watch.write_all(rest.as_bytes()).await;
     assert_eq!(program.submit("safe", "m1", body()).await.status(), 202);
--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -86,7 +86,7 @@
         let received_at = Instant::now();
         drop((stream, listener, owner));
         let mut program = starting.await.expect("it starts");
-        program.wait_for_log_line("taken over: 2 messages, 1 notices").await;
+        program.wait_for_log_line("journal taken over messages=2 notifications=1").await;
         let call = receiver.next_call().await;
         assert_eq!(call.message_id, "untried", "{sent} lines");
         let after = call.at.duration_since(received_at);
@@ -117,7 +117,7 @@
         rogues.push(rogue);
     }
     let new = Program::start(&config, &folder.state).await;
-    old.wait_for_log_line("a successor has come").await;
+    old.wait_for_log_line("successor connected").await;
     receiver.then(&[ScriptedResponse::StatusWithHeader(429, "x-backoff-ms", "1500")]);
     assert_eq!(old.submit("safe", "m1", body()).await.status(), 202);
     assert_eq!(receiver.next_call().await.message_id, "m1");
@@ -148,16 +148,16 @@
             // Later connections are read too: the previous one ends only now that the next one has sent its message.
             let mut stranger = UnixStream::connect(socket(&folder.state)).await.expect("a connection");
             stranger.write_all(b"{\"hello\":2}\n").await.expect("writable");
-            old.wait_for_log_line("turned away").await;
+            old.wait_for_log_line("handover rejected: unexpected first message").await;
             drop(before);
         }
-        old.wait_for_log_line("a successor has come").await;
+        old.wait_for_log_line("successor connected").await;
     }
     drop(before);
     let mut new = Program::start(&config, &folder.state).await;
-    old.wait_for_log_line("a successor has come").await;
+    old.wait_for_log_line("successor connected").await;
     old.kill().await;
-    new.wait_for_log_line("taken over: 1 messages").await;
+    new.wait_for_log_line("journal taken over messages=1 ").await;
     assert_eq!(receiver.next_call().await.message_id, "m1");
     assert!(receiver.has_no_calls());
 }
@@ -174,7 +174,7 @@
         assert_eq!(receiver.next_call().await.message_id, message_id);
     }
     let new = Program::start(&config, &folder.state).await;
-    old.wait_for_log_line("a successor has come").await;
+    old.wait_for_log_line("successor connected").await;
     for (class, message_id) in [("safe", "new-safe"), ("once", "new-once")] {
         assert_eq!(new.submit(class, message_id, body()).await.status(), 202);
         assert_eq!(receiver.next_call().await.message_id, message_id);
@@ -234,7 +234,7 @@
         }
     }
     old.kill().await;
-    new.wait_for_log_line("taken over").await;
+    new.wait_for_log_line("journal taken over").await;
     // The completion of the last message may not have been recorded.
     while second.next_call().await.message_id != "m1" {}
     assert!(first.has_no_calls());
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -150,7 +150,7 @@
         assert!(sent.expect("kill runs").success());
         // The next line: there is exactly one for each.
         let line = with_timeout(pointer, log.next_line()).await.expect("a log").expect("it goes on");
-        assert!(line.starts_with(&format!("configuration left as it was: {key}")), "{pointer}: {line}");
+        assert!(line.starts_with(&format!("configuration not reloaded error={key}")), "{pointer}: {line}");
         assert!(line.contains(expected), "{pointer}: {line}");
     }
     assert!(elsewhere.has_no_connections());
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -58,7 +58,7 @@
         assert_eq!(shared.site.receiver.next_call().await.message_id, message_id);
     }
     assert!(old.exit().await.success());
-    new.wait_for_log_line("taken over: 2 messages").await;
+    new.wait_for_log_line("journal taken over messages=2 ").await;
     // Both attempts may have run: the one that may be repeated is, the other one fails, once.
     assert_eq!(shared.site.receiver.next_call().await.message_id, "m1");
     assert_eq!(next_notifications(&mut shared.site.platform, 1).await, [Notification::undeliverable("m2")]);
@@ -66,10 +66,10 @@
     assert_eq!(shared.site.receiver.next_call().await.message_id, "m6");
     // The next process connects to the current owner.
     let mut newest = shared.start().await;
-    new.wait_for_log_line("a successor has come").await;
+    new.wait_for_log_line("successor connected").await;
     new.terminate().await;
     assert!(new.exit().await.success());
-    newest.wait_for_log_line("taken over: 0 messages, 0 notices").await;
+    newest.wait_for_log_line("journal taken over messages=0 notifications=0").await;
     assert!(shared.site.receiver.has_no_calls());
 }
 
@@ -82,7 +82,7 @@
     assert_eq!(shared.site.receiver.next_call().await.message_id, "m1");
     let mut new = shared.start().await;
     old.kill().await;
-    new.wait_for_log_line("taken over: 1 messages").await;
+    new.wait_for_log_line("journal taken over messages=1 ").await;
     assert_eq!(shared.site.receiver.next_call().await.message_id, "m1");
 }
 
@@ -104,7 +104,7 @@
         assert!(after > Duration::from_millis(1_450), "{} came after {after:?}", call.message_id);
     }
     // Received by the new process while the old one has a pending message, which backs off there or is taken over.
-    new.wait_for_log_line("taken over").await;
+    new.wait_for_log_line("journal taken over").await;
     let mut newest = shared.start().await;
     shared.site.receiver.then(&[wait]);
     // Both accept: one of them receives the Retry-After, and the other one must apply it.
@@ -115,7 +115,7 @@
         assert_eq!(newest.submit("safe", &format!("n{n}"), body()).await.status(), 202);
     }
     new.terminate().await;
-    newest.wait_for_log_line("taken over").await;
+    newest.wait_for_log_line("journal taken over").await;
     for _ in 0..7 {
         let call = shared.site.receiver.next_call().await;
         let after = call.at.duration_since(received_at);
