--- a/crates/daemon/tests/client_connections.rs
+++ b/crates/daemon/tests/client_connections.rs
@@ -5,9 +5,23 @@
 use std::time::{Duration, Instant};
 
 use common::fixture::{Fixture, set_up};
+use common::program::Program;
 use common::{DEADLINE_MS, REJECTION_TIMEOUT};
 use rudderspindle_testkit::scripted_peers::{connect_from, raw_submission, rest, rest_of_answer, status};
 use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+
+/// Opens 200 connections in five batches, on which nothing is sent.
+async fn connect_silently(from: &str, program: &Program) -> Vec<TcpStream> {
+    let mut silent = Vec::new();
+    for _ in 0..5 {
+        for _ in 0..40 {
+            silent.push(connect_from(from, program.addr).await);
+        }
+        tokio::time::sleep(Duration::from_millis(310)).await;
+    }
+    silent
+}
 
 /// Silent connections and connections that idle after one request do not use up the slots.
 #[tokio::test]
@@ -61,13 +75,7 @@
     let mut early = program.raw(b"").await;
     // Time for it to become the connection that has been silent longest.
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let mut silent = Vec::new();
-    for _ in 0..5 {
-        for _ in 0..40 {
-            silent.push(connect_from("127.0.0.2", program.addr).await);
-        }
-        tokio::time::sleep(Duration::from_millis(310)).await;
-    }
+    let _silent = connect_silently("127.0.0.2", &program).await;
     early.write_all(&raw_submission("late", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut early).await, Some(202));
     assert_eq!(receiver.next_call().await.message_id, "late");
@@ -80,13 +88,7 @@
     let mut client = program.raw(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await;
     assert_eq!(status(&mut client).await, Some(200));
     rest_of_answer(&mut client).await;
-    let mut silent = Vec::new();
-    for _ in 0..5 {
-        for _ in 0..40 {
-            silent.push(connect_from("127.0.0.1", program.addr).await);
-        }
-        tokio::time::sleep(Duration::from_millis(310)).await;
-    }
+    let _silent = connect_silently("127.0.0.1", &program).await;
     client.write_all(&raw_submission("m1", "Content-Length: 4", "text")).await.expect("it is kept");
     assert_eq!(status(&mut client).await, Some(202));
     assert_eq!(receiver.next_call().await.message_id, "m1");
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use program::Program;
 use rudderspindle_testkit::scripted_peers::{FakePlatform, Notification, Receiver, with_timeout};
 use socket2::{Domain, Socket, Type};
-use tokio::io::AsyncReadExt;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
 /// Deadline of the messages of most tests, in milliseconds: longer than any test takes.
@@ -52,6 +52,13 @@
     text
 }
 
+/// Sends a request to a control listener and returns the whole response.
+pub async fn control_response(control: SocketAddr, request: &[u8]) -> String {
+    let mut stream = TcpStream::connect(control).await.expect("a connection");
+    stream.write_all(request).await.expect("writable");
+    read_to_end(&mut stream).await
+}
+
 /// A listener whose connections accept few bytes at a time: a large body cannot leave the sender at once.
 pub fn listener_with_small_window() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control.rs
@@ -5,27 +5,16 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use common::body;
 use common::fixture::{ControlFixture, set_up_with_control};
-use rudderspindle_testkit::scripted_peers::{
-    ScriptedResponse, raw_submission, rest, rest_of_answer, status, with_timeout,
-};
+use common::{body, control_response};
+use rudderspindle_testkit::scripted_peers::{ScriptedResponse, raw_submission, rest, rest_of_answer, status};
 use serde_json::Value;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// The whole response to a line.
-async fn call(control: SocketAddr, line: &str) -> String {
-    let mut stream = TcpStream::connect(control).await.expect("a connection");
-    stream.write_all(line.as_bytes()).await.expect("writable");
-    let mut answer = String::new();
-    with_timeout("an answer", stream.read_to_string(&mut answer)).await.expect("readable");
-    answer
-}
-
 async fn metrics(control: SocketAddr) -> Value {
-    let answer = call(control, "stats\n").await;
-    let (metrics, end) = answer.split_once('\n').expect("two lines");
+    let response = control_response(control, b"stats\n").await;
+    let (metrics, end) = response.split_once('\n').expect("two lines");
     assert_eq!(end, "end\n");
     serde_json::from_str(metrics).expect("metrics")
 }
@@ -39,7 +28,7 @@
             ScriptedResponse::NoResponse,
         ])
         .await;
-    assert_eq!(call(control, "status\n").await, "done\n");
+    assert_eq!(control_response(control, b"status\n").await, "done\n");
     for (class, message_id) in [("safe", "m1"), ("once", "m2"), ("safe", "m3")] {
         let answer = program.submit(class, message_id, body()).await;
         assert_eq!(answer.status(), 202);
@@ -71,7 +60,7 @@
     let mut partial = program.raw(&whole[..30]).await;
     let mut fresh = program.raw(b"").await;
     assert_eq!(program.readiness().await, 200);
-    assert_eq!(call(control, "standby\n").await, "done\n");
+    assert_eq!(control_response(control, b"standby\n").await, "done\n");
     rest(&mut idle).await;
     assert_eq!(program.readiness().await, 503);
     partial.write_all(&whole[30..]).await.expect("it is open");
@@ -83,7 +72,7 @@
     for message_id in ["m1", "m2", "m3"] {
         assert_eq!(receiver.next_call().await.message_id, message_id);
     }
-    assert_eq!(call(control, "active\n").await, "done\n");
+    assert_eq!(control_response(control, b"active\n").await, "done\n");
     assert_eq!(program.readiness().await, 200);
     let mut kept = program.raw(&submit("m4")).await;
     assert_eq!(status(&mut kept).await, Some(202));
@@ -106,9 +95,12 @@
         let mut stream = TcpStream::connect(control).await.expect("a connection");
         stream.write_all(if n % 2 == 0 { b"stat" } else { b"" }).await.expect("writable");
         silent.push(stream);
-        let answer = tokio::time::timeout(Duration::from_secs(1), call(control, "status\n")).await;
+        let answer =
+            tokio::time::timeout(Duration::from_secs(1), control_response(control, b"status\n")).await;
         assert_eq!(answer.as_deref(), Ok("done\n"));
     }
-    assert!(call(control, "sing\n").await.starts_with("error"));
-    assert!(call(control, &format!("{}\n", "x".repeat(10_000))).await.starts_with("error"));
+    assert!(control_response(control, b"sing\n").await.starts_with("error"));
+    assert!(
+        control_response(control, format!("{}\n", "x".repeat(10_000)).as_bytes()).await.starts_with("error")
+    );
 }
--- a/crates/daemon/tests/golden/control.rs
+++ b/crates/daemon/tests/golden/control.rs
@@ -2,21 +2,16 @@
 
 use std::net::SocketAddr;
 
-use rudderspindle_testkit::scripted_peers::{ScriptedResponse, with_timeout};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
+use rudderspindle_testkit::scripted_peers::ScriptedResponse;
 
+use crate::common::control_response;
 use crate::common::fixture::{ControlFixture, set_up_with_control};
 use crate::expected::{assert_golden, printable, section};
 use crate::normalise::number_kinds;
 
-/// The whole response to a request.
-async fn answer(control: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(control).await.expect("a connection");
-    stream.write_all(bytes).await.expect("writable");
-    let mut answer = Vec::new();
-    with_timeout("an answer", stream.read_to_end(&mut answer)).await.expect("readable");
-    printable(&answer)
+/// The response to a request in the notation of the golden files.
+async fn answer(control: SocketAddr, request: &[u8]) -> String {
+    printable(control_response(control, request).await.as_bytes())
 }
 
 /// The responses to commands, one after another.
--- a/crates/daemon/tests/golden/log_lines.rs
+++ b/crates/daemon/tests/golden/log_lines.rs
@@ -1,15 +1,15 @@
 //! Log lines of a running program that tests, the smoke test and the operators' pages read.
 
-use rudderspindle_testkit::scripted_peers::{
-    ScriptedResponse, Watch, config, list, raw_submission, status, with_timeout,
-};
+use std::net::SocketAddr;
+
+use rudderspindle_testkit::scripted_peers::{ScriptedResponse, Watch, config, list, raw_submission, status};
 use serde_json::json;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::common::DEADLINE_MS;
 use crate::common::fixture::Site;
 use crate::common::folder::persistent_folder;
+use crate::common::{DEADLINE_MS, control_response};
 use crate::expected::assert_golden;
 use crate::logged::{Exit, Logged};
 use crate::normalise::known;
@@ -22,12 +22,8 @@
     assert_eq!(status(&mut stream).await, Some(202));
 }
 
-async fn call(control: &str, line: &str) {
-    let mut stream = TcpStream::connect(control).await.expect("a connection");
-    stream.write_all(line.as_bytes()).await.expect("writable");
-    let mut answer = String::new();
-    with_timeout("an answer", stream.read_to_string(&mut answer)).await.expect("readable");
-    assert_eq!(answer, "done\n");
+async fn change_state(control: SocketAddr, command: &str) {
+    assert_eq!(control_response(control, format!("{command}\n").as_bytes()).await, "done\n");
 }
 
 /// A log without the lines about discovery: on a slow machine the list may not arrive before the start's timeout.
@@ -48,9 +44,9 @@
     std::fs::write(&file, "{").expect("a configuration file");
     program.signal("-HUP").await;
     program.until("configuration not reloaded").await;
-    let control = program.address_after("operators: listening on ").to_owned();
-    call(&control, "standby\n").await;
-    call(&control, "active\n").await;
+    let control = program.address_after("operators: listening on ").parse().expect("an address");
+    change_state(control, "standby").await;
+    change_state(control, "active").await;
     program.signal("-TERM").await;
     let Exit { log, status } = program.wait_for_exit().await;
     assert_eq!(status.code(), Some(0));
--- a/crates/daemon/tests/golden/receivers.rs
+++ b/crates/daemon/tests/golden/receivers.rs
@@ -35,30 +35,38 @@
     assert_golden(golden, &remaining_time(&text));
 }
 
+/// Compares the first attempt, which fails, and the second one with their golden files.
+async fn assert_two_attempts(receiver: &mut Recorder, golden: [&str; 2]) {
+    let first = receiver.next().await;
+    assert_attempt(golden[0], &first, receiver);
+    first.answer("500 Internal Server Error");
+    let second = receiver.next().await;
+    assert_attempt(golden[1], &second, receiver);
+    second.answer("200 OK");
+}
+
 #[tokio::test]
 async fn attempts_of_a_message_without_a_key_are_these_bytes() {
     let RecordedReceiver { _platform, mut receiver, program, _folder } = RecordedReceiver::start().await;
     let mut client = program.raw(&raw_submission("m1", "Content-Length: 4", "text")).await;
     assert_eq!(status(&mut client).await, Some(202));
     rest_of_answer(&mut client).await;
-    let first = receiver.next().await;
-    assert_attempt("receiver_first_attempt_without_key.txt", &first, &receiver);
-    first.answer("500 Internal Server Error");
-    let second = receiver.next().await;
-    assert_attempt("receiver_repeated_attempt_without_key.txt", &second, &receiver);
-    second.answer("200 OK");
+    assert_two_attempts(
+        &mut receiver,
+        ["receiver_first_attempt_without_key.txt", "receiver_repeated_attempt_without_key.txt"],
+    )
+    .await;
 }
 
 #[tokio::test]
 async fn attempts_of_a_message_with_a_key_are_these_bytes() {
     let RecordedReceiver { _platform, mut receiver, program, _folder } = RecordedReceiver::start().await;
     assert_eq!(program.submit("keyed", "m1", "text".into()).await.status(), 202);
-    let first = receiver.next().await;
-    assert_attempt("receiver_first_attempt_with_key.txt", &first, &receiver);
-    first.answer("500 Internal Server Error");
-    let second = receiver.next().await;
-    assert_attempt("receiver_repeated_attempt_with_key.txt", &second, &receiver);
-    second.answer("200 OK");
+    assert_two_attempts(
+        &mut receiver,
+        ["receiver_first_attempt_with_key.txt", "receiver_repeated_attempt_with_key.txt"],
+    )
+    .await;
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/outages.rs
+++ b/crates/daemon/tests/outages.rs
@@ -31,7 +31,7 @@
 at_ms = 500
 duration_ms = 14000
 receiver = 2
-outage = { kind = "refuse" }
+outage = { kind = "refuse_connections" }
 
 [[events]]
 what = "discovery"
--- a/crates/daemon/tests/outlier_detection.rs
+++ b/crates/daemon/tests/outlier_detection.rs
@@ -30,7 +30,7 @@
     cluster.start_load();
     sleep(Duration::from_secs(3)).await;
     assert_eq!(logs(folder.path(), 0, EJECTED), 0, "nothing fails");
-    cluster.fail(&["p1-0".to_owned()], Outage::Refuse, Duration::from_secs(14)).await;
+    cluster.fail(&["p1-0".to_owned()], Outage::RefuseConnections, Duration::from_secs(14)).await;
     // A sender that sees a failure uses another endpoint for 6 s; reports of two senders eject the endpoint in the zone.
     eventually("most senders of its zone eject it", 14, || logs(folder.path(), 0, EJECTED) > SENDERS / 4)
         .await;
--- a/crates/daemon/tests/slow_start.rs
+++ b/crates/daemon/tests/slow_start.rs
@@ -46,7 +46,7 @@
 at_ms = 2000
 duration_ms = 7600
 receiver = 3
-outage = { kind = "shut" }
+outage = { kind = "reject_all" }
 "#;
 
 /// One of the senders is killed after it has seen the destination recover.
--- a/crates/daemon/tests/takeover_scenario.rs
+++ b/crates/daemon/tests/takeover_scenario.rs
@@ -34,7 +34,7 @@
 at_ms = 3000
 duration_ms = 3000
 receiver = 2
-outage = { kind = "shut" }
+outage = { kind = "reject_all" }
 
 [[events]]
 what = "upgrade"
--- a/crates/testkit/src/fake_discovery.rs
+++ b/crates/testkit/src/fake_discovery.rs
@@ -3,7 +3,7 @@
 mod entry;
 mod list;
 mod requests;
-mod watch_body;
+mod watch_lines;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/testkit/src/fake_discovery/requests.rs
+++ b/crates/testkit/src/fake_discovery/requests.rs
@@ -14,9 +14,10 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-use super::watch_body::WatchBody;
+use super::watch_lines::WatchLines;
 use super::{NotificationMode, Shared};
 use crate::event_log::Event;
+use crate::line_body::LineBody;
 use crate::listen;
 
 /// Maximum length of a request with notifications, in bytes.
@@ -70,14 +71,14 @@
 }
 
 fn begin_watch(shared: Arc<Shared>, from: Option<u64>) -> Reply {
-    let (first, next) = {
+    let (first, changes) = {
         let mut state = shared.state();
         for (endpoint, phase) in state.changes_since(from) {
             shared.announce(&mut state, &endpoint, phase);
         }
         state.watch(from)
     };
-    Response::new(WatchBody::new(first, next, shared).boxed())
+    Response::new(LineBody(WatchLines::new(first, changes, shared)).boxed())
 }
 
 async fn accept_notifications(shared: &Shared, body: &[u8]) -> Result<Reply, std::io::Error> {
--- a/crates/testkit/src/fake_receiver/connections.rs
+++ b/crates/testkit/src/fake_receiver/connections.rs
@@ -39,7 +39,7 @@
     let mut open = JoinSet::new();
     loop {
         let stream = listen::next(&listener, &mut open).await;
-        if endpoint.has_collapsed() || endpoint.suffers(Outage::Refuse) {
+        if endpoint.has_collapsed() || endpoint.suffers(Outage::RefuseConnections) {
             let (sender, endpoint) = (sender.clone(), endpoint.id.clone());
             shared.event_log.record(Event::ConnectionRefused { sender, endpoint });
             reset_on_close(&stream);
@@ -65,7 +65,7 @@
     let mut outage = endpoint.outage.subscribe();
     // A machine that has vanished answers nothing, and open connections are reset when it is back. Its kernel still
     // reads here: else nobody would see that a sender gave a call up, and the call would count as in flight.
-    let mut has_vanished = is(*outage.borrow_and_update(), Outage::Vanish);
+    let mut has_vanished = is(*outage.borrow_and_update(), Outage::Unreachable);
     let Ok((handle, stream)) = duplicate(stream) else { return };
     let activity = Arc::new(Notify::new());
     let service = service_fn(|request| {
@@ -82,10 +82,10 @@
                     return;
                 }
                 let active = *outage.borrow_and_update();
-                if has_vanished || is(active, Outage::Refuse) {
+                if has_vanished || is(active, Outage::RefuseConnections) {
                     break;
                 }
-                has_vanished = is(active, Outage::Vanish);
+                has_vanished = is(active, Outage::Unreachable);
             }
             () = idle(&activity) => return,
         }
--- a/crates/testkit/src/fake_receiver/requests.rs
+++ b/crates/testkit/src/fake_receiver/requests.rs
@@ -165,7 +165,7 @@
         return Ok(call.answer(Reply::status(503)));
     }
     work(shared, endpoint, call.id, key, admission.capacity).await?;
-    if endpoint.suffers(Outage::Vanish) {
+    if endpoint.suffers(Outage::Unreachable) {
         // It was executed, and nobody will know.
         pending::<()>().await;
     }
@@ -174,8 +174,8 @@
 
 fn outage_effect(shared: &Shared, endpoint: &Endpoint, outage: Outage, end: Instant) -> OutageEffect {
     match outage {
-        Outage::Silent | Outage::Vanish => OutageEffect::NoResponse,
-        Outage::Shut => {
+        Outage::Unresponsive | Outage::Unreachable => OutageEffect::NoResponse,
+        Outage::RejectAll => {
             let left_ms = end.saturating_duration_since(Instant::now()).as_millis() as u64;
             let tells = locked(&endpoint.rng).chance(shared.plan.retry_after.share.get());
             let retry_after_ms = if tells { left_ms.max(1) } else { 0 };
@@ -191,7 +191,7 @@
                 (true, true) => OutageEffect::ExecuteAndReply(Reply::status(500)),
             }
         }
-        Outage::Refuse | Outage::Stall { .. } => OutageEffect::None,
+        Outage::RefuseConnections | Outage::Stall { .. } => OutageEffect::None,
     }
 }
 
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod fault_proxy;
 pub mod fault_schedule;
 pub mod frames;
+mod line_body;
 mod listen;
 pub mod program;
 pub mod scenario;
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -88,9 +88,12 @@
             self.receivers.iter().any(|receiver| receiver.number == number && !receiver.independent)
         };
         self.events.iter().any(|event| match event {
-            ScheduledEvent::Outage { receiver, endpoints, outage: Outage::Shut | Outage::Refuse, .. } => {
-                endpoints.is_empty() && is_shared(*receiver)
-            }
+            ScheduledEvent::Outage {
+                receiver,
+                endpoints,
+                outage: Outage::RejectAll | Outage::RefuseConnections,
+                ..
+            } => endpoints.is_empty() && is_shared(*receiver),
             _ => false,
         })
     }
--- a/crates/testkit/src/scenario/events.rs
+++ b/crates/testkit/src/scenario/events.rs
@@ -9,10 +9,12 @@
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Outage {
     /// Connections are reset before a byte is read.
-    Refuse,
-    /// All calls are rejected, with a Retry-After until the outage's end.
-    Shut,
-    /// A share of the calls fails at once; half of those were executed.
+    #[serde(alias = "refuse")]
+    RefuseConnections,
+    /// All calls are rejected, with a Retry-After until the end of the outage.
+    #[serde(alias = "shut")]
+    RejectAll,
+    /// A share of the calls fails at once; half of those are executed.
     Errors {
         /// The share.
         share: Share,
@@ -25,21 +27,23 @@
         every_ms: Ms,
     },
     /// Calls are read and never answered.
-    Silent,
-    /// Nothing is answered, not even what was executed before; open connections are reset at the outage's end.
-    Vanish,
+    #[serde(alias = "silent")]
+    Unresponsive,
+    /// As [`Outage::Unresponsive`], also for calls that were executed before; open connections are reset at the end.
+    #[serde(alias = "vanish")]
+    Unreachable,
 }
 
 impl Outage {
     /// Its kind as the event log names it.
     pub fn kind(self) -> &'static str {
         match self {
-            Self::Refuse => "refuse",
-            Self::Shut => "shut",
+            Self::RefuseConnections => "refuse",
+            Self::RejectAll => "shut",
             Self::Errors { .. } => "errors",
             Self::Stall { .. } => "stall",
-            Self::Silent => "silent",
-            Self::Vanish => "vanish",
+            Self::Unresponsive => "silent",
+            Self::Unreachable => "vanish",
         }
     }
 
@@ -48,7 +52,7 @@
         match self {
             Self::Stall { .. } => false,
             Self::Errors { share } => share.get() > 0.5,
-            Self::Refuse | Self::Shut | Self::Silent | Self::Vanish => true,
+            Self::RefuseConnections | Self::RejectAll | Self::Unresponsive | Self::Unreachable => true,
         }
     }
 }
--- a/crates/testkit/src/scenario/generator.rs
+++ b/crates/testkit/src/scenario/generator.rs
@@ -106,12 +106,12 @@
 
     fn outage(&mut self, receiver: &ReceiverPlan) -> ScheduledEvent {
         let outage = match self.rng.integer(0, 6) {
-            0 => Outage::Refuse,
-            1 => Outage::Shut,
+            0 => Outage::RefuseConnections,
+            1 => Outage::RejectAll,
             2 => Outage::Errors { share: self.rng.share(0.6, 0.96) },
             3 => Outage::Stall { stop_ms: self.rng.ms(200, 500), every_ms: self.rng.ms(1_200, 2_800) },
-            4 => Outage::Silent,
-            _ => Outage::Vanish,
+            4 => Outage::Unresponsive,
+            _ => Outage::Unreachable,
         };
         let at_ms = self.rng.ms(self.end_ms / 10, self.end_ms / 2);
         // As long as outages in production, however short the scenario: a sender's health checks are made for these.
--- a/crates/testkit/src/scripted_peers/platform.rs
+++ b/crates/testkit/src/scripted_peers/platform.rs
@@ -1,15 +1,11 @@
 //! A scripted platform: serves discovery and receives notifications.
 
 use std::collections::VecDeque;
-use std::convert::Infallible;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::sync::{Arc, Mutex};
-use std::task::{Context, Poll};
 
-use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
-use hyper::body::{Body, Frame, Incoming};
+use hyper::body::Incoming;
 use hyper::{Request, Response};
 use serde_json::Value;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -17,6 +13,7 @@
 use super::http_server::{Reply, listen, reply, serve};
 use super::notification::{Notification, NotificationRequest};
 use super::with_timeout;
+use crate::line_body::LineBody;
 
 /// A watch of the endpoint list.
 #[derive(Debug)]
@@ -60,7 +57,7 @@
         };
         let (lines, body) = unbounded_channel();
         self.watches.send(Watch { query: query.to_owned(), lines }).ok()?;
-        Some(Response::new(LinesBody(body).boxed()))
+        Some(Response::new(LineBody(body).boxed()))
     }
 
     async fn accept_notifications(self, request: Request<Incoming>) -> Option<Reply> {
@@ -74,21 +71,6 @@
     }
 }
 
-/// A response body of lines that come over a channel.
-struct LinesBody(UnboundedReceiver<String>);
-
-impl Body for LinesBody {
-    type Data = Bytes;
-    type Error = Infallible;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.0.poll_recv(cx).map(|line| line.map(|line| Ok(Frame::data(Bytes::from(line + "\n")))))
-    }
-}
-
 impl FakePlatform {
     /// Starts a platform that has no list yet.
     pub async fn start() -> Self {
--- a/crates/testkit/src/test_environment/player.rs
+++ b/crates/testkit/src/test_environment/player.rs
@@ -12,7 +12,7 @@
 use crate::event_log::EventLog;
 use crate::fake_discovery::FakeDiscovery;
 use crate::fake_receiver::FakeReceiver;
-use crate::program::Program;
+use crate::program::{Program, ProgramError};
 use crate::scenario::{DiscoveryFault, LinkFault, Ms, Outage, Phase, Scenario, ScheduledEvent};
 
 /// Interval between the senders' news of one change of the endpoint list, in milliseconds.
@@ -163,9 +163,8 @@
             sleep_until(when.into()).await;
             let mut program = program.lock().await;
             let killed = program.kill().await;
-            sleep(restart_after_ms.duration()).await;
-            let reconfigured = killed.and(program.reconfigure(&[("known", discovery.list())]).await);
-            failures.check(reconfigured.and(program.start().await));
+            let restarted = restart(&mut program, &discovery, restart_after_ms).await;
+            failures.check(killed.and(restarted));
         });
     }
 
@@ -186,10 +185,15 @@
             sleep_until(when.into()).await;
             let mut program = program.lock().await;
             let exited_cleanly = program.stop().await;
-            sleep(restart_after_ms.duration()).await;
-            let reconfigured = program.reconfigure(&[("known", discovery.list())]).await;
-            failures.check(reconfigured.and(program.start().await));
+            failures.check(restart(&mut program, &discovery, restart_after_ms).await);
             failures.check_exit(exited_cleanly, RunFailure::UncleanExit);
         });
     }
 }
+
+/// Starts a sender again after a delay, with the current endpoint list in its configuration.
+async fn restart(program: &mut Program, discovery: &FakeDiscovery, delay_ms: Ms) -> Result<(), ProgramError> {
+    sleep(delay_ms.duration()).await;
+    let reconfigured = program.reconfigure(&[("known", discovery.list())]).await;
+    reconfigured.and(program.start().await)
+}
--- a/crates/testkit/tests/wrong_senders/main.rs
+++ b/crates/testkit/tests/wrong_senders/main.rs
@@ -97,8 +97,10 @@
 async fn reordering_or_skipping_the_pause_breaks_the_rule_of_ordering() {
     let overtaken = test_run(plan(50.0, 60), ("ordered", 4, 5, 5_000));
     breaks(overtaken, Rule::Ordering, &[Fault::ReordersWithinKey]).await;
-    let silent =
-        TestRun { outage: Some((Outage::Silent, 500)), ..test_run(plan(50.0, 10), ("ordered", 3, 5, 5_000)) };
+    let silent = TestRun {
+        outage: Some((Outage::Unresponsive, 500)),
+        ..test_run(plan(50.0, 10), ("ordered", 3, 5, 5_000))
+    };
     breaks(silent, Rule::Ordering, &[Fault::SkipsOrderingPause]).await;
 }
 
