--- a/crates/daemon/tests/cluster/mod.rs
+++ b/crates/daemon/tests/cluster/mod.rs
@@ -107,10 +107,10 @@
 
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Usage { mean, first, worst, worst_sliding, refused } = self.usage;
+        let Usage { mean, first, worst, worst_sliding, rejected } = self.usage;
         write!(
             f,
-            "| {} | {mean:.2} | {first:.2} | {worst:.2} | {worst_sliding:.2} | {refused:.2} |",
+            "| {} | {mean:.2} | {first:.2} | {worst:.2} | {worst_sliding:.2} | {rejected:.2} |",
             self.phase
         )
     }
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -123,7 +123,7 @@
     // Late outcomes are expected: a process that is paused for longer than its messages live completes them late.
     let accounts = &verdict.accounting;
     assert_eq!((accounts.lost, accounts.duplicated, accounts.pending), (0, 0, 0), "{verdict}");
-    let strict = |row: &cluster::Row| row.usage.worst <= 1.10 && row.usage.refused <= 0.05;
+    let strict = |row: &cluster::Row| row.usage.worst <= 1.10 && row.usage.rejected <= 0.05;
     let over: Vec<String> = rows.iter().filter(|row| !strict(row)).map(ToString::to_string).collect();
     assert!(over.is_empty(), "over the limit or rejected too often:\n{HEAD}\n{}", over.join("\n"));
     assert!(rows[0].usage.mean >= 0.90, "{}", rows[0]);
--- a/crates/daemon/tests/permits.rs
+++ b/crates/daemon/tests/permits.rs
@@ -80,7 +80,8 @@
         let PermitRun { rows, is_inconclusive } = run(&file).await;
         // On a busy machine calls arrive in bursts.
         if !is_inconclusive {
-            let keeps = |row: &Row| row.usage.worst_sliding <= MAX_USAGE && row.usage.refused <= MAX_REJECTED;
+            let keeps =
+                |row: &Row| row.usage.worst_sliding <= MAX_USAGE && row.usage.rejected <= MAX_REJECTED;
             let table: Vec<String> = rows.iter().map(ToString::to_string).collect();
             assert!(rows.iter().all(keeps), "{HEAD}\n{}", table.join("\n"));
             // The limit is used: permits of a partitioned process do not stay unused.
--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -1,6 +1,6 @@
-//! Checks from an event log whether a sender kept the six rules, and counts where every message went.
+//! Checks from an event log whether a sender kept the six rules, and counts the outcomes of its messages.
 //!
-//! The checker knows nothing of how a sender works: it believes only what the fakes and clients recorded.
+//! The checker is independent of the sender: its only input is what the fakes and clients recorded.
 
 mod accounting;
 mod draining;
@@ -50,7 +50,7 @@
     }
 }
 
-/// Checks a whole log.
+/// Checks a complete log.
 ///
 /// ```
 /// use rudderspindle_testkit::checker::check_events;
@@ -87,7 +87,7 @@
 }
 
 impl Checker {
-    /// Processes the line with this number, from 1. Lines come in the order of their times.
+    /// Processes the line with this number, from 1. Lines must be in the order of their times.
     pub fn process(&mut self, number: usize, line: &Line) {
         let at = LogPosition { line: number, time_us: line.t };
         self.settle_overlaps(at.time_us);
@@ -130,7 +130,7 @@
                 self.recovery.end_outage(&self.topology, endpoint, kind, at.time_us);
             }
             Event::ProcessChanged { sender, state } => self.process_changed(at, sender, *state),
-            // Changes of the list that a silent service does not announce have no lines.
+            // A silent service announces no changes, so that the log has no lines for them.
             Event::DiscoveryFault { kind, .. } if kind == "silent" => {}
             Event::DiscoveryFault { sender, on, .. } => {
                 self.processes.block_notifications(sender, *on, at.time_us);
--- a/crates/testkit/src/checker/accounting.rs
+++ b/crates/testkit/src/checker/accounting.rs
@@ -1,4 +1,4 @@
-//! Counts where the messages of a log went.
+//! Counts the outcomes of the messages in a log.
 
 use serde::Serialize;
 
@@ -7,7 +7,7 @@
 /// Totals of a log. Messages are counted per submission.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Accounting {
-    /// Submissions that were written whole.
+    /// Submissions whose last byte was written.
     #[serde(rename = "handed_in")]
     pub submitted: u64,
     /// Submissions answered with 200 or 202.
@@ -19,7 +19,7 @@
     /// Submissions answered with another status.
     #[serde(rename = "failed_at_the_door")]
     pub failed_on_submission: u64,
-    /// Submissions that were not answered while the client listened.
+    /// Submissions without a response before the client disconnected.
     #[serde(rename = "unheard")]
     pub unanswered: u64,
     /// Accepted messages that were delivered.
@@ -29,7 +29,7 @@
     pub rejected: u64,
     /// Accepted messages that a notification failed.
     pub failed: u64,
-    /// Accepted messages without a final outcome that is due.
+    /// Accepted messages without a final outcome, which is not due yet.
     #[serde(rename = "open")]
     pub pending: u64,
     /// Accepted messages whose final outcome is overdue.
--- a/crates/testkit/src/checker/draining.rs
+++ b/crates/testkit/src/checker/draining.rs
@@ -10,7 +10,7 @@
 /// Phase of an endpoint that takes new calls.
 const SERVING: &str = "SERVING";
 
-/// State of the rule: when each sender learned that an endpoint does not serve.
+/// State of the rule: when each sender was notified that an endpoint does not serve.
 #[derive(Debug, Default)]
 pub(super) struct DrainingRule {
     learned: HashMap<SenderEndpoint, LogPosition>,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Checks that a call began before its sender learned that the endpoint drains, or soon after.
+    /// Checks that a call began before its sender was notified of the drain, or within the grace period.
     pub(super) fn check_call(&self, call: &ReceivedCall<'_>, rules: &Rules) -> Option<Violation> {
         let ReceivedCall { sender, endpoint, message_id, .. } = *call;
         let learned = self.learned.get(&SenderEndpoint::new(sender, endpoint))?;
--- a/crates/testkit/src/checker/duplication.rs
+++ b/crates/testkit/src/checker/duplication.rs
@@ -6,7 +6,7 @@
 use super::us;
 use crate::event_log::{Effect, KeyGroup};
 
-/// A second call that came while the first was in flight: a violation unless the first ends at once.
+/// A second call that arrived while the first was in flight: a violation unless the first ends at once.
 #[derive(Debug)]
 struct Overlap {
     time_us: u64,
@@ -41,8 +41,8 @@
 
     /// Decides the overlaps that are old enough.
     ///
-    /// The end of a connection may be noticed a little after the next call's first byte. A response is recorded
-    /// before it is written, so one that comes later in the log came later.
+    /// An endpoint may notice the end of a connection shortly after the first byte of the next call. A response is recorded
+    /// before it is written, so that one that is later in the log was written later.
     pub(super) fn settle_overlaps(
         &mut self,
         time_us: u64,
@@ -93,8 +93,7 @@
     }
 }
 
-/// Checks that a message whose submission is rejected, so that its client may repeat it elsewhere, was not possibly
-/// executed.
+/// Checks that a rejected message, which its client may submit again elsewhere, is not possibly executed.
 pub(super) fn check_rejection(
     topology: &Topology,
     table: &MessageTable,
--- a/crates/testkit/src/checker/loss.rs
+++ b/crates/testkit/src/checker/loss.rs
@@ -9,12 +9,12 @@
     Violation { rule: Rule::Loss, what, lines }
 }
 
-/// The violation of a call for a message that nobody submitted.
+/// The violation of a call for a message that was not submitted.
 pub(super) fn unknown_message(call: &ReceivedCall<'_>) -> Violation {
     violation(format!("{} was never submitted", call.message_id), vec![call.at.line])
 }
 
-/// Checks that a message is not sent after it has ended without delivery.
+/// Checks that a message is not sent after it was rejected or failed.
 pub(super) fn check_call(message: &Message, call: &ReceivedCall<'_>, rules: &Rules) -> Option<Violation> {
     let RecordedOutcome { outcome, at } = message.outcome?;
     if outcome == FinalOutcome::Delivered || call.first_us <= at.time_us + us(rules.slack_ms) {
@@ -24,7 +24,7 @@
     Some(violation(what, vec![at.line, call.at.line]))
 }
 
-/// Records a final outcome; two that differ and are no delivery leave the client with a contradiction.
+/// Records a final outcome. Two different ones contradict each other unless one of them is a delivery.
 pub(super) fn complete(
     message_id: &str,
     message: &mut Message,
--- a/crates/testkit/src/checker/messages.rs
+++ b/crates/testkit/src/checker/messages.rs
@@ -44,10 +44,10 @@
     pub(super) class: usize,
     pub(super) sender: String,
     pub(super) submitted: LogPosition,
-    /// When its time to be delivered is over, in microseconds.
+    /// Its deadline, in microseconds.
     pub(super) deadline_us: u64,
     pub(super) ordering_key: Option<String>,
-    /// Line in which its client read that it is accepted.
+    /// Line in which its client read that it was accepted.
     pub(super) accepted_line: Option<usize>,
     pub(super) outcome: Option<RecordedOutcome>,
     /// Ids of its calls, in the order of the log.
@@ -62,7 +62,7 @@
     InFlight,
     /// Answered with this status.
     Answered(u16),
-    /// Its connection ended first.
+    /// Its connection ended before a response.
     Aborted {
         at_us: u64,
     },
@@ -74,11 +74,11 @@
     pub(super) message_id: String,
     pub(super) sender: String,
     pub(super) endpoint: String,
-    /// When its first byte came, in microseconds.
+    /// When its first byte arrived, in microseconds.
     pub(super) first_us: u64,
     pub(super) line: usize,
     pub(super) state: CallState,
-    /// It went over a link that loses responses: its sender may have given it up without the endpoint seeing it.
+    /// It was sent on a link that loses responses: the endpoint may not see that its sender has cancelled it.
     pub(super) unobservable: bool,
 }
 
@@ -88,7 +88,7 @@
         self.state == CallState::InFlight && !self.unobservable
     }
 
-    /// Whether its sender has to assume that the call was executed.
+    /// Whether the sender has to assume that the call was executed.
     pub(super) fn possibly_executed(&self) -> bool {
         !matches!(self.state, CallState::Answered(429 | 503 | 504 | 410))
     }
@@ -102,7 +102,7 @@
     pub(super) sender: &'a str,
     pub(super) endpoint: &'a str,
     pub(super) message_id: &'a str,
-    /// When its first byte came, in microseconds.
+    /// When its first byte arrived, in microseconds.
     pub(super) first_us: u64,
 }
 
@@ -158,7 +158,7 @@
         message.calls.iter().map(|id| &self.calls[id])
     }
 
-    /// Ends a call that is in flight; gives it back if it was.
+    /// Ends a call that is in flight, and returns it; `None` if it was not in flight.
     pub(super) fn finish_call(&mut self, id: u64, state: CallState) -> Option<&Call> {
         let call = self.calls.get_mut(&id).filter(|call| call.state == CallState::InFlight)?;
         call.state = state;
--- a/crates/testkit/src/checker/ordering.rs
+++ b/crates/testkit/src/checker/ordering.rs
@@ -76,7 +76,7 @@
         let what = format!("{id} is sent while {earlier_id} is in flight");
         return Some(Obstacle { what, line: in_flight.line });
     }
-    // A message that nobody knows to be accepted may have been rejected.
+    // A message without a response may have been rejected.
     if earlier.outcome.is_none() && earlier.accepted_line.is_some() {
         let what = format!("{id} is sent before {earlier_id} is complete");
         return Some(Obstacle { what, line: earlier.submitted.line });
--- a/crates/testkit/src/checker/processes.rs
+++ b/crates/testkit/src/checker/processes.rs
@@ -1,4 +1,4 @@
-//! When the senders' processes were down or could not notify, which postpones what is due from them.
+//! When the senders' processes were down or could not send notifications, which postpones the outcomes that are due.
 
 use std::collections::HashMap;
 
@@ -24,10 +24,10 @@
 #[derive(Debug, Default)]
 struct Process {
     starts: u64,
-    /// Since when it has been stopping or down.
+    /// When it began to stop or exited, if it is not ready.
     down_since: Option<u64>,
     restarts: Vec<Downtime>,
-    /// Since when the platform has not acknowledged its notifications.
+    /// When the platform stopped acknowledging its notifications.
     notifications_blocked_since: Option<u64>,
     blocked_notifications: Vec<Downtime>,
 }
@@ -76,9 +76,9 @@
         if began_before(process.down_since) || began_before(process.notifications_blocked_since) {
             return None;
         }
-        // A notification that was not acknowledged can only be repeated after the fault.
+        // An unacknowledged notification is repeated after the fault.
         let due = postpone(&process.blocked_notifications, due, us(rules.notification_ms + rules.slack_ms));
-        // What is due during a restart is due some time after it.
+        // An outcome that is due during a restart is due some time after it.
         Some(postpone(&process.restarts, due, us(rules.restart_ms + rules.slack_ms)))
     }
 }
--- a/crates/testkit/src/checker/recovery.rs
+++ b/crates/testkit/src/checker/recovery.rs
@@ -9,12 +9,12 @@
 use super::verdict::Recovery;
 use crate::event_log::Rules;
 
-/// Calls beyond the capacity of a warming endpoint that chance may bring.
+/// Calls beyond the capacity of a warming endpoint that random arrivals may cause.
 const OVERLOAD_SLACK: f64 = 3.0;
 /// Share of the overloading calls that must come from senders that saw the outage.
 const OBSERVER_SHARE: f64 = 2.0 / 3.0;
 
-/// A call or health check that came during a recovery.
+/// A call or health check that arrived during a recovery.
 #[derive(Debug)]
 struct Arrival {
     at: LogPosition,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Forgets what a sender saw, as its process has exited.
+    /// Removes a sender whose process has exited from the observers.
     pub(super) fn forget(&mut self, sender: &str) {
         for outage in self.outages.values_mut() {
             outage.observers.remove(sender);
@@ -158,8 +158,8 @@
     }
 }
 
-/// Calls that a warming endpoint can take in the window that ends now. A window that began before the recovery is
-/// filled up at the capacity at its begin.
+/// Calls that a warming endpoint can accept in the window that ends now. The part of the window before the recovery counts
+/// with the capacity at the start of the recovery.
 fn window_capacity(rules: &Rules, per_s: f64, recovery_us: u64, now_us: u64) -> f64 {
     let window_us = us(rules.overload_window_ms);
     let from_us = recovery_us.max(now_us.saturating_sub(window_us));
--- a/crates/testkit/src/checker/retry_after.rs
+++ b/crates/testkit/src/checker/retry_after.rs
@@ -7,7 +7,7 @@
 use super::topology::{LimitScope, Topology};
 use super::us;
 
-/// A Retry-After that a sender got.
+/// A Retry-After that a sender received.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     received: LogPosition,
@@ -27,7 +27,7 @@
         self.backoffs.entry(sender.to_owned()).or_default().entry(scope).or_default().push(backoff);
     }
 
-    /// Forgets the backoffs of a sender whose process has exited: its successor does not know them.
+    /// Removes the backoffs of a sender whose process has exited; they do not bind its next process.
     pub(super) fn forget(&mut self, sender: &str) {
         self.backoffs.remove(sender);
     }
--- a/crates/testkit/src/checker/verdict.rs
+++ b/crates/testkit/src/checker/verdict.rs
@@ -43,7 +43,7 @@
 /// Result of checking a log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Verdict {
-    /// Where the messages went.
+    /// Outcomes of the messages.
     pub accounting: Accounting,
     /// All violations, in the order of the log.
     #[serde(rename = "breaches")]
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients: they submit messages as planned, wait for a response, submit again after some rejections, and some of them
-//! are malicious or impatient.
+//! Clients: they submit planned messages, wait for responses and submit again after some rejections. Some disconnect early,
+//! and some send malformed requests.
 
 mod malformed;
 mod plan;
@@ -23,8 +23,6 @@
 use submission::{Submission, SubmissionResult};
 
 use crate::event_log::{Event, EventLog};
-#[cfg(test)]
-use crate::scenario::Scenario;
 use crate::scenario::SeededRng;
 
 /// How long a client waits for a response.
@@ -33,9 +31,9 @@
 const RESUBMIT_PAUSE_MS: (f64, f64) = (710.0, 1_700.0);
 /// Submissions of a message after its first.
 const MAX_RESUBMISSIONS: u32 = 4;
-/// Delay of a submission that shows that this machine is too slow.
+/// Delay of a submission beyond which a lag of this machine is recorded.
 const MAX_LAG: Duration = Duration::from_millis(20);
-/// How long a malicious client reads what it is sent.
+/// How long a malicious client reads the response.
 const MALICIOUS_READ_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Address of a sender; `None` while it is down.
@@ -115,7 +113,7 @@
                 SubmissionResult::Responded { .. } => return,
                 SubmissionResult::Unanswered if message.disconnects => return,
                 SubmissionResult::Unanswered | SubmissionResult::NotSubmitted => {
-                    // The client's own sender is down, most likely: the next one.
+                    // The sender is probably down: use the next one.
                     sender = (sender + 1) % self.senders.len();
                     let pause_ms = rng.between(RESUBMIT_PAUSE_MS.0, RESUBMIT_PAUSE_MS.1);
                     Duration::from_secs_f64(pause_ms / 1_000.0)
@@ -140,7 +138,7 @@
             let sender = rng.integer(0, self.senders.len() as u64) as usize;
             let Some(addr) = *self.senders[sender].address.borrow() else { continue };
             let request = malformed_request(&mut rng);
-            // Ends by itself after its time-outs.
+            // Ends after its timeouts.
             tokio::spawn(send_and_read(addr, request));
         }
     }
@@ -151,7 +149,7 @@
     if resubmissions == 0 { first.to_owned() } else { format!("{first}-{resubmissions}") }
 }
 
-/// Writes a request, and reads what comes until the connection ends, or for a while.
+/// Writes a request and reads until the connection ends or a timeout.
 async fn send_and_read(addr: SocketAddr, request: Vec<u8>) {
     let connected = timeout(RESPONSE_TIMEOUT, TcpStream::connect(addr)).await;
     let Ok(Ok(mut stream)) = connected else { return };
--- a/crates/testkit/src/client/plan.rs
+++ b/crates/testkit/src/client/plan.rs
@@ -82,7 +82,7 @@
         let traffic = &self.scenario.traffic;
         let burst_len = traffic.burst_len.max(1);
         let burst_share = traffic.burst_share.get();
-        // Bursts bring several messages at once: fewer arrivals for the same number of messages.
+        // An arrival with a burst has several messages, so that there are fewer arrivals for the same rate.
         let per_arrival = messages_per_arrival(traffic);
         let mut at_s = 0.0;
         loop {
@@ -145,7 +145,7 @@
     }
 }
 
-/// Mean number of messages that come at once.
+/// Mean number of messages per arrival.
 fn messages_per_arrival(traffic: &Traffic) -> f64 {
     let burst_len = f64::from(traffic.burst_len.max(1));
     1.0 + traffic.burst_share.get() / burst_len.max(1.0) * (burst_len - 1.0)
--- a/crates/testkit/src/client/submission.rs
+++ b/crates/testkit/src/client/submission.rs
@@ -29,7 +29,7 @@
     pub(super) time_left: Duration,
 }
 
-/// What came of a submission.
+/// Result of a submission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SubmissionResult {
     Responded {
@@ -75,7 +75,7 @@
     pub(super) async fn submit(&self, submission: &Submission<'_>) -> SubmissionResult {
         if let Some(stream) = self.take_kept(submission.sender) {
             match self.exchange(stream, submission).await {
-                // It crossed the sender's close: once more on a new one, under the same id.
+                // The sender has closed the connection: submitted once more on a new one, with the same id.
                 SubmissionResult::NotSubmitted => {}
                 result => return result,
             }
@@ -124,7 +124,7 @@
     }
 }
 
-/// Whether a connection is still open: what is written to one that has ended is never read.
+/// Whether a connection is still open.
 fn is_open(stream: &TcpStream) -> bool {
     matches!(stream.try_read(&mut [0; 1]), Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
 }
--- a/crates/testkit/src/client/tests.rs
+++ b/crates/testkit/src/client/tests.rs
@@ -1,6 +1,9 @@
 //! Tests of the plan of submissions.
 
-use super::*;
+use std::time::Duration;
+
+use super::plan;
+use crate::scenario::Scenario;
 
 #[test]
 fn a_plan_is_the_same_for_the_same_scenario_and_has_its_rate() {
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -1,6 +1,6 @@
-//! Several senders, each a process of the program, joined by datagram proxies, before the same receivers.
+//! Several sender processes that are connected by datagram proxies and share their receivers.
 //!
-//! Invariant: whatever happens to a test, its processes end with the cluster, each by its own id.
+//! Invariant: the processes end with the cluster, also if a test panics.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::ops::Range;
@@ -30,10 +30,10 @@
 /// How often it is checked whether messages have their outcomes.
 const OUTCOME_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a sender's folder holds when it is started again.
+/// Content of a sender's state folder when it is started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Journal {
-    /// What its earlier process left.
+    /// The files of its earlier process.
     Kept,
     /// Nothing, as after the loss of the machine.
     Empty,
@@ -50,17 +50,17 @@
     event_log: EventLog,
     programs: Vec<Program>,
     clients: Arc<Clients>,
-    /// The clients' task, which ends by itself.
+    /// The task of the clients.
     load: Option<JoinHandle<()>>,
-    // They run until the cluster is dropped.
+    // Run until the cluster is dropped.
     _discoveries: Vec<FakeDiscovery>,
     receivers: Vec<Arc<FakeReceiver>>,
     _tasks: JoinSet<()>,
 }
 
 impl Cluster {
-    /// Starts all senders of a scenario, which gossip with each other. The scenario's events are not played: the
-    /// caller says what happens. `folder` is empty; no message takes longer than `max_lifetime` to be delivered.
+    /// Starts all senders of a scenario, which gossip with each other. The scenario's events are not played. `folder` must
+    /// be empty; `max_lifetime` bounds the lifetime of a message.
     ///
     /// # Errors
     ///
@@ -122,10 +122,11 @@
         self.load = Some(tokio::spawn(self.clients.clone().run(planned, Instant::now())));
     }
 
-    /// Waits until all clients are done and every message has its final outcome, or should have; gives the verdict.
+    /// Waits until all clients are done and every message has its final outcome or its time for one has passed; returns
+    /// the verdict.
     pub async fn finish(&mut self) -> Verdict {
         if let Some(load) = self.load.take() {
-            // A client that panicked shows in the log.
+            // The event log shows whether a client has panicked.
             let _ = load.await;
         }
         let deadline = Instant::now() + self.max_lifetime + OUTCOME_TIMEOUT;
@@ -197,7 +198,7 @@
         Usage::of(&self.event_log.lines(), span, limit)
     }
 
-    /// How it is used from now on, for this time.
+    /// Measures the usage of the first receiver's limit for a time from now on.
     pub async fn measure_usage(&self, duration: Duration) -> Usage {
         let from = self.event_log.now();
         sleep(duration).await;
@@ -205,7 +206,7 @@
     }
 }
 
-/// Free addresses for the senders' datagrams, each on a loopback address of its own whose ports nobody else uses.
+/// Free addresses for the senders' datagrams, each on a loopback address that is not used otherwise.
 fn gossip_addresses(senders: usize) -> std::io::Result<Vec<SocketAddr>> {
     let free_address = |n: usize| UdpSocket::bind((format!("127.0.1.{}", n + 1), 0))?.local_addr();
     (0..senders).map(free_address).collect()
--- a/crates/testkit/src/datagram_proxy.rs
+++ b/crates/testkit/src/datagram_proxy.rs
@@ -1,7 +1,7 @@
-//! UDP proxies between all pairs of senders: each reaches each other one at an address of the proxy's.
+//! UDP proxies between all pairs of senders: each sender reaches every other one at an address of the proxy.
 //!
-//! Invariant: what reaches a sender comes from the address at which it sees the one that sent it, and nothing reaches
-//! it over a link that is cut. For each two senders there are two sockets, one for what either sees of the other.
+//! Invariant: a datagram arrives from the address at which its receiver reaches its sender, and none arrives over a link
+//! that is cut. Each pair of senders has two sockets, one for each direction.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,24 +11,23 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-use crate::fault_schedule::{LinkFaultSampler, LinkFaults};
+use crate::fault_schedule::{DatagramCopy, LinkFaultSampler, LinkFaults};
 
-/// Maximum length of a forwarded datagram, in bytes; more than the 256 of a valid one, so that its receiver can reject
-/// longer ones.
+/// Maximum length of a forwarded datagram, in bytes: longer than a valid one, so that the receiver sees invalid ones.
 const MAX_DATAGRAM_LEN: usize = 2_048;
-/// Datagrams that one link delays at once: more than a minute's replays of a busy sender. Others are dropped.
+/// Maximum number of delayed datagrams of a link; further ones are dropped.
 const MAX_DELAYED: usize = 4_096;
 
 /// Counts of a link's datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
-    /// Datagrams that came from the sender.
+    /// Datagrams received from the sender.
     pub sent: u64,
     /// Datagrams written to the receiver, each copy counted.
     pub passed: u64,
     /// Their bytes.
     pub passed_bytes: u64,
-    /// Datagrams and copies that were lost, cut off, or one too many to delay.
+    /// Datagrams and copies that were lost, cut off, or beyond the maximum number of delayed ones.
     pub dropped: u64,
     /// Their bytes.
     pub dropped_bytes: u64,
@@ -65,8 +64,8 @@
 }
 
 impl DatagramProxy {
-    /// Starts proxies between senders that receive datagrams at `addrs`, by index, without faults. `seed` decides what is
-    /// left to chance.
+    /// Starts proxies without faults between senders that receive datagrams at `addrs`, by index. `seed` determines the
+    /// random choices.
     ///
     /// # Errors
     ///
@@ -101,7 +100,9 @@
             peer_addrs.insert((from, to), inbound.local_addr()?);
             links.insert((from, to), state.clone());
             let Some(outbound) = sockets.get(&(to, from)) else { continue };
-            tasks.spawn(carry((inbound.clone(), addrs[from]), (outbound.clone(), addrs[to]), state));
+            let inbound = LinkSide { socket: inbound.clone(), sender: addrs[from] };
+            let outbound = LinkSide { socket: outbound.clone(), sender: addrs[to] };
+            tasks.spawn(carry(inbound, outbound, state));
         }
         Ok(Self { addrs: addrs.to_vec(), peer_addrs, links, _tasks: tasks })
     }
@@ -150,23 +151,35 @@
     (0..senders).flat_map(move |a| (0..senders).filter(move |b| *b != a).map(move |b| (a, b)))
 }
 
-type End = (Arc<UdpSocket>, SocketAddr);
+/// One side of a link: the proxy's socket, and the sender that uses it.
+struct LinkSide {
+    socket: Arc<UdpSocket>,
+    sender: SocketAddr,
+}
+
+/// Order of delayed datagrams: by the time at which they are due, then by number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct DeliveryOrder {
+    due: Instant,
+    number: u64,
+}
 
-/// Forwards one link until it is cancelled: what comes to `inbound` from its sender goes from `outbound` to the other.
-async fn carry(inbound: End, outbound: End, state: Arc<Mutex<State>>) {
-    let (mut delayed, mut number, mut buffer) =
-        (BTreeMap::<(Instant, u64), Vec<u8>>::new(), 0, [0; MAX_DATAGRAM_LEN]);
+/// Forwards the datagrams of one link until it is cancelled: received at `inbound`, sent from `outbound`.
+async fn carry(inbound: LinkSide, outbound: LinkSide, state: Arc<Mutex<State>>) {
+    let mut delayed = BTreeMap::<DeliveryOrder, Vec<u8>>::new();
+    let mut number = 0;
+    let mut buffer = [0; MAX_DATAGRAM_LEN];
     loop {
-        let due = delayed.first_key_value().map(|(&(due, _), _)| due);
+        let due = delayed.first_key_value().map(|(order, _)| order.due);
         tokio::select! {
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
                 let Some((_, datagram)) = delayed.pop_first() else { continue };
                 pass(&outbound, &datagram, &state).await;
             }
-            got = inbound.0.recv_from(&mut buffer) => {
-                // Datagrams of others are not forwarded: they would arrive in the sender's name.
+            got = inbound.socket.recv_from(&mut buffer) => {
+                // Datagrams of strangers are not forwarded: they would arrive from the address of the sender.
                 let Ok((length, source)) = got else { continue };
-                if source != inbound.1 {
+                if source != inbound.sender {
                     continue;
                 }
                 let copies = {
@@ -179,14 +192,14 @@
                     }
                     copies
                 };
-                for (delay, datagram) in copies {
+                for DatagramCopy { delay, bytes } in copies {
                     if delay.is_zero() {
-                        pass(&outbound, &datagram, &state).await;
+                        pass(&outbound, &bytes, &state).await;
                     } else if delayed.len() < MAX_DELAYED {
                         number += 1;
-                        delayed.insert((Instant::now() + delay, number), datagram);
+                        delayed.insert(DeliveryOrder { due: Instant::now() + delay, number }, bytes);
                     } else {
-                        locked(&state).count_dropped(datagram.len());
+                        locked(&state).count_dropped(bytes.len());
                     }
                 }
             }
@@ -195,9 +208,9 @@
 }
 
 /// Sends a datagram to its receiver, unless the link is cut.
-async fn pass((socket, addr): &End, datagram: &[u8], state: &Mutex<State>) {
+async fn pass(receiver: &LinkSide, datagram: &[u8], state: &Mutex<State>) {
     let cut = locked(state).cut;
-    let sent = !cut && socket.send_to(datagram, addr).await.is_ok();
+    let sent = !cut && receiver.socket.send_to(datagram, receiver.sender).await.is_ok();
     let mut state = locked(state);
     if sent {
         state.counts.passed += 1;
--- a/crates/testkit/src/event_log.rs
+++ b/crates/testkit/src/event_log.rs
@@ -1,9 +1,8 @@
 //! The event log that fakes and clients write and the checker reads: JSON lines on one monotonic clock.
 //!
 //! The first line is the header and carries the version of the format. Every line has `t`, microseconds since the
-//! log began. Kept logs are checked again by later versions: fields may be added, none changes its meaning within
-//! a version. Names of fields and events in JSON are fixed where the code's differ. `docs/operate/judge.md` lists
-//! the events.
+//! log began. Later versions check kept logs again: fields may be added, none changes its meaning within a version.
+//! Names of fields and events in JSON are fixed; the code maps them. `docs/operate/checker.md` lists the events.
 
 mod codec;
 mod event;
--- a/crates/testkit/src/event_log/event.rs
+++ b/crates/testkit/src/event_log/event.rs
@@ -68,7 +68,7 @@
         /// 200 or 202: accepted; 429 or 503: rejected; else failed.
         status: u16,
     },
-    /// A client has gone without a response.
+    /// A client has disconnected without a response.
     #[serde(rename = "unheard")]
     Unanswered {
         /// The message.
@@ -87,7 +87,7 @@
         /// The message.
         #[serde(rename = "txn")]
         message_id: String,
-        /// When its first byte came, in microseconds on the log's clock.
+        /// When its first byte arrived, in microseconds on the log's clock.
         first_us: u64,
     },
     /// A call was executed, or dropped as a repeat.
@@ -115,7 +115,7 @@
         /// The call.
         call: u64,
     },
-    /// An endpoint has got a health check.
+    /// An endpoint has received a health check.
     #[serde(rename = "probed")]
     HealthChecked {
         /// The sender that made it.
@@ -143,7 +143,7 @@
         /// `SERVING`, `DRAINING` or `DELETED`.
         phase: String,
     },
-    /// A notification has come to the platform.
+    /// A notification has arrived at the platform.
     #[serde(rename = "noticed")]
     Notified {
         /// The sender of the notification.
@@ -200,7 +200,7 @@
         #[serde(rename = "life")]
         state: ProcessState,
     },
-    /// A fake did something later than it was due, which is not the sender's fault.
+    /// A fake acted later than it was due, so that a violation may not be the sender's.
     #[serde(rename = "late")]
     Lagged {
         /// Which fake.
--- a/crates/testkit/src/event_log/header.rs
+++ b/crates/testkit/src/event_log/header.rs
@@ -47,7 +47,7 @@
     /// Latency objective, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub target_ms: u64,
-    /// Time after which a message is given up, in milliseconds.
+    /// Time after which an undelivered message fails, in milliseconds.
     pub deadline_ms: u64,
     /// Whether messages of one ordering key are sent one at a time, in the order of their submission.
     #[serde(default)]
@@ -75,7 +75,7 @@
 /// The limits of the rules; times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// How long calls may still begin after a sender learned that an endpoint drains.
+    /// How long calls may still begin after a sender was notified that an endpoint drains.
     pub drain_grace_ms: u64,
     /// A warming endpoint is overloaded when it gets more than this multiple of its current capacity ...
     #[serde(rename = "fall_multiple")]
@@ -133,7 +133,7 @@
 }
 
 impl Rules {
-    /// Share of its rate that an endpoint accepts so long after the end of its outage.
+    /// Share of its rate that an endpoint accepts at a time after the end of its outage, in microseconds.
     pub fn warm_share(&self, since_us: u64) -> f64 {
         let warm = since_us as f64 / (self.warm_up_ms.max(1) * 1_000) as f64;
         (self.initial_capacity + (1.0 - self.initial_capacity) * warm).min(1.0)
--- a/crates/testkit/src/event_log/recorder.rs
+++ b/crates/testkit/src/event_log/recorder.rs
@@ -22,7 +22,7 @@
 }
 
 impl EventLog {
-    /// Starts a log whose clock begins now and whose first line is the header.
+    /// Starts a log with its header; the clock starts now.
     pub fn start(classes: Vec<Class>, endpoints: Vec<Endpoint>, rules: Rules) -> Self {
         let header = Event::Header { v: VERSION, classes, endpoints, rules };
         let recorded = Recorded { lines: vec![Line { t: 0, event: header }], last_call_id: 0 };
@@ -51,7 +51,7 @@
     /// Appends an event with the current time.
     pub fn record(&self, event: Event) {
         let mut recorded = self.recorded();
-        // Taken under the lock, so that lines are in the order of their times.
+        // Read under the lock, so that lines are in the order of their times.
         let t = self.now();
         recorded.lines.push(Line { t, event });
     }
--- a/crates/testkit/src/fake_discovery.rs
+++ b/crates/testkit/src/fake_discovery.rs
@@ -1,4 +1,4 @@
-//! A fake discovery service beside one sender: serves the endpoint list and watches of it, and takes notifications.
+//! A fake discovery service of one sender: serves the endpoint list and watches, and receives notifications.
 
 mod entry;
 mod list;
@@ -34,8 +34,8 @@
     Ignore,
 }
 
-/// An address at which the service is reached. After it is dropped no connection is accepted there, and the open
-/// ones are closed after [`OLD_ADDRESS_CLOSE_DELAY`].
+/// An address of the service. After it is dropped it accepts no connection, and the open ones are closed after
+/// [`OLD_ADDRESS_CLOSE_DELAY`].
 #[derive(Debug)]
 struct ServedAddress {
     addr: SocketAddr,
@@ -49,7 +49,7 @@
     sender: String,
     event_log: EventLog,
     state: Mutex<ListState>,
-    /// While it is true, nothing is answered and no change announced.
+    /// While it is true, requests are not answered and changes not announced.
     silent: watch::Sender<bool>,
 }
 
@@ -58,7 +58,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that a phase is being written to the sender, which counts as knowing it from now on.
+    /// Records that a phase is being written to the sender, which counts as notified from now on.
     fn announce(&self, state: &mut ListState, endpoint: &str, phase: Phase) {
         if state.announce(endpoint, phase) {
             let (sender, endpoint) = (self.sender.clone(), endpoint.to_owned());
@@ -114,12 +114,12 @@
         Ok(addr)
     }
 
-    /// The whole list, as the configuration's `known` has it.
+    /// The complete list, in the form of the configuration's `known`.
     pub fn list(&self) -> Value {
         self.shared.state().whole()
     }
 
-    /// Changes an endpoint's phase and sends that to the watches. The sender counts as knowing it when the line is
+    /// Changes an endpoint's phase and sends the change to the watches. The sender counts as notified when the line is
     /// written.
     pub fn change(&self, endpoint: &str, phase: Phase) {
         self.shared.state().change(endpoint, phase);
@@ -152,7 +152,7 @@
         self.shared.event_log.record(Event::DiscoveryFault { sender, kind, on });
     }
 
-    /// Stops answering and announcing, or goes on.
+    /// Stops or resumes responses and announcements.
     pub fn set_silent(&self, silent: bool) {
         self.shared.silent.send_replace(silent);
     }
--- a/crates/testkit/src/fake_discovery/list.rs
+++ b/crates/testkit/src/fake_discovery/list.rs
@@ -9,10 +9,10 @@
 use super::entry::Entry;
 use crate::scenario::Phase;
 
-/// Lines that may wait on one watch; a watch that is further behind is closed.
+/// Maximum number of unread lines of a watch; a watch with more is closed.
 const MAX_WAITING_LINES: usize = 1_024;
 
-/// A line of a watch, and the change that it announces.
+/// A change and its line on watches.
 #[derive(Clone, Debug)]
 pub(super) struct Change {
     pub(super) line: String,
@@ -20,6 +20,13 @@
     pub(super) phase: Phase,
 }
 
+/// The phase of an endpoint.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct EndpointPhase {
+    pub(super) endpoint: String,
+    pub(super) phase: Phase,
+}
+
 /// A change with its revision, for watches that begin later.
 #[derive(Debug)]
 struct RecordedChange {
@@ -28,6 +35,15 @@
     change: Change,
 }
 
+/// A watch that has just begun.
+#[derive(Debug)]
+pub(super) struct NewWatch {
+    /// Its first line.
+    pub(super) first: String,
+    /// The later changes.
+    pub(super) changes: mpsc::Receiver<Change>,
+}
+
 /// State of a discovery service.
 #[derive(Debug)]
 pub(super) struct ListState {
@@ -53,7 +69,7 @@
         }
     }
 
-    /// The whole list as it is on the wire.
+    /// The complete list as it is on the wire.
     pub(super) fn whole(&self) -> Value {
         let members: Vec<Value> = self.entries.iter().map(Entry::json).collect();
         json!({"revision": self.revision, "complete": true, "members": members})
@@ -83,25 +99,29 @@
     }
 
     /// The phases that a request announces: all changes, or those after the revision that a watch begins at.
-    pub(super) fn changes_since(&self, revision: Option<u64>) -> Vec<(String, Phase)> {
+    pub(super) fn changes_since(&self, revision: Option<u64>) -> Vec<EndpointPhase> {
         let since = revision.filter(|revision| *revision <= self.revision).unwrap_or(0);
         let later = self.changes.iter().filter(|recorded| recorded.revision > since);
-        later.map(|recorded| (recorded.change.endpoint.clone(), recorded.change.phase)).collect()
+        let phase = |Change { endpoint, phase, .. }: &Change| EndpointPhase {
+            endpoint: endpoint.clone(),
+            phase: *phase,
+        };
+        later.map(|recorded| phase(&recorded.change)).collect()
     }
 
-    /// Records that a phase is announced to the sender; whether that is news.
+    /// Records that a phase is announced to the sender; whether it differs from the last one.
     pub(super) fn announce(&mut self, endpoint: &str, phase: Phase) -> bool {
         self.announced.insert(endpoint.to_owned(), phase) != Some(phase)
     }
 
-    /// Begins a watch from a revision: its first line, and the changes to come.
-    pub(super) fn watch(&mut self, from: Option<u64>) -> (String, mpsc::Receiver<Change>) {
-        let (lines, next) = mpsc::channel(MAX_WAITING_LINES);
+    /// Begins a watch from a revision.
+    pub(super) fn watch(&mut self, from: Option<u64>) -> NewWatch {
+        let (lines, changes) = mpsc::channel(MAX_WAITING_LINES);
         let first = match from {
             Some(revision) if revision <= self.revision => self.changes_after(revision),
             _ => self.whole(),
         };
         self.watches.push(lines);
-        (first.to_string(), next)
+        NewWatch { first: first.to_string(), changes }
     }
 }
--- a/crates/testkit/src/fake_discovery/requests.rs
+++ b/crates/testkit/src/fake_discovery/requests.rs
@@ -1,4 +1,4 @@
-//! Answers a sender's requests: for the endpoint list, for watches, and with notifications.
+//! Answers a sender's requests for the endpoint list and for watches, and its notifications.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,6 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
+use super::list::EndpointPhase;
 use super::watch_lines::WatchLines;
 use super::{NotificationMode, Shared};
 use crate::event_log::Event;
@@ -57,28 +58,28 @@
     Ok(if query.contains("watch=1") { begin_watch(shared, revision(query)) } else { send_list(&shared) })
 }
 
-/// The revision after which a watch's query wants changes.
+/// The revision after which a query requests changes.
 fn revision(query: &str) -> Option<u64> {
     query.split('&').find_map(|pair| pair.strip_prefix("from=")).and_then(|from| from.parse().ok())
 }
 
 fn send_list(shared: &Shared) -> Reply {
     let mut state = shared.state();
-    for (endpoint, phase) in state.changes_since(None) {
+    for EndpointPhase { endpoint, phase } in state.changes_since(None) {
         shared.announce(&mut state, &endpoint, phase);
     }
     reply(StatusCode::OK, state.whole().to_string())
 }
 
 fn begin_watch(shared: Arc<Shared>, from: Option<u64>) -> Reply {
-    let (first, changes) = {
+    let watch = {
         let mut state = shared.state();
-        for (endpoint, phase) in state.changes_since(from) {
+        for EndpointPhase { endpoint, phase } in state.changes_since(from) {
             shared.announce(&mut state, &endpoint, phase);
         }
         state.watch(from)
     };
-    Response::new(LineBody(WatchLines::new(first, changes, shared)).boxed())
+    Response::new(LineBody(WatchLines::new(watch, shared)).boxed())
 }
 
 async fn accept_notifications(shared: &Shared, body: &[u8]) -> Result<Reply, std::io::Error> {
--- a/crates/testkit/src/fake_discovery/watch_lines.rs
+++ b/crates/testkit/src/fake_discovery/watch_lines.rs
@@ -8,7 +8,7 @@
 use tokio::time::Interval;
 
 use super::Shared;
-use super::list::Change;
+use super::list::{Change, NewWatch};
 use crate::line_body::LineSource;
 
 /// Interval of the empty lines.
@@ -24,7 +24,8 @@
 }
 
 impl WatchLines {
-    pub(super) fn new(first: String, changes: mpsc::Receiver<Change>, shared: Arc<Shared>) -> Self {
+    pub(super) fn new(watch: NewWatch, shared: Arc<Shared>) -> Self {
+        let NewWatch { first, changes } = watch;
         let silent = shared.silent.subscribe();
         Self { first: Some(first), changes, heartbeat: tokio::time::interval(HEARTBEAT), silent, shared }
     }
--- a/crates/testkit/src/fake_receiver.rs
+++ b/crates/testkit/src/fake_receiver.rs
@@ -1,6 +1,6 @@
-//! A fake receiver: endpoints in zones that accept calls, reject them, execute them, and fail as a scenario says.
+//! A fake receiver: endpoints in zones that accept, reject and execute calls, and fail as scheduled.
 //!
-//! Each sender reaches each endpoint at an address of its own, which tells whose call it is.
+//! Each endpoint has one address per sender, which identifies the caller.
 
 mod connections;
 mod endpoint;
@@ -57,7 +57,7 @@
 }
 
 impl FakeReceiver {
-    /// Starts a receiver for these senders; `seed` decides what its plan leaves to chance.
+    /// Starts a receiver for these senders; `seed` determines its random choices.
     ///
     /// # Errors
     ///
--- a/crates/testkit/src/fake_receiver/connections.rs
+++ b/crates/testkit/src/fake_receiver/connections.rs
@@ -63,9 +63,9 @@
         return;
     }
     let mut outage = endpoint.outage.subscribe();
-    // A machine that has vanished answers nothing, and open connections are reset when it is back. Its kernel still
-    // reads here: else nobody would see that a sender gave a call up, and the call would count as in flight.
-    let mut has_vanished = is(*outage.borrow_and_update(), Outage::Unreachable);
+    // An unreachable endpoint answers nothing, and open connections are reset at the end of the outage. It still reads, to
+    // see that a sender has cancelled a call; the call would count as in flight otherwise.
+    let mut is_unreachable = is(*outage.borrow_and_update(), Outage::Unreachable);
     let Ok((handle, stream)) = duplicate(stream) else { return };
     let activity = Arc::new(Notify::new());
     let service = service_fn(|request| {
@@ -82,10 +82,10 @@
                     return;
                 }
                 let active = *outage.borrow_and_update();
-                if has_vanished || is(active, Outage::RefuseConnections) {
+                if is_unreachable || is(active, Outage::RefuseConnections) {
                     break;
                 }
-                has_vanished = is(active, Outage::Unreachable);
+                is_unreachable = is(active, Outage::Unreachable);
             }
             () = idle(&activity) => return,
         }
--- a/crates/testkit/src/fake_receiver/endpoint.rs
+++ b/crates/testkit/src/fake_receiver/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint's state: its current outage, connections, workers and share of the limit.
+//! State of an endpoint: its outage, connections, workers and rate limit.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -9,10 +9,10 @@
 use super::limit_state::LimitState;
 use crate::scenario::{EndpointPlan, Outage, ReceiverPlan, SeededRng};
 
-/// Workers for a third more than the rate limit needs.
+/// Factor on the number of workers that the rate limit needs.
 const WORKER_RESERVE: f64 = 1.33;
 
-/// Locks a mutex, also one whose last owner panicked.
+/// Locks a mutex, even if it is poisoned.
 pub(super) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -88,12 +88,12 @@
         true
     }
 
-    /// Takes a call out of the queue, as it has a worker.
+    /// Removes a call that has a worker from the queue.
     pub(super) fn dequeue(&self) {
         *locked(&self.queued) -= 1;
     }
 
-    /// Waits for the end of a stall, if it stalls now.
+    /// Waits for the end of the current stall, if there is one.
     pub(super) async fn wait_out_stall(&self) {
         let Some(active) = self.active_outage() else { return };
         let Outage::Stall { stop_ms, every_ms } = active.outage else { return };
--- a/crates/testkit/src/fake_receiver/limit_state.rs
+++ b/crates/testkit/src/fake_receiver/limit_state.rs
@@ -1,20 +1,20 @@
-//! What endpoints with one limit share: the rate limiter, outages, and the warm-up after them.
+//! State that endpoints with one limit share: the rate limiter, outages, and the warm-up after them.
 
 use std::collections::{HashSet, VecDeque};
 
 use super::rate_limiter::{LimitExceeded, RateLimiter};
 use crate::event_log::Rules;
 
-/// Calls beyond the rule's limit that an endpoint bears: more than the checker allows, so that no endpoint collapses
-/// before the rule is broken.
+/// Calls beyond the limit of the rule before an endpoint collapses: more than the checker allows, so that the rule is
+/// broken first.
 const OVERLOAD_SLACK: f64 = 6.0;
 
-/// How a call finds the limit.
+/// State of the limit when a call arrives.
 #[derive(Debug)]
 pub(super) struct Admission {
     /// Whether the endpoint has collapsed under load.
     pub(super) collapsed: bool,
-    /// Share of its rate that the endpoint works at.
+    /// Share of its rate that the endpoint accepts.
     pub(super) capacity: f64,
     /// The rate limiter's decision.
     pub(super) decision: Result<(), LimitExceeded>,
--- a/crates/testkit/src/fake_receiver/rate_limiter.rs
+++ b/crates/testkit/src/fake_receiver/rate_limiter.rs
@@ -8,7 +8,7 @@
 /// A call beyond the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitExceeded {
-    /// Microseconds until a call would be accepted if no others came.
+    /// Microseconds until a call would be accepted if there were no other calls.
     pub available_in_us: u64,
 }
 
--- a/crates/testkit/src/fake_receiver/requests.rs
+++ b/crates/testkit/src/fake_receiver/requests.rs
@@ -37,16 +37,16 @@
     }
 }
 
-/// What an outage does with a call.
+/// Effect of an outage on a call.
 #[derive(Clone, Copy, Debug)]
 enum OutageEffect {
     /// The call is served as usual.
     None,
     /// The call is never answered.
     NoResponse,
-    /// The call is answered so.
+    /// The call gets this reply.
     Reply(Reply),
-    /// The call is executed and answered so.
+    /// The call is executed and gets this reply.
     ExecuteAndReply(Reply),
 }
 
@@ -166,7 +166,7 @@
     }
     work(shared, endpoint, call.id, key, admission.capacity).await?;
     if endpoint.suffers(Outage::Unreachable) {
-        // It was executed, and nobody will know.
+        // Executed, but without a response.
         pending::<()>().await;
     }
     Ok(call.answer(Reply::status(200)))
@@ -177,8 +177,8 @@
         Outage::Unresponsive | Outage::Unreachable => OutageEffect::NoResponse,
         Outage::RejectAll => {
             let left_ms = end.saturating_duration_since(Instant::now()).as_millis() as u64;
-            let tells = locked(&endpoint.rng).chance(shared.plan.retry_after.share.get());
-            let retry_after_ms = if tells { left_ms.max(1) } else { 0 };
+            let has_retry_after = locked(&endpoint.rng).chance(shared.plan.retry_after.share.get());
+            let retry_after_ms = if has_retry_after { left_ms.max(1) } else { 0 };
             OutageEffect::Reply(Reply { status: 503, retry_after_ms })
         }
         Outage::Errors { share } => {
@@ -206,7 +206,7 @@
     Reply { status: 429, retry_after_ms }
 }
 
-/// Waits for a worker, works and executes the call. A call that has begun is executed even if nobody waits for it.
+/// Waits for a worker and executes the call after its service time, even if its connection ends meanwhile.
 async fn work(
     shared: &Arc<Shared>,
     endpoint: &Arc<Endpoint>,
@@ -216,7 +216,7 @@
 ) -> Result<(), std::io::Error> {
     let service_time = service_time(shared, endpoint, capacity);
     let (shared, endpoint) = (shared.clone(), endpoint.clone());
-    // Not owned by the connection: it ends by itself after the service time.
+    // Not owned by the connection: it ends after the service time.
     let task = tokio::spawn(async move {
         let worker = endpoint.workers.clone().acquire_owned().await;
         endpoint.dequeue();
--- a/crates/testkit/src/fake_receiver/tests.rs
+++ b/crates/testkit/src/fake_receiver/tests.rs
@@ -1,6 +1,11 @@
 //! Tests of the rate limits, the key memory and the collapse under load, without sockets.
 
-use super::*;
+use std::time::{Duration, Instant};
+
+use super::key_memory::{KEY_TIME, KeyMemory};
+use super::limit_state::LimitState;
+use super::rate_limiter::{LimitExceeded, RateLimiter};
+use crate::event_log::Rules;
 use crate::scenario::{Limit, Ms};
 
 fn exceeded(available_in_us: u64) -> Result<(), LimitExceeded> {
@@ -14,7 +19,7 @@
     let results: Vec<_> = (0..4).map(|n| limiter.call(100_000 * n)).collect();
     assert_eq!(results, [Ok(()), Ok(()), Ok(()), exceeded(700_000)]);
     assert_eq!(limiter.call(1_000_000), Ok(()));
-    // Rejected calls use a window up where they count, and no later one.
+    // Rejected calls that count use up their window, but no later one.
     let mut limiter = RateLimiter::new(window, 1.0, true);
     let results = [limiter.call(0), limiter.call(1), limiter.call(2)];
     assert_eq!(results, [Ok(()), exceeded(999_999), exceeded(999_998)]);
@@ -51,6 +56,6 @@
         }
         limit.has_collapsed()
     };
-    // At first it can do 1.7 a second, so 2.5 times that is 4.25.
+    // The initial capacity is 1.7 calls a second; 2.5 times that is 4.25.
     assert!(!collapses(250_000) && collapses(100_000));
 }
--- a/crates/testkit/src/fault_proxy.rs
+++ b/crates/testkit/src/fault_proxy.rs
@@ -14,18 +14,18 @@
 use crate::listen;
 use crate::scenario::LinkFault;
 
-/// Faults of a proxy; the default is none. The client is who connects to the proxy.
+/// Faults of a proxy; the default is none. The client is the peer that connects to the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
     /// Delay of everything, each way.
     pub delay: Duration,
     /// Nothing more reaches the client, without an error.
     pub lose_responses: bool,
-    /// Nothing more passes either way, without an error. New connections are accepted and stay silent.
+    /// Nothing more passes either way, without an error. New connections are accepted.
     pub black_hole: bool,
     /// Number of bytes to the server after which both ends are reset.
     pub cut_after: Option<u64>,
-    /// Number of bytes to the server after which that direction ends; the other goes on.
+    /// Number of bytes to the server after which that direction ends; the other one stays open.
     pub half_close_after: Option<u64>,
     /// One byte at a time, with this pause, each way.
     pub trickle: Option<Duration>,
@@ -68,7 +68,7 @@
     /// # #[tokio::main(flavor = "current_thread")] async fn main() -> std::io::Result<()> {
     /// let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
     /// let proxy = FaultProxy::start(listener.local_addr()?).await?;
-    /// // Whoever connects to proxy.addr() reaches the listener; from now on 50 ms later, each way.
+    /// // Connections to proxy.addr() reach the listener, with a delay of 50 ms each way.
     /// proxy.set(Fault { delay: std::time::Duration::from_millis(50), ..Fault::default() });
     /// # Ok(())
     /// # }
--- a/crates/testkit/src/fault_proxy/carry.rs
+++ b/crates/testkit/src/fault_proxy/carry.rs
@@ -33,11 +33,11 @@
     if client.set_nodelay(true).and(server.set_nodelay(true)).is_err() {
         return;
     }
-    // Borrowed halves: an owned one would end its direction when dropped, where a reset is wanted.
+    // Borrowed halves: dropping an owned one would end its direction without a reset.
     let ended = {
         let (client_read, client_write) = client.split();
         let (server_read, server_write) = server.split();
-        // A cut ends both directions, an end only its own.
+        // A cut ends both directions, the end of a stream only its own.
         let cut = Notify::new();
         let requests = OneWay { direction: Direction::ToServer, fault: fault.clone(), cut: &cut, carried: 0 };
         let responses = OneWay { direction: Direction::ToClient, fault, cut: &cut, carried: 0 };
@@ -95,7 +95,7 @@
         fault.black_hole || (fault.lose_responses && self.direction == Direction::ToClient)
     }
 
-    /// Waits for the end of a fault that loses bytes, and cuts the connection, as it has lost some.
+    /// Waits for the end of a fault that loses bytes, and cuts the connection, which cannot continue without them.
     async fn wait_out_loss(&mut self) {
         let to_client = self.direction == Direction::ToClient;
         let is_over = |fault: &Fault| !(fault.black_hole || (fault.lose_responses && to_client));
@@ -103,14 +103,14 @@
         self.cut.notify_one();
     }
 
-    /// How many more bytes may be carried under a limit, which holds for the direction to the server alone.
+    /// Number of bytes that may still be carried under a limit of the direction to the server; `None` without a limit.
     fn rest_of(&self, limit: Option<u64>) -> Option<usize> {
         limit
             .filter(|_| self.direction == Direction::ToServer)
             .map(|limit| limit.saturating_sub(self.carried) as usize)
     }
 
-    /// Writes a chunk as far as the fault's limits allow; breaks when the direction is at its end.
+    /// Writes a chunk up to the fault's limits; breaks at the end of the direction.
     async fn write(
         &mut self,
         to: &mut WriteHalf<'_>,
--- a/crates/testkit/src/fault_proxy/tests.rs
+++ b/crates/testkit/src/fault_proxy/tests.rs
@@ -1,10 +1,12 @@
 //! Tests of each fault on connections over loopback.
 
+use std::time::Duration;
+
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, timeout};
 
-use super::*;
+use super::{Fault, FaultProxy};
 
 async fn pair(fault: Fault) -> (FaultProxy, TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/testkit/src/fault_schedule/tests.rs
+++ b/crates/testkit/src/fault_schedule/tests.rs
@@ -1,10 +1,16 @@
 //! Tests of the shares of the faults and of the independence of links.
 
-use super::*;
+use std::time::Duration;
+
+use super::{DatagramCopy, LinkFaultSampler, LinkFaults, REORDER_DELAY};
 
 const MS: Duration = Duration::from_millis(1);
 
-type Copies = Vec<(Duration, Vec<u8>)>;
+type Copies = Vec<DatagramCopy>;
+
+fn copy(delay: Duration, bytes: &[u8]) -> DatagramCopy {
+    DatagramCopy { delay, bytes: bytes.to_vec() }
+}
 
 #[test]
 fn each_fault_affects_its_share_of_the_datagrams_and_no_others() {
@@ -12,7 +18,7 @@
         let mut link = LinkFaultSampler::new(1, 2, 3);
         (0..4_000).map(|_| link.sample(b"a note", faults)).collect::<Vec<Copies>>()
     };
-    let whole = (Duration::ZERO, b"a note".to_vec());
+    let whole = copy(Duration::ZERO, b"a note");
     let one_in_four = |faults: LinkFaults, affected: fn(&Copies) -> bool| {
         let (hit, spared): (Vec<Copies>, Vec<Copies>) = outcomes(&faults).into_iter().partition(affected);
         assert!(spared.iter().all(|copies| copies[..] == [whole.clone()]), "{faults:?}");
@@ -21,15 +27,15 @@
     let none = LinkFaults::default;
     one_in_four(LinkFaults { drop: 0.25, ..none() }, Vec::is_empty);
     one_in_four(LinkFaults { duplicate: 0.25, ..none() }, |o| o.len() == 2 && o[0] == o[1]);
-    one_in_four(LinkFaults { reorder: 0.25, ..none() }, |o| o.len() == 1 && o[0].0 == REORDER_DELAY);
+    one_in_four(LinkFaults { reorder: 0.25, ..none() }, |o| o.len() == 1 && o[0].delay == REORDER_DELAY);
     one_in_four(LinkFaults { damage: 0.25, ..none() }, |o| {
-        o[0].1.len() == 6 && o[0].1.iter().zip(b"a note").filter(|(a, b)| a != b).count() == 1
+        o[0].bytes.len() == 6 && o[0].bytes.iter().zip(b"a note").filter(|(a, b)| a != b).count() == 1
     });
     let late = outcomes(&LinkFaults { delay: 10 * MS..30 * MS, ..none() });
-    assert!(late.iter().all(|o| o.len() == 1 && (10 * MS..30 * MS).contains(&o[0].0)));
-    assert!(late.iter().any(|o| o[0].0 < 12 * MS) && late.iter().any(|o| o[0].0 > 28 * MS));
+    assert!(late.iter().all(|o| o.len() == 1 && (10 * MS..30 * MS).contains(&o[0].delay)));
+    assert!(late.iter().any(|o| o[0].delay < 12 * MS) && late.iter().any(|o| o[0].delay > 28 * MS));
     let again = outcomes(&LinkFaults { replay_after: Some(60_000 * MS), ..none() });
-    assert!(again.iter().all(|o| o[..] == [whole.clone(), (60_000 * MS, whole.1.clone())]));
+    assert!(again.iter().all(|o| o[..] == [whole.clone(), copy(60_000 * MS, b"a note")]));
 }
 
 #[test]
@@ -44,7 +50,7 @@
     let wild = LinkFaults { duplicate: 0.7, drop: 1.0, reorder: 0.2, ..LinkFaults::default() };
     assert_eq!(after(&LinkFaults::default(), (1, 2)), after(&wild, (1, 2)));
     assert_ne!(after(&wild, (1, 2)), after(&wild, (2, 1)));
-    // Nothing to change in it, and nothing breaks.
+    // An empty datagram has no byte to damage.
     let damage = LinkFaults { damage: 1.0, ..LinkFaults::default() };
-    assert_eq!(LinkFaultSampler::new(0, 0, 0).sample(b"", &damage), [(Duration::ZERO, Vec::new())]);
+    assert_eq!(LinkFaultSampler::new(0, 0, 0).sample(b"", &damage), [copy(Duration::ZERO, b"")]);
 }
--- a/crates/testkit/src/frames.rs
+++ b/crates/testkit/src/frames.rs
@@ -1,6 +1,7 @@
-//! HTTP/2 frames written and read byte for byte (RFC 9113, 4 and 6), for gateways that do what no library lets them.
+//! HTTP/2 frames written and read byte for byte (RFC 9113, 4 and 6), for gateways with behaviour that libraries do not
+//! support.
 //!
-//! Made for tests: what should not happen panics and says so.
+//! Made for tests: an unexpected event panics with a message.
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -22,7 +23,7 @@
 const MAX_STREAMS: u16 = 3;
 const INITIAL_WINDOW: u16 = 4;
 
-/// A frame as it came.
+/// A received frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
     /// Its type.
@@ -35,7 +36,7 @@
     pub payload: Vec<u8>,
 }
 
-/// The gateway's end of a connection.
+/// The gateway's side of a connection.
 #[derive(Debug)]
 pub struct Frames {
     io: TcpStream,
@@ -44,8 +45,8 @@
 }
 
 impl Frames {
-    /// Takes a connection: reads the client's preface and says how many streams it may have, and how large each one's
-    /// window is.
+    /// Accepts a connection: reads the client's preface and sends the maximum number of streams and the initial window
+    /// size.
     pub async fn accept(mut io: TcpStream, streams: u32, window: u32) -> Self {
         let mut preface = [0; PREFACE.len()];
         with_timeout("a preface", io.read_exact(&mut preface)).await.expect("readable");
@@ -62,7 +63,7 @@
         self.write(SETTINGS, 0, 0, &payload).await;
     }
 
-    /// From now on so many streams are allowed.
+    /// Changes the maximum number of streams.
     pub async fn allow(&mut self, streams: u32) {
         self.settings(&[(MAX_STREAMS, streams)]).await;
     }
@@ -84,7 +85,7 @@
         Some(Frame { kind: head[3], flags: head[4], stream, payload })
     }
 
-    /// The next frame that is not of the connection's upkeep; `None` at its end.
+    /// The next frame other than SETTINGS, PING and WINDOW_UPDATE; `None` at the end of the connection.
     pub async fn next(&mut self) -> Option<Frame> {
         loop {
             let frame = self.read().await?;
@@ -97,7 +98,7 @@
         }
     }
 
-    /// The next request that has come whole: its stream.
+    /// The stream of the next complete request.
     pub async fn request(&mut self) -> u32 {
         loop {
             let frame = self.next().await.expect("a request before the end");
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The head of an answer with a status and, where there is one, a Retry-After.
+    /// Writes the head of a response with a status and an optional Retry-After.
     pub async fn head(&mut self, stream: u32, status: u16, retry_after: Option<&str>, ends: bool) {
         // Literals without indexing (RFC 7541, 6.2.2): names 8 (:status) and 53 (retry-after) of the static table.
         let mut block = vec![0x08, 3];
@@ -130,28 +131,28 @@
         self.write(HEADERS, flags, stream, &block).await;
     }
 
-    /// A part of an answer's body.
+    /// Writes a part of a response body.
     pub async fn data(&mut self, stream: u32, data: &[u8]) {
         self.write(DATA, 0, stream, data).await;
     }
 
-    /// Trailers that end an answer.
+    /// Writes trailers that end a response.
     pub async fn trailers(&mut self, stream: u32) {
-        // A literal with a name of its own.
+        // A literal with a new name.
         self.write(HEADERS, END_HEADERS | END_STREAM, stream, b"\x00\x04x-ok\x011").await;
     }
 
-    /// RST_STREAM.
+    /// Writes RST_STREAM.
     pub async fn reset(&mut self, stream: u32, code: u32) {
         self.write(RST_STREAM, 0, stream, &code.to_be_bytes()).await;
     }
 
-    /// GOAWAY.
+    /// Writes GOAWAY.
     pub async fn go_away(&mut self, last: u32, code: u32) {
         self.write(GOAWAY, 0, 0, &[last.to_be_bytes(), code.to_be_bytes()].concat()).await;
     }
 
-    /// A PING, and its answer: what was written before has been read.
+    /// Writes a PING and waits for its acknowledgement: the client has read all earlier frames.
     pub async fn ping(&mut self) {
         self.write(PING, 0, 0, b"read it?").await;
         loop {
@@ -162,7 +163,7 @@
         }
     }
 
-    /// More may be sent on a stream, or with 0 on all together.
+    /// Increases the window of a stream, or with 0 that of the connection.
     pub async fn window(&mut self, stream: u32, by: u32) {
         self.write(WINDOW_UPDATE, 0, stream, &by.to_be_bytes()).await;
     }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,8 @@
-//! Everything around a sender in tests and measurements: fake receivers, discovery services, clients and links with
-//! faults, all on loopback and driven by scenarios and seeds; clusters of sender processes; and the checker of the six
-//! rules, which believes only what the fakes recorded.
+//! The environment of a sender in tests and benchmarks: fake receivers, discovery services, clients and links with faults,
+//! all on loopback and driven by scenarios and seeds; clusters of sender processes; and the checker of the six rules, which
+//! reads only what the fakes recorded.
 //!
-//! Nothing that ships depends on this crate, and it knows nothing of how the sender works.
+//! No shipped crate depends on this one, and it does not depend on the sender.
 
 pub mod checker;
 pub mod client;
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -23,7 +23,7 @@
 
 /// Time within which a process exits after SIGTERM; then it is killed.
 const STOP_TIMEOUT: Duration = Duration::from_millis(3_700);
-/// How long clients still come to a process that was asked to stop.
+/// How long clients still connect to a process that is stopping.
 const CLIENTS_NOTICE_STOP: Duration = Duration::from_millis(300);
 /// Backlog of a listening socket that outlasts the processes.
 const BACKLOG: i32 = 128;
@@ -210,7 +210,7 @@
         Ok(())
     }
 
-    /// Asks its process to stop and waits until it has exited; clients still come for a while. Whether it exited
+    /// Asks its process to stop and waits until it has exited; clients still connect for a short time. Whether it exited
     /// cleanly and in time.
     ///
     /// # Errors
--- a/crates/testkit/src/program/probe.rs
+++ b/crates/testkit/src/program/probe.rs
@@ -24,7 +24,7 @@
     Control(SocketAddr),
 }
 
-/// What came of waiting for a process.
+/// Result of waiting for a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Startup {
     Ready,
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -31,7 +31,7 @@
     /// Share of idempotent messages; the others have idempotency keys.
     #[serde(alias = "status_share")]
     pub idempotent_share: Share,
-    /// Share of messages that come in bursts for one receiver.
+    /// Share of messages that are in bursts for one receiver.
     #[serde(alias = "clumps")]
     pub burst_share: Share,
     /// Messages in a burst.
--- a/crates/testkit/src/scenario/events.rs
+++ b/crates/testkit/src/scenario/events.rs
@@ -110,7 +110,7 @@
 pub enum Phase {
     /// It accepts calls.
     Serving,
-    /// It wants no new calls.
+    /// It accepts no new calls.
     Draining,
     /// It has left the list.
     Deleted,
@@ -127,7 +127,7 @@
     }
 }
 
-/// Something that happens at a set time after the scenario's start.
+/// An event at a set time after the start of the scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ScheduledEvent {
--- a/crates/testkit/src/scenario/generator.rs
+++ b/crates/testkit/src/scenario/generator.rs
@@ -30,7 +30,7 @@
         let count = self.rng.integer(4, 7) as u16;
         let receivers: Vec<ReceiverPlan> = (0..count).map(|index| self.receiver(index)).collect();
         let limits: f64 = receivers.iter().map(total_rate).sum();
-        // About as much as the receiver that is nearest to its limit bears.
+        // Below the receivers' limits in sum, near that of the busiest one.
         let per_s = PerSecond(limits * self.rng.between(0.45, 0.7));
         let mut events = Vec::new();
         self.outages(&receivers, &mut events);
@@ -114,7 +114,7 @@
             _ => Outage::Unreachable,
         };
         let at_ms = self.rng.ms(self.end_ms / 10, self.end_ms / 2);
-        // As long as outages in production, however short the scenario: a sender's health checks are made for these.
+        // As long as outages in production, for which the senders' health checks are configured.
         let duration_ms = self.rng.ms(7_600, 14_000);
         let is_partial = receiver.endpoints.len() > 1 && self.rng.chance(0.2);
         let endpoints = if is_partial { vec![receiver.endpoints[0].id.clone()] } else { Vec::new() };
--- a/crates/testkit/src/scenario/tests.rs
+++ b/crates/testkit/src/scenario/tests.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use super::*;
+use super::{Ms, Scenario, ScheduledEvent};
 
 #[test]
 fn a_drawn_scenario_is_the_same_for_the_same_seed_and_survives_its_file() {
--- a/crates/testkit/src/scenario/validation.rs
+++ b/crates/testkit/src/scenario/validation.rs
@@ -4,7 +4,7 @@
 
 use super::{ReceiverPlan, Scenario, ScheduledEvent};
 
-/// Most senders of a scenario.
+/// Maximum number of senders.
 const MAX_SENDERS: usize = 16;
 
 /// A field that does not fit the others, by its key.
--- a/crates/testkit/src/scripted_peers/malformed_responder.rs
+++ b/crates/testkit/src/scripted_peers/malformed_responder.rs
@@ -19,7 +19,7 @@
 /// The last bytes of every request; no head ends with them.
 const BODY_END: &[u8] = b"text";
 
-/// The parts of the responses to come.
+/// The parts of the next responses.
 type Responses = Arc<Mutex<VecDeque<Vec<Vec<u8>>>>>;
 
 /// A call that was read from a connection.
@@ -49,7 +49,7 @@
 }
 
 impl MalformedResponder {
-    /// Starts one whose responses are well-formed until others are scripted. All bodies must end in `text`.
+    /// Starts a responder whose responses are well-formed unless scripted. All bodies must end with `text`.
     pub async fn start() -> Self {
         let (listener, addr) = listen().await;
         let (call_sender, calls) = unbounded_channel();
--- a/crates/testkit/src/test_environment.rs
+++ b/crates/testkit/src/test_environment.rs
@@ -1,5 +1,5 @@
-//! Everything around real sender processes in a test: starts receivers, discovery services, proxies and clients,
-//! plays a scenario and gives back the event log.
+//! The environment of real sender processes in a test: starts receivers, discovery services, proxies and clients, plays a
+//! scenario and returns the event log.
 
 mod configuration;
 mod failures;
@@ -145,7 +145,7 @@
         self.event_log.clone()
     }
 
-    /// Plays the scenario until every accepted message has its final outcome, or should have.
+    /// Plays the scenario until every accepted message has its final outcome or its time for one has passed.
     pub async fn run(self) -> RunResult {
         let start = Instant::now();
         let failures = Failures::default();
@@ -192,7 +192,7 @@
     }
 }
 
-/// Whether the scenario upgrades this sender, whose listening socket has to outlast its process then.
+/// Whether the scenario upgrades this sender, so that its listening socket has to outlast its process.
 fn is_upgraded(scenario: &Scenario, index: usize) -> bool {
     let is_upgrade =
         |event: &ScheduledEvent| matches!(event, ScheduledEvent::Upgrade { sender, .. } if *sender == index);
--- a/crates/testkit/src/test_environment/failures.rs
+++ b/crates/testkit/src/test_environment/failures.rs
@@ -8,10 +8,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RunFailure {
     /// It did not exit with success after SIGTERM, or not in time.
-    #[error("a sender did not end well on SIGTERM")]
+    #[error("a sender did not exit cleanly after SIGTERM")]
     UncleanExit,
     /// The process that was replaced did not exit with success.
-    #[error("a sender did not leave well to its successor")]
+    #[error("a sender did not exit cleanly after a takeover")]
     UncleanTakeover,
     /// It could not be started, stopped or configured.
     #[error(transparent)]
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes all failures out.
+    /// Removes and returns all failures.
     pub(super) fn take(&self) -> Vec<RunFailure> {
         std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
--- a/crates/testkit/src/test_environment/links.rs
+++ b/crates/testkit/src/test_environment/links.rs
@@ -1,4 +1,4 @@
-//! The fault proxies between senders and endpoints, and the endpoint list that leads senders through them.
+//! The fault proxies between senders and endpoints, and the endpoint lists with their addresses.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::fault_proxy::{Fault, FaultProxy};
 use crate::scenario::{LinkFault, Phase, Scenario, ScheduledEvent};
 
-/// Longest delay that the rules' tolerance covers, in milliseconds.
+/// Longest delay within the tolerance of the rules, in milliseconds.
 const MAX_TOLERATED_DELAY_MS: u64 = 20;
 
 /// A proxy between a sender and an endpoint of a receiver.
@@ -53,7 +53,7 @@
     }
 }
 
-/// Whether responses may be lost or come long after they were written, without an error.
+/// Whether responses may be lost or long delayed without an error.
 fn hides_responses(fault: LinkFault) -> bool {
     match fault {
         LinkFault::Delay { ms } => ms.get() > MAX_TOLERATED_DELAY_MS,
--- a/crates/testkit/src/test_environment/monitor.rs
+++ b/crates/testkit/src/test_environment/monitor.rs
@@ -12,7 +12,7 @@
 /// Lag that is recorded, in microseconds.
 const RECORDED_LAG_US: u64 = MAX_LAG_US / 2;
 
-/// Records when this process lags, until it is cancelled: delays that it causes are not the sender's fault.
+/// Records delays of this process until it is cancelled, as they may cause violations that are not the sender's.
 pub async fn record_lag(event_log: EventLog) {
     let mut next = Instant::now();
     loop {
@@ -26,13 +26,13 @@
     }
 }
 
-/// Waits until every accepted message has its final outcome or the deadline has passed, looking once per interval.
+/// Waits until every accepted message has its final outcome or the deadline has passed; checks once per interval.
 pub(crate) async fn wait_for_outcomes(
     event_log: &EventLog,
     deadline: Instant,
     interval: Duration,
 ) -> Checker {
-    // Each line is checked once: to check the whole log again and again would make the fakes lag.
+    // Each line is processed once: repeated checks of the whole log would make the fakes lag.
     let mut checker = Checker::default();
     let mut checked = 0;
     loop {
--- a/crates/testkit/src/test_environment/player.rs
+++ b/crates/testkit/src/test_environment/player.rs
@@ -1,4 +1,4 @@
-//! Plays the scheduled events of a scenario, each in a task of its own.
+//! Plays the scheduled events of a scenario, each in its own task.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use crate::program::{Program, ProgramError};
 use crate::scenario::{DiscoveryFault, LinkFault, Ms, Outage, Phase, Scenario, ScheduledEvent};
 
-/// Interval between the senders' news of one change of the endpoint list, in milliseconds.
+/// Interval between the announcements of a list change to successive senders, in milliseconds.
 const LIST_STAGGER_MS: u64 = 40;
 
 /// Time span of a fault.
--- a/crates/testkit/src/usage/tests.rs
+++ b/crates/testkit/src/usage/tests.rs
@@ -1,6 +1,7 @@
 //! Test of the shares of the limit.
 
-use super::*;
+use super::Usage;
+use crate::event_log::{Event, Line};
 
 #[test]
 fn calls_count_in_the_receivers_seconds_and_in_any_second_but_the_first_one() {
@@ -16,12 +17,12 @@
     };
     let answered =
         |status| Line { t: 2_500_000, event: Event::CallAnswered { call: 0, status, retry_after_ms: 0 } };
-    // Before the span; ten in its first second; four about the turn of a second; two in one; one behind it.
+    // One before the span, ten in its first second, four around the start of a second, two in one second, one after the span.
     let mut lines: Vec<Line> = [400].into_iter().chain(500..510).map(called).collect();
     lines.extend([1_980, 1_990, 1_995, 2_010, 3_100, 3_200, 4_500].map(called));
     lines.extend([200, 200, 429, 500].map(answered));
     let usage = Usage::of(&lines, 500_000..4_500_000, 10.0);
     assert_eq!((usage.mean, usage.first), (16.0 / 40.0, 1.0));
     assert_eq!((usage.worst, usage.worst_sliding), (0.2, 0.4));
-    assert_eq!(usage.refused, 0.5);
+    assert_eq!(usage.rejected, 0.5);
 }
--- a/crates/testkit/tests/checker/clean_logs.rs
+++ b/crates/testkit/tests/checker/clean_logs.rs
@@ -1,6 +1,6 @@
 //! Long logs without violations, drawn at random.
 
-use proptest::prelude::*;
+use proptest::prelude::{ProptestConfig, any, prop_assert, prop_assert_eq, proptest};
 use proptest::test_runner::RngSeed;
 use rudderspindle_testkit::checker::Rule;
 use rudderspindle_testkit::event_log::{Event, ProcessState};
@@ -8,15 +8,15 @@
 
 use crate::log_builder::Log;
 
-/// A long evening of a sender that keeps every rule, drawn from a seed: calls are refused with waits, fail, are cut
-/// by kills and drains, and all are heeded.
+/// A long log of a sender that keeps every rule, drawn from a seed: with rejections, Retry-Afters, failures, kills and
+/// drains.
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn clean_log(seed: u64, messages: u64) -> Log {
     let mut draw = SeededRng::new(seed);
     let mut log = Log::new();
     log.process(0, ProcessState::Ready);
     let (mut now, mut call) = (1, 0);
-    let mut wait_until = 0;
+    let mut backoff_until = 0;
     let mut drained = false;
     for n in 0..messages {
         let class = ["safe", "keyed", "unsafe", "ordered"][draw.integer(0, 4) as usize];
@@ -26,7 +26,7 @@
             log.process(now, ProcessState::Terminating)
                 .process(now + 5, ProcessState::Exited)
                 .process(now + 700, ProcessState::Ready);
-            (now, wait_until) = (now + 710, 0);
+            (now, backoff_until) = (now + 710, 0);
         }
         if !drained && draw.chance(0.02) {
             let (sender, endpoint, phase) = ("n0".to_owned(), "b".to_owned(), "DRAINING".to_owned());
@@ -39,26 +39,26 @@
         }
         log.accept(now, &message_id, class);
         let started = now;
-        let mut hall: Option<&str> = None;
+        let mut zone: Option<&str> = None;
         loop {
-            now = (now + draw.integer(1, 200)).max(wait_until);
+            now = (now + draw.integer(1, 200)).max(backoff_until);
             let over = now - started > 9_000;
             let may_repeat = match class {
-                "unsafe" => hall.is_none(),
+                "unsafe" => zone.is_none(),
                 _ => true,
             };
             if over || !may_repeat || draw.chance(0.05) {
-                let harmless = hall.is_none() || matches!(class, "safe" | "ordered");
+                let is_repeatable = zone.is_none() || matches!(class, "safe" | "ordered");
                 log.notify(
                     now.min(started + 10_200),
                     &message_id,
-                    if harmless { "deferred" } else { "undeliverable" },
+                    if is_repeatable { "deferred" } else { "undeliverable" },
                 );
-                // A key rests after what may still run.
+                // The ordering key is paused after an attempt that may still be executing.
                 now += 1_100;
                 break;
             }
-            let endpoint = match hall.filter(|_| class == "keyed") {
+            let endpoint = match zone.filter(|_| class == "keyed") {
                 Some(endpoint) if endpoint == "a" || !drained => endpoint,
                 Some(_) => {
                     log.notify(now, &message_id, "undeliverable");
@@ -75,15 +75,15 @@
                 0 => {
                     let wait = draw.integer(0, 800);
                     log.answer(now, call, 429, wait);
-                    wait_until = now + wait;
+                    backoff_until = now + wait;
                 }
                 1 => {
                     log.answer(now, call, 500, 0);
-                    hall = hall.or(Some(endpoint));
+                    zone = zone.or(Some(endpoint));
                 }
                 2 => {
                     log.abort(now, call);
-                    hall = hall.or(Some(endpoint));
+                    zone = zone.or(Some(endpoint));
                     now += if class == "ordered" { 1_100 } else { 0 };
                 }
                 _ => {
@@ -115,7 +115,7 @@
         prop_assert_eq!(a.submitted, 400);
     }
 
-    /// One line of a clean log taken away, and the message that it ended is missed.
+    /// A message whose final outcome is removed from a clean log is lost.
     #[test]
     fn an_outcome_removed_from_a_clean_log_is_missed(seed in any::<u64>()) {
         let mut log = clean_log(seed, 50);
--- a/crates/testkit/tests/checker/duplication.rs
+++ b/crates/testkit/tests/checker/duplication.rs
@@ -9,13 +9,13 @@
 
 #[test]
 fn a_second_attempt_is_detected_while_the_first_is_in_flight() {
-    // Answered later: it was out.
+    // Answered later: it was in flight.
     let mut log = Log::new();
     log.accept(0, "m", "safe").call(10, 1, "m", "a").call(200, 2, "m", "b").answer(300, 1, 200, 0);
     log.answer(310, 2, 200, 0);
     assert_eq!(log.broken_rules(), only(Rule::Duplication));
     assert_eq!(log.verdict().violations[0].lines, [4, 5]);
-    // Its connection had ended, and the stand-in saw that a little later.
+    // Its connection had ended, and the fake noticed that shortly after.
     let mut log = Log::new();
     log.accept(0, "m", "safe")
         .call(10, 1, "m", "a")
--- a/crates/testkit/tests/checker/links.rs
+++ b/crates/testkit/tests/checker/links.rs
@@ -10,18 +10,18 @@
 fn responses_lost_on_a_link_are_neither_received_nor_seen_to_end() {
     for hides in [true, false] {
         let expected = |rule| if hides { BTreeSet::new() } else { only(rule) };
-        // A wait whose answer never came back, and a call after the link is well again.
+        // The Retry-After was lost on the link, and a call is made after the link has recovered.
         let mut log = Log::new();
         log.accept(0, "m", "safe").accept(0, "n", "safe").link(5, "a", hides, true);
         log.call(10, 1, "m", "a").answer(20, 1, 429, 3_000).link(900, "a", hides, false);
         log.call(1_500, 2, "n", "a").answer(1_510, 2, 200, 0).notify(5_000, "m", "deferred");
         assert_eq!(log.broken_rules(), expected(Rule::RetryAfter), "hides {hides}");
-        // A call that was out when the link failed was given up; nobody could see that.
+        // A call in flight when the link failed was cancelled, which the endpoint could not see.
         let mut log = Log::new();
         log.accept(0, "m", "safe").call(10, 1, "m", "a").link(50, "a", hides, true);
         log.call(2_000, 2, "m", "b").answer(2_010, 2, 200, 0).abort(4_000, 1);
         assert_eq!(log.broken_rules(), expected(Rule::Duplication), "hides {hides}");
-        // It may have run all the same: a keyed message stays in its hall.
+        // It is possibly executed: a message with an idempotency key stays in its zone.
         let mut log = Log::new();
         log.accept(0, "k", "keyed").link(5, "a", hides, true).call(10, 1, "k", "a").abort(900, 1);
         log.call(2_000, 2, "k", "b").answer(2_010, 2, 200, 0);
--- a/crates/testkit/tests/checker/loss.rs
+++ b/crates/testkit/tests/checker/loss.rs
@@ -36,7 +36,7 @@
     };
     assert_eq!(ended(12_100), BTreeSet::new());
     assert_eq!(ended(12_200), only(Rule::Loss));
-    // A sender that is still down owes nothing yet.
+    // No outcome is due while the sender is down.
     let mut log = Log::new();
     log.process(0, ProcessState::Ready)
         .accept(1, "m", "safe")
@@ -53,7 +53,7 @@
     let mut log = Log::new();
     log.accept(0, "m", "safe").notify(500, "m", "deferred").notify(600, "m", "undeliverable");
     assert_eq!(log.broken_rules(), only(Rule::Loss));
-    // The same notice again, or one for what was delivered, does no harm.
+    // A repeated notification, or one for a delivered message, is no violation.
     let mut log = Log::new();
     log.accept(0, "m", "safe").call(5, 1, "m", "a").answer(9, 1, 200, 0).notify(500, "m", "undeliverable");
     log.notify(600, "m", "undeliverable");
@@ -68,15 +68,15 @@
         if let Some(end) = end {
             log.notify(end, "m", "undeliverable");
         }
-        // Time goes on.
+        // Ends the log at 30 s.
         log.discovery_fault(30_000, kind, true).broken_rules()
     };
     assert_eq!(with("refuses_notices", Some(15_900)), BTreeSet::new());
     assert_eq!(with("refuses_notices", Some(16_200)), only(Rule::Loss));
     assert_eq!(with("ignores_notices", None), only(Rule::Loss));
-    // Silence of the list is no excuse for a notice.
+    // A silent endpoint list does not postpone notifications.
     assert_eq!(with("silent", Some(15_900)), only(Rule::Loss));
-    // While nothing is taken nothing is lost.
+    // No outcome is due while notifications are not acknowledged.
     let mut log = Log::new();
     log.accept(0, "m", "safe")
         .discovery_fault(9_000, "ignores_notices", true)
--- a/crates/testkit/tests/checker/recovery.rs
+++ b/crates/testkit/tests/checker/recovery.rs
@@ -38,7 +38,7 @@
 
 #[test]
 fn the_load_of_each_recovery_is_reported() {
-    // Ten calls a second when warm; 17% of it at first: 5.1 in 3 s.
+    // Ten calls a second when warm, 17 % of that at first: 5.1 in 3 s.
     let mut log = Log::new();
     log.outage(0, &["a", "b"], true).outage(9_000, &["a", "b"], false);
     for n in 0..4u64 {
@@ -52,17 +52,23 @@
         log.answer(9_020 + n, n, 200, 0);
     }
     let verdict = log.verdict();
-    let [back] = &verdict.recoveries[..] else { panic!("{verdict}") };
-    assert!(verdict.is_clean() && back.shared && back.kind == "shut" && back.peak_calls == 4, "{verdict}");
-    assert!((back.peak_ratio - 4.0 / 5.1).abs() < 0.01, "{verdict}");
-    assert_eq!(verdict.peak_recovery_ratio(), back.peak_ratio);
-    // One of two endpoints is no return of what they share.
+    let [recovery] = &verdict.recoveries[..] else { panic!("{verdict}") };
+    assert!(
+        verdict.is_clean() && recovery.shared && recovery.kind == "shut" && recovery.peak_calls == 4,
+        "{verdict}"
+    );
+    assert!((recovery.peak_ratio - 4.0 / 5.1).abs() < 0.01, "{verdict}");
+    assert_eq!(verdict.peak_recovery_ratio(), recovery.peak_ratio);
+    // The recovery of one of two endpoints is not that of their shared limit.
     let mut log = Log::new();
     log.outage(0, &["a"], true).outage(9_000, &["a"], false);
     assert_eq!(log.verdict().recoveries, []);
-    // One that is apart comes back by itself.
+    // An independent endpoint recovers alone.
     let mut log = Log::new();
     log.outage(0, &["r1"], true).outage(9_000, &["r1"], false);
     let verdict = log.verdict();
-    assert!(matches!(&verdict.recoveries[..], [back] if !back.shared && back.limit == "r1"), "{verdict}");
+    assert!(
+        matches!(&verdict.recoveries[..], [recovery] if !recovery.shared && recovery.limit == "r1"),
+        "{verdict}"
+    );
 }
--- a/crates/testkit/tests/checker/retry_after.rs
+++ b/crates/testkit/tests/checker/retry_after.rs
@@ -12,7 +12,7 @@
     let with = |second: u64, endpoint: &str| {
         let mut log = Log::new();
         log.accept(0, "m", "safe").accept(0, "n", "safe").call(10, 1, "m", "a").answer(20, 1, 429, 1_000);
-        // On another connection, to another endpoint of the same partner.
+        // Another endpoint of the same receiver.
         log.call(second, 2, "n", endpoint).answer(second + 5, 2, 200, 0).notify(5_000, "m", "deferred");
         log.broken_rules()
     };
@@ -20,7 +20,7 @@
     assert_eq!(with(130, "b"), only(Rule::RetryAfter));
     assert_eq!(with(1_019, "b"), only(Rule::RetryAfter));
     assert_eq!(with(1_020, "b"), BTreeSet::new());
-    // Routes that are apart have waits of their own, and a restart ends them.
+    // Independent endpoints have their own Retry-Afters, and a restart ends them.
     let mut log = Log::new();
     log.accept(0, "m", "safe").accept(0, "n", "safe").call(10, 1, "m", "r1").answer(20, 1, 503, 1_000);
     log.call(500, 2, "n", "r2").answer(505, 2, 200, 0);
--- a/crates/testkit/tests/datagram_proxy.rs
+++ b/crates/testkit/tests/datagram_proxy.rs
@@ -1,4 +1,4 @@
-//! The mesh as its senders see it: plain sockets on loopback.
+//! The datagram proxies between plain sockets on loopback.
 
 use std::time::{Duration, Instant};
 
--- a/crates/testkit/tests/wrong_senders/faulty_sender.rs
+++ b/crates/testkit/tests/wrong_senders/faulty_sender.rs
@@ -1,4 +1,4 @@
-//! A minimal sender that keeps the rules, unless its fault says otherwise.
+//! A minimal sender that keeps the rules, apart from its fault.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -48,7 +48,7 @@
     routes: Vec<Route>,
     /// The Retry-Afters by endpoint; the receiver's own under the empty name.
     backoffs: Backoffs,
-    /// Until when the receiver may be down or warming up, which limits the rate of calls.
+    /// End of the time in which the receiver may be down or warming up, which limits the rate of calls.
     recovering_until: Option<Instant>,
     next_call: Option<Instant>,
     ever_failed: bool,
--- a/crates/testkit/tests/wrong_senders/main.rs
+++ b/crates/testkit/tests/wrong_senders/main.rs
@@ -15,7 +15,7 @@
 
 use backoffs::Backoffs;
 use faulty_sender::Fault;
-use test_run::{TestRun, plan, play};
+use test_run::{Messages, TestRun, plan, play};
 
 /// Checks that the sender without a fault is clean, and that each fault breaks this rule alone.
 async fn breaks(test_run: TestRun, rule: Rule, faults: &[Fault]) {
@@ -44,21 +44,25 @@
     Outage::Errors { share: Share::try_from(1.0).expect("in range") }
 }
 
-fn test_run(plan: ReceiverPlan, messages: (&'static str, usize, u64, u64)) -> TestRun {
+fn messages(class: &'static str, count: usize, interval_ms: u64, lifetime_ms: u64) -> Messages {
+    Messages { class, count, interval_ms, lifetime_ms }
+}
+
+fn test_run(plan: ReceiverPlan, messages: Messages) -> TestRun {
     TestRun { plan, messages, outage: None, drain_after: None }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn forgotten_messages_and_late_outcomes_break_the_rule_of_loss() {
     let test_run =
-        TestRun { outage: Some((errors(), 900)), ..test_run(plan(50.0, 10), ("safe", 3, 10, 500)) };
+        TestRun { outage: Some((errors(), 900)), ..test_run(plan(50.0, 10), messages("safe", 3, 10, 500)) };
     breaks(test_run, Rule::Loss, &[Fault::ForgetsMessages, Fault::CompletesLate]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn concurrent_attempts_break_the_rule_of_duplication() {
     breaks(
-        test_run(plan(50.0, 1_500), ("safe", 2, 10, 8_000)),
+        test_run(plan(50.0, 1_500), messages("safe", 2, 10, 8_000)),
         Rule::Duplication,
         &[Fault::SendsConcurrentAttempts],
     )
@@ -67,47 +71,54 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn repeating_or_rejecting_a_possible_execution_breaks_the_rule_of_duplication() {
-    let unsafe_run =
-        || TestRun { outage: Some((errors(), 400)), ..test_run(plan(50.0, 10), ("unsafe", 2, 10, 900)) };
+    let unsafe_run = || TestRun {
+        outage: Some((errors(), 400)),
+        ..test_run(plan(50.0, 10), messages("unsafe", 2, 10, 900))
+    };
     breaks(
         unsafe_run(),
         Rule::Duplication,
         &[Fault::RepeatsPossibleExecutions, Fault::RejectsPossibleExecutions],
     )
     .await;
-    let keyed =
-        TestRun { outage: Some((errors(), 400)), ..test_run(plan(50.0, 10), ("keyed", 2, 10, 2_000)) };
+    let keyed = TestRun {
+        outage: Some((errors(), 400)),
+        ..test_run(plan(50.0, 10), messages("keyed", 2, 10, 2_000))
+    };
     breaks(keyed, Rule::Duplication, &[Fault::CrossesZones]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ignoring_a_drain_or_reacting_late_breaks_the_rule_of_draining() {
-    let test_run = TestRun { drain_after: Some(100), ..test_run(plan(100.0, 5), ("safe", 40, 30, 2_000)) };
+    let test_run =
+        TestRun { drain_after: Some(100), ..test_run(plan(100.0, 5), messages("safe", 40, 30, 2_000)) };
     breaks(test_run, Rule::Draining, &[Fault::IgnoresDrains, Fault::ReactsToDrainsLate]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn overloading_a_recovering_receiver_breaks_the_rule_of_recovery() {
-    let test_run =
-        || TestRun { outage: Some((errors(), 500)), ..test_run(plan(10.0, 5), ("safe", 60, 25, 8_000)) };
+    let test_run = || TestRun {
+        outage: Some((errors(), 500)),
+        ..test_run(plan(10.0, 5), messages("safe", 60, 25, 8_000))
+    };
     breaks(test_run(), Rule::Recovery, &[Fault::FloodsRecoveringReceivers, Fault::IgnoresRecovery]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn reordering_or_skipping_the_pause_breaks_the_rule_of_ordering() {
-    let overtaken = test_run(plan(50.0, 60), ("ordered", 4, 5, 5_000));
+    let overtaken = test_run(plan(50.0, 60), messages("ordered", 4, 5, 5_000));
     breaks(overtaken, Rule::Ordering, &[Fault::ReordersWithinKey]).await;
-    let silent = TestRun {
+    let unresponsive = TestRun {
         outage: Some((Outage::Unresponsive, 500)),
-        ..test_run(plan(50.0, 10), ("ordered", 3, 5, 5_000))
+        ..test_run(plan(50.0, 10), messages("ordered", 3, 5, 5_000))
     };
-    breaks(silent, Rule::Ordering, &[Fault::SkipsOrderingPause]).await;
+    breaks(unresponsive, Rule::Ordering, &[Fault::SkipsOrderingPause]).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ignoring_a_retry_after_or_keeping_it_for_one_endpoint_breaks_its_rule() {
     let faults = [Fault::IgnoresRetryAfter, Fault::ScopesRetryAfterToEndpoint];
-    breaks(test_run(plan(3.0, 5), ("safe", 12, 120, 6_000)), Rule::RetryAfter, &faults).await;
+    breaks(test_run(plan(3.0, 5), messages("safe", 12, 120, 6_000)), Rule::RetryAfter, &faults).await;
 }
 
 /// Responses to concurrent calls arrive in any order, and their Retry-Afters end up to a millisecond apart.
--- a/crates/testkit/tests/wrong_senders/test_run.rs
+++ b/crates/testkit/tests/wrong_senders/test_run.rs
@@ -11,11 +11,12 @@
     EndpointPlan, Limit, Ms, Outage, PerSecond, Phase, ReceiverPlan, RetryAfterPolicy, Share,
 };
 use rudderspindle_testkit::test_environment::{endpoints, record_lag};
+use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::faulty_sender::{Fault, FaultySender};
 
-/// Rules whose limits keep the test runs short.
+/// Rules with limits that keep the test runs short.
 fn rules() -> Rules {
     Rules {
         drain_grace_ms: 200,
@@ -45,30 +46,40 @@
     ]
 }
 
-pub fn plan(per_s: f64, work_ms: u64) -> ReceiverPlan {
+pub fn plan(per_s: f64, service_time_ms: u64) -> ReceiverPlan {
     let ms = |ms| Ms::try_from(ms).expect("in range");
     let endpoint = |id: &str, zone: &str| EndpointPlan { id: id.to_owned(), zone: zone.to_owned() };
     ReceiverPlan {
         number: 1,
-        name: "partner".to_owned(),
+        name: "receiver".to_owned(),
         endpoints: vec![endpoint("e0", "hall-a"), endpoint("e1", "hall-b")],
         independent: false,
         per_s: PerSecond::try_from(per_s).expect("in range"),
         limit: Limit::Window { window_ms: ms(1_000) },
         counts_rejected: false,
         retry_after: RetryAfterPolicy { share: Share::try_from(1.0).expect("in range"), wait_ms: None },
-        service_time_ms: ms(work_ms),
+        service_time_ms: ms(service_time_ms),
         max_queued: 1_000,
         max_connections: 1_000,
         weight: 1.0,
     }
 }
 
-/// What is submitted, and the receiver's faults.
+/// The messages that are submitted.
+#[derive(Clone, Copy)]
+pub struct Messages {
+    pub class: &'static str,
+    pub count: usize,
+    /// Interval between submissions, in milliseconds.
+    pub interval_ms: u64,
+    /// Time in which each may be delivered, in milliseconds.
+    pub lifetime_ms: u64,
+}
+
+/// The receiver and its faults, and the messages that are submitted.
 pub struct TestRun {
     pub plan: ReceiverPlan,
-    /// Class, number, interval in milliseconds, and time in which each may be delivered.
-    pub messages: (&'static str, usize, u64, u64),
+    pub messages: Messages,
     pub outage: Option<(Outage, u64)>,
     pub drain_after: Option<u64>,
 }
@@ -90,9 +101,9 @@
         per_s: test_run.plan.per_s.get(),
     };
     let entries = test_run.plan.endpoints.iter().map(entry).collect();
-    let discovery = FakeDiscovery::start("n0", entries, &event_log).await.expect("an discovery");
+    let discovery = FakeDiscovery::start("n0", entries, &event_log).await.expect("a discovery service");
     let sender = FaultySender::start(fault, &discovery, &receiver);
-    let mut clock = tokio::task::JoinSet::new();
+    let mut clock = JoinSet::new();
     clock.spawn(record_lag(event_log.clone()));
     event_log.record(Event::ProcessChanged { sender: "n0".to_owned(), state: ProcessState::Ready });
     if let Some((outage, for_ms)) = test_run.outage {
@@ -103,14 +114,29 @@
             tokio::task::yield_now().await;
         }
     }
-    let (class, count, apart, left) = test_run.messages;
-    let (start, mut open) = (Instant::now(), tokio::task::JoinSet::new());
+    let mut open = submit_all(test_run, &event_log, &discovery, &sender).await;
+    while open.join_next().await.is_some() {}
+    // An outcome that is missing by now is overdue.
+    sleep(Duration::from_millis(test_run.messages.lifetime_ms.min(400) + 200)).await;
+    check_events(&event_log.lines())
+}
+
+/// Submits the messages at their times, and drains an endpoint between two of them if the run has a drain. Returns the
+/// tasks that deliver them.
+async fn submit_all(
+    test_run: &TestRun,
+    event_log: &EventLog,
+    discovery: &FakeDiscovery,
+    sender: &Arc<FaultySender>,
+) -> JoinSet<()> {
+    let Messages { class, count, interval_ms, lifetime_ms } = test_run.messages;
+    let (start, mut open) = (Instant::now(), JoinSet::new());
     for n in 0..count {
-        let at = apart * n as u64;
+        let at = interval_ms * n as u64;
         sleep_until(start + Duration::from_millis(at)).await;
         if test_run.drain_after.is_some_and(|after| at >= after)
             && n > 0
-            && at - apart < test_run.drain_after.unwrap_or(0)
+            && at - interval_ms < test_run.drain_after.unwrap_or(0)
         {
             discovery.change("e0", Phase::Draining);
         }
@@ -123,14 +149,11 @@
             class: class.to_owned(),
             tenant: String::new(),
             receiver: 1,
-            time_left_ms: left,
+            time_left_ms: lifetime_ms,
             ordering_key: order,
         });
         event_log.record(Event::Responded { message_id: message_id.clone(), status: 202 });
-        open.spawn(sender.clone().deliver(message_id, class.to_owned(), Duration::from_millis(left)));
+        open.spawn(sender.clone().deliver(message_id, class.to_owned(), Duration::from_millis(lifetime_ms)));
     }
-    while open.join_next().await.is_some() {}
-    // An outcome that is overdue by now will not come.
-    sleep(Duration::from_millis(left.min(400) + 200)).await;
-    check_events(&event_log.lines())
+    open
 }
