--- a/crates/policy-replay/src/lib.rs
+++ b/crates/policy-replay/src/lib.rs
@@ -1,9 +1,9 @@
 //! Sessions from fixed seeds that golden-file tests play against the policy, directly or through a program.
 //!
 //! A [`Session`] is played by a simulated host: it submits messages, carries out what the policy under test
-//! returns, and reports the outcomes when they are due. A [`Recording`] holds hashes of the replies, and counts
-//! of inputs and outputs, for comparison with a golden file. The types of this crate are its own: those of the
-//! policy may be renamed with no change in the golden files.
+//! returns, and reports the outcomes when they are due. A [`Recording`] holds hashes of the replies, and
+//! counts of inputs and outputs, for comparison with a golden file. The types of this crate are its own:
+//! those of the policy may be renamed with no change in the golden files.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/policy-replay/src/receivers.rs
+++ b/crates/policy-replay/src/receivers.rs
@@ -1,5 +1,5 @@
-//! The receivers that the simulated host calls: healthy, limited, in an outage of some kind, or with calls that
-//! hang.
+//! The receivers that the simulated host calls: healthy, limited, in an outage of some kind, or with calls
+//! that hang.
 
 use std::collections::BTreeMap;
 
--- a/crates/policy/src/destination/outage_detection.rs
+++ b/crates/policy/src/destination/outage_detection.rs
@@ -109,8 +109,8 @@
         if shows_outage || breaker.is_open() || has_failed_often {
             self.breaker_mut(scope).open(context, &limits, 0.0);
         } else if breaker.has_many_errors() && concerns_whole_scope {
-            // Departure (about half of the answers are errors): these count as accepts, but the destination may
-            // be warming up.
+            // Departure (about half of the answers are errors): these count as accepts, but the destination
+            // may be warming up.
             let now = context.now;
             self.breaker_mut(scope).begin_slow_start(context, &limits, now, now);
         } else {
@@ -123,8 +123,8 @@
         true
     }
 
-    /// Departure (this sender's share of the overload is small): until the breaker opens, calls start no faster
-    /// than this sender's share of the limit.
+    /// Departure (this sender's share of the overload is small): until the breaker opens, calls start no
+    /// faster than this sender's share of the limit.
     fn back_off_to_our_share(&mut self, context: &mut Context, scope: Scope, limits: &RecoveryLimits) {
         let pause = context.rng.pause(1_000.0 / limits.rate());
         self.throttle_of_mut(scope).delay_next_draw(context.now + pause);
--- a/crates/policy/tests/common/delivery_rules.rs
+++ b/crates/policy/tests/common/delivery_rules.rs
@@ -1,6 +1,8 @@
 //! The checks of the delivery rules 1, 2, 3, 5 and 6 on each action of a policy.
 
-use rudderspindle_policy::interface::*;
+use rudderspindle_policy::interface::{
+    Action, Effect, KeyGroup, Listing, MessageHandle, Millis, Outcome, RouteEntry, RouteId,
+};
 
 use super::harness::{AcceptedMessage, Attempt, Harness};
 
--- a/crates/policy/tests/common/harness.rs
+++ b/crates/policy/tests/common/harness.rs
@@ -3,9 +3,12 @@
 use std::collections::BTreeMap;
 
 use rudderspindle_policy::Policy;
-use rudderspindle_policy::interface::*;
+use rudderspindle_policy::interface::{
+    Action, AttemptResult, DestinationId, Event, ListChange, Listing, Message, MessageHandle, Millis,
+    Outcome, RouteEntry, RouteId, Settings,
+};
 
-/// How long after its time a message may get its final outcome, ms.
+/// Maximum delay of a final outcome after a message has expired, in ms.
 const OUTCOME_TOLERANCE: Millis = 20.0;
 
 /// A message that the policy has accepted.
@@ -26,7 +29,7 @@
 /// The pause of an ordering key.
 pub struct KeyPause {
     pub until: Millis,
-    /// The message whose retries it does not hold up.
+    /// The message whose retries it does not delay.
     pub paused_by: MessageHandle,
 }
 
@@ -57,7 +60,8 @@
         }
     }
 
-    /// Lets time pass and hands in a batch; the actions are checked and returned.
+    /// Advances the clock and calls the policy with a batch of events. Returns the actions, which are
+    /// checked.
     pub fn step(&mut self, after: Millis, events: &[Event]) -> Vec<Action> {
         self.now += after;
         let completed = self.accepted.iter().filter(|(_, message)| message.completed);
@@ -78,7 +82,7 @@
         actions
     }
 
-    /// Steps of 10 ms without events until the policy does something else than to ask for a wake-up.
+    /// Advances the clock by 10 ms at a time until the policy returns an action other than a wake-up.
     pub fn run(&mut self, span: Millis) -> Vec<Action> {
         let end = self.now + span;
         let mut token = 0;
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Records a message with so many attempts behind it, none of which was executed.
+    /// Records a message with this many earlier attempts, none of which was executed.
     fn record_message(&mut self, message: &Message, attempts: u32) {
         let sent_at = self.now;
         let not_executed = |_| Attempt { route: RouteId(0), sent_at, outcome: Some(Outcome::ConnectFailed) };
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -7,8 +7,10 @@
 use std::collections::BTreeMap;
 
 pub use harness::Harness;
-use rudderspindle_policy::interface::*;
-pub use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
+use rudderspindle_policy::interface::{
+    Action, DestinationId, Event, Message, MessageHandle, Millis, Outcome,
+};
+use rudderspindle_simulation::fixtures::outcome;
 
 pub fn message(id: u32, class: usize, destination: u16) -> Event {
     keyed_message(id, class, destination, 0)
@@ -58,7 +60,7 @@
     }
 }
 
-/// Answers all calls for so long; `answer` is asked with the time and the route of each.
+/// Answers all calls for `span` ms with the result of `answer` for the time and the route of each.
 pub fn play_calls(
     harness: &mut Harness,
     first: Vec<Event>,
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many senders before one receiver with a limit that rejected calls use up, in simulated time: what is
-//! harmless for one must not hurt when a hundred do it.
+//! Many senders of one receiver with a limit that rejected calls count at, in simulated time: behaviour that
+//! is harmless for one sender must not harm when a hundred show it.
 
 use rudderspindle_simulation::receiver::{GossipNetwork, Limit, LoadPeak, Outage, Scenario, simulate};
 
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_single_busy_sender_among_idle_ones_gets_nearly_the_whole_limit() {
-    // An equal part at first, and the whole after a while.
+    // An equal part at first, and later the whole limit.
     let lone = |seed| Scenario { busy_senders: 1, duration: 120_000.0, ..calm_scenario(seed, 100, 0.9) };
     let Figures { rejections, delivered: used } = mean((0..4).map(|seed| figures(&lone(seed))));
     println!("one of a hundred: {rejections:.2} rejections per delivered message, use {used:.2}");
@@ -73,7 +73,7 @@
 }
 
 /// Senders with the same Retry-After return at the same time. A hundred of them could use up a limit with
-/// rejected calls for good, though each calls but once.
+/// rejected calls for good, though each sends one call only.
 #[test]
 fn a_fleet_recovers_after_a_limit_was_halved_for_nine_seconds() {
     let limit = Limit::TokenBucket { halved: 8_000.0..17_000.0, retry_after: 750.0, max_debt: 1_500.0 };
@@ -111,8 +111,8 @@
     }
 }
 
-/// Hardly one sender of hundreds sees enough of an outage, and the others at full pace would overload the
-/// receiver on its return. The fleet's reports show all of them what all saw fail.
+/// Few senders of hundreds see enough of an outage, and the others at their full rate would overload the
+/// receiver when it recovers. The fleet's reports show the failures of all senders to each.
 #[test]
 fn reports_of_an_outage_reach_senders_that_saw_little_of_it() {
     for outage in [
@@ -136,8 +136,8 @@
     }
 }
 
-/// The limit falls, Retry-After is 3 s, and then nobody gets through for two seconds: the interruption is
-/// over before most Retry-Afters are, and three times the usual messages come in the second after it.
+/// The limit is halved, Retry-After is 3 s, and then no call is answered for two seconds: the interruption
+/// ends before most Retry-Afters do, and three times the usual messages arrive in the second after it.
 #[test]
 fn an_interruption_within_retry_after_leads_to_no_overload_and_no_saturation() {
     for senders in [30, 300] {
@@ -165,7 +165,6 @@
             );
             assert!(worst < 2.5, "{senders} senders: sent {worst:.2} times what it could take");
             assert!(delivered > 0.4, "{senders} senders: {delivered:.2} delivered");
-            // Without Retry-After it is 335 to 550.
             assert!(observations.rejected < 300, "{senders} senders: {} rejected", observations.rejected);
         }
     }
@@ -184,9 +183,8 @@
     }
 }
 
-/// Hundreds of senders at their fair parts saturate a limit for good once a burst has exceeded it: rejected
-/// calls use it up, and hardly one sender sees more than one of them. With reports of all demand they share
-/// it.
+/// Hundreds of senders at equal parts saturate a limit for good once a burst has exceeded it: rejected calls
+/// use it up, and few senders see more than one of them. With reports of all demand they share it.
 #[test]
 fn senders_that_report_their_demand_recover_from_a_saturated_limit() {
     for (senders, least, gain) in [(30, 0.9, 0.0), (300, 0.7, 0.05)] {
@@ -208,7 +206,7 @@
         assert!(delivered > least && delivered > alone + gain, "{senders} senders: {delivered:.2} delivered");
         assert!(rejections < 0.5 * alone_rejections, "{senders} senders: {rejections:.2} rejections each");
         // Half of the reports are better than none, as lost ones are estimated; an interruption of reports
-        // costs little.
+        // has little effect.
         assert!(
             half > alone - 0.05 + gain,
             "{senders} senders: {half:.2} delivered, half of the reports lost"
@@ -225,8 +223,8 @@
     }
 }
 
-/// Hundreds that start together, as after a failure, have no reports yet, and each has messages for the same
-/// receiver: one call of each at once would be more than it takes in seconds.
+/// Hundreds of senders that start together, as after a failure, have no reports yet, and each has messages
+/// for the same receiver: one call of each at once would exceed its limit for seconds.
 #[test]
 fn senders_that_start_together_do_not_all_call_at_once() {
     let scenario = |seed| Scenario {
--- a/crates/policy/tests/recovery/main.rs
+++ b/crates/policy/tests/recovery/main.rs
@@ -1,14 +1,15 @@
-//! Outages of receivers whose routes share a limit, and what they get when they return: one probe and one
-//! recovery ramp for all routes. Single cases step by step, then scenes by the hundred in simulated time.
+//! Outages of receivers whose routes share a limit, and the calls to them after their recovery: one probe and
+//! one recovery ramp for all routes. Single cases step by step, then many scenarios in simulated time.
 
 #[path = "../common/mod.rs"]
 mod common;
 mod outage_scope;
 mod restart;
-mod scenes;
+mod scenarios;
 
-use common::*;
-use rudderspindle_policy::interface::*;
+use common::{Answer, Call, Harness, message};
+use rudderspindle_policy::interface::{Class, Effect, Event, Message, Millis, Outcome};
+use rudderspindle_simulation::fixtures::{class, entry, list, settings};
 
 /// One of two senders, and the routes of a receiver.
 fn with_routes(routes: std::ops::RangeInclusive<u64>, kind: u16, seed: u64) -> Harness {
@@ -33,12 +34,12 @@
 const OK: Answer = Answer::new(50.0, Outcome::Ok);
 const NO_CONNECTION: Answer = Answer::new(10.0, Outcome::ConnectFailed);
 
-/// Answers with `during` until the receiver has returned, and well from then on.
+/// Answers with `during` until the receiver has recovered, and with success from then on.
 fn answers_until(returned_at: Millis, during: Answer) -> impl Fn(Millis, u64) -> Answer + Copy {
     move |now, _| if now < returned_at { during } else { OK }
 }
 
-/// Rejects calls until the receiver has returned, with the Retry-After that is left.
+/// Rejects calls until the receiver has recovered, with the remaining Retry-After.
 fn rejects_until(returned_at: Millis) -> impl Fn(Millis, u64) -> Answer + Copy {
     move |now, _| if now < returned_at { rejected(returned_at - now) } else { OK }
 }
@@ -47,9 +48,11 @@
     Answer { after: 10.0, outcome: Outcome::Rejected, retry_after }
 }
 
-/// Calls that a receiver of 10 calls per second, this long after its return, can take from one sender of two.
+/// Calls that a receiver of 10 calls per second can take from one of two senders in the first seconds after
+/// its recovery.
 fn ramp_of_one(seconds: f64) -> f64 {
-    // A share of a half, 0.66 of the multiple of 2 that overloads it, from a fifth of its capacity over 10 s.
+    // A share of a half, and 0.66 of the overload multiple of 2, with a capacity that grows from a fifth in
+    // 10 s.
     0.5 * 0.66 * 2.0 * 10.0 * seconds * (0.2 + 0.8 * seconds / 10.0 / 2.0)
 }
 
@@ -57,7 +60,7 @@
 fn assert_one_probe_and_one_ramp(calls: &[Call], returned_at: Millis, what: &str) {
     let after: Vec<&Call> = calls.iter().filter(|call| call.at >= returned_at).collect();
     let first = after.first().unwrap_or_else(|| panic!("{what}: nothing was sent"));
-    // The answer of the probe takes 50 ms: until then nothing else goes.
+    // The answer to the probe takes 50 ms: until then no other call starts.
     let probes = after.iter().filter(|call| call.at < first.at + 50.0).count();
     assert_eq!(probes, 1, "{what}: one probe, not {probes}: {after:?}");
     let soon = after.iter().filter(|call| call.at < first.at + 3_000.0).count() as f64;
--- a/crates/policy/tests/recovery/outage_scope.rs
+++ b/crates/policy/tests/recovery/outage_scope.rs
@@ -4,7 +4,13 @@
 
 use rudderspindle_simulation::SeededRng;
 
-use super::*;
+use super::{
+    NO_CONNECTION, OK, answers_until, assert_one_probe_and_one_ramp, messages, ramp_of_one, rejected,
+    rejects_until, with_routes,
+};
+use crate::common::{Answer, play_calls};
+use rudderspindle_policy::interface::{Millis, Outcome, RouteEntry};
+use rudderspindle_simulation::fixtures::{entry, list};
 
 #[test]
 fn a_long_retry_after_of_one_route_is_an_outage_of_all_with_one_probe_and_one_ramp() {
@@ -18,14 +24,14 @@
 }
 
 #[test]
-fn an_answer_to_a_call_from_before_the_outage_proves_no_return() {
+fn a_success_of_a_call_from_before_the_outage_does_not_end_it() {
     for seed in 0..20 {
         let mut harness = with_routes(1..=2, 0, seed);
         let down_at = harness.now + 1_000.0;
         let returned_at = harness.now + 13_000.0;
         let mut slow = true;
         let answer = |now: Millis, _| match now {
-            // Sent before the outage, and answered well when others have been rejected.
+            // Sent before the outage, and successful after others have been rejected.
             _ if now < down_at && std::mem::take(&mut slow) => Answer::new(1_400.0, Outcome::Ok),
             _ if now < down_at => OK,
             _ if now < returned_at => rejected(returned_at - now),
@@ -53,17 +59,17 @@
 }
 
 #[test]
-fn silence_of_most_routes_is_an_outage_of_all() {
+fn most_routes_without_an_answer_are_an_outage_of_all() {
     for seed in 0..20 {
         let mut harness = with_routes(1..=3, 0, seed);
         let returned_at = harness.now + 9_000.0;
         let answer = answers_until(returned_at, Answer::new(3_000.0, Outcome::Timeout));
-        // One message a route at first: none of them alone is silent twice.
+        // One message for each route at first: no route alone has two calls without an answer.
         let mut attempts = BTreeMap::new();
         let mut calls = play_calls(&mut harness, messages(0..3), 1_500.0, &mut attempts, answer);
         calls.extend(play_calls(&mut harness, messages(3..80), 11_500.0, &mut attempts, answer));
         let during = calls.iter().filter(|call| call.at < returned_at).count();
-        assert!(during <= 12, "seed {seed}: {during} calls to a receiver that is silent");
+        assert!(during <= 12, "seed {seed}: {during} calls to a receiver that does not answer");
         assert_one_probe_and_one_ramp(&calls, returned_at, &format!("seed {seed}"));
     }
 }
@@ -100,7 +106,7 @@
             let healthy = calls.iter().filter(|call| call.route != 2).count();
             assert!(
                 healthy >= 45,
-                "seed {seed}: {healthy} went by the healthy routes in 10 s at a pace of 5 a second"
+                "seed {seed}: {healthy} went by the healthy routes in 10 s at a rate of 5 per second"
             );
             assert!(calls.len() - healthy <= 20, "seed {seed}: the failing one got more calls");
         }
@@ -120,7 +126,7 @@
         let calls = play_calls(&mut harness, messages(0..90), 13_000.0, &mut BTreeMap::new(), answer);
         let soon = calls.iter().filter(|call| (returned_at..returned_at + 3_000.0).contains(&call.at)).count()
             as f64;
-        // Somewhat more than after an outage is allowed: the last error may be long ago.
+        // More than after an outage, as the last error may be long ago.
         without_slow_start += usize::from(soon > 2.0 + 1.35 * ramp_of_one(3.0));
     }
     assert!(without_slow_start <= 2, "{without_slow_start} of 40 were sent to as if nothing had been");
@@ -164,6 +170,6 @@
     };
     let calls = play_calls(&mut harness, messages(0..60), 6_000.0, &mut BTreeMap::new(), answer);
     let other = calls.iter().filter(|call| call.route == 2).count();
-    assert!(other >= 25, "{other} by the other route in 6 s at a pace of 5 a second");
+    assert!(other >= 25, "{other} by the other route in 6 s at a rate of 5 per second");
     assert_eq!(calls.iter().filter(|call| call.route == 1 && call.at > returned_at - 8_500.0).count(), 0);
 }
--- a/crates/policy/tests/recovery/restart.rs
+++ b/crates/policy/tests/recovery/restart.rs
@@ -2,13 +2,18 @@
 
 use std::collections::BTreeMap;
 
-use super::*;
+use super::{OK, assert_one_probe_and_one_ramp, messages, ramp_of_one, with_routes};
+use crate::common::{play_calls, sends};
+use rudderspindle_policy::interface::{
+    Action, DestinationId, Event, LimitScope, OutageState, Outcome, RememberedOutage, RouteId,
+};
+use rudderspindle_simulation::fixtures::outcome;
 
 #[test]
-fn a_restarted_sender_goes_on_with_the_remembered_outage() {
+fn a_restarted_sender_continues_the_remembered_outage() {
     for (kind, route) in [(0, None), (1, Some(RouteId(1)))] {
         for seed in 0..20 {
-            // Down within a Retry-After: once that is over one probe goes.
+            // Down within a Retry-After: one probe starts once it is over.
             let mut harness = with_routes(1..=1, kind, seed);
             let returned_at = harness.now + 4_000.0;
             let scope = LimitScope { destination: DestinationId(0), route };
@@ -21,7 +26,7 @@
                 "seed {seed}: sent within the Retry-After"
             );
             assert_one_probe_and_one_ramp(&calls, returned_at, &format!("kind {kind}, seed {seed}"));
-            // Warming up for 1 s: it goes on with the ramp.
+            // Warming up for 1 s: the ramp continues.
             let mut harness = with_routes(1..=1, kind, seed);
             let now = harness.now;
             let mut first =
--- a/crates/policy/tests/recovery/scenes.rs
+++ b/crates/policy/tests/recovery/scenarios.rs
@@ -4,12 +4,13 @@
 
 use rudderspindle_simulation::receiver::{AddedRoutes, Outage, Restart, Scenario, simulate};
 
-use super::*;
+use super::{messages, rejects_until, with_routes};
+use crate::common::play_calls;
 
 #[test]
 fn senders_with_the_same_retry_after_do_not_probe_at_the_same_instant() {
-    // Two senders of a receiver of 10 calls per second that returns with a fifth of it: the ramp begins at
-    // 2.6.
+    // Two senders, and a receiver of 10 calls per second that recovers with a fifth of it: the ramp begins at
+    // 2.6 calls per second.
     let mut first = Vec::new();
     for seed in 0..40 {
         let mut harness = with_routes(1..=2, 0, seed);
@@ -26,14 +27,14 @@
     assert_eq!(together, 0, "more than a third within a tenth of a second: {first:?}");
 }
 
-/// The highest load after the return in one scenario.
+/// The highest load after the recovery in one scenario.
 #[derive(Clone, Copy, Debug)]
 struct WorstLoad {
     ratio: f64,
     seed: u64,
 }
 
-/// The load after the return in random scenarios, as a multiple of what the receiver could take; the worst one
+/// The loads after the recovery in random scenarios, as multiples of the receiver's capacity; the highest one
 /// last.
 fn overload_ratios(
     scenarios: u64,
@@ -51,7 +52,7 @@
     all
 }
 
-/// At most 1.8 times what a returning receiver can take, but for one scenario in fifty; never what overloads it.
+/// At most 1.8 times the capacity of a recovering receiver, but for one scenario in fifty; never an overload.
 fn assert_not_overloaded(what: &str, all: &[WorstLoad]) {
     let WorstLoad { ratio: worst, seed } = all[all.len() - 1];
     let usual = all[all.len() * 49 / 50].ratio;
@@ -89,7 +90,7 @@
             let all = overload_ratios(60, outage, restart);
             let what = format!("{what}, a sender restarted {after} ms after");
             if matches!(outage(0.0), Outage::Errors { .. }) {
-                // The error rate is not remembered, only that it was warming up: the bound is a weaker one.
+                // The error rate is not remembered, only that it was warming up: the bound is higher.
                 assert!(all[all.len() - 1].ratio < 2.5, "{what}: {:?}", all[all.len() - 1]);
             } else {
                 assert_not_overloaded(&what, &all);
--- a/crates/policy/tests/replay/adapter.rs
+++ b/crates/policy/tests/replay/adapter.rs
@@ -1,4 +1,5 @@
-//! Plays a session against the policy's own interface, and writes its actions as a text that no rename changes.
+//! Plays a session against the policy's own interface, and writes its actions as a text that no rename
+//! changes.
 
 use std::collections::BTreeMap;
 
@@ -51,8 +52,8 @@
 }
 
 impl PolicyAdapter {
-    /// Carries out an input that is no event, but creates or removes a policy or calls a method of it. Returns
-    /// whether it was one.
+    /// Carries out an input that is no event, but creates or removes a policy or calls a method of it.
+    /// Returns whether it was one.
     fn call_method(&mut self, instance: u32, input: &Input) -> bool {
         if let Input::Start { seed, settings } = input {
             let settings = settings::parse(settings.as_bytes()).expect("settings that can be read");
--- a/crates/policy/tests/replay/main.rs
+++ b/crates/policy/tests/replay/main.rs
@@ -1,8 +1,8 @@
 //! Sessions from fixed seeds at the policy's own interface: its actions are those of the golden files, to the
 //! last bit.
 //!
-//! The simulated host and the text that is hashed use no type of the policy: its types, fields and modules may
-//! be renamed with no change in the golden files.
+//! The simulated host and the text that is hashed use no type of the policy: its types, fields and modules
+//! may be renamed with no change in the golden files.
 
 mod adapter;
 
--- a/crates/policy/tests/rules/completion.rs
+++ b/crates/policy/tests/rules/completion.rs
@@ -1,6 +1,11 @@
 //! Which messages are retried, refused or failed.
 
-use super::*;
+use super::{IDEMPOTENT, KEYED_ZONE};
+use crate::common::{Harness, message, sends};
+use rudderspindle_policy::interface::{
+    Action, Effect, Event, ListChange, Listing, MessageHandle, Outcome, RouteEntry,
+};
+use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
 #[test]
 fn a_message_without_routes_is_refused_before_it_expires() {
--- a/crates/policy/tests/rules/host.rs
+++ b/crates/policy/tests/rules/host.rs
@@ -2,7 +2,12 @@
 
 use rudderspindle_policy::Policy;
 
-use super::*;
+use super::IDEMPOTENT;
+use crate::common::{Harness, message};
+use rudderspindle_policy::interface::{
+    Action, Effect, Event, KeyGroup, MessageHandle, Millis, Outcome, SettingsError,
+};
+use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
 #[test]
 fn a_wake_up_is_requested_only_when_something_is_due() {
--- a/crates/policy/tests/rules/main.rs
+++ b/crates/policy/tests/rules/main.rs
@@ -10,8 +10,7 @@
 mod retry_after;
 mod route_list;
 
-use common::*;
-use rudderspindle_policy::interface::*;
+use rudderspindle_policy::interface::{Effect, KeyGroup};
 
 const IDEMPOTENT: Effect = Effect::Idempotent;
 
--- a/crates/policy/tests/rules/ordering.rs
+++ b/crates/policy/tests/rules/ordering.rs
@@ -1,6 +1,9 @@
 //! Messages with ordering keys.
 
-use super::*;
+use super::IDEMPOTENT;
+use crate::common::{Harness, keyed_message, sends};
+use rudderspindle_policy::interface::{AttemptResult, Class, Event, MessageHandle, Outcome};
+use rudderspindle_simulation::fixtures::{class, entry, list, settings};
 
 #[test]
 fn messages_of_an_ordering_key_go_one_at_a_time_and_the_key_pauses() {
--- a/crates/policy/tests/rules/outages.rs
+++ b/crates/policy/tests/rules/outages.rs
@@ -2,10 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use super::*;
+use super::IDEMPOTENT;
+use crate::common::{Harness, message, sends};
+use rudderspindle_policy::interface::Outcome;
+use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
 #[test]
-fn a_silent_route_holds_few_slots_and_leaves_the_others_to_the_rest() {
+fn an_unresponsive_route_holds_few_slots_and_leaves_the_others_to_the_rest() {
     let mut harness = Harness::new(settings(vec![class(IDEMPOTENT)]), 1);
     let mut events = vec![list(vec![entry(1, 0, 0, 0), entry(2, 1, 0, 0)])];
     events.extend((0..60).map(|i| message(i, 0, 0)));
--- a/crates/policy/tests/rules/random_streams.rs
+++ b/crates/policy/tests/rules/random_streams.rs
@@ -2,10 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use proptest::prelude::*;
+use proptest::prelude::{Strategy, any, prop, prop_oneof};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-use super::*;
+use super::{IDEMPOTENT, KEYED_ALL, KEYED_ZONE};
+use crate::common::{Harness, keyed_message};
+use rudderspindle_policy::interface::{
+    Action, Class, Effect, Event, ListChange, Listing, MessageHandle, Millis, Outcome, RouteEntry,
+};
+use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -84,7 +89,7 @@
         }
     }
 
-    /// Takes a step, and lets its time pass.
+    /// Takes a step, and advances the clock by its time.
     fn take(&mut self, step: &Step) {
         let mut after = 5.0;
         match *step {
@@ -127,7 +132,7 @@
         }
     }
 
-    /// The host reports an attempt's time-out when it has come.
+    /// Reports the attempts whose time-out has passed.
     fn report_time_outs(&mut self, now: Millis) {
         let timed_out = self.in_flight.iter().filter(|attempt| attempt.times_out_at <= now);
         let timed_out: Vec<InFlight> = timed_out.copied().collect();
--- a/crates/policy/tests/rules/retry_after.rs
+++ b/crates/policy/tests/rules/retry_after.rs
@@ -1,6 +1,9 @@
 //! Retry-After of rejections.
 
-use super::*;
+use super::IDEMPOTENT;
+use crate::common::{Harness, message, sends};
+use rudderspindle_policy::interface::Outcome;
+use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
 #[test]
 fn a_retry_after_holds_for_the_destination_or_for_a_route_with_its_own_limit() {
@@ -16,8 +19,8 @@
 }
 
 #[test]
-fn the_retry_after_of_each_message_of_a_bundle_counts() {
-    // lakeshore-zones big-1: the messages of a rejected call report in batches of their own.
+fn the_retry_after_of_each_message_of_a_batch_counts() {
+    // lakeshore-zones big-1: the messages of a rejected call report in separate batches of events.
     let mut harness = Harness::new(settings(vec![class(IDEMPOTENT)]), 1);
     harness.step(0.0, &[list(vec![entry(1, 0, 2, 0)])]);
     let sent = harness.step(5.0, &[message(1, 0, 0), message(2, 0, 0)]);
--- a/crates/policy/tests/rules/route_list.rs
+++ b/crates/policy/tests/rules/route_list.rs
@@ -1,6 +1,11 @@
 //! Changes of the endpoint list.
 
-use super::*;
+use super::IDEMPOTENT;
+use crate::common::{Harness, keyed_message, message, sends};
+use rudderspindle_policy::interface::{
+    Action, Class, Discovery, Event, ListChange, Listing, MessageHandle, RouteEntry,
+};
+use rudderspindle_simulation::fixtures::{class, entry, list, settings};
 
 #[test]
 fn a_draining_route_gets_no_new_calls() {
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,7 +1,6 @@
-//! What a returning receiver gets from all senders together, in simulated time: N calls in the time that
-//! overloads it, and what chance may add to them, 2 root N + 2. Only calls of senders that had seen a failure
-//! in the outage are counted: others cannot know of it. `rudderspindle-bench fleet-limit --returns` prints
-//! the whole table.
+//! The calls of all senders to a recovering receiver, in simulated time: at most N in the time that overloads
+//! it, and 2 root N + 2 for the random draws. Only calls of senders that had seen a failure in the outage are
+//! counted. `rudderspindle-bench fleet-limit --returns` prints the whole table.
 
 use rudderspindle_simulation::receiver::{
     GossipNetwork, Limit, LoadPeak, Outage, Restart, Scenario, recovery_ramp_capacity, simulate,
@@ -35,7 +34,7 @@
     }
 }
 
-/// The highest load from senders that know of the outage over the bound, over all outages, and its scenario.
+/// The highest load from senders that have seen the outage, as a multiple of the bound, and its scenario.
 fn highest_load(
     senders: usize,
     announced_rate: f64,
@@ -57,7 +56,7 @@
 }
 
 fn assert_bound(senders: usize, announced_rate: f64, gossip_network: &Option<GossipNetwork>) {
-    // As much as it takes, and three times that: each sender has more messages than its share allows.
+    // Below its limit, and three times that: each sender has more messages than its share allows.
     for load in [0.9, 3.0] {
         let (ratio, what) = highest_load(senders, announced_rate, load, gossip_network);
         println!("{senders} senders, {announced_rate} a second, load {load}: {ratio:.2}");
@@ -104,7 +103,7 @@
     }
 }
 
-/// With reports a busy sender among many may take more than an equal part, as the others want nothing.
+/// With reports a busy sender among many may take more than an equal part, as the others have no demand.
 #[test]
 fn with_reports_busy_senders_get_what_idle_ones_leave() {
     let served = |gossip: Option<GossipNetwork>| -> f64 {
--- a/crates/policy/tests/throttle/drop_probability.rs
+++ b/crates/policy/tests/throttle/drop_probability.rs
@@ -1,10 +1,13 @@
 //! The draws of the drop formula.
 
-use super::*;
+use super::idempotent_settings;
+use crate::common::{Harness, message, sends};
+use rudderspindle_policy::interface::{Event, MessageHandle, Millis, Outcome};
+use rudderspindle_simulation::fixtures::{entry, list, outcome};
 
 #[test]
 fn without_requests_nothing_is_dropped() {
-    // (0 - 1.5 * 0) / (0 + 1) = 0: the first call always goes.
+    // (0 - 1.5 * 0) / (0 + 1) = 0: the first call always passes.
     for seed in 0..50 {
         let mut harness = Harness::new(idempotent_settings(), seed);
         let done = harness.step(0.0, &[list(vec![entry(1, 0, 0, 0)]), message(1, 0, 0)]);
@@ -61,7 +64,7 @@
 
 #[test]
 fn a_message_counts_as_one_request_however_often_it_draws() {
-    // ib88e68: each redraw of a parked message counted as a request, and the drop share crept to one.
+    // ib88e68: each redraw of a waiting message counted as a request, and the drop probability rose to one.
     // Three failed: the first draw fails with 3/4, each further one with 4/5, so ten let 90% through; were
     // each drop counted, they would fail with 3/4, 4/5, 5/6 and so on, and let 77% through.
     let mut sent = 0;
@@ -71,7 +74,7 @@
         for i in 0..3 {
             harness.step(250.0, &[message(i, 0, 0)]);
         }
-        // Failed connections count like rejections and leave the pace as it is.
+        // Failed connections count like rejections, and do not change the send rate.
         let failed = (0..3)
             .flat_map(|i| [outcome(i, 0, Outcome::ConnectFailed, 0.0), Event::Dropped(MessageHandle(i))]);
         harness.step(10.0, &failed.collect::<Vec<_>>());
--- a/crates/policy/tests/throttle/fleet_reports.rs
+++ b/crates/policy/tests/throttle/fleet_reports.rs
@@ -1,15 +1,18 @@
-//! Demand, and the capacity that the fleet leaves.
+//! Demand, and the capacity that the fleet leaves to a sender.
 
-use super::*;
+use super::idempotent_settings;
+use crate::common::{Harness, message, sends};
+use rudderspindle_policy::interface::{CapacityUpdate, DestinationId, Event, LimitScope, Outcome};
+use rudderspindle_simulation::fixtures::{entry, list, outcome};
 
-/// The capacity that the fleet leaves to a sender, for each call that it wants.
+/// The capacity that the fleet leaves to a sender, for each call of its demand.
 fn capacity(calls: f64) -> Event {
     let scope = LimitScope { destination: DestinationId(0), route: None };
     let valid_for = 20_000.0;
     Event::Capacity(CapacityUpdate { scope, calls_per_demand: calls, total_demand: 0.0, valid_for })
 }
 
-/// Nothing waits, and yet it wants the calls of the messages that will come before the next report.
+/// No message waits, but the demand includes those that are expected before the next report.
 #[test]
 fn demand_includes_the_messages_expected_before_the_next_report() {
     let mut harness = Harness::new(idempotent_settings(), 1);
@@ -24,10 +27,10 @@
     assert!(harness.policy.demands()[0].calls_wanted < 0.1);
 }
 
-/// All senders with the same Retry-After return when it is over: each keeps to the pace that the fleet leaves
-/// it.
+/// All senders with the same Retry-After return when it is over: each keeps to the rate that the fleet leaves
+/// to it.
 #[test]
-fn after_a_retry_after_the_next_call_follows_the_pace_that_the_fleet_leaves() {
+fn after_a_retry_after_the_next_call_follows_the_rate_that_the_fleet_leaves() {
     for (calls, after) in [(0.25, 1_600.0..5_700.0), (1.0, 400.0..1_500.0)] {
         for seed in 0..20 {
             let mut harness = Harness::new(idempotent_settings(), seed);
--- a/crates/policy/tests/throttle/main.rs
+++ b/crates/policy/tests/throttle/main.rs
@@ -1,19 +1,22 @@
-//! The throttle: draws, other routes, order, pace and slots, with the failures that incidents have shown.
+//! The throttle: draws, other routes, order, send rate and slots, with the failures that incidents have
+//! shown.
 
 #[path = "../common/mod.rs"]
 mod common;
 mod drop_probability;
 mod fleet_reports;
 mod order;
-mod pace;
+mod send_rate;
 mod slots;
 
 use std::collections::BTreeMap;
 
-use common::*;
-use rudderspindle_policy::interface::*;
+use common::{Answer, Call, Harness, play_calls};
+use rudderspindle_policy::interface::{Effect, Event, Millis, Settings};
+use rudderspindle_simulation::fixtures::{class, settings};
 
-/// Answers every call for `span` ms with what `answer` says of its number and its route; returns the calls.
+/// Answers every call for `span` ms with the result of `answer` for its number and its route. Returns the
+/// calls.
 fn play(
     harness: &mut Harness,
     first: Vec<Event>,
--- a/crates/policy/tests/throttle/order.rs
+++ b/crates/policy/tests/throttle/order.rs
@@ -1,6 +1,9 @@
-//! Which message goes first, and by which route.
+//! Which message is sent first, and by which route.
 
-use super::*;
+use super::{idempotent_settings, play};
+use crate::common::{Answer, Harness, message, sends};
+use rudderspindle_policy::interface::{Class, Effect, Outcome};
+use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
 #[test]
 fn the_message_that_loses_most_value_by_waiting_goes_first() {
@@ -16,8 +19,8 @@
 }
 
 #[test]
-fn after_a_recent_failure_the_next_call_goes_to_a_sister_route() {
-    // i64c682: a sender with few calls went back to the route that had just failed, four times over.
+fn after_a_recent_failure_the_next_call_goes_to_another_route() {
+    // i64c682: a sender with few calls used the route that had just failed again, four times in a row.
     let mut harness = Harness::new(idempotent_settings(), 5);
     harness.step(0.0, &[list(vec![entry(1, 0, 1, 0), entry(2, 0, 1, 1)])]);
     assert_eq!(sends(&harness.step(5.0, &[message(1, 0, 0)])), [(1, 1)]);
--- a/crates/policy/tests/throttle/pace.rs
+++ b/crates/policy/tests/throttle/send_rate.rs
@@ -1,6 +1,9 @@
-//! The pace of calls, of probes and of slow start.
+//! The rate of calls, of probes and of slow start.
 
-use super::*;
+use super::{idempotent_settings, play};
+use crate::common::{Answer, Harness, message, sends};
+use rudderspindle_policy::interface::{Outcome, RouteEntry};
+use rudderspindle_simulation::fixtures::{entry, list, outcome};
 
 #[test]
 fn probes_keep_to_our_share_of_the_limit() {
@@ -20,7 +23,7 @@
 
 #[test]
 fn there_is_no_burst_after_a_retry_after() {
-    // if28a67: after a Retry-After all sent what they had saved up and were rejected again.
+    // if28a67: after a Retry-After all senders sent their saved-up calls at once and were rejected again.
     let mut harness = Harness::new(idempotent_settings(), 5);
     let mut events = vec![list(vec![entry(1, 0, 0, 0)])];
     events.extend((0..20).map(|i| message(i, 0, 0)));
@@ -79,10 +82,10 @@
     assert!((20..=60).contains(&calls), "{calls} calls for 20 messages, each rejected for 9.5 s");
 }
 
-/// One overshoot held hundreds of messages back until they had expired, with slots free: the pace fell to a
-/// small part of the limit, and the window and recovery took longer than a message lives.
+/// One overshoot delayed hundreds of messages until they had expired, with slots free: the send rate fell to
+/// a small part of the limit, and its recovery took longer than a message's deadline.
 #[test]
-fn after_a_burst_of_rejections_the_pace_recovers_well_within_a_deadline() {
+fn after_a_burst_of_rejections_the_send_rate_recovers_well_within_a_deadline() {
     let mut delivered = 0;
     for seed in 0..20 {
         let mut harness = Harness::new(idempotent_settings(), seed);
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -31,7 +31,7 @@
     Malformed(#[from] MalformedFrame),
 }
 
-/// The simulated senders and the endpoint lists they were told.
+/// The simulated senders, and the endpoint lists that records have defined.
 #[derive(Default)]
 pub struct Host {
     senders: BTreeMap<InstanceId, Policy>,
@@ -39,7 +39,7 @@
 }
 
 impl Host {
-    /// Applies a batch's records in order, then lets every sender that they concern act once.
+    /// Applies the records of a batch in order, then calls each sender that they concern once.
     ///
     /// # Errors
     ///
--- a/crates/simulator-adapter/tests/replay/main.rs
+++ b/crates/simulator-adapter/tests/replay/main.rs
@@ -1,8 +1,8 @@
 //! Sessions from fixed seeds played to the built adapter: its replies are, byte for byte, those of the golden
 //! files.
 //!
-//! The simulated host is that of the policy's own replay; here it has only the inputs that the wire has records
-//! for.
+//! The simulated host is that of the policy's own replay; here it has only the inputs that the wire has
+//! records for.
 
 mod wire;
 
