--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,6 +1,6 @@
 //! The calls of all senders to a recovering receiver, in simulated time: at most N in the time that overloads
 //! it, and 2 root N + 2 for the random draws. Only calls of senders that had seen a failure in the outage are
-//! counted. `rudderspindle-bench fleet-limit --returns` prints the whole table.
+//! counted. `rudderspindle-bench fleet-limit --recovery` prints the whole table.
 
 use rudderspindle_simulation::receiver::{
     GossipNetwork, Limit, LoadPeak, Outage, Restart, Scenario, recovery_ramp_capacity, simulate,
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -13,8 +13,8 @@
 const FLEETS: [usize; 5] = [1, 30, 100, 300, usize::MAX];
 
 fn schedules(senders: usize, seed: u64) -> Vec<PollDelays> {
-    let pauses = |n| PollSchedule::new(ON_REQUEST, senders, seed * 1_000 + n as u64).delays();
-    (0..senders).map(|n| Box::new(pauses(n)) as PollDelays).collect()
+    let delays = |n| PollSchedule::new(ON_REQUEST, senders, seed * 1_000 + n as u64).delays();
+    (0..senders).map(|n| Box::new(delays(n)) as PollDelays).collect()
 }
 
 /// When the last sender gets its list, in seconds since discovery became reachable.
