--- a/crates/policy-replay/src/input.rs
+++ b/crates/policy-replay/src/input.rs
@@ -96,9 +96,9 @@
     Capacity {
         /// The limit.
         limit: Limit,
-        /// Calls per second for each call that is wanted.
+        /// Calls per second for each call of the sender's demand.
         calls_per_demand: f64,
-        /// Calls that all senders want.
+        /// Demand of all senders, in calls.
         total_demand: f64,
         /// How long this is valid, in ms.
         valid_for: f64,
--- a/crates/policy/src/calls.rs
+++ b/crates/policy/src/calls.rs
@@ -8,7 +8,7 @@
     pub id: u64,
     pub route: RouteId,
     pub sent_at: Millis,
-    /// Whether the send rate allowed no earlier call.
+    /// Whether its throttle had saved up less than a burst when it was sent.
     pub is_rate_limited: bool,
     /// Whether any of its messages has an outcome.
     pub has_outcome: bool,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether the host was told to cancel its attempts.
+    /// Whether an action has cancelled its attempts.
     pub fn is_cancelled(&self) -> bool {
         self.is_cancelled
     }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Marks calls whose attempts the host was told to cancel.
+    /// Marks calls whose attempts are cancelled.
     pub fn mark_cancelled(&mut self, ids: &[u64]) {
         for call in &mut self.0 {
             call.is_cancelled |= ids.contains(&call.id);
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -3,8 +3,8 @@
 //! The scope of an outage is that of the limit. Where routes have limits of their own, each has one
 //! [`CircuitBreaker`]. Where they share a limit there is one more, of all of them: an outage that a rejection
 //! shows, or that most routes show, is the destination's, so there is one half-open probe and one recovery
-//! ramp, whichever route is used. When the shared breaker leaves the closed state, those of the routes are
-//! closed; they show when a single route fails beside healthy ones.
+//! ramp, whichever route is used. The breakers of the routes show when a single route fails beside healthy
+//! ones.
 //!
 //! | from | on | to |
 //! | --- | --- | --- |
@@ -16,9 +16,11 @@
 //! | open | a failure of a call that was sent since, or another sign of an outage | open, new `probe_at` |
 //! | open | a success of a call that was sent since; of any call if it is unresponsive | slow start |
 //! | slow start | a call starts after the end of the recovery ramp | closed |
-//! | any state of a route | the shared breaker opens or begins slow start | closed |
+//! | any | an outage from before a restart is restored | open, or slow start |
+//! | any, of a route | failures or overdue calls change the shared breaker | closed |
 //!
-//! Failures and errors of calls that were sent before the present state began are not counted.
+//! Results of calls that were sent before the present state began are not counted. The shared breaker reacts
+//! to failures and errors only if most routes are degraded, or if few failures suffice to open it.
 
 mod outage_report;
 mod recovery;
@@ -108,7 +110,7 @@
         }
     }
 
-    /// When it lets the next call start; always (negative infinite) while it is closed.
+    /// When the next call may start; negative infinite while it is closed.
     pub fn next_call_at(&self) -> Millis {
         match self.state {
             BreakerState::Closed => f64::NEG_INFINITY,
@@ -167,16 +169,16 @@
     /// Opens it after failures, or keeps it open; the next probe starts after `min_pause` at the earliest.
     pub fn open(&mut self, context: &mut Context, limits: &RecoveryLimits, min_pause: Millis) {
         let probe_at = limits.next_probe_at(context, min_pause);
-        self.open_until(context.now, probe_at, false);
+        self.set_open(context.now, probe_at, false);
     }
 
     /// Opens it because calls are overdue.
     pub fn open_unresponsive(&mut self, context: &mut Context, limits: &RecoveryLimits) {
         let probe_at = limits.next_probe_at(context, 0.0);
-        self.open_until(context.now, probe_at, true);
+        self.set_open(context.now, probe_at, true);
     }
 
-    fn open_until(&mut self, now: Millis, probe_at: Millis, unresponsive: bool) {
+    fn set_open(&mut self, now: Millis, probe_at: Millis, unresponsive: bool) {
         self.state = match self.state {
             BreakerState::Open { since, unresponsive, .. } => {
                 BreakerState::Open { since, probe_at, unresponsive }
@@ -212,6 +214,7 @@
         self.enter_slow_start(since, share, next_call_at);
     }
 
+    /// Sets when the ramp begins. If slow start was not in progress, no call starts before `next_call_at`.
     fn enter_slow_start(&mut self, since: Millis, share: f64, next_call_at: Millis) {
         let earliest = if self.is_in_slow_start() { since } else { since.max(next_call_at) };
         self.state = BreakerState::SlowStart { since, share };
--- a/crates/policy/src/circuit_breaker/outage_report.rs
+++ b/crates/policy/src/circuit_breaker/outage_report.rs
@@ -1,4 +1,4 @@
-//! Which outage the host was last told to remember over a restart.
+//! The outage that was last reported to the host, which remembers it over a restart.
 
 use super::state::BreakerState;
 use crate::interface::{Millis, OutageState};
--- a/crates/policy/src/destination/demand.rs
+++ b/crates/policy/src/destination/demand.rs
@@ -8,7 +8,7 @@
 use crate::interface::{CapacityUpdate, Demand, Millis, PermitUpdate, RetryAfterUpdate, RouteId};
 use crate::throttle::Throttle;
 
-/// Messages expected within this time are part of the demand, in ms: the fleet's next report comes later.
+/// Time within which expected messages are part of the demand, in ms; the fleet's next report is later.
 const DEMAND_HORIZON: Millis = 500.0;
 
 /// Demand and rates.
--- a/crates/policy/src/destination/outage_detection.rs
+++ b/crates/policy/src/destination/outage_detection.rs
@@ -97,7 +97,7 @@
     }
 
     /// Opens the circuit breaker or begins slow start, if a failure shows that an outage of this scope has
-    /// begun or goes on. Returns whether it does.
+    /// begun or continues. Returns whether it does.
     fn react_to_failure(&mut self, context: &mut Context, scope: Scope, shows_outage: bool) -> bool {
         let limits = self.recovery_limits(context, scope);
         let max_failures = self.max_failures(context, scope, &limits);
--- a/crates/policy/src/destination/route.rs
+++ b/crates/policy/src/destination/route.rs
@@ -15,7 +15,7 @@
     pub listing: Listing,
     /// Whether other senders have ejected it as an outlier.
     pub ejected: bool,
-    /// Used if it has a limit of its own.
+    /// Unused if all routes share a throttle.
     pub throttle: Throttle,
     pub breaker: CircuitBreaker,
     pub last_used_at: Millis,
--- a/crates/policy/src/destination/route_choice.rs
+++ b/crates/policy/src/destination/route_choice.rs
@@ -60,7 +60,7 @@
     fn preference(&self, context: &Context, index: usize) -> RoutePreference {
         let route = &self.routes[index];
         let is_down = self.is_down(index);
-        // After a recent failure the next call goes to another route: a sender of a large fleet rarely sees
+        // After a recent failure another route is preferred: a sender of a large fleet rarely sees
         // enough failures in a row to open the breaker.
         let failed_recently =
             route.breaker.is_failing() && context.now - route.last_used_at < COUNT_WINDOW.min_span;
--- a/crates/policy/src/destination/send.rs
+++ b/crates/policy/src/destination/send.rs
@@ -27,8 +27,7 @@
         }
     }
 
-    /// Schedules the next draw at the route's throttle. Returns whether the send rate allowed no earlier
-    /// call.
+    /// Schedules the next draw at the route's throttle. Returns whether the send rate limits the calls.
     fn schedule_next_call(&mut self, context: &mut Context, index: usize) -> bool {
         let shared_rate = self.shared_rate(Scope::Route(index), context.now);
         self.throttle_mut(index).record_call(context, shared_rate)
--- a/crates/policy/src/interface/checks.rs
+++ b/crates/policy/src/interface/checks.rs
@@ -3,7 +3,7 @@
 use super::{Class, Effect, Settings};
 
 impl Settings {
-    /// Checks that all figures are within their ranges.
+    /// Checks that all numbers are within their ranges.
     ///
     /// # Errors
     ///
@@ -18,21 +18,21 @@
         let classes = |holds: fn(&Class) -> bool| self.classes.iter().all(holds);
         for (name, fits) in [
             ("deadline", classes(|class| is_positive(class.deadline))),
-            ("aim", classes(|class| is_positive(class.latency_objective))),
-            ("worth", classes(|class| is_not_negative(class.value))),
-            ("late_worth", classes(|class| (0.0..=1.0).contains(&class.late_value))),
+            ("latency_objective", classes(|class| is_positive(class.latency_objective))),
+            ("value", classes(|class| is_not_negative(class.value))),
+            ("late_value", classes(|class| (0.0..=1.0).contains(&class.late_value))),
             ("key window", classes(has_valid_key_window)),
-            ("bundle_max", self.kinds.iter().all(|kind| kind.max_batch > 0)),
+            ("max_batch", self.kinds.iter().all(|kind| kind.max_batch > 0)),
             ("quota_per_s", self.tenants.iter().all(|tenant| is_not_negative(tenant.quota_per_s))),
             ("slots", self.slots > 0),
-            ("most_held", self.max_pending > 0),
+            ("max_pending", self.max_pending > 0),
             ("max_attempts", self.max_attempts > 0),
             ("peers_total", self.peers_total > 0),
-            ("cold_from", self.recovery_start_share > 0.0 && self.recovery_start_share <= 1.0),
-            ("warm_within", is_not_negative(self.recovery_duration)),
-            ("fall_multiple", is_positive(self.overload_multiple)),
-            ("tip_after", is_not_negative(self.overload_duration)),
-            ("turn_gap", is_not_negative(self.ordering_key_pause)),
+            ("recovery_start_share", self.recovery_start_share > 0.0 && self.recovery_start_share <= 1.0),
+            ("recovery_duration", is_not_negative(self.recovery_duration)),
+            ("overload_multiple", is_positive(self.overload_multiple)),
+            ("overload_duration", is_not_negative(self.overload_duration)),
+            ("ordering_key_pause", is_not_negative(self.ordering_key_pause)),
             ("tick", is_not_negative(self.tick)),
         ] {
             if !fits {
@@ -66,7 +66,7 @@
     NoClasses,
     /// There is no kind of destination.
     NoKinds,
-    /// A figure that must be positive (or a fraction, or not negative) is not; its name.
+    /// A number is not within its range; the name of its field.
     OutOfRange(&'static str),
 }
 
--- a/crates/policy/src/interface/limit.rs
+++ b/crates/policy/src/interface/limit.rs
@@ -2,7 +2,7 @@
 
 use super::{DestinationId, Millis, RouteId};
 
-/// What a limit on calls covers: a destination, or one route where each route has a limit of its own.
+/// What a limit on calls covers: a destination, or one route where each route has its own limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LimitScope {
     /// The destination.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -139,7 +139,7 @@
     pub discovery: Discovery,
     /// Price of an attempt that crosses zones.
     pub cross_zone_price: f64,
-    /// Price of a message that a route with a limit of its own accepts, by zone.
+    /// Price of a message that a route with its own limit accepts, by zone.
     pub zone_fees: Vec<f64>,
     /// Minimum share of its capacity that a destination has when it recovers from an outage, above 0 up to 1.
     pub recovery_start_share: f64,
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Applies all events of a batch, then decides once; what is to be done is appended to `actions`.
+    /// Applies all events of a batch, then decides once. The actions are appended to `actions`.
     ///
     /// Requests and accepts are counted over a window, for each throttle: that of a destination, or of a
     /// route where routes have limits of their own. A new call or a retry is dropped locally with probability
@@ -84,7 +84,7 @@
     pub fn handle(&mut self, now: Millis, events: &[Event], actions: &mut Vec<Action>) {
         self.context.now = now - *self.started_at.get_or_insert(now);
         for event in events {
-            self.count_or_apply(event, actions);
+            self.apply(event, actions);
         }
         if self.subscription.take_due(self.context.now) {
             actions.push(Action::Subscribe);
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -8,7 +8,7 @@
 
 impl Policy {
     /// Applies one event: results and new messages are counted.
-    pub(super) fn count_or_apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
+    pub(super) fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
         let now = self.context.now;
         match event {
             Event::List(change) => self.apply_list_change(change),
--- a/crates/policy/src/quota/tests.rs
+++ b/crates/policy/src/quota/tests.rs
@@ -9,8 +9,8 @@
     crate::settings::read(&json).expect("settings")
 }
 
-/// One of ten senders is given all messages of a tenant: with the fleet's counts the whole quota is there for
-/// it, without them an equal part.
+/// One of ten senders receives all messages of a tenant: with the fleet's counts it may use the whole quota,
+/// without them an equal part.
 #[test]
 fn a_share_by_the_fleets_counts_takes_precedence_over_an_equal_part() {
     let settings = settings();
--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -98,7 +98,7 @@
         if self.next_draw_at > context.now {
             return Draw::NotDue;
         }
-        // Departure (a shared rate is known): it is what the formula lets through of all senders.
+        // Departure (a shared rate is known): the formula's result for all senders is in it already.
         if shared_rate.is_some() {
             return Draw::Passed;
         }
@@ -114,8 +114,8 @@
         self.next_draw_at = context.now + context.rng.pause(1_000.0 / self.send_rate.current());
     }
 
-    /// Records a call that starts, and schedules the next draw. Returns whether the send rate allowed no
-    /// earlier call.
+    /// Records a call that starts, and schedules the next draw. Returns whether less than a burst was saved
+    /// up, so that the send rate limits the calls.
     pub fn record_call(&mut self, context: &mut Context, shared_rate: Option<f64>) -> bool {
         self.capacity.record_call(context.now, shared_rate);
         let earliest = context.now - BURST;
@@ -193,7 +193,7 @@
         self.capacity.demand_fraction(now, demand)
     }
 
-    /// When the next permit becomes valid; always (negative infinite) where calls need none.
+    /// When the next permit becomes valid; negative infinite if calls need none.
     pub fn next_permit_at(&self, now: Millis) -> Millis {
         self.capacity.next_lease_at(now)
     }
--- a/crates/policy/src/throttle/send_rate.rs
+++ b/crates/policy/src/throttle/send_rate.rs
@@ -71,7 +71,7 @@
         now - self.reduced_at > REDUCTION_INTERVAL
     }
 
-    /// Reduces the rate to what the drop formula lets through of the calls of a span, within bounds.
+    /// Reduces the rate by the share of a span's calls that the drop formula lets pass, within bounds.
     pub fn reduce(&mut self, now: Millis, counts: WindowCounts, span: Millis, senders: usize) {
         self.reduced_at = now;
         let sent_rate = (counts.requests * 1_000.0 / span).max(self.initial);
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -35,7 +35,7 @@
         ((requests - ACCEPTS_MULTIPLIER * self.accepts) / (requests + 1.0)).max(0.0)
     }
 
-    /// The share of the requests that the drop formula lets through; above 1 where it drops none.
+    /// The share of the requests that the drop formula lets pass; above 1 if it drops none.
     pub fn passed_share(self) -> f64 {
         ACCEPTS_MULTIPLIER * self.accepts / self.requests.max(1.0)
     }
--- a/crates/policy/src/window/tests.rs
+++ b/crates/policy/src/window/tests.rs
@@ -10,7 +10,7 @@
     for at in [0.0, 150.0, 250.0] {
         window.count(at, 1.0, 1.0);
     }
-    // At 260 two requests are left without the first one: it is older than the minimum span, and goes.
+    // At 260 two requests are left without the first one: it is older than the minimum span, and is dropped.
     assert_eq!(window.counts(260.0, 1.0, bounds), counts(2.0));
     assert_eq!(window.span(260.0), 110.0);
     // The one of 150 stays while only one would be left, until the maximum span ends.
--- a/crates/simulator-adapter/src/frame/fields.rs
+++ b/crates/simulator-adapter/src/frame/fields.rs
@@ -4,7 +4,7 @@
 
 use super::MalformedFrame;
 
-/// Bytes of one figure of a receiver's load.
+/// Length of one number of a receiver's load, in bytes.
 const LOAD_FIGURE_LEN: usize = 4;
 
 /// A cursor over the bytes of a header, batch or record.
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Skips the load that a receiver reports: a count of figures, then the figures.
+    /// Skips the load that a receiver reports: a count of numbers, then the numbers.
     pub fn skip_load(&mut self) -> Result<(), MalformedFrame> {
         let count = usize::from(self.u8()?);
         self.take(count * LOAD_FIGURE_LEN)?;
