--- a/crates/policy/src/calls.rs
+++ b/crates/policy/src/calls.rs
@@ -2,10 +2,14 @@
 
 use crate::interface::{Millis, RouteId};
 
+/// Identifies a call of this sender.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct CallId(pub u64);
+
 /// A call in flight; kept until all its messages have their outcomes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Call {
-    pub id: u64,
+    pub id: CallId,
     pub route: RouteId,
     pub sent_at: Millis,
     /// Whether its throttle had saved up less than a burst when it was sent.
@@ -21,7 +25,7 @@
 
 impl Call {
     /// A call with this many messages that is sent now.
-    pub fn new(id: u64, route: RouteId, sent_at: Millis, messages: usize, is_rate_limited: bool) -> Self {
+    pub fn new(id: CallId, route: RouteId, sent_at: Millis, messages: usize, is_rate_limited: bool) -> Self {
         Self {
             id,
             route,
@@ -73,7 +77,7 @@
     }
 
     /// A copy of a call.
-    pub fn get(&self, id: u64) -> Option<Call> {
+    pub fn get(&self, id: CallId) -> Option<Call> {
         self.0.iter().find(|call| call.id == id).copied()
     }
 
@@ -87,14 +91,14 @@
     }
 
     /// Marks calls whose attempts are cancelled.
-    pub fn mark_cancelled(&mut self, ids: &[u64]) {
+    pub fn mark_cancelled(&mut self, ids: &[CallId]) {
         for call in &mut self.0 {
             call.is_cancelled |= ids.contains(&call.id);
         }
     }
 
     /// Records the outcome of one of a call's messages; the call is dropped with the last one.
-    pub fn record_result(&mut self, id: u64) -> ResultPosition {
+    pub fn record_result(&mut self, id: CallId) -> ResultPosition {
         let Some(index) = self.0.iter().position(|call| call.id == id) else {
             return ResultPosition::default();
         };
--- a/crates/policy/src/destination/dispatch.rs
+++ b/crates/policy/src/destination/dispatch.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::Destination;
-use crate::calls::Call;
+use crate::calls::{Call, CallId};
 use crate::context::Context;
 use crate::interface::{Action, Effect, MessageHandle, Millis};
 use crate::messages::PendingMessages;
@@ -83,7 +83,7 @@
     /// Departure (no slot is free): lost calls are cancelled, as other messages need their slots.
     fn cancel_lost_calls(&mut self, dispatch: &mut Dispatch<'_>) {
         let now = dispatch.context.now;
-        let lost: Vec<u64> =
+        let lost: Vec<CallId> =
             self.calls.iter().filter(|call| self.is_lost(call, now)).map(|call| call.id).collect();
         if lost.is_empty() {
             return;
--- a/crates/policy/src/destination/results.rs
+++ b/crates/policy/src/destination/results.rs
@@ -3,7 +3,7 @@
 use super::Destination;
 use super::outage_detection::CallResult;
 use super::scope::Scope;
-use crate::calls::Call;
+use crate::calls::{Call, CallId};
 use crate::context::Context;
 use crate::interface::{AttemptResult, Outcome};
 use crate::messages::PossibleExecution;
@@ -16,7 +16,7 @@
         &mut self,
         context: &mut Context,
         slots: &mut CallSlots,
-        call: u64,
+        call: CallId,
         result: &AttemptResult,
     ) -> Option<PossibleExecution> {
         let call = self.calls.get(call)?;
--- a/crates/policy/src/messages/pending.rs
+++ b/crates/policy/src/messages/pending.rs
@@ -1,5 +1,6 @@
 //! A pending message: when its final outcome is due, which outcome that is, and how urgent it is until then.
 
+use crate::calls::CallId;
 use crate::context::Context;
 use crate::interface::{
     AttemptHistory, Class, DestinationId, Effect, KeyGroup, Message, Millis, RouteId, Settings,
@@ -38,7 +39,7 @@
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// The call that carries it.
-    pub call: u64,
+    pub call: CallId,
 }
 
 /// When, by which route and in which zone a message may have taken effect.
@@ -98,7 +99,7 @@
     }
 
     /// Records an attempt that starts now.
-    pub fn begin_attempt(&mut self, call: u64) {
+    pub fn begin_attempt(&mut self, call: CallId) {
         self.in_flight = Some(InFlightAttempt { attempt: self.attempts, call });
         self.attempts += 1;
         self.counted_as_dropped = false;
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -1,5 +1,7 @@
 //! The slots of this sender: how many calls may be in flight at once.
 
+use crate::calls::CallId;
+
 /// The slots in use: one for each call of this process, and those of another process of the same sender.
 #[derive(Debug)]
 pub(crate) struct CallSlots {
@@ -27,8 +29,8 @@
     }
 
     /// Takes a slot for a new call; returns the call's id.
-    pub fn acquire(&mut self) -> u64 {
-        let id = self.next_call_id;
+    pub fn acquire(&mut self) -> CallId {
+        let id = CallId(self.next_call_id);
         self.next_call_id += 1;
         self.in_use += 1;
         id
