--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -15,7 +15,7 @@
             return;
         }
         self.share_disk(true);
-        tracing::info!("handover: a successor has come");
+        tracing::info!("successor connected");
         for message in outage_messages(&self.store) {
             self.io.peer_process.send(message);
         }
@@ -77,9 +77,9 @@
             Ok(None) => {}
             Ok(Some(journal)) => {
                 tracing::info!(
-                    "handover: taken over: {} messages, {} notices",
-                    journal.pending_messages.len(),
-                    journal.pending_notifications.len()
+                    messages = journal.pending_messages.len(),
+                    notifications = journal.pending_notifications.len(),
+                    "journal taken over"
                 );
                 self.recover(now, journal.pending_messages, journal.pending_notifications);
             }
