--- a/crates/policy-replay/src/arrivals.rs
+++ b/crates/policy-replay/src/arrivals.rs
@@ -79,11 +79,11 @@
         let tenant = self.random.below(3) as u32;
         let ordering_key = if self.random.per_mille(700) { self.random.between(1, 6) } else { 0 };
         let time_left = self.random.between(400, 9_000) as f64;
-        let work_guess = self.random.per_mille(400).then_some(500.0);
+        let work_estimate = self.random.per_mille(400).then_some(500.0);
         let to_main = self.session.steady && self.random.per_mille(500);
         let drawn = self.random.below(DESTINATIONS + 1) as u16;
         let destination = if to_main { MAIN_DESTINATION } else { drawn };
-        MessageInput { id, class, tenant, ordering_key, time_left, work_guess, destination }
+        MessageInput { id, class, tenant, ordering_key, time_left, work_estimate, destination }
     }
 
     fn dropped(&mut self, index: usize) -> Option<Input> {
--- a/crates/policy-replay/src/attempt.rs
+++ b/crates/policy-replay/src/attempt.rs
@@ -14,7 +14,7 @@
     /// Time until it expires, in ms.
     pub time_left: f64,
     /// An estimate of its processing time, in ms.
-    pub work_guess: Option<f64>,
+    pub work_estimate: Option<f64>,
     /// Its destination.
     pub destination: u16,
 }
--- a/crates/policy/src/destination.rs
+++ b/crates/policy/src/destination.rs
@@ -70,7 +70,7 @@
     /// Marks all routes as removed from the list.
     pub fn remove_all_routes(&mut self) {
         for route in &mut self.routes {
-            route.listing = Listing::Gone;
+            route.listing = Listing::Removed;
         }
     }
 
--- a/crates/policy/src/destination/availability.rs
+++ b/crates/policy/src/destination/availability.rs
@@ -107,7 +107,7 @@
         let is_out_of_rotation = |&index: &usize| match self.routes[index].listing {
             Listing::Ready => self.is_down(index) || self.throttle(index).retry_after_until() > now,
             Listing::Draining => true,
-            Listing::Gone => false,
+            Listing::Removed => false,
         };
         (0..self.routes.len()).filter(is_out_of_rotation).count()
     }
--- a/crates/policy/src/destination/route.rs
+++ b/crates/policy/src/destination/route.rs
@@ -45,7 +45,7 @@
 
     /// Records since when the list no longer names it.
     pub fn update_removal(&mut self, now: Millis) {
-        let is_removed = self.listing == Listing::Gone;
+        let is_removed = self.listing == Listing::Removed;
         self.removed_at = is_removed.then(|| self.removed_at.unwrap_or(now));
     }
 
--- a/crates/policy/src/destinations.rs
+++ b/crates/policy/src/destinations.rs
@@ -63,7 +63,7 @@
         for entry in entries {
             let destination = self.by_id.get_mut(&entry.destination);
             let is_known = destination.is_some_and(|known| known.update_route(entry));
-            if !is_known && entry.listing != Listing::Gone {
+            if !is_known && entry.listing != Listing::Removed {
                 self.add_route(context, entry, source);
             }
         }
--- a/crates/policy/src/interface/list.rs
+++ b/crates/policy/src/interface/list.rs
@@ -11,7 +11,7 @@
     /// Draining: takes no new calls.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// An entry of the endpoint list.
@@ -58,7 +58,7 @@
     /// Time until it expires.
     pub time_left: Millis,
     /// An estimate of its processing time, if known.
-    pub work_guess: Option<Millis>,
+    pub work_estimate: Option<Millis>,
     /// Its destination.
     pub destination: DestinationId,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -68,7 +68,7 @@
 //!     tenant: 0,
 //!     ordering_key: 0,
 //!     time_left: 20_000.0,
-//!     work_guess: None,
+//!     work_estimate: None,
 //!     destination: DestinationId(7),
 //! };
 //! let batch = [Event::List(ListChange::Full(vec![route])), Event::Message(message)];
--- a/crates/policy/src/messages/pending.rs
+++ b/crates/policy/src/messages/pending.rs
@@ -58,7 +58,7 @@
         let class = &settings.classes[class_index];
         let value = if within_quota { class.value } else { class.value * settings.over_quota_value };
         let expires_at = context.now + message.time_left;
-        let objective_at = expires_at - class.deadline + latency_objective(class, message.work_guess);
+        let objective_at = expires_at - class.deadline + latency_objective(class, message.work_estimate);
         let possibly_executed = history.possibly_executed.map(|prior| PossibleExecution {
             sent_at: context.now - prior.ago,
             route: prior.route,
@@ -148,7 +148,7 @@
 }
 
 /// The latency objective of a message; it grows with the message's work, up to the deadline.
-fn latency_objective(class: &Class, work_guess: Option<Millis>) -> Millis {
-    let stretch = class.latency_objective_stretch * work_guess.unwrap_or(0.0);
+fn latency_objective(class: &Class, work_estimate: Option<Millis>) -> Millis {
+    let stretch = class.latency_objective_stretch * work_estimate.unwrap_or(0.0);
     (class.latency_objective + stretch).min(class.deadline)
 }
--- a/crates/policy/tests/common/harness.rs
+++ b/crates/policy/tests/common/harness.rs
@@ -108,7 +108,7 @@
             }
             Event::Outcome(result) => self.record_outcome(result),
             Event::List(ListChange::Full(entries) | ListChange::Cached(entries)) => {
-                self.listed.values_mut().for_each(|entry| entry.listing = Listing::Gone);
+                self.listed.values_mut().for_each(|entry| entry.listing = Listing::Removed);
                 self.listed.extend(entries.iter().map(|entry| (entry.route, entry.clone())));
             }
             Event::List(ListChange::Delta(entries)) => {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -23,7 +23,7 @@
         tenant: 0,
         ordering_key,
         time_left: 10_000.0,
-        work_guess: None,
+        work_estimate: None,
         destination: DestinationId(destination),
     })
 }
--- a/crates/policy/tests/replay/adapter.rs
+++ b/crates/policy/tests/replay/adapter.rs
@@ -139,7 +139,7 @@
         destination: DestinationId(entry.destination),
         zone: entry.zone,
         kind: entry.kind,
-        listing: [Listing::Gone, Listing::Ready, Listing::Draining][usize::from(entry.listing)],
+        listing: [Listing::Removed, Listing::Ready, Listing::Draining][usize::from(entry.listing)],
         rate: f64::from(entry.rate),
     };
     let entries = entries.iter().map(route_entry).collect();
@@ -158,7 +158,7 @@
         tenant: message.tenant as usize,
         ordering_key: message.ordering_key,
         time_left: message.time_left,
-        work_guess: message.work_guess,
+        work_estimate: message.work_estimate,
         destination: DestinationId(message.destination),
     }
 }
--- a/crates/policy/tests/rules/completion.rs
+++ b/crates/policy/tests/rules/completion.rs
@@ -41,7 +41,7 @@
     let mut harness = Harness::new(settings(vec![class(KEYED_ZONE)]), 1);
     harness.step(0.0, &[list(vec![entry(1, 0, 1, 0), entry(2, 0, 1, 1)]), message(1, 0, 0)]);
     harness.step(50.0, &[outcome(1, 0, Outcome::Timeout, 0.0)]);
-    let gone = RouteEntry { listing: Listing::Gone, ..entry(1, 0, 1, 0) };
+    let gone = RouteEntry { listing: Listing::Removed, ..entry(1, 0, 1, 0) };
     let done = harness.step(0.0, &[Event::List(ListChange::Delta(vec![gone]))]);
     assert!(sends(&done).is_empty() || sends(&done) == [(1, 1)], "{done:?}");
     if sends(&done).is_empty() {
--- a/crates/policy/tests/rules/random_streams.rs
+++ b/crates/policy/tests/rules/random_streams.rs
@@ -55,7 +55,7 @@
     Outcome::Cancelled,
     Outcome::NotSent,
 ];
-const LISTINGS: [Listing; 3] = [Listing::Gone, Listing::Ready, Listing::Draining];
+const LISTINGS: [Listing; 3] = [Listing::Removed, Listing::Ready, Listing::Draining];
 
 /// An attempt without an outcome.
 #[derive(Clone, Copy, PartialEq)]
--- a/crates/sender/src/engine/endpoint_table.rs
+++ b/crates/sender/src/engine/endpoint_table.rs
@@ -107,7 +107,7 @@
     /// Records a list entry of a known receiver.
     pub fn update(&mut self, receiver: &str, destination: DestinationId, listing: Listing, now: Instant) {
         let Some(known) = self.receivers.get_mut(receiver) else { return };
-        if listing == Listing::Gone {
+        if listing == Listing::Removed {
             known.removed_at = known.removed_at.or(Some(now));
         } else {
             known.removed_at = None;
--- a/crates/sender/src/engine/endpoint_table/tests.rs
+++ b/crates/sender/src/engine/endpoint_table/tests.rs
@@ -36,8 +36,8 @@
 fn a_repeated_removal_does_not_prolong_the_retention() {
     let start = Instant::now();
     let mut table = EndpointTable::new(Vec::new());
-    list(&mut table, "r1", Listing::Gone, start);
-    list(&mut table, "r1", Listing::Gone, start + REMOVED_RECEIVER_RETENTION / 2);
+    list(&mut table, "r1", Listing::Removed, start);
+    list(&mut table, "r1", Listing::Removed, start + REMOVED_RECEIVER_RETENTION / 2);
     table.forget_removed(start + REMOVED_RECEIVER_RETENTION);
     assert_eq!(table.find("r1"), None);
 }
--- a/crates/sender/src/engine/endpoints.rs
+++ b/crates/sender/src/engine/endpoints.rs
@@ -34,7 +34,7 @@
         let kind = self.kind_of(endpoint);
         let listing = match endpoint.phase.as_str() {
             "SERVING" => Listing::Ready,
-            "DELETED" => Listing::Gone,
+            "DELETED" => Listing::Removed,
             _ => Listing::Draining,
         };
         let entry = RouteEntry {
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -158,7 +158,7 @@
             tenant,
             ordering_key: 0,
             time_left: to_millis(deadline.saturating_duration_since(now)),
-            work_guess: None,
+            work_estimate: None,
             destination,
         }
     }
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -169,7 +169,7 @@
             tenant: tenant.unwrap_or(usize::MAX),
             ordering_key: 0,
             time_left,
-            work_guess: None,
+            work_estimate: None,
             destination: DestinationId(record.destination),
         };
         Event::Recovered(message, AttemptHistory { attempts, possibly_executed })
--- a/crates/sender/src/outbound/routes.rs
+++ b/crates/sender/src/outbound/routes.rs
@@ -62,7 +62,7 @@
     /// Adds or replaces a route, or removes it if it is no longer listed.
     pub(super) fn update(&self, id: RouteId, route: Route) {
         let mut routes = self.routes.borrow_mut();
-        if route.listing == Listing::Gone {
+        if route.listing == Listing::Removed {
             routes.remove(&id);
         } else {
             routes.insert(id, route);
--- a/crates/simulation/src/receiver/open_messages.rs
+++ b/crates/simulation/src/receiver/open_messages.rs
@@ -23,7 +23,7 @@
         tenant: 0,
         ordering_key: 0,
         time_left,
-        work_guess: None,
+        work_estimate: None,
         destination: DestinationId(0),
     }
 }
--- a/crates/simulator-adapter/src/frame/record/lists.rs
+++ b/crates/simulator-adapter/src/frame/record/lists.rs
@@ -34,7 +34,7 @@
 
 fn listing(fields: &mut FieldReader<'_>) -> Result<Listing, MalformedFrame> {
     match fields.u8()? {
-        0 => Ok(Listing::Gone),
+        0 => Ok(Listing::Removed),
         1 => Ok(Listing::Ready),
         2 => Ok(Listing::Draining),
         unknown => Err(MalformedFrame::UnknownListing(unknown)),
--- a/crates/simulator-adapter/src/frame/record/messages.rs
+++ b/crates/simulator-adapter/src/frame/record/messages.rs
@@ -19,8 +19,8 @@
     let work_estimate = fields.f64()?;
     let destination = destination(fields)?;
     let options = fields.u8()?;
-    let work_guess = (options & HAS_WORK_ESTIMATE != 0).then_some(work_estimate);
-    let message = Message { id, class, tenant, ordering_key, time_left, work_guess, destination };
+    let work_estimate = (options & HAS_WORK_ESTIMATE != 0).then_some(work_estimate);
+    let message = Message { id, class, tenant, ordering_key, time_left, work_estimate, destination };
     Ok(Record::Event { instance, event: Event::Message(message) })
 }
 
--- a/crates/simulator-adapter/tests/replay/wire.rs
+++ b/crates/simulator-adapter/tests/replay/wire.rs
@@ -158,10 +158,10 @@
     let (id, tenant) = (message.id.to_be_bytes(), message.tenant.to_be_bytes());
     let (key, time_left) = (message.ordering_key.to_be_bytes(), message.time_left.to_be_bytes());
     // Without the option's bit the field is unused.
-    let guess = message.work_guess.unwrap_or(UNUSED).to_be_bytes();
+    let work_estimate = message.work_estimate.unwrap_or(UNUSED).to_be_bytes();
     let destination = f32::from(message.destination).to_be_bytes();
-    let options = [u8::from(message.work_guess.is_some())];
-    [&id[..], &[message.class], &tenant, &key, &time_left, &guess, &destination, &options].concat()
+    let options = [u8::from(message.work_estimate.is_some())];
+    [&id[..], &[message.class], &tenant, &key, &time_left, &work_estimate, &destination, &options].concat()
 }
 
 /// Reads the fields of a reply.
