--- a/crates/sender/src/accept.rs
+++ b/crates/sender/src/accept.rs
@@ -16,6 +16,14 @@
 /// Error number: the process has no descriptor left.
 const EMFILE: i32 = 24;
 
+/// An accepted connection.
+#[derive(Debug)]
+pub(crate) struct AcceptedConnection {
+    pub(crate) stream: TcpStream,
+    /// The peer's address.
+    pub(crate) peer: SocketAddr,
+}
+
 /// A listener, and when it last failed.
 #[derive(Debug)]
 pub(crate) struct Acceptor {
@@ -30,14 +38,14 @@
         Self { listener, peers, last_failure: None }
     }
 
-    /// The next connection. Without a descriptor for it, `free_descriptor` is called to close another one.
-    pub(crate) async fn accept(&mut self, free_descriptor: impl Fn()) -> (TcpStream, SocketAddr) {
+    /// Accepts the next connection. If no descriptor is left, `free_descriptor` is called to close another connection.
+    pub(crate) async fn accept(&mut self, free_descriptor: impl Fn()) -> AcceptedConnection {
         loop {
             match self.listener.accept().await {
                 Ok((stream, peer)) => {
                     // Responses are small and must not wait for more data. The connection also works without the option.
                     let _ = stream.set_nodelay(true);
-                    return (stream, peer);
+                    return AcceptedConnection { stream, peer };
                 }
                 Err(error) => {
                     self.log_failure(&error);
--- a/crates/sender/src/connection_slots.rs
+++ b/crates/sender/src/connection_slots.rs
@@ -91,7 +91,7 @@
     }
 
     /// Records that the request has its response. Returns another connection to close if too many are idle;
-    /// `request_arriving` says whether part of a connection's next request has been received.
+    /// `request_arriving` returns whether part of a connection's next request has been received.
     pub fn request_finished(
         &mut self,
         id: ConnectionId,
@@ -126,8 +126,8 @@
     }
 
     /// Removes the connection to close when all slots are taken; `None` if all have a request open.
-    /// `request_arriving` says whether part of a connection's next request has been received; `has_unread`, which
-    /// costs a system call, says whether received bytes have not been read.
+    /// `request_arriving` returns whether part of a connection's next request has been received; `has_unread`, which
+    /// costs a system call, returns whether received bytes have not been read.
     pub fn evict(
         &mut self,
         now: Duration,
--- a/crates/sender/src/connection_slots/tests.rs
+++ b/crates/sender/src/connection_slots/tests.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_longest_silent_newcomer_of_the_address_with_most_of_them_is_evicted() {
+fn the_oldest_connection_without_a_request_of_the_address_with_most_of_them_is_evicted() {
     let mut slots = ConnectionSlots::new(16);
     slots.opened(ConnectionId(0), from(1), at(0));
     slots.opened(ConnectionId(1), from(2), at(1));
@@ -65,7 +65,7 @@
     slots.opened(ConnectionId(3), from(3), at(3));
     slots.request_finished(ConnectionId(3), at(4), none);
     assert_eq!(slots.evict(at(400), none, none), Some(ConnectionId(1)));
-    // One from each address: the longest silent.
+    // One from each address: the oldest.
     assert_eq!(slots.evict(at(400), none, none), Some(ConnectionId(0)));
     assert_eq!(slots.evict(at(400), |id| id == ConnectionId(2), none), Some(ConnectionId(3)));
     assert_eq!(slots.evict(at(400), |id| id == ConnectionId(2), none), Some(ConnectionId(2)));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn recent_newcomers_are_evicted_after_idle_connections_and_open_requests_never() {
+fn new_connections_are_evicted_after_idle_ones_and_open_requests_never() {
     let mut slots = ConnectionSlots::new(16);
     slots.opened(ConnectionId(0), from(1), at(0));
     slots.request_started(ConnectionId(0), at(1));
--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -59,8 +59,8 @@
         let open = Rc::new(OpenConnections::default());
         let mut acceptor = Acceptor::new(listener, "control");
         for number in 0.. {
-            let (stream, _) = acceptor.accept(|| ()).await;
-            spawn_local(self.clone().serve_connection(stream, open.add(number)));
+            let accepted = acceptor.accept(|| ()).await;
+            spawn_local(self.clone().serve_connection(accepted.stream, open.add(number)));
         }
     }
 
--- a/crates/sender/src/control/golden.rs
+++ b/crates/sender/src/control/golden.rs
@@ -15,14 +15,14 @@
 /// Metrics in which no two numbers are equal.
 fn metrics() -> Metrics {
     let metrics = Metrics::new(&["keyed".to_owned(), "a \"b\"".to_owned(), "plain".to_owned()]);
-    let ends = [
+    let outcomes = [
         (0, FinalOutcome::Delivered, 1),
         (0, FinalOutcome::Rejected, 2),
         (0, FinalOutcome::Failed, 3),
         (2, FinalOutcome::Delivered, 4),
     ];
-    for (class, end, times) in ends {
-        (0..times).for_each(|_| metrics.record_outcome(class, end));
+    for (class, outcome, times) in outcomes {
+        (0..times).for_each(|_| metrics.record_outcome(class, outcome));
     }
     (0..5).for_each(|_| metrics.call_written());
     metrics.client_connected();
--- a/crates/sender/src/discovery/decoder/tests.rs
+++ b/crates/sender/src/discovery/decoder/tests.rs
@@ -56,16 +56,16 @@
 proptest! {
     #[test]
     fn the_events_are_the_same_when_split_at_any_byte(script in prop::collection::vec(decoded(), 1..5)) {
-        let wanted: Vec<Decoded> = script.iter().map(|(decoded, _)| decoded.clone()).collect();
+        let expected: Vec<Decoded> = script.iter().map(|(decoded, _)| decoded.clone()).collect();
         let bytes: Vec<u8> = script.iter().flat_map(|(_, text)| text.bytes()).collect();
         for cut in 0..=bytes.len() {
             let (decoded, end) = decode([&bytes[..cut], &bytes[cut..]]);
             prop_assert!(end.is_ok(), "cut at {}: {:?}", cut, end);
-            prop_assert_eq!(&decoded, &wanted, "cut at {}", cut);
+            prop_assert_eq!(&decoded, &expected, "cut at {}", cut);
         }
         let (decoded, end) = decode(bytes.chunks(1));
         prop_assert!(end.is_ok(), "{:?}", end);
-        prop_assert_eq!(&decoded, &wanted, "byte by byte");
+        prop_assert_eq!(&decoded, &expected, "byte by byte");
     }
 
     #[test]
@@ -95,7 +95,7 @@
     );
 }
 
-/// An empty line within a list that goes on does not keep the watch open.
+/// An empty line within an incomplete list is no heartbeat.
 #[test]
 fn an_empty_line_within_a_list_is_no_heartbeat() {
     let (decoded, end) = decode(["{\"revision\": 8,\n".as_bytes(), b"\n", b"\r\n", b"\n"]);
--- a/crates/sender/src/discovery/tests.rs
+++ b/crates/sender/src/discovery/tests.rs
@@ -12,12 +12,12 @@
 };
 use super::client::{STARTUP_FETCH_TIMEOUT, fetch};
 
+mod idle_watch;
 mod scripted;
-mod silence;
 
 // ---- Lists in pieces -------------------------------------------------------------------------------------
 
-/// A list may be indented, with each line in a frame of its own: a decoder of lines would find none that is a list.
+/// A list may be indented, with each line in a separate frame.
 #[tokio::test]
 async fn an_indented_list_in_many_frames_is_received_and_the_watch_stays_open() {
     local(async {
--- a/crates/sender/src/discovery/tests/silence.rs
+++ b/crates/sender/src/discovery/tests/idle_watch.rs
@@ -1,4 +1,4 @@
-//! A watch that has gone idle is closed and opened again; one that receives heartbeats stays open.
+//! An idle watch is closed and opened again; one that receives heartbeats stays open.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 /// Changes that an idle watch misses are received within this time.
 const IN_EFFECT_WITHIN: Duration = Duration::from_secs(6);
 
-/// How a watch goes idle.
+/// How a watch becomes idle.
 #[derive(Clone, Copy, Debug)]
 enum Idle {
     /// It gets no response.
@@ -119,7 +119,7 @@
 
 /// What an agent receives when discovery recovers is in effect at once: an agent is polled at a constant rate.
 #[tokio::test]
-async fn an_agent_that_was_silent_for_long_is_polled_as_often_as_at_first() {
+async fn an_agent_that_was_unresponsive_for_long_is_polled_as_often_as_at_first() {
     local(async {
         let agent = ScriptedDiscovery::start().await;
         let mut running = start_agent_watch(agent.addr, Some(41));
@@ -138,7 +138,7 @@
 
 /// An agent that refuses connections is polled with a pause, and soon when it is back.
 #[tokio::test]
-async fn an_agent_that_was_gone_is_polled_soon_when_it_is_back() {
+async fn an_agent_that_refused_connections_is_polled_soon_when_it_is_back() {
     local(async {
         let agent = ScriptedDiscovery::start().await;
         let addr = agent.addr;
--- a/crates/sender/src/discovery/watcher.rs
+++ b/crates/sender/src/discovery/watcher.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Resets the progress, as the new address has revisions of its own. The first request is delayed as at a start: the
+    /// Resets the progress, as revisions of two addresses are unrelated. The first request is delayed as at a start: the
     /// addresses of many senders may change at the same moment.
     fn reset_for_new_address(&mut self) -> Duration {
         self.progress.revision = None;
--- a/crates/sender/src/engine/calls_in_flight.rs
+++ b/crates/sender/src/engine/calls_in_flight.rs
@@ -1,4 +1,4 @@
-//! The calls in flight, and how many of them the peer process has been told about.
+//! The calls in flight, and their number as last announced to the peer process.
 
 use std::collections::HashMap;
 
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -1,7 +1,7 @@
 //! Carries out the policy's decisions for a batch, with one write to the journal.
 //!
-//! Invariant: no response and no call is sent before the write. All that comes before it changes only the engine and the
-//! journal's buffer, and collects [`Effects`]; these are executed after it. If it fails, submissions are refused and
+//! Invariant: no response and no call is sent before the write. The steps before it change only the engine and the
+//! journal's buffer, and collect [`Effects`]; these are executed after it. If it fails, submissions are refused and
 //! attempts dropped. Completions stay in the journal's buffer until a later write: their messages are not sent again,
 //! and their notifications go to the platform. Cancellations and health checks promise nothing, and go at once.
 
--- a/crates/sender/src/engine/commit/tests.rs
+++ b/crates/sender/src/engine/commit/tests.rs
@@ -1,4 +1,4 @@
-//! Nothing is answered or sent before the write, and nothing of a batch that could not be written is.
+//! Responses and calls are sent after the write, and not if it fails.
 
 use rudderspindle_journal::Store;
 use rudderspindle_policy::interface::{Action, AttemptResult, Event, MessageHandle, Outcome, RouteId};
@@ -38,12 +38,12 @@
         assert!(!engine.store.contains(&"m1".into()));
         let [
             Event::Dropped(dropped),
-            Event::Outcome(AttemptResult { id: ended, outcome: Outcome::NotSent, .. }),
+            Event::Outcome(AttemptResult { id: completed, outcome: Outcome::NotSent, .. }),
         ] = engine.next_batch_events[..]
         else {
-            panic!("the policy is told {:?}", engine.next_batch_events)
+            panic!("the policy's events are {:?}", engine.next_batch_events)
         };
-        assert_eq!((dropped, ended), (id, id));
+        assert_eq!((dropped, completed), (id, id));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -7,7 +7,7 @@
 
 use super::Engine;
 use super::time::to_millis;
-use super::tracked_messages::TrackedMessage;
+use super::tracked_messages::{TrackedMessage, WithdrawnMessage};
 use crate::event::{Input, MESSAGE_LOG, Submission, SubmissionId, SubmissionResponse};
 use crate::metrics::FinalOutcome;
 
@@ -31,14 +31,14 @@
     pub class: usize,
     /// Its record, written if the message is accepted.
     pub record: journal::Message,
-    /// Where the response goes.
+    /// The channel for the response.
     pub channel: oneshot::Sender<SubmissionResponse>,
 }
 
 /// A response that is sent once the batch is in the journal.
 #[derive(Debug)]
 pub(super) struct PendingResponse {
-    /// Where it goes.
+    /// The channel for the response.
     pub channel: oneshot::Sender<SubmissionResponse>,
     /// The response.
     pub response: SubmissionResponse,
@@ -94,8 +94,8 @@
             });
         }
         if let Some(id) = self.tracked.find(&submission.message_id) {
-            // Each client that submits the message is counted: else any client that knows the id could withdraw the
-            // message by disconnecting.
+            // Each client that submits the message is counted: else any client with the same id could withdraw the message
+            // by disconnecting.
             let undecided = intake.new.iter().any(|new| new.id == id);
             let added = !undecided && self.tracked.add_submission(id, submission.id);
             return Some(if added { SubmissionResponse::Accepted } else { SubmissionResponse::REFUSED });
@@ -169,9 +169,9 @@
 
     /// Removes a submission whose client has disconnected, and completes its message if no other client has submitted it.
     pub(super) fn withdraw(&mut self, submission: SubmissionId) -> Option<Event> {
-        let (id, message) = self.tracked.withdraw(submission)?;
-        tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, "withdrawn");
-        self.store.complete(&message.message_id, None);
-        Some(Event::Dropped(id))
+        let WithdrawnMessage { handle, message_id } = self.tracked.withdraw(submission)?;
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*message_id, "withdrawn");
+        self.store.complete(&message_id, None);
+        Some(Event::Dropped(handle))
     }
 }
--- a/crates/sender/src/engine/outage_records/tests.rs
+++ b/crates/sender/src/engine/outage_records/tests.rs
@@ -1,4 +1,4 @@
-//! The running process may send anything that can be parsed.
+//! Values from the peer process are not trusted.
 
 use rudderspindle_journal::{self as journal, Store};
 
--- a/crates/sender/src/engine/recovery/tests.rs
+++ b/crates/sender/src/engine/recovery/tests.rs
@@ -1,4 +1,4 @@
-//! Recovered messages beside new ones.
+//! Recovered messages together with new ones.
 
 use std::time::Duration;
 
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -29,7 +29,7 @@
     /// Takes back the connection slots and the disk space that were shared with the peer process.
     pub(super) fn peer_disconnected(&mut self) {
         self.policy.set_slots_used_by_peer(0);
-        // If the peer owned the journal, the journal's lock says when it has ended.
+        // A peer that owns the journal may not have ended; the journal's lock is checked for that.
         if self.store.is_owner() {
             self.share_disk(false);
         }
--- a/crates/sender/src/engine/takeover/tests.rs
+++ b/crates/sender/src/engine/takeover/tests.rs
@@ -1,4 +1,4 @@
-//! The peer process may send anything that can be parsed.
+//! Values from the peer process are not trusted.
 
 use std::time::Duration;
 
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! A whole engine on a journal of its own, without its run loop.
+//! A complete engine on a journal, without its run loop.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -64,7 +64,7 @@
     (Input::Submitted(submission), answered)
 }
 
-/// Otherwise a client that knows a message's id could withdraw it, though another had its 202.
+/// Otherwise a client could withdraw a message for which another client has the response 202.
 #[tokio::test]
 async fn a_message_is_withdrawn_only_when_all_of_its_clients_have_disconnected() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -95,7 +95,7 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// All day receivers are replaced by others with new ids, and messages are always new.
+/// Receivers are replaced by others with new ids, and each message is new.
 #[tokio::test(start_paused = true)]
 async fn memory_stays_bounded_while_receivers_and_messages_change() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -1,4 +1,4 @@
-//! The cancellation of a call against its result.
+//! Cancellations of calls that cross their outcomes.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     let (input, answered) = submission(number, &format!("m{number}"));
     engine.run_batch(vec![input]);
     assert_eq!(answered.await, Ok(SubmissionResponse::Accepted));
-    let (mut stream, _) = soon(listener.accept()).await.expect("a connection");
+    let (mut stream, _) = with_timeout(listener.accept()).await.expect("a connection");
     request(&mut stream).await;
     stream
 }
@@ -36,17 +36,20 @@
 pub(super) async fn request(stream: &mut TcpStream) -> Vec<u8> {
     let mut request = Vec::new();
     while !request.ends_with(b"text") {
-        assert!(soon(stream.read_buf(&mut request)).await.expect("a request") > 0, "it ends too early");
+        assert!(
+            with_timeout(stream.read_buf(&mut request)).await.expect("a request") > 0,
+            "it ends too early"
+        );
     }
     request
 }
 
-pub(super) async fn soon<T>(future: impl Future<Output = T>) -> T {
+pub(super) async fn with_timeout<T>(future: impl Future<Output = T>) -> T {
     tokio::time::timeout(Duration::from_secs(20), future).await.expect("in time")
 }
 
 pub(super) async fn until(mut holds: impl FnMut() -> bool) {
-    soon(async {
+    with_timeout(async {
         while !holds() {
             tokio::task::yield_now().await;
         }
@@ -69,8 +72,7 @@
     engine.carry_out(Instant::now(), Intake::default(), vec![Action::Cancel { id, attempt }]);
 }
 
-/// The response has arrived when the call is cancelled: the message is delivered, for the engine and for the policy,
-/// and is not sent again.
+/// The response has arrived when the call is cancelled: the message is delivered and is not sent again.
 #[tokio::test]
 async fn a_delivery_that_crosses_a_cancellation_completes_the_message() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -92,8 +94,7 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A result that waits for capacity in the engine's queue when its call is cancelled is not lost: it says that the
-/// call was never executed.
+/// An outcome that waits for the engine's queue when its call is cancelled is not lost: the call was not executed.
 #[tokio::test]
 async fn a_rejection_that_waits_for_the_engine_counts_though_its_call_is_cancelled() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -135,7 +136,7 @@
         })
         .await;
         // Its end, by a reset or not.
-        assert!(matches!(soon(stream.read(&mut [0; 1])).await, Ok(0) | Err(_)));
+        assert!(matches!(with_timeout(stream.read(&mut [0; 1])).await, Ok(0) | Err(_)));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/engine/tests/deadline.rs
+++ b/crates/sender/src/engine/tests/deadline.rs
@@ -1,16 +1,16 @@
-//! A message's deadline against the response to its call.
+//! Responses just before a message's deadline.
 
 use std::time::Duration;
 
 use tokio::io::AsyncWriteExt;
 use tokio::time::Instant;
 
-use super::cancels::{receiver, request, run_batch, soon, until};
+use super::cancels::{receiver, request, run_batch, until, with_timeout};
 use super::{engine, submission};
 use crate::event::{Input, SubmissionResponse};
 
-/// The client's deadline counts from when it sent the message, a little earlier than the sender's. A response in between is
-/// late for the client: taken for a delivery, the message would have no outcome.
+/// The client's deadline is a little earlier than the sender's, as it counts from when the client sent the message. A
+/// response in between is late for the client.
 #[tokio::test]
 async fn a_response_just_before_the_deadline_delivers_nothing_and_the_client_is_notified() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -23,7 +23,7 @@
         message.deadline = deadline;
         engine.run_batch(vec![Input::Submitted(message)]);
         assert_eq!(answered.await, Ok(SubmissionResponse::Accepted));
-        let (mut stream, _) = soon(listener.accept()).await.expect("a connection");
+        let (mut stream, _) = with_timeout(listener.accept()).await.expect("a connection");
         let text = String::from_utf8(request(&mut stream).await).expect("text");
         let remaining = text.lines().find_map(|line| line.strip_prefix("x-remaining: ")).expect("a time");
         assert!(
--- a/crates/sender/src/engine/tracked_messages.rs
+++ b/crates/sender/src/engine/tracked_messages.rs
@@ -37,6 +37,15 @@
     pub receiver: Option<Receiver>,
 }
 
+/// A message without submissions that is no longer tracked.
+#[derive(Debug)]
+pub(super) struct WithdrawnMessage {
+    /// Its handle.
+    pub handle: MessageHandle,
+    /// The id that the client gave it.
+    pub message_id: MessageId,
+}
+
 impl TrackedMessage {
     /// Number of clients that may know that the message is accepted.
     fn clients(&self) -> usize {
@@ -115,15 +124,16 @@
         true
     }
 
-    /// Removes a submission; returns its message, no longer tracked, if no client is left.
-    pub fn withdraw(&mut self, id: SubmissionId) -> Option<(MessageHandle, TrackedMessage)> {
+    /// Removes a submission; if no client is left, stops tracking its message and returns it.
+    pub fn withdraw(&mut self, id: SubmissionId) -> Option<WithdrawnMessage> {
         let handle = self.by_submission.remove(&id)?;
         let message = self.messages.get_mut(&handle)?;
         message.submissions.retain(|&other| other != id);
         if message.clients() > 0 {
             return None;
         }
-        Some((handle, self.remove(handle)?))
+        let message_id = self.remove(handle)?.message_id;
+        Some(WithdrawnMessage { handle, message_id })
     }
 
     /// Stops tracking a message.
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -68,7 +68,7 @@
     },
     /// The number of calls that the peer process has in flight.
     PeerCallsInFlight(usize),
-    /// Take over the journal if its owner has ended. The response says whether this process owns the journal now.
+    /// Take over the journal if its owner has ended. The response is whether this process owns the journal.
     TakeOver(oneshot::Sender<bool>),
     /// Report the current demand, and the activity since the last report.
     ReportActivity(oneshot::Sender<ActivityReport>),
--- a/crates/sender/src/handover/message.rs
+++ b/crates/sender/src/handover/message.rs
@@ -1,4 +1,4 @@
-//! What two processes of one sender tell each other. The names in JSON are part of the protocol.
+//! The messages between two processes of one sender. Their names in JSON are part of the protocol.
 
 use rudderspindle_journal as journal;
 use serde::{Deserialize, Serialize};
--- a/crates/sender/src/inbound.rs
+++ b/crates/sender/src/inbound.rs
@@ -24,7 +24,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::accept::Acceptor;
+use crate::accept::{AcceptedConnection, Acceptor};
 use crate::admission_state::AdmissionState;
 use crate::connection_slots::{ConnectionId, ConnectionSlots};
 use crate::event::Input;
@@ -100,7 +100,7 @@
         let mut admission_state = self.admission_state.clone();
         let mut acceptor = Acceptor::new(listener, "clients");
         for number in 0.. {
-            let (stream, peer) = tokio::select! {
+            let AcceptedConnection { stream, peer } = tokio::select! {
                 biased;
                 _ = admission_state.wait_for(|state| *state == AdmissionState::HandingOver) => return,
                 accepted = acceptor.accept(|| self.evict_connection()) => accepted,
--- a/crates/sender/src/inbound/conversation.rs
+++ b/crates/sender/src/inbound/conversation.rs
@@ -36,7 +36,7 @@
                 biased;
                 // First: a request that is read after the close was requested would be lost.
                 () = connection.close_requested.notified() => return,
-                // The state of the last submission says how it ended.
+                // The result is in the state of the last submission.
                 _ = http.as_mut() => return,
                 // A request that is arriving is served; the connection is closed after its response.
                 Ok(()) = admission_state.changed() => {
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The [`Service`] accepts messages from clients over HTTP/1.1, writes them to its journal before it responds with
 //! 202, delivers them to receivers as the policy decides, and notifies the platform of those that it could not
-//! deliver. All tasks send their events to the engine (`engine`) as an `Input` (`event`); they know those and not the
-//! engine. This crate takes no decision about a message.
+//! deliver. The tasks send their events to the engine (`engine`) as an `Input` (`event`) and do not depend on the engine.
+//! This crate does not decide about messages.
 //!
 //! ```no_run
 //! use rudderspindle_sender::{Service, ValidatedConfig};
@@ -23,7 +23,7 @@
 //! # }
 //! ```
 
-/// A point at which a test can stop the program. Expands to nothing without the feature `failpoints`.
+/// A point at which a test can stop the program; expands to nothing without the feature `failpoints`.
 macro_rules! failpoint {
     ($($point:tt)*) => {
         #[cfg(feature = "failpoints")]
--- a/crates/sender/src/notifications/tests.rs
+++ b/crates/sender/src/notifications/tests.rs
@@ -16,7 +16,7 @@
 
 /// Time-out of each step, far beyond what it takes unless something is broken.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// A notification that comes later than this is lost.
+/// A notification that arrives later than this is lost.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_millis(300);
 const ACKNOWLEDGEMENT: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
@@ -68,16 +68,16 @@
     }
 }
 
-/// However long earlier requests have hung, a notification arrives in time when the platform is back.
+/// Also after many requests without a response, a notification arrives in time once the platform responds.
 #[tokio::test]
 async fn a_notification_arrives_in_time_at_a_platform_that_is_back() {
     let test = async {
         let platform = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut delivery = start_delivery(platform.local_addr().expect("an address"));
         delivery.push("a");
-        let mut held = Vec::new();
+        let mut unanswered = Vec::new();
         for _ in 0..8 {
-            held.push(accept_notification(&platform).await);
+            unanswered.push(accept_notification(&platform).await);
         }
         let since = Instant::now();
         let mut stream = accept_notification(&platform).await;
@@ -89,7 +89,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A response counts also when the next request has begun: else a slow platform would never acknowledge any.
+/// A response also counts after the next request has begun, as a slow platform could not acknowledge any otherwise.
 #[tokio::test]
 async fn a_late_acknowledgement_is_accepted() {
     let test = async {
@@ -97,10 +97,10 @@
         let mut delivery = start_delivery(platform.local_addr().expect("an address"));
         delivery.push("a");
         let mut first = accept_notification(&platform).await;
-        let mut held = vec![accept_notification(&platform).await, accept_notification(&platform).await];
+        let mut unanswered = vec![accept_notification(&platform).await, accept_notification(&platform).await];
         // Pushed later, so it is not in the first request.
         delivery.push("b");
-        held.push(accept_notification(&platform).await);
+        unanswered.push(accept_notification(&platform).await);
         first.write_all(ACKNOWLEDGEMENT).await.expect("writable");
         assert_eq!(delivery.next_acknowledged().await, ["a"]);
         let mut buffer = Vec::new();
--- a/crates/sender/src/outbound/outcome.rs
+++ b/crates/sender/src/outbound/outcome.rs
@@ -1,5 +1,5 @@
 //! Determines the outcome of an attempt, and so whether it may have been executed, by the protocol's table 'Senders to
-//! receivers'. [`Outcome::possibly_executed`] says for each outcome whether its call may have been executed.
+//! receivers'. [`Outcome::possibly_executed`] is true for each outcome whose call may have been executed.
 
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderName};
@@ -95,8 +95,8 @@
     }
 }
 
-/// Whether a response of this outcome is reliable at this progress of the request. Before the last byte is written, a
-/// response that says that the call was executed is not a response to this call.
+/// Whether a response with this outcome is reliable at this progress of the request. Before the last byte is written, the
+/// call cannot have been executed.
 pub(super) fn is_reliable(request: RequestProgress, outcome: Outcome) -> bool {
     request == RequestProgress::Complete || !outcome.possibly_executed()
 }
--- a/crates/sender/src/outbound/response.rs
+++ b/crates/sender/src/outbound/response.rs
@@ -34,8 +34,8 @@
 }
 
 impl ReliableResponse {
-    /// Interprets a response; `None` if it is not reliable. A response that says that the call was not executed counts only
-    /// if it is well-formed to its end.
+    /// Interprets a response; `None` if it is not reliable. An outcome without execution counts only if the response is
+    /// well-formed to its end.
     pub(super) async fn read(
         response: Response<Incoming>,
         request: RequestProgress,
--- a/crates/sender/src/outbound/tests/deadline.rs
+++ b/crates/sender/src/outbound/tests/deadline.rs
@@ -1,4 +1,4 @@
-//! A call's deadline against its response.
+//! Responses around the deadline of a call.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::{call, next, set_up};
 use crate::event::{Call, Input};
 
-/// A call whose request has been received, and the deadline that its receiver was told.
+/// A call whose request has been received, and its deadline.
 async fn received_call(outbound: &Rc<Outbound>, listener: &TcpListener) -> (TcpStream, Instant) {
     let deadline = Instant::now() + Duration::from_millis(400);
     outbound.start_call(Call { response_deadline: deadline, write_deadline: deadline, ..call() });
@@ -29,8 +29,8 @@
     std::thread::sleep(deadline.saturating_duration_since(Instant::now()) + Duration::from_millis(2));
 }
 
-/// The receiver has been told how long the sender waits. A response after that goes to a sender that has given the call
-/// up, though its own timer has not fired yet: taken for a delivery, the message would have no final outcome.
+/// The request announces the deadline. A response after it does not count, also if the sender's timer has not fired yet:
+/// the receiver treats the call as abandoned.
 #[tokio::test]
 async fn a_response_after_the_deadline_does_not_count_even_in_the_tick_of_the_timeout() {
     let test = async {
--- a/crates/sender/src/outbound/tests/interrupted.rs
+++ b/crates/sender/src/outbound/tests/interrupted.rs
@@ -21,7 +21,7 @@
 /// Length of a body that the system buffers completely while nobody reads at a [`narrow`] listener.
 const MEDIUM: usize = 8_000;
 
-/// A call with a body of so many bytes.
+/// A call with a body of `size` bytes.
 fn call_of_size(size: usize) -> Call {
     Call { body: Bytes::from(vec![b'x'; size]), ..call() }
 }
@@ -42,7 +42,7 @@
 #[tokio::test]
 async fn nothing_of_a_call_arrives_after_it_was_interrupted() {
     let test = async {
-        let soon = || Instant::now() + Duration::from_secs(1);
+        let deadline = || Instant::now() + Duration::from_secs(1);
         for (size, cancelled, expected) in [
             (MEDIUM, false, Outcome::Timeout),
             (LARGE, false, Outcome::ConnectFailed),
@@ -54,7 +54,7 @@
             let out = outbound.start_call(if cancelled {
                 call
             } else {
-                Call { response_deadline: soon(), ..call }
+                Call { response_deadline: deadline(), ..call }
             });
             let (mut stream, _) = listener.accept().await.expect("a connection");
             stream.readable().await.expect("the first bytes");
--- a/crates/sender/src/outbound/tests/withheld.rs
+++ b/crates/sender/src/outbound/tests/withheld.rs
@@ -1,4 +1,4 @@
-//! Calls whose decision no longer holds when the first byte could be sent.
+//! Calls that must no longer be sent once a connection is available.
 
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A key's window was open when the decision was made, and is over when the connection is open: the receiver would no
-/// longer know the key, and the message would take effect twice.
+/// The key's window ends while the connection is opened: the receiver has discarded the key, and the message could be
+/// executed twice.
 #[tokio::test]
 async fn a_call_whose_connection_opens_too_late_is_withheld() {
     let test = async {
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -1,4 +1,4 @@
-//! Bounds of the pauses, and what they add up to for a simulated discovery with many senders.
+//! Bounds of the delays, and their effect on a simulated discovery service with many senders.
 
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
             assert!(timeout > MAX_RESPONSE_TIME);
             for n in 0..1_000 {
                 // Timed out, rejected at once, rejected late but not from a queue.
-                let (elapsed, pause) = match n % 3 {
+                let (elapsed, delay) = match n % 3 {
                     0 => (timeout, schedule.delay_after_failure(timeout)),
                     1 => (Duration::ZERO, schedule.delay_after_rejection(Duration::ZERO)),
                     _ => (
@@ -49,10 +49,10 @@
                         schedule.delay_after_rejection(QUEUED_REJECTION_AFTER * 9 / 10),
                     ),
                 };
-                let reported = elapsed + pause + MAX_RESPONSE_TIME;
+                let reported = elapsed + delay + MAX_RESPONSE_TIME;
                 assert!(
                     reported + REQUEST_OVERHEAD <= CHANGE_IN_EFFECT_AFTER,
-                    "{peers}, {ask_within}: {elapsed:?} and {pause:?}"
+                    "{peers}, {ask_within}: {elapsed:?} and {delay:?}"
                 );
             }
             let latest = (0..1_000).map(|_| schedule.initial_delay()).max();
@@ -81,7 +81,7 @@
     let idle = Duration::from_secs(3);
     for peers in FLEETS {
         let mut schedule = PollSchedule::new(ON_REQUEST, peers, 1);
-        let latest = (0..1_000).map(|_| schedule.delay_after_failure(idle)).max().expect("a pause");
+        let latest = (0..1_000).map(|_| schedule.delay_after_failure(idle)).max().expect("a delay");
         assert!(
             idle + latest + MAX_RESPONSE_TIME + REQUEST_OVERHEAD <= CHANGE_IN_EFFECT_AFTER,
             "{peers}: {latest:?}"
@@ -91,19 +91,19 @@
 
 /// Requests to a local agent cost nothing, and its list is in effect as soon as it is back.
 #[test]
-fn a_local_agent_is_polled_without_staggering_and_with_constant_pauses() {
+fn a_local_agent_is_polled_without_staggering_and_with_constant_delays() {
     for peers in FLEETS {
         let mut schedule = PollSchedule::new(Discovery::Pushed, peers, 1);
         assert!(!schedule.is_staggered());
         assert_eq!(schedule.initial_delay(), Duration::ZERO);
         for _ in 0..100 {
             let timeout = schedule.response_timeout();
-            for pause in [
+            for delay in [
                 schedule.delay_after_failure(timeout),
                 schedule.delay_after_rejection(timeout),
                 schedule.delay_after_rejection(Duration::ZERO),
             ] {
-                assert!(timeout + pause <= Duration::from_millis(400), "{timeout:?} and {pause:?}");
+                assert!(timeout + delay <= Duration::from_millis(400), "{timeout:?} and {delay:?}");
             }
         }
     }
@@ -113,16 +113,16 @@
 fn a_few_senders_poll_at_once_and_with_exponential_backoff() {
     let mut schedule = PollSchedule::new(ON_REQUEST, 3, 1);
     assert_eq!(schedule.initial_delay(), Duration::ZERO);
-    let pauses: Vec<u128> =
+    let delays: Vec<u128> =
         (0..6).map(|_| schedule.delay_after_failure(Duration::ZERO).as_millis()).collect();
-    assert_eq!(pauses, [50, 100, 200, 400, 800, 1_000]);
+    assert_eq!(delays, [50, 100, 200, 400, 800, 1_000]);
     schedule.record_success();
     assert_eq!(schedule.delay_after_failure(Duration::ZERO), MIN_BACKOFF);
 }
 
 /// Only a discovery that queues requests is polled less often than its changes come into effect.
 #[test]
-fn pauses_after_a_rejection_from_a_queue_are_longer_but_at_most_four_polling_deadlines() {
+fn delays_after_a_rejection_from_a_queue_are_longer_but_at_most_four_polling_deadlines() {
     for (ask_within, failed) in [(POLL_DEADLINE, 20), (2_000.0, 8), (0.0, 20)] {
         for peers in [100, 300, usize::MAX] {
             let mut schedule = PollSchedule::new(Discovery::OnRequest { ask_within }, peers, 1);
@@ -154,7 +154,7 @@
                 reachable_at: 0.0,
             };
             let last = time_of_last_list(discovery, &simulate_polling(discovery, schedules(senders, seed)));
-            // The last rejected request is retried after the longest pause.
+            // The last rejected request is retried after the longest delay.
             let within = all + MAX_POLL_GAP.as_secs_f64() + cost;
             assert!(last <= within, "seed {seed}, {senders} senders, {all} s: the last list after {last} s");
         }
@@ -189,15 +189,15 @@
 fn senders_whose_watches_end_together_do_not_poll_together() {
     for elapsed in [Duration::from_secs(3), Duration::ZERO] {
         let senders = 300;
-        let pause =
+        let delay =
             |n| PollSchedule::new(ON_REQUEST, senders, n).delay_after_failure(elapsed).as_millis() / 100;
-        let pauses: Vec<u128> = (0..senders as u64).map(pause).collect();
-        let max = (0..60).map(|at| pauses.iter().filter(|&&pause| pause == at).count()).max().expect("some");
+        let delays: Vec<u128> = (0..senders as u64).map(delay).collect();
+        let max = (0..60).map(|at| delays.iter().filter(|&&delay| delay == at).count()).max().expect("some");
         assert!(max * 5 <= senders, "{max} of {senders} within a tenth of a second, {elapsed:?}");
     }
 }
 
-/// Longer pauses let a discovery that queues requests catch up.
+/// Longer delays let a discovery that queues requests catch up.
 #[test]
 fn many_senders_that_start_together_get_their_lists_from_a_queueing_discovery() {
     let cases = [(100, 0.02, 30.0), (100, 0.05, 30.0), (100, 0.1, 30.0), (300, 0.02, 30.0)];
