--- a/crates/simulation/src/limit_schemes.rs
+++ b/crates/simulation/src/limit_schemes.rs
@@ -9,6 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{Incarnation, LimitId, LocalDemand, PermitLedger};
 
 use crate::SeededRng;
@@ -33,22 +34,22 @@
 /// Distinguishes the network's random draws from those of the traffic.
 const NETWORK_SEED: u64 = 0x9057;
 
-/// Figures of one scheme.
+/// Metrics of one scheme.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
+pub struct SchemeMetrics {
     /// Maximum number of calls within a second, over the limit.
     pub peak_second: f64,
     /// Calls over the possible ones: a call for each message, at most the limit.
     pub utilization: f64,
 }
 
-/// Figures of both schemes in the same conditions.
+/// Metrics of both schemes in the same conditions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comparison {
     /// Permits.
-    pub permits: Figures,
+    pub permits: SchemeMetrics,
     /// Leased quotas.
-    pub leased_quotas: Figures,
+    pub leased_quotas: SchemeMetrics,
 }
 
 /// The conditions of a comparison.
@@ -87,7 +88,7 @@
     limit_id: LimitId,
     limit: f64,
     /// When each used permit expires, by its number.
-    used: BTreeMap<u64, u64>,
+    used: BTreeMap<u64, UnixMillis>,
 }
 
 impl LimitShare for PermitHolder {
@@ -96,17 +97,18 @@
     fn send(&mut self, wall: u64, demand: f64) -> Vec<Outgoing<Vec<u8>>> {
         let Self { limit_id, limit, .. } = *self;
         let local_demand = LocalDemand { limit_id, limit, demand, calls: 0, rejected: 0, failed: 0 };
-        let due = due_permit_datagrams(&mut self.permits, wall, TICK, || vec![local_demand]);
+        let due = due_permit_datagrams(&mut self.permits, UnixMillis(wall), TICK, || vec![local_demand]);
         let outgoing = due.datagrams.into_iter();
         outgoing.map(|datagram| Outgoing { to: datagram.to, datagram: datagram.bytes }).collect()
     }
 
     fn receive(&mut self, wall: u64, from: usize, datagram: Vec<u8>) {
         // A datagram that arrives too late is an error without effect, as in the sender's process.
-        let _ = self.permits.receive(wall, from, &datagram);
+        let _ = self.permits.receive(UnixMillis(wall), from, &datagram);
     }
 
     fn try_call(&mut self, wall: u64) -> bool {
+        let wall = UnixMillis(wall);
         self.used.retain(|_, until| *until > wall);
         let permits = self.permits.permits(wall, self.limit_id, 1.0);
         let unused =
@@ -119,7 +121,7 @@
 pub fn compare(conditions: &Conditions) -> Comparison {
     let Conditions { senders, limit, .. } = *conditions;
     let permit_holder = |sender| PermitHolder {
-        permits: PermitLedger::new(sender, senders, Incarnation(1), START_WALL),
+        permits: PermitLedger::new(sender, senders, Incarnation(1), UnixMillis(START_WALL)),
         limit_id: LimitId::of(0, None),
         limit,
         used: BTreeMap::new(),
@@ -131,7 +133,7 @@
     }
 }
 
-fn run<S: LimitShare>(conditions: &Conditions, mut shares: Vec<S>) -> Figures {
+fn run<S: LimitShare>(conditions: &Conditions, mut shares: Vec<S>) -> SchemeMetrics {
     let mut traffic = Traffic::new(conditions);
     let mut network = LossyNetwork::new(conditions.loss, conditions.seed ^ NETWORK_SEED);
     let mut waiting = vec![VecDeque::new(); shares.len()];
@@ -152,7 +154,7 @@
             }
         }
     }
-    figures(conditions.limit, traffic.messages, &calls)
+    metrics(conditions.limit, traffic.messages, &calls)
 }
 
 fn simulated_time() -> Range<u64> {
@@ -203,10 +205,10 @@
     }
 }
 
-/// Figures of calls in chronological order.
-fn figures(limit: f64, messages: f64, calls: &[u64]) -> Figures {
+/// Metrics of calls in chronological order.
+fn metrics(limit: f64, messages: f64, calls: &[u64]) -> SchemeMetrics {
     let a_second_before = |n: usize| calls.partition_point(|at| at + 1_000 <= calls[n]);
     let peak = (0..calls.len()).map(|n| n + 1 - a_second_before(n)).max().unwrap_or(0);
     let possible = f64::min(messages, limit * DURATION as f64 / 1_000.0);
-    Figures { peak_second: peak as f64 / limit, utilization: calls.len() as f64 / possible.max(1.0) }
+    SchemeMetrics { peak_second: peak as f64 / limit, utilization: calls.len() as f64 / possible.max(1.0) }
 }
--- a/crates/simulation/src/permit_datagrams.rs
+++ b/crates/simulation/src/permit_datagrams.rs
@@ -1,5 +1,6 @@
 //! Runs the permit protocol of one sender in steps of a tick.
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{LocalDemand, OutgoingDatagram, PermitLedger};
 
 /// The result of one step.
@@ -13,7 +14,7 @@
 /// Allocates and offers permits if that is due, `tick` ms after the last call.
 pub(crate) fn due_permit_datagrams(
     permits: &mut PermitLedger,
-    wall: u64,
+    wall: UnixMillis,
     tick: u64,
     demands: impl FnOnce() -> Vec<LocalDemand>,
 ) -> PermitDatagrams {
