--- a/crates/benchmarks/src/fleet_limit.rs
+++ b/crates/benchmarks/src/fleet_limit.rs
@@ -18,8 +18,6 @@
 const DEFAULT_SECONDS: u16 = 40;
 /// Number of senders that the settings of the baseline's senders assume.
 const ASSUMED_SENDERS: usize = 3;
-/// The load during a recovery, as a multiple of the receiver's capacity, above which the receiver fails again.
-const OVERLOAD_MULTIPLE: f64 = 2.5;
 
 /// The fleet and the limit.
 #[derive(Clone, Debug, Args)]
--- a/crates/benchmarks/src/fleet_limit/totals.rs
+++ b/crates/benchmarks/src/fleet_limit/totals.rs
@@ -1,8 +1,7 @@
 //! Totals of several rounds of the same kind of scenario.
 
-use rudderspindle_simulation::receiver::{Observations, Scenario};
+use rudderspindle_simulation::receiver::{OVERLOAD_MULTIPLE, Observations, Scenario};
 
-use super::OVERLOAD_MULTIPLE;
 use crate::report::Report;
 
 /// Totals and maxima over rounds.
--- a/crates/benchmarks/src/http2/http1_pool.rs
+++ b/crates/benchmarks/src/http1_pool.rs
@@ -6,15 +6,15 @@
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
-use hyper::Request;
 use hyper::client::conn::http1::{self, SendRequest};
+use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use tokio::task::spawn_local;
 
-use super::connect;
+use crate::tcp::connect;
 
-/// The connections to one receiver.
-pub(super) struct Http1Pool {
+/// The connections to one address.
+pub struct Http1Pool {
     addr: SocketAddr,
     idle: RefCell<Vec<SendRequest<Full<Bytes>>>>,
     opened: Cell<u32>,
@@ -26,33 +26,42 @@
         Self { addr, idle: RefCell::default(), opened: Cell::new(0) }
     }
 
+    /// The address of the connections.
+    pub fn addr(&self) -> SocketAddr {
+        self.addr
+    }
+
     /// Number of connections opened since the pool was created.
     pub fn opened(&self) -> u32 {
         self.opened.get()
     }
 
-    /// Posts a body; whether it was delivered.
-    pub async fn call(&self, body: Bytes) -> io::Result<bool> {
+    /// Sends a request and reads its response; the response's status.
+    ///
+    /// # Errors
+    ///
+    /// If connecting, sending or reading fails; the connection is dropped.
+    pub async fn send(&self, request: Request<Full<Bytes>>) -> io::Result<StatusCode> {
         let mut connection = self.connection().await?;
-        let request = Request::post("/drop").header("host", "gw.example.org").body(Full::new(body));
-        let request = request.map_err(io::Error::other)?;
         let response = connection.send_request(request).await.map_err(io::Error::other)?;
-        let delivered = response.status().is_success();
+        let status = response.status();
         response.into_body().collect().await.map_err(io::Error::other)?;
-        self.idle.borrow_mut().push(connection);
-        Ok(delivered)
+        if connection.ready().await.is_ok() {
+            self.idle.borrow_mut().push(connection);
+        }
+        Ok(status)
     }
 
-    /// An idle connection, or a new one.
+    /// An idle connection that is still open, or a new one.
     async fn connection(&self) -> io::Result<SendRequest<Full<Bytes>>> {
         let idle = self.idle.borrow_mut().pop();
-        if let Some(connection) = idle {
+        if let Some(connection) = idle.filter(|connection| !connection.is_closed()) {
             return Ok(connection);
         }
         self.opened.set(self.opened.get() + 1);
-        let io = TokioIo::new(connect(self.addr).await?);
-        let (sender, connection) = http1::handshake(io).await.map_err(io::Error::other)?;
-        // The task ends with its connection, at the latest when the run's `LocalSet` is dropped.
+        let stream = connect(self.addr).await?;
+        let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
+        // The task ends with its connection, at the latest when the `LocalSet` is dropped.
         spawn_local(connection);
         Ok(sender)
     }
--- a/crates/benchmarks/src/http2.rs
+++ b/crates/benchmarks/src/http2.rs
@@ -5,15 +5,12 @@
 
 mod bursts;
 mod goaway;
-mod http1_pool;
 mod receiver;
 
 use std::io;
-use std::net::SocketAddr;
 use std::time::Duration;
 
 use clap::Args;
-use tokio::net::TcpStream;
 use tokio::runtime::{Builder, Runtime};
 use tokio::task::LocalSet;
 
@@ -155,9 +152,3 @@
 fn current_thread_runtime() -> io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
-
-async fn connect(addr: SocketAddr) -> io::Result<TcpStream> {
-    let stream = TcpStream::connect(addr).await?;
-    stream.set_nodelay(true)?;
-    Ok(stream)
-}
--- a/crates/benchmarks/src/http2/bursts.rs
+++ b/crates/benchmarks/src/http2/bursts.rs
@@ -8,16 +8,18 @@
 
 use bytes::Bytes;
 use hdrhistogram::Histogram;
+use http_body_util::Full;
 use hyper::Request;
 use rudderspindle_http2::client::{CallDeadlines, Endpoint};
 use rudderspindle_http2::outcome::DeliveryOutcome;
 use rudderspindle_http2::pool::PoolLimits;
 use rudderspindle_testkit::scenario::SeededRng;
 use tokio::task::JoinSet;
-use tokio::time::{Instant, sleep_until};
+use tokio::time::{Instant, sleep_until, timeout};
 
-use super::http1_pool::Http1Pool;
-use super::{DEADLINE, Protocol, connect};
+use super::{DEADLINE, Protocol};
+use crate::http1_pool::Http1Pool;
+use crate::tcp::connect;
 
 /// Latency objective of a call.
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(4);
@@ -86,12 +88,19 @@
     let calls = pool.clone();
     let call = move |body| {
         let pool = calls.clone();
-        async move { tokio::time::timeout(DEADLINE, pool.call(body)).await.is_ok_and(|ok| ok.unwrap_or(false)) }
+        async move { timeout(DEADLINE, post(&pool, body)).await.is_ok_and(|delivered| delivered) }
     };
     let metrics = send_bursts(call, seed, duration, burst).await?;
     Ok(BurstMetrics { connections: f64::from(pool.opened()), ..metrics })
 }
 
+/// Posts a body over HTTP/1.1; whether it was delivered.
+async fn post(pool: &Http1Pool, body: Bytes) -> bool {
+    let request = Request::post("/drop").header("host", "gw.example.org").body(Full::new(body));
+    let status = pool.send(request.expect("a request")).await;
+    status.is_ok_and(|status| status.is_success())
+}
+
 /// Sends the bursts; `call` is whether a call was delivered.
 async fn send_bursts<F>(
     call: impl Fn(Bytes) -> F,
--- a/crates/benchmarks/src/http2/goaway.rs
+++ b/crates/benchmarks/src/http2/goaway.rs
@@ -13,8 +13,9 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-use super::{DEADLINE, connect};
+use super::DEADLINE;
 use crate::error::BenchmarkError;
+use crate::tcp::connect;
 
 /// Number of measured GOAWAYs.
 const ROUNDS: usize = 50;
--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -7,12 +7,14 @@
 mod error;
 mod fleet_limit;
 mod fleet_list;
+mod http1_pool;
 mod http2;
 mod load;
 mod median;
 mod relay;
 mod report;
 mod scenario;
+mod tcp;
 
 use std::process::ExitCode;
 
--- a/crates/benchmarks/src/relay.rs
+++ b/crates/benchmarks/src/relay.rs
@@ -2,7 +2,6 @@
 //!
 //! It answers a complete message with 202, and posts it to its destination on a pooled connection.
 
-use std::cell::RefCell;
 use std::convert::Infallible;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -11,19 +10,14 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use hyper::client::conn::http1::{self, SendRequest};
 use hyper::http::request::Parts;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-/// A destination and the idle connections to it.
-struct Destination {
-    addr: SocketAddr,
-    idle: RefCell<Vec<SendRequest<Full<Bytes>>>>,
-}
+use crate::http1_pool::Http1Pool;
 
 /// Relays to these destinations until the process is killed; prints its address.
 ///
@@ -35,8 +29,8 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         println!("{}", listener.local_addr()?);
-        let destinations: Rc<[Rc<Destination>]> =
-            addrs.iter().map(|addr| Rc::new(Destination { addr: *addr, idle: RefCell::default() })).collect();
+        let destinations: Rc<[Rc<Http1Pool>]> =
+            addrs.iter().map(|addr| Rc::new(Http1Pool::new(*addr))).collect();
         loop {
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
@@ -53,7 +47,7 @@
 
 async fn accept(
     request: Request<Incoming>,
-    destinations: Rc<[Rc<Destination>]>,
+    destinations: Rc<[Rc<Http1Pool>]>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (head, body) = request.into_parts();
     let destination = destination_index(&head).and_then(|index| destinations.get(index).cloned());
@@ -62,7 +56,7 @@
         (Some(destination), Ok(body)) => {
             // The task ends with its call; a failed one loses the message, as the baseline has no journal.
             spawn_local(async move {
-                let _ = destination.post(&message_id, body.to_bytes()).await;
+                let _ = post(&destination, &message_id, body.to_bytes()).await;
             });
             (StatusCode::ACCEPTED, "accepted")
         }
@@ -81,31 +75,12 @@
     header(head, "x-route-to")?.strip_prefix("dest=")?.parse().ok()
 }
 
-impl Destination {
-    async fn post(&self, message_id: &str, body: Bytes) -> Result<(), Box<dyn Error>> {
-        let mut connection = self.connection().await?;
-        let request = Request::post("/v1/messages")
-            .header("host", self.addr.to_string())
-            .header("x-txn", message_id)
-            .body(Full::new(body))?;
-        let response = connection.send_request(request).await?;
-        response.into_body().collect().await?;
-        connection.ready().await?;
-        self.idle.borrow_mut().push(connection);
-        Ok(())
-    }
-
-    /// An idle connection that is still open, or a new one.
-    async fn connection(&self) -> Result<SendRequest<Full<Bytes>>, Box<dyn Error>> {
-        let idle = self.idle.borrow_mut().pop();
-        if let Some(connection) = idle.filter(|connection| !connection.is_closed()) {
-            return Ok(connection);
-        }
-        let stream = TcpStream::connect(self.addr).await?;
-        stream.set_nodelay(true)?;
-        let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-        // The task ends with its connection.
-        spawn_local(connection);
-        Ok(sender)
-    }
+/// Posts a message to its destination.
+async fn post(destination: &Http1Pool, message_id: &str, body: Bytes) -> Result<(), Box<dyn Error>> {
+    let request = Request::post("/v1/messages")
+        .header("host", destination.addr().to_string())
+        .header("x-txn", message_id)
+        .body(Full::new(body))?;
+    destination.send(request).await?;
+    Ok(())
 }
--- a/crates/simulation/src/receiver.rs
+++ b/crates/simulation/src/receiver.rs
@@ -31,7 +31,7 @@
 /// The receiver's capacity at the start of the ramp, as a fraction of its limit.
 const RECOVERY_START_SHARE: f64 = 0.17;
 /// The load during a recovery, as a multiple of the receiver's capacity, above which the receiver fails again.
-const OVERLOAD_MULTIPLE: f64 = 2.5;
+pub const OVERLOAD_MULTIPLE: f64 = 2.5;
 /// Length of the window in which the load during a recovery is counted, ms.
 const OVERLOAD_DURATION: Millis = 3_000.0;
 
