--- a/crates/daemon/tests/golden/log_lines.rs
+++ b/crates/daemon/tests/golden/log_lines.rs
@@ -39,7 +39,7 @@
 
 /// A log without what is said of discovery: on a slow machine a start may have waited in vain for the list.
 fn without_discovery(log: &str) -> String {
-    let lines = log.lines().filter(|line| !line.starts_with("discovery: "));
+    let lines = log.lines().filter(|line| !line.starts_with("discovery "));
     lines.map(|line| format!("{line}\n")).collect()
 }
 
@@ -51,10 +51,10 @@
     let mut program = Logged::start(&config, &folder.1).await;
     let _watch = platform.watch().await;
     program.signal("-HUP").await;
-    program.until("configuration read again").await;
+    program.until("configuration reloaded").await;
     std::fs::write(&file, "{").expect("a configuration file");
     program.signal("-HUP").await;
-    program.until("configuration left as it was").await;
+    program.until("configuration not reloaded").await;
     let control = program.address_after("operators: listening on ").to_owned();
     call(&control, "standby\n").await;
     call(&control, "active\n").await;
@@ -75,9 +75,9 @@
     receiver.call().await;
     let mut new = Logged::start(&config, &folder.1).await;
     let _new_watch = platform.watch().await;
-    assert_eq!(old.until("handover: a successor has come").await, "");
+    assert_eq!(old.until("successor connected").await, "");
     old.kill().await;
-    new.until("handover: taken over").await;
+    new.until("journal taken over").await;
     receiver.call().await;
     new.signal("-TERM").await;
     assert_golden("log_of_a_takeover.txt", &without_discovery(&new.end().await.0));
@@ -115,6 +115,6 @@
     let (_, lines) = platform.watch().await;
     lines.send(list(8, false, &[]).to_string()).expect("a watch");
     drop(lines);
-    let rest = program.until("discovery: the watch").await;
-    assert_golden("log_of_a_watch_that_ends.txt", &format!("discovery: the watch{rest}\n"));
+    let rest = program.until("discovery watch failed").await;
+    assert_golden("log_of_a_watch_that_ends.txt", &format!("discovery watch failed{rest}\n"));
 }
--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use rudderspindle_journal::{Message, PossibleExecution, Status, Store, wall_ms};
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_journal::{Message, PossibleExecution, Status, Store};
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{UnixListener, UnixStream};
@@ -23,7 +24,7 @@
         tenant: "acme".into(),
         destination: 7,
         key: None,
-        deadline: wall_ms() + 50_000,
+        deadline: UnixMillis::now() + 50_000,
         body: text(),
         attempts: 0,
         possibly_executed: None,
@@ -68,7 +69,7 @@
         }
         owner.start_attempt(
             &"tried".into(),
-            PossibleExecution { at: wall_ms(), receiver: "r1".into(), zone: "a".into() },
+            PossibleExecution { at: UnixMillis::now(), receiver: "r1".into(), zone: "a".into() },
         );
         owner.commit().expect("written");
         owner.complete(&"ended".into(), Some(Status::Undeliverable));
@@ -90,7 +91,7 @@
         let received_at = Instant::now();
         drop((stream, listener, owner));
         let mut program = starting.await.expect("it starts");
-        program.says("taken over: 2 messages, 1 notices").await;
+        program.says("journal taken over messages=2 notifications=1").await;
         let call = receiver.call().await;
         assert_eq!(call.message_id, "untried", "{said} lines");
         let after = call.at.duration_since(received_at);
@@ -118,7 +119,7 @@
         rogues.push(rogue);
     }
     let new = Program::start(&config, &folder.1).await;
-    old.says("a successor has come").await;
+    old.says("successor connected").await;
     receiver.then(&[Act::Say(429, Some(("x-backoff-ms", "1500")))]);
     assert_eq!(old.hand_in("safe", "m1", text()).await.status(), 202);
     assert_eq!(receiver.call().await.message_id, "m1");
@@ -148,16 +149,16 @@
             // Later connections are read too: the previous one ends only now that the next one has sent its message.
             let mut stranger = UnixStream::connect(socket(&folder.1)).await.expect("a connection");
             stranger.write_all(b"{\"hello\":2}\n").await.expect("writable");
-            old.says("turned away").await;
+            old.says("handover rejected: unexpected first message").await;
             drop(before);
         }
-        old.says("a successor has come").await;
+        old.says("successor connected").await;
     }
     drop(before);
     let mut new = Program::start(&config, &folder.1).await;
-    old.says("a successor has come").await;
+    old.says("successor connected").await;
     old.kill().await;
-    new.says("taken over: 1 messages").await;
+    new.says("journal taken over messages=1 ").await;
     assert_eq!(receiver.call().await.message_id, "m1");
     assert!(receiver.nothing_called());
 }
@@ -173,7 +174,7 @@
         assert_eq!(receiver.call().await.message_id, message_id);
     }
     let new = Program::start(&config, &folder.1).await;
-    old.says("a successor has come").await;
+    old.says("successor connected").await;
     for (class, message_id) in [("safe", "new-safe"), ("once", "new-once")] {
         assert_eq!(new.hand_in(class, message_id, text()).await.status(), 202);
         assert_eq!(receiver.call().await.message_id, message_id);
@@ -228,7 +229,7 @@
         }
     }
     old.kill().await;
-    new.says("taken over").await;
+    new.says("journal taken over").await;
     // The end of the last one may not have been on record yet.
     while second.call().await.message_id != "m1" {}
     assert!(first.nothing_called());
--- a/crates/sender/src/engine/backlog/tests.rs
+++ b/crates/sender/src/engine/backlog/tests.rs
@@ -1,8 +1,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_journal as journal;
+use tokio::time::Instant;
 
-use super::*;
+use super::{Backlog, RecoveredMessage};
 
 /// A message of this value whose deadline is so many milliseconds after `now`.
 fn message(now: Instant, message_id: &str, value: f64, time_left_ms: u64) -> RecoveredMessage {
@@ -17,7 +20,7 @@
             tenant: "".into(),
             destination: 7,
             key: None,
-            deadline: 0,
+            deadline: UnixMillis::EPOCH,
             body: Bytes::new(),
             attempts: 0,
             possibly_executed: None,
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{Incarnation, RecoveryRamp};
-use rudderspindle_journal::wall_ms;
 use rudderspindle_policy::interface::{Millis, Settings};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
@@ -57,7 +57,7 @@
         let incarnation = self.start_incarnation(state)?;
         let strict = self.limit_sharing() == LimitSharing::Permits;
         let Self { config, file, ramp, quotas } = self;
-        tracing::info!(target: FLEET_LOG_TARGET, senders = config.peers.len(), strict, "limits are shared by notes");
+        tracing::info!(target: FLEET_LOG_TARGET, senders = config.peers.len(), strict, "limits are shared with other senders");
         let settings = FleetSettings { fleet_file: file, tenant_quotas: quotas, incarnation };
         spawn_local(GossipTask::new(config, ramp, settings).run(to_engine));
         Ok(())
@@ -68,7 +68,7 @@
         if self.limit_sharing() != LimitSharing::Permits && !self.has_fleet_view() {
             return Ok(None);
         }
-        let started = incarnation::start(state, wall_ms());
+        let started = incarnation::start(state, UnixMillis::now());
         started.map(Some).map_err(|error| StartError::State { path: state.to_owned(), error })
     }
 }
--- a/crates/simulation/src/limit_schemes.rs
+++ b/crates/simulation/src/limit_schemes.rs
@@ -9,6 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 
+use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{Incarnation, LimitId, LocalDemand, PermitLedger};
 
 use crate::SeededRng;
@@ -87,7 +88,7 @@
     limit_id: LimitId,
     limit: f64,
     /// When each used permit expires, by its number.
-    used: BTreeMap<u64, u64>,
+    used: BTreeMap<u64, UnixMillis>,
 }
 
 impl LimitShare for PermitHolder {
@@ -96,17 +97,18 @@
     fn send(&mut self, wall: u64, demand: f64) -> Vec<Outgoing<Vec<u8>>> {
         let Self { limit_id, limit, .. } = *self;
         let local_demand = LocalDemand { limit_id, limit, demand, calls: 0, rejected: 0, failed: 0 };
-        let due = due_permit_datagrams(&mut self.permits, wall, TICK, || vec![local_demand]);
+        let due = due_permit_datagrams(&mut self.permits, UnixMillis(wall), TICK, || vec![local_demand]);
         let outgoing = due.datagrams.into_iter();
         outgoing.map(|datagram| Outgoing { to: datagram.to, datagram: datagram.bytes }).collect()
     }
 
     fn receive(&mut self, wall: u64, from: usize, datagram: Vec<u8>) {
         // A datagram that arrives too late is an error without effect, as in the sender's process.
-        let _ = self.permits.receive(wall, from, &datagram);
+        let _ = self.permits.receive(UnixMillis(wall), from, &datagram);
     }
 
     fn try_call(&mut self, wall: u64) -> bool {
+        let wall = UnixMillis(wall);
         self.used.retain(|_, until| *until > wall);
         let permits = self.permits.permits(wall, self.limit_id, 1.0);
         let unused =
@@ -119,7 +121,7 @@
 pub fn compare(conditions: &Conditions) -> Comparison {
     let Conditions { senders, limit, .. } = *conditions;
     let permit_holder = |sender| PermitHolder {
-        permits: PermitLedger::new(sender, senders, Incarnation(1), START_WALL),
+        permits: PermitLedger::new(sender, senders, Incarnation(1), UnixMillis(START_WALL)),
         limit_id: LimitId::of(0, None),
         limit,
         used: BTreeMap::new(),
