--- a/crates/policy/tests/replay/adapter.rs
+++ b/crates/policy/tests/replay/adapter.rs
@@ -1,4 +1,5 @@
-//! Plays a session against the policy's own interface, and writes its actions as a text that no rename changes.
+//! Plays a session against the policy's own interface, and writes its actions as a text that no rename
+//! changes.
 
 use std::collections::BTreeMap;
 
@@ -51,8 +52,8 @@
 }
 
 impl PolicyAdapter {
-    /// Carries out an input that is no event, but creates or removes a policy or calls a method of it. Returns
-    /// whether it was one.
+    /// Carries out an input that is no event, but creates or removes a policy or calls a method of it.
+    /// Returns whether it was one.
     fn call_method(&mut self, instance: u32, input: &Input) -> bool {
         if let Input::Start { seed, settings } = input {
             let settings = settings::parse(settings.as_bytes()).expect("settings that can be read");
@@ -138,7 +139,7 @@
         destination: DestinationId(entry.destination),
         zone: entry.zone,
         kind: entry.kind,
-        listing: [Listing::Gone, Listing::Ready, Listing::Draining][usize::from(entry.listing)],
+        listing: [Listing::Removed, Listing::Ready, Listing::Draining][usize::from(entry.listing)],
         rate: f64::from(entry.rate),
     };
     let entries = entries.iter().map(route_entry).collect();
@@ -157,7 +158,7 @@
         tenant: message.tenant as usize,
         ordering_key: message.ordering_key,
         time_left: message.time_left,
-        work_guess: message.work_guess,
+        work_estimate: message.work_estimate,
         destination: DestinationId(message.destination),
     }
 }
