--- a/crates/daemon/tests/cluster/mod.rs
+++ b/crates/daemon/tests/cluster/mod.rs
@@ -143,21 +143,21 @@
     sleep(secs(6)).await;
     row("all links up", cluster.measure_usage(secs(10)).await);
 
-    cluster.mesh.cut(&all, half);
+    cluster.links.cut(&all, half);
     row("half receive nothing for 12 s", cluster.measure_usage(secs(12)).await);
-    cluster.mesh.heal();
+    cluster.links.heal();
     row("they receive again", cluster.measure_usage(secs(4)).await);
 
     // Zones alternate by index.
-    cluster.mesh.cut(&even, &odd);
-    cluster.mesh.cut(&odd, &even);
+    cluster.links.cut(&even, &odd);
+    cluster.links.cut(&odd, &even);
     row("the two zones partitioned", cluster.measure_usage(secs(10)).await);
-    cluster.mesh.heal();
+    cluster.links.heal();
     row("the partition healed", cluster.measure_usage(secs(4)).await);
 
-    cluster.mesh.set(&all, &all, &LinkFaults { drop: 0.5, ..LinkFaults::default() });
+    cluster.links.set(&all, &all, &LinkFaults { drop: 0.5, ..LinkFaults::default() });
     row("half of all datagrams lost", cluster.measure_usage(secs(10)).await);
-    cluster.mesh.heal();
+    cluster.links.heal();
 
     let from = cluster.event_log().now();
     let third = &all[..SENDERS / 3];
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn without_a_descriptor_for_a_new_client_idle_ones_are_closed_and_the_log_says_so_once() {
+async fn without_a_descriptor_for_a_new_client_idle_connections_are_closed_with_one_log_line() {
     let Fixture { platform: _platform, mut receiver, mut program, folder: _folder, .. } =
         set_up(&[], DEADLINE_MS).await;
     assert_eq!(program.submit("safe", "m0", body()).await.status(), 202);
--- a/crates/daemon/tests/endpoint_discovery.rs
+++ b/crates/daemon/tests/endpoint_discovery.rs
@@ -85,7 +85,7 @@
 /// With its own discovery service a sender does not wait for its slot in the poll schedule, so that it does not call
 /// receivers that have left the list.
 #[tokio::test]
-async fn a_sender_of_a_large_fleet_with_its_own_discovery_agent_starts_with_the_agents_list() {
+async fn a_sender_of_a_large_fleet_with_its_own_discovery_service_starts_with_the_list_of_that() {
     let (platform, mut first) = (FakePlatform::start().await, Receiver::start(&[]).await);
     let mut second = Receiver::start(&[]).await;
     let mut config = config(platform.addr, &[member("r1", first.addr, 7, "SERVING")], DEADLINE_MS);
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -19,18 +19,18 @@
 }
 
 /// Datagrams that were delivered to a sender.
-fn delivered_to(mesh: &DatagramProxy, to: usize) -> u64 {
-    (0..SENDERS).map(|from| mesh.counts(from, to).passed).sum()
+fn delivered_to(links: &DatagramProxy, to: usize) -> u64 {
+    (0..SENDERS).map(|from| links.counts(from, to).passed).sum()
 }
 
 /// Datagrams to a sender that were lost.
-fn lost_to(mesh: &DatagramProxy, to: usize) -> u64 {
-    (0..SENDERS).map(|from| mesh.counts(from, to).dropped).sum()
+fn lost_to(links: &DatagramProxy, to: usize) -> u64 {
+    (0..SENDERS).map(|from| links.counts(from, to).dropped).sum()
 }
 
 /// Datagrams that a sender has sent.
-fn sent_by(mesh: &DatagramProxy, from: usize) -> u64 {
-    (0..SENDERS).map(|to| mesh.counts(from, to)).map(|counts| counts.sent).sum()
+fn sent_by(links: &DatagramProxy, from: usize) -> u64 {
+    (0..SENDERS).map(|to| links.counts(from, to)).map(|counts| counts.sent).sum()
 }
 
 /// Runs twelve processes: one is partitioned, datagrams of the others are damaged, one is killed, one paused, and each
@@ -41,7 +41,7 @@
     cluster.start_load();
     for sender in 0..SENDERS {
         eventually("each has sent and received", || {
-            delivered_to(&cluster.mesh, sender) > 1 && sent_by(&cluster.mesh, sender) > 1
+            delivered_to(&cluster.links, sender) > 1 && sent_by(&cluster.links, sender) > 1
         })
         .await;
     }
@@ -57,32 +57,32 @@
         damage: 0.2,
         replay_after: Some(Duration::from_secs(2)),
     };
-    cluster.mesh.set(&others, &others, &faults);
-    cluster.mesh.cut(&others, &[0]);
-    let (delivered, lost) = (delivered_to(&cluster.mesh, 0), lost_to(&cluster.mesh, 0));
-    let sent = sent_by(&cluster.mesh, 0);
-    eventually("it is cut off", || lost_to(&cluster.mesh, 0) > lost + 1).await;
-    eventually("it goes on sending", || sent_by(&cluster.mesh, 0) > sent + 3).await;
-    assert_eq!(delivered_to(&cluster.mesh, 0), delivered);
+    cluster.links.set(&others, &others, &faults);
+    cluster.links.cut(&others, &[0]);
+    let (delivered, lost) = (delivered_to(&cluster.links, 0), lost_to(&cluster.links, 0));
+    let sent = sent_by(&cluster.links, 0);
+    eventually("it is cut off", || lost_to(&cluster.links, 0) > lost + 1).await;
+    eventually("it goes on sending", || sent_by(&cluster.links, 0) > sent + 3).await;
+    assert_eq!(delivered_to(&cluster.links, 0), delivered);
     eventually("damaged and duplicated datagrams reach programs", || {
         logged("check does not fit") && logged("was heard before")
     })
     .await;
-    cluster.mesh.heal();
-    eventually("it receives again", || delivered_to(&cluster.mesh, 0) > delivered).await;
+    cluster.links.heal();
+    eventually("it receives again", || delivered_to(&cluster.links, 0) > delivered).await;
 
     cluster.pause(5).await.expect("paused");
     // Time to forward the datagrams that it has written.
     sleep(Duration::from_millis(100)).await;
-    let sent_before_pause = sent_by(&cluster.mesh, 5);
+    let sent_before_pause = sent_by(&cluster.links, 5);
     cluster.kill(3).await.expect("killed");
     sleep(Duration::from_millis(600)).await;
-    assert_eq!(sent_by(&cluster.mesh, 5), sent_before_pause);
-    let sent_before_kill = sent_by(&cluster.mesh, 3);
+    assert_eq!(sent_by(&cluster.links, 5), sent_before_pause);
+    let sent_before_kill = sent_by(&cluster.links, 3);
     cluster.resume(5).await.expect("resumed");
     cluster.restart(3, Journal::Kept).await.expect("restarted");
     eventually("both send again", || {
-        sent_by(&cluster.mesh, 5) > sent_before_pause && sent_by(&cluster.mesh, 3) > sent_before_kill
+        sent_by(&cluster.links, 5) > sent_before_pause && sent_by(&cluster.links, 3) > sent_before_kill
     })
     .await;
 
@@ -90,9 +90,9 @@
 
     // All messages have their final outcomes, so nothing is lost with a folder.
     cluster.kill(7).await.expect("killed");
-    let sent_before_kill = sent_by(&cluster.mesh, 7);
+    let sent_before_kill = sent_by(&cluster.links, 7);
     cluster.restart(7, Journal::Empty).await.expect("restarted");
-    eventually("it sends again", || sent_by(&cluster.mesh, 7) > sent_before_kill).await;
+    eventually("it sends again", || sent_by(&cluster.links, 7) > sent_before_kill).await;
     verdict
 }
 
--- a/crates/daemon/tests/golden/clients.rs
+++ b/crates/daemon/tests/golden/clients.rs
@@ -61,14 +61,14 @@
 }
 
 #[tokio::test]
-async fn a_message_that_is_taken_on_is_answered_with_these_bytes() {
+async fn an_accepted_message_is_answered_with_these_bytes() {
     let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, config: _config } =
         set_up(&[], DEADLINE_MS).await;
     assert_golden("client_taken_on.txt", &answer(&program, &good()).await);
 }
 
 #[tokio::test]
-async fn a_message_without_time_is_refused_with_these_bytes() {
+async fn a_message_without_time_left_is_rejected_with_these_bytes() {
     let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, config: _config } =
         set_up(&[], DEADLINE_MS).await;
     let late = with("X-Remaining: 60", "X-Remaining: 0");
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn a_message_that_finds_no_room_is_refused_with_a_time_with_these_bytes() {
+async fn a_message_without_capacity_is_rejected_with_a_retry_after_with_these_bytes() {
     let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, .. } = small().await;
     for message_id in ["k1", "k2", "k3"] {
         assert_eq!(program.submit("keyed", message_id, BODY.into()).await.status(), 202, "{message_id}");
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn a_destination_or_class_that_nobody_knows_is_answered_with_these_bytes() {
+async fn an_unknown_destination_or_class_is_answered_with_these_bytes() {
     let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, config: _config } =
         set_up(&[], DEADLINE_MS).await;
     let destination = answer(&program, &with("dest=7", "dest=8")).await;
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn bad_requests_are_answered_with_these_bytes() {
+async fn invalid_requests_are_answered_with_these_bytes() {
     let Fixture { platform: _platform, mut receiver, program, folder: _folder, config: _config } =
         set_up(&[], DEADLINE_MS).await;
     let cases = [
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_is_too_large_is_answered_with_these_bytes() {
+async fn a_too_large_request_is_answered_with_these_bytes() {
     let Fixture { platform: _platform, receiver: _receiver, program, folder: _folder, config: _config } =
         set_up(&[], DEADLINE_MS).await;
     let large = with(LENGTH, "Content-Length: 65537");
@@ -136,7 +136,7 @@
 
 /// A call in flight delays the exit of the program.
 #[tokio::test]
-async fn clients_of_a_program_that_stops_are_answered_with_these_bytes() {
+async fn clients_of_a_stopping_program_are_answered_with_these_bytes() {
     let Fixture { platform: _platform, mut receiver, mut program, folder: _folder, config: _config } =
         set_up(&[ScriptedResponse::NoResponse], DEADLINE_MS).await;
     assert_eq!(program.submit("once", "m0", BODY.into()).await.status(), 202);
--- a/crates/daemon/tests/golden/control.rs
+++ b/crates/daemon/tests/golden/control.rs
@@ -40,7 +40,7 @@
 
 /// A call in flight delays the exit of the program.
 #[tokio::test]
-async fn commands_to_a_program_that_stops_are_answered_with_these_bytes() {
+async fn commands_to_a_stopping_program_are_answered_with_these_bytes() {
     let ControlFixture { platform: _platform, mut receiver, mut program, folder: _folder, control } =
         set_up_with_control(&[ScriptedResponse::NoResponse]).await;
     assert_eq!(program.submit("once", "m1", "text".into()).await.status(), 202);
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn figures_have_these_keys_in_this_order() {
+async fn metrics_have_these_keys_in_this_order() {
     let ControlFixture { platform: _platform, mut receiver, program, folder: _folder, control } =
         set_up_with_control(&[]).await;
     assert_eq!(program.submit("safe", "m1", "text".into()).await.status(), 202);
--- a/crates/daemon/tests/golden/discovery.rs
+++ b/crates/daemon/tests/golden/discovery.rs
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn the_list_and_the_watches_are_asked_for_with_these_bytes() {
+async fn the_list_and_the_watches_are_requested_with_these_bytes() {
     let mut discovery = Recorder::start_with(list(7, true, &[]).to_string(), whole_list).await;
     let folder = persistent_folder();
     let _program = Program::start(&config(discovery.addr, &[], DEADLINE_MS), &folder.state).await;
--- a/crates/daemon/tests/golden/log_errors.rs
+++ b/crates/daemon/tests/golden/log_errors.rs
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn a_start_without_what_it_needs_ends_with_these_lines() {
+async fn a_start_with_a_missing_or_invalid_variable_ends_with_these_lines() {
     let folder = persistent_folder();
     let file = folder.state.with_extension("json");
     std::fs::write(&file, good().to_string()).expect("a configuration file");
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn a_configuration_that_cannot_be_used_ends_the_program_with_these_lines() {
+async fn an_invalid_configuration_ends_the_program_with_these_lines() {
     let folder = persistent_folder();
     let mut text = section("no JSON", &refused("{", &folder.state).await);
     let cases = [
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn an_address_that_is_taken_ends_the_program_with_this_line() {
+async fn an_address_in_use_ends_the_program_with_this_line() {
     let (folder, taken) = (persistent_folder(), TcpListener::bind("127.0.0.1:0").await.expect("a port"));
     let addr = taken.local_addr().expect("an address").to_string();
     let mut config = good();
--- a/crates/daemon/tests/golden/log_lines.rs
+++ b/crates/daemon/tests/golden/log_lines.rs
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn a_program_that_finds_messages_in_its_journal_logs_these_lines() {
+async fn a_program_that_recovers_messages_from_its_journal_logs_these_lines() {
     let Site { mut platform, mut receiver, folder, config } =
         Site::new(&[ScriptedResponse::NoResponse], DEADLINE_MS).await;
     let old = Logged::start(&config, &folder.state).await;
--- a/crates/daemon/tests/golden/notices.rs
+++ b/crates/daemon/tests/golden/notices.rs
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn a_message_that_may_have_run_is_told_as_undeliverable_with_these_bytes() {
+async fn a_possibly_executed_message_is_notified_as_undeliverable_with_these_bytes() {
     let RecordedPeers { mut platform, mut receiver, program, _folder } =
         RecordedPeers::start("SERVING", |_| ()).await;
     end_with("500 Internal Server Error", "once", &program, &mut receiver).await;
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn a_message_that_nobody_took_is_told_as_deferred_with_these_bytes() {
+async fn a_message_that_was_not_executed_is_notified_as_deferred_with_these_bytes() {
     let RecordedPeers { mut platform, mut receiver, program, _folder } =
         RecordedPeers::start("SERVING", |_| ()).await;
     end_with("504 Gateway Timeout", "safe", &program, &mut receiver).await;
@@ -80,7 +80,7 @@
 
 /// Three messages can be pending, and the fourth one has a higher value than the first.
 #[tokio::test]
-async fn a_message_that_gives_way_to_another_is_told_as_deferred_with_a_time_with_these_bytes() {
+async fn an_evicted_message_is_notified_as_deferred_with_a_retry_after_with_these_bytes() {
     let small = |config: &mut Value| {
         config["settings"]["limits"]["most_held"] = 4.into();
         config["settings"]["lanes"][1]["credit"] = 5.0.into();
@@ -95,7 +95,7 @@
 
 /// A notification that becomes due while a request is unanswered is added to its repetition.
 #[tokio::test]
-async fn several_notices_go_in_one_request_a_line_each() {
+async fn several_notifications_are_sent_in_one_request_with_a_line_each() {
     let RecordedPeers { mut platform, mut receiver, program, _folder } =
         RecordedPeers::start("SERVING", |_| ()).await;
     end_with("500 Internal Server Error", "once", &program, &mut receiver).await;
--- a/crates/daemon/tests/golden/receivers.rs
+++ b/crates/daemon/tests/golden/receivers.rs
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn attempts_of_a_message_without_a_key_are_these_bytes() {
+async fn attempts_of_a_message_without_a_key_have_these_bytes() {
     let RecordedReceiver { _platform, mut receiver, program, _folder } = RecordedReceiver::start().await;
     let mut client = program.raw(&raw_submission("m1", "Content-Length: 4", "text")).await;
     assert_eq!(status(&mut client).await, Some(202));
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn attempts_of_a_message_with_a_key_are_these_bytes() {
+async fn attempts_of_a_message_with_a_key_have_these_bytes() {
     let RecordedReceiver { _platform, mut receiver, program, _folder } = RecordedReceiver::start().await;
     assert_eq!(program.submit("keyed", "m1", "text".into()).await.status(), 202);
     assert_two_attempts(
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn a_body_of_any_bytes_goes_out_as_it_came() {
+async fn a_body_of_any_bytes_is_forwarded_unchanged() {
     let RecordedReceiver { _platform, mut receiver, program, _folder } = RecordedReceiver::start().await;
     let body = b"\0\r\n\x7f\\\"end".as_slice();
     assert_eq!(program.submit("once", "m1", body.into()).await.status(), 202);
--- a/crates/daemon/tests/notifications.rs
+++ b/crates/daemon/tests/notifications.rs
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn a_notification_comes_in_time_when_no_receiver_responds() {
+async fn a_notification_is_sent_in_time_when_no_receiver_responds() {
     let Fixture { mut platform, mut receiver, program, folder: _folder, .. } =
         set_up(&[ScriptedResponse::NoResponse; 4], DEADLINE_MS).await;
     let submitted_at = Instant::now();
--- a/crates/daemon/tests/outages.rs
+++ b/crates/daemon/tests/outages.rs
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn discovery_agents_and_links_fail_as_scripted_and_no_rule_is_violated() {
+async fn discovery_services_and_links_fail_as_scripted_and_no_rule_is_violated() {
     let script = format!("{TRAFFIC}{}{EVENTS}", scenario::destinations(0.0));
     let CheckedRun { lines, verdict } = scenario::run(&script, Duration::from_secs(5)).await;
     assert!(verdict.is_clean() && verdict.accounting.pending == 0, "{verdict}");
--- a/crates/daemon/tests/permits.rs
+++ b/crates/daemon/tests/permits.rs
@@ -36,9 +36,9 @@
     cluster.start_load();
     // Time for the first permits and for queued calls at all senders.
     sleep(Duration::from_millis(3_500)).await;
-    cluster.mesh.cut(&all, half);
+    cluster.links.cut(&all, half);
     rows.push(phase(&mut cluster, "half receive nothing, but send", 4_000).await);
-    cluster.mesh.heal();
+    cluster.links.heal();
     let faults = LinkFaults {
         drop: 0.5,
         duplicate: 0.3,
@@ -47,7 +47,7 @@
         replay_after: Some(Duration::from_millis(700)),
         ..LinkFaults::default()
     };
-    cluster.mesh.set(&all, &all, &faults);
+    cluster.links.set(&all, &all, &faults);
     rows.push(
         phase(&mut cluster, "half of all datagrams lost, the others delayed, duplicated, replayed", 4_000)
             .await,
@@ -63,7 +63,7 @@
     sleep(Duration::from_millis(1_500)).await;
     let usage = cluster.usage(from..cluster.event_log().now());
     rows.push(Row { phase: "one killed and restarted, one paused and resumed", usage });
-    cluster.mesh.heal();
+    cluster.links.heal();
     let from = cluster.event_log().now();
     cluster.kill(5).await.expect("killed");
     cluster.restart(5, Journal::Empty).await.expect("restarted");
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -138,7 +138,7 @@
 
 /// Equal messages are sent in the order of their ids, not in a hash map's order.
 #[tokio::test]
-async fn recovered_untried_messages_are_sent_in_one_order_whatever_the_journals_order_is() {
+async fn recovered_messages_without_attempts_are_sent_in_one_order_for_any_order_of_the_journal() {
     let Site { platform: _platform, mut receiver, folder, mut config } = Site::new(&[], DEADLINE_MS).await;
     config["settings"]["extra"]["calls_out"] = 1.into();
     write_journal(&folder.state, not_attempted_messages(40));
@@ -185,7 +185,7 @@
 
 /// Both processes are at their pending limit.
 #[tokio::test]
-async fn a_successor_that_takes_over_as_much_as_it_already_has_drops_none_of_it() {
+async fn a_successor_at_its_pending_limit_drops_no_message_that_it_takes_over() {
     let wait = ScriptedResponse::StatusWithHeader(429, "x-backoff-ms", "3000");
     let Site { mut platform, mut receiver, folder, mut config } = Site::new(&[wait], DEADLINE_MS).await;
     config["settings"]["limits"]["most_held"] = 20.into();
--- a/crates/http2/tests/client/flow_control.rs
+++ b/crates/http2/tests/client/flow_control.rs
@@ -8,6 +8,7 @@
     CANCEL, INTERNAL_ERROR, LONG, REFUSED_STREAM, SHORT, complete, incomplete, outcome, reset, response, run,
     start,
 };
+use rudderspindle_testkit::frames::StreamReset;
 
 #[tokio::test]
 async fn a_request_that_the_window_holds_back_is_incomplete_and_never_executed() {
@@ -16,7 +17,7 @@
         let mut gateway = harness.accept_with_closed_windows().await;
         let call = harness.call(SHORT);
         assert_eq!(outcome(call).await, incomplete(StreamOutcome::DeadlineExceeded));
-        assert_eq!(gateway.reset_by_client().await, (3, CANCEL));
+        assert_eq!(gateway.reset_by_client().await, StreamReset { stream: 3, code: CANCEL });
         // With half of its body a request is still incomplete; with the rest it is complete.
         let call = harness.call(SHORT);
         assert_eq!(gateway.next().await.expect("a head").stream, 5);
--- a/crates/http2/tests/client/responses.rs
+++ b/crates/http2/tests/client/responses.rs
@@ -9,6 +9,7 @@
     CANCEL, ENHANCE_YOUR_CALM, HTTP_1_1_REQUIRED, INTERNAL_ERROR, LONG, NO_ERROR, REFUSED_STREAM, complete,
     outcome, reset, response, run, start,
 };
+use rudderspindle_testkit::frames::StreamReset;
 
 /// What the gateway sends beside the head of a response.
 #[derive(Clone, Copy, Debug)]
@@ -88,7 +89,7 @@
         let mut gateway = harness.accept().await;
         let streams = [gateway.request().await, gateway.request().await];
         dropped.abort();
-        assert_eq!(gateway.reset_by_client().await, (streams[0], CANCEL));
+        assert_eq!(gateway.reset_by_client().await, StreamReset { stream: streams[0], code: CANCEL });
         gateway.head(streams[1], 200, None, true).await;
         assert_eq!(outcome(kept).await.stream, response(200));
     })
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -9,6 +9,7 @@
 mod tests;
 
 use std::net::SocketAddr;
+use std::ops::Range;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -19,7 +20,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 use malformed::malformed_request;
-pub use plan::{KEYED, PlannedMessage, SAFE, TENANTS, plan};
+pub use plan::{KEYED, MessageClass, PlannedMessage, SAFE, TENANTS, Tenant, plan};
 use submission::{Submission, SubmissionResult};
 
 use crate::event_log::{Event, EventLog};
@@ -28,7 +29,7 @@
 /// How long a client waits for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Range of the pause before a message is submitted again that was not answered, in milliseconds.
-const RESUBMIT_PAUSE_MS: (f64, f64) = (710.0, 1_700.0);
+const RESUBMIT_PAUSE_MS: Range<f64> = 710.0..1_700.0;
 /// Submissions of a message after its first.
 const MAX_RESUBMISSIONS: u32 = 4;
 /// Delay of a submission beyond which a lag of this machine is recorded.
@@ -115,7 +116,7 @@
                 SubmissionResult::Unanswered | SubmissionResult::NotSubmitted => {
                     // The sender is probably down: use the next one.
                     sender = (sender + 1) % self.senders.len();
-                    let pause_ms = rng.between(RESUBMIT_PAUSE_MS.0, RESUBMIT_PAUSE_MS.1);
+                    let pause_ms = rng.between(RESUBMIT_PAUSE_MS.start, RESUBMIT_PAUSE_MS.end);
                     Duration::from_secs_f64(pause_ms / 1_000.0)
                 }
             };
--- a/crates/testkit/src/client/plan.rs
+++ b/crates/testkit/src/client/plan.rs
@@ -2,6 +2,7 @@
 //!
 //! The order of the draws is fixed: a scenario stands for the same messages in all versions.
 
+use std::ops::Range;
 use std::time::Duration;
 
 use crate::scenario::{ReceiverPlan, Scenario, SeededRng, Traffic};
@@ -9,18 +10,41 @@
 /// Distinguishes the clients' seed from the scenario's.
 const CLIENT_SEED: u64 = 0x636c_6965_6e74;
 /// Range of the pause before a client submits again, in seconds.
-const RETRY_PAUSE_S: (f64, f64) = (0.33, 1.2);
+const RETRY_PAUSE_S: Range<f64> = 0.33..1.2;
 /// Range of the body's length, in bytes.
-const BODY_LEN: (u64, u64) = (50, 800);
+const BODY_LEN: Range<u64> = 50..800;
 
-/// The tenants, and their shares of the traffic.
-pub const TENANTS: [(&str, f64); 5] =
-    [("tenant-a", 0.45), ("tenant-b", 0.19), ("tenant-c", 0.15), ("tenant-d", 0.11), ("tenant-e", 0.10)];
+/// A tenant and its share of the traffic.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Tenant {
+    /// Name of the tenant.
+    pub name: &'static str,
+    /// Share of the messages, from 0 to 1.
+    pub share: f64,
+}
+
+/// All tenants; the shares add up to 1.
+pub const TENANTS: [Tenant; 5] = [
+    Tenant { name: "tenant-a", share: 0.45 },
+    Tenant { name: "tenant-b", share: 0.19 },
+    Tenant { name: "tenant-c", share: 0.15 },
+    Tenant { name: "tenant-d", share: 0.11 },
+    Tenant { name: "tenant-e", share: 0.10 },
+];
+
+/// A class of messages as clients submit them.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MessageClass {
+    /// Name of the class.
+    pub name: &'static str,
+    /// Time in which a message may be delivered.
+    pub lifetime: Duration,
+}
 
-/// The class of messages with idempotency keys, and how long they may take to be delivered.
-pub const KEYED: (&str, Duration) = ("keyed", Duration::from_millis(28_000));
-/// The class of idempotent messages, and how long they may take to be delivered.
-pub const SAFE: (&str, Duration) = ("safe", Duration::from_millis(20_000));
+/// The class of messages with idempotency keys.
+pub const KEYED: MessageClass = MessageClass { name: "keyed", lifetime: Duration::from_millis(28_000) };
+/// The class of idempotent messages.
+pub const SAFE: MessageClass = MessageClass { name: "safe", lifetime: Duration::from_millis(20_000) };
 
 /// A message that a client will submit.
 #[derive(Clone, Debug, PartialEq)]
@@ -114,11 +138,11 @@
     /// Draws a tenant by the tenants' shares.
     fn draw_tenant(&mut self) -> &'static str {
         let mut position = self.rng.unit();
-        let drawn = TENANTS.iter().find(|(_, share)| {
-            position -= share;
+        let drawn = TENANTS.iter().find(|tenant| {
+            position -= tenant.share;
             position < 0.0
         });
-        drawn.unwrap_or(&TENANTS[0]).0
+        drawn.unwrap_or(&TENANTS[0]).name
     }
 
     fn draw_message(&mut self, arrival: Arrival) -> PlannedMessage {
@@ -126,21 +150,21 @@
         let number = self.planned.len() as u32;
         let tenant = self.draw_tenant();
         let is_idempotent = self.rng.chance(traffic.idempotent_share.get());
-        let (class, lifetime) = if is_idempotent { SAFE } else { KEYED };
+        let class = if is_idempotent { SAFE } else { KEYED };
         let retries = self.rng.chance(traffic.retry_share.get());
-        let retry_pause =
-            retries.then(|| Duration::from_secs_f64(self.rng.between(RETRY_PAUSE_S.0, RETRY_PAUSE_S.1)));
+        let retry_pause = retries
+            .then(|| Duration::from_secs_f64(self.rng.between(RETRY_PAUSE_S.start, RETRY_PAUSE_S.end)));
         PlannedMessage {
             at: Duration::from_secs_f64(arrival.at_s),
             message_id: format!("{:08x}{number:08x}", self.scenario.seed as u32),
-            class,
+            class: class.name,
             tenant,
             receiver: arrival.receiver,
             sender: arrival.sender,
-            lifetime: lifetime.min(self.max_lifetime),
+            lifetime: class.lifetime.min(self.max_lifetime),
             retry_pause,
             disconnects: self.rng.chance(traffic.abandon_share.get()),
-            body_len: self.rng.integer(BODY_LEN.0, BODY_LEN.1) as usize,
+            body_len: self.rng.integer(BODY_LEN.start, BODY_LEN.end) as usize,
         }
     }
 }
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Cluster {
     /// The proxies for datagrams between the senders.
-    pub mesh: DatagramProxy,
+    pub links: DatagramProxy,
     scenario: Scenario,
     max_lifetime: Duration,
     folder: PathBuf,
@@ -77,7 +77,7 @@
         let names: Vec<String> = (0..scenario.senders).map(sender_name).collect();
         let receivers = start_receivers(scenario, &names, &rules, &event_log).await?;
         let gossip_addrs = gossip_addresses(scenario.senders)?;
-        let mesh = DatagramProxy::start(&gossip_addrs, scenario.seed).await?;
+        let links = DatagramProxy::start(&gossip_addrs, scenario.seed).await?;
         let mut discoveries = Vec::new();
         let mut programs = Vec::new();
         let mut addresses = Vec::new();
@@ -86,7 +86,7 @@
             let discovery = FakeDiscovery::start(name, entries, &event_log).await?;
             let mut config = configuration(&discovery, &classes, &rules, names.len(), index);
             config["peer_listen"] = json!(gossip_addrs[index]);
-            config["peers"] = json!(mesh.peers(index));
+            config["peers"] = json!(links.peers(index));
             config["settings"]["limits"]["peers"] = json!(true);
             let mut program = Program::new(name, launch, &folder.join(name), config, None, &event_log)?;
             program.start().await?;
@@ -97,7 +97,7 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(record_lag(event_log.clone()));
         Ok(Self {
-            mesh,
+            links,
             scenario: scenario.clone(),
             max_lifetime,
             folder: folder.to_owned(),
--- a/crates/testkit/src/datagram_proxy.rs
+++ b/crates/testkit/src/datagram_proxy.rs
@@ -76,10 +76,10 @@
     /// # #[tokio::main(flavor = "current_thread")] async fn main() -> std::io::Result<()> {
     /// let a = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
     /// let b = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
-    /// let mesh = DatagramProxy::start(&[a.local_addr()?, b.local_addr()?], 1).await?;
-    /// a.send_to(b"hello", mesh.peers(0)[1]).await?;
+    /// let proxy = DatagramProxy::start(&[a.local_addr()?, b.local_addr()?], 1).await?;
+    /// a.send_to(b"hello", proxy.peers(0)[1]).await?;
     /// let (_, from) = b.recv_from(&mut [0; 256]).await?;
-    /// assert_eq!(from, mesh.peers(1)[0]);
+    /// assert_eq!(from, proxy.peers(1)[0]);
     /// # Ok(())
     /// # }
     /// ```
@@ -109,8 +109,8 @@
 
     /// The addresses at which a sender reaches each of them, by index, with its own address for itself: its `peers`.
     pub fn peers(&self, me: usize) -> Vec<SocketAddr> {
-        let place = |(other, addr): (usize, &SocketAddr)| *self.peer_addrs.get(&(me, other)).unwrap_or(addr);
-        self.addrs.iter().enumerate().map(place).collect()
+        let address = |other| *self.peer_addrs.get(&(me, other)).unwrap_or(&self.addrs[other]);
+        (0..self.addrs.len()).map(address).collect()
     }
 
     fn each(&self, from: &[usize], to: &[usize], change: impl Fn(&mut State)) {
--- a/crates/testkit/src/fake_receiver/tests.rs
+++ b/crates/testkit/src/fake_receiver/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_window_accepts_its_count_and_says_how_long_it_lasts() {
+fn a_window_accepts_its_count_and_returns_the_time_until_its_end() {
     let window = Limit::Window { window_ms: Ms::try_from(1_000).expect("a window") };
     let mut limiter = RateLimiter::new(window, 3.0, false);
     let results: Vec<_> = (0..4).map(|n| limiter.call(100_000 * n)).collect();
--- a/crates/testkit/src/fault_schedule/tests.rs
+++ b/crates/testkit/src/fault_schedule/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_fate_of_a_datagram_depends_on_its_link_and_number_and_not_on_earlier_faults() {
+fn the_faults_of_a_datagram_depend_on_its_link_and_number_and_not_on_earlier_faults() {
     let faulty =
         LinkFaults { drop: 0.5, damage: 0.5, delay: Duration::ZERO..99 * MS, ..LinkFaults::default() };
     let after = |before: &LinkFaults, (from, to)| {
--- a/crates/testkit/src/frames.rs
+++ b/crates/testkit/src/frames.rs
@@ -36,6 +36,15 @@
     pub payload: Vec<u8>,
 }
 
+/// A reset of a stream (RST_STREAM).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StreamReset {
+    /// The stream.
+    pub stream: u32,
+    /// Its error code.
+    pub code: u32,
+}
+
 /// The gateway's side of a connection.
 #[derive(Debug)]
 pub struct Frames {
@@ -108,12 +117,13 @@
         }
     }
 
-    /// Waits for a reset: its stream and code.
-    pub async fn reset_by_client(&mut self) -> (u32, u32) {
+    /// Waits for a reset by the client.
+    pub async fn reset_by_client(&mut self) -> StreamReset {
         loop {
             let frame = self.next().await.expect("a reset before the end");
             if frame.kind == RST_STREAM {
-                return (frame.stream, u32::from_be_bytes(frame.payload.try_into().expect("four bytes")));
+                let code = u32::from_be_bytes(frame.payload.try_into().expect("four bytes"));
+                return StreamReset { stream: frame.stream, code };
             }
         }
     }
--- a/crates/testkit/src/test_environment/configuration.rs
+++ b/crates/testkit/src/test_environment/configuration.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use crate::client::{KEYED, SAFE, TENANTS};
+use crate::client::{KEYED, MessageClass, SAFE, TENANTS, Tenant};
 use crate::event_log::{Class, Effect, Endpoint, KeyGroup, Rules};
 use crate::fake_discovery::FakeDiscovery;
 use crate::fake_receiver::KEY_TIME;
@@ -24,13 +24,13 @@
 
 /// The message classes of a test in which no message lives longer than `max_lifetime`.
 pub fn classes(max_lifetime: Duration) -> Vec<Class> {
-    let class = |(name, lifetime): (&str, Duration), effect, group, window: Duration, target_ms| Class {
-        name: name.to_owned(),
+    let class = |class: MessageClass, effect, group, window: Duration, target_ms| Class {
+        name: class.name.to_owned(),
         effect,
         group,
         window_ms: window.as_millis() as u64,
         target_ms,
-        deadline_ms: lifetime.min(max_lifetime).as_millis() as u64,
+        deadline_ms: class.lifetime.min(max_lifetime).as_millis() as u64,
         ordered: false,
     };
     vec![
@@ -93,6 +93,6 @@
 }
 
 fn projects() -> Vec<Value> {
-    let project = |(name, _): &(&str, f64)| json!({"name": name, "fraction": 0.2, "quota_per_s": 1000.0});
+    let project = |tenant: &Tenant| json!({"name": tenant.name, "fraction": 0.2, "quota_per_s": 1000.0});
     TENANTS.iter().map(project).collect()
 }
--- a/crates/testkit/tests/checker/clean_logs.rs
+++ b/crates/testkit/tests/checker/clean_logs.rs
@@ -117,7 +117,7 @@
 
     /// A message whose final outcome is removed from a clean log is lost.
     #[test]
-    fn an_outcome_removed_from_a_clean_log_is_missed(seed in any::<u64>()) {
+    fn an_outcome_removed_from_a_clean_log_is_reported_as_lost(seed in any::<u64>()) {
         let mut log = clean_log(seed, 50);
         let last = log.0.iter().rposition(|line| matches!(line.event, Event::Notified { .. }));
         if let Some(last) = last {
--- a/crates/testkit/tests/checker/log_builder.rs
+++ b/crates/testkit/tests/checker/log_builder.rs
@@ -27,11 +27,11 @@
             class("unsafe", Effect::AtMostOnce, KeyGroup::All, false),
             class("ordered", Effect::Idempotent, KeyGroup::All, true),
         ];
-        let endpoint = |id: &str, partner, hall: &str, apart| Endpoint {
+        let endpoint = |id: &str, receiver, zone: &str, independent| Endpoint {
             id: id.to_owned(),
-            receiver: partner,
-            zone: hall.to_owned(),
-            independent: apart,
+            receiver,
+            zone: zone.to_owned(),
+            independent,
             per_s: 10.0,
         };
         let endpoints = vec![
@@ -40,8 +40,8 @@
             endpoint("r1", 2, "hall-a", true),
             endpoint("r2", 2, "hall-a", true),
         ];
-        let world = Event::Header { v: VERSION, classes, endpoints, rules: Rules::default() };
-        Self(vec![Line { t: 0, event: world }])
+        let header = Event::Header { v: VERSION, classes, endpoints, rules: Rules::default() };
+        Self(vec![Line { t: 0, event: header }])
     }
 
     pub fn at(&mut self, ms: u64, event: Event) -> &mut Self {
@@ -106,9 +106,9 @@
 }
 
 impl Log {
-    pub fn link(&mut self, ms: u64, endpoint: &str, hides: bool, on: bool) -> &mut Self {
+    pub fn link(&mut self, ms: u64, endpoint: &str, hides_responses: bool, on: bool) -> &mut Self {
         let (sender, endpoint, kind) = ("n0".to_owned(), endpoint.to_owned(), "black_hole".to_owned());
-        self.at(ms, Event::LinkFault { sender, endpoint, kind, hides_responses: hides, on })
+        self.at(ms, Event::LinkFault { sender, endpoint, kind, hides_responses, on })
     }
 
     pub fn discovery_fault(&mut self, ms: u64, kind: &str, on: bool) -> &mut Self {
--- a/crates/testkit/tests/golden_data/main.rs
+++ b/crates/testkit/tests/golden_data/main.rs
@@ -107,7 +107,7 @@
 fn random_event(draw: &mut SeededRng, t: u64, calls: &mut u64) -> Value {
     let sender = format!("n{}", draw.integer(0, 2));
     let endpoint = ["a", "b", "r1", "r2"][draw.integer(0, 4) as usize];
-    let txn = format!("m{}", draw.integer(0, 12));
+    let message_id = format!("m{}", draw.integer(0, 12));
     let class = ["safe", "keyed_all", "keyed_hall", "keyed_endpoint", "unsafe", "ordered"];
     let class = class[draw.integer(0, 6) as usize];
     let status = [200, 200, 202, 429, 503, 500, 504, 410][draw.integer(0, 8) as usize];
@@ -115,16 +115,16 @@
     let on = draw.chance(0.5);
     match draw.integer(0, 24) {
         0..=3 => {
-            json!({"t": t, "ev": "handed_in", "txn": txn, "first": txn, "sender": sender, "class": class,
+            json!({"t": t, "ev": "handed_in", "txn": message_id, "first": message_id, "sender": sender, "class": class,
             "tenant": "t", "partner": 1, "left_ms": draw.integer(0, 4_000),
             "order": if class == "ordered" { Some("key") } else { None }})
         }
-        4..=6 => json!({"t": t, "ev": "heard", "txn": txn, "status": status}),
-        7 => json!({"t": t, "ev": "unheard", "txn": txn}),
+        4..=6 => json!({"t": t, "ev": "heard", "txn": message_id, "status": status}),
+        7 => json!({"t": t, "ev": "unheard", "txn": message_id}),
         8..=11 => {
             *calls += 1;
             let first_us = t - draw.integer(0, 5_000).min(t);
-            json!({"t": t, "ev": "called", "call": *calls, "sender": sender, "endpoint": endpoint, "txn": txn,
+            json!({"t": t, "ev": "called", "call": *calls, "sender": sender, "endpoint": endpoint, "txn": message_id,
                 "first_us": first_us})
         }
         12 => json!({"t": t, "ev": "effect", "call": call, "repeat": on}),
@@ -141,7 +141,7 @@
         }
         19 => {
             let status = if on { "undeliverable" } else { "deferred" };
-            json!({"t": t, "ev": "noticed", "sender": sender, "txn": txn, "status": status,
+            json!({"t": t, "ev": "noticed", "sender": sender, "txn": message_id, "status": status,
                 "taken": draw.chance(0.8)})
         }
         20 => json!({"t": t, "ev": "outage", "endpoint": endpoint, "kind": "shut", "on": on}),
@@ -152,8 +152,8 @@
         22 => json!({"t": t, "ev": "link", "sender": sender, "endpoint": endpoint, "kind": "lose_back",
             "hides": draw.chance(0.5), "on": on}),
         _ => {
-            let life = ["ready", "term", "ended"][draw.integer(0, 3) as usize];
-            json!({"t": t, "ev": "sender", "sender": sender, "life": life})
+            let state = ["ready", "term", "ended"][draw.integer(0, 3) as usize];
+            json!({"t": t, "ev": "sender", "sender": sender, "life": state})
         }
     }
 }
@@ -164,8 +164,8 @@
         json!({"name": name, "effect": effect, "group": group, "window_ms": 900, "aim_ms": 300,
             "deadline_ms": 2_000, "ordered": ordered})
     };
-    let endpoint = |id: &str, partner: u16, hall: &str, apart: bool| json!({"id": id, "partner": partner, "hall": hall, "apart": apart, "per_s": 0.5});
-    let world = json!({"t": 0, "ev": "world", "v": 1,
+    let endpoint = |id: &str, receiver: u16, zone: &str, independent: bool| json!({"id": id, "partner": receiver, "hall": zone, "apart": independent, "per_s": 0.5});
+    let header = json!({"t": 0, "ev": "world", "v": 1,
         "classes": [class("safe", "safe", "all", false), class("keyed_all", "keyed", "all", false),
             class("keyed_hall", "keyed", "hall", false), class("keyed_endpoint", "keyed", "endpoint", false),
             class("unsafe", "unsafe", "all", false), class("ordered", "safe", "all", true)],
@@ -174,7 +174,7 @@
         "rules": {"drain_grace_ms": 200, "fall_multiple": 1.5, "fall_ms": 3_000, "cold_from": 0.17,
             "warm_ms": 9_300, "wait_grace_ms": 100, "slack_ms": 50, "end_ms": 300, "restart_ms": 1_500,
             "order_rest_ms": 1_000}});
-    let mut text = format!("{world}\n");
+    let mut text = format!("{header}\n");
     let (mut t, mut calls) = (0, 0);
     for _ in 0..300 {
         t += draw.integer(0, 60_000);
--- a/crates/testkit/tests/wrong_senders/faulty_sender.rs
+++ b/crates/testkit/tests/wrong_senders/faulty_sender.rs
@@ -43,6 +43,13 @@
     drained_at: Option<Instant>,
 }
 
+/// An endpoint that is called next.
+struct ChosenEndpoint {
+    addr: SocketAddr,
+    id: String,
+    zone: String,
+}
+
 #[derive(Debug, Default)]
 struct State {
     routes: Vec<Route>,
@@ -122,7 +129,7 @@
             if Instant::now() >= deadline || !may_continue {
                 break;
             }
-            let Some((addr, id, zone)) = self.choose(executed_in.as_deref(), &class) else {
+            let Some(ChosenEndpoint { addr, id, zone }) = self.choose(executed_in.as_deref(), &class) else {
                 sleep_until((Instant::now() + Duration::from_millis(20)).min(deadline)).await;
                 continue;
             };
@@ -191,8 +198,8 @@
         }
     }
 
-    /// Chooses an endpoint that may be called now: its address, id and zone.
-    fn choose(&self, executed_in: Option<&str>, class: &str) -> Option<(SocketAddr, String, String)> {
+    /// Chooses an endpoint that may be called now.
+    fn choose(&self, executed_in: Option<&str>, class: &str) -> Option<ChosenEndpoint> {
         let mut state = self.state.lock().expect("a state");
         let now = Instant::now();
         if state.backoffs.is_active("", now) {
@@ -219,7 +226,7 @@
             Some(zone) => r.zone == zone,
             None => true,
         });
-        fit.next().map(|r| (r.addr, r.id.clone(), r.zone.clone()))
+        fit.next().map(|r| ChosenEndpoint { addr: r.addr, id: r.id.clone(), zone: r.zone.clone() })
     }
 
     async fn notify(&self, message_id: &str, status: &str) {
--- a/crates/testkit/tests/wrong_senders/main.rs
+++ b/crates/testkit/tests/wrong_senders/main.rs
@@ -15,7 +15,7 @@
 
 use backoffs::Backoffs;
 use faulty_sender::Fault;
-use test_run::{Messages, TestRun, plan, play};
+use test_run::{Messages, TestRun, TimedOutage, plan, play};
 
 /// Checks that the sender without a fault is clean, and that each fault breaks this rule alone.
 async fn breaks(test_run: TestRun, rule: Rule, faults: &[Fault]) {
@@ -40,8 +40,10 @@
     }
 }
 
-fn errors() -> Outage {
-    Outage::Errors { share: Share::try_from(1.0).expect("in range") }
+/// An outage in which every call fails.
+fn errors(duration_ms: u64) -> TimedOutage {
+    let outage = Outage::Errors { share: Share::try_from(1.0).expect("in range") };
+    TimedOutage { outage, duration_ms }
 }
 
 fn messages(class: &'static str, count: usize, interval_ms: u64, lifetime_ms: u64) -> Messages {
@@ -55,7 +57,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn forgotten_messages_and_late_outcomes_break_the_rule_of_loss() {
     let test_run =
-        TestRun { outage: Some((errors(), 900)), ..test_run(plan(50.0, 10), messages("safe", 3, 10, 500)) };
+        TestRun { outage: Some(errors(900)), ..test_run(plan(50.0, 10), messages("safe", 3, 10, 500)) };
     breaks(test_run, Rule::Loss, &[Fault::ForgetsMessages, Fault::CompletesLate]).await;
 }
 
@@ -71,20 +73,16 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn repeating_or_rejecting_a_possible_execution_breaks_the_rule_of_duplication() {
-    let unsafe_run = || TestRun {
-        outage: Some((errors(), 400)),
-        ..test_run(plan(50.0, 10), messages("unsafe", 2, 10, 900))
-    };
+    let unsafe_run =
+        || TestRun { outage: Some(errors(400)), ..test_run(plan(50.0, 10), messages("unsafe", 2, 10, 900)) };
     breaks(
         unsafe_run(),
         Rule::Duplication,
         &[Fault::RepeatsPossibleExecutions, Fault::RejectsPossibleExecutions],
     )
     .await;
-    let keyed = TestRun {
-        outage: Some((errors(), 400)),
-        ..test_run(plan(50.0, 10), messages("keyed", 2, 10, 2_000))
-    };
+    let keyed =
+        TestRun { outage: Some(errors(400)), ..test_run(plan(50.0, 10), messages("keyed", 2, 10, 2_000)) };
     breaks(keyed, Rule::Duplication, &[Fault::CrossesZones]).await;
 }
 
@@ -97,10 +95,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn overloading_a_recovering_receiver_breaks_the_rule_of_recovery() {
-    let test_run = || TestRun {
-        outage: Some((errors(), 500)),
-        ..test_run(plan(10.0, 5), messages("safe", 60, 25, 8_000))
-    };
+    let test_run =
+        || TestRun { outage: Some(errors(500)), ..test_run(plan(10.0, 5), messages("safe", 60, 25, 8_000)) };
     breaks(test_run(), Rule::Recovery, &[Fault::FloodsRecoveringReceivers, Fault::IgnoresRecovery]).await;
 }
 
@@ -109,7 +105,7 @@
     let overtaken = test_run(plan(50.0, 60), messages("ordered", 4, 5, 5_000));
     breaks(overtaken, Rule::Ordering, &[Fault::ReordersWithinKey]).await;
     let unresponsive = TestRun {
-        outage: Some((Outage::Unresponsive, 500)),
+        outage: Some(TimedOutage { outage: Outage::Unresponsive, duration_ms: 500 }),
         ..test_run(plan(50.0, 10), messages("ordered", 3, 5, 5_000))
     };
     breaks(unresponsive, Rule::Ordering, &[Fault::SkipsOrderingPause]).await;
--- a/crates/testkit/tests/wrong_senders/test_run.rs
+++ b/crates/testkit/tests/wrong_senders/test_run.rs
@@ -76,11 +76,19 @@
     pub lifetime_ms: u64,
 }
 
+/// An outage of all endpoints from the start of the run.
+#[derive(Clone, Copy)]
+pub struct TimedOutage {
+    pub outage: Outage,
+    pub duration_ms: u64,
+}
+
 /// The receiver and its faults, and the messages that are submitted.
 pub struct TestRun {
     pub plan: ReceiverPlan,
     pub messages: Messages,
-    pub outage: Option<(Outage, u64)>,
+    pub outage: Option<TimedOutage>,
+    /// Time after which an endpoint drains, in milliseconds.
     pub drain_after: Option<u64>,
 }
 
@@ -106,9 +114,9 @@
     let mut clock = JoinSet::new();
     clock.spawn(record_lag(event_log.clone()));
     event_log.record(Event::ProcessChanged { sender: "n0".to_owned(), state: ProcessState::Ready });
-    if let Some((outage, for_ms)) = test_run.outage {
+    if let Some(TimedOutage { outage, duration_ms }) = test_run.outage {
         let receiver = receiver.clone();
-        tokio::spawn(async move { receiver.fail(&[], outage, Duration::from_millis(for_ms)).await });
+        tokio::spawn(async move { receiver.fail(&[], outage, Duration::from_millis(duration_ms)).await });
         // The outage has begun before the first message.
         while event_log.lines().len() < 3 {
             tokio::task::yield_now().await;
