--- a/crates/gossip/src/arrival_rate.rs
+++ b/crates/gossip/src/arrival_rate.rs
@@ -1,6 +1,6 @@
-//! Estimates how many messages arrive within a time, as an exponentially decaying count.
+//! Estimates an arrival rate from an exponentially decaying count.
 
-/// A time span or a point on a monotonic clock, in milliseconds.
+/// A time span or a point in time on a monotonic clock, in milliseconds.
 type Millis = f64;
 
 /// Time constant of the decay, in milliseconds.
--- a/crates/gossip/src/capacity.rs
+++ b/crates/gossip/src/capacity.rs
@@ -1,30 +1,30 @@
-//! One sender's share of one limit: the rate that the fleet's demand leaves to it, and the permits that it may use.
+//! One sender's share of one limit: its part of the fleet's rate, and the permits that it holds.
 //!
-//! The policy asks for a rate and records its calls. Without a recent update there is no shared rate, and the policy's own
-//! rate control applies. Where permits are required each call uses one up, and the shared rate does not limit further.
+//! Without a recent update there is no shared rate, and only the policy's own rate control applies. Where permits are
+//! required, each call uses one, and the shared rate limits nothing.
 
 use std::collections::BTreeMap;
 
-/// A time span or a point on a monotonic clock, in milliseconds.
+/// A time span or a point in time on a monotonic clock, in milliseconds.
 type Millis = f64;
 
-/// Minimum rate that a sender takes of a limit, in calls a second: one call in the life of most messages.
+/// Minimum shared rate of a sender, in calls a second: one call within the lifetime of most messages.
 const MIN_RATE: f64 = 0.05;
-/// How long the equal share of a limit that is new here is valid, in milliseconds: the first update arrives within it.
+/// How long an equal share is valid, in milliseconds: the first update arrives within it.
 const EQUAL_SHARE_VALIDITY: Millis = 1_000.0;
 /// Factor by which a rejected call reduces the share until the next update.
 const REJECTION_FACTOR: f64 = 0.5;
-/// Maximum delay of a first call at a rate of one call a second, in milliseconds: its mean is that of any other call.
+/// Maximum delay of a first call at a rate of one call a second, in milliseconds; half of it is the mean delay.
 const MAX_FIRST_DELAY: Millis = 2_000.0;
 
-/// What the fleet's demand leaves of a limit to this sender, as of now.
+/// The capacity of a limit for this sender's calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityUpdate {
-    /// Calls a second for each call in demand; infinite where the limit is not near.
+    /// Calls a second for each call in demand; infinite while the limit is far from reached.
     pub rate_per_demand: f64,
     /// Calls in demand at all senders; 0 if unknown.
     pub fleet_demand: f64,
-    /// How long the update may be relied on, in milliseconds.
+    /// How long the update is valid, in milliseconds.
     pub valid_for: Millis,
     /// Calls in demand at this sender.
     pub own_demand: f64,
@@ -41,7 +41,7 @@
     pub not_before: Millis,
 }
 
-/// A permit as the policy uses it, on a monotonic clock.
+/// A permit with its validity on a monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PermitLease {
     /// Number of the permit, unique at its limit.
@@ -52,7 +52,7 @@
     pub until: Millis,
 }
 
-/// A lease, and whether a call has used it up.
+/// A lease, and whether a call has used it.
 #[derive(Clone, Copy, Debug)]
 struct TrackedLease {
     from: Millis,
@@ -60,7 +60,7 @@
     is_used: bool,
 }
 
-/// One sender's share of one limit, and counts of its calls there.
+/// One sender's share of one limit, and counts of its calls at the limit.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityShare {
     /// Calls a second for each call in demand.
@@ -81,8 +81,7 @@
 }
 
 impl CapacityShare {
-    /// An equal share of a limit that no update has reported yet: all senders may start there at the same moment, as
-    /// after a failure.
+    /// An equal share of a limit for which no update has been received: all senders may start to call it at the same time.
     pub fn equal(now: Millis, limit: f64, senders: usize) -> Self {
         Self {
             rate_per_demand: limit / senders as f64,
@@ -98,7 +97,7 @@
         self
     }
 
-    /// Replaces the leases, and requires one for each call from now on. One that was used stays used.
+    /// Replaces the leases, and requires one for each call from now on. A used lease stays used.
     pub fn set_leases(&mut self, now: Millis, leases: &[PermitLease]) {
         let mut tracked = self.leases.take().unwrap_or_default();
         tracked.retain(|_, lease| lease.is_used && lease.until > now);
@@ -109,16 +108,16 @@
         self.leases = Some(tracked);
     }
 
-    /// When the next lease starts: in the past if one is valid, never (infinite) without one, always (negative infinite)
-    /// where calls need no permit.
+    /// When the next unused lease starts: in the past if one is valid, infinity if there is none, negative infinity if calls
+    /// need no permit.
     pub fn next_lease_at(&self, now: Millis) -> Millis {
         let Some(leases) = &self.leases else { return f64::NEG_INFINITY };
         let usable = leases.values().filter(|lease| !lease.is_used && lease.until > now);
         usable.map(|lease| lease.from).fold(f64::INFINITY, f64::min)
     }
 
-    /// The shared rate of a sender with so much demand at such a limit, in calls a second; `None` without a recent
-    /// update, infinite where permits limit the calls.
+    /// The shared rate for a demand and a limit, in calls a second; `None` without a recent update, infinite where permits
+    /// limit the calls.
     pub fn rate(&self, now: Millis, demand: f64, limit: f64) -> Option<f64> {
         if self.valid_until <= now {
             return None;
@@ -129,14 +128,14 @@
         Some((self.rate_per_demand * demand).clamp(MIN_RATE, limit.max(MIN_RATE)))
     }
 
-    /// This sender's fraction of the fleet's demand, while that is known; the fractions add up to at most one.
+    /// This sender's fraction of the fleet's demand, if that is known; the fractions of all senders add up to at most one.
     pub fn demand_fraction(&self, now: Millis, demand: f64) -> Option<f64> {
         let is_known = self.valid_until > now && self.fleet_demand > 0.0;
         is_known.then(|| (demand.max(1.0) / self.fleet_demand).min(1.0))
     }
 
-    /// Applies an update. Returns when the scheduled call is due now: if it was scheduled by an older shared rate, the
-    /// rest of its delay is scaled to the new one, a Retry-After period before it is not.
+    /// Applies an update and returns the new due time of the scheduled call. If the call was scheduled by an earlier shared
+    /// rate, its remaining delay is scaled to the new rate, except for a Retry-After period.
     pub fn apply(&mut self, now: Millis, update: &CapacityUpdate, scheduled: ScheduledCall) -> Millis {
         self.rate_per_demand = update.rate_per_demand;
         self.fleet_demand = update.fleet_demand;
@@ -154,8 +153,7 @@
     /// When the first call of a sender without earlier demand is due, at a shared rate and a random draw from 0 to 1;
     /// `None` where the limit is not near.
     ///
-    /// Nothing is saved up while there is no demand: the sender waits like all others, and a burst of many is reported
-    /// before all of it has started.
+    /// An idle sender saves up no calls, so a burst at many senders is reported before all its calls have started.
     pub fn schedule_first_call(&mut self, now: Millis, rate: f64, draw: f64) -> Option<Millis> {
         if !self.rate_per_demand.is_finite() {
             return None;
@@ -170,8 +168,8 @@
         1_000.0 / rate
     }
 
-    /// Records a call that starts, and uses up the valid lease that ends first. `rate` is the shared rate by which the
-    /// next one is scheduled, if any.
+    /// Records the start of a call, which uses the valid lease that ends first. `rate` is the shared rate by which the next
+    /// call is scheduled, if any.
     pub fn record_call(&mut self, now: Millis, rate: Option<f64>) {
         self.calls += 1;
         let is_valid = |lease: &&mut TrackedLease| !lease.is_used && lease.from <= now && now < lease.until;
--- a/crates/gossip/src/datagram_budget.rs
+++ b/crates/gossip/src/datagram_budget.rs
@@ -1,7 +1,7 @@
 //! Schedules datagrams of several kinds within a common budget.
 //!
-//! Invariant: in no second more than [`MAX_DATAGRAMS_PER_S`] datagrams are begun, one more with those that they cause,
-//! and each requested datagram is sent within its bound, however many others are requested.
+//! Invariant: at most [`MAX_DATAGRAMS_PER_S`] datagrams are sent in any second, plus one with the datagrams that they cause;
+//! and each requested datagram is sent within [`DatagramBudget::max_wait`], however many others are requested.
 
 use std::collections::BTreeMap;
 
@@ -9,15 +9,14 @@
 
 use crate::envelope::Kind;
 
-/// Maximum datagrams of all kinds per second in each direction, on average over a fleet of equal senders: half of the
-/// sender's eight.
+/// Maximum rate of datagrams of all kinds in each direction, in datagrams a second on average over the fleet.
 pub const MAX_DATAGRAMS_PER_S: u64 = 4;
-/// Time that one datagram takes of the budget, in milliseconds.
+/// Time for which one datagram occupies the budget, in milliseconds.
 pub const DATAGRAM_INTERVAL: u64 = 1_000 / MAX_DATAGRAMS_PER_S;
-/// How long a kind gives way to one of the next higher priority, in milliseconds.
+/// Delay of a request for each rank of its priority, in milliseconds.
 pub const PRIORITY_STEP: u64 = 500;
 
-/// How much of the budget a kind of datagram may take.
+/// The priority, rate limit and cost of one kind of datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatagramClass {
     /// The kind.
@@ -26,18 +25,17 @@
     pub rank: u8,
     /// Minimum time between two datagrams of the kind, in milliseconds.
     pub min_interval: u64,
-    /// Number of datagrams that one causes, itself included: 2 where it is answered, since among equal senders each
-    /// answers as many as it asks.
+    /// Number of datagrams that one causes, itself included: 2 if it is answered.
     pub cost: u8,
 }
 
 impl DatagramClass {
-    /// Time that a datagram of this class takes of the budget, in milliseconds.
+    /// Time for which a datagram of this class occupies the budget, in milliseconds.
     fn occupied_time(&self) -> u64 {
         u64::from(self.cost.max(1)) * DATAGRAM_INTERVAL
     }
 
-    /// How long a datagram of this class gives way to more urgent ones, in milliseconds.
+    /// How long a request of this class yields to more urgent ones, in milliseconds.
     fn yield_time(&self) -> u64 {
         u64::from(self.rank) * PRIORITY_STEP
     }
@@ -54,8 +52,8 @@
 
 /// Decides which kind of datagram may be sent next. Holds one entry for each kind.
 ///
-/// A request gives way to others for `rank` times 500 ms, and then only to earlier ones: see
-/// [`DatagramBudget::max_wait`].
+/// A request yields to others for `rank` times 500 ms, and afterwards only to earlier ones; [`DatagramBudget::max_wait`]
+/// is the resulting bound.
 ///
 /// ```
 /// use rudderspindle_clock::UnixMillis;
@@ -89,7 +87,7 @@
         Self { schedules, free_at: UnixMillis::EPOCH }
     }
 
-    /// Requests that a datagram of the kind be sent; without effect while a request for the kind is pending.
+    /// Requests a datagram of the kind; has no effect while a request for the kind is pending.
     pub fn request(&mut self, kind: Kind, now: UnixMillis) {
         if let Some(schedule) = self.schedules.get_mut(&kind) {
             schedule.requested_at.get_or_insert(now.max(schedule.next_allowed_at));
@@ -108,7 +106,7 @@
         ready.min().map(|(.., kind)| kind)
     }
 
-    /// Whether a datagram of that kind may be sent now; if so, it is taken off the budget.
+    /// Whether a datagram of that kind may be sent now; if so, it is charged to the budget.
     pub fn try_acquire(&mut self, kind: Kind, now: UnixMillis) -> bool {
         if self.due(now) != Some(kind) {
             return false;
@@ -122,8 +120,8 @@
     }
 
     /// Maximum time from a request (and the end of the kind's minimum interval) until its datagram may be sent, in
-    /// milliseconds, if the budget is asked whenever it has room: the time that it gives way, what was begun before, and
-    /// each other kind once.
+    /// milliseconds: its yield time, the longest datagram sent before it, and one datagram of each other kind. Holds if the
+    /// budget is polled whenever it is free.
     pub fn max_wait(&self, kind: Kind) -> Option<u64> {
         let yield_time = self.schedules.get(&kind)?.class.yield_time();
         let occupied_time = |schedule: &KindSchedule| schedule.class.occupied_time();
--- a/crates/gossip/src/demand_exchange.rs
+++ b/crates/gossip/src/demand_exchange.rs
@@ -1,8 +1,8 @@
-//! Exchange of demand between the senders of a fleet, without a leader: each reports its load at each limit in every
-//! round to one or a few aggregators, which answer all that reported with the sums.
+//! Exchange of demand between the senders of a fleet, without a leader: in each round every sender reports its load at each
+//! limit to one or a few aggregators, which answer all reporters with the sums.
 //!
-//! The aggregators are drawn anew for each round, alike at every sender. From the sums each sender computes the capacity
-//! of each limit by itself.
+//! Each round has other aggregators, which every sender computes identically. From the sums each sender computes the
+//! capacity of each limit.
 
 mod aggregator_selection;
 mod limit_capacity;
@@ -29,12 +29,11 @@
 
 /// Length of a round, in milliseconds.
 pub const ROUND: u64 = 250;
-/// The part of a round in which reports are sent, each sender's at its own moment, in milliseconds: the last ones arrive
-/// in the rest.
+/// The part of a round over which the senders' reports are spread, in milliseconds; the last reports arrive in the rest.
 const REPORT_WINDOW: u64 = 200;
 /// Number of rounds for which sums are used.
 const MAX_SUMS_AGE: u64 = 4;
-/// Sums include limits of which more than this fraction is in demand or called, and those that reject or fail.
+/// Sums include a limit if more than this fraction of it is in demand or called, or if calls are rejected or fail.
 const NEAR_LIMIT_FRACTION: f64 = 0.5;
 
 /// One sender's part in the exchange of demand.
@@ -47,19 +46,19 @@
     last_report_round: Option<u64>,
     aggregators: AggregatorSelection,
     liveness: LivenessEstimate,
-    /// What this sender aggregates, by round: the current one and its neighbours.
+    /// The reports received as an aggregator, by round: those of the current round and its neighbours.
     collecting: BTreeMap<u64, RoundTotals>,
-    /// The sums of the latest round that included the most senders.
+    /// Of the latest round with sums, those that include the most senders.
     received: Option<ReceivedSums>,
-    /// The round whose sums the estimates have taken in.
+    /// The latest round whose sums were applied to the estimates.
     applied_round: Option<u64>,
     estimates: BTreeMap<LimitId, LimitEstimate>,
-    /// Capacities by the sums of that round.
+    /// Capacities computed from the sums of that round.
     capacities: Vec<LimitCapacity>,
 }
 
 impl DemandExchange {
-    /// The part of sender `own_number` of `senders`, whose destinations recover from an outage by `ramp`.
+    /// The exchange of sender `own_number` of `senders`; destinations recover from an outage along `ramp`.
     pub fn new(own_number: usize, senders: usize, ramp: RecoveryRamp) -> Self {
         Self {
             own_number,
@@ -89,7 +88,7 @@
         self.collecting.keys().next().map(|round| round_start(round + 1))
     }
 
-    /// Takes in what this sender does at each of its limits, and returns its reports, once a round.
+    /// Records this sender's demand at each of its limits, and returns its reports, once a round.
     pub fn report(&mut self, now: UnixMillis, demands: &[LocalDemand]) -> Vec<OutgoingDatagram> {
         let round = round_at(now);
         self.record_demands(now, demands);
@@ -115,7 +114,7 @@
         datagrams
     }
 
-    /// Keeps a history of each listed limit, and nothing of others.
+    /// Updates the history of each listed limit, and removes those of others.
     fn record_demands(&mut self, now: UnixMillis, demands: &[LocalDemand]) {
         for demand in demands {
             let history =
@@ -133,12 +132,12 @@
         loads.filter(|entry| !is_zero_when_encoded(&entry.load)).collect()
     }
 
-    /// Takes in a datagram of another sender.
+    /// Handles a datagram of another sender.
     ///
     /// # Errors
     ///
-    /// [`GossipError`] says why it was dropped. Sums that say no more than those at hand are dropped too, but show that
-    /// their sender is alive.
+    /// [`GossipError`] is why the datagram was dropped. Sums that do not supersede the stored ones are dropped, too, but
+    /// prove that their sender is alive.
     pub fn receive(&mut self, now: UnixMillis, from: usize, datagram: &[u8]) -> Result<(), GossipError> {
         if from == self.own_number || from >= self.senders {
             return Err(GossipError::UnknownSender);
@@ -159,7 +158,8 @@
         }
     }
 
-    /// Clocks differ by less than a round; a report that comes after the sums of its round were sent is too late.
+    /// Accepts reports of the current and the next round, as clocks differ by less than a round, and of an earlier one until
+    /// its sums are sent.
     fn receive_report(
         &mut self,
         current_round: u64,
@@ -176,7 +176,7 @@
         Ok(())
     }
 
-    /// Keeps sums that say more than those at hand.
+    /// Replaces the stored sums if these supersede them.
     fn store_sums(&mut self, sums: ReceivedSums) -> Result<(), GossipError> {
         if self.received.as_ref().is_some_and(|received| !sums.supersedes(received)) {
             return Err(GossipError::Round);
@@ -185,7 +185,7 @@
         Ok(())
     }
 
-    /// The sums of the rounds that are over, for each sender that reported in them.
+    /// The sums of the rounds that are over, addressed to each reporter.
     pub fn sums(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         let mut datagrams = Vec::new();
         while let Some(entry) =
@@ -215,18 +215,18 @@
         others.map(|to| OutgoingDatagram { to, bytes: bytes.clone() }).collect()
     }
 
-    /// Whether a limit is included in sums. One that this sender does not know may be near its limit, too.
+    /// Whether a limit is included in sums; one that is unknown here is, as it may be nearly reached.
     fn is_relevant(&self, entry: &LimitLoad) -> bool {
         let Load { demand, calls, rejected, failed } = entry.load;
         let limit = self.local.get(&entry.limit_id).map_or(0.0, |history| history.limit);
         rejected + failed != 0.0 || demand.max(calls) > NEAR_LIMIT_FRACTION * limit
     }
 
-    /// Uses this sender's own sums as the others decode them.
+    /// Stores this sender's own sums in the precision in which others receive them.
     fn apply_own_sums(&mut self, round: u64, sample_bits: u64, bytes: &[u8]) {
         if let Ok(message) = GossipMessage::decode(bytes) {
             let included = self.liveness.observe(round, sample_bits);
-            // Others' sums may have said more already.
+            // The sums of another aggregator may include more senders.
             let _ = self.store_sums(ReceivedSums::new(round, included, message));
         }
     }
@@ -242,7 +242,7 @@
     UnixMillis(round * ROUND)
 }
 
-/// The round near `current_round` whose low 32 bits are given.
+/// The round nearest to `current_round` that has these low 32 bits.
 fn nearest_round(low_bits: u32, current_round: u64) -> Option<u64> {
     let difference = low_bits.wrapping_sub(current_round as u32) as i32;
     current_round.checked_add_signed(i64::from(difference))
--- a/crates/gossip/src/demand_exchange/limit_capacity.rs
+++ b/crates/gossip/src/demand_exchange/limit_capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity of each limit by the sums that were received last.
+//! The capacity of each limit, computed from the latest sums.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -6,7 +6,7 @@
 use crate::limit_id::LimitId;
 use crate::load_totals::Load;
 
-/// The rate that a limit leaves for each call in demand.
+/// The rate that a limit allows for each call in demand.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitCapacity {
     /// The limit.
@@ -16,24 +16,24 @@
 }
 
 impl DemandExchange {
-    /// The fraction of a limit that the destination is believed to accept, from 0 to 1, as of the last
+    /// The estimated fraction of a limit that the destination accepts, from 0 to 1, as of the last
     /// [`capacities`](Self::capacities).
     pub fn available_fraction(&self, limit_id: LimitId, limit: f64) -> f64 {
         self.estimates.get(&limit_id).map_or(1.0, |estimate| estimate.available_fraction(limit))
     }
 
-    /// Calls in demand at all senders, by the sums that were received last; 0 where these do not include the limit.
+    /// Calls in demand at all senders according to the latest sums; 0 if these do not include the limit.
     ///
-    /// Senders that the sums do not include count like the others, even if they are gone: partitions of a fleet must not
-    /// each take the whole limit.
+    /// Senders that are missing in the sums are assumed to have the mean demand, even if they are down: otherwise each
+    /// partition of a fleet would use the whole limit.
     pub fn fleet_demand(&self, limit_id: LimitId) -> f64 {
         let Some(received) = &self.received else { return 0.0 };
         let Some(load) = received.loads.get(&limit_id) else { return 0.0 };
         load.demand * self.senders as f64 / received.senders.max(1) as f64
     }
 
-    /// The capacity of each limit that is near, by the sums that were received last, and of each that is too new here to
-    /// be included in them. `None` without recent sums.
+    /// The capacity of each limit in the latest sums, and of each limit that is too new here to be included in them. `None`
+    /// without recent sums.
     pub fn capacities(&mut self, now: UnixMillis) -> Option<Vec<LimitCapacity>> {
         let round = self.usable_round(round_at(now))?;
         if self.applied_round != Some(round) {
@@ -44,7 +44,7 @@
         Some(capacities)
     }
 
-    /// The round of the sums to be used; 0 at a start, when none can have arrived yet.
+    /// The round of the sums to be used; 0 after a start, before any can have arrived.
     fn usable_round(&self, current_round: u64) -> Option<u64> {
         let first_round = self.local.values().map(|history| history.first_round).min()?;
         match &self.received {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes the sums at hand into the estimate of each limit.
+    /// Updates the estimate of each limit with the stored sums.
     fn apply_sums(&mut self, round: u64) {
         let Some(received) = &self.received else { return };
         let rounds = self.applied_round.map_or(1, |applied| round.saturating_sub(applied));
@@ -73,7 +73,7 @@
         }
     }
 
-    /// An equal share of each limit that the sums of a round cannot include yet, as if every sender had one call in
+    /// An equal share of each limit that is too new for the sums of a round: every sender is assumed to have one call in
     /// demand.
     fn equal_shares_of_new_limits(&self, round: u64) -> Vec<LimitCapacity> {
         let new = self.local.iter().filter(|(_, history)| history.first_round > round);
--- a/crates/gossip/src/demand_exchange/liveness.rs
+++ b/crates/gossip/src/demand_exchange/liveness.rs
@@ -1,15 +1,15 @@
-//! Estimates how many senders are alive, from the samples of the fleet that recent sums included.
+//! Estimates the number of live senders from the sampled senders that recent sums included.
 
 use std::collections::VecDeque;
 
 use super::aggregator_selection::MAX_AGGREGATORS;
 use crate::peer_selection::PeerSample;
 
-/// Sums of this many rounds are considered.
+/// Number of rounds whose sums are considered.
 const HISTORY_ROUNDS: u64 = 16;
-/// A sender counts as gone once its absence from the latest sums is less likely than this to be message loss.
+/// A sender counts as down once the probability that its absence from the latest sums is message loss is below this.
 const MAX_LOSS_PROBABILITY: f64 = 0.05;
-/// Maximum number of sums that are kept.
+/// Maximum number of observations that are kept.
 pub(crate) const MAX_HISTORY: usize = HISTORY_ROUNDS as usize * MAX_AGGREGATORS;
 
 /// The sampled senders that the sums of one round included.
@@ -19,16 +19,16 @@
     included: u64,
 }
 
-/// Which sampled senders recent sums included.
+/// The sampled senders that recent sums included.
 #[derive(Debug)]
 pub(crate) struct LivenessEstimate {
     sample: PeerSample,
-    /// From the oldest to the latest.
+    /// Oldest first.
     history: VecDeque<Observation>,
 }
 
 impl LivenessEstimate {
-    /// An estimate for a fleet of that many senders, without observations.
+    /// An estimate for a fleet of `senders`, without observations.
     pub fn new(senders: usize) -> Self {
         Self { sample: PeerSample::new(senders), history: VecDeque::new() }
     }
@@ -38,8 +38,7 @@
         self.sample.bits(senders.iter().copied())
     }
 
-    /// Takes in which senders the sums of a round included. Returns the bits that belong to a sampled sender; others are
-    /// ignored.
+    /// Records which senders the sums of a round included. Returns the bits of sampled senders; other bits are ignored.
     pub fn observe(&mut self, round: u64, bits: u64) -> u64 {
         let included = bits & self.sample.all_bits();
         self.history.push_back(Observation { round, included });
@@ -53,17 +52,17 @@
         self.history.front().is_some_and(|oldest| oldest.round + HISTORY_ROUNDS <= round)
     }
 
-    /// Number of living senders for each sender that is included in the sums at hand, by the sample.
+    /// Estimated number of live senders for each sender that is included in the current sums.
     ///
     /// A sender that is missing in them but included in recent ones counts as alive, its report as lost, unless it is
-    /// missing in more of the latest sums in a row than loss can explain: then it is gone.
+    /// missing in more consecutive sums than loss can explain.
     pub fn alive_per_included(&self, included: u64) -> f64 {
         let latest = self.history.iter().rev().take(self.losses_in_a_row());
         let alive = latest.fold(included, |alive, observation| alive | observation.included);
         f64::from(alive.count_ones().max(1)) / f64::from(included.count_ones().max(1))
     }
 
-    /// For how many sums in a row loss can explain that a sender is missing.
+    /// Number of consecutive sums in which message loss can explain that a sender is missing.
     fn losses_in_a_row(&self) -> usize {
         let known =
             self.history.iter().fold(0, |known, observation| known | observation.included).count_ones();
@@ -73,7 +72,7 @@
         if loss_rate > 0.0 { (MAX_LOSS_PROBABILITY.ln() / loss_rate.ln()).ceil() as usize } else { 1 }
     }
 
-    /// Number of sums that it keeps, for the tests of its bound.
+    /// Number of observations, for the tests of its bound.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.history.len()
--- a/crates/gossip/src/demand_exchange/local_demand.rs
+++ b/crates/gossip/src/demand_exchange/local_demand.rs
@@ -1,4 +1,4 @@
-//! What one sender does at its own limits: the demand of now and the calls of the last second.
+//! One sender's current demand at its limits, and its calls of the last second.
 
 use std::collections::VecDeque;
 
@@ -10,14 +10,14 @@
 /// Time over which calls are counted, in milliseconds.
 const WINDOW: u64 = 1_000;
 
-/// What a sender does at one limit.
+/// A sender's demand at one rate limit, and counts of its calls there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalDemand {
     /// The limit.
     pub limit_id: LimitId,
     /// The limit as announced, in calls a second of all senders together.
     pub limit: f64,
-    /// Calls in demand now: those that wait, and those expected before the next report.
+    /// Calls in demand: those that wait, and those expected before the next report.
     pub demand: f64,
     /// Calls started so far.
     pub calls: u64,
@@ -27,7 +27,7 @@
     pub failed: u64,
 }
 
-/// Total counts of calls at some time.
+/// Total counts of calls at a point in time.
 #[derive(Clone, Copy, Debug)]
 struct CallCounts {
     at: UnixMillis,
@@ -36,19 +36,19 @@
     failed: u64,
 }
 
-/// The recent demand and counts at one limit.
+/// The latest demand and recent counts at one limit.
 #[derive(Debug)]
 pub(crate) struct DemandHistory {
     /// The first round in which the limit was reported.
     pub first_round: u64,
     pub limit: f64,
     demand: f64,
-    /// From the last counts before the window to the latest.
+    /// Oldest first; the first may be older than the window.
     counts: VecDeque<CallCounts>,
 }
 
 impl DemandHistory {
-    /// The history of a limit that is first reported in a round.
+    /// The history of a limit that is first reported in `first_round`.
     pub fn new(first_round: u64) -> Self {
         Self { first_round, limit: 0.0, demand: 0.0, counts: VecDeque::new() }
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Number of counts that it keeps, for the tests of its bound.
+    /// Number of counts, for the tests of its bound.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.counts.len()
--- a/crates/gossip/src/demand_exchange/received_sums.rs
+++ b/crates/gossip/src/demand_exchange/received_sums.rs
@@ -1,4 +1,4 @@
-//! The sums that an aggregator sent for one round.
+//! The sums of one round as received from an aggregator.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
         Self { round, senders: usize::from(message.senders), included, loads: loads.collect() }
     }
 
-    /// Whether these sums say more than others: they are of a later round, or of more senders.
+    /// Whether these sums replace others: they are of a later round, or of the same round and more senders.
     pub fn supersedes(&self, other: &Self) -> bool {
         (self.round, self.senders) > (other.round, other.senders)
     }
--- a/crates/gossip/src/demand_exchange/tests.rs
+++ b/crates/gossip/src/demand_exchange/tests.rs
@@ -1,9 +1,15 @@
 //! The exchange among many senders: shares under loss and departure, bounds on memory, and malformed sums.
 
 use super::aggregator_selection::MAX_AGGREGATORS;
+use super::limit_capacity::LimitCapacity;
 use super::liveness::MAX_HISTORY;
-use super::*;
-use crate::message::MAX_LIMITS;
+use super::local_demand::LocalDemand;
+use super::{DemandExchange, MAX_SUMS_AGE, ROUND, round_start};
+use crate::limit_estimate::RecoveryRamp;
+use crate::limit_id::LimitId;
+use crate::load_totals::{LimitLoad, Load};
+use crate::message::{GossipMessage, MAX_LIMITS, MessageKind};
+use crate::outgoing_datagram::OutgoingDatagram;
 
 const LIMIT: f64 = 60.0;
 const SENDERS: usize = 120;
@@ -129,9 +135,9 @@
 fn assert_bounds(exchange: &DemandExchange) {
     assert!(exchange.local.len() <= 20 && exchange.estimates.len() <= 20 && exchange.capacities.len() <= 20);
     assert!(exchange.local.values().all(|history| history.len() <= 6));
-    let silent = exchange.aggregators.silent_count();
-    let asked = exchange.aggregators.asked_count();
-    assert!(exchange.collecting.len() <= 3 && silent < SENDERS && asked <= MAX_AGGREGATORS);
+    let unresponsive = exchange.aggregators.unresponsive_count();
+    let selected = exchange.aggregators.selected_count();
+    assert!(exchange.collecting.len() <= 3 && unresponsive < SENDERS && selected <= MAX_AGGREGATORS);
     assert!(
         exchange
             .collecting
--- a/crates/gossip/src/envelope.rs
+++ b/crates/gossip/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The envelope that the fleet view and the permit protocol put around their messages.
+//! The envelope around the messages of the fleet view and the permit protocol.
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -6,8 +6,7 @@
 //! | 2 | checksum: the low half of the body's CRC-32, little-endian |
 //! | up to [`MAX_BODY_LEN`] | the body, encoded with `postcard` |
 //!
-//! Invariant: a datagram that is truncated, damaged, unknown or out of bounds is rejected before anything is done with
-//! its content.
+//! Invariant: a datagram that is truncated, damaged, unknown or out of bounds is rejected before its content is used.
 
 mod bounded_list;
 
@@ -16,11 +15,11 @@
 
 pub(crate) use bounded_list::bounded;
 
-/// Maximum length of a body, in bytes: a datagram has 256, of which 8 are reserved for envelopes and 8 for later use.
+/// Maximum length of a body, in bytes: 256 of a datagram, of which 8 are reserved for envelopes and 8 for later use.
 pub const MAX_BODY_LEN: usize = 240;
 /// Length of the header, in bytes: version and kind, then the checksum.
 const HEADER_LEN: usize = 3;
-/// Leading byte of the first [`Kind`]; lower ones belong to the demand messages.
+/// Leading byte of the first [`Kind`]; lower values are the kinds of demand messages.
 const FIRST_KIND: u8 = 0x70;
 
 /// The kind of message in an envelope.
@@ -30,9 +29,9 @@
     Report,
     /// The aggregator's answer: usage and votes of all senders that reported to it.
     Summary,
-    /// Rules that the operator set.
+    /// The operator's placement rules.
     Rules,
-    /// The keys with the most traffic.
+    /// The heaviest keys.
     Hot,
     /// Permits that a sender releases, and how many it requests.
     PermitOffer,
--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -2,9 +2,9 @@
 //!
 //! Invariant: a datagram of another round, of a replaced incarnation or of an unknown sender changes nothing.
 //!
-//! In each round every sender reports to one aggregator that is drawn anew, the same at every sender. The aggregator
-//! answers all that reported to it with a summary: their registers added up, with the numbers of the senders in the sum,
-//! and the votes on receivers by observer. A round is as long as an epoch.
+//! Each round has one aggregator, which every sender computes identically. All senders report to it, and it answers each
+//! reporter with a summary: the sum of the reported registers with the numbers of their senders, and the votes on receivers
+//! by observer. A round is as long as an epoch.
 
 mod error;
 mod message;
@@ -20,16 +20,16 @@
 use crate::tenant_usage::{LocalSender, TenantUsage, quota_share};
 pub use error::FleetViewError;
 
-/// Maximum number of senders of a fleet: a bit for each takes a fourth of a datagram.
+/// Maximum number of senders of a fleet: one bit for each takes a fourth of a datagram.
 pub const MAX_SENDERS: usize = 512;
-/// Epochs over which quota shares are computed: several, as one sender of hundreds accepts a message now and then.
+/// Number of epochs over which quota shares are computed: a single sender accepts few messages in one epoch.
 const QUOTA_EPOCHS: u64 = 5;
-/// How long usage of others counts as current, ms; without any, no share of a quota is computed.
+/// How long the usage of other senders counts as current, in milliseconds; without any, no quota share is computed.
 pub const USAGE_TIMEOUT: u64 = 5_000;
 
-/// What one sender knows of its fleet, and the datagrams by which it spreads.
+/// One sender's view of its fleet, and the datagrams that exchange it.
 ///
-/// Beyond what its parts hold, it keeps who reported in at most three rounds.
+/// Besides its parts it holds the reporters of at most three rounds.
 ///
 /// ```
 /// use rudderspindle_clock::UnixMillis;
@@ -65,17 +65,17 @@
     members: MembershipList,
     usage: TenantUsage,
     outliers: OutlierDetector,
-    /// The last round whose aggregators were drawn.
+    /// The last round whose aggregators were selected.
     reported_round: Option<u64>,
-    /// The aggregators of that round to which no report was sent yet.
+    /// The aggregators of that round to which no report has been sent.
     pending_aggregators: Vec<usize>,
-    /// Senders that reported to this one, by round; removed when they are answered.
+    /// The senders that reported to this one, by round; removed when they are answered.
     reporters: BTreeMap<u64, BTreeSet<usize>>,
     /// Rounds before this one are answered.
     oldest_open_round: u64,
-    /// The newest round of which a summary was received or sent.
+    /// The latest round of which a summary was received or sent.
     newest_summary_round: u64,
-    /// Senders of the own zone that are alive, as of the last round with a summary; all of them before the first.
+    /// Number of live senders of this zone as of the last round with a summary; all senders of the zone before the first.
     zone_senders: usize,
 }
 
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// [`FleetViewError::TooManySenders`], and [`FleetViewError::UnknownSender`] if `local` is none of the fleet.
+    /// [`FleetViewError::TooManySenders`], and [`FleetViewError::UnknownSender`] if `local` is not in the fleet.
     pub fn new(local: LocalSender, zones: Vec<u16>) -> Result<Self, FleetViewError> {
         let senders = zones.len();
         if senders > MAX_SENDERS {
@@ -129,10 +129,9 @@
         self.outliers.record_call(now, receiver, result);
     }
 
-    /// This sender's share of a tenant's quota of the whole fleet, both in messages a second.
+    /// This sender's share of a tenant's fleet-wide quota, both in messages a second. It changes a few times a second.
     ///
-    /// `None` if no usage of others ended within [`USAGE_TIMEOUT`]: what the sender does then is up to the caller. The
-    /// share changes a few times a second.
+    /// `None` if no usage of other senders within [`USAGE_TIMEOUT`] is known.
     pub fn own_quota(&self, now: UnixMillis, tenant: u16, fleet_quota: f64) -> Option<f64> {
         let fleet = self.usage.read(now, tenant, QUOTA_EPOCHS);
         fleet.newest_epoch_end.filter(|end| end.saturating_add(USAGE_TIMEOUT) > now)?;
@@ -140,7 +139,7 @@
         Some(fleet_quota * quota_share(own, &fleet, self.zones.len()))
     }
 
-    /// Which of a destination's receivers are not to be called, see [`OutlierDetector::ejected`].
+    /// The ejected receivers of a destination, see [`OutlierDetector::ejected`].
     pub fn ejected(&mut self, now: UnixMillis, receivers: &[Receiver]) -> Vec<Receiver> {
         self.outliers.ejected(now, self.zone_senders, receivers)
     }
--- a/crates/gossip/src/fleet_view/error.rs
+++ b/crates/gossip/src/fleet_view/error.rs
@@ -4,7 +4,7 @@
 use crate::envelope::{EnvelopeError, Kind};
 use crate::membership::IncarnationTooFarAhead;
 
-/// Why a datagram was dropped, or a fleet view cannot be made. Nothing has changed then.
+/// Why a datagram was dropped, or a fleet view could not be created. The view is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum FleetViewError {
@@ -14,7 +14,7 @@
     /// The datagram belongs to another protocol.
     #[error("{0:?} is neither a report nor a summary")]
     UnexpectedKind(Kind),
-    /// The datagram is of a round that is over, or of one to come.
+    /// The datagram is of a past or future round.
     #[error("it is of another round")]
     WrongRound,
     /// The sender's number is this sender's own, or beyond the fleet's size.
--- a/crates/gossip/src/fleet_view/message.rs
+++ b/crates/gossip/src/fleet_view/message.rs
@@ -11,19 +11,19 @@
 use crate::tenant_usage::{MAX_LISTED_TENANTS, Register, TenantTotal, WindowSlice};
 pub(super) use encoded_vote::EncodedVote;
 
-/// Maximum number of epochs in a report: two lost reports are made up for.
+/// Maximum number of epochs in a report; an epoch is still reported after two lost reports.
 pub(super) const MAX_REGISTERS: usize = 3;
 /// Maximum number of epochs in a summary.
 pub(super) const MAX_SLICES: usize = 3;
 /// Maximum number of receivers in a summary.
 pub(super) const MAX_RECEIVERS: usize = 6;
-/// Maximum number of observers of a receiver in a summary: one more than a quorum, as the reader may be one.
+/// Maximum number of observers of a receiver in a summary: one more than a quorum, as the reader may be one of them.
 pub(super) const MAX_OBSERVERS: usize = 4;
 
 /// A sender's register of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RegisterEntry {
-    /// How many epochs before the last one that was over when the round began.
+    /// Number of epochs before the last one that was over when the round began.
     pub epochs_back: u8,
     #[serde(deserialize_with = "bounded::<MAX_LISTED_TENANTS, _, _>")]
     totals: Vec<TenantTotal>,
@@ -38,7 +38,7 @@
         Self { epochs_back, totals: totals.collect(), rest, partial }
     }
 
-    /// The register; of a tenant that is listed twice the last total counts.
+    /// The register; the last total of a tenant that is listed twice counts.
     pub fn register(self) -> Register {
         let totals = self.totals.into_iter().map(|total| (total.tenant, total.messages));
         Register { totals: totals.collect(), rest: self.rest, partial: self.partial }
@@ -52,7 +52,7 @@
     pub vote: EncodedVote,
 }
 
-/// What one sender accepted and votes, sent to the round's aggregator.
+/// One sender's usage and votes, sent to the round's aggregator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Report {
     pub incarnation: u64,
@@ -81,12 +81,12 @@
 /// The usage of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SliceEntry {
-    /// How many epochs before the last one that was over when the round began.
+    /// Number of epochs before the last one that was over when the round began.
     pub epochs_back: u8,
     pub slice: WindowSlice,
 }
 
-/// The aggregator's answer: the usage of all senders that reported, and the votes of the reader's zone.
+/// The aggregator's answer: the usage of all reporters, and the votes of the reader's zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Summary {
     pub incarnation: u64,
@@ -97,13 +97,13 @@
     pub receivers: Vec<ReceiverEntry>,
 }
 
-/// The epoch that lies so many before the last one that was over when a round began.
+/// The epoch that is `epochs_back` before the last one that was over when the round began.
 pub(super) fn epoch_of(round: u64, epochs_back: u8) -> Option<u64> {
     round.checked_sub(1 + u64::from(epochs_back))
 }
 
 impl Report {
-    /// Encodes the report, without the oldest epochs if it is too long: they were in earlier reports.
+    /// Encodes the report; the oldest epochs, which were in earlier reports, are left out if it is too long.
     pub fn encode(mut self) -> Result<Vec<u8>, EnvelopeError> {
         while is_too_long(&self) && self.registers.len() > 1 {
             self.registers.pop();
@@ -113,14 +113,14 @@
 }
 
 impl Summary {
-    /// Encodes the summary, without what matters least if it is too long.
+    /// Encodes the summary; the least important entries are left out if it is too long.
     pub fn encode(mut self) -> Result<Vec<u8>, EnvelopeError> {
         while is_too_long(&self) && self.drop_least_important() {}
         seal(Kind::Summary, &self)
     }
 
-    /// Removes, in this order: the older epochs; the smallest tenants, down to half of the list; the receivers that the
-    /// fewest observers vote down; the other tenants. `false` if there is nothing left.
+    /// Removes one of these, in this order: the oldest epoch; the smallest tenant, down to half of the list; the receiver
+    /// with the fewest down votes; another tenant. `false` if nothing is left to remove.
     fn drop_least_important(&mut self) -> bool {
         let tenants = self.slices.first().map_or(0, |entry| entry.slice.listed_tenants());
         let has_votes = !self.receivers.is_empty();
--- a/crates/gossip/src/fleet_view/message/encoded_vote.rs
+++ b/crates/gossip/src/fleet_view/message/encoded_vote.rs
@@ -6,21 +6,21 @@
 use crate::outlier_detection::Vote;
 use crate::tenant_usage::EPOCH;
 
-/// Resolution of times, ms; they are rounded up to a multiple of it on the wall clock.
+/// Resolution of times, in milliseconds; they are rounded up to a multiple of it on the wall clock.
 const STEP: u64 = 50;
 
 /// A vote with its times relative to the end of the round after its message's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct EncodedVote {
-    /// How long before that its observer last saw the receiver so, in steps; saturated.
+    /// Time from the last observation to that, in steps; saturated.
     pub(super) age: u8,
-    /// How long before the age the failures began, in steps; saturated.
+    /// Time from the first failure to the last observation, in steps; saturated.
     pub(super) duration: u16,
     pub(super) recovered: bool,
 }
 
 impl EncodedVote {
-    /// Encodes a vote for a message of a round.
+    /// Encodes a vote for a message of `round`.
     pub fn new(round: u64, vote: &Vote) -> Self {
         let last = vote.last.0.div_ceil(STEP);
         let first = vote.first.0.div_ceil(STEP);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Decodes a vote from a message of a round.
+    /// Decodes a vote from a message of `round`.
     pub fn decode(self, round: u64) -> Vote {
         let last = base_step(round).saturating_sub(u64::from(self.age));
         let first = last.saturating_sub(u64::from(self.duration));
@@ -40,7 +40,7 @@
     }
 }
 
-/// The end of the round after a given one, in steps since 1970.
+/// The end of the round after `round`, in steps since 1970.
 fn base_step(round: u64) -> u64 {
     round.saturating_add(2).saturating_mul(EPOCH / STEP)
 }
--- a/crates/gossip/src/fleet_view/receiving.rs
+++ b/crates/gossip/src/fleet_view/receiving.rs
@@ -1,4 +1,4 @@
-//! Datagrams of other senders.
+//! Handling of received datagrams.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -9,15 +9,15 @@
 use crate::outlier_detection::ObserverVote;
 use crate::tenant_usage::{RegisterKey, epoch_at};
 
-/// Maximum age of a summary that is still used, in rounds.
+/// Maximum age of a summary that is accepted, in rounds.
 const MAX_SUMMARY_AGE: u64 = 3;
 
 impl FleetView {
-    /// Takes in a datagram of another sender.
+    /// Handles a datagram of another sender.
     ///
     /// # Errors
     ///
-    /// [`FleetViewError`] says why it was dropped; nothing has changed then.
+    /// [`FleetViewError`] is why it was dropped; the view is unchanged.
     pub fn receive(&mut self, now: UnixMillis, from: usize, datagram: &[u8]) -> Result<(), FleetViewError> {
         if from == self.local.number || from >= self.zones.len() {
             return Err(FleetViewError::UnknownSender);
@@ -31,7 +31,7 @@
 
     fn receive_report(&mut self, now: UnixMillis, from: usize, report: Report) -> Result<(), FleetViewError> {
         let round = report.round;
-        // Clocks differ by less than a round; what arrives after its round's summaries were sent is too late.
+        // Clocks differ by less than a round; a report that arrives after its round's summaries were sent is dropped.
         let oldest = self.oldest_open_round.max(epoch_at(now).saturating_sub(1));
         if round < oldest || round > epoch_at(now) + 1 {
             return Err(FleetViewError::WrongRound);
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Rejects messages of replaced processes, and drops the votes of those that a newer one replaces.
+    /// Rejects messages of replaced processes, and forgets the votes of a process that is replaced by this message's.
     fn check_incarnation(
         &mut self,
         now: UnixMillis,
--- a/crates/gossip/src/fleet_view/sending.rs
+++ b/crates/gossip/src/fleet_view/sending.rs
@@ -1,4 +1,4 @@
-//! The datagrams of a round: this sender's report, and summaries for those that reported to it.
+//! The datagrams of a round: this sender's report, and summaries for its reporters.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,18 +17,19 @@
 use crate::peer_selection::hash_words;
 use crate::tenant_usage::{epoch_at, epoch_start};
 
-/// When reports begin in a round, ms after its start: the answers of the round before have arrived by then.
+/// Start of the part of a round in which reports are sent, in milliseconds after the round's start: the summaries of the
+/// previous round have arrived by then.
 const REPORT_START: u64 = 200;
-/// How long after that the last sender reports, ms: the rest of the round is for a second report and transmission.
+/// Length of the part of a round over which the senders' reports are spread, in milliseconds.
 const REPORT_WINDOW: u64 = 200;
-/// Aggregators that are reported to after a round without a summary, or while a receiver is voted down.
+/// Number of aggregators after a round without a summary, or while a receiver is voted down; otherwise there is one.
 const MAX_AGGREGATORS: usize = 2;
-/// Distinguishes the order of aggregators from the one that the demand exchange draws with the same hash.
+/// Separates the order of aggregators from that of the demand exchange, which uses the same hash.
 const AGGREGATOR_HASH_DOMAIN: u64 = 1 << 32;
 
 impl FleetView {
-    /// The datagrams that are due, to be asked for a few times in a round: summaries for those that reported in a round
-    /// that is over, and the own report as soon as the budget has room for it.
+    /// The datagrams that are due, to be polled several times in a round: summaries for the reporters of past rounds, and
+    /// this sender's report as soon as the budget allows it.
     pub fn due_datagrams(&mut self, now: UnixMillis, budget: &mut DatagramBudget) -> Vec<OutgoingDatagram> {
         let round = epoch_at(now);
         let mut datagrams = self.due_summaries(now, round);
@@ -37,7 +38,7 @@
         datagrams
     }
 
-    /// Summaries of the rounds before `round`, which are closed by this.
+    /// Closes the rounds before `round` and returns their summaries.
     fn due_summaries(&mut self, now: UnixMillis, round: u64) -> Vec<OutgoingDatagram> {
         let mut datagrams = Vec::new();
         while let Some(entry) = self.reporters.first_entry().filter(|entry| *entry.key() < round) {
@@ -45,13 +46,13 @@
             datagrams.extend(self.summaries(now, reported_round, &reporters));
             self.newest_summary_round = self.newest_summary_round.max(reported_round);
         }
-        // A clock that went back leaves rounds that are far off now.
+        // After the clock was set back, rounds in the far future may be left.
         self.reporters.retain(|reported_round, _| *reported_round <= round + 1);
         self.oldest_open_round = round;
         datagrams
     }
 
-    /// Draws the aggregators of a round once this sender's time to report has come.
+    /// Selects the aggregators of a round at this sender's time to report.
     fn begin_round(&mut self, now: UnixMillis, round: u64) {
         if self.reported_round == Some(round) {
             return;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// When this sender reports, ms after the start of a round.
+    /// When this sender reports, in milliseconds after the start of a round.
     fn report_time(&self) -> u64 {
         REPORT_START + self.local.number as u64 * REPORT_WINDOW / self.zones.len().max(1) as u64
     }
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The aggregators of a round: the first of an order that is drawn anew for each round, the same at every sender.
+    /// The aggregators of a round: the first senders of a pseudorandom order that is the same at every sender.
     fn aggregators(&self, now: UnixMillis, round: u64) -> Vec<usize> {
         let hash = |number: usize| hash_words([round, number as u64 | AGGREGATOR_HASH_DOMAIN]);
         let mut order: Vec<usize> = (0..self.zones.len()).collect();
@@ -97,8 +98,8 @@
         order
     }
 
-    /// Counts the senders of the own zone whose usage or messages were received lately; unchanged after a round without
-    /// a summary.
+    /// Counts the senders of this zone whose usage or messages were received recently; unchanged after a round without a
+    /// summary.
     fn update_zone_senders(&mut self, now: UnixMillis, round: u64) {
         if self.has_missed_summary(round) {
             return;
@@ -127,7 +128,7 @@
         Report { incarnation: self.local.incarnation.0, round, registers, votes: votes.collect() }.encode()
     }
 
-    /// Summaries of a round for these reporters, the same for all of a zone.
+    /// Summaries of a round for these reporters; all reporters of a zone receive the same one.
     pub(super) fn summaries(
         &self,
         now: UnixMillis,
@@ -158,7 +159,7 @@
         (0..MAX_SLICES as u8).filter_map(slice).collect()
     }
 
-    /// The votes of a zone's senders by receiver, those receivers first that most of them vote down.
+    /// The votes of a zone's senders by receiver, receivers with the most down votes first.
     fn receivers(
         &self,
         round: u64,
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,18 +1,17 @@
-//! Gossip between the senders of a fleet, by which hundreds of them share one limit without a leader.
+//! Gossip between the senders of a fleet, with which hundreds of them share one limit without a leader.
 //!
-//! One sender sees too little of a destination to know what the others do to it. So each reports its load at every limit
-//! (a destination's, or that of a single endpoint) a few times a second, and receives the sums over all that reported
-//! lately. From the sums each sender computes by itself how much of the limit there is for each of its calls. No sender
-//! decides for another: the one that aggregates a round is the first of an order that all compute alike, and any other
-//! can take its place.
+//! Several times a second each sender reports its load at every limit (a destination's, or a single endpoint's) and
+//! receives the sums over all recent reports. From the sums it computes the capacity that the limit leaves for each of its
+//! calls. No sender decides for another: the aggregator of a round is the first sender of an order that all senders
+//! compute identically, and any other sender can replace it.
 //!
 //! - [`DemandExchange`] exchanges loads and computes the capacity of each limit; [`CapacityShare`] is the policy's view
 //!   of it.
 //! - [`PermitLedger`] enforces a hard bound on the fleet's rate at a limit by leases for single calls.
 //! - [`FleetView`] exchanges tenant usage and outlier votes; [`DatagramBudget`] bounds the datagrams for it.
 //!
-//! This crate does no I/O and reads no clock: it is given the time and the datagrams that arrive, and returns those to be
-//! sent.
+//! This crate does no I/O and reads no clock: its callers pass in the time and the received datagrams, and send those that
+//! it returns.
 #![forbid(unsafe_code)]
 
 mod arrival_rate;
--- a/crates/gossip/src/limit_estimate.rs
+++ b/crates/gossip/src/limit_estimate.rs
@@ -1,31 +1,31 @@
-//! Estimates how much of a limit the destination accepts, and divides that by the demand of the fleet.
+//! Estimates the fraction of a limit that the destination accepts, and divides the resulting rate by the fleet's demand.
 //!
-//! Senders that receive the same totals come to the same estimate.
+//! Senders that receive the same totals compute the same estimate.
 
 use crate::load_totals::Load;
 
 /// Multiplier of accepted calls in the formula of client-side throttling, as in the policy.
 const ACCEPT_MULTIPLIER: f64 = 1.5;
-/// Minimum fraction of the calls that throttling lets through, so that a recovery is noticed.
+/// Minimum fraction of the calls that throttling lets through, so that a recovery is detected.
 const MIN_PASS_FRACTION: f64 = 0.15;
-/// Fraction of a limit that is issued while nothing is rejected: the calls of many senders do not arrive evenly.
+/// Fraction of a limit that is issued while nothing is rejected: the calls of many senders are not evenly spaced.
 const MAX_ISSUED_FRACTION: f64 = 0.95;
-/// Minimum factor by which rejections reduce the accepted fraction at once.
+/// Minimum factor of a single reduction of the accepted fraction.
 const MIN_REDUCTION_FACTOR: f64 = 0.7;
 /// Growth of the accepted fraction without rejections, per second.
 const GROWTH_PER_S: f64 = 0.1;
 /// Lower bound of the accepted fraction.
 const MIN_ACCEPTED_FRACTION: f64 = 0.2;
-/// Above this fraction of the calls, rejections are more than chance.
+/// Fraction of rejected calls up to which rejections are considered noise.
 const MAX_CHANCE_REJECTIONS: f64 = 0.02;
-/// Number of failures with few answered calls between them that show an outage, as many as for one sender alone.
+/// Number of failures, with few answered calls between them, that indicate an outage.
 const OUTAGE_FAILURES: f64 = 4.0;
-/// Fraction of the calls that fails in an outage; one failing endpoint beside healthy ones stays below.
+/// Minimum fraction of failed calls in an outage; with one failing endpoint among healthy ones the fraction is lower.
 const OUTAGE_FAILURE_FRACTION: f64 = 0.8;
-/// Calls beyond this multiple of the issued rate started before it was known, and prove nothing about it.
+/// Calls beyond this multiple of the issued rate were started under an earlier rate; their rejections are ignored.
 const MAX_EXCESS_CALLS: f64 = 1.15;
 
-/// How much of its limit a destination is sent during an outage and its recovery, by all senders together.
+/// The fraction of a destination's limit that all senders together use during an outage and the recovery from it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryRamp {
     /// Fraction of the limit during the outage and at the start of the recovery.
@@ -37,15 +37,15 @@
 /// The estimate for one limit.
 #[derive(Clone, Debug)]
 pub(crate) struct LimitEstimate {
-    /// Fraction of the announced limit that the destination is believed to accept: reductions are not announced.
+    /// Estimated fraction of the announced limit that the destination accepts: it does not announce reductions.
     accepted_fraction: f64,
-    /// Rate that was issued when the last totals came, in calls a second.
+    /// Rate that was issued for the last totals, in calls a second.
     issued_rate: f64,
     /// Whether the last totals showed rejections.
     is_rejecting: bool,
-    /// Failures at all senders since calls were last answered.
+    /// Failures at all senders since the last answered call.
     failures: f64,
-    /// Fraction of the limit that may be issued since an outage.
+    /// Fraction of the limit that the recovery ramp allows; infinite before the first outage.
     ramp_fraction: f64,
 }
 
@@ -62,16 +62,16 @@
 }
 
 impl LimitEstimate {
-    /// The fraction of the most that is ever issued of the limit that is issued now, from 0 to 1.
+    /// The issued rate as a fraction of the maximum that is ever issued, from 0 to 1.
     pub fn available_fraction(&self, limit: f64) -> f64 {
         (self.issued_rate / (limit * MAX_ISSUED_FRACTION)).clamp(0.0, 1.0)
     }
 
-    /// Takes in new totals, `elapsed_s` seconds after the last ones. Returns the rate for each call in demand, in calls a
-    /// second.
+    /// Updates the estimate with new totals, `elapsed_s` seconds after the last ones. Returns the rate for each call in
+    /// demand, in calls a second.
     ///
-    /// What is issued is what client-side throttling over the calls and accepts of all senders lets through, of the
-    /// fraction of the limit that is believed to be accepted and that the recovery ramp allows.
+    /// The issued rate is the limit, reduced to the accepted fraction and the recovery ramp, and further by client-side
+    /// throttling over the calls and accepts of all senders.
     pub fn update(&mut self, limit: f64, totals: &Load, elapsed_s: f64, ramp: RecoveryRamp) -> f64 {
         self.update_accepted_fraction(totals, elapsed_s);
         self.update_ramp(totals, elapsed_s, ramp);
@@ -80,8 +80,8 @@
         self.issued_rate / totals.demand.max(f64::MIN_POSITIVE)
     }
 
-    /// Where calls are rejected though no more were made than issued, the destination accepts less than announced. A
-    /// burst that had not been reported yet only has to pass.
+    /// Reduces the accepted fraction if calls were rejected although no more were made than issued. Rejections of a burst
+    /// above the issued rate are ignored.
     fn update_accepted_fraction(&mut self, totals: &Load, elapsed_s: f64) {
         let is_rejecting = totals.rejected > MAX_CHANCE_REJECTIONS * totals.calls;
         if !is_rejecting {
@@ -94,7 +94,7 @@
         self.is_rejecting = is_rejecting;
     }
 
-    /// Detects an outage by the failures of all senders: one of hundreds hardly sees it by itself.
+    /// Detects an outage by the failures of all senders: a single sender makes too few calls.
     fn update_ramp(&mut self, totals: &Load, elapsed_s: f64, ramp: RecoveryRamp) {
         let is_failing = totals.failed > 0.0 && totals.failed >= OUTAGE_FAILURE_FRACTION * totals.calls;
         if is_failing {
--- a/crates/gossip/src/limit_id.rs
+++ b/crates/gossip/src/limit_id.rs
@@ -2,12 +2,12 @@
 
 /// Identifier of a limit, the same at every sender: a destination's, or an endpoint's where each has a limit of its own.
 ///
-/// It is a hash of 24 bits. Two of a thousand limits share an identifier by chance in one of 30 fleets; their loads are
-/// added up then, and both get less than there is.
+/// It is a hash of 24 bits. Limits that share an identifier by chance (in one of 30 fleets with a thousand limits) have
+/// their loads added up, and both receive less capacity than there is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LimitId(pub(crate) u32);
 
-/// The bits of a hash that an identifier keeps: three bytes in a message.
+/// The bits of the hash that form an identifier: three bytes in a message.
 const MASK: u32 = 0x00ff_ffff;
 
 impl LimitId {
--- a/crates/gossip/src/load_totals.rs
+++ b/crates/gossip/src/load_totals.rs
@@ -7,13 +7,13 @@
 /// Demand at a limit and the calls of the last second, of one sender or added up over several.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Load {
-    /// Calls in demand now: those that wait, and those expected before the next report.
+    /// Calls in demand: those that wait, and those expected before the next report.
     pub demand: f64,
     /// Calls in the last second.
     pub calls: f64,
     /// Calls that the destination rejected in the last second.
     pub rejected: f64,
-    /// Calls that became known as failed in the last second.
+    /// Calls that failed in the last second.
     pub failed: f64,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl RoundTotals {
-    /// Adds a sender's report; returns `false` if one is included already.
+    /// Adds a sender's report; `false` if one is already included.
     pub fn add(&mut self, sender: usize, report: &[LimitLoad]) -> bool {
         if self.senders.contains(&sender) {
             return false;
--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -10,26 +10,27 @@
 
 pub use incarnation::{Incarnation, IncarnationTooFarAhead};
 
-/// A sender from which nothing was received for this long counts as dead, ms: ten rounds of datagrams.
-pub const SILENCE_TIMEOUT: u64 = 10_000;
-/// After this long without a message a number's incarnation is forgotten, ms.
+/// Time without a message after which a sender counts as down, in milliseconds: ten rounds of datagrams.
+pub const LIVENESS_TIMEOUT: u64 = 10_000;
+/// Time without a message after which a number's incarnation is forgotten, in milliseconds; longer than any datagram is
+/// delayed.
 ///
-/// A process that returns with an empty state folder and a clock that was set back is therefore not locked out for
-/// good. Longer than the oldest datagram that is still accepted.
+/// A process that restarts with an empty state folder and a clock that was set back is accepted again after this time.
 pub const FORGET_TIMEOUT: u64 = 600_000;
-/// Longest delay after which a message of a replaced incarnation may still be a late datagram, ms.
+/// Maximum delay of a datagram, in milliseconds.
 ///
-/// When one arrives later than this after the newer incarnation was first seen, both processes are running.
+/// If a message of a replaced incarnation arrives later than this after the first one of the newer incarnation, both
+/// processes are running.
 pub const MAX_DATAGRAM_DELAY: u64 = 3_000;
 
 /// How the incarnation of a received message compares to the newest one known of its sender number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncarnationOrder {
-    /// A process that was replaced: its messages do not count.
+    /// A replaced process; its messages are ignored.
     Older,
     /// The newest incarnation known.
     Current,
-    /// An incarnation that is new here: what was known of the number's earlier ones is void.
+    /// A newer incarnation than the known one, whose state is obsolete.
     Newer,
 }
 
@@ -38,11 +39,11 @@
 pub enum MemberEvent {
     /// Its first message since this process started, or since the number was forgotten.
     Joined,
-    /// The same process sends again after `SILENCE_TIMEOUT`: it was paused, or partitioned.
+    /// The same process sends again after `LIVENESS_TIMEOUT`: it was paused or partitioned.
     Resumed,
-    /// Another process took the number over.
+    /// Another process uses the number now.
     Restarted,
-    /// A replaced process still sends after `MAX_DATAGRAM_DELAY`: two run under one number.
+    /// A replaced process still sends after `MAX_DATAGRAM_DELAY`: two processes use one number.
     DuplicateDetected,
 }
 
@@ -77,7 +78,7 @@
     }
 
     fn record_current(&mut self, now: UnixMillis) -> IncarnationOrder {
-        if now > self.last_received.saturating_add(SILENCE_TIMEOUT) {
+        if now > self.last_received.saturating_add(LIVENESS_TIMEOUT) {
             self.last_event = MemberEvent::Resumed;
         }
         self.last_received = self.last_received.max(now);
@@ -108,7 +109,7 @@
         Self { senders, members: BTreeMap::new() }
     }
 
-    /// Records that a message of sender number `from` arrived, and says whether its content counts.
+    /// Records a message of sender number `from`; the content of one from an older incarnation must be ignored.
     ///
     /// A number beyond the fleet's size is always [`IncarnationOrder::Older`].
     ///
@@ -140,20 +141,18 @@
         Ok(member.record_current(now))
     }
 
-    /// Whether a message of the sender number was received within `SILENCE_TIMEOUT`.
-    ///
-    /// Where it was not, but [`MembershipList::last_event`] knows the number, the process died, is paused or partitioned.
+    /// Whether a message of the sender number was received within `LIVENESS_TIMEOUT`.
     pub fn is_alive(&self, number: usize, now: UnixMillis) -> bool {
         let member = self.members.get(&number);
-        member.is_some_and(|member| member.last_received.saturating_add(SILENCE_TIMEOUT) > now)
+        member.is_some_and(|member| member.last_received.saturating_add(LIVENESS_TIMEOUT) > now)
     }
 
-    /// The last change under the sender number; `None` if nothing was received from it, or it is forgotten.
+    /// The last change under the sender number; `None` if nothing was received from it, or it was forgotten.
     pub fn last_event(&self, number: usize) -> Option<MemberEvent> {
         self.members.get(&number).map(|member| member.last_event)
     }
 
-    /// The newest incarnation known of the sender number.
+    /// The newest known incarnation of the sender number.
     pub fn newest(&self, number: usize) -> Option<NewestIncarnation> {
         let member = self.members.get(&number)?;
         Some(NewestIncarnation { incarnation: member.incarnation, last_received: member.last_received })
--- a/crates/gossip/src/membership/tests.rs
+++ b/crates/gossip/src/membership/tests.rs
@@ -1,5 +1,10 @@
-use super::*;
-use crate::membership::incarnation::MAX_CLOCK_LEAD;
+use rudderspindle_clock::UnixMillis;
+
+use super::incarnation::MAX_CLOCK_LEAD;
+use super::{
+    FORGET_TIMEOUT, Incarnation, IncarnationOrder, IncarnationTooFarAhead, LIVENESS_TIMEOUT, MemberEvent,
+    MembershipList, NewestIncarnation,
+};
 
 const START: UnixMillis = UnixMillis(1_700_000_000_000);
 
@@ -32,9 +37,9 @@
 fn a_dead_sender_is_distinguished_from_one_that_paused_and_resumed() {
     let mut members = MembershipList::new(2);
     members.record_message(0, Incarnation(START.0), START).expect("in time");
-    assert!(members.is_alive(0, START + SILENCE_TIMEOUT - 1));
+    assert!(members.is_alive(0, START + LIVENESS_TIMEOUT - 1));
     assert!(
-        !members.is_alive(0, START + SILENCE_TIMEOUT) && members.last_event(0).is_some(),
+        !members.is_alive(0, START + LIVENESS_TIMEOUT) && members.last_event(0).is_some(),
         "dead, or paused"
     );
     assert!(!members.is_alive(1, START) && members.last_event(1).is_none(), "never received from");
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -5,8 +5,8 @@
 //! | 1 | version and kind |
 //! | 2 | checksum: the low half of the CRC-32 of all that follows |
 //! | 4 | round, modulo 2^32 |
-//! | 2 | number of senders that the loads are of; 1 in a report |
-//! | 8 in sums, none in a report | which of the 64 sampled senders the loads are of, a bit for each |
+//! | 2 | number of senders whose loads are included; 1 in a report |
+//! | 8 in sums, none in a report | which of the 64 sampled senders are included, a bit for each |
 //! | 7 for each limit | identifier (3), demand (1), calls (1), rejected (1) and failed (1) of the last second |
 //!
 //! All integers are little endian; loads are [encoded in one byte](load_code).
@@ -60,7 +60,7 @@
     UnknownSender,
 }
 
-/// Whose loads a message holds.
+/// The kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MessageKind {
     /// The loads of the sender itself.
@@ -78,14 +78,14 @@
     pub kind: MessageKind,
     /// The round, modulo 2^32.
     pub round: u32,
-    /// Number of senders that the loads are of.
+    /// Number of senders whose loads are included.
     pub senders: u16,
     pub loads: Vec<LimitLoad>,
 }
 
 impl GossipMessage {
-    /// Encodes the message. Limits with the most demand, rejections and failures come first; those that do not fit are
-    /// left out.
+    /// Encodes the message. Limits with the most demand, rejections and failures are first; those that do not fit are left
+    /// out.
     pub(crate) fn encode(mut self) -> Vec<u8> {
         let weight = |entry: &LimitLoad| entry.load.demand + entry.load.rejected + entry.load.failed;
         self.loads.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.limit_id.cmp(&b.limit_id)));
@@ -138,7 +138,7 @@
     }
 }
 
-/// Whether a datagram of that length holds whole entries after its header.
+/// Checks that a datagram of this length consists of a header and complete entries.
 fn check_length(len: usize, header_len: usize) -> Result<(), GossipError> {
     let is_in_bounds = (header_len..=MAX_MESSAGE_LEN).contains(&len);
     if is_in_bounds && (len - header_len).is_multiple_of(ENTRY_LEN) {
--- a/crates/gossip/src/message/load_code.rs
+++ b/crates/gossip/src/message/load_code.rs
@@ -7,19 +7,19 @@
 /// Factor between two codes above [`MAX_EXACT`].
 const STEP: f64 = 25.0 / 24.0;
 
-/// The code of a figure; one that is negative, too large or not a number gets the first or last code.
+/// The code of a figure; negative ones and NaN have the first code, too large ones the last.
 pub(super) fn encode_figure(figure: f64) -> u8 {
     let steps = if figure <= MAX_EXACT { figure } else { MAX_EXACT + (figure / MAX_EXACT).ln() / STEP.ln() };
     steps.round() as u8
 }
 
-/// The figure that a code stands for.
+/// The figure of a code.
 pub(super) fn decode_figure(code: u8) -> f64 {
     let code = f64::from(code);
     if code <= MAX_EXACT { code } else { MAX_EXACT * STEP.powf(code - MAX_EXACT) }
 }
 
-/// Whether a load decodes to zero, so that nothing need be reported of its limit.
+/// Whether a load decodes to zero, so that its limit need not be reported.
 pub(crate) fn is_zero_when_encoded(load: &Load) -> bool {
     [load.demand, load.calls, load.rejected, load.failed].iter().all(|&figure| encode_figure(figure) == 0)
 }
--- a/crates/gossip/src/outgoing_datagram.rs
+++ b/crates/gossip/src/outgoing_datagram.rs
@@ -1,6 +1,6 @@
-//! A datagram that a protocol of this crate asks its host to send.
+//! A datagram to be sent by the caller.
 
-/// An encoded message and the sender that it is addressed to.
+/// An encoded message and its recipient.
 ///
 /// Delivery is best effort: every protocol here tolerates a datagram that is lost, duplicated or late.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/gossip/src/outlier_detection.rs
+++ b/crates/gossip/src/outlier_detection.rs
@@ -1,10 +1,10 @@
-//! Ejection of receivers that several senders of a zone see fail, where one alone makes too few calls to tell.
+//! Ejection of receivers whose calls fail at several senders of a zone, as a single sender makes too few calls.
 //!
-//! Invariant: no sender outside the reader's zone, and no single sender, ejects a receiver; nobody's vote outweighs what
-//! the reader's own calls show; and at least half of a destination's receivers remain, at least one of them.
+//! Invariant: a receiver is never ejected by senders outside the reader's zone or by a single sender, nor against the results
+//! of the reader's own calls; and at least half of a destination's receivers, at least one, are not ejected.
 //!
-//! Votes of others arrive through aggregators, which may forge them. So each reporter stands for one observer at most:
-//! the observers that count are those that can be matched with a reporter each (an observer reports its own votes).
+//! Votes of others arrive through aggregators, which may forge them. Therefore each reporter counts for at most one
+//! observer: only observers that can each be matched with a different reporter count.
 
 mod bounded_map;
 mod call_history;
@@ -24,17 +24,17 @@
 use reported_votes::ReportedVotes;
 pub use vote::{CallResult, ObserverVote, Receiver, ReceiverVote, Vote};
 
-/// How far a vote may be ahead of the reader's clock, ms.
+/// Maximum lead of a vote over the reader's clock, in milliseconds.
 const MAX_CLOCK_SKEW: u64 = 500;
-/// Maximum number of receivers of whose calls a history is kept.
+/// Maximum number of receivers with a call history.
 pub const MAX_HISTORIES: usize = 1_024;
-/// Maximum number of own votes that are announced at once.
+/// Maximum number of own votes in a report.
 pub const MAX_ANNOUNCED_VOTES: usize = 8;
 
-/// The calls of this sender and the votes of others.
+/// The results of this sender's calls, the votes of others, and the ejections that follow from them.
 ///
-/// It holds at most `MAX_REPORTED_VOTES` votes for each sender of the fleet and
-/// `MAX_HISTORIES` histories, all of which expire; and the ejections that follow from them, for ten seconds longer.
+/// Holds at most `MAX_REPORTED_VOTES` votes for each sender of the fleet and `MAX_HISTORIES` histories, all of which
+/// expire, and the ejections for ten seconds longer.
 ///
 /// ```
 /// use rudderspindle_clock::UnixMillis;
@@ -55,7 +55,7 @@
     /// The zone of each sender, by its number.
     zones: Vec<u16>,
     histories: BTreeMap<Receiver, CallHistory>,
-    /// By the sender that reported them.
+    /// The votes of others, by the sender that reported them.
     votes: BTreeMap<usize, ReportedVotes>,
     ejections: BTreeMap<Receiver, EjectionPeriod>,
 }
@@ -74,7 +74,7 @@
         evict_oldest(&mut self.histories, MAX_HISTORIES, CallHistory::last_call);
     }
 
-    /// This sender's own votes, the newest first, at most `MAX_ANNOUNCED_VOTES`.
+    /// This sender's own votes, newest first, at most `MAX_ANNOUNCED_VOTES`.
     pub fn own_votes(&self, now: UnixMillis) -> Vec<ReceiverVote> {
         let votes = self.histories.iter().filter_map(|(receiver, history)| {
             let vote = history.vote()?;
@@ -86,9 +86,9 @@
         votes
     }
 
-    /// Takes in the votes, its own or others', that a sender reported.
+    /// Stores the votes, its own or relayed ones, that a sender reported.
     ///
-    /// Votes of unknown senders, of the reader itself, ahead of its clock or too old are left out.
+    /// Votes of unknown senders, of the reader itself, too far ahead of its clock or too old are ignored.
     pub fn receive_votes(&mut self, now: UnixMillis, reporter: usize, votes: &[ObserverVote]) {
         self.remove_expired(now);
         if !self.is_peer(reporter) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Drops the votes of a sender that is another process now.
+    /// Drops the votes of a sender whose process was replaced.
     pub fn forget_observer(&mut self, observer: usize) {
         self.votes.remove(&observer);
         for votes in self.votes.values_mut() {
@@ -111,9 +111,9 @@
         }
     }
 
-    /// The newest vote of each observer of any zone, by receiver: what an aggregator relays.
+    /// The votes that an aggregator relays: the newest one of each observer of any zone, by receiver.
     ///
-    /// Only what an observer reported itself, and own votes; relayed votes are not relayed again.
+    /// These are votes reported by their observers, and own ones; relayed votes are not relayed again.
     pub fn relayable_votes(&self, now: UnixMillis) -> BTreeMap<Receiver, BTreeMap<usize, Vote>> {
         let mut relayable: BTreeMap<Receiver, BTreeMap<usize, Vote>> = BTreeMap::new();
         for (reporter, votes) in &self.votes {
@@ -129,7 +129,7 @@
         relayable
     }
 
-    /// Whether any vote from anywhere says that a receiver is down: reports are sent to more aggregators then.
+    /// Whether any valid vote is that a receiver is down.
     pub fn has_down_votes(&self, now: UnixMillis) -> bool {
         let reported = self.votes.values().flat_map(|votes| votes.valid(now)).map(|reported| reported.vote);
         let own = self.own_votes(now).into_iter().map(|own| own.vote);
--- a/crates/gossip/src/outlier_detection/bounded_map.rs
+++ b/crates/gossip/src/outlier_detection/bounded_map.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeMap;
 
-/// Removes the entry of the smallest age, then of the smallest key, if the map has more than `max_len` entries.
+/// Removes the entry with the smallest `age`, of equal ones that with the smallest key, if the map has more than `max_len`
+/// entries.
 pub(super) fn evict_oldest<Key: Ord + Copy, Value, Age: Ord>(
     map: &mut BTreeMap<Key, Value>,
     max_len: usize,
--- a/crates/gossip/src/outlier_detection/call_history.rs
+++ b/crates/gossip/src/outlier_detection/call_history.rs
@@ -4,11 +4,9 @@
 
 use super::vote::{CallResult, Vote};
 
-/// Consecutive failures that make a sender vote a receiver down.
-///
-/// One call in forty is lost by itself on a bad day; of hundreds of senders, three would see that of any receiver.
+/// Number of consecutive failures after which a sender votes a receiver down; single calls fail by chance.
 const MIN_CONSECUTIVE_FAILURES: u32 = 2;
-/// How long a history is kept after the last call, ms.
+/// How long a history is kept after the last call, in milliseconds.
 const HISTORY_TTL: u64 = 60_000;
 
 /// The recent calls to one receiver.
@@ -16,12 +14,12 @@
 pub(super) struct CallHistory {
     /// Failures since the last answer.
     consecutive_failures: u32,
-    /// The first of them.
+    /// When the first of them was recorded.
     first_failure: UnixMillis,
-    /// The last failure.
+    /// When a call last failed.
     last_failure: UnixMillis,
     last_answer: Option<UnixMillis>,
-    /// Whether the receiver was down before that answer.
+    /// Whether the receiver was down before the last answer.
     recovered: bool,
 }
 
@@ -43,7 +41,7 @@
         }
     }
 
-    /// When the last call ended.
+    /// When a call last finished.
     pub fn last_call(&self) -> UnixMillis {
         self.last_failure.max(self.last_answer.unwrap_or_default())
     }
@@ -53,7 +51,7 @@
         if self.consecutive_failures > 0 { self.last_failure } else { UnixMillis::EPOCH }
     }
 
-    /// This sender's vote, if there is one.
+    /// This sender's vote, if it has one.
     pub fn vote(&self) -> Option<Vote> {
         if self.is_down() {
             return Some(Vote { last: self.last_failure, first: self.first_failure, recovered: false });
@@ -62,7 +60,7 @@
         Some(Vote { last: answer, first: answer, recovered: true })
     }
 
-    /// Whether an answer since then, with no failure after it, refutes a vote on failures that began at `began`.
+    /// Whether the last call was answered, after `began`: this refutes a vote on failures that began then.
     pub fn refutes(&self, began: UnixMillis) -> bool {
         self.consecutive_failures == 0 && self.last_answer.is_some_and(|answer| answer >= began)
     }
--- a/crates/gossip/src/outlier_detection/ejection.rs
+++ b/crates/gossip/src/outlier_detection/ejection.rs
@@ -1,4 +1,4 @@
-//! Which of a destination's receivers are ejected, and for how long.
+//! Decides which receivers of a destination are ejected, and for how long.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,33 +9,31 @@
 use super::matching::max_matching;
 use super::vote::{ObserverVote, Receiver, Vote};
 
-/// Observers that have to vote a receiver down.
-///
-/// With two, one that lies and one that lost two calls by chance would do.
+/// Number of observers that must vote a receiver down: with two, a forged vote and one by chance would be enough.
 pub const QUORUM: usize = 3;
-/// In a zone of fewer than five senders more than half of them are enough, but never fewer than these.
+/// Minimum quorum in zones of fewer than five senders, where more than half of the senders are a quorum.
 pub const MIN_QUORUM: usize = 2;
-/// How long a receiver stays ejected, ms, after the quorum was reached here or an own call failed.
+/// How long a receiver stays ejected after the quorum was reached or an own call failed, in milliseconds. This sender then
+/// probes it.
 ///
-/// Then this sender probes it and goes by the result. Less than
-/// [`OBSERVATION_TTL`](super::vote::OBSERVATION_TTL), so that those that probe it and see it fail keep on voting.
+/// Shorter than [`OBSERVATION_TTL`](super::vote::OBSERVATION_TTL), so that senders whose probes fail renew their votes.
 pub const EJECTION_DURATION: u64 = 3_000;
-/// A quorum that is reached again within this time continues the same ejection, ms: a few lost datagrams begin no new
-/// [`EJECTION_DURATION`].
+/// Time within which a quorum that is reached again continues the same ejection, in milliseconds: lost datagrams start no
+/// new [`EJECTION_DURATION`].
 const EJECTION_MEMORY: u64 = 10_000;
-/// At most one in so many of a destination's receivers is ejected.
-pub const MAX_EJECTED_ONE_IN: usize = 2;
+/// At most 1 / `EJECTED_SHARE_DIVISOR` of a destination's receivers are ejected.
+pub const EJECTED_SHARE_DIVISOR: usize = 2;
 
-/// The time in which a quorum votes a receiver down.
+/// The period during which a quorum votes a receiver down.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EjectionPeriod {
-    /// When the quorum was first reached here.
+    /// When the quorum was first reached.
     started_at: UnixMillis,
-    /// When it was last there.
+    /// When the quorum was last confirmed.
     confirmed_at: UnixMillis,
 }
 
-/// A receiver that may be ejected; the smaller one goes first.
+/// A receiver that may be ejected; smaller ones are ejected first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     down_since: UnixMillis,
@@ -50,11 +48,11 @@
 }
 
 impl OutlierDetector {
-    /// Which of a destination's receivers are not to be called, by the votes of this zone's senders, this one among them,
-    /// those that have been down longest first.
+    /// The receivers of a destination that are ejected by the votes of this zone's senders, including this one; those that
+    /// have been down longest first.
     ///
-    /// `zone_senders` is the number of senders of this zone that are alive, this one among them. What the caller's own
-    /// circuit breakers make of its calls is apart from this.
+    /// `zone_senders` is the number of live senders of this zone, including this one. The caller's own circuit breakers are
+    /// independent of this.
     pub fn ejected(&mut self, now: UnixMillis, zone_senders: usize, receivers: &[Receiver]) -> Vec<Receiver> {
         self.ejections.retain(|_, period| period.confirmed_at.saturating_add(EJECTION_MEMORY) > now);
         let receivers: BTreeSet<Receiver> = receivers.iter().copied().collect();
@@ -62,11 +60,11 @@
         let candidates = receivers.iter().filter_map(|receiver| self.candidate(now, *receiver, quorum));
         let mut candidates: Vec<Candidate> = candidates.collect();
         candidates.sort_unstable();
-        candidates.truncate(receivers.len() / MAX_EJECTED_ONE_IN);
+        candidates.truncate(receivers.len() / EJECTED_SHARE_DIVISOR);
         candidates.into_iter().map(|candidate| candidate.receiver).collect()
     }
 
-    /// The receiver, if a quorum votes it down and this sender does not have to probe it.
+    /// The receiver as a candidate, if a quorum votes it down and no probe by this sender is due.
     fn candidate(&mut self, now: UnixMillis, receiver: Receiver, quorum: usize) -> Option<Candidate> {
         let history = self.histories.get(&receiver).copied().unwrap_or_default();
         let down_since = self.down_since(now, receiver, &history, quorum)?;
@@ -78,7 +76,7 @@
         (!must_probe).then_some(Candidate { down_since, receiver })
     }
 
-    /// Since when a quorum votes a receiver down; `None` if there is no quorum.
+    /// Since when a quorum votes a receiver down; `None` without a quorum.
     fn down_since(
         &self,
         now: UnixMillis,
@@ -97,7 +95,7 @@
         first_failures.get(quorum - 1).copied()
     }
 
-    /// The observers of this zone whose newest vote is that the receiver is down, by their numbers.
+    /// The observers of this zone whose newest vote is that the receiver is down, in the order of their numbers.
     fn observers_of_down(
         &self,
         now: UnixMillis,
--- a/crates/gossip/src/outlier_detection/matching.rs
+++ b/crates/gossip/src/outlier_detection/matching.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Size of the largest matching of observers, given as the reporters of each, in which no reporter is used twice.
+/// Size of the largest matching of observers, given by the reporters of each, in which no reporter is used twice.
 ///
-/// Whatever one sender reports, of itself or of others, adds one to it at most.
+/// A single reporter therefore adds at most one to it.
 pub(super) fn max_matching(observers: &[&BTreeSet<usize>]) -> usize {
     let mut matching = Matching { observers, observer_of: BTreeMap::new() };
     (0..observers.len()).filter(|observer| matching.augment(*observer, &mut BTreeSet::new())).count()
@@ -17,7 +17,7 @@
 }
 
 impl Matching<'_> {
-    /// Matches the observer, others moving to another of their reporters for it (Kuhn's augmenting paths).
+    /// Matches the observer, if necessary by matching others with another of their reporters (Kuhn's augmenting paths).
     fn augment(&mut self, observer: usize, tried: &mut BTreeSet<usize>) -> bool {
         for &reporter in self.observers[observer] {
             if !tried.insert(reporter) {
--- a/crates/gossip/src/peer_selection.rs
+++ b/crates/gossip/src/peer_selection.rs
@@ -5,21 +5,20 @@
     crc32fast::hash(&words.map(u64::to_le_bytes).concat())
 }
 
-/// Position key of a sender in the order drawn for a round (rendezvous hashing); ties are broken by the sender's number.
+/// Sort key of a sender in the order of a round (rendezvous hashing); ties are broken by the sender's number.
 pub(crate) fn rank_in_round(round: u64, sender: usize) -> (u32, usize) {
     (hash_words([round, sender as u64]), sender)
 }
 
-/// Up to 64 senders that represent the fleet in bit sets, one bit for each.
-///
-/// They are not chosen by their numbers, since consecutive numbers may share a zone.
+/// Up to 64 senders that represent the fleet in bit sets, with one bit each. They are selected by a hash, since consecutive
+/// numbers may share a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PeerSample {
     members: Vec<usize>,
 }
 
 impl PeerSample {
-    /// The sample of a fleet of that many senders.
+    /// The sample of a fleet of `senders`.
     pub fn new(senders: usize) -> Self {
         let mut members: Vec<usize> = (0..senders).collect();
         members.sort_by_key(|sender| (hash_words([*sender as u64]), *sender));
@@ -27,7 +26,7 @@
         Self { members }
     }
 
-    /// The sampled senders in bit order, from the lowest bit on.
+    /// The sampled senders, lowest bit first.
     pub fn members(&self) -> &[usize] {
         &self.members
     }
@@ -42,12 +41,12 @@
         senders.into_iter().fold(0, |bits, sender| bits | self.bit(sender))
     }
 
-    /// The bits that belong to a sampled sender.
+    /// The bits of all sampled senders.
     pub fn all_bits(&self) -> u64 {
         self.bits(self.members.iter().copied())
     }
 
-    /// The senders whose bits are set; bits that belong to no sender are ignored.
+    /// The senders whose bits are set; other bits are ignored.
     pub fn senders(&self, bits: u64) -> impl Iterator<Item = usize> {
         self.members
             .iter()
--- a/crates/gossip/src/permits.rs
+++ b/crates/gossip/src/permits.rs
@@ -1,14 +1,14 @@
-//! Permits to start calls: a hard bound on the rate of a whole fleet at a limit, whatever messages are lost.
+//! Permits to start calls: a hard bound on the call rate of a fleet at a limit, also if messages are lost.
 //!
 //! Invariant: each permit of a limit is used by at most one process, within
 //! [`PERMIT_VALIDITY`](rounds::PERMIT_VALIDITY) of its start.
 //!
-//! A limit is issued as permits ([`PermitSchedule`](schedule::PermitSchedule)), each a lease with one owner that follows
-//! from the shared clock alone. In each round a sender releases the permits of the round's term that it will not need to
-//! one other sender, the allocator, which grants them to those that request some. The permits are released before the
-//! offer is sent: a lost message leaves permits unused, never used twice. Where the clocks of the senders differ by at
-//! most `e`, at most `0.95 * limit * (s + PERMIT_VALIDITY + 2 e) + 1` calls start in a span `s`; while the endpoint list
-//! changes, the larger limit counts.
+//! A limit is issued as permits ([`PermitSchedule`](schedule::PermitSchedule)), each a lease whose owner is determined by the
+//! wall clock. In each round a sender offers the permits of the round's term that it does not need to one sender, the
+//! allocator, which grants them to senders that request some. Permits are released before the offer is sent, so a lost
+//! message leaves permits unused and none is used twice. If the senders' clocks differ by at most `e`, at most
+//! `0.95 * limit * (s + PERMIT_VALIDITY + 2 e) + 1` calls start in a span `s`; while the endpoint list changes, `limit` is
+//! the larger one.
 
 mod allocation;
 mod allocator;
@@ -41,7 +41,7 @@
     CLOCK_STEP_TOLERANCE, MAX_MESSAGE_AGE_ROUNDS, OFFER_WINDOW, ROUND, round_at, round_start, term,
 };
 
-/// Permission to start one call, a lease that expires by itself.
+/// Permission to start one call: a lease with a fixed validity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     /// Number of the permit, unique at its limit.
@@ -52,7 +52,7 @@
     pub until: UnixMillis,
 }
 
-/// The permits of one sender at all its limits. Nothing in it outlives the process.
+/// The permits of one sender at all its limits. It is not persisted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PermitLedger {
     own_number: usize,
@@ -62,11 +62,11 @@
     last_offer_round: u64,
     /// The latest wall clock time seen.
     latest_time: UnixMillis,
-    /// The sender asked to allocate, for each round whose term is not over.
+    /// The allocator of each round whose term is not over.
     allocators: BTreeMap<u64, usize>,
     holdings: BTreeMap<LimitId, PermitHolding>,
     allocator_selection: AllocatorSelection,
-    /// This sender's part as an allocator.
+    /// This sender's role as an allocator.
     allocator: PermitAllocator,
 }
 
@@ -101,8 +101,8 @@
         self.allocator.next_round().map(|round| round_start(round + 1))
     }
 
-    /// Takes in the wall clock. If it was set back, everything starts anew from the round that had been reached: until
-    /// then permits were released and granted, and messages about them may still arrive.
+    /// Records the wall clock. If it was set back, the ledger is reset and starts in the latest round that was reached:
+    /// messages about permits of earlier rounds may still arrive.
     fn observe_clock(&mut self, now: UnixMillis) {
         if now + CLOCK_STEP_TOLERANCE < self.latest_time {
             let round = round_at(now);
@@ -114,11 +114,11 @@
         self.latest_time = self.latest_time.max(now);
     }
 
-    /// Takes in a datagram of another sender. Returns whether the usable [`permits`](Self::permits) may have changed.
+    /// Handles a datagram of another sender. Returns whether the usable [`permits`](Self::permits) may have changed.
     ///
     /// # Errors
     ///
-    /// [`PermitError`] says why it was dropped; the ledger is unchanged then.
+    /// [`PermitError`] is why it was dropped; the ledger is unchanged.
     pub fn receive(&mut self, now: UnixMillis, from: usize, datagram: &[u8]) -> Result<bool, PermitError> {
         self.observe_clock(now);
         if from == self.own_number || from >= self.senders {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Grants the permits that were offered to this sender in rounds that are over.
+    /// Grants the permits that were offered to this sender in past rounds.
     pub fn allocate(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         self.observe_clock(now);
         let grants = self.allocator.allocate(
@@ -173,10 +173,10 @@
 
     /// The permits of a limit that this sender may still use, ordered by number.
     ///
-    /// `available_fraction` is the fraction of the limit that the destination is believed to accept, from 0 to 1: permits
-    /// are left out accordingly, the same ones at every sender.
+    /// `available_fraction` is the estimated fraction of the limit that the destination accepts, from 0 to 1; the remaining
+    /// permits are left out, the same ones at every sender.
     pub fn permits(&self, now: UnixMillis, limit_id: LimitId, available_fraction: f64) -> Vec<Permit> {
-        // What was released is forgotten after a while, so nothing is used by a clock that was set back.
+        // Records of released permits expire, so a clock that was set back could make them usable again.
         let is_clock_set_back = now + CLOCK_STEP_TOLERANCE < self.latest_time;
         let Some(holding) = self.holdings.get(&limit_id).filter(|_| !is_clock_set_back) else {
             return Vec::new();
@@ -187,7 +187,7 @@
     }
 }
 
-/// Whether a permit is among the given fraction of a limit's permits, by a draw that is the same at every sender.
+/// Whether a permit is in the given fraction of a limit's permits, by a hash that is the same at every sender.
 fn is_available(number: u64, limit_id: LimitId, fraction: f64) -> bool {
     let draw = hash_words([number, u64::from(limit_id.0)]);
     fraction >= 1.0 || f64::from(draw) < fraction * f64::from(u32::MAX)
--- a/crates/gossip/src/permits/allocation.rs
+++ b/crates/gossip/src/permits/allocation.rs
@@ -1,4 +1,4 @@
-//! Distributes the released permits of one limit evenly among the senders that request some.
+//! Distributes the released permits of one limit evenly among the senders that request permits.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,28 +8,28 @@
 use crate::limit_id::LimitId;
 use crate::peer_selection::hash_words;
 
-/// What one sender offers at one limit.
+/// One sender's offer at one limit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SenderOffer {
     pub sender: usize,
     pub entry: PermitOfferEntry,
 }
 
-/// What one sender is granted at one limit.
+/// One sender's grant at one limit.
 #[derive(Debug)]
 pub(crate) struct SenderGrant {
     pub sender: usize,
     pub entry: PermitGrantEntry,
 }
 
-/// A sender's request that is not yet met.
+/// A sender's request that is not fully met.
 struct OpenRequest {
     sender: usize,
     remaining: u8,
 }
 
-/// Grants permit by permit in an order of senders that changes with the round, until all requests are met or no released
-/// permits are left. Returns the entry for each sender that got some, ordered by sender.
+/// Grants one permit to each requesting sender in turn, in an order that changes with the round, until all requests are met
+/// or no released permits are left. Returns an entry for each sender with granted permits, ordered by sender.
 ///
 /// Entries that refer to another schedule are ignored.
 pub(crate) fn allocate_limit(
@@ -71,7 +71,7 @@
     released
 }
 
-/// The requests in the order in which they are served.
+/// The requests in the order in which they are granted.
 fn open_requests(round: u64, limit_id: LimitId, offers: &[SenderOffer]) -> VecDeque<OpenRequest> {
     let mut requests: Vec<OpenRequest> = offers
         .iter()
--- a/crates/gossip/src/permits/allocator.rs
+++ b/crates/gossip/src/permits/allocator.rs
@@ -22,19 +22,19 @@
 /// One sender in its role as the allocator of some rounds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PermitAllocator {
-    /// Rounds up to this one are closed: allocated, or possibly allocated by an earlier process.
+    /// Rounds up to this one are closed: they were allocated, possibly by an earlier process.
     closed_round: u64,
-    /// Offers of the current round and, where clocks differ, of the next one.
+    /// Offers of the current round and, as clocks differ, of the next one.
     open_rounds: BTreeMap<u64, Offers>,
 }
 
 impl PermitAllocator {
-    /// An allocator that starts in `round`, which an earlier process may have allocated.
+    /// An allocator that starts in `round`, which an earlier process may have allocated already.
     pub fn new(round: u64) -> Self {
         Self { closed_round: round, open_rounds: BTreeMap::new() }
     }
 
-    /// Adds a sender's offer. Returns whether it counts: it is of the current or the next round, and the sender's first.
+    /// Adds a sender's offer. Returns whether it was accepted: it is of the current or the next round, and the sender's first.
     pub fn add_offer(&mut self, current_round: u64, from: usize, offer: PermitOffer) -> bool {
         let round = offer.round;
         let is_open = round > self.closed_round && (current_round..=current_round + 1).contains(&round);
@@ -56,7 +56,7 @@
 
     /// Closes the rounds before `current_round` and returns a grant for each sender that made an offer in them.
     ///
-    /// `candidate_bits` gives the bits of the senders that are allocator candidates, `schedule_of` a limit's permits.
+    /// `candidate_bits` returns the bits of the allocator candidates among senders, `schedule_of` the schedule of a limit.
     pub fn allocate(
         &mut self,
         current_round: u64,
@@ -66,7 +66,7 @@
         let mut grants = Vec::new();
         while let Some(entry) = self.open_rounds.first_entry().filter(|entry| *entry.key() < current_round) {
             let (round, offers) = entry.remove_entry();
-            // Whatever the clock does, no round is allocated twice.
+            // No round is allocated twice, also if the clock is set back.
             self.closed_round = self.closed_round.max(round);
             let from: Vec<usize> = offers.keys().copied().collect();
             grants.extend(grants_of_round(round, offers, candidate_bits(&from), &schedule_of));
@@ -74,7 +74,7 @@
         grants
     }
 
-    /// Number of offers that it holds.
+    /// Number of stored offers, for the tests of its bound.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.open_rounds.values().map(BTreeMap::len).sum()
@@ -103,7 +103,7 @@
     grants
 }
 
-/// What is offered at each limit; of a sender that repeats a limit in its offer, the first entry.
+/// The offers at each limit; if a sender repeats a limit in its offer, its first entry counts.
 fn offers_by_limit(offers: &Offers) -> BTreeMap<LimitId, Vec<SenderOffer>> {
     let mut limits: BTreeMap<LimitId, Vec<SenderOffer>> = BTreeMap::new();
     for (&sender, offer) in offers {
@@ -118,7 +118,7 @@
     limits
 }
 
-/// Shortens a grant until it fits in a datagram; the permits that are left out are not used in this term.
+/// Shortens a grant until it fits into a datagram; permits that are left out stay unused in this term.
 fn truncated_to_fit(mut grant: PermitGrant) -> PermitGrant {
     while PermitMessage::PermitGrant(grant.clone()).encode().is_err() {
         let longest = grant.entries.iter_mut().max_by_key(|entry| entry.number_deltas.len());
--- a/crates/gossip/src/permits/allocator_selection.rs
+++ b/crates/gossip/src/permits/allocator_selection.rs
@@ -1,33 +1,32 @@
-//! Chooses the sender that allocates permits in a round, among those that are known to be alive.
+//! Selects the sender that allocates permits in a round among the live candidates.
 
 use std::collections::BTreeMap;
 
 use crate::peer_selection::{PeerSample, rank_in_round};
 
-/// Rounds after which a candidate that nobody has reported counts as gone.
+/// Number of rounds without a report after which a candidate counts as down.
 const LIVENESS_ROUNDS: u64 = 8;
-/// In every round divisible by this, candidates that are not known to be alive are considered too, so that partitions
-/// that have healed find one another.
+/// In every round that is a multiple of this all candidates are considered, so that healed partitions discover each other.
 const DISCOVERY_PERIOD: u64 = 4;
 
-/// The allocator of a round, as far as one sender knows.
+/// The allocator that one sender selected for a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SelectedAllocator {
     pub sender: usize,
-    /// Whether it was reported lately: permits are released to no other.
+    /// Whether it was reported recently; permits are released only to a live allocator.
     pub is_known_alive: bool,
 }
 
-/// The senders that may allocate permits, a fixed sample of the fleet, and when each was last reported.
+/// The allocator candidates, a fixed sample of the fleet, and when each was last reported alive.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AllocatorSelection {
     candidates: PeerSample,
-    /// The last round in which an allocator reported an offer of this candidate.
+    /// The last round in which an allocator received an offer of each candidate.
     last_reported: BTreeMap<usize, u64>,
 }
 
 impl AllocatorSelection {
-    /// A selection for a fleet of that many senders, of which none is known to be alive.
+    /// A selection for a fleet of `senders`, none of which has been reported alive.
     pub fn new(senders: usize) -> Self {
         Self { candidates: PeerSample::new(senders), last_reported: BTreeMap::new() }
     }
@@ -37,7 +36,7 @@
         self.candidates.bits(senders)
     }
 
-    /// Takes in which candidates sent offers in a round.
+    /// Records which candidates sent offers in a round.
     pub fn record_alive(&mut self, round: u64, bits: u64) {
         for sender in self.candidates.senders(bits) {
             let last = self.last_reported.entry(sender).or_default();
@@ -45,7 +44,7 @@
         }
     }
 
-    /// The allocator of a round; `None` only for an empty fleet.
+    /// The allocator of a round; `None` for an empty fleet.
     pub fn select(&mut self, round: u64) -> Option<SelectedAllocator> {
         self.last_reported.retain(|_, last| *last + LIVENESS_ROUNDS > round && *last <= round);
         let considers_all = self.considers_all(round);
--- a/crates/gossip/src/permits/error.rs
+++ b/crates/gossip/src/permits/error.rs
@@ -2,15 +2,14 @@
 
 use crate::envelope::EnvelopeError;
 
-/// Why a message of the permit protocol was dropped; the ledger is unchanged then.
+/// Why a message of the permit protocol was dropped; the ledger is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum PermitError {
     /// It is not a valid message of this protocol.
     #[error(transparent)]
     Envelope(#[from] EnvelopeError),
-    /// It belongs to another round, is a repeated offer, comes from a sender that was not asked to allocate, or answers an
-    /// earlier process.
+    /// It is of another round, a repeated offer, from a sender that is not the round's allocator, or for an earlier process.
     #[error("it is of another round, process or dealer")]
     Round,
     /// The sender's number is outside the fleet, or this sender's own.
--- a/crates/gossip/src/permits/holding.rs
+++ b/crates/gossip/src/permits/holding.rs
@@ -1,6 +1,6 @@
-//! The permits of one limit that one sender may use: its own, less those it released, and those granted to it.
+//! The permits of one limit that one sender may use: its own ones that it has not released, and those granted to it.
 //!
-//! Invariant: a permit that was released in a round is never used here again, and a granted one only in its round's term.
+//! Invariant: a released permit is never used by this sender, and a granted one only in its round's term.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use super::rounds::{CLOCK_STEP_TOLERANCE, PERMIT_VALIDITY, round_of_term_at, term};
 use super::schedule::PermitSchedule;
 
-/// Maximum number of granted permits kept at one limit: those of the terms that are not over.
+/// Maximum number of granted permits at one limit: those of three terms.
 const MAX_GRANTED: usize = 3 * MAX_REQUESTED_PERMITS as usize;
 
 /// One sender's permits at one limit.
@@ -20,13 +20,13 @@
     pub schedule: PermitSchedule,
     /// Own permits that start before this are not used: an earlier process may have released or used them.
     usable_from: UnixMillis,
-    /// How many of its own permits of a round's term the sender kept, the first ones; all of them for rounds without entry.
+    /// Number of own permits retained in a round's term, the first ones; all are in rounds without an entry.
     retained: BTreeMap<u64, usize>,
     granted: BTreeSet<u64>,
 }
 
 impl PermitHolding {
-    /// The holding at a limit that is new in this round.
+    /// The holding at a limit that is new in `round`.
     pub fn new(schedule: PermitSchedule, round: u64) -> Self {
         Self { schedule, usable_from: term(round).end, retained: BTreeMap::new(), granted: BTreeSet::new() }
     }
@@ -44,7 +44,7 @@
         self.retained.insert(round, count);
     }
 
-    /// Adds the permits granted in a round; those outside the round's term are ignored.
+    /// Adds the permits granted in a round; permits outside the round's term are ignored.
     pub fn add_granted(&mut self, round: u64, entry: &PermitGrantEntry) {
         let term_numbers = self.schedule.starting_in(term(round));
         let mut number = term_numbers.start;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Drops what has expired, also by a clock that goes back within the tolerance.
+    /// Removes what has expired, also for a clock that is set back by no more than the tolerance.
     pub fn remove_expired(&mut self, now: UnixMillis) {
         self.retained.retain(|round, _| term(*round).end + PERMIT_VALIDITY + CLOCK_STEP_TOLERANCE > now);
         let schedule = self.schedule;
@@ -90,7 +90,7 @@
         starts_at >= self.usable_from && self.retained.get(&round).is_none_or(is_among_first)
     }
 
-    /// Number of entries kept, for the tests of its bound.
+    /// Number of entries, for the tests of its bound.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.retained.len() + self.granted.len()
--- a/crates/gossip/src/permits/message.rs
+++ b/crates/gossip/src/permits/message.rs
@@ -10,9 +10,10 @@
 pub(crate) const MAX_LIMITS: usize = (MAX_BODY_LEN - 16) / 11;
 /// Maximum number of permits that a sender requests at one limit: as many as fit in a grant.
 pub(crate) const MAX_REQUESTED_PERMITS: u8 = 60;
+/// Maximum number of permits in an entry of a grant.
 const MAX_NUMBER_DELTAS: usize = MAX_REQUESTED_PERMITS as usize;
 
-/// One sender's offer for a round: the permits it releases, and how many of others' it requests.
+/// One sender's offer for a round: the permits that it releases, and the number of permits that it requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PermitOffer {
     pub round: u64,
@@ -25,15 +26,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PermitOfferEntry {
     pub limit_id: u32,
-    /// Checksum of the schedule that the numbers refer to.
+    /// Checksum of the permit schedule.
     pub schedule_checksum: u16,
-    /// Number of the sender's own permits in the round's term, the last ones, that it releases.
+    /// Number of own permits released, the last ones of the round's term.
     pub released: u16,
-    /// Number of further permits that it could use.
+    /// Number of permits requested in addition to the own ones.
     pub requested: u8,
 }
 
-/// The answer to one sender's offer: the permits that are granted to it.
+/// The answer to one sender's offer: its granted permits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PermitGrant {
     pub round: u64,
@@ -50,7 +51,7 @@
 pub(crate) struct PermitGrantEntry {
     pub limit_id: u32,
     pub schedule_checksum: u16,
-    /// Permit numbers, each as the difference to the one before; the first to the first number of the term.
+    /// Permit numbers, each as the difference to the previous one, the first to the first number of the term.
     #[serde(deserialize_with = "bounded::<MAX_NUMBER_DELTAS, _, _>")]
     pub number_deltas: Vec<u16>,
 }
--- a/crates/gossip/src/permits/offering.rs
+++ b/crates/gossip/src/permits/offering.rs
@@ -1,4 +1,4 @@
-//! What a sender offers once a round: it releases the permits that it will not need and requests those that it lacks.
+//! Once a round, a sender offers the permits that it does not need, or requests those that it lacks.
 
 use std::cmp::Reverse;
 
@@ -17,14 +17,14 @@
 struct OfferContext {
     round: u64,
     now: UnixMillis,
-    /// Permits that start before this are already known.
+    /// The sender's permits up to this time are settled by earlier rounds.
     known_until: UnixMillis,
-    /// Whether permits may be released: only to an allocator that is known to be alive.
+    /// Whether permits may be released: the allocator is known to be alive.
     may_release: bool,
 }
 
 impl PermitLedger {
-    /// Makes this sender's offer, once a round. Later calls in a round only take in which limits there are.
+    /// Makes this sender's offer, once a round. Later calls in the same round only update the set of limits.
     ///
     /// Returns `None` if there is nothing to send, also when this sender allocates the round itself.
     pub fn offer(&mut self, now: UnixMillis, demands: &[LocalDemand]) -> Option<OutgoingDatagram> {
@@ -45,9 +45,9 @@
         self.dispatch_offer(selected.sender, PermitOffer { round, incarnation: self.incarnation, entries })
     }
 
-    /// Keeps a holding for each listed limit, and none for others.
+    /// Keeps a holding for each listed limit, and removes those of others.
     fn refresh_holdings(&mut self, now: UnixMillis, demands: &[LocalDemand]) {
-        // After a clock was set back, a new holding knows nothing of what was released before.
+        // After the clock was set back, a new holding has no record of permits released before.
         let first_round = round_at(now).max(self.last_offer_round);
         self.holdings.retain(|limit_id, _| demands.iter().any(|demand| demand.limit_id == *limit_id));
         for demand in demands {
@@ -89,7 +89,7 @@
         (entry.released > 0 || entry.requested > 0).then_some(entry)
     }
 
-    /// Gives up what the entries release, before the offer is sent.
+    /// Releases the permits of the entries, before the offer is sent.
     fn release(&mut self, round: u64, entries: &[PermitOfferEntry]) {
         for entry in entries.iter().filter(|entry| entry.released > 0) {
             if let Some(holding) = self.holdings.get_mut(&LimitId(entry.limit_id)) {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Hands the offer to this sender's own allocator, or addresses it to another's. If it cannot be encoded, the
-    /// released permits are not used in this term.
+    /// Adds the offer to this sender's own allocator, or addresses it to another sender. If it cannot be encoded, the
+    /// released permits stay unused in this term.
     fn dispatch_offer(&mut self, allocator: usize, offer: PermitOffer) -> Option<OutgoingDatagram> {
         if allocator == self.own_number {
             self.allocator.add_offer(offer.round, self.own_number, offer);
--- a/crates/gossip/src/permits/rounds.rs
+++ b/crates/gossip/src/permits/rounds.rs
@@ -6,16 +6,16 @@
 
 /// Length of a round, in milliseconds.
 pub const ROUND: u64 = 500;
-/// The part of a round in which offers are sent, each sender's at its own moment, in milliseconds: the grants of the last
-/// round have arrived by its start, and the last offers still arrive before the round ends.
+/// The part of a round over which the senders' offers are spread, in milliseconds: the grants of the previous round have
+/// arrived by its start, and the last offers arrive before the round ends.
 pub(crate) const OFFER_WINDOW: Range<u64> = 100..400;
-/// Time between the end of a round and the start of its term, in milliseconds: grants travel in it.
+/// Time between the end of a round and the start of its term, in which grants are delivered, in milliseconds.
 pub(crate) const GRANT_LEAD_TIME: u64 = 150;
-/// How long a permit is valid, in milliseconds: longer than the interval at which a sender looks at its queue.
+/// How long a permit is valid, in milliseconds: longer than the interval at which a sender polls its queue.
 pub(crate) const PERMIT_VALIDITY: u64 = 100;
-/// A clock that goes back by more than this has been set, in milliseconds.
+/// Maximum backward step of a clock that is not considered set back, in milliseconds.
 pub(crate) const CLOCK_STEP_TOLERANCE: u64 = 50;
-/// After this many rounds (one minute) a message can no longer arrive.
+/// Maximum age of a message that can still arrive, in rounds: one minute.
 pub(crate) const MAX_MESSAGE_AGE_ROUNDS: u64 = 60_000 / ROUND;
 
 /// The round that a time lies in.
--- a/crates/gossip/src/permits/schedule.rs
+++ b/crates/gossip/src/permits/schedule.rs
@@ -1,4 +1,4 @@
-//! The permits of one limit: when each starts and which sender owns it, computed alike by all senders in integers.
+//! The permits of one limit: the start and the owner of each, computed identically by all senders in integer arithmetic.
 
 use std::ops::Range;
 
@@ -7,11 +7,11 @@
 use crate::limit_id::LimitId;
 use crate::peer_selection::hash_words;
 
-/// The fraction of a limit that is issued as permits: calls arrive less evenly than they start.
+/// The fraction of a limit that is issued as permits: calls arrive at the destination less evenly than they start.
 const ISSUED_FRACTION: f64 = 0.95;
-/// Shortest time between permits, in microseconds: 125,000 calls a second.
+/// Minimum time between permits, in microseconds: 125,000 calls a second.
 const MIN_INTERVAL_US: f64 = 8.0;
-/// Longest time between permits, in microseconds: one call an hour.
+/// Maximum time between permits, in microseconds: one call an hour.
 const MAX_INTERVAL_US: f64 = 3.6e9;
 
 /// Permit number `k` starts `k` intervals after 1970; the senders own the permits in rotation.
@@ -19,7 +19,7 @@
 pub(crate) struct PermitSchedule {
     interval_us: u64,
     senders: u64,
-    /// Offset of the rotation, so that limits with equal rates do not serve the senders in step.
+    /// Offset of the rotation, different for each limit.
     phase: u64,
 }
 
@@ -64,7 +64,7 @@
         (start + ahead..end).step_by(self.senders as usize)
     }
 
-    /// Checksum by which senders notice that their schedules differ; they miss it once in 65,536 cases.
+    /// Checksum by which senders detect that their schedules differ.
     pub fn checksum(&self) -> u16 {
         hash_words([self.interval_us, self.senders]) as u16
     }
--- a/crates/gossip/src/tenant_usage.rs
+++ b/crates/gossip/src/tenant_usage.rs
@@ -1,10 +1,10 @@
 //! Messages per tenant accepted by the whole fleet, as an interval, from registers by sender, incarnation and epoch.
 //!
-//! Invariant: whatever is lost, duplicated, late or replayed, the number of messages of a tenant accepted within an epoch
-//! lies in the interval that is read, as long as no sender accepts more than the stated maximum.
+//! Invariant: the number of messages of a tenant accepted within an epoch lies in the interval that is read, also if datagrams
+//! are lost, duplicated, late or replayed, as long as no sender accepts more than the stated maximum.
 //!
-//! A register is merged with what is known under the same [`RegisterKey`] (the larger number counts) and never added to
-//! it. Registers of different keys are added: of two incarnations of one sender within an epoch both count.
+//! Registers with the same [`RegisterKey`] are merged by their maximum, never added. Registers with different keys are
+//! added, including those of two incarnations of one sender.
 
 mod epochs;
 mod local_sender;
@@ -29,9 +29,9 @@
 use window_slice::FleetLimits;
 pub use window_slice::WindowSlice;
 
-/// Incarnations of one sender whose registers are kept for an epoch, the newest ones.
+/// Number of incarnations of one sender whose registers are kept for an epoch, the newest ones.
 const MAX_INCARNATIONS: usize = 2;
-/// Slices of other aggregators that are kept for an epoch, those of most senders.
+/// Number of slices of other aggregators that are kept for an epoch, those of the most senders.
 const MAX_SLICES: usize = 4;
 
 type EpochRegisters = BTreeMap<RegisterKey, Register>;
@@ -45,8 +45,7 @@
 
 /// The registers of this sender and of those that reported to it, and slices that others aggregated.
 ///
-/// At most `RETAINED_EPOCHS` epochs, in each two registers for each sender and four slices; they are dropped as the
-/// epochs pass.
+/// Holds at most `RETAINED_EPOCHS` epochs, each with two registers for each sender and four slices.
 ///
 /// ```
 /// use rudderspindle_clock::UnixMillis;
@@ -88,7 +87,7 @@
         *total = total.saturating_add(1);
     }
 
-    /// This sender's own register of an epoch, as it is announced.
+    /// This sender's own register of an epoch for a report.
     ///
     /// `None` for an epoch that is not over, is no longer retained, or ended before the process started.
     pub fn own_register(&self, now: UnixMillis, epoch: u64) -> Option<Register> {
@@ -103,10 +102,10 @@
         Some(own.truncated())
     }
 
-    /// Merges a register that another sender announced, and says whether it was accepted.
+    /// Merges a register of another sender's report. Returns whether it was accepted.
     ///
-    /// It is rejected where its epoch is not over or no longer retained, where the sender is this one or beyond the
-    /// fleet's size, and where it has more messages than a sender accepts.
+    /// It is rejected if its epoch is not over or no longer retained, if the sender is this one or unknown, or if it has more
+    /// messages than a sender accepts.
     pub fn merge_register(
         &mut self,
         now: UnixMillis,
@@ -125,7 +124,7 @@
         true
     }
 
-    /// The sum of what this sender and all that reported to it accepted in an epoch that is over.
+    /// The sum of the registers of this sender and all its reporters for a past epoch.
     pub fn aggregate(&self, now: UnixMillis, epoch: u64) -> Option<WindowSlice> {
         if epoch >= epoch_at(now) {
             return None;
@@ -140,10 +139,10 @@
         (!registers.is_empty()).then(|| WindowSlice::sum(&registers, self.limits.senders))
     }
 
-    /// Merges a slice that another sender aggregated, and says whether it was accepted.
+    /// Merges a slice that another sender aggregated. Returns whether it was accepted.
     ///
-    /// It is rejected where its epoch is not over or no longer retained, where the aggregator is this sender or beyond
-    /// the fleet's size, and where no fleet of this size can have accepted that.
+    /// It is rejected if its epoch is not over or no longer retained, if the aggregator is this sender or unknown, or if it is
+    /// implausible for a fleet of this size.
     pub fn merge_slice(
         &mut self,
         now: UnixMillis,
@@ -186,13 +185,13 @@
     if let Some((&oldest, _)) = registers.range(first..=last).next() {
         registers.remove(&oldest);
     }
-    // How many messages the dropped incarnation accepted is unknown from now on.
+    // The number of messages of the dropped incarnation is unknown from now on.
     for (_, register) in registers.range_mut(first..=last) {
         register.partial = true;
     }
 }
 
-/// Keeps the slices of most senders, in an order that does not depend on when they arrived.
+/// Keeps the slices of the most senders, in an order that is independent of their arrival.
 fn keep_most_complete(slices: &mut Vec<ReceivedSlice>) {
     slices.sort_by(|left, right| {
         let by_senders = right.slice.complete_senders().cmp(&left.slice.complete_senders());
--- a/crates/gossip/src/tenant_usage/epochs.rs
+++ b/crates/gossip/src/tenant_usage/epochs.rs
@@ -1,16 +1,16 @@
-//! Which epochs are counted, retained and read at a time on the shared wall clock.
+//! The epochs that are counted, retained and read at a point in time.
 
 use std::ops::Range;
 
 use rudderspindle_clock::UnixMillis;
 
-/// Length of an epoch, ms of the shared wall clock.
+/// Length of an epoch, in milliseconds.
 pub const EPOCH: u64 = 1_000;
-/// Epochs that are retained, the running one among them: enough for a reading over six.
+/// Number of retained epochs, including the current one.
 pub const RETAINED_EPOCHS: u64 = 10;
-/// How many epochs before the running one the newest one lies that is read.
+/// Age of the newest epoch that is read, in epochs.
 ///
-/// An epoch is announced in the one after it and twice more, and the answers arrive when those are over.
+/// An epoch is reported in the following three epochs, and the summaries arrive afterwards.
 pub const LAG: u64 = 4;
 /// Maximum number of epochs in one reading.
 pub const MAX_READ_EPOCHS: u64 = RETAINED_EPOCHS - LAG;
@@ -25,13 +25,13 @@
     UnixMillis(epoch.saturating_mul(EPOCH))
 }
 
-/// The epochs of a reading over the last `epochs`, clamped to 1 to `MAX_READ_EPOCHS`, that is made at `now`.
+/// The epochs that a reading at `now` covers: the last `epochs`, clamped to 1 to `MAX_READ_EPOCHS`.
 pub fn read_epochs(now: UnixMillis, epochs: u64) -> Range<u64> {
     let end = (epoch_at(now) + 1).saturating_sub(LAG);
     end.saturating_sub(epochs.clamp(1, MAX_READ_EPOCHS))..end
 }
 
-/// The epochs whose registers and slices are kept; those to come are what a clock that went back leaves behind.
+/// The epochs whose registers and slices are kept, including future ones in case the clock was set back.
 pub(super) fn retained_epochs(now: UnixMillis) -> Range<u64> {
     oldest_retained_epoch(now)..epoch_at(now) + RETAINED_EPOCHS
 }
@@ -41,7 +41,8 @@
     (epoch_at(now) + 1).saturating_sub(RETAINED_EPOCHS)
 }
 
-/// Whether messages of other senders on an epoch are accepted; the running one is over where their clock is ahead.
+/// Whether registers and slices of an epoch are accepted from other senders, also of the current one, as their clocks may
+/// be ahead.
 pub(super) fn is_accepted(now: UnixMillis, epoch: u64) -> bool {
     epoch <= epoch_at(now) && epoch.saturating_add(RETAINED_EPOCHS) > epoch_at(now)
 }
--- a/crates/gossip/src/tenant_usage/local_sender.rs
+++ b/crates/gossip/src/tenant_usage/local_sender.rs
@@ -1,4 +1,4 @@
-//! What the fleet view has to know of the sender that runs in this process.
+//! The identity and limits of the sender in this process.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -13,10 +13,9 @@
     pub number: usize,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Until when another process may have accepted messages under its number, or may still do so: epochs that began by
-    /// then are partial.
+    /// Until when another process may accept messages under its number: epochs that began by then are partial.
     pub complete_from: UnixMillis,
-    /// Messages that a sender accepts in a second at most, with all its processes; the same for each of the fleet.
+    /// Maximum rate of accepted messages of a sender with all its processes, in messages a second; the same for all senders.
     pub max_messages_per_second: u32,
 }
 
--- a/crates/gossip/src/tenant_usage/quota.rs
+++ b/crates/gossip/src/tenant_usage/quota.rs
@@ -1,25 +1,25 @@
-//! Dividing a tenant's quota of the whole fleet among its senders, and the token bucket that enforces a sender's share.
+//! Divides a tenant's fleet-wide quota among the senders; a token bucket enforces a sender's share.
 //!
-//! Invariant: whatever messages are lost, all senders together admit at most twice the quota a second (and at first a
-//! burst each), as long as the readings hold the true number.
+//! Invariant: all senders together admit at most twice the quota a second (and initially a burst each), also if messages are
+//! lost, as long as the readings hold the true number.
 
 use rudderspindle_clock::UnixMillis;
 
 use super::UsageInterval;
 
-/// Size of the bucket, in ms of the sender's share; the same as in the admission policy.
+/// Size of the bucket, in milliseconds of the sender's share; the same as in the admission policy.
 pub const BURST_MS: f64 = 2_000.0;
 /// Minimum size of the bucket, in messages.
 pub const MIN_BURST: f64 = 4.0;
 /// Upper bound on the sum of all senders' shares, in quotas.
 ///
-/// Shares by traffic come to one at most, since each is a part of the upper bound on the whole; and the equal shares that
-/// everybody has at least come to one at most again.
+/// The shares by traffic add up to at most one, as each is a fraction of the upper bound on the total, and so do the equal
+/// shares, which are each sender's minimum.
 pub const MAX_TOTAL_SHARE: f64 = 2.0;
 
-/// The share, 0 to 1, of a quota of the whole fleet that one of `senders` may admit.
+/// The share, from 0 to 1, of a fleet-wide quota for one of `senders`.
 ///
-/// It is in proportion to `own` messages of the `fleet`'s in the same epochs, and an equal share at least.
+/// It is the fraction of `own` messages in the `fleet`'s messages of the same epochs, at least an equal share.
 pub fn quota_share(own: u64, fleet: &UsageInterval, senders: usize) -> f64 {
     let equal_share = 1.0 / senders.max(1) as f64;
     if fleet.max == 0 { equal_share } else { (own as f64 / fleet.max as f64).clamp(equal_share, 1.0) }
@@ -38,7 +38,7 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaBucket {
-    /// Messages that may be admitted; infinite before the first one, which caps it at the burst.
+    /// Number of messages that may be admitted; infinite, thus a full burst, before the first one.
     tokens: f64,
     /// When the tokens were counted.
     updated_at: UnixMillis,
@@ -50,7 +50,7 @@
         Self { tokens: f64::INFINITY, updated_at: now }
     }
 
-    /// Takes a token for a message if there is one, where `per_second` messages a second are this sender's share.
+    /// Takes a token for a message, if there is one; `per_second` is this sender's share in messages a second.
     pub fn try_admit(&mut self, now: UnixMillis, per_second: f64) -> bool {
         let elapsed_ms = now.millis_since(self.updated_at) as f64;
         self.updated_at = self.updated_at.max(now);
--- a/crates/gossip/src/tenant_usage/reading.rs
+++ b/crates/gossip/src/tenant_usage/reading.rs
@@ -1,4 +1,4 @@
-//! Reading a tenant's usage as an interval that holds the true number.
+//! Reads a tenant's usage as an interval that contains the true number.
 
 use std::collections::BTreeSet;
 
@@ -15,16 +15,16 @@
     pub min: u64,
     /// Upper bound, messages.
     pub max: u64,
-    /// Senders whose usage is known, this one among them, in the epoch in which they were fewest.
+    /// Number of senders whose usage is known, including this one, in the epoch with the fewest.
     pub senders: usize,
     /// End of the newest epoch in which another sender's usage is known.
     pub newest_epoch_end: Option<UnixMillis>,
 }
 
 impl TenantUsage {
-    /// The messages of a tenant accepted by all senders within the last `epochs` of which reports can have arrived.
+    /// The number of messages of a tenant accepted by all senders within the last `epochs` that are complete.
     ///
-    /// It changes as datagrams arrive, a few times a second: to be read then, and not for each message.
+    /// It changes only with received datagrams, a few times a second.
     pub fn read(&self, now: UnixMillis, tenant: u16, epochs: u64) -> UsageInterval {
         let mut total =
             UsageInterval { min: 0, max: 0, senders: self.limits.senders, newest_epoch_end: None };
@@ -38,7 +38,7 @@
         total
     }
 
-    /// The messages of a tenant accepted here within the same epochs, under this incarnation.
+    /// The number of messages of a tenant that this incarnation accepted within the same epochs.
     pub fn read_own(&self, now: UnixMillis, tenant: u16, epochs: u64) -> u64 {
         let own_key = self.local.register_key();
         let own_total = |epoch| {
@@ -57,7 +57,7 @@
         relayed.chain(keys.map(|key| key.sender)).collect()
     }
 
-    /// Each slice is an interval by itself; the true number lies in all of them.
+    /// Intersects the intervals of all slices, each of which contains the true number.
     fn read_epoch(&self, now: UnixMillis, tenant: u16, epoch: u64) -> UsageInterval {
         let own = self.aggregate(now, epoch).unwrap_or_default();
         let received = self.slices.get(&epoch).into_iter().flatten();
@@ -71,7 +71,7 @@
         if min <= max {
             return UsageInterval { min, max, senders, newest_epoch_end };
         }
-        // The slices contradict one another, so one is false: only what is known here and the widest bound hold.
+        // The slices contradict each other, so one is false: only own knowledge and the widest upper bound are used.
         let min = own.bounds(tenant, self.limits).min;
         let max = bounds.map(|bounds| bounds.max).max().unwrap_or_default();
         UsageInterval { min, max, senders, newest_epoch_end }
--- a/crates/gossip/src/tenant_usage/register.rs
+++ b/crates/gossip/src/tenant_usage/register.rs
@@ -6,11 +6,10 @@
 
 use crate::membership::Incarnation;
 
-/// Maximum number of tenants that a register or a slice lists, those with most messages; the others are bounded by a
-/// remainder.
+/// Maximum number of tenants in a register or a slice, those with the most messages; a remainder bounds the others.
 pub const MAX_LISTED_TENANTS: usize = 16;
 
-/// Whose register it is: one sender in one incarnation.
+/// Identifies a register by its sender and incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RegisterKey {
     /// The sender's number.
@@ -40,7 +39,7 @@
 }
 
 impl Register {
-    /// Merges another version of the same register: the larger number of a tenant is the later one, or as true.
+    /// Merges another version of the same register by the maximum of each total.
     pub(crate) fn join(&mut self, other: &Self) {
         for (tenant, messages) in &other.totals {
             let total = self.totals.entry(*tenant).or_default();
--- a/crates/gossip/src/tenant_usage/window_slice.rs
+++ b/crates/gossip/src/tenant_usage/window_slice.rs
@@ -1,4 +1,4 @@
-//! The registers of many senders for one epoch, added up.
+//! The sum of many senders' registers for one epoch.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 /// Maximum length of the bit set of senders, in bytes.
 const MAX_BIT_SET_LEN: usize = 64;
 
-/// The size of a fleet and the messages that each of its senders accepts in an epoch at most.
+/// The size of a fleet, and the maximum number of messages that a sender accepts in an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct FleetLimits {
     pub senders: usize,
@@ -18,7 +18,7 @@
 }
 
 impl FleetLimits {
-    /// Maximum number of messages that so many senders accept in an epoch.
+    /// Maximum number of messages that `senders` accept in an epoch.
     fn max_messages(self, senders: usize) -> u64 {
         (senders as u64).saturating_mul(self.max_per_sender)
     }
@@ -31,22 +31,22 @@
     pub max: u64,
 }
 
-/// The registers of many senders for one epoch, added up.
+/// The sum of many senders' registers for one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WindowSlice {
-    /// A bit for each sender whose usage is complete in it: the lowest one of the first byte is number 0's.
+    /// A bit for each sender whose usage is complete; the lowest bit of the first byte is that of number 0.
     #[serde(deserialize_with = "bounded::<MAX_BIT_SET_LEN, _, _>")]
     complete: Vec<u8>,
-    /// Senders whose usage is in it in part: under an incarnation beside which there may have been another.
+    /// Number of senders whose usage is partial: another incarnation may have accepted messages in the epoch.
     partial: u16,
     #[serde(deserialize_with = "bounded::<MAX_LISTED_TENANTS, _, _>")]
     totals: Vec<TenantTotal>,
-    /// Upper bound on the messages by which each tenant's total may be too small.
+    /// Upper bound on the messages that are missing in each tenant's total.
     rest: u32,
 }
 
 impl WindowSlice {
-    /// Adds up registers of different [keys](super::RegisterKey), each with its sender's number, of a fleet of `senders`.
+    /// The sum of registers with different [keys](super::RegisterKey), each with its sender's number, in a fleet of `senders`.
     pub(crate) fn sum(registers: &[(usize, &Register)], senders: usize) -> Self {
         let all: BTreeSet<usize> = registers.iter().map(|(sender, _)| *sender).collect();
         let incomplete = registers.iter().filter(|(_, register)| register.partial);
@@ -73,22 +73,22 @@
         true
     }
 
-    /// Number of tenants that are listed.
+    /// Number of listed tenants.
     pub(crate) fn listed_tenants(&self) -> usize {
         self.totals.len()
     }
 
-    /// Number of senders whose usage is complete in it.
+    /// Number of senders whose usage is complete.
     pub fn complete_senders(&self) -> usize {
         self.complete.iter().map(|byte| byte.count_ones() as usize).sum()
     }
 
-    /// Number of senders whose usage is in it, complete or in part.
+    /// Number of senders whose usage is included, complete or partial.
     pub fn senders(&self) -> usize {
         self.complete_senders() + usize::from(self.partial)
     }
 
-    /// Numbers of the senders whose usage is complete in it.
+    /// Numbers of the senders whose usage is complete.
     pub fn complete_numbers(&self) -> impl Iterator<Item = usize> + '_ {
         let numbers_of_byte = |(position, &byte): (usize, &u8)| {
             (0..8).filter(move |bit| byte & (1 << bit) != 0).map(move |bit| position * 8 + bit)
@@ -96,15 +96,15 @@
         self.complete.iter().enumerate().flat_map(numbers_of_byte)
     }
 
-    /// Bounds on the messages of a tenant that the whole fleet accepted.
+    /// Bounds on the number of messages of a tenant that the whole fleet accepted.
     pub(crate) fn bounds(&self, tenant: u16, limits: FleetLimits) -> Bounds {
         let unknown = limits.senders.saturating_sub(self.complete_senders());
         let max = self.max_of_known(tenant).saturating_add(limits.max_messages(unknown));
         Bounds { min: self.listed_total(tenant), max }
     }
 
-    /// Whether such a fleet can have accepted that: no sender beyond its size, each tenant once, and no more than all
-    /// accept.
+    /// Whether the slice is possible in such a fleet: only known senders, each tenant once, and at most the maximum number of
+    /// messages.
     pub(crate) fn is_plausible(&self, limits: FleetLimits) -> bool {
         let messages: u64 = self.totals.iter().map(|total| u64::from(total.messages)).sum();
         let tenants: BTreeSet<u16> = self.totals.iter().map(|total| total.tenant).collect();
@@ -120,16 +120,16 @@
         total.map_or(0, |total| u64::from(total.messages))
     }
 
-    /// Upper bound on the messages that the senders in it accepted.
+    /// Upper bound on the number of messages that the included senders accepted.
     fn max_of_known(&self, tenant: u16) -> u64 {
         self.listed_total(tenant).saturating_add(u64::from(self.rest))
     }
 }
 
-/// Upper bound on the messages of a tenant that the fleet accepted, from several slices of one epoch.
+/// Upper bound on the number of messages of a tenant that the fleet accepted, from several slices of one epoch.
 ///
-/// The bound is the smallest of those by each slice alone and by each slice with the ones after it that add senders.
-/// What two have in common counts twice then, which is too much at worst.
+/// The bound is the minimum over each slice alone and over each slice together with the following ones that add senders.
+/// Senders that two slices have in common count twice, which only raises the bound.
 pub(crate) fn combined_max(slices: &[&WindowSlice], tenant: u16, limits: FleetLimits) -> u64 {
     let of_unknown_fleet = limits.max_messages(limits.senders);
     let bounds = (0..slices.len()).map(|first| max_of_union(&slices[first..], tenant, limits));
@@ -153,7 +153,7 @@
     smallest
 }
 
-/// A bit for each of these numbers below `senders`.
+/// A bit set of the numbers below `senders`.
 fn bit_set(numbers: impl Iterator<Item = usize>, senders: usize) -> Vec<u8> {
     let mut bits = vec![0_u8; senders.div_ceil(8)];
     for number in numbers {
