--- a/crates/gossip/src/arrival_rate/tests.rs
+++ b/crates/gossip/src/arrival_rate/tests.rs
@@ -1,6 +1,6 @@
 //! The estimate at a steady rate and after arrivals end.
 
-use super::*;
+use super::ArrivalRate;
 
 #[test]
 fn the_estimate_follows_arrivals_within_a_second_or_two() {
--- a/crates/gossip/src/capacity/tests.rs
+++ b/crates/gossip/src/capacity/tests.rs
@@ -1,6 +1,6 @@
 //! Shared rates, rescheduling, rejections and leases of one share.
 
-use super::*;
+use super::{CapacityShare, CapacityUpdate, MIN_RATE, PermitLease, ScheduledCall};
 
 /// No Retry-After period, and no scheduled call.
 const NO_CALL: ScheduledCall = ScheduledCall { due_at: 0.0, not_before: 0.0 };
--- a/crates/gossip/src/datagram_budget/tests.rs
+++ b/crates/gossip/src/datagram_budget/tests.rs
@@ -1,8 +1,12 @@
 //! The budget of each second, and the bound on waiting.
 
-use proptest::prelude::*;
+use std::collections::BTreeMap;
 
-use super::*;
+use proptest::prelude::{prop_assert, proptest};
+use rudderspindle_clock::UnixMillis;
+
+use super::{DatagramBudget, DatagramClass, MAX_DATAGRAMS_PER_S};
+use crate::envelope::Kind;
 
 proptest! {
     #[test]
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -1,10 +1,11 @@
 //! Reports and summaries: the bytes that the version before the renames wrote.
 
-use super::*;
-use crate::envelope::{open, read};
+use super::encoded_vote::EncodedVote;
+use super::{ObserverEntry, ReceiverEntry, RegisterEntry, Report, SliceEntry, Summary, VoteEntry};
+use crate::envelope::{Kind, open, read};
 use crate::golden::datagram;
-use crate::outlier_detection::Vote;
-use crate::tenant_usage::epoch_start;
+use crate::outlier_detection::{Receiver, Vote};
+use crate::tenant_usage::{Register, TenantTotal, WindowSlice, epoch_start};
 
 const FILE: &str = "views.txt";
 const ROUND: u64 = 1_700_000_000;
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -1,15 +1,19 @@
-use super::*;
+use std::collections::BTreeMap;
+
+use proptest::prelude::{any, prop_assert, proptest};
+use rudderspindle_clock::UnixMillis;
+
+use super::message::{
+    EncodedVote, MAX_OBSERVERS, MAX_RECEIVERS, ObserverEntry, ReceiverEntry, RegisterEntry, Report,
+    SliceEntry, Summary, VoteEntry,
+};
+use super::{FleetView, FleetViewError, MAX_SENDERS};
 use crate::datagram_budget::{DatagramBudget, DatagramClass};
 use crate::envelope::{Kind, MAX_BODY_LEN, seal};
 use crate::membership::Incarnation;
 use crate::outgoing_datagram::OutgoingDatagram;
-use crate::outlier_detection::{ObserverVote, Vote};
-use crate::tenant_usage::{EPOCH, Register, RegisterKey, WindowSlice, epoch_at, epoch_start};
-use message::{
-    EncodedVote, MAX_OBSERVERS, MAX_RECEIVERS, ObserverEntry, ReceiverEntry, RegisterEntry, Report,
-    SliceEntry, Summary, VoteEntry,
-};
-use proptest::prelude::*;
+use crate::outlier_detection::{ObserverVote, Receiver, Vote};
+use crate::tenant_usage::{EPOCH, LocalSender, Register, RegisterKey, WindowSlice, epoch_at, epoch_start};
 
 const NOW: UnixMillis = UnixMillis(1_700_000_000_500);
 const ROUND: u64 = NOW.0 / EPOCH;
--- a/crates/gossip/src/limit_estimate/tests.rs
+++ b/crates/gossip/src/limit_estimate/tests.rs
@@ -1,6 +1,7 @@
 //! The estimate under rejections, an outage with its recovery, and failures that are no outage.
 
-use super::*;
+use super::{LimitEstimate, RecoveryRamp};
+use crate::load_totals::Load;
 
 const RAMP: RecoveryRamp = RecoveryRamp { initial_fraction: 0.28, growth_per_s: 0.15 };
 
--- a/crates/gossip/src/message/golden.rs
+++ b/crates/gossip/src/message/golden.rs
@@ -1,7 +1,9 @@
 //! Golden bytes of reports and sums: the wire format must not change.
 
-use super::*;
+use super::{GossipMessage, MessageKind};
 use crate::golden::datagram;
+use crate::limit_id::LimitId;
+use crate::load_totals::{LimitLoad, Load};
 
 const FILE: &str = "limits.txt";
 
--- a/crates/gossip/src/message/tests.rs
+++ b/crates/gossip/src/message/tests.rs
@@ -1,6 +1,9 @@
 //! Round trips, the precision of figures, and malformed datagrams.
 
-use super::*;
+use super::load_code::{decode_figure, encode_figure};
+use super::{GossipError, GossipMessage, MAX_LIMITS, MAX_MESSAGE_LEN, MessageKind};
+use crate::limit_id::LimitId;
+use crate::load_totals::{LimitLoad, Load};
 
 fn message(limits: usize) -> GossipMessage {
     let load = |n: usize| Load { demand: n as f64, calls: 3.0, rejected: 1.0, failed: 2.0 };
--- a/crates/gossip/src/outlier_detection/tests.rs
+++ b/crates/gossip/src/outlier_detection/tests.rs
@@ -1,10 +1,12 @@
 use std::collections::BTreeSet;
 
+use proptest::prelude::{Just, any, prop_assert, prop_assert_eq, prop_oneof, proptest};
+use rudderspindle_clock::UnixMillis;
+
 use super::ejection::EJECTION_DURATION;
 use super::matching::max_matching;
 use super::reported_votes::{MAX_REPORTED_VOTES, VOTE_TTL};
-use super::*;
-use proptest::prelude::*;
+use super::{CallResult, MAX_HISTORIES, ObserverVote, OutlierDetector, Receiver, ReceiverVote, Vote};
 
 const NOW: UnixMillis = UnixMillis(1_700_000_000_000);
 
--- a/crates/gossip/src/permits/exhaustive.rs
+++ b/crates/gossip/src/permits/exhaustive.rs
@@ -11,8 +11,10 @@
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
+use super::PermitLedger;
+use super::rounds::{ROUND, round_at, round_start};
 use super::schedule::PermitSchedule;
-use super::*;
+use crate::membership::Incarnation;
 use state::{Datagram, HALF_ROUND, LIMIT, LIMIT_ID, SENDERS, State};
 
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/gossip/src/permits/message/golden.rs
+++ b/crates/gossip/src/permits/message/golden.rs
@@ -1,7 +1,11 @@
 //! Golden bytes of offers and grants: the wire format must not change.
 
-use super::*;
+use super::{
+    MAX_LIMITS, MAX_REQUESTED_PERMITS, PermitGrant, PermitGrantEntry, PermitMessage, PermitOffer,
+    PermitOfferEntry,
+};
 use crate::golden::datagram;
+use crate::membership::Incarnation;
 
 const FILE: &str = "rights.txt";
 
--- a/crates/gossip/src/permits/schedule/tests.rs
+++ b/crates/gossip/src/permits/schedule/tests.rs
@@ -1,6 +1,9 @@
 //! Ownership of permits, and limits that are not positive numbers.
 
-use super::*;
+use rudderspindle_clock::UnixMillis;
+
+use super::{ISSUED_FRACTION, PermitSchedule};
+use crate::limit_id::LimitId;
 
 #[test]
 fn every_permit_has_one_owner_and_the_senders_own_them_in_rotation() {
--- a/crates/gossip/src/permits/tests.rs
+++ b/crates/gossip/src/permits/tests.rs
@@ -3,13 +3,20 @@
 mod cluster;
 mod rejections;
 
-use proptest::prelude::*;
+use proptest::prelude::{ProptestConfig, prop_assert, prop_assert_eq, proptest};
+use rudderspindle_clock::UnixMillis;
 
-use super::message::{PermitGrantEntry, PermitOffer, PermitOfferEntry};
+use super::holding::PermitHolding;
+use super::message::{
+    MAX_LIMITS, PermitGrant, PermitGrantEntry, PermitMessage, PermitOffer, PermitOfferEntry,
+};
+use super::rounds::{ROUND, round_at, round_start};
 use super::schedule::PermitSchedule;
-use super::*;
+use super::{PermitError, PermitLedger};
 use crate::demand_exchange::LocalDemand;
 use crate::envelope::{Kind, seal};
+use crate::limit_id::LimitId;
+use crate::membership::Incarnation;
 use cluster::{Cluster, InFlight, NetworkFaults, START};
 
 const DELAYS: NetworkFaults = NetworkFaults { loss_rate: 0.0, duplication_rate: 0.0, max_delay: 30.0 };
--- a/crates/gossip/src/tenant_usage/quota/tests.rs
+++ b/crates/gossip/src/tenant_usage/quota/tests.rs
@@ -1,5 +1,8 @@
-use super::*;
-use proptest::prelude::*;
+use proptest::prelude::{any, prop_assert, proptest};
+use rudderspindle_clock::UnixMillis;
+
+use super::super::UsageInterval;
+use super::{MAX_TOTAL_SHARE, quota_share};
 
 proptest! {
     #[test]
--- a/crates/gossip/src/tenant_usage/tests.rs
+++ b/crates/gossip/src/tenant_usage/tests.rs
@@ -1,4 +1,11 @@
-use super::*;
+use rudderspindle_clock::UnixMillis;
+
+use super::TenantUsage;
+use super::epochs::{LAG, RETAINED_EPOCHS, epoch_start};
+use super::local_sender::LocalSender;
+use super::register::{Register, RegisterKey};
+use super::window_slice::WindowSlice;
+use crate::membership::Incarnation;
 
 const NOW: UnixMillis = UnixMillis(50_000);
 
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -1,9 +1,10 @@
 //! Tenant usage over a network that loses, duplicates, reorders and replays, among senders that are killed and restart.
 
-use super::simulated_fleet::{START, SimulatedFleet, report_budget};
-use proptest::prelude::*;
+use proptest::prelude::{Just, ProptestConfig, any, prop_assert_eq, prop_oneof, proptest};
 use rudderspindle_gossip::{FleetViewError, Incarnation, OutgoingDatagram, UsageInterval, read_epochs};
 
+use super::simulated_fleet::{START, SimulatedFleet, report_budget};
+
 /// A reading that does not hold the true number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct WrongReading {
--- a/crates/heavy-hitters/src/tests/digest.rs
+++ b/crates/heavy-hitters/src/tests/digest.rs
@@ -1,7 +1,7 @@
 //! Bounds of digests.
 use std::collections::BTreeMap;
 
-use proptest::prelude::*;
+use proptest::prelude::{prop, prop_assert, prop_assert_eq, proptest};
 
 use crate::digest::{Digest, DigestEntry};
 use crate::gossip_message::GossipMessage;
--- a/crates/heavy-hitters/src/tests/fair_share.rs
+++ b/crates/heavy-hitters/src/tests/fair_share.rs
@@ -1,5 +1,5 @@
 //! Max-min fairness.
-use proptest::prelude::*;
+use proptest::prelude::{Strategy, any, prop, prop_assert, proptest};
 
 use crate::fair_share::{excess_fraction, fair_shares};
 use crate::key::Key;
--- a/crates/heavy-hitters/src/tests/gossip_message.rs
+++ b/crates/heavy-hitters/src/tests/gossip_message.rs
@@ -1,5 +1,5 @@
 //! Decoding of damaged and hostile bytes.
-use proptest::prelude::*;
+use proptest::prelude::{any, prop, prop_assert, proptest};
 
 use crate::error::DatagramError;
 use crate::gossip_message::GossipMessage;
--- a/crates/heavy-hitters/src/tests/packing.rs
+++ b/crates/heavy-hitters/src/tests/packing.rs
@@ -1,5 +1,5 @@
 //! Lengths of numbers, and lists that share a datagram.
-use proptest::prelude::*;
+use proptest::prelude::{prop_assert_eq, proptest};
 
 use crate::packing::{PackedCounts, pack_alternately, varint_len};
 
--- a/crates/heavy-hitters/src/tests/slice_counter.rs
+++ b/crates/heavy-hitters/src/tests/slice_counter.rs
@@ -1,8 +1,7 @@
 //! Clocks that step.
+use proptest::prelude::{any, prop, prop_assert, prop_oneof, proptest};
 use rudderspindle_clock::UnixMillis;
 
-use proptest::prelude::*;
-
 use crate::key::Key;
 use crate::settings::Settings;
 use crate::slice::{SLICES_PER_WINDOW, Slice};
--- a/crates/heavy-hitters/src/tests/space_saving.rs
+++ b/crates/heavy-hitters/src/tests/space_saving.rs
@@ -1,7 +1,7 @@
 //! Bounds of the sketch against exact counts.
 use std::collections::BTreeMap;
 
-use proptest::prelude::*;
+use proptest::prelude::{prop, prop_assert, prop_assert_eq, proptest};
 
 use crate::key::Key;
 use crate::space_saving::{MAX_COUNT, SpaceSaving};
--- a/crates/heavy-hitters/tests/digest_store.rs
+++ b/crates/heavy-hitters/tests/digest_store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use proptest::prelude::*;
+use proptest::prelude::{Strategy, any, prop, prop_assert, prop_assert_eq, proptest};
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_heavy_hitters::{
     DatagramError, Digest, DigestStore, FleetView, Incarnation, Key, SenderId, Settings, Slice, SliceCounter,
--- a/crates/heavy-hitters/tests/hot_streams.rs
+++ b/crates/heavy-hitters/tests/hot_streams.rs
@@ -1,6 +1,6 @@
 //! What makes a stream hot and what ends it, by views built by hand.
 
-use proptest::prelude::*;
+use proptest::prelude::{prop, prop_assert, proptest};
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_heavy_hitters::{
     Acknowledgement, FleetView, HotStreamDetector, Key, KeyTotal, SLICES_PER_WINDOW, Settings, Slice,
--- a/crates/journal/src/outage_records/tests.rs
+++ b/crates/journal/src/outage_records/tests.rs
@@ -1,6 +1,8 @@
 //! Ageing of outage records, and their maximum number.
 
-use super::*;
+use rudderspindle_clock::UnixMillis;
+
+use super::{EndpointKey, MAX_RECORDS, OutageRecord, OutageRecords, OutageState};
 
 fn record(recorded_at: u64, outage: OutageState) -> Option<OutageRecord> {
     Some(OutageRecord { segment: 0, recorded_at: UnixMillis(recorded_at), outage })
--- a/crates/journal/src/segments/tests.rs
+++ b/crates/journal/src/segments/tests.rs
@@ -1,11 +1,17 @@
 //! Writes that fail part-way.
 
 use std::cell::Cell;
+use std::collections::VecDeque;
+use std::fmt::Debug;
+use std::fs::{File, OpenOptions};
+use std::io;
+use std::io::Write;
 use std::rc::Rc;
 
 use rudderspindle_clock::UnixMillis;
 
-use super::*;
+use super::{SegmentFile, Segments, segment_numbers, segment_path};
+use crate::JournalError;
 use crate::message::Message;
 use crate::record::append_accepted;
 use crate::replay::{ReplayedState, replay_segments};
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -9,10 +9,13 @@
 use bytes::Bytes;
 use rudderspindle_clock::UnixMillis;
 
-use super::*;
-use crate::record::{RecordKind, append_record, write_text};
-use crate::replay::replay_segment;
-use crate::segments::segment_path;
+use super::Store;
+use crate::MessageId;
+use crate::message::{Message, PossibleExecution, Status};
+use crate::outage_records::{EndpointKey, OutageState};
+use crate::record::{RecordKind, append_outage, append_record, write_text};
+use crate::replay::{ReplayedState, replay_segment};
+use crate::segments::{segment_numbers, segment_path};
 
 const BUDGET: u64 = 3_000_000;
 
--- a/crates/journal/src/store/tests/model.rs
+++ b/crates/journal/src/store/tests/model.rs
@@ -4,10 +4,10 @@
 
 use std::collections::BTreeMap;
 
-use proptest::prelude::*;
+use proptest::prelude::{Just, ProptestConfig, Strategy, TestCaseError, any, prop, prop_oneof};
 
 use self::run::Run;
-use super::*;
+use crate::MessageId;
 
 /// An attempt in the model.
 #[derive(Clone, Copy, Debug)]
--- a/crates/journal/src/store/tests/model/run.rs
+++ b/crates/journal/src/store/tests/model/run.rs
@@ -2,9 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use proptest::prelude::*;
+use proptest::prelude::{TestCaseError, prop_assert, prop_assert_eq};
 
-use super::*;
+use super::{Attempt, Model, Step, apply_to, first_execution_in, message_id};
+use crate::segments::SEGMENT_SIZE;
+use crate::store::Store;
+use crate::store::tests::{first_execution, ran};
 
 /// A step that waits for the next batch, and when it was taken.
 type Waiting = (Step, u64);
--- a/crates/journal/src/store/tests/takeover.rs
+++ b/crates/journal/src/store/tests/takeover.rs
@@ -1,6 +1,9 @@
 //! An owner and its successor in one folder.
 
-use super::*;
+use super::{BUDGET, first_execution, message, ran, state};
+use crate::message::{PendingNotification, Status};
+use crate::store::Store;
+use crate::{JournalError, MessageId};
 
 fn open(folder: &tempfile::TempDir) -> Store {
     Store::open(folder.path(), BUDGET).expect("a journal")
--- a/crates/journal/tests/golden_folders/damage.rs
+++ b/crates/journal/tests/golden_folders/damage.rs
@@ -3,7 +3,7 @@
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_journal::{Message, Status};
 
-use crate::support::*;
+use crate::support::{Told, copy, golden_segments, message, open, payloads, ran, record, segments, told};
 
 const SEGMENT: &str = "journal-00000000";
 /// The first byte of an outcome's payload.
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -6,7 +6,7 @@
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_journal::{EndpointKey, Message, OutageState, Status};
 
-use crate::support::*;
+use crate::support::{Told, copy, golden_segments, message, open, ran, segments, told, with_fixed_times};
 
 /// A message with all that its record can hold.
 fn full_message() -> Message {
--- a/crates/journal/tests/golden_folders/takeover.rs
+++ b/crates/journal/tests/golden_folders/takeover.rs
@@ -4,7 +4,7 @@
 
 use rudderspindle_journal::{Message, PendingNotification, Status, Store, TakenOver};
 
-use crate::support::*;
+use crate::support::{Told, copy, golden_segments, message, open, ran, segments, told};
 
 /// The owner writes, its successor beside it, and then the owner again.
 fn write_side_by_side(folder: &Path) -> Store {
--- a/crates/placement/tests/random_faults.rs
+++ b/crates/placement/tests/random_faults.rs
@@ -3,8 +3,11 @@
 
 use std::collections::BTreeSet;
 
-use proptest::prelude::*;
+use proptest::prelude::{
+    Just, Strategy, TestCaseError, any, prop, prop_assert, prop_assert_ne, prop_oneof, proptest,
+};
 use rudderspindle_placement::{OutgoingDatagram, RuleSet, ZoneSet};
+
 use simulation::{Simulation, fixed_seed_config, rules};
 
 /// What may happen between two steps.
--- a/crates/placement/tests/rule_set_transfer.rs
+++ b/crates/placement/tests/rule_set_transfer.rs
@@ -4,10 +4,11 @@
 
 use std::collections::BTreeSet;
 
-use large_fleet::Fleet;
-use proptest::prelude::*;
+use proptest::prelude::{any, prop, prop_assert, proptest};
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_placement::{PlacementEvent, RuleSet, SenderId, TenantRule, ZoneAccess, ZoneList, ZoneSet};
+
+use large_fleet::Fleet;
 use simulation::{LEASE_MS, PART, START_MS, Simulation, at, fixed_seed_config, key, rules, tenant};
 
 struct LeaseCoverage {
--- a/crates/sender/src/fleet_file/golden.rs
+++ b/crates/sender/src/fleet_file/golden.rs
@@ -1,9 +1,11 @@
 //! The operator's file, compared with recorded values and errors.
 
+use std::path::Path;
+
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use super::*;
+use super::{FleetFile, LimitBound};
 
 const VALUES: &str = include_str!("../../tests/golden/fleet.values.json");
 const DEFAULTS: &str = include_str!("../../tests/golden/fleet.defaults.json");
--- a/crates/sender/src/fleet_file/tests.rs
+++ b/crates/sender/src/fleet_file/tests.rs
@@ -1,6 +1,8 @@
 //! Defaults and errors of the operator's file.
 
-use super::*;
+use std::path::Path;
+
+use super::FleetFile;
 
 #[test]
 fn an_empty_file_has_the_defaults() {
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -2,14 +2,18 @@
 
 use std::cell::Cell;
 use std::net::SocketAddr;
+use std::time::Duration;
 
-use rudderspindle_gossip::LimitId;
-use rudderspindle_policy::interface::{Demand, DestinationId};
+use rudderspindle_gossip::{LimitId, RecoveryRamp};
+use rudderspindle_policy::interface::{Demand, DestinationId, LimitScope};
+use tokio::net::UdpSocket;
+use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
-use super::*;
-use crate::event::{ActivityReport, LimitDemand};
+use super::{FleetSettings, GossipTask};
+use crate::config::GossipConfig;
+use crate::event::{ActivityReport, Input, LimitDemand};
 
 const LIMIT: f64 = 60.0;
 
--- a/crates/sender/src/incarnation/tests.rs
+++ b/crates/sender/src/incarnation/tests.rs
@@ -1,4 +1,7 @@
-use super::*;
+use rudderspindle_clock::UnixMillis;
+use rudderspindle_gossip::Incarnation;
+
+use super::{FILE, start};
 
 #[test]
 fn each_incarnation_is_larger_than_the_one_before_whatever_the_clock_says() {
