--- a/crates/benchmarks/src/fleet_limit.rs
+++ b/crates/benchmarks/src/fleet_limit.rs
@@ -18,8 +18,6 @@
 const DEFAULT_SECONDS: u16 = 40;
 /// Number of senders that the settings of the baseline's senders assume.
 const ASSUMED_SENDERS: usize = 3;
-/// The load during a recovery, as a multiple of the receiver's capacity, above which the receiver fails again.
-const OVERLOAD_MULTIPLE: f64 = 2.5;
 
 /// The fleet and the limit.
 #[derive(Clone, Debug, Args)]
@@ -61,7 +59,7 @@
 /// A kind of limit, and an outage.
 struct LimitCase {
     name: &'static str,
-    /// Part of its figures' names.
+    /// Part of its metrics' names.
     key: &'static str,
     limit: Limit,
     /// When the receiver is down, ms.
@@ -133,7 +131,7 @@
 /// How the senders of a fleet account for each other.
 struct FleetCase {
     name: &'static str,
-    /// Part of its figures' names.
+    /// Part of its metrics' names.
     key: &'static str,
     /// Number of senders by their settings.
     peers: usize,
@@ -166,7 +164,7 @@
                 totals.add(&scenario, &simulate(&scenario));
             }
             totals.print_row(&format!("{}, {name}", case.name));
-            totals.add_figures(&format!("{}_{key}", case.key), report);
+            totals.add_metrics(&format!("{}_{key}", case.key), report);
             if *peers == usize::from(fleet.senders) {
                 totals.check_recovery_load(case.name, report);
             }
--- a/crates/demo/src/process_signals/tests.rs
+++ b/crates/demo/src/process_signals/tests.rs
@@ -8,11 +8,11 @@
 
 /// A restart of the sender that the built-in scenario kills after 14 s.
 const RESTART: &str = r#"
-[[happenings]]
+[[events]]
 what = "restart"
 at_ms = 2000
 sender = 0
-back_ms = 100
+restart_after_ms = 100
 "#;
 
 #[test]
--- a/crates/policy/src/destination/availability.rs
+++ b/crates/policy/src/destination/availability.rs
@@ -35,7 +35,7 @@
     /// The overdue calls through a route's throttle.
     pub(super) fn overdue_calls(&self, index: usize, now: Millis) -> impl Iterator<Item = &Call> {
         let route = self.routes[index].id;
-        let counted = move |call: &&Call| !self.routes_apart || call.route == route;
+        let counted = move |call: &&Call| !self.limit_per_route || call.route == route;
         self.calls.iter().filter(move |call| counted(call) && self.is_overdue(call, now))
     }
 
@@ -107,7 +107,7 @@
         let is_out_of_rotation = |&index: &usize| match self.routes[index].listing {
             Listing::Ready => self.is_down(index) || self.throttle(index).retry_after_until() > now,
             Listing::Draining => true,
-            Listing::Gone => false,
+            Listing::Removed => false,
         };
         (0..self.routes.len()).filter(is_out_of_rotation).count()
     }
--- a/crates/policy/src/destination/demand.rs
+++ b/crates/policy/src/destination/demand.rs
@@ -8,7 +8,7 @@
 use crate::interface::{CapacityUpdate, Demand, Millis, PermitUpdate, RetryAfterUpdate, RouteId};
 use crate::throttle::Throttle;
 
-/// Messages expected within this time are part of the demand, in ms: the fleet's next report comes later.
+/// Time within which expected messages are part of the demand, in ms; the fleet's next report is later.
 const DEMAND_HORIZON: Millis = 500.0;
 
 /// Demand and rates.
@@ -16,7 +16,7 @@
     /// The calls that the waiting and the expected messages need at a limit, in proportion to all limits.
     fn calls_wanted(&self, scope: Scope, now: Millis) -> f64 {
         let limit = self.throttle_of(scope).limit();
-        let all = if self.routes_apart {
+        let all = if self.limit_per_route {
             self.ready_routes().map(|index| self.routes[index].throttle.limit()).sum()
         } else {
             limit
--- a/crates/policy/src/destination/dispatch.rs
+++ b/crates/policy/src/destination/dispatch.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::Destination;
-use crate::calls::Call;
+use crate::calls::{Call, CallId};
 use crate::context::Context;
 use crate::interface::{Action, Effect, MessageHandle, Millis};
 use crate::messages::PendingMessages;
@@ -58,7 +58,7 @@
     fn may_take_slot(&self, now: Millis, free_slots: usize) -> bool {
         let is_stuck = (0..self.routes.len()).any(|index| self.unanswered_calls(index, now) > 0);
         let slots = free_slots * if is_stuck { 1 } else { SLOTS_PER_FREE_SLOT };
-        let in_flight: usize = self.routes.iter().map(|route| route.calls_in_flight).sum();
+        let in_flight = self.calls.len();
         slots > 0 && (in_flight == 0 || in_flight < slots * self.max_batch)
     }
 
@@ -83,7 +83,7 @@
     /// Departure (no slot is free): lost calls are cancelled, as other messages need their slots.
     fn cancel_lost_calls(&mut self, dispatch: &mut Dispatch<'_>) {
         let now = dispatch.context.now;
-        let lost: Vec<u64> =
+        let lost: Vec<CallId> =
             self.calls.iter().filter(|call| self.is_lost(call, now)).map(|call| call.id).collect();
         if lost.is_empty() {
             return;
--- a/crates/policy/src/destination/results.rs
+++ b/crates/policy/src/destination/results.rs
@@ -3,7 +3,7 @@
 use super::Destination;
 use super::outage_detection::CallResult;
 use super::scope::Scope;
-use crate::calls::Call;
+use crate::calls::{Call, CallId};
 use crate::context::Context;
 use crate::interface::{AttemptResult, Outcome};
 use crate::messages::PossibleExecution;
@@ -16,7 +16,7 @@
         &mut self,
         context: &mut Context,
         slots: &mut CallSlots,
-        call: u64,
+        call: CallId,
         result: &AttemptResult,
     ) -> Option<PossibleExecution> {
         let call = self.calls.get(call)?;
@@ -32,7 +32,6 @@
         }
         let position = self.calls.record_result(call.id);
         if position.is_last {
-            self.routes[index].calls_in_flight -= 1;
             slots.release();
         }
         if position.is_first && counts_at_throttle(result.outcome) {
--- a/crates/policy/src/destination/route_choice.rs
+++ b/crates/policy/src/destination/route_choice.rs
@@ -60,7 +60,7 @@
     fn preference(&self, context: &Context, index: usize) -> RoutePreference {
         let route = &self.routes[index];
         let is_down = self.is_down(index);
-        // After a recent failure the next call goes to another route: a sender of a large fleet rarely sees
+        // After a recent failure another route is preferred: a sender of a large fleet rarely sees
         // enough failures in a row to open the breaker.
         let failed_recently =
             route.breaker.is_failing() && context.now - route.last_used_at < COUNT_WINDOW.min_span;
@@ -72,7 +72,7 @@
             is_not_closed: !route.breaker.is_closed(),
             probed_at: if all_are_down { route.last_used_at as u64 } else { 0 },
             in_other_zone: route.zone != context.settings.zone,
-            calls_in_flight: route.calls_in_flight,
+            calls_in_flight: self.calls.count_of(route.id),
             last_used_at: Reverse(route.last_used_at as u64),
             id: route.id,
         }
--- a/crates/policy/src/destination/send.rs
+++ b/crates/policy/src/destination/send.rs
@@ -27,8 +27,7 @@
         }
     }
 
-    /// Schedules the next draw at the route's throttle. Returns whether the send rate allowed no earlier
-    /// call.
+    /// Schedules the next draw at the route's throttle. Returns whether the send rate limits the calls.
     fn schedule_next_call(&mut self, context: &mut Context, index: usize) -> bool {
         let shared_rate = self.shared_rate(Scope::Route(index), context.now);
         self.throttle_mut(index).record_call(context, shared_rate)
@@ -52,7 +51,6 @@
     ) -> Call {
         let now = dispatch.context.now;
         let route = &mut self.routes[index];
-        route.calls_in_flight += 1;
         route.last_used_at = now;
         let call = Call::new(dispatch.slots.acquire(), route.id, now, messages, is_rate_limited);
         self.calls.begin(call);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -27,7 +27,7 @@
 //!     zone: 0,
 //!     peers_total: 2,
 //!     classes: vec![notice],
-//!     kinds: vec![Kind { bundle_max: 1, routes_apart: false }],
+//!     kinds: vec![Kind { max_batch: 1, limit_per_route: false }],
 //!     tenants: vec![],
 //!     over_quota_value: 1.0,
 //!     late_decay: LateDecay::Linear,
@@ -68,7 +68,7 @@
 //!     tenant: 0,
 //!     ordering_key: 0,
 //!     time_left: 20_000.0,
-//!     work_guess: None,
+//!     work_estimate: None,
 //!     destination: DestinationId(7),
 //! };
 //! let batch = [Event::List(ListChange::Full(vec![route])), Event::Message(message)];
--- a/crates/sender/src/config/golden.rs
+++ b/crates/sender/src/config/golden.rs
@@ -1,12 +1,13 @@
 //! Valid configurations, compared with recorded values.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use rudderspindle_policy::interface::{Class, Discovery, Effect, KeyGroup, LateDecay, RateHint};
 use serde::Deserialize;
-use serde_json::{Map, json};
+use serde_json::{Map, Value, json};
 
-use super::*;
+use super::ValidatedConfig;
+use super::file::Config;
 
 mod refused;
 
@@ -92,8 +93,8 @@
         "tariffs.cross_zone": s.cross_zone_price,
         "projects.name": names.tenants,
         "projects.quota_per_s": s.tenants.iter().map(|tenant| tenant.quota_per_s).collect::<Vec<_>>(),
-        "extra.calls_out": s.slots, "extra.bundle_max": of_kinds(|kind| kind.bundle_max.into()),
-        "extra.kind_apart": of_kinds(|kind| kind.routes_apart.into()), "extra.loses_worth": loses_worth,
+        "extra.calls_out": s.slots, "extra.bundle_max": of_kinds(|kind| kind.max_batch.into()),
+        "extra.kind_apart": of_kinds(|kind| kind.limit_per_route.into()), "extra.loses_worth": loses_worth,
         "extra.fee_by_zone": s.zone_fees,
         "limits.most_held": s.max_pending, "limits.max_attempts": s.max_attempts,
         "limits.max_retry_after": s.max_retry_after, "limits.retry_after": s.retry_after,
--- a/crates/sender/src/discovery/tests/silence.rs
+++ b/crates/sender/src/discovery/tests/idle_watch.rs
@@ -1,15 +1,19 @@
-//! A watch that has gone idle is closed and opened again; one that receives heartbeats stays open.
+//! An idle watch is closed and opened again; one that receives heartbeats stays open.
 
-use rudderspindle_policy::interface::Discovery;
+use std::time::{Duration, Instant};
 
-use tokio::time::timeout;
+use rudderspindle_policy::interface::Discovery;
+use tokio::io::AsyncWriteExt;
+use tokio::time::{sleep, timeout};
 
-use super::*;
+use super::scripted::{
+    ScriptedDiscovery, WATCH_HEAD, chunk, list_json, local, start_agent_watch, start_watch, write,
+};
 
 /// Changes that an idle watch misses are received within this time.
 const IN_EFFECT_WITHIN: Duration = Duration::from_secs(6);
 
-/// How a watch goes idle.
+/// How a watch becomes idle.
 #[derive(Clone, Copy, Debug)]
 enum Idle {
     /// It gets no response.
@@ -73,7 +77,9 @@
     };
     let on_request = Discovery::OnRequest { ask_within: 10_000.0 };
     local(async {
-        use Idle::*;
+        use Idle::{
+            AfterHead, AfterHeartbeat, EmptyLinesWithinList, Trickling, WithinALine, WithoutResponse,
+        };
         let agent = async |idle| test(idle, Discovery::Pushed).await;
         let (without_response, ..) = tokio::join!(
             agent(WithoutResponse),
@@ -113,7 +119,7 @@
 
 /// What an agent receives when discovery recovers is in effect at once: an agent is polled at a constant rate.
 #[tokio::test]
-async fn an_agent_that_was_silent_for_long_is_polled_as_often_as_at_first() {
+async fn an_agent_that_was_unresponsive_for_long_is_polled_as_often_as_at_first() {
     local(async {
         let agent = ScriptedDiscovery::start().await;
         let mut running = start_agent_watch(agent.addr, Some(41));
@@ -132,7 +138,7 @@
 
 /// An agent that refuses connections is polled with a pause, and soon when it is back.
 #[tokio::test]
-async fn an_agent_that_was_gone_is_polled_soon_when_it_is_back() {
+async fn an_agent_that_refused_connections_is_polled_soon_when_it_is_back() {
     local(async {
         let agent = ScriptedDiscovery::start().await;
         let addr = agent.addr;
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -15,7 +15,7 @@
             return;
         }
         self.share_disk(true);
-        tracing::info!("handover: a successor has come");
+        tracing::info!("successor connected");
         for message in outage_messages(&self.store) {
             self.io.peer_process.send(message);
         }
@@ -29,7 +29,7 @@
     /// Takes back the connection slots and the disk space that were shared with the peer process.
     pub(super) fn peer_disconnected(&mut self) {
         self.policy.set_slots_used_by_peer(0);
-        // If the peer owned the journal, the journal's lock says when it has ended.
+        // A peer that owns the journal may not have ended; the journal's lock is checked for that.
         if self.store.is_owner() {
             self.share_disk(false);
         }
@@ -77,9 +77,9 @@
             Ok(None) => {}
             Ok(Some(journal)) => {
                 tracing::info!(
-                    "handover: taken over: {} messages, {} notices",
-                    journal.pending_messages.len(),
-                    journal.pending_notifications.len()
+                    messages = journal.pending_messages.len(),
+                    notifications = journal.pending_notifications.len(),
+                    "journal taken over"
                 );
                 self.recover(now, journal.pending_messages, journal.pending_notifications);
             }
