--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -65,7 +65,7 @@
     eventually("it goes on sending", || sent_by(&cluster.mesh, 0) > sent + 3).await;
     assert_eq!(delivered_to(&cluster.mesh, 0), delivered);
     eventually("damaged and duplicated datagrams reach programs", || {
-        logged("check does not fit") && logged("was heard before")
+        logged("the checksum does not match") && logged("it is of another round, or superseded")
     })
     .await;
     cluster.mesh.heal();
--- a/crates/daemon/tests/outlier_detection.rs
+++ b/crates/daemon/tests/outlier_detection.rs
@@ -11,8 +11,8 @@
 use cluster::{SENDERS, StartedCluster, count_logged, wait_until};
 
 /// Log lines of a sender when peers' reports eject a receiver, and when all are restored.
-const EJECTED: &str = "receivers that others judge to be down receivers=1";
-const RESTORED: &str = "receivers that others judge to be down receivers=0";
+const EJECTED: &str = "ejected receivers changed receivers=1";
+const RESTORED: &str = "ejected receivers changed receivers=0";
 
 /// How many senders of a zone have this text in their logs; zone 0 has the senders with even numbers.
 fn logs(folder: &Path, zone: usize, text: &str) -> usize {
--- a/crates/gossip/src/envelope.rs
+++ b/crates/gossip/src/envelope.rs
@@ -63,10 +63,10 @@
     #[error("kind {0:#04x} is not known")]
     Kind(u8),
     /// The checksum does not match the body.
-    #[error("its check does not fit")]
+    #[error("the checksum does not match")]
     Checksum,
     /// The body is malformed, exceeds a bound, or has trailing bytes.
-    #[error("its body is malformed")]
+    #[error("the body is malformed")]
     Body,
 }
 
--- a/crates/gossip/src/fleet_view/error.rs
+++ b/crates/gossip/src/fleet_view/error.rs
@@ -27,6 +27,6 @@
     #[error(transparent)]
     IncarnationTooFarAhead(#[from] IncarnationTooFarAhead),
     /// The fleet has more senders than a datagram has bits for.
-    #[error("a fleet of {0} senders; datagrams have room for {MAX_SENDERS}")]
+    #[error("a fleet of {0} senders; at most {MAX_SENDERS} are supported")]
     TooManySenders(usize),
 }
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -50,10 +50,10 @@
     #[error("kind {0:#04x} is not known; 0x61 and 0x62 are")]
     Kind(u8),
     /// The checksum does not match.
-    #[error("its check does not fit")]
+    #[error("the checksum does not match")]
     Check,
     /// It belongs to a past or future round, or was received before.
-    #[error("it is of another round, or was heard before")]
+    #[error("it is of another round, or superseded")]
     Round,
     /// The sender's number is outside the fleet, or this sender's own.
     #[error("the message does not come from another sender of the fleet")]
--- a/crates/gossip/src/permits/error.rs
+++ b/crates/gossip/src/permits/error.rs
@@ -10,7 +10,7 @@
     #[error(transparent)]
     Envelope(#[from] EnvelopeError),
     /// It is of another round, a repeated offer, from a sender that is not the round's allocator, or for an earlier process.
-    #[error("it is of another round, process or dealer")]
+    #[error("it is of another round, process or allocator")]
     Round,
     /// The sender's number is outside the fleet, or this sender's own.
     #[error("the message does not come from another sender of the fleet")]
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -81,7 +81,7 @@
                 Err(_) if engine.is_closed() => return None,
                 Err(error) if !is_reported => {
                     let listen = self.config.listen;
-                    tracing::warn!("notes: {listen}: {error}; going without them until it is free");
+                    tracing::warn!(%listen, %error, "gossip address unavailable; retrying");
                     is_reported = true;
                 }
                 Err(_) => {}
--- a/crates/sender/src/gossip/exchange.rs
+++ b/crates/sender/src/gossip/exchange.rs
@@ -82,7 +82,7 @@
         match SharedView::new(fleet_file, me, senders, tenant_quotas, incarnation, now) {
             Ok(shared_view) => self.shared_view = shared_view,
             Err(error) => {
-                tracing::warn!(target: FLEET_LOG_TARGET, "going without counts and judgements: {error}");
+                tracing::warn!(target: FLEET_LOG_TARGET, %error, "fleet view disabled");
             }
         }
     }
@@ -142,7 +142,7 @@
     /// Handles a received datagram; it is dropped if it is malformed, late or from an unknown sender.
     fn receive(&mut self, from: usize, message: &[u8]) -> Received {
         self.dispatch(from, message).unwrap_or_else(|error| {
-            tracing::debug!(target: LOG_TARGET, from, "dropped: {error}");
+            tracing::debug!(target: LOG_TARGET, from, %error, "datagram dropped");
             Received::Other
         })
     }
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -120,7 +120,7 @@
             return None;
         }
         let receivers = ejected.len();
-        tracing::info!(target: FLEET_LOG_TARGET, receivers, "receivers that others judge to be down");
+        tracing::info!(target: FLEET_LOG_TARGET, receivers, "ejected receivers changed");
         self.ejected.clone_from(&ejected);
         Some(Input::EjectedReceivers(ejected))
     }
