--- a/crates/policy/tests/common/delivery_rules.rs
+++ b/crates/policy/tests/common/delivery_rules.rs
@@ -1,7 +1,7 @@
 //! The checks of the delivery rules 1, 2, 3, 5 and 6 on each action of a policy.
 
 use rudderspindle_policy::interface::{
-    Action, Effect, KeyGroup, Listing, MessageHandle, Millis, Outcome, RouteEntry, RouteId,
+    Action, Effect, KeyGroup, LimitScope, Listing, MessageHandle, Millis, Outcome, RouteEntry, RouteId,
 };
 
 use super::harness::{AcceptedMessage, Attempt, Harness};
@@ -11,7 +11,7 @@
     pub(super) fn check(&mut self, action: &Action, completed_before: &[MessageHandle]) {
         match *action {
             Action::Send { id, route, start_within, .. } => {
-                assert!(!completed_before.contains(&id), "{id:?} was sent after its end");
+                assert!(!completed_before.contains(&id), "{id:?} was sent after its final outcome");
                 self.check_send(id, route, start_within);
                 let sent = Attempt { route, sent_at: self.now, outcome: None };
                 self.accepted.get_mut(&id).expect("accepted").attempts.push(sent);
@@ -34,19 +34,22 @@
 
     fn complete(&mut self, id: MessageHandle) {
         let accepted = self.accepted.get_mut(&id).expect("accepted");
-        assert!(!accepted.completed, "{id:?} ended twice");
+        assert!(!accepted.completed, "{id:?} has two final outcomes");
         accepted.completed = true;
     }
 
     fn check_send(&self, id: MessageHandle, route: RouteId, start_within: Millis) {
         let entry = &self.listed[&route];
         let accepted = &self.accepted[&id];
-        assert!(!accepted.completed, "{id:?} was sent after its end");
+        assert!(!accepted.completed, "{id:?} was sent after its final outcome");
         assert_eq!(entry.destination, accepted.message.destination, "another destination");
-        assert_eq!(entry.listing, Listing::Ready, "{route:?} drains or is gone");
-        let until = |limit| self.retry_after_until.get(&limit).copied().unwrap_or(f64::NEG_INFINITY);
-        let shared = until((entry.destination, None));
-        let own = until((entry.destination, Some(route)));
+        assert_eq!(entry.listing, Listing::Ready, "{route:?} is draining or removed");
+        let until = |route| {
+            let scope = LimitScope { destination: entry.destination, route };
+            self.retry_after_until.get(&scope).copied().unwrap_or(f64::NEG_INFINITY)
+        };
+        let shared = until(None);
+        let own = until(Some(route));
         assert!(self.now >= shared.max(own), "sent within a Retry-After");
         let in_flight = accepted.attempts.last().is_some_and(|attempt| attempt.outcome.is_none());
         assert!(!in_flight, "two attempts in flight");
@@ -59,7 +62,7 @@
         let possibly_executed = accepted.attempts.iter().any(is_possibly_executed);
         match self.settings.classes[accepted.message.class].effect {
             Effect::Idempotent | Effect::IdempotencyKey { group: KeyGroup::All, .. } => {}
-            _ => assert!(!possibly_executed, "{id:?} was refused though it may have run"),
+            _ => assert!(!possibly_executed, "{id:?} was refused though it may have been executed"),
         }
     }
 
@@ -71,7 +74,7 @@
                 Effect::IdempotencyKey { group, window } => {
                     assert!(
                         self.now + start_within <= earlier.sent_at + window,
-                        "may go after the key's window"
+                        "may be sent after the key's window"
                     );
                     let first = &self.listed[&earlier.route];
                     match group {
@@ -95,12 +98,12 @@
             let ordered = self.settings.classes[earlier.message.class].ordered;
             if ordered && earlier.message.ordering_key == key {
                 let in_flight = earlier.attempts.iter().any(|attempt| attempt.outcome.is_none());
-                assert!(earlier.completed && !in_flight, "{id:?} went out of order");
+                assert!(earlier.completed && !in_flight, "{id:?} was sent out of order");
             }
         }
         if let Some(pause) = self.key_pauses.get(&key) {
-            let may_go = pause.paused_by == id || self.now >= pause.until;
-            assert!(may_go, "{id:?} went while its key paused");
+            let may_be_sent = pause.paused_by == id || self.now >= pause.until;
+            assert!(may_be_sent, "{id:?} was sent while its key was paused");
         }
     }
 }
--- a/crates/policy/tests/common/harness.rs
+++ b/crates/policy/tests/common/harness.rs
@@ -4,8 +4,8 @@
 
 use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{
-    Action, AttemptResult, DestinationId, Event, ListChange, Listing, Message, MessageHandle, Millis,
-    Outcome, RouteEntry, RouteId, Settings,
+    Action, AttemptResult, Event, LimitScope, ListChange, Listing, Message, MessageHandle, Millis, Outcome,
+    RouteEntry, RouteId, Settings,
 };
 
 /// Maximum delay of a final outcome after a message has expired, in ms.
@@ -41,7 +41,7 @@
     pub(super) accepted: BTreeMap<MessageHandle, AcceptedMessage>,
     pub(super) order: Vec<MessageHandle>,
     pub(super) listed: BTreeMap<RouteId, RouteEntry>,
-    pub(super) retry_after_until: BTreeMap<(DestinationId, Option<RouteId>), Millis>,
+    pub(super) retry_after_until: BTreeMap<LimitScope, Millis>,
     pub(super) key_pauses: BTreeMap<u64, KeyPause>,
 }
 
@@ -141,8 +141,11 @@
         let entry = &self.listed[&attempt.route];
         if outcome == Outcome::Rejected && retry_after > 0.0 {
             let limit_per_route = self.settings.kinds[usize::from(entry.kind)].limit_per_route;
-            let limit = (entry.destination, limit_per_route.then_some(attempt.route));
-            let until = self.retry_after_until.entry(limit).or_default();
+            let scope = LimitScope {
+                destination: entry.destination,
+                route: limit_per_route.then_some(attempt.route),
+            };
+            let until = self.retry_after_until.entry(scope).or_default();
             *until = until.max(self.now + retry_after);
         }
         let ordered = self.settings.classes[accepted.message.class].ordered;
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -34,21 +34,31 @@
     }
 }
 
-/// The highest load from senders that have seen the outage, as a multiple of the bound, and its scenario.
+/// A load from senders that have seen the outage.
+#[derive(Default)]
+struct Load {
+    /// As a multiple of the bound.
+    ratio: f64,
+    /// Its scenario.
+    scenario: String,
+}
+
+/// The highest load in several scenarios.
 fn highest_load(
     senders: usize,
     announced_rate: f64,
     load: f64,
     gossip_network: &Option<GossipNetwork>,
-) -> (f64, String) {
-    let mut highest = (0.0, String::new());
+) -> Load {
+    let mut highest = Load::default();
     for seed in 0..3 {
         for outage in OUTAGES {
             let base = scenario(seed, senders, announced_rate, load, outage);
             let scenario = Scenario { gossip_network: gossip_network.clone(), ..base };
             let peak = simulate(&scenario).informed_peak_load;
-            if peak.informed_ratio() > highest.0 {
-                highest = (peak.informed_ratio(), format!("seed {seed}, {outage:?}: {peak:?}"));
+            let ratio = peak.informed_ratio();
+            if ratio > highest.ratio {
+                highest = Load { ratio, scenario: format!("seed {seed}, {outage:?}: {peak:?}") };
             }
         }
     }
@@ -58,11 +68,11 @@
 fn assert_bound(senders: usize, announced_rate: f64, gossip_network: &Option<GossipNetwork>) {
     // Below its limit, and three times that: each sender has more messages than its share allows.
     for load in [0.9, 3.0] {
-        let (ratio, what) = highest_load(senders, announced_rate, load, gossip_network);
+        let Load { ratio, scenario } = highest_load(senders, announced_rate, load, gossip_network);
         println!("{senders} senders, {announced_rate} a second, load {load}: {ratio:.2}");
         assert!(
             ratio <= 1.0,
-            "{senders} senders, {announced_rate} a second, load {load}: {ratio:.2}, {what}"
+            "{senders} senders, {announced_rate} a second, load {load}: {ratio:.2}, {scenario}"
         );
     }
 }
@@ -97,9 +107,9 @@
 #[test]
 fn three_hundred_senders_do_not_overload_a_large_returning_receiver() {
     for gossip in [None, Some(GossipNetwork::with_loss(0.0))] {
-        let (ratio, what) = highest_load(300, 75.0, 0.9, &gossip);
+        let Load { ratio, scenario } = highest_load(300, 75.0, 0.9, &gossip);
         println!("300 senders: {ratio:.2}");
-        assert!(ratio <= 1.0, "300 senders: {ratio:.2}, {what}");
+        assert!(ratio <= 1.0, "300 senders: {ratio:.2}, {scenario}");
     }
 }
 
