--- a/crates/policy/src/destination/route_choice.rs
+++ b/crates/policy/src/destination/route_choice.rs
@@ -45,7 +45,7 @@
         let effect = dispatch.messages.get(id)?.effect(&dispatch.context.settings);
         let mut candidates: Vec<usize> = open.to_vec();
         candidates.retain(|&index| self.may_use(dispatch, id, index));
-        candidates.sort_by_key(|&index| self.preference(dispatch.context, index));
+        candidates.sort_by_cached_key(|&index| self.preference(dispatch.context, index));
         candidates.into_iter().find(|&index| {
             // Departure (the circuit breaker is open): a half-open probe does not draw. It must be safe to
             // repeat.
