--- a/crates/policy/tests/replay/main.rs
+++ b/crates/policy/tests/replay/main.rs
@@ -5,6 +5,7 @@
 //! may be renamed with no change in the golden files.
 
 mod adapter;
+mod text;
 
 use std::path::Path;
 use std::sync::LazyLock;
--- /dev/null
+++ b/crates/policy/tests/replay/text.rs
@@ -0,0 +1,57 @@
+//! The text that the golden files hold hashes of; no rename in the policy changes it.
+
+use rudderspindle_policy::Policy;
+use rudderspindle_policy::interface::{Action, LimitScope, OutageState};
+
+/// Every bit of a number.
+fn bits(number: f64) -> String {
+    format!("{:016x}", number.to_bits())
+}
+
+fn limit_text(scope: LimitScope) -> String {
+    let LimitScope { destination, route } = scope;
+    route.map_or_else(|| format!("{} all", destination.0), |route| format!("{} {}", destination.0, route.0))
+}
+
+/// An action in words of the golden files.
+pub fn action_text(action: &Action) -> String {
+    match *action {
+        Action::Send { id, route, timeout, start_within } => {
+            format!("send {} {} {} {}", id.0, route.0, bits(timeout), bits(start_within))
+        }
+        Action::Refuse { id, retry_after } => format!("refuse {} {}", id.0, bits(retry_after)),
+        Action::Fail { id } => format!("fail {}", id.0),
+        Action::Wake { delay, token } => format!("wake {} {token}", bits(delay)),
+        Action::Cancel { id, attempt } => format!("cancel {} {attempt}", id.0),
+        Action::HealthCheck { route } => format!("probe {}", route.0),
+        Action::Subscribe => "subscribe".to_owned(),
+        Action::Remember { scope, outage } => {
+            let limit = limit_text(scope);
+            match outage {
+                OutageState::Healthy => format!("remember {limit} nothing"),
+                OutageState::Down { retry_after_remaining } => {
+                    format!("remember {limit} down {}", bits(retry_after_remaining))
+                }
+                OutageState::WarmingUp { since_recovery, ramp_share } => {
+                    format!("remember {limit} cold {} {}", bits(since_recovery), bits(ramp_share))
+                }
+            }
+        }
+    }
+}
+
+/// What a host may read of a policy, in words of the golden files.
+pub fn metrics_text(policy: &Policy) -> String {
+    let mut text = format!(
+        "figures {} {} {}\n",
+        policy.remembered(),
+        policy.free_capacity(),
+        policy.routes_out_of_rotation()
+    );
+    for demand in policy.demands() {
+        let (limit, wanted) = (bits(demand.limit), bits(demand.calls_wanted));
+        let counts = format!("{} {} {}", demand.called, demand.rejected, demand.failed);
+        text += &format!("want {} {limit} {wanted} {counts}\n", limit_text(demand.scope));
+    }
+    text
+}
