--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -88,17 +88,7 @@
     let limits = root.child("limits");
     let rules = root.child("rules");
     let kinds = kinds(&root)?;
-    if kinds.is_empty() {
-        return Err(root
-            .child("kinds")
-            .invalid("a list of one at least, as there is no kind of destination otherwise,"));
-    }
-    let classes = root.child("lanes").map(class)?;
-    if classes.is_empty() {
-        return Err(root
-            .child("lanes")
-            .invalid("a list of one at least, as there is no class of message otherwise,"));
-    }
+    let classes = classes(&root)?;
     Ok(Settings {
         zone: zone(&root.child("az"))?,
         peers_total: root.child("peers_total").whole_or(1, 0)? as usize,
@@ -151,9 +141,21 @@
         Ok(Kind { max_batch, limit_per_route })
     };
     let kinds = names.len().max(max_batches.len()).max(limits_per_route.len());
+    if kinds == 0 {
+        return Err(names.invalid("a list of one at least, as there is no kind of destination otherwise,"));
+    }
     (0..kinds).map(kind).collect()
 }
 
+fn classes(root: &Field<'_>) -> Result<Vec<Class>, ReadError> {
+    let lanes = root.child("lanes");
+    let classes = lanes.map(class)?;
+    if classes.is_empty() {
+        return Err(lanes.invalid("a list of one at least, as there is no class of message otherwise,"));
+    }
+    Ok(classes)
+}
+
 fn tenants(projects: &Field<'_>) -> Result<Vec<Tenant>, ReadError> {
     let fractions = projects.map(|field| field.child("fraction").number_or(0.0, FRACTION))?;
     let sum: f64 = fractions.iter().sum();
