--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -31,7 +31,7 @@
     /// Share of idempotent messages; the others have idempotency keys.
     #[serde(alias = "status_share")]
     pub idempotent_share: Share,
-    /// Share of messages that come in bursts for one receiver.
+    /// Share of messages that are in bursts for one receiver.
     #[serde(alias = "clumps")]
     pub burst_share: Share,
     /// Messages in a burst.
@@ -88,9 +88,12 @@
             self.receivers.iter().any(|receiver| receiver.number == number && !receiver.independent)
         };
         self.events.iter().any(|event| match event {
-            ScheduledEvent::Outage { receiver, endpoints, outage: Outage::Shut | Outage::Refuse, .. } => {
-                endpoints.is_empty() && is_shared(*receiver)
-            }
+            ScheduledEvent::Outage {
+                receiver,
+                endpoints,
+                outage: Outage::RejectAll | Outage::RefuseConnections,
+                ..
+            } => endpoints.is_empty() && is_shared(*receiver),
             _ => false,
         })
     }
