--- a/crates/daemon/tests/crash_points.rs
+++ b/crates/daemon/tests/crash_points.rs
@@ -60,7 +60,7 @@
 async fn killed_before_the_record_a_message_was_never_accepted_and_may_be_submitted_again() {
     for class in CLASSES {
         let mut site = Site::new(&[]).await;
-        kill_before_the_answer(site.until("taken-on-before-record").await, class).await;
+        kill_before_the_answer(site.until("accepted-before-record").await, class).await;
         let program = site.start().await;
         site.nothing_more(&program).await;
         let mut client = program.raw(&raw(class)).await;
@@ -74,7 +74,7 @@
 async fn killed_between_the_record_and_the_202_a_message_still_reaches_a_final_outcome() {
     for class in CLASSES {
         let mut site = Site::new(&[]).await;
-        kill_before_the_answer(site.until("taken-on-recorded").await, class).await;
+        kill_before_the_answer(site.until("accepted-recorded").await, class).await;
         assert!(site.receiver.nothing_called());
         let program = site.start().await;
         if class == "once" {
--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -23,7 +23,7 @@
         class: class.into(),
         tenant: "acme".into(),
         destination: 7,
-        key: None,
+        idempotency_key: None,
         deadline: UnixMillis::now() + 50_000,
         body: text(),
         attempts: 0,
--- a/crates/daemon/tests/readiness.rs
+++ b/crates/daemon/tests/readiness.rs
@@ -22,7 +22,7 @@
             class: "safe".into(),
             tenant: "acme".into(),
             destination: 7,
-            key: None,
+            idempotency_key: None,
             deadline: UnixMillis::now() + 300_000,
             body: Bytes::from(vec![b'x'; body]),
             attempts: 0,
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -19,7 +19,7 @@
         class: class.into(),
         tenant: "acme".into(),
         destination: 7,
-        key: Some(Bytes::from(format!("key-{message_id}"))),
+        idempotency_key: Some(Bytes::from(format!("key-{message_id}"))),
         deadline: UnixMillis::now() + left_ms,
         body: text(),
         attempts: 0,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -24,7 +24,7 @@
 //!     class: "notice".into(),
 //!     tenant: "acme".into(),
 //!     destination: 7,
-//!     key: None,
+//!     idempotency_key: None,
 //!     deadline: UnixMillis::now() + 20_000,
 //!     body: "text".into(),
 //!     attempts: 0,
--- a/crates/journal/src/message.rs
+++ b/crates/journal/src/message.rs
@@ -33,7 +33,7 @@
     /// The number of its destination.
     pub destination: u16,
     /// Its idempotency key, as the client gave it.
-    pub key: Option<Bytes>,
+    pub idempotency_key: Option<Bytes>,
     /// Its deadline.
     pub deadline: UnixMillis,
     /// Its body, which is forwarded unchanged: at most [`MAX_BODY`](crate::MAX_BODY) bytes.
@@ -50,7 +50,7 @@
     /// Upper bound of the journal space that the message needs until it is acknowledged, in bytes: its record, once
     /// written again with its attempt history, and its notification.
     pub fn reserved_bytes(&self) -> u64 {
-        let key_len = self.key.as_ref().map_or(0, Bytes::len);
+        let key_len = self.idempotency_key.as_ref().map_or(0, Bytes::len);
         (self.body.len() + key_len + 2 * self.message_id.len() + RECORD_OVERHEAD) as u64
     }
 
--- a/crates/journal/src/record/decode.rs
+++ b/crates/journal/src/record/decode.rs
@@ -77,7 +77,7 @@
         class,
         tenant,
         destination,
-        key: has_key.then(|| Bytes::copy_from_slice(key)),
+        idempotency_key: has_key.then(|| Bytes::copy_from_slice(key)),
         deadline,
         body: Bytes::copy_from_slice(body),
         attempts,
--- a/crates/journal/src/record/encode.rs
+++ b/crates/journal/src/record/encode.rs
@@ -25,8 +25,8 @@
         write_text(payload, &message.class);
         write_text(payload, &message.tenant);
         payload.extend(message.destination.to_le_bytes());
-        payload.push(u8::from(message.key.is_some()));
-        write_bytes(payload, message.key.as_deref().unwrap_or_default());
+        payload.push(u8::from(message.idempotency_key.is_some()));
+        write_bytes(payload, message.idempotency_key.as_deref().unwrap_or_default());
         write_time(payload, message.deadline);
         payload.extend(message.attempts.to_le_bytes());
         write_execution(payload, message.possibly_executed.as_ref());
--- a/crates/journal/src/segments/tests.rs
+++ b/crates/journal/src/segments/tests.rs
@@ -57,7 +57,7 @@
         class: "safe".into(),
         tenant: "acme".into(),
         destination: 7,
-        key: None,
+        idempotency_key: None,
         deadline: UnixMillis(5),
         body: vec![b'x'; 300].into(),
         attempts: 0,
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -22,7 +22,7 @@
         class: "safe".into(),
         tenant: "acme".into(),
         destination: 7,
-        key: Some(Bytes::from_static(b"key")),
+        idempotency_key: Some(Bytes::from_static(b"key")),
         deadline: UnixMillis(5),
         body: Bytes::from(vec![b'x'; size]),
         attempts: 0,
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -15,7 +15,7 @@
         class: "notice".into(),
         tenant: "".into(),
         destination: 65_535,
-        key: Some(Bytes::from_static(b"order-17")),
+        idempotency_key: Some(Bytes::from_static(b"order-17")),
         deadline: UnixMillis(u64::MAX),
         body: Bytes::from_static(&[0, 255, 10, 13, 128]),
         attempts: 3,
@@ -29,7 +29,7 @@
     let mut store = open(folder);
     store.accept(message("m-new"));
     store.accept(full_message());
-    store.accept(Message { key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") });
+    store.accept(Message { idempotency_key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") });
     for message_id in ["m-ran", "m-not-run", "m-cut", "delivered", "n-1", "n-2", "n-3", "acknowledged"] {
         store.accept(message(message_id));
     }
@@ -80,7 +80,7 @@
     let expected = Told {
         open: vec![
             Message { attempts: 1, possibly_executed: Some(ran(3)), ..message("m-cut") },
-            Message { key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") },
+            Message { idempotency_key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") },
             Message { attempts: 4, in_flight: None, ..full_message() },
             message("m-later"),
             message("m-new"),
--- a/crates/journal/tests/golden_folders/support.rs
+++ b/crates/journal/tests/golden_folders/support.rs
@@ -89,7 +89,7 @@
         class: "safe".into(),
         tenant: "acme".into(),
         destination: 513,
-        key: None,
+        idempotency_key: None,
         deadline: UnixMillis(1_700_000_020_000),
         body: (&b"text"[..]).into(),
         attempts: 0,
--- a/crates/sender/src/engine/backlog/tests.rs
+++ b/crates/sender/src/engine/backlog/tests.rs
@@ -19,7 +19,7 @@
             class: "c".into(),
             tenant: "".into(),
             destination: 7,
-            key: None,
+            idempotency_key: None,
             deadline: UnixMillis::EPOCH,
             body: Bytes::new(),
             attempts: 0,
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -114,14 +114,14 @@
     /// Writes the batch to the journal; if that fails, removes the effects that depend on it.
     fn write(&mut self, effects: &mut Effects) {
         if !effects.accepted.is_empty() {
-            failpoint!("taken-on-before-record");
+            failpoint!("accepted-before-record");
         }
         if let Err(error) = self.store.commit() {
             tracing::warn!(%error, "journal write failed");
             self.undo(effects);
         }
         if !effects.accepted.is_empty() {
-            failpoint!("taken-on-recorded");
+            failpoint!("accepted-recorded");
         }
         for _call in &effects.calls {
             failpoint!("attempt-{}-recorded", _call.attempt);
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -112,7 +112,7 @@
             class: self.names.classes.get(submission.class).map_or("", String::as_str).into(),
             tenant: self.names.tenants.get(submission.tenant).map_or("", String::as_str).into(),
             destination: submission.destination.0,
-            key: submission.idempotency_key.clone(),
+            idempotency_key: submission.idempotency_key.clone(),
             deadline: UnixMillis::now() + time_left.as_millis() as u64,
             body: submission.body.clone(),
             attempts: 0,
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -157,7 +157,7 @@
             class,
             recovered: true,
             submissions: Vec::new(),
-            idempotency_key: record.key,
+            idempotency_key: record.idempotency_key,
             body: record.body,
             deadline,
             attempts,
--- a/crates/sender/src/engine/recovery/tests.rs
+++ b/crates/sender/src/engine/recovery/tests.rs
@@ -17,7 +17,7 @@
             class: "safe".into(),
             tenant: "".into(),
             destination: 8,
-            key: None,
+            idempotency_key: None,
             deadline: UnixMillis::now() + time_left_ms,
             body: Bytes::from_static(b"text"),
             attempts: 0,
@@ -35,7 +35,7 @@
     write_untried_messages(folder.path(), 45, 4_000);
     let test = async {
         let (mut engine, _inputs) = engine(folder.path());
-        // Almost all of the 47 that the policy takes before it sheds any.
+        // The policy takes 47 before it sheds any.
         assert_eq!(engine.tracked.len(), 45);
         for number in 0..60 {
             let (input, _answered) = submission(number, &format!("new-{number}"));
@@ -44,7 +44,7 @@
         assert!(engine.backlog.len() > 30, "{} were shed", engine.backlog.len());
         assert!((0..45).all(|n| engine.store.pending_message(&format!("found-{n}").into()).is_some()));
         assert_eq!(engine.status().open_requests, engine.tracked.len() + engine.backlog.len());
-        // The list still has no receiver for them: each fails at its deadline.
+        // The list has no receiver for them: each fails at its deadline.
         tokio::time::advance(Duration::from_millis(4_001)).await;
         engine.run_batch(Vec::new());
         assert!(engine.backlog.is_empty());
