--- a/crates/sender/src/config/golden/refused.rs
+++ b/crates/sender/src/config/golden/refused.rs
@@ -28,7 +28,7 @@
     line: String,
 }
 
-/// A null is a value, too.
+/// Reads a null as a value.
 fn present<'de, D: serde::Deserializer<'de>>(value: D) -> Result<Option<Value>, D::Error> {
     Value::deserialize(value).map(Some)
 }
--- a/crates/sender/src/config/tests.rs
+++ b/crates/sender/src/config/tests.rs
@@ -31,7 +31,7 @@
 #[test]
 fn the_larger_of_two_numbers_of_senders_is_used_and_each_warning_is_one_line() {
     assert_eq!(FleetSize::new(Some(3), 3), FleetSize { senders: 3, warning: None });
-    // A fleet without gossip lists nobody.
+    // A fleet without gossip lists no peers.
     assert_eq!(FleetSize::new(Some(3), 0), FleetSize { senders: 3, warning: None });
     for (peers_total, peers, expected, text) in [
         (Some(3), 100, 100, "peers_total is 3, and peers lists 100"),
@@ -48,7 +48,7 @@
             "{warning:?}"
         );
     }
-    // Rejected with the settings, as a number of senders that cannot be.
+    // Rejected with the settings.
     assert_eq!(FleetSize::new(Some(0), 0), FleetSize { senders: 0, warning: None });
 }
 
@@ -61,10 +61,10 @@
     assert_eq!(bytes(1024.0, Some(192.0)), 24_000_000);
     assert_eq!(bytes(65_536.0, Some(192.0)), 24_000_000);
     assert_eq!(bytes(65_536.0, Some(1_920.0)), 240_000_000);
-    // No more than 64 KiB for each of 492 clients, however much memory there is.
+    // At most 64 KiB for each of 492 clients.
     assert_eq!(bytes(1024.0, Some(1_920.0)), 492 * 65_536);
     assert_eq!(bytes(1024.0, Some(1e300)), 492 * 65_536);
-    // No limit, or hardly any.
+    // No limit, or less than the minimum.
     for memory in [None, Some(0.0), Some(7.0)] {
         assert_eq!(bytes(1024.0, memory), 1_000_000);
     }
--- a/crates/sender/src/connection_slots/tests.rs
+++ b/crates/sender/src/connection_slots/tests.rs
@@ -26,7 +26,7 @@
     }
     slots.opened(ConnectionId(4), from(1), at(20));
     assert_eq!(slots.request_finished(ConnectionId(4), at(20), none), Some(ConnectionId(0)));
-    // One that has sent several requests outlasts those that sent one, however long it is idle.
+    // A connection with several requests is closed after those with one, regardless of its idle time.
     slots.request_started(ConnectionId(1), at(30));
     assert_eq!(slots.request_finished(ConnectionId(1), at(31), none), None);
     for id in 5..9 {
@@ -37,7 +37,7 @@
                 .is_some_and(|surplus| surplus != ConnectionId(1) && surplus != ConnectionId(id))
         );
     }
-    // One whose next request is arriving is not closed.
+    // A connection whose next request is arriving is not closed.
     slots.opened(ConnectionId(9), from(1), at(60));
     assert_eq!(
         slots.request_finished(ConnectionId(9), at(60), |id| id == ConnectionId(6)),
--- a/crates/sender/src/control/golden.rs
+++ b/crates/sender/src/control/golden.rs
@@ -30,7 +30,7 @@
     metrics
 }
 
-/// A control listener in this state, and the engine's end of its queries.
+/// A control listener in this state, and the receiver of its queries.
 fn control(state: AdmissionState) -> (ControlListener, mpsc::Receiver<Input>) {
     let (engine, queries) = mpsc::channel(4);
     let admission_state = watch::channel(state).0;
@@ -64,7 +64,7 @@
     assert_eq!(text, SERVING);
 }
 
-/// The engine has ended, too: the metrics hold the status that it reported last.
+/// The engine has ended: the metrics have the status that it reported last.
 #[tokio::test]
 async fn a_stopping_sender_responds_to_each_command_as_recorded() {
     for state in [AdmissionState::Stopping, AdmissionState::HandingOver] {
--- a/crates/sender/src/discovery/decoder/tests.rs
+++ b/crates/sender/src/discovery/decoder/tests.rs
@@ -83,7 +83,7 @@
     assert_eq!(decoded, [Some((8, false, vec!["a".to_owned()]))]);
 }
 
-/// A list that was cut off does not swallow what follows.
+/// A list that is truncated within a string is an error; the next list is not taken for its rest.
 #[test]
 fn a_line_that_ends_within_a_string_is_an_error() {
     let complete = list(8, &["abcdef"]).to_string();
@@ -115,7 +115,7 @@
     assert!(matches!(end, Err(DecodeError::TooLong)), "{end:?}");
 }
 
-/// Four megabytes in frames of a kilobyte: a decoder that starts over with each frame would scan eight billion bytes.
+/// Four megabytes in frames of a kilobyte; a decoder that starts over with each frame would scan eight billion bytes.
 #[test]
 fn each_byte_of_a_large_list_in_many_frames_is_scanned_once() {
     let ids: Vec<String> = (0..25_000).map(|n| format!("s-{n:08x}")).collect();
--- a/crates/sender/src/discovery/tests.rs
+++ b/crates/sender/src/discovery/tests.rs
@@ -144,7 +144,7 @@
 
 // ---- Starts ----------------------------------------------------------------------------------------------
 
-/// Whatever discovery does, a start is not delayed by it.
+/// A start is not delayed by discovery.
 #[tokio::test]
 async fn a_start_is_not_delayed_by_a_list_that_arrives_slowly_or_never() {
     let discovery = ScriptedDiscovery::start().await;
@@ -153,7 +153,7 @@
         let slow_response = async {
             let mut stream = discovery.accept_full_list_request().await;
             write(&mut stream, head).await;
-            // Until the other end closes the connection.
+            // Until the client closes the connection.
             while stream.write_all(b" ").await.is_ok() {
                 sleep(Duration::from_millis(10)).await;
             }
--- a/crates/sender/src/discovery/tests/idle_watch.rs
+++ b/crates/sender/src/discovery/tests/idle_watch.rs
@@ -16,7 +16,7 @@
 /// How a watch becomes idle.
 #[derive(Clone, Copy, Debug)]
 enum Idle {
-    /// It gets no response.
+    /// It receives no response.
     WithoutResponse,
     AfterHead,
     AfterHeartbeat,
@@ -27,60 +27,62 @@
     EmptyLinesWithinList,
 }
 
-/// Whatever was received last, the watch is opened again, and missed changes are received in time.
-#[expect(clippy::too_many_lines, reason = "a table of cases")]
-#[tokio::test]
-async fn an_idle_watch_is_opened_again_and_missed_changes_are_received_in_time() {
-    let test = async |idle: Idle, discovery_mode: Discovery| {
-        let discovery = ScriptedDiscovery::start().await;
-        let mut running = start_watch(discovery_mode, discovery.addr, Some(41));
-        let (_, mut stream) = discovery.accept_watch().await;
-        let since = Instant::now();
-        match idle {
-            Idle::WithoutResponse => {}
-            Idle::AfterHead => write(&mut stream, WATCH_HEAD).await,
-            Idle::AfterHeartbeat => write(&mut stream, WATCH_HEAD.to_owned() + &chunk("\n")).await,
-            Idle::WithinALine => {
-                write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&list_json(42)[..20])).await;
-            }
-            Idle::Trickling | Idle::EmptyLinesWithinList => {
-                write(&mut stream, WATCH_HEAD.to_owned() + &chunk("{\"revision\": 42,")).await;
-            }
+/// Checks that an idle watch is opened again and that missed changes are received in time. Returns when they were,
+/// from the start of the idle watch on.
+async fn time_to_missed_change(idle: Idle, discovery_mode: Discovery) -> Duration {
+    let discovery = ScriptedDiscovery::start().await;
+    let mut running = start_watch(discovery_mode, discovery.addr, Some(41));
+    let (_, mut stream) = discovery.accept_watch().await;
+    let since = Instant::now();
+    match idle {
+        Idle::WithoutResponse => {}
+        Idle::AfterHead => write(&mut stream, WATCH_HEAD).await,
+        Idle::AfterHeartbeat => write(&mut stream, WATCH_HEAD.to_owned() + &chunk("\n")).await,
+        Idle::WithinALine => {
+            write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&list_json(42)[..20])).await;
         }
-        let byte = match idle {
-            Idle::Trickling => Some(" "),
-            Idle::EmptyLinesWithinList => Some("\n"),
-            _ => None,
-        };
-        let trickle = async {
-            while let Some(byte) = byte {
-                sleep(Duration::from_millis(100)).await;
-                if stream.write_all(chunk(byte).as_bytes()).await.is_err() {
-                    break;
-                }
+        Idle::Trickling | Idle::EmptyLinesWithinList => {
+            write(&mut stream, WATCH_HEAD.to_owned() + &chunk("{\"revision\": 42,")).await;
+        }
+    }
+    let byte = match idle {
+        Idle::Trickling => Some(" "),
+        Idle::EmptyLinesWithinList => Some("\n"),
+        _ => None,
+    };
+    let trickle = async {
+        while let Some(byte) = byte {
+            sleep(Duration::from_millis(100)).await;
+            if stream.write_all(chunk(byte).as_bytes()).await.is_err() {
+                break;
             }
-            std::future::pending::<()>().await;
-        };
-        let next = async {
-            let (from, mut stream) = discovery.accept_watch().await;
-            assert_eq!(from, 41, "{idle:?}");
-            write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(43) + "\n"))).await;
-            assert_eq!(running.next_revision().await, 43, "{idle:?}");
-        };
-        tokio::select! {
-            () = trickle => {}
-            () = next => {}
         }
-        let after = since.elapsed();
-        assert!(after < IN_EFFECT_WITHIN, "{idle:?}, {discovery_mode:?}: {after:?}");
-        after
+        std::future::pending::<()>().await;
+    };
+    let next = async {
+        let (from, mut stream) = discovery.accept_watch().await;
+        assert_eq!(from, 41, "{idle:?}");
+        write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(43) + "\n"))).await;
+        assert_eq!(running.next_revision().await, 43, "{idle:?}");
     };
+    tokio::select! {
+        () = trickle => {}
+        () = next => {}
+    }
+    let after = since.elapsed();
+    assert!(after < IN_EFFECT_WITHIN, "{idle:?}, {discovery_mode:?}: {after:?}");
+    after
+}
+
+/// The watch is opened again and missed changes are received in time, in each of these cases.
+#[tokio::test]
+async fn an_idle_watch_is_opened_again_and_missed_changes_are_received_in_time() {
     let on_request = Discovery::OnRequest { ask_within: 10_000.0 };
     local(async {
         use Idle::{
             AfterHead, AfterHeartbeat, EmptyLinesWithinList, Trickling, WithinALine, WithoutResponse,
         };
-        let agent = async |idle| test(idle, Discovery::Pushed).await;
+        let agent = async |idle| time_to_missed_change(idle, Discovery::Pushed).await;
         let (without_response, ..) = tokio::join!(
             agent(WithoutResponse),
             agent(AfterHead),
@@ -88,9 +90,9 @@
             agent(WithinALine),
             agent(Trickling),
             agent(EmptyLinesWithinList),
-            test(WithoutResponse, on_request),
-            test(AfterHead, on_request),
-            test(Trickling, on_request),
+            time_to_missed_change(WithoutResponse, on_request),
+            time_to_missed_change(AfterHead, on_request),
+            time_to_missed_change(Trickling, on_request),
         );
         // An agent responds at once, or is polled again.
         assert!(without_response < Duration::from_secs(1), "{without_response:?}");
@@ -98,7 +100,7 @@
     .await;
 }
 
-/// While nothing changes an empty line arrives every two seconds.
+/// Without changes a heartbeat arrives every two seconds.
 #[tokio::test]
 async fn a_watch_with_heartbeats_stays_open() {
     local(async {
@@ -117,7 +119,7 @@
     .await;
 }
 
-/// What an agent receives when discovery recovers is in effect at once: an agent is polled at a constant rate.
+/// An agent is polled at a constant rate, as its list is in effect at once.
 #[tokio::test]
 async fn an_agent_that_was_unresponsive_for_long_is_polled_as_often_as_at_first() {
     local(async {
@@ -136,7 +138,7 @@
     .await;
 }
 
-/// An agent that refuses connections is polled with a pause, and soon when it is back.
+/// An agent that refuses connections is polled with a constant delay.
 #[tokio::test]
 async fn an_agent_that_refused_connections_is_polled_soon_when_it_is_back() {
     local(async {
--- a/crates/sender/src/discovery/tests/scripted.rs
+++ b/crates/sender/src/discovery/tests/scripted.rs
@@ -14,7 +14,7 @@
 use crate::event::Input;
 use crate::poll_schedule::PollSchedule;
 
-/// Nothing here takes so long unless it is broken.
+/// Timeout of each step, far longer than any takes unless something is broken.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(super) async fn in_time<T>(what: &str, future: impl Future<Output = T>) -> T {
@@ -53,7 +53,7 @@
         (from.parse().expect("a revision"), stream)
     }
 
-    /// The connection of the next request, which has to be for the full list.
+    /// The connection of the next request, which must be for the full list.
     pub(super) async fn accept_full_list_request(&self) -> TcpStream {
         let (target, stream) = self.accept_request().await;
         assert_eq!(target, "/api/targets");
@@ -109,9 +109,9 @@
     }
 }
 
-/// Waits until the other end closes the connection, without another byte.
+/// Waits until the peer closes the connection, without another byte.
 pub(super) async fn wait_until_closed(stream: &mut TcpStream) {
-    // A reset closes it as well.
+    // Also by a reset.
     let read = in_time("a close", stream.read(&mut [0; 16])).await;
     assert!(matches!(read, Ok(0) | Err(_)), "{read:?}");
 }
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -16,8 +16,8 @@
 
 /// Allowance for the transmission of the client's request: its deadline counts from when the client sent it.
 const REQUEST_TRANSIT_TIME: Duration = Duration::from_millis(5);
-/// Ticks between the receipt of a request and its batch, at most. So long before the deadline, and
-/// [`REQUEST_TRANSIT_TIME`] besides, a response may already be late for the client: it is not waited for.
+/// Maximum time from the receipt of a request to its batch, in ticks. A response within this time and
+/// [`REQUEST_TRANSIT_TIME`] before the deadline may be late for the client, and does not count.
 const DEADLINE_MARGIN_TICKS: f64 = 2.0;
 
 /// An attempt that the policy asks for.
@@ -34,8 +34,8 @@
 }
 
 impl Engine {
-    /// Reserves an attempt in the journal; returns the call to make once that is written. While stopping no attempt
-    /// starts too late: the message then stays in the journal for the next process.
+    /// Reserves an attempt in the journal; returns the call that is started once the record is written. `None` if the
+    /// shutdown no longer allows attempts: the message stays in the journal for the next process.
     pub(super) fn reserve_attempt(&mut self, now: Instant, request: AttemptRequest) -> Option<Call> {
         if !self.shutdown.allows_attempts(now) {
             return None;
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Records an attempt's result with this batch; a delivered message is complete.
+    /// Records the outcome of an attempt with this batch, and completes a delivered message.
     pub(super) fn record_result(&mut self, id: MessageHandle, attempt: u32, result: CallOutcome) -> Event {
         self.calls.remove(id);
         let CallOutcome { outcome, retry_after, completed } = result;
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -12,7 +12,7 @@
 use crate::engine::intake::Intake;
 use crate::event::{Input, SubmissionResponse};
 
-/// Makes a listener of the test the only receiver in the list.
+/// Creates a listener and makes it the only receiver in the list.
 pub(super) async fn receiver(engine: &mut Engine) -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address").to_string();
@@ -105,7 +105,7 @@
         while inputs.try_send(Input::PeerCallsInFlight(0)).is_ok() {}
         let answer = b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 30000\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(answer).await.expect("writable");
-        // The wait is noted before the result is sent.
+        // The backoff is applied before the outcome is sent.
         until(|| !engine.io.outbound.active_backoffs().is_empty()).await;
         cancel(&mut engine);
         until(|| {
@@ -135,7 +135,7 @@
             engine.store.pending_messages().all(|m| m.possibly_executed.is_some())
         })
         .await;
-        // Its end, by a reset or not.
+        // The connection ends, by a reset or not.
         assert!(matches!(with_timeout(stream.read(&mut [0; 1])).await, Ok(0) | Err(_)));
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/engine/time.rs
+++ b/crates/sender/src/engine/time.rs
@@ -4,12 +4,12 @@
 
 use rudderspindle_policy::interface::Millis;
 
-/// A span of the policy's; a negative one counts as zero.
+/// Converts a span of the policy; a negative one counts as zero.
 pub(super) fn from_millis(millis: Millis) -> Duration {
     Duration::from_secs_f64(millis.max(0.0) / 1_000.0)
 }
 
-/// A span in the policy's unit.
+/// Converts a span to the policy's unit.
 pub(super) fn to_millis(duration: Duration) -> Millis {
     duration.as_secs_f64() * 1_000.0
 }
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -20,7 +20,7 @@
 const ACCEPTED: &str = include_str!("../../tests/golden/handover.accepted.json");
 const REFUSED: &str = include_str!("../../tests/golden/handover.refused.txt");
 
-/// A line in another encoding than this program writes, and the line that this program writes for it.
+/// A line in an accepted encoding, and the line that this program writes for it.
 #[derive(Deserialize)]
 struct Accepted {
     given: String,
@@ -60,7 +60,7 @@
     UnixStream::pair().expect("a connection")
 }
 
-/// The messages in these bytes, after which the connection ends.
+/// Reads the messages in these bytes, after which the connection is closed.
 async fn read_of(bytes: &[u8]) -> Result<Vec<HandoverMessage>, HandoverError> {
     let (mut theirs, ours) = socket_pair();
     theirs.write_all(bytes).await?;
--- a/crates/sender/src/inbound/tests.rs
+++ b/crates/sender/src/inbound/tests.rs
@@ -23,7 +23,7 @@
 const REQUEST: &[u8] = b"POST /safe HTTP/1.1\r\nHost: a\r\nX-Txn: m1\r\nX-Remaining: 5\r\n\
     X-Route-To: dest=7\r\nContent-Length: 4\r\n\r\ntext";
 const READY: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
-/// No step of these tests takes so long unless something is broken.
+/// Timeout of each step, far longer than any takes unless something is broken.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_CONNECTIONS: usize = 8;
 
@@ -70,8 +70,7 @@
         input.expect("in time").expect("an input")
     }
 
-    /// Writes to a connection without letting the runtime notice: what follows meets bytes that have been received and
-    /// not read.
+    /// Writes to a connection while the runtime does not poll it, so that the bytes are received and not read.
     fn write_unnoticed(&self, client: &TcpStream, id: ConnectionId, bytes: &[u8]) {
         assert_eq!(SockRef::from(client).send(bytes).expect("writable"), bytes.len());
         while !self.inbound.has_unread(id) {
@@ -79,10 +78,10 @@
         }
     }
 
-    /// Expects that the client's message is submitted, accepts it, and expects the 202.
+    /// Expects that the client's message is submitted, accepts it, and expects the response 202.
     async fn expect_accepted(&mut self, client: &mut TcpStream) {
         let responded = async {
-            // A connection that has ended shows at once that the request is lost, ahead of any timeout.
+            // Fails without a timeout if the connection has ended.
             let mut first = [0; 1];
             assert_eq!(client.peek(&mut first).await.expect("no reset"), 1, "it ended without a response");
         };
@@ -101,7 +100,7 @@
     }
 }
 
-/// Reads the next response to its end; its status.
+/// Reads the next response to its end; returns its status.
 async fn read_status(client: &mut TcpStream) -> u16 {
     let mut received = Vec::new();
     let length = |head: &str| {
@@ -129,7 +128,7 @@
     }
 }
 
-/// Keeps the paused clock from advancing by itself while the guard is held, or until [`TEST_TIMEOUT`] at the latest.
+/// Keeps the paused clock from advancing automatically while the guard exists, for [`TEST_TIMEOUT`] at most.
 fn freeze_clock() -> std::sync::mpsc::Sender<()> {
     let (guard, released) = std::sync::mpsc::channel();
     tokio::task::spawn_blocking(move || released.recv_timeout(TEST_TIMEOUT));
--- a/crates/sender/src/inbound/tests/closing.rs
+++ b/crates/sender/src/inbound/tests/closing.rs
@@ -26,7 +26,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Two connections may be idle: the third response closes the longest idle one, on which bytes have just been received.
+/// Two connections may be idle: the third response would close the longest idle one, on which bytes have been received.
 #[tokio::test]
 async fn a_request_received_as_its_connection_would_be_closed_for_another_idle_one_is_answered() {
     let test = async {
@@ -43,7 +43,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// All slots are taken by silent clients, until the oldest sends a request as one more connects.
+/// All slots are taken by clients without a request, and the oldest sends one as another client connects.
 #[tokio::test]
 async fn a_request_received_as_its_connection_would_be_evicted_for_a_newcomer_is_answered() {
     let test = async {
@@ -61,7 +61,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A rejected body is still read: closing over unread bytes would reset the connection, and lose the response.
+/// A rejected body is still read: closing a socket with unread bytes would reset the connection and lose the response.
 #[tokio::test]
 async fn a_response_ahead_of_the_rest_of_its_request_is_followed_by_a_close_without_reset() {
     let test = async {
@@ -76,7 +76,7 @@
         let (read, written) = timeout(TEST_TIMEOUT, both).await.expect("in time");
         assert!(read.is_ok() && written.is_ok(), "{read:?}, {written:?}");
         assert!(received.starts_with(b"HTTP/1.1 413"), "{}", String::from_utf8_lossy(&received));
-        // What is sent before the client learns of the close is read, too.
+        // Bytes that the client sends before it detects the close are read as well.
         writer.write_all(REQUEST).await.expect("no reset");
         writer.shutdown().await.expect("no reset");
         until(|| setup.inbound.connections.borrow().is_empty()).await;
@@ -112,7 +112,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// The engine has stopped: one request is in its queue, half the body of another has been received, one client is silent.
+/// The engine has stopped: one request is in its queue, half the body of another has been received, one client is idle.
 #[tokio::test(start_paused = true)]
 async fn once_the_engine_has_stopped_requests_are_refused_and_connections_closed_without_reset() {
     let test = async {
@@ -142,7 +142,7 @@
         for client in &mut clients[..2] {
             assert_eq!(client.read(&mut [0; 1]).await.expect("no reset"), 0);
         }
-        // The third is silent: its connection is closed, and it has some time to close its side.
+        // The third is idle: its connection is closed, and it has some time to close its side.
         let step = Duration::from_millis(10);
         let mut waited = Duration::ZERO;
         while waited <= LAST_ACCEPT_GRACE + LAST_RESPONSE_TIMEOUT {
--- a/crates/sender/src/notifications/tests.rs
+++ b/crates/sender/src/notifications/tests.rs
@@ -14,7 +14,7 @@
 use super::Notifications;
 use crate::event::Input;
 
-/// Time-out of each step, far beyond what it takes unless something is broken.
+/// Timeout of each step, far longer than any takes unless something is broken.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// A notification that arrives later than this is lost.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_millis(300);
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -38,8 +38,8 @@
 }
 
 impl Outbound {
-    /// How many routes, backoffs and idle connections are retained.
-    pub fn remembered(&self) -> usize {
+    /// Number of routes, backoffs and idle connections.
+    pub fn entries(&self) -> usize {
         self.routes.len() + self.backoffs.len() + self.idle.len()
     }
 }
@@ -116,10 +116,10 @@
     stream
 }
 
-/// Length of a body of which only a part is written while nobody reads at a [`narrow`] listener.
+/// Length of a body that is only partly written while a [`narrow`] listener does not read.
 const LARGE: usize = 60_000;
 
-/// A listener whose connections buffer little that is not read.
+/// A listener whose connections have small receive buffers.
 fn narrow() -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(2_048).expect("a window");
--- a/crates/sender/src/outbound/tests/deadline.rs
+++ b/crates/sender/src/outbound/tests/deadline.rs
@@ -24,7 +24,7 @@
     (stream, deadline)
 }
 
-/// Blocks the runtime until after the deadline, so that the response and the time-out are noticed in one tick.
+/// Blocks the runtime until after the deadline, so that it sees the response and the timeout in the same tick.
 fn block_until_after(deadline: Instant) {
     std::thread::sleep(deadline.saturating_duration_since(Instant::now()) + Duration::from_millis(2));
 }
@@ -48,14 +48,13 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A rejection counts only when it is complete, and its rest is not waited for beyond the call's deadline, at which the
-/// message's final outcome may be due.
+/// A rejection counts only if it is complete, and its rest is waited for until the call's deadline at the latest.
 #[tokio::test]
 async fn an_endless_rejection_delays_its_call_no_longer_than_its_deadline() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
         let (mut stream, deadline) = received_call(&outbound, &listener).await;
-        // So late that half a second more would be far beyond the deadline.
+        // Half a second more would be far beyond the deadline.
         tokio::time::sleep_until(deadline - Duration::from_millis(50)).await;
         let half = b"HTTP/1.1 503 No\r\nContent-Length: 8\r\n\r\nhalf";
         stream.write_all(half).await.expect("writable");
--- a/crates/sender/src/outbound/tests/idle_connections.rs
+++ b/crates/sender/src/outbound/tests/idle_connections.rs
@@ -26,15 +26,15 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// What is received behind a response may not have been read yet when the next call is sent: it would be taken for that
-/// call's response.
+/// Bytes received after a response may not have been read when the next call is sent; they would be taken for its
+/// response.
 #[tokio::test]
 async fn a_connection_with_unsolicited_bytes_carries_no_further_call() {
     let test = async {
         for noise in [&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..], b"noise"] {
             let (outbound, listener, mut inputs) = set_up().await;
             let stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
-            // Nothing here waits, so that the runtime does not poll its sockets before the call is sent.
+            // No await here: the runtime must not poll its sockets before the call is sent.
             assert_eq!(stream.try_write(noise).expect("writable"), noise.len());
             outbound.start_call(call());
             let again = timeout(Duration::from_secs(20), listener.accept()).await;
--- a/crates/sender/src/outbound/tests/interrupted.rs
+++ b/crates/sender/src/outbound/tests/interrupted.rs
@@ -1,5 +1,5 @@
-//! Calls that are interrupted, of which nothing may arrive later, and retries with an idempotency key, which must not
-//! arrive after its window.
+//! Interrupted calls, which must not arrive later, and retries with an idempotency key, which must not arrive after its
+//! window.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 };
 use crate::event::{Call, Input};
 
-/// Length of a body that the system buffers completely while nobody reads at a [`narrow`] listener.
+/// Length of a body that the system buffers completely while a [`narrow`] listener does not read.
 const MEDIUM: usize = 8_000;
 
 /// A call with a body of `size` bytes.
@@ -38,7 +38,7 @@
     report.outcome
 }
 
-/// What the system still buffers of a call is not sent once the call is interrupted: it would be executed after that.
+/// Buffered bytes of a call are not sent after the call is interrupted: it could be executed later.
 #[tokio::test]
 async fn nothing_of_a_call_arrives_after_it_was_interrupted() {
     let test = async {
@@ -74,7 +74,7 @@
 }
 
 /// The last byte of a retry is written in time, but the receiver does not accept it before the window is over: the system
-/// gives it up then, though its response could be waited for longer.
+/// discards it then, although the response deadline is later.
 #[tokio::test]
 async fn a_retry_buffered_by_the_kernel_does_not_arrive_after_the_key_window() {
     let test = async {
@@ -98,7 +98,7 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The limit is that of the retry, and not of later calls on the same connection.
+/// The limit applies to the retry and not to later calls on the same connection.
 #[tokio::test]
 async fn a_connection_that_carried_a_keyed_retry_has_no_limit_afterwards() {
     let test = async {
@@ -113,7 +113,7 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// All connections are open and one of them is idle: a call takes its slot, and does not lose an attempt.
+/// All connections are open and one of them is idle: a call takes its slot without losing an attempt.
 #[tokio::test]
 async fn a_call_for_which_an_idle_connection_is_closed_is_sent_at_once() {
     let test = async {
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -10,8 +10,27 @@
 use super::{LARGE, NowOrNever, ROUTE, call, narrow, next, read_request, read_to_end, route, set_up};
 use crate::event::{Call, CallOutcome, Input};
 
-/// Every row of the protocol's table without a complete response, and every way to get there.
-#[expect(clippy::too_many_lines, reason = "a table of cases")]
+/// Checks the outcomes without a complete response, for each progress of the request.
+fn assert_possible_execution(received: ResponseProgress, interruption: Interruption) {
+    // Refused, never opened, or broken before the last byte was written: never executed.
+    for sent in [RequestProgress::NotStarted, RequestProgress::Partial] {
+        let outcome = outcome_without_response(sent, received, interruption);
+        assert!(!outcome.possibly_executed(), "{sent:?} {received:?} {interruption:?}");
+        // An interruption by this process is no failure of the receiver.
+        let caused_by_sender = matches!(interruption, Interruption::Cancelled | Interruption::Withheld);
+        assert_eq!(outcome == Outcome::NotSent, caused_by_sender, "{sent:?} {received:?} {interruption:?}");
+    }
+    // After that it may have been.
+    let outcome = outcome_without_response(RequestProgress::Complete, received, interruption);
+    assert!(outcome.possibly_executed(), "{received:?} {interruption:?}");
+    assert_eq!(
+        outcome == Outcome::Ok,
+        received == ResponseProgress::OkStatusLine,
+        "{received:?} {interruption:?}"
+    );
+}
+
+/// Every row of the protocol's table without a complete response, for every interruption.
 #[test]
 fn possible_execution_follows_the_protocols_table() {
     for interruption in [
@@ -23,27 +42,7 @@
         for received in
             [ResponseProgress::Nothing, ResponseProgress::OkStatusLine, ResponseProgress::Unusable]
         {
-            // Refused, never opened, or broken before the last byte was written: never executed.
-            for sent in [RequestProgress::NotStarted, RequestProgress::Partial] {
-                let outcome = outcome_without_response(sent, received, interruption);
-                assert!(!outcome.possibly_executed(), "{sent:?} {received:?} {interruption:?}");
-                // Only what the receiver or the network did counts against the receiver.
-                let caused_by_sender =
-                    matches!(interruption, Interruption::Cancelled | Interruption::Withheld);
-                assert_eq!(
-                    outcome == Outcome::NotSent,
-                    caused_by_sender,
-                    "{sent:?} {received:?} {interruption:?}"
-                );
-            }
-            // After that it may have been.
-            let outcome = outcome_without_response(RequestProgress::Complete, received, interruption);
-            assert!(outcome.possibly_executed(), "{received:?} {interruption:?}");
-            assert_eq!(
-                outcome == Outcome::Ok,
-                received == ResponseProgress::OkStatusLine,
-                "{received:?} {interruption:?}"
-            );
+            assert_possible_execution(received, interruption);
         }
     }
     assert_eq!(
@@ -96,8 +95,8 @@
     ]
 }
 
-/// The result of a response that is cut there: 200 counts once its status line is complete; that a call was never executed
-/// only from a complete response.
+/// The result of a response that is cut at `at`: a 200 counts once its status line is complete, a rejection only if the
+/// response is complete.
 fn result_if_cut(text: &str, complete: CallOutcome, at: usize) -> CallOutcome {
     let head = text.find("HTTP/1.1 1").map_or(0, |_| "HTTP/1.1 100 Continue\r\n\r\n".len());
     match complete.outcome {
@@ -110,7 +109,7 @@
     }
 }
 
-/// Plays a receiver that writes its response in these pieces and then closes the connection.
+/// The result for a receiver that writes its response in these pieces and then closes the connection.
 async fn result_of(pieces: &[&[u8]], reset: bool) -> CallOutcome {
     let (outbound, listener, mut inputs) = set_up().await;
     outbound.start_call(call());
@@ -118,7 +117,7 @@
     read_request(&mut stream).await;
     for piece in pieces {
         stream.write_all(piece).await.expect("writable");
-        // So that most pieces are read one by one; the result is the same if not.
+        // Most pieces are read one by one; the result does not depend on it.
         for _ in 0..3 {
             tokio::task::yield_now().await;
         }
@@ -128,12 +127,12 @@
     }
     drop(stream);
     let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-    // However it ended, the call was sent once: neither this program nor the HTTP library sends it again.
+    // In any case the call was sent once: neither this program nor the HTTP library sends it again.
     assert!(listener.accept().now_or_never().is_none(), "it was sent again");
     report
 }
 
-/// It is cut after the status line, in a header, in a chunk, at any byte; by a close or a reset.
+/// Truncated at each byte, by a close or by a reset.
 #[tokio::test]
 async fn a_truncated_response_counts_for_what_its_bytes_prove() {
     let test = async {
@@ -149,7 +148,7 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// However a response is split into pieces, its result is the same.
+/// The result does not depend on how the response is split into pieces.
 #[test]
 fn a_response_has_the_same_result_wherever_it_is_split() {
     let response = (0..responses().len()).prop_flat_map(|n| {
@@ -176,8 +175,8 @@
     split.expect("the same wherever it is split");
 }
 
-/// A receiver executes a call when it has received its last byte: a response before that answers something else, unless
-/// it rejects the call; in either case no further byte is sent.
+/// A receiver executes a call once it has received the last byte: a response before that does not belong to the call,
+/// unless it rejects it. In either case no further byte is sent.
 #[tokio::test]
 async fn a_call_answered_before_its_last_byte_was_never_executed() {
     let test = async {
--- a/crates/sender/src/outbound/tests/withheld.rs
+++ b/crates/sender/src/outbound/tests/withheld.rs
@@ -9,7 +9,7 @@
 use super::{ROUTE, call, complete_call, next, route, set_up};
 use crate::event::{Call, Input};
 
-/// The decision was right when it was made; a backoff or a drain that is reported before the call's first byte counts.
+/// A backoff or a drain that is reported after the decision and before the call's first byte counts.
 #[tokio::test]
 async fn a_backoff_or_a_drain_reported_after_the_decision_withholds_the_call() {
     let test = async {
@@ -35,7 +35,7 @@
 async fn a_call_whose_connection_opens_too_late_is_withheld() {
     let test = async {
         let (outbound, _, mut inputs) = set_up().await;
-        // With one connection that nobody accepts the queue is full, and the next one's SYN is dropped.
+        // One connection that is not accepted fills the queue, and the SYN of the next one is dropped.
         let slow = TcpSocket::new_v4().expect("a socket");
         slow.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let slow = slow.listen(0).expect("a listener");
@@ -46,10 +46,10 @@
         let write_deadline = started + Duration::from_millis(300);
         outbound.start_call(Call { write_deadline, ..call() });
         let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-        // Not what a failure to connect would be: nothing is known of the receiver.
+        // It does not count as a failure of the receiver.
         assert_eq!(report, Outcome::NotSent.into());
         assert!(Instant::now() >= write_deadline);
-        // Nor is one sent over an idle connection if its time was over before its task began.
+        // A call whose deadline passed before its task began is not sent over an idle connection either.
         let (outbound, listener, mut inputs) = set_up().await;
         let stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
         outbound.start_call(Call { write_deadline: Instant::now(), ..call() });
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -30,7 +30,7 @@
 
 // ---- Bounds ----------------------------------------------------------------------------------------------
 
-/// A change that discovery got just after a failed request is received before it is in effect.
+/// A change that discovery receives just after a failed request is received here before it is in effect.
 #[test]
 fn however_often_requests_fail_changes_are_received_before_they_are_in_effect() {
     for ask_within in [POLL_DEADLINE, 2_000.0, 0.0] {
@@ -75,7 +75,7 @@
     }
 }
 
-/// When a dead watch is detected, half of the time is over.
+/// Half of the time has passed when a dead watch is detected.
 #[test]
 fn changes_missed_by_a_dead_watch_are_received_before_they_are_in_effect() {
     let idle = Duration::from_secs(3);
@@ -89,7 +89,7 @@
     }
 }
 
-/// Requests to a local agent cost nothing, and its list is in effect as soon as it is back.
+/// The list of a local agent is in effect as soon as the agent has it.
 #[test]
 fn a_local_agent_is_polled_without_staggering_and_with_constant_delays() {
     for peers in FLEETS {
@@ -120,7 +120,7 @@
     assert_eq!(schedule.delay_after_failure(Duration::ZERO), MIN_BACKOFF);
 }
 
-/// Only a discovery that queues requests is polled less often than its changes come into effect.
+/// Only a discovery service that queues requests is polled with longer delays.
 #[test]
 fn delays_after_a_rejection_from_a_queue_are_longer_but_at_most_four_polling_deadlines() {
     for (ask_within, failed) in [(POLL_DEADLINE, 20), (2_000.0, 8), (0.0, 20)] {
@@ -137,12 +137,12 @@
 
 /// The cost of a request, in seconds, where those of all senders together cost `all`.
 fn cost(all: f64, senders: usize) -> f64 {
-    // Even of a few senders each gets a response in time.
+    // Limited so that each of a few senders receives a response in time.
     (all / senders as f64).min(0.25)
 }
 
-/// A discovery serves one request of every sender within two to eight seconds, and rejects at once what it cannot serve
-/// in time.
+/// The service needs two to eight seconds for one request of every sender, and rejects at once what it cannot serve in
+/// time.
 #[test]
 fn no_sender_of_a_fleet_that_starts_together_starves() {
     for (seed, senders) in (0..20).flat_map(|seed| [1, 30, 100, 300].map(|senders| (seed, senders))) {
@@ -173,7 +173,7 @@
             let last = time_of_last_list(discovery, &result);
             let within = all + MAX_POLL_GAP.as_secs_f64() + cost;
             assert!(last <= within, "seed {seed}, {senders} senders, {all} s: the last list after {last} s");
-            // In any tenth of a second after the recovery; evenly spread, it would be a thirtieth of them.
+            // In any tenth of a second after the recovery; a thirtieth of them if they were spread evenly.
             let requests_within = |from: f64| {
                 result.requests_sent_at.iter().filter(|&&at| at >= from && at < from + 0.1).count()
             };
@@ -184,7 +184,7 @@
     }
 }
 
-/// All watches go idle at the same moment, and their senders detect it at the same moment.
+/// All watches become idle, and all senders detect it, at the same moment.
 #[test]
 fn senders_whose_watches_end_together_do_not_poll_together() {
     for elapsed in [Duration::from_secs(3), Duration::ZERO] {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Longer delays let a discovery that queues requests catch up.
+/// Longer delays let a service that queues requests catch up.
 #[test]
 fn many_senders_that_start_together_get_their_lists_from_a_queueing_discovery() {
     let cases = [(100, 0.02, 30.0), (100, 0.05, 30.0), (100, 0.1, 30.0), (300, 0.02, 30.0)];
@@ -212,7 +212,7 @@
     }
 }
 
-/// The reason for staggering: with the backoff of a single sender, many senders never get through a queue.
+/// With the backoff of a single sender, many senders never receive a list from a queue.
 #[test]
 fn a_hundred_senders_without_staggering_starve_each_other() {
     let alone = |_| Box::new(PollSchedule::new(ON_REQUEST, 1, 0).delays()) as PollDelays;
