--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -54,8 +54,8 @@
 ) {
     while hangup.recv().await.is_some() {
         match read_files(&config_path) {
-            Ok((config, fleet)) => {
-                if fleet != active_fleet {
+            Ok(config) => {
+                if *config.fleet() != active_fleet {
                     tracing::info!(target: "fleet", "fleet file changed; it takes effect at the next start");
                 }
                 tracing::info!(discovery = %config.discovery(), "configuration reloaded");
@@ -66,10 +66,10 @@
     }
 }
 
-fn read_files(config_path: &Path) -> Result<(ValidatedConfig, FleetFile), ReloadError> {
+/// Reads the configuration and the fleet file.
+fn read_files(config_path: &Path) -> Result<ValidatedConfig, ReloadError> {
     let config = ValidatedConfig::read(config_path)?;
-    let fleet = read_fleet_file()?;
-    Ok((config, fleet))
+    Ok(config.with_fleet(read_fleet_file()?))
 }
 
 /// Shuts the service down on SIGTERM.
