--- a/crates/policy/src/messages/pending.rs
+++ b/crates/policy/src/messages/pending.rs
@@ -1,5 +1,6 @@
 //! A pending message: when its final outcome is due, which outcome that is, and how urgent it is until then.
 
+use crate::calls::CallId;
 use crate::context::Context;
 use crate::interface::{
     AttemptHistory, Class, DestinationId, Effect, KeyGroup, Message, Millis, RouteId, Settings,
@@ -38,7 +39,7 @@
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// The call that carries it.
-    pub call: u64,
+    pub call: CallId,
 }
 
 /// When, by which route and in which zone a message may have taken effect.
@@ -57,7 +58,7 @@
         let class = &settings.classes[class_index];
         let value = if within_quota { class.value } else { class.value * settings.over_quota_value };
         let expires_at = context.now + message.time_left;
-        let objective_at = expires_at - class.deadline + latency_objective(class, message.work_guess);
+        let objective_at = expires_at - class.deadline + latency_objective(class, message.work_estimate);
         let possibly_executed = history.possibly_executed.map(|prior| PossibleExecution {
             sent_at: context.now - prior.ago,
             route: prior.route,
@@ -98,7 +99,7 @@
     }
 
     /// Records an attempt that starts now.
-    pub fn begin_attempt(&mut self, call: u64) {
+    pub fn begin_attempt(&mut self, call: CallId) {
         self.in_flight = Some(InFlightAttempt { attempt: self.attempts, call });
         self.attempts += 1;
         self.counted_as_dropped = false;
@@ -147,7 +148,7 @@
 }
 
 /// The latency objective of a message; it grows with the message's work, up to the deadline.
-fn latency_objective(class: &Class, work_guess: Option<Millis>) -> Millis {
-    let stretch = class.latency_objective_stretch * work_guess.unwrap_or(0.0);
+fn latency_objective(class: &Class, work_estimate: Option<Millis>) -> Millis {
+    let stretch = class.latency_objective_stretch * work_estimate.unwrap_or(0.0);
     (class.latency_objective + stretch).min(class.deadline)
 }
