--- a/crates/journal/src/segments/tests.rs
+++ b/crates/journal/src/segments/tests.rs
@@ -1,11 +1,17 @@
 //! Writes that fail part-way.
 
 use std::cell::Cell;
+use std::collections::VecDeque;
+use std::fmt::Debug;
+use std::fs::{File, OpenOptions};
+use std::io;
+use std::io::Write;
 use std::rc::Rc;
 
 use rudderspindle_clock::UnixMillis;
 
-use super::*;
+use super::{SegmentFile, Segments, segment_numbers, segment_path};
+use crate::JournalError;
 use crate::message::Message;
 use crate::record::append_accepted;
 use crate::replay::{ReplayedState, replay_segments};
@@ -57,7 +63,7 @@
         class: "safe".into(),
         tenant: "acme".into(),
         destination: 7,
-        key: None,
+        idempotency_key: None,
         deadline: UnixMillis(5),
         body: vec![b'x'; 300].into(),
         attempts: 0,
