--- a/crates/daemon/tests/cluster/mod.rs
+++ b/crates/daemon/tests/cluster/mod.rs
@@ -159,28 +159,36 @@
     row("half of all datagrams lost", cluster.measure_usage(secs(10)).await);
     cluster.links.heal();
 
+    row("a third killed, restarted after 0.6 s", measure_kills(&mut cluster, &all[..SENDERS / 3]).await);
+    let paused = &all[SENDERS / 2..SENDERS / 2 + 3];
+    row("three paused for 8 s, and resumed", measure_pauses(&cluster, paused).await);
+    PhaseMeasurements { rows, verdict: cluster.finish().await }
+}
+
+/// Measures the usage while these senders are killed and restarted.
+async fn measure_kills(cluster: &mut Cluster, senders: &[usize]) -> Usage {
     let from = cluster.event_log().now();
-    let third = &all[..SENDERS / 3];
-    for &sender in third {
+    for &sender in senders {
         cluster.kill(sender).await.expect("killed");
     }
     sleep(Duration::from_millis(600)).await;
-    for &sender in third {
+    for &sender in senders {
         cluster.restart(sender, Journal::Kept).await.expect("restarted");
     }
     sleep(secs(4)).await;
-    row("a third killed, restarted after 0.6 s", cluster.usage(from..cluster.event_log().now()));
+    cluster.usage(from..cluster.event_log().now())
+}
 
-    let three = &all[SENDERS / 2..SENDERS / 2 + 3];
+/// Measures the usage while these senders are paused and resumed.
+async fn measure_pauses(cluster: &Cluster, senders: &[usize]) -> Usage {
     let from = cluster.event_log().now();
-    for &sender in three {
+    for &sender in senders {
         cluster.pause(sender).await.expect("paused");
     }
     sleep(secs(8)).await;
-    for &sender in three {
+    for &sender in senders {
         cluster.resume(sender).await.expect("resumed");
     }
     sleep(secs(4)).await;
-    row("three paused for 8 s, and resumed", cluster.usage(from..cluster.event_log().now()));
-    PhaseMeasurements { rows, verdict: cluster.finish().await }
+    cluster.usage(from..cluster.event_log().now())
 }
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use rudderspindle_testkit::checker::Verdict;
-use rudderspindle_testkit::cluster::Journal;
+use rudderspindle_testkit::cluster::{Cluster, Journal};
 use rudderspindle_testkit::datagram_proxy::DatagramProxy;
 use rudderspindle_testkit::fault_schedule::LinkFaults;
 use tokio::time::sleep;
@@ -33,6 +33,24 @@
     (0..SENDERS).map(|to| links.counts(from, to)).map(|counts| counts.sent).sum()
 }
 
+/// Pauses one sender and kills another one: the paused one sends nothing, and both send again afterwards.
+async fn pause_one_and_kill_another(cluster: &mut Cluster) {
+    cluster.pause(5).await.expect("paused");
+    // Time to forward the datagrams that it has written.
+    sleep(Duration::from_millis(100)).await;
+    let sent_before_pause = sent_by(&cluster.links, 5);
+    cluster.kill(3).await.expect("killed");
+    sleep(Duration::from_millis(600)).await;
+    assert_eq!(sent_by(&cluster.links, 5), sent_before_pause);
+    let sent_before_kill = sent_by(&cluster.links, 3);
+    cluster.resume(5).await.expect("resumed");
+    cluster.restart(3, Journal::Kept).await.expect("restarted");
+    eventually("both send again", || {
+        sent_by(&cluster.links, 5) > sent_before_pause && sent_by(&cluster.links, 3) > sent_before_kill
+    })
+    .await;
+}
+
 /// Runs twelve processes: one is partitioned, datagrams of the others are damaged, one is killed, one paused, and each
 /// sends again afterwards.
 async fn run() -> Verdict {
@@ -71,20 +89,7 @@
     cluster.links.heal();
     eventually("it receives again", || delivered_to(&cluster.links, 0) > delivered).await;
 
-    cluster.pause(5).await.expect("paused");
-    // Time to forward the datagrams that it has written.
-    sleep(Duration::from_millis(100)).await;
-    let sent_before_pause = sent_by(&cluster.links, 5);
-    cluster.kill(3).await.expect("killed");
-    sleep(Duration::from_millis(600)).await;
-    assert_eq!(sent_by(&cluster.links, 5), sent_before_pause);
-    let sent_before_kill = sent_by(&cluster.links, 3);
-    cluster.resume(5).await.expect("resumed");
-    cluster.restart(3, Journal::Kept).await.expect("restarted");
-    eventually("both send again", || {
-        sent_by(&cluster.links, 5) > sent_before_pause && sent_by(&cluster.links, 3) > sent_before_kill
-    })
-    .await;
+    pause_one_and_kill_another(&mut cluster).await;
 
     let verdict = cluster.finish().await;
 
--- a/crates/daemon/tests/malformed_requests.rs
+++ b/crates/daemon/tests/malformed_requests.rs
@@ -7,6 +7,7 @@
 use bytes::Bytes;
 use common::fixture::{Fixture, set_up};
 use common::folder::disk_use;
+use common::program::Program;
 use common::{DEADLINE_MS, REJECTION_TIMEOUT, body};
 use http_body_util::Full;
 use hyper::Request;
@@ -50,6 +51,15 @@
     assert_eq!(program.submit("safe", "m1", large).await.status(), 413);
     let put = Request::put("/safe").body(Full::default()).expect("a request");
     assert_eq!(program.request(put).await.expect("an answer").status(), 405);
+    expect_errors_for_raw_requests(&program).await;
+    assert_eq!(program.submit("safe", "last", body()).await.status(), 202);
+    assert_eq!(receiver.next_call().await.message_id, "last");
+    assert!(receiver.has_no_calls() && platform.has_no_notifications());
+    assert!(disk_use(&folder.state) <= 512);
+}
+
+/// Checks that invalid HTTP gets an error, and a body that ends too early an error or a closed connection.
+async fn expect_errors_for_raw_requests(program: &Program) {
     for raw in [
         &b"nonsense\r\n\r\n"[..],
         b"POST /safe HTTP/1.1\r\nHost: a\r\nContent-Length: -4\r\n\r\n",
@@ -70,10 +80,6 @@
     let mut answer = String::new();
     let _ = with_timeout("the end", stream.read_to_string(&mut answer)).await;
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
-    assert_eq!(program.submit("safe", "last", body()).await.status(), 202);
-    assert_eq!(receiver.next_call().await.message_id, "last");
-    assert!(receiver.has_no_calls() && platform.has_no_notifications());
-    assert!(disk_use(&folder.state) <= 512);
 }
 
 #[tokio::test]
--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -123,12 +123,7 @@
                 self.notified(at, message_id, status);
             }
             Event::Notified { acknowledged: false, .. } => {}
-            Event::Outage { endpoint, on: true, .. } => {
-                self.recovery.begin_outage(&self.topology, endpoint);
-            }
-            Event::Outage { endpoint, kind, on: false } => {
-                self.recovery.end_outage(&self.topology, endpoint, kind, at.time_us);
-            }
+            Event::Outage { endpoint, kind, on } => self.outage_changed(at, endpoint, kind, *on),
             Event::ProcessChanged { sender, state } => self.process_changed(at, sender, *state),
             // A silent service announces no changes, so that the log has no lines for them.
             Event::DiscoveryFault { kind, .. } if kind == "silent" => {}
--- a/crates/testkit/src/checker/events.rs
+++ b/crates/testkit/src/checker/events.rs
@@ -116,6 +116,15 @@
         }
     }
 
+    /// An outage of an endpoint begins or ends.
+    pub(super) fn outage_changed(&mut self, at: LogPosition, endpoint: &str, kind: &str, begins: bool) {
+        if begins {
+            self.recovery.begin_outage(&self.topology, endpoint);
+        } else {
+            self.recovery.end_outage(&self.topology, endpoint, kind, at.time_us);
+        }
+    }
+
     /// A link begins to lose responses, or no longer does.
     pub(super) fn link_changed(&mut self, sender: &str, endpoint: &str, loses_responses: bool) {
         let link = SenderEndpoint::new(sender, endpoint);
--- a/crates/testkit/tests/wrong_senders/faulty_sender.rs
+++ b/crates/testkit/tests/wrong_senders/faulty_sender.rs
@@ -119,13 +119,7 @@
         let mut timed_out = false;
         let mut attempts = 0;
         loop {
-            let may_continue = match class.as_str() {
-                "unsafe" => {
-                    executed_in.is_none() || (self.fault == Fault::RepeatsPossibleExecutions && attempts < 3)
-                }
-                "ordered" => attempts == 0,
-                _ => true,
-            };
+            let may_continue = self.may_continue(&class, executed_in.is_some(), attempts);
             if Instant::now() >= deadline || !may_continue {
                 break;
             }
@@ -151,9 +145,7 @@
                 CallResult::Failed | CallResult::TimedOut => {
                     timed_out |= matches!(result, CallResult::TimedOut);
                     executed_in.get_or_insert(zone);
-                    let mut state = self.state.lock().expect("a state");
-                    state.ever_failed = true;
-                    state.recovering_until = Some(Instant::now() + Duration::from_millis(4_000));
+                    self.record_failure();
                 }
             }
             if self.fault == Fault::ForgetsMessages {
@@ -172,6 +164,24 @@
         }
     }
 
+    /// Whether a message may be sent again after these attempts.
+    fn may_continue(&self, class: &str, possibly_executed: bool, attempts: u32) -> bool {
+        match class {
+            "unsafe" => {
+                !possibly_executed || (self.fault == Fault::RepeatsPossibleExecutions && attempts < 3)
+            }
+            "ordered" => attempts == 0,
+            _ => true,
+        }
+    }
+
+    /// Limits the rate of calls for a time.
+    fn record_failure(&self) {
+        let mut state = self.state.lock().expect("a state");
+        state.ever_failed = true;
+        state.recovering_until = Some(Instant::now() + Duration::from_millis(4_000));
+    }
+
     /// One attempt, or two concurrent ones if that is the fault.
     async fn attempt(&self, addr: SocketAddr, message_id: &str, until: Instant) -> CallResult {
         let first = call::call(addr, message_id, until);
