--- a/crates/heavy-hitters/src/aggregator.rs
+++ b/crates/heavy-hitters/src/aggregator.rs
@@ -1,10 +1,10 @@
-//! The part of a sender that aggregates digests while it is selected to.
+//! The aggregator role of a sender: it receives digests and replies with summaries.
 //!
-//! Invariant: a summary goes only to senders that have published in this slice, so nobody is sent more than one datagram for
-//! each of its own and two broadcasts; and it is of the slice in which they published, never of one that nobody has
-//! published in yet.
+//! Invariant: summaries are sent only to senders that have published in the current slice, so that a sender receives at most
+//! one datagram for each of its own and two broadcasts; and they are of the slice in which the senders published.
 //!
-//! Memory: that of [`DigestStore`] and three numbers for each sender; discarded with the slice, and whole after the term.
+//! Memory: that of [`DigestStore`] and three numbers for each sender; discarded with the slice, and completely after the
+//! term.
 
 use std::collections::BTreeMap;
 
@@ -24,11 +24,11 @@
 #[derive(Clone, Copy, Debug)]
 struct Publisher {
     incarnation: Incarnation,
-    /// The round since which a reply is pending.
+    /// The round in which the pending reply was requested.
     reply_pending_since: Option<Round>,
 }
 
-/// One of the rounds of a slice in which all publishers are answered.
+/// A round of a slice in which all publishers are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Broadcast {
     slice: Slice,
@@ -42,7 +42,7 @@
     pub datagrams: Vec<OutgoingDatagram>,
 }
 
-/// The digests received, and which senders are to be answered.
+/// The received digests, and the senders to be answered.
 #[derive(Clone, Debug)]
 pub(crate) struct Aggregator {
     store: DigestStore,
@@ -51,13 +51,14 @@
 }
 
 impl Aggregator {
-    /// An empty one for so many senders, each of which can accept so many messages in a slice.
+    /// An aggregator without digests for `sender_count` senders, each of which accepts at most `max_per_slice` messages in a
+    /// slice.
     pub(crate) fn new(sender_count: usize, max_per_slice: u64) -> Self {
         let store = DigestStore::new(sender_count, max_per_slice);
         Self { store, publishers: BTreeMap::new(), last_broadcast: None }
     }
 
-    /// Begins another slice; `selected` says whether this sender still aggregates.
+    /// Begins another slice; `selected` is whether this sender is still an aggregator.
     pub(crate) fn begin_slice(&mut self, slice: Slice, selected: bool) {
         self.publishers.clear();
         self.store.discard_expired(slice);
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Takes in a digest of another sender.
+    /// Stores a digest of another sender.
     pub(crate) fn receive(
         &mut self,
         now: UnixMillis,
@@ -83,15 +84,15 @@
         Ok(())
     }
 
-    /// Takes in digests of this sender itself.
+    /// Stores digests of this sender.
     pub(crate) fn insert_own(&mut self, own_id: SenderId, digests: Vec<Digest>, slice: Slice) {
         for digest in digests {
-            // Refused is only what is more than its admission should let in.
+            // Fails only if more messages were accepted than the configured maximum.
             let _ = self.store.insert(own_id, digest, slice);
         }
     }
 
-    /// The replies to senders that published in earlier rounds; in a broadcast to all that have published in this slice.
+    /// The replies to senders that published in earlier rounds; in a broadcast, to all that have published in this slice.
     pub(crate) fn poll_replies(
         &mut self,
         now: UnixMillis,
@@ -111,7 +112,7 @@
         Some(AggregatorReply { summary, datagrams })
     }
 
-    /// The senders whose reply is pending since before this round, or all.
+    /// The senders with a reply pending from an earlier round, or all.
     fn due_publishers(&self, round: Round, all: bool) -> Vec<SenderId> {
         let is_due =
             |publisher: &Publisher| all || publisher.reply_pending_since.is_some_and(|since| since < round);
--- a/crates/heavy-hitters/src/aggregator_selection.rs
+++ b/crates/heavy-hitters/src/aggregator_selection.rs
@@ -1,18 +1,18 @@
-//! Which senders aggregate the digests of a slice.
+//! Selects the aggregators of a slice.
 //!
-//! Invariant: all senders select the same aggregators for a term, whatever they have received.
+//! Invariant: all senders select the same aggregators for a term, independent of received datagrams.
 
 use crate::mix::mix;
 use crate::sender_id::SenderId;
 use crate::slice::{SLICES_PER_WINDOW, Slice};
 
-/// Number of slices for which aggregators are selected: a minute at a window of 10 s. The next ones have to be sent a whole
-/// window again, and nothing is sharp for a second; a longer term costs more where the one selected is down for some.
+/// Number of slices for which aggregators are selected: a minute at a window of 10 s. New aggregators must be sent the whole
+/// window again.
 pub(crate) const TERM_SLICES: u64 = 6 * SLICES_PER_WINDOW;
-/// Number of senders that are selected for a term: one that does not answer is followed by the next.
+/// Number of senders selected for a term; one that does not answer is followed by the next.
 const CANDIDATES: usize = 3;
 
-/// The senders that may aggregate while this slice is open, in order: the first that answers does.
+/// The aggregator candidates of a slice, in order: the first one that answers is used.
 #[must_use]
 pub fn aggregators(slice: Slice, sender_count: usize) -> Vec<SenderId> {
     let term = mix(slice.0 / TERM_SLICES);
--- a/crates/heavy-hitters/src/digest.rs
+++ b/crates/heavy-hitters/src/digest.rs
@@ -1,6 +1,6 @@
-//! What a sender publishes of one closed slice.
+//! The digest of a closed slice, as a sender publishes it.
 //!
-//! Invariant: the slice's count of a listed key is between `min` and `min + error`, that of any other at most
+//! Invariant: the count of a listed key in the slice is between `min` and `min + error`, that of any other key is at most
 //! `max_unlisted`.
 
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
     pub key: Key,
     /// Lower bound of the key's count.
     pub min: u64,
-    /// How much more the count may be.
+    /// Difference between the upper and the lower bound.
     pub error: u64,
 }
 
@@ -39,19 +39,18 @@
 }
 
 impl TopEntries {
-    /// The first `count` entries of a sketch. Others have at most what the next one has, which is not under the sketch's
-    /// floor.
+    /// The first `count` entries of a sketch. The next entry, which is at least the sketch's floor, bounds all others.
     fn first(mut entries: Vec<DigestEntry>, count: usize, floor: u64) -> Self {
         let max_unlisted = entries.get(count).map_or(floor, |next| next.min + next.error);
         entries.truncate(count);
         Self { entries, max_unlisted }
     }
 
-    /// Whether these can be of a slice with that total.
+    /// Whether these entries are possible in a slice with this total.
     fn is_consistent(&self, total: u64) -> bool {
         let is_bounded =
             |entry: &DigestEntry| entry.min.checked_add(entry.error).is_some_and(|max| max <= total);
-        // Each is at most the total and a datagram holds few: the sum does not overflow.
+        // Each is at most the total and a datagram holds few of them, so the sum does not overflow.
         self.has_distinct_keys()
             && self.max_unlisted <= total
             && self.entries.iter().all(is_bounded)
@@ -65,17 +64,17 @@
     }
 }
 
-/// What a sender publishes of one closed slice.
+/// The digest of a closed slice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The process that publishes it.
     pub incarnation: Incarnation,
     /// The slice.
     pub slice: Slice,
-    /// Whether this process counted the slice from its beginning: otherwise an earlier one may have accepted more.
+    /// Whether this process counted the whole slice; otherwise an earlier process may have accepted more messages.
     pub complete: bool,
-    /// How many slices before this one the process started, if nothing was accepted in the window before that; `None` if
-    /// that is not known or longer ago than a window.
+    /// How many slices before this one the process started, if nothing was accepted in the window before its start; `None` if
+    /// that is unknown or longer ago than a window.
     pub started_slices_ago: Option<u8>,
     /// Number of messages accepted.
     pub total: u64,
@@ -86,7 +85,7 @@
 }
 
 impl Digest {
-    /// As much of a slice's counts as fits a datagram, the heaviest keys first.
+    /// The digest of a slice's counts, with as many of the heaviest keys as fit into a datagram.
     #[must_use]
     pub fn new(
         incarnation: Incarnation,
@@ -96,10 +95,10 @@
         started_slices_ago: Option<u64>,
     ) -> Self {
         let (streams, keys) = (entries_of(&counts.streams), entries_of(&counts.keys));
-        // Kind of message, completeness, start and its figure, the lengths of two lists, and three figures under the total.
+        // Message kind, completeness, start (2), the lengths of two lists, and three numbers that are at most the total.
         let head = 6 + varint_len(incarnation.0) + varint_len(slice.0) + 3 * varint_len(counts.total);
-        let room = MAX_BODY_LEN.saturating_sub(head);
-        let listed = pack_alternately(room, &encoded_lens(&streams), &encoded_lens(&keys));
+        let available = MAX_BODY_LEN.saturating_sub(head);
+        let listed = pack_alternately(available, &encoded_lens(&streams), &encoded_lens(&keys));
         Self {
             incarnation,
             slice,
@@ -111,7 +110,7 @@
         }
     }
 
-    /// Whether all figures can be true together.
+    /// Whether the numbers are consistent with each other.
     pub(crate) fn is_consistent(&self) -> bool {
         let start_is_possible = self
             .started_slices_ago
--- a/crates/heavy-hitters/src/digest_publisher.rs
+++ b/crates/heavy-hitters/src/digest_publisher.rs
@@ -1,13 +1,13 @@
-//! The part of a sender that publishes its digests to the aggregators.
+//! Publishes the digests of a sender to the aggregators.
 //!
 //! Invariant: a closed slice is published in each round until a summary acknowledges it with this process's incarnation and
-//! total; so what is lost costs a round, and what the aggregator lost is published again.
+//! total; a lost datagram delays it by a round, and digests that the aggregator has lost are published again.
 //!
-//! In a slice the sender goes on until it has received the last broadcast ([`BROADCAST_ROUNDS`]). An aggregator that has not
-//! replied for a second is joined by the next that was selected, in the window after that from the first round on; it is
-//! sent digests itself in the first rounds only then, as chance may have kept its replies back.
+//! In each slice the sender publishes until it has received the last broadcast ([`BROADCAST_ROUNDS`]). If an aggregator does
+//! not reply for a second, the next one is contacted as well; for a window after such a slice it is contacted from the first
+//! round on, and the unresponsive one only in the first rounds.
 //!
-//! Memory: a number for each slice of the window and aggregator contacted, and for those that are silent.
+//! Memory: a number for each slice of the window and contacted aggregator, and for each unresponsive one.
 
 use std::collections::BTreeMap;
 
@@ -21,19 +21,19 @@
 use crate::slice_counter::SliceCounter;
 use crate::window_summary::{Acknowledgement, WindowSummary};
 
-/// Maximum number of digests to one aggregator in one round: a new one is sent a whole window.
+/// Maximum number of digests to one aggregator in one round; a new aggregator is sent a whole window.
 const MAX_DIGESTS_PER_ROUND: usize = 2;
-/// After so many rounds of a slice without a reply the next aggregator is contacted, too.
+/// Number of rounds of a slice without a reply after which the next aggregator is contacted.
 const REPLY_TIMEOUT_ROUNDS: u64 = BROADCAST_ROUNDS[1] + 1;
 
-/// A digest and the aggregator that is to receive it.
+/// A digest and its recipient.
 #[derive(Clone, Debug)]
 pub(crate) struct AddressedDigest {
     pub to: SenderId,
     pub digest: Digest,
 }
 
-/// What a sender publishes in one round.
+/// The digests that a sender publishes in one round.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Publication {
     /// Digests that this sender aggregates itself.
@@ -48,7 +48,7 @@
     slice: Slice,
 }
 
-/// What one sender has published, and which aggregators have it.
+/// The state of one sender's publications.
 #[derive(Clone, Debug)]
 pub(crate) struct DigestPublisher {
     own_id: SenderId,
@@ -57,10 +57,10 @@
     last_published: Option<Round>,
     /// The aggregators contacted in the open slice, each with the round of its last reply.
     contacted: BTreeMap<SenderId, Option<u64>>,
-    /// Slices that were acknowledged, with their totals then.
+    /// The acknowledged slices, each with the acknowledged total.
     acknowledged: BTreeMap<AcknowledgedSlice, u64>,
-    /// Aggregators that did not reply in a whole slice, and before which slice another is contacted as well.
-    silent_until: BTreeMap<SenderId, Slice>,
+    /// Aggregators that did not reply in a whole slice, each with the slice until which it counts as unresponsive.
+    unresponsive_until: BTreeMap<SenderId, Slice>,
 }
 
 impl DigestPublisher {
@@ -72,18 +72,18 @@
             last_published: None,
             contacted: BTreeMap::new(),
             acknowledged: BTreeMap::new(),
-            silent_until: BTreeMap::new(),
+            unresponsive_until: BTreeMap::new(),
         }
     }
 
-    /// When this round is to be published, if it has not been and is not past.
+    /// The publish time of this round, if it is in the future and the round has not been published.
     pub(crate) fn next_publish_time(&self, now: UnixMillis) -> Option<UnixMillis> {
         let round = Round::containing(now);
         let publish_time = round.publish_time(self.own_id.0, self.sender_count);
         (publish_time > now && self.last_published != Some(round)).then_some(publish_time)
     }
 
-    /// Whether this round is to be published now; true once for each round.
+    /// Whether this round is due to be published; true once for each round.
     pub(crate) fn take_due(&mut self, now: UnixMillis) -> bool {
         let round = Round::containing(now);
         if now < round.publish_time(self.own_id.0, self.sender_count) || self.last_published == Some(round) {
@@ -93,7 +93,7 @@
         true
     }
 
-    /// What to publish in this round of a slice.
+    /// The digests to publish in this round of a slice.
     pub(crate) fn publish(&mut self, slice: Slice, round: u64, counter: &SliceCounter) -> Publication {
         let mut publication = Publication::default();
         for to in self.targets(slice, round) {
@@ -113,16 +113,16 @@
         publication
     }
 
-    /// The aggregators that are sent digests in this round of a slice.
+    /// The aggregators to which digests are sent in this round of a slice.
     fn targets(&self, slice: Slice, round: u64) -> Vec<SenderId> {
         let selected = aggregators(slice, self.sender_count);
-        let is_silent = |sender: &SenderId| self.silent_until.contains_key(sender);
-        let first = selected.iter().position(|sender| !is_silent(sender)).unwrap_or(0);
+        let is_unresponsive = |sender: &SenderId| self.unresponsive_until.contains_key(sender);
+        let first = selected.iter().position(|sender| !is_unresponsive(sender)).unwrap_or(0);
         let first_replied = selected.get(first).is_some_and(|sender| self.has_replied(*sender));
         let additional = usize::from(round >= REPLY_TIMEOUT_ROUNDS && !first_replied);
         let candidates = selected.into_iter().enumerate().take(first + 1 + additional);
         let is_contacted = |(index, sender): &(usize, SenderId)| {
-            *index >= first || !is_silent(sender) || round < BROADCAST_ROUNDS[0]
+            *index >= first || !is_unresponsive(sender) || round < BROADCAST_ROUNDS[0]
         };
         candidates.filter(is_contacted).map(|(_, sender)| sender).collect()
     }
@@ -132,8 +132,8 @@
         aggregator == self.own_id || self.contacted.get(&aggregator).is_some_and(Option::is_some)
     }
 
-    /// Which digests of a window an aggregator is sent: those that it has not acknowledged; if it has all, and a reply is
-    /// still wanted, one again.
+    /// The digests of a window to send to an aggregator: those that it has not acknowledged; if it has acknowledged all, one
+    /// of them while another reply is needed.
     fn due_digests(&self, to: SenderId, round: u64, digests: Vec<Digest>) -> Vec<Digest> {
         let (mut acknowledged, mut due): (Vec<Digest>, Vec<Digest>) =
             digests.into_iter().partition(|digest| self.is_acknowledged(to, digest));
@@ -142,7 +142,7 @@
             return acknowledged;
         }
         if due.len() > MAX_DIGESTS_PER_ROUND {
-            // By turns, as nothing is known to be acknowledged before the first reply.
+            // In rotation, as nothing is acknowledged before the first reply.
             let first = round as usize * MAX_DIGESTS_PER_ROUND % due.len();
             due.rotate_left(first);
             due.truncate(MAX_DIGESTS_PER_ROUND);
@@ -155,14 +155,13 @@
         self.acknowledged.get(&slice) == Some(&digest.total)
     }
 
-    /// Whether an aggregator's last reply is all that this round of the slice can have. That of another aggregator may be
-    /// of few senders.
+    /// Whether an aggregator's last reply is as complete as a reply in this round can be.
     fn has_served(&self, aggregator: SenderId, round: u64) -> bool {
         let replied = self.contacted.get(&aggregator).copied().flatten();
         replied.is_some_and(|reply| round < BROADCAST_ROUNDS[1] || reply >= BROADCAST_ROUNDS[1])
     }
 
-    /// Takes in a summary of an aggregator while `current` is the open slice.
+    /// Handles a summary of an aggregator while `current` is the open slice.
     pub(crate) fn receive_summary(
         &mut self,
         from: SenderId,
@@ -170,7 +169,7 @@
         current: Slice,
         counter: &SliceCounter,
     ) {
-        self.silent_until.remove(&from);
+        self.unresponsive_until.remove(&from);
         if summary.slice == current
             && let Some(replied) = self.contacted.get_mut(&from)
         {
@@ -179,7 +178,7 @@
         self.receive_acknowledgement(from, summary.slice, summary.acknowledgement, counter);
     }
 
-    /// Takes in which slices of the window before `current` an aggregator has.
+    /// Records which slices of the window before `current` an aggregator has stored.
     fn receive_acknowledgement(
         &mut self,
         aggregator: SenderId,
@@ -206,10 +205,10 @@
         let contacted = std::mem::take(&mut self.contacted);
         let expires = current.plus(SLICES_PER_WINDOW);
         if previous.plus(1) == current {
-            let silent = contacted.into_iter().filter(|(_, replied)| replied.is_none());
-            self.silent_until.extend(silent.map(|(sender, _)| (sender, expires)));
+            let unresponsive = contacted.into_iter().filter(|(_, replied)| replied.is_none());
+            self.unresponsive_until.extend(unresponsive.map(|(sender, _)| (sender, expires)));
         }
-        self.silent_until.retain(|_, until| *until > current && *until <= expires);
+        self.unresponsive_until.retain(|_, until| *until > current && *until <= expires);
         self.acknowledged
             .retain(|key, _| key.slice.plus(SLICES_PER_WINDOW) >= current && key.slice <= current);
     }
--- a/crates/heavy-hitters/src/digest_store.rs
+++ b/crates/heavy-hitters/src/digest_store.rs
@@ -1,11 +1,11 @@
 //! The latest digest of each sender and slice, and their totals (mergeable summaries, Agarwal et al. 2012).
 //!
-//! Invariant: a register holds the greatest digest received of its sender and slice, by (incarnation, total). So order,
-//! duplicates, replays and late datagrams change nothing, and what is lost leaves a register empty: whoever reads the totals
-//! adds for it what a sender can have accepted at most.
+//! Invariant: a register holds the greatest digest received of its sender and slice, by (incarnation, total). The order of
+//! datagrams, duplicates and replays therefore make no difference, and a lost digest leaves a register empty; readers of the
+//! totals add the maximum that a sender can have accepted for it.
 //!
-//! Memory: registers of `senders * (SLICES_PER_WINDOW + 1)` at most, of what fits a datagram each (some 24 entries, 600
-//! bytes): 1.1 MB among 300. Discarded slice by slice by the clock, and whole when this sender's term is over.
+//! Memory: at most `senders * (SLICES_PER_WINDOW + 1)` registers, each with the entries of one datagram (about 24, 600
+//! bytes). Discarded slice by slice, and completely when this sender's term is over.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
         self.incarnation == Incarnation::default() && self.total == 0
     }
 
-    /// Takes in a digest if it is greater than what is known.
+    /// Replaces the register if the digest is greater.
     fn merge(&mut self, digest: Digest) {
         let known = (self.incarnation, self.total, self.complete);
         if (digest.incarnation, digest.total, digest.complete) > known {
@@ -40,10 +40,10 @@
     }
 }
 
-/// What is stored of one sender's process; sent back to it, so that it need not publish that again.
+/// The stored slices of one sender's process, which are acknowledged to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoredSlices {
-    /// One bit for each slice of the window, the latest is the lowest.
+    /// One bit for each slice of the window; the lowest bit is the latest slice.
     pub slices: u8,
     /// Sum of their totals.
     pub total: u64,
@@ -59,18 +59,18 @@
 }
 
 impl DigestStore {
-    /// An empty store for so many senders, each of which can accept so many messages in a slice at most.
+    /// An empty store for `sender_count` senders, each of which accepts at most `max_per_slice` messages in a slice.
     #[must_use]
     pub fn new(sender_count: usize, max_per_slice: u64) -> Self {
         Self { sender_count, max_per_slice, registers: BTreeMap::new() }
     }
 
-    /// Takes in a digest of a sender while the slice `current` is open; one that says no more than is known changes nothing.
+    /// Stores a digest of a sender while the slice `current` is open; one that is not greater than the stored one is ignored.
     ///
     /// # Errors
     ///
     /// [`DatagramError::UnknownSender`], [`DatagramError::OutsideWindow`], [`DatagramError::OverLimit`] or
-    /// [`DatagramError::StaleIncarnation`]; no total has changed then.
+    /// [`DatagramError::StaleIncarnation`]; the totals are unchanged.
     pub fn insert(&mut self, from: SenderId, digest: Digest, current: Slice) -> Result<(), DatagramError> {
         self.check_bounds(from, &digest, current)?;
         self.discard_expired(current);
@@ -90,18 +90,18 @@
         if from.0 >= self.sender_count {
             return Err(DatagramError::UnknownSender);
         }
-        // The sender's clock may be a little ahead: what it has closed is still open here.
+        // The sender's clock may be ahead: a slice that it has closed may still be open here.
         if digest.slice > current || digest.slice.plus(SLICES_PER_WINDOW) < current {
             return Err(DatagramError::OutsideWindow);
         }
-        // Without this one sender could make up what outweighs all others.
+        // A single sender must not be able to outweigh all others.
         if digest.total > self.max_per_slice {
             return Err(DatagramError::OverLimit);
         }
         Ok(())
     }
 
-    /// Discards what is outside the window before the slice `current`.
+    /// Discards registers outside the window before the slice `current`.
     pub fn discard_expired(&mut self, current: Slice) {
         self.registers.retain(|_, registers| {
             registers.retain(|slice, _| *slice <= current && slice.plus(SLICES_PER_WINDOW) >= current);
@@ -114,7 +114,7 @@
         self.registers.clear();
     }
 
-    /// What is stored of a sender's process in the window before `current`.
+    /// The stored slices of a sender's process in the window before `current`.
     #[must_use]
     pub fn stored_of(&self, from: SenderId, incarnation: Incarnation, current: Slice) -> StoredSlices {
         let mut stored = StoredSlices::default();
--- a/crates/heavy-hitters/src/fair_share.rs
+++ b/crates/heavy-hitters/src/fair_share.rs
@@ -1,19 +1,19 @@
 //! Max-min fair shares of a limit.
 //!
-//! Invariant: no share is greater than the demand, all shares add up to the limit or to the sum of demands, and a share that
-//! is less than its demand is no less than any other.
+//! Invariant: no share exceeds its demand, the shares add up to the limit or to the sum of demands, and a share below its
+//! demand is not smaller than any other share.
 
 use std::collections::BTreeMap;
 
 use crate::key::Key;
 
-/// Maximum of a demand or a limit, in calls a second: with infinities no share could be computed.
+/// Maximum of a demand or a limit, in calls a second; larger ones, and infinity, count as this.
 const MAX_RATE: f64 = 1e12;
 
 /// The fair share of each stream in a limit, given the streams' demands (all in calls a second).
 ///
-/// Shares are filled up evenly until each has its demand or nothing is left (progressive filling). What is not a number or
-/// negative counts as 0.
+/// Shares are filled evenly until each has its demand or the limit is used up (progressive filling). Negative rates and NaN
+/// count as 0.
 ///
 /// ```
 /// use rudderspindle_heavy_hitters::{Key, fair_shares};
@@ -39,7 +39,7 @@
     shares
 }
 
-/// The fraction of a stream's demand that is beyond its fair share, from 0 to 1: it waits first and is shed first.
+/// The fraction of a stream's demand that exceeds its fair share, from 0 to 1; it is delayed and shed first.
 #[must_use]
 pub fn excess_fraction(limit: f64, demands: &BTreeMap<Key, f64>, stream: Key) -> f64 {
     let demand = demands.get(&stream).map_or(0.0, |demand| bounded_rate(*demand));
@@ -47,7 +47,7 @@
     if demand > 0.0 { (1.0 - share / demand).clamp(0.0, 1.0) } else { 0.0 }
 }
 
-/// A rate from 0 to [`MAX_RATE`]; 0 for what is not a number.
+/// The rate clamped to 0 to [`MAX_RATE`]; 0 for NaN.
 fn bounded_rate(rate: f64) -> f64 {
     if rate > 0.0 { rate.min(MAX_RATE) } else { 0.0 }
 }
--- a/crates/heavy-hitters/src/fleet_view.rs
+++ b/crates/heavy-hitters/src/fleet_view.rs
@@ -1,10 +1,10 @@
-//! How one sender reads a window summary.
+//! The view of one sender on the fleet, read from a window summary.
 //!
-//! Invariant: what the whole fleet accepted of a key within the window is in its [`Interval`], whichever sender did not
-//! report: for each sender and slice of which no complete count was received, the maximum that a sender may accept is added.
+//! Invariant: the number of messages of a key that the whole fleet accepted within the window is in its [`Interval`],
+//! whichever senders did not report: for each sender and slice without a complete count, the maximum that a sender may accept
+//! ([`Settings::max_per_second`]) is added.
 //!
-//! What a silent sender published last bounds nothing: the storm may have come to it since. So its bound is what its
-//! admission lets in ([`Settings::max_per_second`]); a view is as sharp as that is near to what senders accept.
+//! The last digest of a sender that stopped reporting is no bound, as its load may have changed since.
 
 use std::ops::Range;
 
@@ -32,31 +32,31 @@
     }
 }
 
-/// Of how many senders and slices complete counts were received.
+/// The number of complete counts on which a view is based; there is one for each sender and slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Coverage {
     /// Number of complete counts received.
     pub received: usize,
-    /// Number of complete counts that there are.
+    /// Number of complete counts expected.
     pub expected: usize,
 }
 
-/// A window summary as it is read by one sender.
+/// A window summary as read by one sender.
 #[derive(Clone, Debug)]
 pub struct FleetView {
     summary: WindowSummary,
     sender_count: usize,
-    /// Upper bound of what was accepted by senders that did not report.
+    /// Upper bound of the messages accepted by senders that did not report.
     max_missing: u64,
 }
 
 impl FleetView {
-    /// Reads a summary in a fleet of so many senders, 65,535 at most.
+    /// Reads a summary in a fleet of `sender_count` senders, at most 65,535.
     ///
     /// # Errors
     ///
-    /// [`DatagramError::Malformed`] if it claims counts of more senders than there are or more messages than they may
-    /// accept, or contradicts itself.
+    /// [`DatagramError::Malformed`] if it counts more senders than there are or more messages than they may accept, or is
+    /// inconsistent.
     pub fn new(
         summary: WindowSummary,
         sender_count: usize,
@@ -77,7 +77,7 @@
         self.summary.slice.minus(SLICES_PER_WINDOW)..self.summary.slice
     }
 
-    /// How many complete counts the view rests on.
+    /// The number of complete counts on which the view is based.
     #[must_use]
     pub fn coverage(&self) -> Coverage {
         let received = self.summary.complete_counts.iter().map(|senders| usize::from(*senders)).sum();
@@ -91,13 +91,13 @@
         Interval { min, max: min.saturating_add(self.max_missing) }
     }
 
-    /// Number of messages of a stream that all senders accepted.
+    /// Number of messages of a stream that all senders accepted within the window.
     #[must_use]
     pub fn stream(&self, stream: Key) -> Interval {
         self.interval(&self.summary.streams, stream)
     }
 
-    /// How often all senders accepted an idempotency key.
+    /// Number of messages with an idempotency key that all senders accepted within the window.
     #[must_use]
     pub fn idempotency_key(&self, key: Key) -> Interval {
         self.interval(&self.summary.keys, key)
@@ -128,7 +128,7 @@
     }
 }
 
-/// Number of complete counts that are missing, or `None` if there are more than senders.
+/// Number of missing complete counts, or `None` if the summary has more counts than senders.
 fn missing_counts(summary: &WindowSummary, sender_count: usize) -> Option<u64> {
     let mut missing = 0;
     for senders in summary.complete_counts {
--- a/crates/heavy-hitters/src/gossip_message.rs
+++ b/crates/heavy-hitters/src/gossip_message.rs
@@ -1,7 +1,7 @@
 //! Messages between senders and their encoding.
 //!
-//! Invariant: an encoded message has at most [`MAX_BODY_LEN`] bytes, and decoding believes no length in it beyond the bytes
-//! that there are.
+//! Invariant: an encoded message has at most [`MAX_BODY_LEN`] bytes, and decoding allocates no memory for lengths beyond the
+//! received bytes.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,19 +13,19 @@
 /// A message between senders; the first encoded byte is the number of the variant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum GossipMessage {
-    /// What a sender accepted in one slice, to an aggregator.
+    /// One sender's digest of a slice, sent to an aggregator.
     Digest(Digest),
-    /// What all senders accepted, back from the aggregator.
+    /// The summary over all senders, sent back by the aggregator.
     Summary(WindowSummary),
 }
 
 impl GossipMessage {
     pub(crate) fn encode(&self) -> Vec<u8> {
-        // Nothing in a message can fail to be encoded into memory: no floats, no maps, no lengths unknown before.
+        // Encoding into memory cannot fail: messages have no maps and no sequences of unknown length.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Reads one message that fills `bytes`.
+    /// Decodes `bytes`, which must be exactly one message.
     ///
     /// # Errors
     ///
--- a/crates/heavy-hitters/src/heavy_hitters.rs
+++ b/crates/heavy-hitters/src/heavy_hitters.rs
@@ -1,7 +1,7 @@
-//! One sender's heavy-hitter detection: what it accepts, publishes, receives and decides.
+//! Heavy-hitter detection of one sender.
 //!
-//! Invariant: it decides by summaries alone, its own among them, and keeps the better of two, so that all who receive the
-//! same decide the same.
+//! Invariant: decisions are based on summaries only, including its own, and on the better of two, so that all senders that
+//! receive the same summaries make the same decisions.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -22,7 +22,7 @@
 use crate::slice_counter::SliceCounter;
 use crate::window_summary::WindowSummary;
 
-/// The heavy hitters of the fleet as one sender counts, publishes and receives them.
+/// Heavy-hitter detection of one sender: counts its messages, exchanges digests and summaries, and detects hot streams.
 ///
 /// ```
 /// use rudderspindle_clock::UnixMillis;
@@ -34,7 +34,7 @@
 /// for millis in 1_000_000..1_000_500 {
 ///     heavy_hitters.record(at(millis), hasher.stream_key("narmada", "gate-1"), None);
 /// }
-/// // The slice of 2 s has closed, and what is published and received of it is this sender's own.
+/// // The slice of 2 s has closed; this sender aggregates its own digest.
 /// assert!(heavy_hitters.poll_datagrams(at(1_002_100)).is_empty());
 /// assert!(heavy_hitters.poll_datagrams(at(1_002_600)).is_empty());
 /// assert!(heavy_hitters.is_hot(hasher.stream_key("narmada", "gate-1")));
@@ -47,7 +47,7 @@
     counter: SliceCounter,
     publisher: DigestPublisher,
     aggregator: Aggregator,
-    /// The slice that was open last.
+    /// The open slice as of the last call.
     current: Slice,
     view: Option<FleetView>,
     detector: HotStreamDetector,
@@ -56,13 +56,13 @@
 impl HeavyHitters {
     /// Starts sender `own_id` of `sender_count` at `now`.
     ///
-    /// `incarnation` must be greater than that of any earlier process of this sender. `idle_before` says that no earlier
-    /// process of it accepted anything within the window before; if that is not known it is `false`, and a window passes
-    /// until the sender's own slice of the start counts as complete.
+    /// `incarnation` must be greater than that of any earlier process of this sender. `idle_before` is whether it is known
+    /// that no earlier process accepted a message within the window before; otherwise the slices up to the start are
+    /// incomplete.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names what is invalid.
+    /// [`SettingsError`] names the invalid setting.
     pub fn new(
         settings: Settings,
         own_id: SenderId,
@@ -101,13 +101,13 @@
         self.detector.hot_streams()
     }
 
-    /// The best view received of the latest window; its slices say how old it is.
+    /// The best view of the latest window; its age follows from its slices.
     #[must_use]
     pub fn view(&self) -> Option<&FleetView> {
         self.view.as_ref()
     }
 
-    /// Whether several senders accepted this idempotency key within the last window.
+    /// The key with bounds on its copies, if several senders accepted this idempotency key within the last window.
     #[must_use]
     pub fn repeated_key(&self, key: Key, now: UnixMillis) -> Option<RepeatedKey> {
         find_repeated_key(self.view.as_ref()?, key, now, self.settings.slice_ms())
@@ -120,14 +120,14 @@
         self.publisher.next_publish_time(now).map_or(next_round, |publish_at| publish_at.min(next_round))
     }
 
-    /// The datagrams that are to be sent at `now`.
+    /// The datagrams to be sent at `now`.
     pub fn poll_datagrams(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         let slice = self.advance(now);
         let round = round_in_slice(now, self.settings.slice_ms());
         let mut datagrams = Vec::new();
         if let Some(reply) = self.aggregator.poll_replies(now, slice, round) {
             datagrams.extend(reply.datagrams);
-            // It was made here, and claims no more senders than there are.
+            // A summary of this sender's own aggregator is valid.
             let _ = self.apply_summary(&reply.summary);
         }
         if self.publisher.take_due(now) {
@@ -141,11 +141,11 @@
         datagrams
     }
 
-    /// Takes in the body of a datagram that came from another sender at `now`.
+    /// Handles the body of a datagram received from another sender at `now`.
     ///
     /// # Errors
     ///
-    /// [`DatagramError`] says why it is dropped; nothing has changed then.
+    /// [`DatagramError`] is why it is dropped; the state is unchanged.
     pub fn receive(&mut self, now: UnixMillis, from: SenderId, bytes: &[u8]) -> Result<(), DatagramError> {
         if from == self.own_id || from.0 >= self.sender_count {
             return Err(DatagramError::UnknownSender);
@@ -153,7 +153,7 @@
         let message = GossipMessage::decode(bytes)?;
         let slice = self.advance(now);
         match message {
-            // The publisher may have begun the next term.
+            // The publisher's clock may be ahead, in the next term.
             GossipMessage::Digest(_) if !self.is_aggregator(slice) => Err(DatagramError::UnknownSender),
             GossipMessage::Digest(digest) => self.aggregator.receive(now, slice, from, digest),
             GossipMessage::Summary(summary) => self.receive_summary(from, &summary, slice),
@@ -181,7 +181,7 @@
     fn apply_summary(&mut self, summary: &WindowSummary) -> Result<(), DatagramError> {
         let view = FleetView::new(summary.clone(), self.sender_count, &self.settings)?;
         if let Some(known) = &self.view {
-            // After a clock that went far ahead and back again no view would be better for long.
+            // After a large forward step of the clock was corrected, the known view may be of the future.
             let known_is_current = known.slices().end <= self.current.plus(1);
             if known.summary().quality() >= summary.quality() && known_is_current {
                 return Ok(());
@@ -195,13 +195,13 @@
         Ok(())
     }
 
-    /// Whether this sender is selected to aggregate, in this slice or the next.
+    /// Whether this sender is an aggregator candidate of this slice or the next.
     fn is_aggregator(&self, slice: Slice) -> bool {
         let is_selected = |slice| aggregators(slice, self.sender_count).contains(&self.own_id);
         is_selected(slice) || is_selected(slice.plus(1))
     }
 
-    /// Discards what the clock has left behind; the slice that is open.
+    /// Discards expired state; returns the open slice.
     fn advance(&mut self, now: UnixMillis) -> Slice {
         let slice = Slice::containing(now, self.settings.slice_ms());
         self.counter.discard_expired(now);
--- a/crates/heavy-hitters/src/hot_streams.rs
+++ b/crates/heavy-hitters/src/hot_streams.rs
@@ -1,11 +1,11 @@
-//! Which streams are hot.
+//! Detects hot streams.
 //!
-//! Invariant: a stream becomes hot only when its lower bound is over the fraction of the upper bound of all messages, and
-//! ceases to be only when its upper bound has been under half of that fraction of the lower bound of all for a window, seen
-//! without a gap. Silence lowers lower bounds, raises upper bounds and leaves gaps: it brings about neither.
+//! Invariant: a stream becomes hot only if its lower bound exceeds the hot fraction of the upper bound of all messages. It
+//! stays hot until its upper bound has been below half of that fraction of the lower bound of all messages for a window
+//! without gaps. Missing reports lower the lower bounds, raise the upper bounds and leave gaps, so they cause neither.
 //!
-//! At most `1 / fraction` streams are hot: lower bounds of one window add up to no more than the upper bound of all, so where
-//! one more has come over the fraction, one of those before is under it, and gives way.
+//! At most `1 / fraction` streams are hot: the lower bounds of one window add up to at most the upper bound of all messages.
+//! If one more stream exceeds the fraction, an earlier one has fallen below it and is removed.
 
 use std::collections::BTreeMap;
 
@@ -13,26 +13,26 @@
 use crate::key::Key;
 use crate::slice::{SLICES_PER_WINDOW, Slice};
 
-/// A stream ceases to be hot under this part of what makes it hot; between the two is what views differ by.
+/// Fraction of the hot threshold below which a hot stream cools down: views of different senders differ by less.
 const COOL_FACTOR: f64 = 0.5;
 
-/// Views in a row, without a gap, in which a stream was cool, by the slices after their windows.
+/// Consecutive views without a gap in which a stream was cool, by the slices after their windows.
 #[derive(Clone, Copy, Debug)]
 struct CoolPeriod {
     first: Slice,
     last: Slice,
 }
 
-/// What is known of a hot stream.
+/// The state of a hot stream.
 #[derive(Clone, Copy, Debug, Default)]
 struct HotStream {
     cool: Option<CoolPeriod>,
 }
 
 impl HotStream {
-    /// Takes in a view in which the stream was cool; whether it stays hot.
+    /// Records a view in which the stream was cool; returns whether it stays hot.
     fn cool_down(&mut self, slice: Slice) -> bool {
-        // Two windows that do not touch leave out what was between them.
+        // Windows that do not overlap or touch leave a gap.
         let continued = self.cool.filter(|period| slice.distance(period.last) <= SLICES_PER_WINDOW);
         let first = continued.map_or(slice, |period| period.first);
         self.cool = Some(CoolPeriod { first, last: slice });
@@ -48,24 +48,24 @@
 }
 
 impl HotStreamDetector {
-    /// A detector without hot streams, for which hot is what is over this fraction of all messages.
+    /// A detector without hot streams; a stream is hot above this fraction of all messages.
     #[must_use]
     pub fn new(hot_fraction: f64) -> Self {
         Self { hot_fraction, hot: BTreeMap::new() }
     }
 
-    /// Takes in a view: streams that it shows to be over the fraction are hot from now on.
+    /// Marks the streams as hot that exceed the fraction in a view.
     pub fn detect(&mut self, view: &FleetView) {
         let threshold = self.hot_fraction * view.messages().max as f64;
         for total in view.streams().iter().filter(|total| total.min as f64 > threshold) {
             if !self.hot.contains_key(&total.key) {
-                self.make_room(view);
+                self.evict_lightest_if_full(view);
                 self.hot.insert(total.key, HotStream::default());
             }
         }
     }
 
-    /// Takes in the last and sharpest view of a slice: streams that were cool for a window are hot no longer.
+    /// Removes the streams that have been cool for a window, given the last and most precise view of a slice.
     pub fn expire(&mut self, view: &FleetView) {
         let slice = view.slices().end;
         let threshold = COOL_FACTOR * self.hot_fraction * view.messages().min as f64;
@@ -90,8 +90,8 @@
         self.hot.keys().copied()
     }
 
-    /// Drops the lightest hot stream if there are as many as can be.
-    fn make_room(&mut self, view: &FleetView) {
+    /// Removes the lightest hot stream if the maximum number is reached.
+    fn evict_lightest_if_full(&mut self, view: &FleetView) {
         let max_hot = (1.0 / self.hot_fraction) as usize;
         let weight = |key: &Key| (view.stream(*key).min, *key);
         if self.hot.len() >= max_hot
--- a/crates/heavy-hitters/src/key.rs
+++ b/crates/heavy-hitters/src/key.rs
@@ -1,6 +1,6 @@
 //! Keys of streams and of idempotency keys: keyed hashes of their names.
 //!
-//! Invariant: no name leaves a sender, only its hash under the fleet's key.
+//! Invariant: names are never sent, only their hashes under the fleet's key.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -10,8 +10,7 @@
 
 use crate::mix::mix;
 
-/// Length of an encoded key, in bytes. Of 10,000 streams any two share a key with a chance of 2 in 10 million
-/// (`n * n / 2 / 2^48`), of 100,000 idempotency keys 2 in 100,000; two bytes more would cost a sixth of the entries.
+/// Length of an encoded key, in bytes. The probability of a collision among `n` keys is about `n * n / 2 / 2^48`.
 pub(crate) const KEY_LEN: usize = 6;
 
 /// A stream or an idempotency key as a keyed hash of 48 bits.
@@ -26,7 +25,7 @@
         Self([first, second, third, fourth, fifth, sixth])
     }
 
-    /// Position in an order that is drawn anew for each salt, the same at every sender.
+    /// Sort key in a pseudorandom order for each salt, the same at every sender.
     #[must_use]
     pub(crate) fn rank(self, salt: u64) -> u64 {
         let mut bytes = [0; 8];
@@ -75,7 +74,7 @@
     fn hash(&self, kind: u8, tenant: &str, name: &str) -> Key {
         let mut hasher = SipHasher24::new_with_key(&self.0);
         hasher.write(&[kind]);
-        // The length keeps apart names that differ only in where the tenant's ends.
+        // The length separates the tenant's name from the second one.
         hasher.write(&(tenant.len() as u64).to_le_bytes());
         hasher.write(tenant.as_bytes());
         hasher.write(name.as_bytes());
--- a/crates/heavy-hitters/src/lib.rs
+++ b/crates/heavy-hitters/src/lib.rs
@@ -1,20 +1,20 @@
 //! Heavy hitters of the fleet: the streams with the most messages, from what each sender accepts.
 //!
-//! Invariant: what is read of a key is an interval, and what the fleet accepted of it is inside, whichever sender did not
-//! report and in whatever order, however often and however late datagrams came.
+//! Invariant: a key's count is read as an interval that contains the number of messages that the fleet accepted, whichever
+//! senders did not report and however datagrams are lost, reordered, duplicated or delayed.
 //!
-//! One sender of hundreds sees a call or two of a stream that is a storm in sum. So each counts what it accepts in a
-//! [`SpaceSaving`] sketch for each slice of the shared clock, and publishes closed slices to an aggregator ([`Digest`]). The
-//! aggregator stores them by sender and slice ([`DigestStore`]) and replies with the heaviest keys of all
-//! ([`WindowSummary`]), which each sender reads as a [`FleetView`] and judges by itself ([`HotStreamDetector`]).
-//! [`HeavyHitters`] is all of it for one sender. [`fair_shares`] says what of a limit is a stream's fair share.
+//! A single sender sees only a few messages of a stream that is heavy in total. Therefore each sender counts the messages
+//! that it accepts in a [`SpaceSaving`] sketch for each slice of the wall clock, and publishes closed slices to an aggregator
+//! ([`Digest`]). The aggregator stores them by sender and slice ([`DigestStore`]) and replies with the heaviest keys of the
+//! fleet ([`WindowSummary`]), which each sender reads as a [`FleetView`] and evaluates ([`HotStreamDetector`]).
+//! [`HeavyHitters`] combines these parts for one sender. [`fair_shares`] computes the fair share of each stream in a limit.
 //!
-//! No I/O and no clock: time is passed in as a
-//! [`UnixMillis`](rudderspindle_clock::UnixMillis), datagrams as bytes. Nothing here knows of receivers' limits,
-//! messages or sockets; streams and idempotency keys come as keyed hashes ([`KeyHasher`]).
+//! No I/O and no clock: time is passed in as [`UnixMillis`](rudderspindle_clock::UnixMillis), datagrams as bytes. The crate
+//! is independent of receivers' limits, messages and sockets; streams and idempotency keys are keyed hashes
+//! ([`KeyHasher`]).
 //!
 //! Where to begin reading: `heavy_hitters` (one sender), `digest_publisher` and `aggregator` (the two sides of the gossip),
-//! `fleet_view` and `hot_streams` (what is decided).
+//! `fleet_view` and `hot_streams` (the decisions).
 #![forbid(unsafe_code)]
 
 mod aggregator;
--- a/crates/heavy-hitters/src/packing.rs
+++ b/crates/heavy-hitters/src/packing.rs
@@ -1,9 +1,10 @@
-//! How much fits into a datagram: lengths of encoded numbers, and two lists that share the room.
+//! Packs entries into a datagram: lengths of encoded numbers, and two lists that share a number of bytes.
 
-/// Maximum length of a message's body, in bytes: 256 of a datagram, less 8 of its envelope and 8 to spare.
+/// Maximum length of a message's body, in bytes: 256 of a datagram, of which 8 are reserved for envelopes and 8 for later
+/// use.
 pub const MAX_BODY_LEN: usize = 240;
 
-/// Length of an encoded number, in bytes of seven bits each.
+/// Length of an encoded number, in bytes; each byte holds seven bits.
 pub(crate) fn varint_len(number: u64) -> usize {
     (64 - (number | 1).leading_zeros() as usize).div_ceil(7)
 }
@@ -15,15 +16,15 @@
     pub second: usize,
 }
 
-/// Takes items of two lists by turns, given their lengths, as long as they fit into so many bytes.
-pub(crate) fn pack_alternately(room: usize, first: &[usize], second: &[usize]) -> PackedCounts {
+/// Takes items alternately from two lists, given by their encoded lengths, while they fit into `available` bytes.
+pub(crate) fn pack_alternately(available: usize, first: &[usize], second: &[usize]) -> PackedCounts {
     let mut counts = PackedCounts { first: 0, second: 0 };
-    let mut room = room;
+    let mut available = available;
     loop {
         let before = counts;
         for (lengths, taken) in [(first, &mut counts.first), (second, &mut counts.second)] {
-            if let Some(&length) = lengths.get(*taken).filter(|length| **length <= room) {
-                room -= length;
+            if let Some(&length) = lengths.get(*taken).filter(|length| **length <= available) {
+                available -= length;
                 *taken += 1;
             }
         }
--- a/crates/heavy-hitters/src/repeated_key.rs
+++ b/crates/heavy-hitters/src/repeated_key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys that several senders accepted: a client that comes again while its first copy is in progress.
+//! Idempotency keys that several senders accepted: a client that retries while its first copy is in progress.
 //!
 //! Invariant: a key is repeated only if at least two distinct senders have reported it within one window.
 
@@ -15,16 +15,15 @@
     pub min_senders: u16,
     /// Lower bound of the number of copies.
     pub min_copies: u64,
-    /// When the window ended in which they were accepted.
+    /// End of the window in which they were accepted.
     pub window_end: UnixMillis,
 }
 
-/// Whether several senders accepted this idempotency key, by a view that is at `now` no older than a window; slices are of
-/// `slice_ms` milliseconds.
+/// The key with bounds on its copies, if several senders accepted this idempotency key according to a view that is at `now`
+/// at most a window old; slices are of `slice_ms` milliseconds.
 ///
-/// Not every such key is found: what a digest has no room for is not published. Of keys that come equally often all senders
-/// publish the same ones first, drawn anew for each slice, so that what comes at several of them is published by all or
-/// none.
+/// Not every such key is found, as digests do not list all keys. Among equally frequent keys all senders publish the same
+/// ones first, in a different order for each slice, so that a key is published by all senders that accepted it or by none.
 #[must_use]
 pub fn find_repeated_key(view: &FleetView, key: Key, now: UnixMillis, slice_ms: u64) -> Option<RepeatedKey> {
     let window_end = UnixMillis(view.slices().end.0.saturating_mul(slice_ms));
--- a/crates/heavy-hitters/src/round.rs
+++ b/crates/heavy-hitters/src/round.rs
@@ -1,17 +1,15 @@
-//! Gossip rounds: when within a slice senders publish and aggregators reply.
+//! Gossip rounds: the times within a slice at which senders publish and aggregators reply.
 
 use rudderspindle_clock::UnixMillis;
 
-/// Length of a round, in milliseconds: a datagram and its reply are in flight within one.
+/// Length of a round, in milliseconds: longer than a datagram and its reply are in flight.
 pub const ROUND_MS: u64 = 200;
-/// From when on in a round senders publish, in milliseconds: replies of its beginning have arrived, and nobody asks for
-/// them again.
+/// Start of the part of a round in which senders publish, in milliseconds: replies sent at the round's start have arrived.
 const PUBLISH_FROM_MS: u64 = 50;
-/// Within how much of a round senders publish, each at a time of its own, in milliseconds: the rest is for the transfer.
+/// Length of the part of a round over which the senders' publications are spread, in milliseconds.
 const PUBLISH_SPREAD_MS: u64 = 70;
-/// In these rounds of a slice all that have published in it are answered, later only who publishes again: by then each has
-/// published three times. Where one datagram of five is lost, less than 1 digest of a hundred is missing, and 4 senders of
-/// a hundred receive neither reply.
+/// The rounds of a slice in which all senders that have published in it are answered; by then each has published three
+/// times. Later only senders that publish again are answered.
 pub(crate) const BROADCAST_ROUNDS: [u64; 2] = [3, 4];
 
 /// The number of a round: milliseconds since the Unix epoch, divided by [`ROUND_MS`].
--- a/crates/heavy-hitters/src/sender_id.rs
+++ b/crates/heavy-hitters/src/sender_id.rs
@@ -6,6 +6,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SenderId(pub usize);
 
-/// Which process of a sender is meant; each later process of the same sender has a greater one.
+/// Identifies a process of a sender; each later process of the same sender has a greater one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
--- a/crates/heavy-hitters/src/settings.rs
+++ b/crates/heavy-hitters/src/settings.rs
@@ -7,22 +7,22 @@
 
 /// The window must be a multiple of this, in milliseconds, so that a slice is a whole number of rounds.
 const WINDOW_STEP_MS: u64 = SLICES_PER_WINDOW * ROUND_MS;
-/// Minimum window, in milliseconds: in a shorter one slices have too few rounds to publish, reply and publish again.
+/// Minimum window, in milliseconds: slices of a shorter one have too few rounds.
 const MIN_WINDOW_MS: u64 = 6 * WINDOW_STEP_MS;
-/// Maximum window, in milliseconds: a longer one finds a storm when it is over.
+/// Maximum window, in milliseconds.
 const MAX_WINDOW_MS: u64 = 600 * WINDOW_STEP_MS;
-/// Minimum entries of a sketch: with fewer a fraction of a tenth cannot be told apart from the sketch's error.
+/// Minimum number of entries of a sketch: with fewer, the sketch's error hides a fraction of a tenth.
 const MIN_ENTRIES: usize = 16;
-/// Maximum entries of a sketch: more do not fit into datagrams anyhow, and 1,024 take some 60 kB for each slice.
+/// Maximum number of entries of a sketch; far fewer fit into a datagram.
 const MAX_ENTRIES: usize = 1_024;
-/// Minimum hot fraction: under it more streams may be hot than a summary has room for, and the sketch's error is as wide.
+/// Minimum hot fraction: below it, more streams may be hot than fit into a summary.
 const MIN_HOT_FRACTION: f64 = 0.02;
-/// Maximum hot fraction: over a half only one stream can be hot, and half of it says nothing.
+/// Maximum hot fraction: above it, only one stream could be hot.
 const MAX_HOT_FRACTION: f64 = 0.5;
 /// Maximum of `max_per_second`, in messages a second.
 const MAX_RATE: u64 = 1_000_000;
 
-/// What the operator sets, the same at all senders.
+/// The operator's settings, the same at all senders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Length of the window, in milliseconds: a multiple of 1,000 from 6,000 to 600,000.
@@ -31,12 +31,11 @@
     pub entries: usize,
     /// Fraction of all messages over which a stream is hot: 0.02 to 0.5.
     pub hot_fraction: f64,
-    /// Maximum rate that one sender accepts, in messages a second; its admission must refuse what is beyond. 1 to
-    /// 1,000,000.
+    /// Maximum rate that one sender accepts, in messages a second, 1 to 1,000,000; its admission must enforce it.
     pub max_per_second: u64,
 }
 
-/// Which setting is invalid, and what would be right.
+/// An invalid setting, with the valid range.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum SettingsError {
     /// The window.
@@ -66,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first field that is not, and what would be right.
+    /// [`SettingsError`] names the first invalid field and its valid range.
     pub fn validated(self) -> Result<Self, SettingsError> {
         let windows = MIN_WINDOW_MS..=MAX_WINDOW_MS;
         if !windows.contains(&self.window_ms) || !self.window_ms.is_multiple_of(WINDOW_STEP_MS) {
@@ -75,7 +74,7 @@
         if !(MIN_ENTRIES..=MAX_ENTRIES).contains(&self.entries) {
             return Err(SettingsError::Entries(self.entries));
         }
-        // A fraction that is not a number is in no range.
+        // NaN is in no range.
         if !(MIN_HOT_FRACTION..=MAX_HOT_FRACTION).contains(&self.hot_fraction) {
             return Err(SettingsError::HotFraction(self.hot_fraction));
         }
--- a/crates/heavy-hitters/src/slice.rs
+++ b/crates/heavy-hitters/src/slice.rs
@@ -1,10 +1,9 @@
-//! Window slices: the window is a whole number of them, and they are counted and forgotten one by one.
+//! Window slices: parts of the window that are counted and discarded one by one.
 
 use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
-/// Number of slices in a window: what is known is a fifth of a window old at most when its slice closes, and a fifth is
-/// forgotten at a time. More slices cost as many more datagrams.
+/// Number of slices in a window; datagrams are proportional to it.
 pub const SLICES_PER_WINDOW: u64 = 5;
 
 /// The number of a window slice: milliseconds since the Unix epoch, divided by the length of a slice.
@@ -18,13 +17,13 @@
         Self(time.0 / slice_ms)
     }
 
-    /// The slice so many slices later.
+    /// The slice `slices` later.
     #[must_use]
     pub(crate) fn plus(self, slices: u64) -> Self {
         Self(self.0.saturating_add(slices))
     }
 
-    /// The slice so many slices earlier, or the first of all.
+    /// The slice `slices` earlier, or the first of all.
     #[must_use]
     pub(crate) fn minus(self, slices: u64) -> Self {
         Self(self.0.saturating_sub(slices))
@@ -36,7 +35,7 @@
         self.0.abs_diff(other.0)
     }
 
-    /// The slices of the window that ends where this slice begins, the earliest first.
+    /// The slices of the window that ends at the start of this slice, earliest first.
     pub(crate) fn window_before(self) -> impl DoubleEndedIterator<Item = Self> {
         (self.minus(SLICES_PER_WINDOW).0..self.0).map(Self)
     }
--- a/crates/heavy-hitters/src/slice_counter.rs
+++ b/crates/heavy-hitters/src/slice_counter.rs
@@ -1,10 +1,9 @@
-//! What one sender accepted, by slice of the shared clock.
+//! The messages that one sender accepted, by slice of the wall clock.
 //!
-//! Invariant: no slice is kept that is further than a window from the clock, on either side; so memory is that of
-//! `2 * SLICES_PER_WINDOW + 1` slices, of two sketches each, however the clock steps.
+//! Invariant: only slices within a window of the clock, before or after it, are kept: at most `2 * SLICES_PER_WINDOW + 1`
+//! slices of two sketches each, also if the clock is stepped.
 //!
-//! At 64 entries that is some 90 kB at most, a little over half of it while the clock goes on. Slices ahead of a clock that
-//! went back a little are kept and counted on: a published total must only grow.
+//! Slices ahead of a clock that was set back slightly are kept and counted further, as a published total must not decrease.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +16,7 @@
 use crate::slice::{SLICES_PER_WINDOW, Slice};
 use crate::slice_counts::SliceCounts;
 
-/// The counts of one sender around the present.
+/// The counts of one sender in the slices around the current one.
 #[derive(Clone, Debug)]
 pub struct SliceCounter {
     slice_ms: u64,
@@ -32,8 +31,8 @@
 impl SliceCounter {
     /// A counter that starts empty at `now`.
     ///
-    /// `idle_before` says that no earlier process of this sender accepted anything within the window before; if that is not
-    /// known, it is `false`.
+    /// `idle_before` is whether it is known that no earlier process of this sender accepted a message within the window
+    /// before.
     #[must_use]
     pub fn new(settings: &Settings, now: UnixMillis, idle_before: bool) -> Self {
         let slice_ms = settings.slice_ms().max(1);
@@ -54,7 +53,7 @@
         counts.record(stream, idempotency_key);
     }
 
-    /// Discards slices that are further than a window from `now`.
+    /// Discards slices that are more than a window from `now`.
     pub fn discard_expired(&mut self, now: UnixMillis) {
         let current = Slice::containing(now, self.slice_ms);
         self.counts.retain(|slice, _| slice.distance(current) <= SLICES_PER_WINDOW);
--- a/crates/heavy-hitters/src/slice_counts.rs
+++ b/crates/heavy-hitters/src/slice_counts.rs
@@ -1,4 +1,4 @@
-//! What one sender accepted within one slice.
+//! The messages that one sender accepted within one slice.
 
 use crate::key::Key;
 use crate::slice::Slice;
@@ -16,7 +16,7 @@
 }
 
 impl SliceCounts {
-    /// Empty counts with sketches of so many entries, whose ties are drawn from the slice's number.
+    /// Empty counts with sketches of `entries` entries; the slice's number is the salt that breaks ties.
     #[must_use]
     pub fn new(slice: Slice, entries: usize) -> Self {
         Self {
--- a/crates/heavy-hitters/src/space_saving.rs
+++ b/crates/heavy-hitters/src/space_saving.rs
@@ -3,31 +3,30 @@
 //! Invariant: for each listed key, `count - error <= true count <= count`; of any other key the true count is at most
 //! [`floor`](SpaceSaving::floor), which is at most the total divided by the capacity.
 //!
-//! Entries stay where they are; a heap of their indices has the lightest on top, and each entry knows its position in the
-//! heap. So an addition costs one look-up and a way through the heap, `O(log capacity)`, and memory is that of the capacity:
-//! some 60 bytes an entry (32 of the entry, 4 of the heap, the rest of the index), whatever the number of keys. Equal counts
-//! are ordered by a draw from the salt, the same at every sender: of keys that came once, all keep the same ones.
+//! The entries are indexed by a heap with the lightest entry on top and by key. An addition takes `O(log capacity)` steps, and
+//! memory is proportional to the capacity, about 60 bytes an entry. Equal counts are ordered by a hash with the salt, the
+//! same at every sender, so that all senders keep the same ones of keys that occurred once.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use crate::key::Key;
 
-/// Maximum of a count: sums of all slices of 65,535 senders still fit 63 bits.
+/// Maximum count: sums over all slices of 65,535 senders fit into 63 bits.
 pub(crate) const MAX_COUNT: u64 = 1 << 40;
 
-/// What a sketch knows of a key: its true count is between `count - error` and `count`.
+/// An entry of a sketch: the true count of the key is between `count - error` and `count`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SketchEntry {
     /// The key.
     pub key: Key,
     /// Upper bound of the key's count.
     pub count: u64,
-    /// How much of `count` may belong to other keys.
+    /// Maximum part of `count` that may belong to other keys.
     pub error: u64,
 }
 
-/// The heaviest keys of a flow in bounded memory.
+/// The heaviest keys of a stream of additions, in bounded memory.
 ///
 /// ```
 /// use rudderspindle_heavy_hitters::{Key, SketchEntry, SpaceSaving};
@@ -46,16 +45,16 @@
     salt: u64,
     total: u64,
     entries: Vec<SketchEntry>,
-    /// Indices of entries, a heap with the lightest on top.
+    /// Heap of entry indices, the lightest on top.
     heap: Vec<u16>,
-    /// The position in the heap of each entry.
+    /// The heap position of each entry.
     heap_positions: Vec<u16>,
-    /// The index of each key's entry.
+    /// The entry index of each key.
     index_by_key: BTreeMap<Key, u16>,
 }
 
 impl SpaceSaving {
-    /// An empty sketch of so many entries (1 to 65,535), whose ties are drawn from the salt.
+    /// An empty sketch of `capacity` entries (1 to 65,535); `salt` determines the order of equal counts.
     #[must_use]
     pub fn new(capacity: usize, salt: u64) -> Self {
         let capacity = capacity.clamp(1, usize::from(u16::MAX));
@@ -75,9 +74,9 @@
         self.add_counting_steps(key, weight);
     }
 
-    /// As [`add`](Self::add); how many positions of the heap were passed.
+    /// As [`add`](Self::add); returns the number of heap steps.
     pub(crate) fn add_counting_steps(&mut self, key: Key, weight: u64) -> usize {
-        // Past the maximum nothing is counted, so that all figures agree.
+        // Nothing is counted beyond the maximum, so that all counts stay consistent.
         let weight = weight.min(MAX_COUNT - self.total);
         if weight == 0 {
             return 0;
@@ -131,7 +130,7 @@
         entries
     }
 
-    /// By what entries are ordered.
+    /// Sort key of entries.
     fn weight(&self, entry: &SketchEntry) -> (u64, Reverse<u64>, Key) {
         (entry.count, Reverse(entry.key.rank(self.salt)), entry.key)
     }
--- a/crates/heavy-hitters/src/tests/aggregator_selection.rs
+++ b/crates/heavy-hitters/src/tests/aggregator_selection.rs
@@ -1,4 +1,4 @@
-//! Which senders are selected to aggregate.
+//! Selection of aggregators.
 use crate::aggregator_selection::{TERM_SLICES, aggregators};
 use crate::sender_id::SenderId;
 use crate::slice::Slice;
@@ -13,7 +13,7 @@
         assert!(selected[0] != selected[1] && selected[1] != selected[2] && selected[0] != selected[2]);
         first[selected[0].0] += 1;
     }
-    // A hundred each; five times the error of chance either way.
+    // A hundred each, within five standard deviations.
     assert!(first.iter().all(|count| (50..=150).contains(count)), "{first:?}");
     assert_eq!(aggregators(Slice(7), 1), [SenderId(0)]);
     assert!(aggregators(Slice(7), 0).is_empty());
--- a/crates/heavy-hitters/src/tests/digest.rs
+++ b/crates/heavy-hitters/src/tests/digest.rs
@@ -17,7 +17,7 @@
         flow in prop::collection::vec((0_u64..300, 1_u64..4_000), 0..500),
         incarnation: u64,
         slice in 5_u64..u64::MAX,
-        // Of eight all are listed, of 64 not.
+        // Eight keys are all listed, 64 are not.
         entries in prop::sample::select(vec![8, 64]),
     ) {
         let slice = Slice(slice);
--- a/crates/heavy-hitters/src/tests/gossip_message.rs
+++ b/crates/heavy-hitters/src/tests/gossip_message.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_declared_length_beyond_the_bytes_and_bytes_beyond_the_message_are_refused() {
-    // A digest whose list of streams says 4 billion entries.
+    // A digest whose list of streams declares 4 billion entries.
     let declared = [0, 1, 1, 1, 0, 5, 0xff, 0xff, 0xff, 0xff, 0x0f, 1];
     assert_eq!(GossipMessage::decode(&declared), Err(DatagramError::Malformed));
     let mut empty = vec![0, 1, 1, 1, 0, 5, 0, 0, 0, 0];
--- a/crates/heavy-hitters/src/tests/key.rs
+++ b/crates/heavy-hitters/src/tests/key.rs
@@ -1,4 +1,4 @@
-//! What a key depends on.
+//! The inputs of a key.
 use crate::key::KeyHasher;
 
 #[test]
--- a/crates/heavy-hitters/src/tests/mod.rs
+++ b/crates/heavy-hitters/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Unit tests of what is not public.
+//! Unit tests of private items.
 mod aggregator_selection;
 mod digest;
 mod fair_share;
--- a/crates/heavy-hitters/src/tests/slice_counter.rs
+++ b/crates/heavy-hitters/src/tests/slice_counter.rs
@@ -1,4 +1,4 @@
-//! Clocks that step.
+//! Clock steps.
 use proptest::prelude::{any, prop, prop_assert, prop_oneof, proptest};
 use rudderspindle_clock::UnixMillis;
 
--- a/crates/heavy-hitters/src/tests/space_saving.rs
+++ b/crates/heavy-hitters/src/tests/space_saving.rs
@@ -32,7 +32,7 @@
             prop_assert!(is_bounded, "{truth} of {entry:?}");
         }
         prop_assert!(exact.values().all(|truth| *truth <= sketch.floor()));
-        // Counts add up to all, as each addition is counted in one entry.
+        // The counts add up to the total, as each addition is counted in one entry.
         prop_assert_eq!(heaviest.iter().map(|entry| entry.count).sum::<u64>(), total);
     }
 }
--- a/crates/heavy-hitters/src/window_summary.rs
+++ b/crates/heavy-hitters/src/window_summary.rs
@@ -1,6 +1,6 @@
-//! What an aggregator replies: totals over a window, named by who made them and when.
+//! An aggregator's reply: totals over a window.
 //!
-//! Invariant: a summary is replaced by a better one and never added to another; so it may arrive twice, late or not at all.
+//! Invariant: a summary is replaced by a better one and never added to another, so it may arrive twice, late or not at all.
 
 use std::cmp::Reverse;
 
@@ -11,7 +11,7 @@
 use crate::slice::{SLICES_PER_WINDOW, Slice};
 use crate::window_totals::{KeyTotal, KeyTotals, WindowTotals};
 
-/// Maximum of a total: 63 bits, so that two of them can be added.
+/// Maximum total: two of them can be added without overflow.
 const MAX_TOTAL: u64 = 1 << 62;
 
 /// The heaviest keys of a window, and a bound of all others.
@@ -23,12 +23,12 @@
     pub max_unlisted: u64,
 }
 
-/// What the aggregator has of the sender to which it replies.
+/// The slices of the recipient that the aggregator has stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acknowledgement {
     /// The process whose digests they are.
     pub incarnation: Incarnation,
-    /// Which slices of the window, one bit each; the latest is the lowest.
+    /// One bit for each slice of the window; the lowest bit is the latest slice.
     pub slices: u8,
     /// Sum of their totals.
     pub total: u64,
@@ -37,15 +37,15 @@
 /// Totals over a window, as an aggregator sends them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowSummary {
-    /// The slice that was open when it was made; the window is of those before.
+    /// The slice that was open when it was made; the window consists of those before.
     pub slice: Slice,
     /// Round of that slice.
     pub round: u8,
-    /// What the aggregator has of the reader.
+    /// The stored slices of the recipient.
     pub acknowledgement: Acknowledgement,
-    /// Of how many senders a complete count was received, the latest slice first.
+    /// Number of senders with a complete count, for each slice, latest first.
     pub complete_counts: [u16; SLICES_PER_WINDOW as usize],
-    /// Number of messages accepted, of all senders that reported.
+    /// Number of messages accepted by all senders that reported.
     pub messages: u64,
     /// The heaviest streams.
     pub streams: TopKeys,
@@ -53,7 +53,7 @@
     pub keys: TopKeys,
 }
 
-/// How much was received for a summary; the greater is the better.
+/// The quality of a summary; the greater one is better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SummaryQuality {
     slice: Slice,
@@ -62,15 +62,15 @@
 }
 
 impl WindowSummary {
-    /// As much of these totals as fits a datagram, made in this slice and round; acknowledges nothing yet.
+    /// A summary of as many totals as fit into a datagram, made in this slice and round, without an acknowledgement.
     #[must_use]
     pub fn new(slice: Slice, round: u8, totals: &WindowTotals) -> Self {
         let streams = heaviest_first(&totals.streams);
         let keys = most_repeated_first(&totals.keys);
-        // One sender alone says nothing of a client that comes again elsewhere.
+        // A key of a single sender is no retry at another one.
         let repeated = keys.partition_point(|total| total.senders > 1);
-        let room = MAX_BODY_LEN.saturating_sub(max_head_len(slice, totals));
-        let listed = pack_alternately(room, &encoded_lens(&streams), &encoded_lens(&keys[..repeated]));
+        let available = MAX_BODY_LEN.saturating_sub(max_head_len(slice, totals));
+        let listed = pack_alternately(available, &encoded_lens(&streams), &encoded_lens(&keys[..repeated]));
         let messages = totals.messages;
         Self {
             slice,
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Whether all figures can be true together.
+    /// Whether the numbers are consistent with each other.
     pub(crate) fn is_consistent(&self) -> bool {
         let is_bounded = |total: &KeyTotal| total.min <= self.messages && total.spread <= MAX_TOTAL;
         let all_bounded =
             |list: &TopKeys| list.max_unlisted <= MAX_TOTAL && list.totals.iter().all(is_bounded);
-        // Each is at most the total of at most 2^62, and a datagram holds few of them.
+        // The sum saturates, as a forged summary may hold any numbers.
         let min_sum = self.streams.totals.iter().fold(0_u64, |sum, total| sum.saturating_add(total.min));
         self.messages <= MAX_TOTAL
             && all_bounded(&self.streams)
@@ -96,7 +96,7 @@
             && min_sum <= self.messages
     }
 
-    /// How good it is: later, of more senders, or of a later round.
+    /// The quality of the summary, by slice, number of complete counts, and round.
     pub(crate) fn quality(&self) -> SummaryQuality {
         let complete_counts = self.complete_counts.iter().map(|senders| u64::from(*senders)).sum();
         SummaryQuality { slice: self.slice, complete_counts, round: self.round }
@@ -131,10 +131,10 @@
 /// Upper bound of the length of all but the listed keys, in bytes.
 fn max_head_len(slice: Slice, totals: &WindowTotals) -> usize {
     let counts: usize = totals.complete_counts.iter().map(|senders| varint_len((*senders).into())).sum();
-    // Bounds of unlisted keys can pass the number of messages.
+    // Bounds of unlisted keys can exceed the number of messages.
     let largest = totals.messages.max(totals.streams.max_unlisted).max(totals.keys.max_unlisted);
     let total_len = varint_len(largest) + 1;
-    // Kind of message, round, acknowledged slices and the lengths of two lists; the longest incarnation; four totals.
+    // Message kind, round, acknowledged slices and the lengths of two lists; the longest incarnation; four totals.
     5 + varint_len(u64::MAX) + varint_len(slice.0) + counts + 4 * total_len
 }
 
--- a/crates/heavy-hitters/src/window_totals.rs
+++ b/crates/heavy-hitters/src/window_totals.rs
@@ -10,14 +10,14 @@
 use crate::sender_id::SenderId;
 use crate::slice::SLICES_PER_WINDOW;
 
-/// How often all senders that reported accepted one key.
+/// The total of one key over all senders that reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyTotal {
     /// The key.
     pub key: Key,
     /// Lower bound of the total.
     pub min: u64,
-    /// How much more the total may be.
+    /// Difference between the upper and the lower bound.
     pub spread: u64,
     /// Lower bound of the number of senders that accepted it.
     pub senders: u16,
@@ -46,9 +46,9 @@
 /// Totals over a window of all senders that reported.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WindowTotals {
-    /// Of how many senders a complete count was received, the latest slice first.
+    /// Number of senders with a complete count, for each slice, latest first.
     pub complete_counts: [u16; SLICES_PER_WINDOW as usize],
-    /// Number of messages accepted, of all that reported.
+    /// Number of messages accepted by all senders that reported.
     pub messages: u64,
     /// Totals of streams.
     pub streams: KeyTotals,
@@ -60,13 +60,13 @@
 #[derive(Debug, Default)]
 struct RunningTotal {
     min: u64,
-    /// How much more its upper bound is than that of a key that no digest lists.
+    /// Difference between its upper bound and that of an unlisted key.
     excess: i64,
     senders: u16,
     last_sender: Option<SenderId>,
 }
 
-/// Adds up the entries of digests, which must come in the order of their senders.
+/// Adds up the entries of digests, which must be added in the order of their senders.
 #[derive(Debug, Default)]
 pub(crate) struct KeyTotalsBuilder {
     max_unlisted: u64,
@@ -74,7 +74,7 @@
 }
 
 impl KeyTotalsBuilder {
-    /// Adds what a sender listed of one slice.
+    /// Adds one sender's entries of one slice.
     pub fn add(&mut self, sender: SenderId, listed: &TopEntries) {
         self.max_unlisted += listed.max_unlisted;
         for entry in &listed.entries {
--- a/crates/heavy-hitters/tests/digest_store.rs
+++ b/crates/heavy-hitters/tests/digest_store.rs
@@ -1,4 +1,4 @@
-//! Order, duplicates and replays change no total, and with what is lost the truth stays inside.
+//! Totals are independent of order, duplicates and replays, and intervals contain the truth if datagrams are lost.
 
 use std::collections::BTreeMap;
 
@@ -24,12 +24,12 @@
     UnixMillis(slice.0 * SETTINGS.slice_ms())
 }
 
-/// What one sender accepted.
+/// The messages that one sender accepted.
 #[derive(Clone, Debug)]
 struct Flow {
     /// The keys of each slice of the window, at most 20 in each.
     slices: Vec<Vec<u64>>,
-    /// In which slice the sender restarted without its counts, in the middle of its messages.
+    /// The slice in the middle of whose messages the sender restarted without its counts.
     restart_in: Option<usize>,
 }
 
@@ -42,7 +42,7 @@
 /// A digest and the sender that published it.
 type Published = (SenderId, Digest);
 
-/// One sender's processes, and what they published.
+/// One sender's processes, and their published digests.
 struct Publisher {
     sender: SenderId,
     counter: SliceCounter,
@@ -62,7 +62,7 @@
     }
 }
 
-/// What these senders publish in all, also while a slice was not full, and the truth.
+/// All digests that these senders publish, also of incomplete slices, and the truth.
 fn publish(flows: &[Flow]) -> (Vec<Published>, BTreeMap<Key, u64>) {
     let (mut published, mut truth) = (Vec::new(), BTreeMap::new());
     for (index, flow) in flows.iter().enumerate() {
@@ -73,7 +73,7 @@
             let slice = before_current(5 - position as u64);
             for (number, key) in keys.iter().enumerate() {
                 if flow.restart_in == Some(position) && number == keys.len() / 2 {
-                    // What this process published of the slice is less than what it accepted; the next begins empty.
+                    // This process published fewer messages of the slice than it accepted; the next one starts empty.
                     publisher.publish(slice);
                     publisher.restart(slice);
                 }
@@ -117,7 +117,7 @@
         let mut backwards = published.clone();
         backwards.reverse();
         prop_assert_eq!(&store_all(&backwards).totals(CURRENT), &once);
-        // Each at least once, in any order, many twice and more.
+        // Each at least once, in any order, many more often.
         let mut shuffled: Vec<_> = order.iter().map(|index| index.get(&published).clone()).collect();
         shuffled.extend(backwards);
         shuffled.extend(order.iter().map(|index| index.get(&published).clone()));
@@ -130,8 +130,7 @@
         lost in prop::collection::vec(prop::bool::weighted(0.1), 200),
     ) {
         let (published, truth) = publish(&flows);
-        // A sender's last digest of a slice is what it knows; if only earlier ones came, it was not complete: so complete
-        // slices are published only after they closed.
+        // Complete slices are published only after they are closed, so an earlier digest is never complete.
         let mut last: BTreeMap<(SenderId, Slice), Digest> = BTreeMap::new();
         for (from, digest) in published {
             last.insert((from, digest.slice), digest);
@@ -170,7 +169,7 @@
     assert_eq!(store.totals(CURRENT).messages, 9);
     assert_eq!(store.insert(sender, later, CURRENT), Ok(()));
     assert_eq!(store.totals(CURRENT).messages, 1);
-    // The slice counts as one of which not all is known: its first half was the earlier process's.
+    // The slice is incomplete: its first half was counted by the earlier process.
     assert_eq!(store.totals(CURRENT).complete_counts, [0, 1, 1, 1, 1]);
     let refused = store.insert(sender, earlier.clone(), CURRENT);
     assert_eq!(refused, Err(DatagramError::StaleIncarnation));
@@ -197,10 +196,10 @@
     let mut store = empty_store();
     assert_eq!(store.insert(SenderId(0), digest_of_start(1, before_current(2), 1, true), CURRENT), Ok(()));
     assert_eq!(counts_and_messages(&store), ([0, 1, 1, 1, 1], 1));
-    // A process that does not know what an earlier one accepted says nothing of it.
+    // A process that does not know the messages of an earlier one completes no earlier slices.
     assert_eq!(store.insert(SenderId(1), digest_of_start(1, before_current(2), 1, false), CURRENT), Ok(()));
     assert_eq!(counts_and_messages(&store), ([0, 1, 1, 1, 1], 2));
-    // A later process that is wrong about it changes nothing, in either order.
+    // A later process with a wrong claim makes no difference, in either order.
     let earlier = digest_of_start(1, before_current(4), 1, true);
     let later = digest_of_start(2, before_current(2), 1, true);
     for digests in [[&earlier, &later], [&later, &earlier]] {
--- a/crates/heavy-hitters/tests/faults.rs
+++ b/crates/heavy-hitters/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Senders that are silent, gone or back, and storms that no sender sees alone.
+//! Senders that are unreachable, down or restarted, and heavy streams that no single sender detects.
 
 mod simulation;
 
@@ -15,7 +15,7 @@
     let mut simulation = Simulation::new(5, 300, settings(), BEGIN_MS);
     simulation.run(12_000, |simulation| accept(simulation, 1.2, 0.0, |_| true));
     assert_eq!(simulation.count_finding(STORM), 0);
-    // 0.3 calls a second at each: 0.6 in a slice, a fifth of all.
+    // 0.3 messages a second at each sender: a fifth of all.
     simulation.run(12_000, |simulation| accept(simulation, 1.2, 0.3, |_| true));
     assert_eq!((simulation.count_finding(STORM), simulation.check_views()), (300, 300));
 }
@@ -24,7 +24,7 @@
 fn a_stream_that_is_hot_at_a_single_sender_is_found_by_all() {
     let settings = Settings { max_per_second: 200, ..settings() };
     let mut simulation = Simulation::new(6, 60, settings, BEGIN_MS);
-    // Sender 7 accepts 90 a second of it, the others 5 a second of other streams: three of a dozen.
+    // Sender 7 accepts 90 messages a second of it, the others 5 a second of other streams.
     simulation.run(12_000, |simulation| accept(simulation, 5.0, 90.0, |sender| sender == 7));
     assert_eq!((simulation.count_finding(STORM), simulation.check_views()), (60, 60));
 }
@@ -32,13 +32,13 @@
 #[test]
 fn half_of_the_senders_silent_makes_no_stream_hot_and_none_cease_to_be() {
     let mut simulation = Simulation::new(7, 100, settings(), BEGIN_MS);
-    // A quarter of all is the storm's.
+    // The heavy stream is a quarter of all messages.
     simulation.run(14_000, |simulation| accept(simulation, 9.0, 3.0, |_| true));
     let hot: Vec<Vec<Key>> = simulation.senders.iter().map(|sender| sender.hot_streams().collect()).collect();
     assert!(hot.iter().all(|hot| *hot == [STORM]));
     simulation.isolated = (0..100).step_by(2).map(SenderId).collect();
     let quiet = Key::new(1 << 21);
-    // Beside it one that is a fifth of what those that still report accept, and a fiftieth of what may be.
+    // Another stream is a fifth of the reported messages, and a fiftieth of the possible maximum.
     for _ in 0..30_000 / STEP_MS {
         simulation.step(|simulation| {
             accept(simulation, 9.0, 3.0, |_| true);
@@ -49,14 +49,14 @@
         assert_eq!((simulation.count_finding(STORM), simulation.count_finding(quiet)), (100, 0));
     }
     simulation.check_views();
-    // A sender that receives nothing decides by what it received, and not by its own sketch.
+    // A sender that receives nothing decides by its last view, not by its own sketch.
     let oldest = Slice(simulation.current_slice().0 - 10);
     assert!(simulation.senders[0].view().is_some_and(|view| view.slices().end < oldest));
-    // They come back, and the storm goes on.
+    // The senders are reachable again, and the heavy stream continues.
     simulation.isolated.clear();
     simulation.run(14_000, |simulation| accept(simulation, 9.0, 3.0, |_| true));
     assert_eq!((simulation.count_finding(STORM), simulation.check_views()), (100, 100));
-    // It ends; a window later it is hot for nobody.
+    // It ends; a window later it is hot at no sender.
     simulation.run(26_000, |simulation| accept(simulation, 9.0, 0.0, |_| true));
     assert_eq!(simulation.count_finding(STORM), 0);
 }
@@ -80,11 +80,11 @@
         incarnation += 1;
         simulation.restart(round % 20, incarnation);
         simulation.run(1_300, &mut accept);
-        // Views go on covering what the process before accepted, too. One that has just started may have no view yet.
+        // Views still include messages of the earlier process. A process that has just started may have no view.
         assert!(simulation.check_views() > 15);
     }
-    // All datagrams come again, also to processes that had not received them: the truth is inside, and once more changes
-    // nothing.
+    // All datagrams are replayed, also to processes that had not received them: intervals contain the truth, and a second
+    // replay makes no difference.
     let mut replayed = || {
         let now = simulation.now();
         for Datagram { from, to, body } in simulation.delivered.clone() {
@@ -104,7 +104,7 @@
     simulation.run(11_000, |simulation| accept(simulation, 9.0, 0.0, |_| true));
     let down = aggregators(simulation.current_slice(), 60)[0];
     simulation.isolated.insert(down);
-    // Into the next slice by 1.4 s: the second has been contacted after a second. From then on it is contacted at once.
+    // 1.4 s into the next slice: the second aggregator was contacted after a second, from then on immediately.
     for duration_ms in [2_400, 900 + 600, 2_000, 2_000] {
         simulation.run(duration_ms, |simulation| accept(simulation, 9.0, 0.0, |_| true));
         let current = simulation.current_slice();
@@ -134,14 +134,14 @@
 
 #[test]
 fn an_aggregator_that_begins_its_term_is_sent_the_whole_window() {
-    // The next term begins 20 slices on.
+    // The next term begins 20 slices later.
     let mut simulation = Simulation::new(11, 60, settings(), BEGIN_MS);
     simulation.loss = 0.2;
     simulation.run(40_000, |simulation| accept(simulation, 9.0, 0.0, |_| true));
     let after = simulation.current_slice();
     let before = Slice(after.0 - 1);
     assert_ne!(aggregators(before, 60)[0], aggregators(after, 60)[0]);
-    // In its first slice by those who have published in time, a slice later by nearly all.
+    // In its first slice at senders that published in time, a slice later at nearly all.
     for (slices_on, min_percent) in [(0, 90), (1, 99)] {
         simulation.run(1_900 + 100 * slices_on, |simulation| accept(simulation, 9.0, 0.0, |_| true));
         for sender in &simulation.senders {
@@ -165,7 +165,7 @@
                 next += 1;
                 simulation.accept(sender, Key::new(1), Some(Key::new(next)));
             }
-            // A client that comes again once in two seconds, at whatever sender.
+            // A client that retries every two seconds, at any sender.
             if repeats && simulation.chance() < 0.005 {
                 simulation.accept(sender, Key::new(2), Some(repeated));
             }
--- a/crates/heavy-hitters/tests/hot_streams.rs
+++ b/crates/heavy-hitters/tests/hot_streams.rs
@@ -1,4 +1,4 @@
-//! What makes a stream hot and what ends it, by views built by hand.
+//! The conditions under which a stream becomes hot and cools down, with constructed views.
 
 use proptest::prelude::{prop, prop_assert, proptest};
 use rudderspindle_clock::UnixMillis;
@@ -56,7 +56,7 @@
         "its lower bound is not over"
     );
     assert!(detect(&[view(10, &[stream(1, 101, 101)], 0)]).is_hot(Key::new(1)));
-    // One sender silent for a slice of 2 s may have accepted 200 more.
+    // A sender that did not report for a slice of 2 s may have accepted 200 more.
     assert!(!detect(&[view(10, &[stream(1, 119, 119)], 1)]).is_hot(Key::new(1)));
     assert!(detect(&[view(10, &[stream(1, 121, 121)], 1)]).is_hot(Key::new(1)));
 }
@@ -67,7 +67,7 @@
     // Between the hot fraction and half of it, longer than a window.
     views.extend((11..40).map(|slice| view(slice, &[stream(1, 60 + slice % 2 * 30, 100)], 0)));
     assert!(detect(&views).is_hot(Key::new(1)));
-    // Now under, but once above just before the window is full.
+    // Now below, but once above just before the window is over.
     views.extend((40..44).map(|slice| view(slice, &[stream(1, 10, 49)], 0)));
     views.push(view(44, &[stream(1, 10, 51)], 0));
     views.extend((45..50).map(|slice| view(slice, &[stream(1, 10, 49)], 0)));
@@ -79,7 +79,7 @@
 #[test]
 fn silence_for_however_long_does_not_end_a_hot_stream() {
     let mut views = vec![view(10, &[stream(1, 110, 110)], 0)];
-    // Senders that did not report may have accepted it; and a gap of more than a window shows nothing of what was in it.
+    // Senders that did not report may have accepted it, and nothing is known of a gap longer than a window.
     views.extend((11..100).map(|slice| view(slice, &[stream(1, 10, 20)], 1)));
     views.push(view(200, &[stream(1, 10, 20)], 0));
     views.push(view(201 + SLICES_PER_WINDOW, &[stream(1, 10, 20)], 0));
@@ -109,7 +109,7 @@
     ) {
         let mut detector = HotStreamDetector::new(0.1);
         for (slice, flow) in (10..).zip(flows) {
-            // Cut to what 1,000 messages can be.
+            // Limited to 1,000 messages.
             let mut remaining = 1_000;
             let streams: Vec<Stream> = flow.into_iter().map(|(key, count)| {
                 let count = count.min(remaining);
--- a/crates/heavy-hitters/tests/invalid_datagrams.rs
+++ b/crates/heavy-hitters/tests/invalid_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams that must be refused: of unknown senders, of other times, and damaged ones.
+//! Datagrams that must be rejected: from unknown senders, of other slices, and damaged ones.
 
 mod simulation;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Every bit of a datagram turned, and every shorter one: refused, or received without a panic.
+/// Each bit of a datagram flipped, and each prefix of it: rejected, or received without a panic.
 fn assert_damage_is_harmless(simulation: &Simulation, datagram: &Datagram) {
     let Datagram { from, to, body } = datagram;
     let (now, later) = (simulation.now(), UnixMillis(simulation.now_ms + 10_000));
@@ -52,7 +52,7 @@
             damaged[index] ^= 1 << bit;
             let mut sender = simulation.senders[to.0].clone();
             refused += usize::from(sender.receive(now, *from, &damaged).is_err());
-            // What passes for consistent is read, sent on and used to decide.
+            // A consistent message is read, forwarded and used for decisions.
             let end_of_time = UnixMillis(u64::MAX);
             let _ = (sender.poll_datagrams(later), sender.repeated_key(Key::new(1), end_of_time));
             assert!(sender.hot_streams().count() <= 10);
@@ -60,6 +60,6 @@
         let cut = simulation.senders[to.0].clone().receive(now, *from, &body[..index]);
         assert!(cut.is_err(), "cut at {index}");
     }
-    // Most change a key or a count to another one: it is for the envelope's checksum to see that.
+    // Most flips change a key or a count to another valid one, which only the envelope's checksum detects.
     assert!(refused > 0, "of {} damages", body.len() * 8);
 }
--- a/crates/heavy-hitters/tests/simulation/mod.rs
+++ b/crates/heavy-hitters/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in simulated time from a seed: what each sender accepts, the datagrams between them, and the truth.
+//! A fleet in simulated time from a seed: the messages of each sender, the datagrams, and the truth.
 #![allow(dead_code, reason = "each test uses a part of the simulation")]
 
 pub mod traffic;
@@ -11,13 +11,13 @@
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_heavy_hitters::{HeavyHitters, Incarnation, Key, SenderId, Settings, Slice};
 
-/// The simulation moves in steps of this, in milliseconds.
+/// Length of a simulation step, in milliseconds.
 pub const STEP_MS: u64 = 10;
-/// A datagram is in flight for at least this, in milliseconds.
+/// Minimum time that a datagram is in flight, in milliseconds.
 const MIN_FLIGHT_MS: u64 = 5;
-/// A datagram is in flight for [`MIN_FLIGHT_MS`] and up to so many more milliseconds.
+/// Maximum additional time that a datagram is in flight, in milliseconds.
 const FLIGHT_SPREAD_MS: u64 = 55;
-/// When the simulation begins, in milliseconds of the shared clock: at the beginning of a slice of 2 s.
+/// Start of the simulation, in milliseconds since the Unix epoch: the start of a slice of 2 s.
 pub const BEGIN_MS: u64 = 1_700_000_000_000;
 /// Datagrams that are recorded for a replay: a minute's worth.
 const MAX_RECORDED: usize = 20_000;
@@ -35,7 +35,7 @@
     pub body: Vec<u8>,
 }
 
-/// The order in which datagrams arrive: by time, then as they were sent.
+/// The order in which datagrams arrive: by time, then in the order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at_ms: u64,
@@ -48,7 +48,7 @@
     pub senders: Vec<HeavyHitters>,
     /// Fraction of the datagrams that is lost.
     pub loss: f64,
-    /// Senders from and to which nothing arrives.
+    /// Partitioned senders.
     pub isolated: BTreeSet<SenderId>,
     /// Messages accepted, by slice and stream.
     pub truth: BTreeMap<Slice, BTreeMap<Key, u64>>,
@@ -106,7 +106,7 @@
         *slice.entry(stream).or_default() += 1;
     }
 
-    /// Restarts a sender, which does not know what its earlier process accepted.
+    /// Restarts a sender without the counts of its earlier process.
     pub fn restart(&mut self, sender: usize, incarnation: u64) {
         let (count, now) = (self.senders.len(), self.now());
         let incarnation = Incarnation(incarnation);
@@ -126,7 +126,7 @@
         }
     }
 
-    /// One step: what each sender accepts, then datagrams that arrive, then datagrams that are due.
+    /// One step: accepted messages, then arriving datagrams, then due datagrams.
     pub fn step(&mut self, mut accept: impl FnMut(&mut Self)) {
         accept(self);
         self.deliver_arrived();
@@ -140,7 +140,7 @@
         let now = self.now();
         let later = self.in_flight.split_off(&Arrival { at_ms: self.now_ms + 1, number: 0 });
         for datagram in std::mem::replace(&mut self.in_flight, later).into_values() {
-            // What is refused is refused; the truth must be inside anyhow.
+            // Rejected datagrams are ignored; intervals must contain the truth nevertheless.
             let _ = self.senders[datagram.to.0].receive(now, datagram.from, &datagram.body);
             self.delivered.push(datagram);
         }
@@ -164,7 +164,7 @@
         }
     }
 
-    /// What was accepted within some slices, by stream.
+    /// Number of messages accepted within some slices, by stream.
     pub fn accepted_in(&self, slices: Range<Slice>) -> BTreeMap<Key, u64> {
         let mut totals = BTreeMap::new();
         for (key, count) in self.truth.range(slices).flat_map(|(_, slice)| slice) {
@@ -173,7 +173,7 @@
         totals
     }
 
-    /// Checks that the truth is in every interval of every view; how many views there are.
+    /// Checks that all intervals of all views contain the truth; returns the number of views.
     pub fn check_views(&self) -> usize {
         let mut checked = 0;
         for (index, sender) in self.senders.iter().enumerate() {
--- a/crates/heavy-hitters/tests/simulation/traffic.rs
+++ b/crates/heavy-hitters/tests/simulation/traffic.rs
@@ -4,10 +4,10 @@
 
 use super::{STEP_MS, Simulation};
 
-/// A stream that is a storm while it is accepted.
+/// The heavy stream.
 pub const STORM: Key = Key::new(1 << 20);
 
-/// Each sender accepts so many messages a second of a hundred even streams, and the chosen ones so many of the storm.
+/// Each sender accepts messages of a hundred equal streams; the chosen senders also accept messages of the heavy one.
 pub fn accept(simulation: &mut Simulation, base: f64, storm: f64, chosen: impl Fn(usize) -> bool) {
     let step_seconds = STEP_MS as f64 / 1_000.0;
     for sender in 0..simulation.senders.len() {
@@ -41,7 +41,7 @@
         Self { cumulative }
     }
 
-    /// The stream at this point of all, 0 to 1.
+    /// The stream at this quantile, from 0 to 1.
     pub fn stream(&self, point: f64) -> Key {
         Key::new(self.cumulative.partition_point(|sum| *sum < point) as u64 + 1)
     }
--- a/crates/heavy-hitters/tests/zipf.rs
+++ b/crates/heavy-hitters/tests/zipf.rs
@@ -1,4 +1,4 @@
-//! The experiment: 300 senders, 10,000 streams by Zipf (1.1), 64 entries, a fifth of all datagrams lost.
+//! 300 senders, 10,000 streams by Zipf's law (1.1), 64 entries, a fifth of all datagrams lost.
 
 mod simulation;
 
@@ -7,16 +7,16 @@
 use simulation::{BEGIN_MS, STEP_MS, Simulation};
 
 const SENDERS: usize = 300;
-/// What a sender accepts in the mean, in messages a second.
+/// Mean rate of a sender, in messages a second.
 const PER_SECOND: f64 = 30.0;
-/// The most that a sender's admission lets in: four times the mean.
+/// Maximum rate of a sender's admission: four times the mean.
 const MAX_PER_SECOND: u64 = 120;
 
 fn settings(hot_fraction: f64) -> Settings {
     Settings { hot_fraction, max_per_second: MAX_PER_SECOND, ..Settings::default() }
 }
 
-/// Each sender accepts its messages of a step: of the storm with this probability, else by Zipf.
+/// Each sender accepts its messages of a step: of the heavy stream with this probability, else by Zipf's law.
 fn accept(simulation: &mut Simulation, zipf: &Zipf, storm: f64) {
     for sender in 0..SENDERS {
         // From a third of the mean to five thirds, by the sender's number.
@@ -33,7 +33,7 @@
 fn every_stream_over_twice_the_hot_fraction_is_found_within_3_s_of_a_start_and_every_interval_holds_the_truth()
  {
     let zipf = Zipf::new(10_000, 1.1);
-    // The first three streams have 0.15, 0.07 and 0.045 of all.
+    // The first three streams have 0.15, 0.07 and 0.045 of all messages.
     for (seed, begin_ms) in [(1, 0), (2, 990), (3, 1_730)] {
         let hot_fraction = 0.02;
         let mut simulation = Simulation::new(seed, SENDERS, settings(hot_fraction), BEGIN_MS + begin_ms);
@@ -56,7 +56,7 @@
             simulation.run(4_000, |simulation| accept(simulation, &zipf, 0.0));
             assert_eq!(simulation.check_views(), SENDERS);
         }
-        // Nothing is hot that is not: streams under half the hot fraction in truth.
+        // No false positives: streams that are below half of the hot fraction in truth.
         let truth = simulation.accepted_in(Slice(0)..Slice(u64::MAX));
         let all: u64 = truth.values().sum();
         for sender in &simulation.senders {
--- a/crates/http2/src/client.rs
+++ b/crates/http2/src/client.rs
@@ -39,14 +39,14 @@
 /// Deadlines of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallDeadlines {
-    /// When the client stops to wait for the response.
+    /// When the client stops waiting for the response.
     pub response: Instant,
-    /// When the client stops to send: a request that is incomplete by then is never completed.
+    /// When the client stops sending: a request that is incomplete by then is never completed.
     pub request: Instant,
 }
 
 impl CallDeadlines {
-    /// When the client stops to send because either deadline has passed.
+    /// When the client stops sending because either deadline has passed.
     fn sending(&self) -> Instant {
         self.response.min(self.request)
     }
@@ -87,7 +87,7 @@
     ///
     /// # Panics
     ///
-    /// Outside of a [`tokio::task::LocalSet`], as it may have to spawn the task of a connection.
+    /// Outside of a [`tokio::task::LocalSet`], as it may spawn the task of a connection.
     pub async fn call(
         self: &Rc<Self>,
         request: Request<()>,
@@ -140,7 +140,7 @@
         spawn_local(async move { endpoint.run_connection().await });
     }
 
-    /// How a stream ended whose exchange failed.
+    /// The outcome of a stream whose exchange failed.
     fn outcome_of_error(&self, id: ConnectionId, error: &h2::Error, ping_timed_out: bool) -> StreamOutcome {
         // h2 fails a stream with the GOAWAY of the gateway only if its identifier is above the last one of the GOAWAY,
         // or if it was opened after it.
--- a/crates/http2/src/client/connection_task.rs
+++ b/crates/http2/src/client/connection_task.rs
@@ -57,7 +57,7 @@
 {
     /// Opens a connection and drives it until it ends.
     pub(super) async fn run_connection(self: Rc<Self>) {
-        // Why it failed makes no difference to the calls: none of them got a stream.
+        // The cause makes no difference to the calls: no stream was opened.
         let Ok(established) = self.establish().await else {
             self.connections.connect_failed();
             return;
--- a/crates/http2/src/client/connections.rs
+++ b/crates/http2/src/client/connections.rs
@@ -13,7 +13,7 @@
 
 use crate::pool::{ConnectionAction, ConnectionId, ConnectionPool, Millis, Placement, PoolLimits};
 
-/// A connection as its calls use it.
+/// The handle of a connection for its calls.
 #[derive(Clone)]
 pub(super) struct ConnectionHandle {
     /// Opens streams.
@@ -63,7 +63,7 @@
         self.epoch + Duration::from_millis(at)
     }
 
-    /// Copies into the pool what `h2` knows of each connection: its stream limit, and whether it takes no more streams.
+    /// Copies the state of each `h2` connection into the pool: its stream limit, and whether it accepts no further streams.
     pub(super) fn refresh(&self) {
         let mut context = Context::from_waker(Waker::noop());
         let mut pool = self.pool.borrow_mut();
@@ -128,7 +128,7 @@
         self.pool.borrow_mut().start_draining(id);
     }
 
-    /// Brings the pool up to date and asks it what must be done with the connection now.
+    /// Updates the pool and returns the next action for the connection.
     pub(super) fn poll_action(&self, id: ConnectionId, data_received: bool) -> ConnectionAction {
         let now = self.now();
         if data_received {
@@ -139,7 +139,7 @@
         self.pool.borrow_mut().poll_action(id, now)
     }
 
-    /// Takes a stream slot of the connection for a call.
+    /// Occupies a stream slot of the connection for a call.
     pub(super) fn start_stream(&self, id: ConnectionId, handle: &ConnectionHandle) -> ActiveStream<'_> {
         self.pool.borrow_mut().stream_started(id, self.now());
         handle.wake.notify_one();
@@ -147,7 +147,7 @@
     }
 }
 
-/// A stream slot in use; dropping it, as the end or the cancellation of a call does, frees the slot.
+/// A stream slot in use; dropping it frees the slot.
 pub(super) struct ActiveStream<'a> {
     connections: &'a Connections,
     id: ConnectionId,
--- a/crates/http2/src/client/exchange.rs
+++ b/crates/http2/src/client/exchange.rs
@@ -59,10 +59,10 @@
         }
     }
 
-    /// Hands the body to the connection, never more of it than the flow-control window of the stream admits: `h2` would
-    /// buffer the rest, which would then count as sent.
+    /// Sends the body, at each time only as much as the stream's flow-control window admits: `h2` would buffer the rest, and
+    /// it would count as sent.
     ///
-    /// Returns the outcome if the stream ended meanwhile, and `None` if the response is still to be waited for.
+    /// Returns the outcome if the stream ended meanwhile, and `None` if the response is still pending.
     async fn send_body(
         &mut self,
         stream: &mut SendStream<Bytes>,
@@ -76,7 +76,7 @@
                 response = response.as_mut() => return response.map(outcome_of_response).map(Some),
                 () = sleep_until(self.deadlines.sending()) => return Ok(Some(StreamOutcome::DeadlineExceeded)),
                 capacity = poll_fn(|context| stream.poll_capacity(context)) => {
-                    // Without capacity the stream has ended; the response tells how.
+                    // Without capacity the stream has ended; the response has its outcome.
                     let Some(Ok(capacity)) = capacity else { return Ok(None) };
                     let chunk = body.split_to(capacity.min(body.len()));
                     self.request_complete = body.is_empty();
--- a/crates/http2/src/client/receive_monitor.rs
+++ b/crates/http2/src/client/receive_monitor.rs
@@ -15,7 +15,7 @@
 }
 
 impl<Transport> ReceiveMonitor<Transport> {
-    /// Wraps `transport`; `received` is set when bytes arrive, and cleared by whoever reads it.
+    /// Wraps `transport`; `received` is set when bytes arrive, and must be cleared by its reader.
     pub(super) fn new(transport: Transport, received: Rc<Cell<bool>>) -> Self {
         Self { transport, received }
     }
--- a/crates/http2/src/lib.rs
+++ b/crates/http2/src/lib.rs
@@ -1,15 +1,15 @@
-//! Client for HTTP/2 push gateways that tells, for each failed call, whether the gateway may have executed it.
+//! Client for HTTP/2 push gateways that reports for each failed call whether the gateway may have executed it.
 //!
 //! - [`outcome`]: maps how a stream ended to whether the message on it was executed. No I/O, no clock.
 //! - [`retry_after`]: parses the `Retry-After` header. No I/O, no clock.
 //! - [`pool`]: state machine that assigns calls to the connections of one endpoint and decides when a connection is
 //!   opened, probed with a PING or closed. No I/O, no clock.
-//! - [`client`]: the driver that moves the bytes, on top of the `h2` crate.
+//! - [`client`]: the I/O driver, on top of the `h2` crate.
 //!
 //! ```
 //! use rudderspindle_http2::outcome::{DeliveryOutcome, StreamOutcome};
 //!
-//! // A lost connection leaves open whether a complete request was executed; an incomplete one never was.
+//! // After a lost connection a complete request may have been executed; an incomplete one was not.
 //! assert_eq!(StreamOutcome::ConnectionLost.delivery(true), DeliveryOutcome::Interrupted);
 //! assert_eq!(StreamOutcome::ConnectionLost.delivery(false), DeliveryOutcome::NotExecuted);
 //! ```
--- a/crates/http2/src/outcome.rs
+++ b/crates/http2/src/outcome.rs
@@ -1,6 +1,6 @@
-//! Maps how a stream ended to what that means for the message on it.
+//! Maps the outcome of a stream to the outcome of the delivery on it.
 //!
-//! The whole table is in `docs/design/http2.md`.
+//! `docs/design/http2.md` has the complete table.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-/// RST_STREAM error code: the stream was closed before the server processed anything of it (RFC 9113, 8.7).
+/// RST_STREAM error code: the stream was closed before any processing (RFC 9113, 8.7).
 const REFUSED_STREAM: u32 = 0x7;
 
 /// How the stream of a call ended.
@@ -19,7 +19,7 @@
     Response {
         /// HTTP status code, 100 to 999; interim (1xx) responses are skipped.
         status: u16,
-        /// Delay that the `Retry-After` header asks for; `None` if the header is missing or cannot be parsed.
+        /// Delay in the `Retry-After` header; `None` if the header is missing or cannot be parsed.
         retry_after: Option<Duration>,
     },
     /// The gateway reset the stream.
@@ -39,33 +39,33 @@
     NotOpened,
 }
 
-/// What the outcome of a call means for its message.
+/// The delivery of a message as it follows from the outcome of its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryOutcome {
     /// The message was executed exactly once.
     Delivered,
-    /// The gateway rejected the message unread, and asks for a pause of all traffic to the partner.
+    /// The gateway rejected the message unread, and all traffic to the endpoint must back off.
     Rejected {
-        /// Length of that pause, at most [`MAX_RETRY_AFTER`].
+        /// Duration of the backoff, at most [`MAX_RETRY_AFTER`].
         retry_after: Duration,
     },
-    /// The message was not executed and will not be: it can be retried at once, here or elsewhere.
+    /// The message was not executed and will not be: it can be retried immediately at any endpoint.
     NotExecuted,
     /// The message was possibly executed; the gateway responded.
     Failed,
-    /// The message was possibly executed; the stream or its connection was cut.
+    /// The message was possibly executed; the stream or its connection was aborted.
     Interrupted,
-    /// The message was possibly executed, or may still be; nothing was heard from the gateway.
+    /// The message was possibly executed, or may still be; the gateway did not respond.
     NoResponse,
     /// The message cannot be delivered and must not be retried.
     PermanentFailure,
 }
 
 impl StreamOutcome {
-    /// What this outcome means for the message.
+    /// The delivery outcome of the message.
     ///
-    /// `request_complete` tells whether the last byte of the request was handed to the connection. Gateways start to
-    /// execute a message when its last byte has arrived, so an incomplete request was never executed.
+    /// `request_complete` is whether the last byte of the request was handed to the connection. Gateways execute a message
+    /// only after its last byte has arrived, so an incomplete request was never executed.
     pub fn delivery(self, request_complete: bool) -> DeliveryOutcome {
         match self {
             Self::Response { status, retry_after } => {
@@ -81,18 +81,18 @@
     }
 }
 
-/// What a response means for the message.
+/// The delivery outcome of a response.
 fn response_delivery(status: u16, retry_after: Option<Duration>, request_complete: bool) -> DeliveryOutcome {
     match status {
         200..=299 if request_complete => DeliveryOutcome::Delivered,
-        // The gateway accepted a part of the message: which effect that had is unknown.
+        // The gateway accepted an incomplete message, with an unknown effect.
         200..=299 => DeliveryOutcome::Failed,
         429 | 503 => {
             DeliveryOutcome::Rejected { retry_after: retry_after.unwrap_or_default().min(MAX_RETRY_AFTER) }
         }
-        // Misdirected Request (RFC 9110, 15.5.20): another endpoint may take it.
+        // Misdirected Request (RFC 9110, 15.5.20): another endpoint may accept it.
         421 => DeliveryOutcome::NotExecuted,
-        // 404 and 410: the recipient is gone (RFC 8030, 7.3). The others are errors of the request itself.
+        // 404 and 410: the recipient does not exist any more (RFC 8030, 7.3). The others are errors of the request.
         400..=499 => DeliveryOutcome::PermanentFailure,
         _ if request_complete => DeliveryOutcome::Failed,
         _ => DeliveryOutcome::NotExecuted,
--- a/crates/http2/src/pool.rs
+++ b/crates/http2/src/pool.rs
@@ -1,6 +1,6 @@
 //! Assigns calls to the connections of one endpoint and decides when a connection is opened, probed or closed.
 //!
-//! A state machine without I/O and clock: the caller reports events with its own time, and asks for decisions.
+//! A state machine without I/O and clock: the caller reports events with its own time, and polls for decisions.
 
 mod connection;
 mod limits;
@@ -86,7 +86,7 @@
         if accepting.is_empty() {
             return Placement::Open(OpenReason::Draining);
         }
-        // A limit of zero asks for a pause, which further connections must not circumvent.
+        // A gateway that sets the limit to zero suspends all streams; further connections must not circumvent that.
         if accepting.iter().any(|connection| connection.max_streams() == 0) {
             return Placement::Wait;
         }
@@ -156,7 +156,7 @@
         self.connections.remove(&id);
     }
 
-    /// What must be done with the connection now; [`ConnectionAction::Close`] if it is unknown.
+    /// The next action for the connection; [`ConnectionAction::Close`] if it is unknown.
     ///
     /// A PING counts as sent once it was returned here.
     pub fn poll_action(&mut self, id: ConnectionId, now: Millis) -> ConnectionAction {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Applies an event to a connection; nothing if it has been removed.
+    /// Applies an event to a connection, unless it has been removed.
     fn update(&mut self, id: ConnectionId, event: impl FnOnce(&mut ConnectionState)) {
         if let Some(connection) = self.connections.get_mut(&id) {
             event(connection);
--- a/crates/http2/src/pool/connection.rs
+++ b/crates/http2/src/pool/connection.rs
@@ -2,7 +2,7 @@
 
 use super::{Millis, PoolLimits};
 
-/// What must be done with a connection.
+/// The next action for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
     /// Nothing before this time, unless another event comes first.
@@ -15,7 +15,7 @@
     Close,
 }
 
-/// What the pool knows of one connection.
+/// The pool's state of one connection.
 #[derive(Debug)]
 pub(super) struct ConnectionState {
     /// Concurrent streams that the gateway allows.
@@ -23,9 +23,9 @@
     active_streams: usize,
     /// Whether the gateway accepts no further streams.
     draining: bool,
-    /// When bytes last arrived, or streams became active after a time without any.
+    /// When bytes last arrived, or the first active stream was started.
     last_received_at: Millis,
-    /// When the PING was sent that waits for an answer.
+    /// When the unanswered PING was sent.
     ping_sent_at: Option<Millis>,
     /// When a stream last finished, or else when the connection was established.
     last_used_at: Millis,
@@ -74,7 +74,7 @@
 
     pub(super) fn stream_started(&mut self, now: Millis) {
         if self.active_streams == 0 {
-            // Silence while no response was expected is no sign of a dead connection.
+            // Time without active streams does not count: no bytes were expected.
             self.last_received_at = self.last_received_at.max(now);
         }
         self.active_streams += 1;
@@ -90,7 +90,7 @@
         self.ping_sent_at = None;
     }
 
-    /// What must be done with the connection now. A PING counts as sent once it was returned here.
+    /// The next action for the connection. A PING counts as sent once it was returned here.
     pub(super) fn poll_action(&mut self, limits: &PoolLimits, now: Millis) -> ConnectionAction {
         if self.active_streams == 0 { self.poll_idle(limits, now) } else { self.poll_keep_alive(limits, now) }
     }
--- a/crates/http2/src/pool/limits.rs
+++ b/crates/http2/src/pool/limits.rs
@@ -2,7 +2,7 @@
 
 use super::Millis;
 
-/// Bounds on what the connections of one endpoint may cost.
+/// Limits of the connections to one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
     /// Maximum number of connections, draining ones included; 0 counts as 1.
@@ -11,9 +11,9 @@
     pub max_streams_per_connection: usize,
     /// Time within which a connection must be established, in milliseconds.
     pub connect_timeout: Millis,
-    /// Silence on a connection with active streams after which a PING is sent, in milliseconds.
+    /// Time without received bytes after which a PING is sent on a connection with active streams, in milliseconds.
     pub keep_alive_interval: Millis,
-    /// Time within which a PING must be followed by any byte from the gateway, in milliseconds.
+    /// Time within which any byte must be received after a PING, in milliseconds.
     pub keep_alive_timeout: Millis,
     /// Time after which a connection without active streams is closed, in milliseconds.
     pub idle_timeout: Millis,
--- a/crates/http2/src/pool/tests.rs
+++ b/crates/http2/src/pool/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{ConnectionAction, ConnectionId, ConnectionPool, Millis, OpenReason, Placement, PoolLimits};
 
-/// A pool with one connection, and the identifier of that.
+/// A pool with one connection, and the connection's identifier.
 fn pool_with_connection(max_streams: usize) -> (ConnectionPool, ConnectionId) {
     let mut pool = ConnectionPool::new(PoolLimits::default());
     assert_eq!(pool.place_call(), Placement::Open(OpenReason::NoConnection));
@@ -57,7 +57,7 @@
 #[test]
 fn a_silent_connection_is_aborted_after_one_unanswered_ping() {
     let (mut pool, first) = pool_with_connection(100);
-    // Without active streams silence means nothing.
+    // Without active streams no bytes are expected.
     assert_eq!(pool.poll_action(first, 5_000), ConnectionAction::WaitUntil(60_000));
     pool.stream_started(first, 5_000);
     assert_eq!(pool.poll_action(first, 5_999), ConnectionAction::WaitUntil(6_000));
@@ -92,7 +92,7 @@
     draining: bool,
 }
 
-/// Plays random events on a pool, and checks its decisions against its connections as expected.
+/// Applies random events to a pool, and checks its decisions against the expected connections.
 struct PoolChecker {
     limits: PoolLimits,
     pool: ConnectionPool,
@@ -106,7 +106,7 @@
         Self { limits, pool: ConnectionPool::new(limits), expected: BTreeMap::new() }
     }
 
-    /// Starts a call; if a connection must be opened for it, the gateway allows `max_streams` on that.
+    /// Starts a call; on a new connection the gateway allows `max_streams`.
     fn start_call(
         &mut self,
         now: Millis,
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// Plays one event of the connection.
+    /// Applies one event of the connection.
     fn play(&mut self, now: Millis, event: u8, id: ConnectionId, max_streams: usize) {
         let connection = self.expected.get_mut(&id).expect("a connection that is present");
         match event {
@@ -161,13 +161,13 @@
 }
 
 proptest! {
-    /// Whatever happens, no call is placed without a free slot, and there are never more connections than allowed.
+    /// After any events, no call is placed without a free slot, and there are no more connections than allowed.
     #[test]
     fn no_call_is_placed_without_a_free_slot(
         steps in proptest::collection::vec((0u8..8, 0usize..6), 0..300),
     ) {
         let mut checker = PoolChecker::new();
-        // The number is an index of a connection as well as a stream limit.
+        // The number is both an index of a connection and a stream limit.
         for (now, (event, number)) in (0..).zip(steps) {
             if event < 3 {
                 checker.start_call(now, number)?;
--- a/crates/http2/src/retry_after.rs
+++ b/crates/http2/src/retry_after.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Longest delay of a `Retry-After` header that is honoured: one wrong value must not block a partner for longer.
+/// Maximum delay of a `Retry-After` header that is honoured: a wrong value must not block an endpoint for longer.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// Parses the value of a `Retry-After` header, which is a number of seconds or an HTTP date, into the delay from `now`.
--- a/crates/http2/tests/client/connections.rs
+++ b/crates/http2/tests/client/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that are lost, turn silent or cannot be established.
+//! Connections that are lost, become unresponsive or cannot be established.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -29,7 +29,7 @@
                 // A DATA frame on stream 0 is a connection error.
                 gateway.data(0, b"no").await;
             }
-            // Else it is dropped here, which closes the connection.
+            // Otherwise it is dropped here, which closes the connection.
             let _open = protocol_error.then_some(gateway);
             for call in calls {
                 assert_eq!(outcome(call).await, complete(StreamOutcome::ConnectionLost));
@@ -39,7 +39,7 @@
     .await;
 }
 
-/// The gateway falls silent with sixty active streams: the PING finds out long before the deadlines of the calls.
+/// The gateway becomes unresponsive with sixty active streams: the PING detects it long before the calls' deadlines.
 #[tokio::test]
 async fn one_unanswered_ping_ends_all_calls_of_a_silent_connection() {
     run(async {
@@ -57,7 +57,7 @@
             assert_eq!(outcome(call).await, complete(StreamOutcome::PingTimeout));
         }
         assert!(started.elapsed() < Duration::from_secs(10));
-        // The next call has to wait for nothing: it opens a new connection.
+        // The next call does not wait: it opens a new connection.
         let _second = harness.check_call_on_new_connection().await;
         assert_eq!(harness.connects(), 2);
     })
--- a/crates/http2/tests/client/deadlines.rs
+++ b/crates/http2/tests/client/deadlines.rs
@@ -9,7 +9,7 @@
 
 use crate::harness::{LONG, SHORT, complete, incomplete, outcome, response, run, start};
 
-/// Deadlines so long from now.
+/// Deadlines after these durations.
 fn deadlines(response: Duration, request: Duration) -> CallDeadlines {
     let now = Instant::now();
     CallDeadlines { response: now + response, request: now + request }
--- a/crates/http2/tests/client/flow_control.rs
+++ b/crates/http2/tests/client/flow_control.rs
@@ -58,7 +58,7 @@
         gateway.allow(0).await;
         gateway.head(active.remove(0), 200, None, true).await;
         assert_eq!(outcome(calls.remove(0)).await.stream, response(200));
-        // The gateway refuses the streams beyond its limit: they were never executed.
+        // The gateway refuses the streams beyond its limit: they are not executed.
         for stream in active.drain(..) {
             gateway.reset(stream, REFUSED_STREAM).await;
             assert_eq!(outcome(calls.remove(0)).await.stream, reset(REFUSED_STREAM));
--- a/crates/http2/tests/client/goaway.rs
+++ b/crates/http2/tests/client/goaway.rs
@@ -12,7 +12,7 @@
 /// Frame type (RFC 9113, 6.8).
 const GOAWAY: u8 = 7;
 
-/// How the gateway shuts a connection down.
+/// The way in which the gateway shuts a connection down.
 #[derive(Clone, Copy, Debug)]
 struct Shutdown {
     error_code: u32,
@@ -22,8 +22,8 @@
     cut: bool,
 }
 
-/// Streams 1, 3 and 5 are active, and the GOAWAY names 3. With an error code or without, at once or announced, finished
-/// or cut: the messages of 1 and 3 were possibly executed, and that of 5 never was.
+/// Streams 1, 3 and 5 are active, and the GOAWAY names 3. With and without an error code, immediate or announced, finished
+/// or aborted: the messages of 1 and 3 were possibly executed, and that of 5 was not.
 #[tokio::test]
 async fn a_goaway_ends_only_the_streams_above_its_last_identifier_as_not_executed() {
     run(async {
--- a/crates/http2/tests/client/harness.rs
+++ b/crates/http2/tests/client/harness.rs
@@ -18,11 +18,11 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::Instant;
 
-/// Concurrent streams that the gateway allows if a test says nothing else.
+/// Default number of concurrent streams that the gateway allows.
 pub const MAX_STREAMS: u32 = 100;
-/// Initial flow-control window of a stream if a test says nothing else, in bytes (RFC 9113, 6.9.2).
+/// Default initial flow-control window of a stream, in bytes (RFC 9113, 6.9.2).
 pub const WINDOW_SIZE: u32 = 65_535;
-/// Longer than any call takes that is answered.
+/// Deadline of calls that are answered before it.
 pub const LONG: Duration = Duration::from_secs(20);
 /// The deadline of calls that are not answered before it.
 pub const SHORT: Duration = Duration::from_millis(300);
@@ -35,7 +35,7 @@
 pub const ENHANCE_YOUR_CALM: u32 = 0xb;
 pub const HTTP_1_1_REQUIRED: u32 = 0xd;
 
-/// Opens a connection, and is the same type in all tests.
+/// Function that opens a connection; the same type in all tests.
 pub type Connecting = Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
 
 /// The listener of a gateway, and the endpoint of a client that connects to it.
@@ -45,7 +45,7 @@
     connects: Rc<Cell<usize>>,
 }
 
-/// Starts listening; nothing is connected yet.
+/// Starts listening, without a connection.
 pub async fn start(limits: PoolLimits) -> Harness<impl Fn() -> Connecting> {
     let (listener, address) = listen().await;
     let connects = Rc::new(Cell::new(0));
@@ -80,18 +80,18 @@
         Frames::accept(transport, MAX_STREAMS, window_size).await
     }
 
-    /// Starts a call that may take so long.
+    /// Starts a call with this response deadline.
     pub fn call(&self, time: Duration) -> JoinHandle<CallOutcome> {
         self.call_with_deadlines(deadlines(time))
     }
 
-    /// Starts a call with deadlines of its own.
+    /// Starts a call with these deadlines.
     pub fn call_with_deadlines(&self, deadlines: CallDeadlines) -> JoinHandle<CallOutcome> {
         let endpoint = self.endpoint.clone();
         spawn_local(async move { endpoint.call(request(), Bytes::from_static(b"text"), deadlines).await })
     }
 
-    /// Checks that the next call opens a connection and is answered on it; returns the gateway's end of that.
+    /// Checks that the next call opens a connection and is answered on it; returns the gateway's end of the connection.
     pub async fn check_call_on_new_connection(&self) -> Frames {
         let call = self.call(LONG);
         let mut gateway = self.accept().await;
@@ -101,7 +101,7 @@
         gateway
     }
 
-    /// How many connections the client has tried to open.
+    /// Number of connections that the client has tried to open.
     pub fn connects(&self) -> usize {
         self.connects.get()
     }
@@ -119,23 +119,23 @@
     Request::post("http://gw.example.org/drop").body(()).expect("a request")
 }
 
-/// Both deadlines so long from now.
+/// Both deadlines after this duration.
 pub fn deadlines(time: Duration) -> CallDeadlines {
     let deadline = Instant::now() + time;
     CallDeadlines { response: deadline, request: deadline }
 }
 
-/// The outcome of a call that ends soon.
+/// The outcome of a call that is expected to end soon.
 pub async fn outcome(call: JoinHandle<CallOutcome>) -> CallOutcome {
     with_timeout("the end of a call", call).await.expect("a call")
 }
 
-/// The outcome of a call whose request was sent whole.
+/// The outcome of a call whose request was sent completely.
 pub fn complete(stream: StreamOutcome) -> CallOutcome {
     CallOutcome { stream, request_complete: true }
 }
 
-/// The outcome of a call whose request was not sent whole.
+/// The outcome of a call whose request was not sent completely.
 pub fn incomplete(stream: StreamOutcome) -> CallOutcome {
     CallOutcome { stream, request_complete: false }
 }
--- a/crates/http2/tests/client/main.rs
+++ b/crates/http2/tests/client/main.rs
@@ -1,5 +1,5 @@
-//! The client against a gateway whose frames the tests write byte by byte: which outcome each call has, and what the end
-//! of one stream does to the others.
+//! The client against a gateway whose frames the tests write byte by byte: the outcome of each call, and the effect of one
+//! stream's end on the others.
 
 mod connections;
 mod deadlines;
--- a/crates/http2/tests/client/responses.rs
+++ b/crates/http2/tests/client/responses.rs
@@ -10,7 +10,7 @@
     outcome, reset, response, run, start,
 };
 
-/// What the gateway sends beside the head of a response.
+/// Frames that the gateway sends in addition to the head of a response.
 #[derive(Clone, Copy, Debug)]
 enum Beside {
     Reset,
--- a/crates/placement/src/access.rs
+++ b/crates/placement/src/access.rs
@@ -1,6 +1,7 @@
-//! In which zones a sender may act for a tenant now.
+//! Decides in which zones a sender may act for a tenant.
 //!
-//! Invariant: for a ruled tenant nothing is open without a lease, and never more than all rule sets held allow.
+//! Invariant: a ruled tenant has access to no zone without a lease, and only to zones that all held rule sets allow.
+
 use rudderspindle_clock::UnixMillis;
 use thiserror::Error;
 
@@ -9,7 +10,7 @@
 use crate::round::ROUND_MS;
 use crate::zones::ZoneSet;
 
-/// The zones to which a tenant's messages may be sent now.
+/// The zones to which a tenant's messages may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ZoneAccess {
     /// No rule set names the tenant: all zones, with or without a lease.
@@ -26,7 +27,7 @@
     /// The lease has expired, or was not renewed since the start.
     #[error("there is no valid lease")]
     NoLease,
-    /// No rules are known yet, so it is not known which tenants are ruled.
+    /// No rules are known, so any tenant may be ruled.
     #[error("no rules are known yet")]
     NoRules,
     /// The rule sets held have no zone in common for this tenant.
@@ -37,13 +38,13 @@
     OwnZoneExcluded,
 }
 
-/// Why a message is not admitted, and when to retry.
+/// Why a message is rejected, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 #[error("{reason}: retry after {retry_after_ms} ms")]
 pub struct AdmissionRefused {
-    /// Why.
+    /// The reason.
     pub reason: ClosedReason,
-    /// After how many milliseconds it may be admitted here: a round, or a lease where only other rules would help.
+    /// Delay before a retry, in milliseconds: a round, or a lease if only other rules would help.
     pub retry_after_ms: u64,
 }
 
@@ -61,11 +62,12 @@
         }
     }
 
-    /// Whether a message of this tenant may be accepted here at `now`; to be asked before a byte of its body is stored.
+    /// Checks whether a message of this tenant may be accepted here at `now`; to be called before any byte of its body is
+    /// stored.
     ///
     /// # Errors
     ///
-    /// [`AdmissionRefused`] says why not and when to retry.
+    /// [`AdmissionRefused`] is the reason and when to retry.
     pub fn check_admission(&self, now: UnixMillis, tenant: TenantId) -> Result<(), AdmissionRefused> {
         let reason = match self.zone_access(now, tenant) {
             ZoneAccess::Unrestricted => return Ok(()),
--- a/crates/placement/src/body_disposal.rs
+++ b/crates/placement/src/body_disposal.rs
@@ -1,18 +1,19 @@
-//! What to do with a stored body whose tenant's zones no longer include this sender's.
+//! Disposal of stored bodies whose tenant's zones no longer include this sender's.
 //!
-//! Invariant: a body outside its zones is gone `erase_within_ms` after the rule that excluded it was received, and a
-//! message that may have been executed is never offered to another zone.
+//! Invariant: a body outside its zones is erased within `erase_within_ms` after the excluding rule was received, and a message
+//! that may have been executed is never offered to another zone.
+
 use rudderspindle_clock::UnixMillis;
 
 use crate::fleet_key::TenantId;
 use crate::placement::Placement;
 
-/// How far a message's execution has come.
+/// The execution state of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ExecutionState {
-    /// No call was begun, or none that was begun has been executed.
+    /// No call was started, or no started call was executed.
     NeverExecuted,
-    /// No call is in flight, and one may have been executed.
+    /// No call is in flight, and an earlier one may have been executed.
     PossiblyExecuted,
     /// A call is in flight.
     InFlight,
@@ -23,33 +24,33 @@
 /// What to do with a stored body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BodyDisposal {
-    /// It may stay.
+    /// Keep it.
     Keep,
     /// Return the message to its client as deferred, and erase the body.
     ReturnToClient {
-        /// The latest time.
+        /// The latest time at which this must be done.
         deadline: UnixMillis,
     },
-    /// Send nothing anew, let the call end, then ask again.
+    /// Send nothing further, wait for the outcome of the call, and ask again.
     AwaitOutcome {
-        /// The latest time.
+        /// The latest time at which this must be done.
         deadline: UnixMillis,
     },
-    /// Complete the message as its class says for one that may have been executed, and erase the body.
+    /// Complete the message according to its class as possibly executed, and erase the body.
     CompleteByClass {
-        /// The latest time.
+        /// The latest time at which this must be done.
         deadline: UnixMillis,
     },
     /// Rewrite the message's records without the body.
     Erase {
-        /// The latest time.
+        /// The latest time at which this must be done.
         deadline: UnixMillis,
     },
 }
 
 impl Placement {
-    /// What to do with a body of this tenant that is stored here; to be asked again after each event and each outcome. An
-    /// expired lease erases nothing.
+    /// The disposal of a stored body of this tenant; to be called again after each event and each outcome. An expired lease
+    /// causes no disposal.
     pub fn body_disposal(&self, tenant: TenantId, state: ExecutionState) -> BodyDisposal {
         let Some(&excluded_since) = self.excluded_since.get(&tenant) else { return BodyDisposal::Keep };
         let deadline = excluded_since.saturating_add(self.settings.erase_within_ms);
--- a/crates/placement/src/fleet_key.rs
+++ b/crates/placement/src/fleet_key.rs
@@ -1,6 +1,7 @@
 //! Keyed hashes under the fleet's secret: tenant ids, content hashes and pseudo-random draws.
 //!
-//! Invariant: no name leaves a sender, only its 64-bit SipHash-2-4 under a key that the fleet alone has.
+//! Invariant: names are never sent, only their 64-bit SipHash-2-4 under the fleet's secret key.
+
 use std::fmt;
 use std::hash::Hasher;
 
@@ -18,7 +19,7 @@
     high: u64,
 }
 
-/// What is hashed: the first byte of the input, so that hashes of different kinds never coincide by design.
+/// The first byte of each hash input; it separates hashes of different kinds.
 #[derive(Clone, Copy)]
 pub(crate) enum HashDomain {
     TenantName = 1,
@@ -69,7 +70,7 @@
     /// The sender whose request for parts is served first.
     pub const FIRST_SERVED: DrawSalt = DrawSalt(1);
 
-    /// A draw that each sender makes for itself, given its number in the fleet.
+    /// A draw of a single sender, given its number in the fleet.
     pub fn of_sender(number: u16) -> DrawSalt {
         DrawSalt(2 + u64::from(number))
     }
--- a/crates/placement/src/gossip_message.rs
+++ b/crates/placement/src/gossip_message.rs
@@ -1,7 +1,8 @@
 //! Messages between senders and their encoding.
 //!
-//! Invariant: decoding any bytes ends in a message within its bounds or in an error, and allocates nothing by a length that
-//! a sender only claims: lists are arrays of fixed length, or slices of the bytes themselves.
+//! Invariant: decoding any bytes returns a message within its bounds or an error, and allocates no memory for lengths beyond
+//! the received bytes: lists are arrays of fixed length or slices of the bytes.
+
 use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -10,17 +11,18 @@
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
 use crate::sender_id::{Incarnation, SenderId};
 
-/// Maximum length of an encoded message, in bytes: 256 of a datagram, less 8 for the envelope and 8 to spare.
+/// Maximum length of an encoded message, in bytes: 256 of a datagram, of which 8 are reserved for envelopes and 8 for later
+/// use.
 pub const MAX_BODY_LEN: usize = 240;
 
-/// Maximum length of a rule set's part, in bytes: a body less kind (1), id (20), position (2) and length (2), rounded
+/// Maximum length of a part of a rule set, in bytes: a body without kind (1), id (20), position (2) and length (2), rounded
 /// down.
 pub(crate) const MAX_PART_LEN: usize = 200;
 
 /// Maximum number of parts of a rule set: 256 tenants of 15 bytes and 25 bytes beside them are 3,865.
 pub(crate) const MAX_PARTS: usize = 20;
 
-/// Maximum number of different slot masks in a summary: 3 bits a sender tell apart these and two more reports.
+/// Maximum number of different slot masks in a summary: the 3 bits of each sender encode these and two other reports.
 pub(crate) const MAX_SLOT_MASKS: usize = 6;
 
 /// Why a received message is dropped.
@@ -38,13 +40,13 @@
     /// A part has an impossible position or is too long.
     #[error("a part is out of bounds")]
     InvalidPart,
-    /// The sender counts another number of senders than the settings.
+    /// The number of senders differs from that of the settings.
     #[error("the number of senders is another one")]
     SenderCountMismatch,
-    /// A summary contradicts itself.
+    /// A summary is inconsistent.
     #[error("a summary reports a rule set that it does not name")]
     InvalidSummary,
-    /// The sender is not of this fleet, or has no say in this message's round.
+    /// The sender is not in this fleet, or not an aggregator of the message's round.
     #[error("sender {0} has no say in this")]
     UnexpectedSender(SenderId),
     /// The round is over or has not begun.
@@ -52,30 +54,30 @@
     RoundNotCurrent(Round),
 }
 
-/// What a sender reports of itself to a round's aggregators.
+/// One sender's report to the aggregators of a round.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Heartbeat {
     pub round: Round,
     /// When it was made.
     pub sent_at: UnixMillis,
     pub incarnation: Incarnation,
-    /// Number of senders by its settings.
+    /// Number of senders in its settings.
     pub sender_count: u16,
-    /// Whether its acknowledgements count; not so between a start without state and the recovery.
+    /// Whether its acknowledgements count; false between a start without state and the recovery.
     pub voting: bool,
     /// The rule sets in its state folder.
     pub rule_sets: [RuleSetId; MAX_RULE_SETS],
-    /// Which of them it acknowledges, one bit each; the others it only announces.
+    /// The acknowledged ones, one bit each; the others are only announced.
     pub acknowledged: u8,
 }
 
-/// A round summary as it is encoded; see `RoundSummary`.
+/// The encoded form of a `RoundSummary`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct EncodedSummary<'a> {
     pub round: Round,
     pub sender_count: u16,
     pub rule_sets: [RuleSetId; MAX_RULE_SETS],
-    /// What some senders have and acknowledge of `rule_sets`: bits 0 to 3 and 4 to 7.
+    /// The `rule_sets` that senders store (bits 0 to 3) and acknowledge (bits 4 to 7).
     pub slot_masks: [u8; MAX_SLOT_MASKS],
     /// 3 bits for each sender: 0 missing, 1 not voting, else 2 and an index of `slot_masks`.
     #[serde(borrow)]
@@ -113,14 +115,14 @@
 }
 
 impl<'a> GossipMessage<'a> {
-    /// The bytes; empty if they would be too many, which the bounds of all fields rule out.
+    /// The encoded message; empty if it is too long, which the bounds of all fields prevent.
     pub fn encode(&self) -> Vec<u8> {
         let bytes = postcard::to_allocvec(self).unwrap_or_default();
         debug_assert!(!bytes.is_empty() && bytes.len() <= MAX_BODY_LEN);
         if bytes.len() <= MAX_BODY_LEN { bytes } else { Vec::new() }
     }
 
-    /// Reads one message that fills `bytes`.
+    /// Decodes `bytes`, which must be exactly one message.
     pub fn decode(bytes: &'a [u8]) -> Result<GossipMessage<'a>, GossipError> {
         if bytes.len() > MAX_BODY_LEN {
             return Err(GossipError::TooLong(bytes.len()));
--- a/crates/placement/src/heartbeat_collector.rs
+++ b/crates/placement/src/heartbeat_collector.rs
@@ -1,7 +1,8 @@
-//! Heartbeats of the rounds that this sender aggregates.
+//! Collects the heartbeats of the rounds that this sender aggregates.
 //!
-//! Invariant: a summary names no sender whose heartbeat did not come for its round, and for each that it names all rule
-//! sets that it has; a heartbeat with a rule set that does not fit is left out whole.
+//! Invariant: a summary includes only senders whose heartbeat of its round was received, each with all rule sets that it
+//! stores; a heartbeat with a rule set that does not fit is left out completely.
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use rudderspindle_clock::UnixMillis;
@@ -12,20 +13,20 @@
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
 use crate::sender_id::{Incarnation, SenderId};
 
-/// How long after a round's start its aggregator sends the summary, in milliseconds: a tick of the host (100), a
-/// datagram's delay (50) and two clocks' errors (100 each), within the round.
+/// Delay of the summary after a round's start, in milliseconds: a tick of the host (100), a datagram's delay (50) and the
+/// errors of two clocks (100 each).
 pub(crate) const SUMMARY_DELAY_MS: u64 = 350;
 
-/// Maximum number of rounds that are collected at once: the one before, this, and the next for a clock that is ahead.
+/// Maximum number of rounds that are collected at once: the previous, the current and the next one, as clocks may be ahead.
 const MAX_OPEN_ROUNDS: usize = 3;
 
-/// What a summary needs of a heartbeat.
+/// The parts of a heartbeat that a summary includes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct CollectedHeartbeat {
     incarnation: Incarnation,
     voting: bool,
     rule_sets: [RuleSetId; MAX_RULE_SETS],
-    /// Which of `rule_sets` the sender acknowledges, one bit each.
+    /// The acknowledged ones of `rule_sets`, one bit each.
     acknowledged: u8,
 }
 
@@ -39,7 +40,7 @@
 /// The heartbeats of one round by sender.
 type RoundHeartbeats = BTreeMap<SenderId, CollectedHeartbeat>;
 
-/// Collects heartbeats until their round is to be summarized.
+/// Collects heartbeats until their round is summarized.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct HeartbeatCollector {
     rounds: BTreeMap<Round, RoundHeartbeats>,
@@ -47,7 +48,7 @@
 }
 
 impl HeartbeatCollector {
-    /// Takes in a heartbeat of a current round; of two of one sender that of the later incarnation counts.
+    /// Adds a heartbeat of a current round; of two from one sender, that of the later incarnation is kept.
     pub fn insert(&mut self, from: SenderId, heartbeat: &Heartbeat) {
         if heartbeat.round <= self.last_summarized {
             return;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Removes the rounds that are to be summarized at `now`, and sums them up for a fleet of `sender_count` senders.
+    /// Removes the rounds that are due at `now` and returns their summaries for a fleet of `sender_count` senders.
     pub fn due_summaries(&mut self, now: UnixMillis, sender_count: u16) -> Vec<RoundSummary> {
         let mut due = Vec::new();
         while let Some(first) = self.rounds.first_entry() {
@@ -76,7 +77,7 @@
     }
 }
 
-/// Names the highest rule sets that voting senders have, and reports for each sender which of them it has.
+/// Summarizes heartbeats: the highest rule sets that voting senders store, and which of them each sender stores.
 fn summarize(round: Round, heartbeats: &RoundHeartbeats, sender_count: u16) -> RoundSummary {
     let rule_sets = highest_rule_sets(heartbeats);
     let report = |sender| match heartbeats.get(&SenderId(sender)) {
@@ -100,7 +101,7 @@
     highest
 }
 
-/// Which of `rule_sets` a sender has and acknowledges, or `None` if it has another one, too.
+/// The `rule_sets` that a sender stores and acknowledges, or `None` if it stores another one.
 fn slot_mask(heartbeat: &CollectedHeartbeat, rule_sets: &[RuleSetId; MAX_RULE_SETS]) -> Option<SlotMask> {
     let mut mask = SlotMask::default();
     for (own_slot, stored) in heartbeat.rule_sets.iter().enumerate().filter(|(_, id)| id.is_some()) {
--- a/crates/placement/src/held_rule_sets.rs
+++ b/crates/placement/src/held_rule_sets.rs
@@ -1,7 +1,8 @@
-//! The rule sets that a sender holds at once, and the zones that all of them allow.
+//! The rule sets that a sender holds, and the zones that all of them allow.
 //!
-//! Invariant: a rule set is dropped only when a higher revision is known to be committed, so the allowed zones only
-//! shrink until then.
+//! Invariant: a rule set is dropped only once a higher revision is known to be committed; until then the allowed zones only
+//! shrink.
+
 use std::collections::BTreeMap;
 
 use rudderspindle_clock::UnixMillis;
@@ -12,10 +13,10 @@
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
 use crate::zones::ZoneSet;
 
-/// The result of offering a rule set to [`HeldRuleSets::insert`].
+/// The result of [`HeldRuleSets::insert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Insertion {
-    /// It is held from now on.
+    /// It was added.
     Added {
         /// Whether another rule set of the same revision is held.
         conflicting: bool,
@@ -23,15 +24,15 @@
     AlreadyHeld,
     /// A higher revision is committed.
     Superseded,
-    /// [`MAX_RULE_SETS`] are held.
-    NoRoom,
+    /// [`MAX_RULE_SETS`] are held already.
+    TooMany,
 }
 
 /// A rule set and whether this sender has acknowledged it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct HeldRuleSet {
     pub rules: RuleSet,
-    /// Since when it is only announced and no majority counts it; `None` once it is acknowledged.
+    /// Since when it has been announced without an acknowledgement; `None` once it is acknowledged.
     pub announced_since: Option<UnixMillis>,
 }
 
@@ -55,7 +56,7 @@
         self.by_id.keys().next_back().map_or(0, |id| id.revision)
     }
 
-    /// Adds a rule set at `now`; its restrictions apply from now on.
+    /// Adds a rule set at `now`; its restrictions apply immediately.
     pub fn insert(&mut self, id: RuleSetId, rules: RuleSet, now: UnixMillis) -> Insertion {
         if self.by_id.contains_key(&id) {
             return Insertion::AlreadyHeld;
@@ -64,14 +65,14 @@
             return Insertion::Superseded;
         }
         if self.by_id.len() >= MAX_RULE_SETS {
-            return Insertion::NoRoom;
+            return Insertion::TooMany;
         }
         let conflicting = self.by_id.keys().any(|held| held.revision == id.revision);
         self.by_id.insert(id, HeldRuleSet { rules, announced_since: Some(now) });
         Insertion::Added { conflicting }
     }
 
-    /// Marks a rule set as committed and drops lower revisions; false if that was known or the set is not held.
+    /// Marks a rule set as committed and drops lower revisions; false if it was committed already or is not held.
     pub fn commit(&mut self, id: RuleSetId) -> bool {
         if id.revision <= self.committed_revision || !self.by_id.contains_key(&id) {
             return false;
@@ -86,7 +87,7 @@
         self.by_id.values().filter_map(|held| held.rules.zones_of(tenant)).reduce(ZoneSet::intersection)
     }
 
-    /// All tenants that some rule set names; a tenant may occur more than once.
+    /// The tenants of all rule sets; a tenant may occur more than once.
     pub fn tenants(&self) -> impl Iterator<Item = TenantId> {
         self.by_id.values().flat_map(|held| held.rules.zones_by_tenant.keys().copied())
     }
@@ -96,7 +97,7 @@
         self.by_id.get_mut(&id).is_some_and(|held| held.announced_since.take().is_some())
     }
 
-    /// Acknowledges all rule sets that have been announced for `announce_ms` at `now`; whether there were any.
+    /// Acknowledges all rule sets that have been announced for `announce_ms` at `now`; false if there are none.
     pub fn acknowledge_due(&mut self, now: UnixMillis, announce_ms: u64) -> bool {
         let mut acknowledged = false;
         for held in self.by_id.values_mut() {
@@ -108,7 +109,7 @@
         acknowledged
     }
 
-    /// Which of [`HeldRuleSets::ids`] are acknowledged, one bit each.
+    /// The acknowledged ones of [`HeldRuleSets::ids`], one bit each.
     pub fn acknowledged_bits(&self) -> u8 {
         let mut bits = 0;
         for (slot, held) in self.by_id.values().enumerate() {
@@ -122,7 +123,7 @@
         id.revision >= self.committed_revision.max(1) && !self.by_id.contains_key(&id)
     }
 
-    /// The ids of all rule sets in ascending order; unused places have the default.
+    /// The ids of all rule sets in ascending order; unused slots have the default.
     pub fn ids(&self) -> [RuleSetId; MAX_RULE_SETS] {
         let mut ids = [RuleSetId::default(); MAX_RULE_SETS];
         for (slot, id) in ids.iter_mut().zip(self.by_id.keys()) {
--- a/crates/placement/src/incoming.rs
+++ b/crates/placement/src/incoming.rs
@@ -1,7 +1,8 @@
-//! The datagrams that a sender receives.
+//! Handling of received datagrams.
 //!
-//! Invariant: a message changes nothing unless all of it is within its bounds, of a current round, and from a sender that
-//! has a say in it.
+//! Invariant: a message is ignored unless all its fields are within their bounds, its round is current, and its sender is
+//! entitled to send it.
+
 use rudderspindle_clock::UnixMillis;
 
 use crate::event::PlacementEvent;
@@ -14,11 +15,11 @@
 use crate::sender_id::SenderId;
 
 impl Placement {
-    /// Takes in the body of a datagram that came from another sender at `now`.
+    /// Handles the body of a datagram received from another sender at `now`.
     ///
     /// # Errors
     ///
-    /// [`GossipError`] says why it is dropped; nothing has changed then.
+    /// [`GossipError`] is why it is dropped; the state is unchanged.
     pub fn receive(&mut self, now: UnixMillis, from: SenderId, bytes: &[u8]) -> Result<(), GossipError> {
         if from.0 >= self.settings.sender_count || from == self.settings.own_id {
             return Err(GossipError::UnexpectedSender(from));
@@ -47,7 +48,7 @@
         if heartbeat.sender_count != self.settings.sender_count {
             return Err(GossipError::SenderCountMismatch);
         }
-        // A heartbeat made outside its round would report for one time what was true at another.
+        // A heartbeat must report the state at a time within its round.
         let made_in_round = Round::containing(heartbeat.sent_at) == round;
         let over = round.plus(1) < Round::containing(now);
         if !made_in_round || !self.has_begun(now, round) || over {
@@ -83,7 +84,7 @@
         match self.downloads.receive_part(now, part, &self.settings.key, self.zone_list) {
             PartOutcome::Incomplete => {}
             PartOutcome::Complete(rules) => {
-                if self.accept_rule_set(now, rules, Some(from)) != Insertion::NoRoom {
+                if self.accept_rule_set(now, rules, Some(from)) != Insertion::TooMany {
                     self.downloads.abandon_obsolete(Round::containing(now), &self.held);
                 }
             }
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Whether a round has begun by a clock within the stated error; its start is then no later than that.
+    /// Whether a round may have begun, within the clock error.
     fn has_begun(&self, now: UnixMillis, round: Round) -> bool {
         let latest = now.saturating_add(self.settings.clock_error_ms.saturating_mul(2));
         round.checked_start().is_some_and(|start| start <= latest)
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -1,7 +1,8 @@
-//! The lease under which a sender acts for ruled tenants, and how a sender that lost its state may vote again.
+//! The lease under which a sender acts for ruled tenants, and the recovery of a sender that lost its state.
 //!
-//! Invariant: a lease counts from the start of the round that renewed it, so delay and clock error shorten it and never
-//! lengthen it: it ends by true time at most `lease_ms + 2 * clock_error_ms` after any heartbeat that it rests on.
+//! Invariant: a lease starts with the round that renewed it, so delays shorten it: it ends, in true time, at most
+//! `lease_ms + 2 * clock_error_ms` after any heartbeat on which it is based.
+
 use std::collections::BTreeSet;
 
 use rudderspindle_clock::UnixMillis;
@@ -10,28 +11,28 @@
 use crate::sender_id::SenderId;
 use crate::settings::Settings;
 
-/// Until when this sender may act, and whether its acknowledgements count.
+/// The lease of this sender, and whether its acknowledgements count.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Lease {
-    /// The epoch before the first renewal.
+    /// End of the lease; the Unix epoch before the first renewal.
     pub expires_at: UnixMillis,
     /// Whether this sender has all rule sets that its earlier incarnations had.
     pub voting: bool,
     started_at: UnixMillis,
-    /// While not voting: the senders whose heartbeats were reported since the start. Emptied by the recovery.
+    /// While not voting: the senders whose heartbeats were reported since the start; cleared by the recovery.
     senders_seen: BTreeSet<SenderId>,
-    /// While not voting: those of them that vote. Emptied by the recovery.
+    /// While not voting: those of them that vote; cleared by the recovery.
     voting_senders_seen: BTreeSet<SenderId>,
 }
 
 impl Lease {
-    /// No lease yet; `voting` if the sender starts with its state.
+    /// No lease; `voting` if the sender starts with its state.
     pub fn new(voting: bool, started_at: UnixMillis) -> Lease {
         let (senders_seen, voting_senders_seen) = (BTreeSet::new(), BTreeSet::new());
         Lease { expires_at: UnixMillis::EPOCH, voting, started_at, senders_seen, voting_senders_seen }
     }
 
-    /// Takes in a summary of which this sender has all rule sets; whether it votes again from now on.
+    /// Applies a summary whose rule sets this sender holds; returns whether the sender recovered and votes again.
     pub fn apply_summary(&mut self, summary: &RoundSummary, settings: &Settings) -> bool {
         let recovered = !self.voting && self.try_recover(summary, settings);
         let others = summary.reports_except(settings.own_id);
@@ -43,11 +44,11 @@
         recovered
     }
 
-    /// Whether this sender may vote again.
+    /// Lets this sender vote again if that is safe; returns whether it votes.
     ///
-    /// A sender that lost its state may have been part of a majority that committed a revision. It votes again once it has
-    /// all that a majority without it acknowledges, or all that all others do, in rounds that began after its start: one of
-    /// those had that revision, too.
+    /// A sender that lost its state may have been part of a majority that committed a revision. It votes again once it holds
+    /// the rule sets of a majority without it, or of all other senders, in rounds that began after its start: one of them
+    /// held that revision, too.
     fn try_recover(&mut self, summary: &RoundSummary, settings: &Settings) -> bool {
         let earliest = self.started_at.saturating_add(settings.clock_error_ms.saturating_mul(2));
         if summary.round.start() < earliest {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,18 +1,19 @@
 //! Data residency: in which zones a tenant's messages may be accepted, stored and sent to.
 //!
-//! Invariant: no sender accepts or sends for a ruled tenant outside the zones of a revision that has been committed for
-//! longer than its lease, twice the clocks' error and one call.
+//! Invariant: once a revision has been committed for longer than the lease, twice the clock error and one call, no sender
+//! accepts or sends messages of a ruled tenant outside the zones of that revision.
 //!
-//! An operator's file gives each ruled tenant its zones ([`RuleSet`]). Senders report by gossip which rule sets they have,
-//! and hand them on. A revision is committed once a majority of the senders acknowledges it. A sender acts for ruled tenants
-//! only under a lease that a summary of a majority's heartbeats renews; so whoever renews has received every committed
-//! revision, and whoever receives nothing stops. `docs/design/placement.md` has the argument and its cost.
+//! An operator's file assigns zones to each ruled tenant ([`RuleSet`]). Senders report the rule sets that they hold by gossip,
+//! and transfer them to each other. A revision is committed once a majority of the senders acknowledges it. A sender acts for
+//! ruled tenants only under a lease, which a summary of a majority's heartbeats renews; a sender that renews its lease has
+//! received every committed revision, and one that receives nothing stops. `docs/design/placement.md` has the proof and the
+//! cost.
 //!
-//! No I/O and no clock: [`Placement`] is passed the time and the bodies of datagrams, and returns those to be sent. Nothing
-//! here knows of messages, receivers or the journal.
+//! No I/O and no clock: [`Placement`] is passed the time and the bodies of datagrams, and returns those to be sent. The crate
+//! is independent of messages, receivers and the journal.
 //!
-//! Where to begin reading: `placement` (the state), `outgoing` and `incoming` (datagrams), `quorum` (what a round
-//! changes), `access` and `body_disposal` (the answers).
+//! Where to begin reading: `placement` (the state), `outgoing` and `incoming` (datagrams), `quorum` (the effects of a round),
+//! `access` and `body_disposal` (the decisions).
 #![forbid(unsafe_code)]
 
 mod access;
--- a/crates/placement/src/outgoing.rs
+++ b/crates/placement/src/outgoing.rs
@@ -1,4 +1,5 @@
-//! The datagrams that a sender sends: heartbeats, summaries, requests for rule sets and parts of them.
+//! The datagrams to be sent: heartbeats, summaries, requests for rule sets, and parts of rule sets.
+
 use rudderspindle_clock::UnixMillis;
 
 use crate::datagram::OutgoingDatagram;
@@ -10,7 +11,7 @@
 use crate::sender_id::SenderId;
 
 impl Placement {
-    /// The datagrams that are to be sent at `now`; to be called every 100 ms or so, after [`Placement::poll_snapshot`].
+    /// The datagrams to be sent at `now`; to be called about every 100 ms, after [`Placement::poll_snapshot`].
     pub fn poll_datagrams(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         let round = Round::containing(now);
         self.report_expired_lease(now);
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -1,7 +1,8 @@
 //! The state of one sender's placement and its persistence.
 //!
-//! Invariant: nothing is acknowledged that is not persisted, and nothing renews the lease that names a rule set which this
-//! sender does not hold.
+//! Invariant: only persisted rule sets are acknowledged, and a summary with a rule set that this sender does not hold does not
+//! renew the lease.
+
 use std::collections::BTreeMap;
 
 use rudderspindle_clock::UnixMillis;
@@ -20,15 +21,15 @@
 use crate::state_record::StateRecord;
 use crate::zones::ZoneListHash;
 
-/// Maximum number of events that wait for the host to read them; the oldest are dropped first.
+/// Maximum number of events that are kept for [`Placement::take_events`]; the oldest are dropped first.
 const MAX_EVENTS: usize = 64;
 
-/// What is to be written to the state folder.
+/// The state to be written to the state folder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Snapshot {
-    /// To be passed to [`Placement::mark_persisted`] once the bytes are on disk.
+    /// Argument for [`Placement::mark_persisted`] once the bytes are on disk.
     pub generation: u64,
-    /// To be read by [`StateRecord::decode`].
+    /// The encoded record, for [`StateRecord::decode`].
     pub bytes: Vec<u8>,
 }
 
@@ -83,9 +84,9 @@
     pub(crate) collector: HeartbeatCollector,
     pub(crate) downloads: RuleSetDownloads,
     pub(crate) uploads: RuleSetUploads,
-    /// For each tenant whose zones do not include the own one: since when.
+    /// The tenants whose zones do not include the own one, each with the time since when.
     pub(crate) excluded_since: BTreeMap<TenantId, UnixMillis>,
-    /// Counts changes of what is to be persisted.
+    /// Number of changes of the persisted state.
     pub(crate) generation: u64,
     /// The last generation that is on disk.
     pub(crate) persisted_generation: u64,
@@ -93,10 +94,10 @@
 }
 
 impl Placement {
-    /// The snapshot that must be on disk before a heartbeat can be sent, or `None` if nothing has changed.
+    /// The snapshot that must be on disk before the next heartbeat is sent, or `None` if nothing has changed.
     ///
-    /// To be called before each [`Placement::poll_datagrams`]. Rule sets that have been announced for `announce_ms` are
-    /// acknowledged from `now` on.
+    /// To be called before each [`Placement::poll_datagrams`]. Acknowledges rule sets that have been announced for
+    /// `announce_ms`.
     pub fn poll_snapshot(&mut self, now: UnixMillis) -> Option<Snapshot> {
         if self.held.acknowledge_due(now, self.settings.announce_ms) {
             self.mark_changed(now);
@@ -104,7 +105,7 @@
         (!self.is_persisted()).then(|| self.snapshot())
     }
 
-    /// The state as it is now, for the state folder.
+    /// The current state, for the state folder.
     pub fn snapshot(&self) -> Snapshot {
         let record = StateRecord {
             held: self.held.clone(),
@@ -114,17 +115,17 @@
         Snapshot { generation: self.generation, bytes: record.encode(&self.settings.key) }
     }
 
-    /// Reports that the snapshot of this generation is on disk.
+    /// Records that the snapshot of this generation is on disk.
     pub fn mark_persisted(&mut self, generation: u64) {
         self.persisted_generation = self.persisted_generation.max(generation.min(self.generation));
     }
 
-    /// When the lease expires, the epoch before it was first acquired; to be checked last before a call's first byte.
+    /// When the lease expires; the Unix epoch before it was first acquired. To be checked immediately before a call is sent.
     pub fn lease_expires_at(&self) -> UnixMillis {
         self.lease.expires_at
     }
 
-    /// The rule sets held, in ascending order.
+    /// The held rule sets, in ascending order.
     pub fn rule_sets(&self) -> impl Iterator<Item = RuleSetId> {
         self.held.by_id.keys().copied()
     }
@@ -139,7 +140,7 @@
         &self.settings
     }
 
-    /// The events since the last call, oldest first; of more than 64 the latest.
+    /// The events since the last call, oldest first; at most the latest 64.
     pub fn take_events(&mut self) -> Vec<PlacementEvent> {
         std::mem::take(&mut self.events)
     }
@@ -151,7 +152,7 @@
         self.events.push(event);
     }
 
-    /// Notes a change of what is held: it must be persisted, and may exclude the own zone for some tenants.
+    /// Records a change of the held rule sets, which must be persisted and may exclude the own zone for some tenants.
     pub(crate) fn mark_changed(&mut self, now: UnixMillis) {
         self.generation += 1;
         let mut excluded_since = BTreeMap::new();
--- a/crates/placement/src/quorum.rs
+++ b/crates/placement/src/quorum.rs
@@ -1,4 +1,5 @@
-//! What a round summary changes: commits by majority, acknowledgements, downloads, recovery and the lease.
+//! Applies round summaries: commits by majority, acknowledgements, downloads, recovery and the lease.
+
 use rudderspindle_clock::UnixMillis;
 
 use crate::event::PlacementEvent;
@@ -9,8 +10,8 @@
 impl Placement {
     /// Applies the summary of a current round.
     ///
-    /// A rule set that a majority acknowledges is committed. One that some sender acknowledges and that is not held here
-    /// must be fetched first; then the summary renews the lease.
+    /// A rule set that a majority acknowledges is committed. A rule set that some sender acknowledges must be fetched first if
+    /// it is not held; otherwise the summary renews the lease.
     pub(crate) fn apply_summary(&mut self, now: UnixMillis, summary: &RoundSummary) {
         for (slot, id) in summary.named() {
             self.commit_by_majority(now, summary, slot, id);
@@ -31,8 +32,8 @@
 
     /// Commits a rule set that a majority acknowledged in the summary's round.
     ///
-    /// This sender's own acknowledgement counts only as it was made in that round: what it acknowledges by now it perhaps
-    /// did not while the others, who may have lost their state since, did.
+    /// This sender's own acknowledgement counts only if it was made in that round: other senders may have lost their state
+    /// since.
     fn commit_by_majority(&mut self, now: UnixMillis, summary: &RoundSummary, slot: usize, id: RuleSetId) {
         let acknowledging = summary.acknowledging(slot).count();
         if self.settings.is_majority(acknowledging) && self.held.commit(id) {
@@ -41,8 +42,7 @@
         }
     }
 
-    /// Acknowledges a rule set that is announced here once waiting for others to fetch it no longer helps: another sender
-    /// acknowledges it, or all have it.
+    /// Acknowledges an announced rule set as soon as another sender acknowledges it, or all senders hold it.
     fn acknowledge_when_spread(
         &mut self,
         now: UnixMillis,
--- a/crates/placement/src/round.rs
+++ b/crates/placement/src/round.rs
@@ -1,9 +1,9 @@
-//! Gossip rounds: fixed slices of the shared wall clock.
+//! Gossip rounds: fixed periods of the wall clock.
+
 use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
-/// Length of a gossip round, in milliseconds: in a lease of 3,000 ms five rounds fit between the first summary and the
-/// end of the lease.
+/// Length of a gossip round, in milliseconds.
 pub const ROUND_MS: u64 = 500;
 
 /// The number of a gossip round: milliseconds since the Unix epoch, divided by [`ROUND_MS`].
@@ -21,12 +21,12 @@
         self.0
     }
 
-    /// The round so many rounds later.
+    /// The round `rounds` later.
     pub(crate) fn plus(self, rounds: u64) -> Round {
         Round(self.0.saturating_add(rounds))
     }
 
-    /// When the round begins; for a round past the end of time, the end of time.
+    /// When the round begins, at most the last time that can be represented.
     pub(crate) fn start(self) -> UnixMillis {
         UnixMillis(self.0.saturating_mul(ROUND_MS))
     }
--- a/crates/placement/src/round_summary.rs
+++ b/crates/placement/src/round_summary.rs
@@ -1,9 +1,10 @@
-//! What the heartbeats of a round report: which sender has and acknowledges which rule set.
+//! Summary of a round's heartbeats: the rule sets that each sender stores and acknowledges.
+
 use crate::round::Round;
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
 use crate::sender_id::SenderId;
 
-/// Which of a summary's rule sets a sender has (bits 0 to 3) and acknowledges (bits 4 to 7).
+/// The rule sets of a summary that a sender stores (bits 0 to 3) and acknowledges (bits 4 to 7).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct SlotMask(pub u8);
 
@@ -11,12 +12,12 @@
     /// Bits 0 to 3.
     const STORED_BITS: u8 = (1 << MAX_RULE_SETS) - 1;
 
-    /// Records that the sender has the rule set in this slot, and whether it acknowledges it.
+    /// Records that the sender stores the rule set in this slot, and whether it acknowledges it.
     pub fn insert(&mut self, slot: usize, acknowledged: bool) {
         self.0 |= 1 << slot | u8::from(acknowledged) << (slot + MAX_RULE_SETS);
     }
 
-    /// Whether the sender has the rule set in this slot.
+    /// Whether the sender stores the rule set in this slot.
     pub fn is_stored(self, slot: usize) -> bool {
         self.0 >> slot & 1 == 1
     }
@@ -34,10 +35,10 @@
     }
 }
 
-/// What a round's heartbeats report of one sender.
+/// The report on one sender in a round summary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum SenderReport {
-    /// No heartbeat of it came.
+    /// No heartbeat of it was received.
     Missing,
     /// It runs, but started without state and has not recovered.
     NotVoting,
@@ -50,13 +51,13 @@
         matches!(self, SenderReport::Voting(_))
     }
 
-    /// What a voting sender has and acknowledges.
+    /// The slot mask of a voting sender.
     pub fn slot_mask(self) -> Option<SlotMask> {
         if let SenderReport::Voting(mask) = self { Some(mask) } else { None }
     }
 }
 
-/// The heartbeats of one round, summed up.
+/// The summary of one round's heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RoundSummary {
     pub round: Round,
@@ -67,17 +68,17 @@
 }
 
 impl RoundSummary {
-    /// The rule sets that are named, each with its slot.
+    /// The listed rule sets, each with its slot.
     pub fn named(&self) -> impl Iterator<Item = (usize, RuleSetId)> {
         self.rule_sets.into_iter().enumerate().filter(|(_, id)| id.is_some())
     }
 
-    /// All senders but one, each with its report.
+    /// All senders except one, each with its report.
     pub fn reports_except(&self, excluded: SenderId) -> impl Iterator<Item = (SenderId, SenderReport)> {
         self.all_reports().filter(move |(sender, _)| *sender != excluded)
     }
 
-    /// The senders that have the rule set in a slot, and so can hand it on.
+    /// The senders that store the rule set in a slot, and can transfer it.
     pub fn storing(&self, slot: usize) -> impl Iterator<Item = SenderId> {
         self.senders_whose_mask(move |mask| mask.is_stored(slot))
     }
@@ -87,7 +88,7 @@
         self.senders_whose_mask(move |mask| mask.is_acknowledged(slot))
     }
 
-    /// Whether all voting senders other than `own_id` have the rule set in a slot, and together with it are a majority.
+    /// Whether all voting senders other than `own_id` store the rule set in a slot, and are a majority together with it.
     pub fn is_stored_by_all_others(&self, slot: usize, own_id: SenderId) -> bool {
         let voting = self.reports_except(own_id).filter(|(_, report)| report.is_voting()).count();
         let storing = self.storing(slot).filter(|&sender| sender != own_id).count();
--- a/crates/placement/src/rule_set.rs
+++ b/crates/placement/src/rule_set.rs
@@ -1,6 +1,7 @@
-//! A rule set: in which zones each ruled tenant's data may be.
+//! A rule set: the zones in which each ruled tenant's data may be.
 //!
-//! Invariant: a `RuleSet` is complete and valid; anything wrong with the names is an error, and nothing of it is used.
+//! Invariant: a `RuleSet` is complete and valid; any invalid name is an error, and none of the rules is used.
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
@@ -10,7 +11,7 @@
 use crate::rule_set_id::{ContentHash, RuleSetId};
 use crate::zones::{ZoneList, ZoneListHash, ZoneSet};
 
-/// Maximum number of ruled tenants: 256 entries of at most 15 bytes fit into the parts that a rule set may have.
+/// Maximum number of ruled tenants: 256 entries of at most 15 bytes fit into the maximum number of parts.
 pub const MAX_TENANTS: usize = 256;
 
 /// A valid rule set of one revision.
@@ -40,9 +41,9 @@
     /// A rule names a zone that the settings do not have.
     #[error("tenant {tenant:?} is ruled to zone {zone:?}, which is unknown: known are {known:?}")]
     UnknownZone {
-        /// The tenant whose rule it is.
+        /// The tenant of the rule.
         tenant: String,
-        /// The name that is unknown.
+        /// The unknown name.
         zone: String,
         /// The names of the settings.
         known: Vec<String>,
@@ -50,18 +51,18 @@
     /// A rule names a tenant that the settings do not have.
     #[error("tenant {0:?} is ruled but unknown: a tenant is ruled by its name in the settings")]
     UnknownTenant(String),
-    /// A rule names no zone, so the tenant's data could be nowhere.
+    /// A rule names no zone, so the tenant's data could not be stored anywhere.
     #[error("tenant {0:?} has an empty list of zones: name one at least, or leave the tenant out")]
     NoZones(String),
     /// A tenant has more than one rule.
     #[error("tenant {0:?} is ruled twice: one rule with all its zones is right")]
     DuplicateTenant(String),
-    /// Two tenants' names have the same keyed hash, which happens about once in 10^15 rule sets.
+    /// Two tenants' names have the same keyed hash, with a probability of about 10^-15 for a rule set.
     #[error("tenants {first:?} and {second:?} have one keyed hash: another fleet key is needed")]
     HashCollision {
-        /// The name that came first.
+        /// The first name.
         first: String,
-        /// The name that came later.
+        /// The second name.
         second: String,
     },
     /// More than [`MAX_TENANTS`] tenants have rules.
@@ -89,7 +90,7 @@
     ///
     /// # Errors
     ///
-    /// [`RuleSetError`] names the first thing that is wrong and what would be right.
+    /// [`RuleSetError`] is the first error.
     pub fn new(
         revision: u64,
         rules: &[TenantRule<'_>],
@@ -128,19 +129,18 @@
         self.zones_by_tenant.get(&tenant).copied()
     }
 
-    /// The id that distinguishes this rule set from any other.
+    /// The id of this rule set.
     pub(crate) fn id(&self, key: &FleetKey) -> RuleSetId {
         let content_hash = ContentHash(key.hash(HashDomain::RuleSetContent, &self.encode()));
         RuleSetId { revision: self.revision, content_hash }
     }
 
-    /// The bytes that are transferred in parts: the same for equal rule sets.
+    /// The encoded rule set, which is transferred in parts; equal for equal rule sets.
     pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Reads the rule set `id` from its bytes, or returns `None` if they are not that rule set or refer to another zone
-    /// list.
+    /// Decodes the rule set `id`; `None` if the bytes are not that rule set or refer to another zone list.
     pub(crate) fn decode(
         bytes: &[u8],
         id: RuleSetId,
--- a/crates/placement/src/rule_set_downloads.rs
+++ b/crates/placement/src/rule_set_downloads.rs
@@ -1,7 +1,8 @@
-//! Rule sets that other senders have and this one does not: whom to ask for their parts, and their assembly.
+//! Downloads rule sets that other senders store and this one does not.
 //!
-//! Invariant: a rule set is assembled only while summaries name it, only from parts of that very rule set, and is used only
-//! if its content has the hash under which it was named.
+//! Invariant: a rule set is assembled only while summaries list it, only from parts with its id, and is used only if the hash
+//! of its content matches its id.
+
 use std::collections::BTreeMap;
 
 use rudderspindle_clock::UnixMillis;
@@ -18,34 +19,32 @@
 use crate::settings::Settings;
 use crate::zones::ZoneListHash;
 
-/// Minimum time between two requests of a sender, in milliseconds: a request and its answer take two ticks of the host,
-/// 100 each.
+/// Minimum time between two requests of a sender, in milliseconds: a request and its answer take two ticks of the host.
 const REQUEST_INTERVAL_MS: u64 = 200;
 
-/// Mean number of requests that come to each sender that has a rule set within [`REQUEST_INTERVAL_MS`]; more would only
-/// be dropped there.
+/// Mean number of requests to each source within [`REQUEST_INTERVAL_MS`]; more would be dropped by the source.
 const REQUESTS_PER_SOURCE: usize = 4;
 
-/// Number of rounds after which a download that no summary names and no part arrives for is abandoned: 10 s.
+/// Number of rounds without a listing in a summary or a received part after which a download is abandoned: 10 s.
 const DOWNLOAD_TIMEOUT_ROUNDS: u64 = 20;
 
-/// A rule set that is being fetched.
+/// A rule set that is being downloaded.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Download {
-    /// The sender that is asked, drawn anew by each summary until the first part has come.
+    /// The sender to which requests are sent, drawn again by each summary until the first part is received.
     source: SenderId,
-    /// The last round in which a summary named the rule set or a part came.
+    /// The last round in which a summary listed the rule set or a part was received.
     last_seen: Round,
-    /// Number of other senders that have it, by the last summary.
+    /// Number of other senders that store it, by the last summary.
     source_count: usize,
-    /// Number of all other senders, by the last summary.
+    /// Number of senders that do not store it, by the last summary.
     lacking_count: usize,
-    /// The parts that have come; empty before the first.
+    /// The received parts; empty before the first.
     parts: Vec<Option<Vec<u8>>>,
 }
 
 impl Download {
-    /// The requested parts, one bit each: all that are missing.
+    /// The missing parts, one bit each.
     fn missing_parts(&self) -> u32 {
         if self.parts.is_empty() {
             return u32::MAX;
@@ -57,7 +56,7 @@
         missing
     }
 
-    /// The rule set's bytes once all parts have come.
+    /// The rule set's bytes once all parts are received.
     fn assembled(&self) -> Option<Vec<u8>> {
         let parts: Option<Vec<&[u8]>> = self.parts.iter().map(Option::as_deref).collect();
         parts.map(|parts| parts.concat())
@@ -67,14 +66,14 @@
 /// The result of receiving a part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum PartOutcome {
-    /// The part is not wanted, or others are missing.
+    /// The part was not requested, or other parts are missing.
     Incomplete,
     Complete(RuleSet),
-    /// All parts have come, and are not the rule set that was named.
+    /// All parts are received, but are not the rule set with the id.
     Invalid,
 }
 
-/// The rule sets that are being fetched, at most [`MAX_RULE_SETS`].
+/// The rule sets that are being downloaded, at most [`MAX_RULE_SETS`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct RuleSetDownloads {
     by_id: BTreeMap<RuleSetId, Download>,
@@ -82,8 +81,8 @@
 }
 
 impl RuleSetDownloads {
-    /// Begins or continues to fetch the rule sets of a summary that are not held here. Whether a sender acknowledges one of
-    /// them, so that it may be committed.
+    /// Starts or continues to download the rule sets of a summary that are not held. Returns whether a sender acknowledges
+    /// one of them, so that it may be committed.
     pub fn fetch_missing(
         &mut self,
         summary: &RoundSummary,
@@ -95,7 +94,7 @@
             may_be_committed |= summary.acknowledging(slot).next().is_some();
             self.fetch(id, slot, summary, settings);
         }
-        // The lowest are abandoned first: a higher one that is committed ends the need for them.
+        // The lowest are abandoned first: the commit of a higher one makes them obsolete.
         while self.by_id.len() > MAX_RULE_SETS {
             self.by_id.pop_first();
         }
@@ -116,7 +115,7 @@
             parts: Vec::new(),
         };
         if let Some(begun) = self.by_id.remove(&id).filter(|known| !known.parts.is_empty()) {
-            // The source that began to hand the rule set on is kept while it is reported to have it.
+            // A source that has sent a part is kept while it is reported to store the rule set.
             if sources.contains(&begun.source) {
                 download.source = begun.source;
             }
@@ -125,14 +124,14 @@
         self.by_id.insert(id, download);
     }
 
-    /// Abandons what is held by now or was not named for long.
+    /// Abandons downloads of rule sets that are held or have not been listed for a while.
     pub fn abandon_obsolete(&mut self, round: Round, held: &HeldRuleSets) {
         self.by_id.retain(|id, download| {
             held.is_missing(*id) && download.last_seen.plus(DOWNLOAD_TIMEOUT_ROUNDS) >= round
         });
     }
 
-    /// The request that is due at `now`, for each rule set in its turn.
+    /// The request that is due at `now`; the rule sets take turns.
     pub fn poll_request(&mut self, now: UnixMillis, settings: &Settings) -> Option<OutgoingDatagram> {
         if self.by_id.is_empty() || now < self.next_request_at {
             return None;
@@ -149,7 +148,7 @@
         Some(OutgoingDatagram { to: download.source, body: GossipMessage::PartRequest(request).encode() })
     }
 
-    /// Takes in a part that is within its bounds.
+    /// Stores a part that is within its bounds.
     pub fn receive_part(
         &mut self,
         now: UnixMillis,
@@ -174,7 +173,7 @@
     }
 }
 
-/// Whether this sender begins a download now: while few senders have a rule set, few begin to ask for it.
+/// Whether this sender starts a download now: few do while few senders store the rule set.
 fn is_drawn_to_begin(download: &Download, interval: u64, key: &FleetKey, own_id: SenderId) -> bool {
     let drawn = key.draw(interval, DrawSalt::of_sender(own_id.0), download.lacking_count);
     drawn < download.source_count * REQUESTS_PER_SOURCE
--- a/crates/placement/src/rule_set_id.rs
+++ b/crates/placement/src/rule_set_id.rs
@@ -1,11 +1,11 @@
-//! How a rule set is named in heartbeats, summaries and records.
+//! Identifiers of rule sets in heartbeats, summaries and records.
+
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of rule sets that a sender holds: one committed and three that are pending, or differ under one
-/// revision.
+/// Maximum number of rule sets that a sender holds: one committed and three pending or conflicting ones.
 pub const MAX_RULE_SETS: usize = 4;
 
-/// Keyed hash of a rule set's whole content, the hash of its zone list included.
+/// Keyed hash of a rule set's content, including the hash of its zone list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ContentHash(pub(crate) u64);
 
@@ -19,7 +19,7 @@
 }
 
 impl RuleSetId {
-    /// Whether this names a rule set, and is not the default that fills unused places.
+    /// Whether this identifies a rule set; false for the default in unused slots.
     pub(crate) fn is_some(self) -> bool {
         self.revision > 0
     }
--- a/crates/placement/src/rule_set_uploads.rs
+++ b/crates/placement/src/rule_set_uploads.rs
@@ -1,4 +1,5 @@
-//! Requests of other senders for parts of rule sets, and the parts that answer them.
+//! Answers requests of other senders for parts of rule sets.
+
 use std::collections::BTreeMap;
 
 use crate::datagram::OutgoingDatagram;
@@ -9,10 +10,10 @@
 use crate::sender_id::SenderId;
 use crate::settings::Settings;
 
-/// Maximum number of parts that a sender hands on in a round, so that rule sets take at most 8 datagrams a second.
+/// Maximum number of parts that a sender sends in a round: 8 datagrams a second.
 const MAX_PARTS_PER_ROUND: usize = 4;
 
-/// Requests that wait (at most one of each sender), and what was sent in this round.
+/// Pending requests, at most one of each sender, and the number of parts sent in this round.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct RuleSetUploads {
     requests: BTreeMap<SenderId, PartRequest>,
@@ -22,12 +23,12 @@
 }
 
 impl RuleSetUploads {
-    /// Takes in a request, which replaces the last one of the same sender.
+    /// Stores a request, which replaces the last one of the same sender.
     pub fn insert(&mut self, from: SenderId, request: PartRequest) {
         self.requests.insert(from, request);
     }
 
-    /// The parts that are sent now; requests beyond the round's limit are dropped, and repeated by their senders.
+    /// The parts to be sent; requests beyond the round's limit are dropped, and repeated by their senders.
     pub fn poll_parts(
         &mut self,
         round: Round,
@@ -50,8 +51,8 @@
         datagrams
     }
 
-    /// All requests in the order in which they are served: those for the fewest parts first, so that some senders soon have
-    /// the whole and hand it on themselves; of equal ones a drawn sender's first.
+    /// All requests in the order in which they are answered: those for the fewest parts first, so that some senders soon have
+    /// the complete rule set and can transfer it; ties are broken by a draw.
     fn take_requests(&mut self, settings: &Settings) -> Vec<(SenderId, PartRequest)> {
         let fleet_size = usize::from(settings.sender_count);
         let drawn = settings.key.draw(self.round.number(), DrawSalt::FIRST_SERVED, fleet_size);
@@ -64,7 +65,7 @@
     }
 }
 
-/// The encoded parts that a request names; none if the rule set is not held.
+/// The requested parts, encoded; none if the rule set is not held.
 fn requested_parts(request: PartRequest, held: &HeldRuleSets) -> Vec<Vec<u8>> {
     let Some(rule_set) = held.by_id.get(&request.rule_set) else { return Vec::new() };
     let bytes = rule_set.rules.encode();
--- a/crates/placement/src/sender_id.rs
+++ b/crates/placement/src/sender_id.rs
@@ -1,4 +1,5 @@
 //! The identity of a sender, and of the process that acts for it.
+
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
@@ -25,6 +26,6 @@
     }
 }
 
-/// Which process of a sender is meant; each later process of the same sender has a greater one.
+/// Identifies a process of a sender; each later process of the same sender has a greater one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings of one sender's placement, and what follows from them for a round.
+//! The settings of one sender's placement, and the aggregators that follow from them.
+
 use thiserror::Error;
 
 use crate::fleet_key::{DrawSalt, FleetKey};
@@ -6,7 +7,7 @@
 use crate::sender_id::SenderId;
 use crate::zones::ZoneList;
 
-/// Maximum number of senders: a round summary has 3 bits for each beside at most 101 bytes.
+/// Maximum number of senders: a round summary has 3 bits for each, and at most 101 other bytes.
 pub const MAX_SENDERS: u16 = 360;
 
 /// The settings of one sender's placement; all but `own_id` and `own_zone` must be the same at all senders.
@@ -14,10 +15,9 @@
 pub struct Settings {
     /// This sender's number, below `sender_count`.
     pub own_id: SenderId,
-    /// Number of senders in the fleet, 1 to [`MAX_SENDERS`], those that are down included.
+    /// Number of senders in the fleet, 1 to [`MAX_SENDERS`], including those that are down.
     pub sender_count: u16,
-    /// Number of senders that aggregate the heartbeats of a round, 1 or 2; each costs a sender one datagram each way and
-    /// round.
+    /// Number of aggregators of a round, 1 or 2; each costs a sender one datagram in each direction and round.
     pub aggregators_per_round: u8,
     /// All zones.
     pub zones: ZoneList,
@@ -26,16 +26,15 @@
     /// How long a lease lasts from the start of the round that renewed it, in milliseconds; at least two rounds and
     /// twice the clock error.
     pub lease_ms: u64,
-    /// How far a clock may be from the true time, in milliseconds either way.
+    /// Maximum error of a clock, in milliseconds in either direction.
     pub clock_error_ms: u64,
-    /// How long a rule set that not all senders have yet is announced before this sender acknowledges it, in
-    /// milliseconds: about the time it takes to reach all (at 300 senders 5,000 for up to 17 tenants, 30,000 for 256).
-    /// An acknowledgement stops senders that lack the rule set.
+    /// How long a rule set that not all senders store is announced before this sender acknowledges it, in milliseconds: about
+    /// the time until all senders have received it. An acknowledgement stops senders that lack the rule set.
     pub announce_ms: u64,
     /// Maximum duration of a call, in milliseconds.
     pub max_call_ms: u64,
-    /// Within how long after a rule was narrowed a body outside its zones must have left this sender, in milliseconds; at
-    /// least `max_call_ms`.
+    /// Time within which a body outside its zones must be erased after its rule was narrowed, in milliseconds; at least
+    /// `max_call_ms`.
     pub erase_within_ms: u64,
     /// The fleet's key.
     pub key: FleetKey,
@@ -47,7 +46,7 @@
     /// The number of senders is out of range.
     #[error("{0} senders: 1 to {MAX_SENDERS} are right")]
     SenderCount(u16),
-    /// The own number is not one of the fleet's.
+    /// The own number is not below the number of senders.
     #[error("own number {own_id} is not below the number of senders, {sender_count}")]
     OwnId {
         /// The number given.
@@ -74,7 +73,7 @@
         /// The shortest valid lease, in milliseconds.
         min_ms: u64,
     },
-    /// Bodies would have to leave while their call may still be in flight.
+    /// Bodies would have to be erased while their call may be in flight.
     #[error(
         "bodies are to be gone within {given_ms} ms, which is less than the longest call, {max_call_ms} ms"
     )]
@@ -91,7 +90,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first field that is not.
+    /// [`SettingsError`] names the first invalid field.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.sender_count == 0 || self.sender_count > MAX_SENDERS {
             return Err(SettingsError::SenderCount(self.sender_count));
@@ -138,7 +137,7 @@
         self.aggregators(round).contains(&self.own_id)
     }
 
-    /// Whether so many senders are more than half of the fleet.
+    /// Whether `count` senders are more than half of the fleet.
     pub(crate) fn is_majority(&self, count: usize) -> bool {
         count * 2 > usize::from(self.sender_count)
     }
--- a/crates/placement/src/startup.rs
+++ b/crates/placement/src/startup.rs
@@ -1,7 +1,8 @@
-//! The start of a sender's placement, and reloading the operator's file.
+//! Starts a sender's placement, and reloads the operator's file.
 //!
-//! Invariant: a rule set is accepted whole or not at all, and a sender that starts without a record does not vote before
+//! Invariant: a rule set is accepted completely or not at all, and a sender that starts without a record does not vote before
 //! its recovery.
+
 use std::collections::BTreeMap;
 
 use rudderspindle_clock::UnixMillis;
@@ -20,10 +21,10 @@
 use crate::settings::{Settings, SettingsError};
 use crate::state_record::StateRecord;
 
-/// Why a reloaded file is refused; what applied before still does.
+/// Why a reloaded file is rejected; the earlier rules still apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReloadError {
-    /// The file's revision is lower than one that is held.
+    /// The file's revision is lower than a held one.
     #[error(
         "the file's revision {given} is older than revision {held}, which is held: {lowest_valid} or higher is right"
     )]
@@ -40,7 +41,7 @@
         "the rules of revision {0} refer to another list of zones than the settings have: use the settings' list"
     )]
     ZoneListMismatch(u64),
-    /// As many rule sets as possible are held, and none of the later ones is committed.
+    /// The maximum number of rule sets is held, and none of the later ones is committed.
     #[error("revision {0} must wait: four rule sets are held, and the later ones are not committed yet")]
     TooManyRuleSets(u64),
 }
@@ -62,11 +63,10 @@
 }
 
 impl Placement {
-    /// Starts a sender at `now` with the rules of its file and the record that [`StateRecord::decode`] read.
+    /// Starts a sender at `now` with the rules of its file and the decoded record.
     ///
-    /// Any earlier process of the same sender must have sent its last heartbeat. Without a record the sender does not vote
-    /// until it has recovered. `incarnation` must be greater than that of any earlier process. There is no lease at the
-    /// start.
+    /// No earlier process of the same sender may send heartbeats any more. Without a record the sender does not vote until it
+    /// has recovered. `incarnation` must be greater than that of any earlier process. There is no lease at the start.
     ///
     /// # Errors
     ///
@@ -89,11 +89,11 @@
         Ok(placement)
     }
 
-    /// Reloads the rules of the file at `now`; what they narrow applies at once, what they widen once they are committed.
+    /// Reloads the rules of the file at `now`; narrower zones apply immediately, wider ones once the revision is committed.
     ///
     /// # Errors
     ///
-    /// [`ReloadError`] says why the file is refused; nothing has changed then.
+    /// [`ReloadError`] is why the file is rejected; the state is unchanged.
     pub fn reload(&mut self, now: UnixMillis, rules: RuleSet) -> Result<(), ReloadError> {
         let (given, held) = (rules.revision(), self.held.highest_revision());
         if rules.zone_list != self.zone_list {
@@ -103,12 +103,12 @@
             return Err(ReloadError::RevisionTooLow { given, held, lowest_valid: held.saturating_add(1) });
         }
         match self.accept_rule_set(now, rules, None) {
-            Insertion::NoRoom => Err(ReloadError::TooManyRuleSets(given)),
+            Insertion::TooMany => Err(ReloadError::TooManyRuleSets(given)),
             Insertion::Added { .. } | Insertion::AlreadyHeld | Insertion::Superseded => Ok(()),
         }
     }
 
-    /// Holds a rule set of the own file or of another sender from now on, if there is room.
+    /// Adds a rule set of the own file or of another sender to the held ones, if there are not too many.
     pub(crate) fn accept_rule_set(
         &mut self,
         now: UnixMillis,
@@ -125,7 +125,7 @@
                 }
                 self.mark_changed(now);
             }
-            Insertion::NoRoom => self.record_event(PlacementEvent::TooManyRuleSets { id }),
+            Insertion::TooMany => self.record_event(PlacementEvent::TooManyRuleSets { id }),
             Insertion::AlreadyHeld | Insertion::Superseded => {}
         }
         insertion
@@ -160,7 +160,7 @@
         Ok(())
     }
 
-    /// As [`Placement::reload`], but a file that other senders are ahead of does not prevent the start.
+    /// As [`Placement::reload`], but a file with an outdated revision does not prevent the start.
     fn load_first_file(&mut self, now: UnixMillis, rules: RuleSet) -> Result<(), StartError> {
         match self.reload(now, rules) {
             Err(ReloadError::RevisionTooLow { given, held, .. }) => {
@@ -168,7 +168,7 @@
                 Ok(())
             }
             Err(error @ ReloadError::ZoneListMismatch(_)) => Err(error.into()),
-            // The event `TooManyRuleSets` reports the former.
+            // Too many rule sets are reported as an event.
             Err(ReloadError::TooManyRuleSets(_)) | Ok(()) => Ok(()),
         }
     }
--- a/crates/placement/src/state_record.rs
+++ b/crates/placement/src/state_record.rs
@@ -1,6 +1,7 @@
-//! The record in the state folder: the rule sets that outlast a process.
+//! The record in the state folder, with which a process restores its rule sets.
 //!
-//! Invariant: a record is read whole and unchanged or not at all, and no rule set that it lacks is ever acknowledged.
+//! Invariant: a record is read completely and unchanged or not at all, and only recorded rule sets are acknowledged.
+
 use std::collections::BTreeMap;
 
 use rudderspindle_clock::UnixMillis;
@@ -17,29 +18,29 @@
 /// Length of the keyed checksum at the end of a record, in bytes.
 const CHECKSUM_LEN: usize = 8;
 
-/// A sender's state as it is stored, for [`Placement::new`](crate::Placement::new).
+/// The stored state of a sender, for [`Placement::new`](crate::Placement::new).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StateRecord {
     pub(crate) held: HeldRuleSets,
-    /// Whether the sender voted: one that had no state and had not recovered does not by its record either.
+    /// Whether the sender votes; false if it had started without state and not recovered.
     pub(crate) voting: bool,
-    /// For each tenant whose zones do not include the own one: since when.
+    /// The tenants whose zones do not include the own one, each with the time since when.
     pub(crate) excluded_since: BTreeMap<TenantId, UnixMillis>,
 }
 
 /// Why a record cannot be used; the sender then starts without state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// The record has a version that is not known.
+    /// The version of the record is unknown.
     #[error("the record's version is {0}: {VERSION} is known")]
     UnknownVersion(u8),
-    /// The record is cut short, changed, or was written under another fleet's key.
+    /// The record is truncated, damaged, or was written under another fleet's key.
     #[error("the record is damaged, or was written under another fleet key")]
     Corrupt,
 }
 
 impl StateRecord {
-    /// Version, content and keyed checksum.
+    /// Encodes the version, the content and a keyed checksum.
     pub(crate) fn encode(&self, key: &FleetKey) -> Vec<u8> {
         let mut bytes = vec![VERSION];
         bytes.extend(postcard::to_allocvec(self).unwrap_or_default());
@@ -47,11 +48,11 @@
         bytes
     }
 
-    /// Reads the bytes of a [`Snapshot`](crate::Snapshot).
+    /// Decodes the bytes of a [`Snapshot`](crate::Snapshot).
     ///
     /// # Errors
     ///
-    /// [`RecordError`] if the bytes are not a whole and unchanged record under this key, or of another version.
+    /// [`RecordError`] if the bytes are not a valid record under this key, or of another version.
     pub fn decode(bytes: &[u8], key: &FleetKey) -> Result<StateRecord, RecordError> {
         let (checked, checksum) = bytes.split_last_chunk::<CHECKSUM_LEN>().ok_or(RecordError::Corrupt)?;
         if key.hash(HashDomain::StateRecord, checked) != u64::from_le_bytes(*checksum) {
@@ -67,13 +68,13 @@
         }
     }
 
-    /// The rule sets that the sender acknowledges by this record; none if it does not vote.
+    /// The acknowledged rule sets; none if the sender does not vote.
     pub fn acknowledged(&self) -> impl Iterator<Item = RuleSetId> {
         let acknowledged = self.held.by_id.iter().filter(|(_, held)| held.is_acknowledged() && self.voting);
         acknowledged.map(|(id, _)| *id)
     }
 
-    /// Whether the sender's acknowledgements count; not so between a start without a record and the recovery.
+    /// Whether the sender's acknowledgements count; false between a start without a record and the recovery.
     pub fn is_voting(&self) -> bool {
         self.voting
     }
