--- a/crates/placement/src/summary_codec.rs
+++ b/crates/placement/src/summary_codec.rs
@@ -1,13 +1,14 @@
-//! Encoding of round summaries: 3 bits a sender, so that the whole fleet fits into one datagram.
+//! Encoding of round summaries with 3 bits for each sender, so that the whole fleet fits into one datagram.
 //!
-//! Invariant: a report that does not fit is left out whole, so a sender that is named has nothing beyond what is said.
+//! Invariant: a report that does not fit is left out completely; an included sender stores only the listed rule sets.
+
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use crate::gossip_message::{EncodedSummary, GossipError, GossipMessage, MAX_SLOT_MASKS};
 use crate::round_summary::{RoundSummary, SenderReport, SlotMask};
 
-/// Bits that a sender's report has in a summary.
+/// Number of bits of each sender's report.
 const CODE_BITS: usize = 3;
 /// The code of a sender whose heartbeat is missing.
 const CODE_MISSING: usize = 0;
@@ -17,7 +18,7 @@
 const CODE_FIRST_MASK: usize = 2;
 
 impl RoundSummary {
-    /// The bytes of the message.
+    /// Encodes the summary as a message.
     pub fn encode(&self) -> Vec<u8> {
         let frequent = self.most_frequent_masks();
         let mut slot_masks = [0; MAX_SLOT_MASKS];
@@ -38,7 +39,7 @@
         GossipMessage::Summary(summary).encode()
     }
 
-    /// Reads the summary of a fleet of `sender_count` senders.
+    /// Decodes the summary of a fleet of `sender_count` senders.
     pub fn decode(encoded: &EncodedSummary<'_>, sender_count: u16) -> Result<RoundSummary, GossipError> {
         let report_count = usize::from(sender_count);
         if encoded.sender_count != sender_count || encoded.report_codes.len() != encoded_len(report_count) {
@@ -70,7 +71,7 @@
     }
 }
 
-/// The code of a report; one whose slot mask did not fit counts as missing.
+/// The code of a report; a report whose slot mask does not fit counts as missing.
 fn code_of(report: SenderReport, masks: &[SlotMask]) -> usize {
     match report {
         SenderReport::Missing => CODE_MISSING,
@@ -90,7 +91,7 @@
     }
 }
 
-/// Bytes that the codes of so many senders take.
+/// Length of the codes of `senders`, in bytes.
 fn encoded_len(senders: usize) -> usize {
     (senders * CODE_BITS).div_ceil(8)
 }
--- a/crates/placement/src/tests/golden.rs
+++ b/crates/placement/src/tests/golden.rs
@@ -1,4 +1,5 @@
 //! Encoded bytes against the files in `tests/golden`, which are never regenerated.
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use rudderspindle_clock::UnixMillis;
--- a/crates/placement/src/tests/gossip_message.rs
+++ b/crates/placement/src/tests/gossip_message.rs
@@ -1,4 +1,5 @@
 //! Bounds of encoded messages.
+
 use rudderspindle_clock::UnixMillis;
 
 use crate::gossip_message::{
--- a/crates/placement/src/tests/mod.rs
+++ b/crates/placement/src/tests/mod.rs
@@ -1,3 +1,4 @@
-//! Unit tests of what is not public.
+//! Unit tests of private items.
+
 mod golden;
 mod gossip_message;
--- a/crates/placement/src/zones.rs
+++ b/crates/placement/src/zones.rs
@@ -1,6 +1,7 @@
 //! The fleet's ordered list of zones, and sets of zones as bits.
 //!
-//! Invariant: a set of zones is read only beside the hash of the list that its bits refer to.
+//! Invariant: a set of zones is always stored and sent with the hash of the list to which its bits refer.
+
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -9,12 +10,12 @@
 /// Maximum number of zones in a list: a set of them has 32 bits.
 pub const MAX_ZONES: usize = 32;
 
-/// A set of zones: bit `i` stands for the zone with index `i` of the [`ZoneList`].
+/// A set of zones: bit `i` is the zone with index `i` of the [`ZoneList`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ZoneSet(pub u32);
 
 impl ZoneSet {
-    /// The set without any zone.
+    /// The empty set.
     pub const EMPTY: ZoneSet = ZoneSet(0);
 
     /// Whether the zone with this index is in the set.
@@ -84,7 +85,7 @@
         &self.names
     }
 
-    /// Keyed hash that distinguishes this list from any other; each name is preceded by its length.
+    /// Keyed hash of the names and their order; each name is preceded by its length.
     pub(crate) fn hash(&self, key: &FleetKey) -> ZoneListHash {
         let mut bytes = Vec::new();
         for name in &self.names {
--- a/crates/placement/tests/body_disposal.rs
+++ b/crates/placement/tests/body_disposal.rs
@@ -1,4 +1,4 @@
-//! Bodies that are outside their zones after a rule was narrowed, and the record that outlasts a kill.
+//! Bodies outside their zones after a rule was narrowed, and the record after a kill.
 mod simulation;
 
 use rudderspindle_placement::{
--- a/crates/placement/tests/exhaustive.rs
+++ b/crates/placement/tests/exhaustive.rs
@@ -8,24 +8,24 @@
 use simulation::{Simulation, rules};
 use stateright::{Checker, Model, Property};
 
-/// How often each fault may come in one history.
+/// Maximum number of each fault in one history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Faults {
     kills: u8,
     pauses: u8,
     duplicates: u8,
-    /// Datagrams that come a step late, out of order.
+    /// Datagrams that arrive a step late, out of order.
     delays: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     simulation: Simulation,
-    /// Datagrams in flight with their senders: lost at the next step but for those that are delayed.
+    /// Datagrams in flight with their senders; those that are not delayed are lost at the next step.
     in_flight: BTreeSet<(usize, OutgoingDatagram)>,
     delayed: BTreeSet<(usize, OutgoingDatagram)>,
-    /// Whose turn it is within the step. Datagrams leave at its start only, so that what happens to one sender within a step
-    /// changes nothing for the others: the orders among different senders are all alike.
+    /// The sender whose turn it is within the step. Datagrams are sent only at its start, so that the order of senders within a
+    /// step makes no difference.
     turn: usize,
     faults: Faults,
 }
@@ -45,7 +45,7 @@
 struct RuleChange {
     first: RuleSet,
     second: RuleSet,
-    /// Who reads the second revision at the start.
+    /// The senders that read the second revision at the start.
     readers: Vec<usize>,
     faults: Faults,
     duration_ms: u64,
@@ -171,7 +171,7 @@
 
 fn narrower(faults: Faults, duration_ms: u64) -> RuleChange {
     let (first, second) = (rules(1, &["hall-a", "hall-b"]), rules(2, &["hall-a"]));
-    // Two of three have read the new file, so it is committed at once; the third and any that restarts have the old one.
+    // Two of three have read the new file, so it is committed immediately; the third one and restarted ones have the old file.
     RuleChange { first, second, readers: vec![0, 1], faults, duration_ms }
 }
 
--- a/crates/placement/tests/golden.rs
+++ b/crates/placement/tests/golden.rs
@@ -11,7 +11,7 @@
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Runs for 4 s; every seventh datagram is lost and every fifth comes twice. One line a second.
+/// Runs for 4 s; every seventh datagram is lost and every fifth is duplicated. One line a second.
 fn run(simulation: &mut Simulation, lines: &mut String) {
     for _ in 0..4 {
         let (mut count, mut digest) = (0_u64, 0xcbf2_9ce4_8422_2325);
--- a/crates/placement/tests/large_fleet/mod.rs
+++ b/crates/placement/tests/large_fleet/mod.rs
@@ -41,7 +41,7 @@
         at(self.now_ms)
     }
 
-    /// 100 ms; a datagram arrives at once or never.
+    /// A step of 100 ms; datagrams arrive immediately or are lost.
     pub fn step(&mut self) {
         let now = self.now();
         let mut datagrams = Vec::new();
@@ -69,7 +69,7 @@
         self.senders.iter().filter(acts).count()
     }
 
-    /// Steps until all are as `done` says; milliseconds that passed.
+    /// Steps until `done` holds for all senders; returns the time in milliseconds.
     pub fn until_all(&mut self, done: impl Fn(&Placement) -> bool) -> u64 {
         let start_ms = self.now_ms;
         while !self.senders.iter().all(&done) && self.now_ms < start_ms + 120_000 {
--- a/crates/placement/tests/lease.rs
+++ b/crates/placement/tests/lease.rs
@@ -1,4 +1,4 @@
-//! When a sender may act, and when not.
+//! The conditions under which a sender may act.
 mod simulation;
 
 use rudderspindle_placement::{
@@ -11,7 +11,7 @@
 
 const FIRST_ZONE: ZoneSet = ZoneSet(1);
 
-/// Lets time pass; datagrams reach those for whom `passes` (from, to) says so.
+/// Lets time pass; a datagram is delivered if `passes(from, to)`.
 fn run(simulation: &mut Simulation, duration_ms: u64, passes: impl Fn(usize, usize) -> bool) {
     let until_ms = simulation.now_ms + duration_ms;
     while simulation.now_ms < until_ms {
@@ -99,7 +99,7 @@
     let old = simulation.tick();
     let is_heartbeat = |(_, datagram): &&(usize, OutgoingDatagram)| datagram.body[0] == HEARTBEAT;
     let aggregator = usize::from(old.iter().find(is_heartbeat).unwrap().1.to.0);
-    // Of the others one is heard, first as it was and then without its record, one applies the summary and one is down.
+    // Of the others, one is received, first with and then without its record, one applies the summary, and one is down.
     let [heard, acts, down] = [1, 2, 3].map(|offset| (aggregator + offset) % 4);
     simulation.kill(down, false);
     simulation.kill(heard, true);
@@ -120,7 +120,7 @@
 fn a_summary_with_a_revision_that_is_not_held_renews_no_lease_until_the_rules_have_come() {
     let mut simulation = Simulation::committed(3, &rules(1, &["hall-a", "hall-b"]));
     simulation.reload(0, rules(2, &["hall-a"]));
-    // Summaries reach sender 2, parts of rule sets do not.
+    // Sender 2 receives summaries, but no parts of rule sets.
     while simulation.now_ms < START_MS + 2 * LEASE_MS {
         for (from, datagram) in simulation.tick() {
             if datagram.to != SenderId(2) || datagram.body[0] != PART {
--- a/crates/placement/tests/random_faults.rs
+++ b/crates/placement/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Five to seven senders, several revisions that are read here and there, and random faults of all kinds.
+//! Five to seven senders, several revisions that some of them read, and random faults of all kinds.
 mod simulation;
 
 use std::collections::BTreeSet;
@@ -10,11 +10,11 @@
 
 use simulation::{Simulation, fixed_seed_config, rules};
 
-/// What may happen between two steps.
+/// An event between two steps.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Nothing,
-    /// Senders whose bits are set no longer receive from the others; nor the others from them, unless it is one way.
+    /// Senders whose bits are set no longer receive from the others, nor the others from them unless it is one-way.
     Partition {
         members: u8,
         one_way: bool,
@@ -78,7 +78,7 @@
         inside(from) == inside(to) || (one_way && inside(from))
     }
 
-    /// Delivers what is neither partitioned, lost nor delayed; a tenth twice, a tenth a step later, half in reversed order.
+    /// Delivers the datagrams that are not partitioned, lost or delayed; a tenth twice, a tenth a step later, half reversed.
     fn carry(&mut self, simulation: &mut Simulation, mut datagrams: Vec<(usize, OutgoingDatagram)>) {
         datagrams.append(&mut self.delayed);
         if draw(&mut self.seed) < 50 {
@@ -109,7 +109,7 @@
         Event::Partition { members, one_way } => network.partition = Some(Partition { members, one_way }),
         Event::Heal => network.partition = None,
         Event::Kill { sender, lose_record } if sender < count => {
-            // The argument needs a record at half of the senders at least.
+            // The proof requires a record at half of the senders at least.
             without_record.retain(|&index| simulation.nodes[index].acknowledged.is_empty());
             let lose_record =
                 lose_record && (without_record.contains(&sender) || without_record.len() < count / 2);
@@ -137,7 +137,7 @@
     network.carry(simulation, datagrams);
 }
 
-/// Plays a history: nobody acts outside at any time of it, and senders that are connected again act alike at its end.
+/// Runs a history: no sender acts outside the zones at any time, and reconnected senders act identically at its end.
 fn play(
     sender_count: u16,
     lost_percent: u64,
--- a/crates/placement/tests/rule_set.rs
+++ b/crates/placement/tests/rule_set.rs
@@ -1,4 +1,4 @@
-//! Rules as an operator writes them: valid, or one error that says what would be.
+//! An operator's rules: valid, or one error that names the valid values.
 use std::collections::BTreeSet;
 
 use rudderspindle_placement::{
--- a/crates/placement/tests/rule_set_transfer.rs
+++ b/crates/placement/tests/rule_set_transfer.rs
@@ -12,9 +12,9 @@
 use simulation::{LEASE_MS, PART, START_MS, Simulation, at, fixed_seed_config, key, rules, tenant};
 
 struct LeaseCoverage {
-    /// Share of senders and time with a lease, 0 to 1.
+    /// Fraction of senders and time with a lease, from 0 to 1.
     leased: f64,
-    /// Datagrams sent a second and sender.
+    /// Datagrams sent by each sender, per second.
     send_rate: f64,
 }
 
@@ -45,13 +45,13 @@
     }
 }
 
-/// How a narrower file at one of 300 senders spreads.
+/// The propagation of a narrower file from one of 300 senders.
 struct Spread {
-    /// Milliseconds until all have it.
+    /// Time until all store it, in milliseconds.
     held_after_ms: u64,
-    /// Milliseconds until all know that it is committed.
+    /// Time until all senders have committed it, in milliseconds.
     committed_after_ms: u64,
-    /// Share of senders and time that was closed within 12 s, 0 to 1.
+    /// Fraction of senders and time without access within 12 s, from 0 to 1.
     closed: f64,
 }
 
--- a/crates/placement/tests/simulation/checker.rs
+++ b/crates/placement/tests/simulation/checker.rs
@@ -1,28 +1,28 @@
-//! The checker: which revisions were committed, by the stored records alone.
+//! The checker: determines the committed revisions from the stored records alone.
 use std::collections::{BTreeMap, BTreeSet};
 
 use rudderspindle_placement::ZoneSet;
 
 use super::LEASE_MS;
 
-/// What the checker has seen of the stored records.
+/// The acknowledgements in the stored records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Checker {
-    /// Who acknowledged a revision at some time of this round.
+    /// The senders that acknowledged each revision at some time in this round.
     acknowledged_in_round: BTreeMap<u64, BTreeSet<usize>>,
-    /// Since when a majority acknowledges a revision at once, in milliseconds.
+    /// Since when a majority acknowledges each revision simultaneously, in milliseconds.
     majority_since: BTreeMap<u64, u64>,
     /// Revisions that a majority acknowledged within one round.
     ever_committed: BTreeSet<u64>,
 }
 
 impl Checker {
-    /// Forgets who acknowledged what in the round before.
+    /// Clears the acknowledgements of the previous round.
     pub fn begin_round(&mut self) {
         self.acknowledged_in_round.clear();
     }
 
-    /// Takes in the revisions that each sender's stored record acknowledges.
+    /// Records the revisions that each sender's stored record acknowledges.
     pub fn observe<'a>(
         &mut self,
         now_ms: u64,
@@ -43,8 +43,8 @@
         self.ever_committed.extend(in_round.map(|(&revision, _)| revision));
     }
 
-    /// The zones that a revision allows that was committed lately: of those that a majority has acknowledged, all but the
-    /// ones below one that has been committed for a lease.
+    /// The zones that recently committed revisions allow: all revisions that a majority has acknowledged, except those below
+    /// one that has been committed for a lease.
     pub fn allowed_zones(&self, now_ms: u64, zones_of: impl Fn(u64) -> ZoneSet) -> ZoneSet {
         let expired = self.majority_since.iter().filter(|&(_, &since)| now_ms >= since + LEASE_MS);
         let lowest = expired.map(|(&revision, _)| revision).max().unwrap_or(0);
--- a/crates/placement/tests/simulation/mod.rs
+++ b/crates/placement/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A few senders on one simulated wall clock, with stored records that outlast their processes, and a checker.
+//! A few senders on one simulated wall clock, with persistent records, and a checker.
 //!
-//! The checker knows nothing of summaries and leases: it looks at the stored records, and at where each sender would act.
+//! The checker is independent of summaries and leases: it reads the stored records and the zones in which senders would act.
 // Each test file uses a part of it.
 #![allow(dead_code)]
 mod checker;
@@ -30,7 +30,7 @@
 /// The number of a rule set's part in a message's first byte.
 pub const PART: u8 = 3;
 
-/// So many cases, the same in each run; `PROPTEST_RNG_SEED` draws others, `PROPTEST_CASES` more.
+/// A configuration with `cases` deterministic cases; `PROPTEST_RNG_SEED` and `PROPTEST_CASES` override it.
 pub fn fixed_seed_config(cases: u32) -> Config {
     let given = Config::default();
     let rng_seed = if given.rng_seed == RngSeed::Random { RngSeed::Fixed(35) } else { given.rng_seed };
@@ -86,7 +86,7 @@
 }
 
 impl Simulation {
-    /// Senders that have committed revision 1 of `first` and have a lease, on the way since one round.
+    /// Senders that have committed revision 1 of `first` and have had a lease for one round.
     pub fn committed(sender_count: u16, first: &RuleSet) -> Simulation {
         let nodes = (0..sender_count).map(|own_id| Node::started_from_record(own_id, sender_count, first));
         let mut simulation = Simulation {
@@ -119,7 +119,7 @@
         self.check_records();
     }
 
-    /// Every process that runs persists what is to be persisted, and gives its datagrams with their sender's index.
+    /// Persists the state of each running process, and returns its datagrams with their sender's index.
     pub fn tick(&mut self) -> Vec<(usize, OutgoingDatagram)> {
         let now = self.now();
         let mut datagrams = Vec::new();
@@ -139,14 +139,14 @@
         datagrams
     }
 
-    /// A tick whose datagrams all arrive at once.
+    /// A tick whose datagrams all arrive immediately.
     pub fn tick_and_deliver(&mut self) {
         for (from, datagram) in self.tick() {
             self.deliver(from, &datagram);
         }
     }
 
-    /// A datagram arrives, if its receiver runs.
+    /// Delivers a datagram, if its recipient runs.
     pub fn deliver(&mut self, from: usize, datagram: &OutgoingDatagram) {
         self.deliver_and_observe(from, datagram, |_| {});
     }
@@ -162,7 +162,7 @@
         let node = &mut self.nodes[usize::from(datagram.to.0)];
         if let (Some(process), false) = (&mut node.process, node.paused) {
             let process = Arc::make_mut(process);
-            // One that comes too late, or to a sender that was another when it was asked, is refused.
+            // A late datagram, or one for an earlier process, is rejected.
             let _ = process.receive(now, SenderId(from as u16), &datagram.body);
             process.take_events().into_iter().for_each(observe);
         }
@@ -206,7 +206,7 @@
         self.checker.observe(self.now_ms, acknowledged);
     }
 
-    /// The zones in which a sender would act for the tenant now.
+    /// The zones in which a sender would act for the tenant.
     pub fn acting_zones(&self, index: usize) -> ZoneSet {
         let node = &self.nodes[index];
         match &node.process {
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Whether nobody acts outside what a revision allows that was committed lately.
+    /// Whether all senders act only within the zones of recently committed revisions.
     pub fn nobody_acts_outside(&self, zones_of: impl Fn(u64) -> ZoneSet) -> bool {
         let allowed = self.checker.allowed_zones(self.now_ms, zones_of);
         (0..self.nodes.len()).all(|index| self.acting_zones(index).0 & !allowed.0 == 0)
--- a/crates/placement/tests/simulation/node.rs
+++ b/crates/placement/tests/simulation/node.rs
@@ -1,4 +1,4 @@
-//! One sender of the simulation: its process and what outlasts it.
+//! One sender of the simulation: its process and its stored record.
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use super::{START_MS, at, key, settings};
 
-/// One sender: a process or none, and its stored record.
+/// One sender: an optional process, and its stored record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     pub process: Option<Arc<Placement>>,
@@ -19,7 +19,7 @@
 }
 
 impl Node {
-    /// A sender that starts with the record of one that votes.
+    /// A sender that starts with the record of a voting one.
     pub fn started_from_record(own_id: u16, sender_count: u16, first: &RuleSet) -> Node {
         let mut node = Node {
             process: None,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The record of a sender that votes: of a fleet of one, which recovers by its own summary.
+/// The record of a voting sender, from a fleet of one, which recovers with its own summary.
 fn voting_record(rules: &RuleSet) -> Vec<u8> {
     let started_at = at(START_MS - 3_000);
     let mut alone =
