--- a/crates/journal/src/entries.rs
+++ b/crates/journal/src/entries.rs
@@ -6,10 +6,10 @@
 use crate::message::{Message, PendingNotification, Status, TakenOver};
 use crate::record::FRAME_LEN;
 
-/// Bytes that are reserved for a notification's record besides its frame and its id.
+/// Bytes reserved for a notification's record in addition to its frame and id.
 const NOTIFICATION_OVERHEAD: usize = 16;
 
-/// A message that is not complete, or a notification that is not acknowledged.
+/// A pending message, or a pending notification.
 #[derive(Debug)]
 pub(crate) struct Entry {
     /// The segment that holds the latest record from which the entry can be restored.
@@ -50,7 +50,7 @@
     }
 }
 
-/// All entries of a journal, and the space reserved for them.
+/// All entries of a journal, with their reserved space.
 #[derive(Debug, Default)]
 pub(crate) struct Entries {
     by_id: HashMap<MessageId, Entry>,
@@ -58,17 +58,17 @@
 }
 
 impl Entries {
-    /// Journal space that is reserved for all entries, in bytes.
+    /// Journal space reserved for all entries, in bytes.
     pub fn reserved_bytes(&self) -> u64 {
         self.reserved_bytes
     }
 
-    /// Whether there is an entry of this message.
+    /// Whether the message has an entry.
     pub fn contains(&self, message_id: &str) -> bool {
         self.by_id.contains_key(message_id)
     }
 
-    /// Adds an entry, in place of an earlier one of the same message.
+    /// Adds an entry, and replaces an earlier one of the same message.
     pub fn insert(&mut self, message_id: MessageId, entry: Entry) {
         self.remove(&message_id);
         self.reserved_bytes += entry.reserved_bytes(&message_id);
@@ -112,20 +112,20 @@
         self.by_id.iter().filter(move |(_, entry)| entry.segment == segment)
     }
 
-    /// Notes that the records of one segment were written again to another.
+    /// Records that the entries of one segment were written again to another.
     pub fn move_segment(&mut self, from: u64, to: u64) {
         let moved = self.by_id.values_mut().filter(|entry| entry.segment == from);
         moved.for_each(|entry| entry.segment = to);
     }
 
-    /// Marks the attempts in flight as possibly executed: their process has ended without an outcome.
+    /// Marks the attempts in flight as possibly executed: their process exited before their outcomes were recorded.
     pub fn interrupt_attempts(&mut self) {
         let messages = self.by_id.values_mut().filter_map(Entry::message_mut);
         messages.for_each(|message| message.settle_in_flight(true));
     }
 
-    /// Adds the entries of an earlier process, and returns them. For an id that both know the present entry is kept: the
-    /// earlier process's message is complete.
+    /// Adds the entries of an earlier process, and returns the added ones. If both have an entry of an id, the present one is
+    /// kept: the earlier process's message is complete.
     pub fn add_older(&mut self, older: Self) -> TakenOver {
         let mut taken_over = TakenOver::default();
         for (message_id, entry) in older.by_id {
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -1,16 +1,16 @@
-//! Why a journal cannot be opened, written or taken over.
+//! Errors of opening, writing and taking over a journal.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// An operation on a journal that failed.
+/// Why an operation on a journal failed.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum JournalError {
-    /// The folder has an owner and a successor already.
+    /// The folder already has an owner and a successor.
     #[error("two processes use it already")]
     FolderInUse,
-    /// The batch does not fit into the disk budget.
+    /// The batch exceeds the disk budget.
     #[error("the journal has no room")]
     Full,
     /// The file system reported an error.
@@ -18,13 +18,13 @@
     Io {
         /// The file or folder.
         path: PathBuf,
-        /// What the file system reported.
+        /// The file system's error.
         source: io::Error,
     },
 }
 
 impl JournalError {
-    /// Attaches the path that an operation was on: `map_err(JournalError::at(path))`.
+    /// Attaches the path of an operation: `map_err(JournalError::at(path))`.
     pub(crate) fn at(path: &Path) -> impl FnOnce(io::Error) -> Self {
         move |source| Self::Io { path: path.to_owned(), source }
     }
--- a/crates/journal/src/folder_lock.rs
+++ b/crates/journal/src/folder_lock.rs
@@ -1,6 +1,6 @@
 //! File locks that let at most two processes use a journal folder: its owner and the owner's successor.
 //!
-//! The operating system releases a lock as soon as its holder has ended, in whichever way.
+//! The operating system releases a lock as soon as its holder exits, also by a crash.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 /// Name of the file that the successor locks until it becomes the owner.
 const SUCCESSOR_LOCK_FILE: &str = "lock-next";
 
-/// The role of this process in a journal folder, held until it is dropped.
+/// The role of this process in a journal folder; released on drop.
 #[derive(Debug)]
 pub(crate) enum FolderLock {
     /// This process owns all segments in the folder.
@@ -20,9 +20,9 @@
         /// Keeps the owner's lock.
         _lock: LockFile,
     },
-    /// Another process owns the folder: this one owns only the segments that it writes.
+    /// Another process owns the folder; this process owns only the segments that it writes.
     Successor {
-        /// The owner's lock file, which is not locked by this process yet.
+        /// The owner's lock file, not yet locked by this process.
         owner: LockFile,
         /// Keeps the successor's lock.
         _lock: LockFile,
@@ -52,9 +52,9 @@
         matches!(self, Self::Owner { .. })
     }
 
-    /// Locks the owner's file if the owner has ended; false while it runs, and for the owner itself.
+    /// Locks the owner's file if the owner has exited; false while it runs, and for the owner itself.
     ///
-    /// Once it returned true no other process can become the owner.
+    /// After true no other process can become the owner.
     ///
     /// # Errors
     ///
@@ -95,7 +95,7 @@
         Ok(Self { file, path })
     }
 
-    /// Whether the lock was free and is held now.
+    /// Takes the lock; false if another process holds it.
     fn try_lock(&self) -> Result<bool, JournalError> {
         match self.file.try_lock() {
             Ok(()) => Ok(true),
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,16 +1,16 @@
 //! Write-ahead journal of accepted messages, in a folder that outlasts its process.
 //!
-//! The journal is a sequence of append-only segments, `journal-<number>`, of checksummed records. What a process has
-//! written survives its end without a sync: a kill leaves at most one torn record, at the end of the last segment.
+//! The journal is a sequence of append-only segments, `journal-<number>`, of checksummed records. Written records survive the
+//! process without a sync: a kill leaves at most one torn record, at the end of the last segment.
 //!
-//! Space is freed by compaction: what is still pending in the oldest segment is written again at the end, and the segment
-//! is deleted afterwards. A kill between the two leaves the same records twice, which replay reads as once. As the
-//! oldest segment goes first, the completion of a message never disappears before its acceptance.
+//! Compaction frees space: the pending entries of the oldest segment are written again at the end, and the segment is deleted
+//! afterwards. A kill between the two leaves duplicate records, which replay merges. As the oldest segment is deleted first,
+//! the completion of a message is never deleted before its acceptance.
 //!
-//! Two processes may use one folder while the second takes over from the first. The holder of the lock owns the journal;
-//! its successor writes segments with far higher numbers, and reads none of the older ones until the owner has ended
-//! ([`Store::take_over`]). Replayed in the order of their numbers the segments restore the same state in a process that
-//! starts alone: a crash of either process, or of both, needs no special care.
+//! Two processes may use one folder while the second takes over from the first. The holder of the lock owns the journal; its
+//! successor writes segments with far higher numbers, and reads no older ones until the owner has exited
+//! ([`Store::take_over`]). Replaying all segments in the order of their numbers restores the same state, so a crash of either
+//! process, or of both, needs no special handling.
 //!
 //! ```
 //! use rudderspindle_clock::UnixMillis;
@@ -31,15 +31,15 @@
 //!     possibly_executed: None,
 //!     in_flight: None,
 //! });
-//! // Only now may its client be told that it is accepted.
+//! // The client may be answered from now on.
 //! journal.commit()?;
 //! let at = UnixMillis::now();
 //! journal.start_attempt(&"9b1f03aa".into(), PossibleExecution { at, receiver: "r1".into(), zone: "left".into() });
-//! // Only now may the first byte of the attempt be sent.
+//! // The first byte of the attempt may be sent from now on.
 //! journal.commit()?;
 //! drop(journal);
 //!
-//! // The process was killed: the outcome of the attempt is not known.
+//! // The process was killed: the outcome of the attempt is unknown.
 //! let mut journal = Store::open(folder.path(), 3_000_000)?;
 //! let message = journal.pending_messages().next().expect("it is not complete");
 //! assert_eq!(message.possibly_executed.as_ref().map(|execution| execution.at), Some(at));
--- a/crates/journal/src/message_id.rs
+++ b/crates/journal/src/message_id.rs
@@ -5,7 +5,7 @@
 use std::ops::Deref;
 use std::rc::Rc;
 
-/// Identifier of a message, as its client chose it. Cheap to clone.
+/// Identifier of a message, chosen by its client. Cheap to clone.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageId(Rc<str>);
 
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -24,15 +24,15 @@
 /// Maximum length of a payload, in bytes: a longer one is corrupt.
 pub(crate) const MAX_PAYLOAD_LEN: usize = MAX_BODY + 4096;
 
-/// What a record says; the first byte of its payload.
+/// The kind of a record; the first byte of its payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum RecordKind {
-    /// A message was accepted, or its record was moved together with its attempt history.
+    /// A message was accepted, or was moved together with its attempt history.
     Accepted = 1,
-    /// An attempt is about to be sent.
+    /// An attempt will be sent.
     AttemptStarted = 2,
-    /// The outcome of an attempt is known.
+    /// An attempt has an outcome.
     AttemptFinished = 3,
     /// A message is complete, with or without a pending notification.
     Completed = 4,
@@ -63,10 +63,10 @@
     pub const NONE: u8 = 0;
     /// `Status::Undeliverable`.
     pub const UNDELIVERABLE: u8 = 1;
-    /// `Status::Deferred` without a wait.
+    /// `Status::Deferred` without a delay.
     pub const DEFERRED: u8 = 2;
-    /// `Status::Deferred` with a wait.
-    pub const DEFERRED_WITH_WAIT: u8 = 3;
+    /// `Status::Deferred` with a delay.
+    pub const DEFERRED_WITH_DELAY: u8 = 3;
 }
 
 /// Codes of the state in a [`RecordKind::Outage`] record.
--- a/crates/journal/src/record/decode.rs
+++ b/crates/journal/src/record/decode.rs
@@ -10,7 +10,7 @@
 use crate::message::{Message, PossibleExecution, Status};
 use crate::outage_records::{EndpointKey, OutageState};
 
-/// A decoded record; [`RecordKind`] says what each kind means.
+/// A decoded record; [`RecordKind`] documents the kinds.
 #[derive(Debug)]
 pub(crate) enum Record {
     Accepted(Message),
@@ -44,8 +44,7 @@
 }
 
 impl Record {
-    /// Decodes a payload; `None` if it is of an unknown kind or a field cannot be read. Bytes behind the last field are
-    /// ignored.
+    /// Decodes a payload; `None` if it is of an unknown kind or a field is invalid. Bytes after the last field are ignored.
     pub fn decode(payload: &[u8]) -> Option<Self> {
         let mut fields = FieldReader::new(payload);
         let kind = RecordKind::from_byte(fields.u8()?)?;
@@ -105,13 +104,13 @@
         notification_code::NONE => None,
         notification_code::UNDELIVERABLE => Some(Status::Undeliverable),
         notification_code::DEFERRED => Some(Status::Deferred(None)),
-        notification_code::DEFERRED_WITH_WAIT => Some(Status::Deferred(Some(retry_after_ms))),
+        notification_code::DEFERRED_WITH_DELAY => Some(Status::Deferred(Some(retry_after_ms))),
         _ => return None,
     };
     Some(Record::Completed { message_id, notification })
 }
 
-/// A state that cannot be, as a negative wait or a share outside 0 to 1, is unreadable.
+/// An impossible state, such as a negative delay or a share outside 0 to 1, is unreadable.
 fn decode_outage(receiver: Rc<str>, fields: &mut FieldReader<'_>) -> Option<Record> {
     let destination = fields.u16()?;
     let recorded_at = fields.time()?;
--- a/crates/journal/src/record/encode.rs
+++ b/crates/journal/src/record/encode.rs
@@ -35,7 +35,7 @@
     });
 }
 
-/// Appends that attempt number `attempt`, counted from 0, is about to be sent.
+/// Appends the start of attempt number `attempt`, counted from 0.
 pub(crate) fn append_attempt_started(
     batch: &mut Vec<u8>,
     message_id: &MessageId,
@@ -63,14 +63,14 @@
     });
 }
 
-/// Appends that a message is complete, and its pending notification if there is one.
+/// Appends the completion of a message, with its pending notification if there is one.
 pub(crate) fn append_completed(batch: &mut Vec<u8>, message_id: &MessageId, notification: Option<Status>) {
     let (code, retry_after_ms) = match notification {
         None => (notification_code::NONE, 0),
         Some(Status::Undeliverable) => (notification_code::UNDELIVERABLE, 0),
         Some(Status::Deferred(None)) => (notification_code::DEFERRED, 0),
         Some(Status::Deferred(Some(retry_after_ms))) => {
-            (notification_code::DEFERRED_WITH_WAIT, retry_after_ms)
+            (notification_code::DEFERRED_WITH_DELAY, retry_after_ms)
         }
     };
     append_record(batch, RecordKind::Completed, |payload| {
@@ -80,12 +80,12 @@
     });
 }
 
-/// Appends that the notification of a message was acknowledged.
+/// Appends the acknowledgement of a message's notification.
 pub(crate) fn append_acknowledged(batch: &mut Vec<u8>, message_id: &MessageId) {
     append_record(batch, RecordKind::Acknowledged, |payload| write_text(payload, message_id));
 }
 
-/// Appends the outage state of an endpoint at a time of the wall clock; `None` is healthy.
+/// Appends the outage state of an endpoint at a point in time; `None` is healthy.
 pub(crate) fn append_outage(
     batch: &mut Vec<u8>,
     endpoint: &EndpointKey,
@@ -125,7 +125,7 @@
     payload.extend(time.0.to_le_bytes());
 }
 
-/// Writes whether there is an execution, then its fields.
+/// Writes whether there is an execution, followed by its fields.
 fn write_execution(payload: &mut Vec<u8>, execution: Option<&PossibleExecution>) {
     payload.push(u8::from(execution.is_some()));
     if let Some(execution) = execution {
--- a/crates/journal/src/record/field_reader.rs
+++ b/crates/journal/src/record/field_reader.rs
@@ -6,7 +6,8 @@
 
 use crate::message::PossibleExecution;
 
-/// Reads fields from the front of a payload; each method returns `None` if the rest of the payload is no such field.
+/// Reads fields from the front of a payload; each method returns `None` if the remaining payload does not start with such a
+/// field.
 pub(crate) struct FieldReader<'a> {
     rest: &'a [u8],
 }
@@ -52,12 +53,12 @@
         self.u64().map(UnixMillis)
     }
 
-    /// A byte of which every value but 0 is true.
+    /// A byte; every value except 0 is true.
     pub fn bool(&mut self) -> Option<bool> {
         self.u8().map(|byte| byte != 0)
     }
 
-    /// Bytes that are preceded by their length.
+    /// Bytes, preceded by their length.
     pub fn bytes(&mut self) -> Option<&'a [u8]> {
         let length = self.u32()? as usize;
         let (bytes, rest) = self.rest.split_at_checked(length)?;
@@ -65,7 +66,7 @@
         Some(bytes)
     }
 
-    /// UTF-8 that is preceded by its length.
+    /// UTF-8 text, preceded by its length.
     pub fn text(&mut self) -> Option<Rc<str>> {
         std::str::from_utf8(self.bytes()?).ok().map(Rc::from)
     }
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -13,10 +13,10 @@
 use crate::segments::{Segment, segment_path};
 use crate::{JournalError, Message};
 
-/// The state that the replayed records add up to.
+/// The state that results from the replayed records.
 #[derive(Debug, Default)]
 pub(crate) struct ReplayedState {
-    /// Messages and notifications that are pending.
+    /// Pending messages and notifications.
     pub entries: Entries,
     /// The outage states of endpoints.
     pub outage_records: OutageRecords,
@@ -24,7 +24,7 @@
     pub latest_attempt: UnixMillis,
 }
 
-/// Replays the segments of processes that have ended, in the order of their numbers, and truncates torn tails.
+/// Replays the segments of processes that have exited, in the order of their numbers, and truncates torn tails.
 ///
 /// # Errors
 ///
--- a/crates/journal/src/segments.rs
+++ b/crates/journal/src/segments.rs
@@ -8,15 +8,15 @@
 
 use crate::JournalError;
 
-/// Size at which the next segment is started, in bytes: longer than any record, and the most that the new messages of a
-/// batch add. A segment therefore holds less than two of these and some short records.
+/// Size at which the next segment is started, in bytes: longer than any record, and the maximum size of a batch's new
+/// messages. A segment is therefore shorter than twice this and some short records.
 pub(crate) const SEGMENT_SIZE: u64 = 128 * 1024;
 /// Block size in which the platform accounts for disk usage, in bytes.
 const BLOCK_SIZE: u64 = 512;
-/// Start of a segment's file name; its number follows.
+/// Prefix of a segment's file name, followed by its number.
 const FILE_NAME_PREFIX: &str = "journal-";
 
-/// The file that records are appended to; tests use one that fails on demand.
+/// The file to which records are appended; tests inject failures.
 trait SegmentFile: Write + Debug {
     /// Truncates the file to a length in bytes.
     fn truncate(&self, length: u64) -> io::Result<()>;
@@ -37,18 +37,18 @@
     pub bytes: u64,
 }
 
-/// The segments that this process owns: the last one is appended to. There is always at least one.
+/// The segments that this process owns, at least one; records are appended to the last one.
 #[derive(Debug)]
 pub(crate) struct Segments {
     folder: PathBuf,
     all: VecDeque<Segment>,
     file: Box<dyn SegmentFile>,
-    /// Whether the last segment may end in half a record: a write to it failed, and it could not be truncated.
+    /// Whether the last segment may end in a torn record: a write failed, and the segment could not be truncated.
     has_torn_tail: bool,
 }
 
 impl Segments {
-    /// Starts a new segment behind older ones.
+    /// Starts a new segment after older ones.
     ///
     /// # Errors
     ///
@@ -59,7 +59,7 @@
         Ok(Self { folder: folder.to_owned(), all: older, file: Box::new(file), has_torn_tail: false })
     }
 
-    /// Puts the segments of a process that has ended in front.
+    /// Prepends the segments of a process that has exited.
     pub fn prepend(&mut self, mut older: VecDeque<Segment>) {
         older.append(&mut self.all);
         self.all = older;
@@ -75,7 +75,7 @@
         self.all.front().map_or(0, |segment| segment.number)
     }
 
-    /// The number of the segment that is appended to.
+    /// The number of the segment to which records are appended.
     pub fn current(&self) -> u64 {
         self.all.back().map_or(0, |segment| segment.number)
     }
@@ -85,7 +85,7 @@
         self.all.iter().map(|segment| segment.bytes.next_multiple_of(BLOCK_SIZE)).sum()
     }
 
-    /// Appends records, if all segments together stay within the budget. After an error nothing was appended.
+    /// Appends records, if the disk usage stays within the budget. After an error nothing is appended.
     ///
     /// # Errors
     ///
@@ -105,7 +105,7 @@
     fn write(&mut self, records: &[u8]) -> Result<(), JournalError> {
         let Some(segment) = self.all.back_mut() else { return Ok(()) };
         if let Err(error) = self.file.write_all(records) {
-            // Half a record in the middle would hide the records behind it.
+            // A torn record would hide the records after it.
             self.has_torn_tail = self.file.truncate(segment.bytes).is_err();
             return Err(JournalError::at(&segment_path(&self.folder, segment.number))(error));
         }
@@ -113,8 +113,7 @@
         Ok(())
     }
 
-    /// Keeps new records from following half a record: it is truncated now, or else ends its segment, where replay
-    /// truncates it.
+    /// Truncates a torn record, or starts a new segment so that replay can truncate it.
     fn recover_torn_tail(&mut self) -> Result<(), JournalError> {
         let Some(torn) = self.all.back() else { return Ok(()) };
         let number = torn.number;
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -1,4 +1,4 @@
-//! The journal of a process: the state on record, and the batch of records that is written next.
+//! The journal of a process: its recorded state, and the batch of records to be written next.
 
 mod compaction;
 mod takeover;
@@ -20,12 +20,11 @@
 use crate::segments::{SEGMENT_SIZE, Segments, segment_numbers};
 use crate::{JournalError, MessageId};
 
-/// Space that is kept free between batches, in bytes: for one batch (with short records), and for one segment that is
-/// moved.
+/// Space kept free between batches, in bytes: for one batch, and for one segment that is compacted.
 const RESERVE: u64 = 5 * SEGMENT_SIZE;
-/// Part of the budget that is not used for pending entries, in bytes, so that compaction always frees enough.
+/// Part of the budget that is not available for pending entries, in bytes, so that compaction can always free space.
 const HEADROOM: u64 = 8 * SEGMENT_SIZE;
-/// How far the numbers of a successor's segments are ahead of the owner's, which goes on writing for a while.
+/// Lead of a successor's segment numbers over those of the owner, which may still write segments.
 const SUCCESSOR_NUMBER_OFFSET: u64 = 1_000_000;
 
 /// A journal in a folder, opened by one process.
@@ -40,9 +39,9 @@
     /// Maximum disk usage of this process's segments, in bytes: half of `disk_budget` while two processes write.
     budget: u64,
     segments: Segments,
-    /// The batch's records of what has happened already: kept for the next batch if they cannot be written.
+    /// The batch's records of past events; kept for the next batch if they cannot be written.
     retained_records: Vec<u8>,
-    /// The batch's records of what may happen only once they are written: dropped if they cannot be.
+    /// The batch's records of events that require a written record; dropped if they cannot be written.
     provisional_records: Vec<u8>,
     entries: Entries,
     outage_records: OutageRecords,
@@ -54,7 +53,7 @@
     /// Opens the journal in `folder`: replays it, truncates a torn tail and starts a new segment. `disk_budget` is the
     /// maximum disk usage of all segments together, in bytes.
     ///
-    /// If another process owns the folder nothing is replayed, and half of the budget is this process's until
+    /// If another process owns the folder, nothing is replayed, and this process uses half of the budget until
     /// [`Store::take_over`].
     ///
     /// # Errors
@@ -117,7 +116,7 @@
 
     /// When the latest attempt of an earlier process was sent; [`UnixMillis::EPOCH`] if none is on record.
     ///
-    /// If it lies in the future, the clock was set back and no time on record tells how long ago it was.
+    /// If it is in the future, the clock was set back, and recorded times do not show how long ago an attempt was.
     pub fn latest_attempt(&self) -> UnixMillis {
         self.latest_attempt
     }
@@ -127,12 +126,12 @@
         self.entries.contains(message_id)
     }
 
-    /// Whether that many more bytes can be reserved for messages, see [`Message::reserved_bytes`].
+    /// Whether `bytes` more can be reserved for messages, see [`Message::reserved_bytes`].
     pub fn has_space_for(&self, bytes: u64) -> bool {
         self.entries.reserved_bytes() + bytes <= self.budget.saturating_sub(HEADROOM)
     }
 
-    /// Whether the new messages of a batch can reserve that many bytes together.
+    /// Whether the new messages of a batch can reserve `bytes` in total.
     pub fn fits_batch(bytes: u64) -> bool {
         bytes <= SEGMENT_SIZE
     }
@@ -177,7 +176,7 @@
         }
     }
 
-    /// Records the outage state of an endpoint in place of the earlier one; `None` is healthy.
+    /// Records the outage state of an endpoint, which replaces the earlier one; `None` is healthy.
     pub fn record_outage(&mut self, endpoint: EndpointKey, outage: Option<OutageState>) {
         let segment = self.segments.current();
         let recorded_at = UnixMillis::now();
@@ -186,7 +185,7 @@
         self.outage_records.set(endpoint, record);
     }
 
-    /// The outage states as they are now, in the order of their endpoints.
+    /// The current outage states, in the order of their endpoints.
     pub fn outage_records(&self) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
         self.outage_records.states_at(UnixMillis::now())
     }
@@ -195,8 +194,8 @@
     ///
     /// # Errors
     ///
-    /// [`JournalError::Full`] or [`JournalError::Io`] if it cannot be written. No message of the batch was accepted then
-    /// and no attempt started: the caller has to [`discard`](Store::discard) these messages. Outcomes, completions,
+    /// [`JournalError::Full`] or [`JournalError::Io`] if it cannot be written. In this case no message of the batch is
+    /// accepted and no attempt started: the caller must [`discard`](Store::discard) these messages. Outcomes, completions,
     /// acknowledgements and outage states are kept for the next batch.
     pub fn commit(&mut self) -> Result<(), JournalError> {
         if self.retained_records.is_empty() && self.provisional_records.is_empty() {
@@ -214,7 +213,7 @@
         Ok(())
     }
 
-    /// Forgets a message whose batch could not be written.
+    /// Removes a message whose batch could not be written.
     pub fn discard(&mut self, message_id: &MessageId) {
         self.entries.remove(message_id);
     }
--- a/crates/journal/src/store/compaction.rs
+++ b/crates/journal/src/store/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction: frees the oldest segments by writing what is still pending in them again, at the end.
+//! Compaction: frees the oldest segments by writing their pending entries again at the end.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -9,8 +9,8 @@
 use super::{RESERVE, Store};
 
 impl Store {
-    /// Compacts so that a batch can be written. If the latest attempt on record lies in the future, all older segments go:
-    /// the clock was set back, and every later start would find that out again from the same records.
+    /// Compacts so that a batch can be written. If the latest recorded attempt is in the future, the clock was set back, and
+    /// all older segments are removed so that later starts do not detect it again.
     pub(super) fn compact_at_start(&mut self) -> Result<(), JournalError> {
         if self.latest_attempt > UnixMillis::now() {
             return self.compact_to(0);
@@ -30,7 +30,7 @@
     }
 
     /// Removes the oldest segments until the disk usage is at most `max_usage` bytes or one segment is left. The number of
-    /// segments is bounded beforehand, as moving records may start new ones.
+    /// removed segments is bounded in advance, as moving records may start new ones.
     pub(super) fn compact_to(&mut self, max_usage: u64) -> Result<(), JournalError> {
         for _ in 1..self.segments.len() {
             if self.segments.disk_usage() <= max_usage {
@@ -41,8 +41,8 @@
         Ok(())
     }
 
-    /// Moves all that is pending from the oldest segment to the current one, then deletes the oldest. A crash between the
-    /// two leaves the same records twice, which replay reads as once.
+    /// Moves the pending entries of the oldest segment to the current one, then deletes the oldest. A crash between the two
+    /// leaves duplicate records, which replay merges.
     fn compact_oldest(&mut self) -> Result<(), JournalError> {
         let oldest = self.segments.oldest();
         let current = self.segments.current();
@@ -54,7 +54,7 @@
         self.segments.remove_oldest()
     }
 
-    /// New records of all that is pending in a segment.
+    /// New records of all pending entries of a segment.
     fn pending_records(&self, segment: u64) -> Vec<u8> {
         let mut records = Vec::new();
         for (message_id, entry) in self.entries.in_segment(segment) {
--- a/crates/journal/src/store/takeover.rs
+++ b/crates/journal/src/store/takeover.rs
@@ -1,4 +1,4 @@
-//! Takeover: an owner leaves half of the disk budget to its successor, and the successor becomes the owner.
+//! Takeover: the owner shares the disk budget with its successor, which then becomes the owner.
 
 use crate::JournalError;
 use crate::message::TakenOver;
@@ -8,15 +8,15 @@
 use super::{RESERVE, Store};
 
 impl Store {
-    /// Whether this process owns the folder: all that earlier processes left in it is this one's.
+    /// Whether this process owns the folder and all earlier segments in it.
     pub fn is_owner(&self) -> bool {
         self.lock.is_owner()
     }
 
-    /// Makes a successor the owner if the owner has ended, and returns the owner's unfinished work. `None` while the
-    /// owner runs, and for a process that is the owner already.
+    /// Makes a successor the owner if the owner has exited, and returns the owner's pending work. `None` while the owner runs,
+    /// and for a process that is the owner already.
     ///
-    /// For an id that both know the successor's entry is kept: the earlier owner's message is complete.
+    /// If both have an entry of an id, the successor's is kept: the earlier owner's message is complete.
     ///
     /// # Errors
     ///
@@ -26,8 +26,8 @@
             return Ok(None);
         }
         let mut numbers = segment_numbers(&self.folder)?;
-        let first_of_ours = self.segments.oldest();
-        numbers.retain(|&number| number < first_of_ours);
+        let first_own = self.segments.oldest();
+        numbers.retain(|&number| number < first_own);
         let mut state = ReplayedState::default();
         let older = replay_segments(&self.folder, &numbers, &mut state)?;
         self.lock.become_owner()?;
@@ -40,11 +40,11 @@
         Ok(Some(taken_over))
     }
 
-    /// Leaves half of the disk budget to a successor while there is one, and uses all of it again when there is none.
+    /// Uses half of the disk budget while there is a successor, and all of it otherwise.
     ///
     /// # Errors
     ///
-    /// [`JournalError`] if compaction to that half failed; no more than half is used for new records all the same.
+    /// [`JournalError`] if compaction to that half failed; new records are limited to half of the budget nevertheless.
     pub fn share_disk(&mut self, with_successor: bool) -> Result<(), JournalError> {
         if !with_successor {
             self.budget = self.disk_budget;
--- a/crates/sender/src/fleet_file.rs
+++ b/crates/sender/src/fleet_file.rs
@@ -1,5 +1,5 @@
-//! The operator's file on how the senders of a fleet act together: TOML, named by the variable `RELAY_FLEET`. Without one
-//! every part is off.
+//! The operator's fleet file, which configures what the senders of a fleet share: TOML, at the path in `RELAY_FLEET`. Without
+//! it nothing is shared.
 
 mod error;
 
@@ -15,11 +15,11 @@
 
 pub use error::FleetFileError;
 
-/// Default number of senders from which on they gossip: fewer learn enough from their own calls.
+/// Default minimum number of senders for gossip; in smaller fleets each sender's own calls are sufficient.
 const DEFAULT_MIN_SENDERS: usize = 11;
-/// Default maximum rate at which one sender is handed messages, in messages a second.
+/// Default maximum rate of messages submitted to one sender, in messages a second.
 const DEFAULT_MAX_MESSAGES_PER_S: u32 = 100;
-/// Minimum number of senders that can gossip.
+/// Minimum valid value of `share.from`.
 const MIN_GOSSIPING_SENDERS: usize = 2;
 
 /// The operator's file, validated.
@@ -40,7 +40,7 @@
     zones: BTreeMap<String, Vec<usize>>,
 }
 
-/// What the senders share: the table `[share]`.
+/// The table `[share]`: what the senders share.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SharingConfig {
@@ -55,11 +55,11 @@
     max_messages_per_s: u32,
 }
 
-/// How strictly a destination's limit is kept.
+/// How strictly a destination's limit is enforced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LimitBound {
-    /// The limit is used as well as gossip allows; it may be exceeded while gossip does not arrive.
+    /// The limit is shared by demand; it may be exceeded while gossip is not received.
     #[default]
     #[serde(rename = "use")]
     BestEffort,
@@ -80,12 +80,12 @@
 }
 
 impl SharingConfig {
-    /// The number of senders from which on they gossip; 2 or more.
+    /// Minimum number of senders for gossip, at least 2.
     pub fn min_senders(&self) -> usize {
         self.min_senders
     }
 
-    /// Whether receivers that several senders of a zone see fail are ejected in all of it.
+    /// Whether receivers whose calls fail at several senders of a zone are ejected in the whole zone.
     pub fn detects_outliers(&self) -> bool {
         self.outlier_detection
     }
@@ -95,8 +95,7 @@
         self.shared_quotas
     }
 
-    /// Maximum rate at which one sender is handed messages, in messages a second: what a sender that is not heard may have
-    /// accepted.
+    /// Maximum rate of messages submitted to one sender, in messages a second; assumed for senders that do not report.
     pub fn max_messages_per_s(&self) -> u32 {
         self.max_messages_per_s
     }
@@ -112,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// [`FleetFileError`] names the file, the place in it and what is expected.
+    /// [`FleetFileError`] names the file, the position in it and what is expected.
     pub fn read(path: &Path) -> Result<Self, FleetFileError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| FleetFileError::Unreadable { path: path.to_owned(), error })?;
@@ -156,14 +155,14 @@
         Ok(())
     }
 
-    /// The first sender that is listed more than once, in the order of the zones' names.
+    /// The first sender that is listed more than once, in the order of zone names.
     fn sender_listed_twice(&self) -> Option<usize> {
         let listed: Vec<usize> = self.zones.values().flatten().copied().collect();
         let times = |sender| listed.iter().filter(|listed| **listed == sender).count();
         listed.iter().copied().find(|sender| times(*sender) > 1)
     }
 
-    /// The zone of each sender as a number; senders that are listed in none share zone 0.
+    /// The number of each sender's zone; senders that are not listed are in zone 0.
     pub fn zones(&self, senders: usize) -> Vec<u16> {
         (0..senders).map(|sender| self.zone_of(sender)).collect()
     }
--- a/crates/sender/src/fleet_file/error.rs
+++ b/crates/sender/src/fleet_file/error.rs
@@ -1,9 +1,9 @@
-//! Why the operator's file cannot be used.
+//! Errors of the operator's fleet file.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why the operator's file cannot be used; one line that names the file.
+/// Why the fleet file cannot be used; displayed as one line that names the file.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum FleetFileError {
@@ -42,7 +42,7 @@
 }
 
 impl FleetFileError {
-    /// An error of the parser, with the line that it is about.
+    /// A parser's error with its line.
     pub(super) fn malformed(path: &Path, text: &str, error: toml::de::Error) -> Self {
         let before = error.span().and_then(|span| text.get(..span.start)).unwrap_or_default();
         let line = before.matches('\n').count() + 1;
--- a/crates/sender/src/fleet_file/golden.rs
+++ b/crates/sender/src/fleet_file/golden.rs
@@ -15,12 +15,12 @@
 #[derive(Deserialize)]
 struct Refused {
     file: String,
-    /// The key, or else the line.
+    /// The key, or the line if there is none.
     place: String,
-    /// The value in the error.
+    /// The value that the error displays.
     shown: String,
     cause: String,
-    /// The recorded error, for readers.
+    /// The recorded error.
     line: String,
 }
 
@@ -37,7 +37,7 @@
         "halls": file.zones, "hall of each of 7 senders": file.zones(7)})
 }
 
-/// The cause that an error names.
+/// The cause of an error.
 fn cause(line: &str) -> &'static str {
     let causes = [
         ("unknown field", "unknown name"),
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between the senders of a fleet over UDP. The messages and their meaning are in `rudderspindle-gossip`.
+//! Gossip between the senders of a fleet over UDP; the protocols are in `rudderspindle-gossip`.
 
 mod engine;
 mod exchange;
@@ -20,31 +20,31 @@
 use rudderspindle_policy::interface::LimitScope;
 use shared_view::SharedView;
 
-/// Log target of datagrams that are dropped.
+/// Log target of dropped datagrams.
 const LOG_TARGET: &str = "notes";
-/// Log target of what the senders of the fleet know together.
+/// Log target of the state that the fleet shares.
 pub(crate) const FLEET_LOG_TARGET: &str = "fleet";
-/// Pause before the listening address is tried again: a process that this one takes over from has it until it ends.
+/// Interval between attempts to bind the listening address, which an earlier process may use until it exits.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the senders of the fleet share besides capacity, by the operator's file.
+/// The settings of what the senders share besides capacity.
 #[derive(Debug, Default)]
 pub(crate) struct FleetSettings {
     /// The operator's file.
     pub fleet_file: FleetFile,
     /// Quota of each tenant over all senders, in messages a second.
     pub tenant_quotas: Vec<f64>,
-    /// This process's incarnation, where permits or views need it.
+    /// This process's incarnation, if permits or the fleet view need it.
     pub incarnation: Option<Incarnation>,
 }
 
-/// A limit as the engine reported it last.
+/// A limit as last reported by the engine.
 #[derive(Clone, Copy, Debug)]
 struct ReportedLimit {
     id: LimitId,
     scope: LimitScope,
-    /// Share of the limit that the destination is believed to accept, from 0 to 1.
-    open_share: f64,
+    /// Estimated fraction of the limit that the destination accepts, from 0 to 1.
+    available_fraction: f64,
 }
 
 /// Exchanges gossip with the other senders of the fleet.
@@ -59,20 +59,20 @@
 }
 
 impl GossipTask {
-    /// A task for the sender and its peers in `config`, whose destinations recover from an outage by `ramp`.
+    /// A task for the sender and its peers in `config`; destinations recover from an outage along `ramp`.
     pub(crate) fn new(config: GossipConfig, ramp: RecoveryRamp, settings: FleetSettings) -> Self {
         let demand_exchange = DemandExchange::new(config.me, config.peers.len(), ramp);
         Self { config, demand_exchange, settings, permits: None, shared_view: None, limits: Vec::new() }
     }
 
-    /// Runs until the engine has ended.
+    /// Runs until the engine stops.
     pub(crate) async fn run(self, engine: mpsc::Sender<Input>) {
         if let Some(socket) = self.bind(&engine).await {
             self.exchange(socket, engine).await;
         }
     }
 
-    /// Binds the listening address, as soon as it is free; `None` if the engine has ended before.
+    /// Binds the listening address as soon as it is free; `None` if the engine has stopped before.
     async fn bind(&self, engine: &mpsc::Sender<Input>) -> Option<UdpSocket> {
         let mut is_reported = false;
         loop {
--- a/crates/sender/src/gossip/engine.rs
+++ b/crates/sender/src/gossip/engine.rs
@@ -1,4 +1,4 @@
-//! What the gossip task asks the engine for, and what it tells it.
+//! The gossip task's communication with the engine.
 
 use std::collections::HashMap;
 
@@ -10,16 +10,17 @@
 use super::{GossipTask, ReportedLimit};
 use crate::event::{ActivityReport, Input, LimitDemand, PermitUpdate};
 
-/// How long capacity shares are in effect, in milliseconds.
-const CAPACITY_SHARE_LIFETIME: Millis = 1_000.0;
+/// How long a capacity update is valid, in milliseconds.
+const CAPACITY_VALIDITY: Millis = 1_000.0;
 
-/// The engine has ended, and so does the exchange.
+/// The engine has stopped, so the exchange ends.
 #[derive(Debug, thiserror::Error)]
-#[error("the engine has ended")]
+#[error("the engine has stopped")]
 pub(super) struct EngineClosed;
 
 impl GossipTask {
-    /// Asks the engine for its demands and activity, and tells it what the shared view makes of that.
+    /// Queries the engine's activity, updates the shared view with it, and sends the resulting inputs to the engine. Returns
+    /// the engine's demands.
     async fn query_demands(
         &mut self,
         engine: &mpsc::Sender<Input>,
@@ -37,7 +38,7 @@
         Ok(activity.demands)
     }
 
-    /// Reports this sender's demands to the fleet, and the capacity shares that follow from the last sums to the engine.
+    /// Reports this sender's demands to the fleet, and updates the engine's capacity from the latest sums.
     pub(super) async fn report(
         &mut self,
         engine: &mpsc::Sender<Input>,
@@ -47,25 +48,25 @@
         let capacities = self.demand_exchange.capacities(UnixMillis::now());
         self.limits = self.reported_limits(&demands, capacities.is_some());
         if let Some(capacities) = capacities {
-            let shares = self.capacity_shares(&demands, &capacities);
-            engine.send(shares).await.map_err(|_| EngineClosed)?;
+            let updates = self.capacity_updates(&demands, &capacities);
+            engine.send(updates).await.map_err(|_| EngineClosed)?;
         }
         Ok(datagrams)
     }
 
-    /// The limits that the engine reported. Without sums they are taken to be open.
+    /// The limits that the engine reported; without sums they are assumed to be fully available.
     fn reported_limits(&self, demands: &[LimitDemand], have_sums: bool) -> Vec<ReportedLimit> {
         let mut limits = Vec::with_capacity(demands.len());
         for LimitDemand { limit: id, demand } in demands {
-            let open_share =
+            let available_fraction =
                 if have_sums { self.demand_exchange.available_fraction(*id, demand.limit) } else { 1.0 };
-            limits.push(ReportedLimit { id: *id, scope: demand.scope, open_share });
+            limits.push(ReportedLimit { id: *id, scope: demand.scope, available_fraction });
         }
         limits
     }
 
-    /// The capacity share of each demand; infinite where the limit is far from reached.
-    fn capacity_shares(&self, demands: &[LimitDemand], capacities: &[LimitCapacity]) -> Input {
+    /// The capacity of each limit; infinite if it is far from reached.
+    fn capacity_updates(&self, demands: &[LimitDemand], capacities: &[LimitCapacity]) -> Input {
         let by_limit: HashMap<LimitId, f64> =
             capacities.iter().map(|capacity| (capacity.limit_id, capacity.rate_per_demand)).collect();
         let mut updates = Vec::with_capacity(demands.len());
@@ -74,13 +75,13 @@
                 scope: demand.scope,
                 calls_per_demand: by_limit.get(id).copied().unwrap_or(f64::INFINITY),
                 total_demand: self.demand_exchange.fleet_demand(*id),
-                valid_for: CAPACITY_SHARE_LIFETIME,
+                valid_for: CAPACITY_VALIDITY,
             });
         }
         Input::CapacityUpdates(updates)
     }
 
-    /// Offers the permits that this sender does not need, and tells the engine which ones it has.
+    /// Offers the permits that this sender does not need, and updates the engine's permits.
     pub(super) async fn offer(
         &mut self,
         engine: &mpsc::Sender<Input>,
@@ -93,20 +94,20 @@
         Ok(datagram)
     }
 
-    /// Tells the engine which permits it has, where permits are in use.
+    /// Updates the engine's permits, if permits are in use.
     pub(super) async fn update_permits(&self, engine: &mpsc::Sender<Input>) -> Result<(), EngineClosed> {
         let Some(ledger) = &self.permits else { return Ok(()) };
         let now = UnixMillis::now();
         let mut updates = Vec::with_capacity(self.limits.len());
         for limit in &self.limits {
-            let permits = ledger.permits(now, limit.id, limit.open_share);
+            let permits = ledger.permits(now, limit.id, limit.available_fraction);
             updates.push(PermitUpdate { scope: limit.scope, permits });
         }
         engine.send(Input::Permits(updates)).await.map_err(|_| EngineClosed)
     }
 }
 
-/// Demands in the terms of the fleet.
+/// The engine's demands as the gossip protocols use them.
 fn local_demands(demands: &[LimitDemand]) -> Vec<LocalDemand> {
     let local = demands.iter().map(|LimitDemand { limit, demand }| LocalDemand {
         limit_id: *limit,
--- a/crates/sender/src/gossip/exchange.rs
+++ b/crates/sender/src/gossip/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of datagrams: timers, received datagrams, and what they mean for the engine.
+//! The exchange of datagrams: timers, received datagrams, and their effects on the engine.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,18 +16,18 @@
 use super::{FLEET_LOG_TARGET, FleetSettings, GossipTask, LOG_TARGET};
 use crate::event::Input;
 
-/// Rounds for each report where permits are in use, whose datagrams need the bandwidth.
+/// Number of rounds per report while permits are in use, whose datagrams share the bandwidth.
 const ROUNDS_PER_REPORT_WITH_PERMITS: u64 = 2;
 
-/// When the engine is asked for its demand next.
+/// When the engine's demand is queried next.
 #[derive(Debug)]
 struct Schedule {
     report_at: UnixMillis,
-    /// `None` where permits are not in use.
+    /// `None` if permits are not in use.
     offer_at: Option<UnixMillis>,
 }
 
-/// What a received datagram changed.
+/// The effect of a received datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Received {
     /// Permits may have been granted.
@@ -37,13 +37,13 @@
 }
 
 impl GossipTask {
-    /// Sends and receives datagrams until the engine has ended.
+    /// Sends and receives datagrams until the engine stops.
     pub(super) async fn exchange(mut self, socket: UdpSocket, engine: mpsc::Sender<Input>) {
         let numbers = self.sender_numbers();
         let now = UnixMillis::now();
         self.begin_incarnation(now);
         let mut schedule = Schedule { report_at: self.next_report(now), offer_at: self.next_offer(now) };
-        // One byte more than a datagram may have, to detect longer ones.
+        // One byte more than the maximum length, to detect longer datagrams.
         let mut buffer = [0; MAX_MESSAGE_LEN + 1];
         loop {
             let wake_at = self.next_wake(&schedule);
@@ -70,8 +70,8 @@
         self.config.peers.iter().enumerate().map(|(number, addr)| (*addr, number)).collect()
     }
 
-    /// Starts permits and views where they are configured. The listening address belongs to this process now, so an
-    /// earlier one with the same number has ended.
+    /// Starts permits and the fleet view if they are configured. As this process has bound the listening address, no earlier
+    /// process with the same number runs.
     fn begin_incarnation(&mut self, now: UnixMillis) {
         let (me, senders) = (self.config.me, self.config.peers.len());
         let FleetSettings { fleet_file, tenant_quotas, incarnation } = &self.settings;
@@ -89,9 +89,9 @@
 
     /// When the next timer is due.
     fn next_wake(&self, schedule: &Schedule) -> UnixMillis {
-        let deal_at = self.permits.as_ref().and_then(PermitLedger::next_allocation);
+        let allocation_at = self.permits.as_ref().and_then(PermitLedger::next_allocation);
         let view_at = self.shared_view.as_ref().map(|_| SharedView::next_poll(UnixMillis::now()));
-        let others = [self.demand_exchange.next_sums(), deal_at, schedule.offer_at, view_at];
+        let others = [self.demand_exchange.next_sums(), allocation_at, schedule.offer_at, view_at];
         others.into_iter().flatten().fold(schedule.report_at, UnixMillis::min)
     }
 
@@ -106,7 +106,7 @@
         self.permits.as_ref().map(|permits| permits.next_offer(now))
     }
 
-    /// The datagrams that are due now; the engine is asked for its demand where a report or an offer is due.
+    /// The datagrams that are due; the engine's demand is queried if a report or an offer is due.
     async fn due_datagrams(
         &mut self,
         schedule: &mut Schedule,
@@ -133,13 +133,13 @@
     fn send(&self, socket: &UdpSocket, datagrams: &[OutgoingDatagram]) {
         for OutgoingDatagram { to, bytes } in datagrams {
             if let Some(addr) = self.config.peers.get(*to) {
-                // One that cannot be sent now counts as lost.
+                // A datagram that cannot be sent immediately counts as lost.
                 let _ = socket.try_send_to(bytes, *addr);
             }
         }
     }
 
-    /// Handles a received datagram; it is dropped if it is malformed, late or from an unknown sender.
+    /// Handles a received datagram; a malformed, late or unexpected one is dropped.
     fn receive(&mut self, from: usize, message: &[u8]) -> Received {
         self.dispatch(from, message).unwrap_or_else(|error| {
             tracing::debug!(target: LOG_TARGET, from, %error, "datagram dropped");
@@ -147,7 +147,7 @@
         })
     }
 
-    /// Passes a datagram to the part that it is for.
+    /// Dispatches a datagram to its protocol.
     fn dispatch(&mut self, from: usize, message: &[u8]) -> Result<Received, ReceiveError> {
         let now = UnixMillis::now();
         let kind = open(message).map(|(kind, _)| kind);
@@ -160,7 +160,7 @@
                 shared_view.receive(now, from, message)?;
                 Ok(Received::Other)
             }
-            // Also datagrams of an unknown kind and damaged ones: the error names the cause.
+            // Unknown and damaged datagrams, too: the error names the cause.
             _ => {
                 self.demand_exchange.receive(now, from, message)?;
                 Ok(Received::Other)
--- a/crates/sender/src/gossip/receive_error.rs
+++ b/crates/sender/src/gossip/receive_error.rs
@@ -2,16 +2,16 @@
 
 use rudderspindle_gossip::{FleetViewError, GossipError, PermitError};
 
-/// The cause, by the part that refused the datagram.
+/// The error of the protocol that rejected the datagram.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReceiveError {
     /// A permit offer or grant.
     #[error(transparent)]
     Permit(#[from] PermitError),
-    /// A report or view of usage and outliers.
+    /// A report or summary of the fleet view.
     #[error(transparent)]
     FleetView(#[from] FleetViewError),
-    /// A report or sum of demand, or a datagram of no known kind.
+    /// A report or sums of the demand exchange, or a datagram of an unknown kind.
     #[error(transparent)]
     Gossip(#[from] GossipError),
 }
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -1,4 +1,4 @@
-//! Usage and outliers over the fleet: the engine's activity goes into the view, and quotas and ejections come of it.
+//! Feeds the engine's activity into the fleet view and turns the result into quotas and ejections.
 
 use std::collections::BTreeMap;
 
@@ -13,25 +13,25 @@
 use crate::event::{ActivityReport, Input, ListedReceiver, TenantQuota};
 use crate::fleet_file::FleetFile;
 
-/// How often it is checked whether datagrams are due, in milliseconds: a few times in the part of a round for them.
+/// Interval at which the view is polled for due datagrams, in milliseconds: several times within a round.
 const VIEW_INTERVAL: u64 = 50;
-/// Bandwidth class of reports; each is answered, so it costs two datagrams.
+/// Datagram class of reports; each is answered, so it costs two datagrams.
 const REPORT_CLASS: DatagramClass = DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 };
 
-/// One sender's view of the fleet, and what of it the engine knows.
+/// One sender's view of the fleet, and the ejections last reported to the engine.
 #[derive(Debug)]
 pub(super) struct SharedView {
     view: FleetView,
     budget: DatagramBudget,
     detects_outliers: bool,
-    /// Quota of each tenant over all senders, in messages a second; empty where each sender applies quotas on its own.
+    /// Fleet-wide quota of each tenant, in messages a second; empty if quotas are not shared.
     quotas: Vec<f64>,
-    /// The ejected routes that the engine was told last.
+    /// The ejected routes last reported to the engine.
     ejected: Vec<RouteId>,
 }
 
 impl SharedView {
-    /// A view as the operator's file asks for it; `None` if it asks for none.
+    /// A view as configured in the operator's file; `None` if none is.
     ///
     /// # Errors
     ///
@@ -48,7 +48,7 @@
         if !sharing.detects_outliers() && !sharing.shares_quotas() {
             return Ok(None);
         }
-        // Until now an earlier process may have accepted messages under this number.
+        // An earlier process may have accepted messages under this number until now.
         let local = LocalSender {
             number: me,
             incarnation,
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// [`FleetViewError`] says why it was dropped.
+    /// [`FleetViewError`] is why it was dropped.
     pub(super) fn receive(
         &mut self,
         now: UnixMillis,
@@ -88,7 +88,7 @@
         self.view.receive(now, from, message)
     }
 
-    /// Records the engine's activity, and returns what the engine is to be told.
+    /// Records the engine's activity and returns the resulting inputs for the engine.
     pub(super) fn exchange(&mut self, now: UnixMillis, activity: &ActivityReport) -> Vec<Input> {
         self.record(now, activity);
         let mut inputs = Vec::new();
@@ -125,8 +125,7 @@
         Some(Input::EjectedReceivers(ejected))
     }
 
-    /// The routes to receivers that several other senders of this zone see fail, sorted. They are chosen for each
-    /// destination separately.
+    /// The routes to ejected receivers, sorted; receivers are ejected for each destination separately.
     fn ejected_routes(&mut self, now: UnixMillis, listed: &[ListedReceiver]) -> Vec<RouteId> {
         let mut by_destination: BTreeMap<DestinationId, Vec<ListedReceiver>> = BTreeMap::new();
         for listed in listed {
@@ -143,7 +142,7 @@
         ejected_routes
     }
 
-    /// This sender's share of each tenant's quota, in messages a second; `None` where nothing is known of the others.
+    /// This sender's share of each tenant's quota, in messages a second; `None` without recent usage of other senders.
     fn quota_shares(&self, now: UnixMillis) -> Vec<TenantQuota> {
         let mut shares = Vec::with_capacity(self.quotas.len());
         for (tenant, quota) in self.quotas.iter().enumerate() {
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -47,11 +47,11 @@
     sockets.into_iter().enumerate().map(start).collect()
 }
 
-/// Acts as the engine of one sender until all three have received a capacity share below what they want; returns this
-/// sender's first one.
+/// Acts as the engine of one sender until all three have received a capacity below their demand; returns this sender's
+/// first one.
 async fn run_engine(inputs: &mut mpsc::Receiver<Input>, wanted: f64, limited_senders: &Cell<usize>) -> f64 {
     let mut first_share = None;
-    // A sender that stopped here would be missing from the sums of the others.
+    // A sender that stopped earlier would be missing in the sums of the others.
     while limited_senders.get() < 3 {
         match timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input") {
             Input::ReportActivity(reply) => {
@@ -71,8 +71,8 @@
     first_share.expect("a capacity share")
 }
 
-/// Together they want two and a half times the limit, which none of them could know alone. Malformed datagrams of an
-/// unknown sender change nothing.
+/// Their total demand is two and a half times the limit, the demand of each is below it. Malformed datagrams of an unknown
+/// sender change nothing.
 #[tokio::test]
 async fn three_senders_learn_their_capacity_shares_from_one_another() {
     let test = async {
@@ -91,7 +91,7 @@
             run_engine(&mut c.1, 50.0, &limited_senders)
         );
         for share in [shares.0, shares.1, shares.2] {
-            // The first sums may not be of all three; a figure is accurate to a twentieth.
+            // The first sums may not include all three; encoded loads are accurate to a twentieth.
             assert!((LIMIT / 150.0 * 0.85..=LIMIT / 50.0 * 0.9).contains(&share), "{share}");
         }
     };
--- a/crates/sender/src/incarnation.rs
+++ b/crates/sender/src/incarnation.rs
@@ -1,5 +1,4 @@
-//! The number of this process's incarnation, which is larger than those of all earlier processes with the same state
-//! folder.
+//! The incarnation number of this process, larger than those of all earlier processes with the same state folder.
 
 use std::io;
 use std::path::Path;
@@ -10,8 +9,8 @@
 /// Name of the file in the state folder that holds the last number, as text.
 const FILE: &str = "incarnation";
 
-/// Starts an incarnation, and stores its number before it is announced to anybody. Without a readable file the number
-/// is that of the clock, `now`, alone.
+/// Starts an incarnation and stores its number, which must happen before it is first announced. Without a readable file the
+/// number is that of the clock, `now`.
 ///
 /// # Errors
 ///
