--- a/crates/journal/src/outage_records.rs
+++ b/crates/journal/src/outage_records.rs
@@ -1,4 +1,4 @@
-//! Outage states that a restarted sender resumes from: one record for each endpoint in an outage or recovering from one.
+//! Outage states for a restarted sender: one record for each endpoint in an outage or recovering from one.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -65,7 +65,7 @@
         now.millis_since(self.recorded_at) > lifetime
     }
 
-    /// The state after the time since it was recorded has passed. If the wall clock was set back no time has passed.
+    /// The state at `now`. If the wall clock was set back, it is the recorded one.
     fn state_at(&self, now: UnixMillis) -> OutageState {
         let elapsed = now.millis_since(self.recorded_at);
         match self.outage {
@@ -103,13 +103,13 @@
         }
     }
 
-    /// The states that are valid at this time of the wall clock, in the order of their endpoints.
+    /// The states that are valid at `now`, in the order of their endpoints.
     pub fn states_at(&self, now: UnixMillis) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
         let valid = self.0.iter().filter(move |(_, record)| !record.is_expired(now));
         valid.map(move |(endpoint, record)| (endpoint, record.state_at(now)))
     }
 
-    /// Adds records of an earlier process, for endpoints that have none yet.
+    /// Adds records of an earlier process, for endpoints without a record.
     pub fn add_older(&mut self, older: Self) {
         for (endpoint, record) in older.0 {
             if !self.0.contains_key(&endpoint) {
@@ -128,7 +128,7 @@
         self.0.iter().filter(move |(_, record)| record.segment == segment)
     }
 
-    /// Notes that the records of one segment were written again to another.
+    /// Records that the records of one segment were written again to another.
     pub fn move_segment(&mut self, from: u64, to: u64) {
         let moved = self.0.values_mut().filter(|record| record.segment == from);
         moved.for_each(|record| record.segment = to);
--- a/crates/journal/src/outage_records/tests.rs
+++ b/crates/journal/src/outage_records/tests.rs
@@ -1,4 +1,4 @@
-//! Ageing of outage records, and their maximum number.
+//! Aging of outage records, and their maximum number.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -29,7 +29,7 @@
         [(7, OutageState::Down { retry_after_remaining: 7_000 }), warming_up(3_500)]
     );
     assert_eq!(states_at(130_000), [(7, OutageState::Down { retry_after_remaining: 0 }), warming_up(29_500)]);
-    // The clock was set back: the wait is no longer than it was.
+    // The clock was set back: the states are the recorded ones.
     assert_eq!(states_at(0), [(7, OutageState::Down { retry_after_remaining: 11_000 }), warming_up(-500)]);
     assert_eq!(states_at(165_000), [(7, OutageState::Down { retry_after_remaining: 0 })]);
     assert_eq!(states_at(172_000), []);
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -1,6 +1,7 @@
-//! Restarts, compaction, failed commits and outage records.
+//! Restarts, compaction and failed commits.
 
 mod model;
+mod outage_records;
 mod takeover;
 
 use std::fs;
@@ -12,9 +13,7 @@
 use super::Store;
 use crate::MessageId;
 use crate::message::{Message, PossibleExecution, Status};
-use crate::outage_records::{EndpointKey, OutageState};
-use crate::record::{RecordKind, append_outage, append_record, write_text};
-use crate::replay::{ReplayedState, replay_segment};
+use crate::record::{RecordKind, append_record, write_text};
 use crate::segments::{segment_numbers, segment_path};
 
 const BUDGET: u64 = 3_000_000;
@@ -63,7 +62,7 @@
     store.commit().expect("written");
     let mut removed = Vec::new();
     for n in 0..100 {
-        // What a kill before the oldest segments were deleted would have left.
+        // The segments that a kill before the deletion of the oldest ones would have left.
         let before: Vec<(PathBuf, Vec<u8>)> = (segment_numbers(folder.path()).expect("readable").into_iter())
             .map(|number| segment_path(folder.path(), number))
             .map(|path| (path.clone(), fs::read(path).expect("readable")))
@@ -83,7 +82,7 @@
     assert_eq!(expected.0[0].in_flight, Some(ran(2)));
     assert_eq!(expected.1, ["notified".into()] as [MessageId; 1]);
     drop(store);
-    // The second attempt has no outcome, but an earlier possible execution is known already.
+    // The second attempt has no outcome, but an earlier possible execution is recorded.
     let mut expected = expected;
     expected.0[0].in_flight = None;
     let again = Store::open(folder.path(), BUDGET).expect("a journal");
@@ -135,7 +134,7 @@
         assert_eq!(first_execution(&store, "m1"), Some(1));
         store.start_attempt(&"m1".into(), ran(2));
         if !written {
-            // The second attempt is not on record and so was not sent; its outcome is recorded all the same.
+            // The second attempt is not recorded and so was not sent; its outcome is recorded nevertheless.
             store.budget = 0;
             store.commit().expect_err("no space");
             store.budget = BUDGET;
@@ -167,7 +166,7 @@
     assert_eq!(first_execution(&store, "m1"), None);
 }
 
-/// The clock was ahead for a while, or has been set back since.
+/// The clock was ahead temporarily, or has been set back since.
 #[test]
 fn an_attempt_in_the_future_is_reported_to_one_start_unless_a_pending_message_still_has_it() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -194,70 +193,3 @@
     drop(Store::open(folder.path(), BUDGET).expect("a journal"));
     assert_eq!(Store::open(folder.path(), BUDGET).expect("a journal").latest_attempt(), UnixMillis::EPOCH);
 }
-
-#[test]
-fn outage_records_outlast_their_process_and_the_compaction_of_their_segment() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
-    let destination = EndpointKey::new(7, "");
-    let receiver = EndpointKey::new(8, "r1");
-    store.record_outage(destination.clone(), Some(OutageState::Down { retry_after_remaining: 50_000 }));
-    store.record_outage(
-        receiver.clone(),
-        Some(OutageState::WarmingUp { since_recovery: 100, ramp_share: 0.25 }),
-    );
-    store.record_outage(EndpointKey::new(9, ""), Some(OutageState::Down { retry_after_remaining: 0 }));
-    store.record_outage(EndpointKey::new(9, ""), None);
-    store.commit().expect("written");
-    // Until the first segment has been compacted.
-    for n in 0..100 {
-        let message_id: MessageId = format!("m{n}").into();
-        store.accept(message(&message_id, 60_000));
-        store.commit().expect("written");
-        store.complete(&message_id, None);
-        store.commit().expect("written");
-    }
-    assert!(!segment_path(folder.path(), 0).exists(), "the segment that held them is still there");
-    drop(store);
-    let store = Store::open(folder.path(), BUDGET).expect("a journal");
-    let known: Vec<(EndpointKey, OutageState)> =
-        store.outage_records().map(|(endpoint, outage)| (endpoint.clone(), outage)).collect();
-    let [
-        (first, OutageState::Down { retry_after_remaining }),
-        (second, OutageState::WarmingUp { since_recovery, ramp_share }),
-    ] = &known[..]
-    else {
-        panic!("{known:?}")
-    };
-    assert_eq!((first, second, *ramp_share), (&destination, &receiver, 0.25));
-    let is_aged = (40_000..=50_000).contains(retry_after_remaining) && (100..10_000).contains(since_recovery);
-    assert!(is_aged, "{known:?}");
-}
-
-#[test]
-fn an_outage_record_with_an_impossible_share_is_skipped() {
-    let mut state = ReplayedState::default();
-    let mut batch = Vec::new();
-    append_outage(
-        &mut batch,
-        &EndpointKey::new(7, ""),
-        UnixMillis::now(),
-        Some(OutageState::WarmingUp { since_recovery: 0, ramp_share: 7.5 }),
-    );
-    append_outage(
-        &mut batch,
-        &EndpointKey::new(8, ""),
-        UnixMillis::now(),
-        Some(OutageState::WarmingUp { since_recovery: 0, ramp_share: f64::NAN }),
-    );
-    append_outage(
-        &mut batch,
-        &EndpointKey::new(9, ""),
-        UnixMillis::now(),
-        Some(OutageState::Down { retry_after_remaining: 5 }),
-    );
-    assert_eq!(replay_segment(&batch, 0, &mut state), batch.len());
-    let destinations =
-        state.outage_records.states_at(UnixMillis::now()).map(|(endpoint, _)| endpoint.destination);
-    assert_eq!(destinations.collect::<Vec<_>>(), [9]);
-}
--- a/crates/journal/src/store/tests/model.rs
+++ b/crates/journal/src/store/tests/model.rs
@@ -9,11 +9,11 @@
 use self::run::Run;
 use crate::MessageId;
 
-/// An attempt in the model.
+/// An attempt of a message.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     sent_at: u64,
-    /// Once its outcome is known.
+    /// `None` until its outcome is known.
     possibly_executed: Option<bool>,
 }
 
@@ -58,7 +58,7 @@
     ]
 }
 
-/// Applies a step, taken at a time, to the model; false if it is not applicable.
+/// Applies a step taken at `now` to the model; false if it is not applicable.
 fn apply_to(model: &mut Model, step: Step, now: u64) -> bool {
     match step {
         Step::Accept { message, .. } => {
@@ -96,8 +96,8 @@
     format!("m{message}").into()
 }
 
-/// Attempts, outcomes, completions, failed commits, kills, and compaction all the while: the earliest possible execution
-/// is never forgotten, and an attempt that was not executed never counts as one.
+/// With attempts, outcomes, completions, failed commits, kills and continuous compaction, the earliest possible execution is
+/// never lost, and an attempt that was not executed never counts as one.
 #[test]
 fn pending_messages_and_possible_executions_are_those_of_a_simple_model() {
     let config = ProptestConfig {
@@ -116,7 +116,7 @@
     assert!(removed.get() > 100, "{} segments removed", removed.get());
 }
 
-/// Plays a history; returns how many segments were removed.
+/// Runs a history; returns the number of removed segments.
 fn play(steps: &[Step]) -> Result<u64, TestCaseError> {
     let mut run = Run::new();
     for (now, &step) in steps.iter().enumerate() {
--- a/crates/journal/src/store/tests/model/run.rs
+++ b/crates/journal/src/store/tests/model/run.rs
@@ -1,4 +1,4 @@
-//! A process that plays the steps of a history on its journal.
+//! A process that applies the steps of a history to its journal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,10 +9,15 @@
 use crate::store::Store;
 use crate::store::tests::{first_execution, ran};
 
-/// A step that waits for the next batch, and when it was taken.
-type Waiting = (Step, u64);
+/// A step whose records are not written yet.
+#[derive(Clone, Copy, Debug)]
+struct UnwrittenStep {
+    step: Step,
+    /// When it was taken.
+    taken_at: u64,
+}
 
-/// A process with its journal, and what the model says of both.
+/// A process with its journal, and the models of both.
 pub(super) struct Run {
     folder: tempfile::TempDir,
     pub store: Store,
@@ -21,15 +26,15 @@
     /// The state on disk.
     written: Model,
     /// Steps that are kept for the next batch if this one cannot be written.
-    retained: Vec<Waiting>,
+    retained: Vec<UnwrittenStep>,
     /// Steps that are undone if the batch cannot be written.
-    provisional: Vec<Waiting>,
+    provisional: Vec<UnwrittenStep>,
     /// Messages whose completion is not written yet.
     completed: BTreeSet<usize>,
 }
 
 impl Run {
-    /// Little more than the reserve: old segments are compacted all the time.
+    /// Slightly more than the reserve, so that old segments are compacted continuously.
     const BUDGET: u64 = 10 * SEGMENT_SIZE;
 
     pub fn new() -> Self {
@@ -46,7 +51,7 @@
         }
     }
 
-    /// Takes a step if the engine could take it in this state.
+    /// Takes a step, if the engine could take it in this state.
     pub fn play(mut self, step: Step, now: u64) -> Result<Self, TestCaseError> {
         if !self.is_possible(step) || !apply_to(&mut self.live, step, now) {
             return Ok(self);
@@ -55,17 +60,17 @@
             Step::Accept { message, size } => self.accept(message, size, now),
             Step::StartAttempt { message } => {
                 self.store.start_attempt(&message_id(message), ran(now));
-                self.provisional.push((step, now));
+                self.provisional.push(UnwrittenStep { step, taken_at: now });
             }
             Step::FinishAttempt { message, possibly_executed } => {
                 let attempt = self.live[&message].len() as u32 - 1;
                 self.store.finish_attempt(&message_id(message), attempt, possibly_executed);
-                self.retained.push((step, now));
+                self.retained.push(UnwrittenStep { step, taken_at: now });
             }
             Step::Complete { message } => {
                 self.store.complete(&message_id(message), None);
                 self.completed.insert(message);
-                self.retained.push((step, now));
+                self.retained.push(UnwrittenStep { step, taken_at: now });
             }
             Step::Commit => self.commit()?,
             Step::FailedCommit => self.failed_commit()?,
@@ -76,12 +81,12 @@
 
     fn is_possible(&self, step: Step) -> bool {
         match step {
-            // An id is not used again before its completion is written.
+            // An id is not reused before its completion is written.
             Step::Accept { message, .. } => !self.completed.contains(&message),
-            // Only a message on record is attempted, and only an attempt that was sent has an outcome.
+            // Only a recorded message is attempted, and only a sent attempt has an outcome.
             Step::StartAttempt { message } => self.written.contains_key(&message),
             Step::FinishAttempt { message, .. } | Step::Complete { message } => {
-                !self.provisional.iter().any(|(waiting, _)| match *waiting {
+                !self.provisional.iter().any(|unwritten| match unwritten.step {
                     Step::Accept { message: other, .. } | Step::StartAttempt { message: other } => {
                         other == message
                     }
@@ -99,12 +104,12 @@
             return;
         }
         self.store.accept(record);
-        self.provisional.push((Step::Accept { message, size }, now));
+        self.provisional.push(UnwrittenStep { step: Step::Accept { message, size }, taken_at: now });
     }
 
     fn commit(&mut self) -> Result<(), TestCaseError> {
         self.store.commit().expect("written");
-        for (step, taken_at) in self.retained.drain(..).chain(self.provisional.drain(..)) {
+        for UnwrittenStep { step, taken_at } in self.retained.drain(..).chain(self.provisional.drain(..)) {
             apply_to(&mut self.written, step, taken_at);
         }
         self.completed.clear();
@@ -118,7 +123,7 @@
         self.store.budget = 0;
         self.store.commit().expect_err("no space");
         self.store.budget = Self::BUDGET;
-        for (step, _) in self.provisional.drain(..) {
+        for UnwrittenStep { step, .. } in self.provisional.drain(..) {
             match step {
                 Step::Accept { message, .. } => {
                     self.live.remove(&message);
@@ -138,7 +143,7 @@
         compare(&self.store, &self.live)
     }
 
-    /// The process ends, and another one opens the journal.
+    /// The process is killed, and another one opens the journal.
     fn kill(mut self) -> Result<Self, TestCaseError> {
         drop(self.store);
         for attempt in self.written.values_mut().flatten() {
@@ -146,7 +151,7 @@
         }
         let store = Store::open(self.folder.path(), Self::BUDGET).expect("a journal");
         compare(&store, &self.written)?;
-        // Attempt numbers continue from those on record.
+        // Attempt numbers continue from the recorded ones.
         for (message, attempts) in &mut self.written {
             let known = store.pending_message(&message_id(*message)).expect("a message");
             let known_attempts = known.attempts as usize;
--- a/crates/journal/src/store/tests/takeover.rs
+++ b/crates/journal/src/store/tests/takeover.rs
@@ -38,7 +38,7 @@
         [PendingNotification { message_id: "m1".into(), status: Status::Undeliverable }]
     );
     assert_eq!(over.pending_messages.len(), 1);
-    // Its attempt has no outcome and never will have one.
+    // Its attempt will never have an outcome.
     assert_eq!(
         (&*over.pending_messages[0].message_id, &over.pending_messages[0].possibly_executed),
         ("m3", &Some(ran(2)))
@@ -50,8 +50,8 @@
     assert_eq!(state(&open(&folder)), expected);
 }
 
-/// Whichever of the two ends first, and also if both end before the takeover: nothing is lost, and for an id that both
-/// know the successor's entry counts.
+/// Whichever of the two exits first, and also if both exit before the takeover, nothing is lost; of an id with entries of both,
+/// the successor's counts.
 #[test]
 fn a_crash_of_owner_and_successor_at_any_point_leaves_the_same_as_a_restart() {
     for steps in 0..5 {
--- a/crates/journal/tests/golden_folders/damage.rs
+++ b/crates/journal/tests/golden_folders/damage.rs
@@ -1,15 +1,17 @@
-//! Torn and damaged segments, and outcomes that older versions wrote: what is read of them, and what is reported.
+//! Torn and damaged segments, and outcomes written by older versions: the restored content and the warnings.
 
 use rudderspindle_clock::UnixMillis;
-use rudderspindle_journal::{Message, Status};
+use rudderspindle_journal::{Message, PendingNotification, Status};
 
-use crate::support::{Told, copy, golden_segments, message, open, payloads, ran, record, segments, told};
+use crate::support::{
+    JournalContent, content_of, copy, execution, golden_segments, message, open, payloads, record, segments,
+};
 
 const SEGMENT: &str = "journal-00000000";
 /// The first byte of an outcome's payload.
 const OUTCOME: u8 = 3;
 
-/// The records of one segment, each by itself.
+/// The records of one segment.
 fn records() -> Vec<Vec<u8>> {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open(folder.path());
@@ -17,8 +19,8 @@
         store.accept(message(message_id));
     }
     store.commit().expect("written");
-    store.start_attempt(&"m-1".into(), ran(1));
-    store.start_attempt(&"m-2".into(), ran(2));
+    store.start_attempt(&"m-1".into(), execution(1));
+    store.start_attempt(&"m-2".into(), execution(2));
     store.commit().expect("written");
     store.finish_attempt(&"m-1".into(), 0, true);
     store.finish_attempt(&"m-2".into(), 0, false);
@@ -31,15 +33,28 @@
     golden_segments(folder).remove(SEGMENT).expect("its only segment")
 }
 
-/// What is told where everything was read, but for what was lost.
-fn expected(open: Vec<Message>, notices: &[&str], latest_attempt: UnixMillis, report: &str) -> Told {
-    let owed = notices.iter().map(|message_id| (message_id.to_string(), Status::Undeliverable)).collect();
-    let reports = Some(report.to_string()).filter(|report| !report.is_empty());
-    Told { open, owed, outage_records: vec![], latest_attempt, reports: reports.into_iter().collect() }
+/// The expected content of a journal, without outage records.
+fn expected(
+    pending_messages: Vec<Message>,
+    undeliverable: &[&str],
+    latest_attempt: UnixMillis,
+    report: &str,
+) -> JournalContent {
+    let status = Status::Undeliverable;
+    let notification = |id: &&str| PendingNotification { message_id: (*id).into(), status };
+    let pending_notifications = undeliverable.iter().map(notification).collect();
+    let warnings = Some(report.to_string()).filter(|report| !report.is_empty());
+    JournalContent {
+        pending_messages,
+        pending_notifications,
+        outage_records: vec![],
+        latest_attempt,
+        warnings: warnings.into_iter().collect(),
+    }
 }
 
-fn tried(message_id: &str, ran_at: Option<u64>) -> Message {
-    Message { attempts: 1, possibly_executed: ran_at.map(ran), ..message(message_id) }
+fn attempted(message_id: &str, executed_at: Option<u64>) -> Message {
+    Message { attempts: 1, possibly_executed: executed_at.map(execution), ..message(message_id) }
 }
 
 #[test]
@@ -49,9 +64,9 @@
     let torn = [&whole[..], &records[7][..11]].concat();
     assert_eq!(torn, golden("torn-tail"));
     let folder = copy("torn-tail");
-    let open = vec![tried("m-1", Some(1)), tried("m-2", None), message("m-3")];
+    let pending = vec![attempted("m-1", Some(1)), attempted("m-2", None), message("m-3")];
     let report = "journal: segment 0 ends in 11 torn bytes: cut";
-    assert_eq!(told(folder.path()), expected(open, &[], ran(2).at, report));
+    assert_eq!(content_of(folder.path()), expected(pending, &[], execution(2).at, report));
     assert_eq!(segments(folder.path())[SEGMENT], whole);
 }
 
@@ -62,9 +77,9 @@
     *records[3].last_mut().expect("a byte") ^= 1;
     assert_eq!(records.concat(), golden("damaged-record"));
     let folder = copy("damaged-record");
-    let open = vec![message("m-1"), tried("m-2", None)];
+    let pending = vec![message("m-1"), attempted("m-2", None)];
     let report = format!("journal: segment 0 has a damaged record at byte {at}: skipped");
-    assert_eq!(told(folder.path()), expected(open, &["m-3"], ran(2).at, &report));
+    assert_eq!(content_of(folder.path()), expected(pending, &["m-3"], execution(2).at, &report));
     assert_eq!(segments(folder.path())[SEGMENT], golden("damaged-record"));
 }
 
@@ -76,9 +91,12 @@
     payload[0] = 99;
     records[5] = record(&payload);
     assert_eq!(records.concat(), golden("unknown-record"));
-    let open = vec![tried("m-1", Some(1)), tried("m-2", None)];
+    let pending = vec![attempted("m-1", Some(1)), attempted("m-2", None)];
     let report = format!("journal: segment 0 has an unreadable record at byte {at}: skipped");
-    assert_eq!(told(copy("unknown-record").path()), expected(open, &["m-3"], ran(2).at, &report));
+    assert_eq!(
+        content_of(copy("unknown-record").path()),
+        expected(pending, &["m-3"], execution(2).at, &report)
+    );
 }
 
 #[test]
@@ -89,13 +107,13 @@
     let bytes = records.concat();
     assert_eq!(bytes, golden("damaged-length"));
     let folder = copy("damaged-length");
-    let mut told = told(folder.path());
+    let mut content = content_of(folder.path());
     let cut = bytes.len() - whole.len();
     let damaged = format!("journal: segment 0 is damaged at byte {}: the rest of it is lost", whole.len());
-    assert_eq!(told.reports, [damaged, format!("journal: segment 0 ends in {cut} torn bytes: cut")]);
-    told.reports.clear();
-    let open = vec![tried("m-1", Some(1)), message("m-2"), message("m-3")];
-    assert_eq!(told, expected(open, &[], ran(1).at, ""));
+    assert_eq!(content.warnings, [damaged, format!("journal: segment 0 ends in {cut} torn bytes: cut")]);
+    content.warnings.clear();
+    let pending = vec![attempted("m-1", Some(1)), message("m-2"), message("m-3")];
+    assert_eq!(content, expected(pending, &[], execution(1).at, ""));
     assert_eq!(segments(folder.path())[SEGMENT], whole);
 }
 
@@ -110,6 +128,9 @@
     };
     let bytes: Vec<u8> = records().iter().flat_map(without_number).collect();
     assert_eq!(bytes, golden("outcomes-without-number"));
-    let open = vec![tried("m-1", Some(1)), tried("m-2", None)];
-    assert_eq!(told(copy("outcomes-without-number").path()), expected(open, &["m-3"], ran(2).at, ""));
+    let pending = vec![attempted("m-1", Some(1)), attempted("m-2", None)];
+    assert_eq!(
+        content_of(copy("outcomes-without-number").path()),
+        expected(pending, &["m-3"], execution(2).at, "")
+    );
 }
--- a/crates/journal/tests/golden_folders/main.rs
+++ b/crates/journal/tests/golden_folders/main.rs
@@ -1,4 +1,5 @@
-//! The journal's folders as the version before the renames wrote them: they read, and are written, the same.
+//! The journal's folder format, compared with golden folders: they restore the recorded content, and are written with the
+//! same bytes.
 
 mod damage;
 mod records;
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -1,12 +1,14 @@
-//! A folder with every kind of record in each of its variants, and records that were moved to make room.
+//! A folder with every kind of record in each of its variants, and records that compaction moved.
 
 use std::path::Path;
 
 use bytes::Bytes;
 use rudderspindle_clock::UnixMillis;
-use rudderspindle_journal::{EndpointKey, Message, OutageState, Status};
+use rudderspindle_journal::{EndpointKey, Message, OutageState, PendingNotification, Status};
 
-use crate::support::{Told, copy, golden_segments, message, open, ran, segments, told, with_fixed_times};
+use crate::support::{
+    JournalContent, content_of, copy, execution, golden_segments, message, open, segments, with_fixed_times,
+};
 
 /// A message with all that its record can hold.
 fn full_message() -> Message {
@@ -19,12 +21,12 @@
         deadline: UnixMillis(u64::MAX),
         body: Bytes::from_static(&[0, 255, 10, 13, 128]),
         attempts: 3,
-        possibly_executed: Some(ran(100)),
-        in_flight: Some(ran(200)),
+        possibly_executed: Some(execution(100)),
+        in_flight: Some(execution(200)),
     }
 }
 
-/// What two processes write one after the other.
+/// The writes of two consecutive processes.
 fn write_every_record(folder: &Path) {
     let mut store = open(folder);
     store.accept(message("m-new"));
@@ -35,7 +37,7 @@
     }
     store.commit().expect("written");
     for (message_id, at) in [("m-ran", 1), ("m-not-run", 2), ("m-cut", 3), ("delivered", 4), ("n-1", 5)] {
-        store.start_attempt(&message_id.into(), ran(at));
+        store.start_attempt(&message_id.into(), execution(at));
     }
     store.commit().expect("written");
     store.finish_attempt(&"m-ran".into(), 0, true);
@@ -46,7 +48,7 @@
     store.complete(&"n-3".into(), Some(Status::Deferred(Some(70_000))));
     store.complete(&"acknowledged".into(), Some(Status::Undeliverable));
     store.acknowledge(&"acknowledged".into());
-    store.start_attempt(&"m-ran".into(), ran(6));
+    store.start_attempt(&"m-ran".into(), execution(6));
     store.commit().expect("written");
     store.record_outage(EndpointKey::new(7, ""), Some(OutageState::Down { retry_after_remaining: 0 }));
     store.record_outage(
@@ -69,39 +71,42 @@
     store.commit().expect("written");
     drop(store);
     let mut store = open(folder);
-    store.start_attempt(&"m-not-run".into(), ran(7));
-    store.start_attempt(&"m-full-ü".into(), ran(8));
+    store.start_attempt(&"m-not-run".into(), execution(7));
+    store.start_attempt(&"m-full-ü".into(), execution(8));
     store.accept(message("m-later"));
     store.commit().expect("written");
 }
 
 #[test]
 fn a_folder_with_every_kind_of_record_tells_all_messages_notices_and_memories() {
-    let expected = Told {
-        open: vec![
-            Message { attempts: 1, possibly_executed: Some(ran(3)), ..message("m-cut") },
+    let expected = JournalContent {
+        pending_messages: vec![
+            Message { attempts: 1, possibly_executed: Some(execution(3)), ..message("m-cut") },
             Message { idempotency_key: Some(Bytes::new()), body: Bytes::new(), ..message("m-empty") },
             Message { attempts: 4, in_flight: None, ..full_message() },
             message("m-later"),
             message("m-new"),
-            Message { attempts: 2, possibly_executed: Some(ran(7)), ..message("m-not-run") },
-            Message { attempts: 2, possibly_executed: Some(ran(1)), ..message("m-ran") },
+            Message { attempts: 2, possibly_executed: Some(execution(7)), ..message("m-not-run") },
+            Message { attempts: 2, possibly_executed: Some(execution(1)), ..message("m-ran") },
         ],
-        owed: vec![
-            ("n-1".into(), Status::Undeliverable),
-            ("n-2".into(), Status::Deferred(None)),
-            ("n-3".into(), Status::Deferred(Some(70_000))),
+        pending_notifications: vec![
+            PendingNotification { message_id: "n-1".into(), status: Status::Undeliverable },
+            PendingNotification { message_id: "n-2".into(), status: Status::Deferred(None) },
+            PendingNotification { message_id: "n-3".into(), status: Status::Deferred(Some(70_000)) },
         ],
         outage_records: vec![
-            (7, "".into(), OutageState::Down { retry_after_remaining: 0 }),
-            (7, "receiver-1".into(), OutageState::Down { retry_after_remaining: 11_000 }),
-            (8, "receiver-2".into(), OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.25 }),
-            (9, "".into(), OutageState::WarmingUp { since_recovery: 4_000, ramp_share: 1.0 }),
+            (EndpointKey::new(7, ""), OutageState::Down { retry_after_remaining: 0 }),
+            (EndpointKey::new(7, "receiver-1"), OutageState::Down { retry_after_remaining: 11_000 }),
+            (
+                EndpointKey::new(8, "receiver-2"),
+                OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.25 },
+            ),
+            (EndpointKey::new(9, ""), OutageState::WarmingUp { since_recovery: 4_000, ramp_share: 1.0 }),
         ],
-        latest_attempt: ran(200).at,
-        reports: vec![],
+        latest_attempt: execution(200).at,
+        warnings: vec![],
     };
-    assert_eq!(told(copy("every-record").path()), expected);
+    assert_eq!(content_of(copy("every-record").path()), expected);
 }
 
 #[test]
@@ -113,11 +118,11 @@
     assert_eq!(written, golden_segments("every-record"));
 }
 
-/// An attempt that is still to come: the clock was set back, and all that is live moves to a new segment at once.
-fn write_an_attempt_to_come(folder: &Path) {
+/// An attempt in the future: the clock was set back, and the next start moves all pending entries to a new segment.
+fn write_attempt_in_the_future(folder: &Path) {
     let mut store = open(folder);
     store.accept(Message { in_flight: None, ..full_message() });
-    store.start_attempt(&"m-full-ü".into(), ran(4_000_000_000_000));
+    store.start_attempt(&"m-full-ü".into(), execution(4_000_000_000_000));
     store.record_outage(
         EndpointKey::new(8, "receiver-2"),
         Some(OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.25 }),
@@ -129,21 +134,20 @@
 fn records_that_move_to_a_new_segment_have_the_bytes_of_the_golden_folder() {
     let folder = tempfile::tempdir().expect("a folder");
     let start = UnixMillis::now();
-    write_an_attempt_to_come(folder.path());
+    write_attempt_in_the_future(folder.path());
     let written = with_fixed_times(segments(folder.path()), &(start..=UnixMillis::now()));
     assert_eq!(written, golden_segments("before-moving"));
     let moved = copy("before-moving");
-    let expected = Told {
-        open: vec![Message { attempts: 4, in_flight: None, ..full_message() }],
-        owed: vec![],
+    let expected = JournalContent {
+        pending_messages: vec![Message { attempts: 4, in_flight: None, ..full_message() }],
+        pending_notifications: vec![],
         outage_records: vec![(
-            8,
-            "receiver-2".into(),
+            EndpointKey::new(8, "receiver-2"),
             OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.25 },
         )],
-        latest_attempt: ran(4_000_000_000_000).at,
-        reports: vec![],
+        latest_attempt: execution(4_000_000_000_000).at,
+        warnings: vec![],
     };
-    assert_eq!(told(moved.path()), expected);
+    assert_eq!(content_of(moved.path()), expected);
     assert_eq!(segments(moved.path()), golden_segments("after-moving"));
 }
--- a/crates/journal/tests/golden_folders/support.rs
+++ b/crates/journal/tests/golden_folders/support.rs
@@ -1,4 +1,4 @@
-//! Copies of golden folders, the records in their segments, and all that a journal tells when it opens one.
+//! Copies of golden folders, the records in their segments, and the content of a journal that opens them.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,7 +7,9 @@
 use std::sync::{Arc, Mutex};
 
 use rudderspindle_clock::UnixMillis;
-use rudderspindle_journal::{Message, OutageState, PossibleExecution, Status, Store};
+use rudderspindle_journal::{
+    EndpointKey, Message, OutageState, PendingNotification, PossibleExecution, Store,
+};
 use tempfile::TempDir;
 use tracing::field::{Field, Visit};
 use tracing::span::{Attributes, Id, Record};
@@ -16,24 +18,26 @@
 pub const BUDGET: u64 = 3_000_000;
 /// Bytes of a record before its payload: its length and its CRC-32.
 const FRAME: usize = 8;
-/// The first byte of an outage memory's payload.
+/// The first byte of an outage record's payload.
 const OUTAGE_RECORD: u8 = 6;
-/// When the outage memories of the golden folders were written, as far as they say, ms since 1970: the first day of 2100.
-/// What was written by a clock that is ahead does not age, so that these read the same on any day before.
-const MEMORIES_WRITTEN: u64 = 4_102_444_800_000;
+/// Recorded time of the outage records in the golden folders, in milliseconds since 1970: the first day of 2100. Records from
+/// the future do not age, so their state is the same on any earlier day.
+const OUTAGES_RECORDED_AT: u64 = 4_102_444_800_000;
 
 /// Segments by their files' names.
 pub type Segments = BTreeMap<String, Vec<u8>>;
 
-/// All that a journal says when it was opened.
+/// The content of a journal after it was opened.
 #[derive(Debug, PartialEq)]
-pub struct Told {
-    pub open: Vec<Message>,
-    pub owed: Vec<(String, Status)>,
-    pub outage_records: Vec<(u16, String, OutageState)>,
+pub struct JournalContent {
+    /// In the order of their ids.
+    pub pending_messages: Vec<Message>,
+    /// In the order of their messages' ids.
+    pub pending_notifications: Vec<PendingNotification>,
+    pub outage_records: Vec<(EndpointKey, OutageState)>,
     pub latest_attempt: UnixMillis,
     /// Warnings of damage.
-    pub reports: Vec<String>,
+    pub warnings: Vec<String>,
 }
 
 pub fn golden_folder(name: &str) -> PathBuf {
@@ -44,7 +48,7 @@
     segments(&golden_folder(name))
 }
 
-/// A copy of a golden folder, to be opened.
+/// A copy of a golden folder.
 pub fn copy(name: &str) -> TempDir {
     let copy = tempfile::tempdir().expect("a folder");
     for (file, bytes) in golden_segments(name) {
@@ -65,21 +69,24 @@
     Store::open(folder, BUDGET).expect("a journal")
 }
 
-/// Opens a journal; what it says, and the warnings that were written meanwhile.
-pub fn told(folder: &Path) -> Told {
+/// Opens a journal and returns its content, with the warnings that were logged.
+pub fn content_of(folder: &Path) -> JournalContent {
     let warnings = Arc::new(Mutex::new(Vec::new()));
     let store = tracing::subscriber::with_default(Warnings(warnings.clone()), || open(folder));
-    let reports = warnings.lock().expect("no panic").clone();
-    let mut open: Vec<Message> = store.pending_messages().cloned().collect();
-    open.sort_by(|a, b| a.message_id.cmp(&b.message_id));
-    let mut owed: Vec<(String, Status)> =
-        store.pending_notifications().map(|n| (n.message_id.to_string(), n.status)).collect();
-    owed.sort_by(|a, b| a.0.cmp(&b.0));
-    let outage_records = store.outage_records();
-    let outage_records = outage_records
-        .map(|(endpoint, outage)| (endpoint.destination, endpoint.receiver.to_string(), outage))
-        .collect();
-    Told { open, owed, outage_records, latest_attempt: store.latest_attempt(), reports }
+    let warnings = warnings.lock().expect("no panic").clone();
+    let mut pending_messages: Vec<Message> = store.pending_messages().cloned().collect();
+    pending_messages.sort_by(|a, b| a.message_id.cmp(&b.message_id));
+    let mut pending_notifications: Vec<PendingNotification> = store.pending_notifications().collect();
+    pending_notifications.sort_by(|a, b| a.message_id.cmp(&b.message_id));
+    let outage_records =
+        store.outage_records().map(|(endpoint, outage)| (endpoint.clone(), outage)).collect();
+    JournalContent {
+        pending_messages,
+        pending_notifications,
+        outage_records,
+        latest_attempt: store.latest_attempt(),
+        warnings,
+    }
 }
 
 /// A message without a history.
@@ -98,13 +105,13 @@
     }
 }
 
-/// An attempt so many milliseconds after a fixed time of 2023.
-pub fn ran(after: u64) -> PossibleExecution {
+/// An attempt `after` milliseconds after a fixed time in 2023.
+pub fn execution(after: u64) -> PossibleExecution {
     let at = UnixMillis(1_700_000_000_000 + after);
     PossibleExecution { at, receiver: "receiver-1".into(), zone: "left".into() }
 }
 
-/// The payloads of whole records.
+/// The payloads of complete records.
 pub fn payloads(mut bytes: &[u8]) -> Vec<Vec<u8>> {
     let mut payloads = Vec::new();
     while !bytes.is_empty() {
@@ -122,7 +129,7 @@
     [&length[..], &crc32fast::hash(payload).to_le_bytes(), payload].concat()
 }
 
-/// Segments whose outage memories were written at a time of the wall clock, as if at that of the golden folders.
+/// Replaces the times of outage records, which must be within `written`, by that of the golden folders.
 pub fn with_fixed_times(segments: Segments, written: &RangeInclusive<UnixMillis>) -> Segments {
     let fixed = |mut payload: Vec<u8>| {
         if payload[0] == OUTAGE_RECORD {
@@ -130,7 +137,7 @@
             let at = 5 + name + 2;
             let time = UnixMillis(u64::from_le_bytes(payload[at..at + 8].try_into().expect("eight bytes")));
             assert!(written.contains(&time), "{time} is not within {written:?}");
-            payload[at..at + 8].copy_from_slice(&MEMORIES_WRITTEN.to_le_bytes());
+            payload[at..at + 8].copy_from_slice(&OUTAGES_RECORDED_AT.to_le_bytes());
         }
         record(&payload)
     };
@@ -140,7 +147,7 @@
         .collect()
 }
 
-/// Keeps the texts of warnings.
+/// Stores the messages of warnings.
 struct Warnings(Arc<Mutex<Vec<String>>>);
 
 impl Subscriber for Warnings {
--- a/crates/journal/tests/golden_folders/takeover.rs
+++ b/crates/journal/tests/golden_folders/takeover.rs
@@ -1,24 +1,24 @@
-//! The segments of an owner and of its successor, which takes over from it.
+//! The segments of an owner and of its successor.
 
 use std::path::Path;
 
 use rudderspindle_journal::{Message, PendingNotification, Status, Store, TakenOver};
 
-use crate::support::{Told, copy, golden_segments, message, open, ran, segments, told};
+use crate::support::{JournalContent, content_of, copy, execution, golden_segments, message, open, segments};
 
-/// The owner writes, its successor beside it, and then the owner again.
+/// The owner writes, then its successor, and then the owner again.
 fn write_side_by_side(folder: &Path) -> Store {
     let mut owner = open(folder);
     for message_id in ["o-open", "o-ran", "o-notice", "o-delivered", "both"] {
         owner.accept(message(message_id));
     }
-    owner.start_attempt(&"o-ran".into(), ran(1));
+    owner.start_attempt(&"o-ran".into(), execution(1));
     owner.commit().expect("written");
     let mut successor = open(folder);
     assert!(owner.is_owner() && !successor.is_owner());
     successor.accept(message("s-open"));
     successor.accept(message("both"));
-    successor.start_attempt(&"both".into(), ran(2));
+    successor.start_attempt(&"both".into(), execution(2));
     successor.commit().expect("written");
     owner.complete(&"o-notice".into(), Some(Status::Deferred(Some(70_000))));
     owner.complete(&"o-delivered".into(), None);
@@ -26,11 +26,11 @@
     successor
 }
 
-/// The successor goes on as the owner.
+/// The successor writes as the owner.
 fn write_after_takeover(successor: &mut Store) {
     successor.complete(&"o-open".into(), Some(Status::Undeliverable));
     successor.acknowledge(&"o-notice".into());
-    successor.start_attempt(&"o-ran".into(), ran(3));
+    successor.start_attempt(&"o-ran".into(), execution(3));
     successor.finish_attempt(&"both".into(), 0, false);
     successor.commit().expect("written");
 }
@@ -41,8 +41,8 @@
     over
 }
 
-fn ran_once(message_id: &str, after: u64) -> Message {
-    Message { attempts: 1, possibly_executed: Some(ran(after)), ..message(message_id) }
+fn executed_once(message_id: &str, after: u64) -> Message {
+    Message { attempts: 1, possibly_executed: Some(execution(after)), ..message(message_id) }
 }
 
 #[test]
@@ -52,7 +52,7 @@
     assert_eq!(segments(folder.path()), golden_segments("takeover-before"));
     let over = successor.take_over().expect("readable").expect("the owner has ended");
     let expected = TakenOver {
-        pending_messages: vec![message("o-open"), ran_once("o-ran", 1)],
+        pending_messages: vec![message("o-open"), executed_once("o-ran", 1)],
         pending_notifications: vec![PendingNotification {
             message_id: "o-notice".into(),
             status: Status::Deferred(Some(70_000)),
@@ -66,26 +66,37 @@
 
 #[test]
 fn a_process_that_starts_alone_reads_both_sets_of_segments_in_their_order() {
-    let before = Told {
-        open: vec![ran_once("both", 2), message("o-open"), ran_once("o-ran", 1), message("s-open")],
-        owed: vec![("o-notice".into(), Status::Deferred(Some(70_000)))],
+    let before = JournalContent {
+        pending_messages: vec![
+            executed_once("both", 2),
+            message("o-open"),
+            executed_once("o-ran", 1),
+            message("s-open"),
+        ],
+        pending_notifications: vec![PendingNotification {
+            message_id: "o-notice".into(),
+            status: Status::Deferred(Some(70_000)),
+        }],
         outage_records: vec![],
-        latest_attempt: ran(2).at,
-        reports: vec![],
+        latest_attempt: execution(2).at,
+        warnings: vec![],
     };
-    assert_eq!(told(copy("takeover-before").path()), before);
-    let after = Told {
-        open: vec![
+    assert_eq!(content_of(copy("takeover-before").path()), before);
+    let after = JournalContent {
+        pending_messages: vec![
             Message { attempts: 1, ..message("both") },
-            Message { attempts: 2, ..ran_once("o-ran", 1) },
+            Message { attempts: 2, ..executed_once("o-ran", 1) },
             message("s-open"),
         ],
-        owed: vec![("o-open".into(), Status::Undeliverable)],
+        pending_notifications: vec![PendingNotification {
+            message_id: "o-open".into(),
+            status: Status::Undeliverable,
+        }],
         outage_records: vec![],
-        latest_attempt: ran(3).at,
-        reports: vec![],
+        latest_attempt: execution(3).at,
+        warnings: vec![],
     };
-    assert_eq!(told(copy("takeover-after").path()), after);
+    assert_eq!(content_of(copy("takeover-after").path()), after);
 }
 
 #[test]
@@ -100,7 +111,7 @@
     let expected = TakenOver {
         pending_messages: vec![
             Message { attempts: 1, ..message("both") },
-            Message { attempts: 2, ..ran_once("o-ran", 1) },
+            Message { attempts: 2, ..executed_once("o-ran", 1) },
             message("s-open"),
         ],
         pending_notifications: vec![PendingNotification {
@@ -109,7 +120,7 @@
         }],
     };
     assert_eq!(taken_over(over), expected);
-    assert_eq!(successor.latest_attempt(), ran(3).at);
+    assert_eq!(successor.latest_attempt(), execution(3).at);
     let names: Vec<String> = segments(folder.path()).into_keys().collect();
     assert_eq!(names, ["journal-00000000", "journal-01000000", "journal-01000001", "journal-02000001"]);
 }
