--- a/crates/gossip/src/demand_exchange/aggregator_selection.rs
+++ b/crates/gossip/src/demand_exchange/aggregator_selection.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::peer_selection::rank_in_round;
+use crate::peer_selection::RankedSender;
 
 /// Maximum number of aggregators of one round.
 pub(crate) const MAX_AGGREGATORS: usize = 3;
@@ -72,7 +72,7 @@
 
 /// The first `count` senders in the order of a round.
 fn first_in_order(round: u64, senders: usize, count: usize) -> Vec<usize> {
-    let mut order: Vec<(u32, usize)> = (0..senders).map(|sender| rank_in_round(round, sender)).collect();
+    let mut order: Vec<RankedSender> = (0..senders).map(|sender| RankedSender::new(round, sender)).collect();
     let count = count.min(order.len());
     if count == 0 {
         return Vec::new();
@@ -80,5 +80,5 @@
     order.select_nth_unstable(count - 1);
     order.truncate(count);
     order.sort_unstable();
-    order.into_iter().map(|(_, sender)| sender).collect()
+    order.into_iter().map(|ranked| ranked.sender).collect()
 }
--- a/crates/gossip/src/envelope.rs
+++ b/crates/gossip/src/envelope.rs
@@ -86,12 +86,21 @@
     Ok(datagram)
 }
 
-/// Checks a datagram's envelope and returns its kind and its encoded body.
+/// A datagram whose envelope has been checked.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Envelope<'a> {
+    /// The kind of message.
+    pub kind: Kind,
+    /// The encoded message, for [`read`].
+    pub body: &'a [u8],
+}
+
+/// Checks a datagram's envelope.
 ///
 /// # Errors
 ///
 /// [`EnvelopeError`], except [`EnvelopeError::Body`].
-pub fn open(datagram: &[u8]) -> Result<(Kind, &[u8]), EnvelopeError> {
+pub fn open(datagram: &[u8]) -> Result<Envelope<'_>, EnvelopeError> {
     let (&[leading, low, high], body) =
         datagram.split_first_chunk::<HEADER_LEN>().ok_or(EnvelopeError::Length(datagram.len()))?;
     let kind = Kind::from_leading_byte(leading).ok_or(EnvelopeError::Kind(leading))?;
@@ -101,7 +110,7 @@
     if checksum(body) != [low, high] {
         return Err(EnvelopeError::Checksum);
     }
-    Ok((kind, body))
+    Ok(Envelope { kind, body })
 }
 
 /// Decodes a message from the body of an envelope.
--- a/crates/gossip/src/envelope/tests.rs
+++ b/crates/gossip/src/envelope/tests.rs
@@ -9,7 +9,7 @@
 fn a_truncated_damaged_oversized_or_unknown_datagram_is_rejected() {
     let valid = seal(Kind::Hot, &ShortList(vec![1, 2, 300])).expect("short enough");
     assert_eq!(
-        open(&valid).map(|(kind, body)| (kind, read(body))),
+        open(&valid).map(|envelope| (envelope.kind, read(envelope.body))),
         Ok((Kind::Hot, Ok(ShortList(vec![1, 2, 300]))))
     );
     for length in 0..valid.len() {
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -2,10 +2,10 @@
 
 use super::encoded_vote::EncodedVote;
 use super::{ObserverEntry, ReceiverEntry, RegisterEntry, Report, SliceEntry, Summary, VoteEntry};
-use crate::envelope::{Kind, open, read};
+use crate::envelope::{Envelope, Kind, open, read};
 use crate::golden::datagram;
 use crate::outlier_detection::{Receiver, Vote};
-use crate::tenant_usage::{Register, TenantTotal, WindowSlice, epoch_start};
+use crate::tenant_usage::{Register, SenderRegister, TenantTotal, WindowSlice, epoch_start};
 
 const FILE: &str = "views.txt";
 const ROUND: u64 = 1_700_000_000;
@@ -44,7 +44,8 @@
     };
     let [a, b, c] = [register(513, 70_000, 2, false), register(8, 5, 4, false), register(9, 3, 0, false)];
     let d = register(513, more, 1, true);
-    WindowSlice::sum(&[(0, &a), (3, &b), (8, &c), (5, &d)], 9)
+    let of_sender = |(sender, register)| SenderRegister { sender, register };
+    WindowSlice::sum(&[(0, &a), (3, &b), (8, &c), (5, &d)].map(of_sender), 9)
 }
 
 fn summary() -> Summary {
@@ -73,7 +74,7 @@
     for (name, report) in [("report-empty", empty), ("report", report())] {
         let bytes = datagram(FILE, name);
         assert_eq!(report.clone().encode().expect("it fits"), bytes, "{name}");
-        let (kind, body) = open(&bytes).expect("a datagram");
+        let Envelope { kind, body } = open(&bytes).expect("a datagram");
         assert_eq!((kind, read(body)), (Kind::Report, Ok(report)), "{name}");
     }
 }
@@ -84,7 +85,7 @@
     for (name, summary) in [("view-empty", empty), ("view", summary())] {
         let bytes = datagram(FILE, name);
         assert_eq!(summary.clone().encode().expect("it fits"), bytes, "{name}");
-        let (kind, body) = open(&bytes).expect("a datagram");
+        let Envelope { kind, body } = open(&bytes).expect("a datagram");
         assert_eq!((kind, read(body)), (Kind::Summary, Ok(summary)), "{name}");
     }
 }
@@ -96,7 +97,8 @@
     let long = Report { registers, ..report() };
     assert_eq!(long.encode().expect("it fits"), datagram(FILE, "report-without-room"));
     let register = Register { totals: totals.into_iter().collect(), rest: 9, partial: false };
-    let of_many: Vec<(usize, &Register)> = (0..300).map(|n| (n, &register)).collect();
+    let of_sender = |sender| SenderRegister { sender, register: &register };
+    let of_many: Vec<SenderRegister<'_>> = (0..300).map(of_sender).collect();
     let slice = |epochs_back| SliceEntry { epochs_back, slice: WindowSlice::sum(&of_many, 512) };
     let vote = encoded(9, false);
     let votes: Vec<ObserverEntry> = (300..304).map(|observer| ObserverEntry { observer, vote }).collect();
--- a/crates/gossip/src/fleet_view/receiving.rs
+++ b/crates/gossip/src/fleet_view/receiving.rs
@@ -4,7 +4,7 @@
 
 use super::message::{ObserverEntry, ReceiverEntry, Report, Summary, epoch_of};
 use super::{FleetView, FleetViewError};
-use crate::envelope::{Kind, open, read};
+use crate::envelope::{Envelope, Kind, open, read};
 use crate::membership::{Incarnation, IncarnationOrder};
 use crate::outlier_detection::ObserverVote;
 use crate::tenant_usage::{RegisterKey, epoch_at};
@@ -22,10 +22,11 @@
         if from == self.local.number || from >= self.zones.len() {
             return Err(FleetViewError::UnknownSender);
         }
-        match open(datagram)? {
-            (Kind::Report, body) => self.receive_report(now, from, read(body)?),
-            (Kind::Summary, body) => self.receive_summary(now, from, read(body)?),
-            (other, _) => Err(FleetViewError::UnexpectedKind(other)),
+        let Envelope { kind, body } = open(datagram)?;
+        match kind {
+            Kind::Report => self.receive_report(now, from, read(body)?),
+            Kind::Summary => self.receive_summary(now, from, read(body)?),
+            other => Err(FleetViewError::UnexpectedKind(other)),
         }
     }
 
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -13,7 +13,9 @@
 use crate::membership::Incarnation;
 use crate::outgoing_datagram::OutgoingDatagram;
 use crate::outlier_detection::{ObserverVote, Receiver, Vote};
-use crate::tenant_usage::{EPOCH, LocalSender, Register, RegisterKey, WindowSlice, epoch_at, epoch_start};
+use crate::tenant_usage::{
+    EPOCH, LocalSender, Register, RegisterKey, SenderRegister, WindowSlice, epoch_at, epoch_start,
+};
 
 const NOW: UnixMillis = UnixMillis(1_700_000_000_500);
 const ROUND: u64 = NOW.0 / EPOCH;
@@ -158,7 +160,9 @@
 
     fn summary(&self) -> Vec<u8> {
         let [_, sender, senders, observer, _, epochs_back] = self.bytes;
-        let slice = WindowSlice::sum(&[(usize::from(sender), &self.register())], usize::from(senders));
+        let register = &self.register();
+        let of_sender = SenderRegister { sender: usize::from(sender), register };
+        let slice = WindowSlice::sum(&[of_sender], usize::from(senders));
         let entry = ObserverEntry { observer: u16::from(observer), vote: self.vote };
         let entry = ReceiverEntry { receiver: self.receiver(), votes: vec![entry; MAX_OBSERVERS] };
         let slices = vec![SliceEntry { epochs_back, slice }];
--- a/crates/gossip/src/golden.rs
+++ b/crates/gossip/src/golden.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::Path;
 
-use crate::envelope::{Kind, open, read, seal};
+use crate::envelope::{Envelope, Kind, open, read, seal};
 
 /// A datagram of a file of lines, each a name and hex digits.
 pub(crate) fn datagram(file: &str, name: &str) -> Vec<u8> {
@@ -33,7 +33,7 @@
     for (name, kind) in names {
         let bytes = datagram("envelopes.txt", name);
         assert_eq!(seal(kind, &body).expect("short enough"), bytes, "{name}");
-        let (opened, inner) = open(&bytes).expect("a datagram");
+        let Envelope { kind: opened, body: inner } = open(&bytes).expect("a datagram");
         assert_eq!((opened, read(inner)), (kind, Ok(body.clone())), "{name}");
     }
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -37,7 +37,7 @@
 pub use capacity::{CapacityShare, CapacityUpdate, PermitLease, ScheduledCall};
 pub use datagram_budget::{DatagramBudget, DatagramClass};
 pub use demand_exchange::{DemandExchange, LimitCapacity, LocalDemand, ROUND};
-pub use envelope::{EnvelopeError, Kind, MAX_BODY_LEN, open, read, seal};
+pub use envelope::{Envelope, EnvelopeError, Kind, MAX_BODY_LEN, open, read, seal};
 pub use fleet_view::{FleetView, FleetViewError, MAX_SENDERS, USAGE_TIMEOUT};
 pub use limit_estimate::RecoveryRamp;
 pub use limit_id::LimitId;
--- a/crates/gossip/src/peer_selection.rs
+++ b/crates/gossip/src/peer_selection.rs
@@ -5,9 +5,18 @@
     crc32fast::hash(&words.map(u64::to_le_bytes).concat())
 }
 
-/// Sort key of a sender in the order of a round (rendezvous hashing); ties are broken by the sender's number.
-pub(crate) fn rank_in_round(round: u64, sender: usize) -> (u32, usize) {
-    (hash_words([round, sender as u64]), sender)
+/// A sender with its sort key in the order of a round (rendezvous hashing); ties are broken by the sender's number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct RankedSender {
+    hash: u32,
+    pub sender: usize,
+}
+
+impl RankedSender {
+    /// The sender's position in the order of `round`.
+    pub fn new(round: u64, sender: usize) -> Self {
+        Self { hash: hash_words([round, sender as u64]), sender }
+    }
 }
 
 /// Up to 64 senders that represent the fleet in bit sets, with one bit each. They are selected by a hash, since consecutive
--- a/crates/gossip/src/permits/allocator_selection.rs
+++ b/crates/gossip/src/permits/allocator_selection.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::peer_selection::{PeerSample, rank_in_round};
+use crate::peer_selection::{PeerSample, RankedSender};
 
 /// Number of rounds without a report after which a candidate counts as down.
 const LIVENESS_ROUNDS: u64 = 8;
@@ -50,7 +50,7 @@
         let considers_all = self.considers_all(round);
         let members = self.candidates.members().iter().copied();
         let eligible = members.filter(|sender| considers_all || self.is_alive(*sender));
-        let sender = eligible.min_by_key(|sender| rank_in_round(round, *sender))?;
+        let sender = eligible.min_by_key(|sender| RankedSender::new(round, *sender))?;
         Some(SelectedAllocator { sender, is_known_alive: self.is_alive(sender) })
     }
 
--- a/crates/gossip/src/permits/message.rs
+++ b/crates/gossip/src/permits/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::envelope::{EnvelopeError, Kind, MAX_BODY_LEN, bounded, open, read, seal};
+use crate::envelope::{Envelope, EnvelopeError, Kind, MAX_BODY_LEN, bounded, open, read, seal};
 use crate::membership::Incarnation;
 
 /// Maximum number of limits in a message: an entry of an offer takes up to 4 bytes for the limit, 3 for the checksum and 2
@@ -82,9 +82,10 @@
     ///
     /// [`EnvelopeError`] if it is malformed or of another kind.
     pub fn decode(datagram: &[u8]) -> Result<Self, EnvelopeError> {
-        match open(datagram)? {
-            (Kind::PermitOffer, body) => read(body).map(Self::PermitOffer),
-            (Kind::PermitGrant, body) => read(body).map(Self::PermitGrant),
+        let Envelope { kind, body } = open(datagram)?;
+        match kind {
+            Kind::PermitOffer => read(body).map(Self::PermitOffer),
+            Kind::PermitGrant => read(body).map(Self::PermitGrant),
             _ => Err(EnvelopeError::Kind(datagram[0])),
         }
     }
--- a/crates/gossip/src/tenant_usage.rs
+++ b/crates/gossip/src/tenant_usage.rs
@@ -27,6 +27,7 @@
 pub(crate) use register::MAX_LISTED_TENANTS;
 pub use register::{Register, RegisterKey, TenantTotal};
 use window_slice::FleetLimits;
+pub(crate) use window_slice::SenderRegister;
 pub use window_slice::WindowSlice;
 
 /// Number of incarnations of one sender whose registers are kept for an epoch, the newest ones.
@@ -133,9 +134,9 @@
         let own_key = self.local.register_key();
         let known = self.registers.get(&epoch).into_iter().flatten();
         let others = known.filter(|(key, _)| **key != own_key);
-        let mut registers: Vec<(usize, &Register)> =
-            others.map(|(key, register)| (key.sender, register)).collect();
-        registers.extend(own.iter().map(|own| (self.local.number, own)));
+        let others = others.map(|(key, register)| SenderRegister { sender: key.sender, register });
+        let mut registers: Vec<SenderRegister<'_>> = others.collect();
+        registers.extend(own.iter().map(|own| SenderRegister { sender: self.local.number, register: own }));
         (!registers.is_empty()).then(|| WindowSlice::sum(&registers, self.limits.senders))
     }
 
--- a/crates/gossip/src/tenant_usage/tests.rs
+++ b/crates/gossip/src/tenant_usage/tests.rs
@@ -4,7 +4,7 @@
 use super::epochs::{LAG, RETAINED_EPOCHS, epoch_start};
 use super::local_sender::LocalSender;
 use super::register::{Register, RegisterKey};
-use super::window_slice::WindowSlice;
+use super::window_slice::{SenderRegister, WindowSlice};
 use crate::membership::Incarnation;
 
 const NOW: UnixMillis = UnixMillis(50_000);
@@ -24,6 +24,12 @@
     Register { totals: totals.iter().copied().collect(), ..Register::default() }
 }
 
+/// The sum of registers, each with its sender, in a fleet of `senders`.
+fn slice_of(registers: &[(usize, &Register)], senders: usize) -> WindowSlice {
+    let of_sender = |&(sender, register)| SenderRegister { sender, register };
+    WindowSlice::sum(&registers.iter().map(of_sender).collect::<Vec<_>>(), senders)
+}
+
 /// Bounds for tenant 1, and the number of senders that are known.
 fn read(usage: &TenantUsage, epoch: u64) -> (u64, u64, usize) {
     let interval = usage.read(epoch_start(epoch + LAG), 1, 1);
@@ -59,14 +65,14 @@
     );
     assert!(!usage.merge_register(NOW, key(1, 1), 48, &register(&[(1, 60), (2, 41)])));
     assert_eq!(read(&usage, 48), (0, 200, 1));
-    let slice = WindowSlice::sum(&[(1, &small), (2, &small)], 3);
+    let slice = slice_of(&[(1, &small), (2, &small)], 3);
     assert!(
         usage.merge_slice(NOW, 1, 48, &slice) && !usage.merge_slice(NOW, 1, 50 - RETAINED_EPOCHS, &slice)
     );
     for impossible in [
-        WindowSlice::sum(&[(3, &small)], 3),
-        WindowSlice::sum(&[(1, &small)], 30),
-        WindowSlice::sum(&[(1, &register(&[(1, 101)]))], 3),
+        slice_of(&[(3, &small)], 3),
+        slice_of(&[(1, &small)], 30),
+        slice_of(&[(1, &register(&[(1, 101)]))], 3),
     ] {
         assert!(!usage.merge_slice(NOW, 1, 48, &impossible), "{impossible:?}");
     }
@@ -77,8 +83,8 @@
 fn slices_of_one_epoch_are_never_added_to_one_another() {
     let mut usage = usage(4, 100);
     let (ten, twenty) = (register(&[(1, 10)]), register(&[(1, 20)]));
-    assert!(usage.merge_slice(NOW, 1, 48, &WindowSlice::sum(&[(1, &ten), (2, &twenty)], 4)));
-    assert!(usage.merge_slice(NOW, 2, 48, &WindowSlice::sum(&[(1, &ten), (2, &twenty), (3, &ten)], 4)));
+    assert!(usage.merge_slice(NOW, 1, 48, &slice_of(&[(1, &ten), (2, &twenty)], 4)));
+    assert!(usage.merge_slice(NOW, 2, 48, &slice_of(&[(1, &ten), (2, &twenty), (3, &ten)], 4)));
     // This sender knows that it accepted nothing itself.
     assert_eq!(read(&usage, 48), (40, 40, 3));
 }
@@ -88,7 +94,7 @@
     let mut usage = usage(3, 100);
     (0..50).for_each(|_| usage.record_message(UnixMillis(48_100), 1));
     let idle = Register::default();
-    assert!(usage.merge_slice(NOW, 1, 48, &WindowSlice::sum(&[(0, &idle), (1, &idle), (2, &idle)], 3)));
+    assert!(usage.merge_slice(NOW, 1, 48, &slice_of(&[(0, &idle), (1, &idle), (2, &idle)], 3)));
     assert_eq!(read(&usage, 48), (50, 250, 3));
 }
 
@@ -111,7 +117,7 @@
         let now = epoch_start(second) + 10;
         usage.record_message(now, 1);
         usage.merge_register(now, key(1, 1), second, &register(&[(1, 1)]));
-        usage.merge_slice(now, 2, second, &WindowSlice::sum(&[(1, &register(&[(1, 1)]))], 3));
+        usage.merge_slice(now, 2, second, &slice_of(&[(1, &register(&[(1, 1)]))], 3));
         assert!(
             usage.registers.len() as u64 <= RETAINED_EPOCHS && usage.slices.len() as u64 <= RETAINED_EPOCHS
         );
--- a/crates/gossip/src/tenant_usage/window_slice.rs
+++ b/crates/gossip/src/tenant_usage/window_slice.rs
@@ -31,6 +31,13 @@
     pub max: u64,
 }
 
+/// A register and the sender whose it is.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SenderRegister<'a> {
+    pub sender: usize,
+    pub register: &'a Register,
+}
+
 /// The sum of many senders' registers for one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WindowSlice {
@@ -46,16 +53,18 @@
 }
 
 impl WindowSlice {
-    /// The sum of registers with different [keys](super::RegisterKey), each with its sender's number, in a fleet of `senders`.
-    pub(crate) fn sum(registers: &[(usize, &Register)], senders: usize) -> Self {
-        let all: BTreeSet<usize> = registers.iter().map(|(sender, _)| *sender).collect();
-        let incomplete = registers.iter().filter(|(_, register)| register.partial);
-        let partial: BTreeSet<usize> = incomplete.map(|(sender, _)| *sender).collect();
+    /// The sum of registers with different [keys](super::RegisterKey) in a fleet of `senders`.
+    pub(crate) fn sum(registers: &[SenderRegister<'_>], senders: usize) -> Self {
+        let all: BTreeSet<usize> = registers.iter().map(|of_sender| of_sender.sender).collect();
+        let incomplete = registers.iter().filter(|of_sender| of_sender.register.partial);
+        let partial: BTreeSet<usize> = incomplete.map(|of_sender| of_sender.sender).collect();
         let mut slice = Self {
             complete: bit_set(all.difference(&partial).copied(), senders),
             partial: u16::try_from(partial.len()).unwrap_or(u16::MAX),
             totals: sum_totals(registers),
-            rest: registers.iter().fold(0_u32, |rest, (_, register)| rest.saturating_add(register.rest)),
+            rest: registers
+                .iter()
+                .fold(0_u32, |rest, of_sender| rest.saturating_add(of_sender.register.rest)),
         };
         while slice.totals.len() > MAX_LISTED_TENANTS {
             slice.drop_smallest_total();
@@ -165,9 +174,9 @@
 }
 
 /// The totals of each tenant, by tenant.
-fn sum_totals(registers: &[(usize, &Register)]) -> Vec<TenantTotal> {
+fn sum_totals(registers: &[SenderRegister<'_>]) -> Vec<TenantTotal> {
     let mut totals: BTreeMap<u16, u32> = BTreeMap::new();
-    for (tenant, messages) in registers.iter().flat_map(|(_, register)| &register.totals) {
+    for (tenant, messages) in registers.iter().flat_map(|of_sender| &of_sender.register.totals) {
         let total = totals.entry(*tenant).or_default();
         *total = total.saturating_add(*messages);
     }
--- a/crates/sender/src/gossip/exchange.rs
+++ b/crates/sender/src/gossip/exchange.rs
@@ -150,7 +150,7 @@
     /// Dispatches a datagram to its protocol.
     fn dispatch(&mut self, from: usize, message: &[u8]) -> Result<Received, ReceiveError> {
         let now = UnixMillis::now();
-        let kind = open(message).map(|(kind, _)| kind);
+        let kind = open(message).map(|envelope| envelope.kind);
         match (kind, &mut self.permits, &mut self.shared_view) {
             (Ok(Kind::PermitOffer | Kind::PermitGrant), Some(permits), _) => {
                 let may_be_granted = permits.receive(now, from, message)?;
