--- a/crates/sender/src/control/connections.rs
+++ b/crates/sender/src/control/connections.rs
@@ -22,7 +22,7 @@
 }
 
 impl OpenConnections {
-    /// Adds the connection with this number. If there are too many, the oldest is asked to close.
+    /// Adds the connection with this number. If there are too many, requests the close of the oldest.
     pub(super) fn add(self: &Rc<Self>, number: u64) -> ConnectionGuard {
         let mut connections = self.0.borrow_mut();
         if connections.len() >= MAX_CONNECTIONS
@@ -37,7 +37,7 @@
 }
 
 impl ConnectionGuard {
-    /// Waits until this connection is asked to close.
+    /// Waits until the close of this connection is requested.
     pub(super) async fn close_requested(&self) {
         self.close.notified().await;
     }
--- a/crates/sender/src/discovery/watcher.rs
+++ b/crates/sender/src/discovery/watcher.rs
@@ -13,8 +13,8 @@
 use crate::platform::HttpError;
 use crate::poll_schedule::PollSchedule;
 
-/// Watches discovery at the configured address and sends its lists to the engine. Starts at `revision`, or with the full
-/// list if that is `None`. Ends when the engine has ended or the address can no longer change.
+/// Watches discovery at the configured address and sends its lists to the engine. Starts at `revision`, or with the
+/// full list if that is `None`. Ends when the engine has ended or the address can no longer change.
 pub async fn watch(
     address: watch::Receiver<SocketAddr>,
     revision: Option<u64>,
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Resets the progress, as revisions of two addresses are unrelated. The first request is delayed as at a start: the
-    /// addresses of many senders may change at the same moment.
+    /// Resets the progress, as revisions of two addresses are unrelated. The first request is delayed as at a start,
+    /// since the addresses of many senders may change at the same moment.
     fn reset_for_new_address(&mut self) -> Duration {
         self.progress.revision = None;
         self.schedule.record_success();
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -20,7 +20,7 @@
 /// [`REQUEST_TRANSIT_TIME`] before the deadline may be late for the client, and does not count.
 const DEADLINE_MARGIN_TICKS: f64 = 2.0;
 
-/// An attempt that the policy asks for.
+/// An attempt that the policy requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptRequest {
     /// The message.
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -46,8 +46,8 @@
 }
 
 impl Engine {
-    /// Admits a submission; returns the message for the policy. A submission whose response does not depend on the policy
-    /// is added to `intake`; one that does not fit into this batch is left for the next.
+    /// Admits a submission; returns the message for the policy. A submission whose response does not depend on the
+    /// policy is added to `intake`; one that does not fit into this batch is left for the next.
     pub(super) fn admit(
         &mut self,
         submission: Submission,
@@ -95,8 +95,8 @@
             });
         }
         if let Some(id) = self.tracked.find(&submission.message_id) {
-            // Each client that submits the message is counted: else any client with the same id could withdraw the message
-            // by disconnecting.
+            // Each client that submits the message is counted: else any client with the same id could withdraw the
+            // message by disconnecting.
             let undecided = intake.new.iter().any(|new| new.id == id);
             let added = !undecided && self.tracked.add_submission(id, submission.id);
             return Some(if added { SubmissionResponse::Accepted } else { SubmissionResponse::REFUSED });
--- a/crates/sender/src/engine/shutdown.rs
+++ b/crates/sender/src/engine/shutdown.rs
@@ -11,7 +11,7 @@
 /// Maximum time to stop. Calls in flight by then stay in the journal as attempts that may have been executed.
 const MAX_SHUTDOWN_TIME: Duration = Duration::from_millis(3_300);
 
-/// Whether the engine was asked to stop, and for how long it continues.
+/// The state of the shutdown: whether and when it was requested.
 #[derive(Debug)]
 pub(super) struct Shutdown {
     requested_at: Option<Instant>,
@@ -32,7 +32,7 @@
 }
 
 impl Shutdown {
-    /// No shutdown. With `shared_listener` clients can connect to a successor from its request on.
+    /// Creates the state before a shutdown. With `shared_listener` clients can connect to a successor at once.
     pub fn new(shared_listener: bool) -> Self {
         let min_time = if shared_listener { Duration::ZERO } else { MIN_SHUTDOWN_TIME };
         Self { requested_at: None, min_time }
--- a/crates/sender/src/engine/tracked_messages.rs
+++ b/crates/sender/src/engine/tracked_messages.rs
@@ -23,7 +23,7 @@
     /// Whether an earlier process accepted it and responded to its client.
     pub recovered: bool,
     /// Its submissions, without those whose client disconnected before the response. While there is one, a client may
-    /// know that the message is accepted, and it must not be withdrawn.
+    /// have the response that the message is accepted, and it must not be withdrawn.
     pub submissions: Vec<SubmissionId>,
     /// Its idempotency key, if it has one.
     pub idempotency_key: Option<Bytes>,
@@ -47,7 +47,7 @@
 }
 
 impl TrackedMessage {
-    /// Number of clients that may know that the message is accepted.
+    /// Number of clients that may have the response that the message is accepted.
     fn clients(&self) -> usize {
         self.submissions.len() + usize::from(self.recovered)
     }
--- a/crates/sender/src/event/limits.rs
+++ b/crates/sender/src/event/limits.rs
@@ -1,4 +1,4 @@
-//! This sender's shares of the limits that the fleet has in common.
+//! This sender's shares of limits and quotas of the fleet.
 
 use rudderspindle_policy::interface::LimitScope;
 
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -1,7 +1,7 @@
 //! State transfer from a running process to its successor, over a Unix socket in the state folder.
 //!
-//! The transferred state (outages, Retry-After backoffs, calls in flight, free disk space) is advisory: a successor that
-//! does not receive it works without it. Messages are transferred by the journal alone.
+//! The transferred state (outages, Retry-After backoffs, calls in flight, free disk space) is advisory: a successor
+//! that does not receive it works without it. Messages are transferred by the journal alone.
 
 mod codec;
 mod connection;
--- a/crates/sender/src/handover/connection.rs
+++ b/crates/sender/src/handover/connection.rs
@@ -29,8 +29,8 @@
         Self { reader: MessageReader::new(reader), writer: MessageWriter::new(writer) }
     }
 
-    /// Connects `peer_process` and spawns the task that sends and receives messages. The task ends with the connection or
-    /// when the engine has ended, and reports the disconnection to the engine.
+    /// Connects `peer_process` and spawns the task that sends and receives messages. The task ends with the connection
+    /// or when the engine has ended, and reports the disconnection to the engine.
     pub(super) fn spawn_exchange(self, peer_process: Rc<PeerProcess>, engine: mpsc::Sender<Input>) {
         let (outgoing, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
         peer_process.connect(outgoing);
--- a/crates/sender/src/handover/owner.rs
+++ b/crates/sender/src/handover/owner.rs
@@ -53,8 +53,8 @@
     UnixListener::bind(&path)
 }
 
-/// Performs the handshake with a connection, and makes it the successor once an earlier successor has disconnected. Of an
-/// earlier successor that has ended, the lock may be free before its connection is closed here.
+/// Performs the handshake with a connection, and makes it the successor once an earlier successor has disconnected. The
+/// lock of an earlier successor may be free before its connection is closed here.
 pub(super) async fn accept_successor(
     stream: UnixStream,
     peer_process: Rc<PeerProcess>,
--- a/crates/sender/src/outbound/connection.rs
+++ b/crates/sender/src/outbound/connection.rs
@@ -29,7 +29,7 @@
     /// Owned by the task.
     pub(super) socket: Weak<RefCell<TcpStream>>,
     addr: SocketAddr,
-    /// Drives the connection and holds its slot; aborted when the connection is dropped.
+    /// Drives the connection and owns its slot; aborted when the connection is dropped.
     task: JoinHandle<()>,
     idle_since: Instant,
     is_idle: bool,
