--- a/crates/benchmarks/src/scenario/round.rs
+++ b/crates/benchmarks/src/scenario/round.rs
@@ -69,7 +69,7 @@
         let per_s = scenario.traffic.per_s.get();
         println!("scenario {seed}: {} receivers, {per_s:.0} messages per second", scenario.receivers.len());
         for event in &scenario.events {
-            println!("  {event:?}");
+            println!("  {}", serde_json::to_string(event).unwrap_or_default());
         }
         print!("{verdict}");
         println!("scenario {seed}: peak load during a recovery {:.2}", verdict.peak_recovery_ratio());
