--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -9,10 +9,13 @@
 use bytes::Bytes;
 use rudderspindle_clock::UnixMillis;
 
-use super::*;
-use crate::record::{RecordKind, append_record, write_text};
-use crate::replay::replay_segment;
-use crate::segments::segment_path;
+use super::Store;
+use crate::MessageId;
+use crate::message::{Message, PossibleExecution, Status};
+use crate::outage_records::{EndpointKey, OutageState};
+use crate::record::{RecordKind, append_outage, append_record, write_text};
+use crate::replay::{ReplayedState, replay_segment};
+use crate::segments::{segment_numbers, segment_path};
 
 const BUDGET: u64 = 3_000_000;
 
@@ -22,7 +25,7 @@
         class: "safe".into(),
         tenant: "acme".into(),
         destination: 7,
-        key: Some(Bytes::from_static(b"key")),
+        idempotency_key: Some(Bytes::from_static(b"key")),
         deadline: UnixMillis(5),
         body: Bytes::from(vec![b'x'; size]),
         attempts: 0,
--- a/crates/policy/src/destination/route.rs
+++ b/crates/policy/src/destination/route.rs
@@ -15,7 +15,7 @@
     pub listing: Listing,
     /// Whether other senders have ejected it as an outlier.
     pub ejected: bool,
-    /// Used if it has a limit of its own.
+    /// Unused if all routes share a throttle.
     pub throttle: Throttle,
     pub breaker: CircuitBreaker,
     pub last_used_at: Millis,
@@ -45,7 +45,7 @@
 
     /// Records since when the list no longer names it.
     pub fn update_removal(&mut self, now: Millis) {
-        let is_removed = self.listing == Listing::Gone;
+        let is_removed = self.listing == Listing::Removed;
         self.removed_at = is_removed.then(|| self.removed_at.unwrap_or(now));
     }
 
--- a/crates/sender/src/control/golden.rs
+++ b/crates/sender/src/control/golden.rs
@@ -15,14 +15,14 @@
 /// Metrics in which no two numbers are equal.
 fn metrics() -> Metrics {
     let metrics = Metrics::new(&["keyed".to_owned(), "a \"b\"".to_owned(), "plain".to_owned()]);
-    let ends = [
+    let outcomes = [
         (0, FinalOutcome::Delivered, 1),
         (0, FinalOutcome::Rejected, 2),
         (0, FinalOutcome::Failed, 3),
         (2, FinalOutcome::Delivered, 4),
     ];
-    for (class, end, times) in ends {
-        (0..times).for_each(|_| metrics.record_outcome(class, end));
+    for (class, outcome, times) in outcomes {
+        (0..times).for_each(|_| metrics.record_outcome(class, outcome));
     }
     (0..5).for_each(|_| metrics.call_written());
     metrics.client_connected();
@@ -30,7 +30,7 @@
     metrics
 }
 
-/// A control listener in this state, and the engine's end of its queries.
+/// A control listener in this state, and the receiver of its queries.
 fn control(state: AdmissionState) -> (ControlListener, mpsc::Receiver<Input>) {
     let (engine, queries) = mpsc::channel(4);
     let admission_state = watch::channel(state).0;
@@ -64,7 +64,7 @@
     assert_eq!(text, SERVING);
 }
 
-/// The engine has ended, too: the metrics hold the status that it reported last.
+/// The engine has ended: the metrics have the status that it reported last.
 #[tokio::test]
 async fn a_stopping_sender_responds_to_each_command_as_recorded() {
     for state in [AdmissionState::Stopping, AdmissionState::HandingOver] {
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -157,7 +157,7 @@
             class,
             recovered: true,
             submissions: Vec::new(),
-            idempotency_key: record.key,
+            idempotency_key: record.idempotency_key,
             body: record.body,
             deadline,
             attempts,
@@ -169,7 +169,7 @@
             tenant: tenant.unwrap_or(usize::MAX),
             ordering_key: 0,
             time_left,
-            work_guess: None,
+            work_estimate: None,
             destination: DestinationId(record.destination),
         };
         Event::Recovered(message, AttemptHistory { attempts, possibly_executed })
--- a/crates/sender/src/outbound/tests/deadline.rs
+++ b/crates/sender/src/outbound/tests/deadline.rs
@@ -1,4 +1,4 @@
-//! A call's deadline against its response.
+//! Responses around the deadline of a call.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::{call, next, set_up};
 use crate::event::{Call, Input};
 
-/// A call whose request has been received, and the deadline that its receiver was told.
+/// A call whose request has been received, and its deadline.
 async fn received_call(outbound: &Rc<Outbound>, listener: &TcpListener) -> (TcpStream, Instant) {
     let deadline = Instant::now() + Duration::from_millis(400);
     outbound.start_call(Call { response_deadline: deadline, write_deadline: deadline, ..call() });
@@ -24,13 +24,13 @@
     (stream, deadline)
 }
 
-/// Blocks the runtime until after the deadline, so that the response and the time-out are noticed in one tick.
+/// Blocks the runtime until after the deadline, so that it sees the response and the timeout in the same tick.
 fn block_until_after(deadline: Instant) {
     std::thread::sleep(deadline.saturating_duration_since(Instant::now()) + Duration::from_millis(2));
 }
 
-/// The receiver has been told how long the sender waits. A response after that goes to a sender that has given the call
-/// up, though its own timer has not fired yet: taken for a delivery, the message would have no final outcome.
+/// The request announces the deadline. A response after it does not count, also if the sender's timer has not fired yet:
+/// the receiver treats the call as abandoned.
 #[tokio::test]
 async fn a_response_after_the_deadline_does_not_count_even_in_the_tick_of_the_timeout() {
     let test = async {
@@ -48,14 +48,13 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A rejection counts only when it is complete, and its rest is not waited for beyond the call's deadline, at which the
-/// message's final outcome may be due.
+/// A rejection counts only if it is complete, and its rest is waited for until the call's deadline at the latest.
 #[tokio::test]
 async fn an_endless_rejection_delays_its_call_no_longer_than_its_deadline() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
         let (mut stream, deadline) = received_call(&outbound, &listener).await;
-        // So late that half a second more would be far beyond the deadline.
+        // Half a second more would be far beyond the deadline.
         tokio::time::sleep_until(deadline - Duration::from_millis(50)).await;
         let half = b"HTTP/1.1 503 No\r\nContent-Length: 8\r\n\r\nhalf";
         stream.write_all(half).await.expect("writable");
