--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -13,6 +13,7 @@
 //! This crate does no I/O and reads no clock: its callers pass in the time and the received datagrams, and send those that
 //! it returns.
 #![forbid(unsafe_code)]
+#![warn(clippy::disallowed_methods)]
 
 mod arrival_rate;
 mod capacity;
--- a/crates/heavy-hitters/src/lib.rs
+++ b/crates/heavy-hitters/src/lib.rs
@@ -16,6 +16,7 @@
 //! Where to begin reading: `heavy_hitters` (one sender), `digest_publisher` and `aggregator` (the two sides of the gossip),
 //! `fleet_view` and `hot_streams` (the decisions).
 #![forbid(unsafe_code)]
+#![warn(clippy::disallowed_methods)]
 
 mod aggregator;
 mod aggregator_selection;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -15,6 +15,7 @@
 //! Where to begin reading: `placement` (the state), `outgoing` and `incoming` (datagrams), `quorum` (the effects of a round),
 //! `access` and `body_disposal` (the decisions).
 #![forbid(unsafe_code)]
+#![warn(clippy::disallowed_methods)]
 
 mod access;
 mod body_disposal;
--- a/crates/policy-replay/src/lib.rs
+++ b/crates/policy-replay/src/lib.rs
@@ -5,6 +5,7 @@
 //! counts of inputs and outputs, for comparison with a golden file. The types of this crate are its own:
 //! those of the policy may be renamed with no change in the golden files.
 #![forbid(unsafe_code)]
+#![warn(clippy::disallowed_methods)]
 #![warn(missing_docs)]
 
 mod arrivals;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -90,6 +90,7 @@
 //! # }
 //! ```
 #![forbid(unsafe_code)]
+#![warn(clippy::disallowed_methods)]
 #![warn(missing_docs)]
 
 mod calls;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -5,6 +5,7 @@
 //! calls that reach the receiver. All random draws come from the scenario's seed, so a scenario always gives the same
 //! result. There is no I/O and no clock here, and no program that ships depends on this package.
 #![forbid(unsafe_code)]
+#![warn(clippy::disallowed_methods)]
 
 pub mod fixtures;
 pub mod limit_schemes;
