--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -14,7 +14,7 @@
 
 use super::Outbound;
 use super::routes::Route;
-use crate::event::{Call, Input};
+use crate::event::{Call, CallOutcome, Input};
 use crate::metrics::Metrics;
 
 mod deadline;
@@ -80,6 +80,11 @@
     timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input")
 }
 
+async fn next_outcome(inputs: &mut mpsc::Receiver<Input>) -> CallOutcome {
+    let Input::Outcome { result, .. } = next(inputs).await else { panic!("no outcome") };
+    result
+}
+
 /// Reads the next request to its last byte.
 async fn read_request(stream: &mut TcpStream) {
     let mut buffer = [0; 1024];
@@ -108,8 +113,8 @@
     outbound.start_call(call);
     let (mut stream, _) = listener.accept().await.expect("a connection");
     respond(&mut stream, "200 OK").await;
-    let Input::Outcome { result: report, .. } = next(inputs).await else { panic!("no outcome") };
-    assert_eq!(report, Outcome::Ok.into());
+    let call_outcome = next_outcome(inputs).await;
+    assert_eq!(call_outcome, Outcome::Ok.into());
     while outbound.idle.len() == 0 {
         tokio::task::yield_now().await;
     }
--- a/crates/sender/src/outbound/tests/deadline.rs
+++ b/crates/sender/src/outbound/tests/deadline.rs
@@ -9,8 +9,8 @@
 use tokio::time::Instant;
 
 use super::super::Outbound;
-use super::{call, next, set_up};
-use crate::event::{Call, Input};
+use super::{call, next_outcome, set_up};
+use crate::event::Call;
 
 /// A call whose request has been received, and its deadline.
 async fn received_call(outbound: &Rc<Outbound>, listener: &TcpListener) -> (TcpStream, Instant) {
@@ -40,8 +40,8 @@
             block_until_after(deadline);
             let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
             assert_eq!(stream.try_write(response.as_bytes()).expect("writable"), response.len());
-            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-            assert_eq!(report, Outcome::Timeout.into(), "{status}");
+            let call_outcome = next_outcome(&mut inputs).await;
+            assert_eq!(call_outcome, Outcome::Timeout.into(), "{status}");
             assert_eq!(outbound.active_backoffs().is_empty(), !status.contains("Backoff"), "{status}");
         }
     };
@@ -58,8 +58,8 @@
         tokio::time::sleep_until(deadline - Duration::from_millis(50)).await;
         let half = b"HTTP/1.1 503 No\r\nContent-Length: 8\r\n\r\nhalf";
         stream.write_all(half).await.expect("writable");
-        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-        assert_eq!(report, Outcome::Error.into());
+        let call_outcome = next_outcome(&mut inputs).await;
+        assert_eq!(call_outcome, Outcome::Error.into());
         assert!(deadline.elapsed() < Duration::from_millis(300), "{:?} late", deadline.elapsed());
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -80,8 +80,8 @@
             let (mut stream, _) = received_call(&outbound, &listener).await;
             stream.write_all(written.as_bytes()).await.expect("writable");
             drop(stream);
-            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-            assert_eq!(report, outcome.into(), "{written:?}");
+            let call_outcome = next_outcome(&mut inputs).await;
+            assert_eq!(call_outcome, outcome.into(), "{written:?}");
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/outbound/tests/idle_connections.rs
+++ b/crates/sender/src/outbound/tests/idle_connections.rs
@@ -7,8 +7,7 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout};
 
-use super::{ROUTE, call, complete_call, next, respond, route, set_up};
-use crate::event::Input;
+use super::{ROUTE, call, complete_call, next, next_outcome, respond, route, set_up};
 
 #[tokio::test]
 async fn an_idle_connection_is_not_used_when_the_receiver_may_be_about_to_close_it() {
@@ -40,8 +39,8 @@
             let again = timeout(Duration::from_secs(20), listener.accept()).await;
             let (mut stream, _) = again.expect("a new connection").expect("a connection");
             respond(&mut stream, "500 No").await;
-            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-            assert_eq!(report, Outcome::Error.into());
+            let call_outcome = next_outcome(&mut inputs).await;
+            assert_eq!(call_outcome, Outcome::Error.into());
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/outbound/tests/interrupted.rs
+++ b/crates/sender/src/outbound/tests/interrupted.rs
@@ -14,7 +14,7 @@
 
 use super::super::Outbound;
 use super::{
-    LARGE, ROUTE, call, complete_call, narrow, next, read_to_end, respond, route, set_up, set_up_with,
+    LARGE, ROUTE, call, complete_call, narrow, next_outcome, read_to_end, respond, route, set_up, set_up_with,
 };
 use crate::event::{Call, Input};
 
@@ -34,8 +34,8 @@
 }
 
 async fn outcome(inputs: &mut mpsc::Receiver<Input>) -> Outcome {
-    let Input::Outcome { result: report, .. } = next(inputs).await else { panic!("no outcome") };
-    report.outcome
+    let call_outcome = next_outcome(inputs).await;
+    call_outcome.outcome
 }
 
 /// Buffered bytes of a call are not sent after the call is interrupted: it could be executed later.
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -7,8 +7,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use super::super::outcome::{Interruption, RequestProgress, ResponseProgress, outcome_without_response};
-use super::{LARGE, NowOrNever, ROUTE, call, narrow, next, read_request, read_to_end, route, set_up};
-use crate::event::{Call, CallOutcome, Input};
+use super::{LARGE, NowOrNever, ROUTE, call, narrow, next_outcome, read_request, read_to_end, route, set_up};
+use crate::event::{Call, CallOutcome};
 
 /// Checks the outcomes without a complete response, for each progress of the request.
 fn assert_possible_execution(received: ResponseProgress, interruption: Interruption) {
@@ -126,10 +126,10 @@
         stream.set_zero_linger().expect("it can be reset");
     }
     drop(stream);
-    let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+    let call_outcome = next_outcome(&mut inputs).await;
     // In any case the call was sent once: neither this program nor the HTTP library sends it again.
     assert!(listener.accept().now_or_never().is_none(), "it was sent again");
-    report
+    call_outcome
 }
 
 /// Truncated at each byte, by a close or by a reset.
@@ -195,8 +195,8 @@
             stream.read_exact(&mut head).await.expect("a head");
             let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
             stream.write_all(response.as_bytes()).await.expect("writable");
-            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-            assert_eq!(report, outcome.into(), "{status}");
+            let call_outcome = next_outcome(&mut inputs).await;
+            assert_eq!(call_outcome, outcome.into(), "{status}");
             assert!(100 + read_to_end(&mut stream).await < LARGE, "{status}: all of it was received");
         }
     };
--- a/crates/sender/src/outbound/tests/responses.rs
+++ b/crates/sender/src/outbound/tests/responses.rs
@@ -4,22 +4,22 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use super::super::outcome::MAX_BACKOFF_MS;
-use super::{ROUTE, call, next, respond, set_up};
+use super::{ROUTE, call, next, next_outcome, respond, set_up};
 use crate::event::{CallOutcome, Input};
 
 #[tokio::test]
 async fn responses_have_the_results_of_the_protocol() {
-    let report = |outcome, wait, completed| CallOutcome { outcome, retry_after: wait, completed };
+    let call_outcome = |outcome, wait, completed| CallOutcome { outcome, retry_after: wait, completed };
     let cases = [
-        ("200 OK", report(Outcome::Ok, 0.0, true)),
-        ("500 No", report(Outcome::Error, 0.0, false)),
-        ("404 No", report(Outcome::Error, 0.0, false)),
-        ("429 No\r\nX-Backoff-Ms: 250", report(Outcome::Rejected, 250.0, false)),
-        ("429 No\r\nX-Backoff-Ms: soon", report(Outcome::Rejected, 0.0, false)),
-        ("503 No", report(Outcome::Rejected, 0.0, false)),
-        ("503 No\r\nX-Egress-Full: 1", report(Outcome::NotSent, 0.0, false)),
-        ("504 No", report(Outcome::AttemptsExhausted, 0.0, false)),
-        ("410 No", report(Outcome::NotSent, 0.0, true)),
+        ("200 OK", call_outcome(Outcome::Ok, 0.0, true)),
+        ("500 No", call_outcome(Outcome::Error, 0.0, false)),
+        ("404 No", call_outcome(Outcome::Error, 0.0, false)),
+        ("429 No\r\nX-Backoff-Ms: 250", call_outcome(Outcome::Rejected, 250.0, false)),
+        ("429 No\r\nX-Backoff-Ms: soon", call_outcome(Outcome::Rejected, 0.0, false)),
+        ("503 No", call_outcome(Outcome::Rejected, 0.0, false)),
+        ("503 No\r\nX-Egress-Full: 1", call_outcome(Outcome::NotSent, 0.0, false)),
+        ("504 No", call_outcome(Outcome::AttemptsExhausted, 0.0, false)),
+        ("410 No", call_outcome(Outcome::NotSent, 0.0, true)),
     ];
     let test = async {
         for (text, expected) in cases {
@@ -27,8 +27,8 @@
             outbound.start_call(call());
             let (mut stream, _) = listener.accept().await.expect("a connection");
             respond(&mut stream, text).await;
-            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-            assert_eq!(report, expected, "{text}");
+            let found = next_outcome(&mut inputs).await;
+            assert_eq!(found, expected, "{text}");
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -62,8 +62,8 @@
         outbound.start_call(call());
         let (mut stream, _) = listener.accept().await.expect("a connection");
         respond(&mut stream, "429 No\r\nX-Backoff-Ms: 1e300").await;
-        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-        assert_eq!((report.outcome, report.retry_after), (Outcome::Rejected, MAX_BACKOFF_MS));
+        let found = next_outcome(&mut inputs).await;
+        assert_eq!((found.outcome, found.retry_after), (Outcome::Rejected, MAX_BACKOFF_MS));
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/outbound/tests/withheld.rs
+++ b/crates/sender/src/outbound/tests/withheld.rs
@@ -6,8 +6,8 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::Instant;
 
-use super::{ROUTE, call, complete_call, next, route, set_up};
-use crate::event::{Call, Input};
+use super::{ROUTE, call, complete_call, next_outcome, route, set_up};
+use crate::event::Call;
 
 /// A backoff or a drain that is reported after the decision and before the call's first byte counts.
 #[tokio::test]
@@ -22,8 +22,8 @@
             } else {
                 outbound.apply_backoff(DestinationId(7), None, 10_000.0);
             }
-            let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-            assert_eq!(report, Outcome::NotSent.into());
+            let call_outcome = next_outcome(&mut inputs).await;
+            assert_eq!(call_outcome, Outcome::NotSent.into());
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -45,16 +45,16 @@
         let started = Instant::now();
         let write_deadline = started + Duration::from_millis(300);
         outbound.start_call(Call { write_deadline, ..call() });
-        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
+        let call_outcome = next_outcome(&mut inputs).await;
         // It does not count as a failure of the receiver.
-        assert_eq!(report, Outcome::NotSent.into());
+        assert_eq!(call_outcome, Outcome::NotSent.into());
         assert!(Instant::now() >= write_deadline);
         // A call whose deadline passed before its task began is not sent over an idle connection either.
         let (outbound, listener, mut inputs) = set_up().await;
         let stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
         outbound.start_call(Call { write_deadline: Instant::now(), ..call() });
-        let Input::Outcome { result: report, .. } = next(&mut inputs).await else { panic!("no outcome") };
-        assert_eq!(report, Outcome::NotSent.into());
+        let call_outcome = next_outcome(&mut inputs).await;
+        assert_eq!(call_outcome, Outcome::NotSent.into());
         assert!(stream.try_read(&mut [0; 1]).is_err(), "something of it was sent");
     };
     tokio::task::LocalSet::new().run_until(test).await;
