--- a/crates/gossip/src/capacity/tests.rs
+++ b/crates/gossip/src/capacity/tests.rs
@@ -28,13 +28,13 @@
     let at = |due_at, not_before| ScheduledCall { due_at, not_before };
     share.apply(0.0, &update(0.1, 1.0), NO_CALL);
     share.record_call(0.0, share.rate(0.0, 1.0, 40.0));
-    // Ten seconds at a tenth of a call a second: at four tenths the rest takes a quarter.
+    // Ten seconds at 0.1 calls a second: at 0.4 the remaining delay is a quarter.
     assert_eq!(share.apply(2_000.0, &update(0.4, 1.0), at(10_000.0, 0.0)), 4_000.0);
     // A Retry-After period is not scaled.
     share.record_call(2_000.0, share.rate(2_000.0, 1.0, 40.0));
     assert_eq!(share.apply(2_500.0, &update(0.8, 1.0), at(6_000.0, 4_000.0)), 5_000.0);
     share.record_call(2_500.0, share.rate(2_500.0, 1.0, 40.0));
-    // A call that is due stays due, and one that another rate scheduled is left alone.
+    // A due call stays due, and one that was not scheduled by a shared rate is unchanged.
     assert_eq!(share.apply(5_000.0, &update(0.1, 1.0), at(4_000.0, 0.0)), 4_000.0);
     share.record_call(5_000.0, None);
     assert_eq!(share.apply(6_000.0, &update(0.4, 1.0), at(9_000.0, 0.0)), 9_000.0);
@@ -74,7 +74,7 @@
     share.set_leases(61.0, &leases);
     share.record_call(61.0, None);
     assert_eq!(share.next_lease_at(61.0), 200.0);
-    // An expired one is not usable, whether it is set again or not.
+    // An expired lease is not usable, also if it is set again.
     assert_eq!(share.next_lease_at(300.0), f64::INFINITY);
     share.set_leases(300.0, &leases);
     assert_eq!(share.next_lease_at(300.0), f64::INFINITY);
--- a/crates/gossip/src/datagram_budget/tests.rs
+++ b/crates/gossip/src/datagram_budget/tests.rs
@@ -1,4 +1,4 @@
-//! The budget of each second, and the bound on waiting.
+//! The budget of each second, and the maximum wait.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
         for millis in (0..30_000).step_by(10) {
             let now = UnixMillis(millis);
             let requested = requests.iter().filter(|(_, at)| at / 10 * 10 == millis).map(|(kind, _)| *kind);
-            // One that always requests more.
+            // One kind requests in every step.
             for index in requested.chain([greedy]) {
                 let kind = Kind::ALL[index];
                 budget.request(kind, now);
@@ -38,7 +38,7 @@
             }
         }
         for (index, (at, _)) in sent.iter().enumerate() {
-            // The last one's answer may fall into the next second.
+            // The answer to the last one may be in the next second.
             let within = sent[index..].iter().take_while(|(then, _)| then - at < 1_000);
             let cost: u64 = within.map(|(_, cost)| cost).sum();
             prop_assert!(cost <= MAX_DATAGRAMS_PER_S + 1, "{cost} datagrams from {at} on");
--- a/crates/gossip/src/demand_exchange.rs
+++ b/crates/gossip/src/demand_exchange.rs
@@ -9,6 +9,7 @@
 mod liveness;
 mod local_demand;
 mod received_sums;
+mod rounds;
 
 use std::collections::BTreeMap;
 
@@ -20,6 +21,8 @@
 use local_demand::DemandHistory;
 pub use local_demand::LocalDemand;
 use received_sums::ReceivedSums;
+pub use rounds::ROUND;
+use rounds::{nearest_round, round_at, round_start};
 
 use crate::limit_estimate::{LimitEstimate, RecoveryRamp};
 use crate::limit_id::LimitId;
@@ -27,8 +30,6 @@
 use crate::message::{GossipError, GossipMessage, MessageKind, is_zero_when_encoded};
 use crate::outgoing_datagram::OutgoingDatagram;
 
-/// Length of a round, in milliseconds.
-pub const ROUND: u64 = 250;
 /// The part of a round over which the senders' reports are spread, in milliseconds; the last reports arrive in the rest.
 const REPORT_WINDOW: u64 = 200;
 /// Number of rounds for which sums are used.
@@ -232,21 +233,5 @@
     }
 }
 
-/// The round that a time lies in.
-fn round_at(now: UnixMillis) -> u64 {
-    now.0 / ROUND
-}
-
-/// When a round starts.
-fn round_start(round: u64) -> UnixMillis {
-    UnixMillis(round * ROUND)
-}
-
-/// The round nearest to `current_round` that has these low 32 bits.
-fn nearest_round(low_bits: u32, current_round: u64) -> Option<u64> {
-    let difference = low_bits.wrapping_sub(current_round as u32) as i32;
-    current_round.checked_add_signed(i64::from(difference))
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/gossip/src/demand_exchange/tests.rs
+++ b/crates/gossip/src/demand_exchange/tests.rs
@@ -1,4 +1,4 @@
-//! The exchange among many senders: shares under loss and departure, bounds on memory, and malformed sums.
+//! The exchange among many senders: shares with message loss and failed senders, bounds on memory, and malformed sums.
 
 use super::aggregator_selection::MAX_AGGREGATORS;
 use super::limit_capacity::LimitCapacity;
@@ -19,8 +19,8 @@
     LocalDemand { limit_id, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 }
 }
 
-/// All may start there at the same moment: until sums of a round in which the limit was reported have come, it is as if
-/// each of the others had one call in demand; and a sender that receives nothing goes on alone.
+/// All senders may start at the same time: until sums of a round in which the limit was reported arrive, each other sender is
+/// assumed to have one call in demand; a sender that receives nothing has no shared capacity.
 #[test]
 fn a_new_limit_is_shared_equally_until_sums_can_include_it_and_without_sums_no_longer() {
     let limit_id = LimitId::of(7, None);
@@ -31,8 +31,8 @@
     assert_eq!(exchange.capacities(start + (MAX_SUMS_AGE + 1) * ROUND), None);
 }
 
-/// Plays rounds of many senders that each have one call in demand of a limit of [`LIMIT`]; datagrams between those that
-/// run arrive as `arrives` says. Returns for each round the mean rate for each call that the running senders have.
+/// Runs rounds of many senders that each have one call in demand at a limit of [`LIMIT`]; a datagram between running senders
+/// is delivered if `arrives()`. Returns the mean rate per call of the running senders for each round.
 fn mean_rates(
     exchanges: &mut [DemandExchange],
     rounds: std::ops::Range<u64>,
@@ -51,7 +51,7 @@
             }
             for (from, OutgoingDatagram { to, bytes }) in in_flight {
                 if runs(to) && arrives() {
-                    // Sums that another aggregator was faster with are dropped.
+                    // Sums that do not supersede those of another aggregator are dropped.
                     let _ = exchanges[to].receive(at, from, &bytes);
                 }
             }
@@ -70,7 +70,7 @@
     (0..SENDERS).map(|sender| DemandExchange::new(sender, SENDERS, RAMP)).collect()
 }
 
-/// Half of the datagrams are lost, and by sums of half of the senders there would be twice as much for each as there is.
+/// Half of the datagrams are lost; the sums of half of the senders alone would result in twice the rate for each.
 #[test]
 fn sums_over_some_senders_are_extrapolated_to_all_that_are_alive() {
     let mut seed = 1u32;
@@ -84,7 +84,7 @@
     assert!((0.8 * fair..1.25 * fair).contains(&late), "{late} for each call, {fair} are there");
 }
 
-/// Without loss, a sender that is missing twice is gone, and its share is there for the others.
+/// Without loss, a sender that is missing twice is down, and its share is available to the others.
 #[test]
 fn the_shares_of_senders_that_are_gone_are_given_out_within_a_second() {
     let mut exchanges = exchanges();
@@ -94,7 +94,7 @@
     assert!(means[3..].iter().all(|mean| *mean > 0.9 * fair), "{means:?}, {fair} are there");
 }
 
-/// Limits and running senders come and go for 25 minutes; some of those that run send false limits and rounds.
+/// Limits and running senders change for 25 minutes; some senders send false limits and rounds.
 #[test]
 fn over_a_long_run_no_table_grows_beyond_its_bound() {
     let mut exchange = DemandExchange::new(0, SENDERS, RAMP);
@@ -103,14 +103,14 @@
         let demand = |n| LocalDemand { calls: round, ..local_demand(limit_id(n), 1.0) };
         exchange.report(round_start(round), &(0..20).map(demand).collect::<Vec<_>>());
         for from in (round as usize % 40..SENDERS).step_by(7) {
-            // Those of other rounds are dropped.
+            // Messages of other rounds are dropped.
             let _ = exchange.receive(round_start(round) + 100, from, &false_message(round, from).encode());
         }
         exchange.capacities(round_start(round) + 200);
         assert_bounds(&exchange);
         exchange.sums(round_start(round + 1));
     }
-    // And with no other sender left, nothing is left but its own.
+    // Without other senders the tables become empty.
     for round in 7_000..7_100 {
         exchange.report(round_start(round), &[]);
         exchange.sums(round_start(round + 1));
@@ -147,7 +147,7 @@
     assert!(exchange.liveness.len() <= MAX_HISTORY);
 }
 
-/// Bits of senders that do not exist would make a few senders think that most of the others are missing.
+/// Bits of nonexistent senders would make most of the fleet appear to be missing.
 #[test]
 fn sample_bits_that_belong_to_no_sender_are_ignored() {
     let mut exchange = DemandExchange::new(0, 3, RAMP);
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -1,4 +1,4 @@
-//! Reports and summaries: the bytes that the version before the renames wrote.
+//! Golden bytes of reports and summaries: the wire format must not change.
 
 use super::encoded_vote::EncodedVote;
 use super::{ObserverEntry, ReceiverEntry, RegisterEntry, Report, SliceEntry, Summary, VoteEntry};
@@ -36,7 +36,7 @@
     }
 }
 
-/// Of nine senders: three whole, one in part.
+/// A slice of nine senders: three complete, one partial.
 fn slice(more: u32) -> WindowSlice {
     let register = |tenant: u16, total: u32, rest: u32, partial: bool| {
         let totals = [(7, 1), (tenant, total)].into_iter().collect();
--- a/crates/gossip/src/golden.rs
+++ b/crates/gossip/src/golden.rs
@@ -1,11 +1,11 @@
-//! Datagrams as the version before the renames wrote them, from `tests/golden`; the envelope of each kind.
+//! Golden datagrams from `tests/golden`, and the envelope of each kind.
 
 use std::fs;
 use std::path::Path;
 
 use crate::envelope::{Envelope, Kind, open, read, seal};
 
-/// A datagram of a file of lines, each a name and hex digits.
+/// The named datagram of a golden file, in which each line has a name and hex digits.
 pub(crate) fn datagram(file: &str, name: &str) -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
     let lines = fs::read_to_string(path).expect("a golden file");
--- a/crates/gossip/src/limit_estimate/tests.rs
+++ b/crates/gossip/src/limit_estimate/tests.rs
@@ -14,7 +14,7 @@
     assert!(after > 0.88, "{after} for each call after one in nineteen was rejected");
 }
 
-/// The rates that are issued of a limit of 100 calls a second after each of these totals, four of them a second.
+/// The issued rates at a limit of 100 calls a second after each of these totals, four a second.
 fn issued_rates(estimate: &mut LimitEstimate, totals: &[Load]) -> Vec<f64> {
     let rounded = |rate: f64| (rate * 1e6).round() / 1e6;
     let rate = |totals: &Load| estimate.update(100.0, totals, 0.25, RAMP) * totals.demand;
@@ -27,7 +27,7 @@
     let down = Load { failed: 80.0, ..healthy };
     let mut estimate = LimitEstimate::default();
     assert_eq!(issued_rates(&mut estimate, &[healthy, down, down])[1..], [28.0, 28.0]);
-    // Nobody has called: nothing shows a recovery.
+    // Without calls no recovery is detected.
     assert_eq!(issued_rates(&mut estimate, &[Load { calls: 0.0, ..healthy }]), [28.0]);
     let recovering = issued_rates(&mut estimate, &[healthy; 30]);
     for (quarter, rate) in (1..).zip(recovering) {
--- a/crates/gossip/src/message/golden.rs
+++ b/crates/gossip/src/message/golden.rs
@@ -29,7 +29,7 @@
     ]
 }
 
-/// Figures that are encoded in steps, and those that they decode to.
+/// Figures that are encoded in steps, each with the figure to which it decodes.
 const LARGE: [(f64, f64); 4] =
     [(17.0, 16.666_667), (300.0, 302.406_557), (100_000.0, 99_557.988_221), (1e9, 276_245.547_098)];
 
--- a/crates/gossip/src/outlier_detection/tests.rs
+++ b/crates/gossip/src/outlier_detection/tests.rs
@@ -22,8 +22,8 @@
     [ObserverVote { receiver, observer, vote }]
 }
 
-/// Ten senders in a zone, five in another, of which this is number 0; the vote of each of these observers, reported by
-/// itself.
+/// The detector of sender 0 in a fleet with ten senders in its zone and five in another, with the vote of each observer as
+/// reported by itself.
 fn detector(observers: &[usize], receiver: Receiver, vote: Vote, now: UnixMillis) -> OutlierDetector {
     let zones = (0..15).map(|n| u16::from(n >= 10)).collect();
     let mut detector = OutlierDetector::new(0, zones);
@@ -70,7 +70,7 @@
         detector.ejected(NOW, 10, &all)
     };
     assert_eq!(ejected_after_answer(NOW - 1_000), [all[0]]);
-    // Though its observers go on to fail: it is they who are partitioned.
+    // Although calls of its observers still fail, as these are partitioned.
     assert!(ejected_after_answer(NOW - 800).is_empty());
 }
 
@@ -90,7 +90,7 @@
     let mut votes_of_three = detector(&[1, 2, 3], all[0], down(NOW - 900, NOW), NOW);
     assert_eq!(votes_of_three.ejected(NOW + VOTE_TTL - 1, 10, &all), [all[0]]);
     assert!(votes_of_three.ejected(NOW + VOTE_TTL, 10, &all).is_empty(), "not reported again");
-    // What the observers saw is too old before the votes are.
+    // The observations expire before the votes.
     let mut old_votes = detector(&[1, 2, 3], all[0], down(NOW - 4_800, NOW - 4_500), NOW);
     assert_eq!(old_votes.ejected(NOW + 499, 10, &all), [all[0]]);
     assert!(old_votes.ejected(NOW + 500, 10, &all).is_empty());
@@ -152,7 +152,7 @@
 }
 
 proptest! {
-    /// One sender reports whatever it likes, of itself and as an aggregator, while the votes of up to one other are true.
+    /// One sender reports arbitrary votes, its own and relayed ones; at most one other sender reports true votes.
     #[test]
     fn no_single_sender_ejects_a_receiver_whatever_it_reports_of_whom(
         forged in proptest::collection::vec((0_usize..20, 0_usize..4, 0_u64..3_000, 0_u64..9_000, any::<bool>()), 0..80),
--- a/crates/gossip/src/permits/exhaustive.rs
+++ b/crates/gossip/src/permits/exhaustive.rs
@@ -1,9 +1,9 @@
-//! Model check of the permits of three senders at one limit: every order of offering, allocating, receiving, losing,
-//! duplicating, killing and pausing, for two rounds and their terms, or one round and two faults, each a killed process or
-//! a clock that is set back.
+//! Model check of the permits of three senders at one limit: every order of offers, allocations, received, lost and duplicate
+//! datagrams, kills and pauses, for two rounds and their terms, or for one round and two faults, each a killed process or a
+//! clock that is set back.
 //!
-//! Every permit is used as soon as it is usable, so that its use needs no action of its own. A paused process leaves out
-//! offers and allocations and goes on later: any action may be left out.
+//! Every permit is used as soon as it is usable, so there is no action for its use. Any action may be left out, as by a
+//! paused process.
 
 mod state;
 
@@ -29,11 +29,11 @@
 }
 
 struct Cluster {
-    /// The first round in which anything may go wrong.
+    /// The first round with faults.
     first_round: u64,
-    /// Number of rounds with offers, from the first on.
+    /// Number of rounds with offers, starting with the first.
     rounds: u64,
-    /// Maximum number of killed processes and clocks set back.
+    /// Maximum number of faults: killed processes and clocks set back.
     max_faults: u32,
 }
 
@@ -63,7 +63,7 @@
             }
             if state.faults < self.max_faults {
                 actions.push(Action::SetClockBack(sender));
-                // A process that starts by an earlier clock than the one before it knew breaks the bound (design note).
+                // The bound does not hold for a process whose clock is behind that of its predecessor (design note).
                 actions.extend((state.clock_lag[sender] == 0).then_some(Action::Kill(sender)));
             }
         }
@@ -109,7 +109,7 @@
     }
 }
 
-/// Tries all orders and returns the number of states.
+/// Checks all orders and returns the number of states.
 fn check(cluster: Cluster) -> usize {
     let start = Instant::now();
     let checker = cluster.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
--- a/crates/gossip/src/permits/exhaustive/state.rs
+++ b/crates/gossip/src/permits/exhaustive/state.rs
@@ -16,7 +16,7 @@
 pub(super) const LIMIT: f64 = 9.0;
 /// Offers are sent in the middle of a round, grants at its start; datagrams are received at either.
 pub(super) const HALF_ROUND: u64 = ROUND / 2;
-/// How often a sender looks for permits, in milliseconds: at least once while each is valid.
+/// Interval at which a sender polls its permits, in milliseconds: at least once while each is valid.
 pub(super) const POLL_INTERVAL: u64 = PERMIT_VALIDITY / 2;
 /// Rounds without faults before the check, after which the allocators are known to be alive.
 pub(super) const WARM_UP_ROUNDS: u64 = 4;
@@ -51,7 +51,7 @@
     /// How far each clock was set back, in milliseconds.
     pub(super) clock_lag: [u64; SENDERS],
     pub(super) faults: u32,
-    /// Everything that was sent: each datagram may be received never, once or again, in any order.
+    /// All sent datagrams; each may be received any number of times, in any order.
     pub(super) network: BTreeSet<Datagram>,
     pub(super) used: BTreeMap<u64, Process>,
     pub(super) double_use: Option<DoubleUse>,
@@ -86,10 +86,10 @@
         self.now - self.clock_lag[sender]
     }
 
-    /// One sender releases all its permits, the other two need all of them, in rotation.
+    /// In rotation, one sender releases all its permits, and the other two need all of theirs.
     pub(super) fn offer(&mut self, sender: usize) {
         let clock = self.clock(sender);
-        // By the true time: a sender whose clock was set back needs another number in the same round.
+        // By the true time: a sender whose clock was set back has another demand in the same round.
         let demand = if round_at(self.now) as usize % SENDERS == sender { 0.0 } else { 30.0 };
         let demand =
             LocalDemand { limit_id: LIMIT_ID, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 };
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Every sender uses the permits that it may.
+    /// Every sender uses its usable permits.
     pub(super) fn use_permits(&mut self) {
         for sender in 0..SENDERS {
             let clock = self.clock(sender);
--- a/crates/gossip/src/permits/tests.rs
+++ b/crates/gossip/src/permits/tests.rs
@@ -28,7 +28,7 @@
     let before = cluster.queued.iter().sum::<u32>();
     let calls = cluster.run(30_000, 67.0);
     let left = cluster.queued.iter().sum::<u32>();
-    // As many start as arrive: no sender starves, and no more than half a second's worth is queued.
+    // As many calls start as arrive, and the queues hold less than about a second's calls.
     assert!(calls as f64 >= 0.97 * 67.0 * 30.0, "{calls} calls, {before} were queued, {left} are queued");
     assert!(left < 100, "{left} queued");
 }
@@ -87,9 +87,9 @@
     assert_eq!(ledger.receive(now, allocator, &grant(7, round - 1)), Err(PermitError::Round));
     assert_eq!(count(&ledger), own);
     assert_eq!(ledger.receive(now, allocator, &grant(7, round)), Ok(true));
-    // One of three in a row is its own.
+    // One of three consecutive permits is its own.
     assert_eq!(count(&ledger), own + 2);
-    // A duplicate changes nothing.
+    // A duplicate makes no difference.
     assert_eq!(ledger.receive(now, allocator, &grant(7, round)), Ok(true));
     assert_eq!(count(&ledger), own + 2);
 }
@@ -97,7 +97,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
-    /// Whatever happens to datagrams, processes and clocks; [`Cluster`] asserts that no permit is used twice.
+    /// With random faults of datagrams, processes and clocks; [`Cluster`] asserts that no permit is used twice.
     #[test]
     fn no_permit_is_used_by_two_processes_and_the_bound_holds(
         seed: u64,
@@ -148,7 +148,7 @@
     }
 }
 
-/// Limits come and go, and faulty peers name limits that do not exist, for half an hour.
+/// Limits change, and faulty peers send nonexistent limits, for half an hour.
 #[test]
 fn over_a_long_run_no_table_grows_beyond_its_bound() {
     let mut ledger = PermitLedger::new(0, 9, Incarnation(7), START);
@@ -180,7 +180,7 @@
     }
 }
 
-/// An offer that names as many limits as fit, for a round near the current one.
+/// An offer with the maximum number of limits, for a round near the current one.
 fn excessive_offer(now: UnixMillis, from: usize) -> Vec<u8> {
     let entry = |n: u32| PermitOfferEntry {
         limit_id: n,
@@ -194,7 +194,7 @@
     offer.encode().expect("short enough")
 }
 
-/// A grant whose numbers are not ascending and lie outside the term.
+/// A grant with numbers that are not ascending and outside the term.
 fn malformed_grant(now: UnixMillis, demands: &[LocalDemand]) -> Vec<u8> {
     let entry = |demand: &LocalDemand| PermitGrantEntry {
         limit_id: demand.limit_id.0,
--- a/crates/gossip/src/permits/tests/cluster.rs
+++ b/crates/gossip/src/permits/tests/cluster.rs
@@ -17,7 +17,7 @@
 impl TestRng {
     /// A number from 0 to 1.
     pub(super) fn unit(&mut self) -> f64 {
-        // The multiplier of a 64-bit congruential generator (Knuth); its upper bits are good enough here.
+        // A 64-bit linear congruential generator (Knuth), of which the upper bits are used.
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -33,7 +33,7 @@
 /// Step of simulated time, in milliseconds.
 pub(super) const STEP: u64 = 10;
 
-/// What happens to datagrams.
+/// Faults of the network.
 #[derive(Clone, Copy, Default)]
 pub(super) struct NetworkFaults {
     pub(super) loss_rate: f64,
@@ -42,7 +42,7 @@
     pub(super) max_delay: f64,
 }
 
-/// A datagram that has not arrived yet.
+/// A datagram in flight.
 #[derive(Clone)]
 pub(super) struct InFlight {
     pub(super) arrives_at: UnixMillis,
@@ -51,7 +51,7 @@
     pub(super) bytes: Vec<u8>,
 }
 
-/// Senders at one limit, each with a queue of calls; and every permit that was used.
+/// Senders at one limit, each with a queue of calls, and all used permits.
 pub(super) struct Cluster {
     pub(super) rng: TestRng,
     limit_id: LimitId,
@@ -60,12 +60,12 @@
     pub(super) ledgers: Vec<PermitLedger>,
     /// Whether each process runs.
     pub(super) running: Vec<bool>,
-    /// How far each clock is off, in milliseconds.
+    /// Offset of each clock, in milliseconds.
     pub(super) clock_offset: Vec<i64>,
-    /// Number of calls that wait at each sender.
+    /// Number of queued calls at each sender.
     pub(super) queued: Vec<u32>,
     faults: NetworkFaults,
-    /// The partition of each sender: datagrams pass only within one.
+    /// The partition of each sender; datagrams are delivered only within a partition.
     pub(super) partition: Vec<usize>,
     pub(super) in_flight: Vec<InFlight>,
     used_permits: BTreeMap<u64, (usize, Incarnation)>,
@@ -97,7 +97,7 @@
         UnixMillis(self.now.0.saturating_add_signed(self.clock_offset[sender]))
     }
 
-    /// Replaces a sender's process by a new one that remembers nothing.
+    /// Replaces a sender's process by a new one without state.
     pub(super) fn restart(&mut self, sender: usize) {
         let incarnation = Incarnation(self.ledgers[sender].incarnation.0 + 1);
         self.ledgers[sender] = PermitLedger::new(sender, self.ledgers.len(), incarnation, self.clock(sender));
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Runs for some milliseconds and returns how many calls started in them.
+    /// Runs for `ms` milliseconds and returns the number of started calls.
     pub(super) fn run(&mut self, ms: u64, load: f64) -> usize {
         let before = self.call_times.len();
         for _ in 0..ms / STEP {
@@ -189,7 +189,7 @@
         self.call_times.len() - before
     }
 
-    /// The most calls in any span of that many milliseconds.
+    /// Maximum number of calls in any span of `span` milliseconds.
     pub(super) fn max_calls_within(&self, span: u64) -> usize {
         let calls = &self.call_times;
         let first = |index: usize| calls.partition_point(|at| *at + span <= calls[index]);
--- a/crates/gossip/src/permits/tests/rejections.rs
+++ b/crates/gossip/src/permits/tests/rejections.rs
@@ -1,4 +1,4 @@
-//! Released permits stay released, and closed rounds closed, whatever the clock does and whatever peers send.
+//! Released permits stay released, and closed rounds closed, also if the clock is set back or peers send invalid messages.
 
 use crate::demand_exchange::LocalDemand;
 use crate::limit_id::LimitId;
@@ -20,8 +20,8 @@
     [LocalDemand { limit_id: LIMIT_ID, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 }]
 }
 
-/// One of two senders that has had permits for long, and a round in which it sends its offer to the other, which is known
-/// to be alive.
+/// The ledger of one of two senders after several rounds, and a round in which the other one, known to be alive, is the
+/// allocator.
 fn settled() -> (PermitLedger, u64) {
     let mut ledger = PermitLedger::new(0, 2, Incarnation(7), round_start(FIRST_ROUND));
     let other = SelectedAllocator { sender: 1, is_known_alive: true };
@@ -30,7 +30,7 @@
         if round > FIRST_ROUND + 4 && ledger.allocator_selection.clone().select(round) == Some(other) {
             return (ledger, round);
         }
-        // It needs all of its own.
+        // It needs all its own permits.
         ledger.offer(round_start(round) + 100, &demand(1_000.0));
     }
     unreachable!("the other allocates some round")
@@ -52,7 +52,7 @@
     }
     assert_eq!(ledger.last_offer_round, round + 1);
     assert_eq!(permits_in_term(&ledger, round), 0);
-    // And those after it are its own again.
+    // Permits of the next round are its own again.
     assert!(permits_in_term(&ledger, round + 1) > 0);
 }
 
--- a/crates/gossip/src/tenant_usage/tests.rs
+++ b/crates/gossip/src/tenant_usage/tests.rs
@@ -45,7 +45,7 @@
     assert_eq!(read(&usage, 48), (30, 130, 2));
     let second = Register { partial: true, ..register(&[(1, 12)]) };
     assert!(usage.merge_register(NOW, key(1, 9), 48, &second));
-    // How many the first one accepted after its last report is not known.
+    // The messages of the first incarnation after its last report are unknown.
     assert_eq!(read(&usage, 48), (42, 242, 2));
     assert!(usage.merge_register(NOW, key(1, 10), 48, &second));
     assert_eq!(read(&usage, 48), (24, 224, 2), "the oldest of three is dropped");
@@ -85,7 +85,7 @@
     let (ten, twenty) = (register(&[(1, 10)]), register(&[(1, 20)]));
     assert!(usage.merge_slice(NOW, 1, 48, &slice_of(&[(1, &ten), (2, &twenty)], 4)));
     assert!(usage.merge_slice(NOW, 2, 48, &slice_of(&[(1, &ten), (2, &twenty), (3, &ten)], 4)));
-    // This sender knows that it accepted nothing itself.
+    // This sender accepted no messages itself.
     assert_eq!(read(&usage, 48), (40, 40, 3));
 }
 
--- a/crates/gossip/tests/fleet_view/outlier_detection.rs
+++ b/crates/gossip/tests/fleet_view/outlier_detection.rs
@@ -1,9 +1,9 @@
-//! Ejections among many senders, by the datagrams that they exchange.
+//! Ejections among many senders that exchange datagrams.
 
 use super::simulated_fleet::{START, SimulatedFleet};
 use rudderspindle_gossip::{CallResult, Receiver};
 
-/// Zones in turn.
+/// Senders that are alternately in each of `zones`.
 fn alternating_zones(senders: usize, zones: usize) -> Vec<u16> {
     (0..senders).map(|sender| (sender % zones) as u16).collect()
 }
@@ -22,7 +22,7 @@
     fleet.senders[sender].view.ejected(clock, &receivers())
 }
 
-/// Lets the observers' calls to the first receiver fail; how many senders eject it, by second.
+/// Lets the observers' calls to the first receiver fail; returns the number of senders that eject it, by second.
 fn ejecting_senders(fleet: &mut SimulatedFleet, observers: &[usize], seconds: u64) -> Vec<usize> {
     let first = receivers()[0];
     let mut ejecting = Vec::new();
@@ -89,7 +89,7 @@
     fleet.run(60_000, |fleet| {
         if fleet.now.0.is_multiple_of(500) {
             (0..6).for_each(|sender| record_call(fleet, sender, first, CallResult::Failed));
-            // The others reach it, whenever they do not eject it.
+            // The others reach it while they do not eject it.
             for sender in 6..12 {
                 if ejected(fleet, sender).is_empty() {
                     record_call(fleet, sender, first, CallResult::Answered);
@@ -116,7 +116,7 @@
     fleet.run(40_000, |fleet| {
         let is_down = (5_000..25_000).contains(&fleet.elapsed());
         for sender in 0..40 {
-            // Each has a call in two seconds for it.
+            // Each sender calls it once in two seconds on average.
             if !fleet.chance(1.0 / 40.0) {
                 continue;
             }
--- a/crates/gossip/tests/fleet_view/simulated_fleet.rs
+++ b/crates/gossip/tests/fleet_view/simulated_fleet.rs
@@ -7,25 +7,25 @@
     DatagramBudget, DatagramClass, EPOCH, FleetView, Incarnation, Kind, LocalSender, OutgoingDatagram,
 };
 
-/// Messages that one sender accepts in a second at most.
+/// Maximum rate of accepted messages of one sender, in messages a second.
 pub const MAX_MESSAGES_PER_SECOND: u32 = 100;
 /// When a simulation starts.
 pub const START: UnixMillis = UnixMillis(1_700_000_000_000);
-/// Length of a step, ms.
+/// Length of a step, in milliseconds.
 const STEP: u64 = 50;
-/// Datagrams that are kept to be replayed.
+/// Maximum number of datagrams kept for replay.
 const MAX_LOGGED: usize = 4_000;
-/// Age from which a datagram may be replayed, ms.
+/// Minimum age of replayed datagrams, in milliseconds.
 const MIN_REPLAY_AGE: u64 = 60_000;
-/// Longest transmission of a datagram, ms.
+/// Maximum delay of a datagram, in milliseconds.
 const MAX_DELAY: u64 = 150;
 
-/// One sender's process and what outlives it.
+/// One sender's process and its persistent state.
 pub struct Sender {
     pub view: FleetView,
     budget: DatagramBudget,
     stored_incarnation: Option<Incarnation>,
-    /// How far its clock is ahead, ms.
+    /// Offset of its clock, in milliseconds.
     pub clock_offset: i64,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// A datagram on its way, or in the log.
+/// A datagram in flight or in the log.
 #[derive(Clone)]
 struct Transmission {
     from: usize,
@@ -69,7 +69,7 @@
     /// Partitioned links, as sender and receiver.
     pub partitions: BTreeSet<(usize, usize)>,
     in_flight: BTreeMap<Arrival, Transmission>,
-    /// With the time at which each was sent.
+    /// Sent datagrams, each with the time of sending.
     log: VecDeque<(UnixMillis, Transmission)>,
     /// Messages accepted by the fleet, by epoch of each sender's own clock and tenant.
     pub truth: BTreeMap<(u64, u16), u64>,
@@ -80,7 +80,7 @@
     seed: u64,
 }
 
-/// A budget that only reports take part in; they are answered, so each costs two.
+/// A budget for reports only; they are answered, so each costs two.
 pub fn report_budget() -> DatagramBudget {
     DatagramBudget::new(&[DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 }])
 }
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Kills a sender and starts it again at once, with its state folder or with an empty one.
+    /// Kills a sender and restarts it immediately, with its state folder or with an empty one.
     pub fn restart(&mut self, sender: usize, keeps_folder: bool) {
         let clock = self.clock(sender);
         let stored = self.senders[sender].stored_incarnation.filter(|_| keeps_folder);
@@ -190,7 +190,7 @@
         while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().time <= self.now) {
             let Transmission { from, to, bytes } = entry.remove();
             let clock = self.clock(to);
-            // A datagram that is dropped changes nothing; the readings are what is checked.
+            // Dropped datagrams have no effect; the readings are checked.
             let _ = self.senders[to].view.receive(clock, from, &bytes);
         }
     }
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Simulates so many ms; `before_step` is called before each step of 50 ms.
+    /// Simulates `duration_ms`; `before_step` is called before each step.
     pub fn run(&mut self, duration_ms: u64, mut before_step: impl FnMut(&mut Self)) {
         for _ in 0..duration_ms / STEP {
             before_step(self);
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -5,7 +5,7 @@
 
 use super::simulated_fleet::{START, SimulatedFleet, report_budget};
 
-/// A reading that does not hold the true number.
+/// A reading that does not contain the true number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct WrongReading {
     sender: usize,
@@ -14,7 +14,7 @@
     truth: u64,
 }
 
-/// Compares what a sender reads with the truth, of the epochs that a reading is of.
+/// Compares a sender's reading with the truth of the same epochs.
 fn check(fleet: &SimulatedFleet, sender: usize, tenant: u16, epochs: u64) -> Result<(), WrongReading> {
     let clock = fleet.clock(sender);
     let interval = fleet.senders[sender].view.usage().read(clock, tenant, epochs);
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_restart_within_an_epoch_counts_under_both_incarnations_also_with_an_empty_folder() {
-    // In the middle of an epoch, and in its first millisecond, in which the earlier process accepted messages, too.
+    // In the middle of an epoch, and in its first millisecond, in which the earlier process accepted messages as well.
     for (keeps_folder, at) in [(true, 4_400), (false, 4_400), (true, 5_000), (false, 5_000)] {
         let mut fleet = SimulatedFleet::new(&[0; 4], 7);
         let mut restarted = false;
@@ -82,7 +82,7 @@
         });
         assert!(restarted);
         assert_eq!(result, Ok(()));
-        // Six epochs later all is exact again.
+        // Six epochs later the reading is exact again.
         let read = fleet.senders[0].view.usage().read(fleet.now, 1, 3);
         assert_eq!((read.min, read.max, read.senders), (240, 240, 4), "{read:?}");
     }
@@ -95,7 +95,7 @@
     let mut quotas = Vec::new();
     let mut result = Ok(());
     fleet.run(30_000, |fleet| {
-        // Half of the tenant's messages come to sender 0.
+        // Sender 0 accepts half of the tenant's messages.
         (0..4).for_each(|_| fleet.accept_message(0, 1));
         let peer = 1 + fleet.now.0 as usize / 50 % 11;
         (0..4).for_each(|_| fleet.accept_message(peer, 1));
@@ -141,7 +141,7 @@
     assert!(dropped > 5, "{dropped}");
 }
 
-/// What 300 senders read of 6,000 messages, and what that costs.
+/// The readings of 300 senders of 6,000 messages, and the datagrams sent for them.
 struct LargeFleetReadings {
     /// Lower and upper bound, by sender.
     bounds: Vec<(u64, u64)>,
@@ -150,7 +150,7 @@
 }
 
 impl LargeFleetReadings {
-    /// Senders whose lower bound is at least half of the truth and whose upper bound at most so many times it.
+    /// Number of senders whose lower bound is at least half of the truth and whose upper bound is at most `factor` times it.
     fn within(&self, factor: u64) -> usize {
         self.bounds.iter().filter(|(min, max)| *min >= 3_000 && *max <= factor * 6_000).count()
     }
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -1,5 +1,4 @@
-//! Golden transcripts of a few senders: which datagrams they exchange and when, and what each knows at the end, as the
-//! version before the renames had it.
+//! Golden transcripts of a few senders: the datagrams that they exchange, and the final state of each.
 
 use std::fmt::Write;
 use std::fs;
@@ -33,19 +32,19 @@
     }
 }
 
-/// Writes a line on whether the receiver accepted a datagram.
+/// Writes a line that says whether the receiver accepted a datagram.
 fn write_received(transcript: &mut String, receiver: usize, accepted: bool) {
     let outcome = if accepted { "heard" } else { "dropped" };
     writeln!(transcript, "{outcome} by {receiver}").expect("written");
 }
 
-/// Three gates, one of which refuses and one of which fails, at a sender that calls more the higher its number.
-fn gates(now: UnixMillis, sender: usize) -> [LocalDemand; 3] {
+/// Demand at three limits, of which one rejects and one fails; senders with higher numbers call more.
+fn demands(now: UnixMillis, sender: usize) -> [LocalDemand; 3] {
     let called = now.millis_since(START) / 100 * (sender as u64 + 1);
     let own = |destination, receiver| {
-        let gate = LimitId::of(destination, receiver);
+        let limit_id = LimitId::of(destination, receiver);
         LocalDemand {
-            limit_id: gate,
+            limit_id,
             limit: 60.0,
             demand: 20.0 * sender as f64,
             calls: called,
@@ -53,42 +52,44 @@
             failed: 0,
         }
     };
-    let refusing = LocalDemand { rejected: called / 3, ..own(513, Some("receiver-1")) };
-    [own(7, None), refusing, LocalDemand { failed: called, limit: 30.0, ..own(8, None) }]
+    let rejecting = LocalDemand { rejected: called / 3, ..own(513, Some("receiver-1")) };
+    [own(7, None), rejecting, LocalDemand { failed: called, limit: 30.0, ..own(8, None) }]
 }
 
 #[test]
 fn the_demand_exchange_has_the_golden_transcript() {
-    let mut fleets: Vec<DemandExchange> = (0..4)
-        .map(|me| DemandExchange::new(me, 4, RecoveryRamp { initial_fraction: 0.28, growth_per_s: 0.15 }))
+    let mut exchanges: Vec<DemandExchange> = (0..4)
+        .map(|number| {
+            DemandExchange::new(number, 4, RecoveryRamp { initial_fraction: 0.28, growth_per_s: 0.15 })
+        })
         .collect();
-    let mut due: Vec<UnixMillis> = fleets.iter().map(|fleet| fleet.next_report(START)).collect();
+    let mut due: Vec<UnixMillis> = exchanges.iter().map(|exchange| exchange.next_report(START)).collect();
     let mut transcript = String::new();
     for now in (0..2_500).step_by(STEP as usize).map(|millis| START + millis) {
-        for from in 0..fleets.len() {
+        for from in 0..exchanges.len() {
             let mut datagrams = Vec::new();
             if due[from] <= now {
-                datagrams.extend(fleets[from].report(now, &gates(now, from)));
-                due[from] = fleets[from].next_report(now);
+                datagrams.extend(exchanges[from].report(now, &demands(now, from)));
+                due[from] = exchanges[from].next_report(now);
             }
-            if fleets[from].next_sums().is_some_and(|at| at <= now) {
-                datagrams.extend(fleets[from].sums(now));
+            if exchanges[from].next_sums().is_some_and(|at| at <= now) {
+                datagrams.extend(exchanges[from].sums(now));
             }
             write_datagrams(&mut transcript, now, from, &datagrams);
             for OutgoingDatagram { to, bytes: datagram } in datagrams {
-                let heard = fleets[to].receive(now, from, &datagram);
-                write_received(&mut transcript, to, heard.is_ok());
+                let received = exchanges[to].receive(now, from, &datagram);
+                write_received(&mut transcript, to, received.is_ok());
             }
         }
     }
-    for (me, fleet) in fleets.iter_mut().enumerate() {
-        let capacities = fleet.capacities(START + 2_500).expect("word of others");
-        for own in gates(START + 2_500, me) {
-            let room = capacities.iter().find(|capacity| capacity.limit_id == own.limit_id);
-            let room = room.map(|capacity| capacity.rate_per_demand);
-            let (wanted, open) =
-                (fleet.fleet_demand(own.limit_id), fleet.available_fraction(own.limit_id, own.limit));
-            writeln!(transcript, "{me} {room:.6?} {wanted:.6} {open:.6}").expect("written");
+    for (number, exchange) in exchanges.iter_mut().enumerate() {
+        let capacities = exchange.capacities(START + 2_500).expect("sums of others");
+        for own in demands(START + 2_500, number) {
+            let capacity = capacities.iter().find(|capacity| capacity.limit_id == own.limit_id);
+            let rate = capacity.map(|capacity| capacity.rate_per_demand);
+            let demand = exchange.fleet_demand(own.limit_id);
+            let available = exchange.available_fraction(own.limit_id, own.limit);
+            writeln!(transcript, "{number} {rate:.6?} {demand:.6} {available:.6}").expect("written");
         }
     }
     assert_golden("transcript-limits.txt", &transcript);
@@ -96,36 +97,38 @@
 
 #[test]
 fn the_permit_protocol_has_the_golden_transcript() {
-    let new = |me| PermitLedger::new(me, 3, Incarnation(START.0 - 1_000 + me as u64), START);
-    let mut tier: Vec<PermitLedger> = (0..3).map(new).collect();
-    let mut due: Vec<UnixMillis> = tier.iter().map(|permits| permits.next_offer(START)).collect();
+    let new = |number| PermitLedger::new(number, 3, Incarnation(START.0 - 1_000 + number as u64), START);
+    let mut fleet: Vec<PermitLedger> = (0..3).map(new).collect();
+    let mut due: Vec<UnixMillis> = fleet.iter().map(|permits| permits.next_offer(START)).collect();
     let mut transcript = String::new();
     for now in (0..5_000).step_by(STEP as usize).map(|millis| START + millis) {
-        for from in 0..tier.len() {
+        for from in 0..fleet.len() {
             let mut datagrams = Vec::new();
             if due[from] <= now {
-                datagrams.extend(tier[from].offer(now, &gates(now, from)));
-                due[from] = tier[from].next_offer(now);
+                datagrams.extend(fleet[from].offer(now, &demands(now, from)));
+                due[from] = fleet[from].next_offer(now);
             }
-            if tier[from].next_allocation().is_some_and(|at| at <= now) {
-                datagrams.extend(tier[from].allocate(now));
+            if fleet[from].next_allocation().is_some_and(|at| at <= now) {
+                datagrams.extend(fleet[from].allocate(now));
             }
             write_datagrams(&mut transcript, now, from, &datagrams);
             for OutgoingDatagram { to, bytes: datagram } in datagrams {
-                let heard = tier[to].receive(now, from, &datagram);
-                write_received(&mut transcript, to, heard.is_ok());
+                let received = fleet[to].receive(now, from, &datagram);
+                write_received(&mut transcript, to, received.is_ok());
             }
         }
     }
-    for (me, permits) in tier.iter().enumerate() {
-        for own in gates(START, me) {
-            for open in [1.0, 0.5] {
-                let turns = permits.permits(START + 5_000, own.limit_id, open);
-                let turns: Vec<(u64, u64, u64)> = turns
+    for (number, ledger) in fleet.iter().enumerate() {
+        for own in demands(START, number) {
+            for available in [1.0, 0.5] {
+                let permits = ledger.permits(START + 5_000, own.limit_id, available);
+                let permits: Vec<(u64, u64, u64)> = permits
                     .iter()
-                    .map(|turn| (turn.number, turn.from.millis_since(START), turn.until.millis_since(START)))
+                    .map(|permit| {
+                        (permit.number, permit.from.millis_since(START), permit.until.millis_since(START))
+                    })
                     .collect();
-                writeln!(transcript, "{me} {open} {turns:?}").expect("written");
+                writeln!(transcript, "{number} {available} {permits:?}").expect("written");
             }
         }
     }
@@ -171,7 +174,7 @@
     assert_golden("transcript-views.txt", &transcript);
 }
 
-/// Writes what a sender knows at the end.
+/// Writes the final state of a sender.
 fn write_view(
     transcript: &mut String,
     now: UnixMillis,
--- a/crates/gossip/tests/registers_model.rs
+++ b/crates/gossip/tests/registers_model.rs
@@ -12,14 +12,14 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const SENDERS: usize = 3;
-/// Receives reports and aggregated slices, and reads.
+/// The sender that receives reports and slices, and is read.
 const READER: usize = 0;
-/// Receives reports, and aggregates them.
+/// The sender that receives and aggregates reports.
 const AGGREGATOR: usize = 1;
 const EPOCHS: u64 = 2;
-/// Messages that a sender accepts in an epoch at most.
+/// Maximum number of messages that a sender accepts in an epoch.
 const MAX_MESSAGES: u32 = 2;
-/// How many messages each sender accepts, by epoch: so few that all orders can be tried.
+/// Number of messages that each sender accepts, by epoch: few enough to check all orders.
 const ACCEPTED: [[u32; SENDERS]; EPOCHS as usize] = [[0, 1, 1], [0, 0, 1]];
 const TENANT: u16 = 7;
 
@@ -50,7 +50,7 @@
     incarnations: Vec<Incarnation>,
     /// By epoch and sender.
     truth: Vec<[u32; SENDERS]>,
-    /// Whatever was sent: each may be received never, once or again, in any order.
+    /// All sent messages; each may be received any number of times, in any order.
     in_flight: BTreeSet<Message>,
 }
 
@@ -60,7 +60,7 @@
     Report(usize),
     Aggregate,
     Receive(usize, Message),
-    /// The sender is killed and starts again, with its state folder or with an empty one.
+    /// The sender is killed and restarts, with its state folder or with an empty one.
     Kill {
         sender: usize,
         keeps_folder: bool,
@@ -184,7 +184,7 @@
         self.members[sender] = MembershipList::new(SENDERS);
     }
 
-    /// What each sender reads of each epoch that is over, and the true number.
+    /// Each sender's reading of each past epoch, with the true number.
     fn readings(&self) -> impl Iterator<Item = ((u64, u64), u64)> + '_ {
         let over = 1..self.now.0 / EPOCH;
         over.flat_map(|epoch| {
