--- a/crates/http2/tests/client/responses.rs
+++ b/crates/http2/tests/client/responses.rs
@@ -11,7 +11,7 @@
 };
 use rudderspindle_testkit::frames::StreamReset;
 
-/// What the gateway sends beside the head of a response.
+/// Frames that the gateway sends in addition to the head of a response.
 #[derive(Clone, Copy, Debug)]
 enum Beside {
     Reset,
