--- a/crates/benchmarks/src/load/clients.rs
+++ b/crates/benchmarks/src/load/clients.rs
@@ -155,13 +155,12 @@
 
 /// Sends a request on the pooled connection, or on a new one; the response's status.
 async fn exchange(pooled: &mut Option<TcpStream>, addr: SocketAddr, request: &[u8]) -> Option<u16> {
-    let mut stream = match pooled.take() {
-        Some(stream) => stream,
-        None => {
-            let stream = TcpStream::connect(addr).await.ok()?;
-            stream.set_nodelay(true).ok()?;
-            stream
-        }
+    let mut stream = if let Some(stream) = pooled.take() {
+        stream
+    } else {
+        let stream = TcpStream::connect(addr).await.ok()?;
+        stream.set_nodelay(true).ok()?;
+        stream
     };
     stream.write_all(request).await.ok()?;
     let mut bytes = Vec::with_capacity(256);
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -117,7 +117,9 @@
     let file = std::env::var_os("RELAY_FLEET").map(PathBuf::from);
     let PhaseMeasurements { rows, verdict } = measure_phases(file.as_deref()).await;
     println!("{HEAD}");
-    rows.iter().for_each(|row| println!("{row}"));
+    for row in &rows {
+        println!("{row}");
+    }
     println!("{:?}", verdict.accounting);
     assert!(!verdict.is_inconclusive(), "the fakes lagged: this machine is too busy for a result");
     // Late outcomes are expected: a process that is paused for longer than its messages live completes them late.
--- a/crates/daemon/tests/outages.rs
+++ b/crates/daemon/tests/outages.rs
@@ -8,7 +8,7 @@
 
 use scenario::CheckedRun;
 
-const TRAFFIC: &str = r#"
+const TRAFFIC: &str = r"
 seed = 8
 seconds = 12
 senders = 2
@@ -22,7 +22,7 @@
 retry_share = 0.0
 abandon_share = 0.0
 malformed_per_s = 1.0
-"#;
+";
 
 const EVENTS: &str = r#"
 # Its messages end with notifications from about 5 s on.
--- a/crates/daemon/tests/takeover_scenario.rs
+++ b/crates/daemon/tests/takeover_scenario.rs
@@ -7,7 +7,7 @@
 
 use scenario::CheckedRun;
 
-const TRAFFIC: &str = r#"
+const TRAFFIC: &str = r"
 seed = 9
 seconds = 12
 senders = 2
@@ -21,7 +21,7 @@
 retry_share = 0.0
 abandon_share = 0.02
 malformed_per_s = 1.0
-"#;
+";
 
 const EVENTS: &str = r#"
 [[events]]
--- a/crates/gossip/src/message/tests.rs
+++ b/crates/gossip/src/message/tests.rs
@@ -56,7 +56,7 @@
         assert!(GossipMessage::decode(&bad).is_err(), "byte {byte} changed");
     }
     assert_eq!(GossipMessage::decode(&[0x61; 262]), Err(GossipError::Length(262)));
-    let mut other = good.clone();
+    let mut other = good;
     other[0] = 0x51;
     assert_eq!(GossipMessage::decode(&other), Err(GossipError::Kind(0x51)));
 }
--- a/crates/gossip/src/outlier_detection/tests.rs
+++ b/crates/gossip/src/outlier_detection/tests.rs
@@ -27,7 +27,9 @@
 fn detector(observers: &[usize], receiver: Receiver, vote: Vote, now: UnixMillis) -> OutlierDetector {
     let zones = (0..15).map(|n| u16::from(n >= 10)).collect();
     let mut detector = OutlierDetector::new(0, zones);
-    observers.iter().for_each(|n| detector.receive_votes(now, *n, &of(*n, receiver, vote)));
+    for n in observers {
+        detector.receive_votes(now, *n, &of(*n, receiver, vote));
+    }
     detector
 }
 
--- a/crates/gossip/tests/fleet_view/outlier_detection.rs
+++ b/crates/gossip/tests/fleet_view/outlier_detection.rs
@@ -29,7 +29,9 @@
     fleet.run(seconds * 1_000, |fleet| {
         // They call it again every 0.9 s.
         if fleet.elapsed().is_multiple_of(900) {
-            observers.iter().for_each(|observer| record_call(fleet, *observer, first, CallResult::Failed));
+            for observer in observers {
+                record_call(fleet, *observer, first, CallResult::Failed);
+            }
         }
         if fleet.elapsed() % 1_000 == 950 {
             let senders = 0..fleet.senders.len();
@@ -71,7 +73,9 @@
     let mut fleet = SimulatedFleet::new(&alternating_zones(30, 1), 8);
     fleet.run(20_000, |fleet| {
         if fleet.now.0.is_multiple_of(100) {
-            receivers().into_iter().for_each(|receiver| record_call(fleet, 4, receiver, CallResult::Failed));
+            for receiver in receivers() {
+                record_call(fleet, 4, receiver, CallResult::Failed);
+            }
         }
         for sender in (0..30).filter(|sender| *sender != 4) {
             let ejected = ejected(fleet, sender);
--- a/crates/heavy-hitters/tests/simulation/mod.rs
+++ b/crates/heavy-hitters/tests/simulation/mod.rs
@@ -95,7 +95,7 @@
 
     /// A draw from 0 to 1.
     pub fn chance(&mut self) -> f64 {
-        self.rng.next_u32() as f64 / u32::MAX as f64
+        f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
     /// A sender accepts a message.
--- a/crates/heavy-hitters/tests/simulation/traffic.rs
+++ b/crates/heavy-hitters/tests/simulation/traffic.rs
@@ -37,7 +37,9 @@
             })
             .collect();
         let all = cumulative.last().copied().unwrap_or(1.0);
-        cumulative.iter_mut().for_each(|sum| *sum /= all);
+        for sum in &mut cumulative {
+            *sum /= all;
+        }
         Self { cumulative }
     }
 
--- a/crates/http2/src/outcome.rs
+++ b/crates/http2/src/outcome.rs
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-/// RST_STREAM error code: the stream was closed before any processing (RFC 9113, 8.7).
+/// `RST_STREAM` error code: the stream was closed before any processing (RFC 9113, 8.7).
 const REFUSED_STREAM: u32 = 0x7;
 
 /// How the stream of a call ended.
@@ -24,7 +24,7 @@
     },
     /// The gateway reset the stream.
     Reset {
-        /// Error code of the RST_STREAM frame (RFC 9113, 7).
+        /// Error code of the `RST_STREAM` frame (RFC 9113, 7).
         error_code: u32,
     },
     /// The gateway sent a GOAWAY whose last stream identifier is below that of this stream.
--- a/crates/http2/tests/client/harness.rs
+++ b/crates/http2/tests/client/harness.rs
@@ -63,7 +63,7 @@
         self.accept_with_window(WINDOW_SIZE).await
     }
 
-    /// Starts and answers a call, after which the client may send no body without a WINDOW_UPDATE for its stream.
+    /// Starts and answers a call, after which the client may send no body without a `WINDOW_UPDATE` for its stream.
     pub async fn accept_with_closed_windows(&self) -> Frames {
         // The first request is sent before the gateway has announced its windows.
         let first = self.call(LONG);
--- a/crates/placement/src/zones.rs
+++ b/crates/placement/src/zones.rs
@@ -24,6 +24,7 @@
     }
 
     /// Zones that are in both sets.
+    #[must_use]
     pub fn intersection(self, other: ZoneSet) -> ZoneSet {
         ZoneSet(self.0 & other.0)
     }
--- a/crates/placement/tests/golden.rs
+++ b/crates/placement/tests/golden.rs
@@ -30,7 +30,7 @@
         for node in &simulation.nodes {
             digest = hash(digest, node.stored_record.as_deref().unwrap_or_default());
         }
-        writeln!(lines, "{} datagrams, digest {digest:016x}", count).unwrap();
+        writeln!(lines, "{count} datagrams, digest {digest:016x}").unwrap();
     }
 }
 
--- a/crates/placement/tests/lease.rs
+++ b/crates/placement/tests/lease.rs
@@ -1,6 +1,8 @@
 //! The conditions under which a sender may act.
 mod simulation;
 
+use std::collections::BTreeSet;
+
 use rudderspindle_placement::{
     AdmissionRefused, ClosedReason, GossipError, Incarnation, OutgoingDatagram, Placement, PlacementEvent,
     ReloadError, RuleSet, SenderId, StartError, StateRecord, ZoneAccess, ZoneList, ZoneSet,
@@ -86,7 +88,9 @@
     simulation.advance();
     let summaries = simulation.tick();
     assert!(summaries.iter().any(|(_, summary)| summary.to == SenderId(0)));
-    summaries.iter().for_each(|(from, summary)| simulation.deliver(*from, summary));
+    for (from, summary) in &summaries {
+        simulation.deliver(*from, summary);
+    }
     assert!(!is_voting(&simulation));
     simulation.advance();
     run(&mut simulation, 500, |_, _| true);
@@ -112,7 +116,9 @@
     simulation.advance();
     let summaries = simulation.tick();
     assert!(summaries.iter().any(|(from, summary)| *from == aggregator && usize::from(summary.to.0) == acts));
-    summaries.iter().for_each(|(from, summary)| simulation.deliver(*from, summary));
+    for (from, summary) in &summaries {
+        simulation.deliver(*from, summary);
+    }
     assert_eq!(simulation.process(acts).lease_expires_at(), before);
 }
 
@@ -141,14 +147,18 @@
     for _ in 0..4 {
         let datagrams = simulation.tick();
         summaries.extend(datagrams.iter().filter(|(_, datagram)| datagram.body[0] == SUMMARY).cloned());
-        datagrams.iter().for_each(|(from, datagram)| simulation.deliver(*from, datagram));
+        for (from, datagram) in &datagrams {
+            simulation.deliver(*from, datagram);
+        }
         simulation.advance();
     }
     let expiries =
         |simulation: &Simulation| [0, 1, 2].map(|index| simulation.process(index).lease_expires_at());
     let before = expiries(&simulation);
     assert!(summaries.len() >= 4 && before.iter().all(|&expiry| expiry <= at(simulation.now_ms + LEASE_MS)));
-    summaries.iter().for_each(|(from, summary)| simulation.deliver(*from, summary));
+    for (from, summary) in &summaries {
+        simulation.deliver(*from, summary);
+    }
     assert_eq!(expiries(&simulation), before);
     let (from, summary) = summaries.last().unwrap();
     let [to, other] = [1, 2].map(|offset| (from + offset) % 3);
@@ -159,7 +169,9 @@
     let mut early = Simulation::committed(3, &rules(1, &["hall-a"]));
     early.now_ms -= 2_000;
     let before = expiries(&early);
-    summaries.iter().for_each(|(from, summary)| early.deliver(*from, summary));
+    for (from, summary) in &summaries {
+        early.deliver(*from, summary);
+    }
     assert_eq!(expiries(&early), before);
 }
 
@@ -184,7 +196,7 @@
 fn a_tenant_that_a_newer_rule_set_leaves_out_stays_ruled_until_that_is_committed() {
     let mut simulation = Simulation::committed(3, &rules(1, &["hall-a"]));
     let zones = ZoneList::new(&["hall-a", "hall-b"]).unwrap();
-    let empty = RuleSet::new(2, &[], &zones, &Default::default(), &key()).unwrap();
+    let empty = RuleSet::new(2, &[], &zones, &BTreeSet::default(), &key()).unwrap();
     simulation.reload(0, empty);
     assert_eq!(simulation.acting_zones(0), FIRST_ZONE);
     run(&mut simulation, 3 * LEASE_MS, |_, _| true);
--- a/crates/placement/tests/simulation/mod.rs
+++ b/crates/placement/tests/simulation/mod.rs
@@ -1,8 +1,7 @@
 //! A few senders on one simulated wall clock, with persistent records, and a checker.
 //!
 //! The checker is independent of summaries and leases: it reads the stored records and the zones in which senders would act.
-// Each test file uses a part of it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 mod checker;
 mod node;
 
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Messages and calls for the tests, and a harness that checks the delivery rules.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod delivery_rules;
 mod harness;
--- a/crates/sender/src/connection_slots.rs
+++ b/crates/sender/src/connection_slots.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Idle connections hold at most 1 / IDLE_SHARE_DIVISOR of the slots.
+/// Idle connections hold at most 1 / `IDLE_SHARE_DIVISOR` of the slots.
 const IDLE_SHARE_DIVISOR: usize = 4;
 /// Time after which a new connection without a request may be evicted ahead of idle connections.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
--- a/crates/sender/src/engine/outage_records/tests.rs
+++ b/crates/sender/src/engine/outage_records/tests.rs
@@ -16,7 +16,7 @@
     ];
     let messages = outages.map(|(destination, outage)| HandoverMessage::OutageState {
         destination,
-        receiver: "".into(),
+        receiver: String::new(),
         outage,
     });
     restore_outages(&mut store, &messages);
--- a/crates/testkit/src/frames.rs
+++ b/crates/testkit/src/frames.rs
@@ -19,7 +19,7 @@
 const END_STREAM: u8 = 1;
 const ACK: u8 = 1;
 const END_HEADERS: u8 = 4;
-/// SETTINGS_MAX_CONCURRENT_STREAMS and SETTINGS_INITIAL_WINDOW_SIZE.
+/// `SETTINGS_MAX_CONCURRENT_STREAMS` and `SETTINGS_INITIAL_WINDOW_SIZE`.
 const MAX_STREAMS: u16 = 3;
 const INITIAL_WINDOW: u16 = 4;
 
@@ -36,7 +36,7 @@
     pub payload: Vec<u8>,
 }
 
-/// A reset of a stream (RST_STREAM).
+/// A reset of a stream (`RST_STREAM`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamReset {
     /// The stream.
@@ -94,7 +94,7 @@
         Some(Frame { kind: head[3], flags: head[4], stream, payload })
     }
 
-    /// The next frame other than SETTINGS, PING and WINDOW_UPDATE; `None` at the end of the connection.
+    /// The next frame other than SETTINGS, PING and `WINDOW_UPDATE`; `None` at the end of the connection.
     pub async fn next(&mut self) -> Option<Frame> {
         loop {
             let frame = self.read().await?;
@@ -152,7 +152,7 @@
         self.write(HEADERS, END_HEADERS | END_STREAM, stream, b"\x00\x04x-ok\x011").await;
     }
 
-    /// Writes RST_STREAM.
+    /// Writes `RST_STREAM`.
     pub async fn reset(&mut self, stream: u32, code: u32) {
         self.write(RST_STREAM, 0, stream, &code.to_be_bytes()).await;
     }
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -235,11 +235,10 @@
     if let Some(pid) = child.id() {
         Command::new("kill").args(["-TERM", &pid.to_string()]).status().await?;
     }
-    match timeout(STOP_TIMEOUT, child.wait()).await {
-        Ok(status) => Ok(status?.success()),
-        Err(_) => {
-            child.kill().await?;
-            Ok(false)
-        }
+    if let Ok(status) = timeout(STOP_TIMEOUT, child.wait()).await {
+        Ok(status?.success())
+    } else {
+        child.kill().await?;
+        Ok(false)
     }
 }
