--- a/crates/gossip/src/envelope/bounded_list.rs
+++ b/crates/gossip/src/envelope/bounded_list.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// An invalid length if there are more than `MAX` entries, and whatever the deserializer returns.
+/// An invalid length if there are more than `MAX` entries, and the deserializer's errors.
 pub(crate) fn bounded<'de, const MAX: usize, T, D>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     T: Deserialize<'de>,
--- a/crates/heavy-hitters/tests/digest_store.rs
+++ b/crates/heavy-hitters/tests/digest_store.rs
@@ -14,7 +14,7 @@
 /// A sender may accept 20 messages in a slice of 2 s.
 const SETTINGS: Settings = Settings { window_ms: 10_000, entries: 16, hot_fraction: 0.1, max_per_second: 10 };
 
-/// The slice so many slices before the current one.
+/// The slice `slices` before the current one.
 fn before_current(slices: u64) -> Slice {
     Slice(CURRENT.0 - slices)
 }
@@ -149,7 +149,7 @@
     }
 }
 
-/// The digest of a slice in which a process started and accepted so many messages.
+/// The digest of a slice in which a process started and accepted messages.
 fn digest_of_start(incarnation: u64, slice: Slice, messages: usize, idle_before: bool) -> Digest {
     let mut counter = SliceCounter::new(&SETTINGS, start_of(slice), idle_before);
     for _ in 0..messages {
--- a/crates/heavy-hitters/tests/faults.rs
+++ b/crates/heavy-hitters/tests/faults.rs
@@ -3,7 +3,7 @@
 mod simulation;
 
 use rudderspindle_heavy_hitters::{Coverage, HeavyHitters, Key, SenderId, Settings, Slice, aggregators};
-use simulation::traffic::{STORM, Zipf, accept};
+use simulation::traffic::{HEAVY_STREAM, Zipf, accept};
 use simulation::{BEGIN_MS, Datagram, STEP_MS, Simulation};
 
 fn settings() -> Settings {
@@ -14,10 +14,10 @@
 fn a_stream_that_is_hot_only_in_sum_is_found_by_all() {
     let mut simulation = Simulation::new(5, 300, settings(), BEGIN_MS);
     simulation.run(12_000, |simulation| accept(simulation, 1.2, 0.0, |_| true));
-    assert_eq!(simulation.count_finding(STORM), 0);
+    assert_eq!(simulation.count_finding(HEAVY_STREAM), 0);
     // 0.3 messages a second at each sender: a fifth of all.
     simulation.run(12_000, |simulation| accept(simulation, 1.2, 0.3, |_| true));
-    assert_eq!((simulation.count_finding(STORM), simulation.check_views()), (300, 300));
+    assert_eq!((simulation.count_finding(HEAVY_STREAM), simulation.check_views()), (300, 300));
 }
 
 #[test]
@@ -26,7 +26,7 @@
     let mut simulation = Simulation::new(6, 60, settings, BEGIN_MS);
     // Sender 7 accepts 90 messages a second of it, the others 5 a second of other streams.
     simulation.run(12_000, |simulation| accept(simulation, 5.0, 90.0, |sender| sender == 7));
-    assert_eq!((simulation.count_finding(STORM), simulation.check_views()), (60, 60));
+    assert_eq!((simulation.count_finding(HEAVY_STREAM), simulation.check_views()), (60, 60));
 }
 
 #[test]
@@ -35,7 +35,7 @@
     // The heavy stream is a quarter of all messages.
     simulation.run(14_000, |simulation| accept(simulation, 9.0, 3.0, |_| true));
     let hot: Vec<Vec<Key>> = simulation.senders.iter().map(|sender| sender.hot_streams().collect()).collect();
-    assert!(hot.iter().all(|hot| *hot == [STORM]));
+    assert!(hot.iter().all(|hot| *hot == [HEAVY_STREAM]));
     simulation.isolated = (0..100).step_by(2).map(SenderId).collect();
     let quiet = Key::new(1 << 21);
     // Another stream is a fifth of the reported messages, and a fiftieth of the possible maximum.
@@ -46,7 +46,7 @@
                 simulation.accept(1, quiet, None);
             }
         });
-        assert_eq!((simulation.count_finding(STORM), simulation.count_finding(quiet)), (100, 0));
+        assert_eq!((simulation.count_finding(HEAVY_STREAM), simulation.count_finding(quiet)), (100, 0));
     }
     simulation.check_views();
     // A sender that receives nothing decides by its last view, not by its own sketch.
@@ -55,10 +55,10 @@
     // The senders are reachable again, and the heavy stream continues.
     simulation.isolated.clear();
     simulation.run(14_000, |simulation| accept(simulation, 9.0, 3.0, |_| true));
-    assert_eq!((simulation.count_finding(STORM), simulation.check_views()), (100, 100));
+    assert_eq!((simulation.count_finding(HEAVY_STREAM), simulation.check_views()), (100, 100));
     // It ends; a window later it is hot at no sender.
     simulation.run(26_000, |simulation| accept(simulation, 9.0, 0.0, |_| true));
-    assert_eq!(simulation.count_finding(STORM), 0);
+    assert_eq!(simulation.count_finding(HEAVY_STREAM), 0);
 }
 
 #[test]
--- a/crates/heavy-hitters/tests/hot_streams.rs
+++ b/crates/heavy-hitters/tests/hot_streams.rs
@@ -21,8 +21,8 @@
     Stream { key, min, max }
 }
 
-/// A view of 1,000 messages of which the streams have a part; so many senders were silent in one slice.
-fn view(slice: u64, streams: &[Stream], silent: u16) -> FleetView {
+/// A view of 1,000 messages that include the streams; `missing` senders did not report in one slice.
+fn view(slice: u64, streams: &[Stream], missing: u16) -> FleetView {
     let total = |stream: &Stream| {
         let spread = stream.max - stream.min;
         KeyTotal { key: Key::new(stream.key), min: stream.min, spread, senders: 1 }
@@ -31,7 +31,7 @@
         slice: Slice(slice),
         round: 3,
         acknowledgement: Acknowledgement::default(),
-        complete_counts: [SENDERS as u16 - silent, 10, 10, 10, 10],
+        complete_counts: [SENDERS as u16 - missing, 10, 10, 10, 10],
         messages: 1_000,
         streams: TopKeys { totals: streams.iter().map(total).collect(), max_unlisted: 5 },
         keys: TopKeys::default(),
--- a/crates/heavy-hitters/tests/simulation/traffic.rs
+++ b/crates/heavy-hitters/tests/simulation/traffic.rs
@@ -5,18 +5,18 @@
 use super::{STEP_MS, Simulation};
 
 /// The heavy stream.
-pub const STORM: Key = Key::new(1 << 20);
+pub const HEAVY_STREAM: Key = Key::new(1 << 20);
 
 /// Each sender accepts messages of a hundred equal streams; the chosen senders also accept messages of the heavy one.
-pub fn accept(simulation: &mut Simulation, base: f64, storm: f64, chosen: impl Fn(usize) -> bool) {
+pub fn accept(simulation: &mut Simulation, base: f64, heavy: f64, chosen: impl Fn(usize) -> bool) {
     let step_seconds = STEP_MS as f64 / 1_000.0;
     for sender in 0..simulation.senders.len() {
         if simulation.chance() < base * step_seconds {
             let stream = Key::new((simulation.chance() * 100.0) as u64);
             simulation.accept(sender, stream, None);
         }
-        if chosen(sender) && simulation.chance() < storm * step_seconds {
-            simulation.accept(sender, STORM, None);
+        if chosen(sender) && simulation.chance() < heavy * step_seconds {
+            simulation.accept(sender, HEAVY_STREAM, None);
         }
     }
 }
--- a/crates/heavy-hitters/tests/zipf.rs
+++ b/crates/heavy-hitters/tests/zipf.rs
@@ -17,14 +17,14 @@
 }
 
 /// Each sender accepts its messages of a step: of the heavy stream with this probability, else by Zipf's law.
-fn accept(simulation: &mut Simulation, zipf: &Zipf, storm: f64) {
+fn accept(simulation: &mut Simulation, zipf: &Zipf, heavy: f64) {
     for sender in 0..SENDERS {
         // From a third of the mean to five thirds, by the sender's number.
         let rate = PER_SECOND * (1.0 + 2.0 * (sender % 3) as f64) / 3.0;
         if simulation.chance() < rate * STEP_MS as f64 / 1_000.0 {
-            let storm = simulation.chance() < storm;
+            let heavy = simulation.chance() < heavy;
             let point = simulation.chance();
-            simulation.accept(sender, if storm { Key::new(1 << 20) } else { zipf.stream(point) }, None);
+            simulation.accept(sender, if heavy { Key::new(1 << 20) } else { zipf.stream(point) }, None);
         }
     }
 }
@@ -76,7 +76,7 @@
 fn a_storm_in_warm_traffic_is_found_by_all_within_3_s_of_being_over_twice_the_hot_fraction() {
     let zipf = Zipf::new(10_000, 1.1);
     let settings = settings(0.1);
-    let storm = Key::new(1 << 20);
+    let heavy = Key::new(1 << 20);
     let mut simulation = Simulation::new(4, SENDERS, settings, BEGIN_MS + 400);
     simulation.loss = 0.2;
     simulation.run(12_000, |simulation| accept(simulation, &zipf, 0.0));
@@ -86,16 +86,16 @@
         let Slice(current) = simulation.current_slice();
         let truth = simulation.accepted_in(Slice(current - 4)..Slice(current + 1));
         let all: u64 = truth.values().sum();
-        if over_since_ms.is_none() && truth.get(&storm).copied().unwrap_or(0) as f64 > 0.2 * all as f64 {
+        if over_since_ms.is_none() && truth.get(&heavy).copied().unwrap_or(0) as f64 > 0.2 * all as f64 {
             over_since_ms = Some(simulation.now_ms);
         }
-        if simulation.count_finding(storm) == SENDERS {
+        if simulation.count_finding(heavy) == SENDERS {
             break;
         }
     }
-    let over_since_ms = over_since_ms.expect("three of five messages are the storm's");
+    let over_since_ms = over_since_ms.expect("three of five messages are of the heavy stream");
     let took_ms = simulation.now_ms - over_since_ms;
     println!("found by all {took_ms} ms after it was over twice the hot fraction");
-    assert!(simulation.count_finding(storm) == SENDERS && took_ms <= 3_000);
+    assert!(simulation.count_finding(heavy) == SENDERS && took_ms <= 3_000);
     assert_eq!(simulation.check_views(), SENDERS);
 }
--- a/crates/journal/src/outage_records.rs
+++ b/crates/journal/src/outage_records.rs
@@ -5,8 +5,7 @@
 
 use rudderspindle_clock::UnixMillis;
 
-/// How long a record stays valid beyond the Retry-After that it holds, in milliseconds: by then the endpoint has recovered, or
-/// its state is known anew.
+/// How long a record stays valid beyond its Retry-After, in milliseconds: later states are recorded within this time.
 const RECORD_LIFETIME_MS: u64 = 60_000;
 /// Maximum number of records; the oldest is evicted. Together they fill less than a segment.
 const MAX_RECORDS: usize = 1_000;
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -83,7 +83,7 @@
         match record {
             Record::Accepted(message) => self.apply_accepted(message, segment),
             Record::AttemptStarted { message_id, attempt, execution } => {
-                self.note_attempt(execution.as_ref());
+                self.record_attempt_time(execution.as_ref());
                 if let Some(message) = self.entries.pending_message_mut(&message_id) {
                     message.start_attempt(attempt, execution);
                 }
@@ -107,13 +107,13 @@
     }
 
     fn apply_accepted(&mut self, message: Message, segment: u64) {
-        self.note_attempt(message.possibly_executed.as_ref());
-        self.note_attempt(message.in_flight.as_ref());
+        self.record_attempt_time(message.possibly_executed.as_ref());
+        self.record_attempt_time(message.in_flight.as_ref());
         let message_id = message.message_id.clone();
         self.entries.insert(message_id, Entry { segment, state: EntryState::Message(message) });
     }
 
-    fn note_attempt(&mut self, execution: Option<&PossibleExecution>) {
+    fn record_attempt_time(&mut self, execution: Option<&PossibleExecution>) {
         if let Some(execution) = execution {
             self.latest_attempt = self.latest_attempt.max(execution.at);
         }
--- a/crates/journal/src/segments/tests.rs
+++ b/crates/journal/src/segments/tests.rs
@@ -16,7 +16,7 @@
 use crate::record::append_accepted;
 use crate::replay::{ReplayedState, replay_segments};
 
-/// A file of which one write stops after so many bytes, as on a full disk, and whose first truncations fail.
+/// A file with one write that stops part-way, as on a full disk, and whose first truncations fail.
 #[derive(Debug)]
 struct FailingFile {
     file: File,
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -33,7 +33,7 @@
     }
 }
 
-fn ran(at: u64) -> PossibleExecution {
+fn execution(at: u64) -> PossibleExecution {
     PossibleExecution { at: UnixMillis(at), receiver: "r1".into(), zone: "a".into() }
 }
 
@@ -51,12 +51,12 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
     store.accept(message("pending", 1_000));
-    store.start_attempt(&"pending".into(), ran(1));
+    store.start_attempt(&"pending".into(), execution(1));
     store.accept(message("notified", 10));
     store.accept(message("completed", 10));
     store.commit().expect("written");
     store.finish_attempt(&"pending".into(), 0, true);
-    store.start_attempt(&"pending".into(), ran(2));
+    store.start_attempt(&"pending".into(), execution(2));
     store.complete(&"notified".into(), Some(Status::Deferred(Some(70))));
     store.complete(&"completed".into(), None);
     store.commit().expect("written");
@@ -78,8 +78,8 @@
     assert!(!removed.is_empty(), "nothing was ever removed");
     let expected = state(&store);
     assert_eq!(expected.0[0].attempts, 2);
-    assert_eq!(expected.0[0].possibly_executed, Some(ran(1)));
-    assert_eq!(expected.0[0].in_flight, Some(ran(2)));
+    assert_eq!(expected.0[0].possibly_executed, Some(execution(1)));
+    assert_eq!(expected.0[0].in_flight, Some(execution(2)));
     assert_eq!(expected.1, ["notified".into()] as [MessageId; 1]);
     drop(store);
     // The second attempt has no outcome, but an earlier possible execution is recorded.
@@ -127,12 +127,12 @@
         let folder = tempfile::tempdir().expect("a folder");
         let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
         store.accept(message("m1", 10));
-        store.start_attempt(&"m1".into(), ran(1));
+        store.start_attempt(&"m1".into(), execution(1));
         store.commit().expect("written");
         drop(store);
         let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
         assert_eq!(first_execution(&store, "m1"), Some(1));
-        store.start_attempt(&"m1".into(), ran(2));
+        store.start_attempt(&"m1".into(), execution(2));
         if !written {
             // The second attempt is not recorded and so was not sent; its outcome is recorded nevertheless.
             store.budget = 0;
@@ -154,7 +154,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
     store.accept(message("m1", 10));
-    store.start_attempt(&"m1".into(), ran(1));
+    store.start_attempt(&"m1".into(), execution(1));
     store.commit().expect("written");
     append_record(&mut store.retained_records, RecordKind::AttemptFinished, |payload| {
         write_text(payload, "m1");
@@ -175,7 +175,7 @@
     let ahead = UnixMillis::now().0 + 3_600_000;
     for (message_id, at) in [("completed", ahead), ("pending", ahead - 1)] {
         store.accept(message(message_id, 10));
-        store.start_attempt(&message_id.into(), ran(at));
+        store.start_attempt(&message_id.into(), execution(at));
         store.commit().expect("written");
     }
     store.complete(&"completed".into(), None);
--- a/crates/journal/src/store/tests/model/run.rs
+++ b/crates/journal/src/store/tests/model/run.rs
@@ -7,7 +7,7 @@
 use super::{Attempt, Model, Step, apply_to, first_execution_in, message_id};
 use crate::segments::SEGMENT_SIZE;
 use crate::store::Store;
-use crate::store::tests::{first_execution, ran};
+use crate::store::tests::{execution, first_execution};
 
 /// A step whose records are not written yet.
 #[derive(Clone, Copy, Debug)]
@@ -59,7 +59,7 @@
         match step {
             Step::Accept { message, size } => self.accept(message, size, now),
             Step::StartAttempt { message } => {
-                self.store.start_attempt(&message_id(message), ran(now));
+                self.store.start_attempt(&message_id(message), execution(now));
                 self.provisional.push(UnwrittenStep { step, taken_at: now });
             }
             Step::FinishAttempt { message, possibly_executed } => {
--- a/crates/journal/src/store/tests/takeover.rs
+++ b/crates/journal/src/store/tests/takeover.rs
@@ -1,6 +1,6 @@
 //! An owner and its successor in one folder.
 
-use super::{BUDGET, first_execution, message, ran, state};
+use super::{BUDGET, execution, first_execution, message, state};
 use crate::message::{PendingNotification, Status};
 use crate::store::Store;
 use crate::{JournalError, MessageId};
@@ -15,7 +15,7 @@
     let mut owner = open(&folder);
     owner.accept(message("m1", 10));
     owner.accept(message("completed", 10));
-    owner.start_attempt(&"m1".into(), ran(1));
+    owner.start_attempt(&"m1".into(), execution(1));
     owner.commit().expect("written");
     let mut successor = open(&folder);
     assert!(owner.is_owner() && !successor.is_owner());
@@ -29,7 +29,7 @@
     owner.complete(&"completed".into(), None);
     owner.complete(&"m1".into(), Some(Status::Undeliverable));
     owner.accept(message("m3", 10));
-    owner.start_attempt(&"m3".into(), ran(2));
+    owner.start_attempt(&"m3".into(), execution(2));
     owner.commit().expect("written");
     drop(owner);
     let over = successor.take_over().expect("readable").expect("the owner has ended");
@@ -41,7 +41,7 @@
     // Its attempt will never have an outcome.
     assert_eq!(
         (&*over.pending_messages[0].message_id, &over.pending_messages[0].possibly_executed),
-        ("m3", &Some(ran(2)))
+        ("m3", &Some(execution(2)))
     );
     assert_eq!(successor.take_over().expect("readable"), None);
     let expected = state(&successor);
@@ -64,7 +64,7 @@
         let mut successor = open(&folder);
         successor.accept(message("m3", 10));
         successor.accept(message("both", 10));
-        successor.start_attempt(&"both".into(), ran(7));
+        successor.start_attempt(&"both".into(), execution(7));
         successor.commit().expect("written");
         let mut owner = Some(owner);
         let mut expected_messages = 4;
--- a/crates/placement/src/access.rs
+++ b/crates/placement/src/access.rs
@@ -41,7 +41,7 @@
 /// Why a message is rejected, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 #[error("{reason}: retry after {retry_after_ms} ms")]
-pub struct AdmissionRefused {
+pub struct AdmissionRejected {
     /// The reason.
     pub reason: ClosedReason,
     /// Delay before a retry, in milliseconds: a round, or a lease if only other rules would help.
@@ -67,8 +67,8 @@
     ///
     /// # Errors
     ///
-    /// [`AdmissionRefused`] is the reason and when to retry.
-    pub fn check_admission(&self, now: UnixMillis, tenant: TenantId) -> Result<(), AdmissionRefused> {
+    /// [`AdmissionRejected`] is the reason and when to retry.
+    pub fn check_admission(&self, now: UnixMillis, tenant: TenantId) -> Result<(), AdmissionRejected> {
         let reason = match self.zone_access(now, tenant) {
             ZoneAccess::Unrestricted => return Ok(()),
             ZoneAccess::Zones(zones) if zones.contains(self.settings.own_zone) => return Ok(()),
@@ -79,6 +79,6 @@
             ClosedReason::NoLease | ClosedReason::NoRules => ROUND_MS,
             ClosedReason::NoCommonZone | ClosedReason::OwnZoneExcluded => self.settings.lease_ms,
         };
-        Err(AdmissionRefused { reason, retry_after_ms })
+        Err(AdmissionRejected { reason, retry_after_ms })
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -46,7 +46,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use access::{AdmissionRefused, ClosedReason, ZoneAccess};
+pub use access::{AdmissionRejected, ClosedReason, ZoneAccess};
 pub use body_disposal::{BodyDisposal, ExecutionState};
 pub use datagram::OutgoingDatagram;
 pub use event::PlacementEvent;
--- a/crates/placement/tests/body_disposal.rs
+++ b/crates/placement/tests/body_disposal.rs
@@ -42,7 +42,7 @@
 #[test]
 fn a_kill_postpones_no_deadline_and_loses_no_rule() {
     let record = StateRecord::decode(&excluded().snapshot().bytes, &key()).unwrap();
-    assert!(!record.is_voting(), "it never heard anybody");
+    assert!(!record.is_voting(), "it has received nothing");
     let old_file = rules(1, &["hall-a", "hall-b"]);
     let next =
         Placement::new(settings(1, 3), Some(old_file), Some(record), Incarnation(2), at(START_MS + 900))
--- a/crates/placement/tests/lease.rs
+++ b/crates/placement/tests/lease.rs
@@ -2,7 +2,7 @@
 mod simulation;
 
 use rudderspindle_placement::{
-    AdmissionRefused, ClosedReason, GossipError, Incarnation, OutgoingDatagram, Placement, PlacementEvent,
+    AdmissionRejected, ClosedReason, GossipError, Incarnation, OutgoingDatagram, Placement, PlacementEvent,
     ReloadError, RuleSet, SenderId, StartError, StateRecord, ZoneAccess, ZoneList, ZoneSet,
 };
 use simulation::{
@@ -42,7 +42,7 @@
     let process = simulation.process(0);
     assert_eq!(process.zone_access(simulation.now(), tenant()), ZoneAccess::Closed(ClosedReason::NoLease));
     assert_eq!(process.zone_access(simulation.now(), key().tenant_id("tapi-news")), ZoneAccess::Unrestricted);
-    let refused = Err(AdmissionRefused { reason: ClosedReason::NoLease, retry_after_ms: 500 });
+    let refused = Err(AdmissionRejected { reason: ClosedReason::NoLease, retry_after_ms: 500 });
     assert_eq!(process.check_admission(simulation.now(), tenant()), refused);
 
     run(&mut simulation, LEASE_MS, |_, _| true);
@@ -51,7 +51,7 @@
     let outside = simulation.process(1).check_admission(simulation.now(), tenant());
     assert_eq!(
         outside,
-        Err(AdmissionRefused { reason: ClosedReason::OwnZoneExcluded, retry_after_ms: LEASE_MS })
+        Err(AdmissionRejected { reason: ClosedReason::OwnZoneExcluded, retry_after_ms: LEASE_MS })
     );
 }
 
