--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,6 +1,7 @@
-//! Wall clock times, which other processes and later ones understand; within a process monotonic clocks are used instead.
+//! Wall clock time, for times that are sent to other processes or stored for a restarted one. Times that stay within a process
+//! use monotonic clocks instead.
 //!
-//! Spans between two times are plain numbers of milliseconds (`u64`).
+//! A duration between two wall clock times is a plain number of milliseconds (`u64`).
 #![forbid(unsafe_code)]
 
 use std::fmt;
@@ -11,7 +12,7 @@
 
 /// A point in time on the wall clock, in milliseconds since the Unix epoch (1970-01-01 00:00 UTC).
 ///
-/// The operators take spans in milliseconds, and overflow as those of `u64` do.
+/// The operators `+` and `-` take a number of milliseconds and overflow as those of `u64` do.
 ///
 /// ```
 /// use rudderspindle_clock::UnixMillis;
@@ -26,16 +27,16 @@
 pub struct UnixMillis(pub u64);
 
 impl UnixMillis {
-    /// The Unix epoch.
+    /// 1970-01-01 00:00 UTC, the earliest time that can be represented.
     pub const EPOCH: Self = Self(0);
 
-    /// The system's wall clock; [`UnixMillis::EPOCH`] if it is set to an earlier time.
+    /// The current time of the system's wall clock; [`UnixMillis::EPOCH`] if the clock is set to an earlier time.
     pub fn now() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         Self(since_epoch.as_millis() as u64)
     }
 
-    /// The time `millis` later, at most the last one that can be represented.
+    /// The time `millis` later, at most `u64::MAX` milliseconds after the epoch.
     #[must_use]
     pub const fn saturating_add(self, millis: u64) -> Self {
         Self(self.0.saturating_add(millis))
@@ -47,7 +48,7 @@
         Self(self.0.saturating_sub(millis))
     }
 
-    /// Milliseconds from `earlier` to this time; 0 if `earlier` is the later one.
+    /// Milliseconds from `earlier` to this time; 0 if `earlier` is in fact later.
     pub const fn millis_since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/clock/src/tests.rs
+++ b/crates/clock/src/tests.rs
@@ -1,18 +1,18 @@
-//! Arithmetic at the bounds, and the serialized and displayed forms.
+//! Arithmetic at the bounds of the range, and the serialized and displayed forms.
 
 use super::UnixMillis;
 
 #[test]
-fn saturating_arithmetic_stops_at_the_epoch_and_at_the_last_time() {
-    let last = UnixMillis(u64::MAX);
-    assert_eq!(last.saturating_add(1), last);
+fn saturating_arithmetic_stops_at_the_bounds_of_the_range() {
+    let latest = UnixMillis(u64::MAX);
+    assert_eq!(latest.saturating_add(1), latest);
     assert_eq!(UnixMillis(5).saturating_add(1), UnixMillis(6));
     assert_eq!(UnixMillis(5).saturating_sub(6), UnixMillis::EPOCH);
     assert_eq!(UnixMillis(5).saturating_sub(4), UnixMillis(1));
 }
 
 #[test]
-fn the_operators_move_a_time_by_milliseconds() {
+fn the_operators_add_and_subtract_milliseconds() {
     assert_eq!(UnixMillis(1_000) + 250, UnixMillis(1_250));
     assert_eq!(UnixMillis(1_000) - 250, UnixMillis(750));
     let mut time = UnixMillis(1_000);
