--- a/crates/journal/src/entries.rs
+++ b/crates/journal/src/entries.rs
@@ -1,4 +1,4 @@
-//! The journal's messages by id, with the segment that holds each one's latest complete record.
+//! The pending messages and notifications of a journal by message id, each with the segment that it can be restored from.
 
 use std::collections::HashMap;
 
@@ -6,24 +6,24 @@
 use crate::message::{Message, PendingNotification, Status, TakenOver};
 use crate::record::FRAME_LEN;
 
-/// Bytes reserved for a notification's record in addition to its frame and id.
+/// Bytes reserved for a notification's record in addition to the frame and the message id.
 const NOTIFICATION_OVERHEAD: usize = 16;
 
-/// A pending message, or a pending notification.
+/// A pending message or a pending notification, with its place in the journal.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    /// The segment that holds the latest record from which the entry can be restored.
+    /// Number of the segment that holds the latest record from which the entry can be restored.
     pub segment: u64,
-    /// What is pending.
+    /// The pending message or notification.
     pub state: EntryState,
 }
 
-/// What is pending for a message.
+/// The pending part of a message's processing.
 #[derive(Debug)]
 pub(crate) enum EntryState {
-    /// Its delivery.
+    /// The message is not complete.
     Message(Message),
-    /// The acknowledgement of its notification.
+    /// The message is complete, and the notification of this status is not acknowledged.
     Notification(Status),
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// All entries of a journal, with their reserved space.
+/// All entries of a journal by message id, with the sum of their reserved space.
 #[derive(Debug, Default)]
 pub(crate) struct Entries {
     by_id: HashMap<MessageId, Entry>,
@@ -68,14 +68,14 @@
         self.by_id.contains_key(message_id)
     }
 
-    /// Adds an entry, and replaces an earlier one of the same message.
+    /// Adds an entry, or replaces the earlier entry of the same message.
     pub fn insert(&mut self, message_id: MessageId, entry: Entry) {
         self.remove(&message_id);
         self.reserved_bytes += entry.reserved_bytes(&message_id);
         self.by_id.insert(message_id, entry);
     }
 
-    /// Removes an entry; false if there is none.
+    /// Removes an entry; returns false if the message has none.
     pub fn remove(&mut self, message_id: &MessageId) -> bool {
         let Some(entry) = self.by_id.remove(message_id) else { return false };
         self.reserved_bytes -= entry.reserved_bytes(message_id);
@@ -87,17 +87,18 @@
         self.by_id.values().filter_map(Entry::message)
     }
 
-    /// A message, if it is not complete.
+    /// The message with this id, or `None` if it is complete or unknown.
     pub fn pending_message(&self, message_id: &MessageId) -> Option<&Message> {
         self.by_id.get(message_id)?.message()
     }
 
-    /// A message, if it is not complete.
+    /// Like [`Entries::pending_message`]. The caller must not change the length of the body, the key or the id, because the
+    /// reserved space depends on them.
     pub fn pending_message_mut(&mut self, message_id: &MessageId) -> Option<&mut Message> {
         self.by_id.get_mut(message_id)?.message_mut()
     }
 
-    /// The notifications that are not acknowledged, in no particular order.
+    /// The notifications that the platform has not acknowledged, in no particular order.
     pub fn pending_notifications(&self) -> impl Iterator<Item = PendingNotification> + '_ {
         self.by_id.iter().filter_map(|(message_id, entry)| match entry.state {
             EntryState::Notification(status) => {
@@ -107,25 +108,25 @@
         })
     }
 
-    /// The entries whose latest complete record is in a segment, in no particular order.
+    /// The entries that are restored from a segment, see [`Entry::segment`], in no particular order.
     pub fn in_segment(&self, segment: u64) -> impl Iterator<Item = (&MessageId, &Entry)> {
         self.by_id.iter().filter(move |(_, entry)| entry.segment == segment)
     }
 
-    /// Records that the entries of one segment were written again to another.
+    /// Assigns the entries of segment `from` to segment `to`, where compaction has written them again.
     pub fn move_segment(&mut self, from: u64, to: u64) {
         let moved = self.by_id.values_mut().filter(|entry| entry.segment == from);
         moved.for_each(|entry| entry.segment = to);
     }
 
-    /// Marks the attempts in flight as possibly executed: their process exited before their outcomes were recorded.
+    /// Marks the attempts in flight as possibly executed, because their process exited before their outcomes were recorded.
     pub fn interrupt_attempts(&mut self) {
         let messages = self.by_id.values_mut().filter_map(Entry::message_mut);
-        messages.for_each(|message| message.settle_in_flight(true));
+        messages.for_each(|message| message.finish_in_flight(true));
     }
 
-    /// Adds the entries of an earlier process, and returns the added ones. If both have an entry of an id, the present one is
-    /// kept: the earlier process's message is complete.
+    /// Adds the entries of an earlier process, and returns the added ones. An entry whose id this process has too is not
+    /// added, because the earlier process's message is then complete.
     pub fn add_older(&mut self, older: Self) -> TakenOver {
         let mut taken_over = TakenOver::default();
         for (message_id, entry) in older.by_id {
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of opening, writing and taking over a journal.
+//! The error type of all journal operations.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,24 +7,24 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum JournalError {
-    /// The folder already has an owner and a successor.
-    #[error("two processes use it already")]
+    /// Another owner and its successor already use the folder.
+    #[error("already in use by an owner and its successor; at most two processes may use it")]
     FolderInUse,
-    /// The batch exceeds the disk budget.
-    #[error("the journal has no room")]
+    /// The batch does not fit in the disk budget.
+    #[error("the records do not fit in the journal's disk budget")]
     Full,
-    /// The file system reported an error.
+    /// A file or folder of the journal could not be read, written or locked.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The file or folder.
+        /// The file or folder of the failed operation.
         path: PathBuf,
-        /// The file system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl JournalError {
-    /// Attaches the path of an operation: `map_err(JournalError::at(path))`.
+    /// Adds the path to an I/O error: `map_err(JournalError::at(path))`.
     pub(crate) fn at(path: &Path) -> impl FnOnce(io::Error) -> Self {
         move |source| Self::Io { path: path.to_owned(), source }
     }
--- a/crates/journal/src/folder_lock.rs
+++ b/crates/journal/src/folder_lock.rs
@@ -1,36 +1,36 @@
 //! File locks that let at most two processes use a journal folder: its owner and the owner's successor.
 //!
-//! The operating system releases a lock as soon as its holder exits, also by a crash.
+//! The operating system releases a lock when the process that holds it exits, even after a crash.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::path::{Path, PathBuf};
 
 use crate::JournalError;
 
-/// Name of the file that the owner locks.
+/// Name of the file that the owner keeps locked.
 const OWNER_LOCK_FILE: &str = "lock";
-/// Name of the file that the successor locks until it becomes the owner.
+/// Name of the file that the successor keeps locked until it becomes the owner.
 const SUCCESSOR_LOCK_FILE: &str = "lock-next";
 
-/// The role of this process in a journal folder; released on drop.
+/// The role of this process in a journal folder. The role is free for another process once this value is dropped.
 #[derive(Debug)]
 pub(crate) enum FolderLock {
     /// This process owns all segments in the folder.
     Owner {
-        /// Keeps the owner's lock.
+        /// The owner's lock file, locked by this process.
         _lock: LockFile,
     },
     /// Another process owns the folder; this process owns only the segments that it writes.
     Successor {
         /// The owner's lock file, not yet locked by this process.
         owner: LockFile,
-        /// Keeps the successor's lock.
+        /// The successor's lock file, locked by this process.
         _lock: LockFile,
     },
 }
 
 impl FolderLock {
-    /// Takes the role of the owner if it is free, else that of its successor.
+    /// Takes the role of the owner if it is free, otherwise the role of the successor.
     ///
     /// # Errors
     ///
@@ -52,9 +52,9 @@
         matches!(self, Self::Owner { .. })
     }
 
-    /// Locks the owner's file if the owner has exited; false while it runs, and for the owner itself.
+    /// Tries to lock the owner's lock file. Returns false while the owner runs, and if this process is the owner.
     ///
-    /// After true no other process can become the owner.
+    /// Once this method has returned true, no other process can become the owner.
     ///
     /// # Errors
     ///
@@ -66,9 +66,9 @@
         }
     }
 
-    /// Makes a successor that holds the owner's lock the owner, and releases the successor's lock.
+    /// Makes this process the owner, and releases the successor's lock. Does nothing if it is the owner already.
     ///
-    /// To be called after [`FolderLock::try_lock_as_owner`] returned true.
+    /// Must be called only after [`FolderLock::try_lock_as_owner`] returned true.
     ///
     /// # Errors
     ///
@@ -81,7 +81,7 @@
     }
 }
 
-/// An open lock file; a lock on it is released when its last clone is dropped.
+/// An open lock file. A lock on it is released when its last clone is dropped.
 #[derive(Debug)]
 pub(crate) struct LockFile {
     file: File,
@@ -95,7 +95,7 @@
         Ok(Self { file, path })
     }
 
-    /// Takes the lock; false if another process holds it.
+    /// Tries to lock the file; returns false if another process holds the lock.
     fn try_lock(&self) -> Result<bool, JournalError> {
         match self.file.try_lock() {
             Ok(()) => Ok(true),
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,16 +1,16 @@
-//! Write-ahead journal of accepted messages, in a folder that outlasts its process.
+//! Write-ahead journal of accepted messages, stored in a folder from which a restarted sender recovers them.
 //!
-//! The journal is a sequence of append-only segments, `journal-<number>`, of checksummed records. Written records survive the
-//! process without a sync: a kill leaves at most one torn record, at the end of the last segment.
+//! The journal is a sequence of append-only segment files, `journal-<number>`, of checksummed records. Written records survive
+//! a kill of the process without a sync: a kill leaves at most one torn record, at the end of the last segment.
 //!
-//! Compaction frees space: the pending entries of the oldest segment are written again at the end, and the segment is deleted
-//! afterwards. A kill between the two leaves duplicate records, which replay merges. As the oldest segment is deleted first,
-//! the completion of a message is never deleted before its acceptance.
+//! Compaction frees disk space: the pending entries of the oldest segment are appended to the current segment, and then the
+//! oldest segment is deleted. A kill between the two steps leaves duplicate records, which replay merges. Because the oldest
+//! segment is deleted first, the completion of a message is never deleted before its acceptance.
 //!
-//! Two processes may use one folder while the second takes over from the first. The holder of the lock owns the journal; its
-//! successor writes segments with far higher numbers, and reads no older ones until the owner has exited
-//! ([`Store::take_over`]). Replaying all segments in the order of their numbers restores the same state, so a crash of either
-//! process, or of both, needs no special handling.
+//! Two processes may use one folder while the second takes over from the first. The process that holds the lock owns the
+//! journal. Its successor writes segments with far higher numbers, and reads the owner's segments only after the owner has
+//! exited ([`Store::take_over`]). Replaying all segments in the order of their numbers restores the same state, so a crash of
+//! either process, or of both, needs no special handling.
 //!
 //! ```
 //! use rudderspindle_clock::UnixMillis;
@@ -31,17 +31,17 @@
 //!     possibly_executed: None,
 //!     in_flight: None,
 //! });
-//! // The client may be answered from now on.
+//! // The acceptance is written: the response may be sent to the client.
 //! journal.commit()?;
 //! let at = UnixMillis::now();
 //! journal.start_attempt(&"9b1f03aa".into(), PossibleExecution { at, receiver: "r1".into(), zone: "left".into() });
-//! // The first byte of the attempt may be sent from now on.
+//! // The start of the attempt is written: its first byte may be sent.
 //! journal.commit()?;
 //! drop(journal);
 //!
 //! // The process was killed: the outcome of the attempt is unknown.
 //! let mut journal = Store::open(folder.path(), 3_000_000)?;
-//! let message = journal.pending_messages().next().expect("it is not complete");
+//! let message = journal.pending_messages().next().expect("a pending message");
 //! assert_eq!(message.possibly_executed.as_ref().map(|execution| execution.at), Some(at));
 //! journal.complete(&"9b1f03aa".into(), Some(Status::Undeliverable));
 //! journal.commit()?;
--- a/crates/journal/src/message.rs
+++ b/crates/journal/src/message.rs
@@ -7,102 +7,103 @@
 
 use crate::MessageId;
 
-/// Bytes reserved for a message in addition to its body, its key and twice its id.
+/// Bytes reserved for a message in addition to its body, its idempotency key and twice its id.
 const RECORD_OVERHEAD: usize = 768;
 
-/// An attempt that may have been executed.
+/// An attempt that a receiver may have executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PossibleExecution {
-    /// When it was sent.
+    /// When the attempt was started, before its first byte was sent.
     pub at: UnixMillis,
-    /// The receiver's id.
+    /// The id of the receiver that the attempt was sent to.
     pub receiver: Rc<str>,
-    /// The name of the receiver's zone.
+    /// The name of that receiver's zone.
     pub zone: Rc<str>,
 }
 
 /// An accepted message with its attempt history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its id.
+    /// The id that the client chose, unique among the pending messages and notifications.
     pub message_id: MessageId,
-    /// The name of its class.
+    /// The name of the message's class.
     pub class: Rc<str>,
-    /// The name of its tenant; empty where tenants are not used.
+    /// The name of the message's tenant; empty if tenants are not used.
     pub tenant: Rc<str>,
-    /// The number of its destination.
+    /// The number of the message's destination.
     pub destination: u16,
-    /// Its idempotency key from the client.
+    /// The client's idempotency key; `None` if the request had none.
     pub idempotency_key: Option<Bytes>,
-    /// Its deadline.
+    /// The time until which the message may be delivered.
     pub deadline: UnixMillis,
-    /// Its body, which is forwarded unchanged: at most [`MAX_BODY`](crate::MAX_BODY) bytes.
+    /// The body, which is forwarded unchanged: at most [`MAX_BODY`](crate::MAX_BODY) bytes.
     pub body: Bytes,
-    /// Number of recorded attempts; each is recorded before its first byte is sent.
+    /// Number of recorded attempts; an attempt is recorded before its first byte is sent.
     pub attempts: u32,
-    /// The earliest attempt that may have been executed.
+    /// The earliest finished or interrupted attempt that may have been executed.
     pub possibly_executed: Option<PossibleExecution>,
-    /// The latest attempt, while its outcome is unknown.
+    /// The latest attempt while its outcome is unknown; `None` otherwise.
     pub in_flight: Option<PossibleExecution>,
 }
 
 impl Message {
-    /// Upper bound of the journal space that the message needs until it is acknowledged, in bytes: its record including the
-    /// attempt history, and its notification.
+    /// Upper bound of the journal space in bytes that the message needs until its notification is acknowledged: the message's
+    /// record with the attempt history, and the notification's record.
     pub fn reserved_bytes(&self) -> u64 {
         let key_len = self.idempotency_key.as_ref().map_or(0, Bytes::len);
         (self.body.len() + key_len + 2 * self.message_id.len() + RECORD_OVERHEAD) as u64
     }
 
-    /// Records that attempt number `attempt`, counted from 0, is sent.
+    /// Records the start of attempt number `attempt`, counted from 0.
     ///
-    /// An earlier attempt without an outcome was interrupted by the exit of its process and may have been executed,
-    /// independent of the outcome of this one.
+    /// An earlier attempt without an outcome was interrupted by the exit of its process. It may have been executed, whatever
+    /// the outcome of this attempt is.
     pub(crate) fn start_attempt(&mut self, attempt: u32, execution: Option<PossibleExecution>) {
-        self.settle_in_flight(true);
+        self.finish_in_flight(true);
         self.attempts = self.attempts.max(attempt.saturating_add(1));
         self.in_flight = execution;
     }
 
-    /// Records the outcome of an attempt. `None` is the attempt in flight: older journals do not store its number.
+    /// Records the outcome of an attempt. `None` stands for the attempt in flight, because older versions did not store the
+    /// number of the attempt.
     ///
-    /// The outcome of an attempt whose batch could not be written is ignored: it is not the attempt in flight.
+    /// The outcome of an attempt whose start could not be written is ignored, because it is not the attempt in flight.
     pub(crate) fn finish_attempt(&mut self, attempt: Option<u32>, possibly_executed: bool) {
         if attempt.is_none_or(|attempt| self.attempts == attempt.saturating_add(1)) {
-            self.settle_in_flight(possibly_executed);
+            self.finish_in_flight(possibly_executed);
         }
     }
 
-    /// Completes the attempt in flight, if there is one. The earliest possible execution is kept.
-    pub(crate) fn settle_in_flight(&mut self, possibly_executed: bool) {
+    /// Finishes the attempt in flight, if there is one. An earlier possible execution is kept.
+    pub(crate) fn finish_in_flight(&mut self, possibly_executed: bool) {
         let execution = self.in_flight.take().filter(|_| possibly_executed);
         self.possibly_executed = self.possibly_executed.take().or(execution);
     }
 }
 
-/// A pending notification: the final status of an accepted message that was not delivered.
+/// A notification to the platform that is not acknowledged: the final status of an accepted message that was not delivered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingNotification {
-    /// The message's id.
+    /// The id of the message.
     pub message_id: MessageId,
-    /// Its final status.
+    /// The final status of the message.
     pub status: Status,
 }
 
 /// The final status of a message that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It failed permanently.
+    /// The message failed permanently.
     Undeliverable,
-    /// The client may submit it again, after this number of milliseconds if it is given.
+    /// The client may submit the message again: after this number of milliseconds, or at any time if `None`.
     Deferred(Option<u64>),
 }
 
-/// The pending work of an owner that has exited, for its successor.
+/// The pending messages and notifications of an owner that has exited, for its successor.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct TakenOver {
     /// Messages that are not complete, with their attempt history.
     pub pending_messages: Vec<Message>,
-    /// Notifications that have not been acknowledged.
+    /// Notifications that the platform has not acknowledged.
     pub pending_notifications: Vec<PendingNotification>,
 }
--- a/crates/journal/src/message_id.rs
+++ b/crates/journal/src/message_id.rs
@@ -1,11 +1,11 @@
-//! Identifier of a message.
+//! The identifier of a message.
 
 use std::borrow::Borrow;
 use std::fmt;
 use std::ops::Deref;
 use std::rc::Rc;
 
-/// Identifier of a message, chosen by its client. Cheap to clone.
+/// The identifier of a message, chosen by its client. A clone shares the text.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageId(Rc<str>);
 
--- a/crates/journal/src/outage_records.rs
+++ b/crates/journal/src/outage_records.rs
@@ -1,38 +1,39 @@
-//! Outage states for a restarted sender: one record for each endpoint in an outage or recovering from one.
+//! Outage states that a restarted sender recovers: one record for each endpoint that is in an outage or recovers from one.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use rudderspindle_clock::UnixMillis;
 
-/// How long a record stays valid beyond its Retry-After, in milliseconds: later states are recorded within this time.
+/// How long a record stays valid after its Retry-After has passed, in milliseconds. The sender records the next state of the
+/// endpoint within this time.
 const RECORD_LIFETIME_MS: u64 = 60_000;
-/// Maximum number of records; the oldest is evicted. Together they fill less than a segment.
+/// Maximum number of records; beyond it the oldest record is evicted. This many records fill less than a segment.
 const MAX_RECORDS: usize = 1_000;
 
-/// The recorded state of a destination, or of one of its receivers.
+/// The outage state of a destination, or of one of its receivers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OutageState {
-    /// In an outage.
+    /// The endpoint is in an outage.
     Down {
-        /// Remaining time of the announced Retry-After, in milliseconds; 0 for none.
+        /// Remaining time of the Retry-After that the endpoint sent, in milliseconds; 0 if it sent none.
         retry_after_remaining: u64,
     },
-    /// In the recovery ramp after an outage.
+    /// The endpoint is in the recovery ramp after an outage.
     WarmingUp {
-        /// Milliseconds since the recovery; negative while a Retry-After has to pass first.
+        /// Milliseconds since the recovery; negative until a Retry-After has passed.
         since_recovery: i64,
-        /// This sender's share of the ramp, from 0 to 1.
+        /// This sender's share of the recovery ramp, from 0 to 1.
         ramp_share: f64,
     },
 }
 
-/// A destination, or one of its receivers.
+/// The key of an endpoint: a destination, or one of its receivers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointKey {
-    /// The destination's number.
+    /// The number of the destination.
     pub destination: u16,
-    /// The receiver's id; empty for the destination as a whole.
+    /// The id of the receiver; empty for the destination as a whole.
     pub receiver: Rc<str>,
 }
 
@@ -43,14 +44,14 @@
     }
 }
 
-/// The latest record of an endpoint's state.
+/// The latest record of an endpoint's outage state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OutageRecord {
-    /// The segment that holds the record.
+    /// Number of the segment that holds the record.
     pub segment: u64,
     /// When the state was recorded.
     pub recorded_at: UnixMillis,
-    /// The state at that time.
+    /// The state at the time `recorded_at`.
     pub outage: OutageState,
 }
 
@@ -64,7 +65,7 @@
         now.millis_since(self.recorded_at) > lifetime
     }
 
-    /// The state at `now`. If the wall clock was set back, it is the recorded one.
+    /// The state at `now`: the recorded state, aged by the time since. If the wall clock was set back, the state is not aged.
     fn state_at(&self, now: UnixMillis) -> OutageState {
         let elapsed = now.millis_since(self.recorded_at);
         match self.outage {
@@ -79,7 +80,7 @@
     }
 }
 
-/// The outage records of a journal, by endpoint: at most [`MAX_RECORDS`].
+/// The outage records of a journal by endpoint, at most [`MAX_RECORDS`].
 #[derive(Debug, Default)]
 pub(crate) struct OutageRecords(BTreeMap<EndpointKey, OutageRecord>);
 
@@ -96,19 +97,19 @@
     }
 
     fn evict_oldest(&mut self) {
-        let by_age = self.0.iter().min_by_key(|(_, record)| record.recorded_at);
-        if let Some(oldest) = by_age.map(|(endpoint, _)| endpoint.clone()) {
-            self.0.remove(&oldest);
+        let oldest_record = self.0.iter().min_by_key(|(_, record)| record.recorded_at);
+        if let Some(endpoint) = oldest_record.map(|(endpoint, _)| endpoint.clone()) {
+            self.0.remove(&endpoint);
         }
     }
 
-    /// The states that are valid at `now`, in the order of their endpoints.
+    /// The states that have not expired at `now`, aged to `now`, in the order of their endpoints.
     pub fn states_at(&self, now: UnixMillis) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
         let valid = self.0.iter().filter(move |(_, record)| !record.is_expired(now));
         valid.map(move |(endpoint, record)| (endpoint, record.state_at(now)))
     }
 
-    /// Adds records of an earlier process, for endpoints without a record.
+    /// Adds the records of an earlier process, except for endpoints that already have a record.
     pub fn add_older(&mut self, older: Self) {
         for (endpoint, record) in older.0 {
             if !self.0.contains_key(&endpoint) {
@@ -127,7 +128,7 @@
         self.0.iter().filter(move |(_, record)| record.segment == segment)
     }
 
-    /// Records that the records of one segment were written again to another.
+    /// Assigns the records of segment `from` to segment `to`, where compaction has written them again.
     pub fn move_segment(&mut self, from: u64, to: u64) {
         let moved = self.0.values_mut().filter(|record| record.segment == from);
         moved.for_each(|record| record.segment = to);
--- a/crates/journal/src/outage_records/tests.rs
+++ b/crates/journal/src/outage_records/tests.rs
@@ -8,8 +8,9 @@
     Some(OutageRecord { segment: 0, recorded_at: UnixMillis(recorded_at), outage })
 }
 
+/// A record does not age while the wall clock is set back to before its time.
 #[test]
-fn an_outage_record_ages_with_the_wall_clock_and_not_when_it_is_set_back() {
+fn an_outage_record_ages_with_the_wall_clock() {
     let mut outage_records = OutageRecords::default();
     outage_records
         .set(EndpointKey::new(7, ""), record(100_000, OutageState::Down { retry_after_remaining: 11_000 }));
@@ -29,14 +30,14 @@
         [(7, OutageState::Down { retry_after_remaining: 7_000 }), warming_up(3_500)]
     );
     assert_eq!(states_at(130_000), [(7, OutageState::Down { retry_after_remaining: 0 }), warming_up(29_500)]);
-    // The clock was set back: the states are the recorded ones.
+    // The clock was set back: the states are returned as recorded.
     assert_eq!(states_at(0), [(7, OutageState::Down { retry_after_remaining: 11_000 }), warming_up(-500)]);
     assert_eq!(states_at(165_000), [(7, OutageState::Down { retry_after_remaining: 0 })]);
     assert_eq!(states_at(172_000), []);
 }
 
 #[test]
-fn the_number_of_outage_records_is_bounded_and_the_oldest_is_evicted() {
+fn the_oldest_outage_record_beyond_the_maximum_is_evicted() {
     let mut outage_records = OutageRecords::default();
     for n in 0..3_000u16 {
         outage_records.set(
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,8 +1,8 @@
 //! The binary format of journal records.
 //!
-//! A record is a frame and a payload. The frame is the payload's length (u32) and CRC-32 (u32). The payload begins with
-//! the [`RecordKind`] (u8), then the id of a message (of a receiver in [`RecordKind::Outage`]), then the kind's fields.
-//! Integers are little endian; text and bytes are preceded by their length (u32).
+//! A record consists of a frame and a payload. The frame holds the payload's length (u32) and its CRC-32 (u32). The payload
+//! holds the [`RecordKind`] (u8), the id of a message (in [`RecordKind::Outage`] the id of a receiver) and the fields of that
+//! kind. Integers are little endian; text and bytes are preceded by their length (u32).
 
 mod decode;
 mod encode;
@@ -21,29 +21,29 @@
 
 /// Length of a frame, in bytes.
 pub(crate) const FRAME_LEN: usize = 8;
-/// Maximum length of a payload, in bytes: a longer one is corrupt.
+/// Maximum length of a payload, in bytes: a frame with a greater length is corrupt.
 pub(crate) const MAX_PAYLOAD_LEN: usize = MAX_BODY + 4096;
 
-/// The kind of a record; the first byte of its payload.
+/// The kind of a record, stored as the first byte of the payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum RecordKind {
-    /// A message was accepted, or was moved together with its attempt history.
+    /// A message was accepted, or compaction moved it together with its attempt history.
     Accepted = 1,
-    /// An attempt will be sent.
+    /// An attempt is about to be sent.
     AttemptStarted = 2,
-    /// An attempt has an outcome.
+    /// The outcome of an attempt is known.
     AttemptFinished = 3,
     /// A message is complete, with or without a pending notification.
     Completed = 4,
-    /// A notification was acknowledged.
+    /// The platform acknowledged the notification of a message.
     Acknowledged = 5,
-    /// The outage state of an endpoint changed.
+    /// The outage state of a destination or receiver changed.
     Outage = 6,
 }
 
 impl RecordKind {
-    /// The kind with this first byte, if there is one.
+    /// The kind that is stored as `byte`; `None` if it is unknown.
     fn from_byte(byte: u8) -> Option<Self> {
         let kinds = [
             Self::Accepted,
--- a/crates/journal/src/record/decode.rs
+++ b/crates/journal/src/record/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of a record's payload.
+//! Decoding of a record from its payload.
 
 use std::rc::Rc;
 
@@ -10,25 +10,25 @@
 use crate::message::{Message, PossibleExecution, Status};
 use crate::outage_records::{EndpointKey, OutageState};
 
-/// A decoded record; [`RecordKind`] documents the kinds.
+/// A decoded record; the variants are documented at [`RecordKind`].
 #[derive(Debug)]
 pub(crate) enum Record {
     Accepted(Message),
     AttemptStarted {
         message_id: MessageId,
-        /// The attempt's number, counted from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
         execution: Option<PossibleExecution>,
     },
     AttemptFinished {
         message_id: MessageId,
-        /// The attempt's number; `None` in records of older versions, which did not store it.
+        /// Number of the attempt; `None` in records of older versions, which did not store it.
         attempt: Option<u32>,
         possibly_executed: bool,
     },
     Completed {
         message_id: MessageId,
-        /// The pending notification.
+        /// The status of the notification that is now pending; `None` if no notification is sent.
         notification: Option<Status>,
     },
     Acknowledged {
@@ -44,7 +44,8 @@
 }
 
 impl Record {
-    /// Decodes a payload; `None` if it is of an unknown kind or a field is invalid. Bytes after the last field are ignored.
+    /// Decodes a payload; `None` if the kind is unknown or a field is missing or invalid. Bytes after the last field are
+    /// ignored.
     pub fn decode(payload: &[u8]) -> Option<Self> {
         let mut fields = FieldReader::new(payload);
         let kind = RecordKind::from_byte(fields.u8()?)?;
@@ -110,7 +111,7 @@
     Some(Record::Completed { message_id, notification })
 }
 
-/// An impossible state, such as a negative delay or a share outside 0 to 1, is unreadable.
+/// `None` also if the state is impossible: an unknown code, a negative Retry-After or a ramp share outside 0 to 1.
 fn decode_outage(receiver: Rc<str>, fields: &mut FieldReader<'_>) -> Option<Record> {
     let destination = fields.u16()?;
     let recorded_at = fields.time()?;
--- a/crates/journal/src/record/encode.rs
+++ b/crates/journal/src/record/encode.rs
@@ -7,7 +7,7 @@
 use crate::message::{Message, PossibleExecution, Status};
 use crate::outage_records::{EndpointKey, OutageState};
 
-/// Appends a record whose fields `write_fields` writes.
+/// Appends a record of `kind`; `write_fields` appends the fields after the kind to the payload.
 pub(crate) fn append_record(batch: &mut Vec<u8>, kind: RecordKind, write_fields: impl FnOnce(&mut Vec<u8>)) {
     let start = batch.len();
     batch.extend([0; FRAME_LEN]);
@@ -18,7 +18,7 @@
     frame[4..].copy_from_slice(&crc32fast::hash(payload).to_le_bytes());
 }
 
-/// Appends a message with its attempt history.
+/// Appends the acceptance of a message, with its attempt history.
 pub(crate) fn append_accepted(batch: &mut Vec<u8>, message: &Message) {
     append_record(batch, RecordKind::Accepted, |payload| {
         write_text(payload, &message.message_id);
@@ -85,7 +85,7 @@
     append_record(batch, RecordKind::Acknowledged, |payload| write_text(payload, message_id));
 }
 
-/// Appends the outage state of an endpoint at a point in time; `None` is healthy.
+/// Appends the outage state of an endpoint at the time `recorded_at`; `None` is healthy.
 pub(crate) fn append_outage(
     batch: &mut Vec<u8>,
     endpoint: &EndpointKey,
@@ -111,7 +111,7 @@
     });
 }
 
-/// Writes text, preceded by its length.
+/// Appends text, preceded by its length in bytes.
 pub(crate) fn write_text(payload: &mut Vec<u8>, text: &str) {
     write_bytes(payload, text.as_bytes());
 }
@@ -125,7 +125,7 @@
     payload.extend(time.0.to_le_bytes());
 }
 
-/// Writes whether there is an execution, followed by its fields.
+/// Appends one byte, 1 if there is an execution and 0 otherwise, and the fields of the execution.
 fn write_execution(payload: &mut Vec<u8>, execution: Option<&PossibleExecution>) {
     payload.push(u8::from(execution.is_some()));
     if let Some(execution) = execution {
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -13,18 +13,19 @@
 use crate::segments::{Segment, segment_path};
 use crate::{JournalError, Message};
 
-/// The state that results from the replayed records.
+/// The state that the replayed records result in.
 #[derive(Debug, Default)]
 pub(crate) struct ReplayedState {
     /// Pending messages and notifications.
     pub entries: Entries,
-    /// The outage states of endpoints.
+    /// The outage states of destinations and receivers.
     pub outage_records: OutageRecords,
     /// When the latest recorded attempt was sent; [`UnixMillis::EPOCH`] if there is none.
     pub latest_attempt: UnixMillis,
 }
 
-/// Replays the segments of processes that have exited, in the order of their numbers, and truncates torn tails.
+/// Replays the segments of processes that have exited, in the order of `numbers`, and truncates each segment after its
+/// last complete record. Attempts without an outcome are marked as possibly executed.
 ///
 /// # Errors
 ///
@@ -38,12 +39,16 @@
     for &number in numbers {
         let path = segment_path(folder, number);
         let bytes = fs::read(&path).map_err(JournalError::at(&path))?;
-        let end = replay_segment(&bytes, number, state);
-        if end < bytes.len() {
-            tracing::warn!("journal: segment {number} ends in {} torn bytes: cut", bytes.len() - end);
-            truncate(&path, end as u64)?;
+        let complete_len = replay_segment(&bytes, number, state);
+        if complete_len < bytes.len() {
+            tracing::warn!(
+                segment = number,
+                truncated_bytes = bytes.len() - complete_len,
+                "journal segment truncated after its last complete record"
+            );
+            truncate(&path, complete_len as u64)?;
         }
-        segments.push_back(Segment { number, bytes: end as u64 });
+        segments.push_back(Segment { number, bytes: complete_len as u64 });
     }
     state.entries.interrupt_attempts();
     Ok(segments)
@@ -54,7 +59,9 @@
     file.set_len(length).map_err(JournalError::at(path))
 }
 
-/// Replays the records of one segment; returns the end of its last complete record. Corrupt records are skipped.
+/// Replays the records of one segment, and returns the offset after its last complete record in bytes. A record with a wrong
+/// checksum or undecodable content is skipped. The segment ends at a record whose length exceeds the maximum, because the
+/// start of the next record is then unknown.
 pub(crate) fn replay_segment(bytes: &[u8], segment: u64, state: &mut ReplayedState) -> usize {
     let mut offset = 0;
     while let Some((frame, rest)) = bytes[offset..].split_at_checked(FRAME_LEN) {
@@ -62,16 +69,24 @@
         let (Some(length), Some(checksum)) = (frame.u32(), frame.u32()) else { break };
         let length = length as usize;
         if length > MAX_PAYLOAD_LEN {
-            tracing::warn!("journal: segment {segment} is damaged at byte {offset}: the rest of it is lost");
+            tracing::warn!(
+                segment,
+                offset,
+                "journal record with an invalid length; rest of the segment lost"
+            );
             break;
         }
         let Some(payload) = rest.get(..length) else { break };
         if crc32fast::hash(payload) != checksum {
-            tracing::warn!("journal: segment {segment} has a damaged record at byte {offset}: skipped");
+            tracing::warn!(segment, offset, "journal record with a wrong checksum skipped");
         } else if let Some(record) = Record::decode(payload) {
             state.apply(record, segment);
         } else {
-            tracing::warn!("journal: segment {segment} has an unreadable record at byte {offset}: skipped");
+            tracing::warn!(
+                segment,
+                offset,
+                "journal record of an unknown kind or with an invalid field skipped"
+            );
         }
         offset += FRAME_LEN + length;
     }
@@ -79,11 +94,12 @@
 }
 
 impl ReplayedState {
+    /// Applies a record that was read from a segment.
     fn apply(&mut self, record: Record, segment: u64) {
         match record {
             Record::Accepted(message) => self.apply_accepted(message, segment),
             Record::AttemptStarted { message_id, attempt, execution } => {
-                self.record_attempt_time(execution.as_ref());
+                self.update_latest_attempt(execution.as_ref());
                 if let Some(message) = self.entries.pending_message_mut(&message_id) {
                     message.start_attempt(attempt, execution);
                 }
@@ -107,13 +123,13 @@
     }
 
     fn apply_accepted(&mut self, message: Message, segment: u64) {
-        self.record_attempt_time(message.possibly_executed.as_ref());
-        self.record_attempt_time(message.in_flight.as_ref());
+        self.update_latest_attempt(message.possibly_executed.as_ref());
+        self.update_latest_attempt(message.in_flight.as_ref());
         let message_id = message.message_id.clone();
         self.entries.insert(message_id, Entry { segment, state: EntryState::Message(message) });
     }
 
-    fn record_attempt_time(&mut self, execution: Option<&PossibleExecution>) {
+    fn update_latest_attempt(&mut self, execution: Option<&PossibleExecution>) {
         if let Some(execution) = execution {
             self.latest_attempt = self.latest_attempt.max(execution.at);
         }
--- a/crates/journal/src/segments.rs
+++ b/crates/journal/src/segments.rs
@@ -1,4 +1,4 @@
-//! The segment files that records are appended to, oldest first.
+//! The segment files of a journal: records are appended to the last one, and the oldest ones are deleted.
 
 use std::collections::VecDeque;
 use std::fmt::Debug;
@@ -8,15 +8,15 @@
 
 use crate::JournalError;
 
-/// Size at which the next segment is started, in bytes: longer than any record, and the maximum size of a batch's new
-/// messages. A segment is therefore shorter than twice this and some short records.
+/// Length at which the next segment is started, in bytes. It exceeds the length of any record, and is the maximum space that
+/// the new messages of one batch may reserve. A segment is therefore shorter than twice this length plus a few short records.
 pub(crate) const SEGMENT_SIZE: u64 = 128 * 1024;
 /// Block size in which the platform accounts for disk usage, in bytes.
 const BLOCK_SIZE: u64 = 512;
 /// Prefix of a segment's file name, followed by its number.
 const FILE_NAME_PREFIX: &str = "journal-";
 
-/// The file to which records are appended; tests inject failures.
+/// The file to which records are appended; a trait so that tests can inject failures.
 trait SegmentFile: Write + Debug {
     /// Truncates the file to a length in bytes.
     fn truncate(&self, length: u64) -> io::Result<()>;
@@ -28,12 +28,12 @@
     }
 }
 
-/// One segment on disk.
+/// A segment file.
 #[derive(Debug)]
 pub(crate) struct Segment {
-    /// Its number; segments are replayed in the order of their numbers.
+    /// The number in the file's name; segments are replayed in the order of their numbers.
     pub number: u64,
-    /// Its length, in bytes.
+    /// Length of the complete records in bytes, or of the whole file if a torn record could not be truncated.
     pub bytes: u64,
 }
 
@@ -43,16 +43,16 @@
     folder: PathBuf,
     all: VecDeque<Segment>,
     file: Box<dyn SegmentFile>,
-    /// Whether the last segment may end in a torn record: a write failed, and the segment could not be truncated.
+    /// Whether the last segment may end in a torn record, because a write failed and the segment could not be truncated.
     has_torn_tail: bool,
 }
 
 impl Segments {
-    /// Starts a new segment after older ones.
+    /// Starts segment `number` after the `older` segments.
     ///
     /// # Errors
     ///
-    /// [`JournalError::Io`] if its file cannot be created.
+    /// [`JournalError::Io`] if the segment's file cannot be created.
     pub fn start(folder: &Path, mut older: VecDeque<Segment>, number: u64) -> Result<Self, JournalError> {
         let file = create(folder, number)?;
         older.push_back(Segment { number, bytes: 0 });
@@ -65,7 +65,6 @@
         self.all = older;
     }
 
-    /// Number of segments.
     pub fn len(&self) -> usize {
         self.all.len()
     }
@@ -80,12 +79,12 @@
         self.all.back().map_or(0, |segment| segment.number)
     }
 
-    /// Disk usage of all segments, in bytes.
+    /// Disk usage of all segments in bytes: each length rounded up to whole blocks.
     pub fn disk_usage(&self) -> u64 {
         self.all.iter().map(|segment| segment.bytes.next_multiple_of(BLOCK_SIZE)).sum()
     }
 
-    /// Appends records, if the disk usage stays within the budget. After an error nothing is appended.
+    /// Appends records, if the disk usage stays within `budget` bytes. After an error nothing is appended.
     ///
     /// # Errors
     ///
@@ -105,7 +104,7 @@
     fn write(&mut self, records: &[u8]) -> Result<(), JournalError> {
         let Some(segment) = self.all.back_mut() else { return Ok(()) };
         if let Err(error) = self.file.write_all(records) {
-            // A torn record would hide the records after it.
+            // Replay would read the bytes of later records as the rest of a torn record.
             self.has_torn_tail = self.file.truncate(segment.bytes).is_err();
             return Err(JournalError::at(&segment_path(&self.folder, segment.number))(error));
         }
@@ -113,7 +112,8 @@
         Ok(())
     }
 
-    /// Truncates a torn record, or starts a new segment so that replay can truncate it.
+    /// Truncates a torn record. If that fails, starts a new segment, so that no record follows the torn record and replay can
+    /// truncate it.
     fn recover_torn_tail(&mut self) -> Result<(), JournalError> {
         let Some(torn) = self.all.back() else { return Ok(()) };
         let number = torn.number;
@@ -132,7 +132,7 @@
     fn start_next_if_full(&mut self) {
         let is_full = self.all.back().is_some_and(|segment| segment.bytes >= SEGMENT_SIZE);
         if is_full && let Err(error) = self.start_next() {
-            tracing::warn!(%error, "journal: no new segment could be started, the present one keeps growing");
+            tracing::warn!(%error, "next journal segment not started; current segment exceeds its size limit");
         }
     }
 
@@ -143,11 +143,11 @@
         Ok(())
     }
 
-    /// Deletes the oldest segment.
+    /// Deletes the oldest segment, which must not be the only one.
     ///
     /// # Errors
     ///
-    /// [`JournalError::Io`] if its file cannot be deleted.
+    /// [`JournalError::Io`] if the segment's file cannot be deleted.
     pub fn remove_oldest(&mut self) -> Result<(), JournalError> {
         let path = segment_path(&self.folder, self.oldest());
         fs::remove_file(&path).map_err(JournalError::at(&path))?;
@@ -156,12 +156,12 @@
     }
 }
 
-/// The file of a segment.
+/// The path of a segment's file.
 pub(crate) fn segment_path(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("{FILE_NAME_PREFIX}{number:08}"))
 }
 
-/// The numbers of the segments in a folder, ascending.
+/// The numbers of the segments in a folder, in ascending order; other files are ignored.
 ///
 /// # Errors
 ///
--- a/crates/journal/src/segments/tests.rs
+++ b/crates/journal/src/segments/tests.rs
@@ -1,4 +1,4 @@
-//! Writes that fail part-way.
+//! Writes that fail before all bytes are written.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -16,13 +16,13 @@
 use crate::record::append_accepted;
 use crate::replay::{ReplayedState, replay_segments};
 
-/// A file with one write that stops part-way, as on a full disk, and whose first truncations fail.
+/// A file in which one write fails after some bytes, as on a full disk, and in which the first truncations fail.
 #[derive(Debug)]
 struct FailingFile {
     file: File,
-    /// Bytes that are written before one write fails; `None` if none fails.
+    /// Number of bytes that are written before the next failure; `None` if no write fails.
     bytes_until_failure: Rc<Cell<Option<usize>>>,
-    /// How many truncations fail.
+    /// Number of truncations that still fail.
     failing_truncations: Cell<usize>,
 }
 
@@ -33,9 +33,9 @@
                 self.bytes_until_failure.set(None);
                 Err(io::ErrorKind::StorageFull.into())
             }
-            Some(left) => {
+            Some(accepted_len) => {
                 self.bytes_until_failure.set(Some(0));
-                self.file.write(&bytes[..left])
+                self.file.write(&bytes[..accepted_len])
             }
             None => self.file.write(bytes),
         }
@@ -52,7 +52,7 @@
             return self.file.set_len(length);
         }
         self.failing_truncations.set(self.failing_truncations.get() - 1);
-        Err(io::Error::other("it cannot be truncated"))
+        Err(io::Error::other("truncation rejected by the test"))
     }
 }
 
@@ -74,9 +74,10 @@
     record
 }
 
-/// The truncation may succeed at once, before the next batch, or never.
+/// Replay reads every record that is written after a failed write. The torn record is truncated at once, before the next batch,
+/// or never.
 #[test]
-fn a_torn_record_of_a_failed_write_hides_no_record_that_is_written_later() {
+fn a_failed_write_hides_no_later_record() {
     for failing_truncations in 0..=2 {
         let folder = tempfile::tempdir().expect("a folder");
         let mut segments = Segments::start(folder.path(), VecDeque::new(), 0).expect("a segment");
@@ -96,18 +97,18 @@
         for message_id in ["after", "and after"] {
             segments.append(&record(message_id), u64::MAX).expect("written");
         }
-        // Before the replay, which truncates.
+        // The lengths on disk are read before the replay, which truncates torn records.
         let numbers = segment_numbers(folder.path()).expect("readable");
         let files = numbers.iter().map(|&number| segment_path(folder.path(), number));
-        let on_disk: u64 = files.map(|file| file.metadata().expect("a file").len()).sum();
-        let counted: u64 = segments.all.iter().map(|segment| segment.bytes).sum();
+        let bytes_on_disk: u64 = files.map(|file| file.metadata().expect("a segment").len()).sum();
+        let counted_bytes: u64 = segments.all.iter().map(|segment| segment.bytes).sum();
         let mut state = ReplayedState::default();
         replay_segments(folder.path(), &numbers, &mut state).expect("readable");
-        let mut known: Vec<&str> =
+        let mut replayed_ids: Vec<&str> =
             state.entries.pending_messages().map(|message| &*message.message_id).collect();
-        known.sort_unstable();
-        assert_eq!(known, ["after", "and after", "before"], "{failing_truncations} truncations fail");
+        replayed_ids.sort_unstable();
+        assert_eq!(replayed_ids, ["after", "and after", "before"], "{failing_truncations} truncations fail");
         assert_eq!(state.entries.pending_notifications().count(), 0);
-        assert_eq!(counted, on_disk, "{failing_truncations} truncations fail");
+        assert_eq!(counted_bytes, bytes_on_disk, "{failing_truncations} truncations fail");
     }
 }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -1,4 +1,5 @@
-//! The journal of a process: its recorded state, and the batch of records to be written next.
+//! The journal of one process: the pending messages, notifications and outage states, and the batch of records that the next
+//! commit writes.
 
 mod compaction;
 mod takeover;
@@ -20,46 +21,50 @@
 use crate::segments::{SEGMENT_SIZE, Segments, segment_numbers};
 use crate::{JournalError, MessageId};
 
-/// Space kept free between batches, in bytes: for one batch, and for one segment that is compacted.
-const RESERVE: u64 = 5 * SEGMENT_SIZE;
-/// Part of the budget that is not available for pending entries, in bytes, so that compaction can always free space.
-const HEADROOM: u64 = 8 * SEGMENT_SIZE;
-/// Lead of a successor's segment numbers over those of the owner, which may still write segments.
+/// Part of the disk budget that compaction keeps free, in bytes: space for one batch, and for the entries of one segment that
+/// is compacted.
+const COMPACTION_FREE_SPACE: u64 = 5 * SEGMENT_SIZE;
+/// Part of the disk budget that pending entries cannot reserve, in bytes, so that compaction can always free space.
+const UNRESERVABLE_SPACE: u64 = 8 * SEGMENT_SIZE;
+/// Difference between a successor's first segment number and the owner's latest one, because the owner may still start
+/// segments.
 const SUCCESSOR_NUMBER_OFFSET: u64 = 1_000_000;
 
 /// A journal in a folder, opened by one process.
 ///
-/// Changes are visible at once and durable after the next [`Store::commit`].
+/// A change is visible to the methods of this type immediately, and written to disk by the next [`Store::commit`].
 #[derive(Debug)]
 pub struct Store {
     folder: PathBuf,
     lock: FolderLock,
-    /// Maximum disk usage of all processes' segments, in bytes.
+    /// Maximum disk usage of the segments of owner and successor together, in bytes.
     disk_budget: u64,
     /// Maximum disk usage of this process's segments, in bytes: half of `disk_budget` while two processes write.
     budget: u64,
     segments: Segments,
-    /// The batch's records of past events; kept for the next batch if they cannot be written.
+    /// Records of events that have happened (outcomes, completions, acknowledgements, outages): kept for the next batch if
+    /// this batch cannot be written.
     retained_records: Vec<u8>,
-    /// The batch's records of events that require a written record; dropped if they cannot be written.
+    /// Records of events that may happen only once they are written (acceptances, starts of attempts): dropped if this batch
+    /// cannot be written.
     provisional_records: Vec<u8>,
     entries: Entries,
     outage_records: OutageRecords,
-    /// When the latest attempt of an earlier process was sent; [`UnixMillis::EPOCH`] if none is on record.
+    /// When the latest attempt of an earlier process was sent; [`UnixMillis::EPOCH`] if none is recorded.
     latest_attempt: UnixMillis,
 }
 
 impl Store {
-    /// Opens the journal in `folder`: replays it, truncates a torn tail and starts a new segment. `disk_budget` is the
-    /// maximum disk usage of all segments together, in bytes.
+    /// Opens the journal in `folder`: replays its segments, truncates torn records at their ends and starts a new segment.
+    /// `disk_budget` is the maximum disk usage of all segments together, in bytes.
     ///
-    /// If another process owns the folder, nothing is replayed, and this process uses half of the budget until
-    /// [`Store::take_over`].
+    /// If another process owns the folder, this process becomes its successor: it replays no segment, and uses half of the
+    /// budget until [`Store::take_over`] makes it the owner.
     ///
     /// # Errors
     ///
-    /// [`JournalError::FolderInUse`] if two processes use the folder already; [`JournalError::Io`] if it cannot be
-    /// read or written.
+    /// [`JournalError::FolderInUse`] if the folder already has an owner and a successor; [`JournalError::Io`] if the folder
+    /// cannot be read or written.
     pub fn open(folder: &Path, disk_budget: u64) -> Result<Self, JournalError> {
         let lock = FolderLock::acquire(folder)?;
         let numbers = segment_numbers(folder)?;
@@ -104,46 +109,46 @@
         self.entries.pending_messages()
     }
 
-    /// A message, if it is not complete.
+    /// The message with this id, or `None` if it is complete or unknown.
     pub fn pending_message(&self, message_id: &MessageId) -> Option<&Message> {
         self.entries.pending_message(message_id)
     }
 
-    /// The notifications that are not acknowledged, in no particular order.
+    /// The notifications that the platform has not acknowledged, in no particular order.
     pub fn pending_notifications(&self) -> impl Iterator<Item = PendingNotification> + '_ {
         self.entries.pending_notifications()
     }
 
-    /// When the latest attempt of an earlier process was sent; [`UnixMillis::EPOCH`] if none is on record.
+    /// When the latest attempt of an earlier process was sent; [`UnixMillis::EPOCH`] if none is recorded.
     ///
-    /// If it is in the future, the clock was set back, and recorded times do not show how long ago an attempt was.
+    /// If this time is in the future, the clock was set back, so the age of a recorded attempt cannot be calculated.
     pub fn latest_attempt(&self) -> UnixMillis {
         self.latest_attempt
     }
 
-    /// Whether a message is not complete, or its notification is not acknowledged.
+    /// Whether a message, or its notification, is pending.
     pub fn contains(&self, message_id: &MessageId) -> bool {
         self.entries.contains(message_id)
     }
 
-    /// Whether `bytes` more can be reserved for messages, see [`Message::reserved_bytes`].
+    /// Whether `bytes` can be reserved in addition to the space of all pending entries, see [`Message::reserved_bytes`].
     pub fn has_space_for(&self, bytes: u64) -> bool {
-        self.entries.reserved_bytes() + bytes <= self.budget.saturating_sub(HEADROOM)
+        self.entries.reserved_bytes() + bytes <= self.budget.saturating_sub(UNRESERVABLE_SPACE)
     }
 
-    /// Whether the new messages of a batch can reserve `bytes` in total.
+    /// Whether one batch may accept messages that reserve `bytes` in total.
     pub fn fits_batch(bytes: u64) -> bool {
         bytes <= SEGMENT_SIZE
     }
 
-    /// Accepts a message. Its client may be answered only after the commit.
+    /// Accepts a message. The response to its client may be sent only after the commit.
     pub fn accept(&mut self, message: Message) {
         append_accepted(&mut self.provisional_records, &message);
         let message_id = message.message_id.clone();
         self.insert(message_id, EntryState::Message(message));
     }
 
-    /// Records the next attempt of a message. Its first byte may be sent only after the commit.
+    /// Records the start of a message's next attempt. The first byte of the attempt may be sent only after the commit.
     pub fn start_attempt(&mut self, message_id: &MessageId, execution: PossibleExecution) {
         let Some(message) = self.entries.pending_message_mut(message_id) else { return };
         let attempt = message.attempts;
@@ -158,7 +163,7 @@
         message.finish_attempt(Some(attempt), possibly_executed);
     }
 
-    /// Completes a message. A `notification` is pending until it is acknowledged.
+    /// Completes a message. A `notification` stays pending until it is acknowledged.
     pub fn complete(&mut self, message_id: &MessageId, notification: Option<Status>) {
         if !self.entries.remove(message_id) {
             return;
@@ -169,14 +174,14 @@
         }
     }
 
-    /// Records that a notification was acknowledged.
+    /// Records that the platform acknowledged the notification of a message.
     pub fn acknowledge(&mut self, message_id: &MessageId) {
         if self.entries.remove(message_id) {
             append_acknowledged(&mut self.retained_records, message_id);
         }
     }
 
-    /// Records the outage state of an endpoint, which replaces the earlier one; `None` is healthy.
+    /// Records the outage state of an endpoint in place of the earlier state; `None` is healthy.
     pub fn record_outage(&mut self, endpoint: EndpointKey, outage: Option<OutageState>) {
         let segment = self.segments.current();
         let recorded_at = UnixMillis::now();
@@ -185,18 +190,18 @@
         self.outage_records.set(endpoint, record);
     }
 
-    /// The current outage states, in the order of their endpoints.
+    /// The outage states that have not expired, aged to the current time, in the order of their endpoints.
     pub fn outage_records(&self) -> impl Iterator<Item = (&EndpointKey, OutageState)> {
         self.outage_records.states_at(UnixMillis::now())
     }
 
-    /// Writes the batch.
+    /// Writes the batch: all changes since the last commit.
     ///
     /// # Errors
     ///
-    /// [`JournalError::Full`] or [`JournalError::Io`] if it cannot be written. In this case no message of the batch is
-    /// accepted and no attempt started: the caller must [`discard`](Store::discard) these messages. Outcomes, completions,
-    /// acknowledgements and outage states are kept for the next batch.
+    /// [`JournalError::Full`] or [`JournalError::Io`] if the batch cannot be written. In this case the messages of the batch
+    /// are not accepted, and the caller must [`discard`](Store::discard) them; its attempts must not be sent. Outcomes,
+    /// completions, acknowledgements and outage states are kept for the next batch.
     pub fn commit(&mut self) -> Result<(), JournalError> {
         if self.retained_records.is_empty() && self.provisional_records.is_empty() {
             return Ok(());
@@ -213,7 +218,7 @@
         Ok(())
     }
 
-    /// Removes a message whose batch could not be written.
+    /// Removes a message whose acceptance could not be written; nothing is recorded.
     pub fn discard(&mut self, message_id: &MessageId) {
         self.entries.remove(message_id);
     }
--- a/crates/journal/src/store/compaction.rs
+++ b/crates/journal/src/store/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction: frees the oldest segments by writing their pending entries again at the end.
+//! Compaction: appends the pending entries of the oldest segments to the current segment, and deletes the oldest segments.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -6,11 +6,11 @@
 use crate::entries::EntryState;
 use crate::record::{append_accepted, append_completed, append_outage};
 
-use super::{RESERVE, Store};
+use super::{COMPACTION_FREE_SPACE, Store};
 
 impl Store {
-    /// Compacts so that a batch can be written. If the latest recorded attempt is in the future, the clock was set back, and
-    /// all older segments are removed so that later starts do not detect it again.
+    /// Compacts so that a batch can be written. If the latest recorded attempt is in the future, the clock was set back. All
+    /// older segments are then deleted, so that later starts do not report the same clock change again.
     pub(super) fn compact_at_start(&mut self) -> Result<(), JournalError> {
         if self.latest_attempt > UnixMillis::now() {
             return self.compact_to(0);
@@ -18,19 +18,20 @@
         self.compact()
     }
 
-    /// Compacts so that a batch can be written; a failure leaves less free space and is only logged.
+    /// Compacts so that a batch can be written. A failure is only logged, because it does not affect the records on disk: it
+    /// leaves less free space for the next batch.
     pub(super) fn compact_or_warn(&mut self) {
         if let Err(error) = self.compact() {
-            tracing::warn!(%error, "journal: compaction failed");
+            tracing::warn!(%error, "journal compaction failed");
         }
     }
 
     fn compact(&mut self) -> Result<(), JournalError> {
-        self.compact_to(self.budget.saturating_sub(RESERVE))
+        self.compact_to(self.budget.saturating_sub(COMPACTION_FREE_SPACE))
     }
 
-    /// Removes the oldest segments until the disk usage is at most `max_usage` bytes or one segment is left. The number of
-    /// removed segments is bounded in advance, as moving records may start new ones.
+    /// Compacts the oldest segments until the disk usage is at most `max_usage` bytes or only one segment remains. The number
+    /// of compacted segments is bounded in advance, because the moved records may start new segments.
     pub(super) fn compact_to(&mut self, max_usage: u64) -> Result<(), JournalError> {
         for _ in 1..self.segments.len() {
             if self.segments.disk_usage() <= max_usage {
@@ -41,8 +42,8 @@
         Ok(())
     }
 
-    /// Moves the pending entries of the oldest segment to the current one, then deletes the oldest. A crash between the two
-    /// leaves duplicate records, which replay merges.
+    /// Appends the pending entries of the oldest segment to the current segment, then deletes the oldest segment. A crash
+    /// between the two steps leaves duplicate records, which replay merges.
     fn compact_oldest(&mut self) -> Result<(), JournalError> {
         let oldest = self.segments.oldest();
         let current = self.segments.current();
@@ -54,7 +55,7 @@
         self.segments.remove_oldest()
     }
 
-    /// New records of all pending entries of a segment.
+    /// Encodes new records of all pending entries of a segment.
     fn pending_records(&self, segment: u64) -> Vec<u8> {
         let mut records = Vec::new();
         for (message_id, entry) in self.entries.in_segment(segment) {
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -1,4 +1,4 @@
-//! Restarts, compaction and failed commits.
+//! Restarts, compaction and failed commits of a journal that one process uses.
 
 mod model;
 mod outage_records;
@@ -46,8 +46,10 @@
     (messages, notifications)
 }
 
+/// A kill before the oldest segment is deleted leaves some records twice. No pending message is lost, and no complete message
+/// is restored.
 #[test]
-fn a_kill_during_compaction_loses_no_pending_message_and_revives_no_completed_one() {
+fn a_kill_during_compaction_changes_no_entry() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
     store.accept(message("pending", 1_000));
@@ -60,9 +62,9 @@
     store.complete(&"notified".into(), Some(Status::Deferred(Some(70))));
     store.complete(&"completed".into(), None);
     store.commit().expect("written");
-    let mut removed = Vec::new();
+    let mut removed_segments = Vec::new();
     for n in 0..100 {
-        // The segments that a kill before the deletion of the oldest ones would have left.
+        // The segments that a kill just before the deletion of the oldest ones leaves.
         let before: Vec<(PathBuf, Vec<u8>)> = (segment_numbers(folder.path()).expect("readable").into_iter())
             .map(|number| segment_path(folder.path(), number))
             .map(|path| (path.clone(), fs::read(path).expect("readable")))
@@ -73,26 +75,26 @@
         store.complete(&message_id, None);
         store.commit().expect("written");
         assert!(store.segments.disk_usage() <= BUDGET);
-        removed.extend(before.into_iter().filter(|(path, _)| !path.exists()));
+        removed_segments.extend(before.into_iter().filter(|(path, _)| !path.exists()));
     }
-    assert!(!removed.is_empty(), "nothing was ever removed");
+    assert!(!removed_segments.is_empty(), "no segment was removed");
     let expected = state(&store);
     assert_eq!(expected.0[0].attempts, 2);
     assert_eq!(expected.0[0].possibly_executed, Some(execution(1)));
     assert_eq!(expected.0[0].in_flight, Some(execution(2)));
     assert_eq!(expected.1, ["notified".into()] as [MessageId; 1]);
     drop(store);
-    // The second attempt has no outcome, but an earlier possible execution is recorded.
+    // The second attempt has no outcome, but the earlier possible execution is kept.
     let mut expected = expected;
     expected.0[0].in_flight = None;
-    let again = Store::open(folder.path(), BUDGET).expect("a journal");
-    assert_eq!(state(&again), expected);
-    drop(again);
-    for (path, bytes) in &removed[removed.len() - 1..] {
+    let reopened = Store::open(folder.path(), BUDGET).expect("a journal");
+    assert_eq!(state(&reopened), expected);
+    drop(reopened);
+    for (path, bytes) in &removed_segments[removed_segments.len() - 1..] {
         fs::write(path, bytes).expect("writable");
     }
-    let again = Store::open(folder.path(), BUDGET).expect("a journal");
-    assert_eq!(state(&again), expected);
+    let reopened = Store::open(folder.path(), BUDGET).expect("a journal");
+    assert_eq!(state(&reopened), expected);
 }
 
 #[test]
@@ -109,20 +111,20 @@
     store.budget = BUDGET;
     store.commit().expect("written");
     drop(store);
-    let again = Store::open(folder.path(), BUDGET).expect("a journal");
-    assert_eq!(state(&again), (vec![], vec!["m1".into()]));
+    let reopened = Store::open(folder.path(), BUDGET).expect("a journal");
+    assert_eq!(state(&reopened), (vec![], vec!["m1".into()]));
 }
 
-/// When the earliest possible execution of a pending message was sent.
+/// When the earliest attempt of a pending message that may have been executed was started.
 fn first_execution(store: &Store, message_id: &str) -> Option<u64> {
     let message = store.pending_message(&message_id.into()).expect("a pending message");
     let execution = message.possibly_executed.as_ref().or(message.in_flight.as_ref());
     execution.map(|execution| execution.at.0)
 }
 
-/// An attempt interrupted by a kill, then one that was not executed, then another kill.
+/// A kill interrupts the first attempt. A second attempt is not executed, and another kill follows.
 #[test]
-fn an_attempt_interrupted_by_a_kill_stays_possibly_executed_whatever_the_later_outcomes() {
+fn an_attempt_interrupted_by_a_kill_stays_possibly_executed() {
     for written in [true, false] {
         let folder = tempfile::tempdir().expect("a folder");
         let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
@@ -134,7 +136,7 @@
         assert_eq!(first_execution(&store, "m1"), Some(1));
         store.start_attempt(&"m1".into(), execution(2));
         if !written {
-            // The second attempt is not recorded and so was not sent; its outcome is recorded nevertheless.
+            // The start of the second attempt is not recorded, so the attempt is not sent. Its outcome is recorded.
             store.budget = 0;
             store.commit().expect_err("no space");
             store.budget = BUDGET;
@@ -148,9 +150,9 @@
     }
 }
 
-/// Older versions did not store which attempt an outcome is of.
+/// Older versions did not store the attempt number of an outcome.
 #[test]
-fn an_outcome_without_an_attempt_number_is_that_of_the_attempt_in_flight() {
+fn an_outcome_without_number_finishes_the_attempt_in_flight() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
     store.accept(message("m1", 10));
@@ -166,9 +168,10 @@
     assert_eq!(first_execution(&store, "m1"), None);
 }
 
-/// The clock was ahead temporarily, or has been set back since.
+/// A recorded attempt is in the future if the clock was ahead or has been set back. The next start reports it; later starts
+/// report it only while its message is pending.
 #[test]
-fn an_attempt_in_the_future_is_reported_to_one_start_unless_a_pending_message_still_has_it() {
+fn an_attempt_in_the_future_is_reported_once_unless_pending() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
     assert_eq!(store.latest_attempt(), UnixMillis::EPOCH);
@@ -189,7 +192,7 @@
     store.complete(&"pending".into(), None);
     store.commit().expect("written");
     drop(store);
-    // The start before this one removed the segments with that time.
+    // This start removes the segments that hold the future time, so the next one does not report it.
     drop(Store::open(folder.path(), BUDGET).expect("a journal"));
     assert_eq!(Store::open(folder.path(), BUDGET).expect("a journal").latest_attempt(), UnixMillis::EPOCH);
 }
--- a/crates/journal/src/store/tests/model.rs
+++ b/crates/journal/src/store/tests/model.rs
@@ -1,4 +1,4 @@
-//! Random histories compared with a simple model.
+//! Random sequences of journal operations, compared with a simple model.
 
 mod run;
 
@@ -13,14 +13,14 @@
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     sent_at: u64,
-    /// `None` until its outcome is known.
+    /// `None` until the outcome of the attempt is known.
     possibly_executed: Option<bool>,
 }
 
 /// The attempts of each pending message, by the message's number.
 type Model = BTreeMap<usize, Vec<Attempt>>;
 
-/// A step of a history; messages are given by their numbers.
+/// A step of a history. `message` is the number of a message.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Accept {
@@ -37,10 +37,11 @@
     Complete {
         message: usize,
     },
-    /// The batch is written.
+    /// A commit that succeeds.
     Commit,
-    /// The batch cannot be written.
+    /// A commit that fails because the disk budget is exhausted.
     FailedCommit,
+    /// The process is killed, and another process opens the journal.
     Kill,
 }
 
@@ -58,7 +59,7 @@
     ]
 }
 
-/// Applies a step taken at `now` to the model; false if it is not applicable.
+/// Applies a step at the time `now` to the model; returns false if the step is not possible in this state.
 fn apply_to(model: &mut Model, step: Step, now: u64) -> bool {
     match step {
         Step::Accept { message, .. } => {
@@ -96,10 +97,10 @@
     format!("m{message}").into()
 }
 
-/// With attempts, outcomes, completions, failed commits, kills and continuous compaction, the earliest possible execution is
-/// never lost, and an attempt that was not executed never counts as one.
+/// Compares the pending messages and their possible executions. Through failed commits, kills and continuous compaction, the
+/// earliest possible execution is never lost, and an attempt that was not executed never counts as one.
 #[test]
-fn pending_messages_and_possible_executions_are_those_of_a_simple_model() {
+fn the_journal_agrees_with_a_simple_model_in_random_histories() {
     let config = ProptestConfig {
         cases: 96,
         rng_seed: proptest::test_runner::RngSeed::Fixed(7),
@@ -113,7 +114,7 @@
         Ok(())
     });
     played.expect("the journal agrees with the model");
-    assert!(removed.get() > 100, "{} segments removed", removed.get());
+    assert!(removed.get() > 100, "only {} segments removed, more than 100 expected", removed.get());
 }
 
 /// Runs a history; returns the number of removed segments.
--- a/crates/journal/src/store/tests/model/run.rs
+++ b/crates/journal/src/store/tests/model/run.rs
@@ -1,4 +1,4 @@
-//! A process that applies the steps of a history to its journal.
+//! A process that applies the steps of a history to its journal and to the model.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,22 +9,22 @@
 use crate::store::Store;
 use crate::store::tests::{execution, first_execution};
 
-/// A step whose records are not written yet.
+/// A step whose record is not written yet.
 #[derive(Clone, Copy, Debug)]
 struct UnwrittenStep {
     step: Step,
-    /// When it was taken.
+    /// When the step was taken.
     taken_at: u64,
 }
 
-/// A process with its journal, and the models of both.
+/// A process with its journal, and models of the expected state in memory and on disk.
 pub(super) struct Run {
     folder: tempfile::TempDir,
     pub store: Store,
-    /// The state of the process.
-    live: Model,
-    /// The state on disk.
-    written: Model,
+    /// The expected state in memory.
+    in_memory: Model,
+    /// The expected state on disk, after the last successful commit.
+    on_disk: Model,
     /// Steps that are kept for the next batch if this one cannot be written.
     retained: Vec<UnwrittenStep>,
     /// Steps that are undone if the batch cannot be written.
@@ -34,7 +34,8 @@
 }
 
 impl Run {
-    /// Slightly more than the reserve, so that old segments are compacted continuously.
+    /// Slightly more than the part of the budget that pending entries cannot reserve, so that old segments are compacted
+    /// continuously.
     const BUDGET: u64 = 10 * SEGMENT_SIZE;
 
     pub fn new() -> Self {
@@ -43,17 +44,17 @@
         Self {
             folder,
             store,
-            live: Model::new(),
-            written: Model::new(),
+            in_memory: Model::new(),
+            on_disk: Model::new(),
             retained: Vec::new(),
             provisional: Vec::new(),
             completed: BTreeSet::new(),
         }
     }
 
-    /// Takes a step, if the engine could take it in this state.
+    /// Takes a step, if the sender's engine could take it in this state.
     pub fn play(mut self, step: Step, now: u64) -> Result<Self, TestCaseError> {
-        if !self.is_possible(step) || !apply_to(&mut self.live, step, now) {
+        if !self.is_possible(step) || !apply_to(&mut self.in_memory, step, now) {
             return Ok(self);
         }
         match step {
@@ -63,7 +64,7 @@
                 self.provisional.push(UnwrittenStep { step, taken_at: now });
             }
             Step::FinishAttempt { message, possibly_executed } => {
-                let attempt = self.live[&message].len() as u32 - 1;
+                let attempt = self.in_memory[&message].len() as u32 - 1;
                 self.store.finish_attempt(&message_id(message), attempt, possibly_executed);
                 self.retained.push(UnwrittenStep { step, taken_at: now });
             }
@@ -84,7 +85,7 @@
             // An id is not reused before its completion is written.
             Step::Accept { message, .. } => !self.completed.contains(&message),
             // Only a recorded message is attempted, and only a sent attempt has an outcome.
-            Step::StartAttempt { message } => self.written.contains_key(&message),
+            Step::StartAttempt { message } => self.on_disk.contains_key(&message),
             Step::FinishAttempt { message, .. } | Step::Complete { message } => {
                 !self.provisional.iter().any(|unwritten| match unwritten.step {
                     Step::Accept { message: other, .. } | Step::StartAttempt { message: other } => {
@@ -100,7 +101,7 @@
     fn accept(&mut self, message: usize, size: usize, now: u64) {
         let record = crate::store::tests::message(&message_id(message), size);
         if !self.store.has_space_for(record.reserved_bytes()) {
-            self.live.remove(&message);
+            self.in_memory.remove(&message);
             return;
         }
         self.store.accept(record);
@@ -110,10 +111,10 @@
     fn commit(&mut self) -> Result<(), TestCaseError> {
         self.store.commit().expect("written");
         for UnwrittenStep { step, taken_at } in self.retained.drain(..).chain(self.provisional.drain(..)) {
-            apply_to(&mut self.written, step, taken_at);
+            apply_to(&mut self.on_disk, step, taken_at);
         }
         self.completed.clear();
-        compare(&self.store, &self.live)
+        compare(&self.store, &self.in_memory)
     }
 
     fn failed_commit(&mut self) -> Result<(), TestCaseError> {
@@ -126,13 +127,13 @@
         for UnwrittenStep { step, .. } in self.provisional.drain(..) {
             match step {
                 Step::Accept { message, .. } => {
-                    self.live.remove(&message);
+                    self.in_memory.remove(&message);
                     self.store.discard(&message_id(message));
                 }
                 Step::StartAttempt { message } => {
-                    let attempts = self.live.get_mut(&message).expect("a message");
+                    let attempts = self.in_memory.get_mut(&message).expect("a message");
                     let attempt = attempts.len() as u32 - 1;
-                    // It keeps its number, as in the engine, and was not executed.
+                    // As in the sender's engine, the attempt keeps its number and was not executed.
                     let last = attempts.last_mut().expect("an attempt");
                     last.possibly_executed = Some(false);
                     self.store.finish_attempt(&message_id(message), attempt, false);
@@ -140,30 +141,30 @@
                 _ => {}
             }
         }
-        compare(&self.store, &self.live)
+        compare(&self.store, &self.in_memory)
     }
 
     /// The process is killed, and another one opens the journal.
     fn kill(mut self) -> Result<Self, TestCaseError> {
         drop(self.store);
-        for attempt in self.written.values_mut().flatten() {
+        for attempt in self.on_disk.values_mut().flatten() {
             attempt.possibly_executed = attempt.possibly_executed.or(Some(true));
         }
         let store = Store::open(self.folder.path(), Self::BUDGET).expect("a journal");
-        compare(&store, &self.written)?;
+        compare(&store, &self.on_disk)?;
         // Attempt numbers continue from the recorded ones.
-        for (message, attempts) in &mut self.written {
-            let known = store.pending_message(&message_id(*message)).expect("a message");
-            let known_attempts = known.attempts as usize;
-            prop_assert!(known_attempts >= attempts.len());
+        for (message, attempts) in &mut self.on_disk {
+            let pending_message = store.pending_message(&message_id(*message)).expect("a message");
+            let recorded_attempts = pending_message.attempts as usize;
+            prop_assert!(recorded_attempts >= attempts.len());
             let not_executed = Attempt { sent_at: u64::MAX, possibly_executed: Some(false) };
-            attempts.resize(known_attempts, not_executed);
+            attempts.resize(recorded_attempts, not_executed);
         }
         Ok(Self {
             folder: self.folder,
             store,
-            live: self.written.clone(),
-            written: self.written,
+            in_memory: self.on_disk.clone(),
+            on_disk: self.on_disk,
             retained: Vec::new(),
             provisional: Vec::new(),
             completed: BTreeSet::new(),
--- a/crates/journal/src/store/tests/outage_records.rs
+++ b/crates/journal/src/store/tests/outage_records.rs
@@ -1,4 +1,4 @@
-//! Outage records over restarts and compaction, and impossible ones.
+//! Outage records after restarts and compaction, and records with invalid fields.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -11,7 +11,7 @@
 use crate::store::Store;
 
 #[test]
-fn outage_records_outlast_their_process_and_the_compaction_of_their_segment() {
+fn outage_records_survive_a_restart_and_compaction() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), BUDGET).expect("a journal");
     let destination = EndpointKey::new(7, "");
@@ -24,7 +24,7 @@
     store.record_outage(EndpointKey::new(9, ""), Some(OutageState::Down { retry_after_remaining: 0 }));
     store.record_outage(EndpointKey::new(9, ""), None);
     store.commit().expect("written");
-    // Until the first segment has been compacted.
+    // Fills segments until the first one, which holds the outage records, is compacted.
     for n in 0..100 {
         let message_id: MessageId = format!("m{n}").into();
         store.accept(message(&message_id, 60_000));
@@ -32,25 +32,25 @@
         store.complete(&message_id, None);
         store.commit().expect("written");
     }
-    assert!(!segment_path(folder.path(), 0).exists(), "the segment that held them is still there");
+    assert!(!segment_path(folder.path(), 0).exists(), "the segment with the outage records was not removed");
     drop(store);
     let store = Store::open(folder.path(), BUDGET).expect("a journal");
-    let known: Vec<(EndpointKey, OutageState)> =
+    let restored: Vec<(EndpointKey, OutageState)> =
         store.outage_records().map(|(endpoint, outage)| (endpoint.clone(), outage)).collect();
     let [
         (first, OutageState::Down { retry_after_remaining }),
         (second, OutageState::WarmingUp { since_recovery, ramp_share }),
-    ] = &known[..]
+    ] = &restored[..]
     else {
-        panic!("{known:?}")
+        panic!("{restored:?}")
     };
     assert_eq!((first, second, *ramp_share), (&destination, &receiver, 0.25));
     let is_aged = (40_000..=50_000).contains(retry_after_remaining) && (100..10_000).contains(since_recovery);
-    assert!(is_aged, "{known:?}");
+    assert!(is_aged, "{restored:?}");
 }
 
 #[test]
-fn an_outage_record_with_an_impossible_share_is_skipped() {
+fn an_outage_record_with_an_invalid_ramp_share_is_skipped() {
     let mut state = ReplayedState::default();
     let mut batch = Vec::new();
     append_outage(
--- a/crates/journal/src/store/tests/takeover.rs
+++ b/crates/journal/src/store/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! An owner and its successor in one folder.
+//! An owner and its successor that use one folder.
 
 use super::{BUDGET, execution, first_execution, message, state};
 use crate::message::{PendingNotification, Status};
@@ -9,8 +9,9 @@
     Store::open(folder.path(), BUDGET).expect("a journal")
 }
 
+/// Until the owner has exited, its successor restores and takes over nothing, and both write records.
 #[test]
-fn a_successor_leaves_the_owners_segments_alone_and_takes_over_once_the_owner_has_ended() {
+fn a_successor_takes_over_only_after_the_owner_has_exited() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut owner = open(&folder);
     owner.accept(message("m1", 10));
@@ -21,9 +22,9 @@
     assert!(owner.is_owner() && !successor.is_owner());
     assert_eq!(state(&successor), (vec![], vec![]));
     assert_eq!(successor.take_over().expect("readable"), None);
-    let third = Store::open(folder.path(), BUDGET).expect_err("there are two");
+    let third = Store::open(folder.path(), BUDGET).expect_err("the folder has an owner and a successor");
     assert!(matches!(third, JournalError::FolderInUse), "{third:?}");
-    // Both go on writing.
+    // Both processes continue to write.
     successor.accept(message("m2", 10));
     successor.commit().expect("written");
     owner.complete(&"completed".into(), None);
@@ -32,15 +33,15 @@
     owner.start_attempt(&"m3".into(), execution(2));
     owner.commit().expect("written");
     drop(owner);
-    let over = successor.take_over().expect("readable").expect("the owner has ended");
+    let taken_over = successor.take_over().expect("readable").expect("the owner has exited");
     assert_eq!(
-        over.pending_notifications,
+        taken_over.pending_notifications,
         [PendingNotification { message_id: "m1".into(), status: Status::Undeliverable }]
     );
-    assert_eq!(over.pending_messages.len(), 1);
-    // Its attempt will never have an outcome.
+    assert_eq!(taken_over.pending_messages.len(), 1);
+    // The outcome of the owner's attempt will never be recorded.
     assert_eq!(
-        (&*over.pending_messages[0].message_id, &over.pending_messages[0].possibly_executed),
+        (&*taken_over.pending_messages[0].message_id, &taken_over.pending_messages[0].possibly_executed),
         ("m3", &Some(execution(2)))
     );
     assert_eq!(successor.take_over().expect("readable"), None);
@@ -50,10 +51,10 @@
     assert_eq!(state(&open(&folder)), expected);
 }
 
-/// Whichever of the two exits first, and also if both exit before the takeover, nothing is lost; of an id with entries of both,
-/// the successor's counts.
+/// Owner and successor crash after 0 to 4 steps of a takeover, and a third process restores all entries. If both have an entry
+/// with the same id, the successor's entry is restored.
 #[test]
-fn a_crash_of_owner_and_successor_at_any_point_leaves_the_same_as_a_restart() {
+fn a_crash_at_any_point_of_a_takeover_loses_no_entry() {
     for steps in 0..5 {
         let folder = tempfile::tempdir().expect("a folder");
         let mut owner = open(&folder);
@@ -87,16 +88,17 @@
         }
         drop(successor);
         drop(owner);
-        let again = open(&folder);
-        let (messages, notifications) = state(&again);
+        let reopened = open(&folder);
+        let (messages, notifications) = state(&reopened);
         assert_eq!(messages.len(), expected_messages, "after {steps} steps");
         assert_eq!(notifications.len(), expected_notifications, "after {steps} steps");
-        assert_eq!(first_execution(&again, "both"), Some(7));
+        assert_eq!(first_execution(&reopened, "both"), Some(7));
     }
 }
 
+/// After the takeover, the remaining process uses the whole budget again.
 #[test]
-fn two_writing_processes_stay_within_the_disk_budget_and_one_alone_uses_all_of_it_again() {
+fn two_processes_together_stay_within_the_disk_budget() {
     let folder = tempfile::tempdir().expect("a folder");
     let fill = |store: &mut Store, from: u32, to: u32| {
         for n in from..to {
--- a/crates/journal/tests/golden_folders/damage.rs
+++ b/crates/journal/tests/golden_folders/damage.rs
@@ -1,4 +1,4 @@
-//! Torn and damaged segments, and outcomes written by older versions: the restored content and the warnings.
+//! Torn and corrupt segments, and outcomes written by older versions: the restored content and the logged warnings.
 
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_journal::{Message, PendingNotification, Status};
@@ -8,10 +8,10 @@
 };
 
 const SEGMENT: &str = "journal-00000000";
-/// The first byte of an outcome's payload.
-const OUTCOME: u8 = 3;
+/// The first byte of the payload of an attempt's outcome.
+const ATTEMPT_FINISHED_RECORD: u8 = 3;
 
-/// The records of one segment.
+/// The records of a segment in which three messages are accepted, two of them attempted, and one completed.
 fn records() -> Vec<Vec<u8>> {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open(folder.path());
@@ -38,12 +38,12 @@
     pending_messages: Vec<Message>,
     undeliverable: &[&str],
     latest_attempt: UnixMillis,
-    report: &str,
+    warning: &str,
 ) -> JournalContent {
     let status = Status::Undeliverable;
     let notification = |id: &&str| PendingNotification { message_id: (*id).into(), status };
     let pending_notifications = undeliverable.iter().map(notification).collect();
-    let warnings = Some(report.to_string()).filter(|report| !report.is_empty());
+    let warnings = Some(warning.to_string()).filter(|warning| !warning.is_empty());
     JournalContent {
         pending_messages,
         pending_notifications,
@@ -58,70 +58,87 @@
 }
 
 #[test]
-fn a_torn_tail_is_reported_and_cut_and_all_before_it_is_read() {
+fn a_torn_tail_is_reported_and_truncated() {
     let records = records();
-    let whole = records[..7].concat();
-    let torn = [&whole[..], &records[7][..11]].concat();
+    let complete_records = records[..7].concat();
+    let torn = [&complete_records[..], &records[7][..11]].concat();
     assert_eq!(torn, golden("torn-tail"));
     let folder = copy("torn-tail");
     let pending = vec![attempted("m-1", Some(1)), attempted("m-2", None), message("m-3")];
-    let report = "journal: segment 0 ends in 11 torn bytes: cut";
-    assert_eq!(content_of(folder.path()), expected(pending, &[], execution(2).at, report));
-    assert_eq!(segments(folder.path())[SEGMENT], whole);
+    let warning = "journal segment truncated after its last complete record segment=0 truncated_bytes=11";
+    assert_eq!(content_of(folder.path()), expected(pending, &[], execution(2).at, warning));
+    assert_eq!(segments(folder.path())[SEGMENT], complete_records);
 }
 
+/// The checksum of a record in the middle is wrong; the other records are replayed.
 #[test]
-fn a_damaged_record_in_the_middle_is_reported_and_skipped_and_the_others_are_read() {
+fn a_record_with_a_wrong_checksum_is_reported_and_skipped() {
     let mut records = records();
-    let at: usize = records[..3].iter().map(Vec::len).sum();
+    let offset: usize = records[..3].iter().map(Vec::len).sum();
     *records[3].last_mut().expect("a byte") ^= 1;
     assert_eq!(records.concat(), golden("damaged-record"));
     let folder = copy("damaged-record");
     let pending = vec![message("m-1"), attempted("m-2", None)];
-    let report = format!("journal: segment 0 has a damaged record at byte {at}: skipped");
-    assert_eq!(content_of(folder.path()), expected(pending, &["m-3"], execution(2).at, &report));
+    let warning = format!("journal record with a wrong checksum skipped segment=0 offset={offset}");
+    assert_eq!(content_of(folder.path()), expected(pending, &["m-3"], execution(2).at, &warning));
     assert_eq!(segments(folder.path())[SEGMENT], golden("damaged-record"));
 }
 
+/// The checksum of the record is correct; the other records are replayed.
 #[test]
-fn a_whole_record_of_an_unknown_kind_is_reported_and_skipped_and_the_others_are_read() {
+fn a_record_of_an_unknown_kind_is_reported_and_skipped() {
     let mut records = records();
-    let at: usize = records[..5].iter().map(Vec::len).sum();
+    let offset: usize = records[..5].iter().map(Vec::len).sum();
     let mut payload = payloads(&records[5]).remove(0);
     payload[0] = 99;
     records[5] = record(&payload);
     assert_eq!(records.concat(), golden("unknown-record"));
     let pending = vec![attempted("m-1", Some(1)), attempted("m-2", None)];
-    let report = format!("journal: segment 0 has an unreadable record at byte {at}: skipped");
+    let warning = format!(
+        "journal record of an unknown kind or with an invalid field skipped segment=0 offset={offset}"
+    );
     assert_eq!(
         content_of(copy("unknown-record").path()),
-        expected(pending, &["m-3"], execution(2).at, &report)
+        expected(pending, &["m-3"], execution(2).at, &warning)
     );
 }
 
 #[test]
-fn a_length_that_cannot_be_is_reported_and_ends_the_segment() {
+fn an_invalid_record_length_is_reported_and_ends_the_segment() {
     let mut records = records();
-    let whole = records[..4].concat();
+    let complete_records = records[..4].concat();
     records[4][..4].copy_from_slice(&u32::MAX.to_le_bytes());
     let bytes = records.concat();
     assert_eq!(bytes, golden("damaged-length"));
     let folder = copy("damaged-length");
     let mut content = content_of(folder.path());
-    let cut = bytes.len() - whole.len();
-    let damaged = format!("journal: segment 0 is damaged at byte {}: the rest of it is lost", whole.len());
-    assert_eq!(content.warnings, [damaged, format!("journal: segment 0 ends in {cut} torn bytes: cut")]);
+    let truncated_len = bytes.len() - complete_records.len();
+    let invalid_length = format!(
+        "journal record with an invalid length; rest of the segment lost segment=0 offset={}",
+        complete_records.len()
+    );
+    assert_eq!(
+        content.warnings,
+        [
+            invalid_length,
+            format!(
+                "journal segment truncated after its last complete record segment=0 \
+                 truncated_bytes={truncated_len}"
+            )
+        ]
+    );
     content.warnings.clear();
     let pending = vec![attempted("m-1", Some(1)), message("m-2"), message("m-3")];
     assert_eq!(content, expected(pending, &[], execution(1).at, ""));
-    assert_eq!(segments(folder.path())[SEGMENT], whole);
+    assert_eq!(segments(folder.path())[SEGMENT], complete_records);
 }
 
+/// Older versions did not store the attempt number of an outcome.
 #[test]
-fn outcomes_without_the_number_of_their_attempt_are_of_the_one_that_is_out() {
+fn an_outcome_without_number_finishes_the_attempt_in_flight() {
     let without_number = |bytes: &Vec<u8>| {
         let mut payload = payloads(bytes).remove(0);
-        if payload[0] == OUTCOME {
+        if payload[0] == ATTEMPT_FINISHED_RECORD {
             payload.truncate(payload.len() - 4);
         }
         record(&payload)
--- a/crates/journal/tests/golden_folders/main.rs
+++ b/crates/journal/tests/golden_folders/main.rs
@@ -1,5 +1,5 @@
-//! The journal's folder format, compared with golden folders: they restore the recorded content, and are written with the
-//! same bytes.
+//! Compatibility of the journal's stored format: golden folders restore the expected content, and the same operations write
+//! the same bytes again.
 
 mod damage;
 mod records;
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -1,4 +1,4 @@
-//! A folder with every kind of record in each of its variants, and records that compaction moved.
+//! Golden folders with every kind of record in each of its variants, and with records that compaction moved.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
     JournalContent, content_of, copy, execution, golden_segments, message, open, segments, with_fixed_times,
 };
 
-/// A message with all that its record can hold.
+/// A message with every optional field of its record.
 fn full_message() -> Message {
     Message {
         message_id: "m-full-ü".into(),
@@ -26,7 +26,7 @@
     }
 }
 
-/// The writes of two consecutive processes.
+/// Writes every kind of record, in two consecutive processes.
 fn write_every_record(folder: &Path) {
     let mut store = open(folder);
     store.accept(message("m-new"));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_folder_with_every_kind_of_record_tells_all_messages_notices_and_memories() {
+fn every_record_kind_is_restored_from_the_golden_folder() {
     let expected = JournalContent {
         pending_messages: vec![
             Message { attempts: 1, possibly_executed: Some(execution(3)), ..message("m-cut") },
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn every_kind_of_record_written_anew_has_the_bytes_of_the_golden_folder() {
+fn every_record_kind_has_the_bytes_of_the_golden_folder() {
     let folder = tempfile::tempdir().expect("a folder");
     let start = UnixMillis::now();
     write_every_record(folder.path());
@@ -118,7 +118,8 @@
     assert_eq!(written, golden_segments("every-record"));
 }
 
-/// An attempt in the future: the clock was set back, and the next start moves all pending entries to a new segment.
+/// Records an attempt in the future, as if the clock was set back afterwards: the next start moves all pending entries to a new
+/// segment.
 fn write_attempt_in_the_future(folder: &Path) {
     let mut store = open(folder);
     store.accept(Message { in_flight: None, ..full_message() });
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn records_that_move_to_a_new_segment_have_the_bytes_of_the_golden_folder() {
+fn moved_records_have_the_bytes_of_the_golden_folder() {
     let folder = tempfile::tempdir().expect("a folder");
     let start = UnixMillis::now();
     write_attempt_in_the_future(folder.path());
--- a/crates/journal/tests/golden_folders/support.rs
+++ b/crates/journal/tests/golden_folders/support.rs
@@ -1,4 +1,4 @@
-//! Copies of golden folders, the records in their segments, and the content of a journal that opens them.
+//! Copies of golden folders, the records in their segments, and the content of the journals that open them.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,27 +16,27 @@
 use tracing::{Event, Metadata, Subscriber};
 
 pub const BUDGET: u64 = 3_000_000;
-/// Bytes of a record before its payload: its length and its CRC-32.
-const FRAME: usize = 8;
+/// Number of bytes before the payload of a record: the payload's length and its CRC-32.
+const FRAME_LEN: usize = 8;
 /// The first byte of an outage record's payload.
 const OUTAGE_RECORD: u8 = 6;
-/// Recorded time of the outage records in the golden folders, in milliseconds since 1970: the first day of 2100. Records from
-/// the future do not age, so their state is the same on any earlier day.
+/// Time of the outage records in the golden folders, in milliseconds since 1970: the first day of 2100. Records from the future
+/// do not age, so the restored states are the same on any earlier day.
 const OUTAGES_RECORDED_AT: u64 = 4_102_444_800_000;
 
-/// Segments by their files' names.
+/// The bytes of segments by file name.
 pub type Segments = BTreeMap<String, Vec<u8>>;
 
 /// The content of a journal after it was opened.
 #[derive(Debug, PartialEq)]
 pub struct JournalContent {
-    /// In the order of their ids.
+    /// In the order of the message ids.
     pub pending_messages: Vec<Message>,
-    /// In the order of their messages' ids.
+    /// In the order of the message ids.
     pub pending_notifications: Vec<PendingNotification>,
     pub outage_records: Vec<(EndpointKey, OutageState)>,
     pub latest_attempt: UnixMillis,
-    /// Warnings of damage.
+    /// Logged warnings: each message, followed by its fields as ` name=value`.
     pub warnings: Vec<String>,
 }
 
@@ -57,7 +57,7 @@
     copy
 }
 
-/// The segments in a folder; lock files are left out.
+/// The segments in a folder, without its lock files.
 pub fn segments(folder: &Path) -> Segments {
     let files = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
     let named = files.map(|path| (path.file_name().expect("a name").to_string_lossy().into_owned(), path));
@@ -69,7 +69,7 @@
     Store::open(folder, BUDGET).expect("a journal")
 }
 
-/// Opens a journal and returns its content, with the warnings that were logged.
+/// Opens a journal and returns its content, with the warnings that are logged meanwhile.
 pub fn content_of(folder: &Path) -> JournalContent {
     let warnings = Arc::new(Mutex::new(Vec::new()));
     let store = tracing::subscriber::with_default(Warnings(warnings.clone()), || open(folder));
@@ -89,7 +89,7 @@
     }
 }
 
-/// A message without a history.
+/// A message without attempts.
 pub fn message(message_id: &str) -> Message {
     Message {
         message_id: message_id.into(),
@@ -105,39 +105,40 @@
     }
 }
 
-/// An attempt `after` milliseconds after a fixed time in 2023.
-pub fn execution(after: u64) -> PossibleExecution {
-    let at = UnixMillis(1_700_000_000_000 + after);
+/// An attempt that was started `after_ms` milliseconds after a fixed time in 2023.
+pub fn execution(after_ms: u64) -> PossibleExecution {
+    let at = UnixMillis(1_700_000_000_000 + after_ms);
     PossibleExecution { at, receiver: "receiver-1".into(), zone: "left".into() }
 }
 
-/// The payloads of complete records.
+/// The payloads of the complete records in `bytes`.
 pub fn payloads(mut bytes: &[u8]) -> Vec<Vec<u8>> {
     let mut payloads = Vec::new();
     while !bytes.is_empty() {
         let length = u32::from_le_bytes(bytes[..4].try_into().expect("four bytes")) as usize;
-        let (record, rest) = bytes.split_at(FRAME + length);
-        payloads.push(record[FRAME..].to_vec());
+        let (record, rest) = bytes.split_at(FRAME_LEN + length);
+        payloads.push(record[FRAME_LEN..].to_vec());
         bytes = rest;
     }
     payloads
 }
 
-/// A payload as a record.
+/// The record with this payload: its frame and the payload.
 pub fn record(payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u32).to_le_bytes();
     [&length[..], &crc32fast::hash(payload).to_le_bytes(), payload].concat()
 }
 
-/// Replaces the times of outage records, which must be within `written`, by that of the golden folders.
+/// Replaces the time of each outage record, which must be within `written`, by the time used in the golden folders.
 pub fn with_fixed_times(segments: Segments, written: &RangeInclusive<UnixMillis>) -> Segments {
     let fixed = |mut payload: Vec<u8>| {
         if payload[0] == OUTAGE_RECORD {
-            let name = u32::from_le_bytes(payload[1..5].try_into().expect("four bytes")) as usize;
-            let at = 5 + name + 2;
-            let time = UnixMillis(u64::from_le_bytes(payload[at..at + 8].try_into().expect("eight bytes")));
+            let receiver_len = u32::from_le_bytes(payload[1..5].try_into().expect("four bytes")) as usize;
+            let start = 5 + receiver_len + 2;
+            let time =
+                UnixMillis(u64::from_le_bytes(payload[start..start + 8].try_into().expect("eight bytes")));
             assert!(written.contains(&time), "{time} is not within {written:?}");
-            payload[at..at + 8].copy_from_slice(&OUTAGES_RECORDED_AT.to_le_bytes());
+            payload[start..start + 8].copy_from_slice(&OUTAGES_RECORDED_AT.to_le_bytes());
         }
         record(&payload)
     };
@@ -147,7 +148,7 @@
         .collect()
 }
 
-/// Stores the messages of warnings.
+/// A log subscriber that stores each event as its message, followed by its fields as ` name=value`.
 struct Warnings(Arc<Mutex<Vec<String>>>);
 
 impl Subscriber for Warnings {
@@ -164,7 +165,9 @@
     fn record_follows_from(&self, _: &Id, _: &Id) {}
 
     fn event(&self, event: &Event<'_>) {
-        event.record(&mut Texts(&self.0));
+        let mut text = EventText::default();
+        event.record(&mut text);
+        self.0.lock().expect("no panic").push(text.message + &text.fields);
     }
 
     fn enter(&self, _: &Id) {}
@@ -172,12 +175,19 @@
     fn exit(&self, _: &Id) {}
 }
 
-struct Texts<'a>(&'a Mutex<Vec<String>>);
+#[derive(Default)]
+struct EventText {
+    message: String,
+    /// Each field as ` name=value`.
+    fields: String,
+}
 
-impl Visit for Texts<'_> {
+impl Visit for EventText {
     fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
         if field.name() == "message" {
-            self.0.lock().expect("no panic").push(format!("{value:?}"));
+            self.message = format!("{value:?}");
+        } else {
+            self.fields += &format!(" {}={value:?}", field.name());
         }
     }
 }
--- a/crates/journal/tests/golden_folders/takeover.rs
+++ b/crates/journal/tests/golden_folders/takeover.rs
@@ -1,4 +1,4 @@
-//! The segments of an owner and of its successor.
+//! Golden folders with the segments of an owner and of its successor.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 
 use crate::support::{JournalContent, content_of, copy, execution, golden_segments, message, open, segments};
 
-/// The owner writes, then its successor, and then the owner again.
+/// The owner writes, then its successor, then the owner again. Returns the successor; the owner exits.
 fn write_side_by_side(folder: &Path) -> Store {
     let mut owner = open(folder);
     for message_id in ["o-open", "o-ran", "o-notice", "o-delivered", "both"] {
@@ -26,7 +26,7 @@
     successor
 }
 
-/// The successor writes as the owner.
+/// The successor writes records as the new owner.
 fn write_after_takeover(successor: &mut Store) {
     successor.complete(&"o-open".into(), Some(Status::Undeliverable));
     successor.acknowledge(&"o-notice".into());
@@ -35,22 +35,22 @@
     successor.commit().expect("written");
 }
 
-fn taken_over(mut over: TakenOver) -> TakenOver {
-    over.pending_messages.sort_by(|a, b| a.message_id.cmp(&b.message_id));
-    over.pending_notifications.sort_by(|a, b| a.message_id.cmp(&b.message_id));
-    over
+fn sorted(mut taken_over: TakenOver) -> TakenOver {
+    taken_over.pending_messages.sort_by(|a, b| a.message_id.cmp(&b.message_id));
+    taken_over.pending_notifications.sort_by(|a, b| a.message_id.cmp(&b.message_id));
+    taken_over
 }
 
-fn executed_once(message_id: &str, after: u64) -> Message {
-    Message { attempts: 1, possibly_executed: Some(execution(after)), ..message(message_id) }
+fn executed_once(message_id: &str, after_ms: u64) -> Message {
+    Message { attempts: 1, possibly_executed: Some(execution(after_ms)), ..message(message_id) }
 }
 
 #[test]
-fn segments_of_owner_and_successor_written_anew_have_the_bytes_of_the_golden_folders() {
+fn owner_and_successor_write_the_bytes_of_the_golden_folders() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut successor = write_side_by_side(folder.path());
     assert_eq!(segments(folder.path()), golden_segments("takeover-before"));
-    let over = successor.take_over().expect("readable").expect("the owner has ended");
+    let taken_over = successor.take_over().expect("readable").expect("the owner has exited");
     let expected = TakenOver {
         pending_messages: vec![message("o-open"), executed_once("o-ran", 1)],
         pending_notifications: vec![PendingNotification {
@@ -58,14 +58,15 @@
             status: Status::Deferred(Some(70_000)),
         }],
     };
-    assert_eq!(taken_over(over), expected);
+    assert_eq!(sorted(taken_over), expected);
     assert!(successor.is_owner());
     write_after_takeover(&mut successor);
     assert_eq!(segments(folder.path()), golden_segments("takeover-after"));
 }
 
+/// Both processes have exited: the next one replays the segments of both in the order of their numbers.
 #[test]
-fn a_process_that_starts_alone_reads_both_sets_of_segments_in_their_order() {
+fn a_restart_replays_the_segments_of_owner_and_successor() {
     let before = JournalContent {
         pending_messages: vec![
             executed_once("both", 2),
@@ -100,14 +101,14 @@
 }
 
 #[test]
-fn a_successor_takes_over_what_the_golden_segments_owe_once_their_owner_has_ended() {
+fn a_successor_takes_over_the_golden_segments_of_an_exited_owner() {
     let folder = copy("takeover-after");
     let owner = open(folder.path());
     let mut successor = open(folder.path());
     assert_eq!(successor.pending_messages().count(), 0);
     assert_eq!(successor.take_over().expect("readable"), None);
     drop(owner);
-    let over = successor.take_over().expect("readable").expect("the owner has ended");
+    let taken_over = successor.take_over().expect("readable").expect("the owner has exited");
     let expected = TakenOver {
         pending_messages: vec![
             Message { attempts: 1, ..message("both") },
@@ -119,7 +120,7 @@
             status: Status::Undeliverable,
         }],
     };
-    assert_eq!(taken_over(over), expected);
+    assert_eq!(sorted(taken_over), expected);
     assert_eq!(successor.latest_attempt(), execution(3).at);
     let names: Vec<String> = segments(folder.path()).into_keys().collect();
     assert_eq!(names, ["journal-00000000", "journal-01000000", "journal-01000001", "journal-02000001"]);
