--- a/crates/daemon/tests/handover.rs
+++ b/crates/daemon/tests/handover.rs
@@ -64,7 +64,7 @@
         }
         owner.start_attempt(
             &"tried".into(),
-            PossibleExecution { at: UnixMillis::now(), receiver: "r1".into(), zone: "a".into() },
+            PossibleExecution { sent_at: UnixMillis::now(), receiver: "r1".into(), zone: "a".into() },
         );
         owner.commit().expect("written");
         owner.complete(&"ended".into(), Some(Status::Undeliverable));
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -32,8 +32,8 @@
 }
 
 /// An attempt at `r1` without a recorded outcome.
-fn attempt(at: UnixMillis) -> PossibleExecution {
-    PossibleExecution { at, receiver: "r1".into(), zone: "a".into() }
+fn attempt(sent_at: UnixMillis) -> PossibleExecution {
+    PossibleExecution { sent_at, receiver: "r1".into(), zone: "a".into() }
 }
 
 /// A message in the journal of an earlier process.
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -33,8 +33,8 @@
 //! });
 //! // The acceptance is written: the response may be sent to the client.
 //! journal.commit()?;
-//! let at = UnixMillis::now();
-//! journal.start_attempt(&"9b1f03aa".into(), PossibleExecution { at, receiver: "r1".into(), zone: "left".into() });
+//! let sent_at = UnixMillis::now();
+//! journal.start_attempt(&"9b1f03aa".into(), PossibleExecution { sent_at, receiver: "r1".into(), zone: "left".into() });
 //! // The start of the attempt is written: its first byte may be sent.
 //! journal.commit()?;
 //! drop(journal);
@@ -42,7 +42,7 @@
 //! // The process was killed: the outcome of the attempt is unknown.
 //! let mut journal = Store::open(folder.path(), 3_000_000)?;
 //! let message = journal.pending_messages().next().expect("a pending message");
-//! assert_eq!(message.possibly_executed.as_ref().map(|execution| execution.at), Some(at));
+//! assert_eq!(message.possibly_executed.as_ref().map(|execution| execution.sent_at), Some(sent_at));
 //! journal.complete(&"9b1f03aa".into(), Some(Status::Undeliverable));
 //! journal.commit()?;
 //! # Ok(())
--- a/crates/journal/src/message.rs
+++ b/crates/journal/src/message.rs
@@ -13,8 +13,8 @@
 /// An attempt that a receiver may have executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PossibleExecution {
-    /// When the attempt was started, before its first byte was sent.
-    pub at: UnixMillis,
+    /// When the attempt was recorded, before its first byte was sent.
+    pub sent_at: UnixMillis,
     /// The id of the receiver that the attempt was sent to.
     pub receiver: Rc<str>,
     /// The name of that receiver's zone.
--- a/crates/journal/src/record/encode.rs
+++ b/crates/journal/src/record/encode.rs
@@ -129,7 +129,7 @@
 fn write_execution(payload: &mut Vec<u8>, execution: Option<&PossibleExecution>) {
     payload.push(u8::from(execution.is_some()));
     if let Some(execution) = execution {
-        write_time(payload, execution.at);
+        write_time(payload, execution.sent_at);
         write_text(payload, &execution.receiver);
         write_text(payload, &execution.zone);
     }
--- a/crates/journal/src/record/field_reader.rs
+++ b/crates/journal/src/record/field_reader.rs
@@ -70,10 +70,10 @@
         if !self.bool()? {
             return Some(None);
         }
-        let at = self.time()?;
+        let sent_at = self.time()?;
         let receiver = self.text()?;
         let zone = self.text()?;
-        Some(Some(PossibleExecution { at, receiver, zone }))
+        Some(Some(PossibleExecution { sent_at, receiver, zone }))
     }
 
     fn array<const LEN: usize>(&mut self) -> Option<[u8; LEN]> {
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -131,7 +131,7 @@
 
     fn update_latest_attempt(&mut self, execution: Option<&PossibleExecution>) {
         if let Some(execution) = execution {
-            self.latest_attempt = self.latest_attempt.max(execution.at);
+            self.latest_attempt = self.latest_attempt.max(execution.sent_at);
         }
     }
 }
--- a/crates/journal/src/store/tests.rs
+++ b/crates/journal/src/store/tests.rs
@@ -33,8 +33,8 @@
     }
 }
 
-fn execution(at: u64) -> PossibleExecution {
-    PossibleExecution { at: UnixMillis(at), receiver: "r1".into(), zone: "a".into() }
+fn execution(sent_at: u64) -> PossibleExecution {
+    PossibleExecution { sent_at: UnixMillis(sent_at), receiver: "r1".into(), zone: "a".into() }
 }
 
 /// The pending messages and the ids of the pending notifications, each in the order of their ids.
@@ -119,7 +119,7 @@
 fn first_execution(store: &Store, message_id: &str) -> Option<u64> {
     let message = store.pending_message(&message_id.into()).expect("a pending message");
     let execution = message.possibly_executed.as_ref().or(message.in_flight.as_ref());
-    execution.map(|execution| execution.at.0)
+    execution.map(|execution| execution.sent_at.0)
 }
 
 /// A kill interrupts the first attempt. A second attempt is not executed, and another kill follows.
--- a/crates/journal/tests/golden_folders/damage.rs
+++ b/crates/journal/tests/golden_folders/damage.rs
@@ -66,7 +66,7 @@
     let folder = copy("torn-tail");
     let pending = vec![attempted("m-1", Some(1)), attempted("m-2", None), message("m-3")];
     let warning = "journal segment truncated after its last complete record segment=0 truncated_bytes=11";
-    assert_eq!(content_of(folder.path()), expected(pending, &[], execution(2).at, warning));
+    assert_eq!(content_of(folder.path()), expected(pending, &[], execution(2).sent_at, warning));
     assert_eq!(segments(folder.path())[SEGMENT], complete_records);
 }
 
@@ -80,7 +80,7 @@
     let folder = copy("damaged-record");
     let pending = vec![message("m-1"), attempted("m-2", None)];
     let warning = format!("journal record with a wrong checksum skipped segment=0 offset={offset}");
-    assert_eq!(content_of(folder.path()), expected(pending, &["m-3"], execution(2).at, &warning));
+    assert_eq!(content_of(folder.path()), expected(pending, &["m-3"], execution(2).sent_at, &warning));
     assert_eq!(segments(folder.path())[SEGMENT], golden("damaged-record"));
 }
 
@@ -99,7 +99,7 @@
     );
     assert_eq!(
         content_of(copy("unknown-record").path()),
-        expected(pending, &["m-3"], execution(2).at, &warning)
+        expected(pending, &["m-3"], execution(2).sent_at, &warning)
     );
 }
 
@@ -129,7 +129,7 @@
     );
     content.warnings.clear();
     let pending = vec![attempted("m-1", Some(1)), message("m-2"), message("m-3")];
-    assert_eq!(content, expected(pending, &[], execution(1).at, ""));
+    assert_eq!(content, expected(pending, &[], execution(1).sent_at, ""));
     assert_eq!(segments(folder.path())[SEGMENT], complete_records);
 }
 
@@ -148,6 +148,6 @@
     let pending = vec![attempted("m-1", Some(1)), attempted("m-2", None)];
     assert_eq!(
         content_of(copy("outcomes-without-number").path()),
-        expected(pending, &["m-3"], execution(2).at, "")
+        expected(pending, &["m-3"], execution(2).sent_at, "")
     );
 }
--- a/crates/journal/tests/golden_folders/records.rs
+++ b/crates/journal/tests/golden_folders/records.rs
@@ -103,7 +103,7 @@
             ),
             (EndpointKey::new(9, ""), OutageState::WarmingUp { since_recovery: 4_000, ramp_share: 1.0 }),
         ],
-        latest_attempt: execution(200).at,
+        latest_attempt: execution(200).sent_at,
         warnings: vec![],
     };
     assert_eq!(content_of(copy("every-record").path()), expected);
@@ -146,7 +146,7 @@
             EndpointKey::new(8, "receiver-2"),
             OutageState::WarmingUp { since_recovery: -500, ramp_share: 0.25 },
         )],
-        latest_attempt: execution(4_000_000_000_000).at,
+        latest_attempt: execution(4_000_000_000_000).sent_at,
         warnings: vec![],
     };
     assert_eq!(content_of(moved.path()), expected);
--- a/crates/journal/tests/golden_folders/support.rs
+++ b/crates/journal/tests/golden_folders/support.rs
@@ -107,8 +107,8 @@
 
 /// An attempt that was started `after_ms` milliseconds after a fixed time in 2023.
 pub fn execution(after_ms: u64) -> PossibleExecution {
-    let at = UnixMillis(1_700_000_000_000 + after_ms);
-    PossibleExecution { at, receiver: "receiver-1".into(), zone: "left".into() }
+    let sent_at = UnixMillis(1_700_000_000_000 + after_ms);
+    PossibleExecution { sent_at, receiver: "receiver-1".into(), zone: "left".into() }
 }
 
 /// The payloads of the complete records in `bytes`.
--- a/crates/journal/tests/golden_folders/takeover.rs
+++ b/crates/journal/tests/golden_folders/takeover.rs
@@ -79,7 +79,7 @@
             status: Status::Deferred(Some(70_000)),
         }],
         outage_records: vec![],
-        latest_attempt: execution(2).at,
+        latest_attempt: execution(2).sent_at,
         warnings: vec![],
     };
     assert_eq!(content_of(copy("takeover-before").path()), before);
@@ -94,7 +94,7 @@
             status: Status::Undeliverable,
         }],
         outage_records: vec![],
-        latest_attempt: execution(3).at,
+        latest_attempt: execution(3).sent_at,
         warnings: vec![],
     };
     assert_eq!(content_of(copy("takeover-after").path()), after);
@@ -121,7 +121,7 @@
         }],
     };
     assert_eq!(sorted(taken_over), expected);
-    assert_eq!(successor.latest_attempt(), execution(3).at);
+    assert_eq!(successor.latest_attempt(), execution(3).sent_at);
     let names: Vec<String> = segments(folder.path()).into_keys().collect();
     assert_eq!(names, ["journal-00000000", "journal-01000000", "journal-01000001", "journal-02000001"]);
 }
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -50,7 +50,7 @@
         let destination = self.endpoints.destination(&receiver);
         message.receiver = destination.map(|destination| Receiver::of(destination.0, &receiver));
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
-        let execution = PossibleExecution { at: UnixMillis::now(), receiver, zone };
+        let execution = PossibleExecution { sent_at: UnixMillis::now(), receiver, zone };
         self.store.start_attempt(&message.message_id, execution);
         let response_deadline = if timeout == 0.0 { last } else { (now + from_millis(timeout)).min(last) };
         let start_within = Duration::try_from_secs_f64(start_within.max(0.0) / 1_000.0);
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -87,7 +87,7 @@
         let time_left = message.deadline.millis_since(time.wall).min(max_time_left);
         let possibly_executed = message.possibly_executed.as_ref().map(|execution| {
             let execution = PriorExecution {
-                ago: time.age_of_attempt(execution.at),
+                ago: time.age_of_attempt(execution.sent_at),
                 route: self.endpoints.route(&execution.receiver, time.now),
                 zone: self.endpoints.zone(&execution.zone),
             };
