--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -83,7 +83,8 @@
     eventually("it goes on sending", || sent_by(&cluster.links, 0) > sent + 3).await;
     assert_eq!(delivered_to(&cluster.links, 0), delivered);
     eventually("damaged and duplicated datagrams reach programs", || {
-        logged("the checksum does not match") && logged("it is of another round, or superseded")
+        logged("the checksum does not match")
+            && logged("of a past or future round, a duplicate report, or superseded sums")
     })
     .await;
     cluster.links.heal();
--- a/crates/gossip/src/capacity.rs
+++ b/crates/gossip/src/capacity.rs
@@ -1,23 +1,23 @@
 //! One sender's share of one limit: its part of the fleet's rate, and the permits that it holds.
 //!
 //! Without a recent update there is no shared rate, and only the policy's own rate control applies. Where permits are
-//! required, each call uses one, and the shared rate limits nothing.
+//! required, each call uses one, and the shared rate does not limit the calls.
 
 use std::collections::BTreeMap;
 
 /// A time span or a point in time on a monotonic clock, in milliseconds.
 type Millis = f64;
 
-/// Minimum shared rate of a sender, in calls a second: one call within the lifetime of most messages.
+/// Minimum shared rate of a sender, in calls a second; it allows one call within the lifetime of most messages.
 const MIN_RATE: f64 = 0.05;
-/// How long an equal share is valid, in milliseconds: the first update arrives within it.
+/// How long an equal share is valid, in milliseconds; the first update is received within this time.
 const EQUAL_SHARE_VALIDITY: Millis = 1_000.0;
 /// Factor by which a rejected call reduces the share until the next update.
 const REJECTION_FACTOR: f64 = 0.5;
-/// Maximum delay of a first call at a rate of one call a second, in milliseconds; half of it is the mean delay.
+/// Maximum delay of a first call at a rate of one call a second, in milliseconds. The mean delay is half of it.
 const MAX_FIRST_DELAY: Millis = 2_000.0;
 
-/// The capacity of a limit for this sender's calls.
+/// An update of one sender's share of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityUpdate {
     /// Calls a second for each call in demand; infinite while the limit is far from reached.
@@ -35,9 +35,9 @@
 /// The next call that a sender has scheduled at a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledCall {
-    /// When it is due, in milliseconds on a monotonic clock.
+    /// When the call is due, in milliseconds on a monotonic clock.
     pub due_at: Millis,
-    /// End of a Retry-After period before which it does not start, in milliseconds on a monotonic clock.
+    /// End of a Retry-After period before which the call does not start, in milliseconds on a monotonic clock.
     pub not_before: Millis,
 }
 
@@ -46,9 +46,9 @@
 pub struct PermitLease {
     /// Number of the permit, unique at its limit.
     pub number: u64,
-    /// Start of its validity, in milliseconds.
+    /// Start of the permit's validity, in milliseconds.
     pub from: Millis,
-    /// End of its validity (exclusive), in milliseconds.
+    /// End of the permit's validity (exclusive), in milliseconds.
     pub until: Millis,
 }
 
@@ -68,7 +68,7 @@
     valid_until: Millis,
     /// Calls in demand at all senders; 0 if unknown.
     fleet_demand: f64,
-    /// The shared rate by which the next call was scheduled; 0 if it was not scheduled by one.
+    /// The shared rate by which the next call was scheduled; 0 if it was not scheduled by a shared rate.
     scheduled_rate: f64,
     /// Leases by permit number; `None` where calls need no permit.
     leases: Option<BTreeMap<u64, TrackedLease>>,
@@ -81,23 +81,24 @@
 }
 
 impl CapacityShare {
-    /// An equal share of a limit for which no update has been received: all senders may start to call it at the same time.
-    pub fn equal(now: Millis, limit: f64, senders: usize) -> Self {
+    /// An equal share of a limit for which no update has been received. It is equal because all `sender_count` senders
+    /// may start to call at the same time.
+    pub fn equal(now: Millis, limit: f64, sender_count: usize) -> Self {
         Self {
-            rate_per_demand: limit / senders as f64,
+            rate_per_demand: limit / sender_count as f64,
             valid_until: now + EQUAL_SHARE_VALIDITY,
             ..Self::default()
         }
     }
 
-    /// The same share, with a permit required for each call; none has been granted yet.
+    /// The same share, with a permit required for each call and none granted yet.
     #[must_use]
     pub fn requiring_permits(mut self) -> Self {
         self.leases = Some(BTreeMap::new());
         self
     }
 
-    /// Replaces the leases, and requires one for each call from now on. A used lease stays used.
+    /// Replaces the leases, and requires a lease for each call from now on. A used lease stays used if it is set again.
     pub fn set_leases(&mut self, now: Millis, leases: &[PermitLease]) {
         let mut tracked = self.leases.take().unwrap_or_default();
         tracked.retain(|_, lease| lease.is_used && lease.until > now);
@@ -108,16 +109,16 @@
         self.leases = Some(tracked);
     }
 
-    /// When the next unused lease starts: in the past if one is valid, infinity if there is none, negative infinity if calls
-    /// need no permit.
+    /// When the first unused lease that has not expired starts, which is in the past if it is valid now. Infinity if
+    /// there is no such lease, negative infinity if calls need no permit.
     pub fn next_lease_at(&self, now: Millis) -> Millis {
         let Some(leases) = &self.leases else { return f64::NEG_INFINITY };
-        let usable = leases.values().filter(|lease| !lease.is_used && lease.until > now);
-        usable.map(|lease| lease.from).fold(f64::INFINITY, f64::min)
+        let unused = leases.values().filter(|lease| !lease.is_used && lease.until > now);
+        unused.map(|lease| lease.from).fold(f64::INFINITY, f64::min)
     }
 
-    /// The shared rate for a demand and a limit, in calls a second; `None` without a recent update, infinite where permits
-    /// limit the calls.
+    /// The shared rate for a demand and a limit, in calls a second; `None` without a recent update, infinite where
+    /// permits limit the calls.
     pub fn rate(&self, now: Millis, demand: f64, limit: f64) -> Option<f64> {
         if self.valid_until <= now {
             return None;
@@ -128,14 +129,15 @@
         Some((self.rate_per_demand * demand).clamp(MIN_RATE, limit.max(MIN_RATE)))
     }
 
-    /// This sender's fraction of the fleet's demand, if that is known; the fractions of all senders add up to at most one.
+    /// This sender's fraction of the fleet's demand; `None` if that is unknown. The fractions of all senders add up to
+    /// at most one.
     pub fn demand_fraction(&self, now: Millis, demand: f64) -> Option<f64> {
         let is_known = self.valid_until > now && self.fleet_demand > 0.0;
         is_known.then(|| (demand.max(1.0) / self.fleet_demand).min(1.0))
     }
 
-    /// Applies an update and returns the new due time of the scheduled call. If the call was scheduled by an earlier shared
-    /// rate, its remaining delay is scaled to the new rate, except for a Retry-After period.
+    /// Applies an update and returns the new due time of the scheduled call. If the call was scheduled by an earlier
+    /// shared rate, its remaining delay is scaled to the new rate, except for a Retry-After period.
     pub fn apply(&mut self, now: Millis, update: &CapacityUpdate, scheduled: ScheduledCall) -> Millis {
         self.rate_per_demand = update.rate_per_demand;
         self.fleet_demand = update.fleet_demand;
@@ -150,10 +152,11 @@
         delay_starts_at + (scheduled.due_at - delay_starts_at) * old_rate / rate
     }
 
-    /// When the first call of a sender without earlier demand is due, at a shared rate and a random draw from 0 to 1;
-    /// `None` where the limit is not near.
+    /// When the first call of a sender without earlier demand is due, at a shared rate and for a random number `draw`
+    /// from 0 to 1; `None` while the limit is far from reached.
     ///
-    /// An idle sender saves up no calls, so a burst at many senders is reported before all its calls have started.
+    /// An idle sender accumulates no unused calls, so its first call is delayed and a burst at many senders is reported
+    /// before all its calls have started.
     pub fn schedule_first_call(&mut self, now: Millis, rate: f64, draw: f64) -> Option<Millis> {
         if !self.rate_per_demand.is_finite() {
             return None;
@@ -162,14 +165,15 @@
         Some(now + MAX_FIRST_DELAY / rate * draw)
     }
 
-    /// Records that the next call is scheduled by a shared rate. Returns the mean time to it, in milliseconds.
+    /// Records that the next call is scheduled by a shared rate. Returns the mean time until that call, in
+    /// milliseconds.
     pub fn schedule_call(&mut self, rate: f64) -> Millis {
         self.scheduled_rate = rate;
         1_000.0 / rate
     }
 
-    /// Records the start of a call, which uses the valid lease that ends first. `rate` is the shared rate by which the next
-    /// call is scheduled, if any.
+    /// Records the start of a call, which uses the valid lease that ends first. `rate` is the shared rate by which the
+    /// next call is scheduled, if any.
     pub fn record_call(&mut self, now: Millis, rate: Option<f64>) {
         self.calls += 1;
         let is_valid = |lease: &&mut TrackedLease| !lease.is_used && lease.from <= now && now < lease.until;
--- a/crates/gossip/src/capacity/tests.rs
+++ b/crates/gossip/src/capacity/tests.rs
@@ -1,8 +1,8 @@
-//! Shared rates, rescheduling, rejections and leases of one share.
+//! Shared rates, rescheduling, rejections and leases of one sender's share.
 
 use super::{CapacityShare, CapacityUpdate, MIN_RATE, PermitLease, ScheduledCall};
 
-/// No Retry-After period, and no scheduled call.
+/// A scheduled call without effect: due at time 0, without a Retry-After period.
 const NO_CALL: ScheduledCall = ScheduledCall { due_at: 0.0, not_before: 0.0 };
 
 /// An update that is valid for a second, of a limit of 40 calls a second.
@@ -28,20 +28,20 @@
     let at = |due_at, not_before| ScheduledCall { due_at, not_before };
     share.apply(0.0, &update(0.1, 1.0), NO_CALL);
     share.record_call(0.0, share.rate(0.0, 1.0, 40.0));
-    // Ten seconds at 0.1 calls a second: at 0.4 the remaining delay is a quarter.
+    // The call is due ten seconds later at 0.1 calls a second; at 0.4 the remaining delay is a quarter.
     assert_eq!(share.apply(2_000.0, &update(0.4, 1.0), at(10_000.0, 0.0)), 4_000.0);
     // A Retry-After period is not scaled.
     share.record_call(2_000.0, share.rate(2_000.0, 1.0, 40.0));
     assert_eq!(share.apply(2_500.0, &update(0.8, 1.0), at(6_000.0, 4_000.0)), 5_000.0);
     share.record_call(2_500.0, share.rate(2_500.0, 1.0, 40.0));
-    // A due call stays due, and one that was not scheduled by a shared rate is unchanged.
+    // A due call stays due, and a call that was not scheduled by a shared rate is unchanged.
     assert_eq!(share.apply(5_000.0, &update(0.1, 1.0), at(4_000.0, 0.0)), 4_000.0);
     share.record_call(5_000.0, None);
     assert_eq!(share.apply(6_000.0, &update(0.4, 1.0), at(9_000.0, 0.0)), 9_000.0);
 }
 
 #[test]
-fn a_first_call_is_delayed_only_where_the_limit_is_near() {
+fn a_first_call_is_delayed_only_near_the_limit() {
     let mut share = CapacityShare::default();
     share.apply(0.0, &update(f64::INFINITY, 1.0), NO_CALL);
     assert_eq!(share.schedule_first_call(0.0, 2.0, 0.5), None);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_call_uses_up_a_lease_which_stays_used_when_it_is_set_again() {
+fn a_call_uses_a_lease_that_stays_used_when_set_again() {
     let mut share = CapacityShare::default().requiring_permits();
     assert_eq!(share.next_lease_at(0.0), f64::INFINITY);
     let lease = |number, from, until| PermitLease { number, from, until };
@@ -74,7 +74,7 @@
     share.set_leases(61.0, &leases);
     share.record_call(61.0, None);
     assert_eq!(share.next_lease_at(61.0), 200.0);
-    // An expired lease is not usable, also if it is set again.
+    // An expired lease is not available, also if it is set again.
     assert_eq!(share.next_lease_at(300.0), f64::INFINITY);
     share.set_leases(300.0, &leases);
     assert_eq!(share.next_lease_at(300.0), f64::INFINITY);
--- a/crates/gossip/src/datagram_budget.rs
+++ b/crates/gossip/src/datagram_budget.rs
@@ -1,7 +1,8 @@
-//! Schedules datagrams of several kinds within a common budget.
+//! Schedules datagrams of several kinds within a common rate limit.
 //!
-//! Invariant: at most [`MAX_DATAGRAMS_PER_S`] datagrams are sent in any second, plus one with the datagrams that they cause;
-//! and each requested datagram is sent within [`DatagramBudget::max_wait`], however many others are requested.
+//! Invariant: in any second at most [`MAX_DATAGRAMS_PER_S`] datagrams plus one are sent, responses that they cause
+//! included; and each requested datagram may be sent within [`DatagramBudget::max_wait`], however many others are
+//! requested.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +10,24 @@
 
 use crate::envelope::Kind;
 
-/// Maximum rate of datagrams of all kinds in each direction, in datagrams a second on average over the fleet.
+/// Maximum rate of datagrams of all kinds in each direction, in datagrams a second, averaged over the senders of the
+/// fleet.
 pub const MAX_DATAGRAMS_PER_S: u64 = 4;
 /// Time for which one datagram occupies the budget, in milliseconds.
 pub const DATAGRAM_INTERVAL: u64 = 1_000 / MAX_DATAGRAMS_PER_S;
-/// Delay of a request for each rank of its priority, in milliseconds.
+/// Time that a request yields to more urgent requests for each step of its rank, in milliseconds.
 pub const PRIORITY_STEP: u64 = 500;
 
 /// The priority, rate limit and cost of one kind of datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatagramClass {
-    /// The kind.
+    /// The kind of datagram; one class for each kind.
     pub kind: Kind,
-    /// Priority; 0 is the most urgent.
+    /// Rank in the order of urgency; 0 is the most urgent.
     pub rank: u8,
     /// Minimum time between two datagrams of the kind, in milliseconds.
     pub min_interval: u64,
-    /// Number of datagrams that one causes, itself included: 2 if it is answered.
+    /// Number of datagrams that one datagram of the kind causes, itself included: 2 if the receiver responds to it.
     pub cost: u8,
 }
 
@@ -35,38 +37,43 @@
         u64::from(self.cost.max(1)) * DATAGRAM_INTERVAL
     }
 
-    /// How long a request of this class yields to more urgent ones, in milliseconds.
+    /// How long a request of this class yields to more urgent requests, in milliseconds.
     fn yield_time(&self) -> u64 {
         u64::from(self.rank) * PRIORITY_STEP
     }
 }
 
+/// The pending request of one kind, and when the kind's next datagram is allowed.
 #[derive(Clone, Copy, Debug)]
 struct KindSchedule {
     class: DatagramClass,
-    /// When the pending request was made, or the minimum interval before it ended; `None` without a request.
+    /// When the pending request was made, or the end of the kind's minimum interval if that is later; `None` without a
+    /// request.
     requested_at: Option<UnixMillis>,
-    /// When the next datagram may be sent at the earliest.
+    /// End of the minimum interval after the kind's last datagram.
     next_allowed_at: UnixMillis,
 }
 
 /// Decides which kind of datagram may be sent next. Holds one entry for each kind.
 ///
-/// A request yields to others for `rank` times 500 ms, and afterwards only to earlier ones; [`DatagramBudget::max_wait`]
-/// is the resulting bound.
+/// A request yields to more urgent requests for `rank` times 500 ms, and afterwards only to earlier requests;
+/// [`DatagramBudget::max_wait`] is the resulting bound.
 ///
 /// ```
 /// use rudderspindle_clock::UnixMillis;
 /// use rudderspindle_gossip::{DatagramBudget, DatagramClass, Kind};
 /// let mut budget = DatagramBudget::new(&[
 ///     DatagramClass { kind: Kind::Report, rank: 0, min_interval: 500, cost: 2 },
-///     DatagramClass { kind: Kind::Hot, rank: 1, min_interval: 1_000, cost: 1 },
+///     DatagramClass { kind: Kind::HeavyHitters, rank: 1, min_interval: 1_000, cost: 1 },
 /// ]);
 /// let start = UnixMillis(0);
-/// budget.request(Kind::Hot, start);
+/// budget.request(Kind::HeavyHitters, start);
 /// budget.request(Kind::Report, start);
-/// assert!(!budget.try_acquire(Kind::Hot, start) && budget.try_acquire(Kind::Report, start));
-/// assert!(!budget.try_acquire(Kind::Hot, start + 499) && budget.try_acquire(Kind::Hot, start + 500));
+/// assert!(!budget.try_acquire(Kind::HeavyHitters, start) && budget.try_acquire(Kind::Report, start));
+/// assert!(
+///     !budget.try_acquire(Kind::HeavyHitters, start + 499)
+///         && budget.try_acquire(Kind::HeavyHitters, start + 500)
+/// );
 /// ```
 #[derive(Clone, Debug)]
 pub struct DatagramBudget {
@@ -76,7 +83,7 @@
 }
 
 impl DatagramBudget {
-    /// A budget for the kinds of these classes; datagrams of other kinds are never sent.
+    /// A budget for the kinds of these classes; datagrams of other kinds are never allowed.
     pub fn new(classes: &[DatagramClass]) -> Self {
         let schedule = |class: &DatagramClass| KindSchedule {
             class: *class,
@@ -94,7 +101,7 @@
         }
     }
 
-    /// The kind of which a datagram may be sent now.
+    /// The kind of which a datagram may be sent now; `None` if no request is due or the budget is used up.
     pub fn due(&self, now: UnixMillis) -> Option<Kind> {
         if now < self.free_at {
             return None;
@@ -106,7 +113,7 @@
         ready.min().map(|(.., kind)| kind)
     }
 
-    /// Whether a datagram of that kind may be sent now; if so, it is charged to the budget.
+    /// Whether a datagram of that kind may be sent now. If so, its request ends and its cost is charged to the budget.
     pub fn try_acquire(&mut self, kind: Kind, now: UnixMillis) -> bool {
         if self.due(now) != Some(kind) {
             return false;
@@ -120,15 +127,17 @@
     }
 
     /// Maximum time from a request (and the end of the kind's minimum interval) until its datagram may be sent, in
-    /// milliseconds: its yield time, the longest datagram sent before it, and one datagram of each other kind. Holds if the
-    /// budget is polled whenever it is free.
+    /// milliseconds; `None` for a kind without a class.
+    ///
+    /// The bound is the sum of the kind's yield time, the occupied time of the longest datagram, which may have been
+    /// sent just before, and of one datagram of each other kind. It holds if the budget is polled whenever it is free.
     pub fn max_wait(&self, kind: Kind) -> Option<u64> {
         let yield_time = self.schedules.get(&kind)?.class.yield_time();
         let occupied_time = |schedule: &KindSchedule| schedule.class.occupied_time();
-        let begun = self.schedules.values().map(occupied_time).max()?;
+        let longest = self.schedules.values().map(occupied_time).max()?;
         let others = self.schedules.iter().filter(|(other, _)| **other != kind);
         let others: u64 = others.map(|(_, schedule)| occupied_time(schedule)).sum();
-        Some(yield_time + begun + others)
+        Some(yield_time + longest + others)
     }
 }
 
--- a/crates/gossip/src/demand_exchange.rs
+++ b/crates/gossip/src/demand_exchange.rs
@@ -1,8 +1,8 @@
-//! Exchange of demand between the senders of a fleet, without a leader: in each round every sender reports its load at each
-//! limit to one or a few aggregators, which answer all reporters with the sums.
+//! Exchange of demand between the senders of a fleet, without a leader: in each round every sender reports its load at
+//! each limit to one or a few aggregators, which send the sums of all reports to all reporters.
 //!
-//! Each round has other aggregators, which every sender computes identically. From the sums each sender computes the
-//! capacity of each limit.
+//! The aggregators differ from round to round; every sender selects them by the same computation. From the sums each
+//! sender computes the capacity of each limit.
 
 mod aggregator_selection;
 mod limit_capacity;
@@ -30,47 +30,51 @@
 use crate::message::{GossipError, GossipMessage, MessageKind, is_zero_when_encoded};
 use crate::outgoing_datagram::OutgoingDatagram;
 
-/// The part of a round over which the senders' reports are spread, in milliseconds; the last reports arrive in the rest.
+/// The first part of a round, over which the senders' reports are spread, in milliseconds. The last reports are
+/// received in the remaining part.
 const REPORT_WINDOW: u64 = 200;
-/// Number of rounds for which sums are used.
+/// Maximum age of sums that are used, in rounds.
 const MAX_SUMS_AGE: u64 = 4;
-/// Sums include a limit if more than this fraction of it is in demand or called, or if calls are rejected or fail.
+/// Sums include a limit if its demand or its calls exceed this fraction of it, or if calls were rejected or failed.
 const NEAR_LIMIT_FRACTION: f64 = 0.5;
 
-/// One sender's part in the exchange of demand.
+/// The state of one sender in the exchange of demand, and in its role as the aggregator of some rounds.
 #[derive(Debug)]
 pub struct DemandExchange {
     own_number: usize,
-    senders: usize,
-    ramp: RecoveryRamp,
-    local: BTreeMap<LimitId, DemandHistory>,
+    sender_count: usize,
+    recovery_ramp: RecoveryRamp,
+    /// This sender's demand and calls at each of its limits.
+    local_demand: BTreeMap<LimitId, DemandHistory>,
     last_report_round: Option<u64>,
     aggregators: AggregatorSelection,
     liveness: LivenessEstimate,
-    /// The reports received as an aggregator, by round: those of the current round and its neighbours.
-    collecting: BTreeMap<u64, RoundTotals>,
-    /// Of the latest round with sums, those that include the most senders.
-    received: Option<ReceivedSums>,
+    /// The sums of the reports received as an aggregator, by round, until they are sent: of the current, the previous
+    /// and the next round.
+    open_rounds: BTreeMap<u64, RoundTotals>,
+    /// The received sums of the latest round; if several were received for it, those that include the most senders.
+    received_sums: Option<ReceivedSums>,
     /// The latest round whose sums were applied to the estimates.
     applied_round: Option<u64>,
     estimates: BTreeMap<LimitId, LimitEstimate>,
-    /// Capacities computed from the sums of that round.
+    /// Capacities computed from the sums of `applied_round`.
     capacities: Vec<LimitCapacity>,
 }
 
 impl DemandExchange {
-    /// The exchange of sender `own_number` of `senders`; destinations recover from an outage along `ramp`.
-    pub fn new(own_number: usize, senders: usize, ramp: RecoveryRamp) -> Self {
+    /// The exchange of sender `own_number` in a fleet of `sender_count`; `recovery_ramp` limits the calls during an
+    /// outage of a destination and after it.
+    pub fn new(own_number: usize, sender_count: usize, recovery_ramp: RecoveryRamp) -> Self {
         Self {
             own_number,
-            senders,
-            ramp,
-            local: BTreeMap::new(),
+            sender_count,
+            recovery_ramp,
+            local_demand: BTreeMap::new(),
             last_report_round: None,
-            aggregators: AggregatorSelection::new(senders),
-            liveness: LivenessEstimate::new(senders),
-            collecting: BTreeMap::new(),
-            received: None,
+            aggregators: AggregatorSelection::new(sender_count),
+            liveness: LivenessEstimate::new(sender_count),
+            open_rounds: BTreeMap::new(),
+            received_sums: None,
             applied_round: None,
             estimates: BTreeMap::new(),
             capacities: Vec::new(),
@@ -79,17 +83,18 @@
 
     /// When the next [`report`](Self::report) is due.
     pub fn next_report(&self, now: UnixMillis) -> UnixMillis {
-        let offset = self.own_number as u64 * REPORT_WINDOW / self.senders.max(1) as u64;
+        let offset = self.own_number as u64 * REPORT_WINDOW / self.sender_count.max(1) as u64;
         let at = round_start(round_at(now)) + offset;
         if at > now { at } else { at + ROUND }
     }
 
-    /// When the next [`sums`](Self::sums) are due; `None` without reports.
+    /// When the next [`sums`](Self::sums) are due; `None` if no reports have been received for them.
     pub fn next_sums(&self) -> Option<UnixMillis> {
-        self.collecting.keys().next().map(|round| round_start(round + 1))
+        self.open_rounds.keys().next().map(|round| round_start(round + 1))
     }
 
-    /// Records this sender's demand at each of its limits, and returns its reports, once a round.
+    /// Records this sender's demand at each of its limits. The first call in a round returns the reports to be sent,
+    /// later calls in the round return none.
     pub fn report(&mut self, now: UnixMillis, demands: &[LocalDemand]) -> Vec<OutgoingDatagram> {
         let round = round_at(now);
         self.record_demands(now, demands);
@@ -97,17 +102,17 @@
             return Vec::new();
         }
         let loads = self.local_loads();
-        let has_recent_sums = self.received.as_ref().is_some_and(|received| received.round + 2 >= round);
+        let has_recent_sums = self.received_sums.as_ref().is_some_and(|received| received.round + 2 >= round);
         let mut datagrams = Vec::new();
         for to in self.aggregators.select(round, self.own_number, has_recent_sums) {
             if to == self.own_number {
-                self.collecting.entry(round).or_default().add(self.own_number, &loads);
+                self.open_rounds.entry(round).or_default().add(self.own_number, &loads);
                 continue;
             }
             let report = GossipMessage {
                 kind: MessageKind::Report,
                 round: round as u32,
-                senders: 1,
+                sender_count: 1,
                 loads: loads.clone(),
             };
             datagrams.push(OutgoingDatagram { to, bytes: report.encode() });
@@ -115,42 +120,43 @@
         datagrams
     }
 
-    /// Updates the history of each listed limit, and removes those of others.
+    /// Updates the history of each limit in `demands`, and removes the histories and estimates of all other limits.
     fn record_demands(&mut self, now: UnixMillis, demands: &[LocalDemand]) {
         for demand in demands {
             let history =
-                self.local.entry(demand.limit_id).or_insert_with(|| DemandHistory::new(round_at(now)));
+                self.local_demand.entry(demand.limit_id).or_insert_with(|| DemandHistory::new(round_at(now)));
             history.record(now, demand);
         }
-        let is_listed = |limit_id: &LimitId| demands.iter().any(|demand| demand.limit_id == *limit_id);
-        self.local.retain(|limit_id, _| is_listed(limit_id));
-        self.estimates.retain(|limit_id, _| is_listed(limit_id));
+        let is_reported = |limit_id: &LimitId| demands.iter().any(|demand| demand.limit_id == *limit_id);
+        self.local_demand.retain(|limit_id, _| is_reported(limit_id));
+        self.estimates.retain(|limit_id, _| is_reported(limit_id));
     }
 
+    /// This sender's load at each limit, without loads that are encoded as zero.
     fn local_loads(&self) -> Vec<LimitLoad> {
         let loads =
-            self.local.iter().map(|(&limit_id, history)| LimitLoad { limit_id, load: history.load() });
+            self.local_demand.iter().map(|(&limit_id, history)| LimitLoad { limit_id, load: history.load() });
         loads.filter(|entry| !is_zero_when_encoded(&entry.load)).collect()
     }
 
-    /// Handles a datagram of another sender.
+    /// Handles a datagram received from sender number `from`.
     ///
     /// # Errors
     ///
-    /// [`GossipError`] is why the datagram was dropped. Sums that do not supersede the stored ones are dropped, too, but
-    /// prove that their sender is alive.
+    /// [`GossipError`] if the datagram was dropped. Sums that do not supersede the stored ones are dropped, too, but their
+    /// sender is recorded as alive.
     pub fn receive(&mut self, now: UnixMillis, from: usize, datagram: &[u8]) -> Result<(), GossipError> {
-        if from == self.own_number || from >= self.senders {
+        if from == self.own_number || from >= self.sender_count {
             return Err(GossipError::UnknownSender);
         }
         let message = GossipMessage::decode(datagram)?;
         let current_round = round_at(now);
-        let round = nearest_round(message.round, current_round).ok_or(GossipError::Round)?;
+        let round = nearest_round(message.round, current_round).ok_or(GossipError::WrongRound)?;
         match message.kind {
             MessageKind::Report => self.receive_report(current_round, round, from, &message.loads),
             MessageKind::Sums { sample_bits } => {
                 if round > current_round || round + MAX_SUMS_AGE < current_round {
-                    return Err(GossipError::Round);
+                    return Err(GossipError::WrongRound);
                 }
                 self.aggregators.record_alive(from);
                 let included = self.liveness.observe(round, sample_bits);
@@ -159,8 +165,8 @@
         }
     }
 
-    /// Accepts reports of the current and the next round, as clocks differ by less than a round, and of an earlier one until
-    /// its sums are sent.
+    /// Accepts the first report of a sender for the current or the next round, because clocks differ by less than a
+    /// round, and for an earlier round until its sums are sent.
     fn receive_report(
         &mut self,
         current_round: u64,
@@ -169,28 +175,28 @@
         loads: &[LimitLoad],
     ) -> Result<(), GossipError> {
         let is_near = round == current_round || round == current_round + 1;
-        let is_open = is_near || self.collecting.contains_key(&round);
-        if !is_open || !self.collecting.entry(round).or_default().add(from, loads) {
-            return Err(GossipError::Round);
+        let is_open = is_near || self.open_rounds.contains_key(&round);
+        if !is_open || !self.open_rounds.entry(round).or_default().add(from, loads) {
+            return Err(GossipError::WrongRound);
         }
         self.aggregators.record_alive(from);
         Ok(())
     }
 
-    /// Replaces the stored sums if these supersede them.
+    /// Stores received sums if they supersede the stored ones.
     fn store_sums(&mut self, sums: ReceivedSums) -> Result<(), GossipError> {
-        if self.received.as_ref().is_some_and(|received| !sums.supersedes(received)) {
-            return Err(GossipError::Round);
+        if self.received_sums.as_ref().is_some_and(|received| !sums.supersedes(received)) {
+            return Err(GossipError::WrongRound);
         }
-        self.received = Some(sums);
+        self.received_sums = Some(sums);
         Ok(())
     }
 
-    /// The sums of the rounds that are over, addressed to each reporter.
+    /// The sums of all rounds that have ended, addressed to each sender that reported in the round.
     pub fn sums(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         let mut datagrams = Vec::new();
         while let Some(entry) =
-            self.collecting.first_entry().filter(|entry| round_start(entry.key() + 1) <= now)
+            self.open_rounds.first_entry().filter(|entry| round_start(entry.key() + 1) <= now)
         {
             let (round, totals) = entry.remove_entry();
             datagrams.extend(self.sums_of_round(round, totals));
@@ -198,33 +204,35 @@
         datagrams
     }
 
+    /// The sums of one round, addressed to each sender that reported in it except this one, for which they are stored.
     fn sums_of_round(&mut self, round: u64, totals: RoundTotals) -> Vec<OutgoingDatagram> {
-        let RoundTotals { senders, loads } = totals;
-        let sample_bits = self.liveness.sample_bits(&senders);
+        let RoundTotals { reporters, loads } = totals;
+        let sample_bits = self.liveness.sample_bits(&reporters);
         let loads = loads.into_iter().map(|(limit_id, load)| LimitLoad { limit_id, load });
         let sums = GossipMessage {
             kind: MessageKind::Sums { sample_bits },
             round: round as u32,
-            senders: u16::try_from(senders.len()).unwrap_or(u16::MAX),
+            sender_count: u16::try_from(reporters.len()).unwrap_or(u16::MAX),
             loads: loads.filter(|entry| self.is_relevant(entry)).collect(),
         };
         let bytes = sums.encode();
-        if senders.contains(&self.own_number) {
-            self.apply_own_sums(round, sample_bits, &bytes);
+        if reporters.contains(&self.own_number) {
+            self.store_own_sums(round, sample_bits, &bytes);
         }
-        let others = senders.into_iter().filter(|sender| *sender != self.own_number);
+        let others = reporters.into_iter().filter(|sender| *sender != self.own_number);
         others.map(|to| OutgoingDatagram { to, bytes: bytes.clone() }).collect()
     }
 
-    /// Whether a limit is included in sums; one that is unknown here is, as it may be nearly reached.
+    /// Whether a limit is included in sums. A limit that this sender does not report is always included, because its
+    /// value is unknown here and may be nearly reached.
     fn is_relevant(&self, entry: &LimitLoad) -> bool {
         let Load { demand, calls, rejected, failed } = entry.load;
-        let limit = self.local.get(&entry.limit_id).map_or(0.0, |history| history.limit);
+        let limit = self.local_demand.get(&entry.limit_id).map_or(0.0, |history| history.limit);
         rejected + failed != 0.0 || demand.max(calls) > NEAR_LIMIT_FRACTION * limit
     }
 
-    /// Stores this sender's own sums in the precision in which others receive them.
-    fn apply_own_sums(&mut self, round: u64, sample_bits: u64, bytes: &[u8]) {
+    /// Stores the sums computed by this sender, rounded by the encoding as other senders receive them.
+    fn store_own_sums(&mut self, round: u64, sample_bits: u64, bytes: &[u8]) {
         if let Ok(message) = GossipMessage::decode(bytes) {
             let included = self.liveness.observe(round, sample_bits);
             // The sums of another aggregator may include more senders.
--- a/crates/gossip/src/demand_exchange/received_sums.rs
+++ b/crates/gossip/src/demand_exchange/received_sums.rs
@@ -10,22 +10,22 @@
 #[derive(Debug)]
 pub(crate) struct ReceivedSums {
     pub round: u64,
-    /// Number of senders that are included.
-    pub senders: usize,
-    /// Bits of the sampled senders that are included.
-    pub included: u64,
+    /// Number of senders whose loads are included.
+    pub sender_count: usize,
+    /// Bits of the sampled senders whose loads are included.
+    pub included_bits: u64,
     pub loads: BTreeMap<LimitId, Load>,
 }
 
 impl ReceivedSums {
-    /// The sums of a round in a message. `included` are the bits of the sampled senders in it.
-    pub fn new(round: u64, included: u64, message: GossipMessage) -> Self {
+    /// The sums of a round from a message. `included_bits` are the bits of the sampled senders whose loads it includes.
+    pub fn new(round: u64, included_bits: u64, message: GossipMessage) -> Self {
         let loads = message.loads.into_iter().map(|entry| (entry.limit_id, entry.load));
-        Self { round, senders: usize::from(message.senders), included, loads: loads.collect() }
+        Self { round, sender_count: usize::from(message.sender_count), included_bits, loads: loads.collect() }
     }
 
-    /// Whether these sums replace others: they are of a later round, or of the same round and more senders.
+    /// Whether these sums replace `other`: they are of a later round, or of the same round and include more senders.
     pub fn supersedes(&self, other: &Self) -> bool {
-        (self.round, self.senders) > (other.round, other.senders)
+        (self.round, self.sender_count) > (other.round, other.sender_count)
     }
 }
--- a/crates/gossip/src/envelope.rs
+++ b/crates/gossip/src/envelope.rs
@@ -6,7 +6,8 @@
 //! | 2 | checksum: the low half of the body's CRC-32, little-endian |
 //! | up to [`MAX_BODY_LEN`] | the body, encoded with `postcard` |
 //!
-//! Invariant: a datagram that is truncated, damaged, unknown or out of bounds is rejected before its content is used.
+//! Invariant: a datagram that is truncated, damaged, out of bounds or of an unknown kind is rejected before its content
+//! is used.
 
 mod bounded_list;
 
@@ -19,7 +20,7 @@
 pub const MAX_BODY_LEN: usize = 240;
 /// Length of the header, in bytes: version and kind, then the checksum.
 const HEADER_LEN: usize = 3;
-/// Leading byte of the first [`Kind`]; lower values are the kinds of demand messages.
+/// Leading byte of the first [`Kind`]; messages of the demand exchange have lower leading bytes.
 const FIRST_KIND: u8 = 0x70;
 
 /// The kind of message in an envelope.
@@ -27,22 +28,22 @@
 pub enum Kind {
     /// A sender's own usage and votes, sent to the round's aggregator.
     Report,
-    /// The aggregator's answer: usage and votes of all senders that reported to it.
+    /// The aggregator's response: usage and votes of all senders that reported to it.
     Summary,
     /// The operator's placement rules.
     Rules,
-    /// The heaviest keys.
-    Hot,
+    /// The keys with the most messages.
+    HeavyHitters,
     /// Permits that a sender releases, and how many it requests.
     PermitOffer,
-    /// Permits that are granted to a sender.
+    /// Permits that the allocator grants to a sender.
     PermitGrant,
 }
 
 impl Kind {
     /// All kinds, in the order of their codes on the wire.
     pub const ALL: [Self; 6] =
-        [Self::Report, Self::Summary, Self::Rules, Self::Hot, Self::PermitOffer, Self::PermitGrant];
+        [Self::Report, Self::Summary, Self::Rules, Self::HeavyHitters, Self::PermitOffer, Self::PermitGrant];
 
     fn from_leading_byte(byte: u8) -> Option<Self> {
         let code = byte.checked_sub(FIRST_KIND)?;
@@ -56,21 +57,21 @@
 pub enum EnvelopeError {
     /// The datagram is shorter than a header, or its body is longer than [`MAX_BODY_LEN`].
     #[error(
-        "a datagram has a header of {HEADER_LEN} bytes and a body of up to {MAX_BODY_LEN}; this has {0} in all"
+        "datagram of {0} bytes: must have a header of {HEADER_LEN} bytes and a body of at most {MAX_BODY_LEN}"
     )]
     Length(usize),
-    /// The leading byte is of another version, or of another protocol.
-    #[error("kind {0:#04x} is not known")]
+    /// The leading byte belongs to another format version or another protocol.
+    #[error("datagram kind {0:#04x} is unknown or belongs to another protocol")]
     Kind(u8),
     /// The checksum does not match the body.
-    #[error("the checksum does not match")]
+    #[error("the checksum does not match the datagram's body")]
     Checksum,
-    /// The body is malformed, exceeds a bound, or has trailing bytes.
-    #[error("the body is malformed")]
+    /// The body is malformed, has a list with too many entries, or has trailing bytes.
+    #[error("the datagram's body is malformed, has a list with too many entries, or has trailing bytes")]
     Body,
 }
 
-/// Encodes a message into a datagram.
+/// Encodes a message as a datagram with a header.
 ///
 /// # Errors
 ///
@@ -86,20 +87,20 @@
     Ok(datagram)
 }
 
-/// A datagram whose envelope has been checked.
+/// The content of a datagram whose header and checksum are valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope<'a> {
     /// The kind of message.
     pub kind: Kind,
-    /// The encoded message, for [`read`].
+    /// The encoded message, to be decoded with [`read`].
     pub body: &'a [u8],
 }
 
-/// Checks a datagram's envelope.
+/// Checks the header and the checksum of a datagram; the body is not decoded.
 ///
 /// # Errors
 ///
-/// [`EnvelopeError`], except [`EnvelopeError::Body`].
+/// [`EnvelopeError::Length`], [`EnvelopeError::Kind`] or [`EnvelopeError::Checksum`].
 pub fn open(datagram: &[u8]) -> Result<Envelope<'_>, EnvelopeError> {
     let (&[leading, low, high], body) =
         datagram.split_first_chunk::<HEADER_LEN>().ok_or(EnvelopeError::Length(datagram.len()))?;
@@ -117,7 +118,7 @@
 ///
 /// # Errors
 ///
-/// [`EnvelopeError::Body`], also for trailing bytes.
+/// [`EnvelopeError::Body`] if the body is not exactly one valid message.
 pub fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, EnvelopeError> {
     match postcard::take_from_bytes(body) {
         Ok((message, [])) => Ok(message),
@@ -125,6 +126,7 @@
     }
 }
 
+/// The low half of the body's CRC-32, in little-endian order.
 fn checksum(body: &[u8]) -> [u8; 2] {
     let [low, high, ..] = crc32fast::hash(body).to_le_bytes();
     [low, high]
--- a/crates/gossip/src/envelope/bounded_list.rs
+++ b/crates/gossip/src/envelope/bounded_list.rs
@@ -8,11 +8,11 @@
 
 /// Deserializes a list of at most `MAX` entries, for use with `#[serde(deserialize_with)]`.
 ///
-/// The length that the encoding declares is never trusted: no memory is reserved for it.
+/// No memory is reserved for the length that the encoding declares, because it may be forged.
 ///
 /// # Errors
 ///
-/// An invalid length if there are more than `MAX` entries, and the deserializer's errors.
+/// `invalid_length` if the list has more than `MAX` entries; otherwise the error of the deserializer.
 pub(crate) fn bounded<'de, const MAX: usize, T, D>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     T: Deserialize<'de>,
@@ -21,13 +21,14 @@
     deserializer.deserialize_seq(BoundedVisitor::<MAX, T>(PhantomData))
 }
 
+/// Collects the entries of a list, at most `MAX`.
 struct BoundedVisitor<const MAX: usize, T>(PhantomData<T>);
 
 impl<'de, const MAX: usize, T: Deserialize<'de>> Visitor<'de> for BoundedVisitor<MAX, T> {
     type Value = Vec<T>;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "at most {MAX} entries")
+        write!(formatter, "a list of at most {MAX} entries")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Vec<T>, A::Error> {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,17 +1,17 @@
-//! Gossip between the senders of a fleet, with which hundreds of them share one limit without a leader.
+//! Gossip between the senders of a fleet, by which hundreds of senders share a limit without a leader.
 //!
-//! Several times a second each sender reports its load at every limit (a destination's, or a single endpoint's) and
-//! receives the sums over all recent reports. From the sums it computes the capacity that the limit leaves for each of its
-//! calls. No sender decides for another: the aggregator of a round is the first sender of an order that all senders
-//! compute identically, and any other sender can replace it.
+//! Several times a second each sender reports its load at every limit (of a destination, or of a single endpoint) and
+//! receives the sums of all recent reports. From the sums it computes the capacity that each limit has for its calls.
+//! No sender decides for another: the aggregator of a round is the first sender in an order that all senders compute
+//! identically, and any other sender can replace it.
 //!
-//! - [`DemandExchange`] exchanges loads and computes the capacity of each limit; [`CapacityShare`] is the policy's view
-//!   of it.
-//! - [`PermitLedger`] enforces a hard bound on the fleet's rate at a limit by leases for single calls.
-//! - [`FleetView`] exchanges tenant usage and outlier votes; [`DatagramBudget`] bounds the datagrams for it.
+//! - [`DemandExchange`] exchanges loads and computes the capacity of each limit; [`CapacityShare`] applies
+//!   the capacity to the calls of one sender's policy.
+//! - [`PermitLedger`] enforces a hard bound on the fleet's call rate at a limit, with a lease for each call.
+//! - [`FleetView`] exchanges tenant usage and outlier votes; [`DatagramBudget`] limits the rate of its datagrams.
 //!
-//! This crate does no I/O and reads no clock: its callers pass in the time and the received datagrams, and send those that
-//! it returns.
+//! This crate does no I/O and reads no clock: callers pass in the time and the received datagrams, and send the
+//! datagrams that the functions return.
 #![forbid(unsafe_code)]
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -2,7 +2,7 @@
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 1 | version and kind |
+//! | 1 | format version and kind |
 //! | 2 | checksum: the low half of the CRC-32 of all that follows |
 //! | 4 | round, modulo 2^32 |
 //! | 2 | number of senders whose loads are included; 1 in a report |
@@ -18,56 +18,57 @@
 pub(crate) use load_code::is_zero_when_encoded;
 use load_code::{decode_figure, encode_figure};
 
-/// Maximum length of a message, in bytes, as the platform specifies it.
+/// Maximum length of a message, in bytes, as the platform's specification requires.
 pub const MAX_MESSAGE_LEN: usize = 256;
 /// Length of the header of a report, in bytes.
 const HEADER_LEN: usize = 9;
-/// Start of the bytes that the checksum covers.
-const CHECKED_FROM: usize = 3;
+/// Index of the first byte that the checksum covers.
+const CHECKSUM_START: usize = 3;
 /// Length of the sample bits that follow the header in sums, in bytes.
 const SAMPLE_BITS_LEN: usize = 8;
 /// Length of the entry of one limit, in bytes.
 const ENTRY_LEN: usize = 7;
 /// Length of a limit's identifier in an entry, in bytes.
 const LIMIT_ID_LEN: usize = 3;
-/// Maximum number of limits in sums; a report holds one more.
+/// Maximum number of limits in a message. It is computed for sums; a report would have space for one more.
 pub(crate) const MAX_LIMITS: usize = (MAX_MESSAGE_LEN - HEADER_LEN - SAMPLE_BITS_LEN) / ENTRY_LEN;
 /// First byte of a report, version 2.
 const REPORT: u8 = 0x61;
 /// First byte of sums, version 2.
 const SUMS: u8 = 0x62;
 
-/// Why a datagram is not a valid message, or is ignored.
+/// Why a datagram of the demand exchange was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum GossipError {
-    /// Too short, too long, or cut within an entry.
+    /// The datagram is too short, too long, or truncated within an entry.
     #[error(
-        "a message has 9 (sums: 17) to {MAX_MESSAGE_LEN} bytes, seven for each limit after those; this has {0}"
+        "message of {0} bytes: must have 9 (sums: 17) plus 7 for each limit, and at most {MAX_MESSAGE_LEN}"
     )]
     Length(usize),
-    /// Another version, or another protocol.
-    #[error("kind {0:#04x} is not known; 0x61 and 0x62 are")]
+    /// The first byte belongs to another format version or another protocol.
+    #[error("unknown message kind {0:#04x}: must be 0x61 (report) or 0x62 (sums)")]
     Kind(u8),
-    /// The checksum does not match.
-    #[error("the checksum does not match")]
-    Check,
-    /// It belongs to a past or future round, or was received before.
-    #[error("it is of another round, or superseded")]
-    Round,
-    /// The sender's number is outside the fleet, or this sender's own.
-    #[error("the message does not come from another sender of the fleet")]
+    /// The checksum does not match the bytes that it covers.
+    #[error("the checksum does not match the message's content")]
+    Checksum,
+    /// The message belongs to a past or future round, repeats a report, or has sums that do not supersede the stored
+    /// ones.
+    #[error("the message is of a past or future round, a duplicate report, or superseded sums")]
+    WrongRound,
+    /// The number of the message's sender is outside the fleet, or this sender's own.
+    #[error("the number of the message's sender is outside the fleet, or the receiving sender's own")]
     UnknownSender,
 }
 
-/// The kind of a message.
+/// The kind of a message, with the content that only this kind has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MessageKind {
     /// The loads of the sender itself.
     Report,
     /// Sums over the senders that reported in a round.
     Sums {
-        /// Bits of the sampled senders among them.
+        /// Bits of the sampled senders whose reports are included.
         sample_bits: u64,
     },
 }
@@ -79,39 +80,39 @@
     /// The round, modulo 2^32.
     pub round: u32,
     /// Number of senders whose loads are included.
-    pub senders: u16,
+    pub sender_count: u16,
     pub loads: Vec<LimitLoad>,
 }
 
 impl GossipMessage {
-    /// Encodes the message. Limits with the most demand, rejections and failures are first; those that do not fit are left
-    /// out.
+    /// Encodes the message, limits with the highest sum of demand, rejections and failures first. Limits beyond
+    /// [`MAX_LIMITS`] are left out.
     pub(crate) fn encode(mut self) -> Vec<u8> {
-        let weight = |entry: &LimitLoad| entry.load.demand + entry.load.rejected + entry.load.failed;
-        self.loads.sort_by(|a, b| weight(b).total_cmp(&weight(a)).then(a.limit_id.cmp(&b.limit_id)));
+        let priority = |entry: &LimitLoad| entry.load.demand + entry.load.rejected + entry.load.failed;
+        self.loads.sort_by(|a, b| priority(b).total_cmp(&priority(a)).then(a.limit_id.cmp(&b.limit_id)));
         let kind = match self.kind {
             MessageKind::Report => REPORT,
             MessageKind::Sums { .. } => SUMS,
         };
         let mut bytes = vec![kind, 0, 0];
         bytes.extend(self.round.to_le_bytes());
-        bytes.extend(self.senders.to_le_bytes());
+        bytes.extend(self.sender_count.to_le_bytes());
         if let MessageKind::Sums { sample_bits } = self.kind {
             bytes.extend(sample_bits.to_le_bytes());
         }
         for entry in self.loads.iter().take(MAX_LIMITS) {
             bytes.extend(encode_entry(entry));
         }
-        let checksum = checksum(&bytes[CHECKED_FROM..]);
-        bytes[1..CHECKED_FROM].copy_from_slice(&checksum);
+        let checksum = checksum(&bytes[CHECKSUM_START..]);
+        bytes[1..CHECKSUM_START].copy_from_slice(&checksum);
         bytes
     }
 
-    /// Decodes a datagram.
+    /// Decodes a datagram. Its round and its sender are not checked.
     ///
     /// # Errors
     ///
-    /// [`GossipError::Length`], [`GossipError::Kind`] or [`GossipError::Check`].
+    /// [`GossipError::Length`], [`GossipError::Kind`] or [`GossipError::Checksum`].
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, GossipError> {
         let has_sample_bits = match bytes.first() {
             None | Some(&REPORT) => false,
@@ -120,8 +121,8 @@
         };
         let sample_bits_len = if has_sample_bits { SAMPLE_BITS_LEN } else { 0 };
         check_length(bytes.len(), HEADER_LEN + sample_bits_len)?;
-        if checksum(&bytes[CHECKED_FROM..]) != bytes[1..CHECKED_FROM] {
-            return Err(GossipError::Check);
+        if checksum(&bytes[CHECKSUM_START..]) != bytes[1..CHECKSUM_START] {
+            return Err(GossipError::Checksum);
         }
         let (header, rest) = bytes.split_at(HEADER_LEN);
         let (sample_bits, entries) = rest.split_at(sample_bits_len);
@@ -132,7 +133,7 @@
         Ok(Self {
             kind,
             round: u32::from_le_bytes([header[3], header[4], header[5], header[6]]),
-            senders: u16::from_le_bytes([header[7], header[8]]),
+            sender_count: u16::from_le_bytes([header[7], header[8]]),
             loads: entries.chunks_exact(ENTRY_LEN).map(decode_entry).collect(),
         })
     }
@@ -148,7 +149,7 @@
     }
 }
 
-/// The low half of a CRC-32.
+/// The low half of the CRC-32 of these bytes, in little-endian order.
 fn checksum(bytes: &[u8]) -> [u8; 2] {
     let [low, high, ..] = crc32fast::hash(bytes).to_le_bytes();
     [low, high]
--- a/crates/gossip/src/message/load_code.rs
+++ b/crates/gossip/src/message/load_code.rs
@@ -1,25 +1,25 @@
-//! One-byte code of a figure: exact up to 16, above that in steps of a twenty-fourth.
+//! One-byte code of each figure of a load: exact for integers up to 16, above that in steps of a twenty-fourth.
 
 use crate::load_totals::Load;
 
-/// Largest figure that is encoded exactly; codes above it grow by a factor.
+/// Largest figure that is encoded exactly; above it, each code stands for the previous code's figure times [`STEP`].
 const MAX_EXACT: f64 = 16.0;
-/// Factor between two codes above [`MAX_EXACT`].
+/// Factor between the figures of two consecutive codes above [`MAX_EXACT`].
 const STEP: f64 = 25.0 / 24.0;
 
-/// The code of a figure; negative ones and NaN have the first code, too large ones the last.
+/// The code of a figure. Negative figures and NaN are encoded as 0, figures that are too large as the highest code.
 pub(super) fn encode_figure(figure: f64) -> u8 {
     let steps = if figure <= MAX_EXACT { figure } else { MAX_EXACT + (figure / MAX_EXACT).ln() / STEP.ln() };
     steps.round() as u8
 }
 
-/// The figure of a code.
+/// The figure that a code stands for.
 pub(super) fn decode_figure(code: u8) -> f64 {
     let code = f64::from(code);
     if code <= MAX_EXACT { code } else { MAX_EXACT * STEP.powf(code - MAX_EXACT) }
 }
 
-/// Whether a load decodes to zero, so that its limit need not be reported.
+/// Whether all figures of a load are encoded as 0, so that its limit need not be reported.
 pub(crate) fn is_zero_when_encoded(load: &Load) -> bool {
     [load.demand, load.calls, load.rejected, load.failed].iter().all(|&figure| encode_figure(figure) == 0)
 }
--- a/crates/gossip/src/outgoing_datagram.rs
+++ b/crates/gossip/src/outgoing_datagram.rs
@@ -2,7 +2,7 @@
 
 /// An encoded message and its recipient.
 ///
-/// Delivery is best effort: every protocol here tolerates a datagram that is lost, duplicated or late.
+/// Delivery is best effort: every protocol of this crate tolerates datagrams that are lost, duplicated or late.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
     /// Number of the receiving sender, an index into the configured peers.
--- a/crates/gossip/src/peer_selection.rs
+++ b/crates/gossip/src/peer_selection.rs
@@ -1,6 +1,7 @@
-//! Deterministic selection of senders: every sender computes the same order and the same sample from the fleet size alone.
+//! Deterministic selection of senders: every sender computes the same order and the same sample from the round number
+//! and the number of senders alone.
 
-/// CRC-32 over words in little-endian order, as a cheap hash that is stable across versions and platforms.
+/// CRC-32 of words in little-endian order: a cheap hash that is the same in all versions and on all platforms.
 pub(crate) fn hash_words<const WORDS: usize>(words: [u64; WORDS]) -> u32 {
     crc32fast::hash(&words.map(u64::to_le_bytes).concat())
 }
@@ -13,29 +14,29 @@
 }
 
 impl RankedSender {
-    /// The sender's position in the order of `round`.
+    /// The sort key of a sender in the order of `round`.
     pub fn new(round: u64, sender: usize) -> Self {
         Self { hash: hash_words([round, sender as u64]), sender }
     }
 }
 
-/// Up to 64 senders that represent the fleet in bit sets, with one bit each. They are selected by a hash, since consecutive
-/// numbers may share a zone.
+/// Up to 64 senders that represent the fleet in bit sets, with one bit each. They are selected by a hash, because
+/// senders with consecutive numbers may be in the same zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PeerSample {
     members: Vec<usize>,
 }
 
 impl PeerSample {
-    /// The sample of a fleet of `senders`.
-    pub fn new(senders: usize) -> Self {
-        let mut members: Vec<usize> = (0..senders).collect();
+    /// The sample of a fleet of `sender_count` senders.
+    pub fn new(sender_count: usize) -> Self {
+        let mut members: Vec<usize> = (0..sender_count).collect();
         members.sort_by_key(|sender| (hash_words([*sender as u64]), *sender));
         members.truncate(u64::BITS as usize);
         Self { members }
     }
 
-    /// The sampled senders, lowest bit first.
+    /// The sampled senders, in the order of their bits from the lowest.
     pub fn members(&self) -> &[usize] {
         &self.members
     }
@@ -45,7 +46,7 @@
         self.members.iter().position(|member| *member == sender).map_or(0, |bit| 1 << bit)
     }
 
-    /// The bits of several senders.
+    /// The bits of several senders; senders that are not sampled have none.
     pub fn bits(&self, senders: impl IntoIterator<Item = usize>) -> u64 {
         senders.into_iter().fold(0, |bits, sender| bits | self.bit(sender))
     }
@@ -55,7 +56,7 @@
         self.bits(self.members.iter().copied())
     }
 
-    /// The senders whose bits are set; other bits are ignored.
+    /// The sampled senders whose bits are set. Bits that belong to no sender are ignored.
     pub fn senders(&self, bits: u64) -> impl Iterator<Item = usize> {
         self.members
             .iter()
--- a/crates/gossip/src/permits.rs
+++ b/crates/gossip/src/permits.rs
@@ -1,14 +1,15 @@
-//! Permits to start calls: a hard bound on the call rate of a fleet at a limit, also if messages are lost.
+//! Permits to start calls: a hard bound on the call rate of a fleet at a limit, even if messages are lost.
 //!
 //! Invariant: each permit of a limit is used by at most one process, within
 //! [`PERMIT_VALIDITY`](rounds::PERMIT_VALIDITY) of its start.
 //!
-//! A limit is issued as permits ([`PermitSchedule`](schedule::PermitSchedule)), each a lease whose owner is determined by the
-//! wall clock. In each round a sender offers the permits of the round's term that it does not need to one sender, the
-//! allocator, which grants them to senders that request some. Permits are released before the offer is sent, so a lost
-//! message leaves permits unused and none is used twice. If the senders' clocks differ by at most `e`, at most
-//! `0.95 * limit * (s + PERMIT_VALIDITY + 2 e) + 1` calls start in a span `s`; while the endpoint list changes, `limit` is
-//! the larger one.
+//! A limit is divided into permits ([`PermitSchedule`](schedule::PermitSchedule)). Each permit is a lease whose owner
+//! is determined by the wall clock. In each round a sender offers the permits of the round's term that it does not need
+//! to one sender, the allocator, which grants them to senders that request permits. Permits are released before the
+//! offer is sent, so if a message is lost, permits stay unused and none is used twice. If the senders' clocks differ by
+//! at most `e`, at most
+//! `0.95 * limit * (s + PERMIT_VALIDITY + 2 e) + 1` calls start in a span `s`. While the endpoint list
+//! changes, `limit` is the larger of the two limits.
 
 mod allocation;
 mod allocator;
@@ -46,23 +47,24 @@
 pub struct Permit {
     /// Number of the permit, unique at its limit.
     pub number: u64,
-    /// Start of its validity.
+    /// Start of the permit's validity.
     pub from: UnixMillis,
-    /// End of its validity (exclusive).
+    /// End of the permit's validity (exclusive).
     pub until: UnixMillis,
 }
 
-/// The permits of one sender at all its limits. It is not persisted.
+/// The permits of one sender at all its limits, and its role as the allocator of some rounds. The ledger is not
+/// persisted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PermitLedger {
     own_number: usize,
-    senders: usize,
+    sender_count: usize,
     incarnation: Incarnation,
     /// The round of the last offer.
     last_offer_round: u64,
-    /// The latest wall clock time seen.
+    /// The latest wall clock time that was passed in.
     latest_time: UnixMillis,
-    /// The allocator of each round whose term is not over.
+    /// The allocator to which the offer of each round was sent, until the round's term ends.
     allocators: BTreeMap<u64, usize>,
     holdings: BTreeMap<LimitId, PermitHolding>,
     allocator_selection: AllocatorSelection,
@@ -71,19 +73,20 @@
 }
 
 impl PermitLedger {
-    /// The ledger of sender `own_number` of `senders`, for a process with this incarnation that starts at `now`.
-    /// An earlier process of the same sender must have ended by then.
-    pub fn new(own_number: usize, senders: usize, incarnation: Incarnation, now: UnixMillis) -> Self {
+    /// The ledger of sender `own_number` in a fleet of `sender_count`, for a process with this incarnation that starts
+    /// at
+    /// `now`. Any earlier process of the same sender must have ended by then.
+    pub fn new(own_number: usize, sender_count: usize, incarnation: Incarnation, now: UnixMillis) -> Self {
         let round = round_at(now);
         Self {
             own_number,
-            senders,
+            sender_count,
             incarnation,
             last_offer_round: round,
             latest_time: now,
             allocators: BTreeMap::new(),
             holdings: BTreeMap::new(),
-            allocator_selection: AllocatorSelection::new(senders),
+            allocator_selection: AllocatorSelection::new(sender_count),
             allocator: PermitAllocator::new(round),
         }
     }
@@ -91,48 +94,52 @@
     /// When the next [`offer`](Self::offer) is due.
     pub fn next_offer(&self, now: UnixMillis) -> UnixMillis {
         let window = OFFER_WINDOW.end - OFFER_WINDOW.start;
-        let offset = self.own_number as u64 * window / self.senders.max(1) as u64;
+        let offset = self.own_number as u64 * window / self.sender_count.max(1) as u64;
         let at = round_start(round_at(now)) + OFFER_WINDOW.start + offset;
         if at > now { at } else { at + ROUND }
     }
 
-    /// When the next [`allocate`](Self::allocate) is due; `None` without offers.
+    /// When the next [`allocate`](Self::allocate) is due; `None` if no offers have been received for it.
     pub fn next_allocation(&self) -> Option<UnixMillis> {
         self.allocator.next_round().map(|round| round_start(round + 1))
     }
 
-    /// Records the wall clock. If it was set back, the ledger is reset and starts in the latest round that was reached:
-    /// messages about permits of earlier rounds may still arrive.
+    /// Records the wall clock. If the clock was set back, the ledger is reset. It then starts in the latest round that
+    /// was reached, because messages about permits of earlier rounds may still be received, unless that round is
+    /// further ahead than [`MAX_MESSAGE_AGE_ROUNDS`].
     fn observe_clock(&mut self, now: UnixMillis) {
         if now + CLOCK_STEP_TOLERANCE < self.latest_time {
             let round = round_at(now);
-            let reached = self.last_offer_round.max(round_at(self.latest_time));
-            let restart_round = if reached > round + MAX_MESSAGE_AGE_ROUNDS { round } else { reached };
-            *self = Self::new(self.own_number, self.senders, self.incarnation, round_start(restart_round));
+            let latest_round = self.last_offer_round.max(round_at(self.latest_time));
+            let restart_round =
+                if latest_round > round + MAX_MESSAGE_AGE_ROUNDS { round } else { latest_round };
+            *self =
+                Self::new(self.own_number, self.sender_count, self.incarnation, round_start(restart_round));
             self.latest_time = now;
         }
         self.latest_time = self.latest_time.max(now);
     }
 
-    /// Handles a datagram of another sender. Returns whether the usable [`permits`](Self::permits) may have changed.
+    /// Handles a datagram received from sender number `from`. Returns whether the [`permits`](Self::permits) may have
+    /// changed.
     ///
     /// # Errors
     ///
-    /// [`PermitError`] is why it was dropped; the ledger is unchanged.
+    /// [`PermitError`] if the datagram was dropped; the permits are unchanged then.
     pub fn receive(&mut self, now: UnixMillis, from: usize, datagram: &[u8]) -> Result<bool, PermitError> {
         self.observe_clock(now);
-        if from == self.own_number || from >= self.senders {
+        if from == self.own_number || from >= self.sender_count {
             return Err(PermitError::UnknownSender);
         }
         match PermitMessage::decode(datagram)? {
             PermitMessage::PermitOffer(offer) => {
-                let is_counted = self.allocator.add_offer(round_at(now), from, offer);
-                if is_counted { Ok(false) } else { Err(PermitError::Round) }
+                let is_accepted = self.allocator.add_offer(round_at(now), from, offer);
+                if is_accepted { Ok(false) } else { Err(PermitError::Unexpected) }
             }
             PermitMessage::PermitGrant(grant) => {
-                let is_answer = self.allocators.get(&grant.round) == Some(&from);
-                if !is_answer || grant.incarnation != self.incarnation {
-                    return Err(PermitError::Round);
+                let is_from_allocator = self.allocators.get(&grant.round) == Some(&from);
+                if !is_from_allocator || grant.incarnation != self.incarnation {
+                    return Err(PermitError::Unexpected);
                 }
                 self.apply_grant(&grant);
                 Ok(true)
@@ -140,6 +147,7 @@
         }
     }
 
+    /// Adds the granted permits of each limit whose schedule is the same at the allocator and here.
     fn apply_grant(&mut self, grant: &PermitGrant) {
         self.allocator_selection.record_alive(grant.round, grant.candidates_alive);
         for entry in grant.entries.iter().take(MAX_LIMITS) {
@@ -152,7 +160,7 @@
         }
     }
 
-    /// Grants the permits that were offered to this sender in past rounds.
+    /// Grants the permits that were offered to this sender in past rounds. Returns the grants to be sent.
     pub fn allocate(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         self.observe_clock(now);
         let grants = self.allocator.allocate(
@@ -171,23 +179,24 @@
         datagrams
     }
 
-    /// The permits of a limit that this sender may still use, ordered by number.
+    /// The permits of a limit that have not expired and that this sender may use, ordered by number.
     ///
-    /// `available_fraction` is the estimated fraction of the limit that the destination accepts, from 0 to 1; the remaining
-    /// permits are left out, the same ones at every sender.
+    /// `available_fraction` is the estimated fraction of the limit that the destination accepts, from 0 to 1; the permits
+    /// beyond it are left out, the same ones at every sender.
     pub fn permits(&self, now: UnixMillis, limit_id: LimitId, available_fraction: f64) -> Vec<Permit> {
-        // Records of released permits expire, so a clock that was set back could make them usable again.
+        // The ledger forgets released permits when they expire, so a clock that was set back could make them valid
+        // again.
         let is_clock_set_back = now + CLOCK_STEP_TOLERANCE < self.latest_time;
         let Some(holding) = self.holdings.get(&limit_id).filter(|_| !is_clock_set_back) else {
             return Vec::new();
         };
-        let mut permits = holding.usable(self.own_number, now, term(self.last_offer_round).end);
+        let mut permits = holding.unexpired_permits(self.own_number, now, term(self.last_offer_round).end);
         permits.retain(|permit| is_available(permit.number, limit_id, available_fraction));
         permits
     }
 }
 
-/// Whether a permit is in the given fraction of a limit's permits, by a hash that is the same at every sender.
+/// Whether a permit belongs to the available fraction of a limit's permits, by a hash that is the same at every sender.
 fn is_available(number: u64, limit_id: LimitId, fraction: f64) -> bool {
     let draw = hash_words([number, u64::from(limit_id.0)]);
     fraction >= 1.0 || f64::from(draw) < fraction * f64::from(u32::MAX)
--- a/crates/gossip/src/permits/allocation.rs
+++ b/crates/gossip/src/permits/allocation.rs
@@ -22,16 +22,17 @@
     pub entry: PermitGrantEntry,
 }
 
-/// A sender's request that is not fully met.
+/// A sender's request for permits that is not fully met.
 struct OpenRequest {
     sender: usize,
+    /// Number of permits that are still to be granted.
     remaining: u8,
 }
 
-/// Grants one permit to each requesting sender in turn, in an order that changes with the round, until all requests are met
-/// or no released permits are left. Returns an entry for each sender with granted permits, ordered by sender.
+/// Grants one permit to each requesting sender in turn, in an order that changes with the round, until all requests are
+/// met or all released permits are granted. Returns an entry for each sender with granted permits, ordered by sender.
 ///
-/// Entries that refer to another schedule are ignored.
+/// Offers that refer to another schedule are ignored.
 pub(crate) fn allocate_limit(
     round: u64,
     limit_id: LimitId,
@@ -60,7 +61,8 @@
     granted.iter().map(|(sender, numbers)| SenderGrant { sender: *sender, entry: entry(numbers) }).collect()
 }
 
-/// The numbers of the permits that their owners released, ascending.
+/// The numbers of the permits that the offers release, ascending. An offer releases the last of its sender's own
+/// permits.
 fn released_permits(round: u64, schedule: &PermitSchedule, offers: &[SenderOffer]) -> Vec<u64> {
     let mut released = Vec::new();
     for offer in offers {
@@ -71,7 +73,7 @@
     released
 }
 
-/// The requests in the order in which they are granted.
+/// The requests, in the order in which the first permits are granted.
 fn open_requests(round: u64, limit_id: LimitId, offers: &[SenderOffer]) -> VecDeque<OpenRequest> {
     let mut requests: Vec<OpenRequest> = offers
         .iter()
@@ -85,7 +87,7 @@
     VecDeque::from(requests)
 }
 
-/// Ascending permit numbers as differences, the first to `term_start`.
+/// Ascending permit numbers, each as the difference to the previous number, the first to `term_start`.
 fn number_deltas(term_start: u64, numbers: &[u64]) -> Vec<u16> {
     let previous = std::iter::once(term_start).chain(numbers.iter().copied());
     numbers.iter().zip(previous).map(|(number, previous)| (number - previous) as u16).collect()
--- a/crates/gossip/src/permits/allocator.rs
+++ b/crates/gossip/src/permits/allocator.rs
@@ -1,6 +1,6 @@
 //! Collects the offers of a round and grants the released permits to the senders that request them.
 //!
-//! Invariant: a permit is granted to at most one sender, and only if its owner released it for that very round.
+//! Invariant: a permit is granted to at most one sender, and only if its owner released it in the same round.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 /// The first offer of each sender in one round.
 type Offers = BTreeMap<usize, PermitOffer>;
 
-/// A grant and the sender that it is for.
+/// A grant and its recipient.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AddressedGrant {
     pub to: usize,
@@ -22,19 +22,21 @@
 /// One sender in its role as the allocator of some rounds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PermitAllocator {
-    /// Rounds up to this one are closed: they were allocated, possibly by an earlier process.
+    /// Rounds up to this one are closed because they were allocated, possibly by an earlier process.
     closed_round: u64,
-    /// Offers of the current round and, as clocks differ, of the next one.
+    /// Offers of the current round and, because clocks differ, of the next one.
     open_rounds: BTreeMap<u64, Offers>,
 }
 
 impl PermitAllocator {
-    /// An allocator that starts in `round`, which an earlier process may have allocated already.
+    /// An allocator that starts in `round` and accepts no offers of it, because an earlier process may have allocated
+    /// it.
     pub fn new(round: u64) -> Self {
         Self { closed_round: round, open_rounds: BTreeMap::new() }
     }
 
-    /// Adds a sender's offer. Returns whether it was accepted: it is of the current or the next round, and the sender's first.
+    /// Adds a sender's offer. Returns whether it was accepted: it must be of the current or the next round, which must
+    /// be open, and the sender's first offer of that round.
     pub fn add_offer(&mut self, current_round: u64, from: usize, offer: PermitOffer) -> bool {
         let round = offer.round;
         let is_open = round > self.closed_round && (current_round..=current_round + 1).contains(&round);
@@ -49,14 +51,16 @@
         is_first
     }
 
-    /// The next round to be allocated, once it is over.
+    /// The earliest round with offers, to be allocated when the round is over.
     pub fn next_round(&self) -> Option<u64> {
         self.open_rounds.keys().next().copied()
     }
 
-    /// Closes the rounds before `current_round` and returns a grant for each sender that made an offer in them.
+    /// Closes the rounds before `current_round`. Returns a grant for each sender that sent an offer in one of these
+    /// rounds.
     ///
-    /// `candidate_bits` returns the bits of the allocator candidates among senders, `schedule_of` the schedule of a limit.
+    /// `candidate_bits` returns the bits of the allocator candidates among the given senders, and `schedule_of` the schedule of
+    /// a limit, `None` if the limit is unknown.
     pub fn allocate(
         &mut self,
         current_round: u64,
@@ -66,10 +70,10 @@
         let mut grants = Vec::new();
         while let Some(entry) = self.open_rounds.first_entry().filter(|entry| *entry.key() < current_round) {
             let (round, offers) = entry.remove_entry();
-            // No round is allocated twice, also if the clock is set back.
+            // No round may be allocated twice, even if the clock is set back.
             self.closed_round = self.closed_round.max(round);
-            let from: Vec<usize> = offers.keys().copied().collect();
-            grants.extend(grants_of_round(round, offers, candidate_bits(&from), &schedule_of));
+            let offering_senders: Vec<usize> = offers.keys().copied().collect();
+            grants.extend(grants_of_round(round, offers, candidate_bits(&offering_senders), &schedule_of));
         }
         grants
     }
@@ -81,6 +85,7 @@
     }
 }
 
+/// One grant for each sender that sent an offer in the round, also if it is granted no permits.
 fn grants_of_round(
     round: u64,
     offers: Offers,
@@ -103,7 +108,7 @@
     grants
 }
 
-/// The offers at each limit; if a sender repeats a limit in its offer, its first entry counts.
+/// The offers at each limit. If a sender repeats a limit in its offer, only the first entry for the limit counts.
 fn offers_by_limit(offers: &Offers) -> BTreeMap<LimitId, Vec<SenderOffer>> {
     let mut limits: BTreeMap<LimitId, Vec<SenderOffer>> = BTreeMap::new();
     for (&sender, offer) in offers {
@@ -118,7 +123,7 @@
     limits
 }
 
-/// Shortens a grant until it fits into a datagram; permits that are left out stay unused in this term.
+/// Shortens a grant until it fits into a datagram. Permits that are left out stay unused in this term.
 fn truncated_to_fit(mut grant: PermitGrant) -> PermitGrant {
     while PermitMessage::PermitGrant(grant.clone()).encode().is_err() {
         let longest = grant.entries.iter_mut().max_by_key(|entry| entry.number_deltas.len());
--- a/crates/gossip/src/permits/allocator_selection.rs
+++ b/crates/gossip/src/permits/allocator_selection.rs
@@ -1,4 +1,4 @@
-//! Selects the sender that allocates permits in a round among the live candidates.
+//! Selects the sender that allocates the permits of a round among the candidates that are alive.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,15 @@
 
 /// Number of rounds without a report after which a candidate counts as down.
 const LIVENESS_ROUNDS: u64 = 8;
-/// In every round that is a multiple of this all candidates are considered, so that healed partitions discover each other.
+/// In every round whose number is a multiple of this, all candidates are considered, so that senders discover each
+/// other after a partition has healed.
 const DISCOVERY_PERIOD: u64 = 4;
 
 /// The allocator that one sender selected for a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SelectedAllocator {
     pub sender: usize,
-    /// Whether it was reported recently; permits are released only to a live allocator.
+    /// Whether a recent grant reported the allocator as alive. Permits are released only if it did.
     pub is_known_alive: bool,
 }
 
@@ -21,22 +22,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AllocatorSelection {
     candidates: PeerSample,
-    /// The last round in which an allocator received an offer of each candidate.
+    /// For each candidate the last round in which an allocator received its offer.
     last_reported: BTreeMap<usize, u64>,
 }
 
 impl AllocatorSelection {
-    /// A selection for a fleet of `senders`, none of which has been reported alive.
-    pub fn new(senders: usize) -> Self {
-        Self { candidates: PeerSample::new(senders), last_reported: BTreeMap::new() }
+    /// A selection for a fleet of `sender_count` senders, none of which has been reported alive.
+    pub fn new(sender_count: usize) -> Self {
+        Self { candidates: PeerSample::new(sender_count), last_reported: BTreeMap::new() }
     }
 
-    /// The bits of the candidates among these senders.
+    /// The bits of those of these senders that are candidates.
     pub fn candidate_bits(&self, senders: impl IntoIterator<Item = usize>) -> u64 {
         self.candidates.bits(senders)
     }
 
-    /// Records which candidates sent offers in a round.
+    /// Records the candidates, as `bits`, whose offers an allocator received in a round.
     pub fn record_alive(&mut self, round: u64, bits: u64) {
         for sender in self.candidates.senders(bits) {
             let last = self.last_reported.entry(sender).or_default();
--- a/crates/gossip/src/permits/error.rs
+++ b/crates/gossip/src/permits/error.rs
@@ -1,18 +1,21 @@
-//! Why a message of the permit protocol is dropped.
+//! Errors of the permit protocol.
 
 use crate::envelope::EnvelopeError;
 
-/// Why a message of the permit protocol was dropped; the ledger is unchanged.
+/// Why a message of the permit protocol was dropped. The permits are unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum PermitError {
-    /// It is not a valid message of this protocol.
+    /// The datagram is not a valid message of this protocol.
     #[error(transparent)]
     Envelope(#[from] EnvelopeError),
-    /// It is of another round, a repeated offer, from a sender that is not the round's allocator, or for an earlier process.
-    #[error("it is of another round, process or allocator")]
-    Round,
-    /// The sender's number is outside the fleet, or this sender's own.
-    #[error("the message does not come from another sender of the fleet")]
+    /// The message is an offer of another round or a repeated offer, or a grant that does not come from the round's
+    /// allocator or is for another process.
+    #[error(
+        "the message is a late, early or repeated offer, or a grant of another round, allocator or process"
+    )]
+    Unexpected,
+    /// The number of the message's sender is outside the fleet, or this sender's own.
+    #[error("the number of the message's sender is outside the fleet, or the receiving sender's own")]
     UnknownSender,
 }
--- a/crates/gossip/src/permits/exhaustive.rs
+++ b/crates/gossip/src/permits/exhaustive.rs
@@ -1,9 +1,9 @@
-//! Model check of the permits of three senders at one limit: every order of offers, allocations, received, lost and duplicate
-//! datagrams, kills and pauses, for two rounds and their terms, or for one round and two faults, each a killed process or a
-//! clock that is set back.
+//! Model check of the permits of three senders at one limit. It covers every order of offers, allocations, received,
+//! lost and duplicate datagrams, kills and pauses: for two rounds and their terms, or for one round and two faults,
+//! each of which is a killed process or a clock that is set back.
 //!
-//! Every permit is used as soon as it is usable, so there is no action for its use. Any action may be left out, as by a
-//! paused process.
+//! Every permit is used as soon as it is valid, so there is no action for its use. Any action may be omitted, which
+//! models a paused process.
 
 mod state;
 
@@ -15,8 +15,9 @@
 use super::rounds::{ROUND, round_at, round_start};
 use super::schedule::PermitSchedule;
 use crate::membership::Incarnation;
-use state::{Datagram, HALF_ROUND, LIMIT, LIMIT_ID, SENDERS, State};
+use state::{Datagram, HALF_ROUND, LIMIT, LIMIT_ID, SENDER_COUNT, State};
 
+/// One step of the model; the index is the sender that takes it.
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     PassTime,
@@ -28,10 +29,11 @@
     SetClockBack(usize),
 }
 
+/// The scope of one model check.
 struct Cluster {
-    /// The first round with faults.
+    /// The first round that is checked.
     first_round: u64,
-    /// Number of rounds with offers, starting with the first.
+    /// Number of rounds with offers, starting with `first_round`.
     rounds: u64,
     /// Maximum number of faults: killed processes and clocks set back.
     max_faults: u32,
@@ -51,7 +53,7 @@
         if state.now < round_start(self.first_round + self.rounds + 2) + HALF_ROUND {
             actions.push(Action::PassTime);
         }
-        for sender in 0..SENDERS {
+        for sender in 0..SENDER_COUNT {
             if state.ledgers[sender].is_none() {
                 actions.push(Action::Start(sender));
                 continue;
@@ -63,7 +65,8 @@
             }
             if state.faults < self.max_faults {
                 actions.push(Action::SetClockBack(sender));
-                // The bound does not hold for a process whose clock is behind that of its predecessor (design note).
+                // The bound does not hold if a process has a clock behind that of its predecessor, as the design note
+                // explains.
                 actions.extend((state.clock_lag[sender] == 0).then_some(Action::Kill(sender)));
             }
         }
@@ -84,7 +87,7 @@
             Action::Start(sender) => {
                 state.incarnations[sender] += 1;
                 let incarnation = Incarnation(state.incarnations[sender]);
-                let ledger = PermitLedger::new(sender, SENDERS, incarnation, state.clock(sender));
+                let ledger = PermitLedger::new(sender, SENDER_COUNT, incarnation, state.clock(sender));
                 state.ledgers[sender] = Some(ledger);
             }
             Action::SetClockBack(sender) => {
@@ -102,14 +105,14 @@
                 state.double_use.is_none()
             }),
             Property::sometimes("a granted permit is used", |_, state: &State| {
-                let schedule = PermitSchedule::new(LIMIT_ID, LIMIT, SENDERS);
+                let schedule = PermitSchedule::new(LIMIT_ID, LIMIT, SENDER_COUNT);
                 state.used.iter().any(|(number, process)| schedule.owner(*number) != process.sender)
             }),
         ]
     }
 }
 
-/// Checks all orders and returns the number of states.
+/// Checks all orders of actions, and returns the number of unique states.
 #[expect(clippy::disallowed_methods, reason = "the check itself has a time limit")]
 fn check(cluster: Cluster) -> usize {
     let start = Instant::now();
@@ -121,11 +124,12 @@
 }
 
 #[test]
-fn no_permit_is_used_by_two_processes_in_any_order_of_two_rounds() {
+fn no_permit_is_used_by_two_processes_in_two_rounds() {
     assert!(check(Cluster { first_round: 100, rounds: 2, max_faults: 0 }) > 100_000);
 }
 
+/// Each fault kills a process or sets a clock back.
 #[test]
-fn no_permit_is_used_by_two_processes_after_two_processes_are_killed_or_clocks_set_back() {
+fn no_permit_is_used_by_two_processes_after_two_faults() {
     assert!(check(Cluster { first_round: 100, rounds: 1, max_faults: 2 }) > 100_000);
 }
--- a/crates/gossip/src/permits/exhaustive/state.rs
+++ b/crates/gossip/src/permits/exhaustive/state.rs
@@ -1,4 +1,4 @@
-//! The state of the model: three senders, their clocks, and every datagram that was sent.
+//! The state of the model: three senders, their clocks, and all datagrams that were sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,17 +11,19 @@
 use crate::permits::PermitLedger;
 use crate::permits::rounds::{PERMIT_VALIDITY, ROUND, round_at, round_start};
 
-pub(super) const SENDERS: usize = 3;
-/// Limit of all senders, in calls a second: one or two permits for each in a term.
+pub(super) const SENDER_COUNT: usize = 3;
+/// Limit of all senders together, in calls a second: each sender owns one or two permits in a term.
 pub(super) const LIMIT: f64 = 9.0;
-/// Offers are sent in the middle of a round, grants at its start; datagrams are received at either.
+/// Step of time, in milliseconds: grants are sent at the start of a round, offers in the middle, and datagrams are
+/// received at both.
 pub(super) const HALF_ROUND: u64 = ROUND / 2;
-/// Interval at which a sender polls its permits, in milliseconds: at least once while each is valid.
+/// Interval at which a sender polls its permits, in milliseconds: at least once while each permit is valid.
 pub(super) const POLL_INTERVAL: u64 = PERMIT_VALIDITY / 2;
-/// Rounds without faults before the check, after which the allocators are known to be alive.
+/// Number of rounds without faults before the check; after them the allocators are known to be alive.
 pub(super) const WARM_UP_ROUNDS: u64 = 4;
 pub(super) const LIMIT_ID: LimitId = LimitId(7);
 
+/// One process of a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Process {
     pub(super) sender: usize,
@@ -45,35 +47,39 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct State {
     pub(super) now: UnixMillis,
-    /// `None` while no process of a sender runs.
+    /// The ledger of each sender's process; `None` while no process of the sender runs.
     pub(super) ledgers: Vec<Option<PermitLedger>>,
-    pub(super) incarnations: [u64; SENDERS],
+    /// The incarnation of each sender's last process.
+    pub(super) incarnations: [u64; SENDER_COUNT],
     /// How far each clock was set back, in milliseconds.
-    pub(super) clock_lag: [u64; SENDERS],
+    pub(super) clock_lag: [u64; SENDER_COUNT],
+    /// Number of faults so far.
     pub(super) faults: u32,
     /// All sent datagrams; each may be received any number of times, in any order.
     pub(super) network: BTreeSet<Datagram>,
+    /// The first process that used each permit.
     pub(super) used: BTreeMap<u64, Process>,
     pub(super) double_use: Option<DoubleUse>,
 }
 
 impl State {
+    /// The state at the start of `first_round`, after rounds in which all datagrams were received once.
     pub(super) fn new(first_round: u64) -> Self {
         let now = round_start(first_round - WARM_UP_ROUNDS);
-        let ledger = |sender| Some(PermitLedger::new(sender, SENDERS, Incarnation(1), now));
+        let ledger = |sender| Some(PermitLedger::new(sender, SENDER_COUNT, Incarnation(1), now));
         let mut state = Self {
             now,
-            ledgers: (0..SENDERS).map(ledger).collect(),
-            incarnations: [1; SENDERS],
-            clock_lag: [0; SENDERS],
+            ledgers: (0..SENDER_COUNT).map(ledger).collect(),
+            incarnations: [1; SENDER_COUNT],
+            clock_lag: [0; SENDER_COUNT],
             faults: 0,
             network: BTreeSet::new(),
             used: BTreeMap::new(),
             double_use: None,
         };
         while state.now < round_start(first_round) {
-            (0..SENDERS).for_each(|sender| state.offer(sender));
-            (0..SENDERS).for_each(|sender| state.allocate(sender));
+            (0..SENDER_COUNT).for_each(|sender| state.offer(sender));
+            (0..SENDER_COUNT).for_each(|sender| state.allocate(sender));
             while let Some(datagram) = state.network.pop_first() {
                 state.receive(&datagram);
             }
@@ -86,11 +92,13 @@
         self.now - self.clock_lag[sender]
     }
 
-    /// In rotation, one sender releases all its permits, and the other two need all of theirs.
+    /// Sends the offer of a sender. In each round one sender, in rotation, releases all its permits, and the other two
+    /// request permits.
     pub(super) fn offer(&mut self, sender: usize) {
         let clock = self.clock(sender);
-        // By the true time: a sender whose clock was set back has another demand in the same round.
-        let demand = if round_at(self.now) as usize % SENDERS == sender { 0.0 } else { 30.0 };
+        // The demand depends on the true time, so a sender whose clock was set back has another demand in the same
+        // round.
+        let demand = if round_at(self.now) as usize % SENDER_COUNT == sender { 0.0 } else { 30.0 };
         let demand =
             LocalDemand { limit_id: LIMIT_ID, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 };
         let offer = self.ledgers[sender].as_mut().and_then(|ledger| ledger.offer(clock, &[demand]));
@@ -122,7 +130,7 @@
             self.now += POLL_INTERVAL;
             self.use_permits();
         }
-        for sender in 0..SENDERS {
+        for sender in 0..SENDER_COUNT {
             let clock = self.clock(sender);
             if let Some(ledger) = &mut self.ledgers[sender] {
                 ledger.observe_clock(clock);
@@ -130,9 +138,9 @@
         }
     }
 
-    /// Every sender uses its usable permits.
+    /// Every sender uses all its valid permits.
     pub(super) fn use_permits(&mut self) {
-        for sender in 0..SENDERS {
+        for sender in 0..SENDER_COUNT {
             let clock = self.clock(sender);
             let process = Process { sender, incarnation: Incarnation(self.incarnations[sender]) };
             let ledger = self.ledgers[sender].as_ref();
--- a/crates/gossip/src/permits/message.rs
+++ b/crates/gossip/src/permits/message.rs
@@ -5,15 +5,15 @@
 use crate::envelope::{Envelope, EnvelopeError, Kind, MAX_BODY_LEN, bounded, open, read, seal};
 use crate::membership::Incarnation;
 
-/// Maximum number of limits in a message: an entry of an offer takes up to 4 bytes for the limit, 3 for the checksum and 2
-/// for each number.
+/// Maximum number of limits in a message: an entry of an offer has up to 4 bytes for the limit, 3 for the checksum and
+/// 2 for each of the two counts.
 pub(crate) const MAX_LIMITS: usize = (MAX_BODY_LEN - 16) / 11;
-/// Maximum number of permits that a sender requests at one limit: as many as fit in a grant.
+/// Maximum number of permits that a sender requests at one limit: as many as fit into a grant.
 pub(crate) const MAX_REQUESTED_PERMITS: u8 = 60;
 /// Maximum number of permits in an entry of a grant.
 const MAX_NUMBER_DELTAS: usize = MAX_REQUESTED_PERMITS as usize;
 
-/// One sender's offer for a round: the permits that it releases, and the number of permits that it requests.
+/// One sender's offer for a round: the number of permits that it releases or requests at each limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PermitOffer {
     pub round: u64,
@@ -26,19 +26,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PermitOfferEntry {
     pub limit_id: u32,
-    /// Checksum of the permit schedule.
+    /// Checksum of the sender's permit schedule.
     pub schedule_checksum: u16,
-    /// Number of own permits released, the last ones of the round's term.
+    /// Number of released permits; they are the last of the sender's own permits in the round's term.
     pub released: u16,
-    /// Number of permits requested in addition to the own ones.
+    /// Number of permits requested in addition to the sender's own permits.
     pub requested: u8,
 }
 
-/// The answer to one sender's offer: its granted permits.
+/// The response to one sender's offer: the permits that are granted to the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PermitGrant {
     pub round: u64,
-    /// The incarnation that made the offer; no other may use the permits.
+    /// The incarnation that sent the offer; no other incarnation may use the permits.
     pub incarnation: Incarnation,
     /// Bits of the allocator candidates that sent an offer in this round.
     pub candidates_alive: u64,
@@ -50,8 +50,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PermitGrantEntry {
     pub limit_id: u32,
+    /// Checksum of the allocator's permit schedule.
     pub schedule_checksum: u16,
-    /// Permit numbers, each as the difference to the previous one, the first to the first number of the term.
+    /// Permit numbers, each as the difference to the previous number, the first to the first number of the term.
     #[serde(deserialize_with = "bounded::<MAX_NUMBER_DELTAS, _, _>")]
     pub number_deltas: Vec<u16>,
 }
@@ -68,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// [`EnvelopeError::Length`] if it does not fit.
+    /// [`EnvelopeError::Length`] if the message does not fit.
     pub fn encode(&self) -> Result<Vec<u8>, EnvelopeError> {
         match self {
             Self::PermitOffer(offer) => seal(Kind::PermitOffer, offer),
@@ -80,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// [`EnvelopeError`] if it is malformed or of another kind.
+    /// [`EnvelopeError`] if the datagram is malformed or belongs to another protocol.
     pub fn decode(datagram: &[u8]) -> Result<Self, EnvelopeError> {
         let Envelope { kind, body } = open(datagram)?;
         match kind {
--- a/crates/gossip/src/permits/message/golden.rs
+++ b/crates/gossip/src/permits/message/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of offers and grants: the wire format must not change.
+//! Compares encoded offers and grants with golden bytes, because the wire format must not change.
 
 use super::{
     MAX_LIMITS, MAX_REQUESTED_PERMITS, PermitGrant, PermitGrantEntry, PermitMessage, PermitOffer,
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn offers_have_the_golden_bytes_and_decode_to_the_same_offers() {
+fn offers_match_the_golden_bytes_in_both_directions() {
     let entries = vec![
         PermitOfferEntry { limit_id: 0x00ab_cdef, schedule_checksum: 40_000, released: 513, requested: 0 },
         PermitOfferEntry { limit_id: 7, schedule_checksum: 1, released: 0, requested: MAX_REQUESTED_PERMITS },
@@ -43,13 +43,13 @@
         [("offer-empty", offer(vec![])), ("offer", offer(entries)), ("offer-full", offer(full))]
     {
         let bytes = datagram(FILE, name);
-        assert_eq!(offer.encode().expect("it fits"), bytes, "{name}");
+        assert_eq!(offer.encode().expect("the message fits"), bytes, "{name}");
         assert_eq!(PermitMessage::decode(&bytes), Ok(offer), "{name}");
     }
 }
 
 #[test]
-fn grants_have_the_golden_bytes_and_decode_to_the_same_grants() {
+fn grants_match_the_golden_bytes_in_both_directions() {
     let entries = vec![
         PermitGrantEntry {
             limit_id: 0x00ab_cdef,
@@ -67,7 +67,7 @@
         [("grant-empty", grant(vec![])), ("grant", grant(entries)), ("grant-full", grant(full))]
     {
         let bytes = datagram(FILE, name);
-        assert_eq!(grant.encode().expect("it fits"), bytes, "{name}");
+        assert_eq!(grant.encode().expect("the message fits"), bytes, "{name}");
         assert_eq!(PermitMessage::decode(&bytes), Ok(grant), "{name}");
     }
 }
--- a/crates/gossip/src/permits/offering.rs
+++ b/crates/gossip/src/permits/offering.rs
@@ -1,4 +1,4 @@
-//! Once a round, a sender offers the permits that it does not need, or requests those that it lacks.
+//! Once a round, a sender offers the permits that it does not need, or requests the additional permits that it needs.
 
 use std::cmp::Reverse;
 
@@ -13,20 +13,20 @@
 use crate::limit_id::LimitId;
 use crate::outgoing_datagram::OutgoingDatagram;
 
-/// The offer that is being prepared.
+/// The round and the times for which an offer is prepared.
 struct OfferContext {
     round: u64,
     now: UnixMillis,
-    /// The sender's permits up to this time are settled by earlier rounds.
-    known_until: UnixMillis,
+    /// End of the term of the previous offer; the sender's permits before it are determined by earlier rounds.
+    determined_until: UnixMillis,
     /// Whether permits may be released: the allocator is known to be alive.
     may_release: bool,
 }
 
 impl PermitLedger {
-    /// Makes this sender's offer, once a round. Later calls in the same round only update the set of limits.
+    /// Prepares this sender's offer, once a round. Later calls in the same round only update the set of limits.
     ///
-    /// Returns `None` if there is nothing to send, also when this sender allocates the round itself.
+    /// Returns `None` if there is nothing to send, also if this sender is the round's allocator.
     pub fn offer(&mut self, now: UnixMillis, demands: &[LocalDemand]) -> Option<OutgoingDatagram> {
         self.observe_clock(now);
         let round = round_at(now);
@@ -35,23 +35,24 @@
         if round <= self.last_offer_round {
             return None;
         }
-        let known_until = term(self.last_offer_round).end;
+        let determined_until = term(self.last_offer_round).end;
         self.last_offer_round = round;
         let selected = self.allocator_selection.select(round)?;
         self.allocators.insert(round, selected.sender);
-        let context = OfferContext { round, now, known_until, may_release: selected.is_known_alive };
+        let context = OfferContext { round, now, determined_until, may_release: selected.is_known_alive };
         let entries = self.offer_entries(&context, demands);
         self.release(round, &entries);
         self.dispatch_offer(selected.sender, PermitOffer { round, incarnation: self.incarnation, entries })
     }
 
-    /// Keeps a holding for each listed limit, and removes those of others.
+    /// Adds a holding for each new limit in `demands`, replaces it if the limit has changed, and removes the holdings
+    /// of all other limits.
     fn refresh_holdings(&mut self, now: UnixMillis, demands: &[LocalDemand]) {
-        // After the clock was set back, a new holding has no record of permits released before.
+        // After the clock was set back, a new holding does not record which permits were released before.
         let first_round = round_at(now).max(self.last_offer_round);
         self.holdings.retain(|limit_id, _| demands.iter().any(|demand| demand.limit_id == *limit_id));
         for demand in demands {
-            let schedule = PermitSchedule::new(demand.limit_id, demand.limit, self.senders);
+            let schedule = PermitSchedule::new(demand.limit_id, demand.limit, self.sender_count);
             let holding = self
                 .holdings
                 .entry(demand.limit_id)
@@ -63,7 +64,8 @@
         }
     }
 
-    /// The entries with the most requested, then released permits, as many as fit in a message.
+    /// The entries of the offer, at most [`MAX_LIMITS`]: first those with the most requested permits, then those with
+    /// the most released ones.
     fn offer_entries(&self, context: &OfferContext, demands: &[LocalDemand]) -> Vec<PermitOfferEntry> {
         let mut entries: Vec<PermitOfferEntry> =
             demands.iter().filter_map(|demand| self.offer_entry(context, demand)).collect();
@@ -72,10 +74,11 @@
         entries
     }
 
-    /// The entry for a limit; `None` where nothing is released or requested.
+    /// The entry for a limit; `None` if no permits are released or requested.
     fn offer_entry(&self, context: &OfferContext, demand: &LocalDemand) -> Option<PermitOfferEntry> {
         let holding = self.holdings.get(&demand.limit_id)?;
-        let available = holding.usable(self.own_number, context.now, context.known_until).len();
+        let available =
+            holding.unexpired_permits(self.own_number, context.now, context.determined_until).len();
         let needed = (demand.demand - available as f64).round().max(0.0) as usize;
         let own = holding.own_count(self.own_number, context.round);
         let released = if context.may_release { own.saturating_sub(needed) } else { 0 };
@@ -89,7 +92,8 @@
         (entry.released > 0 || entry.requested > 0).then_some(entry)
     }
 
-    /// Releases the permits of the entries, before the offer is sent.
+    /// Releases the permits that the entries offer. This is done before the offer is sent, so that no permit is used
+    /// twice.
     fn release(&mut self, round: u64, entries: &[PermitOfferEntry]) {
         for entry in entries.iter().filter(|entry| entry.released > 0) {
             if let Some(holding) = self.holdings.get_mut(&LimitId(entry.limit_id)) {
--- a/crates/gossip/src/permits/rounds.rs
+++ b/crates/gossip/src/permits/rounds.rs
@@ -1,4 +1,4 @@
-//! Timing of the permit protocol: rounds, the term of each round, and tolerances for clocks and delays.
+//! Timing of the permit protocol: rounds, the term of each round, and tolerances for clock steps and message delays.
 
 use std::ops::Range;
 
@@ -6,19 +6,20 @@
 
 /// Length of a round, in milliseconds.
 pub const ROUND: u64 = 500;
-/// The part of a round over which the senders' offers are spread, in milliseconds: the grants of the previous round have
-/// arrived by its start, and the last offers arrive before the round ends.
+/// The part of a round over which the senders' offers are spread, in milliseconds. The grants of the previous round
+/// have been received when it starts, and the last offers are received before the round ends.
 pub(crate) const OFFER_WINDOW: Range<u64> = 100..400;
-/// Time between the end of a round and the start of its term, in which grants are delivered, in milliseconds.
+/// Time between the end of a round and the start of its term, in milliseconds. Grants are delivered in this time.
 pub(crate) const GRANT_LEAD_TIME: u64 = 150;
-/// How long a permit is valid, in milliseconds: longer than the interval at which a sender polls its queue.
+/// How long a permit is valid, in milliseconds. It is longer than the interval at which a sender polls its queue.
 pub(crate) const PERMIT_VALIDITY: u64 = 100;
-/// Maximum backward step of a clock that is not considered set back, in milliseconds.
+/// Maximum backward step of a clock that is tolerated, in milliseconds; after a larger step the clock counts as set
+/// back.
 pub(crate) const CLOCK_STEP_TOLERANCE: u64 = 50;
-/// Maximum age of a message that can still arrive, in rounds: one minute.
+/// Maximum age at which a message may still be received, in rounds: one minute.
 pub(crate) const MAX_MESSAGE_AGE_ROUNDS: u64 = 60_000 / ROUND;
 
-/// The round that a time lies in.
+/// The round that contains a point in time.
 pub(crate) fn round_at(now: UnixMillis) -> u64 {
     now.0 / ROUND
 }
@@ -28,13 +29,13 @@
     UnixMillis(round * ROUND)
 }
 
-/// The time whose permits are allocated in a round.
+/// The term of a round: the time span in which the permits start that are allocated in the round.
 pub(crate) fn term(round: u64) -> Range<UnixMillis> {
     let start = round_start(round + 1) + GRANT_LEAD_TIME;
     start..start + ROUND
 }
 
-/// The round in whose term a point in time lies.
+/// The round whose term contains a point in time.
 pub(crate) fn round_of_term_at(time: UnixMillis) -> u64 {
     round_at(time.saturating_sub(GRANT_LEAD_TIME)).saturating_sub(1)
 }
--- a/crates/gossip/src/permits/tests.rs
+++ b/crates/gossip/src/permits/tests.rs
@@ -1,4 +1,4 @@
-//! The permit protocol in simulated clusters: use of the limit, its bound under faults, and bounds on memory.
+//! The permit protocol in simulated clusters: use of the limit, the bound on calls under faults, and bounds on memory.
 
 mod cluster;
 mod rejections;
@@ -25,16 +25,17 @@
 fn many_senders_with_rare_demand_use_the_whole_limit() {
     let mut cluster = Cluster::new(3, 300, 75.0, DELAYS);
     cluster.run(5_000, 67.0);
-    let before = cluster.queued.iter().sum::<u32>();
+    let queued_before = cluster.queued.iter().sum::<u32>();
     let calls = cluster.run(30_000, 67.0);
-    let left = cluster.queued.iter().sum::<u32>();
-    // As many calls start as arrive, and the queues hold less than about a second's calls.
-    assert!(calls as f64 >= 0.97 * 67.0 * 30.0, "{calls} calls, {before} were queued, {left} are queued");
-    assert!(left < 100, "{left} queued");
+    let queued_after = cluster.queued.iter().sum::<u32>();
+    // As many calls start as arrive, and the queues contain no more than the calls of about a second.
+    assert!(calls as f64 >= 0.97 * 67.0 * 30.0, "{calls} calls, queued {queued_before} to {queued_after}");
+    assert!(queued_after < 100, "{queued_after} queued");
 }
 
+/// Two seconds after its demand begins, the sender starts nine tenths of the calls for which permits are issued.
 #[test]
-fn one_sender_with_all_the_demand_gets_nearly_the_whole_limit_within_two_seconds() {
+fn a_sender_with_all_the_demand_receives_most_of_the_limit() {
     let mut cluster = Cluster::new(5, 12, 60.0, DELAYS);
     cluster.run(4_000, 0.0);
     cluster.queued[4] = 10_000;
@@ -44,24 +45,30 @@
 }
 
 #[test]
-fn partitions_keep_the_bound_and_share_again_after_they_heal() {
+fn partitions_observe_the_bound_and_share_the_limit_once_healed() {
     let mut cluster = Cluster::new(9, 12, 60.0, DELAYS);
     cluster.run(4_000, 90.0);
     cluster.partition = (0..12).map(|sender| if sender < 6 { sender + 1 } else { 0 }).collect();
-    let cut = cluster.run(12_000, 90.0);
-    assert!(cut as f64 >= 0.9 * 57.0 * 12.0, "{cut} calls while half of the senders were isolated");
+    let calls_while_partitioned = cluster.run(12_000, 90.0);
+    assert!(
+        calls_while_partitioned as f64 >= 0.9 * 57.0 * 12.0,
+        "{calls_while_partitioned} calls while half of the senders were isolated"
+    );
     cluster.partition = vec![0; 12];
     cluster.queued = vec![0; 12];
     cluster.run(3_000, 0.0);
     cluster.queued[2] = 10_000;
     cluster.run(3_000, 0.0);
     let calls = cluster.run(5_000, 0.0);
-    assert!(calls as f64 >= 0.85 * 57.0 * 5.0, "{calls} calls of one sender, five seconds after the cut");
+    assert!(
+        calls as f64 >= 0.85 * 57.0 * 5.0,
+        "{calls} calls of one sender in five seconds after the partition"
+    );
     assert!(cluster.max_calls_within(1_000) as f64 <= cluster.allowed_calls_within(1_000, 0));
 }
 
 #[test]
-fn a_grant_from_another_sender_or_for_an_earlier_process_is_rejected() {
+fn a_grant_of_another_sender_process_or_round_is_rejected() {
     let mut ledger = PermitLedger::new(0, 3, Incarnation(7), START);
     let limit_id = LimitId::of(7, None);
     let demands = [LocalDemand { limit_id, limit: 60.0, demand: 30.0, calls: 0, rejected: 0, failed: 0 }];
@@ -77,46 +84,46 @@
     let grant = |incarnation, round| {
         let incarnation = Incarnation(incarnation);
         let grant = PermitGrant { round, incarnation, candidates_alive: 7, entries: vec![entry.clone()] };
-        PermitMessage::PermitGrant(grant).encode().expect("short enough")
+        PermitMessage::PermitGrant(grant).encode().expect("the message fits")
     };
     let now = round_start(round) + 450;
-    let count = |ledger: &PermitLedger| ledger.permits(now, limit_id, 1.0).len();
-    let own = count(&ledger);
-    assert_eq!(ledger.receive(now, 3 - allocator, &grant(7, round)), Err(PermitError::Round));
-    assert_eq!(ledger.receive(now, allocator, &grant(6, round)), Err(PermitError::Round));
-    assert_eq!(ledger.receive(now, allocator, &grant(7, round - 1)), Err(PermitError::Round));
-    assert_eq!(count(&ledger), own);
+    let permit_count = |ledger: &PermitLedger| ledger.permits(now, limit_id, 1.0).len();
+    let own_count = permit_count(&ledger);
+    assert_eq!(ledger.receive(now, 3 - allocator, &grant(7, round)), Err(PermitError::Unexpected));
+    assert_eq!(ledger.receive(now, allocator, &grant(6, round)), Err(PermitError::Unexpected));
+    assert_eq!(ledger.receive(now, allocator, &grant(7, round - 1)), Err(PermitError::Unexpected));
+    assert_eq!(permit_count(&ledger), own_count);
     assert_eq!(ledger.receive(now, allocator, &grant(7, round)), Ok(true));
-    // One of three consecutive permits is its own.
-    assert_eq!(count(&ledger), own + 2);
-    // A duplicate makes no difference.
+    // Of three consecutive permits, the ledger's sender owns one.
+    assert_eq!(permit_count(&ledger), own_count + 2);
+    // A duplicate grant has no effect.
     assert_eq!(ledger.receive(now, allocator, &grant(7, round)), Ok(true));
-    assert_eq!(count(&ledger), own + 2);
+    assert_eq!(permit_count(&ledger), own_count + 2);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
-    /// With random faults of datagrams, processes and clocks; [`Cluster`] asserts that no permit is used twice.
+    /// Datagrams, processes and clocks have random faults. [`Cluster`] asserts that no permit is used twice.
     #[test]
     fn no_permit_is_used_by_two_processes_and_the_bound_holds(
         seed: u64,
-        senders in 2usize..14,
+        sender_count in 2usize..14,
         limit in 0.5f64..200.0,
         loss_rate in 0.0f64..1.0,
         max_delay in 0.0f64..900.0,
         clock_skew in 0i64..200,
     ) {
         let faults = NetworkFaults { loss_rate, duplication_rate: 0.3, max_delay };
-        let mut cluster = Cluster::new(seed, senders, limit, faults);
-        for sender in 0..senders {
+        let mut cluster = Cluster::new(seed, sender_count, limit, faults);
+        for sender in 0..sender_count {
             cluster.clock_offset[sender] = (cluster.rng.unit() * clock_skew as f64) as i64;
             cluster.restart(sender);
         }
         let mut recorded: Vec<InFlight> = Vec::new();
         for _ in 0..60 {
             cluster.run(200, limit * 1.4);
-            let sender = cluster.rng.below(senders);
+            let sender = cluster.rng.below(sender_count);
             match cluster.rng.below(6) {
                 0 => cluster.restart(sender),
                 1 => cluster.running[sender] = false,
@@ -130,9 +137,9 @@
                 }
             }
         }
-        let most = cluster.max_calls_within(1_000);
+        let max_calls = cluster.max_calls_within(1_000);
         let bound = cluster.allowed_calls_within(1_000, clock_skew as u64);
-        prop_assert!(most as f64 <= bound, "{most} calls in a second, {bound} may be");
+        prop_assert!(max_calls as f64 <= bound, "{max_calls} calls in a second, allowed {bound}");
     }
 
     #[test]
@@ -141,14 +148,14 @@
         if let Err(error) = PermitMessage::decode(&bytes) {
             prop_assert_eq!(ledger.receive(START + 700, 1, &bytes), Err(PermitError::Envelope(error)));
         }
-        // Also in a valid envelope.
-        let sealed = seal(Kind::PermitGrant, &bytes).unwrap_or_default();
-        let _ = ledger.receive(START + 700, 1, &sealed);
+        // The same bytes as the body of a valid envelope.
+        let datagram = seal(Kind::PermitGrant, &bytes).unwrap_or_default();
+        let _ = ledger.receive(START + 700, 1, &datagram);
         prop_assert!(ledger.allocator.len() <= 1);
     }
 }
 
-/// Limits change, and faulty peers send nonexistent limits, for half an hour.
+/// For half an hour the limits change, and faulty peers send limits that do not exist.
 #[test]
 fn over_a_long_run_no_table_grows_beyond_its_bound() {
     let mut ledger = PermitLedger::new(0, 9, Incarnation(7), START);
@@ -168,7 +175,9 @@
             let _ = ledger.receive(now, from, &excessive_offer(now, from));
         }
         if let Some(offer) = own_offer {
-            ledger.receive(now, offer.to, &malformed_grant(now, &demands)).expect("it answers the offer");
+            ledger
+                .receive(now, offer.to, &malformed_grant(now, &demands))
+                .expect("the grant is from the allocator");
         }
         assert!(ledger.holdings.len() <= 20 && ledger.allocators.len() <= 4 && ledger.allocator.len() <= 16);
         assert!(
@@ -191,10 +200,10 @@
     let entries = (0..MAX_LIMITS as u32).map(entry).collect();
     let round = round_at(now).wrapping_add(from as u64 % 3);
     let offer = PermitMessage::PermitOffer(PermitOffer { round, incarnation: Incarnation(1), entries });
-    offer.encode().expect("short enough")
+    offer.encode().expect("the message fits")
 }
 
-/// A grant with numbers that are not ascending and outside the term.
+/// A grant with numbers of which some are not ascending and some are outside the term.
 fn malformed_grant(now: UnixMillis, demands: &[LocalDemand]) -> Vec<u8> {
     let entry = |demand: &LocalDemand| PermitGrantEntry {
         limit_id: demand.limit_id.0,
@@ -204,5 +213,5 @@
     let entries = demands.iter().take(12).map(entry).collect();
     let round = round_at(now);
     let grant = PermitGrant { round, incarnation: Incarnation(7), candidates_alive: u64::MAX, entries };
-    PermitMessage::PermitGrant(grant).encode().expect("short enough")
+    PermitMessage::PermitGrant(grant).encode().expect("the message fits")
 }
--- a/crates/gossip/src/permits/tests/cluster.rs
+++ b/crates/gossip/src/permits/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of senders in simulated time at one limit, with faults in its network, processes and clocks.
+//! A cluster of senders at one limit in simulated time, with faults of the network, the processes and the clocks.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
 pub(super) struct TestRng(pub(super) u64);
 
 impl TestRng {
-    /// A number from 0 to 1.
+    /// A random number from 0 to 1.
     pub(super) fn unit(&mut self) -> f64 {
         // A 64-bit linear congruential generator (Knuth), of which the upper bits are used.
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// An integer below `bound`.
+    /// A random integer below `bound`.
     pub(super) fn below(&mut self, bound: usize) -> usize {
         (self.unit() * bound as f64) as usize
     }
@@ -36,7 +36,9 @@
 /// Faults of the network.
 #[derive(Clone, Copy, Default)]
 pub(super) struct NetworkFaults {
+    /// Fraction of the datagrams that are lost, from 0 to 1.
     pub(super) loss_rate: f64,
+    /// Fraction of the datagrams that are sent twice, from 0 to 1.
     pub(super) duplication_rate: f64,
     /// Maximum delay, in milliseconds.
     pub(super) max_delay: f64,
@@ -51,16 +53,16 @@
     pub(super) bytes: Vec<u8>,
 }
 
-/// Senders at one limit, each with a queue of calls, and all used permits.
+/// Senders at one limit, each with a queue of calls, and the permits that they used.
 pub(super) struct Cluster {
     pub(super) rng: TestRng,
     limit_id: LimitId,
     limit: f64,
     pub(super) now: UnixMillis,
     pub(super) ledgers: Vec<PermitLedger>,
-    /// Whether each process runs.
+    /// Whether the process of each sender is running.
     pub(super) running: Vec<bool>,
-    /// Offset of each clock, in milliseconds.
+    /// Offset of each sender's clock, in milliseconds.
     pub(super) clock_offset: Vec<i64>,
     /// Number of queued calls at each sender.
     pub(super) queued: Vec<u32>,
@@ -68,25 +70,26 @@
     /// The partition of each sender; datagrams are delivered only within a partition.
     pub(super) partition: Vec<usize>,
     pub(super) in_flight: Vec<InFlight>,
+    /// The process that used each permit.
     used_permits: BTreeMap<u64, (usize, Incarnation)>,
-    /// When calls started.
+    /// When each call was started.
     call_times: Vec<UnixMillis>,
 }
 
 impl Cluster {
-    pub(super) fn new(seed: u64, senders: usize, limit: f64, faults: NetworkFaults) -> Self {
-        let ledger = |sender| PermitLedger::new(sender, senders, Incarnation(1), START);
+    pub(super) fn new(seed: u64, sender_count: usize, limit: f64, faults: NetworkFaults) -> Self {
+        let ledger = |sender| PermitLedger::new(sender, sender_count, Incarnation(1), START);
         Self {
             rng: TestRng(seed),
             limit_id: LimitId::of(7, None),
             limit,
             now: START,
-            ledgers: (0..senders).map(ledger).collect(),
-            running: vec![true; senders],
-            clock_offset: vec![0; senders],
-            queued: vec![0; senders],
+            ledgers: (0..sender_count).map(ledger).collect(),
+            running: vec![true; sender_count],
+            clock_offset: vec![0; sender_count],
+            queued: vec![0; sender_count],
             faults,
-            partition: vec![0; senders],
+            partition: vec![0; sender_count],
             in_flight: Vec::new(),
             used_permits: BTreeMap::new(),
             call_times: Vec::new(),
@@ -97,7 +100,7 @@
         UnixMillis(self.now.0.saturating_add_signed(self.clock_offset[sender]))
     }
 
-    /// Replaces a sender's process by a new one without state.
+    /// Replaces a sender's process with a new process without state.
     pub(super) fn restart(&mut self, sender: usize) {
         let incarnation = Incarnation(self.ledgers[sender].incarnation.0 + 1);
         self.ledgers[sender] = PermitLedger::new(sender, self.ledgers.len(), incarnation, self.clock(sender));
@@ -115,7 +118,7 @@
         }
     }
 
-    /// One step of time, with `load` messages a second arriving for all senders together.
+    /// Advances the time by [`STEP`]; `load` calls a second are queued at random senders, for all senders together.
     fn step(&mut self, load: f64) {
         self.now += STEP;
         self.add_arrivals(load);
@@ -170,23 +173,23 @@
     fn use_permits(&mut self, sender: usize, clock: UnixMillis) {
         let process = (sender, self.ledgers[sender].incarnation);
         for permit in self.ledgers[sender].permits(clock, self.limit_id, 1.0) {
-            let is_own = self.used_permits.get(&permit.number) == Some(&process);
-            if permit.from <= clock && self.queued[sender] > 0 && !is_own {
-                let before = self.used_permits.insert(permit.number, process);
-                assert_eq!(before, None, "permit {} used by {process:?}, too", permit.number);
+            let is_already_used = self.used_permits.get(&permit.number) == Some(&process);
+            if permit.from <= clock && self.queued[sender] > 0 && !is_already_used {
+                let other_process = self.used_permits.insert(permit.number, process);
+                assert_eq!(other_process, None, "permit {} is also used by {process:?}", permit.number);
                 self.queued[sender] -= 1;
                 self.call_times.push(self.now);
             }
         }
     }
 
-    /// Runs for `ms` milliseconds and returns the number of started calls.
-    pub(super) fn run(&mut self, ms: u64, load: f64) -> usize {
-        let before = self.call_times.len();
-        for _ in 0..ms / STEP {
+    /// Runs for `duration` milliseconds with `load` calls a second. Returns the number of started calls.
+    pub(super) fn run(&mut self, duration: u64, load: f64) -> usize {
+        let calls_before = self.call_times.len();
+        for _ in 0..duration / STEP {
             self.step(load);
         }
-        self.call_times.len() - before
+        self.call_times.len() - calls_before
     }
 
     /// Maximum number of calls in any span of `span` milliseconds.
@@ -196,7 +199,7 @@
         (0..calls.len()).map(|index| index + 1 - first(index)).max().unwrap_or(0)
     }
 
-    /// The bound on calls in a span, with clocks that differ by at most `clock_skew`, all in milliseconds.
+    /// The bound on calls in a span if the clocks differ by at most `clock_skew`, both in milliseconds.
     pub(super) fn allowed_calls_within(&self, span: u64, clock_skew: u64) -> f64 {
         0.95 * self.limit * (span + PERMIT_VALIDITY + 2 * clock_skew + STEP) as f64 / 1_000.0 + 1.0
     }
--- a/crates/gossip/src/permits/tests/rejections.rs
+++ b/crates/gossip/src/permits/tests/rejections.rs
@@ -1,4 +1,5 @@
-//! Released permits stay released, and closed rounds closed, also if the clock is set back or peers send invalid messages.
+//! Released permits stay released and closed rounds stay closed, even if the clock is set back or peers send invalid
+//! messages.
 
 use crate::demand_exchange::LocalDemand;
 use crate::limit_id::LimitId;
@@ -20,9 +21,9 @@
     [LocalDemand { limit_id: LIMIT_ID, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 }]
 }
 
-/// The ledger of one of two senders after several rounds, and a round in which the other one, known to be alive, is the
-/// allocator.
-fn settled() -> (PermitLedger, u64) {
+/// The ledger of sender 0 of two after several rounds, and a round in which the other sender, which is known to be
+/// alive, is the allocator.
+fn ledger_with_live_allocator() -> (PermitLedger, u64) {
     let mut ledger = PermitLedger::new(0, 2, Incarnation(7), round_start(FIRST_ROUND));
     let other = SelectedAllocator { sender: 1, is_known_alive: true };
     for round in FIRST_ROUND + 1.. {
@@ -30,21 +31,21 @@
         if round > FIRST_ROUND + 4 && ledger.allocator_selection.clone().select(round) == Some(other) {
             return (ledger, round);
         }
-        // It needs all its own permits.
+        // The sender needs all its own permits, so it releases none.
         ledger.offer(round_start(round) + 100, &demand(1_000.0));
     }
-    unreachable!("the other allocates some round")
+    unreachable!("the other sender is the allocator of some round")
 }
 
-/// Number of usable permits in a round's term.
+/// Number of available permits that start in a round's term.
 fn permits_in_term(ledger: &PermitLedger, round: u64) -> usize {
     let permits = ledger.permits(term(round).start, LIMIT_ID, 1.0);
     permits.iter().filter(|permit| term(round).contains(&permit.from)).count()
 }
 
 #[test]
-fn released_permits_stay_released_when_the_clock_is_set_back_before_the_offer() {
-    let (mut ledger, round) = settled();
+fn released_permits_stay_released_if_the_clock_is_set_back() {
+    let (mut ledger, round) = ledger_with_live_allocator();
     assert!(ledger.offer(round_start(round) + 100, &demand(0.0)).is_some());
     assert_eq!(permits_in_term(&ledger, round), 0);
     for at in [round_start(round) - 100, round_start(round) + 100, round_start(round + 1) + 100] {
@@ -52,13 +53,14 @@
     }
     assert_eq!(ledger.last_offer_round, round + 1);
     assert_eq!(permits_in_term(&ledger, round), 0);
-    // Permits of the next round are its own again.
+    // In the term of the next round the sender has its own permits again.
     assert!(permits_in_term(&ledger, round + 1) > 0);
 }
 
+/// The clock is set back by more than the maximum age of a message.
 #[test]
-fn a_clock_set_back_by_more_than_the_maximum_message_age_does_not_keep_a_sender_waiting() {
-    let (mut ledger, round) = settled();
+fn a_clock_set_far_back_does_not_block_a_sender() {
+    let (mut ledger, round) = ledger_with_live_allocator();
     let early = round - MAX_MESSAGE_AGE_ROUNDS - 3;
     for round in early..early + 3 {
         ledger.offer(round_start(round) + 100, &demand(1_000.0));
@@ -66,63 +68,70 @@
     assert!(permits_in_term(&ledger, early + 2) > 0);
 }
 
+/// After the term has ended, the clock is set back within or beyond the tolerance of clock steps.
 #[test]
-fn released_permits_do_not_return_when_the_clock_goes_back_within_or_beyond_the_tolerance() {
-    let (mut ledger, round) = settled();
+fn released_permits_stay_released_after_their_term() {
+    let (mut ledger, round) = ledger_with_live_allocator();
     ledger.offer(round_start(round) + 100, &demand(0.0));
-    let over = term(round).end + PERMIT_VALIDITY;
-    ledger.offer(over - ROUND, &demand(1_000.0));
-    ledger.offer(over, &demand(1_000.0));
+    let term_over = term(round).end + PERMIT_VALIDITY;
+    ledger.offer(term_over - ROUND, &demand(1_000.0));
+    ledger.offer(term_over, &demand(1_000.0));
     let is_released = |permit: &Permit| term(round).contains(&permit.from);
     for back in [0, 10, CLOCK_STEP_TOLERANCE, CLOCK_STEP_TOLERANCE + 1, 200, 400] {
-        assert!(!ledger.permits(over - back, LIMIT_ID, 1.0).iter().any(is_released), "{back}");
+        assert!(
+            !ledger.permits(term_over - back, LIMIT_ID, 1.0).iter().any(is_released),
+            "clock set back by {back} ms"
+        );
     }
-    ledger.offer(over + ROUND, &demand(1_000.0));
+    ledger.offer(term_over + ROUND, &demand(1_000.0));
     for back in (0..2 * ROUND).step_by(10) {
-        assert!(!ledger.permits(over + ROUND - back, LIMIT_ID, 1.0).iter().any(is_released), "{back}");
+        assert!(
+            !ledger.permits(term_over + ROUND - back, LIMIT_ID, 1.0).iter().any(is_released),
+            "clock set back by {back} ms"
+        );
     }
 }
 
 #[test]
-fn an_allocator_allocates_no_round_twice_when_its_clock_goes_back() {
+fn a_round_is_allocated_once_if_the_clock_is_set_back() {
     for back in [20, 300] {
-        let (mut ledger, round) = settled();
+        let (mut ledger, round) = ledger_with_live_allocator();
         let offer = |incarnation: u64| {
             let incarnation = Incarnation(incarnation);
             let offer = PermitOffer { round, incarnation, entries: Vec::new() };
-            PermitMessage::PermitOffer(offer).encode().expect("short enough")
+            PermitMessage::PermitOffer(offer).encode().expect("the message fits")
         };
         assert_eq!(ledger.receive(round_start(round) + 400, 1, &offer(1)), Ok(false));
-        let over = round_start(round + 1) + 10;
-        assert_eq!(ledger.allocate(over).len(), 1);
-        assert_eq!(ledger.receive(over - back, 1, &offer(2)), Err(PermitError::Round));
-        assert_eq!(ledger.allocate(over), []);
+        let round_over = round_start(round + 1) + 10;
+        assert_eq!(ledger.allocate(round_over).len(), 1);
+        assert_eq!(ledger.receive(round_over - back, 1, &offer(2)), Err(PermitError::Unexpected));
+        assert_eq!(ledger.allocate(round_over), []);
     }
 }
 
 #[test]
 fn a_granted_permit_outside_the_term_of_the_round_is_ignored() {
-    let (mut ledger, round) = settled();
+    let (mut ledger, round) = ledger_with_live_allocator();
     ledger.offer(round_start(round) + 100, &demand(1_000.0));
     let schedule = PermitSchedule::new(LIMIT_ID, LIMIT, 2);
-    let all = schedule.starting_in(term(round));
+    let term_numbers = schedule.starting_in(term(round));
     let two_terms = term(round).start..term(round).end + ROUND;
-    for delta in schedule.owned_by(1, two_terms).map(|number| number - all.start) {
+    for delta in schedule.owned_by(1, two_terms).map(|number| number - term_numbers.start) {
         let entries = vec![PermitGrantEntry {
             limit_id: LIMIT_ID.0,
             schedule_checksum: schedule.checksum(),
             number_deltas: vec![delta as u16],
         }];
         let grant = PermitGrant { round, incarnation: Incarnation(7), candidates_alive: 3, entries };
-        let datagram = PermitMessage::PermitGrant(grant).encode().expect("short enough");
+        let datagram = PermitMessage::PermitGrant(grant).encode().expect("the message fits");
         assert_eq!(ledger.receive(round_start(round) + 300, 1, &datagram), Ok(true));
     }
-    // In the next round permits of two terms may be used.
+    // After the offer of the next round, permits of two terms may be used.
     ledger.offer(round_start(round + 1) + 100, &demand(1_000.0));
     let permits = ledger.permits(term(round).start, LIMIT_ID, 1.0);
     let (within, beyond): (Vec<Permit>, Vec<Permit>) =
-        permits.into_iter().partition(|permit| all.contains(&permit.number));
-    assert_eq!(within.len() as u64, all.end - all.start);
+        permits.into_iter().partition(|permit| term_numbers.contains(&permit.number));
+    assert_eq!(within.len() as u64, term_numbers.end - term_numbers.start);
     assert!(!beyond.is_empty());
     assert!(beyond.iter().all(|permit| schedule.owner(permit.number) == 0));
 }
