--- a/crates/gossip/src/permits.rs
+++ b/crates/gossip/src/permits.rs
@@ -6,10 +6,10 @@
 //! A limit is divided into permits ([`PermitSchedule`](schedule::PermitSchedule)). Each permit is a lease whose owner
 //! is determined by the wall clock. In each round a sender offers the permits of the round's term that it does not need
 //! to one sender, the allocator, which grants them to senders that request permits. Permits are released before the
-//! offer is sent, so if a message is lost, permits stay unused and none is used twice. If the senders' clocks differ by
-//! at most `e`, at most
-//! `0.95 * limit * (s + PERMIT_VALIDITY + 2 e) + 1` calls start in a span `s`. While the endpoint list
-//! changes, `limit` is the larger of the two limits.
+//! offer is sent, so if a message is lost, permits stay unused and none is used twice.
+//!
+//! If the senders' clocks differ by at most `e`, at most `0.95 * limit * (s + PERMIT_VALIDITY + 2 e) + 1` calls start in
+//! a span `s`. While the endpoint list changes, `limit` is the larger of the two limits.
 
 mod allocation;
 mod allocator;
@@ -74,8 +74,7 @@
 
 impl PermitLedger {
     /// The ledger of sender `own_number` in a fleet of `sender_count`, for a process with this incarnation that starts
-    /// at
-    /// `now`. Any earlier process of the same sender must have ended by then.
+    /// at `now`. Any earlier process of the same sender must have ended by then.
     pub fn new(own_number: usize, sender_count: usize, incarnation: Incarnation, now: UnixMillis) -> Self {
         let round = round_at(now);
         Self {
@@ -125,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// [`PermitError`] if the datagram was dropped; the permits are unchanged then.
+    /// [`PermitError`] if the datagram was dropped; its content has no effect then.
     pub fn receive(&mut self, now: UnixMillis, from: usize, datagram: &[u8]) -> Result<bool, PermitError> {
         self.observe_clock(now);
         if from == self.own_number || from >= self.sender_count {
--- a/crates/gossip/src/permits/error.rs
+++ b/crates/gossip/src/permits/error.rs
@@ -2,7 +2,7 @@
 
 use crate::envelope::EnvelopeError;
 
-/// Why a message of the permit protocol was dropped. The permits are unchanged.
+/// Why a message of the permit protocol was dropped. Its content has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum PermitError {
