--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -18,7 +18,7 @@
 use rudderspindle_clock::UnixMillis;
 
 use crate::membership::MembershipList;
-use crate::outlier_detection::{CallResult, OutlierDetector, Receiver};
+use crate::outlier_detection::{CallResult, OutlierDetector, ReceiverId};
 use crate::tenant_usage::{LocalSender, TenantUsage, quota_share};
 pub use error::FleetViewError;
 
@@ -130,7 +130,7 @@
     }
 
     /// Records the result of one call from this sender to `receiver`.
-    pub fn record_call(&mut self, now: UnixMillis, receiver: Receiver, result: CallResult) {
+    pub fn record_call(&mut self, now: UnixMillis, receiver: ReceiverId, result: CallResult) {
         self.outliers.record_call(now, receiver, result);
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Returns those of a destination's `receivers` that are ejected; see [`OutlierDetector::ejected`].
-    pub fn ejected(&mut self, now: UnixMillis, receivers: &[Receiver]) -> Vec<Receiver> {
+    pub fn ejected(&mut self, now: UnixMillis, receivers: &[ReceiverId]) -> Vec<ReceiverId> {
         self.outliers.ejected(now, self.zone_senders, receivers)
     }
 }
--- a/crates/gossip/src/fleet_view/message.rs
+++ b/crates/gossip/src/fleet_view/message.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::envelope::{EnvelopeError, Kind, MAX_BODY_LEN, bounded, seal};
-use crate::outlier_detection::{MAX_ANNOUNCED_VOTES, Receiver};
+use crate::outlier_detection::{MAX_ANNOUNCED_VOTES, ReceiverId};
 use crate::tenant_usage::{MAX_LISTED_TENANTS, Register, TenantTotal, WindowSlice};
 pub(super) use encoded_vote::EncodedVote;
 
@@ -49,7 +49,7 @@
 /// A sender's own vote on a receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct VoteEntry {
-    pub receiver: Receiver,
+    pub receiver: ReceiverId,
     pub vote: EncodedVote,
 }
 
@@ -74,7 +74,7 @@
 /// The votes on one receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ReceiverEntry {
-    pub receiver: Receiver,
+    pub receiver: ReceiverId,
     #[serde(deserialize_with = "bounded::<MAX_OBSERVERS, _, _>")]
     pub votes: Vec<ObserverEntry>,
 }
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -4,7 +4,7 @@
 use super::{ObserverEntry, ReceiverEntry, RegisterEntry, Report, SliceEntry, Summary, VoteEntry};
 use crate::envelope::{Envelope, Kind, open, read};
 use crate::golden::datagram;
-use crate::outlier_detection::{Receiver, Vote};
+use crate::outlier_detection::{ReceiverId, Vote};
 use crate::tenant_usage::{Register, SenderRegister, TenantTotal, WindowSlice, epoch_start};
 
 const FILE: &str = "views.txt";
@@ -30,8 +30,8 @@
             register_entry(2, &[(0, u32::MAX)]),
         ],
         votes: vec![
-            VoteEntry { receiver: Receiver::of(513, "receiver-1"), vote: encoded(3, false) },
-            VoteEntry { receiver: Receiver::of(7, "receiver-2"), vote: encoded(255, true) },
+            VoteEntry { receiver: ReceiverId::of(513, "receiver-1"), vote: encoded(3, false) },
+            VoteEntry { receiver: ReceiverId::of(7, "receiver-2"), vote: encoded(255, true) },
         ],
     }
 }
@@ -62,8 +62,8 @@
             SliceEntry { epochs_back: 2, slice: slice(2) },
         ],
         receivers: vec![
-            entry(Receiver::of(513, "receiver-1"), &[(1, encoded(3, false)), (511, encoded(4, true))]),
-            entry(Receiver::of(7, ""), &[(300, encoded(0, false))]),
+            entry(ReceiverId::of(513, "receiver-1"), &[(1, encoded(3, false)), (511, encoded(4, true))]),
+            entry(ReceiverId::of(7, ""), &[(300, encoded(0, false))]),
         ],
     }
 }
@@ -103,7 +103,7 @@
     let slice = |epochs_back| SliceEntry { epochs_back, slice: WindowSlice::sum(&of_many, 512) };
     let vote = encoded(9, false);
     let votes: Vec<ObserverEntry> = (300..304).map(|observer| ObserverEntry { observer, vote }).collect();
-    let receiver = |n| ReceiverEntry { receiver: Receiver::of(n, "receiver"), votes: votes.clone() };
+    let receiver = |n| ReceiverEntry { receiver: ReceiverId::of(n, "receiver"), votes: votes.clone() };
     let slices = (0..3).map(slice).collect();
     let long = Summary { slices, receivers: (0..6).map(receiver).collect(), ..summary() };
     assert_eq!(long.encode().expect("encoded message"), datagram(FILE, "view-without-room"));
--- a/crates/gossip/src/fleet_view/sending.rs
+++ b/crates/gossip/src/fleet_view/sending.rs
@@ -13,7 +13,7 @@
 use crate::datagram_budget::DatagramBudget;
 use crate::envelope::{EnvelopeError, Kind};
 use crate::outgoing_datagram::OutgoingDatagram;
-use crate::outlier_detection::{Receiver, Vote};
+use crate::outlier_detection::{ReceiverId, Vote};
 use crate::peer_selection::hash_words;
 use crate::tenant_usage::{epoch_at, epoch_start};
 
@@ -167,7 +167,7 @@
         &self,
         round: u64,
         zone: u16,
-        votes: &BTreeMap<Receiver, BTreeMap<usize, Vote>>,
+        votes: &BTreeMap<ReceiverId, BTreeMap<usize, Vote>>,
     ) -> Vec<ReceiverEntry> {
         let mut ranked = Vec::new();
         for (receiver, votes_by_observer) in votes {
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -12,7 +12,7 @@
 use crate::envelope::{Kind, MAX_BODY_LEN, seal};
 use crate::membership::Incarnation;
 use crate::outgoing_datagram::OutgoingDatagram;
-use crate::outlier_detection::{ObserverVote, Receiver, Vote};
+use crate::outlier_detection::{ObserverVote, ReceiverId, Vote};
 use crate::tenant_usage::{
     EPOCH_LENGTH, LocalSender, Register, RegisterKey, SenderRegister, WindowSlice, epoch_at, epoch_start,
 };
@@ -49,7 +49,7 @@
         let key = RegisterKey { sender, incarnation: Incarnation(1) };
         assert!(aggregator.usage.merge_register(NOW, key, ROUND - 1, &register));
         let votes = (0..8).map(|receiver| ObserverVote {
-            receiver: Receiver::of(receiver, "r"),
+            receiver: ReceiverId::of(receiver, "r"),
             observer: sender,
             vote: vote(sender as u64),
         });
@@ -68,7 +68,8 @@
         assert!(reader.outliers.has_down_votes(NOW), "the down votes are in the summary");
     }
     let own = |epochs_back| RegisterEntry::new(epochs_back, register.clone().truncated());
-    let own_vote = |n| VoteEntry { receiver: Receiver::of(n, "r"), vote: EncodedVote::new(ROUND, &vote(0)) };
+    let own_vote =
+        |n| VoteEntry { receiver: ReceiverId::of(n, "r"), vote: EncodedVote::new(ROUND, &vote(0)) };
     let votes = (0..8).map(own_vote).collect();
     let registers = (0..3).map(own).collect();
     let report = Report { incarnation: u64::MAX, round: u64::MAX, registers, votes };
@@ -123,7 +124,7 @@
 /// The first message of a newer incarnation invalidates the votes of the earlier one.
 #[test]
 fn votes_of_a_replaced_observer_process_are_dropped() {
-    let receivers = [Receiver::of(1, "a"), Receiver::of(1, "b")];
+    let receivers = [ReceiverId::of(1, "a"), ReceiverId::of(1, "b")];
     let mut reader = FleetView::new(local(0, 1, 10), vec![0; 9]).expect("a sender of the fleet");
     let report = |incarnation, votes| {
         Report { incarnation, round: ROUND, registers: vec![], votes }.encode().expect("encoded message")
@@ -170,8 +171,8 @@
         Register { totals, max_unlisted, partial: self.bytes[0].is_multiple_of(2) }
     }
 
-    fn receiver(&self) -> Receiver {
-        Receiver::of(self.bytes[4].into(), "r")
+    fn receiver(&self) -> ReceiverId {
+        ReceiverId::of(self.bytes[4].into(), "r")
     }
 
     fn summary(&self) -> Vec<u8> {
@@ -226,7 +227,7 @@
             prop_assert!(reader.reporters.len() <= 3);
             prop_assert!(reader.usage.known_senders(now).len() <= 10);
             reader.usage.read(now, numbers[2] as u16, 5);
-            reader.ejected(now, &[Receiver::of(1, "r"), Receiver::of(2, "r")]);
+            reader.ejected(now, &[ReceiverId::of(1, "r"), ReceiverId::of(2, "r")]);
         }
         for body in noise {
             for kind in [Kind::Report, Kind::Summary] {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -47,7 +47,7 @@
 };
 pub use message::{GossipError, MAX_MESSAGE_LEN};
 pub use outgoing_datagram::OutgoingDatagram;
-pub use outlier_detection::{CallResult, ObserverVote, OutlierDetector, Receiver, ReceiverVote, Vote};
+pub use outlier_detection::{CallResult, ObserverVote, OutlierDetector, ReceiverId, ReceiverVote, Vote};
 pub use permits::{Permit, PermitError, PermitLedger};
 pub use tenant_usage::{
     EPOCH_LENGTH, LocalSender, MAX_TOTAL_SHARE, QuotaBucket, READ_LAG, Register, RegisterKey, TenantTotal,
--- a/crates/gossip/src/outlier_detection.rs
+++ b/crates/gossip/src/outlier_detection.rs
@@ -22,7 +22,7 @@
 use call_history::CallHistory;
 use ejection::EjectionPeriod;
 use reported_votes::ReportedVotes;
-pub use vote::{CallResult, ObserverVote, Receiver, ReceiverVote, Vote};
+pub use vote::{CallResult, ObserverVote, ReceiverId, ReceiverVote, Vote};
 
 /// Maximum lead of a vote's last observation over the reader's clock, in milliseconds.
 const MAX_CLOCK_SKEW: u64 = 500;
@@ -38,27 +38,27 @@
 ///
 /// ```
 /// use rudderspindle_clock::UnixMillis;
-/// use rudderspindle_gossip::{ObserverVote, OutlierDetector, Receiver, Vote};
+/// use rudderspindle_gossip::{ObserverVote, OutlierDetector, ReceiverId, Vote};
 /// let mut detector = OutlierDetector::new(0, vec![0; 6]); // six senders in one zone
-/// let failing = Receiver::of(3, "a:1");
+/// let failing = ReceiverId::of(3, "a:1");
 /// let now = UnixMillis(1_000);
 /// let vote = Vote { began_at: now - 500, observed_at: now - 100, recovered: false };
 /// for observer in 1..=3 {
 ///     detector.receive_votes(now, observer, &[ObserverVote { receiver: failing, observer, vote }]);
 /// }
-/// assert_eq!(detector.ejected(now, 6, &[failing, Receiver::of(3, "b:1")]), [failing]);
-/// assert!(detector.ejected(now + 2_100, 6, &[failing, Receiver::of(3, "b:1")]).is_empty());
+/// assert_eq!(detector.ejected(now, 6, &[failing, ReceiverId::of(3, "b:1")]), [failing]);
+/// assert!(detector.ejected(now + 2_100, 6, &[failing, ReceiverId::of(3, "b:1")]).is_empty());
 /// ```
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     own_number: usize,
     /// The zone of each sender, indexed by sender number.
     zones: Vec<u16>,
-    histories: BTreeMap<Receiver, CallHistory>,
+    histories: BTreeMap<ReceiverId, CallHistory>,
     /// The votes of other senders, by the sender that reported them.
     votes: BTreeMap<usize, ReportedVotes>,
     /// The periods of receivers that a quorum votes down, or voted down recently.
-    ejections: BTreeMap<Receiver, EjectionPeriod>,
+    ejections: BTreeMap<ReceiverId, EjectionPeriod>,
 }
 
 impl OutlierDetector {
@@ -70,7 +70,7 @@
     }
 
     /// Records the result of one call from this sender to `receiver`.
-    pub fn record_call(&mut self, now: UnixMillis, receiver: Receiver, result: CallResult) {
+    pub fn record_call(&mut self, now: UnixMillis, receiver: ReceiverId, result: CallResult) {
         self.remove_expired(now);
         self.histories.entry(receiver).or_default().record(now, result);
         evict_oldest(&mut self.histories, MAX_HISTORIES, CallHistory::last_call);
@@ -119,8 +119,8 @@
     ///
     /// Only votes that their observers reported themselves and this sender's own votes are relayed; votes received from other
     /// aggregators are not.
-    pub fn relayable_votes(&self, now: UnixMillis) -> BTreeMap<Receiver, BTreeMap<usize, Vote>> {
-        let mut relayable: BTreeMap<Receiver, BTreeMap<usize, Vote>> = BTreeMap::new();
+    pub fn relayable_votes(&self, now: UnixMillis) -> BTreeMap<ReceiverId, BTreeMap<usize, Vote>> {
+        let mut relayable: BTreeMap<ReceiverId, BTreeMap<usize, Vote>> = BTreeMap::new();
         for (reporter, votes) in &self.votes {
             for ObserverVote { receiver, observer, vote } in votes.valid(now) {
                 if observer == *reporter {
--- a/crates/gossip/src/outlier_detection/ejection.rs
+++ b/crates/gossip/src/outlier_detection/ejection.rs
@@ -7,7 +7,7 @@
 use super::OutlierDetector;
 use super::call_history::CallHistory;
 use super::matching::max_matching;
-use super::vote::{ObserverVote, Receiver, Vote};
+use super::vote::{ObserverVote, ReceiverId, Vote};
 
 /// Number of observers that must vote a receiver down. With two, one forged vote and one vote by chance would be enough.
 pub const QUORUM: usize = 3;
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     down_since: UnixMillis,
-    receiver: Receiver,
+    receiver: ReceiverId,
 }
 
 /// An observer's newest vote on a receiver, and the senders that reported a down vote of this observer.
@@ -55,9 +55,14 @@
     ///
     /// `zone_senders` is the number of live senders of this zone, including this one. The caller's circuit breakers are
     /// independent of ejections.
-    pub fn ejected(&mut self, now: UnixMillis, zone_senders: usize, receivers: &[Receiver]) -> Vec<Receiver> {
+    pub fn ejected(
+        &mut self,
+        now: UnixMillis,
+        zone_senders: usize,
+        receivers: &[ReceiverId],
+    ) -> Vec<ReceiverId> {
         self.ejections.retain(|_, period| period.confirmed_at.saturating_add(EJECTION_MEMORY) > now);
-        let receivers: BTreeSet<Receiver> = receivers.iter().copied().collect();
+        let receivers: BTreeSet<ReceiverId> = receivers.iter().copied().collect();
         let quorum = (zone_senders / 2 + 1).clamp(MIN_QUORUM, QUORUM);
         let candidates = receivers.iter().filter_map(|receiver| self.candidate(now, *receiver, quorum));
         let mut candidates: Vec<Candidate> = candidates.collect();
@@ -67,7 +72,7 @@
     }
 
     /// Returns the receiver as a candidate if a quorum votes it down and no probe by this sender is due.
-    fn candidate(&mut self, now: UnixMillis, receiver: Receiver, quorum: usize) -> Option<Candidate> {
+    fn candidate(&mut self, now: UnixMillis, receiver: ReceiverId, quorum: usize) -> Option<Candidate> {
         let history = self.histories.get(&receiver).copied().unwrap_or_default();
         let down_since = self.down_since(now, receiver, &history, quorum)?;
         let new_period = EjectionPeriod { started_at: now, confirmed_at: now };
@@ -82,7 +87,7 @@
     fn down_since(
         &self,
         now: UnixMillis,
-        receiver: Receiver,
+        receiver: ReceiverId,
         history: &CallHistory,
         quorum: usize,
     ) -> Option<UnixMillis> {
@@ -101,7 +106,7 @@
     fn observers_voting_down(
         &self,
         now: UnixMillis,
-        receiver: Receiver,
+        receiver: ReceiverId,
         history: &CallHistory,
     ) -> Vec<ObserverState> {
         let mut observers: BTreeMap<usize, ObserverState> = BTreeMap::new();
--- a/crates/gossip/src/outlier_detection/reported_votes.rs
+++ b/crates/gossip/src/outlier_detection/reported_votes.rs
@@ -5,7 +5,7 @@
 use rudderspindle_clock::UnixMillis;
 
 use super::bounded_map::evict_oldest;
-use super::vote::{ObserverVote, Receiver, Vote};
+use super::vote::{ObserverVote, ReceiverId, Vote};
 
 /// Time for which a vote is valid after it was received, in milliseconds: two rounds of datagrams.
 pub const VOTE_TTL: u64 = 2_000;
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct VoteKey {
-    receiver: Receiver,
+    receiver: ReceiverId,
     observer: usize,
 }
 
@@ -56,7 +56,7 @@
     }
 
     /// The votes on `receiver` that are valid at `now`.
-    pub fn valid_on(&self, now: UnixMillis, receiver: Receiver) -> impl Iterator<Item = ObserverVote> {
+    pub fn valid_on(&self, now: UnixMillis, receiver: ReceiverId) -> impl Iterator<Item = ObserverVote> {
         let first = VoteKey { receiver, observer: 0 };
         let last = VoteKey { receiver, observer: usize::MAX };
         let valid = self.votes.range(first..=last).filter(move |(_, received)| received.is_valid(now));
--- a/crates/gossip/src/outlier_detection/tests.rs
+++ b/crates/gossip/src/outlier_detection/tests.rs
@@ -6,25 +6,25 @@
 use super::ejection::EJECTION_DURATION;
 use super::matching::max_matching;
 use super::reported_votes::{MAX_REPORTED_VOTES, VOTE_TTL};
-use super::{CallResult, MAX_HISTORIES, ObserverVote, OutlierDetector, Receiver, ReceiverVote, Vote};
+use super::{CallResult, MAX_HISTORIES, ObserverVote, OutlierDetector, ReceiverId, ReceiverVote, Vote};
 
 const NOW: UnixMillis = UnixMillis(1_700_000_000_000);
 
-fn receivers(n: usize) -> Vec<Receiver> {
-    (0..n).map(|n| Receiver::of(1, &format!("r{n}"))).collect()
+fn receivers(n: usize) -> Vec<ReceiverId> {
+    (0..n).map(|n| ReceiverId::of(1, &format!("r{n}"))).collect()
 }
 
 fn down_vote(began_at: UnixMillis, observed_at: UnixMillis) -> Vote {
     Vote { began_at, observed_at, recovered: false }
 }
 
-fn vote_of(observer: usize, receiver: Receiver, vote: Vote) -> [ObserverVote; 1] {
+fn vote_of(observer: usize, receiver: ReceiverId, vote: Vote) -> [ObserverVote; 1] {
     [ObserverVote { receiver, observer, vote }]
 }
 
 /// The detector of sender 0 in a fleet with ten senders in its zone and five in another. Each of `observers` has reported
 /// `vote` on `receiver`.
-fn detector(observers: &[usize], receiver: Receiver, vote: Vote, now: UnixMillis) -> OutlierDetector {
+fn detector(observers: &[usize], receiver: ReceiverId, vote: Vote, now: UnixMillis) -> OutlierDetector {
     let zones = (0..15).map(|n| u16::from(n >= 10)).collect();
     let mut detector = OutlierDetector::new(0, zones);
     for n in observers {
@@ -154,7 +154,7 @@
                 );
             }
         }
-        let longest_down: Vec<Receiver> = receivers.iter().rev().take(n / 2).copied().collect();
+        let longest_down: Vec<ReceiverId> = receivers.iter().rev().take(n / 2).copied().collect();
         assert_eq!(detector.ejected(NOW, 10, &receivers), longest_down, "of {n}");
     }
 }
@@ -214,7 +214,7 @@
     for second in 0..600 {
         let now = NOW + second * 1_000;
         for n in 0..300_u64 {
-            let receiver = Receiver::of(n as u16, &second.to_string());
+            let receiver = ReceiverId::of(n as u16, &second.to_string());
             detector.record_call(now + n, receiver, CallResult::Failed);
             let vote = vote_of((n % 15) as usize, receiver, down_vote(now, now));
             detector.receive_votes(now, (n % 40) as usize, &vote);
--- a/crates/gossip/src/outlier_detection/vote.rs
+++ b/crates/gossip/src/outlier_detection/vote.rs
@@ -8,9 +8,9 @@
 
 /// Identifier of a receiver in datagrams, the same at every sender: the CRC-32 of the receiver's destination and id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Receiver(u32);
+pub struct ReceiverId(u32);
 
-impl Receiver {
+impl ReceiverId {
     /// The identifier of a destination's receiver, from the destination's number and the receiver's id.
     ///
     /// In one of 8,000 fleets with a thousand receivers, two of them have the same identifier by chance. A vote on one of
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceiverVote {
     /// The receiver that the vote is about.
-    pub receiver: Receiver,
+    pub receiver: ReceiverId,
     /// This sender's vote.
     pub vote: Vote,
 }
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObserverVote {
     /// The receiver that the vote is about.
-    pub receiver: Receiver,
+    pub receiver: ReceiverId,
     /// Number of the sender that observed the receiver.
     pub observer: usize,
     /// The observer's vote.
--- a/crates/gossip/tests/fleet_view/outlier_detection.rs
+++ b/crates/gossip/tests/fleet_view/outlier_detection.rs
@@ -1,23 +1,23 @@
 //! Ejections of receivers by many senders that exchange datagrams.
 
 use super::simulated_fleet::{START, SimulatedFleet};
-use rudderspindle_gossip::{CallResult, Receiver};
+use rudderspindle_gossip::{CallResult, ReceiverId};
 
 /// The zone of each sender, if consecutive senders are in consecutive zones.
 fn alternating_zones(senders: usize, zones: usize) -> Vec<u16> {
     (0..senders).map(|sender| (sender % zones) as u16).collect()
 }
 
-fn receivers() -> Vec<Receiver> {
-    (0..4).map(|n| Receiver::of(3, &format!("r{n}"))).collect()
+fn receivers() -> Vec<ReceiverId> {
+    (0..4).map(|n| ReceiverId::of(3, &format!("r{n}"))).collect()
 }
 
-fn record_call(fleet: &mut SimulatedFleet, sender: usize, receiver: Receiver, result: CallResult) {
+fn record_call(fleet: &mut SimulatedFleet, sender: usize, receiver: ReceiverId, result: CallResult) {
     let clock = fleet.clock(sender);
     fleet.senders[sender].view.record_call(clock, receiver, result);
 }
 
-fn ejected(fleet: &mut SimulatedFleet, sender: usize) -> Vec<Receiver> {
+fn ejected(fleet: &mut SimulatedFleet, sender: usize) -> Vec<ReceiverId> {
     let clock = fleet.clock(sender);
     fleet.senders[sender].view.ejected(clock, &receivers())
 }
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -7,7 +7,7 @@
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{
     CallResult, DatagramBudget, DatagramClass, DemandExchange, Incarnation, Kind, LimitId, LocalDemand,
-    LocalSender, PermitLedger, Receiver, RecoveryRamp,
+    LocalSender, PermitLedger, ReceiverId, RecoveryRamp,
 };
 use rudderspindle_gossip::{FleetView, OutgoingDatagram};
 
@@ -152,7 +152,7 @@
     let budget =
         || DatagramBudget::new(&[DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 }]);
     let mut budgets: Vec<DatagramBudget> = (0..6).map(|_| budget()).collect();
-    let receivers = ["a", "b", "c"].map(|receiver| Receiver::of(7, receiver));
+    let receivers = ["a", "b", "c"].map(|receiver| ReceiverId::of(7, receiver));
     let mut transcript = String::new();
     for now in (0..6_000).step_by(100).map(|millis| START + millis) {
         for from in 0..views.len() {
@@ -180,7 +180,7 @@
     now: UnixMillis,
     number: usize,
     view: &mut FleetView,
-    receivers: &[Receiver; 3],
+    receivers: &[ReceiverId; 3],
 ) {
     for tenant in 0..4 {
         let read = view.usage().read(now, tenant, 5);
--- a/crates/sender/src/activity.rs
+++ b/crates/sender/src/activity.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use rudderspindle_gossip::{CallResult, Receiver};
+use rudderspindle_gossip::{CallResult, ReceiverId};
 use rudderspindle_policy::interface::Outcome;
 
 use crate::event::{AcceptedMessages, ActivityReport, MAX_CALL_RESULTS, ReceiverResult};
@@ -30,7 +30,7 @@
 
     /// Records an attempt's outcome. Attempts that were not sent or were cancelled are ignored: they do not depend on the
     /// receiver's health.
-    pub fn record_outcome(&mut self, receiver: Option<Receiver>, outcome: Outcome) {
+    pub fn record_outcome(&mut self, receiver: Option<ReceiverId>, outcome: Outcome) {
         let result = match outcome {
             Outcome::Ok | Outcome::Rejected => CallResult::Answered,
             Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => CallResult::Failed,
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rudderspindle_clock::UnixMillis;
-use rudderspindle_gossip::Receiver;
+use rudderspindle_gossip::ReceiverId;
 use rudderspindle_journal::PossibleExecution;
 use rudderspindle_policy::interface::{AttemptResult, Event, MessageHandle, Millis, Outcome, RouteId};
 use tokio::time::Instant;
@@ -48,7 +48,7 @@
         let attempt = message.attempts;
         message.attempts += 1;
         let destination = self.endpoints.destination(&receiver);
-        message.receiver = destination.map(|destination| Receiver::of(destination.0, &receiver));
+        message.receiver = destination.map(|destination| ReceiverId::of(destination.0, &receiver));
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
         let execution = PossibleExecution { at: UnixMillis::now(), receiver, zone };
         self.store.start_attempt(&message.message_id, execution);
--- a/crates/sender/src/engine/endpoint_table.rs
+++ b/crates/sender/src/engine/endpoint_table.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rudderspindle_gossip::Receiver;
+use rudderspindle_gossip::ReceiverId;
 use rudderspindle_policy::interface::{DestinationId, Listing, RouteId};
 use tokio::time::Instant;
 
@@ -63,7 +63,7 @@
         let mut listed: Vec<ListedReceiver> = listed
             .filter_map(|(name, known)| {
                 let destination = known.destination?;
-                let receiver = Receiver::of(destination.0, name);
+                let receiver = ReceiverId::of(destination.0, name);
                 Some(ListedReceiver { destination, route: known.route, receiver })
             })
             .collect();
--- a/crates/sender/src/engine/tracked_messages.rs
+++ b/crates/sender/src/engine/tracked_messages.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use bytes::Bytes;
-use rudderspindle_gossip::Receiver;
+use rudderspindle_gossip::ReceiverId;
 use rudderspindle_journal::MessageId;
 use rudderspindle_policy::interface::MessageHandle;
 use tokio::time::Instant;
@@ -34,7 +34,7 @@
     /// Number of attempts on record.
     pub attempts: u32,
     /// The receiver of the attempt in flight.
-    pub receiver: Option<Receiver>,
+    pub receiver: Option<ReceiverId>,
 }
 
 /// A message without submissions that is no longer tracked.
--- a/crates/sender/src/event/activity.rs
+++ b/crates/sender/src/event/activity.rs
@@ -1,6 +1,6 @@
 //! The activity that the engine reports to the gossip task.
 
-use rudderspindle_gossip::{CallResult, LimitId, Receiver};
+use rudderspindle_gossip::{CallResult, LimitId, ReceiverId};
 use rudderspindle_policy::interface::{Demand, DestinationId, RouteId};
 
 /// Maximum number of attempt results in an [`ActivityReport`]; the oldest are dropped first.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReceiverResult {
     /// The receiver.
-    pub receiver: Receiver,
+    pub receiver: ReceiverId,
     /// Whether it responded.
     pub result: CallResult,
 }
@@ -54,5 +54,5 @@
     /// Its id in the policy.
     pub route: RouteId,
     /// Its name in datagrams.
-    pub receiver: Receiver,
+    pub receiver: ReceiverId,
 }
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -5,7 +5,7 @@
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::{
     DatagramBudget, DatagramClass, FleetView, FleetViewError, Incarnation, Kind, LocalSender,
-    OutgoingDatagram, Receiver,
+    OutgoingDatagram, ReceiverId,
 };
 use rudderspindle_policy::interface::{DestinationId, RouteId};
 
@@ -133,7 +133,7 @@
         }
         let mut ejected_routes = Vec::new();
         for receivers in by_destination.values() {
-            let names: Vec<Receiver> = receivers.iter().map(|listed| listed.receiver).collect();
+            let names: Vec<ReceiverId> = receivers.iter().map(|listed| listed.receiver).collect();
             let ejected = self.view.ejected(now, &names);
             let of_ejected = receivers.iter().filter(|listed| ejected.contains(&listed.receiver));
             ejected_routes.extend(of_ejected.map(|listed| listed.route));
