--- a/crates/policy-replay/src/attempt.rs
+++ b/crates/policy-replay/src/attempt.rs
@@ -1,50 +1,50 @@
-//! Messages and their attempts.
+//! Submitted messages and the outcomes of their attempts.
 
-/// A message that is submitted.
+/// A message as a client submits it.
 #[derive(Clone, Debug)]
 pub struct MessageInput {
-    /// Its id.
+    /// Unique in a session.
     pub id: u32,
-    /// Its class.
+    /// Number of the class in the settings; may be unknown to the policy.
     pub class: u8,
-    /// Its tenant.
+    /// Number of the tenant in the settings; may be unknown to the policy.
     pub tenant: u32,
-    /// Its ordering key; 0 for none.
+    /// Messages with the same key are sent in order; 0 if the message has no ordering key.
     pub ordering_key: u64,
-    /// Time until it expires, in ms.
+    /// Time until the message expires, in ms.
     pub time_left: f64,
-    /// An estimate of its processing time, in ms.
+    /// Estimate of the receiver's processing time, in ms; `None` if the client sent none.
     pub work_estimate: Option<f64>,
-    /// Its destination.
+    /// Number of the destination; may have no routes.
     pub destination: u16,
 }
 
 /// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Delivered.
+    /// The receiver answered with success.
     Ok,
-    /// Answered with an error.
+    /// The receiver answered with an error.
     Error,
-    /// Rejected.
+    /// The receiver rejected the call because it was at its limit.
     Rejected,
-    /// Not answered in time.
+    /// No answer arrived before the time-out.
     Timeout,
-    /// No connection.
+    /// No connection could be opened.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection was closed before the answer arrived.
     Reset,
-    /// Cancelled.
+    /// The sender cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The host did not send the attempt.
     NotSent,
-    /// Never sent, as no attempt is left.
+    /// The host did not send the attempt because the message has had its maximum number of attempts.
     AttemptsExhausted,
 }
 
 impl AttemptOutcome {
-    /// The outcomes that a health check may have too.
-    pub const OF_CALLS: [Self; 8] = [
+    /// All outcomes that a health check may have.
+    pub const HEALTH_CHECK_OUTCOMES: [Self; 8] = [
         Self::Ok,
         Self::Error,
         Self::Rejected,
@@ -55,12 +55,12 @@
         Self::NotSent,
     ];
 
-    /// Whether the attempt may have taken effect.
+    /// Returns whether the receiver may have executed the attempt.
     pub fn is_possibly_executed(self) -> bool {
         matches!(self, Self::Ok | Self::Error | Self::Timeout | Self::Reset | Self::Cancelled)
     }
 
-    /// Its name in the counts of a golden file.
+    /// Returns the name, in the counts of a golden file, of an input with this outcome.
     pub(crate) fn input_name(self, retry_after: u32) -> &'static str {
         match self {
             Self::Ok => "input outcome ok",
@@ -77,13 +77,13 @@
     }
 }
 
-/// An attempt of before a restart that may have taken effect.
+/// An attempt sent before a restart that the receiver may have executed.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorExecution {
-    /// How long ago it was sent, in ms.
+    /// Time since the attempt was sent, in ms.
     pub ago: f64,
-    /// Its route.
+    /// The route that the attempt was sent by.
     pub route: u64,
-    /// The route's zone.
+    /// Zone of the route.
     pub zone: u8,
 }
--- a/crates/policy-replay/src/input.rs
+++ b/crates/policy-replay/src/input.rs
@@ -1,140 +1,141 @@
-//! What the simulated host reports to a policy.
+//! Inputs that the simulated host passes to a policy.
 
 use crate::attempt::{AttemptOutcome, MessageInput, PriorExecution};
 use crate::limit::{Limit, Outage, PermitInput};
 use crate::list::{ListEntry, ListUpdate};
 
-/// An input, with the number of the instance that it is for.
+/// An input and the number of the policy instance that receives it.
 pub type InstanceInput = (u32, Input);
 
-/// What is reported to an instance of the policy.
+/// An input of a policy instance.
 ///
-/// The simulator's wire has a record for each variant up to [`Input::HealthChecked`].
+/// The simulator's wire protocol has a record for each variant up to [`Input::HealthChecked`].
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A new instance starts.
     Start {
-        /// Seed of its draws.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings, as JSON text.
+        /// Settings of the instance, as JSON text.
         settings: &'static str,
     },
     /// The instance stops.
     PowerOff,
-    /// A datagram of another instance.
+    /// A datagram arrives from another instance.
     Peer,
     /// The endpoint list changes.
     List {
-        /// How.
+        /// Whether `entries` replace the list or change it.
         update: ListUpdate,
-        /// The entries.
+        /// Empty if `update` is [`ListUpdate::Failed`].
         entries: Vec<ListEntry>,
     },
     /// A message is submitted.
     Message(MessageInput),
-    /// A response starts to stream.
+    /// The receiver has started to stream a response.
     Started {
-        /// The message.
+        /// Id of the message.
         id: u32,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// An attempt ends.
+    /// An attempt has ended.
     Outcome {
-        /// The message.
+        /// Id of the message.
         id: u32,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// How it ends.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
-        /// The Retry-After of a rejection, in ms; 0 for none.
+        /// Retry-After of a rejection, in ms; 0 if there is none.
         retry_after: u32,
-        /// Whether the message is completed.
+        /// Whether this outcome completes the message.
         completed: bool,
     },
-    /// The client is gone.
+    /// The client has disconnected.
     Dropped {
-        /// The message.
+        /// Id of the message.
         id: u32,
     },
-    /// A requested wake-up.
+    /// A wake-up that the policy requested is due.
     Wake {
-        /// Its token.
+        /// Token of the request.
         token: u64,
     },
-    /// The result of a health check.
+    /// A health check has ended.
     HealthChecked {
-        /// The route.
+        /// The route that was checked.
         route: u64,
-        /// Its outcome.
+        /// Outcome of the health check.
         outcome: AttemptOutcome,
     },
-    /// A message of before a restart.
+    /// A message that was accepted before a restart and has not been completed.
     Recovered {
         /// The message.
         message: MessageInput,
-        /// Number of attempts.
+        /// Number of attempts before the restart.
         attempts: u32,
-        /// The first attempt that may have taken effect.
+        /// The first attempt that the receiver may have executed, if there is one.
         execution: Option<PriorExecution>,
     },
-    /// A remembered outage.
+    /// An outage state that was stored before a restart.
     Remembered {
-        /// Its scope.
+        /// The limit whose routes are in the outage.
         limit: Limit,
-        /// The outage.
+        /// The stored state.
         outage: Outage,
     },
     /// A Retry-After that another process has received.
     RetryAfter {
-        /// Its scope.
+        /// The limit that the Retry-After applies to.
         limit: Limit,
-        /// What is left of it, in ms.
+        /// Time until the Retry-After ends, in ms.
         remaining: f64,
     },
-    /// What the fleet leaves of a limit.
+    /// The capacity of a limit that the fleet leaves to this sender.
     Capacity {
-        /// The limit.
+        /// The limit that the capacity belongs to.
         limit: Limit,
-        /// Calls per second for each call of the sender's demand.
+        /// Calls per second for each call of the sender's demand; infinite if the limit covers
+        /// all demand.
         calls_per_demand: f64,
         /// Demand of all senders, in calls.
         total_demand: f64,
-        /// How long this is valid, in ms.
+        /// Time until this report expires, in ms.
         valid_for: f64,
     },
-    /// The permits of a limit.
+    /// Permits to start calls under a limit.
     Permits {
-        /// The limit.
+        /// The limit that the permits belong to.
         limit: Limit,
-        /// The permits.
+        /// Replace the permits reported before; may be empty.
         permits: Vec<PermitInput>,
     },
-    /// The routes that other senders have ejected.
+    /// Other senders have ejected routes as outliers.
     EjectedReceivers {
-        /// The routes.
+        /// The ejected routes, which replace those reported before.
         routes: Vec<u64>,
     },
     /// This sender's share of a tenant's quota.
     Quota {
-        /// The tenant.
+        /// Number of the tenant.
         tenant: usize,
-        /// Messages per second.
+        /// Messages per second; `None` if the usage of other senders is unknown.
         per_s: Option<f64>,
     },
-    /// The host will report the demand of other senders.
+    /// The host is going to send [`Input::Capacity`] reports.
     ExpectCapacityReports,
-    /// The host will report permits.
+    /// No call may start without a permit; the host is going to send [`Input::Permits`].
     RequirePermits,
-    /// Another process of the sender uses slots.
+    /// Another process of the same sender uses some of the sender's slots.
     SlotsUsedByPeer {
-        /// How many.
+        /// Number of slots that the other process uses.
         used: usize,
     },
 }
 
 impl Input {
-    /// Its name in the counts of a golden file.
+    /// Returns the input's name in the counts of a golden file.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Start { .. } => "input up",
--- a/crates/policy-replay/src/lib.rs
+++ b/crates/policy-replay/src/lib.rs
@@ -1,9 +1,9 @@
-//! Sessions from fixed seeds that golden-file tests play against the policy, directly or through a program.
+//! Replays seeded sessions against the policy, either in process or through a program, for golden-file tests.
 //!
-//! A [`Session`] is played by a simulated host: it submits messages, carries out what the policy under test
-//! returns, and reports the outcomes when they are due. A [`Recording`] holds hashes of the replies, and
-//! counts of inputs and outputs, for comparison with a golden file. The types of this crate are its own:
-//! those of the policy may be renamed with no change in the golden files.
+//! A simulated host plays each [`Session`]: it submits messages, executes the outputs of the policy under
+//! test, and reports the outcome of each attempt when it is due. A [`Recording`] holds hashes of the replies
+//! and counts of inputs and outputs, which are compared with a golden file. This crate does not use the types
+//! of the policy, so that a rename in the policy does not change the golden files.
 #![forbid(unsafe_code)]
 #![warn(clippy::disallowed_methods)]
 #![warn(missing_docs)]
--- a/crates/policy-replay/src/limit.rs
+++ b/crates/policy-replay/src/limit.rs
@@ -1,40 +1,40 @@
-//! Limits, and what is reported of them.
+//! Limits of receivers, and the outage states and permits that belong to a limit.
 
-/// An outage that is remembered over a restart.
+/// State of an outage that is stored over a restart.
 #[derive(Clone, Copy, Debug)]
 pub enum Outage {
-    /// None.
+    /// No outage is known.
     Healthy,
-    /// Down.
+    /// The outage lasts.
     Down {
-        /// What is left of the Retry-After, in ms.
-        retry_after: f64,
+        /// Time until the Retry-After ends, in ms; 0 if there is none.
+        retry_after_remaining: f64,
     },
-    /// Recovered, and warming up.
+    /// The receiver has recovered, and calls to it are limited by a recovery ramp.
     WarmingUp {
-        /// Time since the recovery, in ms.
-        since: f64,
-        /// This sender's share of the ramp.
-        share: f64,
+        /// Time since the recovery, in ms; negative if it is still to come.
+        since_recovery: f64,
+        /// This sender's fraction of the recovery ramp, from 0 to 1.
+        ramp_share: f64,
     },
 }
 
-/// A limit: that of a destination, or of one route.
+/// Identifies the limit of a destination or of one of its routes.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
-    /// The destination.
+    /// Number of the destination.
     pub destination: u16,
-    /// The route, if it has a limit of its own.
+    /// The route; `None` if all routes of the destination share the limit.
     pub route: Option<u64>,
 }
 
-/// A permit to start one call, with times from now, in ms.
+/// A permit to start one call.
 #[derive(Clone, Copy, Debug)]
 pub struct PermitInput {
-    /// Its number.
+    /// Identifies the permit when it is reported again.
     pub number: u64,
-    /// When it becomes valid.
+    /// Time until the permit becomes valid, in ms; negative if it already is.
     pub from: f64,
-    /// When it expires.
+    /// Time until the permit expires, in ms.
     pub until: f64,
 }
--- a/crates/policy-replay/src/list.rs
+++ b/crates/policy-replay/src/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list.
+//! The endpoint list that the simulated host passes to the policy.
 
 use crate::random::Random;
 
@@ -10,34 +10,34 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListEntry {
-    /// The route.
+    /// Address and port of the route, as one number.
     pub route: u64,
-    /// Its destination.
+    /// Number of the destination that the route belongs to.
     pub destination: u16,
-    /// Its zone.
+    /// Zone of the route.
     pub zone: u8,
-    /// Its destination's kind.
+    /// Kind of the destination, as numbered in the settings; may be unknown to the policy.
     pub kind: u16,
-    /// 0 removed, 1 ready, 2 draining.
+    /// State of the route: 0 removed, 1 ready, 2 draining.
     pub listing: u8,
-    /// The listed rate, in calls per second.
+    /// Rate limit announced in the list, in calls per second.
     pub rate: f32,
 }
 
-/// How the entries change the list.
+/// Meaning of the entries of an [`Input::List`](crate::Input::List).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// They are the complete list.
+    /// The entries are the complete list.
     Full,
-    /// They are the complete list from a cache.
+    /// The entries are the complete list, read from a cache.
     Cached,
-    /// They are the changed entries.
+    /// The entries are those that have changed.
     Delta,
-    /// There are none: the subscription failed.
+    /// The subscription failed, and there are no entries.
     Failed,
 }
 
-/// The list at the start.
+/// Returns the list at the start of a session.
 pub(crate) fn initial_entries(random: &mut Random) -> Vec<ListEntry> {
     let mut entries = Vec::new();
     for (destination, &routes) in ROUTES.iter().enumerate() {
@@ -47,7 +47,7 @@
 }
 
 impl ListEntry {
-    /// A ready route with a random rate.
+    /// Returns a ready route with a random rate.
     pub(crate) fn draw(destination: u16, number: u64, random: &mut Random) -> Self {
         let address = (10 << 24) | (u64::from(destination) << 8) | number;
         Self {
--- a/crates/policy-replay/src/output.rs
+++ b/crates/policy-replay/src/output.rs
@@ -1,54 +1,54 @@
-//! What an instance of the policy asks its host for.
+//! Outputs of a policy instance, which its host executes.
 
-/// An output, with the number of the instance that it is from.
+/// An output and the number of the policy instance that returned it.
 pub type InstanceOutput = (u32, Output);
 
-/// What the host is to do.
+/// An action that the policy requests of its host.
 #[derive(Clone, Copy, Debug)]
 pub enum Output {
     /// Send an attempt.
     Send {
-        /// The message.
+        /// Id of the message.
         id: u32,
-        /// The route.
+        /// The route that the attempt is sent by.
         route: u64,
-        /// Time-out of the attempt, in ms.
+        /// Time-out of the attempt, in ms; may be infinite if the response is streamed.
         timeout: f64,
     },
     /// Complete a message as refused.
     Refuse {
-        /// The message.
+        /// Id of the message.
         id: u32,
     },
     /// Complete a message as failed.
     Fail {
-        /// The message.
+        /// Id of the message.
         id: u32,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The message.
+        /// Id of the message.
         id: u32,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Report a wake-up later.
+    /// Send [`Input::Wake`](crate::Input::Wake) after a delay.
     Wake {
-        /// The delay, in ms.
+        /// Delay, in ms.
         delay: f64,
-        /// Its token.
+        /// Token that the wake-up returns.
         token: u64,
     },
-    /// Check a route's health.
+    /// Check the health of a route.
     HealthCheck,
     /// Subscribe to the endpoint list.
     Subscribe,
-    /// Remember an outage.
+    /// Store an outage state so that it survives a restart.
     Remember,
 }
 
 impl Output {
-    /// Its name in the counts of a golden file.
+    /// Returns the output's name in the counts of a golden file.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Send { .. } => "output send",
--- a/crates/policy-replay/src/policy_only.rs
+++ b/crates/policy-replay/src/policy_only.rs
@@ -1,4 +1,5 @@
-//! Inputs that the simulator's wire has no record for: restarts, and reports of other senders and processes.
+//! Inputs for which the simulator's wire protocol has no record: restarts, and reports of other senders and
+//! processes.
 
 use crate::attempt::{AttemptOutcome, PriorExecution};
 use crate::host::Host;
@@ -7,11 +8,11 @@
 use crate::limit::{Limit, Outage, PermitInput};
 use crate::receivers::TICKS_PER_MS;
 
-/// The zone of a route that is no longer listed.
+/// Zone given for a route that is no longer listed.
 const UNKNOWN_ZONE: u8 = 9;
 
-/// Which reports the host of a new instance will pass on.
-pub fn modes(host: &mut Host<'_>, inputs: &mut Vec<Input>) {
+/// Adds the inputs that announce which reports a new instance is going to receive.
+pub fn push_modes(host: &mut Host<'_>, inputs: &mut Vec<Input>) {
     if host.random.per_mille(600) {
         inputs.push(Input::ExpectCapacityReports);
     }
@@ -20,17 +21,22 @@
     }
 }
 
-/// The messages and outages of before a restart.
-pub fn recover(host: &mut Host<'_>, index: usize, pending: Vec<MessageState>, inputs: &mut Vec<Input>) {
+/// Adds the messages and outage states that a restarted instance recovers.
+pub fn push_recovered_state(
+    host: &mut Host<'_>,
+    instance_index: usize,
+    pending: Vec<MessageState>,
+    inputs: &mut Vec<Input>,
+) {
     for state in pending.into_iter().filter(|state| !state.streamed) {
-        // An attempt in flight may have taken effect.
-        let execution = state.execution.or(state.in_flight.map(|_| state.last));
+        // The receiver may have executed an attempt that was in flight.
+        let execution = state.first_possible_execution.or(state.in_flight.map(|_| state.last_attempt));
         let execution = execution.map(|sent| prior_execution(host, sent));
-        host.instances[index].add(&state.message, state.attempts);
+        host.instances[instance_index].add(&state.message, state.attempts);
         inputs.push(Input::Recovered { message: state.message, attempts: state.attempts, execution });
     }
     for _ in 0..host.random.below(4) {
-        inputs.push(remembered(host));
+        inputs.push(remembered_outage(host));
     }
 }
 
@@ -43,15 +49,15 @@
     }
 }
 
-/// The inputs of this kind for an instance in this batch.
-pub fn new_inputs(host: &mut Host<'_>, index: usize, inputs: &mut Vec<Input>) {
+/// Adds new inputs of this module's kinds for an instance in this batch.
+pub fn push_new_inputs(host: &mut Host<'_>, instance_index: usize, inputs: &mut Vec<Input>) {
     if host.session.requires_permits && host.random.per_mille(400) {
         inputs.push(permits(host));
     }
     match host.random.below(1_000) {
         0..20 => {
             let remaining = host.random.between(50, 3_000) as f64;
-            inputs.push(Input::RetryAfter { limit: limit(host), remaining });
+            inputs.push(Input::RetryAfter { limit: random_limit(host), remaining });
         }
         20..120 => inputs.push(capacity(host)),
         120..130 => {
@@ -64,33 +70,36 @@
             inputs.push(Input::Quota { tenant: host.random.below(3) as usize, per_s });
         }
         150..165 => inputs.push(Input::SlotsUsedByPeer { used: host.random.below(40) as usize }),
-        165..180 => inputs.push(remembered(host)),
-        180..190 => inputs.push(recovered(host, index)),
+        165..180 => inputs.push(remembered_outage(host)),
+        180..190 => inputs.push(recovered_message(host, instance_index)),
         190..200 => inputs.push(permits(host)),
-        200..203 => inputs.push(attempts_exhausted(host, index)),
+        200..203 => inputs.push(attempts_exhausted(host, instance_index)),
         _ => {}
     }
 }
 
-fn limit(host: &mut Host<'_>) -> Limit {
-    let entry = host.any_entry();
+fn random_limit(host: &mut Host<'_>) -> Limit {
+    let entry = host.random_entry();
     let (destination, route) = (entry.destination, entry.route);
     Limit { destination, route: host.random.per_mille(850).then_some(route) }
 }
 
-fn remembered(host: &mut Host<'_>) -> Input {
-    let limit = limit(host);
-    let span = host.random.between(0, 4_000) as f64;
+fn remembered_outage(host: &mut Host<'_>) -> Input {
+    let limit = random_limit(host);
+    let duration = host.random.between(0, 4_000) as f64;
     let outage = match host.random.below(3) {
         0 => Outage::Healthy,
-        1 => Outage::Down { retry_after: span },
-        _ => Outage::WarmingUp { since: span - 500.0, share: host.random.between(0, 8) as f64 / 8.0 },
+        1 => Outage::Down { retry_after_remaining: duration },
+        _ => Outage::WarmingUp {
+            since_recovery: duration - 500.0,
+            ramp_share: host.random.between(0, 8) as f64 / 8.0,
+        },
     };
     Input::Remembered { limit, outage }
 }
 
 fn capacity(host: &mut Host<'_>) -> Input {
-    let limit = limit(host);
+    let limit = random_limit(host);
     let calls_per_demand =
         if host.random.per_mille(300) { f64::INFINITY } else { host.random.between(1, 64) as f64 / 16.0 };
     let total_demand = host.random.below(30) as f64;
@@ -99,34 +108,34 @@
 }
 
 fn permits(host: &mut Host<'_>) -> Input {
-    let limit = limit(host);
+    let limit = random_limit(host);
     let mut from = -100.0;
     let mut permits = Vec::new();
     for _ in 0..host.random.below(12) {
         from += host.random.between(5, 200) as f64;
         let until = from + host.random.between(100, 900) as f64;
         permits.push(PermitInput { number: host.next_permit, from, until });
-        // A number that is reported again may be that of a used permit.
+        // A number is sometimes reported again: the policy may already have used that permit.
         host.next_permit += u64::from(host.random.per_mille(900));
     }
     Input::Permits { limit, permits }
 }
 
-fn recovered(host: &mut Host<'_>, index: usize) -> Input {
-    let message = host.message();
+fn recovered_message(host: &mut Host<'_>, instance_index: usize) -> Input {
+    let message = host.new_message();
     let attempts = host.random.below(4) as u32;
-    let entry = host.any_entry();
+    let entry = host.random_entry();
     let (route, zone) = (entry.route, entry.zone);
     let ago = host.random.between(10, 6_000) as f64;
     let possibly_executed = attempts > 0 && host.random.per_mille(600);
     let execution = possibly_executed.then_some(PriorExecution { ago, route, zone });
-    host.instances[index].add(&message, attempts);
+    host.instances[instance_index].add(&message, attempts);
     Input::Recovered { message, attempts, execution }
 }
 
-/// A message in flight has had all its attempts.
-fn attempts_exhausted(host: &mut Host<'_>, index: usize) -> Input {
-    let (id, attempt) = host.instances[index].take_first_in_flight().unwrap_or((0, 0));
+/// Returns the input that a message in flight has had its maximum number of attempts.
+fn attempts_exhausted(host: &mut Host<'_>, instance_index: usize) -> Input {
+    let (id, attempt) = host.instances[instance_index].take_first_in_flight().unwrap_or((0, 0));
     let outcome = AttemptOutcome::AttemptsExhausted;
     Input::Outcome { id, attempt, outcome, retry_after: 0, completed: false }
 }
--- a/crates/policy-replay/src/random.rs
+++ b/crates/policy-replay/src/random.rs
@@ -1,16 +1,16 @@
 //! Random numbers from a seed (SplitMix64), the same on every machine.
 
-/// A source of random numbers; the same seed gives the same numbers.
+/// A random number generator; the same seed gives the same numbers.
 #[derive(Debug)]
 pub struct Random(u64);
 
 impl Random {
-    /// A source that starts from this seed.
+    /// Creates a generator with a seed.
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
 
-    /// Any number.
+    /// Returns any 64-bit number.
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -18,22 +18,22 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A whole number from 0 up to, not including, `limit`.
+    /// Returns an integer from 0 up to, but not including, `limit`.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.next() % limit
     }
 
-    /// A whole number from `from` to `to`, both included.
+    /// Returns an integer from `from` to `to`, both included.
     pub fn between(&mut self, from: u64, to: u64) -> u64 {
         from + self.below(to - from + 1)
     }
 
-    /// True with a probability of `probability` in a thousand.
+    /// Returns true with a probability of `probability` per thousand.
     pub fn per_mille(&mut self, probability: u64) -> bool {
         self.below(1_000) < probability
     }
 
-    /// One of these values, which must not be none.
+    /// Returns one of `values`, which must not be empty.
     pub fn pick<T: Copy>(&mut self, values: &[T]) -> T {
         values[self.below(values.len() as u64) as usize]
     }
--- a/crates/policy-replay/src/session.rs
+++ b/crates/policy-replay/src/session.rs
@@ -1,20 +1,21 @@
-//! What a session consists of.
+//! Parameters of a session.
 
-/// A session: its seed, its length and its instances.
+/// Parameters of a session; the same parameters give the same session.
 #[derive(Clone, Copy, Debug)]
 pub struct Session {
-    /// Its name, which is that of its golden file.
+    /// Name of the session and of its golden file, without the extension.
     pub name: &'static str,
-    /// Seed of the host and the receivers.
+    /// Seed of the random numbers of the host and the receivers.
     pub seed: u64,
-    /// Number of batches.
+    /// Number of batches of inputs.
     pub batches: u32,
-    /// The settings of each instance, as JSON text.
+    /// Settings of each policy instance, as JSON text.
     pub settings: &'static [&'static str],
-    /// Whether it has the inputs that the simulator's wire has no record for.
+    /// Whether the session has inputs for which the simulator's wire protocol has no record.
     pub policy_only_inputs: bool,
     /// Whether no call starts without a permit.
     pub requires_permits: bool,
-    /// Whether receivers are healthy but for calls without an answer, and most messages have one destination.
+    /// Whether receivers answer all but a few calls, which hang, and about half of the messages have the same
+    /// destination.
     pub steady: bool,
 }
--- a/crates/policy-replay/src/settings.rs
+++ b/crates/policy-replay/src/settings.rs
@@ -1,12 +1,12 @@
-//! The settings of the instances, as JSON text.
+//! Settings of policy instances, as JSON text.
 
-/// Routes of a destination share a limit.
+/// All routes of a destination share one limit.
 pub const TOGETHER: &str = include_str!("settings/together.json");
-/// Routes have limits of their own.
+/// Each route has its own limit.
 pub const APART: &str = include_str!("settings/apart.json");
-/// One sender of a large fleet.
+/// The instance is one sender of a fleet of 300.
 pub const FLEET: &str = include_str!("settings/fleet.json");
-/// Few slots and few pending messages.
+/// Few slots, and few messages may be pending at a time.
 pub const SCARCE: &str = include_str!("settings/scarce.json");
-/// Few slots for a steady load.
+/// Few slots, for sessions with a steady load.
 pub const NARROW: &str = include_str!("settings/narrow.json");
--- a/crates/policy/tests/replay/adapter.rs
+++ b/crates/policy/tests/replay/adapter.rs
@@ -1,5 +1,4 @@
-//! Plays a session against the policy's own interface, and writes its actions as a text that no rename
-//! changes.
+//! Converts the inputs of a replay to events of the policy, and its actions to outputs and to text.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +20,7 @@
 /// Number of batches between two lines of metrics.
 const METRICS_INTERVAL: u32 = 10;
 
-/// The policies by the number of their instance.
+/// The policies under test, by instance number.
 #[derive(Default)]
 pub struct PolicyAdapter(BTreeMap<u32, Policy>);
 
@@ -29,8 +28,8 @@
     fn handle(&mut self, batch: u32, now: f64, inputs: &[InstanceInput]) -> Reply {
         let mut events: BTreeMap<u32, Vec<Event>> = BTreeMap::new();
         for (instance, input) in inputs {
-            if !self.call_method(*instance, input) {
-                events.entry(*instance).or_default().extend(event(input));
+            if !self.apply_without_event(*instance, input) {
+                events.entry(*instance).or_default().extend(policy_event(input));
             }
         }
         let mut text = format!("batch {batch}\n");
@@ -54,12 +53,12 @@
 }
 
 impl PolicyAdapter {
-    /// Carries out an input that is no event, but creates or removes a policy or calls a method of it.
-    /// Returns whether it was one.
-    fn call_method(&mut self, instance: u32, input: &Input) -> bool {
+    /// Applies an input that creates or removes a policy or calls one of its methods, and ignores inputs of
+    /// an instance without a policy. Returns false if the input has to be passed on as an event.
+    fn apply_without_event(&mut self, instance: u32, input: &Input) -> bool {
         if let Input::Start { seed, settings } = input {
-            let settings = settings::parse(settings.as_bytes()).expect("settings that can be read");
-            self.0.insert(instance, Policy::new(settings, *seed).expect("settings that work"));
+            let settings = settings::parse(settings.as_bytes()).expect("settings in valid JSON");
+            self.0.insert(instance, Policy::new(settings, *seed).expect("valid settings"));
             return true;
         }
         if let Input::PowerOff = input {
@@ -77,10 +76,10 @@
     }
 }
 
-fn event(input: &Input) -> Option<Event> {
+fn policy_event(input: &Input) -> Option<Event> {
     Some(match input.clone() {
         Input::List { update, entries } => Event::List(list_change(update, &entries)),
-        Input::Message(message) => Event::Message(message_of(&message)),
+        Input::Message(message) => Event::Message(policy_message(&message)),
         Input::Started { id, attempt } => Event::Started { id: MessageHandle(id), attempt },
         Input::Outcome { id, attempt, outcome, retry_after, completed } => Event::Outcome(AttemptResult {
             id: MessageHandle(id),
@@ -96,7 +95,7 @@
         }
         Input::Recovered { message, attempts, execution } => {
             let possibly_executed = execution.map(prior_execution);
-            Event::Recovered(message_of(&message), AttemptHistory { attempts, possibly_executed })
+            Event::Recovered(policy_message(&message), AttemptHistory { attempts, possibly_executed })
         }
         Input::Remembered { limit, outage } => {
             Event::Remembered(RememberedOutage { scope: limit_scope(limit), outage: outage_state(outage) })
@@ -153,7 +152,7 @@
     }
 }
 
-fn message_of(message: &MessageInput) -> Message {
+fn policy_message(message: &MessageInput) -> Message {
     Message {
         id: MessageHandle(message.id),
         class: usize::from(message.class),
@@ -182,9 +181,9 @@
 fn outage_state(outage: Outage) -> OutageState {
     match outage {
         Outage::Healthy => OutageState::Healthy,
-        Outage::Down { retry_after } => OutageState::Down { retry_after_remaining: retry_after },
-        Outage::WarmingUp { since, share } => {
-            OutageState::WarmingUp { since_recovery: since, ramp_share: share }
+        Outage::Down { retry_after_remaining } => OutageState::Down { retry_after_remaining },
+        Outage::WarmingUp { since_recovery, ramp_share } => {
+            OutageState::WarmingUp { since_recovery, ramp_share }
         }
     }
 }
--- a/crates/policy/tests/replay/main.rs
+++ b/crates/policy/tests/replay/main.rs
@@ -1,8 +1,8 @@
-//! Sessions from fixed seeds at the policy's own interface: its actions are those of the golden files, to the
-//! last bit.
+//! Golden-file tests: seeded sessions are replayed against the policy, and its actions must be those of the
+//! golden files, bit for bit.
 //!
-//! The simulated host and the text that is hashed use no type of the policy: its types, fields and modules
-//! may be renamed with no change in the golden files.
+//! Neither the simulated host nor the text that is hashed depends on names of the policy, so that its types,
+//! fields and modules can be renamed with no change in the golden files.
 
 mod adapter;
 mod text;
@@ -39,7 +39,7 @@
     LazyLock::new(|| SESSIONS.iter().map(|session| play(session, &mut PolicyAdapter::default())).collect());
 
 #[test]
-fn every_session_has_the_actions_and_figures_of_its_golden_file() {
+fn every_session_matches_its_golden_file() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
     for recording in RECORDINGS.iter() {
         recording.assert_matches_golden_file(&folder);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_sessions_tell_every_event_and_get_every_action_that_the_module_has() {
+fn the_sessions_cover_every_input_and_output() {
     let kinds = [
         "input up",
         "input power-off",
@@ -92,15 +92,15 @@
         "output remember",
     ];
     assert_eq!(missing_kinds(&RECORDINGS, &kinds), [""; 0]);
-    // The interface has probes, but the policy asks for none.
+    // The interface has health checks ("output probe"), but the policy requests none.
     assert_eq!(missing_kinds(&RECORDINGS, &["output probe"]), ["output probe"]);
 }
 
 #[test]
-fn every_session_sends_refuses_fails_and_asks_to_be_woken() {
+fn every_session_sends_refuses_fails_and_requests_wake_ups() {
     for recording in RECORDINGS.iter() {
-        let one = std::slice::from_ref(recording);
+        let single_recording = std::slice::from_ref(recording);
         let kinds = ["output send", "output refuse", "output fail", "output wake", "input outcome ok"];
-        assert_eq!(missing_kinds(one, &kinds), [""; 0], "session {}", recording.name);
+        assert_eq!(missing_kinds(single_recording, &kinds), [""; 0], "session {}", recording.name);
     }
 }
--- a/crates/policy/tests/replay/text.rs
+++ b/crates/policy/tests/replay/text.rs
@@ -1,19 +1,20 @@
-//! The text that the golden files hold hashes of; no rename in the policy changes it.
+//! Text form of the policy's actions and metrics. Golden files hold hashes of this text, so its words are
+//! fixed: they do not follow renames in the policy.
 
 use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{Action, LimitScope, OutageState};
 
-/// Every bit of a number.
+/// Returns all bits of a number in hexadecimal.
 fn bits(number: f64) -> String {
     format!("{:016x}", number.to_bits())
 }
 
-fn limit_text(scope: LimitScope) -> String {
+fn scope_text(scope: LimitScope) -> String {
     let LimitScope { destination, route } = scope;
     route.map_or_else(|| format!("{} all", destination.0), |route| format!("{} {}", destination.0, route.0))
 }
 
-/// An action in words of the golden files.
+/// Returns the text of an action.
 pub fn action_text(action: &Action) -> String {
     match *action {
         Action::Send { id, route, timeout, start_within } => {
@@ -26,7 +27,7 @@
         Action::HealthCheck { route } => format!("probe {}", route.0),
         Action::Subscribe => "subscribe".to_owned(),
         Action::Remember { scope, outage } => {
-            let limit = limit_text(scope);
+            let limit = scope_text(scope);
             match outage {
                 OutageState::Healthy => format!("remember {limit} nothing"),
                 OutageState::Down { retry_after_remaining } => {
@@ -40,7 +41,7 @@
     }
 }
 
-/// What a host may read of a policy, in words of the golden files.
+/// Returns the text of the metrics that a host can read from a policy.
 pub fn metrics_text(policy: &Policy) -> String {
     let mut text = format!(
         "figures {} {} {}\n",
@@ -49,9 +50,9 @@
         policy.routes_out_of_rotation()
     );
     for demand in policy.demands() {
-        let (limit, wanted) = (bits(demand.limit), bits(demand.calls_wanted));
+        let (limit, calls_wanted) = (bits(demand.limit), bits(demand.calls_wanted));
         let counts = format!("{} {} {}", demand.called, demand.rejected, demand.failed);
-        text += &format!("want {} {limit} {wanted} {counts}\n", limit_text(demand.scope));
+        text += &format!("want {} {limit} {calls_wanted} {counts}\n", scope_text(demand.scope));
     }
     text
 }
