--- a/crates/policy/tests/common/delivery_rules.rs
+++ b/crates/policy/tests/common/delivery_rules.rs
@@ -1,4 +1,5 @@
-//! The checks of the delivery rules 1, 2, 3, 5 and 6 on each action of a policy.
+//! Checks of the delivery rules 1, 2, 3, 5 and 6 on each action of a policy: final outcomes, routes,
+//! Retry-After, repeated execution and order.
 
 use rudderspindle_policy::interface::{
     Action, Effect, KeyGroup, LimitScope, Listing, MessageHandle, Millis, Outcome, RouteEntry, RouteId,
@@ -7,7 +8,8 @@
 use super::harness::{AcceptedMessage, Attempt, Harness};
 
 impl Harness {
-    /// Checks an action, and records it.
+    /// Checks an action and records its effect. `completed_before` holds the messages that were completed
+    /// before this batch of events.
     pub(super) fn check(&mut self, action: &Action, completed_before: &[MessageHandle]) {
         match *action {
             Action::Send { id, route, start_within, .. } => {
@@ -22,8 +24,11 @@
             }
             Action::Fail { id } => self.complete(id),
             Action::Cancel { id, attempt } => {
-                assert!(self.settings.cancelling, "cancelling is not allowed");
-                assert!((attempt as usize) < self.accepted[&id].attempts.len(), "never sent");
+                assert!(self.settings.cancelling, "{id:?} was cancelled though the settings do not allow it");
+                assert!(
+                    (attempt as usize) < self.accepted[&id].attempts.len(),
+                    "{id:?}: attempt {attempt} was never sent"
+                );
             }
             Action::Wake { .. }
             | Action::HealthCheck { .. }
@@ -39,20 +44,23 @@
     }
 
     fn check_send(&self, id: MessageHandle, route: RouteId, start_within: Millis) {
-        let entry = &self.listed[&route];
+        let entry = &self.routes[&route];
         let accepted = &self.accepted[&id];
         assert!(!accepted.completed, "{id:?} was sent after its final outcome");
-        assert_eq!(entry.destination, accepted.message.destination, "another destination");
+        assert_eq!(
+            entry.destination, accepted.message.destination,
+            "{route:?} belongs to another destination"
+        );
         assert_eq!(entry.listing, Listing::Ready, "{route:?} is draining or removed");
-        let until = |route| {
+        let retry_after_end = |route| {
             let scope = LimitScope { destination: entry.destination, route };
             self.retry_after_until.get(&scope).copied().unwrap_or(f64::NEG_INFINITY)
         };
-        let shared = until(None);
-        let own = until(Some(route));
-        assert!(self.now >= shared.max(own), "sent within a Retry-After");
+        let shared_end = retry_after_end(None);
+        let route_end = retry_after_end(Some(route));
+        assert!(self.now >= shared_end.max(route_end), "{id:?} was sent within a Retry-After");
         let in_flight = accepted.attempts.last().is_some_and(|attempt| attempt.outcome.is_none());
-        assert!(!in_flight, "two attempts in flight");
+        assert!(!in_flight, "{id:?} has two attempts in flight");
         self.check_effect(accepted, entry, start_within);
         self.check_order(id);
     }
@@ -70,17 +78,17 @@
         for earlier in accepted.attempts.iter().filter(|attempt| is_possibly_executed(attempt)) {
             match self.settings.classes[accepted.message.class].effect {
                 Effect::Idempotent => {}
-                Effect::NotIdempotent => panic!("a message that must not be repeated was sent again"),
+                Effect::NotIdempotent => panic!("a message that is not idempotent was sent again"),
                 Effect::IdempotencyKey { group, window } => {
                     assert!(
                         self.now + start_within <= earlier.sent_at + window,
-                        "may be sent after the key's window"
+                        "may be sent after the window of its idempotency key"
                     );
-                    let first = &self.listed[&earlier.route];
+                    let first = &self.routes[&earlier.route];
                     match group {
                         KeyGroup::All => {}
-                        KeyGroup::Zone => assert_eq!(first.zone, entry.zone, "another group"),
-                        KeyGroup::Route => assert_eq!(first.route, entry.route, "another group"),
+                        KeyGroup::Zone => assert_eq!(first.zone, entry.zone, "retried in another zone"),
+                        KeyGroup::Route => assert_eq!(first.route, entry.route, "retried by another route"),
                     }
                 }
             }
@@ -93,7 +101,7 @@
         if key == 0 || !self.settings.classes[message.class].ordered {
             return;
         }
-        let earlier = self.order.iter().take_while(|&&earlier| earlier != id);
+        let earlier = self.acceptance_order.iter().take_while(|&&earlier| earlier != id);
         for earlier in earlier.map(|earlier| &self.accepted[earlier]) {
             let ordered = self.settings.classes[earlier.message.class].ordered;
             if ordered && earlier.message.ordering_key == key {
@@ -102,8 +110,8 @@
             }
         }
         if let Some(pause) = self.key_pauses.get(&key) {
-            let may_be_sent = pause.paused_by == id || self.now >= pause.until;
-            assert!(may_be_sent, "{id:?} was sent while its key was paused");
+            let may_be_sent = pause.paused_by == id || self.now >= pause.ends_at;
+            assert!(may_be_sent, "{id:?} was sent while its ordering key was paused");
         }
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Messages and calls for the tests, and a harness that checks the delivery rules.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Messages, simulated calls, and a harness that checks the delivery rules.
+#![allow(dead_code, reason = "each test binary uses only some of these items")]
 
 mod delivery_rules;
 mod harness;
@@ -28,7 +28,7 @@
     })
 }
 
-/// The messages that actions send, each with its route.
+/// Returns the ids of the messages that `actions` send, each with the id of its route.
 pub fn sends(actions: &[Action]) -> Vec<(u32, u64)> {
     let send = |action: &Action| match *action {
         Action::Send { id, route, .. } => Some((id.0, route.0)),
@@ -37,52 +37,58 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// A call as a receiver sees it.
+/// A call that a receiver has received.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
+    /// Time when the call was sent.
     pub at: Millis,
     pub message: u32,
     pub route: u64,
 }
 
-/// How a receiver answers a call.
+/// A receiver's answer to a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
-    pub after: Millis,
+    /// Time from the call to the answer.
+    pub delay: Millis,
     pub outcome: Outcome,
+    /// 0 if the answer has no Retry-After.
     pub retry_after: Millis,
 }
 
 impl Answer {
-    /// An answer without Retry-After.
-    pub const fn new(after: Millis, outcome: Outcome) -> Self {
-        Self { after, outcome, retry_after: 0.0 }
+    /// Creates an answer without Retry-After.
+    pub const fn new(delay: Millis, outcome: Outcome) -> Self {
+        Self { delay, outcome, retry_after: 0.0 }
     }
 }
 
-/// Answers all calls for `span` ms with the result of `answer` for the time and the route of each.
+/// Runs the policy for `duration`, starting with `initial_events`, and returns its calls.
+///
+/// `answer` returns the answer to a call by its time and route. `attempts` holds the number of attempts by
+/// message, and is passed on to the next run of the same policy.
 pub fn play_calls(
     harness: &mut Harness,
-    first: Vec<Event>,
-    span: Millis,
+    initial_events: Vec<Event>,
+    duration: Millis,
     attempts: &mut BTreeMap<u32, u32>,
     mut answer: impl FnMut(Millis, u64) -> Answer,
 ) -> Vec<Call> {
-    let mut due: Vec<(Millis, Event)> = Vec::new();
-    let mut events = first;
+    let mut due_answers: Vec<(Millis, Event)> = Vec::new();
+    let mut events = initial_events;
     let mut calls = Vec::new();
     let mut token = 0;
-    let end = harness.now + span;
+    let end = harness.now + duration;
     while harness.now < end {
         events.push(Event::Wake(token));
         for action in harness.step(5.0, &std::mem::take(&mut events)) {
             match action {
-                Action::Wake { token: next, .. } => token = next,
+                Action::Wake { token: next_token, .. } => token = next_token,
                 Action::Send { id, route, .. } => {
                     let attempt = attempts.entry(id.0).or_default();
                     let answer = answer(harness.now, route.0);
                     let event = outcome(id.0, *attempt, answer.outcome, answer.retry_after);
-                    due.push((harness.now + answer.after, event));
+                    due_answers.push((harness.now + answer.delay, event));
                     calls.push(Call { at: harness.now, message: id.0, route: route.0 });
                     *attempt += 1;
                 }
@@ -90,8 +96,8 @@
             }
         }
         let now = harness.now;
-        events.extend(due.iter().filter(|(at, _)| *at <= now).map(|(_, event)| event.clone()));
-        due.retain(|(at, _)| *at > now);
+        events.extend(due_answers.iter().filter(|(at, _)| *at <= now).map(|(_, event)| event.clone()));
+        due_answers.retain(|(at, _)| *at > now);
     }
     calls
 }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,9 +1,10 @@
-//! Many senders of one receiver with a limit that rejected calls count at, in simulated time: behaviour that
-//! is harmless for one sender must not harm when a hundred show it.
+//! Tests of many senders to one receiver, in simulated time. Rejected calls count towards the receiver's
+//! limit, so that behaviour which is harmless for one sender may overload the receiver if a hundred senders
+//! show it.
 
 use rudderspindle_simulation::receiver::{GossipNetwork, Limit, LoadPeak, Outage, Scenario, simulate};
 
-/// A scenario of 24 s without an outage; the load is a multiple of the limit.
+/// Returns a scenario of 24 s without an outage; `load` is a multiple of the limit.
 fn calm_scenario(seed: u64, senders: usize, load: f64) -> Scenario {
     let random = Scenario::random(seed, |_| Outage::RefuseConnections);
     Scenario {
@@ -22,11 +23,11 @@
     }
 }
 
-/// The figures of one scenario, or their means over several.
+/// Results of one scenario, or their means over several scenarios.
 struct Figures {
-    /// Rejections for each delivered message.
+    /// Number of rejections per delivered message.
     rejections: f64,
-    /// The share that was delivered of what could be.
+    /// Delivered messages as a fraction of those that the limit and the submissions allow.
     delivered: f64,
 }
 
@@ -41,43 +42,46 @@
 }
 
 fn mean(figures: impl Iterator<Item = Figures>) -> Figures {
-    let all: Vec<Figures> = figures.collect();
-    let scenarios = all.len() as f64;
+    let scenario_results: Vec<Figures> = figures.collect();
+    let scenario_count = scenario_results.len() as f64;
     Figures {
-        rejections: all.iter().map(|one| one.rejections).sum::<f64>() / scenarios,
-        delivered: all.iter().map(|one| one.delivered).sum::<f64>() / scenarios,
+        rejections: scenario_results.iter().map(|result| result.rejections).sum::<f64>() / scenario_count,
+        delivered: scenario_results.iter().map(|result| result.delivered).sum::<f64>() / scenario_count,
     }
 }
 
 #[test]
-fn an_overloaded_fleet_does_not_saturate_the_limit_with_rejected_calls() {
-    for (senders, most) in [(1, 0.05), (3, 0.25), (30, 0.45), (100, 0.35)] {
+fn an_overloaded_fleet_does_not_use_up_the_limit_with_rejections() {
+    for (senders, max_rejections) in [(1, 0.05), (3, 0.25), (30, 0.45), (100, 0.35)] {
         let Figures { rejections, delivered: used } =
             mean((0..4).map(|seed| figures(&calm_scenario(seed, senders, 1.2))));
-        println!("{senders} senders: {rejections:.2} rejections per delivered message, use {used:.2}");
-        assert!(rejections < most, "{senders} senders: {rejections:.2} rejections per delivered message");
-        assert!(used > 0.68, "{senders} senders: {used:.2} of the limit used");
+        println!("{senders} senders: {rejections:.2} rejections each, {used:.2} of the limit used");
+        assert!(
+            rejections < max_rejections,
+            "{senders} senders: {rejections:.2} rejections, max {max_rejections}"
+        );
+        assert!(used > 0.68, "{senders} senders: {used:.2} of the limit used, min 0.68");
     }
 }
 
 #[test]
-fn a_single_busy_sender_among_idle_ones_gets_nearly_the_whole_limit() {
-    // An equal part at first, and later the whole limit.
-    let lone = |seed| Scenario { busy_senders: 1, duration: 120_000.0, ..calm_scenario(seed, 100, 0.9) };
-    let Figures { rejections, delivered: used } = mean((0..4).map(|seed| figures(&lone(seed))));
-    println!("one of a hundred: {rejections:.2} rejections per delivered message, use {used:.2}");
+fn one_busy_sender_among_idle_ones_gets_nearly_the_whole_limit() {
+    // The sender may use an equal part of the limit at first, and the whole limit later.
+    let one_busy = |seed| Scenario { busy_senders: 1, duration: 120_000.0, ..calm_scenario(seed, 100, 0.9) };
+    let Figures { rejections, delivered: used } = mean((0..4).map(|seed| figures(&one_busy(seed))));
+    println!("one of 100 busy: {rejections:.2} rejections each, {used:.2} of the limit used");
     assert!(
         used > 0.85 && rejections < 0.1,
-        "use {used:.2}, {rejections:.2} rejections per delivered message"
+        "{used:.2} used: must be above 0.85; {rejections:.2} rejections each: must be below 0.1"
     );
 }
 
-/// Senders with the same Retry-After return at the same time. A hundred of them could use up a limit with
-/// rejected calls for good, though each sends one call only.
+/// Senders with the same Retry-After send again at the same time. A hundred of them could use up a limit with
+/// rejected calls permanently, though each of them sends only one call.
 #[test]
 fn a_fleet_recovers_after_a_limit_was_halved_for_nine_seconds() {
     let limit = Limit::TokenBucket { halved: 8_000.0..17_000.0, retry_after: 750.0, max_debt: 1_500.0 };
-    for (senders, least) in [(30, 0.7), (100, 0.6)] {
+    for (senders, min_delivered) in [(30, 0.7), (100, 0.6)] {
         let scenario = |seed| Scenario {
             limit: limit.clone(),
             announced_rate: 75.0,
@@ -85,19 +89,17 @@
             ..calm_scenario(seed, senders, 0.9)
         };
         let Figures { rejections, delivered } = mean((0..4).map(|seed| figures(&scenario(seed))));
-        println!(
-            "{senders} senders, halved: {rejections:.2} rejections per delivered message, delivered {delivered:.2}"
-        );
+        println!("{senders} senders, halved: {delivered:.2} delivered, {rejections:.2} rejections each");
         assert!(
-            delivered > least,
+            delivered > min_delivered,
             "{senders} senders: {delivered:.2} delivered, {rejections:.2} rejections each"
         );
     }
 }
 
-/// The probes of a hundred senders, each within its share, could overload a receiver that returns.
+/// The probes of a hundred senders, each within its share, could overload a recovering receiver.
 #[test]
-fn a_fleet_does_not_overload_a_receiver_that_returns_after_five_seconds() {
+fn a_fleet_does_not_overload_a_receiver_after_an_outage_of_5_s() {
     for senders in [30, 100] {
         let scenario = |seed| Scenario {
             affected_routes: 0..2,
@@ -106,13 +108,13 @@
             ..calm_scenario(seed, senders, 1.2)
         };
         let worst = (0..6).map(|seed| simulate(&scenario(seed)).peak_recovery_ratio).fold(0.0, f64::max);
-        println!("{senders} senders: sent {worst:.2} times what it could take");
-        assert!(worst < 2.5, "{senders} senders: sent {worst:.2} times what it could take");
+        println!("{senders} senders: load {worst:.2} times the capacity");
+        assert!(worst < 2.5, "{senders} senders: load {worst:.2} times the capacity: must be below 2.5");
     }
 }
 
-/// Few senders of hundreds see enough of an outage, and the others at their full rate would overload the
-/// receiver when it recovers. The fleet's reports show the failures of all senders to each.
+/// Of hundreds of senders only a few see enough failures to detect an outage, and the others would overload
+/// the recovering receiver at their full rate. The fleet's reports inform each sender of the failures of all.
 #[test]
 fn reports_of_an_outage_reach_senders_that_saw_little_of_it() {
     for outage in [
@@ -131,15 +133,15 @@
             ..calm_scenario(seed, 300, 1.2)
         };
         let worst = (0..2).map(|seed| simulate(&scenario(seed)).peak_recovery_ratio).fold(0.0, f64::max);
-        println!("{outage:?}: sent {worst:.2} times what it could take");
-        assert!(worst < 2.5, "{outage:?}: sent {worst:.2} times what it could take");
+        println!("{outage:?}: load {worst:.2} times the capacity");
+        assert!(worst < 2.5, "{outage:?}: load {worst:.2} times the capacity: must be below 2.5");
     }
 }
 
-/// The limit is halved, Retry-After is 3 s, and then no call is answered for two seconds: the interruption
-/// ends before most Retry-Afters do, and three times the usual messages arrive in the second after it.
+/// The limit is halved, Retry-After is 3 s, and then no call is answered for two seconds: the outage ends
+/// before most Retry-Afters do, and three times the usual number of messages arrive in the second after it.
 #[test]
-fn an_interruption_within_retry_after_leads_to_no_overload_and_no_saturation() {
+fn an_outage_within_a_retry_after_causes_no_overload() {
     for senders in [30, 300] {
         let scenario = |seed| Scenario {
             limit: Limit::TokenBucket { halved: 5_000.0..20_000.0, retry_after: 3_000.0, max_debt: 1_500.0 },
@@ -160,17 +162,17 @@
                 observations.delivered as f64 / observations.submitted as f64,
             );
             println!(
-                "{senders} senders: sent {worst:.2} times what it could take, delivered {delivered:.2}, {} rejected",
+                "{senders} senders: load {worst:.2} times capacity, {delivered:.2} delivered, {} rejected",
                 observations.rejected
             );
-            assert!(worst < 2.5, "{senders} senders: sent {worst:.2} times what it could take");
-            assert!(delivered > 0.4, "{senders} senders: {delivered:.2} delivered");
+            assert!(worst < 2.5, "{senders} senders: load {worst:.2} times the capacity: must be below 2.5");
+            assert!(delivered > 0.4, "{senders} senders: {delivered:.2} delivered: must be above 0.4");
             assert!(observations.rejected < 300, "{senders} senders: {} rejected", observations.rejected);
         }
     }
 }
 
-/// A scenario whose limit is a token bucket that rejected calls use as much as accepted ones.
+/// Returns a scenario whose limit is a token bucket; a rejected call takes as many tokens as an accepted one.
 fn rate_limited_scenario(seed: u64, senders: usize, gossip_network: Option<GossipNetwork>) -> Scenario {
     let limit = Limit::TokenBucket { halved: 0.0..0.0, retry_after: 750.0, max_debt: f64::INFINITY };
     Scenario {
@@ -183,48 +185,57 @@
     }
 }
 
-/// Hundreds of senders at equal parts saturate a limit for good once a burst has exceeded it: rejected calls
-/// use it up, and few senders see more than one of them. With reports of all demand they share it.
+/// Hundreds of senders with equal parts of a limit saturate it permanently once a burst has exceeded it,
+/// because rejected calls use up the limit and few senders see more than one rejection. With reports of the
+/// demand of all senders they share the limit.
 #[test]
 fn senders_that_report_their_demand_recover_from_a_saturated_limit() {
-    for (senders, least, gain) in [(30, 0.9, 0.0), (300, 0.7, 0.05)] {
-        let of = |gossip: Option<GossipNetwork>| {
+    for (senders, min_delivered, min_gain) in [(30, 0.9, 0.0), (300, 0.7, 0.05)] {
+        let mean_figures = |gossip: Option<GossipNetwork>| {
             mean((0..2).map(|seed| figures(&rate_limited_scenario(seed, senders, gossip.clone()))))
         };
-        let Figures { rejections: alone_rejections, delivered: alone } = of(None);
+        let Figures { rejections: rejections_without, delivered: delivered_without } = mean_figures(None);
         let lossless = GossipNetwork::with_loss(0.0);
-        let Figures { rejections, delivered } = of(Some(lossless.clone()));
-        let Figures { rejections: half_rejections, delivered: half } =
-            of(Some(GossipNetwork { loss: 0.5, ..lossless.clone() }));
-        let Figures { rejections: cut_rejections, delivered: cut } =
-            of(Some(GossipNetwork { partition: 6_000.0..16_000.0, ..lossless }));
+        let Figures { rejections, delivered } = mean_figures(Some(lossless.clone()));
+        let Figures { rejections: rejections_half_lost, delivered: delivered_half_lost } =
+            mean_figures(Some(GossipNetwork { loss: 0.5, ..lossless.clone() }));
+        let Figures { rejections: rejections_partitioned, delivered: delivered_partitioned } =
+            mean_figures(Some(GossipNetwork { partition: 6_000.0..16_000.0, ..lossless }));
         println!(
-            "{senders} senders, delivered and rejections each: {alone:.2} {alone_rejections:.2} without reports, \
-            {delivered:.2} {rejections:.2} with them, {half:.2} {half_rejections:.2} with half of them lost, \
-            {cut:.2} {cut_rejections:.2} with none for 10 s"
+            "{senders} senders, delivered and rejections each: \
+            {delivered_without:.2} {rejections_without:.2} without reports, \
+            {delivered:.2} {rejections:.2} with reports, \
+            {delivered_half_lost:.2} {rejections_half_lost:.2} with half of the reports lost, \
+            {delivered_partitioned:.2} {rejections_partitioned:.2} without reports for 10 s"
+        );
+        assert!(
+            delivered > min_delivered && delivered > delivered_without + min_gain,
+            "{senders} senders: {delivered:.2} delivered, {delivered_without:.2} without reports"
+        );
+        assert!(rejections < 0.5 * rejections_without, "{senders} senders: {rejections:.2} rejections each");
+        // Half of the reports are better than none, because lost ones are estimated. A partition of 10 s, in
+        // which no reports arrive, has little effect.
+        assert!(
+            delivered_half_lost > delivered_without - 0.05 + min_gain,
+            "{senders} senders: {delivered_half_lost:.2} delivered with half of the reports lost"
         );
-        assert!(delivered > least && delivered > alone + gain, "{senders} senders: {delivered:.2} delivered");
-        assert!(rejections < 0.5 * alone_rejections, "{senders} senders: {rejections:.2} rejections each");
-        // Half of the reports are better than none, as lost ones are estimated; an interruption of reports
-        // has little effect.
         assert!(
-            half > alone - 0.05 + gain,
-            "{senders} senders: {half:.2} delivered, half of the reports lost"
+            delivered_partitioned > delivered_without - 0.15,
+            "{senders} senders: {delivered_partitioned:.2} delivered without reports for 10 s"
         );
-        assert!(cut > alone - 0.15, "{senders} senders: {cut:.2} delivered with none for 10 s");
         assert!(
-            half_rejections < 0.9 * alone_rejections,
-            "{senders} senders: {half_rejections:.2} rejections each"
+            rejections_half_lost < 0.9 * rejections_without,
+            "{senders} senders: {rejections_half_lost:.2} rejections each with half of the reports lost"
         );
         assert!(
-            cut_rejections < 1.5 * alone_rejections,
-            "{senders} senders: {cut_rejections:.2} rejections each"
+            rejections_partitioned < 1.5 * rejections_without,
+            "{senders} senders: {rejections_partitioned:.2} rejections each without reports for 10 s"
         );
     }
 }
 
-/// Hundreds of senders that start together, as after a failure, have no reports yet, and each has messages
-/// for the same receiver: one call of each at once would exceed its limit for seconds.
+/// Hundreds of senders that start at the same time, as after a failure, have no reports yet. If all of them
+/// have messages for one receiver, one call of each at once would exceed the receiver's limit for seconds.
 #[test]
 fn senders_that_start_together_do_not_all_call_at_once() {
     let scenario = |seed| Scenario {
@@ -235,5 +246,5 @@
     };
     let Figures { rejections, .. } = mean((0..3).map(|seed| figures(&scenario(seed))));
     println!("300 senders that start together: {rejections:.2} rejections per delivered message");
-    assert!(rejections < 0.1, "{rejections:.2} rejections per delivered message");
+    assert!(rejections < 0.1, "{rejections:.2} rejections per delivered message: must be below 0.1");
 }
--- a/crates/policy/tests/recovery/main.rs
+++ b/crates/policy/tests/recovery/main.rs
@@ -1,5 +1,5 @@
-//! Outages of receivers whose routes share a limit, and the calls to them after their recovery: one probe and
-//! one recovery ramp for all routes. Single cases step by step, then many scenarios in simulated time.
+//! Tests of outages: a receiver whose routes share a limit gets one probe and one recovery ramp for all
+//! routes. Single cases are tested step by step, and then many scenarios in simulated time.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -11,10 +11,10 @@
 use rudderspindle_policy::interface::{Class, Effect, Event, Message, Millis, Outcome};
 use rudderspindle_simulation::fixtures::{class, entry, list, settings};
 
-/// One of two senders, and the routes of a receiver.
-fn with_routes(routes: std::ops::RangeInclusive<u64>, kind: u16, seed: u64) -> Harness {
-    let long = Class { deadline: 60_000.0, ..class(Effect::Idempotent) };
-    let mut settings = settings(vec![long]);
+/// Returns a harness for one of two senders, with a list of the routes to one receiver.
+fn harness_with_routes(routes: std::ops::RangeInclusive<u64>, kind: u16, seed: u64) -> Harness {
+    let long_deadline = Class { deadline: 60_000.0, ..class(Effect::Idempotent) };
+    let mut settings = settings(vec![long_deadline]);
     settings.peers_total = 2;
     settings.slots = 64;
     settings.max_attempts = 100;
@@ -23,6 +23,7 @@
     harness
 }
 
+/// Returns messages that expire in 60 s.
 fn messages(ids: std::ops::Range<u32>) -> Vec<Event> {
     let long_lived = |event| match event {
         Event::Message(message) => Event::Message(Message { time_left: 60_000.0, ..message }),
@@ -34,36 +35,40 @@
 const OK: Answer = Answer::new(50.0, Outcome::Ok);
 const NO_CONNECTION: Answer = Answer::new(10.0, Outcome::ConnectFailed);
 
-/// Answers with `during` until the receiver has recovered, and with success from then on.
-fn answers_until(returned_at: Millis, during: Answer) -> impl Fn(Millis, u64) -> Answer + Copy {
-    move |now, _| if now < returned_at { during } else { OK }
+/// Answers with `outage_answer` until the receiver has recovered, and with success from then on.
+fn answers_until(recovered_at: Millis, outage_answer: Answer) -> impl Fn(Millis, u64) -> Answer + Copy {
+    move |now, _| if now < recovered_at { outage_answer } else { OK }
 }
 
-/// Rejects calls until the receiver has recovered, with the remaining Retry-After.
-fn rejects_until(returned_at: Millis) -> impl Fn(Millis, u64) -> Answer + Copy {
-    move |now, _| if now < returned_at { rejected(returned_at - now) } else { OK }
+/// Rejects calls with a Retry-After until the receiver has recovered, and answers with success from then on.
+fn rejects_until(recovered_at: Millis) -> impl Fn(Millis, u64) -> Answer + Copy {
+    move |now, _| if now < recovered_at { rejected(recovered_at - now) } else { OK }
 }
 
 fn rejected(retry_after: Millis) -> Answer {
-    Answer { after: 10.0, outcome: Outcome::Rejected, retry_after }
+    Answer { delay: 10.0, outcome: Outcome::Rejected, retry_after }
 }
 
-/// Calls that a receiver of 10 calls per second can take from one of two senders in the first seconds after
-/// its recovery.
-fn ramp_of_one(seconds: f64) -> f64 {
-    // A share of a half, and 0.66 of the overload multiple of 2, with a capacity that grows from a fifth in
-    // 10 s.
+/// Returns how many calls one of two senders may send to a receiver of 10 calls per second in the first
+/// `seconds` after its recovery.
+fn ramp_calls_of_one_sender(seconds: f64) -> f64 {
+    // The sender's share is a half, and senders use 0.66 of the load that overloads the receiver, which is
+    // 2 times its capacity. The capacity grows from a fifth to the whole in 10 s.
     0.5 * 0.66 * 2.0 * 10.0 * seconds * (0.2 + 0.8 * seconds / 10.0 / 2.0)
 }
 
-/// The calls after the end of an outage must be one probe and then the recovery ramp of one destination.
-fn assert_one_probe_and_one_ramp(calls: &[Call], returned_at: Millis, what: &str) {
-    let after: Vec<&Call> = calls.iter().filter(|call| call.at >= returned_at).collect();
-    let first = after.first().unwrap_or_else(|| panic!("{what}: nothing was sent"));
-    // The answer to the probe takes 50 ms: until then no other call starts.
-    let probes = after.iter().filter(|call| call.at < first.at + 50.0).count();
-    assert_eq!(probes, 1, "{what}: one probe, not {probes}: {after:?}");
-    let soon = after.iter().filter(|call| call.at < first.at + 3_000.0).count() as f64;
-    let bound = 1.0 + 1.35 * ramp_of_one(3.0);
-    assert!(soon <= bound, "{what}: {soon} calls in 3 s of the return, {bound:.1} at the most");
+/// Asserts that the calls after an outage are one probe and then the recovery ramp of one destination.
+fn assert_one_probe_and_one_ramp(calls: &[Call], recovered_at: Millis, scenario_name: &str) {
+    let calls_after: Vec<&Call> = calls.iter().filter(|call| call.at >= recovered_at).collect();
+    let probe =
+        calls_after.first().unwrap_or_else(|| panic!("{scenario_name}: no call was sent after the outage"));
+    // The probe is answered after 50 ms, and no other call may start before.
+    let probes = calls_after.iter().filter(|call| call.at < probe.at + 50.0).count();
+    assert_eq!(
+        probes, 1,
+        "{scenario_name}: {probes} calls before the first answer: must be 1: {calls_after:?}"
+    );
+    let early_calls = calls_after.iter().filter(|call| call.at < probe.at + 3_000.0).count() as f64;
+    let bound = 1.0 + 1.35 * ramp_calls_of_one_sender(3.0);
+    assert!(early_calls <= bound, "{scenario_name}: {early_calls} calls in 3 s: must be at most {bound:.1}");
 }
--- a/crates/policy/tests/rules/main.rs
+++ b/crates/policy/tests/rules/main.rs
@@ -1,4 +1,5 @@
-//! Each delivery rule with a case that would break it, and random legal event streams.
+//! Tests of the delivery rules: for each rule a case that could break it, and random streams of valid
+//! events.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/policy/tests/rules/ordering.rs
+++ b/crates/policy/tests/rules/ordering.rs
@@ -1,12 +1,13 @@
-//! Messages with ordering keys.
+//! Tests of messages with ordering keys.
 
 use super::IDEMPOTENT;
 use crate::common::{Harness, keyed_message, sends};
 use rudderspindle_policy::interface::{AttemptResult, Class, Event, MessageHandle, Outcome};
 use rudderspindle_simulation::fixtures::{class, entry, list, settings};
 
+/// After a time-out the key pauses, because the receiver may still execute the message.
 #[test]
-fn messages_of_an_ordering_key_go_one_at_a_time_and_the_key_pauses() {
+fn an_ordering_key_sends_one_message_at_a_time_and_pauses() {
     let ordered = Class { ordered: true, ..class(IDEMPOTENT) };
     let mut harness = Harness::new(settings(vec![ordered]), 1);
     let first = harness
@@ -19,10 +20,14 @@
         retry_after: 0.0,
         completed: true,
     };
-    let done = harness.step(10.0, &[Event::Outcome(completed)]);
-    assert!(sends(&done).is_empty());
-    let before = harness.now;
+    let actions = harness.step(10.0, &[Event::Outcome(completed)]);
+    assert!(sends(&actions).is_empty());
+    let paused_at = harness.now;
     let next = harness.run(3_000.0);
     assert_eq!(sends(&next), [(2, 1)]);
-    assert!(harness.now - before >= 500.0, "the key paused only {} ms", harness.now - before);
+    assert!(
+        harness.now - paused_at >= 500.0,
+        "the key paused for {} ms: must be at least 500 ms",
+        harness.now - paused_at
+    );
 }
--- a/crates/policy/tests/rules/outages.rs
+++ b/crates/policy/tests/rules/outages.rs
@@ -1,4 +1,4 @@
-//! Destinations in an outage.
+//! Tests of destinations in an outage.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,9 @@
 use rudderspindle_policy::interface::Outcome;
 use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
+/// The other slots stay free for messages to other destinations.
 #[test]
-fn an_unresponsive_route_holds_few_slots_and_leaves_the_others_to_the_rest() {
+fn an_unresponsive_route_uses_only_some_of_the_slots() {
     let mut harness = Harness::new(settings(vec![class(IDEMPOTENT)]), 1);
     let mut events = vec![list(vec![entry(1, 0, 0, 0), entry(2, 1, 0, 0)])];
     events.extend((0..60).map(|i| message(i, 0, 0)));
@@ -16,9 +17,9 @@
     for _ in 0..100 {
         sent += sends(&harness.step(20.0, &[])).len();
     }
-    assert!(sent <= 15, "{sent} of 20 slots went to a destination that never answered");
-    let done = harness.step(5.0, &[message(100, 0, 1)]);
-    assert_eq!(sends(&done), [(100, 2)]);
+    assert!(sent <= 15, "{sent} of 20 slots used by a destination that never answered: must be at most 15");
+    let actions = harness.step(5.0, &[message(100, 0, 1)]);
+    assert_eq!(sends(&actions), [(100, 2)]);
 }
 
 #[test]
@@ -39,5 +40,8 @@
         }
         actions = harness.step(100.0, &failed);
     }
-    assert!((4..=20).contains(&calls), "{calls} calls in 8 s to a destination that was down");
+    assert!(
+        (4..=20).contains(&calls),
+        "{calls} calls in 8 s to a destination that was down: must be 4 to 20"
+    );
 }
--- a/crates/policy/tests/rules/random_streams.rs
+++ b/crates/policy/tests/rules/random_streams.rs
@@ -1,4 +1,4 @@
-//! Random legal streams of events.
+//! Property test: random streams of valid events never make the policy violate a delivery rule.
 
 use std::collections::BTreeMap;
 
@@ -12,13 +12,14 @@
 };
 use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
+/// A random step of the stream. `pick` selects an attempt in flight or a message, modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
     Message { class: usize, destination: u16, key: u64 },
-    Answer { pick: usize, outcome: u8, wait: u16 },
-    Drop { pick: usize },
+    Answer { pick: usize, outcome: u8, retry_after_ms: u16 },
+    Disconnect { pick: usize },
     List { route: u64, listing: u8 },
-    Pass { ms: u16 },
+    Advance { ms: u16 },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -28,19 +29,20 @@
             destination,
             key
         }),
-        6 => (any::<usize>(), 0u8..8, 0u16..3_000).prop_map(|(pick, outcome, wait)| Step::Answer {
+        6 => (any::<usize>(), 0u8..8, 0u16..3_000).prop_map(|(pick, outcome, retry_after_ms)| Step::Answer {
             pick,
             outcome,
-            wait
+            retry_after_ms
         }),
-        1 => any::<usize>().prop_map(|pick| Step::Drop { pick }),
+        1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
         1 => (0u64..6, 0u8..3).prop_map(|(route, listing)| Step::List { route, listing }),
-        5 => (1u16..400).prop_map(|ms| Step::Pass { ms }),
+        5 => (1u16..400).prop_map(|ms| Step::Advance { ms }),
     ];
     prop::collection::vec(step, 1..200)
 }
 
-fn listed(route: u64) -> RouteEntry {
+/// Returns the list entry of a route; each of the destinations 0 to 2 has two.
+fn listed_entry(route: u64) -> RouteEntry {
     let destination = (route / 2) as u16;
     entry(route, destination, destination, (route % 2) as u8)
 }
@@ -57,7 +59,7 @@
 ];
 const LISTINGS: [Listing; 3] = [Listing::Removed, Listing::Ready, Listing::Draining];
 
-/// An attempt without an outcome.
+/// An attempt that has no outcome yet.
 #[derive(Clone, Copy, PartialEq)]
 struct InFlight {
     id: u32,
@@ -65,11 +67,13 @@
     times_out_at: Millis,
 }
 
-/// A host that turns random steps into legal events.
+/// A host that turns random steps into valid events.
 struct RandomHost {
     harness: Harness,
     in_flight: Vec<InFlight>,
+    /// Number of attempts by message.
     attempts: BTreeMap<u32, u32>,
+    /// Events of the next batch.
     events: Vec<Event>,
     next_message: u32,
     wake_token: u64,
@@ -83,46 +87,52 @@
             harness: Harness::new(settings(classes), 3),
             in_flight: Vec::new(),
             attempts: BTreeMap::new(),
-            events: vec![list((0..6).map(listed).collect())],
+            events: vec![list((0..6).map(listed_entry).collect())],
             next_message: 0,
             wake_token: 0,
         }
     }
 
-    /// Takes a step, and advances the clock by its time.
-    fn take(&mut self, step: &Step) {
-        let mut after = 5.0;
+    /// Adds the event of a step, and advances the clock by the step's duration.
+    fn apply(&mut self, step: &Step) {
+        let mut duration = 5.0;
         match *step {
             Step::Message { class, destination, key } => {
                 self.events.push(keyed_message(self.next_message, class, destination, key));
                 self.next_message += 1;
             }
-            Step::Answer { pick, outcome: code, wait } if !self.in_flight.is_empty() => {
+            Step::Answer { pick, outcome: outcome_index, retry_after_ms } if !self.in_flight.is_empty() => {
                 let answered = self.in_flight.remove(pick % self.in_flight.len());
-                let code = OUTCOMES[usize::from(code)];
-                self.events.push(outcome(answered.id, answered.attempt, code, f64::from(wait)));
+                let attempt_outcome = OUTCOMES[usize::from(outcome_index)];
+                self.events.push(outcome(
+                    answered.id,
+                    answered.attempt,
+                    attempt_outcome,
+                    f64::from(retry_after_ms),
+                ));
             }
-            Step::Drop { pick } if self.next_message > 0 => {
+            Step::Disconnect { pick } if self.next_message > 0 => {
                 let id = (pick % self.next_message as usize) as u32;
                 self.events.push(Event::Dropped(MessageHandle(id)));
             }
             Step::List { route, listing } => {
-                let entry = RouteEntry { listing: LISTINGS[usize::from(listing)], ..listed(route) };
+                let entry = RouteEntry { listing: LISTINGS[usize::from(listing)], ..listed_entry(route) };
                 self.events.push(Event::List(ListChange::Delta(vec![entry])));
             }
-            Step::Pass { ms } => after = f64::from(ms),
-            Step::Answer { .. } | Step::Drop { .. } => {}
+            Step::Advance { ms } => duration = f64::from(ms),
+            Step::Answer { .. } | Step::Disconnect { .. } => {}
         }
-        self.pass(after);
+        self.advance(duration);
     }
 
-    fn pass(&mut self, span: Millis) {
-        let end = self.harness.now + span;
+    /// Advances the clock by at most 10 ms at a time, and starts the attempts that the policy sends.
+    fn advance(&mut self, duration: Millis) {
+        let end = self.harness.now + duration;
         while self.harness.now < end {
-            let after = (end - self.harness.now).min(10.0);
-            self.report_time_outs(self.harness.now + after);
+            let step_duration = (end - self.harness.now).min(10.0);
+            self.report_time_outs(self.harness.now + step_duration);
             self.events.push(Event::Wake(self.wake_token));
-            for action in self.harness.step(after, &std::mem::take(&mut self.events)) {
+            for action in self.harness.step(step_duration, &std::mem::take(&mut self.events)) {
                 match action {
                     Action::Wake { token, .. } => self.wake_token = token,
                     Action::Send { id, timeout, .. } => self.begin_attempt(id.0, timeout),
@@ -132,7 +142,7 @@
         }
     }
 
-    /// Reports the attempts whose time-out has passed.
+    /// Adds outcomes of the attempts whose time-out has passed.
     fn report_time_outs(&mut self, now: Millis) {
         let timed_out = self.in_flight.iter().filter(|attempt| attempt.times_out_at <= now);
         let timed_out: Vec<InFlight> = timed_out.copied().collect();
@@ -151,16 +161,16 @@
 }
 
 #[test]
-fn random_legal_streams_break_no_rule() {
+fn random_valid_streams_violate_no_rule() {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let check = |steps: Vec<Step>| {
         let mut host = RandomHost::new();
         for step in &steps {
-            host.take(step);
+            host.apply(step);
         }
         Ok(())
     };
-    runner.run(&steps(), check).expect("every rule kept");
+    runner.run(&steps(), check).expect("no delivery rule violated");
 }
--- a/crates/policy/tests/rules/route_list.rs
+++ b/crates/policy/tests/rules/route_list.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list.
+//! Tests of changes of the endpoint list.
 
 use super::IDEMPOTENT;
 use crate::common::{Harness, keyed_message, message, sends};
@@ -12,28 +12,34 @@
     let mut harness = Harness::new(settings(vec![class(IDEMPOTENT)]), 1);
     harness.step(0.0, &[list(vec![entry(1, 0, 0, 0), entry(2, 0, 0, 0)])]);
     let draining = RouteEntry { listing: Listing::Draining, ..entry(1, 0, 0, 0) };
-    let done = harness.step(5.0, &[Event::List(ListChange::Delta(vec![draining])), message(1, 0, 0)]);
-    assert_eq!(sends(&done), [(1, 2)]);
+    let actions = harness.step(5.0, &[Event::List(ListChange::Delta(vec![draining])), message(1, 0, 0)]);
+    assert_eq!(sends(&actions), [(1, 2)]);
 }
 
+/// The state is kept at first, and dropped within 91 s.
 #[test]
-fn removed_routes_are_forgotten_after_a_while_and_not_at_once() {
+fn the_state_of_removed_routes_is_dropped_after_a_while() {
     let ordered = Class { ordered: true, ..class(IDEMPOTENT) };
     let mut harness = Harness::new(settings(vec![ordered]), 1);
     for round in 0..10u64 {
-        let routes = (round * 1_000..(round + 1) * 1_000).map(|r| entry(r, (r % 5_000) as u16, 0, 0));
+        let routes =
+            (round * 1_000..(round + 1) * 1_000).map(|route| entry(route, (route % 5_000) as u16, 0, 0));
         harness.step(5.0, &[list(routes.collect()), keyed_message(round as u32, 0, 6_000, round + 1)]);
         harness.step(5.0, &[Event::Dropped(MessageHandle(round as u32))]);
     }
-    assert!(harness.policy.remembered() >= 10_000, "routes that were removed just now are remembered");
+    assert!(harness.policy.remembered() >= 10_000, "the state of routes that were just removed must be kept");
     harness.step(30_000.0, &[list(vec![])]);
     harness.step(61_000.0, &[list(vec![])]);
     harness.step(5.0, &[]);
-    assert_eq!(harness.policy.remembered(), 0, "nothing that is removed or completed stays");
+    assert_eq!(
+        harness.policy.remembered(),
+        0,
+        "no state of removed routes or completed messages must be kept"
+    );
 }
 
 #[test]
-fn a_list_on_request_is_subscribed_to_and_again_after_a_failure() {
+fn a_failed_subscription_to_the_list_is_retried() {
     let mut settings = settings(vec![class(IDEMPOTENT)]);
     settings.discovery = Discovery::OnRequest { ask_within: 10_000.0 };
     let mut harness = Harness::new(settings, 1);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,6 +1,7 @@
-//! The calls of all senders to a recovering receiver, in simulated time: at most N in the time that overloads
-//! it, and 2 root N + 2 for the random draws. Only calls of senders that had seen a failure in the outage are
-//! counted. `rudderspindle-bench fleet-limit --recovery` prints the whole table.
+//! Tests of the calls of all senders to a recovering receiver, in simulated time. The bound is N + 2 root N +
+//! 2 calls: N calls overload the receiver on average, and the rest allows for the random draws. Only calls of
+//! senders that have seen a failure in the outage count. `rudderspindle-bench fleet-limit --recovery` prints
+//! the whole table.
 
 use rudderspindle_simulation::receiver::{
     GossipNetwork, Limit, LoadPeak, Outage, Restart, Scenario, recovery_ramp_capacity, simulate,
@@ -14,11 +15,12 @@
     Outage::RejectAll { retry_after_probability: 0.0 },
 ];
 
-/// An outage in which at least two messages are submitted to each sender; a tenth of them restart after it.
+/// Returns a scenario with an outage in which at least two messages are submitted to each sender. A tenth of
+/// the senders restart after it.
 fn scenario(seed: u64, senders: usize, announced_rate: f64, load: f64, outage: Outage) -> Scenario {
     let random = Scenario::random(seed, |_| outage);
     let period = random.outage_start..random.outage_end;
-    let messages = (period.end - period.start) / 1_000.0 * load * announced_rate;
+    let message_count = (period.end - period.start) / 1_000.0 * load * announced_rate;
     let restart =
         Restart { senders: 0..senders.div_ceil(10), killed_at: random.outage_end + 1_500.0, downtime: 600.0 };
     Scenario {
@@ -28,22 +30,22 @@
         limit: Limit::Window { carry_over: 0.5 },
         announced_rate,
         load,
-        load_peak: LoadPeak { factor: (2.0 * senders as f64 / messages).max(1.0), period },
+        load_peak: LoadPeak { factor: (2.0 * senders as f64 / message_count).max(1.0), period },
         restart: Some(restart),
         ..random
     }
 }
 
-/// A load from senders that have seen the outage.
+/// Load from senders that have seen a failure in the outage.
 #[derive(Default)]
 struct Load {
-    /// As a multiple of the bound.
+    /// Load as a multiple of the bound.
     ratio: f64,
-    /// Its scenario.
+    /// Description of the scenario.
     scenario: String,
 }
 
-/// The highest load in several scenarios.
+/// Returns the highest load in scenarios of three seeds and all kinds of outage.
 fn highest_load(
     senders: usize,
     announced_rate: f64,
@@ -65,30 +67,33 @@
     highest
 }
 
+/// Asserts that the calls of senders that have seen the outage keep to the bound, at two submitted loads.
 fn assert_bound(senders: usize, announced_rate: f64, gossip_network: &Option<GossipNetwork>) {
-    // Below its limit, and three times that: each sender has more messages than its share allows.
+    // Loads below the limit and at three times the limit; at the latter each sender has more messages than
+    // its share allows.
     for load in [0.9, 3.0] {
         let Load { ratio, scenario } = highest_load(senders, announced_rate, load, gossip_network);
-        println!("{senders} senders, {announced_rate} a second, load {load}: {ratio:.2}");
+        println!("{senders} senders, {announced_rate} calls/s, load {load}: {ratio:.2} of the bound");
         assert!(
             ratio <= 1.0,
-            "{senders} senders, {announced_rate} a second, load {load}: {ratio:.2}, {scenario}"
+            "{senders} senders, {announced_rate} calls/s, load {load}: {ratio:.2} of the bound, {scenario}"
         );
     }
 }
 
 #[test]
-fn without_reports_2_to_30_senders_do_not_overload_a_returning_receiver() {
+fn without_reports_2_to_30_senders_keep_to_the_recovery_bound() {
     for senders in [2, 10, 20, 30] {
         assert_bound(senders, 5.0, &None);
         assert_bound(senders, 75.0, &None);
     }
 }
 
+/// All reports arrive, or half of them are lost.
 #[test]
-fn with_reports_and_with_half_of_them_lost_they_do_not_overload_it() {
-    for lost in [0.0, 0.5] {
-        let gossip = Some(GossipNetwork::with_loss(lost));
+fn with_reports_20_to_30_senders_keep_to_the_recovery_bound() {
+    for loss in [0.0, 0.5] {
+        let gossip = Some(GossipNetwork::with_loss(loss));
         for senders in [20, 30] {
             assert_bound(senders, 5.0, &gossip);
             assert_bound(senders, 75.0, &gossip);
@@ -97,38 +102,42 @@
 }
 
 #[test]
-fn a_partitioned_fleet_does_not_overload_a_returning_receiver() {
-    let cut = Some(GossipNetwork { loss: 0.0, partition: 6_000.0..f64::INFINITY });
+fn a_partitioned_fleet_keeps_to_the_recovery_bound() {
+    let partitioned = Some(GossipNetwork { loss: 0.0, partition: 6_000.0..f64::INFINITY });
     for senders in [20, 30] {
-        assert_bound(senders, 75.0, &cut);
+        assert_bound(senders, 75.0, &partitioned);
     }
 }
 
 #[test]
-fn three_hundred_senders_do_not_overload_a_large_returning_receiver() {
+fn three_hundred_senders_keep_to_the_recovery_bound() {
     for gossip in [None, Some(GossipNetwork::with_loss(0.0))] {
         let Load { ratio, scenario } = highest_load(300, 75.0, 0.9, &gossip);
-        println!("300 senders: {ratio:.2}");
-        assert!(ratio <= 1.0, "300 senders: {ratio:.2}, {scenario}");
+        println!("300 senders: {ratio:.2} of the bound");
+        assert!(ratio <= 1.0, "300 senders: {ratio:.2} of the bound, {scenario}");
     }
 }
 
-/// With reports a busy sender among many may take more than an equal part, as the others have no demand.
+/// With reports a busy sender among many may use more than an equal part, because the other senders report no
+/// demand.
 #[test]
-fn with_reports_busy_senders_get_what_idle_ones_leave() {
-    let served = |gossip: Option<GossipNetwork>| -> f64 {
-        let of = |seed| {
+fn with_reports_busy_senders_use_the_capacity_of_idle_ones() {
+    let used_capacity = |gossip: Option<GossipNetwork>| -> f64 {
+        let used_by_seed = |seed| {
             let base = scenario(seed, 30, 75.0, 0.9, Outage::RefuseConnections);
             let gossip_network = gossip.clone();
             let scenario = Scenario { busy_senders: 3, restart: None, gossip_network, ..base };
             simulate(&scenario).delivered_during_ramp as f64 / recovery_ramp_capacity(75.0)
         };
-        (0..3).map(of).sum::<f64>() / 3.0
+        (0..3).map(used_by_seed).sum::<f64>() / 3.0
     };
-    let alone = served(None);
-    let reported = served(Some(GossipNetwork::with_loss(0.0)));
+    let used_without_reports = used_capacity(None);
+    let used_with_reports = used_capacity(Some(GossipNetwork::with_loss(0.0)));
     println!(
-        "three of thirty busy: {alone:.2} of what a returning receiver can take without reports, {reported:.2} with them"
+        "3 of 30 busy: {used_without_reports:.2} of ramp used without reports, {used_with_reports:.2} with"
+    );
+    assert!(
+        used_with_reports > 0.6 && used_with_reports > 2.0 * used_without_reports,
+        "{used_with_reports:.2} with reports, {used_without_reports:.2} without"
     );
-    assert!(reported > 0.6 && reported > 2.0 * alone, "{reported:.2} with reports, {alone:.2} without");
 }
--- a/crates/policy/tests/throttle/fleet_reports.rs
+++ b/crates/policy/tests/throttle/fleet_reports.rs
@@ -1,18 +1,19 @@
-//! Demand, and the capacity that the fleet leaves to a sender.
+//! Tests of the demand that a sender reports and of the capacity that the fleet leaves to it.
 
 use super::idempotent_settings;
 use crate::common::{Harness, message, sends};
 use rudderspindle_policy::interface::{CapacityUpdate, DestinationId, Event, LimitScope, Outcome};
 use rudderspindle_simulation::fixtures::{entry, list, outcome};
 
-/// The capacity that the fleet leaves to a sender, for each call of its demand.
-fn capacity(calls: f64) -> Event {
+/// Returns a report of the capacity that the fleet leaves to a sender, in calls per second for each call of
+/// the sender's demand.
+fn capacity(calls_per_demand: f64) -> Event {
     let scope = LimitScope { destination: DestinationId(0), route: None };
     let valid_for = 20_000.0;
-    Event::Capacity(CapacityUpdate { scope, calls_per_demand: calls, total_demand: 0.0, valid_for })
+    Event::Capacity(CapacityUpdate { scope, calls_per_demand, total_demand: 0.0, valid_for })
 }
 
-/// No message waits, but the demand includes those that are expected before the next report.
+/// No message is waiting, but messages arrive at a rate of ten per second.
 #[test]
 fn demand_includes_the_messages_expected_before_the_next_report() {
     let mut harness = Harness::new(idempotent_settings(), 1);
@@ -21,27 +22,33 @@
         harness.step(100.0, &[message(n, 0, 0)]);
         harness.step(0.0, &[outcome(n, 0, Outcome::Ok, 0.0)]);
     }
-    let wanted = harness.policy.demands()[0].calls_wanted;
-    assert!((4.0..6.0).contains(&wanted), "{wanted} wanted of ten a second that come");
+    let calls_wanted = harness.policy.demands()[0].calls_wanted;
+    assert!(
+        (4.0..6.0).contains(&calls_wanted),
+        "{calls_wanted} calls wanted at ten messages per second: must be 4 to 6"
+    );
     harness.step(5_000.0, &[]);
     assert!(harness.policy.demands()[0].calls_wanted < 0.1);
 }
 
-/// All senders with the same Retry-After return when it is over: each keeps to the rate that the fleet leaves
-/// to it.
+/// All senders with the same Retry-After send again when it ends, so each must keep to the rate that the
+/// fleet leaves to it.
 #[test]
-fn after_a_retry_after_the_next_call_follows_the_rate_that_the_fleet_leaves() {
-    for (calls, after) in [(0.25, 1_600.0..5_700.0), (1.0, 400.0..1_500.0)] {
+fn the_call_after_a_retry_after_keeps_to_the_reported_capacity() {
+    for (calls_per_demand, expected_delay) in [(0.25, 1_600.0..5_700.0), (1.0, 400.0..1_500.0)] {
         for seed in 0..20 {
             let mut harness = Harness::new(idempotent_settings(), seed);
             harness.step(0.0, &[list(vec![entry(1, 0, 0, 0)]), capacity(f64::INFINITY), message(1, 0, 0)]);
-            harness.step(10.0, &[capacity(calls), outcome(1, 0, Outcome::Rejected, 1_000.0)]);
+            harness.step(10.0, &[capacity(calls_per_demand), outcome(1, 0, Outcome::Rejected, 1_000.0)]);
             let retry_after_end = harness.now + 1_000.0;
-            // The rejection halved what that report left; this is the next one.
-            harness.step(250.0, &[capacity(calls)]);
+            // The rejection halved the reported capacity; the next report restores it.
+            harness.step(250.0, &[capacity(calls_per_demand)]);
             let sent = sends(&harness.run(9_000.0));
-            let later = harness.now - retry_after_end;
-            assert!(sent == [(1, 1)] && after.contains(&later), "{calls} a second: sent {later} ms after it");
+            let delay = harness.now - retry_after_end;
+            assert!(
+                sent == [(1, 1)] && expected_delay.contains(&delay),
+                "{calls_per_demand} calls/s: sent {delay} ms after the Retry-After"
+            );
         }
     }
 }
--- a/crates/policy/tests/throttle/main.rs
+++ b/crates/policy/tests/throttle/main.rs
@@ -1,5 +1,5 @@
-//! The throttle: draws, other routes, order, send rate and slots, with the failures that incidents have
-//! shown.
+//! Tests of the throttle: drop probability, choice of routes, order, send rate and slots, including failures
+//! that occurred in incidents.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -15,18 +15,18 @@
 use rudderspindle_policy::interface::{Effect, Event, Millis, Settings};
 use rudderspindle_simulation::fixtures::{class, settings};
 
-/// Answers every call for `span` ms with the result of `answer` for its number and its route. Returns the
-/// calls.
+/// Runs the policy for `duration`, starting with `initial_events`, and returns its calls. `answer` returns
+/// the answer to a call by the number of earlier calls and the route.
 fn play(
     harness: &mut Harness,
-    first: Vec<Event>,
-    span: Millis,
+    initial_events: Vec<Event>,
+    duration: Millis,
     answer: impl Fn(u32, u64) -> Answer,
 ) -> Vec<Call> {
-    let mut calls = 0;
-    play_calls(harness, first, span, &mut BTreeMap::new(), |_, route| {
-        let answer = answer(calls, route);
-        calls += 1;
+    let mut call_count = 0;
+    play_calls(harness, initial_events, duration, &mut BTreeMap::new(), |_, route| {
+        let answer = answer(call_count, route);
+        call_count += 1;
         answer
     })
 }
--- a/crates/policy/tests/throttle/send_rate.rs
+++ b/crates/policy/tests/throttle/send_rate.rs
@@ -1,4 +1,4 @@
-//! The rate of calls, of probes and of slow start.
+//! Tests of the rates of calls, of probes and of slow start.
 
 use super::{idempotent_settings, play};
 use crate::common::{Answer, Harness, message, sends};
@@ -6,8 +6,8 @@
 use rudderspindle_simulation::fixtures::{entry, list, outcome};
 
 #[test]
-fn probes_keep_to_our_share_of_the_limit() {
-    // lakeshore big-2: probes of four senders used up a limit that counts rejected calls.
+fn probes_keep_to_the_senders_share_of_the_limit() {
+    // Probes of four senders once used up a limit that counts rejected calls.
     let mut settings = idempotent_settings();
     settings.peers_total = 4;
     let mut harness = Harness::new(settings, 5);
@@ -16,14 +16,19 @@
     events.extend((0..50).map(|i| message(i, 0, 0)));
     let first = sends(&harness.step(0.0, &events));
     harness.step(20.0, &[outcome(first[0].0, 0, Outcome::Rejected, 2_600.0)]);
-    // A Retry-After that long comes from an outage: once it is over there are only probes.
+    // A Retry-After this long indicates an outage: when it ends, only probes are sent.
     let calls = play(&mut harness, vec![], 8_600.0, |_, _| Answer::new(30.0, Outcome::ConnectFailed));
-    assert!((1..=5).contains(&calls.len()), "{} probes in 6 s, our share is 6 calls", calls.len());
+    assert!(
+        (1..=5).contains(&calls.len()),
+        "{} probes in 6 s: must be 1 to 5, as the sender's share is 6 calls",
+        calls.len()
+    );
 }
 
 #[test]
-fn there_is_no_burst_after_a_retry_after() {
-    // if28a67: after a Retry-After all senders sent their saved-up calls at once and were rejected again.
+fn no_burst_of_calls_follows_a_retry_after() {
+    // After a Retry-After all senders once sent the calls that had accumulated at the same time, and were
+    // rejected again.
     let mut harness = Harness::new(idempotent_settings(), 5);
     let mut events = vec![list(vec![entry(1, 0, 0, 0)])];
     events.extend((0..20).map(|i| message(i, 0, 0)));
@@ -32,28 +37,32 @@
     assert!(sends(&harness.run(1_480.0)).is_empty());
     for _ in 0..60 {
         let sent = sends(&harness.step(10.0, &[])).len();
-        assert!(sent <= 1, "{sent} calls at once after a Retry-After");
+        assert!(sent <= 1, "{sent} calls at once after a Retry-After: must be at most 1");
     }
 }
 
 #[test]
-fn a_returning_destination_is_not_overloaded() {
-    // Warming up it takes at least 0.2 of 10 calls per second, and is overloaded above twice that for 3 s.
+fn a_recovering_destination_is_not_overloaded() {
+    // While it warms up, the destination accepts at least 0.2 of its 10 calls per second. More than twice
+    // that for 3 s, which is 12 calls, overloads it.
     let mut harness = Harness::new(idempotent_settings(), 5);
     let mut events = vec![list(vec![entry(1, 0, 0, 0)])];
     events.extend((0..90).map(|i| message(i, 0, 0)));
     let first = sends(&harness.step(0.0, &events));
     harness.step(20.0, &[outcome(first[0].0, 0, Outcome::Rejected, 2_600.0)]);
     let calls = play(&mut harness, vec![], 9_000.0, |_, _| Answer::new(50.0, Outcome::Ok));
-    let returned_at = calls[0].at;
-    let early = calls.iter().filter(|call| call.at <= returned_at + 3_000.0).count();
-    assert!((4..=12).contains(&early), "{early} calls in the first 3 s, 12 are the budget");
+    let recovered_at = calls[0].at;
+    let early_calls = calls.iter().filter(|call| call.at <= recovered_at + 3_000.0).count();
+    assert!(
+        (4..=12).contains(&early_calls),
+        "{early_calls} calls in the first 3 s after the recovery: must be 4 to 12"
+    );
 }
 
 #[test]
-fn one_of_three_hundred_senders_delivers_messages_well_before_they_expire() {
-    // gandhinagar-camp-later: an equal part of 3 calls per second is one in 100 s, and second messages
-    // expired waiting.
+fn one_of_300_senders_delivers_messages_before_they_expire() {
+    // An equal part of 3 calls per second is one call in 100 s, and the second message of a sender once
+    // expired while it waited.
     let mut settings = idempotent_settings();
     settings.peers_total = 300;
     for seed in 0..20 {
@@ -66,8 +75,8 @@
 }
 
 #[test]
-fn one_of_three_hundred_senders_backs_off_from_a_receiver_that_rejects_all() {
-    // taichung-senders-later: a limit that counts rejected calls stays used up while all retry soon.
+fn one_of_300_senders_backs_off_from_a_rejecting_receiver() {
+    // A limit that counts rejected calls stays used up while all senders retry soon.
     let mut settings = idempotent_settings();
     settings.peers_total = 300;
     let mut calls = 0;
@@ -79,23 +88,27 @@
         })
         .len();
     }
-    assert!((20..=60).contains(&calls), "{calls} calls for 20 messages, each rejected for 9.5 s");
+    assert!(
+        (20..=60).contains(&calls),
+        "{calls} calls for 20 messages, each rejected for 9.5 s: must be 20 to 60"
+    );
 }
 
-/// One overshoot delayed hundreds of messages until they had expired, with slots free: the send rate fell to
-/// a small part of the limit, and its recovery took longer than a message's deadline.
+/// A single overshoot of the limit once delayed hundreds of messages until they expired, though slots were
+/// free: the send rate fell to a small part of the limit, and took longer to recover than the deadline of a
+/// message.
 #[test]
-fn after_a_burst_of_rejections_the_send_rate_recovers_well_within_a_deadline() {
+fn the_send_rate_recovers_soon_after_a_burst_of_rejections() {
     let mut delivered = 0;
     for seed in 0..20 {
         let mut harness = Harness::new(idempotent_settings(), seed);
-        let mut first = vec![list(vec![entry(1, 0, 0, 0)])];
-        first.extend((0..80).map(|n| message(n, 0, 0)));
-        let calls = play(&mut harness, first, 8_000.0, |call, _| {
-            Answer::new(100.0, if (2..12).contains(&call) { Outcome::Rejected } else { Outcome::Ok })
+        let mut events = vec![list(vec![entry(1, 0, 0, 0)])];
+        events.extend((0..80).map(|n| message(n, 0, 0)));
+        let calls = play(&mut harness, events, 8_000.0, |call_number, _| {
+            Answer::new(100.0, if (2..12).contains(&call_number) { Outcome::Rejected } else { Outcome::Ok })
         });
         delivered += calls.len().saturating_sub(10);
     }
-    // The limit is 10 calls per second, and all of it is this sender's.
-    assert!(delivered > 20 * 15, "{delivered} in 20 times 8 s");
+    // The limit is 10 calls per second, and this sender may use all of it.
+    assert!(delivered > 20 * 15, "{delivered} delivered in 20 runs of 8 s: must be above 300");
 }
