--- a/crates/policy/src/calls.rs
+++ b/crates/policy/src/calls.rs
@@ -2,29 +2,29 @@
 
 use crate::interface::{Millis, RouteId};
 
-/// Identifies a call of this sender.
+/// Identifies a call; unique within this process of the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallId(pub u64);
 
-/// A call in flight; kept until all its messages have their outcomes.
+/// A call in flight; removed once the attempts of all its messages have outcomes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Call {
     pub id: CallId,
     pub route: RouteId,
     pub sent_at: Millis,
-    /// Whether its throttle had saved up less than a burst when it was sent.
+    /// Whether the throttle had less than a full burst available when the call was sent.
     pub is_rate_limited: bool,
-    /// Whether any of its messages has an outcome.
+    /// Whether the attempt of at least one message has an outcome.
     pub has_outcome: bool,
-    /// Number of successful calls that were sent later by its route.
+    /// Number of successful calls that were sent later by the same route.
     pub later_successes: u32,
-    /// Number of messages without an outcome.
-    messages_left: usize,
+    /// Number of messages whose attempts have no outcome yet.
+    messages_without_outcome: usize,
     is_cancelled: bool,
 }
 
 impl Call {
-    /// A call with this many messages that is sent now.
+    /// Creates a call that carries this number of messages.
     pub fn new(id: CallId, route: RouteId, sent_at: Millis, messages: usize, is_rate_limited: bool) -> Self {
         Self {
             id,
@@ -33,55 +33,51 @@
             is_rate_limited,
             has_outcome: false,
             later_successes: 0,
-            messages_left: messages,
+            messages_without_outcome: messages,
             is_cancelled: false,
         }
     }
 
-    /// Whether an action has cancelled its attempts.
+    /// Whether cancellation of the call's attempts was requested.
     pub fn is_cancelled(&self) -> bool {
         self.is_cancelled
     }
 }
 
-/// Which of a call's results one was.
+/// Whether a result was the first or the last one of its call; neither if the call is unknown.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ResultPosition {
     pub is_first: bool,
     pub is_last: bool,
 }
 
-/// The calls of a destination, at most as many as the sender has slots.
+/// The calls in flight to one destination; the sender's slots bound their number.
 #[derive(Debug, Default)]
 pub(crate) struct Calls(Vec<Call>);
 
 impl Calls {
-    /// Adds a call.
-    pub fn begin(&mut self, call: Call) {
+    pub fn add(&mut self, call: Call) {
         self.0.push(call);
     }
 
-    /// All calls.
     pub fn iter(&self) -> impl Iterator<Item = &Call> {
         self.0.iter()
     }
 
-    /// Number of calls.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Number of calls by a route.
-    pub fn count_of(&self, route: RouteId) -> usize {
+    pub fn count_by_route(&self, route: RouteId) -> usize {
         self.0.iter().filter(|call| call.route == route).count()
     }
 
-    /// A copy of a call.
     pub fn get(&self, id: CallId) -> Option<Call> {
         self.0.iter().find(|call| call.id == id).copied()
     }
 
-    /// Counts a success at the calls that were sent earlier by the same route.
+    /// Counts a successful call that was sent at `sent_at` as a later success of each earlier call by the
+    /// same route.
     pub fn count_later_success(&mut self, route: RouteId, sent_at: Millis) {
         for call in &mut self.0 {
             if call.route == route && call.sent_at < sent_at {
@@ -90,22 +86,22 @@
         }
     }
 
-    /// Marks calls whose attempts are cancelled.
+    /// Marks the calls whose attempts are being cancelled.
     pub fn mark_cancelled(&mut self, ids: &[CallId]) {
         for call in &mut self.0 {
             call.is_cancelled |= ids.contains(&call.id);
         }
     }
 
-    /// Records the outcome of one of a call's messages; the call is dropped with the last one.
+    /// Records that one attempt of a call has an outcome; the last outcome removes the call.
     pub fn record_result(&mut self, id: CallId) -> ResultPosition {
         let Some(index) = self.0.iter().position(|call| call.id == id) else {
             return ResultPosition::default();
         };
         let call = &mut self.0[index];
-        call.messages_left -= 1;
+        call.messages_without_outcome -= 1;
         let is_first = !call.has_outcome;
-        let is_last = call.messages_left == 0;
+        let is_last = call.messages_without_outcome == 0;
         call.has_outcome = true;
         if is_last {
             self.0.swap_remove(index);
--- a/crates/policy/src/circuit_breaker/outage_report.rs
+++ b/crates/policy/src/circuit_breaker/outage_report.rs
@@ -1,15 +1,15 @@
-//! The outage that was last reported to the host, which remembers it over a restart.
+//! The outage that was last reported to the host, which persists it for the time after a restart.
 
 use super::state::BreakerState;
 use crate::interface::{Millis, OutageState};
 
-/// The last report to the host.
+/// The last report to the host, to detect changes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OutageReport {
     last: ReportedOutage,
 }
 
-/// What identifies an outage.
+/// The fields whose change makes a new report necessary.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum ReportedOutage {
     #[default]
@@ -24,7 +24,7 @@
 }
 
 impl OutageReport {
-    /// The outage to remember, if it is another one than the last report's.
+    /// The outage to report, if it differs from the last reported one.
     pub fn update(
         &mut self,
         now: Millis,
@@ -37,9 +37,9 @@
                 ReportedOutage::Down { since, retry_after_until },
                 OutageState::Down { retry_after_remaining: (retry_after_until - now).max(0.0) },
             ),
-            BreakerState::SlowStart { since, share } => (
+            BreakerState::SlowStart { since, sender_share } => (
                 ReportedOutage::WarmingUp { since },
-                OutageState::WarmingUp { since_recovery: now - since, ramp_share: share },
+                OutageState::WarmingUp { since_recovery: now - since, ramp_share: sender_share },
             ),
         };
         let last = std::mem::replace(&mut self.last, report);
--- a/crates/policy/src/circuit_breaker/state.rs
+++ b/crates/policy/src/circuit_breaker/state.rs
@@ -2,25 +2,26 @@
 
 use crate::interface::Millis;
 
-/// The state of a circuit breaker; half-open is an open one whose `probe_at` is reached.
+/// The state of a circuit breaker. Half-open is the state `Open` once `probe_at` is reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) enum BreakerState {
-    /// The throttle alone limits the calls.
+    /// Calls are limited by the throttle only.
     #[default]
     Closed,
-    /// No call starts but one half-open probe at a time.
+    /// No call starts except one half-open probe at a time.
     Open {
         since: Millis,
         /// When the next probe may start.
         probe_at: Millis,
-        /// Whether overdue calls opened it, without any failure: every success ends the outage.
+        /// Whether the breaker opened because of overdue calls, without a failure. The success of any call
+        /// then ends the outage.
         unresponsive: bool,
     },
-    /// The recovery ramp limits the calls.
+    /// Calls are limited by the recovery ramp.
     SlowStart {
         /// When the ramp begins.
         since: Millis,
-        /// This sender's share of the ramp.
-        share: f64,
+        /// This sender's share of the ramp, from 0 to 1.
+        sender_share: f64,
     },
 }
--- a/crates/policy/src/destination.rs
+++ b/crates/policy/src/destination.rs
@@ -24,7 +24,7 @@
 use crate::throttle::{CapacitySource, Throttle};
 use route::Route;
 
-/// A receiver's system. Removed once its last route is and no message waits for it.
+/// A receiver's system. Removed once it has neither routes nor waiting messages.
 #[derive(Debug, Default)]
 pub(crate) struct Destination {
     id: DestinationId,
@@ -37,19 +37,19 @@
     shared_throttle: Throttle,
     /// The circuit breaker of all routes, unless each has a limit of its own.
     shared_breaker: CircuitBreaker,
-    /// Messages that may be sent or completed: none of their attempts is in flight.
+    /// Messages without an attempt in flight; they may be sent or completed.
     waiting: Vec<MessageHandle>,
     calls: Calls,
     arrival_rate: ArrivalRate,
 }
 
 impl Destination {
-    /// A destination without routes and messages.
+    /// Creates a destination without routes and messages.
     pub fn new(id: DestinationId) -> Self {
         Self { id, ..Self::default() }
     }
 
-    /// Adds a route that the list has named for the first time.
+    /// Adds a route that was not in the list before.
     pub fn add_route(&mut self, context: &Context, entry: &RouteEntry, kind: &Kind, source: CapacitySource) {
         let throttle = Throttle::for_route(context, entry, source);
         self.max_batch = kind.max_batch;
@@ -61,7 +61,7 @@
         self.routes.push(Route::new(entry, throttle));
     }
 
-    /// Applies a changed entry of the list. Returns whether it names a known route.
+    /// Applies a changed entry of the list. Returns whether the entry's route is known.
     pub fn update_route(&mut self, entry: &RouteEntry) -> bool {
         let route = self.routes.iter_mut().find(|route| route.id == entry.route);
         route.map(|route| route.listing = entry.listing).is_some()
@@ -74,38 +74,37 @@
         }
     }
 
-    /// Marks the routes that other senders have ejected as outliers.
+    /// Replaces the set of routes that other senders have ejected as outliers.
     pub fn apply_ejections(&mut self, ejected: &[RouteId]) {
         for route in &mut self.routes {
             route.ejected = ejected.contains(&route.id);
         }
     }
 
-    /// Number of routes.
     pub fn route_count(&self) -> usize {
         self.routes.len()
     }
 
-    /// Drops the routes that the list removed long ago, unless a call is in flight.
+    /// Drops the routes that the list removed at least `REMOVED_ROUTE_TTL` ago, unless a call to them
+    /// is in flight.
     pub fn drop_outdated_routes(&mut self, now: Millis) {
         for route in &mut self.routes {
             route.update_removal(now);
         }
         let calls = &self.calls;
-        self.routes.retain(|route| calls.count_of(route.id) > 0 || !route.is_outdated(now));
+        self.routes.retain(|route| calls.count_by_route(route.id) > 0 || !route.is_outdated(now));
     }
 
-    /// Whether it has neither routes nor waiting messages.
+    /// Whether the destination has neither routes nor waiting messages.
     pub fn is_unused(&self) -> bool {
         self.routes.is_empty() && self.waiting.is_empty()
     }
 
-    /// Messages that may be sent or completed.
+    /// Messages without an attempt in flight; they may be sent or completed.
     pub fn waiting(&self) -> &[MessageHandle] {
         &self.waiting
     }
 
-    /// Adds a waiting message.
     pub fn enqueue(&mut self, id: MessageHandle) {
         self.waiting.push(id);
     }
@@ -115,8 +114,8 @@
         self.waiting.retain(|&waiting| waiting != id);
     }
 
-    /// Counts a message that has just been accepted and waits. The first one schedules its draw among the
-    /// calls of all senders.
+    /// Counts the arrival of a message that is already in the queue. If no other message waits, its draw is
+    /// scheduled by the shared rate.
     pub fn record_arrival(&mut self, context: &mut Context) {
         self.arrival_rate.record(context.now);
         if self.waiting.len() != 1 {
--- a/crates/policy/src/destination/demand.rs
+++ b/crates/policy/src/destination/demand.rs
@@ -1,4 +1,4 @@
-//! The demand of this sender at each limit, and what the fleet's reports leave to it.
+//! The demand of this sender at each limit, and the fleet's reports about this sender's share.
 
 use rudderspindle_gossip as gossip;
 
@@ -8,40 +8,41 @@
 use crate::interface::{CapacityUpdate, Demand, Millis, PermitUpdate, RetryAfterUpdate, RouteId};
 use crate::throttle::Throttle;
 
-/// Time within which expected messages are part of the demand, in ms; the fleet's next report is later.
+/// Time, in ms, for which expected messages count as demand. The next report of the fleet may come later.
 const DEMAND_HORIZON: Millis = 500.0;
 
 /// Demand and rates.
 impl Destination {
-    /// The calls that the waiting and the expected messages need at a limit, in proportion to all limits.
+    /// The calls that the waiting and the expected messages need at a limit. Where routes have limits of
+    /// their own, messages are divided among the ready routes in proportion to the limits.
     fn calls_wanted(&self, scope: Scope, now: Millis) -> f64 {
         let limit = self.throttle_of(scope).limit();
-        let all = if self.limit_per_route {
-            self.ready_routes().map(|index| self.routes[index].throttle.limit()).sum()
+        let all_limits = if self.limit_per_route {
+            self.ready_routes().map(|route_index| self.routes[route_index].throttle.limit()).sum()
         } else {
             limit
         };
         let messages = self.waiting.len() as f64 + self.arrival_rate.expected_within(now, DEMAND_HORIZON);
-        messages * limit / f64::max(all, limit)
+        messages * limit / f64::max(all_limits, limit)
     }
 
-    /// The call rate that the fleet leaves to this sender, in calls per second, while its reports are fresh.
+    /// This sender's call rate by the fleet's reports, in calls per second; `None` without a current report.
     pub(super) fn shared_rate(&self, scope: Scope, now: Millis) -> Option<f64> {
         self.throttle_of(scope).shared_rate(now, self.calls_wanted(scope, now))
     }
 
-    /// This sender's share of a destination in an outage: that of the fleet's demand while it is reported,
-    /// else an equal one.
+    /// This sender's share of the recovery ramp, from 0 to 1: its fraction of the fleet's demand, or an equal
+    /// share without a current report.
     pub(super) fn recovery_share(&self, context: &Context, scope: Scope) -> f64 {
         let wanted = self.calls_wanted(scope, context.now);
         let reported = self.throttle_of(scope).demand_fraction(context.now, wanted);
         reported.unwrap_or(1.0 / context.settings.peers_total as f64)
     }
 
-    /// The demand of each limit that the list says may be used.
+    /// The demand at each limit, except those of routes that are not ready.
     pub fn demands(&self, now: Millis) -> impl Iterator<Item = Demand> {
         let is_ready = |scope: &Scope| match *scope {
-            Scope::Route(index) => self.routes[index].is_ready(),
+            Scope::Route(route_index) => self.routes[route_index].is_ready(),
             Scope::All => true,
         };
         self.throttle_scopes().filter(is_ready).map(move |scope| self.demand(scope, now))
@@ -63,7 +64,7 @@
 
 /// Reports of the fleet and of other processes.
 impl Destination {
-    /// Applies what the fleet leaves of a limit to this sender.
+    /// Applies a report about this sender's share of a limit.
     pub fn apply_capacity(&mut self, now: Millis, report: &CapacityUpdate) {
         let Some(scope) = self.throttle_scope(report.scope.route) else { return };
         let update = gossip::CapacityUpdate {
--- a/crates/policy/src/destination/dispatch.rs
+++ b/crates/policy/src/destination/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends the waiting messages of a destination while its throttles and the free slots allow it.
+//! Sends the waiting messages of a destination as far as throttles, circuit breakers and free slots allow.
 
 use std::collections::VecDeque;
 
@@ -9,14 +9,14 @@
 use crate::messages::PendingMessages;
 use crate::slots::CallSlots;
 
-/// Number of later successful calls by the same route that show that a call is lost.
-const LATER_SUCCESSES: u32 = 10;
-/// A call is lost once it is in flight for this multiple of the time after which it is overdue.
-const LOST_STRETCH: f64 = 1.3;
-/// A destination may use this multiple of the free slots.
-const SLOTS_PER_FREE_SLOT: usize = 3;
+/// Number of later successful calls by the same route after which an overdue call may be lost.
+const MIN_LATER_SUCCESSES: u32 = 10;
+/// Time in flight after which a call may be lost, as a multiple of the time after which it is overdue.
+const LOST_CALL_MULTIPLE: f64 = 1.3;
+/// Maximum number of calls of a destination, as a multiple of the number of free slots.
+const CALLS_PER_FREE_SLOT: usize = 3;
 
-/// What destinations share while they send.
+/// The state of the policy that all destinations use while they send.
 #[derive(Debug)]
 pub(crate) struct Dispatch<'a> {
     pub context: &'a mut Context,
@@ -33,6 +33,9 @@
 
 impl Destination {
     /// Draws for the waiting messages in the order of the queue, and sends those that pass.
+    ///
+    /// Before that, opens the circuit breakers of unresponsive routes, and cancels lost calls if no slot is
+    /// free.
     pub fn serve(&mut self, dispatch: &mut Dispatch<'_>, mut queue: VecDeque<MessageHandle>) {
         self.open_unresponsive_breakers(dispatch.context);
         if dispatch.context.settings.cancelling && !queue.is_empty() && dispatch.slots.free() == 0 {
@@ -43,44 +46,48 @@
             if !dispatch.is_next_of_its_key(message) {
                 continue;
             }
-            let open = self.open_routes(now);
-            if open.is_empty() || !self.may_take_slot(now, dispatch.slots.free()) {
+            let callable = self.callable_routes(now);
+            if callable.is_empty() || !self.may_take_slot(now, dispatch.slots.free()) {
                 return;
             }
-            let Some(index) = self.choose_route(dispatch, message, &open) else { continue };
-            let batch = self.take_batch(dispatch, index, message, &mut queue);
-            self.send(dispatch, batch, index);
+            let Some(route_index) = self.choose_route(dispatch, message, &callable) else { continue };
+            let batch = self.take_batch(dispatch, route_index, message, &mut queue);
+            self.send(dispatch, batch, route_index);
         }
     }
 
-    /// Departure (few slots are free): a destination leaves some to others, and more of them while a call to
-    /// it is overdue without an answer since. A lost call among answered ones is no reason.
+    /// Whether another call of this destination may take a slot.
+    ///
+    /// Extension (few slots are free): a destination leaves some slots to other destinations, and more of them
+    /// while it has unanswered calls. A lost call among answered ones does not count as unanswered.
     fn may_take_slot(&self, now: Millis, free_slots: usize) -> bool {
-        let is_stuck = (0..self.routes.len()).any(|index| self.unanswered_calls(index, now) > 0);
-        let slots = free_slots * if is_stuck { 1 } else { SLOTS_PER_FREE_SLOT };
-        let in_flight = self.calls.len();
-        slots > 0 && (in_flight == 0 || in_flight < slots * self.max_batch)
+        let has_unanswered_calls =
+            (0..self.routes.len()).any(|route_index| self.unanswered_calls(route_index, now) > 0);
+        let max_calls = free_slots * if has_unanswered_calls { 1 } else { CALLS_PER_FREE_SLOT };
+        let calls_in_flight = self.calls.len();
+        max_calls > 0 && (calls_in_flight == 0 || calls_in_flight < max_calls * self.max_batch)
     }
 
-    /// The messages that share a call with the first one; a half-open probe carries one.
+    /// Takes messages from the queue for the call of the first message; a half-open probe carries one
+    /// message.
     fn take_batch(
         &self,
         dispatch: &Dispatch<'_>,
-        index: usize,
+        route_index: usize,
         first: MessageHandle,
         queue: &mut VecDeque<MessageHandle>,
     ) -> Vec<MessageHandle> {
-        let max_batch = if self.is_down(index) { 1 } else { self.max_batch };
-        let joins =
-            |&id: &MessageHandle| dispatch.is_next_of_its_key(id) && self.may_use(dispatch, id, index);
+        let max_batch = if self.is_down(route_index) { 1 } else { self.max_batch };
+        let may_join =
+            |&id: &MessageHandle| dispatch.is_next_of_its_key(id) && self.may_use(dispatch, id, route_index);
         let mut batch = vec![first];
-        while batch.len() < max_batch && queue.front().is_some_and(joins) {
+        while batch.len() < max_batch && queue.front().is_some_and(may_join) {
             batch.extend(queue.pop_front());
         }
         batch
     }
 
-    /// Departure (no slot is free): lost calls are cancelled, as other messages need their slots.
+    /// Extension (no slot is free): lost calls are cancelled, because waiting messages need their slots.
     fn cancel_lost_calls(&mut self, dispatch: &mut Dispatch<'_>) {
         let now = dispatch.context.now;
         let lost: Vec<CallId> =
@@ -98,12 +105,12 @@
         self.calls.mark_cancelled(&lost);
     }
 
-    /// Whether a call is long overdue, though its route has answered calls that were sent later.
+    /// Whether a call is long overdue although many calls sent later by the same route have succeeded.
     fn is_lost(&self, call: &Call, now: Millis) -> bool {
-        let Some(index) = self.route_index(call.route) else { return false };
+        let Some(route_index) = self.route_index(call.route) else { return false };
         !call.has_outcome
             && !call.is_cancelled()
-            && call.later_successes >= LATER_SUCCESSES
-            && now - call.sent_at > LOST_STRETCH * self.overdue_after(index)
+            && call.later_successes >= MIN_LATER_SUCCESSES
+            && now - call.sent_at > LOST_CALL_MULTIPLE * self.overdue_after(route_index)
     }
 }
--- a/crates/policy/src/destination/outage_memory.rs
+++ b/crates/policy/src/destination/outage_memory.rs
@@ -1,11 +1,11 @@
-//! Reports the outages that the host remembers over a restart, and restores them.
+//! Reports outages to the host, which persists them, and restores them after a restart.
 
 use super::Destination;
 use crate::context::Context;
 use crate::interface::{Action, Millis, OutageState, RememberedOutage};
 
 impl Destination {
-    /// Has the host remember the outages that have changed.
+    /// Appends an action for each outage that has changed, so that the host persists it.
     pub fn report_outages(&mut self, now: Millis, actions: &mut Vec<Action>) {
         for scope in self.throttle_scopes() {
             let retry_after_until = self.throttle_of(scope).retry_after_until();
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Restores an outage that the host has remembered.
+    /// Restores an outage that the host persisted before a restart.
     pub fn restore_outage(&mut self, context: &mut Context, remembered: &RememberedOutage) {
         let route = remembered.scope.route;
         let names_a_limit = self.limit_per_route || route.is_none();
--- a/crates/policy/src/destination/queue.rs
+++ b/crates/policy/src/destination/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which the waiting messages of a destination are sent, and that of the destinations.
+//! The order in which destinations are served and the waiting messages of each one are sent.
 
 use std::cmp::Ordering;
 use std::collections::VecDeque;
@@ -8,7 +8,7 @@
 use crate::interface::{DestinationId, MessageHandle, Millis};
 use crate::messages::PendingMessages;
 
-/// A waiting message with what its place in the queue depends on.
+/// A waiting message with its sort keys.
 struct QueuedMessage {
     urgency: f64,
     objective_at: Millis,
@@ -16,7 +16,7 @@
 }
 
 impl QueuedMessage {
-    /// The more urgent one first, then the one whose latency objective ends first.
+    /// Order of sending: by decreasing urgency, then by the earlier latency objective, then by handle.
     fn order(first: &Self, second: &Self) -> Ordering {
         let by_urgency = second.urgency.total_cmp(&first.urgency);
         let by_objective = first.objective_at.total_cmp(&second.objective_at);
@@ -26,14 +26,14 @@
 
 /// The waiting messages of a destination, the most urgent one first.
 pub(crate) struct DestinationQueue {
-    /// The urgency of the messages that its next call can carry.
+    /// Sum of the urgencies of the messages that the next call can carry.
     urgency: f64,
     pub destination: DestinationId,
     pub messages: VecDeque<MessageHandle>,
 }
 
 impl DestinationQueue {
-    /// The one with the more urgent next call first.
+    /// Order of serving: by decreasing urgency of the next call, then by destination.
     pub fn order(first: &Self, second: &Self) -> Ordering {
         let by_urgency = second.urgency.total_cmp(&first.urgency);
         by_urgency.then(first.destination.cmp(&second.destination))
@@ -50,7 +50,7 @@
         };
         let mut queue: Vec<QueuedMessage> = self.waiting.iter().filter_map(queued).collect();
         queue.sort_by(QueuedMessage::order);
-        // Where slots are scarce, a call of many messages is sent first.
+        // The sum prefers calls that carry many messages, where slots are scarce.
         let urgency = queue.iter().take(self.max_batch).map(|queued| queued.urgency).sum();
         let messages = queue.into_iter().map(|queued| queued.id).collect();
         DestinationQueue { urgency, destination: self.id, messages }
--- a/crates/policy/src/destination/results.rs
+++ b/crates/policy/src/destination/results.rs
@@ -1,4 +1,4 @@
-//! Records the results of attempts at their call, its route, its throttle and its circuit breakers.
+//! Records the results of attempts: at the call, and at the throttle and circuit breakers of its route.
 
 use super::Destination;
 use super::outage_detection::CallResult;
@@ -10,8 +10,8 @@
 use crate::slots::CallSlots;
 
 impl Destination {
-    /// Records the result of an attempt. Returns when and by which route it may have been executed, if its
-    /// call is known.
+    /// Records the result of an attempt. Returns when and by which route the attempt was sent, if its call is
+    /// known; whether it may have been executed depends on the outcome.
     pub fn record_result(
         &mut self,
         context: &mut Context,
@@ -20,12 +20,13 @@
         result: &AttemptResult,
     ) -> Option<PossibleExecution> {
         let call = self.calls.get(call)?;
-        let index = self.route_index(call.route)?;
-        let zone = self.routes[index].zone;
-        // The messages of a call may report the same Retry-After in several batches: the last one counts.
+        let route_index = self.route_index(call.route)?;
+        let zone = self.routes[route_index].zone;
+        // Messages of one call may report the same Retry-After in several batches of events. Each of them
+        // backs off again, so the last one counts.
         if result.outcome == Outcome::Rejected && result.retry_after > 0.0 {
-            let shared_rate = self.shared_rate(Scope::Route(index), context.now);
-            self.throttle_mut(index).back_off(context, result.retry_after, shared_rate);
+            let shared_rate = self.shared_rate(Scope::Route(route_index), context.now);
+            self.throttle_mut(route_index).back_off(context, result.retry_after, shared_rate);
         }
         if result.outcome == Outcome::Ok {
             self.calls.count_later_success(call.route, call.sent_at);
@@ -35,35 +36,36 @@
             slots.release();
         }
         if position.is_first && counts_at_throttle(result.outcome) {
-            self.record_call_result(context, index, &call, result);
+            self.record_call_result(context, route_index, &call, result);
         }
         Some(PossibleExecution { sent_at: call.sent_at, route: call.route, zone })
     }
 
-    /// Records the first result of a call at its throttle and its circuit breakers.
+    /// Records the first result of a call at the throttle and the circuit breakers of its route.
     fn record_call_result(
         &mut self,
         context: &mut Context,
-        index: usize,
+        route_index: usize,
         call: &Call,
         result: &AttemptResult,
     ) {
         let outcome = result.outcome;
         let is_rate_limited = call.is_rate_limited || !self.waiting.is_empty();
         if outcome == Outcome::Ok && is_rate_limited {
-            self.throttle_mut(index).increase_send_rate(context);
+            self.throttle_mut(route_index).increase_send_rate(context);
         }
-        let shows_outage = self.throttle_mut(index).record_result(context, outcome, result.retry_after);
-        let result = CallResult { sent_at: call.sent_at, outcome, shows_outage };
-        self.record_at_breakers(context, index, &result);
-        self.react_to_result(context, index, &result);
+        let indicates_outage =
+            self.throttle_mut(route_index).record_result(context, outcome, result.retry_after);
+        let result = CallResult { sent_at: call.sent_at, outcome, indicates_outage };
+        self.record_at_breakers(context, route_index, &result);
+        self.react_to_result(context, route_index, &result);
         if outcome == Outcome::Ok {
-            self.throttle_mut(index).record_latency(context.now - call.sent_at);
+            self.throttle_mut(route_index).record_latency(context.now - call.sent_at);
         }
     }
 }
 
-/// Whether an outcome shows anything of the limit or the receiver.
+/// Whether an outcome says anything about the limit or the receiver.
 fn counts_at_throttle(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::NotSent | Outcome::AttemptsExhausted | Outcome::Cancelled)
 }
--- a/crates/policy/src/destination/route.rs
+++ b/crates/policy/src/destination/route.rs
@@ -4,10 +4,11 @@
 use crate::interface::{Listing, Millis, RouteEntry, RouteId};
 use crate::throttle::Throttle;
 
-/// How long a route that the list removed is kept, in ms: the list may name it again.
+/// How long a route that was removed from the list is kept, in ms, because it may be listed again.
 const REMOVED_ROUTE_TTL: Millis = 60_000.0;
 
-/// An endpoint. Removed some time after the list removed it, once no call is in flight to it.
+/// An endpoint. Kept for [`REMOVED_ROUTE_TTL`] after the list removed it, and while calls are in flight to
+/// it.
 #[derive(Debug)]
 pub(super) struct Route {
     pub id: RouteId,
@@ -15,16 +16,16 @@
     pub listing: Listing,
     /// Whether other senders have ejected it as an outlier.
     pub ejected: bool,
-    /// Unused if all routes share a throttle.
+    /// Not used if all routes share a throttle.
     pub throttle: Throttle,
     pub breaker: CircuitBreaker,
     pub last_used_at: Millis,
-    /// Since when the list no longer names it.
+    /// Since when the route is removed from the list.
     removed_at: Option<Millis>,
 }
 
 impl Route {
-    /// A route that no call has used yet.
+    /// Creates a route from its entry in the list, with a closed circuit breaker.
     pub fn new(entry: &RouteEntry, throttle: Throttle) -> Self {
         Self {
             id: entry.route,
@@ -38,18 +39,18 @@
         }
     }
 
-    /// Whether the list says that calls may start.
+    /// Whether the list allows new calls to the route.
     pub fn is_ready(&self) -> bool {
         self.listing == Listing::Ready
     }
 
-    /// Records since when the list no longer names it.
+    /// Updates `removed_at` after a change of the list.
     pub fn update_removal(&mut self, now: Millis) {
         let is_removed = self.listing == Listing::Removed;
         self.removed_at = is_removed.then(|| self.removed_at.unwrap_or(now));
     }
 
-    /// Whether the list removed it so long ago that it may be dropped.
+    /// Whether the route was removed from the list more than [`REMOVED_ROUTE_TTL`] ago.
     pub fn is_outdated(&self, now: Millis) -> bool {
         self.removed_at.is_some_and(|removed_at| now - removed_at > REMOVED_ROUTE_TTL)
     }
--- a/crates/policy/src/destination/scope.rs
+++ b/crates/policy/src/destination/scope.rs
@@ -1,4 +1,4 @@
-//! Which throttle and which circuit breakers cover a route.
+//! The scopes of throttles and circuit breakers: one route, or all routes of a destination.
 
 use super::Destination;
 use crate::circuit_breaker::CircuitBreaker;
@@ -8,7 +8,7 @@
 /// What a throttle or a circuit breaker covers: one route, or all routes of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Scope {
-    /// One route, by its index in the destination.
+    /// One route, by its index in [`Destination::routes`].
     Route(usize),
     /// All routes of the destination.
     All,
@@ -16,19 +16,19 @@
 
 impl Destination {
     /// The throttle that counts a route's calls.
-    pub(super) fn throttle(&self, route: usize) -> &Throttle {
-        if self.limit_per_route { &self.routes[route].throttle } else { &self.shared_throttle }
+    pub(super) fn throttle(&self, route_index: usize) -> &Throttle {
+        if self.limit_per_route { &self.routes[route_index].throttle } else { &self.shared_throttle }
     }
 
     /// [`Destination::throttle`], mutably.
-    pub(super) fn throttle_mut(&mut self, route: usize) -> &mut Throttle {
-        if self.limit_per_route { &mut self.routes[route].throttle } else { &mut self.shared_throttle }
+    pub(super) fn throttle_mut(&mut self, route_index: usize) -> &mut Throttle {
+        if self.limit_per_route { &mut self.routes[route_index].throttle } else { &mut self.shared_throttle }
     }
 
     /// The throttle that counts a scope's calls.
     pub(super) fn throttle_of(&self, scope: Scope) -> &Throttle {
         match scope {
-            Scope::Route(index) => self.throttle(index),
+            Scope::Route(route_index) => self.throttle(route_index),
             Scope::All => &self.shared_throttle,
         }
     }
@@ -36,7 +36,7 @@
     /// [`Destination::throttle_of`], mutably.
     pub(super) fn throttle_of_mut(&mut self, scope: Scope) -> &mut Throttle {
         match scope {
-            Scope::Route(index) => self.throttle_mut(index),
+            Scope::Route(route_index) => self.throttle_mut(route_index),
             Scope::All => &mut self.shared_throttle,
         }
     }
@@ -44,7 +44,7 @@
     /// The circuit breaker of a scope.
     pub(super) fn breaker(&self, scope: Scope) -> &CircuitBreaker {
         match scope {
-            Scope::Route(index) => &self.routes[index].breaker,
+            Scope::Route(route_index) => &self.routes[route_index].breaker,
             Scope::All => &self.shared_breaker,
         }
     }
@@ -52,14 +52,14 @@
     /// [`Destination::breaker`], mutably.
     pub(super) fn breaker_mut(&mut self, scope: Scope) -> &mut CircuitBreaker {
         match scope {
-            Scope::Route(index) => &mut self.routes[index].breaker,
+            Scope::Route(route_index) => &mut self.routes[route_index].breaker,
             Scope::All => &mut self.shared_breaker,
         }
     }
 
     /// The scopes whose circuit breakers cover a route, the widest first.
-    pub(super) fn breaker_scopes(&self, route: usize) -> impl Iterator<Item = Scope> + use<> {
-        self.shared_scope().into_iter().chain([Scope::Route(route)])
+    pub(super) fn breaker_scopes(&self, route_index: usize) -> impl Iterator<Item = Scope> + use<> {
+        self.shared_scope().into_iter().chain([Scope::Route(route_index)])
     }
 
     /// The scopes that have a circuit breaker, the widest first.
@@ -69,8 +69,8 @@
 
     /// The scopes that have a throttle of their own.
     pub(super) fn throttle_scopes(&self) -> impl Iterator<Item = Scope> + use<> {
-        let routes = if self.limit_per_route { self.routes.len() } else { 0 };
-        self.shared_scope().into_iter().chain((0..routes).map(Scope::Route))
+        let route_scopes = if self.limit_per_route { self.routes.len() } else { 0 };
+        self.shared_scope().into_iter().chain((0..route_scopes).map(Scope::Route))
     }
 
     /// The scope of all routes, if they share a limit.
@@ -78,7 +78,7 @@
         (!self.limit_per_route).then_some(Scope::All)
     }
 
-    /// The scope of the throttle of a named route, or of all routes where they share one.
+    /// The scope of the throttle of a route. Where routes share a throttle, `route` is ignored.
     pub(super) fn throttle_scope(&self, route: Option<RouteId>) -> Option<Scope> {
         if !self.limit_per_route {
             return Some(Scope::All);
@@ -86,17 +86,17 @@
         self.route_index(route?).map(Scope::Route)
     }
 
-    /// How the host names a scope that has a throttle.
+    /// The scope as the host identifies it; only scopes with a throttle of their own have one.
     pub(super) fn limit_scope(&self, scope: Scope) -> LimitScope {
         let route = match scope {
-            Scope::Route(index) => Some(self.routes[index].id),
+            Scope::Route(route_index) => Some(self.routes[route_index].id),
             Scope::All => None,
         };
         LimitScope { destination: self.id, route }
     }
 
-    /// The indices of the routes that the list says may be sent to.
+    /// The indices of the routes to which the list allows new calls.
     pub(super) fn ready_routes(&self) -> impl Iterator<Item = usize> {
-        (0..self.routes.len()).filter(|&index| self.routes[index].is_ready())
+        (0..self.routes.len()).filter(|&route_index| self.routes[route_index].is_ready())
     }
 }
--- a/crates/policy/src/destination/send.rs
+++ b/crates/policy/src/destination/send.rs
@@ -1,4 +1,4 @@
-//! Sends a call: schedules the next one, and sets the time-out of each attempt.
+//! Sends a call: schedules the next call, and sets the time-out of each attempt.
 
 use super::Destination;
 use super::dispatch::Dispatch;
@@ -9,18 +9,23 @@
 use crate::messages::PendingMessage;
 
 /// Time-out of an attempt, as a multiple of the time after which it is overdue.
-const TIMEOUT_STRETCH: f64 = 3.0;
+const TIMEOUT_MULTIPLE: f64 = 3.0;
 
 impl Destination {
     /// Sends a call with these messages by a route.
-    pub(super) fn send(&mut self, dispatch: &mut Dispatch<'_>, batch: Vec<MessageHandle>, index: usize) {
-        let is_rate_limited = self.schedule_next_call(dispatch.context, index);
+    pub(super) fn send(
+        &mut self,
+        dispatch: &mut Dispatch<'_>,
+        batch: Vec<MessageHandle>,
+        route_index: usize,
+    ) {
+        let is_rate_limited = self.schedule_next_call(dispatch.context, route_index);
         self.waiting.retain(|id| !batch.contains(id));
-        self.schedule_at_breakers(dispatch.context, index);
-        let call = self.begin_call(dispatch, index, batch.len(), is_rate_limited);
+        self.schedule_at_breakers(dispatch.context, route_index);
+        let call = self.begin_call(dispatch, route_index, batch.len(), is_rate_limited);
         for id in batch {
             let Some(message) = dispatch.messages.get_mut(id) else { continue };
-            let timeout = self.attempt_timeout(dispatch.context, message, index);
+            let timeout = self.attempt_timeout(dispatch.context, message, route_index);
             message.begin_attempt(call.id);
             let start_within = message.outcome_due_at - dispatch.context.now;
             dispatch.actions.push(Action::Send { id, route: call.route, timeout, start_within });
@@ -28,16 +33,16 @@
     }
 
     /// Schedules the next draw at the route's throttle. Returns whether the send rate limits the calls.
-    fn schedule_next_call(&mut self, context: &mut Context, index: usize) -> bool {
-        let shared_rate = self.shared_rate(Scope::Route(index), context.now);
-        self.throttle_mut(index).record_call(context, shared_rate)
+    fn schedule_next_call(&mut self, context: &mut Context, route_index: usize) -> bool {
+        let shared_rate = self.shared_rate(Scope::Route(route_index), context.now);
+        self.throttle_mut(route_index).record_call(context, shared_rate)
     }
 
     /// Schedules the next probe, or the next call of slow start, at the route's circuit breakers.
-    fn schedule_at_breakers(&mut self, context: &mut Context, index: usize) {
-        for scope in self.breaker_scopes(index) {
+    fn schedule_at_breakers(&mut self, context: &mut Context, route_index: usize) {
+        for scope in self.breaker_scopes(route_index) {
             let limits = self.recovery_limits(context, scope);
-            let overdue_after = self.overdue_after(index);
+            let overdue_after = self.overdue_after(route_index);
             self.breaker_mut(scope).record_call(context, &limits, overdue_after);
         }
     }
@@ -45,26 +50,26 @@
     fn begin_call(
         &mut self,
         dispatch: &mut Dispatch<'_>,
-        index: usize,
+        route_index: usize,
         messages: usize,
         is_rate_limited: bool,
     ) -> Call {
         let now = dispatch.context.now;
-        let route = &mut self.routes[index];
+        let route = &mut self.routes[route_index];
         route.last_used_at = now;
         let call = Call::new(dispatch.slots.acquire(), route.id, now, messages, is_rate_limited);
-        self.calls.begin(call);
+        self.calls.add(call);
         call
     }
 
-    /// The time-out of an attempt: it leaves time for a retry, unless the message must not be repeated.
-    fn attempt_timeout(&self, context: &Context, message: &PendingMessage, index: usize) -> Millis {
+    /// The time-out of an attempt. The time-out leaves time for a retry, unless the message must not be repeated.
+    fn attempt_timeout(&self, context: &Context, message: &PendingMessage, route_index: usize) -> Millis {
         let time_left = message.weight.expires_at - context.now;
-        let usual = self.overdue_after(index) * TIMEOUT_STRETCH;
+        let retryable_timeout = self.overdue_after(route_index) * TIMEOUT_MULTIPLE;
         let timeout = match message.effect(&context.settings) {
             Effect::NotIdempotent => time_left,
-            Effect::Idempotent => usual,
-            Effect::IdempotencyKey { window, .. } => usual.min(window / 2.0),
+            Effect::Idempotent => retryable_timeout,
+            Effect::IdempotencyKey { window, .. } => retryable_timeout.min(window / 2.0),
         };
         timeout.min(time_left)
     }
--- a/crates/policy/src/destinations.rs
+++ b/crates/policy/src/destinations.rs
@@ -1,4 +1,4 @@
-//! All destinations, as the endpoint list names them, and which of them have waiting messages.
+//! All destinations, in step with the endpoint list, and which of them have waiting messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,20 @@
 use crate::interface::{DestinationId, Listing, MessageHandle, Millis, RouteEntry, RouteId};
 use crate::throttle::CapacitySource;
 
-/// The destinations by id.
+/// The destinations of the endpoint list, and removed ones that still have waiting messages.
 #[derive(Debug, Default)]
 pub(crate) struct Destinations {
     by_id: BTreeMap<DestinationId, Destination>,
-    /// Destinations with waiting messages: only these are served.
-    busy: BTreeSet<DestinationId>,
+    /// Destinations with waiting messages; the others need not be served.
+    with_waiting_messages: BTreeSet<DestinationId>,
 }
 
 /// Access and waiting messages.
 impl Destinations {
-    /// A destination.
     pub fn get_mut(&mut self, id: DestinationId) -> Option<&mut Destination> {
         self.by_id.get_mut(&id)
     }
 
-    /// All destinations.
     pub fn iter(&self) -> impl Iterator<Item = &Destination> {
         self.by_id.values()
     }
@@ -31,34 +29,35 @@
         self.by_id.entry(id).or_insert_with(|| Destination::new(id))
     }
 
-    /// Adds a waiting message to a destination, whether the list names it or not.
+    /// Adds a waiting message to a destination, which need not be in the list.
     pub fn enqueue(&mut self, id: DestinationId, message: MessageHandle) {
         self.get_or_insert(id).enqueue(message);
-        self.busy.insert(id);
+        self.with_waiting_messages.insert(id);
     }
 
-    /// Destinations with waiting messages.
-    pub fn busy(&self) -> impl Iterator<Item = &Destination> {
-        self.busy.iter().filter_map(|id| self.by_id.get(id))
+    /// The destinations with waiting messages, as of the last update.
+    pub fn with_waiting_messages(&self) -> impl Iterator<Item = &Destination> {
+        self.with_waiting_messages.iter().filter_map(|id| self.by_id.get(id))
     }
 
-    /// Updates which destinations have waiting messages.
-    pub fn remove_idle_from_busy(&mut self) {
+    /// Removes the destinations whose messages no longer wait from the set of those with waiting messages.
+    pub fn update_with_waiting_messages(&mut self) {
         let by_id = &self.by_id;
-        self.busy.retain(|id| by_id.get(id).is_some_and(|destination| !destination.waiting().is_empty()));
+        self.with_waiting_messages
+            .retain(|id| by_id.get(id).is_some_and(|destination| !destination.waiting().is_empty()));
     }
 }
 
 /// Changes of the endpoint list.
 impl Destinations {
-    /// Marks all routes as removed, before a complete list names those that are left.
+    /// Marks all routes as removed, before the entries of a complete list are applied.
     pub fn remove_all_routes(&mut self) {
         for destination in self.by_id.values_mut() {
             destination.remove_all_routes();
         }
     }
 
-    /// Applies the entries of a list, and drops what it removed long ago.
+    /// Applies entries of the list, and drops routes that were removed long ago.
     pub fn apply_entries(&mut self, context: &Context, entries: &[RouteEntry], source: CapacitySource) {
         for entry in entries {
             let destination = self.by_id.get_mut(&entry.destination);
@@ -76,7 +75,7 @@
         self.get_or_insert(entry.destination).add_route(context, entry, kind, source);
     }
 
-    /// Drops the routes that the list removed long ago, and unused destinations.
+    /// Drops the routes that were removed from the list long ago, and unused destinations.
     fn drop_outdated_routes(&mut self, now: Millis) {
         for destination in self.by_id.values_mut() {
             destination.drop_outdated_routes(now);
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,6 +1,6 @@
-//! The types between a host and a [`Policy`](crate::Policy): settings, ids, events and actions.
+//! The types that a host and a [`Policy`](crate::Policy) exchange: settings, ids, events and actions.
 //!
-//! Types only, without decisions. Times are in milliseconds, on a monotonic clock of the host.
+//! This module makes no decisions. Times are in milliseconds, on a monotonic clock of the host.
 
 mod action;
 mod checks;
@@ -21,11 +21,11 @@
 /// A duration or a point in time, in milliseconds.
 pub type Millis = f64;
 
-/// Identifies a message; the host never uses it for another one.
+/// Identifies a message; the host must not use a handle for two messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageHandle(pub u32);
 
-/// Identifies one endpoint of a destination.
+/// Identifies a route, which is one endpoint of a destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteId(pub u64);
 
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,48 +1,49 @@
-//! The actions that a policy returns to its host, and its demand.
+//! The actions that a policy returns to its host, and the demand that it reports.
 
 use super::{LimitScope, MessageHandle, Millis, OutageState, RouteId};
 
 /// A sender's demand at one limit, and the calls that it has made there since it started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// The limit.
+    /// Which calls the limit covers.
     pub scope: LimitScope,
-    /// The listed limit, in calls per second of all senders together.
+    /// The listed limit on the calls of all senders together, in calls per second.
     pub limit: f64,
-    /// Calls for messages that wait, and for those expected before the next report.
+    /// Number of calls for the waiting messages and for those expected before the next report.
     pub calls_wanted: f64,
-    /// Calls made.
+    /// Number of calls made.
     pub called: u64,
-    /// Calls that the destination rejected.
+    /// Number of calls that the destination rejected.
     pub rejected: u64,
-    /// Calls that failed: without an answer, or with an error.
+    /// Number of calls that failed, without an answer or with an error.
     pub failed: u64,
 }
 
-/// An action for the host to carry out.
+/// An action for the host to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the next attempt of a message. Attempts of one batch of events by one route share calls, each
-    /// with at most `max_batch` messages of the destination's kind.
+    /// Start the next attempt of a message. The host combines the attempts of one batch of events by one
+    /// route into calls, each with at most the `max_batch` messages of the destination's
+    /// [`Kind`](super::Kind).
     Send {
         /// The message.
         id: MessageHandle,
-        /// The route that it is sent by.
+        /// The route by which the message is sent.
         route: RouteId,
-        /// Time-out of the attempt.
+        /// Time-out of the attempt, from now.
         timeout: Millis,
-        /// The last byte must be written within this time, else the attempt must not be sent: the window of
-        /// the message's idempotency key may be over.
+        /// The last byte must be written within this time; otherwise the attempt must not be sent, because
+        /// the window of the message's idempotency key may have ended.
         start_within: Millis,
     },
-    /// Complete a message undelivered; the client may safely submit it again.
+    /// Complete a message as refused: not delivered, and the client may safely submit it again.
     Refuse {
         /// The message.
         id: MessageHandle,
         /// Retry-After for the client; 0 for none.
         retry_after: Millis,
     },
-    /// Complete a message as failed; it may or may not have taken effect.
+    /// Complete a message as failed; the message may have taken effect.
     Fail {
         /// The message.
         id: MessageHandle,
@@ -54,7 +55,7 @@
         /// Identifies the wake-up in the event.
         token: u64,
     },
-    /// Cancel an attempt; it may have taken effect.
+    /// Cancel an attempt; the message may have taken effect.
     Cancel {
         /// The message.
         id: MessageHandle,
@@ -68,12 +69,12 @@
     },
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Record an outage for the time after a restart, in place of the record of the same scope. The record
-    /// may be dropped after a minute.
+    /// Persist an outage for the time after a restart, in place of the persisted one of the same scope. The
+    /// host may delete it after a minute.
     Remember {
-        /// What is in the outage.
+        /// Which calls the outage concerns.
         scope: LimitScope,
-        /// Its state.
+        /// The state of the outage.
         outage: OutageState,
     },
 }
--- a/crates/policy/src/interface/checks.rs
+++ b/crates/policy/src/interface/checks.rs
@@ -3,11 +3,11 @@
 use super::{Class, Effect, Settings};
 
 impl Settings {
-    /// Checks that all numbers are within their ranges.
+    /// Checks that there are classes and kinds, and that all numbers are within their ranges.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first that is not.
+    /// [`SettingsError`] names the first field that is invalid.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -15,13 +15,13 @@
         if self.kinds.is_empty() {
             return Err(SettingsError::NoKinds);
         }
-        let classes = |holds: fn(&Class) -> bool| self.classes.iter().all(holds);
-        for (name, fits) in [
-            ("deadline", classes(|class| is_positive(class.deadline))),
-            ("latency_objective", classes(|class| is_positive(class.latency_objective))),
-            ("value", classes(|class| is_not_negative(class.value))),
-            ("late_value", classes(|class| (0.0..=1.0).contains(&class.late_value))),
-            ("key window", classes(has_valid_key_window)),
+        let all_classes = |is_valid: fn(&Class) -> bool| self.classes.iter().all(is_valid);
+        for (field, is_valid) in [
+            ("deadline", all_classes(|class| is_positive(class.deadline))),
+            ("latency_objective", all_classes(|class| is_positive(class.latency_objective))),
+            ("value", all_classes(|class| is_not_negative(class.value))),
+            ("late_value", all_classes(|class| (0.0..=1.0).contains(&class.late_value))),
+            ("key window", all_classes(has_valid_key_window)),
             ("max_batch", self.kinds.iter().all(|kind| kind.max_batch > 0)),
             ("quota_per_s", self.tenants.iter().all(|tenant| is_not_negative(tenant.quota_per_s))),
             ("slots", self.slots > 0),
@@ -35,8 +35,8 @@
             ("ordering_key_pause", is_not_negative(self.ordering_key_pause)),
             ("tick", is_not_negative(self.tick)),
         ] {
-            if !fits {
-                return Err(SettingsError::OutOfRange(name));
+            if !is_valid {
+                return Err(SettingsError::OutOfRange(field));
             }
         }
         Ok(())
@@ -62,20 +62,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// There is no class of message.
+    /// The settings contain no class of message.
     NoClasses,
-    /// There is no kind of destination.
+    /// The settings contain no kind of destination.
     NoKinds,
-    /// A number is not within its range; the name of its field.
+    /// A number is outside its range; contains the name of the field.
     OutOfRange(&'static str),
 }
 
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::NoClasses => f.write_str("settings name no class of message"),
-            Self::NoKinds => f.write_str("settings name no kind of destination"),
-            Self::OutOfRange(name) => write!(f, "setting {name} is out of range"),
+            Self::NoClasses => f.write_str("classes is empty: must have at least one class of message"),
+            Self::NoKinds => f.write_str("kinds is empty: must have at least one kind of destination"),
+            Self::OutOfRange(field) => write!(f, "setting {field} is out of range"),
         }
     }
 }
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -8,23 +8,24 @@
 /// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Delivered.
+    /// The message was delivered.
     Ok,
-    /// The destination answered with an error; it may have taken effect.
+    /// The destination answered with an error; the message may have taken effect.
     Error,
-    /// Rejected unprocessed, as above the limit or in an outage.
+    /// The destination rejected the message without processing it, because of the limit or an outage.
     Rejected,
-    /// No answer in time; it may have taken effect, or may still do so.
+    /// No answer was received in time; the message may have taken effect, or may still do so.
     Timeout,
-    /// No connection; it has not taken effect.
+    /// The connection could not be opened; the message has not taken effect.
     ConnectFailed,
-    /// The connection broke; it may have taken effect.
+    /// The connection was closed or reset before the answer; the message may have taken effect.
     Reset,
-    /// Cancelled; it may have taken effect.
+    /// The attempt was cancelled; the message may have taken effect.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// Never sent, as no attempt is left. The final outcome of the message is still due.
+    /// The attempt was never sent, because the maximum number of attempts is reached. The policy still has to
+    /// give the message its final outcome.
     AttemptsExhausted,
 }
 
@@ -45,42 +46,42 @@
     pub id: MessageHandle,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// Its outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// For [`Outcome::Rejected`]: its Retry-After; 0 for none.
+    /// Retry-After of the answer, for [`Outcome::Rejected`]; 0 for none.
     pub retry_after: Millis,
-    /// Whether the message is completed: it needs neither a retry nor a final outcome.
+    /// Whether the message is completed, so that it needs neither a retry nor a final outcome.
     pub completed: bool,
 }
 
-/// An event since the last batch.
+/// An event that the host reports in a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list has changed.
     List(ListChange),
-    /// A message was submitted.
+    /// A client has submitted a message.
     Message(Message),
     /// A message that was accepted before a restart has no final outcome yet.
     Recovered(Message, AttemptHistory),
-    /// An outage from before a restart. Follows the endpoint list.
+    /// An outage that was persisted before a restart. Must come after the first [`Event::List`].
     Remembered(RememberedOutage),
     /// Another process of this sender has received a Retry-After.
     RetryAfter(RetryAfterUpdate),
     /// This sender's share of a limit has changed.
     Capacity(CapacityUpdate),
-    /// The permits of a limit, in place of those reported before.
+    /// Permits of a limit, in place of those reported before.
     Permits(PermitUpdate),
-    /// Routes that other senders have ejected as outliers, in place of those reported before; other routes
-    /// are preferred.
+    /// Routes that other senders have ejected as outliers, in place of those reported before. The policy
+    /// prefers other routes.
     EjectedReceivers(Vec<RouteId>),
-    /// This sender's share of a tenant's quota, by the usage of the whole fleet.
+    /// This sender's share of a tenant's quota, calculated from the usage of the whole fleet.
     Quota {
-        /// The tenant, by index.
+        /// Index of the tenant in the settings.
         tenant: usize,
         /// Messages per second; `None` if the usage of other senders is unknown.
         per_s: Option<f64>,
     },
-    /// A response has started to stream: the attempt now lasts until the client or the destination ends it.
+    /// A response has started to stream; the attempt now lasts until the client or the destination ends it.
     Started {
         /// The message.
         id: MessageHandle,
@@ -91,13 +92,13 @@
     Outcome(AttemptResult),
     /// The client has disconnected. The results of attempts in flight are still reported.
     Dropped(MessageHandle),
-    /// A wake-up that [`Action::Wake`](super::Action::Wake) has requested.
+    /// A wake-up that [`Action::Wake`](super::Action::Wake) requested has fired; contains its token.
     Wake(u64),
     /// The result of a health check.
     HealthChecked {
         /// The route.
         route: RouteId,
-        /// Its outcome.
+        /// Outcome of the health check.
         outcome: Outcome,
     },
 }
--- a/crates/policy/src/interface/list.rs
+++ b/crates/policy/src/interface/list.rs
@@ -1,16 +1,16 @@
-//! The endpoint list, and the messages that are submitted.
+//! The endpoint list, and submitted messages with their attempt history.
 
 use super::{DestinationId, MessageHandle, Millis, RouteId};
 
-/// The state of a route in the endpoint list, which does not include its health.
+/// The state of a route in the endpoint list; health is not part of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Listing {
-    /// Takes calls.
+    /// The route accepts new calls.
     #[default]
     Ready,
-    /// Draining: takes no new calls.
+    /// The route is draining and accepts no new calls.
     Draining,
-    /// Removed.
+    /// The route was removed from the list.
     Removed,
 }
 
@@ -19,54 +19,55 @@
 pub struct RouteEntry {
     /// The route.
     pub route: RouteId,
-    /// Its destination.
+    /// The destination of the route.
     pub destination: DestinationId,
-    /// Its zone.
+    /// Zone of the endpoint, as an index.
     pub zone: u8,
-    /// Its destination's kind.
+    /// Kind of the destination, as an index into [`Settings::kinds`](super::Settings::kinds).
     pub kind: u16,
-    /// Its state in the list.
+    /// State of the route in the list.
     pub listing: Listing,
-    /// The listed rate; see [`RateHint`](super::RateHint).
+    /// The listed rate, in calls per second; [`RateHint`](super::RateHint) defines its meaning.
     pub rate: f64,
 }
 
 /// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListChange {
-    /// The complete list: routes that are not in it are removed.
+    /// The complete list; routes that are not in it are removed.
     Full(Vec<RouteEntry>),
-    /// The complete list from a cache, perhaps stale.
+    /// The complete list from a cache; it may be stale.
     Cached(Vec<RouteEntry>),
-    /// Changed entries only.
+    /// The changed entries only.
     Delta(Vec<RouteEntry>),
-    /// A subscription or fetch failed, or the subscription broke; the list is as before.
+    /// A subscription or fetch has failed, or the subscription was interrupted; the list is unchanged.
     Failed,
 }
 
 /// A message that was submitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// Its id.
+    /// Handle that the host has assigned to the message.
     pub id: MessageHandle,
-    /// Its class.
+    /// Class of the message, as an index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// Its tenant; ignored where there are none.
+    /// Tenant of the message, as an index; ignored if [`Settings::tenants`](super::Settings::tenants) is
+    /// empty.
     pub tenant: usize,
-    /// Its ordering key; 0 for none.
+    /// Ordering key of the message; 0 for none.
     pub ordering_key: u64,
-    /// Time until it expires.
+    /// Time from now until the message expires.
     pub time_left: Millis,
-    /// An estimate of its processing time, if known.
+    /// Estimated processing time of the message, if known.
     pub work_estimate: Option<Millis>,
-    /// Its destination.
+    /// Destination of the message.
     pub destination: DestinationId,
 }
 
 /// The attempts of a message before a restart, as the host has recorded them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptHistory {
-    /// Number of attempts; none of them is in flight.
+    /// Number of attempts, none of which is still in flight.
     pub attempts: u32,
     /// The first attempt that may have taken effect.
     pub possibly_executed: Option<PriorExecution>,
@@ -75,10 +76,10 @@
 /// An attempt before a restart that may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PriorExecution {
-    /// How long ago it was sent.
+    /// Time since the attempt was sent.
     pub ago: Millis,
-    /// The route that it was sent by; it may have been removed since.
+    /// The route by which the attempt was sent; it may have been removed since.
     pub route: RouteId,
-    /// The route's zone.
+    /// The zone of the route.
     pub zone: u8,
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -2,19 +2,20 @@
 
 use super::Millis;
 
-/// What a retry does if an earlier attempt has taken effect.
+/// The effect of a retry if an earlier attempt has already taken effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// A retry is harmless.
+    /// The message is idempotent, so any retry is safe.
     Idempotent,
-    /// The routes of a group discard retries with the same idempotency key for a limited time.
+    /// Retries are safe within a group of routes for a limited time: the group discards retries with the same
+    /// idempotency key.
     IdempotencyKey {
         /// The routes that share their idempotency keys.
         group: KeyGroup,
-        /// How long a key is remembered, from the time the first possibly executed attempt was sent.
+        /// Time for which a key is stored, from the time the first possibly executed attempt was sent.
         window: Millis,
     },
-    /// It must not take effect twice: no retry.
+    /// The message must not take effect twice, so there is no retry after a possible execution.
     NotIdempotent,
 }
 
@@ -25,16 +26,16 @@
     All,
     /// The routes of the destination in one zone.
     Zone,
-    /// Only the route that was used.
+    /// Only the route that was used for the first attempt.
     Route,
 }
 
-/// How the value of a delivery falls once its latency objective has passed.
+/// How the value of a delivery decreases after the latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LateDecay {
-    /// Evenly, down to the late value at the deadline.
+    /// Linearly, down to the late value at the deadline.
     Linear,
-    /// By half for each further latency objective, down to the late value.
+    /// By half for each period of one more latency objective, down to the late value.
     Halving,
 }
 
@@ -45,13 +46,13 @@
     pub value: f64,
     /// Time within which a delivery has its full value.
     pub latency_objective: Millis,
-    /// The latency objective increases by this multiple of the message's estimated processing time.
+    /// Multiple of the message's estimated processing time that is added to the latency objective.
     pub latency_objective_stretch: f64,
     /// Time from the first submission until a message expires.
     pub deadline: Millis,
-    /// Share of the value that remains at the deadline, from 0 to 1.
+    /// Fraction of the value that remains at the deadline, from 0 to 1.
     pub late_value: f64,
-    /// What a retry may do.
+    /// The effect of a retry.
     pub effect: Effect,
     /// Whether messages with the same ordering key are sent one at a time, in the order of acceptance.
     pub ordered: bool,
@@ -69,27 +70,27 @@
 /// A customer with a quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Messages per second within its quota, over all senders.
+    /// Quota of the tenant over all senders, in messages per second.
     pub quota_per_s: f64,
 }
 
-/// What the listed rate of a route means.
+/// The meaning of the listed rate of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateHint {
-    /// Nothing.
+    /// The listed rate is not used.
     None,
     /// Calls per second that the destination, or the route, accepts from all senders together.
     Nominal,
-    /// The same, with an error of up to half.
+    /// The same as [`RateHint::Nominal`], with an error of up to half.
     Rough,
 }
 
 /// How changes of the endpoint list arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Discovery {
-    /// They are pushed.
+    /// Changes are pushed.
     Pushed,
-    /// They arrive only after a subscription or fetch.
+    /// Changes are received only after a subscription or fetch.
     OnRequest {
         /// Time without a subscription or fetch after which a sender counts as informed.
         ask_within: Millis,
@@ -107,15 +108,15 @@
     pub classes: Vec<Class>,
     /// Kinds of destination, by index.
     pub kinds: Vec<Kind>,
-    /// Tenants, by index; some deployments have none.
+    /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Value of a message beyond its tenant's quota, as a fraction of its class's.
+    /// Value of a message above its tenant's quota, as a fraction of the value of its class.
     pub over_quota_value: f64,
-    /// How values fall after the latency objective.
+    /// How the value of a delivery decreases after the latency objective.
     pub late_decay: LateDecay,
     /// Maximum number of calls in flight.
     pub slots: usize,
-    /// Maximum number of pending messages; the host rejects more.
+    /// Maximum number of pending messages; the host rejects further ones.
     pub max_pending: usize,
     /// Maximum number of attempts of a message.
     pub max_attempts: u32,
@@ -131,23 +132,24 @@
     pub streams_per_connection: usize,
     /// Time after which an idle connection is closed.
     pub idle_close: Millis,
-    /// Time after which connecting has failed.
+    /// Time after which a connection attempt fails.
     pub connect_timeout: Millis,
-    /// What listed rates mean.
+    /// The meaning of listed rates.
     pub rate_hint: RateHint,
     /// How changes of the endpoint list arrive.
     pub discovery: Discovery,
-    /// Price of an attempt that crosses zones.
+    /// Price of an attempt to another zone.
     pub cross_zone_price: f64,
     /// Price of a message that a route with its own limit accepts, by zone.
     pub zone_fees: Vec<f64>,
-    /// Minimum share of its capacity that a destination has when it recovers from an outage, above 0 up to 1.
+    /// Minimum fraction of its capacity that a destination has at the start of its recovery, above 0, up to
+    /// 1.
     pub recovery_start_share: f64,
-    /// Time from the recovery until a destination has its whole capacity.
+    /// Time from the start of the recovery until a destination has its full capacity.
     pub recovery_duration: Millis,
-    /// Multiple of its current capacity above which calls overload a destination.
+    /// Multiple of the current capacity of a destination above which calls overload it.
     pub overload_multiple: f64,
-    /// Time for which the calls must exceed that multiple to overload it.
+    /// Time for which calls must exceed `overload_multiple` to overload a destination.
     pub overload_duration: Millis,
     /// Time for which an ordering key is paused after an attempt that may still be running.
     pub ordering_key_pause: Millis,
--- a/crates/policy/src/key_ordering.rs
+++ b/crates/policy/src/key_ordering.rs
@@ -1,42 +1,43 @@
-//! The order of the messages of each ordering key, and which keys are paused.
+//! The order of messages with the same ordering key, and pauses of keys.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::{MessageHandle, Millis};
 
-/// The messages of each ordering key in the order they were accepted. A key is removed once it has no
+/// The pending messages of each ordering key in the order of acceptance. A key is removed once it has no
 /// messages and is not paused.
 #[derive(Debug, Default)]
 pub(crate) struct KeyOrdering {
     queues: BTreeMap<u64, KeyQueue>,
 }
 
-/// The messages of one key.
+/// The pending messages of one key, and its pause.
 #[derive(Debug, Default)]
 struct KeyQueue {
     messages: VecDeque<MessageHandle>,
-    /// Until when the key is paused, for all but one of its messages.
+    /// Until when the key is paused for all messages other than `paused_by`.
     paused_until: Millis,
-    /// The message that the pause does not apply to.
+    /// The message whose attempt may still be running; it may be retried during the pause.
     paused_by: Option<MessageHandle>,
 }
 
 impl KeyOrdering {
-    /// Appends a message to its key's queue; key 0 is no key.
+    /// Appends a message to the queue of its key; key 0 means no ordering.
     pub fn push(&mut self, key: u64, id: MessageHandle) {
         if key != 0 {
             self.queues.entry(key).or_default().messages.push_back(id);
         }
     }
 
-    /// Removes a message from its key's queue.
+    /// Removes a message from the queue of its key.
     pub fn remove(&mut self, key: u64, id: MessageHandle) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.messages.retain(|&waiting| waiting != id);
         }
     }
 
-    /// Pauses the key of a message whose attempt may still be running: until then no other one is sent.
+    /// Pauses the key of a message whose attempt may still be running. No other message of the key is sent
+    /// before `until`.
     pub fn pause(&mut self, key: u64, id: MessageHandle, until: Millis) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.paused_until = until;
@@ -52,7 +53,7 @@
         })
     }
 
-    /// When the pauses of the paused keys end.
+    /// The times at which the paused keys resume.
     pub fn pause_ends(&self, now: Millis) -> impl Iterator<Item = Millis> {
         self.queues.values().map(|queue| queue.paused_until).filter(move |&until| until > now)
     }
@@ -62,7 +63,6 @@
         self.queues.retain(|_, queue| !queue.messages.is_empty() || queue.paused_until > now);
     }
 
-    /// Number of keys.
     pub fn len(&self) -> usize {
         self.queues.len()
     }
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,16 +1,16 @@
-//! The smoothed mean latency of calls and its deviation.
+//! The moving average of call latency and its deviation, as TCP estimates round-trip times.
 
 use crate::interface::Millis;
 
-/// The mean before any call was answered, in ms.
+/// The mean latency before the first answer, in ms.
 const INITIAL_MEAN: Millis = 400.0;
 /// Weight of the newest call in the mean.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
 /// Weight of the newest call in the deviation.
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
-/// A call is overdue after the mean latency and this many deviations.
+/// A call is overdue after the mean latency plus this number of deviations.
 const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// Minimum time after which a call is overdue, in ms: short stalls are no outage.
+/// Minimum time after which a call is overdue, in ms, because a short stall is not an outage.
 const MIN_OVERDUE: Millis = 1_000.0;
 
 /// The latency of the answered calls through a throttle.
@@ -27,7 +27,7 @@
 }
 
 impl Latency {
-    /// Records the latency of an answered call.
+    /// Updates mean and deviation with the latency of an answered call.
     pub fn record(&mut self, latency: Millis) {
         let error = latency - self.mean;
         self.mean += error * MEAN_WEIGHT;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of a sender: client-side load balancing, admission and retry policy.
 //!
 //! A [`Policy`] decides when and by which route each message is sent, and gives every message one final
-//! outcome. It does no I/O, has no clock and starts no thread: the host calls it with the events since the
-//! last batch, and carries out the actions that it returns. Its random draws are seeded: the same events give
-//! the same actions.
+//! outcome. The policy does no I/O, has no clock and starts no thread: the host calls it with the events
+//! since the last batch, and executes the actions that it returns. Random draws come from a seeded generator,
+//! so the same events give the same actions.
 //!
 //! ```
 //! use rudderspindle_policy::Policy;
--- a/crates/policy/src/messages.rs
+++ b/crates/policy/src/messages.rs
@@ -10,7 +10,7 @@
 use crate::interface::{AttemptResult, DestinationId, MessageHandle, Millis, Outcome};
 use crate::key_ordering::KeyOrdering;
 
-/// The accepted messages; each is kept until it is completed and no attempt is in flight.
+/// The accepted messages. A message is removed once it is completed and no attempt is in flight.
 #[derive(Debug, Default)]
 pub(crate) struct PendingMessages {
     by_id: BTreeMap<MessageHandle, PendingMessage>,
@@ -18,49 +18,45 @@
 }
 
 impl PendingMessages {
-    /// Adds a message, as the last one of its ordering key.
+    /// Adds a message as the last one of its ordering key.
     pub fn insert(&mut self, id: MessageHandle, message: PendingMessage) {
         self.key_ordering.push(message.ordering_key, id);
         self.by_id.insert(id, message);
     }
 
-    /// Whether a message is pending.
     pub fn contains(&self, id: MessageHandle) -> bool {
         self.by_id.contains_key(&id)
     }
 
-    /// A message.
     pub fn get(&self, id: MessageHandle) -> Option<&PendingMessage> {
         self.by_id.get(&id)
     }
 
-    /// A message, mutably.
     pub fn get_mut(&mut self, id: MessageHandle) -> Option<&mut PendingMessage> {
         self.by_id.get_mut(&id)
     }
 
-    /// All messages.
+    /// The messages in the order of their handles.
     pub fn iter(&self) -> impl Iterator<Item = (MessageHandle, &PendingMessage)> {
         self.by_id.iter().map(|(&id, message)| (id, message))
     }
 
-    /// Number of messages.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Number of ordering keys that are kept.
+    /// Number of ordering keys that have messages or are paused.
     pub fn ordering_keys(&self) -> usize {
         self.key_ordering.len()
     }
 
-    /// Takes the call of an attempt out of its message; `None` if the attempt is not in flight.
+    /// Removes an attempt in flight from its message and returns it; `None` if the attempt is not in flight.
     pub fn take_in_flight(&mut self, id: MessageHandle, attempt: u32) -> Option<InFlightAttempt> {
         self.get_mut(id)?.in_flight.take_if(|in_flight| in_flight.attempt == attempt)
     }
 
-    /// Records at a message what an attempt may have executed; its ordering key is paused while the attempt
-    /// may still be running.
+    /// Records whether an attempt may have been executed. The message's ordering key is paused while the
+    /// attempt may still be running.
     pub fn record_result(
         &mut self,
         context: &Context,
@@ -82,7 +78,7 @@
         }
     }
 
-    /// A response has started to stream: the message no longer expires.
+    /// Records that a response has started to stream, after which the message no longer expires.
     pub fn record_start_of_response(&mut self, id: MessageHandle, attempt: u32) {
         let Some(message) = self.by_id.get_mut(&id) else { return };
         if message.in_flight.is_some_and(|in_flight| in_flight.attempt == attempt) {
@@ -90,8 +86,8 @@
         }
     }
 
-    /// Completes a message; it is removed once no attempt is in flight. Returns the destination of a removed
-    /// message.
+    /// Marks a message as completed, and removes it if no attempt is in flight. Returns the destination if
+    /// the message was removed.
     pub fn complete(&mut self, id: MessageHandle) -> Option<DestinationId> {
         let message = self.by_id.get_mut(&id)?;
         message.completed = true;
@@ -103,7 +99,7 @@
         Some(message.destination)
     }
 
-    /// The waiting message of least value that the client may safely submit again.
+    /// The least valuable waiting message that the client may safely submit again.
     pub fn least_valuable_refusable(&self, context: &Context) -> Option<MessageHandle> {
         let value = |message: &PendingMessage| context.settings.value_at(&message.weight, context.now);
         self.iter()
@@ -113,13 +109,13 @@
             .map(|(id, _)| id)
     }
 
-    /// Whether a message is next in the order of its ordering key, and the key is not paused.
+    /// Whether a message is the first of its ordering key, and the key is not paused for it.
     pub fn is_next_of_its_key(&self, id: MessageHandle, now: Millis) -> bool {
         let Some(message) = self.get(id) else { return false };
         self.key_ordering.is_next(message.ordering_key, id, now)
     }
 
-    /// When the pauses of the paused ordering keys end.
+    /// The times at which paused ordering keys resume.
     pub fn key_pause_ends(&self, now: Millis) -> impl Iterator<Item = Millis> {
         self.key_ordering.pause_ends(now)
     }
--- a/crates/policy/src/messages/pending.rs
+++ b/crates/policy/src/messages/pending.rs
@@ -1,4 +1,4 @@
-//! A pending message: when its final outcome is due, which outcome that is, and how urgent it is until then.
+//! A pending message: when its final outcome is due, whether it may be refused, and its urgency until then.
 
 use crate::calls::CallId;
 use crate::context::Context;
@@ -7,38 +7,38 @@
 };
 use crate::priority_weight::PriorityWeight;
 
-/// The final outcome is given two ticks and this time before a message expires, in ms.
+/// The final outcome is due two ticks and this time, in ms, before the message expires.
 const OUTCOME_MARGIN: Millis = 5.0;
-/// No attempt starts this close to the end of an idempotency key's window, in ms.
+/// No attempt starts within this time, in ms, before the end of an idempotency key's window.
 const KEY_WINDOW_MARGIN: Millis = 50.0;
-/// Time for which the loss of value by waiting is estimated, in ms.
-const LOOKAHEAD: Millis = 2_000.0;
+/// Waiting time, in ms, over which a message's loss of value is its urgency.
+const URGENCY_HORIZON: Millis = 2_000.0;
 
-/// A message that was accepted; kept until it is completed and no attempt is in flight.
+/// An accepted message; removed once it is completed and no attempt is in flight.
 #[derive(Debug)]
 pub(crate) struct PendingMessage {
     pub weight: PriorityWeight,
     pub destination: DestinationId,
     /// The ordering key; 0 for none.
     pub ordering_key: u64,
-    /// When its final outcome is due, while it waits.
+    /// When the final outcome is due if the message is still waiting.
     pub outcome_due_at: Millis,
-    /// Number of attempts that were started.
+    /// Number of attempts started, including those before a restart.
     pub attempts: u32,
     pub in_flight: Option<InFlightAttempt>,
     /// The first attempt that may have taken effect.
     pub possibly_executed: Option<PossibleExecution>,
-    /// Whether a throttle has counted it as a request that was dropped locally, since its last attempt.
+    /// Whether a throttle has dropped the message, and counted that as a request, since its last attempt.
     pub counted_as_dropped: bool,
     pub completed: bool,
 }
 
-/// The attempt of a message that has no outcome yet.
+/// The attempt of a message that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct InFlightAttempt {
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// The call that carries it.
+    /// The call that carries the attempt.
     pub call: CallId,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl PendingMessage {
-    /// A message that is accepted now, with the attempts of before a restart.
+    /// Creates a message that is accepted now; `history` has its attempts before a restart.
     pub fn new(context: &Context, message: &Message, history: &AttemptHistory, within_quota: bool) -> Self {
         let settings = &context.settings;
         let class_index = message.class.min(settings.classes.len() - 1);
@@ -82,7 +82,8 @@
         settings.classes[self.weight.class].effect
     }
 
-    /// Sets when the final outcome is due: before the message expires, and now if no attempt is left.
+    /// Sets when the final outcome is due: before the message expires and its idempotency key's window ends,
+    /// or now if no further attempt is allowed.
     pub fn schedule_outcome(&mut self, context: &Context) {
         let mut due_at = self.weight.expires_at - 2.0 * context.settings.tick - OUTCOME_MARGIN;
         match (self.possibly_executed, self.effect(&context.settings)) {
@@ -98,19 +99,20 @@
         self.outcome_due_at = due_at;
     }
 
-    /// Records an attempt that starts now.
+    /// Records that the next attempt starts now.
     pub fn begin_attempt(&mut self, call: CallId) {
         self.in_flight = Some(InFlightAttempt { attempt: self.attempts, call });
         self.attempts += 1;
         self.counted_as_dropped = false;
     }
 
-    /// Records that a throttle has dropped it. Returns whether it was dropped before.
+    /// Records that a throttle has dropped the message. Returns whether that had happened before, since the
+    /// last attempt.
     pub fn mark_dropped(&mut self) -> bool {
         std::mem::replace(&mut self.counted_as_dropped, true)
     }
 
-    /// Whether it may be sent by this route: no effect may happen twice.
+    /// Whether the message may be sent by this route without the risk that it takes effect twice.
     pub fn may_be_sent_by(&self, settings: &Settings, route: RouteId, zone: u8) -> bool {
         let Some(execution) = self.possibly_executed else { return true };
         match self.effect(settings) {
@@ -122,14 +124,14 @@
         }
     }
 
-    /// Whether it may be sent again, by some route and for some time.
+    /// Whether a retry is allowed: the message has not expired, and a retry cannot make it take effect twice.
     pub fn may_be_retried(&self, context: &Context) -> bool {
         let effect = self.effect(&context.settings);
         let is_final = self.possibly_executed.is_some() && effect == Effect::NotIdempotent;
         !is_final && self.weight.expires_at > context.now
     }
 
-    /// Whether the client may safely submit it again.
+    /// Whether the client may safely submit the message again.
     pub fn is_refusable(&self, settings: &Settings) -> bool {
         let possibly_executed = self.possibly_executed.is_some() || self.in_flight.is_some();
         match self.effect(settings) {
@@ -139,15 +141,16 @@
         }
     }
 
-    /// The value that is lost if it waits longer; the most urgent message is sent first.
+    /// The value that is lost while the message waits for [`URGENCY_HORIZON`]; the most urgent message is
+    /// sent first.
     pub fn urgency(&self, context: &Context) -> f64 {
         let now = context.settings.value_at(&self.weight, context.now);
-        let later = context.settings.value_at(&self.weight, context.now + LOOKAHEAD);
+        let later = context.settings.value_at(&self.weight, context.now + URGENCY_HORIZON);
         now - later
     }
 }
 
-/// The latency objective of a message; it grows with the message's work, up to the deadline.
+/// The latency objective of a message: it increases with the work estimate, up to the deadline.
 fn latency_objective(class: &Class, work_estimate: Option<Millis>) -> Millis {
     let stretch = class.latency_objective_stretch * work_estimate.unwrap_or(0.0);
     (class.latency_objective + stretch).min(class.deadline)
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,23 +1,24 @@
 //! The policy of one sender: its state, and the steps of a batch.
 //!
-//! Each type that owns state decides about it: [`Destination`] with its throttles and circuit breakers,
-//! [`PendingMessages`], [`CallSlots`], [`Quotas`]. [`Policy::handle`] describes the ordinary path. A comment
-//! that begins with "Departure" marks where the code departs from it, under one of these conditions:
+//! The decisions are made by the types that own the state: [`Destination`] with its throttles and circuit
+//! breakers, [`PendingMessages`], [`CallSlots`] and [`Quotas`]. The base algorithm is adaptive throttling
+//! (client-side throttling), as [`Policy::handle`] describes it. The implementation extends the algorithm
+//! under the conditions below; a comment at each place says why:
 //!
-//! | condition | departure | file |
+//! | condition | extension | file |
 //! | --- | --- | --- |
 //! | a shared rate is known | a call passes without a draw | `throttle.rs` |
-//! | the message was dropped before | it counts as one request | `throttle.rs` |
+//! | the message was dropped before | the message counts as one request | `throttle.rs` |
 //! | a call was rejected | the send rate is reduced | `throttle.rs` |
 //! | all calls were rejected for longer than a limit lasts | an outage has begun | `throttle/rejections.rs` |
-//! | an outage was seen | the recovery ramp limits the calls | `destination/outage_detection.rs` |
+//! | an outage was detected | the recovery ramp limits the calls | `destination/outage_detection.rs` |
 //! | calls are overdue, without an answer since | the circuit breaker opens | `destination/outage_detection.rs` |
 //! | about half of the answers are errors | slow start begins | `destination/outage_detection.rs` |
 //! | this sender's share of the overload is small | fewer failures count | `destination/outage_detection.rs` |
 //! | the circuit breaker is open | a half-open probe does not draw | `destination/route_choice.rs` |
 //! | other senders have ejected the route | other routes draw first | `destination/route_choice.rs` |
 //! | permits are required | no call starts without one | `destination/availability.rs` |
-//! | few slots are free | a destination leaves some to others | `destination/dispatch.rs` |
+//! | few slots are free | a destination leaves some slots to others | `destination/dispatch.rs` |
 //! | no slot is free | lost calls are cancelled | `destination/dispatch.rs` |
 //! | an equal part of a quota is few messages | a tenant's share of the arrivals is used | `quota.rs` |
 //! | the list arrives on request only | the policy subscribes to it | `subscription.rs` |
@@ -38,11 +39,12 @@
 use crate::throttle::CapacitySource;
 use crate::wake_timer::WakeTimer;
 
-/// The decisions of one sender.
+/// The load balancing, admission and retry policy of one sender.
 #[derive(Debug)]
 pub struct Policy {
     context: Context,
-    /// The host's clock at the first batch: all times count from it.
+    /// Time of the first batch on the host's clock; internal times are relative to it. `None` before that
+    /// batch.
     started_at: Option<Millis>,
     messages: PendingMessages,
     destinations: Destinations,
@@ -54,11 +56,11 @@
 }
 
 impl Policy {
-    /// A policy without any state; its draws are the same for the same seed.
+    /// Creates a policy without routes and messages; the same seed gives the same random draws.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the settings cannot work.
+    /// [`SettingsError`] if a setting is missing or out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self {
@@ -74,13 +76,14 @@
         })
     }
 
-    /// Applies all events of a batch, then decides once. The actions are appended to `actions`.
+    /// Applies all events of a batch, then makes the decisions once, and appends the actions to `actions`.
     ///
-    /// Requests and accepts are counted over a window, for each throttle: that of a destination, or of a
-    /// route where routes have limits of their own. A new call or a retry is dropped locally with probability
-    /// `max(0, (requests - K * accepts) / (requests + 1))`. It is sent by another route if that one's draw
-    /// passes, else it backs off for a random pause and draws again while time remains, else its message is
-    /// refused or failed.
+    /// Each throttle counts requests and accepts over a sliding window. There is one throttle for each
+    /// destination, or one for each route where routes have limits of their own. A new call or a retry is
+    /// dropped locally with probability `max(0, (requests - K * accepts) / (requests + 1))`. A dropped call
+    /// is sent by another route if the draw of that route passes. Otherwise the throttle backs off for a
+    /// random pause and the call draws again. If no time remains for another draw, the message is refused or
+    /// failed.
     pub fn handle(&mut self, now: Millis, events: &[Event], actions: &mut Vec<Action>) {
         self.context.now = now - *self.started_at.get_or_insert(now);
         for event in events {
@@ -96,10 +99,12 @@
         self.wake_for_next_draw(actions);
     }
 
-    /// Serves the destinations in the order of their most urgent calls: each draws for its messages.
+    /// Draws for the waiting messages and sends those that pass, the destination with the most urgent call
+    /// first.
     fn draw_and_send(&mut self, actions: &mut Vec<Action>) {
         let queue = |destination: &Destination| destination.queue(&self.context, &self.messages);
-        let mut queues: Vec<DestinationQueue> = self.destinations.busy().map(queue).collect();
+        let mut queues: Vec<DestinationQueue> =
+            self.destinations.with_waiting_messages().map(queue).collect();
         queues.sort_by(DestinationQueue::order);
         let mut dispatch = Dispatch {
             context: &mut self.context,
@@ -115,13 +120,14 @@
         }
     }
 
-    /// Requests a wake-up for the next draw or final outcome, if no earlier one is pending.
+    /// Requests a wake-up for the next draw, final outcome, end of a key's pause or subscription, unless an
+    /// earlier wake-up is pending.
     fn wake_for_next_draw(&mut self, actions: &mut Vec<Action>) {
-        self.destinations.remove_idle_from_busy();
+        self.destinations.update_with_waiting_messages();
         let now = self.context.now;
         let next_at = self
             .destinations
-            .busy()
+            .with_waiting_messages()
             .map(|destination| destination.next_due_at(&self.messages, now))
             .chain(self.messages.key_pause_ends(now))
             .chain(self.subscription.due_at())
--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -1,14 +1,14 @@
-//! Completes messages: which final outcome each gets, which are due, and which are shed under load.
+//! Completes messages: final outcomes that are due, and load shedding.
 
 use super::Policy;
 use crate::destination::Destination;
 use crate::interface::{Action, MessageHandle, Millis};
 
-/// Share of the maximum number of pending messages above which load is shed.
+/// Fraction of the maximum number of pending messages above which load is shed.
 const SHED_AT: f64 = 0.95;
 
 impl Policy {
-    /// Completes a message without an action; it is kept while an attempt is in flight.
+    /// Completes a message without an action; an attempt in flight delays its removal.
     pub(super) fn complete(&mut self, id: MessageHandle) {
         let Some(destination) = self.messages.complete(id) else { return };
         if let Some(destination) = self.destinations.get_mut(destination) {
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Gives a message its final outcome: refused where a new submission is safe, else failed.
+    /// Gives a message its final outcome: refused if the client may safely submit it again, otherwise failed.
     pub(super) fn refuse_or_fail(
         &mut self,
         id: MessageHandle,
@@ -34,24 +34,25 @@
         self.complete(id);
     }
 
-    /// Gives each waiting message its final outcome once that is due: none is lost.
+    /// Gives each waiting message its final outcome once that is due, so that no message is lost.
     pub(super) fn refuse_or_fail_due_messages(&mut self, actions: &mut Vec<Action>) {
         let now = self.context.now;
         let is_due =
             |id: &MessageHandle| self.messages.get(*id).is_some_and(|message| message.outcome_due_at <= now);
-        let waiting = self.destinations.busy().flat_map(Destination::waiting);
+        let waiting = self.destinations.with_waiting_messages().flat_map(Destination::waiting);
         let due: Vec<MessageHandle> = waiting.copied().filter(is_due).collect();
         for id in due {
             self.refuse_or_fail(id, 0.0, actions);
         }
     }
 
-    /// Maximum number of pending messages without load shedding.
+    /// Number of pending messages above which load is shed.
     pub(super) fn shed_threshold(&self) -> usize {
         (self.context.settings.max_pending as f64 * SHED_AT) as usize
     }
 
-    /// Refuses the waiting messages of least value, early enough for their clients to submit them again.
+    /// Refuses the least valuable waiting messages while there are too many, early enough for clients to
+    /// submit them again.
     pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
         while self.messages.len() > self.shed_threshold() {
             let Some(id) = self.messages.least_valuable_refusable(&self.context) else { return };
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -1,4 +1,4 @@
-//! Applies each event to the type that owns the state.
+//! Dispatches each event to the type that owns the affected state.
 
 use super::Policy;
 use crate::interface::{
@@ -7,7 +7,7 @@
 use crate::messages::PendingMessage;
 
 impl Policy {
-    /// Applies one event: results and new messages are counted.
+    /// Applies one event; new messages are admitted and results are counted.
     pub(super) fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
         let now = self.context.now;
         match event {
@@ -49,12 +49,12 @@
         self.slots.set_used_by_peer(used);
     }
 
-    /// Declares that the host will report the demand of other senders.
+    /// Declares that the host will report the demand of other senders, as [`Event::Capacity`].
     pub fn expect_capacity_reports(&mut self) {
         self.capacity_source.reports_capacity = true;
     }
 
-    /// Declares that the host will report permits: no call starts without one.
+    /// Declares that the host will report permits, as [`Event::Permits`]; no call starts without one.
     pub fn require_permits(&mut self) {
         self.capacity_source.requires_permits = true;
     }
@@ -74,7 +74,7 @@
         self.destinations.apply_entries(&self.context, entries, self.capacity_source);
     }
 
-    /// Accepts a message with the attempts of before a restart; one that is pending already is ignored.
+    /// Accepts a message, with its attempts before a restart; a message that is already pending is ignored.
     fn admit(&mut self, message: &Message, history: &AttemptHistory) {
         if self.messages.contains(message.id) {
             return;
@@ -88,14 +88,14 @@
         }
     }
 
-    /// Lets a message wait at its destination until it is sent or its final outcome is due.
+    /// Adds a message to its destination's waiting messages, until it is sent or its final outcome is due.
     fn enqueue(&mut self, id: MessageHandle) {
         let Some(message) = self.messages.get_mut(id) else { return };
         message.schedule_outcome(&self.context);
         self.destinations.enqueue(message.destination, id);
     }
 
-    /// Records the result of an attempt; its message is completed, or waits for a retry.
+    /// Records the result of an attempt; the message is then completed, or waits for a retry.
     fn record_result(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(in_flight) = self.messages.take_in_flight(result.id, result.attempt) else { return };
         let Some(destination) = self.messages.get(result.id).map(|message| message.destination) else {
--- a/crates/policy/src/priority_weight.rs
+++ b/crates/policy/src/priority_weight.rs
@@ -2,10 +2,10 @@
 
 use crate::interface::{LateDecay, Millis, Settings};
 
-/// What the value of a message depends on.
+/// The fields of a message that determine its value over time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PriorityWeight {
-    /// Index of its class.
+    /// Index of the message's class in the settings.
     pub class: usize,
     /// The value of a delivery within the latency objective.
     pub value: f64,
@@ -14,7 +14,7 @@
 }
 
 impl Settings {
-    /// The value of a delivery at `at`.
+    /// The value of a delivery at this time; 0 once the message has expired.
     pub(crate) fn value_at(&self, weight: &PriorityWeight, at: Millis) -> f64 {
         if at > weight.expires_at {
             return 0.0;
@@ -23,13 +23,13 @@
             return weight.value;
         }
         let class = &self.classes[weight.class];
-        let late = at - weight.objective_at;
-        let share_left = match self.late_decay {
+        let lateness = at - weight.objective_at;
+        let remaining_fraction = match self.late_decay {
             LateDecay::Linear => {
-                1.0 - (1.0 - class.late_value) * late / (weight.expires_at - weight.objective_at)
+                1.0 - (1.0 - class.late_value) * lateness / (weight.expires_at - weight.objective_at)
             }
-            LateDecay::Halving => 0.5f64.powf(late / class.latency_objective).max(class.late_value),
+            LateDecay::Halving => 0.5f64.powf(lateness / class.latency_objective).max(class.late_value),
         };
-        weight.value * share_left
+        weight.value * remaining_fraction
     }
 }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{Millis, Settings, Tenant};
 
-/// Burst of a tenant within its quota, in ms of that quota.
+/// Burst that a tenant's quota allows: the messages of this time, in ms, at the quota's rate.
 const BURST: Millis = 2_000.0;
 /// Minimum burst of a tenant, in messages.
 const MIN_BURST: f64 = 4.0;
@@ -13,71 +13,72 @@
 #[derive(Debug)]
 pub(crate) struct Quotas {
     buckets: Vec<TokenBucket>,
-    /// Messages of all tenants so far.
+    /// Number of messages of all tenants since the start.
     arrivals: f64,
 }
 
-/// What is left of a tenant's quota at this sender.
+/// The token bucket of one tenant's quota at this sender.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
-    /// Messages left within the quota.
+    /// Number of messages that are still within the quota.
     tokens: f64,
     refilled_at: Millis,
-    /// This sender's share of the quota, in messages per second, while the fleet reports it.
+    /// This sender's share of the quota, in messages per second; `None` while the fleet does not report it.
     reported_per_s: Option<f64>,
 }
 
 impl Quotas {
-    /// Quotas of which nothing is used.
+    /// Creates a full bucket for each tenant.
     pub fn new(tenants: usize) -> Self {
         let full = TokenBucket { tokens: f64::INFINITY, refilled_at: 0.0, reported_per_s: None };
         Self { buckets: vec![full; tenants], arrivals: 0.0 }
     }
 
-    /// Sets this sender's share of a tenant's quota, in messages per second; `None` where the usage of the
-    /// fleet is unknown.
+    /// Sets this sender's share of a tenant's quota, in messages per second; `None` if the usage of the fleet
+    /// is unknown.
     pub fn set_share(&mut self, tenant: usize, per_s: Option<f64>) {
         if let Some(bucket) = self.buckets.get_mut(tenant) {
             bucket.reported_per_s = per_s;
         }
     }
 
-    /// Counts a message of this tenant. Returns whether it is within the quota; a message without tenant is.
+    /// Counts a message of this tenant. Returns whether the message is within the quota; messages of unknown
+    /// tenants always are.
     pub fn admits(&mut self, now: Millis, settings: &Settings, tenant: usize) -> bool {
         self.arrivals += 1.0;
-        let Some(settings_of_tenant) = settings.tenants.get(tenant) else { return true };
+        let Some(tenant_settings) = settings.tenants.get(tenant) else { return true };
         let Some(bucket) = self.buckets.get_mut(tenant) else { return true };
         let per_ms = match bucket.reported_per_s {
             Some(per_s) => per_s / 1_000.0,
-            None => assumed_quota(now, settings, settings_of_tenant, self.arrivals),
+            None => assumed_quota(now, settings, tenant_settings, self.arrivals),
         };
         bucket.take(now, per_ms)
     }
 }
 
-/// This sender's assumed part of a tenant's quota, in messages per ms: an equal one.
+/// This sender's share of a tenant's quota without a report, in messages per ms: an equal share.
 fn assumed_quota(now: Millis, settings: &Settings, tenant: &Tenant, arrivals: f64) -> f64 {
-    let equal_part = tenant.quota_per_s / settings.peers_total as f64 / 1_000.0;
-    if equal_part * BURST >= MIN_BURST {
-        return equal_part;
+    let equal_share = tenant.quota_per_s / settings.peers_total as f64 / 1_000.0;
+    if equal_share * BURST >= MIN_BURST {
+        return equal_share;
     }
-    // Departure (an equal part of a quota is few messages): the tenant's share of the arrivals at this
-    // sender, if that is more.
+    // Extension (an equal part of a quota is few messages): the tenant's share of the arrivals at this sender
+    // is used if it is greater, because the messages of a small quota may reach few senders.
     let all_quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
-    equal_part.max(tenant.quota_per_s / all_quotas * arrivals / now.max(MIN_ARRIVAL_SPAN))
+    equal_share.max(tenant.quota_per_s / all_quotas * arrivals / now.max(MIN_ARRIVAL_SPAN))
 }
 
 impl TokenBucket {
-    /// Refills the bucket, and takes a token out if there is one.
+    /// Refills the bucket and takes one token. Returns whether there was one.
     fn take(&mut self, now: Millis, per_ms: f64) -> bool {
         let capacity = (per_ms * BURST).max(MIN_BURST);
         self.tokens = (self.tokens + (now - self.refilled_at) * per_ms).min(capacity);
         self.refilled_at = now;
-        let admits = self.tokens >= 1.0;
-        if admits {
+        let has_token = self.tokens >= 1.0;
+        if has_token {
             self.tokens -= 1.0;
         }
-        admits
+        has_token
     }
 }
 
--- a/crates/policy/src/quota/tests.rs
+++ b/crates/policy/src/quota/tests.rs
@@ -9,21 +9,21 @@
     crate::settings::read(&json).expect("settings")
 }
 
-/// One of ten senders receives all messages of a tenant: with the fleet's counts it may use the whole quota,
-/// without them an equal part.
+/// One of ten senders receives admitted messages of a tenant. With a reported share it may use that share,
+/// without a report only an equal part of the quota.
 #[test]
-fn a_share_by_the_fleets_counts_takes_precedence_over_an_equal_part() {
+fn a_reported_share_takes_precedence_over_an_equal_part() {
     let settings = settings();
     let mut quotas = Quotas::new(2);
     quotas.set_share(0, Some(90.0));
     let within = |quotas: &mut Quotas, tenant| {
-        let all = (0..2_000).map(|n| quotas.admits(1e6 + f64::from(n) * 10.0, &settings, tenant));
-        all.filter(|within| *within).count()
+        let admitted = (0..2_000).map(|n| quotas.admits(1e6 + f64::from(n) * 10.0, &settings, tenant));
+        admitted.filter(|within| *within).count()
     };
-    // Twenty seconds of 90 per second, and a burst of two seconds.
+    // 20 s at 90 messages per second, and a burst of two seconds.
     assert_eq!(within(&mut quotas, 0), 1_979);
-    let alone = within(&mut quotas, 1);
-    assert!((200..=230).contains(&alone), "{alone}");
+    let equal_part = within(&mut quotas, 1);
+    assert!((200..=230).contains(&equal_part), "{equal_part}");
     quotas.set_share(0, None);
     quotas.set_share(7, Some(1.0));
     assert!(within(&mut quotas, 0) < 400);
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's settings, which are JSON, into [`Settings`].
+//! Reads the JSON settings of the platform into [`Settings`].
 
 mod field;
 
@@ -7,34 +7,28 @@
 use crate::interface::{Class, Discovery, Effect, KeyGroup, Kind, LateDecay, RateHint, Settings, Tenant};
 pub use field::{Field, InvalidValue, Range, ReadError};
 
-/// The key of the settings in a configuration.
-const KEY: &str = "settings";
-/// Maximum sum of the fractions of all tenants: thirds may be written as 0.34.
+/// Key of the settings object in the configuration; error paths begin with it.
+const SETTINGS_KEY: &str = "settings";
+/// Maximum sum of the fractions of all tenants; above 1 because thirds may be written as 0.34.
 const MAX_SUM_OF_FRACTIONS: f64 = 1.01;
 
-/// A duration above 0.
-const DURATION: Range = Range::new("a number of ms above 0", |x| x > 0.0);
-/// A duration of 0 or more.
-const PAUSE: Range = Range::new("a number of ms, 0 or more", |x| x >= 0.0);
-/// A number of 0 or more.
-const NOT_NEGATIVE: Range = Range::new("a number, 0 or more", |x| x >= 0.0);
-/// A fraction from 0 to 1.
+const POSITIVE_DURATION: Range = Range::new("a number of ms above 0", |x| x > 0.0);
+const NON_NEGATIVE_DURATION: Range = Range::new("a number of ms, 0 or more", |x| x >= 0.0);
+const NON_NEGATIVE: Range = Range::new("a number, 0 or more", |x| x >= 0.0);
 const FRACTION: Range = Range::new("a number from 0 to 1", |x| (0.0..=1.0).contains(&x));
-/// A fraction above 0.
 const POSITIVE_FRACTION: Range = Range::new("a number above 0, 1 at the most,", |x| x > 0.0 && x <= 1.0);
-/// A factor above 0.
-const MULTIPLE: Range = Range::new("a number above 0", |x| x > 0.0);
+const POSITIVE_NUMBER: Range = Range::new("a number above 0", |x| x > 0.0);
 
-/// The names of classes, tenants, zones and kinds; the policy's interface refers to them by index.
+/// The names of classes, tenants, zones and kinds, in the order of the indices in the policy's interface.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Classes of message.
+    /// Names of the classes of message.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants; empty for a tenant without a name.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Kinds of destination.
+    /// Names of the kinds of destination.
     pub kinds: Vec<String>,
 }
 
@@ -42,10 +36,10 @@
 ///
 /// # Errors
 ///
-/// [`ReadError`] if the text is not JSON, or a setting is not of its type and range.
-pub fn parse(info: &[u8]) -> Result<Settings, ReadError> {
-    let json: Value =
-        serde_json::from_slice(info).map_err(|error| ReadError::NotJson { reason: error.to_string() })?;
+/// [`ReadError`] if the text is not JSON, or a setting has the wrong type or is out of range.
+pub fn parse(json_text: &[u8]) -> Result<Settings, ReadError> {
+    let json: Value = serde_json::from_slice(json_text)
+        .map_err(|error| ReadError::NotJson { reason: error.to_string() })?;
     read(&json)
 }
 
@@ -53,27 +47,27 @@
 ///
 /// # Errors
 ///
-/// [`ReadError`] if a name is not a string, or two classes have the same one.
+/// [`ReadError`] if a name is not a string, or the name of a class is missing or not unique.
 pub fn names(json: &Value) -> Result<Names, ReadError> {
-    let root = Field::new(json, KEY);
-    let text = |field: Field<'_>| Ok(field.text_or("")?.to_owned());
-    let named = |field: Field<'_>| text(field.child("name"));
+    let root = Field::new(json, SETTINGS_KEY);
+    let read_text = |field: Field<'_>| Ok(field.text_or("")?.to_owned());
+    let read_name = |field: Field<'_>| read_text(field.child("name"));
     let lanes = root.child("lanes");
-    let classes = lanes.map(named)?;
+    let classes = lanes.map(read_name)?;
     for (index, name) in classes.iter().enumerate() {
         let field = lanes.at(index).child("name");
         if name.is_empty() {
             return Err(field.invalid("a name"));
         }
         if let Some(first) = classes[..index].iter().position(|other| other == name) {
-            return Err(field.invalid(&format!("another name than that of {KEY}.lanes[{first}]")));
+            return Err(field.invalid(&format!("another name than that of {SETTINGS_KEY}.lanes[{first}]")));
         }
     }
     Ok(Names {
         classes,
-        tenants: root.child("projects").map(named)?,
-        zones: root.child("azs").map(text)?,
-        kinds: root.child("kinds").map(text)?,
+        tenants: root.child("projects").map(read_name)?,
+        zones: root.child("azs").map(read_text)?,
+        kinds: root.child("kinds").map(read_text)?,
     })
 }
 
@@ -81,9 +75,9 @@
 ///
 /// # Errors
 ///
-/// [`ReadError`] if a setting is not of its type and range.
+/// [`ReadError`] if a setting has the wrong type or is out of range.
 pub fn read(json: &Value) -> Result<Settings, ReadError> {
-    let root = Field::new(json, KEY);
+    let root = Field::new(json, SETTINGS_KEY);
     let extra = root.child("extra");
     let limits = root.child("limits");
     let rules = root.child("rules");
@@ -118,11 +112,11 @@
         cross_zone_price: root.child("tariffs").child("cross_zone").number_or(0.0, Range::ANY)?,
         zone_fees: extra.child("fee_by_zone").map(|fee| fee.number(Range::ANY))?,
         recovery_start_share: rules.child("cold_from").number_or(1.0, POSITIVE_FRACTION)?,
-        recovery_duration: rules.child("warm_within").number_or(0.0, PAUSE)?,
-        overload_multiple: rules.child("fall_multiple").number_or(1.0, MULTIPLE)?,
-        overload_duration: rules.child("tip_after").number_or(0.0, PAUSE)?,
-        ordering_key_pause: rules.child("turn_gap").number_or(0.0, PAUSE)?,
-        tick: root.child("tick").number_or(0.0, PAUSE)?,
+        recovery_duration: rules.child("warm_within").number_or(0.0, NON_NEGATIVE_DURATION)?,
+        overload_multiple: rules.child("fall_multiple").number_or(1.0, POSITIVE_NUMBER)?,
+        overload_duration: rules.child("tip_after").number_or(0.0, NON_NEGATIVE_DURATION)?,
+        ordering_key_pause: rules.child("turn_gap").number_or(0.0, NON_NEGATIVE_DURATION)?,
+        tick: root.child("tick").number_or(0.0, NON_NEGATIVE_DURATION)?,
     })
 }
 
@@ -135,16 +129,16 @@
     let extra = root.child("extra");
     let max_batches = extra.child("bundle_max");
     let limits_per_route = extra.child("kind_apart");
-    let kind = |index| {
+    let read_kind = |index| {
         let max_batch = max_batches.at(index).whole_or(1, 1)? as usize;
         let limit_per_route = limits_per_route.at(index).flag_or(false)?;
         Ok(Kind { max_batch, limit_per_route })
     };
-    let kinds = names.len().max(max_batches.len()).max(limits_per_route.len());
-    if kinds == 0 {
+    let kind_count = names.len().max(max_batches.len()).max(limits_per_route.len());
+    if kind_count == 0 {
         return Err(names.invalid("a list of one at least, as there is no kind of destination otherwise,"));
     }
-    (0..kinds).map(kind).collect()
+    (0..kind_count).map(read_kind).collect()
 }
 
 fn classes(root: &Field<'_>) -> Result<Vec<Class>, ReadError> {
@@ -161,10 +155,10 @@
     let sum: f64 = fractions.iter().sum();
     if sum > MAX_SUM_OF_FRACTIONS {
         let sum = Value::from(sum);
-        let field = Field::new(&sum, &format!("{KEY}.projects[*].fraction in all"));
+        let field = Field::new(&sum, &format!("{SETTINGS_KEY}.projects[*].fraction in all"));
         return Err(field.invalid("a sum of 1 at the most"));
     }
-    projects.map(|field| Ok(Tenant { quota_per_s: field.child("quota_per_s").number_or(0.0, NOT_NEGATIVE)? }))
+    projects.map(|field| Ok(Tenant { quota_per_s: field.child("quota_per_s").number_or(0.0, NON_NEGATIVE)? }))
 }
 
 fn discovery(root: &Field<'_>) -> Result<Discovery, ReadError> {
@@ -174,8 +168,8 @@
 }
 
 fn class(field: Field<'_>) -> Result<Class, ReadError> {
-    // There is no default: whether a message may take effect twice must be stated. `None` is an idempotency
-    // key.
+    // The effect has no default, because the settings must say whether a message may take effect twice.
+    // `None` stands for an idempotency key, which has further settings.
     let effects =
         [("free", Some(Effect::Idempotent)), ("guarded", None), ("single_shot", Some(Effect::NotIdempotent))];
     let effect = match field.child("effect").variant(&effects)? {
@@ -185,14 +179,14 @@
                 KeyGroup::Route,
                 &[("all", KeyGroup::All), ("zone", KeyGroup::Zone), ("cell", KeyGroup::Route)],
             )?,
-            window: field.child("window").number(DURATION)?,
+            window: field.child("window").number(POSITIVE_DURATION)?,
         },
     };
-    let deadline = field.child("deadline").number(DURATION)?;
+    let deadline = field.child("deadline").number(POSITIVE_DURATION)?;
     Ok(Class {
-        value: field.child("credit").number_or(1.0, NOT_NEGATIVE)?,
-        latency_objective: field.child("target").number_or(deadline, DURATION)?,
-        latency_objective_stretch: field.child("aim_stretch").number_or(0.0, NOT_NEGATIVE)?,
+        value: field.child("credit").number_or(1.0, NON_NEGATIVE)?,
+        latency_objective: field.child("target").number_or(deadline, POSITIVE_DURATION)?,
+        latency_objective_stretch: field.child("aim_stretch").number_or(0.0, NON_NEGATIVE)?,
         deadline,
         late_value: field.child("late_worth").number_or(0.0, FRACTION)?,
         effect,
--- a/crates/policy/src/settings/field.rs
+++ b/crates/policy/src/settings/field.rs
@@ -1,32 +1,32 @@
-//! Reads a configuration value with its type and range, or names its key in an error.
+//! Reads typed values from a JSON configuration; errors contain the path of the key.
 
 use serde_json::Value;
 
-/// Maximum number of characters of an invalid value in an error.
+/// Maximum number of characters of an invalid value in an error text.
 const MAX_SHOWN_LEN: usize = 60;
 
-/// Why settings cannot be read.
+/// An error in reading settings or another part of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadError {
     /// The text is not JSON.
     NotJson {
-        /// What the parser found.
+        /// The parser's error message.
         reason: String,
     },
-    /// A value is not of its type and range.
+    /// A value has the wrong type or is out of range.
     InvalidValue(InvalidValue),
 }
 
-/// A configuration value that is not of its type and range.
+/// A configuration value that has the wrong type or is out of range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidValue {
-    /// The path of its key.
+    /// Path of the key, such as `settings.lanes[0].effect`.
     path: String,
-    /// The name of the list entry that it belongs to.
+    /// The `name` of the innermost list entry that contains the value.
     entry_name: Option<String>,
-    /// The value, shortened.
-    found: String,
-    /// What is valid, in words.
+    /// The value as JSON, shortened to [`MAX_SHOWN_LEN`] characters; `missing` without a value.
+    received: String,
+    /// The valid values, in words; completes the sentence "must be ...".
     expected: String,
 }
 
@@ -45,13 +45,13 @@
         if let Some(name) = &self.entry_name {
             write!(f, " ({name:?})")?;
         }
-        write!(f, " is {}: {} is wanted", self.found, self.expected)
+        write!(f, " is {}: {} is wanted", self.received, self.expected)
     }
 }
 
 impl std::error::Error for ReadError {}
 
-/// The valid range of a number, in words and as a predicate.
+/// The valid range of a number, as words for errors and as a predicate.
 #[derive(Clone, Copy, Debug)]
 pub struct Range {
     expected: &'static str,
@@ -59,31 +59,32 @@
 }
 
 impl Range {
-    /// Any number.
+    /// Any finite number.
     pub const ANY: Self = Self::new("a number", |_| true);
 
-    /// The numbers that `contains` holds for, which `expected` describes.
+    /// Creates a range; `expected` completes the sentence "must be ..." for the numbers that satisfy
+    /// `contains`.
     pub const fn new(expected: &'static str, contains: fn(f64) -> bool) -> Self {
         Self { expected, contains }
     }
 }
 
-/// A configuration value, with the path of its key.
+/// A configuration value with the path of its key.
 #[derive(Clone, Debug)]
 pub struct Field<'a> {
     value: &'a Value,
     path: String,
-    /// The name of the list entry that it belongs to.
+    /// The `name` of the innermost list entry that contains the value.
     entry_name: Option<&'a str>,
 }
 
 impl<'a> Field<'a> {
-    /// The whole configuration, or a part of it with its path.
+    /// Creates the field of a whole configuration, with an empty path, or of a part with its path.
     pub fn new(value: &'a Value, path: &str) -> Self {
         Self { value, path: path.to_owned(), entry_name: None }
     }
 
-    /// The value of an object's key; null where there is none.
+    /// The field of an object's key; its value is null if the key is missing.
     #[must_use]
     pub fn child(&self, key: &str) -> Self {
         let path = if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) };
@@ -91,7 +92,7 @@
         Self { value, path, entry_name: self.entry_name }
     }
 
-    /// An entry of a list; null where there is none.
+    /// The field of a list entry; its value is null if the entry is missing.
     #[must_use]
     pub fn at(&self, index: usize) -> Self {
         let value = self.value.get(index).unwrap_or(&Value::Null);
@@ -99,12 +100,12 @@
         Self { value, path: format!("{}[{index}]", self.path), entry_name }
     }
 
-    /// Number of entries of a list; 0 where there is none.
+    /// Number of entries of a list; 0 if the value is not a list.
     pub fn len(&self) -> usize {
         self.value.as_array().map_or(0, Vec::len)
     }
 
-    /// Whether it has no entries.
+    /// Whether the value has no list entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -114,16 +115,16 @@
         self.value.is_null()
     }
 
-    /// The value itself.
+    /// The JSON value.
     pub fn value(&self) -> &'a Value {
         self.value
     }
 
-    /// Reads each entry of a list, none if it is missing.
+    /// Reads each entry of a list; a missing list has no entries.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is not a list, or an entry cannot be read.
+    /// [`ReadError`] if the value is not a list, or an entry cannot be read.
     pub fn map<T>(&self, read: impl Fn(Self) -> Result<T, ReadError>) -> Result<Vec<T>, ReadError> {
         match self.value {
             Value::Null | Value::Array(_) => (0..self.len()).map(|index| read(self.at(index))).collect(),
@@ -131,30 +132,30 @@
         }
     }
 
-    /// A number within a range.
+    /// Reads a number within a range.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is none.
+    /// [`ReadError`] if the value is missing, not a number or out of range.
     pub fn number(&self, range: Range) -> Result<f64, ReadError> {
         let number = self.value.as_f64().filter(|&number| number.is_finite() && (range.contains)(number));
         number.ok_or_else(|| self.invalid(range.expected))
     }
 
-    /// The same, or `default` if it is missing.
+    /// Reads a number within a range, or returns `default` if the value is missing.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is present and invalid.
+    /// [`ReadError`] if the value is present and invalid.
     pub fn number_or(&self, default: f64, range: Range) -> Result<f64, ReadError> {
         if self.is_missing() { Ok(default) } else { self.number(range) }
     }
 
-    /// A whole number, `min` or more; it may be written as 8 or as 8.0.
+    /// Reads a whole number, `min` or more, which may be written as 8 or as 8.0.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is none.
+    /// [`ReadError`] if the value is missing, not a whole number or out of range.
     pub fn whole(&self, min: u32) -> Result<u32, ReadError> {
         let range = f64::from(min)..=f64::from(u32::MAX);
         let is_valid = |number: &f64| number.fract() == 0.0 && range.contains(number);
@@ -162,20 +163,20 @@
         whole.ok_or_else(|| self.invalid(&format!("a whole number from {min} to {}", u32::MAX)))
     }
 
-    /// The same, or `default` if it is missing.
+    /// Reads a whole number, `min` or more, or returns `default` if the value is missing.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is present and invalid.
+    /// [`ReadError`] if the value is present and invalid.
     pub fn whole_or(&self, default: u32, min: u32) -> Result<u32, ReadError> {
         if self.is_missing() { Ok(default) } else { self.whole(min) }
     }
 
-    /// A boolean, or `default` if it is missing.
+    /// Reads a boolean, or returns `default` if the value is missing.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is neither true nor false.
+    /// [`ReadError`] if the value is present and neither true nor false.
     pub fn flag_or(&self, default: bool) -> Result<bool, ReadError> {
         match self.value {
             Value::Null => Ok(default),
@@ -184,11 +185,11 @@
         }
     }
 
-    /// A string, or `default` if it is missing.
+    /// Reads a string, or returns `default` if the value is missing.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is none.
+    /// [`ReadError`] if the value is present and not a string.
     pub fn text_or(&self, default: &'a str) -> Result<&'a str, ReadError> {
         match self.value {
             Value::Null => Ok(default),
@@ -197,11 +198,11 @@
         }
     }
 
-    /// The variant of a name.
+    /// Reads a string that must be one of the names in `variants`, and returns the variant of that name.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is none of them.
+    /// [`ReadError`] if the value is missing or not one of the names.
     pub fn variant<T: Copy>(&self, variants: &[(&str, T)]) -> Result<T, ReadError> {
         let name = self.value.as_str();
         let variant = variants.iter().find(|(known, _)| name == Some(known));
@@ -211,26 +212,26 @@
         })
     }
 
-    /// The same, or `default` if it is missing.
+    /// Reads the name of a variant like [`Field::variant`], or returns `default` if the value is missing.
     ///
     /// # Errors
     ///
-    /// [`ReadError`] if it is present and none of them.
+    /// [`ReadError`] if the value is present and not one of the names.
     pub fn variant_or<T: Copy>(&self, default: T, variants: &[(&str, T)]) -> Result<T, ReadError> {
         if self.is_missing() { Ok(default) } else { self.variant(variants) }
     }
 
-    /// The error that names this key, its value and what is valid.
+    /// Creates the error for this key and its value; `expected` completes the sentence "must be ...".
     pub fn invalid(&self, expected: &str) -> ReadError {
         let value = if self.is_missing() { "missing".to_owned() } else { self.value.to_string() };
-        let mut found: String = value.chars().take(MAX_SHOWN_LEN).collect();
-        if found.len() < value.len() {
-            found.push_str("...");
+        let mut received: String = value.chars().take(MAX_SHOWN_LEN).collect();
+        if received.len() < value.len() {
+            received.push_str("...");
         }
         ReadError::InvalidValue(InvalidValue {
             path: self.path.clone(),
             entry_name: self.entry_name.map(str::to_owned),
-            found,
+            received,
             expected: expected.to_owned(),
         })
     }
--- a/crates/policy/src/settings/tests.rs
+++ b/crates/policy/src/settings/tests.rs
@@ -7,7 +7,7 @@
 
 mod invalid;
 
-/// Settings with every key that is read, each value within its range.
+/// Settings with all keys that are read, and a valid value for each.
 fn complete() -> Value {
     json!({"az": 0, "azs": ["left", "right"], "kinds": ["k"], "peers_total": 2, "tick": 5.0, "weights": "rough",
         "discovery": "on_request", "over_share_worth": 0.2, "tariffs": {"cross_zone": 0.1},
@@ -26,11 +26,11 @@
                   "turn_gap": 10.0, "ask_within": 2000.0}})
 }
 
-/// The same with another value at one place; `None` removes the key.
+/// The complete settings with another value at a JSON pointer; `None` removes the key.
 fn with(pointer: &str, value: Option<Value>) -> Value {
     let mut json = complete();
-    let (parent, key) = pointer.rsplit_once('/').expect("a place");
-    match (json.pointer_mut(parent).expect("a parent"), value) {
+    let (parent, key) = pointer.rsplit_once('/').expect("a pointer with a key");
+    match (json.pointer_mut(parent).expect("the parent of the key"), value) {
         (Value::Object(parent), Some(value)) => _ = parent.insert(key.to_owned(), value),
         (Value::Object(parent), None) => _ = parent.remove(key),
         (parent, value) => parent[key.parse::<usize>().expect("an index")] = value.unwrap_or_default(),
@@ -41,25 +41,26 @@
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 #[test]
 fn missing_and_unknown_keys_and_other_notations_are_accepted() {
-    // Window and group matter to a class with idempotency keys only: the first one's window is 0.
+    // Window and group are read only for a class with idempotency keys, so the first class may have a window
+    // of 0.
     let settings = read(&complete()).expect("settings");
     assert_eq!(settings.classes[0].effect, Effect::Idempotent);
     assert_eq!(settings.classes[1].effect, Effect::IdempotencyKey { group: KeyGroup::Zone, window: 1000.0 });
     assert_eq!((settings.classes[1].latency_objective, settings.classes[1].value), (9000.0, 1.0));
-    let of = |pointer, value: Value| with(pointer, Some(value));
+    let with_value = |pointer, value: Value| with(pointer, Some(value));
     for json in [
-        of("/lanes/0/window", json!("none")),
-        of("/lanes/0/group", json!("every")),
-        of("/lanes/0/credit", json!(0)),
-        // Later than the deadline: every delivery has its full value.
-        of("/lanes/0/target", json!(10_000)),
-        of("/lanes/0/novel", json!({"a": [1]})),
-        of("/novel", json!(-1)),
-        of("/projects", json!([])),
-        of("/projects/0/fraction", json!(0.600_000_4)),
-        of("/extra/calls_out", json!(8.0)),
-        of("/limits/max_attempts", json!(4_294_967_295u64)),
-        of("/peers_total", json!(0)),
+        with_value("/lanes/0/window", json!("none")),
+        with_value("/lanes/0/group", json!("every")),
+        with_value("/lanes/0/credit", json!(0)),
+        // A latency objective after the deadline is valid: every delivery has its full value.
+        with_value("/lanes/0/target", json!(10_000)),
+        with_value("/lanes/0/novel", json!({"a": [1]})),
+        with_value("/novel", json!(-1)),
+        with_value("/projects", json!([])),
+        with_value("/projects/0/fraction", json!(0.600_000_4)),
+        with_value("/extra/calls_out", json!(8.0)),
+        with_value("/limits/max_attempts", json!(4_294_967_295u64)),
+        with_value("/peers_total", json!(0)),
     ] {
         assert_eq!(read(&json).map(|_| ()), Ok(()), "{json}");
         assert!(names(&json).is_ok(), "{json}");
@@ -107,23 +108,26 @@
     }
 }
 
-/// Two checks of one thing must not differ: settings that can be read are valid.
+/// Reading and [`Settings::validate`](crate::interface::Settings::validate) check the same ranges and must
+/// agree: each of many values at each key is either an error that names the key, or gives settings that are
+/// valid.
 #[test]
-fn any_value_at_any_key_is_an_error_that_names_the_key_or_gives_valid_settings() {
-    fn keys(at: &str, json: &Value, found: &mut Vec<String>) {
-        let mut below = |key: &str, value: &Value| keys(&format!("{at}/{key}"), value, found);
+fn any_value_is_read_as_valid_settings_or_rejected_with_its_key() {
+    fn collect_pointers(pointer: &str, json: &Value, pointers: &mut Vec<String>) {
+        let mut visit =
+            |key: &str, value: &Value| collect_pointers(&format!("{pointer}/{key}"), value, pointers);
         match json {
-            Value::Object(fields) => fields.iter().for_each(|(key, value)| below(key, value)),
-            Value::Array(entries) => entries.iter().enumerate().for_each(|(i, v)| below(&i.to_string(), v)),
+            Value::Object(fields) => fields.iter().for_each(|(key, value)| visit(key, value)),
+            Value::Array(entries) => entries.iter().enumerate().for_each(|(i, v)| visit(&i.to_string(), v)),
             _ => {}
         }
-        found.push(at.to_owned());
+        pointers.push(pointer.to_owned());
     }
-    let mut found = Vec::new();
-    keys("", &complete(), &mut found);
-    found.retain(|key| !key.is_empty());
-    assert!(found.len() > 50, "{found:?}");
-    let odd = [
+    let mut pointers = Vec::new();
+    collect_pointers("", &complete(), &mut pointers);
+    pointers.retain(|pointer| !pointer.is_empty());
+    assert!(pointers.len() > 50, "{pointers:?}");
+    let values = [
         json!(null),
         json!(0),
         json!(-1),
@@ -139,19 +143,19 @@
         json!({}),
         json!([[0]]),
     ];
-    for key in &found {
-        for value in &odd {
-            let json = with(key, Some(value.clone()));
+    for pointer in &pointers {
+        for value in &values {
+            let json = with(pointer, Some(value.clone()));
             match read(&json) {
-                Ok(settings) if settings.peers_total == 0 => assert_eq!(key, "/peers_total"),
-                Ok(settings) => assert_eq!(settings.validate(), Ok(()), "{key} {value}"),
+                Ok(settings) if settings.peers_total == 0 => assert_eq!(pointer, "/peers_total"),
+                Ok(settings) => assert_eq!(settings.validate(), Ok(()), "{pointer} {value}"),
                 Err(error) => {
                     let line = error.to_string();
                     assert!(
                         line.starts_with("settings.") && line.ends_with(" is wanted"),
-                        "{key} {value}: {line}"
+                        "{pointer} {value}: {line}"
                     );
-                    assert!(!line.contains('\n'), "{key} {value}: {line}");
+                    assert!(!line.contains('\n'), "{pointer} {value}: {line}");
                 }
             }
         }
@@ -159,7 +163,7 @@
 }
 
 #[test]
-fn a_text_that_is_not_json_or_has_a_number_out_of_range_is_an_error() {
+fn text_that_is_not_valid_json_is_an_error() {
     for text in ["", "{", "{\"az\": 1e400}", "{\"az\": NaN}"] {
         let error = parse(text.as_bytes()).expect_err(text).to_string();
         assert!(error.starts_with("unreadable settings: ") && !error.contains('\n'), "{error}");
--- a/crates/policy/src/settings/tests/invalid.rs
+++ b/crates/policy/src/settings/tests/invalid.rs
@@ -1,10 +1,11 @@
-//! Invalid settings: each error names its key and what is valid.
+//! Errors for invalid settings: each one names the key, the value and what is valid.
 
 use serde_json::{Value, json};
 
 use super::super::{names, read};
 use super::with;
 
+/// The error text for settings that cannot be read.
 fn error_of(json: &Value) -> String {
     match read(json) {
         Ok(_) => names(json).expect_err("an error").to_string(),
@@ -12,92 +13,93 @@
     }
 }
 
-const SPAN: &str = "a number of ms above 0 is wanted";
-const WHOLE: &str = "a whole number from 1 to 4294967295 is wanted";
+const DURATION: &str = "a number of ms above 0 is wanted";
+const WHOLE_NUMBER: &str = "a whole number from 1 to 4294967295 is wanted";
 const EFFECT: &str = r#"one of "free", "guarded", "single_shot" is wanted"#;
-const NONE_NEGATIVE: &str = "a number, 0 or more is wanted";
-const PART: &str = "a number from 0 to 1 is wanted";
+const NON_NEGATIVE: &str = "a number, 0 or more is wanted";
+const FRACTION: &str = "a number from 0 to 1 is wanted";
 
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 #[test]
-fn an_invalid_value_is_an_error_of_one_line_that_names_the_key_and_what_is_valid() {
-    let of = |pointer, value: Value| with(pointer, Some(value));
+fn an_invalid_value_error_names_the_key_and_what_is_valid() {
+    let with_value = |pointer, value: Value| with(pointer, Some(value));
     for (json, line) in [
         (with("/lanes/0/effect", None), format!(r#"settings.lanes[0].effect ("first") is missing: {EFFECT}"#)),
-        (of("/lanes/1/effect", Value::Null), format!(r#"settings.lanes[1].effect ("second") is missing: {EFFECT}"#)),
-        (of("/lanes/1/effect", json!("safe")), format!(r#"settings.lanes[1].effect ("second") is "safe": {EFFECT}"#)),
-        (of("/lanes/1/effect", json!(1)), format!(r#"settings.lanes[1].effect ("second") is 1: {EFFECT}"#)),
-        (of("/lanes/1/group", json!("every")),
+        (with_value("/lanes/1/effect", Value::Null), format!(r#"settings.lanes[1].effect ("second") is missing: {EFFECT}"#)),
+        (with_value("/lanes/1/effect", json!("safe")), format!(r#"settings.lanes[1].effect ("second") is "safe": {EFFECT}"#)),
+        (with_value("/lanes/1/effect", json!(1)), format!(r#"settings.lanes[1].effect ("second") is 1: {EFFECT}"#)),
+        (with_value("/lanes/1/group", json!("every")),
          r#"settings.lanes[1].group ("second") is "every": one of "all", "zone", "cell" is wanted"#.into()),
-        (of("/lanes/1/window", json!(0)), format!(r#"settings.lanes[1].window ("second") is 0: {SPAN}"#)),
-        (of("/lanes/1/window", json!(-1.5)), format!(r#"settings.lanes[1].window ("second") is -1.5: {SPAN}"#)),
-        (of("/lanes/1/window", json!("1s")), format!(r#"settings.lanes[1].window ("second") is "1s": {SPAN}"#)),
-        (with("/lanes/1/window", None), format!(r#"settings.lanes[1].window ("second") is missing: {SPAN}"#)),
-        (of("/lanes/0/deadline", json!(0.0)), format!(r#"settings.lanes[0].deadline ("first") is 0.0: {SPAN}"#)),
-        (of("/lanes/0/deadline", json!(-3)), format!(r#"settings.lanes[0].deadline ("first") is -3: {SPAN}"#)),
-        (of("/lanes/0/deadline", json!([])), format!(r#"settings.lanes[0].deadline ("first") is []: {SPAN}"#)),
-        (with("/lanes/0/deadline", None), format!(r#"settings.lanes[0].deadline ("first") is missing: {SPAN}"#)),
-        (of("/lanes/0/target", json!(0)), format!(r#"settings.lanes[0].target ("first") is 0: {SPAN}"#)),
-        (of("/lanes/0/credit", json!(-1)), format!(r#"settings.lanes[0].credit ("first") is -1: {NONE_NEGATIVE}"#)),
-        (of("/lanes/0/aim_stretch", json!(-1)),
-         format!(r#"settings.lanes[0].aim_stretch ("first") is -1: {NONE_NEGATIVE}"#)),
-        (of("/lanes/0/late_worth", json!(1.1)), format!(r#"settings.lanes[0].late_worth ("first") is 1.1: {PART}"#)),
-        (of("/lanes/0/late_worth", json!(-0.1)), format!(r#"settings.lanes[0].late_worth ("first") is -0.1: {PART}"#)),
-        (of("/lanes/0/in_order", json!("no")),
+        (with_value("/lanes/1/window", json!(0)), format!(r#"settings.lanes[1].window ("second") is 0: {DURATION}"#)),
+        (with_value("/lanes/1/window", json!(-1.5)), format!(r#"settings.lanes[1].window ("second") is -1.5: {DURATION}"#)),
+        (with_value("/lanes/1/window", json!("1s")), format!(r#"settings.lanes[1].window ("second") is "1s": {DURATION}"#)),
+        (with("/lanes/1/window", None), format!(r#"settings.lanes[1].window ("second") is missing: {DURATION}"#)),
+        (with_value("/lanes/0/deadline", json!(0.0)), format!(r#"settings.lanes[0].deadline ("first") is 0.0: {DURATION}"#)),
+        (with_value("/lanes/0/deadline", json!(-3)), format!(r#"settings.lanes[0].deadline ("first") is -3: {DURATION}"#)),
+        (with_value("/lanes/0/deadline", json!([])), format!(r#"settings.lanes[0].deadline ("first") is []: {DURATION}"#)),
+        (with("/lanes/0/deadline", None), format!(r#"settings.lanes[0].deadline ("first") is missing: {DURATION}"#)),
+        (with_value("/lanes/0/target", json!(0)), format!(r#"settings.lanes[0].target ("first") is 0: {DURATION}"#)),
+        (with_value("/lanes/0/credit", json!(-1)), format!(r#"settings.lanes[0].credit ("first") is -1: {NON_NEGATIVE}"#)),
+        (with_value("/lanes/0/aim_stretch", json!(-1)),
+         format!(r#"settings.lanes[0].aim_stretch ("first") is -1: {NON_NEGATIVE}"#)),
+        (with_value("/lanes/0/late_worth", json!(1.1)), format!(r#"settings.lanes[0].late_worth ("first") is 1.1: {FRACTION}"#)),
+        (with_value("/lanes/0/late_worth", json!(-0.1)), format!(r#"settings.lanes[0].late_worth ("first") is -0.1: {FRACTION}"#)),
+        (with_value("/lanes/0/in_order", json!("no")),
          r#"settings.lanes[0].in_order ("first") is "no": true or false is wanted"#.into()),
-        (of("/lanes/1/name", json!("first")),
+        (with_value("/lanes/1/name", json!("first")),
          r#"settings.lanes[1].name ("first") is "first": another name than that of settings.lanes[0] is wanted"#.into()),
-        (of("/lanes/1/name", json!("")), r#"settings.lanes[1].name is "": a name is wanted"#.into()),
+        (with_value("/lanes/1/name", json!("")), r#"settings.lanes[1].name is "": a name is wanted"#.into()),
         (with("/lanes/1/name", None), "settings.lanes[1].name is missing: a name is wanted".into()),
-        (of("/lanes/1/name", json!(5)), "settings.lanes[1].name is 5: a text is wanted".into()),
-        (of("/lanes/1", json!("first")), format!("settings.lanes[1].effect is missing: {EFFECT}")),
-        (of("/lanes", json!(5)), "settings.lanes is 5: a list is wanted".into()),
-        (of("/lanes", json!([])),
+        (with_value("/lanes/1/name", json!(5)), "settings.lanes[1].name is 5: a text is wanted".into()),
+        (with_value("/lanes/1", json!("first")), format!("settings.lanes[1].effect is missing: {EFFECT}")),
+        (with_value("/lanes", json!(5)), "settings.lanes is 5: a list is wanted".into()),
+        (with_value("/lanes", json!([])),
          "settings.lanes is []: a list of one at least, as there is no class of message otherwise, is wanted".into()),
         (with("/lanes", None),
          "settings.lanes is missing: a list of one at least, as there is no class of message otherwise, is wanted".into()),
-        (of("/projects/1/fraction", json!(1.2)), format!(r#"settings.projects[1].fraction ("u") is 1.2: {PART}"#)),
-        (of("/projects/1/fraction", json!(-0.1)), format!(r#"settings.projects[1].fraction ("u") is -0.1: {PART}"#)),
-        (of("/projects/1/fraction", json!("half")),
-         format!(r#"settings.projects[1].fraction ("u") is "half": {PART}"#)),
-        (of("/projects/1/fraction", json!(0.65)),
+        (with_value("/projects/1/fraction", json!(1.2)), format!(r#"settings.projects[1].fraction ("u") is 1.2: {FRACTION}"#)),
+        (with_value("/projects/1/fraction", json!(-0.1)), format!(r#"settings.projects[1].fraction ("u") is -0.1: {FRACTION}"#)),
+        (with_value("/projects/1/fraction", json!("half")),
+         format!(r#"settings.projects[1].fraction ("u") is "half": {FRACTION}"#)),
+        (with_value("/projects/1/fraction", json!(0.65)),
          "settings.projects[*].fraction in all is 1.25: a sum of 1 at the most is wanted".into()),
-        (of("/projects/0/quota_per_s", json!(-5)),
-         format!(r#"settings.projects[0].quota_per_s ("t") is -5: {NONE_NEGATIVE}"#)),
-        (of("/extra/calls_out", json!(0)), format!("settings.extra.calls_out is 0: {WHOLE}")),
-        (of("/extra/calls_out", json!(-8)), format!("settings.extra.calls_out is -8: {WHOLE}")),
-        (of("/extra/calls_out", json!(2.5)), format!("settings.extra.calls_out is 2.5: {WHOLE}")),
-        (of("/extra/calls_out", json!(1e300)), format!("settings.extra.calls_out is 1e+300: {WHOLE}")),
-        (with("/extra/calls_out", None), format!("settings.extra.calls_out is missing: {WHOLE}")),
-        (of("/extra/bundle_max/0", json!(0)), format!("settings.extra.bundle_max[0] is 0: {WHOLE}")),
-        (of("/limits/most_held", json!(0)), format!("settings.limits.most_held is 0: {WHOLE}")),
-        (of("/limits/most_held", json!(0.5)), format!("settings.limits.most_held is 0.5: {WHOLE}")),
-        (of("/limits/max_attempts", json!(0)), format!("settings.limits.max_attempts is 0: {WHOLE}")),
-        (of("/limits/max_attempts", json!(4_294_967_296u64)),
-         format!("settings.limits.max_attempts is 4294967296: {WHOLE}")),
-        (of("/limits/retry_after", json!(1)), "settings.limits.retry_after is 1: true or false is wanted".into()),
-        (of("/limits/idle_close", json!("9 s")), r#"settings.limits.idle_close is "9 s": a number is wanted"#.into()),
-        (of("/peers_total", json!(-1)),
+        (with_value("/projects/0/quota_per_s", json!(-5)),
+         format!(r#"settings.projects[0].quota_per_s ("t") is -5: {NON_NEGATIVE}"#)),
+        (with_value("/extra/calls_out", json!(0)), format!("settings.extra.calls_out is 0: {WHOLE_NUMBER}")),
+        (with_value("/extra/calls_out", json!(-8)), format!("settings.extra.calls_out is -8: {WHOLE_NUMBER}")),
+        (with_value("/extra/calls_out", json!(2.5)), format!("settings.extra.calls_out is 2.5: {WHOLE_NUMBER}")),
+        (with_value("/extra/calls_out", json!(1e300)), format!("settings.extra.calls_out is 1e+300: {WHOLE_NUMBER}")),
+        (with("/extra/calls_out", None), format!("settings.extra.calls_out is missing: {WHOLE_NUMBER}")),
+        (with_value("/extra/bundle_max/0", json!(0)), format!("settings.extra.bundle_max[0] is 0: {WHOLE_NUMBER}")),
+        (with_value("/limits/most_held", json!(0)), format!("settings.limits.most_held is 0: {WHOLE_NUMBER}")),
+        (with_value("/limits/most_held", json!(0.5)), format!("settings.limits.most_held is 0.5: {WHOLE_NUMBER}")),
+        (with_value("/limits/max_attempts", json!(0)), format!("settings.limits.max_attempts is 0: {WHOLE_NUMBER}")),
+        (with_value("/limits/max_attempts", json!(4_294_967_296u64)),
+         format!("settings.limits.max_attempts is 4294967296: {WHOLE_NUMBER}")),
+        (with_value("/limits/retry_after", json!(1)), "settings.limits.retry_after is 1: true or false is wanted".into()),
+        (with_value("/limits/idle_close", json!("9 s")), r#"settings.limits.idle_close is "9 s": a number is wanted"#.into()),
+        (with_value("/peers_total", json!(-1)),
          "settings.peers_total is -1: a whole number from 0 to 4294967295 is wanted".into()),
-        (of("/az", json!(256)), "settings.az is 256: a whole number from 0 to 255 is wanted".into()),
-        (of("/weights", json!("heavy")),
+        (with_value("/az", json!(256)), "settings.az is 256: a whole number from 0 to 255 is wanted".into()),
+        (with_value("/weights", json!("heavy")),
          r#"settings.weights is "heavy": one of "off", "nominal", "rough" is wanted"#.into()),
-        (of("/discovery", json!("asked")),
+        (with_value("/discovery", json!("asked")),
          r#"settings.discovery is "asked": one of "pushed", "on_request" is wanted"#.into()),
-        (of("/extra/loses_worth", json!("fast")),
+        (with_value("/extra/loses_worth", json!("fast")),
          r#"settings.extra.loses_worth is "fast": one of "linear", "halving" is wanted"#.into()),
-        (of("/rules/cold_from", json!(0)),
+        (with_value("/rules/cold_from", json!(0)),
          "settings.rules.cold_from is 0: a number above 0, 1 at the most, is wanted".into()),
-        (of("/rules/fall_multiple", json!(0)), "settings.rules.fall_multiple is 0: a number above 0 is wanted".into()),
-        (of("/rules/tip_after", json!(-1)),
+        (with_value("/rules/fall_multiple", json!(0)), "settings.rules.fall_multiple is 0: a number above 0 is wanted".into()),
+        (with_value("/rules/tip_after", json!(-1)),
          "settings.rules.tip_after is -1: a number of ms, 0 or more is wanted".into()),
     ] {
         assert_eq!(error_of(&json), line);
     }
 }
 
+/// The value in the error is a string with line breaks and 3,000 characters.
 #[test]
-fn a_value_that_is_long_or_has_line_breaks_is_shown_shortened_on_one_line() {
+fn long_or_multiline_values_are_shortened_to_one_line() {
     let line = error_of(&with("/lanes/0/effect", Some(json!("a\nb".repeat(1000)))));
     assert!(line.len() < 300 && !line.contains('\n'), "{line}");
 }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -1,8 +1,9 @@
-//! The slots of this sender: how many calls may be in flight at once.
+//! The call slots of this sender, which bound the number of calls in flight.
 
 use crate::calls::CallId;
 
-/// The slots in use: one for each call of this process, and those of another process of the same sender.
+/// Counts the slots in use: one for each call of this process, and those of another process of this sender
+/// during a handover.
 #[derive(Debug)]
 pub(crate) struct CallSlots {
     total: usize,
@@ -12,7 +13,7 @@
 }
 
 impl CallSlots {
-    /// Slots of which none is in use.
+    /// Creates slots of which none is in use.
     pub fn new(total: usize) -> Self {
         Self { total, in_use: 0, used_by_peer: 0, next_call_id: 0 }
     }
@@ -22,13 +23,13 @@
         self.used_by_peer = used;
     }
 
-    /// Number of slots that neither this process nor the other one uses; the other one leaves at least one.
+    /// Number of free slots. At least one slot is never counted as used by the other process.
     pub fn free(&self) -> usize {
         let used_by_peer = self.used_by_peer.min(self.total.saturating_sub(1));
         self.total.saturating_sub(self.in_use + used_by_peer)
     }
 
-    /// Takes a slot for a new call; returns the call's id.
+    /// Takes a slot for a new call. Returns the id of the call.
     pub fn acquire(&mut self) -> CallId {
         let id = CallId(self.next_call_id);
         self.next_call_id += 1;
--- a/crates/policy/src/subscription.rs
+++ b/crates/policy/src/subscription.rs
@@ -1,14 +1,15 @@
-//! When to subscribe to the endpoint list.
+//! Schedules subscriptions to the endpoint list.
 
 use crate::context::Context;
 use crate::interface::{Discovery, Millis};
 
-/// Mean backoff before subscribing again after a failure, in ms.
+/// Mean backoff after a failed subscription, in ms.
 const SUBSCRIBE_BACKOFF: Millis = 1_000.0;
 
-/// The next subscription to the endpoint list, if one is due.
+/// The time of the next subscription to the endpoint list.
 ///
-/// Departure (the list arrives on request only): it subscribes at once, and again after each failure.
+/// Extension (the list arrives on request only): the policy subscribes at the start, and again after each
+/// failure, because changes of the list would not be received otherwise.
 #[derive(Debug)]
 pub(crate) struct Subscription {
     is_on_request: bool,
@@ -16,13 +17,13 @@
 }
 
 impl Subscription {
-    /// A subscription that is due at once, if the list arrives on request only.
+    /// Creates a schedule; if the list arrives on request only, the first subscription is due at once.
     pub fn new(discovery: Discovery) -> Self {
         let is_on_request = matches!(discovery, Discovery::OnRequest { .. });
         Self { is_on_request, due_at: is_on_request.then_some(0.0) }
     }
 
-    /// Whether to subscribe now.
+    /// Whether to subscribe now; if so, the subscription is no longer due.
     pub fn take_due(&mut self, now: Millis) -> bool {
         self.due_at.take_if(|due_at| *due_at <= now).is_some()
     }
@@ -33,7 +34,7 @@
         self.due_at = self.is_on_request.then_some(context.now + backoff);
     }
 
-    /// When the next subscription is due.
+    /// When the next subscription is due; `None` if none is scheduled.
     pub fn due_at(&self) -> Option<Millis> {
         self.due_at
     }
--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -1,7 +1,8 @@
-//! The throttle of the calls that share a limit: its drop probability, its send rate and its backoff.
+//! The throttle of the calls that share a limit: drop probability, send rate and backoff.
 //!
-//! Requests and accepts are counted over a sliding window. A call draws at `next_draw_at`: it is dropped
-//! locally with the probability that the counts give. Each call and each drop schedules the next draw.
+//! The throttle counts requests and accepts over a sliding window. At `next_draw_at` a call may draw: it is
+//! dropped locally with the probability that follows from the counts. Each call and each drop schedules the
+//! next draw.
 
 mod initial;
 mod rejections;
@@ -18,23 +19,23 @@
 use rejections::ConsecutiveRejections;
 use send_rate::SendRate;
 
-/// Calls that an idle throttle saves up and may send at once, in ms of its send rate.
+/// Burst that an idle throttle may send at once: the calls of this time, in ms, at the send rate.
 const BURST: Millis = 500.0;
-/// Mean backoff after a rejection, in ms at a send rate of one call per second.
+/// Mean backoff after a rejection, in ms, at a send rate of one call per second.
 const REJECTION_BACKOFF: Millis = 500.0;
-/// Number of senders up to which a fleet is small: each sender increases its rate and probes as if alone.
+/// Number of senders up to which a fleet is small: each sender then increases its send rate and sends probes
+/// as if it were the only one.
 const SMALL_FLEET: f64 = 3.0;
 
 /// The requests and accepts of the calls that share a limit, and when the next call may start.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Throttle {
     window: Window,
-    /// Factor on the age of the window's entries, 1 or more.
+    /// Factor by which the age of the window's entries is multiplied, 1 or more.
     time_scale: f64,
     send_rate: SendRate,
-    /// No call starts before the last Retry-After is over.
+    /// When the last Retry-After ends; no call starts before.
     retry_after_until: Millis,
-    /// When the next call may draw.
     next_draw_at: Millis,
     rejections: ConsecutiveRejections,
     latency: Latency,
@@ -44,21 +45,21 @@
 /// The result of a draw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Draw {
-    /// The call passes.
+    /// The call may start.
     Passed,
     /// The call is dropped locally.
     Dropped,
-    /// The throttle still backs off.
+    /// The next draw is not due yet.
     NotDue,
 }
 
 impl Throttle {
-    /// The limit, in calls per second of all senders together.
+    /// The limit on the calls of all senders together, in calls per second.
     pub fn limit(&self) -> f64 {
         self.send_rate.limit()
     }
 
-    /// When the last Retry-After is over.
+    /// When the last Retry-After ends.
     pub fn retry_after_until(&self) -> Millis {
         self.retry_after_until
     }
@@ -68,12 +69,12 @@
         self.next_draw_at
     }
 
-    /// Lets no call start before `until`.
+    /// Blocks all calls until `until`, unless they are blocked for longer already.
     pub fn extend_retry_after(&mut self, until: Millis) {
         self.retry_after_until = self.retry_after_until.max(until);
     }
 
-    /// Lets no call draw before `until`.
+    /// Blocks all draws until `until`, unless they are blocked for longer already.
     pub fn delay_next_draw(&mut self, until: Millis) {
         self.next_draw_at = self.next_draw_at.max(until);
     }
@@ -88,17 +89,18 @@
         self.latency.record(latency);
     }
 
-    /// Removes all requests and accepts.
+    /// Removes all counted requests and accepts.
     pub fn clear_counts(&mut self) {
         self.window.clear();
     }
 
-    /// Draws whether a call passes; overdue calls count as requests that were not accepted.
+    /// Draws whether a call may start; overdue calls count as requests that were not accepted.
     pub fn draw(&mut self, context: &mut Context, overdue: usize, shared_rate: Option<f64>) -> Draw {
         if self.next_draw_at > context.now {
             return Draw::NotDue;
         }
-        // Departure (a shared rate is known): the formula's result for all senders is in it already.
+        // Extension (a shared rate is known): the call passes without a draw, because the shared rate already
+        // contains the result of the drop formula for all senders.
         if shared_rate.is_some() {
             return Draw::Passed;
         }
@@ -106,16 +108,17 @@
         if draw >= self.counts(context.now).drop_probability(overdue) { Draw::Passed } else { Draw::Dropped }
     }
 
-    /// Backs off after a drop: the next draw is scheduled.
+    /// Backs off after a drop, by scheduling the next draw.
     ///
-    /// Departure (the message was dropped before): it counts as one request, however often it draws.
+    /// Extension (the message was dropped before): a message counts as one request, however often it draws,
+    /// because its repeated draws are not additional load.
     pub fn record_drop(&mut self, context: &mut Context, was_dropped_before: bool) {
         self.window.count(context.now, if was_dropped_before { 0.0 } else { 1.0 }, 0.0);
         self.next_draw_at = context.now + context.rng.pause(1_000.0 / self.send_rate.current());
     }
 
-    /// Records a call that starts, and schedules the next draw. Returns whether less than a burst was saved
-    /// up, so that the send rate limits the calls.
+    /// Records that a call starts, and schedules the next draw. Returns whether less than a full burst was
+    /// available, so that the send rate limits the calls.
     pub fn record_call(&mut self, context: &mut Context, shared_rate: Option<f64>) -> bool {
         self.capacity.record_call(context.now, shared_rate);
         let earliest = context.now - BURST;
@@ -125,8 +128,8 @@
         is_rate_limited
     }
 
-    /// Backs off until a Retry-After is over, and for a random pause after it, as other senders wait for the
-    /// same moment.
+    /// Backs off until a Retry-After ends and for a random pause after it, because other senders wait for the
+    /// same time.
     pub fn back_off(&mut self, context: &mut Context, retry_after: Millis, shared_rate: Option<f64>) {
         let until = context.now + retry_after;
         let rejections = f64::from(self.rejections.count() + 1).min(context.settings.fleet_scale());
@@ -139,7 +142,7 @@
         self.delay_next_draw(until + pause);
     }
 
-    /// Counts the result of a call. Returns whether it shows an outage by itself.
+    /// Counts the result of a call. Returns whether this result alone indicates an outage.
     pub fn record_result(&mut self, context: &Context, outcome: Outcome, retry_after: Millis) -> bool {
         let accepted = matches!(outcome, Outcome::Ok | Outcome::Error);
         self.window.count(context.now, 1.0, if accepted { 1.0 } else { 0.0 });
@@ -159,7 +162,10 @@
         self.send_rate.increase(context, self.time_scale);
     }
 
-    /// Departure (a call was rejected): the send rate exceeded what the limit leaves to this sender.
+    /// Reduces the send rate after a rejection, unless the last reduction was a short time ago.
+    ///
+    /// Extension (a call was rejected): adaptive throttling alone only drops calls. The rejection indicates
+    /// that the send rate was above this sender's share of the limit.
     fn reduce_send_rate(&mut self, context: &Context) {
         let now = context.now;
         if !self.send_rate.may_be_reduced(now) {
@@ -170,7 +176,7 @@
         self.send_rate.reduce(now, counts, span, context.settings.peers_total);
     }
 
-    /// Requests and accepts of the window; while it is empty the send rate is the initial one.
+    /// The requests and accepts in the window. An empty window resets the send rate to the initial rate.
     fn counts(&mut self, now: Millis) -> WindowCounts {
         let counts = self.window.counts(now, self.time_scale, COUNT_WINDOW);
         if counts.is_none() {
@@ -180,30 +186,30 @@
     }
 }
 
-/// The part of the limit that the fleet leaves to this sender.
+/// This sender's share of the limit by the fleet's reports.
 impl Throttle {
-    /// The call rate that the fleet leaves to this sender with so much demand, in calls per second, while its
-    /// reports are fresh.
+    /// This sender's call rate by the fleet's reports, in calls per second, for a demand in calls; `None`
+    /// without a current report.
     pub fn shared_rate(&self, now: Millis, demand: f64) -> Option<f64> {
         self.capacity.rate(now, demand, self.limit())
     }
 
-    /// This sender's fraction of the fleet's demand, while the fleet reports it.
+    /// This sender's fraction of the fleet's demand, from 0 to 1; `None` without a current report.
     pub fn demand_fraction(&self, now: Millis, demand: f64) -> Option<f64> {
         self.capacity.demand_fraction(now, demand)
     }
 
-    /// When the next permit becomes valid; negative infinite if calls need none.
+    /// When the next permit becomes valid; negative infinity if calls need no permit.
     pub fn next_permit_at(&self, now: Millis) -> Millis {
         self.capacity.next_lease_at(now)
     }
 
-    /// Calls so far, with those that were rejected and that failed.
+    /// The state of this sender's share, which also counts calls, rejections and failures since the start.
     pub fn capacity(&self) -> &gossip::CapacityShare {
         &self.capacity
     }
 
-    /// Applies the fleet's report; the next draw is scheduled by its rate.
+    /// Applies a report of the fleet, and schedules the next draw by the reported rate.
     pub fn apply_capacity(&mut self, now: Millis, update: &gossip::CapacityUpdate) {
         let scheduled =
             gossip::ScheduledCall { due_at: self.next_draw_at, not_before: self.retry_after_until };
@@ -221,7 +227,8 @@
         self.capacity.set_leases(now, &leases);
     }
 
-    /// Schedules the draw of the first waiting message among the calls of all senders.
+    /// Schedules the draw of the first waiting message by the shared rate, at a random place between the
+    /// calls of all senders.
     pub fn schedule_first_call(&mut self, context: &mut Context, shared_rate: f64) {
         let draw = context.rng.unit();
         if let Some(draw_at) = self.capacity.schedule_first_call(context.now, shared_rate, draw) {
@@ -231,7 +238,7 @@
 }
 
 impl Settings {
-    /// The size of the fleet as a multiple of a small one, 1 or more.
+    /// The number of senders as a multiple of a small fleet's, 1 or more.
     pub(crate) fn fleet_scale(&self) -> f64 {
         (self.peers_total as f64 / SMALL_FLEET).max(1.0)
     }
--- a/crates/policy/src/throttle/initial.rs
+++ b/crates/policy/src/throttle/initial.rs
@@ -1,4 +1,4 @@
-//! What the throttle of a new route starts with.
+//! The initial state of the throttle of a new route.
 
 use rudderspindle_gossip::CapacityShare;
 
@@ -7,24 +7,25 @@
 use crate::context::Context;
 use crate::interface::{Millis, RateHint, RouteEntry};
 
-/// Where no class has a deadline this long, in ms, the count window and the recovery of the send rate are
-/// shorter by as much: one rejection must not outlast the messages.
+/// Deadline, in ms, for which the count window and the increase of the send rate are designed. Where the
+/// longest deadline of all classes is shorter, the window is shorter and the increase faster by the same
+/// factor, because the effect of one rejection must not last longer than the messages.
 const REFERENCE_DEADLINE: Millis = 28_000.0;
-/// The limit where the list gives none, in calls per second.
+/// The limit of a route for which the list has none, in calls per second.
 const DEFAULT_LIMIT: f64 = 20.0;
 
-/// Which reports of the fleet the host passes on.
+/// Which reports of the fleet the host forwards to the policy.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CapacitySource {
-    /// Whether the demand of other senders is reported.
+    /// Whether the host reports the demand of other senders.
     pub reports_capacity: bool,
-    /// Whether no call starts without a permit.
+    /// Whether each call needs a permit.
     pub requires_permits: bool,
 }
 
 impl CapacitySource {
-    /// The capacity of a limit that no report has named yet.
-    fn unreported(self, now: Millis, limit: f64, senders: usize) -> CapacityShare {
+    /// This sender's share of a limit before the first report about the limit.
+    fn before_first_report(self, now: Millis, limit: f64, senders: usize) -> CapacityShare {
         let capacity = if self.reports_capacity {
             CapacityShare::equal(now, limit, senders)
         } else {
@@ -35,7 +36,7 @@
 }
 
 impl Throttle {
-    /// The throttle of a route that the list has added.
+    /// Creates the throttle of a route that was added to the list.
     pub fn for_route(context: &Context, entry: &RouteEntry, source: CapacitySource) -> Self {
         let settings = &context.settings;
         let has_limit = settings.rate_hint != RateHint::None && entry.rate > 0.0;
@@ -45,7 +46,7 @@
         Self {
             time_scale: (REFERENCE_DEADLINE / longest_deadline).max(1.0),
             send_rate: SendRate::new(context.now, limit, settings.peers_total),
-            capacity: source.unreported(context.now, limit, settings.peers_total),
+            capacity: source.before_first_report(context.now, limit, settings.peers_total),
             ..Self::default()
         }
     }
--- a/crates/policy/src/throttle/send_rate.rs
+++ b/crates/policy/src/throttle/send_rate.rs
@@ -4,24 +4,26 @@
 use crate::interface::Millis;
 use crate::window::{COUNT_WINDOW, WindowCounts};
 
-/// Minimum factor of a reduction.
+/// Minimum of the factor by which the rate is multiplied in a reduction.
 const MIN_REDUCTION_FACTOR: f64 = 0.5;
-/// Maximum factor of a reduction.
+/// Maximum of the factor by which the rate is multiplied in a reduction.
 const MAX_REDUCTION_FACTOR: f64 = 0.85;
-/// Minimum rate, as a share of an equal part of the limit.
+/// Minimum rate, as a fraction of an equal share of the limit.
 const MIN_RATE_SHARE: f64 = 0.8;
-/// Minimum initial rate, in calls per second: in a large fleet few senders use a small limit.
+/// Minimum initial rate, in calls per second. An equal share of a small limit would be too low in a large
+/// fleet, where few senders use that limit.
 const MIN_INITIAL_RATE: f64 = 0.25;
-/// Rejections within this time of a reduction, in ms, have the same cause and reduce no further.
+/// Rejections within this time after a reduction, in ms, have the same cause and do not reduce the rate
+/// again.
 const REDUCTION_INTERVAL: Millis = 400.0;
-/// Increase for an accepted call, as a share of the limit. In a fleet it is smaller for a new throttle and
-/// after a reduction, as all senders increase at the same time.
+/// Increase of the rate for each accepted call, as a fraction of the limit. In a large fleet the increase is
+/// smaller for a new throttle and after a reduction, because all senders increase their rates at that time.
 const INCREASE_SHARE: f64 = 0.007;
 
 /// The rate at which calls start, in calls per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SendRate {
-    /// The limit of all senders together.
+    /// The limit on the calls of all senders together.
     limit: f64,
     initial: f64,
     current: f64,
@@ -29,28 +31,27 @@
 }
 
 impl SendRate {
-    /// The rate of a limit of which nothing else is known.
+    /// Creates the initial rate for a limit and a number of senders.
     pub fn new(now: Millis, limit: f64, senders: usize) -> Self {
         let initial = (limit / senders as f64).max(MIN_INITIAL_RATE).min(limit);
         Self { limit, initial, current: initial, reduced_at: now - REDUCTION_INTERVAL }
     }
 
-    /// The limit of all senders together.
+    /// The limit on the calls of all senders together, in calls per second.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// The rate now.
     pub fn current(&self) -> f64 {
         self.current
     }
 
-    /// The greater one of the present and the initial rate.
+    /// The greater of the current and the initial rate.
     pub fn current_or_initial(&self) -> f64 {
         self.current.max(self.initial)
     }
 
-    /// Returns to the initial rate.
+    /// Resets the rate to the initial rate.
     pub fn reset(&mut self) {
         self.current = self.initial;
     }
@@ -66,12 +67,13 @@
         self.current = (self.current + share * self.limit).min(self.limit);
     }
 
-    /// Whether a rejection at `now` belongs to another overshoot than the last reduction.
+    /// Whether a rejection at `now` may reduce the rate; not a short time after the last reduction.
     pub fn may_be_reduced(&self, now: Millis) -> bool {
         now - self.reduced_at > REDUCTION_INTERVAL
     }
 
-    /// Reduces the rate by the share of a span's calls that the drop formula lets pass, within bounds.
+    /// Multiplies the rate by the fraction of requests that the drop formula passes, within bounds. `counts`
+    /// are those of the last `span`.
     pub fn reduce(&mut self, now: Millis, counts: WindowCounts, span: Millis, senders: usize) {
         self.reduced_at = now;
         let sent_rate = (counts.requests * 1_000.0 / span).max(self.initial);
--- a/crates/policy/src/wake_timer.rs
+++ b/crates/policy/src/wake_timer.rs
@@ -1,11 +1,11 @@
-//! The wake-up that the policy has requested from its host.
+//! The wake-up that the policy has requested from the host.
 
 use crate::interface::{Action, Millis};
 
 /// Minimum delay of a wake-up, in ms.
 const MIN_DELAY: Millis = 1.0;
 
-/// The newest wake-up that was requested; older ones are ignored.
+/// The wake-up that was requested last; earlier requests are ignored when they fire.
 #[derive(Debug, Default)]
 pub(crate) struct WakeTimer {
     due_at: Option<Millis>,
@@ -13,14 +13,15 @@
 }
 
 impl WakeTimer {
-    /// Records that the host's timer with this token has fired.
+    /// Handles the event that the wake-up with this token has fired.
     pub fn fired(&mut self, token: u64) {
         if token == self.token {
             self.due_at = None;
         }
     }
 
-    /// Requests a wake-up at `at`, but not within the next tick; `None` if an earlier one is pending.
+    /// Returns a request for a wake-up at `at`, but not within the next tick; `None` if `at` is infinite or
+    /// an earlier wake-up is pending.
     pub fn set(&mut self, now: Millis, at: Millis, tick: Millis) -> Option<Action> {
         let fires_earlier = self.due_at.is_some_and(|due_at| due_at > now && due_at <= at);
         if at == f64::INFINITY || fires_earlier {
