--- a/crates/policy/src/destination.rs
+++ b/crates/policy/src/destination.rs
@@ -4,7 +4,7 @@
 mod demand;
 mod dispatch;
 mod outage_detection;
-mod outage_memory;
+mod outage_persistence;
 mod queue;
 mod results;
 mod route;
--- a/crates/policy/src/destination/outage_memory.rs
+++ b/crates/policy/src/destination/outage_persistence.rs
@@ -2,7 +2,7 @@
 
 use super::Destination;
 use crate::context::Context;
-use crate::interface::{Action, Millis, OutageState, RememberedOutage};
+use crate::interface::{Action, Millis, OutageState, PersistedOutage};
 
 impl Destination {
     /// Appends an action for each outage that has changed, so that the host persists it.
@@ -12,17 +12,17 @@
             let outage = self.breaker_mut(scope).unreported_outage(now, retry_after_until);
             if let Some(outage) = outage {
                 let scope = self.limit_scope(scope);
-                actions.push(Action::Remember { scope, outage });
+                actions.push(Action::PersistOutage { scope, outage });
             }
         }
     }
 
     /// Restores an outage that the host persisted before a restart.
-    pub fn restore_outage(&mut self, context: &mut Context, remembered: &RememberedOutage) {
-        let route = remembered.scope.route;
+    pub fn restore_outage(&mut self, context: &mut Context, persisted: &PersistedOutage) {
+        let route = persisted.scope.route;
         let names_a_limit = self.limit_per_route || route.is_none();
         let Some(scope) = self.throttle_scope(route).filter(|_| names_a_limit) else { return };
-        match remembered.outage {
+        match persisted.outage {
             OutageState::Healthy => {}
             OutageState::Down { retry_after_remaining } => {
                 let until = context.now + retry_after_remaining;
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -13,7 +13,7 @@
 pub use checks::SettingsError;
 pub use event::{AttemptResult, Event, Outcome};
 pub use limit::{
-    CapacityUpdate, LimitScope, OutageState, Permit, PermitUpdate, RememberedOutage, RetryAfterUpdate,
+    CapacityUpdate, LimitScope, OutageState, Permit, PermitUpdate, PersistedOutage, RetryAfterUpdate,
 };
 pub use list::{AttemptHistory, ListChange, Listing, Message, PriorExecution, RouteEntry};
 pub use settings::{Class, Discovery, Effect, KeyGroup, Kind, LateDecay, RateHint, Settings, Tenant};
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -71,7 +71,7 @@
     Subscribe,
     /// Persist an outage for the time after a restart, in place of the persisted one of the same scope. The
     /// host may delete it after a minute.
-    Remember {
+    PersistOutage {
         /// Which calls the outage concerns.
         scope: LimitScope,
         /// The state of the outage.
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -2,7 +2,7 @@
 
 use super::{
     AttemptHistory, CapacityUpdate, ListChange, Message, MessageHandle, Millis, PermitUpdate,
-    RememberedOutage, RetryAfterUpdate, RouteId,
+    PersistedOutage, RetryAfterUpdate, RouteId,
 };
 
 /// The outcome of an attempt.
@@ -64,7 +64,7 @@
     /// A message that was accepted before a restart has no final outcome yet.
     Recovered(Message, AttemptHistory),
     /// An outage that was persisted before a restart. Must come after the first [`Event::List`].
-    Remembered(RememberedOutage),
+    PersistedOutage(PersistedOutage),
     /// Another process of this sender has received a Retry-After.
     RetryAfter(RetryAfterUpdate),
     /// This sender's share of a limit has changed.
--- a/crates/policy/src/interface/limit.rs
+++ b/crates/policy/src/interface/limit.rs
@@ -33,7 +33,7 @@
 
 /// An outage that was persisted before a restart; times are relative to now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RememberedOutage {
+pub struct PersistedOutage {
     /// Which calls the outage concerns.
     pub scope: LimitScope,
     /// The state of the outage.
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -14,9 +14,9 @@
             Event::List(change) => self.apply_list_change(change),
             Event::Message(message) => self.admit(message, &AttemptHistory::default()),
             Event::Recovered(message, history) => self.admit(message, history),
-            Event::Remembered(remembered) => {
-                if let Some(destination) = self.destinations.get_mut(remembered.scope.destination) {
-                    destination.restore_outage(&mut self.context, remembered);
+            Event::PersistedOutage(persisted) => {
+                if let Some(destination) = self.destinations.get_mut(persisted.scope.destination) {
+                    destination.restore_outage(&mut self.context, persisted);
                 }
             }
             Event::RetryAfter(update) => {
--- a/crates/policy/src/policy/metrics.rs
+++ b/crates/policy/src/policy/metrics.rs
@@ -11,7 +11,7 @@
     }
 
     /// Number of routes, destinations, messages and ordering keys in memory.
-    pub fn remembered(&self) -> usize {
+    pub fn state_entry_count(&self) -> usize {
         let routes = self.destinations.iter().map(|destination| 1 + destination.route_count()).sum::<usize>();
         routes + self.messages.len() + self.messages.ordering_keys()
     }
--- a/crates/policy/tests/common/delivery_rules.rs
+++ b/crates/policy/tests/common/delivery_rules.rs
@@ -28,7 +28,7 @@
             Action::Wake { .. }
             | Action::HealthCheck { .. }
             | Action::Subscribe
-            | Action::Remember { .. } => {}
+            | Action::PersistOutage { .. } => {}
         }
     }
 
--- a/crates/policy/tests/common/harness.rs
+++ b/crates/policy/tests/common/harness.rs
@@ -91,7 +91,7 @@
             for action in self.step(10.0, &[Event::Wake(token)]) {
                 match action {
                     Action::Wake { token: next, .. } => token = next,
-                    Action::Remember { .. } => {}
+                    Action::PersistOutage { .. } => {}
                     other => done.push(other),
                 }
             }
--- a/crates/policy/tests/recovery/restart.rs
+++ b/crates/policy/tests/recovery/restart.rs
@@ -5,7 +5,7 @@
 use super::{OK, assert_one_probe_and_one_ramp, messages, ramp_of_one, with_routes};
 use crate::common::{play_calls, sends};
 use rudderspindle_policy::interface::{
-    Action, DestinationId, Event, LimitScope, OutageState, Outcome, RememberedOutage, RouteId,
+    Action, DestinationId, Event, LimitScope, OutageState, Outcome, PersistedOutage, RouteId,
 };
 use rudderspindle_simulation::fixtures::outcome;
 
@@ -17,7 +17,7 @@
             let mut harness = with_routes(1..=1, kind, seed);
             let returned_at = harness.now + 4_000.0;
             let scope = LimitScope { destination: DestinationId(0), route };
-            let remembered = |outage| Event::Remembered(RememberedOutage { scope, outage });
+            let remembered = |outage| Event::PersistedOutage(PersistedOutage { scope, outage });
             let mut first = vec![remembered(OutageState::Down { retry_after_remaining: 4_000.0 })];
             first.extend(messages(0..80));
             let calls = play_calls(&mut harness, first, 9_000.0, &mut BTreeMap::new(), |_, _| OK);
@@ -45,7 +45,7 @@
     let mut reported = Vec::new();
     let mut record = |actions: Vec<Action>| {
         for action in &actions {
-            if let Action::Remember { scope, outage } = action {
+            if let Action::PersistOutage { scope, outage } = action {
                 let shared = LimitScope { destination: DestinationId(0), route: None };
                 assert_eq!(*scope, shared, "routes that share a limit");
                 reported.push(*outage);
--- a/crates/policy/tests/replay/adapter.rs
+++ b/crates/policy/tests/replay/adapter.rs
@@ -6,8 +6,8 @@
 use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{
     Action, AttemptHistory, AttemptResult, CapacityUpdate, DestinationId, Event, LimitScope, ListChange,
-    Listing, Message, MessageHandle, OutageState, Outcome, Permit, PermitUpdate, PriorExecution,
-    RememberedOutage, RetryAfterUpdate, RouteEntry, RouteId,
+    Listing, Message, MessageHandle, OutageState, Outcome, Permit, PermitUpdate, PersistedOutage,
+    PriorExecution, RetryAfterUpdate, RouteEntry, RouteId,
 };
 use rudderspindle_policy::settings;
 use rudderspindle_policy_replay as replay;
@@ -98,9 +98,10 @@
             let possibly_executed = execution.map(prior_execution);
             Event::Recovered(message_of(&message), AttemptHistory { attempts, possibly_executed })
         }
-        Input::Remembered { limit, outage } => {
-            Event::Remembered(RememberedOutage { scope: limit_scope(limit), outage: outage_state(outage) })
-        }
+        Input::Remembered { limit, outage } => Event::PersistedOutage(PersistedOutage {
+            scope: limit_scope(limit),
+            outage: outage_state(outage),
+        }),
         Input::RetryAfter { limit, remaining } => {
             Event::RetryAfter(RetryAfterUpdate { scope: limit_scope(limit), remaining })
         }
@@ -198,6 +199,6 @@
         Action::Cancel { id, attempt } => Output::Cancel { id: id.0, attempt },
         Action::HealthCheck { .. } => Output::HealthCheck,
         Action::Subscribe => Output::Subscribe,
-        Action::Remember { .. } => Output::Remember,
+        Action::PersistOutage { .. } => Output::Remember,
     }
 }
--- a/crates/policy/tests/replay/text.rs
+++ b/crates/policy/tests/replay/text.rs
@@ -25,7 +25,7 @@
         Action::Cancel { id, attempt } => format!("cancel {} {attempt}", id.0),
         Action::HealthCheck { route } => format!("probe {}", route.0),
         Action::Subscribe => "subscribe".to_owned(),
-        Action::Remember { scope, outage } => {
+        Action::PersistOutage { scope, outage } => {
             let limit = limit_text(scope);
             match outage {
                 OutageState::Healthy => format!("remember {limit} nothing"),
@@ -44,7 +44,7 @@
 pub fn metrics_text(policy: &Policy) -> String {
     let mut text = format!(
         "figures {} {} {}\n",
-        policy.remembered(),
+        policy.state_entry_count(),
         policy.free_capacity(),
         policy.routes_out_of_rotation()
     );
--- a/crates/policy/tests/rules/route_list.rs
+++ b/crates/policy/tests/rules/route_list.rs
@@ -25,11 +25,11 @@
         harness.step(5.0, &[list(routes.collect()), keyed_message(round as u32, 0, 6_000, round + 1)]);
         harness.step(5.0, &[Event::Dropped(MessageHandle(round as u32))]);
     }
-    assert!(harness.policy.remembered() >= 10_000, "routes that were removed just now are remembered");
+    assert!(harness.policy.state_entry_count() >= 10_000, "routes that were removed just now are remembered");
     harness.step(30_000.0, &[list(vec![])]);
     harness.step(61_000.0, &[list(vec![])]);
     harness.step(5.0, &[]);
-    assert_eq!(harness.policy.remembered(), 0, "nothing that is removed or completed stays");
+    assert_eq!(harness.policy.state_entry_count(), 0, "nothing that is removed or completed stays");
 }
 
 #[test]
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -102,7 +102,7 @@
                 Action::Wake { delay, token } => self.timers.set(now + from_millis(delay), token),
                 Action::Cancel { id, attempt } => self.calls.cancel(id, attempt),
                 Action::HealthCheck { route } => self.io.outbound.start_health_check(route),
-                Action::Remember { scope, outage } => {
+                Action::PersistOutage { scope, outage } => {
                     record_outage(&mut self.store, &self.io.outbound, scope, outage);
                 }
                 // The endpoint list is always watched, and completions have been recorded.
--- a/crates/sender/src/engine/outage_records.rs
+++ b/crates/sender/src/engine/outage_records.rs
@@ -2,7 +2,7 @@
 
 use rudderspindle_journal::{self as journal, Store};
 use rudderspindle_policy::interface::{
-    DestinationId, Event, LimitScope, Millis, OutageState, RememberedOutage,
+    DestinationId, Event, LimitScope, Millis, OutageState, PersistedOutage,
 };
 
 use super::endpoint_table::EndpointTable;
@@ -30,7 +30,7 @@
         let receiver = &endpoint.receiver;
         let route = if receiver.is_empty() { None } else { Some(endpoints.find(receiver)?) };
         let scope = LimitScope { destination: DestinationId(endpoint.destination), route };
-        Some(Event::Remembered(RememberedOutage { scope, outage: from_record(outage) }))
+        Some(Event::PersistedOutage(PersistedOutage { scope, outage: from_record(outage) }))
     };
     store.outage_records().filter_map(event).collect()
 }
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -121,7 +121,7 @@
             engine.run_batch(Vec::new());
             let entries = engine.endpoints.entries() + engine.tracked.entries();
             let entries = entries + engine.calls.len() + engine.timers.len();
-            after.push(entries + engine.io.outbound.entries() + engine.policy.remembered());
+            after.push(entries + engine.io.outbound.entries() + engine.policy.state_entry_count());
         }
         let (half, end) = (after[599], after[1_199]);
         assert!(end <= half + 10 && end < 600, "{half} half-way, {end} at the end");
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -79,7 +79,7 @@
     let test = async {
         let (mut engine, _inputs) = engine(folder.path());
         let listener = receiver(&mut engine).await;
-        let before = engine.policy.remembered();
+        let before = engine.policy.state_entry_count();
         let mut stream = call(&mut engine, &listener, 1).await;
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("writable");
         until(|| !engine.io.inputs.is_empty()).await;
@@ -89,7 +89,7 @@
         }
         assert!(engine.tracked.is_empty() && !engine.store.contains(&"m1".into()), "it is not complete");
         assert!(engine.calls.is_empty(), "it was sent again");
-        assert_eq!(engine.policy.remembered(), before, "the policy still has it");
+        assert_eq!(engine.policy.state_entry_count(), before, "the policy still has it");
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/simulation/src/receiver/simulated_sender.rs
+++ b/crates/simulation/src/receiver/simulated_sender.rs
@@ -10,7 +10,7 @@
 use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{
     AttemptHistory, CapacityUpdate, Demand, DestinationId, Event, LimitScope, Millis, OutageState, Permit,
-    PermitUpdate, RememberedOutage, RouteId,
+    PermitUpdate, PersistedOutage, RouteId,
 };
 
 use super::clock::wall_clock;
@@ -111,7 +111,7 @@
         for (&route, remembered) in &self.remembered {
             let outage = age_outage_state(remembered.outage, now - remembered.at);
             let scope = LimitScope { destination: DestinationId(0), route };
-            sender.events.push(Event::Remembered(RememberedOutage { scope, outage }));
+            sender.events.push(Event::PersistedOutage(PersistedOutage { scope, outage }));
         }
         for (&id, open) in &self.open {
             let time_left = DEADLINE - (now - open.submitted_at);
--- a/crates/simulation/src/receiver/simulation.rs
+++ b/crates/simulation/src/receiver/simulation.rs
@@ -192,7 +192,7 @@
                 sender.open.remove(&id.0);
             }
             Action::Send { id, route, timeout, .. } => self.call(index, id.0, route, timeout),
-            Action::Remember { scope, outage } => {
+            Action::PersistOutage { scope, outage } => {
                 sender.remembered.insert(scope.route, StoredOutage { at: now, outage });
             }
             Action::Cancel { .. } | Action::HealthCheck { .. } | Action::Subscribe => {}
--- a/crates/simulator-adapter/src/frame/reply.rs
+++ b/crates/simulator-adapter/src/frame/reply.rs
@@ -25,7 +25,7 @@
 impl Reply {
     /// Appends an action of a sender.
     ///
-    /// [`Action::Remember`] is left out: what a simulated sender remembers is lost when it stops.
+    /// [`Action::PersistOutage`] is left out: what a simulated sender remembers is lost when it stops.
     pub fn push(&mut self, instance: InstanceId, action: &Action) {
         let mut fields = instance.0.to_be_bytes().to_vec();
         let code = match *action {
@@ -62,7 +62,7 @@
                 fields.push(SUBSCRIBED);
                 SUBSCRIBE
             }
-            Action::Remember { .. } => return,
+            Action::PersistOutage { .. } => return,
         };
         self.push_record(code, &fields);
     }
