--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -16,7 +16,7 @@
 const NON_NEGATIVE_DURATION: Range = Range::new("a number of ms, 0 or more", |x| x >= 0.0);
 const NON_NEGATIVE: Range = Range::new("a number, 0 or more", |x| x >= 0.0);
 const FRACTION: Range = Range::new("a number from 0 to 1", |x| (0.0..=1.0).contains(&x));
-const POSITIVE_FRACTION: Range = Range::new("a number above 0, 1 at the most,", |x| x > 0.0 && x <= 1.0);
+const POSITIVE_FRACTION: Range = Range::new("a number above 0, up to 1", |x| x > 0.0 && x <= 1.0);
 const POSITIVE_NUMBER: Range = Range::new("a number above 0", |x| x > 0.0);
 
 /// The names of classes, tenants, zones and kinds, in the order of the indices in the policy's interface.
@@ -136,7 +136,7 @@
     };
     let kind_count = names.len().max(max_batches.len()).max(limits_per_route.len());
     if kind_count == 0 {
-        return Err(names.invalid("a list of one at least, as there is no kind of destination otherwise,"));
+        return Err(names.invalid("a list with at least one kind of destination"));
     }
     (0..kind_count).map(read_kind).collect()
 }
@@ -145,7 +145,7 @@
     let lanes = root.child("lanes");
     let classes = lanes.map(class)?;
     if classes.is_empty() {
-        return Err(lanes.invalid("a list of one at least, as there is no class of message otherwise,"));
+        return Err(lanes.invalid("a list with at least one class of message"));
     }
     Ok(classes)
 }
@@ -155,8 +155,8 @@
     let sum: f64 = fractions.iter().sum();
     if sum > MAX_SUM_OF_FRACTIONS {
         let sum = Value::from(sum);
-        let field = Field::new(&sum, &format!("{SETTINGS_KEY}.projects[*].fraction in all"));
-        return Err(field.invalid("a sum of 1 at the most"));
+        let field = Field::new(&sum, &format!("{SETTINGS_KEY}.projects[*].fraction in total"));
+        return Err(field.invalid("a sum of at most 1"));
     }
     projects.map(|field| Ok(Tenant { quota_per_s: field.child("quota_per_s").number_or(0.0, NON_NEGATIVE)? }))
 }
--- a/crates/policy/src/settings/field.rs
+++ b/crates/policy/src/settings/field.rs
@@ -45,7 +45,7 @@
         if let Some(name) = &self.entry_name {
             write!(f, " ({name:?})")?;
         }
-        write!(f, " is {}: {} is wanted", self.received, self.expected)
+        write!(f, " is {}: must be {}", self.received, self.expected)
     }
 }
 
@@ -194,7 +194,7 @@
         match self.value {
             Value::Null => Ok(default),
             Value::String(text) => Ok(text),
-            _ => Err(self.invalid("a text")),
+            _ => Err(self.invalid("a string")),
         }
     }
 
--- a/crates/policy/src/settings/tests.rs
+++ b/crates/policy/src/settings/tests.rs
@@ -152,7 +152,7 @@
                 Err(error) => {
                     let line = error.to_string();
                     assert!(
-                        line.starts_with("settings.") && line.ends_with(" is wanted"),
+                        line.starts_with("settings.") && line.contains(": must be "),
                         "{pointer} {value}: {line}"
                     );
                     assert!(!line.contains('\n'), "{pointer} {value}: {line}");
--- a/crates/sender/src/config/file.rs
+++ b/crates/sender/src/config/file.rs
@@ -94,7 +94,7 @@
 }
 
 fn invalid_address(field: &Field<'_>) -> ReadError {
-    field.invalid("an address and a port, as in \"127.0.0.1:9000\",")
+    field.invalid("an address and a port, as in \"127.0.0.1:9000\"")
 }
 
 fn known_list(field: &Field<'_>) -> Result<Option<EndpointList>, ReadError> {
