--- a/crates/policy/src/destination/outage_memory.rs
+++ b/crates/policy/src/destination/outage_persistence.rs
@@ -1,28 +1,28 @@
-//! Reports the outages that the host remembers over a restart, and restores them.
+//! Reports outages to the host, which persists them, and restores them after a restart.
 
 use super::Destination;
 use crate::context::Context;
-use crate::interface::{Action, Millis, OutageState, RememberedOutage};
+use crate::interface::{Action, Millis, OutageState, PersistedOutage};
 
 impl Destination {
-    /// Has the host remember the outages that have changed.
+    /// Appends an action for each outage that has changed, so that the host persists it.
     pub fn report_outages(&mut self, now: Millis, actions: &mut Vec<Action>) {
         for scope in self.throttle_scopes() {
             let retry_after_until = self.throttle_of(scope).retry_after_until();
             let outage = self.breaker_mut(scope).unreported_outage(now, retry_after_until);
             if let Some(outage) = outage {
                 let scope = self.limit_scope(scope);
-                actions.push(Action::Remember { scope, outage });
+                actions.push(Action::PersistOutage { scope, outage });
             }
         }
     }
 
-    /// Restores an outage that the host has remembered.
-    pub fn restore_outage(&mut self, context: &mut Context, remembered: &RememberedOutage) {
-        let route = remembered.scope.route;
+    /// Restores an outage that the host persisted before a restart.
+    pub fn restore_outage(&mut self, context: &mut Context, persisted: &PersistedOutage) {
+        let route = persisted.scope.route;
         let names_a_limit = self.limit_per_route || route.is_none();
         let Some(scope) = self.throttle_scope(route).filter(|_| names_a_limit) else { return };
-        match remembered.outage {
+        match persisted.outage {
             OutageState::Healthy => {}
             OutageState::Down { retry_after_remaining } => {
                 let until = context.now + retry_after_remaining;
--- a/crates/policy/tests/common/harness.rs
+++ b/crates/policy/tests/common/harness.rs
@@ -105,7 +105,7 @@
             for action in self.step(10.0, &[Event::Wake(token)]) {
                 match action {
                     Action::Wake { token: next_token, .. } => token = next_token,
-                    Action::Remember { .. } => {}
+                    Action::PersistOutage { .. } => {}
                     other => actions.push(other),
                 }
             }
--- a/crates/policy/tests/recovery/restart.rs
+++ b/crates/policy/tests/recovery/restart.rs
@@ -5,7 +5,7 @@
 use super::{OK, assert_one_probe_and_one_ramp, harness_with_routes, messages, ramp_calls_of_one_sender};
 use crate::common::{play_calls, sends};
 use rudderspindle_policy::interface::{
-    Action, DestinationId, Event, LimitScope, OutageState, Outcome, RememberedOutage, RouteId,
+    Action, DestinationId, Event, LimitScope, OutageState, Outcome, PersistedOutage, RouteId,
 };
 use rudderspindle_simulation::fixtures::outcome;
 
@@ -17,8 +17,8 @@
             let mut harness = harness_with_routes(1..=1, kind, seed);
             let recovered_at = harness.now + 4_000.0;
             let scope = LimitScope { destination: DestinationId(0), route };
-            let remembered = |outage| Event::Remembered(RememberedOutage { scope, outage });
-            let mut initial_events = vec![remembered(OutageState::Down { retry_after_remaining: 4_000.0 })];
+            let persisted = |outage| Event::PersistedOutage(PersistedOutage { scope, outage });
+            let mut initial_events = vec![persisted(OutageState::Down { retry_after_remaining: 4_000.0 })];
             initial_events.extend(messages(0..80));
             let calls = play_calls(&mut harness, initial_events, 9_000.0, &mut BTreeMap::new(), |_, _| OK);
             assert!(
@@ -30,7 +30,7 @@
             let mut harness = harness_with_routes(1..=1, kind, seed);
             let started_at = harness.now;
             let mut initial_events =
-                vec![remembered(OutageState::WarmingUp { since_recovery: 1_000.0, ramp_share: 0.5 })];
+                vec![persisted(OutageState::WarmingUp { since_recovery: 1_000.0, ramp_share: 0.5 })];
             initial_events.extend(messages(0..80));
             let calls = play_calls(&mut harness, initial_events, 2_000.0, &mut BTreeMap::new(), |_, _| OK);
             let bound = 1.0 + 1.35 * (ramp_calls_of_one_sender(3.0) - ramp_calls_of_one_sender(1.0));
@@ -49,7 +49,7 @@
     let mut reported = Vec::new();
     let mut record = |actions: Vec<Action>| {
         for action in &actions {
-            if let Action::Remember { scope, outage } = action {
+            if let Action::PersistOutage { scope, outage } = action {
                 let shared = LimitScope { destination: DestinationId(0), route: None };
                 assert_eq!(*scope, shared, "routes that share a limit must share the outage");
                 reported.push(*outage);
--- a/crates/policy/tests/rules/route_list.rs
+++ b/crates/policy/tests/rules/route_list.rs
@@ -27,12 +27,15 @@
         harness.step(5.0, &[list(routes.collect()), keyed_message(round as u32, 0, 6_000, round + 1)]);
         harness.step(5.0, &[Event::Dropped(MessageHandle(round as u32))]);
     }
-    assert!(harness.policy.remembered() >= 10_000, "the state of routes that were just removed must be kept");
+    assert!(
+        harness.policy.state_entry_count() >= 10_000,
+        "the state of routes that were just removed must be kept"
+    );
     harness.step(30_000.0, &[list(vec![])]);
     harness.step(61_000.0, &[list(vec![])]);
     harness.step(5.0, &[]);
     assert_eq!(
-        harness.policy.remembered(),
+        harness.policy.state_entry_count(),
         0,
         "no state of removed routes or completed messages must be kept"
     );
