--- a/crates/placement/src/access.rs
+++ b/crates/placement/src/access.rs
@@ -10,31 +10,31 @@
 use crate::round::ROUND_MS;
 use crate::zones::ZoneSet;
 
-/// The zones to which a tenant's messages may be sent.
+/// The zones to which a sender may send a tenant's messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ZoneAccess {
-    /// No rule set names the tenant: all zones, with or without a lease.
+    /// All zones, with or without a lease, because no rule set names the tenant.
     Unrestricted,
     /// These zones, until [`Placement::lease_expires_at`].
     Zones(ZoneSet),
-    /// No zone.
+    /// No zone, for this reason.
     Closed(ClosedReason),
 }
 
 /// Why a sender may not act for a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum ClosedReason {
-    /// The lease has expired, or was not renewed since the start.
-    #[error("there is no valid lease")]
+    /// The lease has expired, or none was acquired since the start.
+    #[error("the sender has no valid lease for ruled tenants")]
     NoLease,
     /// No rules are known, so any tenant may be ruled.
-    #[error("no rules are known yet")]
+    #[error("the sender has not received any rule set yet")]
     NoRules,
-    /// The rule sets held have no zone in common for this tenant.
-    #[error("the rule sets held have no zone in common")]
+    /// The held rule sets have no zone in common for this tenant.
+    #[error("the held rule sets have no zone in common for the tenant")]
     NoCommonZone,
-    /// The tenant's zones do not include this sender's; only from [`Placement::check_admission`].
-    #[error("the sender's own zone is not among the tenant's")]
+    /// The tenant's zones do not include this sender's zone; returned only by [`Placement::check_admission`].
+    #[error("the tenant's zones do not include the zone of this sender")]
     OwnZoneExcluded,
 }
 
@@ -42,9 +42,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 #[error("{reason}: retry after {retry_after_ms} ms")]
 pub struct AdmissionRejected {
-    /// The reason.
+    /// Why the sender may not act for the tenant.
     pub reason: ClosedReason,
-    /// Delay before a retry, in milliseconds: a round, or a lease if only other rules would help.
+    /// Delay before a retry, in milliseconds: one round, or one lease if the rules must change first.
     pub retry_after_ms: u64,
 }
 
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Checks whether a message of this tenant may be accepted here at `now`; to be called before any byte of its body is
-    /// stored.
+    /// Checks whether this sender may accept a message of this tenant at `now`; must be called before any byte of the
+    /// message's body is stored.
     ///
     /// # Errors
     ///
-    /// [`AdmissionRejected`] is the reason and when to retry.
+    /// [`AdmissionRejected`] if the sender may not act for the tenant, or the tenant's zones do not include the sender's.
     pub fn check_admission(&self, now: UnixMillis, tenant: TenantId) -> Result<(), AdmissionRejected> {
         let reason = match self.zone_access(now, tenant) {
             ZoneAccess::Unrestricted => return Ok(()),
--- a/crates/placement/src/body_disposal.rs
+++ b/crates/placement/src/body_disposal.rs
@@ -1,56 +1,56 @@
-//! Disposal of stored bodies whose tenant's zones no longer include this sender's.
+//! Disposal of stored bodies of tenants whose zones no longer include this sender's zone.
 //!
-//! Invariant: a body outside its zones is erased within `erase_within_ms` after the excluding rule was received, and a message
-//! that may have been executed is never offered to another zone.
+//! Invariant: such a body is erased within `erase_within_ms` after the rule that excludes the zone was received, and a message
+//! that may have been executed is never returned to its client for another zone.
 
 use rudderspindle_clock::UnixMillis;
 
 use crate::fleet_key::TenantId;
 use crate::placement::Placement;
 
-/// The execution state of a message.
+/// The execution state of a message at its receivers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ExecutionState {
-    /// No call was started, or no started call was executed.
+    /// No call was started, or all started calls are known not to have been executed.
     NeverExecuted,
-    /// No call is in flight, and an earlier one may have been executed.
+    /// No call is in flight, and an earlier call may have been executed.
     PossiblyExecuted,
     /// A call is in flight.
     InFlight,
-    /// The message has its final outcome; its body is still stored.
+    /// The message is completed, and its body is still stored.
     Completed,
 }
 
-/// What to do with a stored body.
+/// What the caller must do with a stored body, and until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BodyDisposal {
-    /// Keep it.
+    /// Keep the body, because no rule excludes this sender's zone.
     Keep,
     /// Return the message to its client as deferred, and erase the body.
     ReturnToClient {
-        /// The latest time at which this must be done.
+        /// When the body must be erased at the latest.
         deadline: UnixMillis,
     },
-    /// Send nothing further, wait for the outcome of the call, and ask again.
+    /// Start no further calls, wait until the call in flight ends, and then ask for the disposal again.
     AwaitOutcome {
-        /// The latest time at which this must be done.
+        /// When the call must have ended at the latest.
         deadline: UnixMillis,
     },
-    /// Complete the message according to its class as possibly executed, and erase the body.
+    /// Complete the message as its class determines for possibly executed messages, and erase the body.
     CompleteByClass {
-        /// The latest time at which this must be done.
+        /// When the body must be erased at the latest.
         deadline: UnixMillis,
     },
-    /// Rewrite the message's records without the body.
+    /// Rewrite the message's journal records without the body.
     Erase {
-        /// The latest time at which this must be done.
+        /// When the body must be erased at the latest.
         deadline: UnixMillis,
     },
 }
 
 impl Placement {
-    /// The disposal of a stored body of this tenant; to be called again after each event and each outcome. An expired lease
-    /// causes no disposal.
+    /// The disposal of a stored body of this tenant. Must be called again after each event and whenever a call ends. An expired
+    /// lease causes no disposal.
     pub fn body_disposal(&self, tenant: TenantId, state: ExecutionState) -> BodyDisposal {
         let Some(&excluded_since) = self.excluded_since.get(&tenant) else { return BodyDisposal::Keep };
         let deadline = excluded_since.saturating_add(self.settings.erase_within_ms);
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -12,16 +12,16 @@
     RuleSetAdded {
         /// The rule set.
         id: RuleSetId,
-        /// The sender of its last part, or `None` if it is from the own file.
+        /// The sender of the rule set's last part, or `None` if it was read from this sender's file.
         from: Option<SenderId>,
     },
-    /// Another rule set of the same revision is held: only zones that both allow are open until a higher revision is
-    /// committed. Reported once for each rule set.
+    /// Another rule set of the same revision is held: only zones that both rule sets allow are used until a higher revision
+    /// is committed. Reported once for each rule set.
     ConflictingRevision {
         /// The rule set that was received later.
         id: RuleSetId,
     },
-    /// The own file was older at the start than the held rule sets, and is not used.
+    /// The file of this sender is not used, because its revision at the start was lower than a held one.
     FileOutdated {
         /// The revision of the file.
         file_revision: u64,
@@ -33,28 +33,28 @@
         /// The rule set.
         id: RuleSetId,
     },
-    /// A rule set was dropped as too many are pending.
+    /// A rule set was dropped, because [`MAX_RULE_SETS`](crate::MAX_RULE_SETS) are held.
     TooManyRuleSets {
         /// The rule set.
         id: RuleSetId,
     },
-    /// All parts of a rule set were received, but their content does not match its id, or they refer to another zone list.
+    /// All parts of a rule set were received, but their content does not match the id or refers to another zone list.
     InvalidRuleSet {
         /// The rule set.
         id: RuleSetId,
         /// The sender of the last part.
         from: SenderId,
     },
-    /// A sender that started without state votes again.
+    /// This sender had been started without a record, and votes again.
     Recovered,
-    /// The lease is valid again.
+    /// The lease is valid for the first time since the start or since it expired.
     LeaseAcquired {
-        /// When it expires unless it is renewed.
+        /// When the lease expires unless it is renewed.
         expires_at: UnixMillis,
     },
-    /// The lease has expired, and ruled tenants are closed.
+    /// The lease has expired, so that this sender no longer acts for ruled tenants.
     LeaseExpired {
-        /// When it expired.
+        /// When the lease expired.
         at: UnixMillis,
     },
 }
--- a/crates/placement/src/fleet_key.rs
+++ b/crates/placement/src/fleet_key.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantId(pub(crate) u64);
 
-/// The 128-bit secret that all senders of a fleet share.
+/// The 128-bit secret that all senders of a fleet share; its `Debug` output does not contain it.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct FleetKey {
     low: u64,
@@ -30,7 +30,7 @@
 }
 
 impl FleetKey {
-    /// The key with these 16 bytes, which must be the same at all senders.
+    /// Creates a key of 16 bytes, which must be the same at all senders.
     pub fn new(bytes: [u8; 16]) -> FleetKey {
         let word = u128::from_le_bytes(bytes);
         FleetKey { low: word as u64, high: (word >> 64) as u64 }
@@ -58,19 +58,19 @@
     }
 }
 
-/// Distinguishes draws that are made for the same counter.
+/// Distinguishes draws with the same counter.
 #[derive(Clone, Copy)]
 pub(crate) struct DrawSalt(pub u64);
 
 impl DrawSalt {
-    /// The first aggregator of a round.
+    /// For the draw of a round's first aggregator.
     pub const FIRST_AGGREGATOR: DrawSalt = DrawSalt(0);
-    /// The second aggregator of a round.
+    /// For the draw of a round's second aggregator.
     pub const SECOND_AGGREGATOR: DrawSalt = DrawSalt(1);
-    /// The sender whose request for parts is served first.
-    pub const FIRST_SERVED: DrawSalt = DrawSalt(1);
+    /// For the draw of the sender whose request for parts is answered first.
+    pub const FIRST_ANSWERED: DrawSalt = DrawSalt(1);
 
-    /// A draw of a single sender, given its number in the fleet.
+    /// For the draws of one sender, given its number in the fleet.
     pub fn of_sender(number: u16) -> DrawSalt {
         DrawSalt(2 + u64::from(number))
     }
--- a/crates/placement/src/gossip_message.rs
+++ b/crates/placement/src/gossip_message.rs
@@ -1,7 +1,7 @@
 //! Messages between senders and their encoding.
 //!
-//! Invariant: decoding any bytes returns a message within its bounds or an error, and allocates no memory for lengths beyond
-//! the received bytes: lists are arrays of fixed length or slices of the bytes.
+//! Invariant: decoding any bytes returns a message within its bounds or an error, and allocates no memory for encoded lengths
+//! that exceed the received bytes, because lists are arrays of fixed length or slices of the received bytes.
 
 use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
@@ -11,46 +11,52 @@
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
 use crate::sender_id::{Incarnation, SenderId};
 
-/// Maximum length of an encoded message, in bytes: 256 of a datagram, of which 8 are reserved for envelopes and 8 for later
+/// Maximum length of an encoded message, in bytes: a datagram has 256, of which 8 are reserved for envelopes and 8 for later
 /// use.
 pub const MAX_BODY_LEN: usize = 240;
 
-/// Maximum length of a part of a rule set, in bytes: a body without kind (1), id (20), position (2) and length (2), rounded
-/// down.
+/// Maximum length of a part of a rule set, in bytes: [`MAX_BODY_LEN`] less kind (1), id (20), position (2) and length (2),
+/// rounded down.
 pub(crate) const MAX_PART_LEN: usize = 200;
 
-/// Maximum number of parts of a rule set: 256 tenants of 15 bytes and 25 bytes beside them are 3,865.
+/// Maximum number of parts of a rule set: the largest has 3,865 bytes, 256 tenants of 15 bytes each and 25 other bytes.
 pub(crate) const MAX_PARTS: usize = 20;
 
-/// Maximum number of different slot masks in a summary: the 3 bits of each sender encode these and two other reports.
+/// Maximum number of different slot masks in a summary: the 3 bits of each sender's report encode one of 8 values, and two of
+/// them are for senders without a mask.
 pub(crate) const MAX_SLOT_MASKS: usize = 6;
 
 /// Why a received message is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum GossipError {
     /// The bytes are longer than [`MAX_BODY_LEN`].
-    #[error("{0} bytes: a message has at most {MAX_BODY_LEN}")]
+    #[error("message of {0} bytes: must have at most {MAX_BODY_LEN}")]
     TooLong(usize),
-    /// The bytes are not one message.
-    #[error("the bytes are not one message")]
+    /// The bytes are not exactly one message.
+    #[error("the bytes are not exactly one encoded message")]
     Malformed,
     /// A request names no rule set or no part.
-    #[error("a request for parts is out of bounds")]
+    #[error("request for parts: must name a rule set and at least one part")]
     InvalidPartRequest,
-    /// A part has an impossible position or is too long.
-    #[error("a part is out of bounds")]
+    /// A part's index is not below the number of parts, or the part is too long, or there are too many parts.
+    #[error(
+        "part of a rule set: must have at most {MAX_PART_LEN} bytes and an index below at most {MAX_PARTS} parts"
+    )]
     InvalidPart,
-    /// The number of senders differs from that of the settings.
-    #[error("the number of senders is another one")]
+    /// The number of senders in the message differs from the settings.
+    #[error("number of senders in the message differs from sender_count in the settings")]
     SenderCountMismatch,
-    /// A summary is inconsistent.
-    #[error("a summary reports a rule set that it does not name")]
+    /// A summary reports a stored rule set that it does not contain, or an acknowledged one that is not stored.
+    #[error(
+        "summary contradicts itself: each rule set in a report must be named and, if acknowledged, stored"
+    )]
     InvalidSummary,
-    /// The sender is not in this fleet, or not an aggregator of the message's round.
-    #[error("sender {0} has no say in this")]
+    /// The sender of the message is not another sender of this fleet, or this sender or the other one is not an aggregator of
+    /// the message's round.
+    #[error("sender {0} is not in this fleet, or not an aggregator of the message's round")]
     UnexpectedSender(SenderId),
     /// The round is over or has not begun.
-    #[error("round {} is not now", .0.number())]
+    #[error("round {} of the message is over or has not begun", .0.number())]
     RoundNotCurrent(Round),
 }
 
@@ -58,16 +64,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Heartbeat {
     pub round: Round,
-    /// When it was made.
+    /// When the heartbeat was created, by the sender's clock.
     pub sent_at: UnixMillis,
     pub incarnation: Incarnation,
-    /// Number of senders in its settings.
+    /// Number of senders in the sender's settings.
     pub sender_count: u16,
-    /// Whether its acknowledgements count; false between a start without state and the recovery.
+    /// Whether the sender's acknowledgements count; false from a start without a record until the recovery.
     pub voting: bool,
-    /// The rule sets in its state folder.
+    /// The rule sets in the sender's state folder; unused slots have the default value.
     pub rule_sets: [RuleSetId; MAX_RULE_SETS],
-    /// The acknowledged ones, one bit each; the others are only announced.
+    /// Bit `i` is set if `rule_sets[i]` is acknowledged; the other rule sets are only announced.
     pub acknowledged: u8,
 }
 
@@ -77,9 +83,9 @@
     pub round: Round,
     pub sender_count: u16,
     pub rule_sets: [RuleSetId; MAX_RULE_SETS],
-    /// The `rule_sets` that senders store (bits 0 to 3) and acknowledge (bits 4 to 7).
+    /// The different masks of senders: which `rule_sets` are stored (bits 0 to 3) and acknowledged (bits 4 to 7).
     pub slot_masks: [u8; MAX_SLOT_MASKS],
-    /// 3 bits for each sender: 0 missing, 1 not voting, else 2 and an index of `slot_masks`.
+    /// A code of 3 bits for each sender: 0 if missing, 1 if not voting, else 2 plus an index into `slot_masks`.
     #[serde(borrow)]
     pub report_codes: &'a [u8],
 }
@@ -88,7 +94,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PartRequest {
     pub rule_set: RuleSetId,
-    /// Bit `i`: part `i` is requested.
+    /// Bit `i` is set if part `i` is requested.
     pub parts: u32,
 }
 
@@ -103,7 +109,7 @@
     pub bytes: &'a [u8],
 }
 
-/// A message between senders; the first encoded byte is the number of the variant.
+/// A message between senders; the first encoded byte is the index of the variant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum GossipMessage<'a> {
     Heartbeat(Heartbeat),
@@ -115,7 +121,7 @@
 }
 
 impl<'a> GossipMessage<'a> {
-    /// The encoded message; empty if it is too long, which the bounds of all fields prevent.
+    /// Encodes the message. The result is empty if it would be too long, which the bounds of all fields prevent.
     pub fn encode(&self) -> Vec<u8> {
         let bytes = postcard::to_allocvec(self).unwrap_or_default();
         debug_assert!(!bytes.is_empty() && bytes.len() <= MAX_BODY_LEN);
--- a/crates/placement/src/heartbeat_collector.rs
+++ b/crates/placement/src/heartbeat_collector.rs
@@ -1,7 +1,7 @@
 //! Collects the heartbeats of the rounds that this sender aggregates.
 //!
-//! Invariant: a summary includes only senders whose heartbeat of its round was received, each with all rule sets that it
-//! stores; a heartbeat with a rule set that does not fit is left out completely.
+//! Invariant: a summary includes only senders whose heartbeat of its round was received, each with all rule sets that the
+//! sender stores. A sender with a rule set that does not fit into the summary is reported as missing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,20 +13,21 @@
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
 use crate::sender_id::{Incarnation, SenderId};
 
-/// Delay of the summary after a round's start, in milliseconds: a tick of the host (100), a datagram's delay (50) and the
-/// errors of two clocks (100 each).
+/// Time from a round's start to its summary, in milliseconds: the caller's interval between two polls (100), a datagram's delay
+/// (50) and the errors of two clocks (100 each).
 pub(crate) const SUMMARY_DELAY_MS: u64 = 350;
 
-/// Maximum number of rounds that are collected at once: the previous, the current and the next one, as clocks may be ahead.
+/// Maximum number of rounds that are collected at once: the previous and the current round, and the next one because the
+/// clocks of other senders may be ahead.
 const MAX_OPEN_ROUNDS: usize = 3;
 
-/// The parts of a heartbeat that a summary includes.
+/// The fields of a heartbeat that are needed for the summary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct CollectedHeartbeat {
     incarnation: Incarnation,
     voting: bool,
     rule_sets: [RuleSetId; MAX_RULE_SETS],
-    /// The acknowledged ones of `rule_sets`, one bit each.
+    /// Bit `i` is set if `rule_sets[i]` is acknowledged.
     acknowledged: u8,
 }
 
@@ -44,13 +45,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct HeartbeatCollector {
     rounds: BTreeMap<Round, RoundHeartbeats>,
-    last_summarized: Round,
+    last_summarized_round: Round,
 }
 
 impl HeartbeatCollector {
-    /// Adds a heartbeat of a current round; of two from one sender, that of the later incarnation is kept.
+    /// Adds a heartbeat of a current round. Of two heartbeats of one sender, the one of the later incarnation is used.
     pub fn insert(&mut self, from: SenderId, heartbeat: &Heartbeat) {
-        if heartbeat.round <= self.last_summarized {
+        if heartbeat.round <= self.last_summarized_round {
             return;
         }
         let round = self.rounds.entry(heartbeat.round).or_default();
@@ -71,13 +72,13 @@
                 break;
             }
             due.push(summarize(round, &first.remove(), sender_count));
-            self.last_summarized = round;
+            self.last_summarized_round = round;
         }
         due
     }
 }
 
-/// Summarizes heartbeats: the highest rule sets that voting senders store, and which of them each sender stores.
+/// Summarizes a round's heartbeats: the highest rule sets that voting senders store, and which of them each sender stores.
 fn summarize(round: Round, heartbeats: &RoundHeartbeats, sender_count: u16) -> RoundSummary {
     let rule_sets = highest_rule_sets(heartbeats);
     let report = |sender| match heartbeats.get(&SenderId(sender)) {
@@ -101,7 +102,7 @@
     highest
 }
 
-/// The `rule_sets` that a sender stores and acknowledges, or `None` if it stores another one.
+/// Which of the `rule_sets` a sender stores and acknowledges; `None` if it stores a rule set that is not among them.
 fn slot_mask(heartbeat: &CollectedHeartbeat, rule_sets: &[RuleSetId; MAX_RULE_SETS]) -> Option<SlotMask> {
     let mut mask = SlotMask::default();
     for (own_slot, stored) in heartbeat.rule_sets.iter().enumerate().filter(|(_, id)| id.is_some()) {
--- a/crates/placement/src/held_rule_sets.rs
+++ b/crates/placement/src/held_rule_sets.rs
@@ -16,15 +16,15 @@
 /// The result of [`HeldRuleSets::insert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Insertion {
-    /// It was added.
+    /// The rule set was added.
     Added {
         /// Whether another rule set of the same revision is held.
         conflicting: bool,
     },
     AlreadyHeld,
-    /// A higher revision is committed.
+    /// Not added, because a higher revision is committed.
     Superseded,
-    /// [`MAX_RULE_SETS`] are held already.
+    /// Not added, because [`MAX_RULE_SETS`] are held already.
     TooMany,
 }
 
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct HeldRuleSet {
     pub rules: RuleSet,
-    /// Since when it has been announced without an acknowledgement; `None` once it is acknowledged.
+    /// Since when this sender has announced the rule set without acknowledging it; `None` once it is acknowledged.
     pub announced_since: Option<UnixMillis>,
 }
 
@@ -46,17 +46,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct HeldRuleSets {
     pub by_id: BTreeMap<RuleSetId, HeldRuleSet>,
-    /// The highest revision known to be committed; 0 for none.
+    /// The highest revision known to be committed; 0 if none is.
     pub committed_revision: u64,
 }
 
 impl HeldRuleSets {
-    /// The highest revision held; 0 for none.
+    /// The highest revision held; 0 if none is.
     pub fn highest_revision(&self) -> u64 {
         self.by_id.keys().next_back().map_or(0, |id| id.revision)
     }
 
-    /// Adds a rule set at `now`; its restrictions apply immediately.
+    /// Adds a rule set that is received at `now`; its restrictions apply immediately.
     pub fn insert(&mut self, id: RuleSetId, rules: RuleSet, now: UnixMillis) -> Insertion {
         if self.by_id.contains_key(&id) {
             return Insertion::AlreadyHeld;
@@ -72,7 +72,7 @@
         Insertion::Added { conflicting }
     }
 
-    /// Marks a rule set as committed and drops lower revisions; false if it was committed already or is not held.
+    /// Marks a rule set as committed and drops lower revisions. Returns false if it was committed already or is not held.
     pub fn commit(&mut self, id: RuleSetId) -> bool {
         if id.revision <= self.committed_revision || !self.by_id.contains_key(&id) {
             return false;
@@ -82,7 +82,7 @@
         true
     }
 
-    /// The zones that all rule sets allow a tenant; `None` if none of them names it.
+    /// The zones that all held rule sets with a rule for this tenant allow; `None` if no rule set names it.
     pub fn allowed_zones(&self, tenant: TenantId) -> Option<ZoneSet> {
         self.by_id.values().filter_map(|held| held.rules.zones_of(tenant)).reduce(ZoneSet::intersection)
     }
@@ -92,12 +92,12 @@
         self.by_id.values().flat_map(|held| held.rules.zones_by_tenant.keys().copied())
     }
 
-    /// Acknowledges a rule set; false if it is acknowledged already or not held.
+    /// Acknowledges a rule set. Returns false if it was acknowledged already or is not held.
     pub fn acknowledge(&mut self, id: RuleSetId) -> bool {
         self.by_id.get_mut(&id).is_some_and(|held| held.announced_since.take().is_some())
     }
 
-    /// Acknowledges all rule sets that have been announced for `announce_ms` at `now`; false if there are none.
+    /// Acknowledges the rule sets that have been announced for `announce_ms` at `now`. Returns whether there were any.
     pub fn acknowledge_due(&mut self, now: UnixMillis, announce_ms: u64) -> bool {
         let mut acknowledged = false;
         for held in self.by_id.values_mut() {
@@ -109,7 +109,7 @@
         acknowledged
     }
 
-    /// The acknowledged ones of [`HeldRuleSets::ids`], one bit each.
+    /// Bit `i` is set if the rule set with index `i` in [`HeldRuleSets::ids`] is acknowledged.
     pub fn acknowledged_bits(&self) -> u8 {
         let mut bits = 0;
         for (slot, held) in self.by_id.values().enumerate() {
@@ -118,12 +118,12 @@
         bits
     }
 
-    /// Whether a rule set must be fetched before a summary that names it can renew the lease.
+    /// Whether a rule set is not held and may still apply, so that it must be downloaded.
     pub fn is_missing(&self, id: RuleSetId) -> bool {
         id.revision >= self.committed_revision.max(1) && !self.by_id.contains_key(&id)
     }
 
-    /// The ids of all rule sets in ascending order; unused slots have the default.
+    /// The ids of all held rule sets in ascending order; unused slots have the default value.
     pub fn ids(&self) -> [RuleSetId; MAX_RULE_SETS] {
         let mut ids = [RuleSetId::default(); MAX_RULE_SETS];
         for (slot, id) in ids.iter_mut().zip(self.by_id.keys()) {
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -1,6 +1,6 @@
-//! The lease under which a sender acts for ruled tenants, and the recovery of a sender that lost its state.
+//! The lease under which a sender acts for ruled tenants, and the recovery of a sender that lost its record.
 //!
-//! Invariant: a lease starts with the round that renewed it, so delays shorten it: it ends, in true time, at most
+//! Invariant: a lease begins at the start of the round that renewed it, so that delays shorten it. In true time it ends at most
 //! `lease_ms + 2 * clock_error_ms` after any heartbeat on which it is based.
 
 use std::collections::BTreeSet;
@@ -14,25 +14,25 @@
 /// The lease of this sender, and whether its acknowledgements count.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Lease {
-    /// End of the lease; the Unix epoch before the first renewal.
+    /// When the lease expires; the Unix epoch before the first renewal.
     pub expires_at: UnixMillis,
-    /// Whether this sender has all rule sets that its earlier incarnations had.
+    /// Whether this sender holds all rule sets that its earlier incarnations held, so that its acknowledgements count.
     pub voting: bool,
     started_at: UnixMillis,
-    /// While not voting: the senders whose heartbeats were reported since the start; cleared by the recovery.
+    /// While not voting: the other senders that summaries since the start reported as running; cleared by the recovery.
     senders_seen: BTreeSet<SenderId>,
-    /// While not voting: those of them that vote; cleared by the recovery.
+    /// While not voting: the senders of `senders_seen` that were reported as voting; cleared by the recovery.
     voting_senders_seen: BTreeSet<SenderId>,
 }
 
 impl Lease {
-    /// No lease; `voting` if the sender starts with its state.
+    /// The state at a start, without a lease; `voting` is that of the record, false without one.
     pub fn new(voting: bool, started_at: UnixMillis) -> Lease {
         let (senders_seen, voting_senders_seen) = (BTreeSet::new(), BTreeSet::new());
         Lease { expires_at: UnixMillis::EPOCH, voting, started_at, senders_seen, voting_senders_seen }
     }
 
-    /// Applies a summary whose rule sets this sender holds; returns whether the sender recovered and votes again.
+    /// Applies a summary whose acknowledged rule sets this sender holds. Returns whether the sender recovered and votes again.
     pub fn apply_summary(&mut self, summary: &RoundSummary, settings: &Settings) -> bool {
         let recovered = !self.voting && self.try_recover(summary, settings);
         let others = summary.reports_except(settings.own_id);
@@ -44,11 +44,11 @@
         recovered
     }
 
-    /// Lets this sender vote again if that is safe; returns whether it votes.
+    /// Makes this sender vote again if that is safe. Returns whether it votes.
     ///
-    /// A sender that lost its state may have been part of a majority that committed a revision. It votes again once it holds
-    /// the rule sets of a majority without it, or of all other senders, in rounds that began after its start: one of them
-    /// held that revision, too.
+    /// A sender that lost its record may have been part of a majority that committed a revision. It votes again once it holds
+    /// the rule sets of a majority of senders without itself, or of all other senders, in rounds that began after its start,
+    /// because at least one of those senders holds that revision, too.
     fn try_recover(&mut self, summary: &RoundSummary, settings: &Settings) -> bool {
         let earliest = self.started_at.saturating_add(settings.clock_error_ms.saturating_mul(2));
         if summary.round.start() < earliest {
@@ -71,7 +71,7 @@
         self.voting
     }
 
-    /// Whether this sender may act for ruled tenants at `now`.
+    /// Whether the lease has not expired at `now`.
     pub fn is_valid(&self, now: UnixMillis) -> bool {
         now < self.expires_at
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -3,14 +3,14 @@
 //! Invariant: once a revision has been committed for longer than the lease, twice the clock error and one call, no sender
 //! accepts or sends messages of a ruled tenant outside the zones of that revision.
 //!
-//! An operator's file assigns zones to each ruled tenant ([`RuleSet`]). Senders report the rule sets that they hold by gossip,
-//! and transfer them to each other. A revision is committed once a majority of the senders acknowledges it. A sender acts for
-//! ruled tenants only under a lease, which a summary of a majority's heartbeats renews; a sender that renews its lease has
-//! received every committed revision, and one that receives nothing stops. `docs/design/placement.md` has the proof and the
-//! cost.
+//! An operator's file assigns zones to tenants ([`RuleSet`]); a tenant with such a rule is a ruled tenant. Senders report the
+//! rule sets that they hold by gossip, and transfer them to each other. A revision is committed once a majority of the senders
+//! acknowledges it. A sender acts for ruled tenants only under a lease, which is renewed by a summary of the heartbeats of a
+//! majority. A sender that renews its lease has received every committed revision; a sender that receives no summaries stops
+//! acting for ruled tenants when its lease expires. `docs/design/placement.md` has the proof and the cost.
 //!
-//! No I/O and no clock: [`Placement`] is passed the time and the bodies of datagrams, and returns those to be sent. The crate
-//! is independent of messages, receivers and the journal.
+//! The crate does no I/O and reads no clock: the caller passes the time and the received datagrams to [`Placement`], which
+//! returns the datagrams to send. The crate does not depend on messages, receivers or the journal.
 //!
 //! Where to begin reading: `placement` (the state), `outgoing` and `incoming` (datagrams), `quorum` (the effects of a round),
 //! `access` and `body_disposal` (the decisions).
--- a/crates/placement/src/outgoing.rs
+++ b/crates/placement/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! The datagrams to be sent: heartbeats, summaries, requests for rule sets, and parts of rule sets.
+//! Creates the datagrams to send: heartbeats, summaries, requests for rule sets, and parts of rule sets.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -11,13 +11,13 @@
 use crate::sender_id::SenderId;
 
 impl Placement {
-    /// The datagrams to be sent at `now`; to be called about every 100 ms, after [`Placement::poll_snapshot`].
+    /// The datagrams to send at `now`. Must be called about every 100 ms, after [`Placement::poll_snapshot`].
     pub fn poll_datagrams(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         let round = Round::containing(now);
         self.report_expired_lease(now);
         let mut datagrams = Vec::new();
-        if round > self.last_heartbeat && self.is_persisted() {
-            self.last_heartbeat = round;
+        if round > self.last_heartbeat_round && self.is_persisted() {
+            self.last_heartbeat_round = round;
             self.send_heartbeat(now, round, &mut datagrams);
         }
         for summary in self.collector.due_summaries(now, self.settings.sender_count) {
@@ -31,13 +31,13 @@
     }
 
     fn report_expired_lease(&mut self, now: UnixMillis) {
-        if self.lease_announced && !self.lease.is_valid(now) {
-            self.lease_announced = false;
+        if self.lease_acquired_reported && !self.lease.is_valid(now) {
+            self.lease_acquired_reported = false;
             self.record_event(PlacementEvent::LeaseExpired { at: self.lease.expires_at });
         }
     }
 
-    /// Sends this sender's heartbeat of a round to its aggregators.
+    /// Sends this sender's heartbeat to the aggregators of the round.
     fn send_heartbeat(&mut self, now: UnixMillis, round: Round, datagrams: &mut Vec<OutgoingDatagram>) {
         let heartbeat = Heartbeat {
             round,
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -21,7 +21,7 @@
 use crate::state_record::StateRecord;
 use crate::zones::ZoneListHash;
 
-/// Maximum number of events that are kept for [`Placement::take_events`]; the oldest are dropped first.
+/// Maximum number of events stored for [`Placement::take_events`]; the oldest are dropped first.
 const MAX_EVENTS: usize = 64;
 
 /// The state to be written to the state folder.
@@ -29,11 +29,11 @@
 pub struct Snapshot {
     /// Argument for [`Placement::mark_persisted`] once the bytes are on disk.
     pub generation: u64,
-    /// The encoded record, for [`StateRecord::decode`].
+    /// The encoded [`StateRecord`], for [`StateRecord::decode`].
     pub bytes: Vec<u8>,
 }
 
-/// One sender's part in the placement of tenants.
+/// The placement state of one sender: its rule sets, lease, rounds and transfers.
 ///
 /// ```
 /// use std::collections::BTreeSet;
@@ -57,7 +57,7 @@
 /// let tenant = key.tenant_id("narmada-sports");
 /// assert_eq!(placement.zone_access(at(10_000), tenant), ZoneAccess::Closed(ClosedReason::NoLease));
 ///
-/// // Rule sets are persisted first; then a fleet of one needs only its own heartbeat.
+/// // A heartbeat is sent only once the rule sets are persisted. In a fleet of one sender, its own heartbeat renews the lease.
 /// for now in [at(10_500), at(10_900)] {
 ///     if let Some(snapshot) = placement.poll_snapshot(now) {
 ///         // std::fs::write(..., &snapshot.bytes)
@@ -73,22 +73,22 @@
 pub struct Placement {
     pub(crate) settings: Settings,
     pub(crate) incarnation: Incarnation,
-    /// Hash of the settings' zones.
-    pub(crate) zone_list: ZoneListHash,
+    /// Keyed hash of `settings.zones`.
+    pub(crate) zone_list_hash: ZoneListHash,
     pub(crate) held: HeldRuleSets,
     pub(crate) lease: Lease,
-    /// Whether the last event of the lease was its acquisition.
-    pub(crate) lease_announced: bool,
-    /// The last round for which a heartbeat was sent.
-    pub(crate) last_heartbeat: Round,
+    /// Whether the last reported event of the lease was `LeaseAcquired`.
+    pub(crate) lease_acquired_reported: bool,
+    /// The last round in which this sender sent a heartbeat.
+    pub(crate) last_heartbeat_round: Round,
     pub(crate) collector: HeartbeatCollector,
     pub(crate) downloads: RuleSetDownloads,
     pub(crate) uploads: RuleSetUploads,
-    /// The tenants whose zones do not include the own one, each with the time since when.
+    /// The tenants whose zones do not include this sender's zone, and since when.
     pub(crate) excluded_since: BTreeMap<TenantId, UnixMillis>,
-    /// Number of changes of the persisted state.
+    /// Number of changes of the state that must be persisted.
     pub(crate) generation: u64,
-    /// The last generation that is on disk.
+    /// The latest generation that is on disk.
     pub(crate) persisted_generation: u64,
     pub(crate) events: Vec<PlacementEvent>,
 }
@@ -96,7 +96,7 @@
 impl Placement {
     /// The snapshot that must be on disk before the next heartbeat is sent, or `None` if nothing has changed.
     ///
-    /// To be called before each [`Placement::poll_datagrams`]. Acknowledges rule sets that have been announced for
+    /// Must be called before each [`Placement::poll_datagrams`]. Acknowledges the rule sets that have been announced for
     /// `announce_ms`.
     pub fn poll_snapshot(&mut self, now: UnixMillis) -> Option<Snapshot> {
         if self.held.acknowledge_due(now, self.settings.announce_ms) {
@@ -105,7 +105,7 @@
         (!self.is_persisted()).then(|| self.snapshot())
     }
 
-    /// The current state, for the state folder.
+    /// The current state, to be written to the state folder.
     pub fn snapshot(&self) -> Snapshot {
         let record = StateRecord {
             held: self.held.clone(),
@@ -115,32 +115,33 @@
         Snapshot { generation: self.generation, bytes: record.encode(&self.settings.key) }
     }
 
-    /// Records that the snapshot of this generation is on disk.
+    /// Must be called once the snapshot of this generation is on disk.
     pub fn mark_persisted(&mut self, generation: u64) {
         self.persisted_generation = self.persisted_generation.max(generation.min(self.generation));
     }
 
-    /// When the lease expires; the Unix epoch before it was first acquired. To be checked immediately before a call is sent.
+    /// When the lease expires; the Unix epoch if there has been none since the start. The caller must check it immediately
+    /// before it sends a call.
     pub fn lease_expires_at(&self) -> UnixMillis {
         self.lease.expires_at
     }
 
-    /// The held rule sets, in ascending order.
+    /// The held rule sets, in ascending order of their revisions.
     pub fn rule_sets(&self) -> impl Iterator<Item = RuleSetId> {
         self.held.by_id.keys().copied()
     }
 
-    /// The highest revision known to be committed; 0 for none.
+    /// The highest revision known to be committed; 0 if none is.
     pub fn committed_revision(&self) -> u64 {
         self.held.committed_revision
     }
 
-    /// The settings.
+    /// The settings with which this sender was started.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The events since the last call, oldest first; at most the latest 64.
+    /// Removes and returns the events since the last call, oldest first; at most the latest 64.
     pub fn take_events(&mut self) -> Vec<PlacementEvent> {
         std::mem::take(&mut self.events)
     }
@@ -152,7 +153,8 @@
         self.events.push(event);
     }
 
-    /// Records a change of the held rule sets, which must be persisted and may exclude the own zone for some tenants.
+    /// Must be called after each change of the state to be persisted; also updates the tenants that exclude this sender's
+    /// zone.
     pub(crate) fn mark_changed(&mut self, now: UnixMillis) {
         self.generation += 1;
         let mut excluded_since = BTreeMap::new();
@@ -170,7 +172,7 @@
         self.persisted_generation == self.generation
     }
 
-    /// Whether this sender has neither rules nor the state of an earlier process.
+    /// Whether this sender holds no rule set and does not vote, so that it cannot tell which tenants are ruled.
     pub(crate) fn has_no_rules(&self) -> bool {
         self.held.by_id.is_empty() && !self.lease.voting
     }
--- a/crates/placement/src/quorum.rs
+++ b/crates/placement/src/quorum.rs
@@ -1,4 +1,4 @@
-//! Applies round summaries: commits by majority, acknowledgements, downloads, recovery and the lease.
+//! Applies round summaries: commits by a majority, acknowledgements, downloads, recovery and renewal of the lease.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -10,12 +10,12 @@
 impl Placement {
     /// Applies the summary of a current round.
     ///
-    /// A rule set that a majority acknowledges is committed. A rule set that some sender acknowledges must be fetched first if
-    /// it is not held; otherwise the summary renews the lease.
+    /// Commits the rule sets that a majority acknowledges. The summary renews the lease only if this sender holds every rule
+    /// set that some sender acknowledges; missing ones are downloaded first.
     pub(crate) fn apply_summary(&mut self, now: UnixMillis, summary: &RoundSummary) {
-        for (slot, id) in summary.named() {
+        for (slot, id) in summary.rule_sets_with_slots() {
             self.commit_by_majority(now, summary, slot, id);
-            self.acknowledge_when_spread(now, summary, slot, id);
+            self.acknowledge_early(now, summary, slot, id);
         }
         if self.downloads.fetch_missing(summary, &self.held, &self.settings) {
             return;
@@ -24,16 +24,16 @@
             self.record_event(PlacementEvent::Recovered);
             self.mark_changed(now);
         }
-        if !self.lease_announced && self.lease.is_valid(now) {
-            self.lease_announced = true;
+        if !self.lease_acquired_reported && self.lease.is_valid(now) {
+            self.lease_acquired_reported = true;
             self.record_event(PlacementEvent::LeaseAcquired { expires_at: self.lease.expires_at });
         }
     }
 
     /// Commits a rule set that a majority acknowledged in the summary's round.
     ///
-    /// This sender's own acknowledgement counts only if it was made in that round: other senders may have lost their state
-    /// since.
+    /// This sender's own acknowledgement counts only if the summary includes it: if it was made after that round, senders that
+    /// acknowledged in the round may have lost their state since, so that there never was a majority.
     fn commit_by_majority(&mut self, now: UnixMillis, summary: &RoundSummary, slot: usize, id: RuleSetId) {
         let acknowledging = summary.acknowledging(slot).count();
         if self.settings.is_majority(acknowledging) && self.held.commit(id) {
@@ -42,18 +42,12 @@
         }
     }
 
-    /// Acknowledges an announced rule set as soon as another sender acknowledges it, or all senders hold it.
-    fn acknowledge_when_spread(
-        &mut self,
-        now: UnixMillis,
-        summary: &RoundSummary,
-        slot: usize,
-        id: RuleSetId,
-    ) {
+    /// Acknowledges an announced rule set early if another sender acknowledges it or all voting senders store it.
+    fn acknowledge_early(&mut self, now: UnixMillis, summary: &RoundSummary, slot: usize, id: RuleSetId) {
         let own_id = self.settings.own_id;
         let acknowledged_elsewhere = summary.acknowledging(slot).any(|sender| sender != own_id);
-        let is_spread = acknowledged_elsewhere || summary.is_stored_by_all_others(slot, own_id);
-        if is_spread && self.held.acknowledge(id) {
+        let is_propagated = acknowledged_elsewhere || summary.is_stored_by_all_others(slot, own_id);
+        if is_propagated && self.held.acknowledge(id) {
             self.mark_changed(now);
         }
     }
--- a/crates/placement/src/round.rs
+++ b/crates/placement/src/round.rs
@@ -16,22 +16,22 @@
         Round(time.0 / ROUND_MS)
     }
 
-    /// The round's number.
+    /// The number: milliseconds since the Unix epoch, divided by [`ROUND_MS`].
     pub fn number(self) -> u64 {
         self.0
     }
 
-    /// The round `rounds` later.
+    /// The round that is `rounds` later.
     pub(crate) fn plus(self, rounds: u64) -> Round {
         Round(self.0.saturating_add(rounds))
     }
 
-    /// When the round begins, at most the last time that can be represented.
+    /// When the round begins; the latest time that can be represented if that would overflow.
     pub(crate) fn start(self) -> UnixMillis {
         UnixMillis(self.0.saturating_mul(ROUND_MS))
     }
 
-    /// When the round begins, or `None` if that cannot be represented.
+    /// When the round begins, or `None` if that would overflow.
     pub(crate) fn checked_start(self) -> Option<UnixMillis> {
         self.0.checked_mul(ROUND_MS).map(UnixMillis)
     }
--- a/crates/placement/src/rule_set.rs
+++ b/crates/placement/src/rule_set.rs
@@ -1,6 +1,6 @@
-//! A rule set: the zones in which each ruled tenant's data may be.
+//! A rule set: the zones in which each ruled tenant's data may be stored.
 //!
-//! Invariant: a `RuleSet` is complete and valid; any invalid name is an error, and none of the rules is used.
+//! Invariant: a `RuleSet` is complete and valid. One invalid name is an error for the whole set, and none of its rules is used.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,24 +11,24 @@
 use crate::rule_set_id::{ContentHash, RuleSetId};
 use crate::zones::{ZoneList, ZoneListHash, ZoneSet};
 
-/// Maximum number of ruled tenants: 256 entries of at most 15 bytes fit into the maximum number of parts.
+/// Maximum number of ruled tenants in a rule set: 256 entries of at most 15 bytes fit into the maximum number of parts.
 pub const MAX_TENANTS: usize = 256;
 
-/// A valid rule set of one revision.
+/// The valid rules of one revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RuleSet {
     pub(crate) revision: u64,
-    /// The list that the bits of `zones_by_tenant` refer to.
-    pub(crate) zone_list: ZoneListHash,
+    /// Hash of the zone list to which the bits of `zones_by_tenant` refer.
+    pub(crate) zone_list_hash: ZoneListHash,
     pub(crate) zones_by_tenant: BTreeMap<TenantId, ZoneSet>,
 }
 
 /// One tenant's rule as the operator wrote it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantRule<'a> {
-    /// Name of the tenant.
+    /// Name of the tenant in the settings.
     pub tenant: &'a str,
-    /// Names of the zones in which its data may be.
+    /// Names of the zones in which the tenant's data may be stored; at least one.
     pub zones: &'a [&'a str],
 }
 
@@ -36,42 +36,44 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RuleSetError {
     /// The revision is 0.
-    #[error("revision 0: the first revision is 1, and each change of the rules has a higher one")]
+    #[error("revision = 0: the first revision is 1, and each change of the rules must have a higher one")]
     RevisionZero,
     /// A rule names a zone that the settings do not have.
-    #[error("tenant {tenant:?} is ruled to zone {zone:?}, which is unknown: known are {known:?}")]
+    #[error("rule of tenant {tenant:?}: zone {zone:?} is unknown, must be one of {known:?}")]
     UnknownZone {
         /// The tenant of the rule.
         tenant: String,
         /// The unknown name.
         zone: String,
-        /// The names of the settings.
+        /// The names of all zones in the settings.
         known: Vec<String>,
     },
     /// A rule names a tenant that the settings do not have.
-    #[error("tenant {0:?} is ruled but unknown: a tenant is ruled by its name in the settings")]
+    #[error("rule of tenant {0:?}: the tenant is unknown, must be a tenant's name in the settings")]
     UnknownTenant(String),
     /// A rule names no zone, so the tenant's data could not be stored anywhere.
-    #[error("tenant {0:?} has an empty list of zones: name one at least, or leave the tenant out")]
+    #[error(
+        "rule of tenant {0:?}: the list of zones is empty, must name at least one; or leave the tenant out"
+    )]
     NoZones(String),
     /// A tenant has more than one rule.
-    #[error("tenant {0:?} is ruled twice: one rule with all its zones is right")]
+    #[error("tenant {0:?} has two rules: must have one rule with all its zones")]
     DuplicateTenant(String),
-    /// Two tenants' names have the same keyed hash, with a probability of about 10^-15 for a rule set.
-    #[error("tenants {first:?} and {second:?} have one keyed hash: another fleet key is needed")]
+    /// Two tenants' names have the same keyed hash; the probability is about 10^-15 for a rule set.
+    #[error("tenants {first:?} and {second:?} have the same keyed hash: use another fleet key")]
     HashCollision {
-        /// The first name.
+        /// The tenant of the earlier rule.
         first: String,
-        /// The second name.
+        /// The tenant of the later rule.
         second: String,
     },
     /// More than [`MAX_TENANTS`] tenants have rules.
-    #[error("{0} tenants are ruled: at most {MAX_TENANTS} are right")]
+    #[error("{0} tenants have rules: at most {MAX_TENANTS} are allowed")]
     TooManyTenants(usize),
 }
 
 impl RuleSet {
-    /// Validates the rules of one revision as an operator wrote them; `known_tenants` are the names in the settings.
+    /// Validates the rules of one revision as an operator wrote them; `known_tenants` are the tenants' names in the settings.
     ///
     /// ```
     /// use std::collections::BTreeSet;
@@ -90,7 +92,7 @@
     ///
     /// # Errors
     ///
-    /// [`RuleSetError`] is the first error.
+    /// Returns the [`RuleSetError`] of the first invalid rule.
     pub fn new(
         revision: u64,
         rules: &[TenantRule<'_>],
@@ -104,38 +106,38 @@
         if rules.len() > MAX_TENANTS {
             return Err(RuleSetError::TooManyTenants(rules.len()));
         }
-        let mut names: BTreeMap<TenantId, &str> = BTreeMap::new();
+        let mut names_by_id: BTreeMap<TenantId, &str> = BTreeMap::new();
         let mut zones_by_tenant = BTreeMap::new();
         for rule in rules {
             if !known_tenants.contains(rule.tenant) {
                 return Err(RuleSetError::UnknownTenant(rule.tenant.to_owned()));
             }
             let tenant = key.tenant_id(rule.tenant);
-            if let Some(earlier) = names.insert(tenant, rule.tenant) {
+            if let Some(earlier) = names_by_id.insert(tenant, rule.tenant) {
                 return Err(repeated_id(earlier, rule.tenant));
             }
             zones_by_tenant.insert(tenant, rule.zone_set(zones)?);
         }
-        Ok(RuleSet { revision, zone_list: zones.hash(key), zones_by_tenant })
+        Ok(RuleSet { revision, zone_list_hash: zones.hash(key), zones_by_tenant })
     }
 
-    /// The revision, from 1.
+    /// The operator's revision, from 1.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The zones in which a tenant's data may be, or `None` if the rule set does not name the tenant.
+    /// The zones in which a tenant's data may be stored, or `None` if the rule set does not name the tenant.
     pub fn zones_of(&self, tenant: TenantId) -> Option<ZoneSet> {
         self.zones_by_tenant.get(&tenant).copied()
     }
 
-    /// The id of this rule set.
+    /// The id: the revision, and the keyed hash of the encoded rule set.
     pub(crate) fn id(&self, key: &FleetKey) -> RuleSetId {
         let content_hash = ContentHash(key.hash(HashDomain::RuleSetContent, &self.encode()));
         RuleSetId { revision: self.revision, content_hash }
     }
 
-    /// The encoded rule set, which is transferred in parts; equal for equal rule sets.
+    /// Encodes the rule set for its transfer in parts; equal rule sets have equal bytes.
     pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
@@ -145,20 +147,22 @@
         bytes: &[u8],
         id: RuleSetId,
         key: &FleetKey,
-        zone_list: ZoneListHash,
+        zone_list_hash: ZoneListHash,
     ) -> Option<RuleSet> {
         if key.hash(HashDomain::RuleSetContent, bytes) != id.content_hash.0 {
             return None;
         }
         match postcard::take_from_bytes::<RuleSet>(bytes) {
-            Ok((rules, [])) if rules.revision == id.revision && rules.zone_list == zone_list => Some(rules),
+            Ok((rules, [])) if rules.revision == id.revision && rules.zone_list_hash == zone_list_hash => {
+                Some(rules)
+            }
             _ => None,
         }
     }
 }
 
 impl TenantRule<'_> {
-    /// The named zones as a set over the list of the settings.
+    /// The rule's zones as bits by their index in the settings' list.
     fn zone_set(&self, zones: &ZoneList) -> Result<ZoneSet, RuleSetError> {
         if self.zones.is_empty() {
             return Err(RuleSetError::NoZones(self.tenant.to_owned()));
@@ -178,7 +182,7 @@
     }
 }
 
-/// Why two rules have the same tenant id: they name one tenant, or two whose hashes collide.
+/// The error of two rules with the same tenant id: they name one tenant, or two tenants whose hashes collide.
 fn repeated_id(earlier: &str, later: &str) -> RuleSetError {
     if earlier == later {
         RuleSetError::DuplicateTenant(later.to_owned())
--- a/crates/placement/src/rule_set_downloads.rs
+++ b/crates/placement/src/rule_set_downloads.rs
@@ -1,7 +1,7 @@
-//! Downloads rule sets that other senders store and this one does not.
+//! Downloads rule sets that other senders store and this sender does not hold.
 //!
-//! Invariant: a rule set is assembled only while summaries list it, only from parts with its id, and is used only if the hash
-//! of its content matches its id.
+//! Invariant: a rule set is assembled only from parts with its id, only until it is no longer in summaries, and is used only if
+//! the hash of its content matches the id.
 
 use std::collections::BTreeMap;
 
@@ -19,32 +19,33 @@
 use crate::settings::Settings;
 use crate::zones::ZoneListHash;
 
-/// Minimum time between two requests of a sender, in milliseconds: a request and its answer take two ticks of the host.
+/// Minimum time between two requests of a sender, in milliseconds: a request and its answer take two poll intervals of the
+/// caller.
 const REQUEST_INTERVAL_MS: u64 = 200;
 
-/// Mean number of requests to each source within [`REQUEST_INTERVAL_MS`]; more would be dropped by the source.
+/// Mean number of requests to each source within [`REQUEST_INTERVAL_MS`]; a source drops requests beyond its limit.
 const REQUESTS_PER_SOURCE: usize = 4;
 
-/// Number of rounds without a listing in a summary or a received part after which a download is abandoned: 10 s.
+/// Number of rounds after which a download is abandoned if no summary contains the rule set and no part is received: 10 s.
 const DOWNLOAD_TIMEOUT_ROUNDS: u64 = 20;
 
 /// A rule set that is being downloaded.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Download {
-    /// The sender to which requests are sent, drawn again by each summary until the first part is received.
+    /// The sender to which requests are sent; drawn again with each summary until the first part is received.
     source: SenderId,
-    /// The last round in which a summary listed the rule set or a part was received.
-    last_seen: Round,
-    /// Number of other senders that store it, by the last summary.
+    /// The last round whose summary contained the rule set or in which a part was received.
+    last_active_round: Round,
+    /// Number of other senders that store the rule set, by the last summary.
     source_count: usize,
-    /// Number of senders that do not store it, by the last summary.
-    lacking_count: usize,
-    /// The received parts; empty before the first.
+    /// Number of senders, including this one, that do not store the rule set, by the last summary.
+    non_source_count: usize,
+    /// The parts by index, `None` if not received; empty before the first part is received.
     parts: Vec<Option<Vec<u8>>>,
 }
 
 impl Download {
-    /// The missing parts, one bit each.
+    /// Bit `i` is set if part `i` is missing; all bits are set while the number of parts is unknown.
     fn missing_parts(&self) -> u32 {
         if self.parts.is_empty() {
             return u32::MAX;
@@ -56,7 +57,7 @@
         missing
     }
 
-    /// The rule set's bytes once all parts are received.
+    /// The bytes of the rule set, or `None` until all parts are received.
     fn assembled(&self) -> Option<Vec<u8>> {
         let parts: Option<Vec<&[u8]>> = self.parts.iter().map(Option::as_deref).collect();
         parts.map(|parts| parts.concat())
@@ -65,11 +66,11 @@
 
 /// The result of receiving a part.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum PartOutcome {
+pub(crate) enum DownloadProgress {
     /// The part was not requested, or other parts are missing.
     Incomplete,
     Complete(RuleSet),
-    /// All parts are received, but are not the rule set with the id.
+    /// All parts are received, but they are not the rule set with the id.
     Invalid,
 }
 
@@ -81,8 +82,8 @@
 }
 
 impl RuleSetDownloads {
-    /// Starts or continues to download the rule sets of a summary that are not held. Returns whether a sender acknowledges
-    /// one of them, so that it may be committed.
+    /// Starts or continues to download the missing rule sets of a summary. Returns whether a sender acknowledges one of
+    /// them, so that it may be committed.
     pub fn fetch_missing(
         &mut self,
         summary: &RoundSummary,
@@ -90,11 +91,11 @@
         settings: &Settings,
     ) -> bool {
         let mut may_be_committed = false;
-        for (slot, id) in summary.named().filter(|(_, id)| held.is_missing(*id)) {
+        for (slot, id) in summary.rule_sets_with_slots().filter(|(_, id)| held.is_missing(*id)) {
             may_be_committed |= summary.acknowledging(slot).next().is_some();
             self.fetch(id, slot, summary, settings);
         }
-        // The lowest are abandoned first: the commit of a higher one makes them obsolete.
+        // The lowest revisions are abandoned first, because the commit of a higher revision makes them obsolete.
         while self.by_id.len() > MAX_RULE_SETS {
             self.by_id.pop_first();
         }
@@ -105,76 +106,77 @@
         let sources: Vec<SenderId> =
             summary.storing(slot).filter(|&sender| sender != settings.own_id).collect();
         let salt = DrawSalt::of_sender(settings.own_id.0);
-        let drawn = settings.key.draw(summary.round.number(), salt, sources.len());
-        let Some(&source) = sources.get(drawn) else { return };
+        let source_index = settings.key.draw(summary.round.number(), salt, sources.len());
+        let Some(&source) = sources.get(source_index) else { return };
         let mut download = Download {
             source,
-            last_seen: summary.round,
+            last_active_round: summary.round,
             source_count: sources.len(),
-            lacking_count: summary.reports.len() - sources.len(),
+            non_source_count: summary.reports.len() - sources.len(),
             parts: Vec::new(),
         };
-        if let Some(begun) = self.by_id.remove(&id).filter(|known| !known.parts.is_empty()) {
-            // A source that has sent a part is kept while it is reported to store the rule set.
-            if sources.contains(&begun.source) {
-                download.source = begun.source;
+        if let Some(previous) = self.by_id.remove(&id).filter(|known| !known.parts.is_empty()) {
+            // A source that has sent a part remains the source while summaries report that it stores the rule set.
+            if sources.contains(&previous.source) {
+                download.source = previous.source;
             }
-            download.parts = begun.parts;
+            download.parts = previous.parts;
         }
         self.by_id.insert(id, download);
     }
 
-    /// Abandons downloads of rule sets that are held or have not been listed for a while.
+    /// Abandons downloads of rule sets that are no longer missing, or without a summary or part for
+    /// [`DOWNLOAD_TIMEOUT_ROUNDS`].
     pub fn abandon_obsolete(&mut self, round: Round, held: &HeldRuleSets) {
         self.by_id.retain(|id, download| {
-            held.is_missing(*id) && download.last_seen.plus(DOWNLOAD_TIMEOUT_ROUNDS) >= round
+            held.is_missing(*id) && download.last_active_round.plus(DOWNLOAD_TIMEOUT_ROUNDS) >= round
         });
     }
 
-    /// The request that is due at `now`; the rule sets take turns.
+    /// The request that is due at `now`, for each of the rule sets in turn.
     pub fn poll_request(&mut self, now: UnixMillis, settings: &Settings) -> Option<OutgoingDatagram> {
         if self.by_id.is_empty() || now < self.next_request_at {
             return None;
         }
         self.next_request_at = now.saturating_add(REQUEST_INTERVAL_MS);
         let interval = now.0 / REQUEST_INTERVAL_MS;
-        let turn = (interval % self.by_id.len() as u64) as usize;
-        let (&rule_set, download) = self.by_id.iter().nth(turn)?;
-        if download.parts.is_empty() && !is_drawn_to_begin(download, interval, &settings.key, settings.own_id)
-        {
+        let download_index = (interval % self.by_id.len() as u64) as usize;
+        let (&rule_set, download) = self.by_id.iter().nth(download_index)?;
+        if download.parts.is_empty() && !may_start(download, interval, &settings.key, settings.own_id) {
             return None;
         }
         let request = PartRequest { rule_set, parts: download.missing_parts() };
         Some(OutgoingDatagram { to: download.source, body: GossipMessage::PartRequest(request).encode() })
     }
 
-    /// Stores a part that is within its bounds.
+    /// Stores a part whose fields are within their bounds; decodes the rule set once all parts are received.
     pub fn receive_part(
         &mut self,
         now: UnixMillis,
         part: &RuleSetPart<'_>,
         key: &FleetKey,
-        zone_list: ZoneListHash,
-    ) -> PartOutcome {
-        let Some(download) = self.by_id.get_mut(&part.rule_set) else { return PartOutcome::Incomplete };
+        zone_list_hash: ZoneListHash,
+    ) -> DownloadProgress {
+        let Some(download) = self.by_id.get_mut(&part.rule_set) else { return DownloadProgress::Incomplete };
         let part_count = usize::from(part.part_count).min(MAX_PARTS);
         if download.parts.len() != part_count {
             download.parts = vec![None; part_count];
         }
-        let Some(place) = download.parts.get_mut(usize::from(part.index)) else {
-            return PartOutcome::Incomplete;
+        let Some(part_slot) = download.parts.get_mut(usize::from(part.index)) else {
+            return DownloadProgress::Incomplete;
         };
-        *place = Some(part.bytes.to_vec());
-        download.last_seen = download.last_seen.max(Round::containing(now));
-        let Some(bytes) = download.assembled() else { return PartOutcome::Incomplete };
+        *part_slot = Some(part.bytes.to_vec());
+        download.last_active_round = download.last_active_round.max(Round::containing(now));
+        let Some(bytes) = download.assembled() else { return DownloadProgress::Incomplete };
         download.parts.clear();
-        RuleSet::decode(&bytes, part.rule_set, key, zone_list)
-            .map_or(PartOutcome::Invalid, PartOutcome::Complete)
+        RuleSet::decode(&bytes, part.rule_set, key, zone_list_hash)
+            .map_or(DownloadProgress::Invalid, DownloadProgress::Complete)
     }
 }
 
-/// Whether this sender starts a download now: few do while few senders store the rule set.
-fn is_drawn_to_begin(download: &Download, interval: u64, key: &FleetKey, own_id: SenderId) -> bool {
-    let drawn = key.draw(interval, DrawSalt::of_sender(own_id.0), download.lacking_count);
+/// Whether this sender may request the first part of a rule set in this interval. Few senders may while few senders store the
+/// rule set, so that the sources are not overloaded.
+fn may_start(download: &Download, interval: u64, key: &FleetKey, own_id: SenderId) -> bool {
+    let drawn = key.draw(interval, DrawSalt::of_sender(own_id.0), download.non_source_count);
     drawn < download.source_count * REQUESTS_PER_SOURCE
 }
--- a/crates/placement/src/rule_set_id.rs
+++ b/crates/placement/src/rule_set_id.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of rule sets that a sender holds: one committed and three pending or conflicting ones.
+/// Maximum number of rule sets that a sender holds: one committed one, and three that are pending or conflicting.
 pub const MAX_RULE_SETS: usize = 4;
 
 /// Keyed hash of a rule set's content, including the hash of its zone list.
@@ -14,12 +14,12 @@
 pub struct RuleSetId {
     /// The operator's revision, from 1; 0 stands for no rule set.
     pub revision: u64,
-    /// Distinguishes rule sets of the same revision.
+    /// Hash that distinguishes rule sets of the same revision.
     pub content_hash: ContentHash,
 }
 
 impl RuleSetId {
-    /// Whether this identifies a rule set; false for the default in unused slots.
+    /// Whether this identifies a rule set; false for the default value, which stands in unused slots.
     pub(crate) fn is_some(self) -> bool {
         self.revision > 0
     }
--- a/crates/placement/src/sender_id.rs
+++ b/crates/placement/src/sender_id.rs
@@ -1,4 +1,4 @@
-//! The identity of a sender, and of the process that acts for it.
+//! Identifiers of senders and of their processes.
 
 use std::fmt;
 
@@ -9,12 +9,12 @@
 pub struct SenderId(pub u16);
 
 impl SenderId {
-    /// The sender at an index of a list over the fleet, which has at most `MAX_SENDERS` entries.
+    /// The sender at an index of a list with one entry for each sender, which has at most `MAX_SENDERS` entries.
     pub(crate) fn from_index(index: usize) -> SenderId {
         SenderId(index as u16)
     }
 
-    /// Index of this sender in a list over the fleet.
+    /// Index of this sender in a list with one entry for each sender.
     pub(crate) fn index(self) -> usize {
         usize::from(self.0)
     }
@@ -26,6 +26,6 @@
     }
 }
 
-/// Identifies a process of a sender; each later process of the same sender has a greater one.
+/// Identifies a process of a sender; each later process of the same sender has a greater incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one sender's placement, and the aggregators that follow from them.
+//! The settings of one sender's placement, and the choice of each round's aggregators.
 
 use thiserror::Error;
 
@@ -7,7 +7,8 @@
 use crate::sender_id::SenderId;
 use crate::zones::ZoneList;
 
-/// Maximum number of senders: a round summary has 3 bits for each, and at most 101 other bytes.
+/// Maximum number of senders, so that a round summary fits into one datagram: it has 3 bits for each sender and at most 101
+/// other bytes.
 pub const MAX_SENDERS: u16 = 360;
 
 /// The settings of one sender's placement; all but `own_id` and `own_zone` must be the same at all senders.
@@ -17,26 +18,28 @@
     pub own_id: SenderId,
     /// Number of senders in the fleet, 1 to [`MAX_SENDERS`], including those that are down.
     pub sender_count: u16,
-    /// Number of aggregators of a round, 1 or 2; each costs a sender one datagram in each direction and round.
+    /// Number of senders that aggregate the heartbeats of a round, 1 or 2. In each round, each aggregator sends one datagram to
+    /// every other sender and receives one from it.
     pub aggregators_per_round: u8,
-    /// All zones.
+    /// All zones of the fleet.
     pub zones: ZoneList,
     /// Index of the zone in which this sender runs.
     pub own_zone: usize,
-    /// How long a lease lasts from the start of the round that renewed it, in milliseconds; at least two rounds and
-    /// twice the clock error.
+    /// Duration of a lease from the start of the round that renewed it, in milliseconds; at least two rounds plus twice
+    /// `clock_error_ms`.
     pub lease_ms: u64,
-    /// Maximum error of a clock, in milliseconds in either direction.
+    /// Maximum error of any sender's clock in either direction, in milliseconds.
     pub clock_error_ms: u64,
-    /// How long a rule set that not all senders store is announced before this sender acknowledges it, in milliseconds: about
-    /// the time until all senders have received it. An acknowledgement stops senders that lack the rule set.
+    /// How long this sender announces a rule set that not all senders store before it acknowledges it, in milliseconds: about
+    /// the time until all senders have received it. An acknowledgement keeps senders without the rule set from renewing
+    /// their leases.
     pub announce_ms: u64,
     /// Maximum duration of a call, in milliseconds.
     pub max_call_ms: u64,
-    /// Time within which a body outside its zones must be erased after its rule was narrowed, in milliseconds; at least
-    /// `max_call_ms`.
+    /// Time within which a stored body must be erased after a rule excluded this sender's zone, in milliseconds; at
+    /// least `max_call_ms`.
     pub erase_within_ms: u64,
-    /// The fleet's key.
+    /// Secret key of the fleet, for all keyed hashes.
     pub key: FleetKey,
 }
 
@@ -44,41 +47,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// The number of senders is out of range.
-    #[error("{0} senders: 1 to {MAX_SENDERS} are right")]
+    #[error("sender_count = {0}: must be between 1 and {MAX_SENDERS}")]
     SenderCount(u16),
-    /// The own number is not below the number of senders.
-    #[error("own number {own_id} is not below the number of senders, {sender_count}")]
+    /// This sender's number is not below the number of senders.
+    #[error("own_id = {own_id}: must be below sender_count = {sender_count}")]
     OwnId {
-        /// The number given.
+        /// The invalid number.
         own_id: SenderId,
-        /// The number of senders.
+        /// The number of senders in the settings.
         sender_count: u16,
     },
     /// The number of aggregators is out of range.
-    #[error("{0} aggregators: 1 or 2 are right")]
+    #[error("aggregators_per_round = {0}: must be 1 or 2")]
     Aggregators(u8),
-    /// The own zone is not in the list.
-    #[error("own zone {own_zone} is not among the {zone_count} zones")]
+    /// The index of this sender's zone is not in the list of zones.
+    #[error("own_zone = {own_zone}: must be below the number of zones, {zone_count}")]
     OwnZone {
-        /// The index given.
+        /// The invalid index.
         own_zone: usize,
-        /// The number of zones.
+        /// The number of zones in the settings.
         zone_count: usize,
     },
-    /// The lease is too short to be renewed in time.
-    #[error("a lease of {given_ms} ms: at least {min_ms} ms are right with this clock error")]
+    /// The lease would expire before it can be renewed.
+    #[error("lease_ms = {given_ms}: must be at least {min_ms}, two rounds plus twice clock_error_ms")]
     Lease {
-        /// The lease given, in milliseconds.
+        /// The invalid duration, in milliseconds.
         given_ms: u64,
         /// The shortest valid lease, in milliseconds.
         min_ms: u64,
     },
     /// Bodies would have to be erased while their call may be in flight.
-    #[error(
-        "bodies are to be gone within {given_ms} ms, which is less than the longest call, {max_call_ms} ms"
-    )]
+    #[error("erase_within_ms = {given_ms}: must be at least max_call_ms = {max_call_ms}")]
     EraseWithin {
-        /// The time given, in milliseconds.
+        /// The invalid time, in milliseconds.
         given_ms: u64,
         /// The maximum duration of a call, in milliseconds.
         max_call_ms: u64,
@@ -90,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first invalid field.
+    /// Returns the [`SettingsError`] of the first invalid field.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.sender_count == 0 || self.sender_count > MAX_SENDERS {
             return Err(SettingsError::SenderCount(self.sender_count));
@@ -120,7 +121,7 @@
         Ok(())
     }
 
-    /// The senders that aggregate a round's heartbeats: the same at every sender.
+    /// The senders that aggregate a round's heartbeats; every sender computes the same ones.
     pub(crate) fn aggregators(&self, round: Round) -> Vec<SenderId> {
         let count = usize::from(self.sender_count);
         let first = self.key.draw(round.number(), DrawSalt::FIRST_AGGREGATOR, count);
--- a/crates/placement/src/startup.rs
+++ b/crates/placement/src/startup.rs
@@ -1,7 +1,7 @@
 //! Starts a sender's placement, and reloads the operator's file.
 //!
-//! Invariant: a rule set is accepted completely or not at all, and a sender that starts without a record does not vote before
-//! its recovery.
+//! Invariant: a rule set is accepted completely or not at all, and a sender that is started without a record does not vote
+//! before its recovery.
 
 use std::collections::BTreeMap;
 
@@ -21,28 +21,26 @@
 use crate::settings::{Settings, SettingsError};
 use crate::state_record::StateRecord;
 
-/// Why a reloaded file is rejected; the earlier rules still apply.
+/// Why a file is rejected; the rule sets held before still apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReloadError {
     /// The file's revision is lower than a held one.
-    #[error(
-        "the file's revision {given} is older than revision {held}, which is held: {lowest_valid} or higher is right"
-    )]
+    #[error("file has revision {given}, but revision {held} is held: must be {lowest_valid} or higher")]
     RevisionTooLow {
         /// The revision of the file.
         given: u64,
         /// The highest revision held.
         held: u64,
-        /// The lowest revision that would be accepted.
+        /// The lowest revision of a changed file that would be accepted.
         lowest_valid: u64,
     },
-    /// The rules of this revision refer to another list of zones than that of the settings.
+    /// The rules of this revision refer to another list of zones than the settings contain.
+    #[error("rules of revision {0} refer to another list of zones: must be the list in the settings")]
+    ZoneListMismatch(u64),
+    /// The maximum number of rule sets is held, and those after the committed one are still pending.
     #[error(
-        "the rules of revision {0} refer to another list of zones than the settings have: use the settings' list"
+        "revision {0} not accepted: four rule sets are held; retry once a later one of them is committed"
     )]
-    ZoneListMismatch(u64),
-    /// The maximum number of rule sets is held, and none of the later ones is committed.
-    #[error("revision {0} must wait: four rule sets are held, and the later ones are not committed yet")]
     TooManyRuleSets(u64),
 }
 
@@ -55,9 +53,9 @@
     /// The file cannot be used.
     #[error(transparent)]
     File(#[from] ReloadError),
-    /// The record's rules refer to another list of zones than that of the settings.
+    /// The record's rules refer to another list of zones than the settings contain.
     #[error(
-        "the stored rules refer to another list of zones: restore the list, or start with an empty record"
+        "stored rules refer to another list of zones than the settings: restore the list, or start without a record"
     )]
     RecordZoneListMismatch,
 }
@@ -65,12 +63,12 @@
 impl Placement {
     /// Starts a sender at `now` with the rules of its file and the decoded record.
     ///
-    /// No earlier process of the same sender may send heartbeats any more. Without a record the sender does not vote until it
-    /// has recovered. `incarnation` must be greater than that of any earlier process. There is no lease at the start.
+    /// Earlier processes of the same sender must have stopped sending heartbeats, and `incarnation` must be greater than
+    /// theirs. Without a record, the sender does not vote until it has recovered. There is no lease at the start.
     ///
     /// # Errors
     ///
-    /// [`StartError`] if the settings are invalid, or the file or the record refers to other zones.
+    /// [`StartError`] if the settings are invalid, or the file or the record refers to another list of zones.
     pub fn new(
         settings: Settings,
         file: Option<RuleSet>,
@@ -89,14 +87,14 @@
         Ok(placement)
     }
 
-    /// Reloads the rules of the file at `now`; narrower zones apply immediately, wider ones once the revision is committed.
+    /// Applies the rules of a changed file at `now`: narrower zones immediately, wider zones once the revision is committed.
     ///
     /// # Errors
     ///
-    /// [`ReloadError`] is why the file is rejected; the state is unchanged.
+    /// [`ReloadError`] if the file is rejected; the held rule sets are then unchanged.
     pub fn reload(&mut self, now: UnixMillis, rules: RuleSet) -> Result<(), ReloadError> {
         let (given, held) = (rules.revision(), self.held.highest_revision());
-        if rules.zone_list != self.zone_list {
+        if rules.zone_list_hash != self.zone_list_hash {
             return Err(ReloadError::ZoneListMismatch(given));
         }
         if given < held {
@@ -108,7 +106,8 @@
         }
     }
 
-    /// Adds a rule set of the own file or of another sender to the held ones, if there are not too many.
+    /// Adds a rule set of this sender's file (`from` is `None`) or of another sender to the held ones, if there are not too
+    /// many, and reports it as an event.
     pub(crate) fn accept_rule_set(
         &mut self,
         now: UnixMillis,
@@ -133,13 +132,13 @@
 
     fn without_rules(settings: Settings, incarnation: Incarnation, now: UnixMillis) -> Placement {
         Placement {
-            zone_list: settings.zones.hash(&settings.key),
+            zone_list_hash: settings.zones.hash(&settings.key),
             settings,
             incarnation,
             held: HeldRuleSets::default(),
             lease: Lease::new(false, now),
-            lease_announced: false,
-            last_heartbeat: Round::default(),
+            lease_acquired_reported: false,
+            last_heartbeat_round: Round::default(),
             collector: HeartbeatCollector::default(),
             downloads: RuleSetDownloads::default(),
             uploads: RuleSetUploads::default(),
@@ -151,7 +150,7 @@
     }
 
     fn restore(&mut self, record: StateRecord, now: UnixMillis) -> Result<(), StartError> {
-        if record.held.by_id.values().any(|held| held.rules.zone_list != self.zone_list) {
+        if record.held.by_id.values().any(|held| held.rules.zone_list_hash != self.zone_list_hash) {
             return Err(StartError::RecordZoneListMismatch);
         }
         self.held = record.held;
@@ -168,7 +167,7 @@
                 Ok(())
             }
             Err(error @ ReloadError::ZoneListMismatch(_)) => Err(error.into()),
-            // Too many rule sets are reported as an event.
+            // `TooManyRuleSets` has been reported as an event by `accept_rule_set`.
             Err(ReloadError::TooManyRuleSets(_)) | Ok(()) => Ok(()),
         }
     }
--- a/crates/placement/src/state_record.rs
+++ b/crates/placement/src/state_record.rs
@@ -1,6 +1,6 @@
-//! The record in the state folder, with which a process restores its rule sets.
+//! The record in the state folder, from which a process restores its rule sets.
 //!
-//! Invariant: a record is read completely and unchanged or not at all, and only recorded rule sets are acknowledged.
+//! Invariant: a record is read completely and unchanged or not at all, and a sender acknowledges only rule sets in its record.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::held_rule_sets::HeldRuleSets;
 use crate::rule_set_id::{MAX_RULE_SETS, RuleSetId};
 
-/// The first byte of a record.
+/// Version of the encoding; the first byte of a record.
 const VERSION: u8 = 1;
 
 /// Length of the keyed checksum at the end of a record, in bytes.
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StateRecord {
     pub(crate) held: HeldRuleSets,
-    /// Whether the sender votes; false if it had started without state and not recovered.
+    /// Whether the sender votes; false if it was started without a record and had not recovered.
     pub(crate) voting: bool,
-    /// The tenants whose zones do not include the own one, each with the time since when.
+    /// The tenants whose zones do not include this sender's zone, and since when.
     pub(crate) excluded_since: BTreeMap<TenantId, UnixMillis>,
 }
 
@@ -32,10 +32,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RecordError {
     /// The version of the record is unknown.
-    #[error("the record's version is {0}: {VERSION} is known")]
+    #[error("record version = {0}: must be {VERSION}")]
     UnknownVersion(u8),
-    /// The record is truncated, damaged, or was written under another fleet's key.
-    #[error("the record is damaged, or was written under another fleet key")]
+    /// The record is truncated or damaged, or was written under another fleet key.
+    #[error("record is truncated or damaged, or was written under another fleet key")]
     Corrupt,
 }
 
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// [`RecordError`] if the bytes are not a valid record under this key, or of another version.
+    /// [`RecordError`] if the bytes are not a valid record under this key, or have another version.
     pub fn decode(bytes: &[u8], key: &FleetKey) -> Result<StateRecord, RecordError> {
         let (checked, checksum) = bytes.split_last_chunk::<CHECKSUM_LEN>().ok_or(RecordError::Corrupt)?;
         if key.hash(HashDomain::StateRecord, checked) != u64::from_le_bytes(*checksum) {
@@ -68,13 +68,13 @@
         }
     }
 
-    /// The acknowledged rule sets; none if the sender does not vote.
+    /// The rule sets that the sender acknowledges; none if it does not vote.
     pub fn acknowledged(&self) -> impl Iterator<Item = RuleSetId> {
         let acknowledged = self.held.by_id.iter().filter(|(_, held)| held.is_acknowledged() && self.voting);
         acknowledged.map(|(id, _)| *id)
     }
 
-    /// Whether the sender's acknowledgements count; false between a start without a record and the recovery.
+    /// Whether the sender's acknowledgements count; false from a start without a record until the recovery.
     pub fn is_voting(&self) -> bool {
         self.voting
     }
--- a/crates/placement/src/summary_codec.rs
+++ b/crates/placement/src/summary_codec.rs
@@ -1,6 +1,6 @@
 //! Encoding of round summaries with 3 bits for each sender, so that the whole fleet fits into one datagram.
 //!
-//! Invariant: a report that does not fit is left out completely; an included sender stores only the listed rule sets.
+//! Invariant: a report that does not fit is encoded as missing; a sender with a slot mask stores only rule sets of the summary.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,22 +8,22 @@
 use crate::gossip_message::{EncodedSummary, GossipError, GossipMessage, MAX_SLOT_MASKS};
 use crate::round_summary::{RoundSummary, SenderReport, SlotMask};
 
-/// Number of bits of each sender's report.
+/// Number of bits of the code of each sender's report.
 const CODE_BITS: usize = 3;
-/// The code of a sender whose heartbeat is missing.
+/// The code of [`SenderReport::Missing`].
 const CODE_MISSING: usize = 0;
-/// The code of a sender that does not vote.
+/// The code of [`SenderReport::NotVoting`].
 const CODE_NOT_VOTING: usize = 1;
-/// The code of a voting sender with the first slot mask.
+/// The code of a voting sender with the first slot mask of the encoded summary; the other masks have the codes after it.
 const CODE_FIRST_MASK: usize = 2;
 
 impl RoundSummary {
-    /// Encodes the summary as a message.
+    /// Encodes the summary as a [`GossipMessage`].
     pub fn encode(&self) -> Vec<u8> {
         let frequent = self.most_frequent_masks();
         let mut slot_masks = [0; MAX_SLOT_MASKS];
-        for (place, mask) in slot_masks.iter_mut().zip(&frequent) {
-            *place = mask.0;
+        for (encoded_mask, mask) in slot_masks.iter_mut().zip(&frequent) {
+            *encoded_mask = mask.0;
         }
         let mut report_codes = vec![0; encoded_len(self.reports.len())];
         for (index, report) in self.reports.iter().enumerate() {
@@ -39,18 +39,18 @@
         GossipMessage::Summary(summary).encode()
     }
 
-    /// Decodes the summary of a fleet of `sender_count` senders.
+    /// Decodes a summary; an error if it is not of a fleet of `sender_count` senders or contradicts itself.
     pub fn decode(encoded: &EncodedSummary<'_>, sender_count: u16) -> Result<RoundSummary, GossipError> {
         let report_count = usize::from(sender_count);
         if encoded.sender_count != sender_count || encoded.report_codes.len() != encoded_len(report_count) {
             return Err(GossipError::SenderCountMismatch);
         }
-        let mut named_slots = 0;
+        let mut used_slots = 0;
         for (slot, id) in encoded.rule_sets.iter().enumerate() {
-            named_slots |= u8::from(id.is_some()) << slot;
+            used_slots |= u8::from(id.is_some()) << slot;
         }
         let slot_masks = encoded.slot_masks.map(SlotMask);
-        if !slot_masks.iter().all(|mask| mask.is_consistent(named_slots)) {
+        if !slot_masks.iter().all(|mask| mask.is_consistent(used_slots)) {
             return Err(GossipError::InvalidSummary);
         }
         let report = |index| report_of(read_code(encoded.report_codes, index), &slot_masks);
@@ -58,7 +58,7 @@
         Ok(RoundSummary { round: encoded.round, rule_sets: encoded.rule_sets, reports })
     }
 
-    /// As many of the senders' slot masks as fit, the most frequent first.
+    /// The most frequent slot masks, at most [`MAX_SLOT_MASKS`], in descending order of their frequency.
     fn most_frequent_masks(&self) -> Vec<SlotMask> {
         let mut frequency: BTreeMap<SlotMask, usize> = BTreeMap::new();
         for mask in self.reports.iter().filter_map(|report| report.slot_mask()) {
@@ -71,7 +71,7 @@
     }
 }
 
-/// The code of a report; a report whose slot mask does not fit counts as missing.
+/// The code of a report; a report whose slot mask is not in `masks` is encoded as missing.
 fn code_of(report: SenderReport, masks: &[SlotMask]) -> usize {
     match report {
         SenderReport::Missing => CODE_MISSING,
@@ -91,9 +91,9 @@
     }
 }
 
-/// Length of the codes of `senders`, in bytes.
-fn encoded_len(senders: usize) -> usize {
-    (senders * CODE_BITS).div_ceil(8)
+/// Length of the codes of `report_count` reports, in bytes.
+fn encoded_len(report_count: usize) -> usize {
+    (report_count * CODE_BITS).div_ceil(8)
 }
 
 fn write_code(bytes: &mut [u8], index: usize, code: usize) {
--- a/crates/placement/src/tests/golden.rs
+++ b/crates/placement/src/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Encoded bytes against the files in `tests/golden`, which are never regenerated.
+//! Compares encoded bytes with the files in `tests/golden`, which are never regenerated: encodings must stay compatible.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
 use crate::state_record::StateRecord;
 use crate::zones::{ZoneList, ZoneSet};
 
-/// The bytes of a golden file: hexadecimal digits, lines that begin with `#` and white space are skipped.
+/// The bytes of a golden file of hexadecimal digits; skips white space and lines that begin with `#`.
 fn bytes_of(file: &str) -> Vec<u8> {
     let digits: String =
         file.lines().filter(|line| !line.starts_with('#')).flat_map(str::split_whitespace).collect();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn hashes_and_draws_under_a_key_stay_as_they_are() {
+fn hashes_and_draws_have_their_golden_values() {
     let draws: Vec<usize> = (0..8).map(|round| key().draw(round, DrawSalt(round % 3), 300)).collect();
     assert_eq!(draws, DRAWS);
     assert_eq!(key().tenant_id("tapi-news").0, TENANT_HASH);
--- a/crates/placement/src/tests/gossip_message.rs
+++ b/crates/placement/src/tests/gossip_message.rs
@@ -1,4 +1,4 @@
-//! Bounds of encoded messages.
+//! Length of encoded messages, and rejection of malformed ones.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -14,7 +14,7 @@
 const LARGEST_ID: RuleSetId = RuleSetId { revision: u64::MAX, content_hash: ContentHash(u64::MAX) };
 
 #[test]
-fn the_largest_message_of_each_kind_fits_a_body() {
+fn the_largest_message_of_each_kind_fits_into_a_body() {
     let heartbeat = Heartbeat {
         round: Round(u64::MAX),
         sent_at: UnixMillis(u64::MAX),
@@ -49,12 +49,12 @@
         assert!(bytes.len() <= MAX_BODY_LEN, "{} bytes", bytes.len());
         assert_eq!(GossipMessage::decode(&bytes), Ok(message.clone()));
         let longer = [&bytes[..], &[0]].concat();
-        assert!(GossipMessage::decode(&longer).is_err(), "a byte behind the message");
+        assert!(GossipMessage::decode(&longer).is_err(), "a byte after the message must be an error");
     }
 }
 
 #[test]
-fn a_length_that_the_bytes_do_not_have_is_an_error() {
+fn an_encoded_length_beyond_the_received_bytes_is_an_error() {
     let part = RuleSetPart { rule_set: LARGEST_ID, index: 0, part_count: 1, bytes: &[] };
     let mut bytes = GossipMessage::Part(part).encode();
     bytes.pop();
--- a/crates/placement/src/zones.rs
+++ b/crates/placement/src/zones.rs
@@ -7,7 +7,7 @@
 
 use crate::fleet_key::{FleetKey, HashDomain};
 
-/// Maximum number of zones in a list: a set of them has 32 bits.
+/// Maximum number of zones in a list, because a [`ZoneSet`] has 32 bits.
 pub const MAX_ZONES: usize = 32;
 
 /// A set of zones: bit `i` is the zone with index `i` of the [`ZoneList`].
@@ -23,7 +23,7 @@
         zone < MAX_ZONES && self.0 >> zone & 1 == 1
     }
 
-    /// Zones that are in both sets.
+    /// The zones that are in both sets.
     #[must_use]
     pub fn intersection(self, other: ZoneSet) -> ZoneSet {
         ZoneSet(self.0 & other.0)
@@ -49,10 +49,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ZoneListError {
     /// The list is empty or longer than [`MAX_ZONES`].
-    #[error("{0} zones are named: 1 to {MAX_ZONES} are right")]
+    #[error("{0} zones in the list: the number must be between 1 and {MAX_ZONES}")]
     Count(usize),
     /// A name occurs more than once.
-    #[error("zone {0:?} is named twice: once is right")]
+    #[error("zone {0:?} is in the list twice: each zone must be listed once")]
     Duplicate(String),
 }
 
@@ -76,7 +76,7 @@
         Ok(zones)
     }
 
-    /// Index of the zone with this name.
+    /// Index of the zone with this name, or `None` if it is not in the list.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.names.iter().position(|known| known == name)
     }
--- a/crates/placement/tests/rule_set.rs
+++ b/crates/placement/tests/rule_set.rs
@@ -1,4 +1,4 @@
-//! An operator's rules: valid, or one error that names the valid values.
+//! Validation of an operator's rules: a valid rule set, or one error that names the valid values.
 use std::collections::BTreeSet;
 
 use rudderspindle_placement::{
@@ -13,16 +13,16 @@
 }
 
 #[test]
-fn everything_wrong_with_a_rule_set_is_an_error_that_names_it() {
+fn each_invalid_rule_set_is_an_error_that_names_the_cause() {
     let known: Vec<String> = ["hall-a", "hall-b", "hall-c"].map(String::from).into();
     let (tenant, zone) = ("tapi-news".to_owned(), "hall-d".to_owned());
     let many = vec![("tapi-news", &["hall-a"][..]); MAX_TENANTS + 1];
-    for (result, error, says) in [
+    for (result, error, expected_text) in [
         (check(0, &[]), RuleSetError::RevisionZero, "the first revision is 1"),
         (
             check(1, &[("tapi-news", &["hall-a", "hall-d"])]),
             RuleSetError::UnknownZone { tenant: tenant.clone(), zone, known },
-            "known are",
+            "must be one of",
         ),
         (check(1, &[("tapi", &["hall-a"])]), RuleSetError::UnknownTenant("tapi".into()), "\"tapi\""),
         (check(1, &[("tapi-news", &[])]), RuleSetError::NoZones(tenant.clone()), "leave the tenant out"),
@@ -33,15 +33,15 @@
         ),
         (check(1, &many), RuleSetError::TooManyTenants(257), "at most 256"),
     ] {
-        let found = result.unwrap_err();
-        assert_eq!(found, error);
-        let line = found.to_string();
-        assert!(line.contains(says) && !line.contains('\n'), "{line}");
+        let actual = result.unwrap_err();
+        assert_eq!(actual, error);
+        let text = actual.to_string();
+        assert!(text.contains(expected_text) && !text.contains('\n'), "{text}");
     }
 }
 
 #[test]
-fn zones_are_bits_in_the_order_of_the_list() {
+fn zone_sets_have_bits_in_the_order_of_the_zone_list() {
     let rules = check(3, &[("tapi-news", &["hall-c", "hall-a"])]).unwrap();
     let key = FleetKey::new([1; 16]);
     assert_eq!(rules.zones_of(key.tenant_id("tapi-news")), Some(ZoneSet(0b101)));
@@ -49,12 +49,12 @@
     assert_ne!(
         key.tenant_id("tapi-news"),
         FleetKey::new([2; 16]).tenant_id("tapi-news"),
-        "another key, another name"
+        "the id of a tenant must depend on the fleet key"
     );
 }
 
 #[test]
-fn a_zone_list_is_neither_empty_nor_too_long_and_has_no_duplicates() {
+fn an_empty_too_long_or_repeating_zone_list_is_an_error() {
     assert_eq!(ZoneList::new(&[]), Err(ZoneListError::Count(0)));
     assert_eq!(ZoneList::new(&["a"; 33]), Err(ZoneListError::Count(33)));
     assert_eq!(ZoneList::new(&["a", "b", "a"]), Err(ZoneListError::Duplicate("a".into())));
