--- a/crates/placement/tests/body_disposal.rs
+++ b/crates/placement/tests/body_disposal.rs
@@ -1,4 +1,4 @@
-//! Bodies outside their zones after a rule was narrowed, and the record after a kill.
+//! Disposal of bodies after a rule excluded the sender's zone, and validation of the record after a kill.
 mod simulation;
 
 use rudderspindle_placement::{
@@ -7,8 +7,8 @@
 };
 use simulation::{START_MS, at, key, rules, settings, tenant};
 
-/// A sender in the second zone, which its tenant's rules exclude since `START_MS + 200`.
-fn excluded() -> Placement {
+/// A sender in the second zone, which the tenant's rules exclude since `START_MS + 200`.
+fn sender_in_excluded_zone() -> Placement {
     let both = rules(1, &["hall-a", "hall-b"]);
     let mut process = Placement::new(settings(1, 3), Some(both), None, Incarnation(1), at(START_MS)).unwrap();
     assert_eq!(process.body_disposal(tenant(), ExecutionState::NeverExecuted), BodyDisposal::Keep);
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn each_execution_state_of_a_body_outside_its_zones_has_a_disposal_and_a_deadline() {
-    let process = excluded();
+fn each_execution_state_has_a_disposal_and_a_deadline() {
+    let process = sender_in_excluded_zone();
     let deadline = at(START_MS + 1_200);
     assert_eq!(
         process.body_disposal(tenant(), ExecutionState::NeverExecuted),
@@ -40,36 +40,36 @@
 }
 
 #[test]
-fn a_kill_postpones_no_deadline_and_loses_no_rule() {
-    let record = StateRecord::decode(&excluded().snapshot().bytes, &key()).unwrap();
-    assert!(!record.is_voting(), "it has received nothing");
+fn deadlines_and_rules_survive_a_kill() {
+    let record = StateRecord::decode(&sender_in_excluded_zone().snapshot().bytes, &key()).unwrap();
+    assert!(!record.is_voting(), "the sender has received no summary");
     let old_file = rules(1, &["hall-a", "hall-b"]);
-    let next =
+    let restarted =
         Placement::new(settings(1, 3), Some(old_file), Some(record), Incarnation(2), at(START_MS + 900))
             .unwrap();
     assert_eq!(
-        next.body_disposal(tenant(), ExecutionState::Completed),
+        restarted.body_disposal(tenant(), ExecutionState::Completed),
         BodyDisposal::Erase { deadline: at(START_MS + 1_200) }
     );
 }
 
 #[test]
-fn a_record_that_is_cut_changed_or_of_another_key_or_version_is_refused() {
-    let bytes = excluded().snapshot().bytes;
-    for end in 0..bytes.len() {
-        assert_eq!(StateRecord::decode(&bytes[..end], &key()), Err(RecordError::Corrupt), "{end} bytes");
+fn a_truncated_or_changed_record_or_another_key_is_an_error() {
+    let bytes = sender_in_excluded_zone().snapshot().bytes;
+    for len in 0..bytes.len() {
+        assert_eq!(StateRecord::decode(&bytes[..len], &key()), Err(RecordError::Corrupt), "{len} bytes");
     }
-    for at in 0..bytes.len() {
+    for index in 0..bytes.len() {
         let mut changed = bytes.clone();
-        changed[at] ^= 0x10;
-        assert_eq!(StateRecord::decode(&changed, &key()), Err(RecordError::Corrupt), "byte {at}");
+        changed[index] ^= 0x10;
+        assert_eq!(StateRecord::decode(&changed, &key()), Err(RecordError::Corrupt), "byte {index}");
     }
     assert_eq!(StateRecord::decode(&bytes, &FleetKey::new([8; 16])), Err(RecordError::Corrupt));
 }
 
 #[test]
 fn a_record_that_refers_to_another_zone_list_prevents_the_start() {
-    let record = StateRecord::decode(&excluded().snapshot().bytes, &key()).unwrap();
+    let record = StateRecord::decode(&sender_in_excluded_zone().snapshot().bytes, &key()).unwrap();
     let zones = ZoneList::new(&["hall-b", "hall-a"]).unwrap();
     let reordered = Settings { zones, ..settings(1, 3) };
     assert_eq!(
--- a/crates/placement/tests/exhaustive.rs
+++ b/crates/placement/tests/exhaustive.rs
@@ -1,5 +1,5 @@
-//! Three senders and one change of the rules for a few rounds: every order and loss of datagrams, duplicates, a kill with
-//! or without loss of the record, and a pause.
+//! Exhaustive check of three senders over a few rounds after one change of the rules: every order and loss of datagrams,
+//! duplicates, a kill with or without loss of the record, and a pause.
 mod simulation;
 
 use std::collections::BTreeSet;
@@ -8,45 +8,49 @@
 use simulation::{Simulation, rules};
 use stateright::{Checker, Model, Property};
 
-/// Maximum number of each fault in one history.
+/// Maximum number of faults of each kind in one history; in a [`State`], the number of faults that may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Faults {
     kills: u8,
     pauses: u8,
     duplicates: u8,
-    /// Datagrams that arrive a step late, out of order.
+    /// Datagrams that are delivered one step late, out of order.
     delays: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     simulation: Simulation,
-    /// Datagrams in flight with their senders; those that are not delayed are lost at the next step.
+    /// Datagrams in flight, each with its sender; those that are not delayed are lost at the next step.
     in_flight: BTreeSet<(usize, OutgoingDatagram)>,
     delayed: BTreeSet<(usize, OutgoingDatagram)>,
-    /// The sender whose turn it is within the step. Datagrams are sent only at its start, so that the order of senders within a
-    /// step makes no difference.
-    turn: usize,
+    /// The sender whose actions are next within the step. Datagrams are sent only at the start of a step, so that the order of
+    /// senders within it makes no difference.
+    active_sender: usize,
     faults: Faults,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
+    /// Continue with the next sender, or with the next step after the last sender.
     Pass,
     Delay(usize, OutgoingDatagram),
     Deliver(usize, OutgoingDatagram),
     Duplicate(usize, OutgoingDatagram),
-    Kill { lose_record: bool },
+    Kill {
+        lose_record: bool,
+    },
     Restart,
     Pause,
     Resume,
 }
 
+/// The model: a fleet that has committed `first`, of which some senders reload `second`.
 struct RuleChange {
     first: RuleSet,
     second: RuleSet,
-    /// The senders that read the second revision at the start.
-    readers: Vec<usize>,
+    /// The senders that reload their file with `second` at the start.
+    reloading_senders: Vec<usize>,
     faults: Faults,
     duration_ms: u64,
 }
@@ -59,7 +63,7 @@
 
     fn check(self) {
         let checker = self.checker().threads(3).spawn_bfs().join();
-        println!("{} states, {} different", checker.state_count(), checker.unique_state_count());
+        println!("{} states, {} unique", checker.state_count(), checker.unique_state_count());
         checker.assert_properties();
     }
 }
@@ -70,20 +74,20 @@
 
     fn init_states(&self) -> Vec<State> {
         let mut simulation = Simulation::committed(3, &self.first);
-        for &index in &self.readers {
+        for &index in &self.reloading_senders {
             simulation.reload(index, self.second.clone());
         }
         let (in_flight, delayed) = (BTreeSet::new(), BTreeSet::new());
-        let mut state = State { simulation, in_flight, delayed, turn: 0, faults: self.faults };
+        let mut state = State { simulation, in_flight, delayed, active_sender: 0, faults: self.faults };
         state.tick();
         vec![state]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.turn < 2 || state.simulation.now_ms < simulation::START_MS + self.duration_ms {
+        if state.active_sender < 2 || state.simulation.now_ms < simulation::START_MS + self.duration_ms {
             actions.push(Action::Pass);
         }
-        let node = &state.simulation.nodes[state.turn];
+        let node = &state.simulation.nodes[state.active_sender];
         let faults = state.faults;
         if node.process.is_none() {
             actions.push(Action::Restart);
@@ -100,7 +104,7 @@
             actions.push(Action::Pause);
         }
         for (from, datagram) in
-            state.in_flight.iter().filter(|(_, datagram)| usize::from(datagram.to.0) == state.turn)
+            state.in_flight.iter().filter(|(_, datagram)| usize::from(datagram.to.0) == state.active_sender)
         {
             actions.push(Action::Deliver(*from, datagram.clone()));
             if faults.duplicates > 0 {
@@ -114,11 +118,11 @@
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
-        let turn = state.turn;
+        let active_sender = state.active_sender;
         match action {
-            Action::Pass if turn < 2 => state.turn += 1,
+            Action::Pass if active_sender < 2 => state.active_sender += 1,
             Action::Pass => {
-                state.turn = 0;
+                state.active_sender = 0;
                 state.simulation.advance();
                 state.tick();
             }
@@ -136,28 +140,35 @@
                 state.faults.delays -= 1;
             }
             Action::Kill { lose_record } => {
-                state.simulation.kill(turn, lose_record);
+                state.simulation.kill(active_sender, lose_record);
                 state.faults.kills -= 1;
             }
-            Action::Restart => state.simulation.restart(turn, &self.first),
+            Action::Restart => state.simulation.restart(active_sender, &self.first),
             Action::Pause => {
-                state.simulation.nodes[turn].paused = true;
+                state.simulation.nodes[active_sender].paused = true;
                 state.faults.pauses -= 1;
             }
-            Action::Resume => state.simulation.nodes[turn].paused = false,
+            Action::Resume => state.simulation.nodes[active_sender].paused = false,
         }
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody acts outside", |change: &RuleChange, state: &State| {
-                state.simulation.nobody_acts_outside(|revision| change.allowed(revision))
-            }),
-            Property::sometimes("the others act by the new rules", |change: &RuleChange, state: &State| {
-                let new_zones = change.allowed(2);
-                state.simulation.acting_zones(1) == new_zones && state.simulation.acting_zones(2) == new_zones
-            }),
+            Property::always(
+                "no sender acts outside the allowed zones",
+                |change: &RuleChange, state: &State| {
+                    state.simulation.nobody_acts_outside(|revision| change.allowed(revision))
+                },
+            ),
+            Property::sometimes(
+                "senders 1 and 2 act by the new rules",
+                |change: &RuleChange, state: &State| {
+                    let new_zones = change.allowed(2);
+                    state.simulation.acting_zones(1) == new_zones
+                        && state.simulation.acting_zones(2) == new_zones
+                },
+            ),
         ]
     }
 }
@@ -169,39 +180,51 @@
     }
 }
 
-fn narrower(faults: Faults, duration_ms: u64) -> RuleChange {
+/// Two of three senders reload a narrower file.
+fn narrower_rule(faults: Faults, duration_ms: u64) -> RuleChange {
     let (first, second) = (rules(1, &["hall-a", "hall-b"]), rules(2, &["hall-a"]));
-    // Two of three have read the new file, so it is committed immediately; the third one and restarted ones have the old file.
-    RuleChange { first, second, readers: vec![0, 1], faults, duration_ms }
+    // The two are a majority, so that the revision is committed immediately. The third sender and restarted senders have the
+    // old file.
+    RuleChange { first, second, reloading_senders: vec![0, 1], faults, duration_ms }
 }
 
-const NONE: Faults = Faults { kills: 0, pauses: 0, duplicates: 0, delays: 0 };
+const NO_FAULTS: Faults = Faults { kills: 0, pauses: 0, duplicates: 0, delays: 0 };
 
+/// Any datagrams are lost, and one sender is killed, with or without loss of its record.
 #[test]
-fn no_sender_acts_outside_a_narrower_rule_whatever_is_lost_and_one_killed_with_or_without_its_record() {
-    narrower(Faults { kills: 1, ..NONE }, 1_500).check();
+fn no_sender_acts_outside_a_narrower_rule_after_losses_and_a_kill() {
+    narrower_rule(Faults { kills: 1, ..NO_FAULTS }, 1_500).check();
 }
 
+/// One sender is paused, one datagram is delivered twice, and one is delayed.
 #[test]
-fn no_sender_acts_outside_a_narrower_rule_when_one_is_paused_and_datagrams_come_late_or_twice() {
-    narrower(Faults { pauses: 1, duplicates: 1, delays: 1, ..NONE }, 1_000).check();
+fn no_sender_acts_outside_a_narrower_rule_with_late_datagrams() {
+    narrower_rule(Faults { pauses: 1, duplicates: 1, delays: 1, ..NO_FAULTS }, 1_000).check();
 }
 
+/// One of three senders reloads a wider file, and one datagram is delayed.
 #[test]
-fn one_senders_wider_file_opens_nothing_before_a_majority_acknowledges_it() {
+fn a_wider_rule_does_not_apply_before_a_majority_acknowledges_it() {
     let (first, second) = (rules(1, &["hall-a"]), rules(2, &["hall-a", "hall-b"]));
-    RuleChange { first, second, readers: vec![0], faults: Faults { delays: 1, ..NONE }, duration_ms: 1_900 }
-        .check();
+    RuleChange {
+        first,
+        second,
+        reloading_senders: vec![0],
+        faults: Faults { delays: 1, ..NO_FAULTS },
+        duration_ms: 1_900,
+    }
+    .check();
 }
 
+/// One sender acknowledges the wider rule and loses its record, and another one acknowledges it later: that is no majority.
 #[test]
-fn a_wider_file_opens_nothing_by_a_sender_that_lost_its_record_and_one_that_came_later() {
+fn acknowledgements_of_lost_records_do_not_apply_a_wider_rule() {
     let (first, second) = (rules(1, &["hall-a"]), rules(2, &["hall-a", "hall-b"]));
     RuleChange {
         first,
         second,
-        readers: vec![0],
-        faults: Faults { kills: 1, delays: 1, ..NONE },
+        reloading_senders: vec![0],
+        faults: Faults { kills: 1, delays: 1, ..NO_FAULTS },
         duration_ms: 1_400,
     }
     .check();
--- a/crates/placement/tests/golden.rs
+++ b/crates/placement/tests/golden.rs
@@ -1,4 +1,4 @@
-//! All datagrams and stored records of a scripted run against `tests/golden/transcript.txt`, which is never regenerated.
+//! Compares the datagrams and stored records of a scripted run with `tests/golden/transcript.txt`, which is never regenerated.
 mod simulation;
 
 use std::fmt::Write;
@@ -6,12 +6,13 @@
 use rudderspindle_placement::RuleSet;
 use simulation::{Simulation, rules};
 
-/// FNV-1a, 64 bits.
+/// Continues a 64-bit FNV-1a hash with `bytes`.
 fn hash(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Runs for 4 s; every seventh datagram is lost and every fifth is duplicated. One line a second.
+/// Runs four times six ticks of 100 ms, and writes one line for six ticks. Every seventh datagram is lost, and every fifth is
+/// delivered twice.
 fn run(simulation: &mut Simulation, lines: &mut String) {
     for _ in 0..4 {
         let (mut count, mut digest) = (0_u64, 0xcbf2_9ce4_8422_2325);
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn a_scripted_fleet_sends_and_stores_the_same_bytes_as_ever() {
+fn a_scripted_run_sends_and_stores_the_golden_bytes() {
     let mut lines = String::new();
     let mut simulation = Simulation::committed(7, &wide(1));
     simulation.ticks_ms = &[0, 100, 200, 300, 400];
--- a/crates/placement/tests/large_fleet/mod.rs
+++ b/crates/placement/tests/large_fleet/mod.rs
@@ -1,21 +1,21 @@
-//! A new fleet of hundreds of senders that lose some of their datagrams.
+//! A simulated fleet of hundreds of senders whose datagrams are lost at random.
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_placement::{Incarnation, MAX_BODY_LEN, Placement, SenderId, Settings, ZoneAccess};
 
 use crate::simulation::{START_MS, at, rules, settings, tenant};
 
-/// All senders run, and start without a record.
+/// A fleet of running senders that were all started without a record.
 pub struct Fleet {
     pub senders: Vec<Placement>,
     pub now_ms: u64,
     lost_percent: u64,
     seed: u64,
-    /// Datagrams sent so far.
-    pub sent: usize,
+    /// Number of datagrams that all senders have sent, including lost ones.
+    pub sent_count: usize,
 }
 
 impl Fleet {
-    /// A new fleet, without records.
+    /// Starts `sender_count` senders whose files have revision 1, without records.
     pub fn new(sender_count: u16, aggregators_per_round: u8, lost_percent: u64, announce_ms: u64) -> Fleet {
         let start = |own_id| {
             let settings = Settings {
@@ -33,7 +33,7 @@
             now_ms: START_MS,
             lost_percent,
             seed: 1,
-            sent: 0,
+            sent_count: 0,
         }
     }
 
@@ -41,7 +41,7 @@
         at(self.now_ms)
     }
 
-    /// A step of 100 ms; datagrams arrive immediately or are lost.
+    /// Polls all senders, delivers their datagrams immediately or loses them, and advances the clock by 100 ms.
     pub fn step(&mut self) {
         let now = self.now();
         let mut datagrams = Vec::new();
@@ -50,7 +50,7 @@
             sender.mark_persisted(generation);
             datagrams.extend(sender.poll_datagrams(now).into_iter().map(|datagram| (index, datagram)));
         }
-        self.sent += datagrams.len();
+        self.sent_count += datagrams.len();
         for (from, datagram) in datagrams {
             assert!(datagram.body.len() <= MAX_BODY_LEN);
             self.seed =
@@ -63,14 +63,15 @@
         self.now_ms += 100;
     }
 
-    pub fn acting(&self) -> usize {
-        let acts =
+    /// Number of senders that may act for the tenant now.
+    pub fn acting_count(&self) -> usize {
+        let is_acting =
             |sender: &&Placement| matches!(sender.zone_access(self.now(), tenant()), ZoneAccess::Zones(_));
-        self.senders.iter().filter(acts).count()
+        self.senders.iter().filter(is_acting).count()
     }
 
-    /// Steps until `done` holds for all senders; returns the time in milliseconds.
-    pub fn until_all(&mut self, done: impl Fn(&Placement) -> bool) -> u64 {
+    /// Steps until `done` is true for all senders, for 120 s at most. Returns the duration in milliseconds.
+    pub fn step_until_all(&mut self, done: impl Fn(&Placement) -> bool) -> u64 {
         let start_ms = self.now_ms;
         while !self.senders.iter().all(&done) && self.now_ms < start_ms + 120_000 {
             self.step();
--- a/crates/placement/tests/lease.rs
+++ b/crates/placement/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The conditions under which a sender may act.
+//! The conditions under which a sender has a lease, votes, and may act for a ruled tenant.
 mod simulation;
 
 use std::collections::BTreeSet;
@@ -13,12 +13,12 @@
 
 const FIRST_ZONE: ZoneSet = ZoneSet(1);
 
-/// Lets time pass; a datagram is delivered if `passes(from, to)`.
-fn run(simulation: &mut Simulation, duration_ms: u64, passes: impl Fn(usize, usize) -> bool) {
+/// Runs the simulation for `duration_ms`; a datagram is delivered if `is_connected(from, to)`.
+fn run(simulation: &mut Simulation, duration_ms: u64, is_connected: impl Fn(usize, usize) -> bool) {
     let until_ms = simulation.now_ms + duration_ms;
     while simulation.now_ms < until_ms {
         for (from, datagram) in simulation.tick() {
-            if passes(from, usize::from(datagram.to.0)) {
+            if is_connected(from, usize::from(datagram.to.0)) {
                 simulation.deliver(from, &datagram);
             }
         }
@@ -26,55 +26,61 @@
     }
 }
 
-fn acting(simulation: &Simulation) -> Vec<usize> {
+fn acting_senders(simulation: &Simulation) -> Vec<usize> {
     (0..simulation.nodes.len()).filter(|&index| simulation.acting_zones(index) != ZoneSet::EMPTY).collect()
 }
 
-fn new(own_id: u16, sender_count: u16, revision: u64, zones: &[&str]) -> Placement {
+fn start_without_record(own_id: u16, sender_count: u16, revision: u64, zones: &[&str]) -> Placement {
     let file = Some(rules(revision, zones));
     Placement::new(settings(own_id, sender_count), file, None, Incarnation(1), at(START_MS)).unwrap()
 }
 
+/// Four senders: equal halves are partitioned first, and then one sender from the other three.
 #[test]
-fn a_partition_into_equal_halves_closes_both_for_ruled_tenants_only_and_one_in_four_leaves_the_three_open() {
+fn a_partition_stops_all_but_a_majority_for_ruled_tenants() {
     let mut simulation = Simulation::committed(4, &rules(1, &["hall-a"]));
-    assert_eq!(acting(&simulation), [0, 1, 2, 3]);
+    assert_eq!(acting_senders(&simulation), [0, 1, 2, 3]);
     run(&mut simulation, LEASE_MS + 500, |from, to| from % 2 == to % 2);
-    assert_eq!(acting(&simulation), []);
+    assert_eq!(acting_senders(&simulation), []);
     let process = simulation.process(0);
     assert_eq!(process.zone_access(simulation.now(), tenant()), ZoneAccess::Closed(ClosedReason::NoLease));
     assert_eq!(process.zone_access(simulation.now(), key().tenant_id("tapi-news")), ZoneAccess::Unrestricted);
-    let refused = Err(AdmissionRejected { reason: ClosedReason::NoLease, retry_after_ms: 500 });
-    assert_eq!(process.check_admission(simulation.now(), tenant()), refused);
+    let rejected = Err(AdmissionRejected { reason: ClosedReason::NoLease, retry_after_ms: 500 });
+    assert_eq!(process.check_admission(simulation.now(), tenant()), rejected);
 
     run(&mut simulation, LEASE_MS, |_, _| true);
     run(&mut simulation, LEASE_MS + 500, |from, to| (from == 3) == (to == 3));
-    assert_eq!(acting(&simulation), [0, 1, 2]);
-    let outside = simulation.process(1).check_admission(simulation.now(), tenant());
+    assert_eq!(acting_senders(&simulation), [0, 1, 2]);
+    let admission_in_excluded_zone = simulation.process(1).check_admission(simulation.now(), tenant());
     assert_eq!(
-        outside,
+        admission_in_excluded_zone,
         Err(AdmissionRejected { reason: ClosedReason::OwnZoneExcluded, retry_after_ms: LEASE_MS })
     );
 }
 
 #[test]
-fn a_new_fleet_acts_once_all_have_been_up_and_nobody_acts_at_a_start() {
+fn a_new_fleet_acts_once_all_have_run_and_none_at_its_own_start() {
     let file = rules(1, &["hall-a"]);
     let mut simulation = Simulation::committed(5, &file);
     (0..5).for_each(|index| simulation.kill(index, true));
     (0..4).for_each(|index| simulation.restart(index, &file));
     run(&mut simulation, 3 * LEASE_MS, |_, _| true);
-    assert_eq!(acting(&simulation), [], "four of five could be old ones whose records are lost");
+    assert_eq!(
+        acting_senders(&simulation),
+        [],
+        "the four may be senders of an old fleet that lost their records"
+    );
     simulation.restart(4, &file);
     run(&mut simulation, 2 * LEASE_MS, |_, _| true);
-    assert_eq!(acting(&simulation), [0, 1, 2, 3, 4]);
+    assert_eq!(acting_senders(&simulation), [0, 1, 2, 3, 4]);
     simulation.kill(0, false);
     simulation.restart(0, &file);
-    assert_eq!(acting(&simulation), [1, 2, 3, 4]);
+    assert_eq!(acting_senders(&simulation), [1, 2, 3, 4]);
 }
 
+/// A sender is killed and restarted without its record within a round, and receives that round's summary.
 #[test]
-fn a_sender_without_its_record_votes_again_only_by_rounds_that_began_after_its_start() {
+fn a_summary_of_a_round_before_the_restart_does_not_cause_recovery() {
     let mut simulation = Simulation::committed(3, &rules(1, &["hall-a"]));
     let is_voting = |simulation: &Simulation| {
         let snapshot = simulation.process(0).snapshot();
@@ -97,33 +103,35 @@
     assert!(is_voting(&simulation));
 }
 
+/// The heartbeat of the later incarnation is received before that of the earlier one, in the same round.
 #[test]
-fn of_two_incarnations_of_one_sender_the_later_counts_whichever_comes_last() {
+fn the_heartbeat_of_the_later_incarnation_counts_in_any_order() {
     let mut simulation = Simulation::committed(4, &rules(1, &["hall-a"]));
-    let old = simulation.tick();
+    let earlier = simulation.tick();
     let is_heartbeat = |(_, datagram): &&(usize, OutgoingDatagram)| datagram.body[0] == HEARTBEAT;
-    let aggregator = usize::from(old.iter().find(is_heartbeat).unwrap().1.to.0);
-    // Of the others, one is received, first with and then without its record, one applies the summary, and one is down.
-    let [heard, acts, down] = [1, 2, 3].map(|offset| (aggregator + offset) % 4);
+    let aggregator = usize::from(earlier.iter().find(is_heartbeat).unwrap().1.to.0);
+    // One of the other senders is restarted without its record, one applies the summary, and one is down.
+    let [restarted, peer, down] = [1, 2, 3].map(|offset| (aggregator + offset) % 4);
     simulation.kill(down, false);
-    simulation.kill(heard, true);
-    simulation.restart(heard, &rules(1, &["hall-a"]));
-    let young = simulation.tick();
-    let before = simulation.process(acts).lease_expires_at();
-    for (from, datagram) in young.iter().chain(&old).filter(|(from, _)| *from == heard) {
+    simulation.kill(restarted, true);
+    simulation.restart(restarted, &rules(1, &["hall-a"]));
+    let later = simulation.tick();
+    let before = simulation.process(peer).lease_expires_at();
+    for (from, datagram) in later.iter().chain(&earlier).filter(|(from, _)| *from == restarted) {
         simulation.deliver(*from, datagram);
     }
     simulation.advance();
     let summaries = simulation.tick();
-    assert!(summaries.iter().any(|(from, summary)| *from == aggregator && usize::from(summary.to.0) == acts));
+    assert!(summaries.iter().any(|(from, summary)| *from == aggregator && usize::from(summary.to.0) == peer));
     for (from, summary) in &summaries {
         simulation.deliver(*from, summary);
     }
-    assert_eq!(simulation.process(acts).lease_expires_at(), before);
+    assert_eq!(simulation.process(peer).lease_expires_at(), before);
 }
 
+/// One of three senders receives summaries with a new revision, but no parts of its rule set.
 #[test]
-fn a_summary_with_a_revision_that_is_not_held_renews_no_lease_until_the_rules_have_come() {
+fn a_summary_with_a_missing_rule_set_does_not_renew_the_lease() {
     let mut simulation = Simulation::committed(3, &rules(1, &["hall-a", "hall-b"]));
     simulation.reload(0, rules(2, &["hall-a"]));
     // Sender 2 receives summaries, but no parts of rule sets.
@@ -135,13 +143,14 @@
         }
         simulation.advance();
     }
-    assert_eq!(acting(&simulation), [0, 1]);
+    assert_eq!(acting_senders(&simulation), [0, 1]);
     run(&mut simulation, LEASE_MS, |_, _| true);
     assert_eq!([0, 1, 2].map(|index| simulation.acting_zones(index)), [FIRST_ZONE; 3]);
 }
 
+/// Also a summary that is received from a sender other than its aggregator is rejected.
 #[test]
-fn a_summary_that_is_duplicated_replayed_or_of_a_future_round_extends_no_lease() {
+fn a_replayed_or_future_summary_does_not_extend_the_lease() {
     let mut simulation = Simulation::committed(3, &rules(1, &["hall-a"]));
     let mut summaries = Vec::new();
     for _ in 0..4 {
@@ -175,8 +184,9 @@
     assert_eq!(expiries(&early), before);
 }
 
+/// A second rule set of the same revision is reloaded twice, and then a third one without a common zone.
 #[test]
-fn of_two_rule_sets_with_one_revision_what_both_allow_is_open_and_one_event_says_so() {
+fn conflicting_rule_sets_allow_common_zones_and_cause_one_event() {
     let mut simulation = Simulation::committed(1, &rules(1, &["hall-a", "hall-b"]));
     simulation.reload(0, rules(2, &["hall-a"]));
     run(&mut simulation, LEASE_MS, |_, _| true);
@@ -193,7 +203,7 @@
 }
 
 #[test]
-fn a_tenant_that_a_newer_rule_set_leaves_out_stays_ruled_until_that_is_committed() {
+fn a_tenant_without_a_new_rule_stays_ruled_until_the_commit() {
     let mut simulation = Simulation::committed(3, &rules(1, &["hall-a"]));
     let zones = ZoneList::new(&["hall-a", "hall-b"]).unwrap();
     let empty = RuleSet::new(2, &[], &zones, &BTreeSet::default(), &key()).unwrap();
@@ -205,10 +215,10 @@
 }
 
 #[test]
-fn a_lower_revision_is_refused_whole_and_an_outdated_file_at_a_start_is_an_event() {
-    let mut process = new(0, 3, 5, &["hall-a"]);
-    let back = process.reload(at(START_MS), rules(4, &["hall-a", "hall-b"]));
-    assert_eq!(back, Err(ReloadError::RevisionTooLow { given: 4, held: 5, lowest_valid: 6 }));
+fn a_lower_revision_is_an_error_at_reload_and_an_event_at_start() {
+    let mut process = start_without_record(0, 3, 5, &["hall-a"]);
+    let reloaded = process.reload(at(START_MS), rules(4, &["hall-a", "hall-b"]));
+    assert_eq!(reloaded, Err(ReloadError::RevisionTooLow { given: 4, held: 5, lowest_valid: 6 }));
     assert_eq!(process.rule_sets().map(|id| id.revision).collect::<Vec<_>>(), [5]);
     let record = StateRecord::decode(&process.snapshot().bytes, &key()).unwrap();
     let file = Some(rules(4, &["hall-b"]));
@@ -219,21 +229,22 @@
 
 #[test]
 fn nothing_is_acknowledged_before_it_is_persisted() {
-    let mut process = new(0, 3, 1, &["hall-a"]);
+    let mut process = start_without_record(0, 3, 1, &["hall-a"]);
     assert_eq!(process.poll_datagrams(at(START_MS)), []);
     let snapshot = process.poll_snapshot(at(START_MS)).unwrap();
     process.mark_persisted(snapshot.generation);
     assert_eq!(process.poll_snapshot(at(START_MS)), None);
-    let sent: usize = (0..4).map(|round| process.poll_datagrams(at(START_MS + round * 500)).len()).sum();
-    assert!(sent > 0);
+    let sent_count: usize =
+        (0..4).map(|round| process.poll_datagrams(at(START_MS + round * 500)).len()).sum();
+    assert!(sent_count > 0);
 }
 
 #[test]
-fn a_sender_without_any_rules_or_state_opens_nothing_and_wrong_settings_start_nothing() {
+fn a_sender_needs_rules_to_act_and_valid_settings_to_start() {
     let process = Placement::new(settings(0, 3), None, None, Incarnation(1), at(START_MS)).unwrap();
     assert_eq!(process.zone_access(at(START_MS), tenant()), ZoneAccess::Closed(ClosedReason::NoRules));
-    for wrong in [settings(3, 3), settings(0, 0), settings(0, 361)] {
-        let started = Placement::new(wrong, None, None, Incarnation(1), at(START_MS));
+    for invalid in [settings(3, 3), settings(0, 0), settings(0, 361)] {
+        let started = Placement::new(invalid, None, None, Incarnation(1), at(START_MS));
         assert!(matches!(started, Err(StartError::Settings(_))));
     }
 }
--- a/crates/placement/tests/random_faults.rs
+++ b/crates/placement/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Five to seven senders, several revisions that some of them read, and random faults of all kinds.
+//! Safety and convergence of five to seven senders under random faults, while some of them reload files of several revisions.
 mod simulation;
 
 use std::collections::BTreeSet;
@@ -14,7 +14,8 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Nothing,
-    /// Senders whose bits are set no longer receive from the others, nor the others from them unless it is one-way.
+    /// Senders whose bits are set in `members` no longer receive datagrams from the other senders. The others no longer receive
+    /// datagrams from them either, unless the partition is one-way.
     Partition {
         members: u8,
         one_way: bool,
@@ -25,7 +26,7 @@
         lose_record: bool,
     },
     Pause(usize),
-    /// All that were killed or paused run again.
+    /// All killed senders are restarted, and all paused senders are resumed.
     ResumeAll,
     Reload {
         sender: usize,
@@ -50,14 +51,14 @@
     rules(revision, zones[revision as usize - 1])
 }
 
-/// A seeded draw (splitmix64) from 0 to 99.
+/// A pseudo-random number (splitmix64) from 0 to 99; advances `seed`.
 fn draw(seed: &mut u64) -> u64 {
     *seed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let mixed = (*seed ^ *seed >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb) % 100
 }
 
-/// Two groups of senders between which datagrams do not pass.
+/// Two groups of senders between which datagrams are lost; see [`Event::Partition`].
 #[derive(Clone, Copy)]
 struct Partition {
     members: u8,
@@ -72,20 +73,23 @@
 }
 
 impl Network {
-    fn passes(&self, from: usize, to: usize) -> bool {
+    fn is_connected(&self, from: usize, to: usize) -> bool {
         let Some(Partition { members, one_way }) = self.partition else { return true };
-        let inside = |index: usize| members >> index & 1 == 1;
-        inside(from) == inside(to) || (one_way && inside(from))
+        let is_member = |index: usize| members >> index & 1 == 1;
+        is_member(from) == is_member(to) || (one_way && is_member(from))
     }
 
-    /// Delivers the datagrams that are not partitioned, lost or delayed; a tenth twice, a tenth a step later, half reversed.
-    fn carry(&mut self, simulation: &mut Simulation, mut datagrams: Vec<(usize, OutgoingDatagram)>) {
+    /// Delivers the datagrams that no partition stops and that are not lost: a tenth of them twice, and a tenth one step later.
+    /// In half of the steps, the order is reversed.
+    fn deliver(&mut self, simulation: &mut Simulation, mut datagrams: Vec<(usize, OutgoingDatagram)>) {
         datagrams.append(&mut self.delayed);
         if draw(&mut self.seed) < 50 {
             datagrams.reverse();
         }
         for (from, datagram) in datagrams {
-            if !self.passes(from, usize::from(datagram.to.0)) || draw(&mut self.seed) < self.lost_percent {
+            if !self.is_connected(from, usize::from(datagram.to.0))
+                || draw(&mut self.seed) < self.lost_percent
+            {
                 continue;
             }
             match draw(&mut self.seed) {
@@ -109,7 +113,7 @@
         Event::Partition { members, one_way } => network.partition = Some(Partition { members, one_way }),
         Event::Heal => network.partition = None,
         Event::Kill { sender, lose_record } if sender < count => {
-            // The proof requires a record at half of the senders at least.
+            // The safety proof requires that at least half of the senders have a record.
             without_record.retain(|&index| simulation.nodes[index].acknowledged.is_empty());
             let lose_record =
                 lose_record && (without_record.contains(&sender) || without_record.len() < count / 2);
@@ -134,11 +138,12 @@
 
 fn step(simulation: &mut Simulation, network: &mut Network) {
     let datagrams = simulation.tick();
-    network.carry(simulation, datagrams);
+    network.deliver(simulation, datagrams);
 }
 
-/// Runs a history: no sender acts outside the zones at any time, and reconnected senders act identically at its end.
-fn play(
+/// Runs a history of events. Fails if a sender acts outside the allowed zones at any time, or if the senders, once reconnected,
+/// do not act for the same zones at the end.
+fn run_history(
     sender_count: u16,
     lost_percent: u64,
     seed: u64,
@@ -181,20 +186,22 @@
 proptest! {
     #![proptest_config(fixed_seed_config(3_000))]
 
+    // Random partitions, losses, kills, pauses and reloads; at the end all senders are connected and run.
     #[test]
-    fn nobody_acts_outside_and_a_fleet_that_is_connected_again_acts_as_one(
+    fn no_sender_acts_outside_its_zones_and_reconnected_senders_agree(
         sender_count in 5..8u16,
         lost_percent in 0..40u64,
         seed: u64,
         announce_ms in 0..2_000u64,
         events in prop::collection::vec(event(), 30..120),
     ) {
-        play(sender_count, lost_percent, seed, announce_ms, &events)?;
+        run_history(sender_count, lost_percent, seed, announce_ms, &events)?;
     }
 }
 
-/// Sender 4 aggregates the round of 20,000 and is paused before its summary; sender 3, which the summary will name, loses
-/// its record; sender 4 goes on, acknowledges revision 4 for the first time and then applies the summary.
+/// Guards against a commit without a majority. Sender 4 aggregates the round at 20,000 ms and is paused before it creates the
+/// summary. Sender 3, which that summary will report, loses its record. Sender 4 is resumed, acknowledges revision 4 for the
+/// first time and then applies the summary of the earlier round.
 #[rustfmt::skip]
 const LATE_SUMMARY: &[Event] = {
     use Event::{Heal, Kill, Nothing, Partition, Pause, Reload, ResumeAll};
@@ -213,8 +220,9 @@
     ]
 };
 
+/// The sender itself acknowledges the rule set first, after the round and before it applies the round's summary.
 #[test]
-fn a_rule_set_first_acknowledged_after_a_round_is_not_committed_by_the_summary_of_that_round() {
-    let played = play(5, 0, 14_517_408_887_838_224_880, 201, LATE_SUMMARY);
-    assert!(played.is_ok(), "{played:?}");
+fn a_late_summary_does_not_commit_a_later_acknowledgement() {
+    let result = run_history(5, 0, 14_517_408_887_838_224_880, 201, LATE_SUMMARY);
+    assert!(result.is_ok(), "{result:?}");
 }
--- a/crates/placement/tests/rule_set_transfer.rs
+++ b/crates/placement/tests/rule_set_transfer.rs
@@ -1,4 +1,4 @@
-//! Transfer of rule sets: 300 senders under loss, large sets, damaged parts, any bytes.
+//! Transfer of rule sets: 300 senders with lost datagrams, the largest rule set, damaged parts, and arbitrary bytes.
 mod large_fleet;
 mod simulation;
 
@@ -11,6 +11,7 @@
 use large_fleet::Fleet;
 use simulation::{LEASE_MS, PART, START_MS, Simulation, at, fixed_seed_config, key, rules, tenant};
 
+/// Leases and datagrams of a fleet over some time.
 struct LeaseCoverage {
     /// Fraction of senders and time with a lease, from 0 to 1.
     leased: f64,
@@ -18,53 +19,55 @@
     send_rate: f64,
 }
 
-/// Measures 300 senders with a fifth of the datagrams lost over 60 s.
+/// Measures 300 senders for 60 s while a fifth of the datagrams is lost.
 fn lease_coverage(aggregators_per_round: u8) -> LeaseCoverage {
     let mut fleet = Fleet::new(300, aggregators_per_round, 20, 5_000);
-    let begun = fleet.until_all(|sender| sender.lease_expires_at() > UnixMillis::EPOCH);
-    assert!(begun < 15_000, "a new fleet took {begun} ms");
-    let (mut acting, sent_before) = (0, fleet.sent);
+    let first_lease_ms = fleet.step_until_all(|sender| sender.lease_expires_at() > UnixMillis::EPOCH);
+    assert!(first_lease_ms < 15_000, "all senders had a lease only after {first_lease_ms} ms");
+    let (mut acting, sent_before) = (0, fleet.sent_count);
     for _ in 0..600 {
         fleet.step();
-        acting += fleet.acting();
+        acting += fleet.acting_count();
     }
     LeaseCoverage {
         leased: acting as f64 / 600.0 / 300.0,
-        send_rate: (fleet.sent - sent_before) as f64 / 60.0 / 300.0,
+        send_rate: (fleet.sent_count - sent_before) as f64 / 60.0 / 300.0,
     }
 }
 
+/// Of 300 senders with one or two aggregators; a fifth of all datagrams is lost.
 #[test]
-fn at_300_senders_with_a_fifth_of_all_datagrams_lost_summaries_come_within_the_lease() {
+fn lost_datagrams_rarely_prevent_the_renewal_of_leases() {
     for (aggregators, min_leased, max_send_rate) in [(1, 0.999, 4.1), (2, 0.999_99, 8.1)] {
         let LeaseCoverage { leased, send_rate } = lease_coverage(aggregators);
         println!(
-            "{aggregators} aggregators: leased {leased:.6}, {send_rate:.2} datagrams sent a second and sender"
+            "{aggregators} aggregators: leased {leased:.6}, {send_rate:.2} datagrams per second and sender"
         );
         assert!(leased >= min_leased && send_rate <= max_send_rate, "{leased} {send_rate}");
     }
 }
 
 /// The propagation of a narrower file from one of 300 senders.
-struct Spread {
-    /// Time until all store it, in milliseconds.
+struct Propagation {
+    /// Time until all senders hold the rule set, in milliseconds.
     held_after_ms: u64,
-    /// Time until all senders have committed it, in milliseconds.
+    /// Time until all senders have committed the rule set and dropped the earlier one, in milliseconds.
     committed_after_ms: u64,
-    /// Fraction of senders and time without access within 12 s, from 0 to 1.
+    /// Fraction of senders and time without access for the tenant within 12 s, from 0 to 1.
     closed: f64,
 }
 
-fn narrow(announce_ms: u64, lost_percent: u64) -> Spread {
+/// Reloads a narrower file at one sender of a committed fleet, and measures for 12 s.
+fn propagate_narrower_file(announce_ms: u64, lost_percent: u64) -> Propagation {
     let mut fleet = Fleet::new(300, 1, lost_percent, announce_ms);
-    fleet.until_all(|sender| sender.committed_revision() == 1);
+    fleet.step_until_all(|sender| sender.committed_revision() == 1);
     (0..30).for_each(|_| fleet.step());
     let start_ms = fleet.now_ms;
     fleet.senders[17].reload(at(start_ms), rules(2, &["hall-a"])).unwrap();
     let (mut held_after_ms, mut committed_after_ms, mut closed) = (0, 0, 0);
     while fleet.now_ms < start_ms + 12_000 {
         fleet.step();
-        closed += 300 - fleet.acting();
+        closed += 300 - fleet.acting_count();
         if !fleet.senders.iter().all(|sender| sender.rule_sets().any(|id| id.revision == 2)) {
             held_after_ms = fleet.now_ms - start_ms;
         }
@@ -76,24 +79,31 @@
             committed_after_ms = fleet.now_ms - start_ms;
         }
     }
-    Spread { held_after_ms, committed_after_ms, closed: closed as f64 / 120.0 / 300.0 }
+    Propagation { held_after_ms, committed_after_ms, closed: closed as f64 / 120.0 / 300.0 }
 }
 
+/// One of 300 senders reloads a narrower file; the rule set is announced for 5 s or acknowledged immediately.
 #[test]
-fn a_narrower_file_at_one_of_300_senders_reaches_all_and_while_it_is_announced_nobody_closes() {
+fn an_announced_narrower_file_reaches_all_without_loss_of_access() {
     for (announce_ms, lost_percent, max_closed) in
         [(5_000, 0, 0.0), (5_000, 20, 0.002), (0, 0, 1.0), (0, 20, 1.0)]
     {
-        let Spread { held_after_ms, committed_after_ms, closed } = narrow(announce_ms, lost_percent);
-        let measured =
-            format!("held after {held_after_ms}, committed after {committed_after_ms}, closed {closed:.4}");
-        println!("announced {announce_ms}, {lost_percent}% lost: {measured}");
+        let Propagation { held_after_ms, committed_after_ms, closed } =
+            propagate_narrower_file(announce_ms, lost_percent);
+        let measured = format!(
+            "held after {held_after_ms} ms, committed after {committed_after_ms} ms, closed {closed:.4}"
+        );
+        println!("announced for {announce_ms} ms, {lost_percent}% lost: {measured}");
         assert!(held_after_ms < 8_000 && committed_after_ms < 11_000 && closed <= max_closed, "{measured}");
-        assert!(announce_ms > 0 || closed > 0.02, "without an announcement those who lack the set close");
+        assert!(
+            announce_ms > 0 || closed > 0.02,
+            "without an announcement, senders that lack the rule set must lose access"
+        );
     }
 }
 
-fn largest(revision: u64) -> RuleSet {
+/// A rule set with the maximum number of tenants.
+fn largest_rule_set(revision: u64) -> RuleSet {
     let names: Vec<String> = (0..256).map(|number| format!("tenant-{number}")).collect();
     let rules: Vec<TenantRule> =
         names.iter().map(|name| TenantRule { tenant: name, zones: &["hall-a"] }).collect();
@@ -101,10 +111,11 @@
     RuleSet::new(revision, &rules, &zones, &names.iter().map(String::as_str).collect(), &key()).unwrap()
 }
 
+/// One part of the largest rule set is damaged on its way.
 #[test]
-fn the_largest_rule_set_goes_in_parts_and_a_damaged_one_is_an_event_and_requested_again() {
+fn a_damaged_part_is_an_event_and_the_rule_set_is_requested_again() {
     let mut simulation = Simulation::committed(3, &rules(1, &["hall-a"]));
-    simulation.reload(0, largest(2));
+    simulation.reload(0, largest_rule_set(2));
     let (mut parts, mut invalid) = (0, 0);
     while simulation.now_ms < START_MS + 20_000 {
         for (from, mut datagram) in simulation.tick() {
@@ -130,18 +141,18 @@
 }
 
 #[test]
-fn the_largest_rule_set_reaches_300_senders_within_half_a_minute_or_so() {
+fn the_largest_rule_set_reaches_300_senders_in_bounded_time() {
     for (lost_percent, max_ms) in [(0, 25_000), (20, 35_000)] {
         let mut fleet = Fleet::new(300, 1, lost_percent, 30_000);
-        fleet.until_all(|sender| sender.committed_revision() == 1);
-        let (now, sent_before) = (fleet.now(), fleet.sent);
-        fleet.senders[17].reload(now, largest(2)).unwrap();
-        let took_ms = fleet.until_all(|sender| sender.rule_sets().any(|id| id.revision == 2));
-        let send_rate = (fleet.sent - sent_before) as f64 / 0.3 / took_ms as f64;
+        fleet.step_until_all(|sender| sender.committed_revision() == 1);
+        let (now, sent_before) = (fleet.now(), fleet.sent_count);
+        fleet.senders[17].reload(now, largest_rule_set(2)).unwrap();
+        let duration_ms = fleet.step_until_all(|sender| sender.rule_sets().any(|id| id.revision == 2));
+        let send_rate = (fleet.sent_count - sent_before) as f64 / 0.3 / duration_ms as f64;
         println!(
-            "256 tenants, {lost_percent}% lost: {took_ms} ms, {send_rate:.1} datagrams sent a second and sender"
+            "256 tenants, {lost_percent}% lost: {duration_ms} ms, {send_rate:.1} datagrams per second and sender"
         );
-        assert!(took_ms <= max_ms && send_rate < 8.0, "{took_ms} ms, {send_rate}");
+        assert!(duration_ms <= max_ms && send_rate < 8.0, "{duration_ms} ms, {send_rate}");
     }
 }
 
@@ -149,13 +160,13 @@
     #![proptest_config(fixed_seed_config(256))]
 
     #[test]
-    fn no_bytes_from_a_peer_panic_or_open_anything(
+    fn arbitrary_bytes_from_a_peer_cause_neither_panic_nor_access(
         received in prop::collection::vec((0..4u16, prop::collection::vec(any::<u8>(), 0..260)), 1..60),
-        place in any::<prop::sample::Index>(),
-        flip in 1..=255u8,
+        flip_index in any::<prop::sample::Index>(),
+        flip_mask in 1..=255u8,
     ) {
         let mut simulation = Simulation::committed(3, &rules(1, &["hall-a"]));
-        let real = simulation.tick();
+        let valid = simulation.tick();
         let now = simulation.now();
         for index in 0..3 {
             let process = simulation.process_mut(index);
@@ -168,17 +179,17 @@
                 }
                 let _ = (process.receive(now, from, bytes), process.receive(now, from, &known_kind));
             }
-            for (from, datagram) in &real {
+            for (from, datagram) in &valid {
                 let mut bytes = datagram.body.clone();
-                let position = place.index(bytes.len());
-                bytes[position] ^= flip;
+                let position = flip_index.index(bytes.len());
+                bytes[position] ^= flip_mask;
                 let _ = process.receive(now, SenderId(*from as u16), &bytes);
             }
             prop_assert!(process.lease_expires_at() <= before.max(at(now.0 + LEASE_MS)));
             let access = process.zone_access(now, tenant());
             prop_assert!(matches!(access, ZoneAccess::Zones(ZoneSet(1)) | ZoneAccess::Closed(_)), "{access:?}");
-            let due: BTreeSet<_> = process.poll_datagrams(now).into_iter().collect();
-            prop_assert!(due.len() < 20);
+            let datagrams: BTreeSet<_> = process.poll_datagrams(now).into_iter().collect();
+            prop_assert!(datagrams.len() < 20);
         }
     }
 }
--- a/crates/placement/tests/simulation/checker.rs
+++ b/crates/placement/tests/simulation/checker.rs
@@ -1,28 +1,28 @@
-//! The checker: determines the committed revisions from the stored records alone.
+//! Determines the committed revisions from the stored records alone, independently of summaries and leases.
 use std::collections::{BTreeMap, BTreeSet};
 
 use rudderspindle_placement::ZoneSet;
 
 use super::LEASE_MS;
 
-/// The acknowledgements in the stored records.
+/// The acknowledgements seen in the stored records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Checker {
-    /// The senders that acknowledged each revision at some time in this round.
+    /// The senders that acknowledged each revision at some time in the current round.
     acknowledged_in_round: BTreeMap<u64, BTreeSet<usize>>,
-    /// Since when a majority acknowledges each revision simultaneously, in milliseconds.
+    /// When a majority first acknowledged each revision simultaneously, in milliseconds.
     majority_since: BTreeMap<u64, u64>,
-    /// Revisions that a majority acknowledged within one round.
+    /// The revisions that a majority has acknowledged within one round.
     ever_committed: BTreeSet<u64>,
 }
 
 impl Checker {
-    /// Clears the acknowledgements of the previous round.
+    /// Must be called at the start of each round.
     pub fn begin_round(&mut self) {
         self.acknowledged_in_round.clear();
     }
 
-    /// Records the revisions that each sender's stored record acknowledges.
+    /// Updates the checker with the revisions that each sender's stored record acknowledges, in the order of the senders.
     pub fn observe<'a>(
         &mut self,
         now_ms: u64,
@@ -43,8 +43,8 @@
         self.ever_committed.extend(in_round.map(|(&revision, _)| revision));
     }
 
-    /// The zones that recently committed revisions allow: all revisions that a majority has acknowledged, except those below
-    /// one that has been committed for a lease.
+    /// The zones that at least one revision allows which a majority has acknowledged and which is not lower than a revision
+    /// that has been committed for the duration of a lease.
     pub fn allowed_zones(&self, now_ms: u64, zones_of: impl Fn(u64) -> ZoneSet) -> ZoneSet {
         let expired = self.majority_since.iter().filter(|&(_, &since)| now_ms >= since + LEASE_MS);
         let lowest = expired.map(|(&revision, _)| revision).max().unwrap_or(0);
--- a/crates/placement/tests/simulation/mod.rs
+++ b/crates/placement/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! A few senders on one simulated wall clock, with persistent records, and a checker.
+//! A simulated fleet of a few senders with one wall clock and persistent records, and a checker.
 //!
 //! The checker is independent of summaries and leases: it reads the stored records and the zones in which senders would act.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses a part of the simulation")]
 mod checker;
 mod node;
 
@@ -18,18 +18,20 @@
 use checker::Checker;
 use node::Node;
 
+/// Duration of a lease in the simulation, in milliseconds.
 pub const LEASE_MS: u64 = 1_000;
-/// When most tests begin, in milliseconds.
+/// When most tests begin, in milliseconds since the Unix epoch.
 pub const START_MS: u64 = 10_000;
 
-/// The number of the heartbeat in a message's first byte.
+/// The first byte of an encoded heartbeat.
 pub const HEARTBEAT: u8 = 0;
-/// The number of the summary in a message's first byte.
+/// The first byte of an encoded summary.
 pub const SUMMARY: u8 = 1;
-/// The number of a rule set's part in a message's first byte.
+/// The first byte of an encoded part of a rule set.
 pub const PART: u8 = 3;
 
-/// A configuration with `cases` deterministic cases; `PROPTEST_RNG_SEED` and `PROPTEST_CASES` override it.
+/// A configuration with at least `cases` cases of a fixed seed; `PROPTEST_RNG_SEED` overrides the seed, and `PROPTEST_CASES` may
+/// raise the number of cases.
 pub fn fixed_seed_config(cases: u32) -> Config {
     let given = Config::default();
     let rng_seed = if given.rng_seed == RngSeed::Random { RngSeed::Fixed(35) } else { given.rng_seed };
@@ -75,17 +77,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Simulation {
     pub now_ms: u64,
-    /// See `Settings::announce_ms`; set by the test once the first revision is committed.
+    /// `Settings::announce_ms` of senders that are restarted; set by tests once the first revision is committed.
     pub announce_ms: u64,
-    /// When in a round senders persist and send, in milliseconds from its start: first 0 (for heartbeats), last 400 (for
-    /// summaries).
+    /// When senders persist and send in each round, in milliseconds from the start of the round: the first must be 0 (for
+    /// heartbeats), the last 400 (for summaries).
     pub ticks_ms: &'static [u64],
     pub nodes: Vec<Node>,
     checker: Checker,
 }
 
 impl Simulation {
-    /// Senders that have committed revision 1 of `first` and have had a lease for one round.
+    /// Starts senders with records of the rule set `first` of revision 1, and runs them for two ticks, so that each has a lease.
     pub fn committed(sender_count: u16, first: &RuleSet) -> Simulation {
         let nodes = (0..sender_count).map(|own_id| Node::started_from_record(own_id, sender_count, first));
         let mut simulation = Simulation {
@@ -107,7 +109,7 @@
         at(self.now_ms)
     }
 
-    /// Moves to the next tick of the round, or to the next round.
+    /// Advances the clock to the next tick of the round, or to the next round.
     pub fn advance(&mut self) {
         let start = self.now_ms - self.now_ms % ROUND_MS;
         let next = self.ticks_ms.iter().map(|tick| start + tick).find(|&tick| tick > self.now_ms);
@@ -118,7 +120,7 @@
         self.check_records();
     }
 
-    /// Persists the state of each running process, and returns its datagrams with their sender's index.
+    /// Persists the state of each running process, and returns all datagrams, each with the index of its sender.
     pub fn tick(&mut self) -> Vec<(usize, OutgoingDatagram)> {
         let now = self.now();
         let mut datagrams = Vec::new();
@@ -138,19 +140,19 @@
         datagrams
     }
 
-    /// A tick whose datagrams all arrive immediately.
+    /// Runs a tick and delivers all its datagrams immediately.
     pub fn tick_and_deliver(&mut self) {
         for (from, datagram) in self.tick() {
             self.deliver(from, &datagram);
         }
     }
 
-    /// Delivers a datagram, if its recipient runs.
+    /// Delivers a datagram if its recipient runs.
     pub fn deliver(&mut self, from: usize, datagram: &OutgoingDatagram) {
         self.deliver_and_observe(from, datagram, |_| {});
     }
 
-    /// As [`Simulation::deliver`], and passes on what events it caused.
+    /// Delivers a datagram if its recipient runs, and passes the resulting events to `observe`.
     pub fn deliver_and_observe(
         &mut self,
         from: usize,
@@ -161,7 +163,7 @@
         let node = &mut self.nodes[usize::from(datagram.to.0)];
         if let (Some(process), false) = (&mut node.process, node.paused) {
             let process = Arc::make_mut(process);
-            // A late datagram, or one for an earlier process, is rejected.
+            // The result is ignored, because late datagrams and datagrams for an earlier process are rejected.
             let _ = process.receive(now, SenderId(from as u16), &datagram.body);
             process.take_events().into_iter().for_each(observe);
         }
@@ -205,7 +207,7 @@
         self.checker.observe(self.now_ms, acknowledged);
     }
 
-    /// The zones in which a sender would act for the tenant.
+    /// The zones in which a sender would act for the tenant now; all zones if it holds no rule for the tenant.
     pub fn acting_zones(&self, index: usize) -> ZoneSet {
         let node = &self.nodes[index];
         match &node.process {
@@ -218,7 +220,8 @@
         }
     }
 
-    /// Whether all senders act only within the zones of recently committed revisions.
+    /// Whether all senders act only within the zones that recently committed revisions allow; `zones_of` returns the zones of a
+    /// revision.
     pub fn nobody_acts_outside(&self, zones_of: impl Fn(u64) -> ZoneSet) -> bool {
         let allowed = self.checker.allowed_zones(self.now_ms, zones_of);
         (0..self.nodes.len()).all(|index| self.acting_zones(index).0 & !allowed.0 == 0)
