--- a/crates/heavy-hitters/src/digest.rs
+++ b/crates/heavy-hitters/src/digest.rs
@@ -1,7 +1,7 @@
-//! The digest of a closed slice, as a sender publishes it.
+//! The digest of a closed slice that a sender publishes.
 //!
-//! Invariant: the count of a listed key in the slice is between `min` and `min + error`, that of any other key is at most
-//! `max_unlisted`.
+//! Invariant: the count of a listed key in the slice is between `min` and `min + error`, the count of any other
+//! key is at most `max_unlisted`.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,10 +12,10 @@
 use crate::slice_counts::SliceCounts;
 use crate::space_saving::{MAX_COUNT, SpaceSaving};
 
-/// A listed key and the bounds of its count.
+/// A key of a digest, with the bounds of its count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestEntry {
-    /// The key.
+    /// The stream or idempotency key.
     pub key: Key,
     /// Lower bound of the key's count.
     pub min: u64,
@@ -29,28 +29,29 @@
     }
 }
 
-/// The heaviest keys of a slice, and a bound of all others.
+/// The heaviest keys of a slice, and a bound of all other keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TopEntries {
-    /// The listed keys, the heaviest first.
+    /// The listed keys in descending order of their upper bounds.
     pub entries: Vec<DigestEntry>,
     /// Upper bound of the count of any key that is not listed.
     pub max_unlisted: u64,
 }
 
 impl TopEntries {
-    /// The first `count` entries of a sketch. The next entry, which is at least the sketch's floor, bounds all others.
+    /// Takes the first `count` entries of a sketch. The upper bound of the next entry, which is at least the
+    /// floor of the sketch, bounds all keys that are not listed.
     fn first(mut entries: Vec<DigestEntry>, count: usize, floor: u64) -> Self {
         let max_unlisted = entries.get(count).map_or(floor, |next| next.min + next.error);
         entries.truncate(count);
         Self { entries, max_unlisted }
     }
 
-    /// Whether these entries are possible in a slice with this total.
+    /// Whether a slice with this total can have these entries.
     fn is_consistent(&self, total: u64) -> bool {
         let is_bounded =
             |entry: &DigestEntry| entry.min.checked_add(entry.error).is_some_and(|max| max <= total);
-        // Each is at most the total and a datagram holds few of them, so the sum does not overflow.
+        // The sum does not overflow because each `min` is at most the total and a datagram holds few entries.
         self.has_distinct_keys()
             && self.max_unlisted <= total
             && self.entries.iter().all(is_bounded)
@@ -67,25 +68,25 @@
 /// The digest of a closed slice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The process that publishes it.
+    /// The process that publishes the digest.
     pub incarnation: Incarnation,
-    /// The slice.
+    /// The slice in which the messages were accepted.
     pub slice: Slice,
     /// Whether this process counted the whole slice; otherwise an earlier process may have accepted more messages.
     pub complete: bool,
-    /// How many slices before this one the process started, if nothing was accepted in the window before its start; `None` if
-    /// that is unknown or longer ago than a window.
+    /// How many slices before this one the process started, if no message was accepted in the window before its
+    /// start; `None` if that is unknown or the start is longer ago than a window.
     pub started_slices_ago: Option<u8>,
-    /// Number of messages accepted.
+    /// Number of messages accepted within the slice.
     pub total: u64,
-    /// Their streams.
+    /// The heaviest streams of these messages.
     pub streams: TopEntries,
-    /// Their idempotency keys.
-    pub keys: TopEntries,
+    /// The most frequent idempotency keys of these messages.
+    pub idempotency_keys: TopEntries,
 }
 
 impl Digest {
-    /// The digest of a slice's counts, with as many of the heaviest keys as fit into a datagram.
+    /// Creates the digest of the counts of a slice, with as many of the heaviest keys as fit into a datagram.
     #[must_use]
     pub fn new(
         incarnation: Incarnation,
@@ -94,19 +95,25 @@
         complete: bool,
         started_slices_ago: Option<u64>,
     ) -> Self {
-        let (streams, keys) = (entries_of(&counts.streams), entries_of(&counts.keys));
-        // Message kind, completeness, start (2), the lengths of two lists, and three numbers that are at most the total.
-        let head = 6 + varint_len(incarnation.0) + varint_len(slice.0) + 3 * varint_len(counts.total);
-        let available = MAX_BODY_LEN.saturating_sub(head);
-        let listed = pack_alternately(available, &encoded_lens(&streams), &encoded_lens(&keys));
+        let (streams, idempotency_keys) = (entries_of(&counts.streams), entries_of(&counts.idempotency_keys));
+        // Bytes: message kind, `complete`, `started_slices_ago` (2), the lengths of two lists; then the
+        // incarnation, the slice, and three numbers that are at most the total.
+        let head_len = 6 + varint_len(incarnation.0) + varint_len(slice.0) + 3 * varint_len(counts.total);
+        let available_len = MAX_BODY_LEN.saturating_sub(head_len);
+        let packed =
+            pack_alternately(available_len, &encoded_lens(&streams), &encoded_lens(&idempotency_keys));
         Self {
             incarnation,
             slice,
             complete,
             started_slices_ago: started_slices_ago.and_then(|slices| u8::try_from(slices).ok()),
             total: counts.total,
-            streams: TopEntries::first(streams, listed.first, counts.streams.floor()),
-            keys: TopEntries::first(keys, listed.second, counts.keys.floor()),
+            streams: TopEntries::first(streams, packed.first, counts.streams.floor()),
+            idempotency_keys: TopEntries::first(
+                idempotency_keys,
+                packed.second,
+                counts.idempotency_keys.floor(),
+            ),
         }
     }
 
@@ -118,11 +125,11 @@
         start_is_possible
             && self.total <= MAX_COUNT
             && self.streams.is_consistent(self.total)
-            && self.keys.is_consistent(self.total)
+            && self.idempotency_keys.is_consistent(self.total)
     }
 }
 
-/// All entries of a sketch, the heaviest first.
+/// Returns all entries of a sketch in descending order of their upper bounds.
 fn entries_of(sketch: &SpaceSaving) -> Vec<DigestEntry> {
     let entries = sketch.heaviest().into_iter();
     entries
--- a/crates/heavy-hitters/src/digest_store.rs
+++ b/crates/heavy-hitters/src/digest_store.rs
@@ -1,11 +1,14 @@
-//! The latest digest of each sender and slice, and their totals (mergeable summaries, Agarwal et al. 2012).
+//! The latest digest of each sender and slice, and the totals over all of them (mergeable summaries, Agarwal et
+//! al. 2012).
 //!
-//! Invariant: a register holds the greatest digest received of its sender and slice, by (incarnation, total). The order of
-//! datagrams, duplicates and replays therefore make no difference, and a lost digest leaves a register empty; readers of the
-//! totals add the maximum that a sender can have accepted for it.
+//! Invariant: a register holds the greatest digest received of its sender and slice, ordered by (incarnation,
+//! total). Therefore the totals do not depend on the order of datagrams, duplicates or replays. A lost digest
+//! leaves its register empty; for each empty register, [`FleetView`](crate::FleetView) adds the maximum that a
+//! sender can have accepted.
 //!
-//! Memory: at most `senders * (SLICES_PER_WINDOW + 1)` registers, each with the entries of one datagram (about 24, 600
-//! bytes). Discarded slice by slice, and completely when this sender's term is over.
+//! Memory: at most `senders * (SLICES_PER_WINDOW + 1)` registers, each with the entries of one datagram (about
+//! 24 entries, 600 bytes). Registers are discarded slice by slice, and all of them when this sender's term as
+//! aggregator is over.
 
 use std::collections::BTreeMap;
 
@@ -15,41 +18,42 @@
 use crate::slice::{SLICES_PER_WINDOW, Slice};
 use crate::window_totals::{KeyTotalsBuilder, WindowTotals};
 
-/// The latest digest of one sender and slice.
+/// The greatest digest received of one sender and slice.
 #[derive(Clone, Debug, Default)]
 struct Register {
     incarnation: Incarnation,
     complete: bool,
     total: u64,
     streams: TopEntries,
-    keys: TopEntries,
+    idempotency_keys: TopEntries,
 }
 
 impl Register {
+    /// Whether no digest has been merged.
     fn is_untouched(&self) -> bool {
         self.incarnation == Incarnation::default() && self.total == 0
     }
 
-    /// Replaces the register if the digest is greater.
+    /// Replaces the content of the register if the digest is greater.
     fn merge(&mut self, digest: Digest) {
-        let known = (self.incarnation, self.total, self.complete);
-        if (digest.incarnation, digest.total, digest.complete) > known {
-            let Digest { incarnation, complete, total, streams, keys, .. } = digest;
-            *self = Register { incarnation, complete, total, streams, keys };
+        let stored = (self.incarnation, self.total, self.complete);
+        if (digest.incarnation, digest.total, digest.complete) > stored {
+            let Digest { incarnation, complete, total, streams, idempotency_keys, .. } = digest;
+            *self = Register { incarnation, complete, total, streams, idempotency_keys };
         }
     }
 }
 
-/// The stored slices of one sender's process, which are acknowledged to it.
+/// The stored slices of one process of a sender; the aggregator acknowledges them to that process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoredSlices {
     /// One bit for each slice of the window; the lowest bit is the latest slice.
-    pub slices: u8,
-    /// Sum of their totals.
+    pub slice_bits: u8,
+    /// Sum of the totals of these slices.
     pub total: u64,
 }
 
-/// Registers by sender and slice.
+/// The digests that an aggregator has received, by sender and slice.
 #[derive(Clone, Debug, Default)]
 pub struct DigestStore {
     sender_count: usize,
@@ -59,13 +63,15 @@
 }
 
 impl DigestStore {
-    /// An empty store for `sender_count` senders, each of which accepts at most `max_per_slice` messages in a slice.
+    /// Creates an empty store for `sender_count` senders, each of which accepts at most `max_per_slice`
+    /// messages in a slice.
     #[must_use]
     pub fn new(sender_count: usize, max_per_slice: u64) -> Self {
         Self { sender_count, max_per_slice, registers: BTreeMap::new() }
     }
 
-    /// Stores a digest of a sender while the slice `current` is open; one that is not greater than the stored one is ignored.
+    /// Stores a digest of a sender while the slice `current` is open. A digest that is not greater than the
+    /// stored one is ignored.
     ///
     /// # Errors
     ///
@@ -90,11 +96,11 @@
         if from.0 >= self.sender_count {
             return Err(DatagramError::UnknownSender);
         }
-        // The sender's clock may be ahead: a slice that it has closed may still be open here.
+        // The clock of the publishing sender may be ahead: a slice that it has closed may still be open here.
         if digest.slice > current || digest.slice.plus(SLICES_PER_WINDOW) < current {
             return Err(DatagramError::OutsideWindow);
         }
-        // A single sender must not be able to outweigh all others.
+        // A single sender must not be able to outweigh all others by a large total.
         if digest.total > self.max_per_slice {
             return Err(DatagramError::OverLimit);
         }
@@ -109,36 +115,36 @@
         });
     }
 
-    /// Discards everything.
+    /// Discards all registers.
     pub fn clear(&mut self) {
         self.registers.clear();
     }
 
-    /// The stored slices of a sender's process in the window before `current`.
+    /// Returns the stored slices of a process of a sender in the window before `current`.
     #[must_use]
     pub fn stored_of(&self, from: SenderId, incarnation: Incarnation, current: Slice) -> StoredSlices {
         let mut stored = StoredSlices::default();
         let Some(registers) = self.registers.get(&from) else { return stored };
         for (slice, register) in registers.range(current.minus(SLICES_PER_WINDOW)..current) {
             if register.incarnation == incarnation {
-                stored.slices |= 1 << current.age_of(*slice);
+                stored.slice_bits |= 1 << current.age_of(*slice);
                 stored.total += register.total;
             }
         }
         stored
     }
 
-    /// Number of registers.
+    /// Number of registers, at most one for each sender and slice.
     #[must_use]
     pub fn register_count(&self) -> usize {
         self.registers.values().map(BTreeMap::len).sum()
     }
 
-    /// Totals over the window before `current`.
+    /// Returns the totals of all senders over the window before `current`.
     #[must_use]
     pub fn totals(&self, current: Slice) -> WindowTotals {
         let mut totals = WindowTotals::default();
-        let (mut streams, mut keys) = (KeyTotalsBuilder::default(), KeyTotalsBuilder::default());
+        let (mut streams, mut idempotency_keys) = (KeyTotalsBuilder::default(), KeyTotalsBuilder::default());
         for (sender, registers) in &self.registers {
             for (slice, register) in registers.range(current.minus(SLICES_PER_WINDOW)..current) {
                 if register.complete {
@@ -146,16 +152,17 @@
                 }
                 totals.messages += register.total;
                 streams.add(*sender, &register.streams);
-                keys.add(*sender, &register.keys);
+                idempotency_keys.add(*sender, &register.idempotency_keys);
             }
         }
         totals.streams = streams.finish();
-        totals.keys = keys.finish();
+        totals.idempotency_keys = idempotency_keys.finish();
         totals
     }
 }
 
-/// Marks the slices before a first start as complete and empty, unless a digest of them was received.
+/// Marks the slices of the window before the first start of a sender as complete and empty, except those with a
+/// digest.
 fn complete_idle_slices(registers: &mut BTreeMap<Slice, Register>, current: Slice, started_in: Slice) {
     for slice in current.window_before().filter(|slice| *slice < started_in) {
         let register = registers.entry(slice).or_default();
--- a/crates/heavy-hitters/src/fair_share.rs
+++ b/crates/heavy-hitters/src/fair_share.rs
@@ -1,19 +1,19 @@
-//! Max-min fair shares of a limit.
+//! Max-min fair shares of a rate limit.
 //!
-//! Invariant: no share exceeds its demand, the shares add up to the limit or to the sum of demands, and a share below its
-//! demand is not smaller than any other share.
+//! Invariant: no share exceeds its demand; the shares add up to the limit or to the sum of the demands,
+//! whichever is smaller; and a share below its demand is not smaller than any other share.
 
 use std::collections::BTreeMap;
 
 use crate::key::Key;
 
-/// Maximum of a demand or a limit, in calls a second; larger ones, and infinity, count as this.
+/// Maximum of a demand or a limit, in calls a second; larger values and infinity are reduced to it.
 const MAX_RATE: f64 = 1e12;
 
-/// The fair share of each stream in a limit, given the streams' demands (all in calls a second).
+/// Returns the fair share of each stream in a limit, given the demands of the streams (all in calls a second).
 ///
-/// Shares are filled evenly until each has its demand or the limit is used up (progressive filling). Negative rates and NaN
-/// count as 0.
+/// Shares are filled evenly until each has its demand or the limit is used up (progressive filling). Negative
+/// rates and NaN are treated as 0.
 ///
 /// ```
 /// use rudderspindle_heavy_hitters::{Key, fair_shares};
@@ -23,23 +23,24 @@
 /// ```
 #[must_use]
 pub fn fair_shares(limit: f64, demands: &BTreeMap<Key, f64>) -> BTreeMap<Key, f64> {
-    let mut ascending: Vec<(f64, Key)> =
+    let mut ascending_demands: Vec<(f64, Key)> =
         demands.iter().map(|(key, demand)| (bounded_rate(*demand), *key)).collect();
-    ascending
+    ascending_demands
         .sort_by(|(left, left_key), (right, right_key)| left.total_cmp(right).then(left_key.cmp(right_key)));
     let mut remaining = bounded_rate(limit);
-    let mut unfilled = ascending.len();
+    let mut unfilled_count = ascending_demands.len();
     let mut shares = BTreeMap::new();
-    for (demand, key) in ascending {
-        let share = demand.min(remaining / unfilled as f64);
+    for (demand, key) in ascending_demands {
+        let share = demand.min(remaining / unfilled_count as f64);
         remaining -= share;
-        unfilled -= 1;
+        unfilled_count -= 1;
         shares.insert(key, share);
     }
     shares
 }
 
-/// The fraction of a stream's demand that exceeds its fair share, from 0 to 1; it is delayed and shed first.
+/// Returns the fraction of a stream's demand that exceeds its fair share, from 0 to 1. The excess is delayed
+/// and shed first.
 #[must_use]
 pub fn excess_fraction(limit: f64, demands: &BTreeMap<Key, f64>, stream: Key) -> f64 {
     let demand = demands.get(&stream).map_or(0.0, |demand| bounded_rate(*demand));
@@ -47,7 +48,7 @@
     if demand > 0.0 { (1.0 - share / demand).clamp(0.0, 1.0) } else { 0.0 }
 }
 
-/// The rate clamped to 0 to [`MAX_RATE`]; 0 for NaN.
+/// Returns the rate, clamped to the range from 0 to [`MAX_RATE`]; 0 for NaN.
 fn bounded_rate(rate: f64) -> f64 {
     if rate > 0.0 { rate.min(MAX_RATE) } else { 0.0 }
 }
--- a/crates/heavy-hitters/src/fleet_view.rs
+++ b/crates/heavy-hitters/src/fleet_view.rs
@@ -1,10 +1,10 @@
-//! The view of one sender on the fleet, read from a window summary.
+//! Interprets a window summary as bounds on the numbers of messages that the fleet accepted.
 //!
-//! Invariant: the number of messages of a key that the whole fleet accepted within the window is in its [`Interval`],
-//! whichever senders did not report: for each sender and slice without a complete count, the maximum that a sender may accept
-//! ([`Settings::max_per_second`]) is added.
+//! Invariant: the number of messages of a key that the whole fleet accepted within the window is in the
+//! [`Interval`] of the key, even if senders did not report: for each sender and slice without a complete count,
+//! the maximum that a sender may accept ([`Settings::max_per_second`]) is added to the upper bound.
 //!
-//! The last digest of a sender that stopped reporting is no bound, as its load may have changed since.
+//! The last digest of a sender that stopped reporting is not used as a bound because its load may have changed since.
 
 use std::ops::Range;
 
@@ -15,48 +15,48 @@
 use crate::window_summary::{TopKeys, WindowSummary};
 use crate::window_totals::KeyTotal;
 
-/// Bounds of a number of messages, both included.
+/// Bounds of a number of messages, both inclusive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Interval {
-    /// Lower bound.
+    /// Lower bound, inclusive.
     pub min: u64,
-    /// Upper bound.
+    /// Upper bound, inclusive.
     pub max: u64,
 }
 
 impl Interval {
-    /// Whether a number is within the bounds.
+    /// Whether a count is within the bounds.
     #[must_use]
-    pub fn contains(&self, number: u64) -> bool {
-        (self.min..=self.max).contains(&number)
+    pub fn contains(&self, count: u64) -> bool {
+        (self.min..=self.max).contains(&count)
     }
 }
 
-/// The number of complete counts on which a view is based; there is one for each sender and slice.
+/// How many of the complete counts of a window a view is based on; each sender has one for each slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Coverage {
     /// Number of complete counts received.
     pub received: usize,
-    /// Number of complete counts expected.
+    /// Number of complete counts if all senders reported all slices.
     pub expected: usize,
 }
 
-/// A window summary as read by one sender.
+/// A window summary, with the bounds that follow from the senders that did not report.
 #[derive(Clone, Debug)]
 pub struct FleetView {
     summary: WindowSummary,
     sender_count: usize,
-    /// Upper bound of the messages accepted by senders that did not report.
+    /// Upper bound of the number of messages in slices that senders did not report completely.
     max_missing: u64,
 }
 
 impl FleetView {
-    /// Reads a summary in a fleet of `sender_count` senders, at most 65,535.
+    /// Creates the view of a summary in a fleet of `sender_count` senders, at most 65,535.
     ///
     /// # Errors
     ///
-    /// [`DatagramError::Malformed`] if it counts more senders than there are or more messages than they may accept, or is
-    /// inconsistent.
+    /// [`DatagramError::Malformed`] if the summary counts more senders than the fleet has, counts more messages
+    /// than they may accept, or is inconsistent.
     pub fn new(
         summary: WindowSummary,
         sender_count: usize,
@@ -71,13 +71,13 @@
         Ok(Self { summary, sender_count, max_missing })
     }
 
-    /// The window's first slice and the one after its last.
+    /// The slices of the window; the end is the slice after the last one.
     #[must_use]
     pub fn slices(&self) -> Range<Slice> {
         self.summary.slice.minus(SLICES_PER_WINDOW)..self.summary.slice
     }
 
-    /// The number of complete counts on which the view is based.
+    /// How many of the complete counts of the window the view is based on.
     #[must_use]
     pub fn coverage(&self) -> Coverage {
         let received = self.summary.complete_counts.iter().map(|senders| usize::from(*senders)).sum();
@@ -100,35 +100,36 @@
     /// Number of messages with an idempotency key that all senders accepted within the window.
     #[must_use]
     pub fn idempotency_key(&self, key: Key) -> Interval {
-        self.interval(&self.summary.keys, key)
+        self.interval(&self.summary.idempotency_keys, key)
     }
 
-    /// The heaviest streams, the heaviest first.
+    /// The listed streams in descending order of their lower bounds.
     #[must_use]
     pub fn streams(&self) -> &[KeyTotal] {
         &self.summary.streams.totals
     }
 
-    /// The idempotency keys that several senders accepted.
+    /// The listed idempotency keys, each accepted by several senders.
     #[must_use]
     pub fn repeated_keys(&self) -> &[KeyTotal] {
-        &self.summary.keys.totals
+        &self.summary.idempotency_keys.totals
     }
 
-    /// The summary that was read.
+    /// The summary on which the view is based.
     #[must_use]
     pub fn summary(&self) -> &WindowSummary {
         &self.summary
     }
 
-    fn interval(&self, list: &TopKeys, key: Key) -> Interval {
-        let listed = list.totals.iter().find(|total| total.key == key);
-        let (min, max) = listed.map_or((0, list.max_unlisted), |total| (total.min, total.max()));
+    fn interval(&self, top_keys: &TopKeys, key: Key) -> Interval {
+        let listed_total = top_keys.totals.iter().find(|total| total.key == key);
+        let (min, max) = listed_total.map_or((0, top_keys.max_unlisted), |total| (total.min, total.max()));
         Interval { min, max: max.saturating_add(self.max_missing).min(self.messages().max) }
     }
 }
 
-/// Number of missing complete counts, or `None` if the summary has more counts than senders.
+/// Number of missing complete counts; `None` if a slice of the summary has more complete counts than the fleet
+/// has senders.
 fn missing_counts(summary: &WindowSummary, sender_count: usize) -> Option<u64> {
     let mut missing = 0;
     for senders in summary.complete_counts {
--- a/crates/heavy-hitters/src/gossip_message.rs
+++ b/crates/heavy-hitters/src/gossip_message.rs
@@ -1,7 +1,7 @@
-//! Messages between senders and their encoding.
+//! Encoding of the messages between senders.
 //!
-//! Invariant: an encoded message has at most [`MAX_BODY_LEN`] bytes, and decoding allocates no memory for lengths beyond the
-//! received bytes.
+//! Invariant: an encoded message has at most [`MAX_BODY_LEN`] bytes, and decoding allocates no memory for
+//! declared lengths that exceed the received bytes.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,13 +15,13 @@
 pub(crate) enum GossipMessage {
     /// One sender's digest of a slice, sent to an aggregator.
     Digest(Digest),
-    /// The summary over all senders, sent back by the aggregator.
+    /// The summary over all senders that an aggregator sends to a publisher.
     Summary(WindowSummary),
 }
 
 impl GossipMessage {
     pub(crate) fn encode(&self) -> Vec<u8> {
-        // Encoding into memory cannot fail: messages have no maps and no sequences of unknown length.
+        // Encoding into memory cannot fail because messages have no maps and no sequences of unknown length.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
@@ -34,12 +34,12 @@
         if bytes.len() > MAX_BODY_LEN {
             return Err(DatagramError::TooLong);
         }
-        let (message, rest) =
+        let (message, trailing_bytes) =
             postcard::take_from_bytes::<Self>(bytes).map_err(|_| DatagramError::Malformed)?;
         let is_consistent = match &message {
             Self::Digest(digest) => digest.is_consistent(),
             Self::Summary(summary) => summary.is_consistent(),
         };
-        if rest.is_empty() && is_consistent { Ok(message) } else { Err(DatagramError::Malformed) }
+        if trailing_bytes.is_empty() && is_consistent { Ok(message) } else { Err(DatagramError::Malformed) }
     }
 }
--- a/crates/heavy-hitters/src/heavy_hitters.rs
+++ b/crates/heavy-hitters/src/heavy_hitters.rs
@@ -1,7 +1,7 @@
 //! Heavy-hitter detection of one sender.
 //!
-//! Invariant: decisions are based on summaries only, including its own, and on the better of two, so that all senders that
-//! receive the same summaries make the same decisions.
+//! Invariant: a sender decides only by summaries, including those of its own aggregator, and by the better of
+//! two summaries. Therefore all senders that receive the same summaries make the same decisions.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -22,7 +22,8 @@
 use crate::slice_counter::SliceCounter;
 use crate::window_summary::WindowSummary;
 
-/// Heavy-hitter detection of one sender: counts its messages, exchanges digests and summaries, and detects hot streams.
+/// Heavy-hitter detection of one sender: counts its accepted messages, exchanges digests and summaries with the other
+/// senders, and detects hot streams.
 ///
 /// ```
 /// use rudderspindle_clock::UnixMillis;
@@ -34,7 +35,7 @@
 /// for millis in 1_000_000..1_000_500 {
 ///     heavy_hitters.record(at(millis), hasher.stream_key("narmada", "gate-1"), None);
 /// }
-/// // The slice of 2 s has closed; this sender aggregates its own digest.
+/// // The slice of 2 s is closed, and the only sender of the fleet aggregates its own digest.
 /// assert!(heavy_hitters.poll_datagrams(at(1_002_100)).is_empty());
 /// assert!(heavy_hitters.poll_datagrams(at(1_002_600)).is_empty());
 /// assert!(heavy_hitters.is_hot(hasher.stream_key("narmada", "gate-1")));
@@ -47,22 +48,22 @@
     counter: SliceCounter,
     publisher: DigestPublisher,
     aggregator: Aggregator,
-    /// The open slice as of the last call.
+    /// The slice that was open at the last call.
     current: Slice,
     view: Option<FleetView>,
     detector: HotStreamDetector,
 }
 
 impl HeavyHitters {
-    /// Starts sender `own_id` of `sender_count` at `now`.
+    /// Starts the detection at `now` in sender `own_id` of a fleet of `sender_count` senders.
     ///
-    /// `incarnation` must be greater than that of any earlier process of this sender. `idle_before` is whether it is known
-    /// that no earlier process accepted a message within the window before; otherwise the slices up to the start are
-    /// incomplete.
+    /// `incarnation` must be greater than that of any earlier process of this sender. Set `idle_before` only if
+    /// it is known that no earlier process accepted a message within the window before `now`; otherwise the
+    /// slices up to the start are treated as incomplete.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the invalid setting.
+    /// [`SettingsError`] if a setting is invalid.
     pub fn new(
         settings: Settings,
         own_id: SenderId,
@@ -90,7 +91,8 @@
         self.counter.record(now, stream, idempotency_key);
     }
 
-    /// Whether a stream is hot.
+    /// Whether a stream is hot: it exceeded the hot fraction of all messages of the fleet and has not cooled
+    /// down since.
     #[must_use]
     pub fn is_hot(&self, stream: Key) -> bool {
         self.detector.is_hot(stream)
@@ -101,39 +103,43 @@
         self.detector.hot_streams()
     }
 
-    /// The best view of the latest window; its age follows from its slices.
+    /// The best view of the latest window; `None` before the first summary. Its age follows from
+    /// [`FleetView::slices`].
     #[must_use]
     pub fn view(&self) -> Option<&FleetView> {
         self.view.as_ref()
     }
 
-    /// The key with bounds on its copies, if several senders accepted this idempotency key within the last window.
+    /// Bounds on the copies of an idempotency key; `None` unless several senders are known to have accepted the
+    /// key within the last window.
     #[must_use]
     pub fn repeated_key(&self, key: Key, now: UnixMillis) -> Option<RepeatedKey> {
         find_repeated_key(self.view.as_ref()?, key, now, self.settings.slice_ms())
     }
 
-    /// When to call [`HeavyHitters::poll_datagrams`] next.
+    /// The time at which [`HeavyHitters::poll_datagrams`] must be called next.
     #[must_use]
     pub fn next_poll_at(&self, now: UnixMillis) -> UnixMillis {
-        let next_round = Round::containing(now).next_start();
-        self.publisher.next_publish_time(now).map_or(next_round, |publish_at| publish_at.min(next_round))
+        let next_round_start = Round::containing(now).next_start();
+        self.publisher
+            .next_publish_time(now)
+            .map_or(next_round_start, |publish_at| publish_at.min(next_round_start))
     }
 
-    /// The datagrams to be sent at `now`.
+    /// Returns the datagrams to be sent at `now`.
     pub fn poll_datagrams(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
-        let slice = self.advance(now);
-        let round = round_in_slice(now, self.settings.slice_ms());
+        let slice = self.begin_open_slice(now);
+        let round_index = round_in_slice(now, self.settings.slice_ms());
         let mut datagrams = Vec::new();
-        if let Some(reply) = self.aggregator.poll_replies(now, slice, round) {
+        if let Some(reply) = self.aggregator.poll_replies(now, slice, round_index) {
             datagrams.extend(reply.datagrams);
-            // A summary of this sender's own aggregator is valid.
+            // This cannot fail because a summary of this sender's own aggregator is valid.
             let _ = self.apply_summary(&reply.summary);
         }
-        if self.publisher.take_due(now) {
-            let publication = self.publisher.publish(slice, round, &self.counter);
-            self.aggregator.insert_own(self.own_id, publication.own, slice);
-            for addressed in publication.remote {
+        if self.publisher.take_due_round(now) {
+            let publication = self.publisher.publish(slice, round_index, &self.counter);
+            self.aggregator.insert_own(self.own_id, publication.own_digests, slice);
+            for addressed in publication.remote_digests {
                 let body = GossipMessage::Digest(addressed.digest).encode();
                 datagrams.push(OutgoingDatagram { to: addressed.to, body });
             }
@@ -145,15 +151,15 @@
     ///
     /// # Errors
     ///
-    /// [`DatagramError`] is why it is dropped; the state is unchanged.
+    /// [`DatagramError`] if the datagram is rejected; the state is unchanged.
     pub fn receive(&mut self, now: UnixMillis, from: SenderId, bytes: &[u8]) -> Result<(), DatagramError> {
         if from == self.own_id || from.0 >= self.sender_count {
             return Err(DatagramError::UnknownSender);
         }
         let message = GossipMessage::decode(bytes)?;
-        let slice = self.advance(now);
+        let slice = self.begin_open_slice(now);
         match message {
-            // The publisher's clock may be ahead, in the next term.
+            // The clock of the publisher may be ahead: see `is_aggregator`.
             GossipMessage::Digest(_) if !self.is_aggregator(slice) => Err(DatagramError::UnknownSender),
             GossipMessage::Digest(digest) => self.aggregator.receive(now, slice, from, digest),
             GossipMessage::Summary(summary) => self.receive_summary(from, &summary, slice),
@@ -177,17 +183,17 @@
         Ok(())
     }
 
-    /// Replaces the view if a summary is better.
+    /// Replaces the view if the summary is better than that of the view.
     fn apply_summary(&mut self, summary: &WindowSummary) -> Result<(), DatagramError> {
         let view = FleetView::new(summary.clone(), self.sender_count, &self.settings)?;
-        if let Some(known) = &self.view {
-            // After a large forward step of the clock was corrected, the known view may be of the future.
-            let known_is_current = known.slices().end <= self.current.plus(1);
-            if known.summary().quality() >= summary.quality() && known_is_current {
+        if let Some(previous) = &self.view {
+            // If the clock was stepped forward far and then corrected, the previous view may be of a future window.
+            let previous_is_current = previous.slices().end <= self.current.plus(1);
+            if previous.summary().quality() >= summary.quality() && previous_is_current {
                 return Ok(());
             }
-            if known.slices().end != view.slices().end {
-                self.detector.expire(known);
+            if previous.slices().end != view.slices().end {
+                self.detector.remove_cooled(previous);
             }
         }
         self.detector.detect(&view);
@@ -195,14 +201,15 @@
         Ok(())
     }
 
-    /// Whether this sender is an aggregator candidate of this slice or the next.
+    /// Whether this sender is an aggregator candidate of this slice or the next, which is the open slice of a
+    /// publisher whose clock is ahead.
     fn is_aggregator(&self, slice: Slice) -> bool {
         let is_selected = |slice| aggregators(slice, self.sender_count).contains(&self.own_id);
         is_selected(slice) || is_selected(slice.plus(1))
     }
 
-    /// Discards expired state; returns the open slice.
-    fn advance(&mut self, now: UnixMillis) -> Slice {
+    /// Begins the slice that is open at `now` and discards expired state; returns the slice.
+    fn begin_open_slice(&mut self, now: UnixMillis) -> Slice {
         let slice = Slice::containing(now, self.settings.slice_ms());
         self.counter.discard_expired(now);
         if self.current != slice {
--- a/crates/heavy-hitters/src/key.rs
+++ b/crates/heavy-hitters/src/key.rs
@@ -13,19 +13,19 @@
 /// Length of an encoded key, in bytes. The probability of a collision among `n` keys is about `n * n / 2 / 2^48`.
 pub(crate) const KEY_LEN: usize = 6;
 
-/// A stream or an idempotency key as a keyed hash of 48 bits.
+/// A stream or an idempotency key, represented by a keyed hash of 48 bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key([u8; KEY_LEN]);
 
 impl Key {
-    /// The key with the lowest 48 bits of `bits`.
+    /// Creates the key that consists of the lowest 48 bits of `bits`.
     #[must_use]
     pub const fn new(bits: u64) -> Self {
         let [first, second, third, fourth, fifth, sixth, ..] = bits.to_le_bytes();
         Self([first, second, third, fourth, fifth, sixth])
     }
 
-    /// Sort key in a pseudorandom order for each salt, the same at every sender.
+    /// Sort key of a pseudorandom order that depends on the salt and is the same at all senders.
     #[must_use]
     pub(crate) fn rank(self, salt: u64) -> u64 {
         let mut bytes = [0; 8];
@@ -47,25 +47,25 @@
 
 impl fmt::Debug for KeyHasher {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The fleet's key is a secret.
+        // The secret must not appear in logs.
         formatter.write_str("KeyHasher")
     }
 }
 
 impl KeyHasher {
-    /// A hasher under this secret of the fleet.
+    /// Creates a hasher with the secret of the fleet.
     #[must_use]
     pub fn new(secret: [u8; 16]) -> Self {
         Self(secret)
     }
 
-    /// The key of a stream: what a tenant sends to a receiver.
+    /// The key of a stream: the messages of a tenant to a receiver.
     #[must_use]
     pub fn stream_key(&self, tenant: &str, receiver: &str) -> Key {
         self.hash(b's', tenant, receiver)
     }
 
-    /// The key of a tenant's idempotency key.
+    /// The key of an idempotency key, which is unique only within its tenant.
     #[must_use]
     pub fn idempotency_key(&self, tenant: &str, idempotency_key: &str) -> Key {
         self.hash(b'i', tenant, idempotency_key)
@@ -74,7 +74,7 @@
     fn hash(&self, kind: u8, tenant: &str, name: &str) -> Key {
         let mut hasher = SipHasher24::new_with_key(&self.0);
         hasher.write(&[kind]);
-        // The length separates the tenant's name from the second one.
+        // The length marks where the tenant's name ends, so that no two pairs of names have the same input.
         hasher.write(&(tenant.len() as u64).to_le_bytes());
         hasher.write(tenant.as_bytes());
         hasher.write(name.as_bytes());
--- a/crates/heavy-hitters/src/lib.rs
+++ b/crates/heavy-hitters/src/lib.rs
@@ -1,20 +1,21 @@
-//! Heavy hitters of the fleet: the streams with the most messages, from what each sender accepts.
+//! Detects heavy hitters: the streams with the most messages that a fleet of senders accepts.
 //!
-//! Invariant: a key's count is read as an interval that contains the number of messages that the fleet accepted, whichever
-//! senders did not report and however datagrams are lost, reordered, duplicated or delayed.
+//! Invariant: the count of a key is given as an interval that contains the number of messages that the fleet
+//! accepted, even if senders do not report or datagrams are lost, reordered, duplicated or delayed.
 //!
-//! A single sender sees only a few messages of a stream that is heavy in total. Therefore each sender counts the messages
-//! that it accepts in a [`SpaceSaving`] sketch for each slice of the wall clock, and publishes closed slices to an aggregator
-//! ([`Digest`]). The aggregator stores them by sender and slice ([`DigestStore`]) and replies with the heaviest keys of the
-//! fleet ([`WindowSummary`]), which each sender reads as a [`FleetView`] and evaluates ([`HotStreamDetector`]).
-//! [`HeavyHitters`] combines these parts for one sender. [`fair_shares`] computes the fair share of each stream in a limit.
+//! A single sender sees only a few messages of a stream that is heavy in total. Therefore each sender counts
+//! the messages that it accepts in a [`SpaceSaving`] sketch for each slice of the wall clock, and publishes
+//! closed slices to an aggregator ([`Digest`]). The aggregator stores them by sender and slice
+//! ([`DigestStore`]) and replies with the heaviest keys of the fleet ([`WindowSummary`]), which each sender
+//! converts to a [`FleetView`] and evaluates ([`HotStreamDetector`]). [`HeavyHitters`] combines these parts for
+//! one sender. [`fair_shares`] computes the max-min fair share of each stream in a rate limit.
 //!
-//! No I/O and no clock: time is passed in as [`UnixMillis`](rudderspindle_clock::UnixMillis), datagrams as bytes. The crate
-//! is independent of receivers' limits, messages and sockets; streams and idempotency keys are keyed hashes
-//! ([`KeyHasher`]).
+//! The crate does no I/O and reads no clock: time is passed in as
+//! [`UnixMillis`](rudderspindle_clock::UnixMillis), datagrams as bytes. It is independent of receivers' limits,
+//! messages and sockets. Streams and idempotency keys are represented by keyed hashes ([`KeyHasher`]).
 //!
-//! Where to begin reading: `heavy_hitters` (one sender), `digest_publisher` and `aggregator` (the two sides of the gossip),
-//! `fleet_view` and `hot_streams` (the decisions).
+//! Entry points for a reader: `heavy_hitters` (one sender), `digest_publisher` and `aggregator` (the two sides
+//! of the gossip), `fleet_view` and `hot_streams` (the detection of hot streams).
 #![forbid(unsafe_code)]
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/heavy-hitters/src/mix.rs
+++ b/crates/heavy-hitters/src/mix.rs
@@ -1,6 +1,6 @@
-//! A fixed integer hash for draws that all senders must agree on.
+//! A fixed integer hash for pseudorandom choices that must be the same at all senders.
 
-/// The finisher of SplitMix64: each input bit changes half of the output bits.
+/// The finalizer of SplitMix64: a change of one input bit changes half of the output bits on average.
 pub(crate) fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/heavy-hitters/src/packing.rs
+++ b/crates/heavy-hitters/src/packing.rs
@@ -1,34 +1,39 @@
-//! Packs entries into a datagram: lengths of encoded numbers, and two lists that share a number of bytes.
+//! Packing of entries into a datagram: the lengths of encoded numbers, and how many items of two lists fit.
 
-/// Maximum length of a message's body, in bytes: 256 of a datagram, of which 8 are reserved for envelopes and 8 for later
-/// use.
+/// Maximum length of the body of a message, in bytes: of the 256 bytes of a datagram, 8 are reserved for the
+/// envelope and 8 for later use.
 pub const MAX_BODY_LEN: usize = 240;
 
-/// Length of an encoded number, in bytes; each byte holds seven bits.
+/// Length of a number in varint encoding, in bytes; each byte holds seven bits of the number.
 pub(crate) fn varint_len(number: u64) -> usize {
     (64 - (number | 1).leading_zeros() as usize).div_ceil(7)
 }
 
-/// How many items of each of two lists fit.
+/// How many items of each of two lists fit into the available bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PackedCounts {
     pub first: usize,
     pub second: usize,
 }
 
-/// Takes items alternately from two lists, given by their encoded lengths, while they fit into `available` bytes.
-pub(crate) fn pack_alternately(available: usize, first: &[usize], second: &[usize]) -> PackedCounts {
+/// Takes items alternately from two lists as long as they fit into `remaining_len` bytes; the lists hold the
+/// encoded lengths of the items.
+pub(crate) fn pack_alternately(
+    remaining_len: usize,
+    first_lens: &[usize],
+    second_lens: &[usize],
+) -> PackedCounts {
     let mut counts = PackedCounts { first: 0, second: 0 };
-    let mut available = available;
+    let mut remaining_len = remaining_len;
     loop {
-        let before = counts;
-        for (lengths, taken) in [(first, &mut counts.first), (second, &mut counts.second)] {
-            if let Some(&length) = lengths.get(*taken).filter(|length| **length <= available) {
-                available -= length;
+        let previous_counts = counts;
+        for (lengths, taken) in [(first_lens, &mut counts.first), (second_lens, &mut counts.second)] {
+            if let Some(&length) = lengths.get(*taken).filter(|length| **length <= remaining_len) {
+                remaining_len -= length;
                 *taken += 1;
             }
         }
-        if before == counts {
+        if previous_counts == counts {
             return counts;
         }
     }
--- a/crates/heavy-hitters/src/repeated_key.rs
+++ b/crates/heavy-hitters/src/repeated_key.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys that several senders accepted: a client that retries while its first copy is in progress.
+//! Detection of idempotency keys that several senders accepted: a client retries at another sender while the
+//! first copy of its message is in progress.
 //!
 //! Invariant: a key is repeated only if at least two distinct senders have reported it within one window.
 
@@ -11,19 +12,20 @@
 /// An idempotency key that several senders accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepeatedKey {
-    /// Lower bound of the number of senders.
+    /// Lower bound of the number of senders that accepted the key.
     pub min_senders: u16,
-    /// Lower bound of the number of copies.
+    /// Lower bound of the number of messages with the key.
     pub min_copies: u64,
-    /// End of the window in which they were accepted.
+    /// End of the window in which the messages were accepted.
     pub window_end: UnixMillis,
 }
 
-/// The key with bounds on its copies, if several senders accepted this idempotency key according to a view that is at `now`
-/// at most a window old; slices are of `slice_ms` milliseconds.
+/// Returns bounds on the copies of an idempotency key if, by a view that is less than a window old at `now`,
+/// several senders accepted the key; a slice has `slice_ms` milliseconds.
 ///
-/// Not every such key is found, as digests do not list all keys. Among equally frequent keys all senders publish the same
-/// ones first, in a different order for each slice, so that a key is published by all senders that accepted it or by none.
+/// Not every repeated key is found because digests do not list all keys. To make a match likely, all senders
+/// order equally frequent keys in the same way, which differs from slice to slice, so that a key is published
+/// by all senders that accepted it or by none.
 #[must_use]
 pub fn find_repeated_key(view: &FleetView, key: Key, now: UnixMillis, slice_ms: u64) -> Option<RepeatedKey> {
     let window_end = UnixMillis(view.slices().end.0.saturating_mul(slice_ms));
--- a/crates/heavy-hitters/src/slice.rs
+++ b/crates/heavy-hitters/src/slice.rs
@@ -1,17 +1,17 @@
-//! Window slices: parts of the window that are counted and discarded one by one.
+//! Slices of the window: equal parts that are counted and discarded one by one.
 
 use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
-/// Number of slices in a window; datagrams are proportional to it.
+/// Number of slices in a window; the number of datagrams is proportional to it.
 pub const SLICES_PER_WINDOW: u64 = 5;
 
-/// The number of a window slice: milliseconds since the Unix epoch, divided by the length of a slice.
+/// The index of a slice of the window: milliseconds since the Unix epoch, divided by the length of a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Slice(pub u64);
 
 impl Slice {
-    /// The slice that contains a point in time, for slices of `slice_ms` milliseconds (at least 1).
+    /// The slice that contains the time, for slices of `slice_ms` milliseconds (at least 1).
     #[must_use]
     pub fn containing(time: UnixMillis, slice_ms: u64) -> Self {
         Self(time.0 / slice_ms)
@@ -23,13 +23,13 @@
         Self(self.0.saturating_add(slices))
     }
 
-    /// The slice `slices` earlier, or the first of all.
+    /// The slice `slices` earlier, but not before slice 0.
     #[must_use]
     pub(crate) fn minus(self, slices: u64) -> Self {
         Self(self.0.saturating_sub(slices))
     }
 
-    /// Number of slices between two, in either direction.
+    /// Absolute difference between the indices of two slices.
     #[must_use]
     pub(crate) fn distance(self, other: Self) -> u64 {
         self.0.abs_diff(other.0)
@@ -40,7 +40,7 @@
         (self.minus(SLICES_PER_WINDOW).0..self.0).map(Self)
     }
 
-    /// Position of an earlier slice in the window before this one: 0 for the latest.
+    /// Position of an earlier slice in the window before this one: 0 for the latest slice of the window.
     pub(crate) fn age_of(self, earlier: Self) -> u64 {
         self.0 - 1 - earlier.0
     }
--- a/crates/heavy-hitters/src/slice_counter.rs
+++ b/crates/heavy-hitters/src/slice_counter.rs
@@ -1,9 +1,10 @@
-//! The messages that one sender accepted, by slice of the wall clock.
+//! Counts the messages that one sender accepted, by slice of the wall clock.
 //!
-//! Invariant: only slices within a window of the clock, before or after it, are kept: at most `2 * SLICES_PER_WINDOW + 1`
-//! slices of two sketches each, also if the clock is stepped.
+//! Invariant: only slices at most a window before or after the current one are stored: at most `2 *
+//! SLICES_PER_WINDOW + 1` slices with two sketches each, even if the clock is stepped.
 //!
-//! Slices ahead of a clock that was set back slightly are kept and counted further, as a published total must not decrease.
+//! If the clock is set back slightly, the slices ahead of it remain stored and their counts continue, because a
+//! published total must not decrease.
 
 use std::collections::BTreeMap;
 
@@ -16,29 +17,29 @@
 use crate::slice::{SLICES_PER_WINDOW, Slice};
 use crate::slice_counts::SliceCounts;
 
-/// The counts of one sender in the slices around the current one.
+/// The counts of one sender for the slices around the current one.
 #[derive(Clone, Debug)]
 pub struct SliceCounter {
     slice_ms: u64,
-    entries: usize,
+    sketch_capacity: usize,
     /// The slice in which this process started.
     started_in: Slice,
-    /// Whether this sender accepted nothing in the window before the start.
+    /// Whether it is known that this sender accepted no message in the window before the start.
     idle_before: bool,
     counts: BTreeMap<Slice, SliceCounts>,
 }
 
 impl SliceCounter {
-    /// A counter that starts empty at `now`.
+    /// Creates an empty counter at `now`.
     ///
-    /// `idle_before` is whether it is known that no earlier process of this sender accepted a message within the window
-    /// before.
+    /// Set `idle_before` only if it is known that no earlier process of this sender accepted a message within
+    /// the window before `now`.
     #[must_use]
     pub fn new(settings: &Settings, now: UnixMillis, idle_before: bool) -> Self {
         let slice_ms = settings.slice_ms().max(1);
         Self {
             slice_ms,
-            entries: settings.entries,
+            sketch_capacity: settings.entries,
             started_in: Slice::containing(now, slice_ms),
             idle_before,
             counts: BTreeMap::new(),
@@ -49,17 +50,18 @@
     pub fn record(&mut self, now: UnixMillis, stream: Key, idempotency_key: Option<Key>) {
         self.discard_expired(now);
         let slice = Slice::containing(now, self.slice_ms);
-        let counts = self.counts.entry(slice).or_insert_with(|| SliceCounts::new(slice, self.entries));
+        let counts =
+            self.counts.entry(slice).or_insert_with(|| SliceCounts::new(slice, self.sketch_capacity));
         counts.record(stream, idempotency_key);
     }
 
-    /// Discards slices that are more than a window from `now`.
+    /// Discards slices that are more than a window before or after `now`.
     pub fn discard_expired(&mut self, now: UnixMillis) {
         let current = Slice::containing(now, self.slice_ms);
         self.counts.retain(|slice, _| slice.distance(current) <= SLICES_PER_WINDOW);
     }
 
-    /// The digest of a slice, or `None` for one before the start in which nothing was accepted.
+    /// Returns the digest of a slice; `None` for a slice before the start in which this process accepted no message.
     #[must_use]
     pub fn digest(&self, incarnation: Incarnation, slice: Slice) -> Option<Digest> {
         let counts = self.counts.get(&slice);
@@ -81,7 +83,7 @@
         self.counts.get(&slice).map_or(0, |counts| counts.total)
     }
 
-    /// The slices that are kept, in order.
+    /// The stored slices in ascending order.
     pub fn slices(&self) -> impl Iterator<Item = Slice> {
         self.counts.keys().copied()
     }
--- a/crates/heavy-hitters/src/space_saving.rs
+++ b/crates/heavy-hitters/src/space_saving.rs
@@ -1,24 +1,25 @@
-//! The SpaceSaving sketch (Metwally, Agrawal, El Abbadi 2005) with weights.
+//! The SpaceSaving sketch (Metwally, Agrawal, El Abbadi 2005) for weighted additions.
 //!
-//! Invariant: for each listed key, `count - error <= true count <= count`; of any other key the true count is at most
+//! Invariant: for each listed key, `count - error <= true count <= count`. The true count of any other key is at most
 //! [`floor`](SpaceSaving::floor), which is at most the total divided by the capacity.
 //!
-//! The entries are indexed by a heap with the lightest entry on top and by key. An addition takes `O(log capacity)` steps, and
-//! memory is proportional to the capacity, about 60 bytes an entry. Equal counts are ordered by a hash with the salt, the
-//! same at every sender, so that all senders keep the same ones of keys that occurred once.
+//! The entries are indexed by key and by a heap with the lightest entry on top. An addition takes
+//! `O(log capacity)` swaps, and memory is proportional to the capacity, about 60 bytes an entry. Equal counts are
+//! ordered by a salted hash that is the same at all senders, so that all senders retain the same keys out of
+//! those that occurred once.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use crate::key::Key;
 
-/// Maximum count: sums over all slices of 65,535 senders fit into 63 bits.
+/// Maximum count, so that sums over all slices of 65,535 senders fit into 63 bits.
 pub(crate) const MAX_COUNT: u64 = 1 << 40;
 
 /// An entry of a sketch: the true count of the key is between `count - error` and `count`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SketchEntry {
-    /// The key.
+    /// The stream or idempotency key.
     pub key: Key,
     /// Upper bound of the key's count.
     pub count: u64,
@@ -26,7 +27,7 @@
     pub error: u64,
 }
 
-/// The heaviest keys of a stream of additions, in bounded memory.
+/// The heaviest keys of a sequence of weighted additions, in bounded memory.
 ///
 /// ```
 /// use rudderspindle_heavy_hitters::{Key, SketchEntry, SpaceSaving};
@@ -54,7 +55,7 @@
 }
 
 impl SpaceSaving {
-    /// An empty sketch of `capacity` entries (1 to 65,535); `salt` determines the order of equal counts.
+    /// Creates an empty sketch of `capacity` entries (1 to 65,535); `salt` determines the order of equal counts.
     #[must_use]
     pub fn new(capacity: usize, salt: u64) -> Self {
         let capacity = capacity.clamp(1, usize::from(u16::MAX));
@@ -69,14 +70,14 @@
         }
     }
 
-    /// Adds a weight to a key's count.
+    /// Adds a weight to the count of a key; beyond a total of 2^40, additions are ignored.
     pub fn add(&mut self, key: Key, weight: u64) {
-        self.add_counting_steps(key, weight);
+        self.add_counting_swaps(key, weight);
     }
 
-    /// As [`add`](Self::add); returns the number of heap steps.
-    pub(crate) fn add_counting_steps(&mut self, key: Key, weight: u64) -> usize {
-        // Nothing is counted beyond the maximum, so that all counts stay consistent.
+    /// Does the same as [`add`](Self::add), and returns the number of swaps in the heap.
+    pub(crate) fn add_counting_swaps(&mut self, key: Key, weight: u64) -> usize {
+        // The total is limited to the maximum, so that all counts stay consistent with it.
         let weight = weight.min(MAX_COUNT - self.total);
         if weight == 0 {
             return 0;
@@ -101,6 +102,7 @@
         self.sift_up(usize::from(index))
     }
 
+    /// Replaces the lightest entry by one for `key`, whose count may include the replaced key's count.
     fn replace_lightest(&mut self, key: Key, weight: u64) -> usize {
         let index = self.heap[0];
         let entry = &mut self.entries[usize::from(index)];
@@ -110,19 +112,19 @@
         self.sift_down(0)
     }
 
-    /// The sum of all weights that were added.
+    /// The sum of all weights that were added, at most 2^40.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Upper bound of the count of any key that is not listed.
+    /// Upper bound of the count of any key without an entry.
     #[must_use]
     pub fn floor(&self) -> u64 {
         if self.entries.len() < self.capacity { 0 } else { self.entries[usize::from(self.heap[0])].count }
     }
 
-    /// All entries, the heaviest first.
+    /// Returns all entries in descending order of their counts.
     #[must_use]
     pub fn heaviest(&self) -> Vec<SketchEntry> {
         let mut entries = self.entries.clone();
@@ -130,42 +132,45 @@
         entries
     }
 
-    /// Sort key of entries.
+    /// Sort key by which entries are ordered from the lightest to the heaviest.
     fn weight(&self, entry: &SketchEntry) -> (u64, Reverse<u64>, Key) {
         (entry.count, Reverse(entry.key.rank(self.salt)), entry.key)
     }
 
-    fn is_lighter(&self, position: usize, other: usize) -> bool {
+    /// Whether the entry at one heap position is lighter than the entry at another.
+    fn is_lighter(&self, position: usize, other_position: usize) -> bool {
         let entry = |position: usize| &self.entries[usize::from(self.heap[position])];
-        self.weight(entry(position)) < self.weight(entry(other))
+        self.weight(entry(position)) < self.weight(entry(other_position))
     }
 
-    fn swap(&mut self, position: usize, other: usize) {
-        self.heap.swap(position, other);
+    fn swap(&mut self, position: usize, other_position: usize) {
+        self.heap.swap(position, other_position);
         self.heap_positions[usize::from(self.heap[position])] = position as u16;
-        self.heap_positions[usize::from(self.heap[other])] = other as u16;
+        self.heap_positions[usize::from(self.heap[other_position])] = other_position as u16;
     }
 
+    /// Moves an entry up to its place in the heap; returns the number of swaps.
     fn sift_up(&mut self, mut position: usize) -> usize {
-        let mut steps = 0;
+        let mut swaps = 0;
         while position > 0 && self.is_lighter(position, (position - 1) / 2) {
             self.swap(position, (position - 1) / 2);
             position = (position - 1) / 2;
-            steps += 1;
+            swaps += 1;
         }
-        steps
+        swaps
     }
 
+    /// Moves an entry down to its place in the heap; returns the number of swaps.
     fn sift_down(&mut self, mut position: usize) -> usize {
-        let mut steps = 0;
+        let mut swaps = 0;
         while let Some(lightest) = self.lightest_child(position)
             && self.is_lighter(lightest, position)
         {
             self.swap(position, lightest);
             position = lightest;
-            steps += 1;
+            swaps += 1;
         }
-        steps
+        swaps
     }
 
     fn lightest_child(&self, position: usize) -> Option<usize> {
--- a/crates/heavy-hitters/src/tests/digest.rs
+++ b/crates/heavy-hitters/src/tests/digest.rs
@@ -1,4 +1,4 @@
-//! Bounds of digests.
+//! Size, bounds and consistency of digests.
 use std::collections::BTreeMap;
 
 use proptest::prelude::{prop, prop_assert, prop_assert_eq, proptest};
@@ -13,40 +13,42 @@
 
 proptest! {
     #[test]
-    fn a_digest_fits_a_datagram_and_bounds_every_key_of_its_slice(
-        flow in prop::collection::vec((0_u64..300, 1_u64..4_000), 0..500),
+    fn a_digest_fits_a_datagram_and_bounds_every_key(
+        additions in prop::collection::vec((0_u64..300, 1_u64..4_000), 0..500),
         incarnation: u64,
         slice in 5_u64..u64::MAX,
-        // Eight keys are all listed, 64 are not.
-        entries in prop::sample::select(vec![8, 64]),
+        // With 8 entries, a digest lists all of them; with 64, they do not fit.
+        sketch_capacity in prop::sample::select(vec![8, 64]),
     ) {
         let slice = Slice(slice);
-        let mut counts = SliceCounts::new(slice, entries);
-        let mut exact: BTreeMap<Key, u64> = BTreeMap::new();
-        for &(key, weight) in &flow {
+        let mut counts = SliceCounts::new(slice, sketch_capacity);
+        let mut true_counts: BTreeMap<Key, u64> = BTreeMap::new();
+        for &(key, weight) in &additions {
             counts.total += weight;
             counts.streams.add(Key::new(key), weight);
-            counts.keys.add(Key::new(key), weight);
-            *exact.entry(Key::new(key)).or_default() += weight;
+            counts.idempotency_keys.add(Key::new(key), weight);
+            *true_counts.entry(Key::new(key)).or_default() += weight;
         }
         let digest = Digest::new(Incarnation(incarnation), slice, &counts, true, Some(4));
         let bytes = GossipMessage::Digest(digest.clone()).encode();
         prop_assert!(bytes.len() <= MAX_BODY_LEN, "{} bytes", bytes.len());
         prop_assert_eq!(GossipMessage::decode(&bytes), Ok(GossipMessage::Digest(digest.clone())));
-        for list in [&digest.streams, &digest.keys] {
-            let listed: BTreeMap<Key, (u64, u64)> =
-                list.entries.iter().map(|entry| (entry.key, (entry.min, entry.min + entry.error))).collect();
-            let is_bounded = |(key, truth): (&Key, &u64)| {
-                let (min, max) = listed.get(key).copied().unwrap_or((0, list.max_unlisted));
-                min <= *truth && *truth <= max
+        for top_entries in [&digest.streams, &digest.idempotency_keys] {
+            let bounds_by_key: BTreeMap<Key, (u64, u64)> =
+                top_entries.entries.iter()
+                    .map(|entry| (entry.key, (entry.min, entry.min + entry.error))).collect();
+            let is_bounded = |(key, true_count): (&Key, &u64)| {
+                let (min, max) = bounds_by_key.get(key).copied().unwrap_or((0, top_entries.max_unlisted));
+                min <= *true_count && *true_count <= max
             };
-            prop_assert!(exact.iter().all(is_bounded));
+            prop_assert!(true_counts.iter().all(is_bounded));
         }
     }
 }
 
+/// A digest is inconsistent if a key is listed twice, or if an entry or the sum of all entries exceeds the total.
 #[test]
-fn a_digest_that_names_a_key_twice_or_more_than_its_total_is_refused() {
+fn a_digest_with_impossible_entries_is_inconsistent() {
     let slice = Slice(9);
     let mut digest = Digest::new(Incarnation(1), slice, &SliceCounts::new(slice, 16), true, None);
     let entry = |key, min, error| DigestEntry { key: Key::new(key), min, error };
--- a/crates/heavy-hitters/src/tests/key.rs
+++ b/crates/heavy-hitters/src/tests/key.rs
@@ -1,8 +1,9 @@
-//! The inputs of a key.
+//! Which inputs a key depends on.
 use crate::key::KeyHasher;
 
+/// The key depends on its kind, on where the tenant's name ends, and on the secret of the fleet.
 #[test]
-fn a_key_differs_by_kind_by_where_the_names_part_and_by_the_fleet() {
+fn different_inputs_have_different_keys() {
     let hasher = KeyHasher::new([1; 16]);
     assert_ne!(hasher.stream_key("a", "b"), hasher.idempotency_key("a", "b"));
     assert_ne!(hasher.stream_key("ab", "c"), hasher.stream_key("a", "bc"));
--- a/crates/heavy-hitters/src/tests/slice_counter.rs
+++ b/crates/heavy-hitters/src/tests/slice_counter.rs
@@ -1,4 +1,4 @@
-//! Clock steps.
+//! Behaviour of the slice counter when the clock is stepped.
 use proptest::prelude::{any, prop, prop_assert, prop_oneof, proptest};
 use rudderspindle_clock::UnixMillis;
 
@@ -9,7 +9,7 @@
 
 proptest! {
     #[test]
-    fn however_the_clock_steps_no_slice_is_kept_beyond_a_window(
+    fn no_slice_is_stored_beyond_a_window_after_clock_steps(
         steps in prop::collection::vec(prop_oneof![-20_000_i64..20_000, any::<i64>()], 1..200),
     ) {
         let settings = Settings::default();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_a_little_makes_no_published_total_smaller() {
+fn a_small_backward_clock_step_decreases_no_total() {
     let at = UnixMillis;
     let mut counter = SliceCounter::new(&Settings::default(), at(10_000), true);
     counter.record(at(12_000), Key::new(1), None);
--- a/crates/heavy-hitters/tests/invalid_datagrams.rs
+++ b/crates/heavy-hitters/tests/invalid_datagrams.rs
@@ -1,35 +1,42 @@
-//! Datagrams that must be rejected: from unknown senders, of other slices, and damaged ones.
+//! Rejection of invalid datagrams: from unknown senders, of slices outside the window, and damaged ones.
 
 mod simulation;
 
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_heavy_hitters::{DatagramError, Key, SenderId, Settings, aggregators};
-use simulation::traffic::accept;
-use simulation::{BEGIN_MS, DIGEST, Datagram, SUMMARY, Simulation};
+use simulation::traffic::accept_messages;
+use simulation::{BEGIN_MS, DIGEST_KIND, Datagram, SUMMARY_KIND, Simulation};
 
+/// Datagrams from unknown senders, outside the window or truncated are rejected; no damaged datagram causes a panic.
 #[test]
-fn datagrams_of_unknown_senders_of_other_times_and_damaged_ones_are_refused_without_a_panic() {
+fn invalid_datagrams_are_rejected_without_a_panic() {
     let mut simulation =
         Simulation::new(13, 20, Settings { max_per_second: 40, ..Settings::default() }, BEGIN_MS);
-    simulation.run(13_000, |simulation| accept(simulation, 9.0, 3.0, |_| true));
+    simulation.run(13_000, |simulation| accept_messages(simulation, 9.0, 3.0, |_| true));
     let (now_ms, selected) = (simulation.now_ms, aggregators(simulation.current_slice(), 20));
-    let last = |kind| {
+    let last_delivered = |kind| {
         simulation
             .delivered
             .iter()
             .rfind(|datagram| datagram.body[0] == kind)
-            .expect("both were sent")
+            .expect("both kinds of messages were delivered")
             .clone()
     };
-    let (digest, summary) = (last(DIGEST), last(SUMMARY));
+    let (digest, summary) = (last_delivered(DIGEST_KIND), last_delivered(SUMMARY_KIND));
     let is_selected = |sender: &SenderId| selected.contains(sender);
-    let other = (0..20).map(SenderId).find(|sender| !is_selected(sender)).expect("three are selected");
-    let reader = (0..20).map(SenderId).rfind(|sender| !is_selected(sender)).expect("three are selected");
+    let unselected = (0..20)
+        .map(SenderId)
+        .find(|sender| !is_selected(sender))
+        .expect("only three of 20 senders are selected");
+    let recipient = (0..20)
+        .map(SenderId)
+        .rfind(|sender| !is_selected(sender))
+        .expect("only three of 20 senders are selected");
     let receive = |at_ms, from, body: &[u8]| {
-        simulation.senders[reader.0].clone().receive(UnixMillis(at_ms), from, body)
+        simulation.senders[recipient.0].clone().receive(UnixMillis(at_ms), from, body)
     };
     assert_eq!(receive(now_ms, summary.from, &summary.body), Ok(()));
-    for unknown in [other, reader, SenderId(20)] {
+    for unknown in [unselected, recipient, SenderId(20)] {
         assert_eq!(receive(now_ms, unknown, &summary.body), Err(DatagramError::UnknownSender));
     }
     assert_eq!(receive(now_ms, digest.from, &digest.body), Err(DatagramError::UnknownSender));
@@ -41,25 +48,26 @@
     }
 }
 
-/// Each bit of a datagram flipped, and each prefix of it: rejected, or received without a panic.
+/// Flips each bit of a datagram, which must not cause a panic, and truncates it to each length, which must be
+/// rejected.
 fn assert_damage_is_harmless(simulation: &Simulation, datagram: &Datagram) {
     let Datagram { from, to, body } = datagram;
     let (now, later) = (simulation.now(), UnixMillis(simulation.now_ms + 10_000));
-    let mut refused = 0;
+    let mut rejected_count = 0;
     for index in 0..body.len() {
         for bit in 0..8 {
             let mut damaged = body.clone();
             damaged[index] ^= 1 << bit;
             let mut sender = simulation.senders[to.0].clone();
-            refused += usize::from(sender.receive(now, *from, &damaged).is_err());
-            // A consistent message is read, forwarded and used for decisions.
+            rejected_count += usize::from(sender.receive(now, *from, &damaged).is_err());
+            // An accepted message is used in replies and decisions, which must not panic either.
             let end_of_time = UnixMillis(u64::MAX);
             let _ = (sender.poll_datagrams(later), sender.repeated_key(Key::new(1), end_of_time));
             assert!(sender.hot_streams().count() <= 10);
         }
-        let cut = simulation.senders[to.0].clone().receive(now, *from, &body[..index]);
-        assert!(cut.is_err(), "cut at {index}");
+        let truncated = simulation.senders[to.0].clone().receive(now, *from, &body[..index]);
+        assert!(truncated.is_err(), "truncated to {index} bytes and not rejected");
     }
-    // Most flips change a key or a count to another valid one, which only the envelope's checksum detects.
-    assert!(refused > 0, "of {} damages", body.len() * 8);
+    // Most flips change a key or a count to another valid one, which only the checksum of the envelope detects.
+    assert!(rejected_count > 0, "none of {} bit flips was rejected", body.len() * 8);
 }
