--- a/crates/heavy-hitters/src/aggregator.rs
+++ b/crates/heavy-hitters/src/aggregator.rs
@@ -104,13 +104,13 @@
         let broadcast_round = BROADCAST_ROUNDS.into_iter().rfind(|broadcast| *broadcast <= round_index)?;
         let broadcast = Broadcast { slice, round_index: broadcast_round };
         let is_broadcast = self.last_broadcast != Some(broadcast) && self.store.register_count() > 0;
-        let due = self.due_publishers(Round::containing(now), is_broadcast);
-        if due.is_empty() && !is_broadcast {
+        let recipients = self.due_publishers(Round::containing(now), is_broadcast);
+        if recipients.is_empty() && !is_broadcast {
             return None;
         }
         self.last_broadcast = Some(broadcast);
         let summary = WindowSummary::new(slice, round_index as u8, &self.store.totals(slice));
-        let datagrams = due.into_iter().filter_map(|to| self.reply_to(to, &summary)).collect();
+        let datagrams = recipients.into_iter().filter_map(|to| self.reply_to(to, &summary)).collect();
         Some(AggregatorReply { summary, datagrams })
     }
 
--- a/crates/heavy-hitters/src/digest_store.rs
+++ b/crates/heavy-hitters/src/digest_store.rs
@@ -85,8 +85,8 @@
             return Err(DatagramError::StaleIncarnation);
         }
         if let Some(slices) = digest.started_slices_ago {
-            let started_in = digest.slice.minus(u64::from(slices));
-            complete_idle_slices(registers, current, started_in);
+            let start_slice = digest.slice.minus(u64::from(slices));
+            complete_idle_slices(registers, current, start_slice);
         }
         registers.entry(digest.slice).or_default().merge(digest);
         Ok(())
@@ -163,8 +163,8 @@
 
 /// Marks the slices of the window before the first start of a sender as complete and empty, except those with a
 /// digest.
-fn complete_idle_slices(registers: &mut BTreeMap<Slice, Register>, current: Slice, started_in: Slice) {
-    for slice in current.window_before().filter(|slice| *slice < started_in) {
+fn complete_idle_slices(registers: &mut BTreeMap<Slice, Register>, current: Slice, start_slice: Slice) {
+    for slice in current.window_before().filter(|slice| *slice < start_slice) {
         let register = registers.entry(slice).or_default();
         if register.is_untouched() {
             *register = Register { complete: true, ..Register::default() };
--- a/crates/heavy-hitters/src/hot_streams.rs
+++ b/crates/heavy-hitters/src/hot_streams.rs
@@ -37,8 +37,9 @@
     /// Records a view in which the stream was cool; returns whether the stream stays hot.
     fn record_cool_view(&mut self, slice: Slice) -> bool {
         // There is a gap if the windows of two views neither overlap nor are adjacent.
-        let continued = self.cool_period.filter(|period| slice.distance(period.last) <= SLICES_PER_WINDOW);
-        let first = continued.map_or(slice, |period| period.first);
+        let continued_period =
+            self.cool_period.filter(|period| slice.distance(period.last) <= SLICES_PER_WINDOW);
+        let first = continued_period.map_or(slice, |period| period.first);
         self.cool_period = Some(CoolPeriod { first, last: slice });
         slice < first.plus(SLICES_PER_WINDOW)
     }
--- a/crates/heavy-hitters/src/slice_counter.rs
+++ b/crates/heavy-hitters/src/slice_counter.rs
@@ -23,7 +23,7 @@
     slice_ms: u64,
     sketch_capacity: usize,
     /// The slice in which this process started.
-    started_in: Slice,
+    start_slice: Slice,
     /// Whether it is known that this sender accepted no message in the window before the start.
     idle_before: bool,
     counts: BTreeMap<Slice, SliceCounts>,
@@ -40,7 +40,7 @@
         Self {
             slice_ms,
             sketch_capacity: settings.entries,
-            started_in: Slice::containing(now, slice_ms),
+            start_slice: Slice::containing(now, slice_ms),
             idle_before,
             counts: BTreeMap::new(),
         }
@@ -65,13 +65,13 @@
     #[must_use]
     pub fn digest(&self, incarnation: Incarnation, slice: Slice) -> Option<Digest> {
         let counts = self.counts.get(&slice);
-        if counts.is_none() && slice < self.started_in {
+        if counts.is_none() && slice < self.start_slice {
             return None;
         }
-        let complete = slice > self.started_in || (slice == self.started_in && self.idle_before);
+        let complete = slice > self.start_slice || (slice == self.start_slice && self.idle_before);
         let started_slices_ago = slice
             .0
-            .checked_sub(self.started_in.0)
+            .checked_sub(self.start_slice.0)
             .filter(|slices| self.idle_before && *slices < SLICES_PER_WINDOW);
         let empty = SliceCounts::new(slice, 1);
         Some(Digest::new(incarnation, slice, counts.unwrap_or(&empty), complete, started_slices_ago))
--- a/crates/heavy-hitters/tests/faults.rs
+++ b/crates/heavy-hitters/tests/faults.rs
@@ -59,8 +59,8 @@
     }
     simulation.check_views();
     // A sender that receives no datagrams decides by its last view, not by its own sketch.
-    let oldest_recent = Slice(simulation.current_slice().0 - 10);
-    assert!(simulation.senders[0].view().is_some_and(|view| view.slices().end < oldest_recent));
+    let stale_before = Slice(simulation.current_slice().0 - 10);
+    assert!(simulation.senders[0].view().is_some_and(|view| view.slices().end < stale_before));
     // The senders are reachable again, and the heavy stream continues.
     simulation.isolated_senders.clear();
     simulation.run(14_000, |simulation| accept_messages(simulation, 9.0, 3.0, |_| true));
@@ -114,15 +114,16 @@
 fn an_aggregator_that_is_down_delays_views_once() {
     let mut simulation = Simulation::new(9, 60, settings(), BEGIN_MS);
     simulation.run(11_000, |simulation| accept_messages(simulation, 9.0, 0.0, |_| true));
-    let down = aggregators(simulation.current_slice(), 60)[0];
-    simulation.isolated_senders.insert(down);
+    let down_aggregator = aggregators(simulation.current_slice(), 60)[0];
+    simulation.isolated_senders.insert(down_aggregator);
     // The first check is 1.4 s into the next slice: the second aggregator was contacted after a second. In
     // later slices it is contacted immediately.
     for duration_ms in [2_400, 900 + 600, 2_000, 2_000] {
         simulation.run(duration_ms, |simulation| accept_messages(simulation, 9.0, 0.0, |_| true));
         let current = simulation.current_slice();
         let is_current = |(index, sender): (usize, &HeavyHitters)| {
-            SenderId(index) == down || sender.view().is_some_and(|view| view.slices().end == current)
+            SenderId(index) == down_aggregator
+                || sender.view().is_some_and(|view| view.slices().end == current)
         };
         assert!(simulation.senders.iter().enumerate().all(is_current), "{duration_ms}");
     }
