--- a/crates/gossip/src/tenant_usage/reading.rs
+++ b/crates/gossip/src/tenant_usage/reading.rs
@@ -23,7 +23,7 @@
 
 impl TenantUsage {
     /// Bounds on the number of messages of a tenant that all senders accepted in the epochs of
-    /// [`read_epochs`](super::read_epochs).
+    /// [`super::read_epochs`].
     ///
     /// The bounds change with received datagrams, a few times per second, and when the next epoch is read.
     pub fn read(&self, now: UnixMillis, tenant: u16, epochs: u64) -> UsageInterval {
