--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -108,7 +108,10 @@
         ("bytes too many", batch(1, 0.0, &[oversized])),
         ("cut short", batch(1, 0.0, &[record(18, &[&[0]])])),
         ("unreadable settings", batch(1, 0.0, &[start("{")])),
-        ("no class", batch(1, 0.0, &[start(&SETTINGS.replace("\"lanes\"", "\"lanez\""))])),
+        (
+            "settings.lanes is missing: must be a list with at least one class of message",
+            batch(1, 0.0, &[start(&SETTINGS.replace("\"lanes\"", "\"lanez\""))]),
+        ),
         ("calls_out", batch(1, 0.0, &[start(&SETTINGS.replace("calls_out", "calls"))])),
     ];
     for (expected, input) in cases {
