--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,7 +1,7 @@
 //! The simulator's binary protocol: batches of records in, replies with actions out.
 //!
-//! All integers and floating-point numbers are big-endian. Nothing here decides anything: records become the
-//! policy's events, and the policy's actions become bytes.
+//! All integers and floating-point numbers are big-endian. This module only translates: it decodes records into the
+//! policy's events and encodes the policy's actions.
 
 mod batch;
 mod error;
--- a/crates/simulator-adapter/src/frame/batch.rs
+++ b/crates/simulator-adapter/src/frame/batch.rs
@@ -1,4 +1,4 @@
-//! Reads batches: a header with the simulator's clock, then records.
+//! Reads batches: a header with the simulated time, then a body of records.
 
 use std::io::Read;
 
@@ -10,24 +10,25 @@
 
 /// Length of a batch's header, in bytes.
 const HEADER_LEN: usize = 20;
-/// Maximum length of a batch's body, in bytes; a header that announces more is malformed.
+/// Maximum length of a batch's body, in bytes; a header with a greater length is malformed.
 const MAX_BODY_LEN: usize = 1 << 30;
 
-/// Everything that happened at one moment of simulated time.
+/// The records of one moment of simulated time.
 #[derive(Debug)]
 pub struct Batch {
-    /// The batch's sequence number, which its reply repeats.
+    /// Sequence number of the batch, which the reply repeats.
     pub number: u32,
-    /// Simulated time, ms.
+    /// Simulated time, in milliseconds.
     pub now: Millis,
-    /// What happened, in order.
+    /// Records in the order in which they are applied.
     pub records: Vec<Record>,
 }
 
-/// The fields of a batch's header.
+/// The header of a batch.
 struct Header {
     number: u32,
     now: Millis,
+    /// Length of the body, in bytes.
     body_len: usize,
     record_count: u32,
 }
@@ -47,27 +48,27 @@
 
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER_LEN]>, ReadBatchError> {
     let mut header = [0; HEADER_LEN];
-    let mut filled = 0;
-    while filled < HEADER_LEN {
-        match input.read(&mut header[filled..])? {
-            0 if filled == 0 => return Ok(None),
+    let mut read_len = 0;
+    while read_len < HEADER_LEN {
+        match input.read(&mut header[read_len..])? {
+            0 if read_len == 0 => return Ok(None),
             0 => return Err(MalformedFrame::TruncatedHeader.into()),
-            count => filled += count,
+            count => read_len += count,
         }
     }
     Ok(Some(header))
 }
 
 fn decode_header(bytes: &[u8]) -> Result<Header, MalformedFrame> {
-    let mut fields = FieldReader::new(bytes, "header");
+    let mut reader = FieldReader::new(bytes, "header");
     let header = Header {
-        number: fields.u32()?,
-        now: fields.f64()?,
-        body_len: fields.u32()? as usize,
-        record_count: fields.u32()?,
+        number: reader.u32()?,
+        now: reader.f64()?,
+        body_len: reader.u32()? as usize,
+        record_count: reader.u32()?,
     };
     if header.body_len > MAX_BODY_LEN {
-        return Err(MalformedFrame::BatchTooLong { length: header.body_len });
+        return Err(MalformedFrame::BodyTooLong { length: header.body_len });
     }
     Ok(header)
 }
@@ -76,20 +77,20 @@
     let mut body = Vec::new();
     input.take(length as u64).read_to_end(&mut body)?;
     if body.len() < length {
-        return Err(MalformedFrame::TruncatedBatch.into());
+        return Err(MalformedFrame::TruncatedBody.into());
     }
     Ok(body)
 }
 
 fn decode_body(body: &[u8], record_count: u32) -> Result<Vec<Record>, MalformedFrame> {
-    let mut rest = FieldReader::new(body, "batch");
+    let mut reader = FieldReader::new(body, "body");
     let mut records = Vec::new();
     for _ in 0..record_count {
-        let code = rest.u8()?;
-        let length = rest.u32()? as usize;
-        let bytes = rest.take(length)?;
+        let code = reader.u8()?;
+        let length = reader.u32()? as usize;
+        let bytes = reader.take(length)?;
         records.push(record::decode(code, bytes)?);
     }
-    rest.finish()?;
+    reader.finish()?;
     Ok(records)
 }
--- a/crates/simulator-adapter/src/frame/record.rs
+++ b/crates/simulator-adapter/src/frame/record.rs
@@ -1,4 +1,4 @@
-//! The records of a batch: their codes, and which group decodes each.
+//! The records of a batch, and the codes by which they are decoded.
 
 mod instances;
 mod lists;
@@ -9,6 +9,7 @@
 use super::MalformedFrame;
 use super::fields::FieldReader;
 
+// Codes of the records.
 const HEALTH_CHECKED: u8 = 16;
 const MESSAGE: u8 = 17;
 const POWER_OFF: u8 = 18;
@@ -21,7 +22,7 @@
 const STARTED: u8 = 25;
 const DROPPED: u8 = 26;
 
-/// Identifies one simulated sender.
+/// Identifies one instance: a simulated sender with its own policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceId(pub u32);
 
@@ -32,51 +33,42 @@
 /// A decoded record.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// A sender starts without any state.
+    /// An instance starts without state.
     Start {
-        /// The sender.
         instance: InstanceId,
-        /// Seed of its random draws.
+        /// Seed of the policy's random numbers.
         seed: u64,
-        /// Its settings, JSON.
+        /// Settings of the policy, JSON.
         settings: Vec<u8>,
     },
-    /// A sender stops; its state is lost.
-    PowerOff {
-        /// The sender.
-        instance: InstanceId,
-    },
+    /// An instance stops and loses its state.
+    PowerOff { instance: InstanceId },
     /// Defines or replaces an endpoint list.
     List {
-        /// The list.
+        /// Identifier by which updates refer to the list.
         list: ListId,
-        /// Its entries.
+        /// All routes of the list.
         entries: Vec<RouteEntry>,
     },
-    /// A sender's discovery reports a list, or a failure to get one.
+    /// The discovery of an instance returns a list or fails.
     ListUpdate {
-        /// The sender.
         instance: InstanceId,
-        /// How the list changes what the sender has; one of the `LIST_*` codes of the host.
+        /// How the list is applied: one of the `LIST_UPDATE_*` codes of the host.
         kind: u8,
-        /// The list.
+        /// List to apply; ignored if discovery failed.
         list: ListId,
     },
-    /// An event of a sender's policy.
-    Event {
-        /// The sender.
-        instance: InstanceId,
-        /// The event.
-        event: Event,
-    },
-    /// A datagram from another sender. The policy neither sends nor reads any on this protocol.
+    /// An event for the policy of an instance.
+    Event { instance: InstanceId, event: Event },
+    /// A datagram from another instance; its content is ignored because the policy uses no datagrams on this
+    /// protocol.
     Peer {
-        /// The receiving sender.
+        /// Instance that received the datagram.
         instance: InstanceId,
     },
 }
 
-/// Decodes the fields of a record with this code; all bytes must be used.
+/// Decodes a record; `bytes` must contain its fields and nothing else.
 pub(super) fn decode(code: u8, bytes: &[u8]) -> Result<Record, MalformedFrame> {
     let mut fields = FieldReader::new(bytes, "record");
     let record = match code {
@@ -101,7 +93,7 @@
     Ok(InstanceId(fields.u32()?))
 }
 
-/// An attempt's outcome, which the protocol writes like an HTTP status.
+/// Reads the outcome of an attempt or health check, which is encoded like an HTTP status.
 fn attempt_outcome(fields: &mut FieldReader<'_>) -> Result<Outcome, MalformedFrame> {
     match fields.u16()? {
         200 => Ok(Outcome::Ok),
--- a/crates/simulator-adapter/src/frame/record/instances.rs
+++ b/crates/simulator-adapter/src/frame/record/instances.rs
@@ -1,4 +1,4 @@
-//! Records of a sender's life cycle, its timer, its health checks and its peers.
+//! Records of an instance's start and stop, timer, health checks and datagrams.
 
 use rudderspindle_policy::interface::Event;
 
@@ -28,7 +28,7 @@
     let instance = instance_id(fields)?;
     let route = fields.route()?;
     let outcome = attempt_outcome(fields)?;
-    // How long the check took.
+    // Duration of the health check.
     fields.skip_f64()?;
     fields.skip_load()?;
     Ok(Record::Event { instance, event: Event::HealthChecked { route, outcome } })
--- a/crates/simulator-adapter/src/frame/record/lists.rs
+++ b/crates/simulator-adapter/src/frame/record/lists.rs
@@ -8,8 +8,8 @@
 
 pub(super) fn list(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
     let list = ListId(fields.u32()?);
-    let count = fields.u32()?;
-    let entries = (0..count).map(|_| route_entry(fields)).collect::<Result<_, _>>()?;
+    let entry_count = fields.u32()?;
+    let entries = (0..entry_count).map(|_| route_entry(fields)).collect::<Result<_, _>>()?;
     Ok(Record::List { list, entries })
 }
 
--- a/crates/simulator-adapter/src/frame/record/messages.rs
+++ b/crates/simulator-adapter/src/frame/record/messages.rs
@@ -6,7 +6,7 @@
 use super::super::fields::FieldReader;
 use super::{Record, attempt_outcome, instance_id};
 
-/// Bit of a message's options that says that its work estimate is valid.
+/// Bit of a message's options that is set if the message has a work estimate.
 const HAS_WORK_ESTIMATE: u8 = 1;
 
 pub(super) fn message(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
@@ -43,7 +43,7 @@
     let outcome = attempt_outcome(fields)?;
     let _route = fields.route()?;
     fields.skip_load()?;
-    // Only for a rejection is the detail a Retry-After, ms.
+    // The detail is a Retry-After in milliseconds only if the attempt was rejected.
     let retry_after = if outcome == Outcome::Rejected { f64::from(detail) } else { 0.0 };
     let result = AttemptResult { id, attempt, outcome, retry_after, completed };
     Ok(Record::Event { instance, event: Event::Outcome(result) })
@@ -59,7 +59,7 @@
     Ok(MessageHandle(fields.u32()?))
 }
 
-/// A destination's number, which the protocol writes as a floating-point number.
+/// Reads the number of a destination, which is encoded as a floating-point number.
 fn destination(fields: &mut FieldReader<'_>) -> Result<DestinationId, MalformedFrame> {
     let value = fields.f32()?;
     if value.fract() == 0.0 && (0.0..=f32::from(u16::MAX)).contains(&value) {
--- a/crates/simulator-adapter/src/frame/reply.rs
+++ b/crates/simulator-adapter/src/frame/reply.rs
@@ -1,9 +1,10 @@
-//! Encodes the reply to a batch: a header, then the senders' actions.
+//! Encodes the reply to a batch: a header, then the actions of all instances.
 
 use rudderspindle_policy::interface::{Action, RouteId};
 
 use super::InstanceId;
 
+// Codes of the actions.
 const SEND: u8 = 80;
 const REFUSE: u8 = 81;
 const FAIL: u8 = 82;
@@ -12,7 +13,7 @@
 const HEALTH_CHECK: u8 = 85;
 const SUBSCRIBE: u8 = 90;
 
-/// The value of a subscription's only field: subscribe, rather than end a subscription.
+/// Value of the only field of `SUBSCRIBE`: the subscription begins.
 const SUBSCRIBED: u8 = 1;
 
 /// A reply under construction.
@@ -23,9 +24,9 @@
 }
 
 impl Reply {
-    /// Appends an action of a sender.
+    /// Appends an action of an instance.
     ///
-    /// [`Action::PersistOutage`] is left out: what a simulated sender remembers is lost when it stops.
+    /// [`Action::PersistOutage`] is omitted because a simulated sender keeps no state when it stops.
     pub fn push(&mut self, instance: InstanceId, action: &Action) {
         let mut fields = instance.0.to_be_bytes().to_vec();
         let code = match *action {
@@ -64,17 +65,17 @@
             }
             Action::PersistOutage { .. } => return,
         };
-        self.push_record(code, &fields);
+        self.push_encoded(code, &fields);
     }
 
-    fn push_record(&mut self, code: u8, fields: &[u8]) {
+    fn push_encoded(&mut self, code: u8, fields: &[u8]) {
         self.body.push(code);
         self.body.extend((fields.len() as u32).to_be_bytes());
         self.body.extend(fields);
         self.action_count += 1;
     }
 
-    /// The encoded reply to the batch with this sequence number.
+    /// Encodes the reply to the batch with the sequence number `batch_number`.
     pub fn to_bytes(&self, batch_number: u32) -> Vec<u8> {
         let mut bytes = batch_number.to_be_bytes().to_vec();
         bytes.extend(self.action_count.to_be_bytes());
@@ -84,7 +85,7 @@
     }
 }
 
-/// A route's IPv4 address and port; see `FieldReader::route`.
+/// The IPv4 address and port that a route consists of; `FieldReader::route` is the inverse.
 fn address_and_port(route: RouteId) -> [u8; 6] {
     let [_, _, address_and_port @ ..] = route.0.to_be_bytes();
     address_and_port
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts many simulated senders: hands each its events and collects its actions.
+//! Runs the policies of many simulated senders: passes each policy its events and collects its actions.
 
 use std::collections::BTreeMap;
 
@@ -9,57 +9,58 @@
 
 use crate::frame::{Batch, InstanceId, ListId, MalformedFrame, Record, Reply};
 
-const LIST_FULL: u8 = 0;
-const LIST_FAILED: u8 = 1;
-const LIST_DELTA: u8 = 2;
-const LIST_CACHED: u8 = 4;
+// Codes of the kinds of list updates.
+const LIST_UPDATE_FULL: u8 = 0;
+const LIST_UPDATE_FAILED: u8 = 1;
+const LIST_UPDATE_DELTA: u8 = 2;
+const LIST_UPDATE_CACHED: u8 = 4;
 
-/// Events of one batch, by sender; a sender without any is still handled at the batch's time.
+/// Events of one batch by instance; the policy of an instance with an empty list is called too.
 type PendingEvents = BTreeMap<InstanceId, Vec<Event>>;
 
 /// Why a batch could not be answered.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// A sender's settings cannot be parsed.
+    /// The settings of an instance cannot be parsed.
     #[error(transparent)]
     UnreadableSettings(#[from] settings::ReadError),
-    /// A sender's settings are out of range.
-    #[error("unreadable settings: {0}")]
+    /// The settings of an instance are out of range.
+    #[error("invalid settings: {0}")]
     InvalidSettings(#[from] SettingsError),
-    /// A list update is malformed.
+    /// A list update has an unknown kind or refers to an undefined list.
     #[error(transparent)]
     Malformed(#[from] MalformedFrame),
 }
 
-/// The simulated senders, and the endpoint lists that records have defined.
+/// The policies of the running instances, and the endpoint lists that records have defined.
 #[derive(Default)]
 pub struct Host {
-    senders: BTreeMap<InstanceId, Policy>,
+    policies: BTreeMap<InstanceId, Policy>,
     lists: BTreeMap<ListId, Vec<RouteEntry>>,
 }
 
 impl Host {
-    /// Applies the records of a batch in order, then calls each sender that they concern once.
+    /// Applies the records of a batch in order, then calls the policy of each instance in the batch once.
     ///
     /// # Errors
     ///
-    /// [`HostError`] if a sender's settings do not work or a list update is malformed.
-    pub fn answer(&mut self, batch: Batch) -> Result<Reply, HostError> {
+    /// [`HostError`] if the settings of an instance or a list update are invalid.
+    pub fn handle_batch(&mut self, batch: Batch) -> Result<Reply, HostError> {
         let mut pending = PendingEvents::new();
         for record in batch.records {
-            self.apply(record, &mut pending)?;
+            self.apply_record(record, &mut pending)?;
         }
-        Ok(self.decide(batch.now, pending))
+        Ok(self.call_policies(batch.now, pending))
     }
 
-    fn apply(&mut self, record: Record, pending: &mut PendingEvents) -> Result<(), HostError> {
+    fn apply_record(&mut self, record: Record, pending: &mut PendingEvents) -> Result<(), HostError> {
         match record {
             Record::Start { instance, seed, settings } => {
-                self.senders.insert(instance, Policy::new(settings::parse(&settings)?, seed)?);
+                self.policies.insert(instance, Policy::new(settings::parse(&settings)?, seed)?);
                 pending.insert(instance, Vec::new());
             }
             Record::PowerOff { instance } => {
-                self.senders.remove(&instance);
+                self.policies.remove(&instance);
                 pending.remove(&instance);
             }
             Record::List { list, entries } => {
@@ -79,24 +80,24 @@
 
     fn list_change(&self, kind: u8, list: ListId) -> Result<ListChange, MalformedFrame> {
         match kind {
-            LIST_FULL => Ok(ListChange::Full(self.entries(list)?)),
-            LIST_FAILED => Ok(ListChange::Failed),
-            LIST_DELTA => Ok(ListChange::Delta(self.entries(list)?)),
-            LIST_CACHED => Ok(ListChange::Cached(self.entries(list)?)),
-            unknown => Err(MalformedFrame::UnknownListUpdate(unknown)),
+            LIST_UPDATE_FULL => Ok(ListChange::Full(self.list_entries(list)?)),
+            LIST_UPDATE_FAILED => Ok(ListChange::Failed),
+            LIST_UPDATE_DELTA => Ok(ListChange::Delta(self.list_entries(list)?)),
+            LIST_UPDATE_CACHED => Ok(ListChange::Cached(self.list_entries(list)?)),
+            unknown => Err(MalformedFrame::UnknownListUpdateKind(unknown)),
         }
     }
 
-    fn entries(&self, list: ListId) -> Result<Vec<RouteEntry>, MalformedFrame> {
+    fn list_entries(&self, list: ListId) -> Result<Vec<RouteEntry>, MalformedFrame> {
         self.lists.get(&list).cloned().ok_or(MalformedFrame::UndefinedList(list.0))
     }
 
-    fn decide(&mut self, now: Millis, pending: PendingEvents) -> Reply {
+    fn call_policies(&mut self, now: Millis, pending: PendingEvents) -> Reply {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
         for (instance, events) in pending {
-            let Some(sender) = self.senders.get_mut(&instance) else { continue };
-            sender.handle(now, &events, &mut actions);
+            let Some(policy) = self.policies.get_mut(&instance) else { continue };
+            policy.handle(now, &events, &mut actions);
             for action in actions.drain(..) {
                 reply.push(instance, &action);
             }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! Runs many senders' policies on a simulator's wire: batches on standard input, replies on standard output.
+//! Runs the policies of many simulated senders: reads batches from standard input, writes replies to standard output.
 //!
-//! Exit status 0 at the end of input; 1 with one line on standard error if the input is malformed.
+//! Exits with status 0 at the end of input, and with status 1 and one line on standard error after an error.
 #![forbid(unsafe_code)]
 
 mod frame;
@@ -14,8 +14,8 @@
 use frame::ReadBatchError;
 use host::{Host, HostError};
 
-/// Capacity of the buffer before standard input, in bytes.
-const INPUT_BUFFER_LEN: usize = 1 << 16;
+/// Capacity of the buffer for standard input, in bytes.
+const INPUT_BUFFER_CAPACITY: usize = 1 << 16;
 
 /// Why the program stopped before the end of input.
 #[derive(Debug, Error)]
@@ -23,7 +23,7 @@
     /// The next batch could not be read.
     #[error(transparent)]
     Read(#[from] ReadBatchError),
-    /// A batch could not be answered.
+    /// A batch could not be handled.
     #[error(transparent)]
     Host(#[from] HostError),
     /// The reply could not be written.
@@ -42,13 +42,13 @@
 }
 
 fn run() -> Result<(), RunError> {
-    let mut input = BufReader::with_capacity(INPUT_BUFFER_LEN, io::stdin().lock());
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_CAPACITY, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut host = Host::default();
     while let Some(batch) = frame::read_batch(&mut input)? {
-        let number = batch.number;
-        let reply = host.answer(batch)?;
-        output.write_all(&reply.to_bytes(number))?;
+        let batch_number = batch.number;
+        let reply = host.handle_batch(batch)?;
+        output.write_all(&reply.to_bytes(batch_number))?;
         output.flush()?;
     }
     Ok(())
--- a/crates/simulator-adapter/tests/replay/main.rs
+++ b/crates/simulator-adapter/tests/replay/main.rs
@@ -1,8 +1,6 @@
-//! Sessions from fixed seeds played to the built adapter: its replies are, byte for byte, those of the golden
-//! files.
+//! Plays sessions with fixed seeds to the built adapter and compares its replies with golden files, byte for byte.
 //!
-//! The simulated host is that of the policy's own replay; here it has only the inputs that the wire has
-//! records for.
+//! The simulated host is that of the policy's replay test, limited to the inputs for which the protocol has records.
 
 mod wire;
 
@@ -34,9 +32,9 @@
     }
 }
 
-static RECORDINGS: LazyLock<Vec<Recording>> = LazyLock::new(|| SESSIONS.iter().map(record).collect());
+static RECORDINGS: LazyLock<Vec<Recording>> = LazyLock::new(|| SESSIONS.iter().map(record_session).collect());
 
-fn record(session: &Session) -> Recording {
+fn record_session(session: &Session) -> Recording {
     let mut process = AdapterProcess::start();
     let recording = play(session, &mut process);
     process.finish();
@@ -52,7 +50,7 @@
 }
 
 #[test]
-fn the_sessions_tell_every_event_and_get_every_action_that_the_wire_has() {
+fn the_sessions_cover_every_input_and_output_of_the_protocol() {
     let kinds = [
         "input up",
         "input power-off",
@@ -83,15 +81,15 @@
         "output subscribe",
     ];
     assert_eq!(missing_kinds(&RECORDINGS, &kinds), [""; 0]);
-    // The wire has a record for health checks, but the policy asks for none.
+    // The protocol has an action for health checks, but the policy never returns it.
     assert_eq!(missing_kinds(&RECORDINGS, &["output probe"]), ["output probe"]);
 }
 
 #[test]
-fn every_session_sends_refuses_fails_and_asks_to_be_woken() {
+fn each_session_contains_send_refuse_fail_and_wake() {
     for recording in RECORDINGS.iter() {
-        let one = std::slice::from_ref(recording);
+        let single_recording = std::slice::from_ref(recording);
         let kinds = ["output send", "output refuse", "output fail", "output wake", "input outcome ok"];
-        assert_eq!(missing_kinds(one, &kinds), [""; 0], "session {}", recording.name);
+        assert_eq!(missing_kinds(single_recording, &kinds), [""; 0], "session {}", recording.name);
     }
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The built adapter on its wire: frames in, replies out, malformed input.
+//! Runs the built adapter as a process: valid batches, malformed input and the end of input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -17,38 +17,39 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // A failed adapter closes its input early: its exit status and standard error are what the tests check.
+    // The write fails if the adapter exits early; the tests check its exit status and standard error instead.
     let _ = child.stdin.take().expect("piped").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn record(code: u8, fields: &[&[u8]]) -> Vec<u8> {
+fn encode_record(code: u8, fields: &[&[u8]]) -> Vec<u8> {
     let body = fields.concat();
     [&[code][..], &(body.len() as u32).to_be_bytes(), &body].concat()
 }
 
-fn batch(number: u32, now: f64, records: &[Vec<u8>]) -> Vec<u8> {
+fn encode_batch(batch_number: u32, now: f64, records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
     let (length, count) = (body.len() as u32, records.len() as u32);
     let header: [&[u8]; 4] =
-        [&number.to_be_bytes(), &now.to_be_bytes(), &length.to_be_bytes(), &count.to_be_bytes()];
+        [&batch_number.to_be_bytes(), &now.to_be_bytes(), &length.to_be_bytes(), &count.to_be_bytes()];
     [&header.concat()[..], &body].concat()
 }
 
-fn start(settings: &str) -> Vec<u8> {
+fn encode_start(settings: &str) -> Vec<u8> {
     let length = (settings.len() as u32).to_be_bytes();
-    record(24, &[&3u32.to_be_bytes(), &7u64.to_be_bytes(), &length, settings.as_bytes()])
+    encode_record(24, &[&3u32.to_be_bytes(), &7u64.to_be_bytes(), &length, settings.as_bytes()])
 }
 
+/// IPv4 address and port of a receiver.
 const RECEIVER: [u8; 6] = [10, 18, 74, 7, 0x2b, 0xc3];
 
-/// A sender that starts, gets its list and then a message.
+/// An instance starts, receives an endpoint list with one route and then a message.
 fn first_batch() -> Vec<u8> {
     let entry: [&[u8]; 7] =
         [&RECEIVER, &[0], &[0, 0], &[0, 57], &[1], &4f32.to_be_bytes(), &0f64.to_be_bytes()];
     let one = 1u32.to_be_bytes();
-    let list = record(20, &[&0u32.to_be_bytes(), &one, &entry.concat()]);
-    let update = record(22, &[&3u32.to_be_bytes(), &[4], &one, &0u32.to_be_bytes()]);
+    let list = encode_record(20, &[&0u32.to_be_bytes(), &one, &entry.concat()]);
+    let update = encode_record(22, &[&3u32.to_be_bytes(), &[4], &one, &0u32.to_be_bytes()]);
     let message: [&[u8]; 9] = [
         &3u32.to_be_bytes(),
         &77u32.to_be_bytes(),
@@ -60,15 +61,20 @@
         &57f32.to_be_bytes(),
         &[0],
     ];
-    batch(1, 1000.0, &[start(SETTINGS), list, update, record(17, &message)])
+    encode_batch(1, 1000.0, &[encode_start(SETTINGS), list, update, encode_record(17, &message)])
 }
 
+/// The settings contain the unknown key `novel`, which is ignored.
 #[test]
-fn a_message_is_sent_to_the_route_on_the_list_and_unknown_settings_are_skipped() {
+fn a_message_is_sent_to_the_only_route_of_the_list() {
     let out = run_adapter(&first_batch());
     assert!(out.status.success(), "{out:?}");
     let reply = &out.stdout;
-    assert_eq!(reply[0..8], [0, 0, 0, 1, 0, 0, 0, 1], "a send, and nothing due that needs a wake-up");
+    assert_eq!(
+        reply[0..8],
+        [0, 0, 0, 1, 0, 0, 0, 1],
+        "batch 1 is answered with one action, a send; no wake-up is needed"
+    );
     let body = &reply[12..];
     assert_eq!(body[0], 80);
     assert_eq!(body[5..9], 3u32.to_be_bytes());
@@ -76,9 +82,10 @@
     assert_eq!(body[13..19], RECEIVER);
 }
 
+/// An outcome and a power-off in one batch return no action, and neither does a wake-up after that.
 #[test]
-fn an_outcome_round_trips_and_a_dead_instance_is_silent() {
-    let response: [&[u8]; 9] = [
+fn a_stopped_instance_returns_no_actions() {
+    let outcome: [&[u8]; 9] = [
         &3u32.to_be_bytes(),
         &77u32.to_be_bytes(),
         &12f64.to_be_bytes(),
@@ -89,8 +96,9 @@
         &RECEIVER,
         &[0],
     ];
-    let second = batch(2, 1012.0, &[record(23, &response), record(18, &[&3u32.to_be_bytes()])]);
-    let third = batch(3, 1020.0, &[record(19, &[&3u32.to_be_bytes(), &1u64.to_be_bytes()])]);
+    let second =
+        encode_batch(2, 1012.0, &[encode_record(23, &outcome), encode_record(18, &[&3u32.to_be_bytes()])]);
+    let third = encode_batch(3, 1020.0, &[encode_record(19, &[&3u32.to_be_bytes(), &1u64.to_be_bytes()])]);
     let out = run_adapter(&[first_batch(), second, third].concat());
     assert!(out.status.success(), "{out:?}");
     let tail = &out.stdout[out.stdout.len() - 24..];
@@ -98,21 +106,21 @@
 }
 
 #[test]
-fn malformed_input_ends_in_one_line_and_a_failure() {
-    let good = first_batch();
-    let oversized = [&record(18, &[&3u32.to_be_bytes(), &[0]])[..]].concat();
+fn malformed_input_exits_1_with_one_line_on_standard_error() {
+    let valid = first_batch();
+    let with_extra_byte = [&encode_record(18, &[&3u32.to_be_bytes(), &[0]])[..]].concat();
     let cases: Vec<(&str, Vec<u8>)> = vec![
-        ("input ends inside a header", good[..7].to_vec()),
-        ("input ends inside a batch", good[..good.len() - 1].to_vec()),
-        ("unknown record code 99", batch(1, 0.0, &[record(99, &[])])),
-        ("bytes too many", batch(1, 0.0, &[oversized])),
-        ("cut short", batch(1, 0.0, &[record(18, &[&[0]])])),
-        ("unreadable settings", batch(1, 0.0, &[start("{")])),
+        ("input ends inside the 20 bytes of a header", valid[..7].to_vec()),
+        ("input ends before the body has the length in its header", valid[..valid.len() - 1].to_vec()),
+        ("record code is 99: must be from 16 to 26", encode_batch(1, 0.0, &[encode_record(99, &[])])),
+        ("record has 1 bytes after its last field", encode_batch(1, 0.0, &[with_extra_byte])),
+        ("record ends inside a field", encode_batch(1, 0.0, &[encode_record(18, &[&[0]])])),
+        ("unreadable settings", encode_batch(1, 0.0, &[encode_start("{")])),
         (
             "settings.lanes is missing: must be a list with at least one class of message",
-            batch(1, 0.0, &[start(&SETTINGS.replace("\"lanes\"", "\"lanez\""))]),
+            encode_batch(1, 0.0, &[encode_start(&SETTINGS.replace("\"lanes\"", "\"lanez\""))]),
         ),
-        ("calls_out", batch(1, 0.0, &[start(&SETTINGS.replace("calls_out", "calls"))])),
+        ("calls_out", encode_batch(1, 0.0, &[encode_start(&SETTINGS.replace("calls_out", "calls"))])),
     ];
     for (expected, input) in cases {
         let out = run_adapter(&input);
@@ -124,7 +132,7 @@
 }
 
 #[test]
-fn the_end_of_input_is_success() {
+fn end_of_input_exits_0_without_output() {
     let out = run_adapter(&[]);
     assert!(out.status.success() && out.stdout.is_empty() && out.stderr.is_empty(), "{out:?}");
 }
