--- a/crates/http2/src/client.rs
+++ b/crates/http2/src/client.rs
@@ -1,4 +1,4 @@
-//! Asynchronous client for one endpoint of a push gateway: drives [`crate::pool`] over `h2`.
+//! Asynchronous client for one endpoint of a push gateway: sends the calls that [`crate::pool`] places over `h2`.
 //!
 //! Single-threaded: every type here belongs to the tasks of one [`tokio::task::LocalSet`].
 
@@ -22,37 +22,37 @@
 use connections::Connections;
 use exchange::Exchange;
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// How its stream ended.
+    /// How the stream of the call ended.
     pub stream: StreamOutcome,
     /// Whether the last byte of the request was handed to the connection.
     pub request_complete: bool,
 }
 
 impl CallOutcome {
-    /// The outcome of a call for which no stream was opened.
+    /// Outcome of a call without a stream.
     const NOT_OPENED: Self = Self { stream: StreamOutcome::NotOpened, request_complete: false };
 }
 
 /// Deadlines of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallDeadlines {
-    /// When the client stops waiting for the response.
+    /// Deadline of the response: the client stops waiting for it then.
     pub response: Instant,
-    /// When the client stops sending: a request that is incomplete by then is never completed.
+    /// Deadline of the last byte of the request: a request that is incomplete by then is never completed.
     pub request: Instant,
 }
 
 impl CallDeadlines {
-    /// When the client stops sending because either deadline has passed.
-    fn sending(&self) -> Instant {
+    /// The earlier of the two deadlines, at which the client stops sending.
+    fn earlier(&self) -> Instant {
         self.response.min(self.request)
     }
 }
 
-/// One endpoint of a push gateway and the connections to it, which are opened by `Connect`.
+/// One endpoint of a push gateway and the connections to it; `Connect` opens the transport of a connection.
 pub struct Endpoint<Connect> {
     connect: Connect,
     connect_timeout: Duration,
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Calls that can start now, or as soon as a connection that may be opened is established.
+    /// Number of calls that can start now, or as soon as a connection that may be opened is established.
     pub fn available_slots(&self) -> usize {
         self.connections.refresh();
         self.connections.available_slots()
@@ -87,14 +87,14 @@
     ///
     /// # Panics
     ///
-    /// Outside of a [`tokio::task::LocalSet`], as it may spawn the task of a connection.
+    /// If called outside a [`tokio::task::LocalSet`], because the task of a connection may have to be spawned.
     pub async fn call(
         self: &Rc<Self>,
         request: Request<()>,
         body: Bytes,
         deadlines: CallDeadlines,
     ) -> CallOutcome {
-        let Some(id) = self.acquire_connection(deadlines.sending()).await else {
+        let Some(id) = self.acquire_connection(deadlines.earlier()).await else {
             return CallOutcome::NOT_OPENED;
         };
         let Some(handle) = self.connections.handle(id) else {
@@ -111,19 +111,19 @@
 
     /// Waits for a connection with a free stream slot.
     ///
-    /// Returns `None` if there is none until `deadline`, or if the endpoint failed to open a connection meanwhile.
+    /// Returns `None` if `deadline` passes first, or if the endpoint fails to open a connection meanwhile.
     async fn acquire_connection(self: &Rc<Self>, deadline: Instant) -> Option<ConnectionId> {
         let failed_connects = self.connections.failed_connects();
         loop {
-            // Registered before the state is read, so that no change in between is missed.
-            let changed = self.connections.changed.notified();
+            // The notification is registered before the pool is read, so that no change in between is missed.
+            let slots_changed = self.connections.slots_changed.notified();
             self.connections.refresh();
             match self.connections.place_call() {
                 Placement::Existing(id) => return Some(id),
                 Placement::Open(_) => self.spawn_connection(),
                 Placement::Wait => {}
             }
-            timeout_at(deadline, changed).await.ok()?;
+            timeout_at(deadline, slots_changed).await.ok()?;
             if self.connections.failed_connects() != failed_connects {
                 return None;
             }
@@ -132,8 +132,8 @@
 
     /// Starts the task that opens a connection and drives it.
     ///
-    /// The task is detached and holds the endpoint alive. It ends with its connection: when connecting fails, when the
-    /// connection is lost, or when the pool has it closed or aborted. It is cancelled with the `LocalSet` it runs on.
+    /// The task is detached and keeps the endpoint alive. The task ends when connecting fails, when the connection is
+    /// lost, or when the pool closes or aborts the connection. The task is cancelled with its `LocalSet`.
     fn spawn_connection(self: &Rc<Self>) {
         self.connections.connect_started();
         let endpoint = self.clone();
@@ -142,8 +142,8 @@
 
     /// The outcome of a stream whose exchange failed.
     fn outcome_of_error(&self, id: ConnectionId, error: &h2::Error, ping_timed_out: bool) -> StreamOutcome {
-        // h2 fails a stream with the GOAWAY of the gateway only if its identifier is above the last one of the GOAWAY,
-        // or if it was opened after it.
+        // h2 fails a stream with the GOAWAY of the gateway only if the identifier of the stream is above the last one
+        // of the GOAWAY, or if the stream was opened after the GOAWAY.
         if error.is_go_away() && error.is_remote() {
             self.connections.start_draining(id);
             return StreamOutcome::GoAway;
--- a/crates/http2/src/client/connection_task.rs
+++ b/crates/http2/src/client/connection_task.rs
@@ -1,4 +1,4 @@
-//! The task of one connection: connects, then drives the connection and its keep-alive until it ends.
+//! The task of one connection: connects, then drives the connection and sends keep-alive PINGs until it ends.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -20,11 +20,12 @@
 use super::receive_monitor::ReceiveMonitor;
 use crate::pool::{ConnectionAction, ConnectionId};
 
-/// Concurrent streams assumed to be allowed until the SETTINGS of the gateway arrive; it refuses those beyond its limit.
+/// Concurrent streams that are opened at most until the SETTINGS of the gateway arrive; the gateway refuses streams
+/// beyond its own limit.
 const INITIAL_MAX_STREAMS: usize = 100;
 /// Maximum size of the header list of a response, in bytes.
 const MAX_HEADER_LIST_SIZE: u32 = 16 * 1024;
-/// Flow-control window for the bodies of all responses of a connection, in bytes: they are never read.
+/// Flow-control window for the response bodies of a connection, in bytes; the client never reads them.
 const RECEIVE_WINDOW_SIZE: u32 = 64 * 1024;
 
 /// Why a connection was not established.
@@ -36,8 +37,8 @@
     /// The HTTP/2 handshake failed.
     #[error("the HTTP/2 handshake failed")]
     Handshake(#[from] h2::Error),
-    /// Both together took longer than the connect timeout.
-    #[error("the connect timeout passed")]
+    /// Opening the transport and the HTTP/2 handshake together took longer than the connect timeout.
+    #[error("the connection was not established within the connect timeout")]
     Timeout,
 }
 
@@ -45,8 +46,8 @@
 struct Established<Transport> {
     sender: SendRequest<Bytes>,
     connection: Connection<ReceiveMonitor<Transport>, Bytes>,
-    /// Set whenever bytes have arrived.
-    received: Rc<Cell<bool>>,
+    /// Flag that is set when bytes arrive and cleared when it is read.
+    data_received: Rc<Cell<bool>>,
 }
 
 impl<Connect, Connecting, Transport> Endpoint<Connect>
@@ -57,7 +58,7 @@
 {
     /// Opens a connection and drives it until it ends.
     pub(super) async fn run_connection(self: Rc<Self>) {
-        // The cause makes no difference to the calls: no stream was opened.
+        // The calls do not need the cause of the failure: no stream was opened.
         let Ok(established) = self.establish().await else {
             self.connections.connect_failed();
             return;
@@ -69,9 +70,9 @@
             id,
             handle: &handle,
             connection: established.connection,
-            received: established.received,
+            data_received: established.data_received,
         };
-        // Consumes the driver: dropping its connection ends the streams that are still active.
+        // `run` consumes the driver: dropping the connection ends the streams that are still active.
         driver.run().await;
         self.connections.remove(id);
     }
@@ -82,8 +83,8 @@
     }
 
     async fn handshake(&self) -> Result<Established<Transport>, ConnectError> {
-        let received = Rc::new(Cell::new(false));
-        let transport = ReceiveMonitor::new((self.connect)().await?, received.clone());
+        let data_received = Rc::new(Cell::new(false));
+        let transport = ReceiveMonitor::new((self.connect)().await?, data_received.clone());
         let (sender, connection) = Builder::new()
             .enable_push(false)
             .initial_max_send_streams(INITIAL_MAX_STREAMS)
@@ -92,7 +93,7 @@
             .initial_connection_window_size(RECEIVE_WINDOW_SIZE)
             .handshake(transport)
             .await?;
-        Ok(Established { sender, connection, received })
+        Ok(Established { sender, connection, data_received })
     }
 }
 
@@ -102,18 +103,18 @@
     id: ConnectionId,
     handle: &'a ConnectionHandle,
     connection: Connection<ReceiveMonitor<Transport>, Bytes>,
-    /// Set whenever bytes have arrived.
-    received: Rc<Cell<bool>>,
+    /// Flag that is set when bytes arrive and cleared when it is read.
+    data_received: Rc<Cell<bool>>,
 }
 
 impl<Transport: AsyncRead + AsyncWrite + Unpin> ConnectionDriver<'_, Transport> {
-    /// Runs until the connection has ended, or until the pool has it aborted or closed.
+    /// Runs until the connection has ended, or until the pool aborts or closes it.
     async fn run(mut self) {
         let Some(mut ping_pong) = self.connection.ping_pong() else { return };
         loop {
-            match self.connections.poll_action(self.id, self.received.take()) {
-                ConnectionAction::WaitUntil(at) => {
-                    let deadline = self.connections.instant(at);
+            match self.connections.poll_action(self.id, self.data_received.take()) {
+                ConnectionAction::WaitUntil(time) => {
+                    let deadline = self.connections.instant(time);
                     if self.wait_for_event(deadline).await.is_break() {
                         return;
                     }
@@ -131,22 +132,22 @@
     /// Drives the connection until bytes arrive, the handle wakes the task or `deadline` passes; breaks if the
     /// connection has ended.
     async fn wait_for_event(&mut self, deadline: Instant) -> ControlFlow<()> {
-        let driven = poll_fn(|context| match Pin::new(&mut self.connection).poll(context) {
+        let connection_event = poll_fn(|context| match Pin::new(&mut self.connection).poll(context) {
             Poll::Ready(_) => Poll::Ready(ControlFlow::Break(())),
-            Poll::Pending if self.received.get() => Poll::Ready(ControlFlow::Continue(())),
+            Poll::Pending if self.data_received.get() => Poll::Ready(ControlFlow::Continue(())),
             Poll::Pending => Poll::Pending,
         });
         tokio::select! {
-            flow = driven => flow,
+            flow = connection_event => flow,
             () = self.handle.wake.notified() => ControlFlow::Continue(()),
             () = sleep_until(deadline) => ControlFlow::Continue(()),
         }
     }
 }
 
-/// Queues a PING; one that cannot be queued is left to the keep-alive timeout.
+/// Queues a PING. If that fails, the keep-alive timeout aborts the connection.
 async fn send_ping(ping_pong: &mut PingPong) {
-    // h2 takes a further PING only after the answer to the previous one was consumed.
+    // h2 accepts another PING only after the answer to the previous one was consumed.
     poll_fn(|context| Poll::Ready(ping_pong.poll_pong(context).is_ready())).await;
     let _ = ping_pong.send_ping(Ping::opaque());
 }
--- a/crates/http2/src/client/connections.rs
+++ b/crates/http2/src/client/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of an endpoint: their `h2` handles, kept in step with the [`ConnectionPool`].
+//! The connections of an endpoint: their `h2` handles and the [`ConnectionPool`], which are updated together.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,14 +13,14 @@
 
 use crate::pool::{ConnectionAction, ConnectionId, ConnectionPool, Millis, Placement, PoolLimits};
 
-/// The handle of a connection for its calls.
+/// The handle through which calls use a connection.
 #[derive(Clone)]
 pub(super) struct ConnectionHandle {
     /// Opens streams.
     pub(super) sender: SendRequest<Bytes>,
     /// Set when the gateway did not answer a PING in time.
     pub(super) ping_timed_out: Rc<Cell<bool>>,
-    /// Makes the task of the connection poll the pool again.
+    /// Notifies the task of the connection that it must poll the pool again.
     pub(super) wake: Rc<Notify>,
 }
 
@@ -32,14 +32,14 @@
 
 /// The connections of an endpoint, shared by its calls and its connection tasks.
 pub(super) struct Connections {
-    /// Zero of the pool's clock.
+    /// Instant at which the pool's clock is 0.
     epoch: Instant,
     pool: RefCell<ConnectionPool>,
     handles: RefCell<BTreeMap<ConnectionId, ConnectionHandle>>,
-    /// Connections that could not be established, since the endpoint was created.
+    /// Number of connection attempts that have failed since the endpoint was created.
     failed_connects: Cell<u64>,
-    /// Notifies the calls that wait for a slot that they may find one now, or that connecting failed.
-    pub(super) changed: Notify,
+    /// Notifies the waiting calls that a stream slot may be free, or that connecting failed.
+    pub(super) slots_changed: Notify,
 }
 
 impl Connections {
@@ -49,7 +49,7 @@
             pool: RefCell::new(ConnectionPool::new(limits)),
             handles: RefCell::default(),
             failed_connects: Cell::new(0),
-            changed: Notify::new(),
+            slots_changed: Notify::new(),
         }
     }
 
@@ -58,12 +58,13 @@
         u64::try_from(self.epoch.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// The instant of a time on the pool's clock.
-    pub(super) fn instant(&self, at: Millis) -> Instant {
-        self.epoch + Duration::from_millis(at)
+    /// The instant at which the pool's clock is `time`.
+    pub(super) fn instant(&self, time: Millis) -> Instant {
+        self.epoch + Duration::from_millis(time)
     }
 
-    /// Copies the state of each `h2` connection into the pool: its stream limit, and whether it accepts no further streams.
+    /// Copies the state of each `h2` connection into the pool: the stream limit, and whether the connection is
+    /// draining.
     pub(super) fn refresh(&self) {
         let mut context = Context::from_waker(Waker::noop());
         let mut pool = self.pool.borrow_mut();
@@ -90,7 +91,7 @@
         self.handles.borrow().get(&id).cloned()
     }
 
-    /// Connections that could not be established, since the endpoint was created.
+    /// Number of connection attempts that have failed since the endpoint was created.
     pub(super) fn failed_connects(&self) -> u64 {
         self.failed_connects.get()
     }
@@ -104,15 +105,15 @@
     pub(super) fn connect_failed(&self) {
         self.pool.borrow_mut().connect_failed();
         self.failed_connects.set(self.failed_connects.get() + 1);
-        self.changed.notify_waiters();
+        self.slots_changed.notify_waiters();
     }
 
-    /// Adds the connection that was established.
+    /// Adds a connection that was just established.
     pub(super) fn insert(&self, handle: ConnectionHandle) -> ConnectionId {
         let max_streams = handle.sender.current_max_send_streams();
         let id = self.pool.borrow_mut().connect_succeeded(self.now(), max_streams);
         self.handles.borrow_mut().insert(id, handle);
-        self.changed.notify_waiters();
+        self.slots_changed.notify_waiters();
         id
     }
 
@@ -120,7 +121,7 @@
     pub(super) fn remove(&self, id: ConnectionId) {
         self.handles.borrow_mut().remove(&id);
         self.pool.borrow_mut().remove(id);
-        self.changed.notify_waiters();
+        self.slots_changed.notify_waiters();
     }
 
     /// Records that the gateway accepts no further streams on the connection.
@@ -129,13 +130,15 @@
     }
 
     /// Updates the pool and returns the next action for the connection.
+    ///
+    /// `data_received` is whether bytes have arrived on the connection since the previous call.
     pub(super) fn poll_action(&self, id: ConnectionId, data_received: bool) -> ConnectionAction {
         let now = self.now();
         if data_received {
             self.pool.borrow_mut().data_received(id, now);
         }
         self.refresh();
-        self.changed.notify_waiters();
+        self.slots_changed.notify_waiters();
         self.pool.borrow_mut().poll_action(id, now)
     }
 
@@ -158,7 +161,7 @@
     fn drop(&mut self) {
         let now = self.connections.now();
         self.connections.pool.borrow_mut().stream_finished(self.id, now);
-        self.connections.changed.notify_waiters();
+        self.connections.slots_changed.notify_waiters();
         self.wake.notify_one();
     }
 }
--- a/crates/http2/src/client/exchange.rs
+++ b/crates/http2/src/client/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and the head of its response, on a stream of its own.
+//! Sends one request and receives the head of its response, on a stream of their own.
 
 use std::future::poll_fn;
 use std::pin::{Pin, pin};
@@ -26,7 +26,8 @@
         Self { deadlines, request_complete: false }
     }
 
-    /// Whether the last byte of the request was handed to the connection, also if [`Exchange::run`] failed after that.
+    /// Whether the last byte of the request was handed to the connection, also if [`Exchange::run`] failed after
+    /// that.
     pub(super) fn request_complete(&self) -> bool {
         self.request_complete
     }
@@ -42,7 +43,7 @@
         request: Request<()>,
         body: Bytes,
     ) -> Result<StreamOutcome, h2::Error> {
-        let Ok(sender) = timeout_at(self.deadlines.sending(), sender.ready()).await else {
+        let Ok(sender) = timeout_at(self.deadlines.earlier(), sender.ready()).await else {
             return Ok(StreamOutcome::DeadlineExceeded);
         };
         let mut sender = sender?;
@@ -59,10 +60,10 @@
         }
     }
 
-    /// Sends the body, at each time only as much as the stream's flow-control window admits: `h2` would buffer the rest, and
-    /// it would count as sent.
+    /// Sends the body in chunks that fit into the stream's flow-control window, because `h2` would buffer anything
+    /// beyond it and the buffered bytes would count as sent.
     ///
-    /// Returns the outcome if the stream ended meanwhile, and `None` if the response is still pending.
+    /// Returns the outcome if the exchange ended meanwhile, and `None` if the response is still pending.
     async fn send_body(
         &mut self,
         stream: &mut SendStream<Bytes>,
@@ -74,9 +75,9 @@
             tokio::select! {
                 biased;
                 response = response.as_mut() => return response.map(outcome_of_response).map(Some),
-                () = sleep_until(self.deadlines.sending()) => return Ok(Some(StreamOutcome::DeadlineExceeded)),
+                () = sleep_until(self.deadlines.earlier()) => return Ok(Some(StreamOutcome::DeadlineExceeded)),
                 capacity = poll_fn(|context| stream.poll_capacity(context)) => {
-                    // Without capacity the stream has ended; the response has its outcome.
+                    // No more capacity means that the stream has ended; its outcome is read from the response.
                     let Some(Ok(capacity)) = capacity else { return Ok(None) };
                     let chunk = body.split_to(capacity.min(body.len()));
                     self.request_complete = body.is_empty();
--- a/crates/http2/src/client/receive_monitor.rs
+++ b/crates/http2/src/client/receive_monitor.rs
@@ -1,4 +1,4 @@
-//! A transport that records when bytes have been received.
+//! A transport that sets a flag when bytes are received.
 
 use std::cell::Cell;
 use std::io;
@@ -8,16 +8,16 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Wraps a transport and sets a flag whenever bytes arrive on it.
+/// A transport, and the flag that is set when bytes arrive on it.
 pub(super) struct ReceiveMonitor<Transport> {
     transport: Transport,
-    received: Rc<Cell<bool>>,
+    data_received: Rc<Cell<bool>>,
 }
 
 impl<Transport> ReceiveMonitor<Transport> {
-    /// Wraps `transport`; `received` is set when bytes arrive, and must be cleared by its reader.
-    pub(super) fn new(transport: Transport, received: Rc<Cell<bool>>) -> Self {
-        Self { transport, received }
+    /// Wraps `transport`; `data_received` is set when bytes arrive, and must be cleared by whoever reads it.
+    pub(super) fn new(transport: Transport, data_received: Rc<Cell<bool>>) -> Self {
+        Self { transport, data_received }
     }
 }
 
@@ -30,7 +30,7 @@
         let filled_before = buffer.filled().len();
         let result = Pin::new(&mut self.transport).poll_read(context, buffer);
         if buffer.filled().len() > filled_before {
-            self.received.set(true);
+            self.data_received.set(true);
         }
         result
     }
--- a/crates/http2/src/lib.rs
+++ b/crates/http2/src/lib.rs
@@ -1,10 +1,10 @@
 //! Client for HTTP/2 push gateways that reports for each failed call whether the gateway may have executed it.
 //!
-//! - [`outcome`]: maps how a stream ended to whether the message on it was executed. No I/O, no clock.
+//! - [`outcome`]: derives from the end of a stream whether its message was executed. No I/O, no clock.
 //! - [`retry_after`]: parses the `Retry-After` header. No I/O, no clock.
-//! - [`pool`]: state machine that assigns calls to the connections of one endpoint and decides when a connection is
+//! - [`pool`]: a state machine that assigns calls to the connections of one endpoint and decides when a connection is
 //!   opened, probed with a PING or closed. No I/O, no clock.
-//! - [`client`]: the I/O driver, on top of the `h2` crate.
+//! - [`client`]: performs the I/O, on top of the `h2` crate.
 //!
 //! ```
 //! use rudderspindle_http2::outcome::{DeliveryOutcome, StreamOutcome};
--- a/crates/http2/src/outcome.rs
+++ b/crates/http2/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Maps the outcome of a stream to the outcome of the delivery on it.
+//! Maps the outcome of a stream to the delivery outcome of its message.
 //!
 //! `docs/design/http2.md` has the complete table.
 
@@ -39,12 +39,12 @@
     NotOpened,
 }
 
-/// The delivery of a message as it follows from the outcome of its call.
+/// What happened to a message, as derived from the outcome of its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryOutcome {
     /// The message was executed exactly once.
     Delivered,
-    /// The gateway rejected the message unread, and all traffic to the endpoint must back off.
+    /// The gateway rejected the message without executing it, and all traffic to the endpoint must back off.
     Rejected {
         /// Duration of the backoff, at most [`MAX_RETRY_AFTER`].
         retry_after: Duration,
@@ -62,10 +62,10 @@
 }
 
 impl StreamOutcome {
-    /// The delivery outcome of the message.
+    /// Returns the delivery outcome of the message.
     ///
-    /// `request_complete` is whether the last byte of the request was handed to the connection. Gateways execute a message
-    /// only after its last byte has arrived, so an incomplete request was never executed.
+    /// `request_complete` is whether the last byte of the request was handed to the connection. Gateways execute a
+    /// message only after its last byte has arrived, so an incomplete request was never executed.
     pub fn delivery(self, request_complete: bool) -> DeliveryOutcome {
         match self {
             Self::Response { status, retry_after } => {
@@ -81,7 +81,7 @@
     }
 }
 
-/// The delivery outcome of a response.
+/// The delivery outcome of a message whose call ended with a response.
 fn response_delivery(status: u16, retry_after: Option<Duration>, request_complete: bool) -> DeliveryOutcome {
     match status {
         200..=299 if request_complete => DeliveryOutcome::Delivered,
@@ -92,7 +92,7 @@
         }
         // Misdirected Request (RFC 9110, 15.5.20): another endpoint may accept it.
         421 => DeliveryOutcome::NotExecuted,
-        // 404 and 410: the recipient does not exist any more (RFC 8030, 7.3). The others are errors of the request.
+        // 404 and 410: the recipient no longer exists (RFC 8030, 7.3). The other codes report errors of the request.
         400..=499 => DeliveryOutcome::PermanentFailure,
         _ if request_complete => DeliveryOutcome::Failed,
         _ => DeliveryOutcome::NotExecuted,
--- a/crates/http2/src/outcome/tests.rs
+++ b/crates/http2/src/outcome/tests.rs
@@ -13,9 +13,10 @@
     StreamOutcome::Reset { error_code }
 }
 
-/// The table of the design note, row by row: for a complete request, and for an incomplete one.
+/// The rows are those of the table in `docs/design/http2.md`: a stream outcome, then the delivery outcomes of a
+/// complete and of an incomplete request.
 #[test]
-fn each_stream_outcome_has_the_delivery_outcome_of_the_design_table() {
+fn stream_outcomes_map_to_the_delivery_outcomes_of_the_design() {
     let rejected = Rejected { retry_after: Duration::ZERO };
     let rows = [
         (response(200), Delivered, Failed),
--- a/crates/http2/src/pool.rs
+++ b/crates/http2/src/pool.rs
@@ -1,6 +1,8 @@
-//! Assigns calls to the connections of one endpoint and decides when a connection is opened, probed or closed.
+//! Assigns calls to the connections of one endpoint and decides when a connection is opened, probed with a PING or
+//! closed.
 //!
-//! A state machine without I/O and clock: the caller reports events with its own time, and polls for decisions.
+//! The pool is a state machine without I/O and without a clock: the caller reports events with their time, and polls
+//! for the next actions.
 
 mod connection;
 mod limits;
@@ -27,20 +29,20 @@
 pub enum OpenReason {
     /// The pool has no connection.
     NoConnection,
-    /// All stream slots of the present connections are in use.
+    /// All stream slots of the existing connections are in use.
     SlotsExhausted,
-    /// The present connections are draining after a GOAWAY.
+    /// All existing connections are draining after a GOAWAY.
     Draining,
 }
 
-/// Where a call is placed.
+/// The connection on which a call is placed, or what must happen before it can be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// On this connection.
+    /// The call is placed on this connection.
     Existing(ConnectionId),
-    /// Nowhere yet: a connection must be opened first.
+    /// A connection must be opened first.
     Open(OpenReason),
-    /// Nowhere yet: a stream must finish, or a connection that is being opened must be established.
+    /// A stream must finish, or a connection that is being opened must be established first.
     Wait,
 }
 
@@ -49,6 +51,7 @@
 pub struct ConnectionPool {
     limits: PoolLimits,
     next_id: u64,
+    /// Whether a connection is being opened; at most one is opened at a time.
     connecting: bool,
     connections: BTreeMap<ConnectionId, ConnectionState>,
 }
@@ -59,7 +62,7 @@
         Self { limits, next_id: 0, connecting: false, connections: BTreeMap::new() }
     }
 
-    /// Where a call is placed now.
+    /// Decides where a call is placed.
     ///
     /// Prefers the connection with the most active streams that still has a slot, so that the others become idle and
     /// are closed.
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Where a call is placed if no connection has a free slot.
+    /// Decides what must happen before a call can be placed if no connection has a free slot.
     fn place_without_slots(&self) -> Placement {
         if self.connecting || self.connections.len() >= self.limits.max_connections.max(1) {
             return Placement::Wait;
@@ -93,7 +96,7 @@
         Placement::Open(OpenReason::SlotsExhausted)
     }
 
-    /// Calls that can start now, or as soon as a connection that may be opened is established.
+    /// Number of calls that can start now, or as soon as a connection that may be opened is established.
     pub fn available_slots(&self) -> usize {
         match self.place_call() {
             Placement::Open(_) => self.limits.max_streams_per_connection,
@@ -109,8 +112,9 @@
         self.connecting = true;
     }
 
-    /// Records that the connection was established, and that the gateway allows `max_streams` concurrent streams on it
-    /// as far as is known.
+    /// Records that the connection was established.
+    ///
+    /// `max_streams` is the number of concurrent streams that the gateway allows, or an assumption until it is known.
     pub fn connect_succeeded(&mut self, now: Millis, max_streams: usize) -> ConnectionId {
         let id = ConnectionId(self.next_id);
         self.next_id += 1;
@@ -126,7 +130,7 @@
 
     /// Records that the gateway allows `max_streams` concurrent streams from now on.
     ///
-    /// Active streams beyond that continue, unless the gateway resets them.
+    /// Active streams above the limit continue, unless the gateway resets them.
     pub fn set_max_streams(&mut self, id: ConnectionId, max_streams: usize) {
         self.update(id, |connection| connection.set_max_streams(max_streams));
     }
@@ -156,9 +160,9 @@
         self.connections.remove(&id);
     }
 
-    /// The next action for the connection; [`ConnectionAction::Close`] if it is unknown.
+    /// Returns the next action for the connection; [`ConnectionAction::Close`] if the pool does not contain it.
     ///
-    /// A PING counts as sent once it was returned here.
+    /// A PING counts as sent as soon as [`ConnectionAction::SendPing`] is returned.
     pub fn poll_action(&mut self, id: ConnectionId, now: Millis) -> ConnectionAction {
         match self.connections.get_mut(&id) {
             Some(connection) => connection.poll_action(&self.limits, now),
--- a/crates/http2/src/pool/connection.rs
+++ b/crates/http2/src/pool/connection.rs
@@ -5,13 +5,13 @@
 /// The next action for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
-    /// Nothing before this time, unless another event comes first.
+    /// Wait until this time or the next event, whichever comes first.
     WaitUntil(Millis),
     /// Send a PING.
     SendPing,
-    /// Drop the connection with all its streams: the PING was not answered in time.
+    /// Drop the connection with all its streams, because no bytes arrived in time after a PING.
     Abort,
-    /// Close the connection: it has no active streams and is draining or idle.
+    /// Close the connection, because it has no active streams and is draining or idle.
     Close,
 }
 
@@ -23,11 +23,11 @@
     active_streams: usize,
     /// Whether the gateway accepts no further streams.
     draining: bool,
-    /// When bytes last arrived, or the first active stream was started.
+    /// When bytes last arrived, or when a stream was started while no other was active, whichever was later.
     last_received_at: Millis,
-    /// When the unanswered PING was sent.
+    /// When the PING that is unanswered was sent; `None` if no PING is unanswered.
     ping_sent_at: Option<Millis>,
-    /// When a stream last finished, or else when the connection was established.
+    /// When a stream last finished; before that, when the connection was established.
     last_used_at: Millis,
 }
 
@@ -56,7 +56,7 @@
         self.draining
     }
 
-    /// Streams that can be opened now.
+    /// Number of streams that can be opened now.
     pub(super) fn available_slots(&self, limits: &PoolLimits) -> usize {
         if self.draining {
             return 0;
@@ -74,7 +74,7 @@
 
     pub(super) fn stream_started(&mut self, now: Millis) {
         if self.active_streams == 0 {
-            // Time without active streams does not count: no bytes were expected.
+            // Time without active streams does not count towards the keep-alive interval: no bytes were expected.
             self.last_received_at = self.last_received_at.max(now);
         }
         self.active_streams += 1;
@@ -90,7 +90,7 @@
         self.ping_sent_at = None;
     }
 
-    /// The next action for the connection. A PING counts as sent once it was returned here.
+    /// See [`super::ConnectionPool::poll_action`].
     pub(super) fn poll_action(&mut self, limits: &PoolLimits, now: Millis) -> ConnectionAction {
         if self.active_streams == 0 { self.poll_idle(limits, now) } else { self.poll_keep_alive(limits, now) }
     }
--- a/crates/http2/src/pool/limits.rs
+++ b/crates/http2/src/pool/limits.rs
@@ -13,7 +13,7 @@
     pub connect_timeout: Millis,
     /// Time without received bytes after which a PING is sent on a connection with active streams, in milliseconds.
     pub keep_alive_interval: Millis,
-    /// Time within which any byte must be received after a PING, in milliseconds.
+    /// Time within which at least one byte must be received after a PING, in milliseconds.
     pub keep_alive_timeout: Millis,
     /// Time after which a connection without active streams is closed, in milliseconds.
     pub idle_timeout: Millis,
--- a/crates/http2/src/pool/tests.rs
+++ b/crates/http2/src/pool/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{ConnectionAction, ConnectionId, ConnectionPool, Millis, OpenReason, Placement, PoolLimits};
 
-/// A pool with one connection, and the connection's identifier.
+/// Returns a pool with one connection, and the identifier of the connection.
 fn pool_with_connection(max_streams: usize) -> (ConnectionPool, ConnectionId) {
     let mut pool = ConnectionPool::new(PoolLimits::default());
     assert_eq!(pool.place_call(), Placement::Open(OpenReason::NoConnection));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_second_connection_is_opened_only_if_the_first_is_full_or_draining() {
+fn a_second_connection_opens_only_if_the_first_is_full_or_draining() {
     let (mut pool, first) = pool_with_connection(3);
     for _ in 0..3 {
         assert_eq!(pool.place_call(), Placement::Existing(first));
@@ -25,7 +25,7 @@
     pool.connect_started();
     let second = pool.connect_succeeded(0, 3);
     pool.stream_started(second, 0);
-    // The busier one is preferred, so that the other becomes idle.
+    // The connection with more active streams is preferred, so that the other becomes idle.
     pool.stream_finished(first, 1);
     assert_eq!(pool.place_call(), Placement::Existing(first));
     pool.start_draining(first);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_stream_limit_below_the_active_streams_or_of_zero_is_respected() {
+fn a_stream_limit_of_zero_or_below_the_active_streams_is_respected() {
     let (mut pool, first) = pool_with_connection(100);
     for _ in 0..60 {
         pool.stream_started(first, 0);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_silent_connection_is_aborted_after_one_unanswered_ping() {
+fn a_connection_is_aborted_after_one_unanswered_ping() {
     let (mut pool, first) = pool_with_connection(100);
     // Without active streams no bytes are expected.
     assert_eq!(pool.poll_action(first, 5_000), ConnectionAction::WaitUntil(60_000));
@@ -69,8 +69,9 @@
     assert_eq!(pool.poll_action(first, 8_900), ConnectionAction::Abort);
 }
 
+/// A connection without active streams is closed immediately if it is draining, and otherwise after the idle timeout.
 #[test]
-fn a_connection_without_streams_is_closed_at_once_if_draining_and_else_when_idle() {
+fn a_connection_without_streams_is_closed_if_draining_or_idle() {
     let (mut pool, first) = pool_with_connection(100);
     pool.stream_started(first, 0);
     pool.start_draining(first);
@@ -84,7 +85,7 @@
     assert_eq!(pool.poll_action(first, 60_020), ConnectionAction::Close);
 }
 
-/// What the test expects of one connection.
+/// The expected state of one connection.
 #[derive(Default)]
 struct ExpectedConnection {
     active_streams: usize,
@@ -92,7 +93,7 @@
     draining: bool,
 }
 
-/// Applies random events to a pool, and checks its decisions against the expected connections.
+/// Applies events to a pool, and checks the placement of calls against the expected connections.
 struct PoolChecker {
     limits: PoolLimits,
     pool: ConnectionPool,
@@ -106,7 +107,7 @@
         Self { limits, pool: ConnectionPool::new(limits), expected: BTreeMap::new() }
     }
 
-    /// Starts a call; on a new connection the gateway allows `max_streams`.
+    /// Starts a call if the pool places one; on a new connection the gateway allows `max_streams` concurrent streams.
     fn start_call(
         &mut self,
         now: Millis,
@@ -114,7 +115,7 @@
     ) -> Result<(), proptest::test_runner::TestCaseError> {
         match self.pool.place_call() {
             Placement::Existing(id) => {
-                let connection = self.expected.get_mut(&id).expect("a connection that is present");
+                let connection = self.expected.get_mut(&id).expect("an existing connection");
                 let slots = connection.max_streams.min(self.limits.max_streams_per_connection);
                 prop_assert!(connection.active_streams < slots && !connection.draining);
                 connection.active_streams += 1;
@@ -132,9 +133,10 @@
         Ok(())
     }
 
-    /// Applies one event of the connection.
-    fn play(&mut self, now: Millis, event: u8, id: ConnectionId, max_streams: usize) {
-        let connection = self.expected.get_mut(&id).expect("a connection that is present");
+    /// Applies an event to a connection: 3 finishes a stream, 4 sets the stream limit, 5 starts draining, 6 removes
+    /// the connection, and any other number polls for an action.
+    fn apply_event(&mut self, now: Millis, event: u8, id: ConnectionId, max_streams: usize) {
+        let connection = self.expected.get_mut(&id).expect("an existing connection");
         match event {
             3 if connection.active_streams > 0 => {
                 connection.active_streams -= 1;
@@ -167,12 +169,12 @@
         steps in proptest::collection::vec((0u8..8, 0usize..6), 0..300),
     ) {
         let mut checker = PoolChecker::new();
-        // The number is both an index of a connection and a stream limit.
+        // Events below 3 start a call. `number` is both the position of a connection and a stream limit.
         for (now, (event, number)) in (0..).zip(steps) {
             if event < 3 {
                 checker.start_call(now, number)?;
             } else if let Some(id) = checker.expected.keys().copied().nth(number) {
-                checker.play(now, event, id, number);
+                checker.apply_event(now, event, id, number);
             }
         }
     }
--- a/crates/http2/tests/client/deadlines.rs
+++ b/crates/http2/tests/client/deadlines.rs
@@ -7,9 +7,9 @@
 use rudderspindle_http2::pool::PoolLimits;
 use tokio::time::{Instant, sleep};
 
-use crate::harness::{LONG, SHORT, complete, incomplete, outcome, response, run, start};
+use crate::harness::{LONG_TIMEOUT, SHORT_TIMEOUT, complete, incomplete, outcome, response, run, start};
 
-/// Deadlines after these durations.
+/// Returns deadlines at these durations from now.
 fn deadlines(response: Duration, request: Duration) -> CallDeadlines {
     let now = Instant::now();
     CallDeadlines { response: now + response, request: now + request }
@@ -19,10 +19,10 @@
 async fn a_complete_request_is_answered_after_its_request_deadline() {
     run(async {
         let harness = start(PoolLimits::default()).await;
-        let call = harness.call_with_deadlines(deadlines(LONG, SHORT));
+        let call = harness.call_with_deadlines(deadlines(LONG_TIMEOUT, SHORT_TIMEOUT));
         let mut gateway = harness.accept().await;
         let stream = gateway.request().await;
-        sleep(SHORT * 2).await;
+        sleep(SHORT_TIMEOUT * 2).await;
         gateway.head(stream, 200, None, true).await;
         assert_eq!(outcome(call).await, complete(response(200)));
     })
@@ -30,29 +30,30 @@
 }
 
 #[tokio::test]
-async fn a_complete_request_without_a_response_ends_at_its_response_deadline() {
+async fn a_complete_request_ends_at_its_response_deadline() {
     run(async {
         let harness = start(PoolLimits::default()).await;
         let started = Instant::now();
-        let call = harness.call_with_deadlines(deadlines(SHORT, LONG));
+        let call = harness.call_with_deadlines(deadlines(SHORT_TIMEOUT, LONG_TIMEOUT));
         let mut gateway = harness.accept().await;
         gateway.request().await;
         assert_eq!(outcome(call).await, complete(StreamOutcome::DeadlineExceeded));
-        assert!(started.elapsed() >= SHORT);
+        assert!(started.elapsed() >= SHORT_TIMEOUT);
     })
     .await;
 }
 
+/// The flow-control window of the stream is closed, so that the client cannot send the body.
 #[tokio::test]
-async fn a_request_that_the_window_holds_back_ends_at_the_earlier_deadline() {
+async fn an_incomplete_request_ends_at_the_earlier_deadline() {
     run(async {
         let harness = start(PoolLimits::default()).await;
         let _gateway = harness.accept_with_closed_windows().await;
-        for (response, request) in [(LONG, SHORT), (SHORT, LONG)] {
+        for (response, request) in [(LONG_TIMEOUT, SHORT_TIMEOUT), (SHORT_TIMEOUT, LONG_TIMEOUT)] {
             let started = Instant::now();
             let call = harness.call_with_deadlines(deadlines(response, request));
             assert_eq!(outcome(call).await, incomplete(StreamOutcome::DeadlineExceeded));
-            assert!((SHORT..LONG).contains(&started.elapsed()), "{:?}", started.elapsed());
+            assert!((SHORT_TIMEOUT..LONG_TIMEOUT).contains(&started.elapsed()), "{:?}", started.elapsed());
         }
     })
     .await;
--- a/crates/http2/tests/client/flow_control.rs
+++ b/crates/http2/tests/client/flow_control.rs
@@ -5,52 +5,53 @@
 use tokio::task::yield_now;
 
 use crate::harness::{
-    CANCEL, INTERNAL_ERROR, LONG, REFUSED_STREAM, SHORT, complete, incomplete, outcome, reset, response, run,
-    start,
+    CANCEL, INTERNAL_ERROR, LONG_TIMEOUT, REFUSED_STREAM, SHORT_TIMEOUT, complete, incomplete, outcome,
+    reset, response, run, start,
 };
 use rudderspindle_testkit::frames::StreamReset;
 
+/// The flow-control window of each stream is closed at first, so that the client cannot send the body.
 #[tokio::test]
-async fn a_request_that_the_window_holds_back_is_incomplete_and_never_executed() {
+async fn a_request_that_is_ended_before_its_last_byte_is_not_executed() {
     run(async {
         let harness = start(PoolLimits::default()).await;
         let mut gateway = harness.accept_with_closed_windows().await;
-        let call = harness.call(SHORT);
+        let call = harness.call(SHORT_TIMEOUT);
         assert_eq!(outcome(call).await, incomplete(StreamOutcome::DeadlineExceeded));
         assert_eq!(gateway.reset_by_client().await, StreamReset { stream: 3, code: CANCEL });
-        // With half of its body a request is still incomplete; with the rest it is complete.
-        let call = harness.call(SHORT);
+        // A request is incomplete with half of its body, and complete with all of it.
+        let call = harness.call(SHORT_TIMEOUT);
         assert_eq!(gateway.next().await.expect("a head").stream, 5);
         gateway.window(5, 2).await;
-        assert_eq!(gateway.next().await.expect("a part").payload, b"te");
+        assert_eq!(gateway.next().await.expect("half of the body").payload, b"te");
         assert_eq!(outcome(call).await, incomplete(StreamOutcome::DeadlineExceeded));
         gateway.reset_by_client().await;
-        let call = harness.call(LONG);
+        let call = harness.call(LONG_TIMEOUT);
         assert_eq!(gateway.next().await.expect("a head").stream, 7);
         gateway.window(7, 2).await;
         gateway.window(7, 2).await;
         assert_eq!(gateway.request().await, 7);
         gateway.head(7, 200, None, true).await;
         assert_eq!(outcome(call).await, complete(response(200)));
-        // A request that is reset before it is complete.
-        let call = harness.call(LONG);
+        // The gateway resets a request before it is complete.
+        let call = harness.call(LONG_TIMEOUT);
         let stream = gateway.next().await.expect("a head").stream;
         gateway.reset(stream, INTERNAL_ERROR).await;
-        let refused = outcome(call).await;
-        assert_eq!(refused, incomplete(reset(INTERNAL_ERROR)));
-        assert_eq!(refused.stream.delivery(refused.request_complete), DeliveryOutcome::NotExecuted);
+        let reset_call = outcome(call).await;
+        assert_eq!(reset_call, incomplete(reset(INTERNAL_ERROR)));
+        assert_eq!(reset_call.stream.delivery(reset_call.request_complete), DeliveryOutcome::NotExecuted);
         assert_eq!(harness.connects(), 1);
     })
     .await;
 }
 
-/// The stream limit falls from 100 to 0 during a burst and rises to 3 again: it is never exceeded, and no further
-/// connection is opened to circumvent it.
+/// The gateway lowers the stream limit from 100 to 0 during a burst and raises it to 3 again. The limit is never
+/// exceeded, the waiting calls start when it is raised, and no further connection is opened to circumvent it.
 #[tokio::test]
-async fn a_stream_limit_that_falls_during_a_burst_is_respected_and_waiting_calls_start_when_it_rises() {
+async fn a_stream_limit_that_changes_during_a_burst_is_respected() {
     run(async {
         let harness = start(PoolLimits { max_connections: 1, ..PoolLimits::default() }).await;
-        let mut calls: Vec<_> = (0..10).map(|_| harness.call(LONG)).collect();
+        let mut calls: Vec<_> = (0..10).map(|_| harness.call(LONG_TIMEOUT)).collect();
         let mut gateway = harness.accept().await;
         let mut active = Vec::new();
         for _ in 0..10 {
@@ -64,7 +65,7 @@
             gateway.reset(stream, REFUSED_STREAM).await;
             assert_eq!(outcome(calls.remove(0)).await.stream, reset(REFUSED_STREAM));
         }
-        calls.extend((0..4).map(|_| harness.call(LONG)));
+        calls.extend((0..4).map(|_| harness.call(LONG_TIMEOUT)));
         yield_now().await;
         assert_eq!(harness.endpoint.available_slots(), 0);
         gateway.allow(3).await;
@@ -73,7 +74,7 @@
         }
         assert_eq!(harness.endpoint.available_slots(), 0);
         gateway.head(active.remove(0), 200, None, true).await;
-        // The fourth call has waited for this slot.
+        // The fourth call was waiting for this slot.
         active.push(gateway.request().await);
         for stream in active {
             gateway.head(stream, 200, None, true).await;
--- a/crates/http2/tests/client/main.rs
+++ b/crates/http2/tests/client/main.rs
@@ -1,5 +1,5 @@
-//! The client against a gateway whose frames the tests write byte by byte: the outcome of each call, and the effect of one
-//! stream's end on the others.
+//! Tests the client against a gateway whose frames the tests write byte by byte: the outcome of each call, and how
+//! the end of one stream affects the others.
 
 mod connections;
 mod deadlines;
