--- a/crates/sender/src/accept.rs
+++ b/crates/sender/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, and continues after failures such as a lack of descriptors.
+//! Accepts connections, and retries after failures such as a lack of file descriptors.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,43 +7,47 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep};
 
-/// Delay before the next attempt to accept a connection after one has failed.
+/// Delay after a failure to accept a connection before the next attempt.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Of failures that follow each other within this time only the first is logged.
+/// A failure is logged only if the previous failure is longer ago than this, so that a series of failures is logged
+/// once.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Error number: the system has no descriptor left.
+/// OS error number: the system's limit of open files is reached.
 const ENFILE: i32 = 23;
-/// Error number: the process has no descriptor left.
+/// OS error number: the process's limit of open file descriptors is reached.
 const EMFILE: i32 = 24;
 
 /// An accepted connection.
 #[derive(Debug)]
 pub(crate) struct AcceptedConnection {
     pub(crate) stream: TcpStream,
-    /// The peer's address.
+    /// Address of the remote end.
     pub(crate) peer: SocketAddr,
 }
 
-/// A listener, and when it last failed.
+/// A listener whose failures are logged at a limited rate.
 #[derive(Debug)]
 pub(crate) struct Acceptor {
     listener: TcpListener,
-    peers: &'static str,
+    /// Value of the log field `peers`.
+    listener_name: &'static str,
     last_failure: Option<Instant>,
 }
 
 impl Acceptor {
-    /// Accepts from `listener`; the log names those that connect as `peers`.
-    pub(crate) fn new(listener: TcpListener, peers: &'static str) -> Self {
-        Self { listener, peers, last_failure: None }
+    /// Creates an acceptor for `listener`; failures are logged with `listener_name` in the field `peers`.
+    pub(crate) fn new(listener: TcpListener, listener_name: &'static str) -> Self {
+        Self { listener, listener_name, last_failure: None }
     }
 
-    /// Accepts the next connection. If no descriptor is left, `free_descriptor` is called to close another connection.
+    /// Accepts the next connection. If no file descriptor is available, `free_descriptor` is called to close another
+    /// connection, and the accept is retried.
     pub(crate) async fn accept(&mut self, free_descriptor: impl Fn()) -> AcceptedConnection {
         loop {
             match self.listener.accept().await {
                 Ok((stream, peer)) => {
-                    // Responses are small and must not wait for more data. The connection also works without the option.
+                    // Responses are small and must not be delayed until more data is written. A failure is ignored
+                    // because the connection also works without the option.
                     let _ = stream.set_nodelay(true);
                     return AcceptedConnection { stream, peer };
                 }
@@ -62,7 +66,7 @@
         let now = Instant::now();
         let previous = self.last_failure.replace(now);
         if previous.is_none_or(|previous| now - previous > FAILURE_LOG_INTERVAL) {
-            tracing::warn!(peers = self.peers, %error, "connection could not be accepted");
+            tracing::warn!(peers = self.listener_name, %error, "connection could not be accepted");
         }
     }
 }
--- a/crates/sender/src/connection_slots.rs
+++ b/crates/sender/src/connection_slots.rs
@@ -1,9 +1,10 @@
-//! Decides which client connection is closed when connections are scarce. No I/O and no clock.
+//! Decides which client connection is closed when slots are scarce. Does no I/O and reads no clock.
 //!
-//! Idle connections (no request open) hold at most 1 / [`IDLE_SHARE_DIVISOR`] of the slots, whether or not others are
-//! free. Beyond that the longest idle one is closed; connections with a single request go before those with several.
-//! When all slots are taken, connections that are closing are dropped first, then new connections without a request,
-//! from the address that has most of them.
+//! Idle connections (without an open request) take at most 1 / [`IDLE_SLOTS_DIVISOR`] of the slots, even if other slots
+//! are free. When more are idle, the longest idle one is closed; connections with one response so far are closed before
+//! connections with several. When all slots are taken, connections are evicted in this order: connections that are
+//! closing, connections without a request for over [`NEW_CONNECTION_GRACE`] (from the address that has most of them),
+//! idle connections, and other new connections.
 
 mod candidates;
 
@@ -15,15 +16,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Idle connections hold at most 1 / `IDLE_SHARE_DIVISOR` of the slots.
-const IDLE_SHARE_DIVISOR: usize = 4;
+/// Idle connections take at most 1 / `IDLE_SLOTS_DIVISOR` of the slots.
+const IDLE_SLOTS_DIVISOR: usize = 4;
 /// Time after which a new connection without a request may be evicted ahead of idle connections.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
 
-/// What a connection is doing.
+/// The state of a connection in its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SlotState {
-    /// No response has been sent.
+    /// No response has been sent, and no request is open.
     New,
     /// One response has been sent, and no request is open.
     IdleAfterFirst,
@@ -40,25 +41,25 @@
     address: IpAddr,
     state: SlotState,
     /// When the connection entered its state.
-    since: Duration,
-    responses: u32,
+    entered_at: Duration,
+    response_count: u32,
 }
 
 /// A connection in the queue of its state, ordered by when it entered the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueEntry {
-    since: Duration,
+    entered_at: Duration,
     id: ConnectionId,
 }
 
 type Queue = BTreeSet<QueueEntry>;
 
-/// The connections that hold a slot. All times count from the same arbitrary moment.
+/// The connections that hold a slot. All times are measured from the same arbitrary origin.
 #[derive(Debug)]
 pub struct ConnectionSlots {
     max_idle: usize,
     slots: HashMap<ConnectionId, Slot>,
-    /// The connections of each state but [`SlotState::RequestOpen`].
+    // One queue for each state except `SlotState::RequestOpen`.
     new: Queue,
     idle_after_first: Queue,
     idle_after_several: Queue,
@@ -69,7 +70,7 @@
     /// Creates `total` free slots.
     pub fn new(total: usize) -> Self {
         Self {
-            max_idle: (total / IDLE_SHARE_DIVISOR).max(1),
+            max_idle: (total / IDLE_SLOTS_DIVISOR).max(1),
             slots: HashMap::new(),
             new: Queue::new(),
             idle_after_first: Queue::new(),
@@ -81,8 +82,8 @@
     /// Records a connection that was accepted from `address`.
     pub fn opened(&mut self, id: ConnectionId, address: IpAddr, now: Duration) {
         self.closed(id);
-        self.slots.insert(id, Slot { address, state: SlotState::New, since: now, responses: 0 });
-        self.new.insert(QueueEntry { since: now, id });
+        self.slots.insert(id, Slot { address, state: SlotState::New, entered_at: now, response_count: 0 });
+        self.new.insert(QueueEntry { entered_at: now, id });
     }
 
     /// Records that a complete request was received.
@@ -90,8 +91,9 @@
         self.set_state(id, SlotState::RequestOpen, now);
     }
 
-    /// Records that the request has its response. Returns another connection to close if too many are idle;
-    /// `request_arriving` returns whether part of a connection's next request has been received.
+    /// Records that the response to the request is ready. Returns another connection to close if too many are idle.
+    /// `request_arriving` returns whether part of a connection's next request has been received; such a connection is
+    /// not closed.
     pub fn request_finished(
         &mut self,
         id: ConnectionId,
@@ -99,20 +101,21 @@
         request_arriving: impl Fn(ConnectionId) -> bool,
     ) -> Option<ConnectionId> {
         let slot = self.slots.get_mut(&id)?;
-        slot.responses = slot.responses.saturating_add(1);
-        let state = if slot.responses == 1 { SlotState::IdleAfterFirst } else { SlotState::IdleAfterSeveral };
+        slot.response_count = slot.response_count.saturating_add(1);
+        let state =
+            if slot.response_count == 1 { SlotState::IdleAfterFirst } else { SlotState::IdleAfterSeveral };
         self.set_state(id, state, now);
         if self.idle_connections() <= self.max_idle {
             return None;
         }
         let mut idle = self.idle_after_first.iter().chain(&self.idle_after_several);
         let surplus = idle.find(|entry| entry.id != id && !request_arriving(entry.id))?.id;
-        self.closing(surplus, now);
+        self.close_started(surplus, now);
         Some(surplus)
     }
 
     /// Records that the connection is being closed.
-    pub fn closing(&mut self, id: ConnectionId, now: Duration) {
+    pub fn close_started(&mut self, id: ConnectionId, now: Duration) {
         self.set_state(id, SlotState::Closing, now);
     }
 
@@ -121,13 +124,13 @@
         if let Some(slot) = self.slots.remove(&id)
             && let Some(queue) = self.queue(slot.state)
         {
-            queue.remove(&QueueEntry { since: slot.since, id });
+            queue.remove(&QueueEntry { entered_at: slot.entered_at, id });
         }
     }
 
-    /// Removes the connection to close when all slots are taken; `None` if all have a request open.
-    /// `request_arriving` returns whether part of a connection's next request has been received; `has_unread`, which
-    /// costs a system call, returns whether received bytes have not been read.
+    /// Removes and returns the connection to close when all slots are taken; `None` if no connection can be evicted.
+    /// `request_arriving` returns whether part of a connection's next request has been received. `has_unread` returns
+    /// whether received bytes have not been read; it is called for few connections because it makes a system call.
     pub fn evict(
         &mut self,
         now: Duration,
@@ -152,12 +155,12 @@
     fn set_state(&mut self, id: ConnectionId, state: SlotState, now: Duration) {
         let Some(slot) = self.slots.get_mut(&id) else { return };
         let previous_state = std::mem::replace(&mut slot.state, state);
-        let previous_since = std::mem::replace(&mut slot.since, now);
+        let previous_entered_at = std::mem::replace(&mut slot.entered_at, now);
         if let Some(queue) = self.queue(previous_state) {
-            queue.remove(&QueueEntry { since: previous_since, id });
+            queue.remove(&QueueEntry { entered_at: previous_entered_at, id });
         }
         if let Some(queue) = self.queue(state) {
-            queue.insert(QueueEntry { since: now, id });
+            queue.insert(QueueEntry { entered_at: now, id });
         }
     }
 
--- a/crates/sender/src/connection_slots/candidates.rs
+++ b/crates/sender/src/connection_slots/candidates.rs
@@ -7,8 +7,8 @@
 
 use super::{ConnectionId, ConnectionSlots, NEW_CONNECTION_GRACE, Queue, QueueEntry};
 
-/// New connections without a request from one address.
-struct OverdueConnections {
+/// The connections from one address that have sent no complete request within [`NEW_CONNECTION_GRACE`].
+struct ConnectionsPastGrace {
     count: usize,
     oldest: QueueEntry,
 }
@@ -26,25 +26,29 @@
             .closing
             .first()
             .copied()
-            .or_else(|| self.oldest_overdue(now, evictable))
+            .or_else(|| self.oldest_past_grace(now, evictable))
             .or_else(|| self.idle_after_first.iter().find(evictable).copied())
             .or_else(|| self.idle_after_several.iter().find(evictable).copied())
             .or_else(|| self.new.iter().find(evictable).copied())
-            // All others are receiving a request: the one that has taken longest.
+            // All others are receiving a request: evict the one that has taken longest.
             .or_else(|| self.longest_without_request(excluded));
         entry.map(|entry| entry.id)
     }
 
-    /// Of the new connections without a request for over [`NEW_CONNECTION_GRACE`], the oldest from the address that has
-    /// most of them.
-    fn oldest_overdue(&self, now: Duration, evictable: impl Fn(&&QueueEntry) -> bool) -> Option<QueueEntry> {
-        let overdue =
-            self.new.iter().take_while(|entry| now.saturating_sub(entry.since) > NEW_CONNECTION_GRACE);
-        let mut by_address: HashMap<IpAddr, OverdueConnections> = HashMap::new();
-        for &entry in overdue.filter(evictable) {
+    /// The oldest connection of the address with the most new connections that have sent no complete request for over
+    /// [`NEW_CONNECTION_GRACE`].
+    fn oldest_past_grace(
+        &self,
+        now: Duration,
+        evictable: impl Fn(&&QueueEntry) -> bool,
+    ) -> Option<QueueEntry> {
+        let past_grace =
+            self.new.iter().take_while(|entry| now.saturating_sub(entry.entered_at) > NEW_CONNECTION_GRACE);
+        let mut by_address: HashMap<IpAddr, ConnectionsPastGrace> = HashMap::new();
+        for &entry in past_grace.filter(evictable) {
             let connections = by_address
                 .entry(self.slots[&entry.id].address)
-                .or_insert(OverdueConnections { count: 0, oldest: entry });
+                .or_insert(ConnectionsPastGrace { count: 0, oldest: entry });
             connections.count += 1;
         }
         by_address
@@ -53,7 +57,7 @@
             .map(|connections| connections.oldest)
     }
 
-    /// The connection without a complete request that has been in its state for longest.
+    /// The connection without an open request that has been in its state longest.
     fn longest_without_request(&self, excluded: &HashSet<ConnectionId>) -> Option<QueueEntry> {
         let first_of = |queue: &Queue| queue.iter().find(|entry| !excluded.contains(&entry.id)).copied();
         [&self.new, &self.idle_after_first, &self.idle_after_several].into_iter().filter_map(first_of).min()
--- a/crates/sender/src/connection_slots/tests.rs
+++ b/crates/sender/src/connection_slots/tests.rs
@@ -9,36 +9,37 @@
     Duration::from_millis(ms)
 }
 
-fn from(host: u8) -> IpAddr {
+fn loopback(host: u8) -> IpAddr {
     IpAddr::from([127, 0, 0, host])
 }
 
-fn none(_: ConnectionId) -> bool {
+fn never(_: ConnectionId) -> bool {
     false
 }
 
+/// Idle connections take at most a quarter of the slots.
 #[test]
-fn idle_connections_hold_a_quarter_of_the_slots_and_the_longest_idle_is_closed_first() {
+fn the_longest_idle_connection_is_closed_when_too_many_are_idle() {
     let mut slots = ConnectionSlots::new(16);
     for id in 0..4 {
-        slots.opened(ConnectionId(id), from(1), at(id));
-        assert_eq!(slots.request_finished(ConnectionId(id), at(10 + id), none), None);
+        slots.opened(ConnectionId(id), loopback(1), at(id));
+        assert_eq!(slots.request_finished(ConnectionId(id), at(10 + id), never), None);
     }
-    slots.opened(ConnectionId(4), from(1), at(20));
-    assert_eq!(slots.request_finished(ConnectionId(4), at(20), none), Some(ConnectionId(0)));
+    slots.opened(ConnectionId(4), loopback(1), at(20));
+    assert_eq!(slots.request_finished(ConnectionId(4), at(20), never), Some(ConnectionId(0)));
     // A connection with several requests is closed after those with one, regardless of its idle time.
     slots.request_started(ConnectionId(1), at(30));
-    assert_eq!(slots.request_finished(ConnectionId(1), at(31), none), None);
+    assert_eq!(slots.request_finished(ConnectionId(1), at(31), never), None);
     for id in 5..9 {
-        slots.opened(ConnectionId(id), from(1), at(40));
+        slots.opened(ConnectionId(id), loopback(1), at(40));
         assert!(
             slots
-                .request_finished(ConnectionId(id), at(40 + id), none)
+                .request_finished(ConnectionId(id), at(40 + id), never)
                 .is_some_and(|surplus| surplus != ConnectionId(1) && surplus != ConnectionId(id))
         );
     }
     // A connection whose next request is arriving is not closed.
-    slots.opened(ConnectionId(9), from(1), at(60));
+    slots.opened(ConnectionId(9), loopback(1), at(60));
     assert_eq!(
         slots.request_finished(ConnectionId(9), at(60), |id| id == ConnectionId(6)),
         Some(ConnectionId(7))
@@ -48,39 +49,41 @@
 #[test]
 fn a_response_never_closes_its_own_connection() {
     let mut slots = ConnectionSlots::new(4);
-    slots.opened(ConnectionId(0), from(1), at(0));
-    slots.request_finished(ConnectionId(0), at(1), none);
+    slots.opened(ConnectionId(0), loopback(1), at(0));
+    slots.request_finished(ConnectionId(0), at(1), never);
     slots.request_started(ConnectionId(0), at(2));
-    slots.request_finished(ConnectionId(0), at(3), none);
-    slots.opened(ConnectionId(1), from(1), at(4));
-    assert_eq!(slots.request_finished(ConnectionId(1), at(5), none), Some(ConnectionId(0)));
+    slots.request_finished(ConnectionId(0), at(3), never);
+    slots.opened(ConnectionId(1), loopback(1), at(4));
+    assert_eq!(slots.request_finished(ConnectionId(1), at(5), never), Some(ConnectionId(0)));
 }
 
+/// All slots are taken, and most of the connections without a request are from one address.
 #[test]
-fn the_oldest_connection_without_a_request_of_the_address_with_most_of_them_is_evicted() {
+fn the_address_with_most_new_connections_loses_the_oldest() {
     let mut slots = ConnectionSlots::new(16);
-    slots.opened(ConnectionId(0), from(1), at(0));
-    slots.opened(ConnectionId(1), from(2), at(1));
-    slots.opened(ConnectionId(2), from(2), at(2));
-    slots.opened(ConnectionId(3), from(3), at(3));
-    slots.request_finished(ConnectionId(3), at(4), none);
-    assert_eq!(slots.evict(at(400), none, none), Some(ConnectionId(1)));
-    // One from each address: the oldest.
-    assert_eq!(slots.evict(at(400), none, none), Some(ConnectionId(0)));
-    assert_eq!(slots.evict(at(400), |id| id == ConnectionId(2), none), Some(ConnectionId(3)));
-    assert_eq!(slots.evict(at(400), |id| id == ConnectionId(2), none), Some(ConnectionId(2)));
-    assert_eq!(slots.evict(at(400), none, none), None);
+    slots.opened(ConnectionId(0), loopback(1), at(0));
+    slots.opened(ConnectionId(1), loopback(2), at(1));
+    slots.opened(ConnectionId(2), loopback(2), at(2));
+    slots.opened(ConnectionId(3), loopback(3), at(3));
+    slots.request_finished(ConnectionId(3), at(4), never);
+    assert_eq!(slots.evict(at(400), never, never), Some(ConnectionId(1)));
+    // One connection remains from each address: the oldest is evicted.
+    assert_eq!(slots.evict(at(400), never, never), Some(ConnectionId(0)));
+    assert_eq!(slots.evict(at(400), |id| id == ConnectionId(2), never), Some(ConnectionId(3)));
+    assert_eq!(slots.evict(at(400), |id| id == ConnectionId(2), never), Some(ConnectionId(2)));
+    assert_eq!(slots.evict(at(400), never, never), None);
 }
 
+/// A connection with an open request is never evicted.
 #[test]
-fn new_connections_are_evicted_after_idle_ones_and_open_requests_never() {
+fn new_connections_are_evicted_after_idle_connections() {
     let mut slots = ConnectionSlots::new(16);
-    slots.opened(ConnectionId(0), from(1), at(0));
+    slots.opened(ConnectionId(0), loopback(1), at(0));
     slots.request_started(ConnectionId(0), at(1));
-    slots.opened(ConnectionId(1), from(1), at(100));
-    slots.opened(ConnectionId(2), from(1), at(50));
-    slots.request_finished(ConnectionId(2), at(60), none);
-    let evicted = [0; 3].map(|_| slots.evict(at(101), none, none));
+    slots.opened(ConnectionId(1), loopback(1), at(100));
+    slots.opened(ConnectionId(2), loopback(1), at(50));
+    slots.request_finished(ConnectionId(2), at(60), never);
+    let evicted = [0; 3].map(|_| slots.evict(at(101), never, never));
     assert_eq!(evicted, [Some(ConnectionId(2)), Some(ConnectionId(1)), None]);
 }
 
@@ -91,20 +94,20 @@
         ..ProptestConfig::default()
     })]
 
-    /// Any sequence of calls, also for connections that are not open, keeps each open connection in the queue of its
-    /// state and no other.
+    /// After any sequence of calls, also for connections that are not open, each open connection is in the queue of its
+    /// state and in no other.
     #[test]
     fn each_connection_is_in_the_one_queue_of_its_state(
         steps in prop::collection::vec((0..5u8, 0..12u64, 0..200u64), 1..200),
     ) {
         let mut slots = ConnectionSlots::new(12);
         let mut now = Duration::ZERO;
-        for (what, id, later) in steps {
-            now += at(later);
-            match what {
-                0 => slots.opened(ConnectionId(id), from(id as u8 % 3), now),
+        for (operation, id, elapsed_ms) in steps {
+            now += at(elapsed_ms);
+            match operation {
+                0 => slots.opened(ConnectionId(id), loopback(id as u8 % 3), now),
                 1 => slots.request_started(ConnectionId(id), now),
-                2 => drop(slots.request_finished(ConnectionId(id), now, none)),
+                2 => drop(slots.request_finished(ConnectionId(id), now, never)),
                 3 => slots.closed(ConnectionId(id)),
                 _ => drop(slots.evict(now, |id| id.0 % 4 == 0, |id| id.0 % 5 == 0)),
             }
@@ -114,7 +117,7 @@
             prop_assert_eq!(slots.idle_after_several.len(), count(SlotState::IdleAfterSeveral));
             prop_assert!(slots.idle_after_first.len() + slots.idle_after_several.len() <= slots.max_idle);
             for entry in slots.new.iter().chain(&slots.idle_after_first).chain(&slots.idle_after_several) {
-                prop_assert_eq!(slots.slots[&entry.id].since, entry.since);
+                prop_assert_eq!(slots.slots[&entry.id].entered_at, entry.entered_at);
             }
         }
     }
--- a/crates/sender/src/graceful_close.rs
+++ b/crates/sender/src/graceful_close.rs
@@ -1,7 +1,7 @@
-//! Closes a connection without a reset, so that the peer receives all that was written before.
+//! Closes a connection without a reset, so that the peer receives everything that was written before.
 //!
-//! Closing a socket with unread bytes sends a reset, and the peer loses what it has not read yet. So the writing half is
-//! shut down first, and received bytes are discarded until the peer closes its side.
+//! Closing a socket with unread bytes sends a reset, and the peer loses the data that it has not read yet. To avoid
+//! this, the writing half is shut down first, and received bytes are discarded until the peer closes its side.
 
 use std::future::poll_fn;
 use std::io::{ErrorKind, Result};
@@ -16,10 +16,10 @@
 
 use crate::write_progress::SharedSocket;
 
-/// How long the peer has to close its side after the shutdown.
+/// How long the peer may take to close its side after the writing half is shut down.
 pub(crate) const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Maximum number of bytes that are discarded; a peer that sends more may be reset. A request has up to 64 KiB and its
-/// head.
+/// Maximum number of bytes that are discarded; the connection of a peer that sends more may be reset. A request has a
+/// head and a body of up to 64 KiB.
 const MAX_DISCARDED: usize = 256 * 1024;
 /// Bytes read by one call.
 const READ_CHUNK_SIZE: usize = 4 * 1024;
@@ -29,43 +29,44 @@
     matches!(SockRef::from(&*socket.borrow()).peek(&mut [MaybeUninit::uninit(); 1]), Ok(1..))
 }
 
-/// Shuts down the writing half, then reads and discards until the peer has closed its side, a bound is reached, or
-/// `close_immediately` resolves. Then the socket may be dropped.
+/// Shuts down the writing half, then discards received bytes until the peer has closed its side, [`MAX_DISCARDED`] or
+/// [`CLOSE_TIMEOUT`] is reached, or `close_immediately` resolves. The socket may be dropped afterwards.
 pub(crate) async fn finish(socket: &SharedSocket, close_immediately: impl Future<Output = ()>) {
     shut_down_writing(socket);
-    let mut discard_limit = MAX_DISCARDED;
-    if discard_received(socket, &mut discard_limit) {
+    let mut discard_budget = MAX_DISCARDED;
+    if discard_received(socket, &mut discard_budget) {
         return;
     }
     let peer_closed = tokio::select! {
         biased;
-        peer_closed = discard_until_closed(socket, &mut discard_limit) => peer_closed,
+        peer_closed = discard_until_closed(socket, &mut discard_budget) => peer_closed,
         () = close_immediately => false,
         () = sleep(CLOSE_TIMEOUT) => false,
     };
     if !peer_closed {
-        discard_received(socket, &mut discard_limit);
+        discard_received(socket, &mut discard_budget);
     }
 }
 
-/// Shuts down the writing half and discards what has been received, without waiting.
-pub(crate) fn abandon(socket: &SharedSocket) {
+/// Shuts down the writing half and discards the bytes received so far, without waiting for the peer.
+pub(crate) fn close_without_waiting(socket: &SharedSocket) {
     shut_down_writing(socket);
-    let mut discard_limit = MAX_DISCARDED;
-    discard_received(socket, &mut discard_limit);
+    let mut discard_budget = MAX_DISCARDED;
+    discard_received(socket, &mut discard_budget);
 }
 
 fn shut_down_writing(socket: &SharedSocket) {
-    // Fails only if the connection has ended; reading fails as well then.
+    // The error is ignored: this fails only if the connection has ended, and then reading fails as well.
     let _ = SockRef::from(&*socket.borrow()).shutdown(Shutdown::Write);
 }
 
-/// Discards what the system has received, without waiting. Returns whether the peer has closed its side.
-fn discard_received(socket: &SharedSocket, discard_limit: &mut usize) -> bool {
+/// Discards the bytes received so far, without waiting for the peer. Returns whether the peer has closed its side or
+/// the connection has failed.
+fn discard_received(socket: &SharedSocket, discard_budget: &mut usize) -> bool {
     let mut bytes = [MaybeUninit::uninit(); READ_CHUNK_SIZE];
-    while *discard_limit > 0 {
+    while *discard_budget > 0 {
         match SockRef::from(&*socket.borrow()).recv(&mut bytes) {
-            Ok(received @ 1..) => *discard_limit = discard_limit.saturating_sub(received),
+            Ok(received @ 1..) => *discard_budget = discard_budget.saturating_sub(received),
             Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
             _ => return true,
         }
@@ -73,11 +74,12 @@
     false
 }
 
-/// Discards received bytes until the peer closes its side; returns `false` if the limit is reached before.
-async fn discard_until_closed(socket: &SharedSocket, discard_limit: &mut usize) -> bool {
-    while *discard_limit > 0 {
+/// Discards received bytes until the peer closes its side or the connection fails; returns `false` if the limit is
+/// reached before that.
+async fn discard_until_closed(socket: &SharedSocket, discard_budget: &mut usize) -> bool {
+    while *discard_budget > 0 {
         match read(socket).await {
-            Ok(received @ 1..) => *discard_limit = discard_limit.saturating_sub(received),
+            Ok(received @ 1..) => *discard_budget = discard_budget.saturating_sub(received),
             _ => return true,
         }
     }
--- a/crates/sender/src/inbound.rs
+++ b/crates/sender/src/inbound.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, serves their requests, and closes them.
+//! Accepts client connections, responds to their requests, and closes the connections.
 
 mod connection;
 mod conversation;
@@ -32,15 +32,16 @@
 use connection::ClientConnection;
 use slots::OpenConnection;
 
-/// Interval in which overdue connections are closed.
+/// Interval between two checks for overdue connections, which are closed.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Resource limits of all clients together.
+/// Resource limits that all clients share.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Maximum size of the request bodies that have not been received completely, in bytes.
+    /// Maximum total size of the request bodies that are being received, in bytes; a value below
+    /// [`MAX_BODY`] is raised to it.
     pub max_unfinished_body_bytes: usize,
 }
 
@@ -55,13 +56,13 @@
     free_slots: Arc<Semaphore>,
     connections: RefCell<BTreeMap<ConnectionId, Rc<ClientConnection>>>,
     slots: RefCell<ConnectionSlots>,
-    /// The moment from which the times in `slots` count.
+    /// Origin of the times in `slots`.
     started_at: Instant,
-    /// One permit for each byte that unfinished request bodies may still use.
+    /// One permit for each byte that is not reserved for a request body that is being received.
     free_body_bytes: Arc<Semaphore>,
     metrics: Rc<Metrics>,
     admission_state: watch::Receiver<AdmissionState>,
-    /// Notified whenever a connection is closed.
+    /// Notified whenever a connection has been closed.
     connection_closed: Notify,
 }
 
@@ -91,10 +92,10 @@
         }
     }
 
-    /// Accepts connections until the listener is handed over.
+    /// Accepts connections until this process hands over to its successor.
     ///
-    /// Spawns a task that closes overdue connections until the runtime ends, and a task for each connection that serves it
-    /// until it is closed; [`Inbound::shut_down`] closes them all.
+    /// Spawns a task that closes overdue connections until the runtime ends, and for each connection a task that serves
+    /// it until it is closed; [`Inbound::shut_down`] closes all connections.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         spawn_local(self.clone().close_overdue_connections());
         let mut admission_state = self.admission_state.clone();
@@ -107,12 +108,13 @@
             };
             let slot = self.acquire_slot().await;
             let connection = Rc::new(ClientConnection::new(ConnectionId(number), stream));
-            let open = OpenConnection::register(self.clone(), connection, peer.ip(), slot);
-            spawn_local(async move { open.serve().await });
+            let open_connection = OpenConnection::register(self.clone(), connection, peer.ip(), slot);
+            spawn_local(async move { open_connection.serve().await });
         }
     }
 
-    /// Closes connections whose next request was not received in time.
+    /// Closes connections whose next request was not complete in time, until the runtime ends. A connection with unread
+    /// bytes is checked again at the next interval.
     async fn close_overdue_connections(self: Rc<Self>) {
         loop {
             sleep(OVERDUE_CHECK_INTERVAL).await;
@@ -125,6 +127,7 @@
         }
     }
 
+    /// The present time, in the form that `slots` expects.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
--- a/crates/sender/src/inbound/connection.rs
+++ b/crates/sender/src/inbound/connection.rs
@@ -1,5 +1,5 @@
-//! The state of one client connection: its current request, the deadline of the next one, and whether the response to
-//! the last submission was written.
+//! The state of one client connection: its current request, the deadline of its next request, and whether the response
+//! to its last submission was written.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,33 +18,34 @@
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
 /// Maximum time from the first byte of a later request to the complete request. Further bytes do not extend it.
 const NEXT_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// How long an idle connection is kept, unless its slot is needed.
+/// Time after which an idle connection is closed; earlier if its slot is needed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The request that a connection is at.
+/// The state of a connection's current request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestState {
     /// No response has been sent on the connection.
     AwaitingFirst { opened_at: Instant },
     /// A complete request has been received, and its response has not been sent.
     Open,
-    /// All requests have their response; the next one may be arriving.
+    /// All requests have been responded to; the next request may be arriving.
     AwaitingNext { responded_at: Instant },
 }
 
 /// The last submission of a connection that was sent to the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum LastSubmission {
-    /// There is none, or the engine has refused it.
+    /// Nothing was submitted, or the engine has refused the last submission.
     #[default]
     None,
     /// The engine has not responded.
-    AwaitingDecision(SubmissionId),
-    /// The engine has accepted it; the write progress is that of the response with status 202.
+    AwaitingResponse(SubmissionId),
+    /// The engine has accepted the submission; the connection's write progress is that of its response, with status
+    /// 202.
     Accepted(SubmissionId),
 }
 
-/// A client's connection. Only its task serves and closes it; others request the close.
+/// A client's connection. Only its own task serves and closes the connection; other tasks request the close.
 #[derive(Debug)]
 pub(super) struct ClientConnection {
     pub(super) id: ConnectionId,
@@ -58,7 +59,7 @@
 }
 
 impl ClientConnection {
-    /// The state of a connection that was just accepted.
+    /// Creates the state of a connection that was just accepted.
     pub(super) fn new(id: ConnectionId, stream: TcpStream) -> Self {
         Self {
             id,
@@ -87,7 +88,7 @@
         graceful_close::has_unread(&self.socket)
     }
 
-    /// Whether a part of the next request has been read.
+    /// Whether part of the next request has been read.
     pub(super) fn is_request_arriving(&self) -> bool {
         self.write_progress.first_byte_received_at().is_some()
     }
@@ -97,13 +98,14 @@
         self.request_state.set(RequestState::Open);
     }
 
-    /// Records that the request has its response.
+    /// Records that the response to the request is ready.
     pub(super) fn request_finished(&self) {
         self.request_state.set(RequestState::AwaitingNext { responded_at: Instant::now() });
         self.write_progress.reset_received();
     }
 
-    /// When the next request must be complete; `None` while a request is open.
+    /// When the next request must be complete, or its first byte received if the connection is idle; `None` while a
+    /// request is open.
     pub(super) fn request_deadline(&self) -> Option<Instant> {
         match self.request_state.get() {
             RequestState::AwaitingFirst { opened_at } => Some(opened_at + FIRST_REQUEST_TIMEOUT),
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Whether the next request was not complete in time.
+    /// Whether the deadline of the next request has passed.
     pub(super) fn is_overdue(&self, now: Instant) -> bool {
         self.request_deadline().is_some_and(|deadline| deadline <= now)
     }
@@ -127,10 +129,10 @@
 
     /// Records that a submission of this connection was sent to the engine.
     pub(super) fn submission_started(&self, id: SubmissionId) {
-        self.last_submission.set(LastSubmission::AwaitingDecision(id));
+        self.last_submission.set(LastSubmission::AwaitingResponse(id));
     }
 
-    /// Records that the engine has accepted the submission; the next bytes written are those of its response.
+    /// Records that the engine has accepted the submission; the next bytes written belong to its response.
     pub(super) fn submission_accepted(&self, id: SubmissionId) {
         self.write_progress.reset();
         self.last_submission.set(LastSubmission::Accepted(id));
@@ -141,11 +143,11 @@
         self.last_submission.set(LastSubmission::None);
     }
 
-    /// The submission whose response has not begun to be written.
+    /// The submission of whose response no byte has been written; `None` if there is none.
     pub(super) fn unacknowledged_submission(&self) -> Option<SubmissionId> {
         match self.last_submission.get() {
             LastSubmission::None => None,
-            LastSubmission::AwaitingDecision(id) => Some(id),
+            LastSubmission::AwaitingResponse(id) => Some(id),
             LastSubmission::Accepted(id) => (!self.write_progress.write_started()).then_some(id),
         }
     }
--- a/crates/sender/src/inbound/conversation.rs
+++ b/crates/sender/src/inbound/conversation.rs
@@ -1,4 +1,4 @@
-//! Serves one client connection from its first request until it is closed.
+//! Serves one client connection from its first request until the connection is closed.
 
 use std::pin::pin;
 
@@ -13,14 +13,15 @@
 use crate::write_progress::{MAX_BUFFER, TrackedStream};
 
 impl Inbound {
-    /// Serves requests until the connection ends or its close is requested, then closes it.
+    /// Serves requests until the connection ends or its close is requested, withdraws a submission that is not
+    /// acknowledged, and closes the connection.
     pub(super) async fn serve(&self, connection: &ClientConnection) {
         self.serve_requests(connection).await;
-        // The client has received no response and may submit its message elsewhere, so the message is withdrawn.
+        // The message is withdrawn because the client has received no response and may submit it to another sender.
         if let Some(submission) = connection.unacknowledged_submission() {
             let _ = self.to_engine.send(Input::Withdrawn(submission)).await;
         }
-        self.slots.borrow_mut().closing(connection.id, self.now());
+        self.slots.borrow_mut().close_started(connection.id, self.now());
         graceful_close::finish(&connection.socket, connection.close_immediately.notified()).await;
     }
 
@@ -34,11 +35,12 @@
         loop {
             tokio::select! {
                 biased;
-                // First: a request that is read after the close was requested would be lost.
+                // Polled first because a request that is read after the close was requested would be lost.
                 () = connection.close_requested.notified() => return,
-                // The result is in the state of the last submission.
+                // The error, if any, is ignored: the state of the last submission shows whether its response was
+                // written.
                 _ = http.as_mut() => return,
-                // A request that is arriving is served; the connection is closed after its response.
+                // A request that is arriving is served before its connection is closed.
                 Ok(()) = admission_state.changed() => {
                     let accepting = *admission_state.borrow_and_update() == AdmissionState::Accepting;
                     if !accepting && connection.is_idle() && !connection.has_unread() {
--- a/crates/sender/src/inbound/rejection.rs
+++ b/crates/sender/src/inbound/rejection.rs
@@ -8,11 +8,11 @@
 
 use super::response::{HttpResponse, text_response};
 
-/// Why a request is rejected; the display text is the body of the response.
+/// Why a request is rejected. The display text is the body of the response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestRejection {
-    /// The request has a `Transfer-Encoding`. hyper prefers it to a Content-Length, so that a request could be smuggled in
-    /// the body. No supported client sends it.
+    /// The request has a `Transfer-Encoding`. hyper uses this header in preference to `Content-Length`, so that a
+    /// request could be smuggled in the body. No supported client sends the header.
     #[error("Transfer-Encoding")]
     TransferEncoding,
     /// The body is longer than [`rudderspindle_journal::MAX_BODY`].
@@ -39,13 +39,13 @@
     /// The connection ended within the body, or the framing of the body is invalid.
     #[error("unfinished body")]
     IncompleteBody(#[source] Box<dyn Error + Send + Sync>),
-    /// The body was not received in time.
+    /// The body was not complete by the deadline of the request.
     #[error("unfinished body")]
     BodyTimeout,
     /// There is no capacity for the message at present.
     #[error("refused")]
     Overloaded {
-        /// When the client may retry; `None` for no advice.
+        /// Milliseconds after which the client may retry; `None` if the response has no `Retry-After`.
         retry_after: Option<Millis>,
     },
     /// The message cannot be delivered.
@@ -54,7 +54,7 @@
     /// The destination has no receiver in the endpoint list.
     #[error("unknown destination")]
     UnknownDestination,
-    /// The process does not accept clients.
+    /// The process does not accept clients, because it is drained or stopping.
     #[error("not ready")]
     NotReady,
     /// The readiness check was requested by another method than GET.
@@ -66,7 +66,7 @@
 }
 
 impl RequestRejection {
-    /// The response to the client.
+    /// Converts the rejection to the response that is sent to the client.
     pub(super) fn into_response(self) -> HttpResponse {
         let mut response = text_response(self.status(), self.to_string());
         if let Self::Overloaded { retry_after: Some(retry_after) } = self
--- a/crates/sender/src/inbound/request_body.rs
+++ b/crates/sender/src/inbound/request_body.rs
@@ -1,4 +1,4 @@
-//! Receives the body of a submission within its memory limit and its deadline.
+//! Receives the body of a submission, up to [`MAX_BODY`] bytes and until a deadline.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -12,11 +12,11 @@
 ///
 /// # Errors
 ///
-/// [`RequestRejection::BodyTooLarge`], [`RequestRejection::IncompleteBody`], or [`RequestRejection::BodyTimeout`] if it
-/// is not complete by the deadline.
+/// [`RequestRejection::BodyTooLarge`], [`RequestRejection::IncompleteBody`], or [`RequestRejection::BodyTimeout`] if
+/// the body is not complete by `deadline`.
 pub(super) async fn read(body: Incoming, deadline: Instant) -> Result<Bytes, RequestRejection> {
     match timeout_at(deadline, Limited::new(body, MAX_BODY).collect()).await {
-        // Copied: a body received in one piece would keep the connection's whole buffer in memory.
+        // Copied, because a body that was received in one piece would keep the connection's whole buffer in memory.
         Ok(Ok(body)) => Ok(Bytes::copy_from_slice(&body.to_bytes())),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestRejection::BodyTooLarge),
         Ok(Err(error)) => Err(RequestRejection::IncompleteBody(error)),
--- a/crates/sender/src/inbound/request_head.rs
+++ b/crates/sender/src/inbound/request_head.rs
@@ -16,16 +16,16 @@
 const X_REMAINING: HeaderName = HeaderName::from_static("x-remaining");
 const X_ROUTE_TO: HeaderName = HeaderName::from_static("x-route-to");
 
-/// Maximum length of an id or a key, in bytes.
-const MAX_NAME_LEN: usize = 256;
+/// Maximum length of a header value that is read, in bytes.
+const MAX_HEADER_VALUE_LEN: usize = 256;
 
-/// The head of a submission.
+/// The validated head of a submission.
 #[derive(Debug)]
 pub(super) struct SubmissionHead {
-    /// Index of the class.
+    /// Index of the class in the settings.
     pub(super) class: usize,
     pub(super) message_id: MessageId,
-    /// Index of the tenant.
+    /// Index of the tenant in the settings; 0 if they name no tenants.
     pub(super) tenant: usize,
     pub(super) destination: DestinationId,
     /// Time until the message's deadline, in seconds.
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// [`RequestRejection`] with the first invalid value.
+    /// [`RequestRejection`] for the first value that is missing or invalid.
     pub(super) fn parse<B: Body>(
         request: &Request<B>,
         settings: &Settings,
@@ -56,8 +56,8 @@
         let tenant = tenant(headers, names).ok_or(RequestRejection::UnknownTenant)?;
         let destination = destination(headers).ok_or(RequestRejection::InvalidDestination)?;
         let remaining_s = remaining_s(headers).ok_or(RequestRejection::InvalidRemainingTime)?;
-        let needs_key = matches!(settings.classes[class].effect, Effect::IdempotencyKey { .. });
-        let idempotency_key = idempotency_key(headers, needs_key)?;
+        let key_required = matches!(settings.classes[class].effect, Effect::IdempotencyKey { .. });
+        let idempotency_key = idempotency_key(headers, key_required)?;
         Ok(Self {
             class,
             message_id: MessageId::from(message_id),
@@ -70,6 +70,7 @@
     }
 }
 
+/// The length that the body announces, in bytes.
 fn body_len(body: &impl Body) -> Result<u32, RequestRejection> {
     let body_len = body.size_hint().lower();
     if body_len > MAX_BODY as u64 {
@@ -100,14 +101,16 @@
     value.trim().parse().ok().map(DestinationId)
 }
 
+/// The seconds in `X-Remaining`; `None` if the header is missing or not a finite number of at least 0.
 fn remaining_s(headers: &HeaderMap) -> Option<f64> {
     let remaining: f64 = header_text(headers, &X_REMAINING)?.trim().parse().ok()?;
     (remaining.is_finite() && remaining >= 0.0).then_some(remaining)
 }
 
+/// The value of `Idempotency-Key`, if any; an error if it is too long, or empty or missing although `required`.
 fn idempotency_key(headers: &HeaderMap, required: bool) -> Result<Option<Bytes>, RequestRejection> {
     let key = headers.get(IDEMPOTENCY_KEY);
-    let too_long = key.is_some_and(|key| key.len() > MAX_NAME_LEN);
+    let too_long = key.is_some_and(|key| key.len() > MAX_HEADER_VALUE_LEN);
     let missing = required && key.is_none_or(HeaderValue::is_empty);
     if too_long || missing {
         return Err(RequestRejection::InvalidIdempotencyKey);
@@ -115,9 +118,10 @@
     Ok(key.map(|key| Bytes::copy_from_slice(key.as_bytes())))
 }
 
-/// A header's text; `None` if it is missing or not 1 to [`MAX_NAME_LEN`] bytes long.
+/// The text of a header; `None` if the header is missing, not visible ASCII, or not 1 to [`MAX_HEADER_VALUE_LEN`] bytes
+/// long.
 fn header_text<'a>(headers: &'a HeaderMap, header: &HeaderName) -> Option<&'a str> {
-    headers.get(header)?.to_str().ok().filter(|text| (1..=MAX_NAME_LEN).contains(&text.len()))
+    headers.get(header)?.to_str().ok().filter(|text| (1..=MAX_HEADER_VALUE_LEN).contains(&text.len()))
 }
 
 #[cfg(test)]
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -24,17 +24,17 @@
 const READY_PATH: &str = "/-/ready";
 
 impl Inbound {
-    /// Handles a request, and records that it has its response.
+    /// Handles a request, and records that its response is ready.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
         connection: &ClientConnection,
     ) -> Result<HttpResponse, Infallible> {
-        let result = self.handle(request, connection).await;
-        let mut response = result.unwrap_or_else(RequestRejection::into_response);
+        let response = self.handle(request, connection).await;
+        let mut response = response.unwrap_or_else(RequestRejection::into_response);
         if response.status().is_client_error() || *self.admission_state.borrow() != AdmissionState::Accepting
         {
-            // After a malformed request the next bytes may be the rest of its body.
+            // Closed after a malformed request because the next bytes may be the rest of its body.
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         connection.request_finished();
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Responds to the readiness check. While the process hands over its clients it is ready as well: its successor is the
-    /// same sender.
+    /// Responds to the readiness check. The process is also ready while it hands over to its successor, because the
+    /// successor is the same sender.
     fn check_readiness(&self) -> Result<HttpResponse, RequestRejection> {
         match *self.admission_state.borrow() {
             AdmissionState::Accepting | AdmissionState::HandingOver => {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Submits a message to the engine and waits for the response.
+    /// Submits a message to the engine and waits for the engine's response.
     async fn submit(
         &self,
         request: Request<Incoming>,
@@ -76,21 +76,21 @@
         let body = self.receive_body(&head, request.into_body(), connection).await?;
         connection.request_started();
         self.slots.borrow_mut().request_started(connection.id, self.now());
-        let (response, decision) = oneshot::channel();
-        let submission = self.submission(head, body, response);
+        let (response_sender, response_receiver) = oneshot::channel();
+        let submission = self.new_submission(head, body, response_sender);
         let id = submission.id;
         self.send_to_engine(submission)?;
         connection.submission_started(id);
-        let decision = decision.await.unwrap_or(SubmissionResponse::REFUSED);
-        if decision == SubmissionResponse::Accepted {
+        let submission_response = response_receiver.await.unwrap_or(SubmissionResponse::REFUSED);
+        if submission_response == SubmissionResponse::Accepted {
             connection.submission_accepted(id);
         } else {
             connection.submission_refused();
         }
-        self.response_to(decision)
+        self.http_response(submission_response)
     }
 
-    /// Reads the body, for which memory is reserved until it is complete.
+    /// Reads the body. Memory for the body is reserved while it is being received.
     async fn receive_body(
         &self,
         head: &SubmissionHead,
@@ -98,7 +98,7 @@
         connection: &ClientConnection,
     ) -> Result<Bytes, RequestRejection> {
         let _reservation = self.reserve_body_bytes(head)?;
-        // There is a deadline while a request is being received.
+        // There always is a deadline at this point, because no request is open while one is being received.
         let deadline = connection.request_deadline().unwrap_or_else(Instant::now);
         request_body::read(body, deadline).await
     }
@@ -108,8 +108,9 @@
         reservation.map_err(|_| self.reject_for_capacity(head.class))
     }
 
-    /// Creates a submission. The message's remaining time counts from its last byte, and is limited by its class.
-    fn submission(
+    /// Creates a submission. The message's remaining time starts now, with the last byte of its body, and is at most
+    /// the deadline of its class.
+    fn new_submission(
         &self,
         head: SubmissionHead,
         body: Bytes,
@@ -132,29 +133,33 @@
         }
     }
 
+    /// Sends a submission to the engine; it is rejected if the engine's queue is full or the engine has stopped.
     fn send_to_engine(&self, submission: Submission) -> Result<(), RequestRejection> {
         let class = submission.class;
         let sent = self.to_engine.try_send(Input::Submitted(submission));
         sent.map_err(|_| self.reject_for_capacity(class))
     }
 
-    fn response_to(&self, decision: SubmissionResponse) -> Result<HttpResponse, RequestRejection> {
-        match decision {
+    fn http_response(
+        &self,
+        submission_response: SubmissionResponse,
+    ) -> Result<HttpResponse, RequestRejection> {
+        match submission_response {
             SubmissionResponse::Accepted => Ok(text_response(StatusCode::ACCEPTED, "taken on")),
-            SubmissionResponse::Refused { retry_after } => Err(self.overloaded(retry_after)),
+            SubmissionResponse::Refused { retry_after } => Err(self.overload_rejection(retry_after)),
             SubmissionResponse::Failed => Err(RequestRejection::Failed),
             SubmissionResponse::UnknownDestination => Err(RequestRejection::UnknownDestination),
         }
     }
 
-    /// Rejects a message that is not sent to the engine, which would count it otherwise.
+    /// Rejects a message for lack of capacity and counts it: the engine counts only the messages that are sent to it.
     fn reject_for_capacity(&self, class: usize) -> RequestRejection {
         self.metrics.record_outcome(class, FinalOutcome::Rejected);
-        self.overloaded(0.0)
+        self.overload_rejection(0.0)
     }
 
-    fn overloaded(&self, retry_after: Millis) -> RequestRejection {
-        let advised = self.settings.retry_after && retry_after > 0.0;
-        RequestRejection::Overloaded { retry_after: advised.then_some(retry_after) }
+    fn overload_rejection(&self, retry_after: Millis) -> RequestRejection {
+        let advise_retry = self.settings.retry_after && retry_after > 0.0;
+        RequestRejection::Overloaded { retry_after: advise_retry.then_some(retry_after) }
     }
 }
--- a/crates/sender/src/inbound/shutdown.rs
+++ b/crates/sender/src/inbound/shutdown.rs
@@ -1,4 +1,4 @@
-//! Closes all client connections before the process ends, without a reset.
+//! Closes all client connections before the process exits, without resetting any.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 use super::Inbound;
 use crate::graceful_close;
 
-/// How long connections in the listener's queue are still accepted.
+/// How long connections in the listener's queue are still accepted after the engine has stopped.
 pub(super) const LAST_ACCEPT_GRACE: Duration = Duration::from_millis(20);
-/// How long requests that are being received may still be completed; they are refused.
+/// How long clients may take to complete requests that are being received; these requests are refused.
 pub(super) const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long the connections may take to close after that.
+/// How long connections may take to close after [`LAST_RESPONSE_TIMEOUT`].
 const LAST_CLOSE_TIMEOUT: Duration = Duration::from_millis(40);
 
 impl Inbound {
-    /// Closes all connections before the process ends, in less than 200 ms. The engine has stopped, so requests are
-    /// refused.
+    /// Closes all connections in less than 200 ms, before the process exits. Requests are refused because the engine
+    /// has stopped.
     pub async fn shut_down(&self) {
         sleep(LAST_ACCEPT_GRACE).await;
         let _ = timeout(LAST_RESPONSE_TIMEOUT, self.all_closed()).await;
@@ -26,16 +26,18 @@
             }
         }
         let _ = timeout(LAST_CLOSE_TIMEOUT, self.all_closed()).await;
-        self.abandon_all();
+        self.close_all_without_waiting();
     }
 
-    /// Shuts down the connections that are still open, so that dropping them sends no reset.
-    pub(super) fn abandon_all(&self) {
+    /// Closes the connections that are still open without waiting for their clients, so that dropping the sockets sends
+    /// no reset.
+    pub(super) fn close_all_without_waiting(&self) {
         for connection in self.connections.borrow().values() {
-            graceful_close::abandon(&connection.socket);
+            graceful_close::close_without_waiting(&connection.socket);
         }
     }
 
+    /// Resolves once no connection is open.
     async fn all_closed(&self) {
         while !self.connections.borrow().is_empty() {
             self.connection_closed.notified().await;
--- a/crates/sender/src/inbound/slots.rs
+++ b/crates/sender/src/inbound/slots.rs
@@ -1,4 +1,4 @@
-//! Assigns a slot to each open client connection, and evicts a connection when all slots are taken.
+//! Assigns a slot to each open client connection, and evicts a connection if all slots are taken.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -11,19 +11,19 @@
 use super::connection::ClientConnection;
 use crate::connection_slots::ConnectionId;
 
-/// How long to wait for a slot before another connection is evicted.
+/// How long to wait for the slot of an evicted connection before another connection is evicted.
 const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// An open connection and its slot. Dropping it closes the socket and frees the slot.
 pub(super) struct OpenConnection {
     inbound: Rc<Inbound>,
-    // Dropped before the slot: the descriptor must be closed before the next connection is accepted.
+    // Declared, and so dropped, before the slot: the descriptor must be closed before the next connection is accepted.
     connection: Rc<ClientConnection>,
     _slot: OwnedSemaphorePermit,
 }
 
 impl OpenConnection {
-    /// Records a connection accepted from `address`.
+    /// Registers a connection that was accepted from `address`.
     pub(super) fn register(
         inbound: Rc<Inbound>,
         connection: Rc<ClientConnection>,
@@ -52,23 +52,24 @@
 }
 
 impl Inbound {
-    /// Waits for the slot of a new connection, for which another connection is evicted if necessary: idle connections must
-    /// not keep others out.
+    /// Waits for the slot of a new connection. If none is free, another connection is evicted, because idle connections
+    /// must not prevent new ones.
     pub(super) async fn acquire_slot(&self) -> OwnedSemaphorePermit {
         loop {
             if let Ok(slot) = self.free_slots.clone().try_acquire_owned() {
                 return slot;
             }
             self.evict_connection();
-            // The evicted connection ends at once; if all have a request open, a response is due soon.
-            let freed = self.free_slots.clone().acquire_owned();
-            if let Ok(Ok(slot)) = timeout(SLOT_RETRY_INTERVAL, freed).await {
+            // An evicted connection is closed at once. If none was evicted, all have a request open, and the first
+            // response is due soon.
+            let freed_slot = self.free_slots.clone().acquire_owned();
+            if let Ok(Ok(slot)) = timeout(SLOT_RETRY_INTERVAL, freed_slot).await {
                 return slot;
             }
         }
     }
 
-    /// Closes a connection that can be evicted, if there is one.
+    /// Evicts one connection, unless all have a request open.
     pub(super) fn evict_connection(&self) {
         let request_arriving = |id| self.is_request_arriving(id);
         let has_unread = |id| self.has_unread(id);
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Closes the longest idle connection if too many are idle after this one's response.
+    /// Closes the longest idle connection if too many connections are idle after the response on connection
+    /// `responded`.
     pub(super) fn close_surplus_idle_connection(&self, responded: ConnectionId) {
         let request_arriving = |id| self.is_request_arriving(id) || self.has_unread(id);
         let surplus = self.slots.borrow_mut().request_finished(responded, self.now(), request_arriving);
@@ -87,12 +89,12 @@
         }
     }
 
-    /// Whether a part of a connection's next request has been read.
+    /// Whether part of a connection's next request has been read.
     pub(super) fn is_request_arriving(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(|connection| connection.is_request_arriving())
     }
 
-    /// Whether bytes received on a connection have not been read; they may begin a request.
+    /// Whether bytes received on a connection have not been read; they may be the beginning of a request.
     pub(super) fn has_unread(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(|connection| connection.has_unread())
     }
--- a/crates/sender/src/inbound/tests/closing.rs
+++ b/crates/sender/src/inbound/tests/closing.rs
@@ -1,4 +1,4 @@
-//! Bytes that are received at the moment at which a connection is closed.
+//! Tests bytes that are received at the moment at which a connection is closed.
 
 use std::time::Duration;
 
@@ -8,123 +8,134 @@
 use tokio::time::timeout;
 
 use super::super::shutdown::{LAST_ACCEPT_GRACE, LAST_RESPONSE_TIMEOUT};
-use super::{InboundTest, MAX_CONNECTIONS, READY, REQUEST, TEST_TIMEOUT, freeze_clock, read_status, until};
+use super::{
+    InboundTest, MAX_CONNECTIONS, READINESS_CHECK, SUBMISSION, TEST_TIMEOUT, freeze_clock, read_status,
+    wait_until,
+};
 use crate::admission_state::AdmissionState;
 use crate::connection_slots::ConnectionId;
 use crate::graceful_close;
 
+/// The request is received, but not read, when the process begins to stop.
 #[tokio::test]
-async fn a_request_received_on_an_idle_connection_at_the_moment_of_sigterm_is_answered() {
+async fn a_request_received_at_sigterm_is_answered() {
     let test = async {
         let mut setup = InboundTest::set_up().await;
         let (mut client, id) = setup.connect_idle().await;
-        setup.write_unnoticed(&client, id, REQUEST);
+        setup.write_without_polling(&client, id, SUBMISSION);
         setup.admission_state.send_replace(AdmissionState::Stopping);
         setup.expect_accepted(&mut client).await;
-        assert_eq!(client.read(&mut [0; 1]).await.expect("no reset"), 0);
+        assert_eq!(client.read(&mut [0; 1]).await.expect("connection without a reset"), 0);
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Two connections may be idle: the third response would close the longest idle one, on which bytes have been received.
+/// At most two connections may be idle, so that a third response would close the longest idle connection. Unread bytes
+/// have been received on that connection.
 #[tokio::test]
-async fn a_request_received_as_its_connection_would_be_closed_for_another_idle_one_is_answered() {
+async fn a_request_received_on_a_surplus_idle_connection_is_answered() {
     let test = async {
         let mut setup = InboundTest::set_up().await;
         let (mut first, first_id) = setup.connect_idle().await;
         let (mut second, _) = setup.connect_idle().await;
         let third = setup.connect().await;
-        until(|| setup.inbound.connections.borrow().len() >= 3).await;
-        setup.write_unnoticed(&third, ConnectionId(2), READY);
-        setup.write_unnoticed(&first, first_id, REQUEST);
+        wait_until(|| setup.inbound.connections.borrow().len() >= 3).await;
+        setup.write_without_polling(&third, ConnectionId(2), READINESS_CHECK);
+        setup.write_without_polling(&first, first_id, SUBMISSION);
         setup.expect_accepted(&mut first).await;
-        assert_eq!(second.read(&mut [0; 1]).await.expect("no reset"), 0);
+        assert_eq!(second.read(&mut [0; 1]).await.expect("connection without a reset"), 0);
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// All slots are taken by clients without a request, and the oldest sends one as another client connects.
+/// All slots are taken by clients without a request, and the oldest client sends a request when another client
+/// connects.
 #[tokio::test]
-async fn a_request_received_as_its_connection_would_be_evicted_for_a_newcomer_is_answered() {
+async fn a_request_received_on_a_connection_due_for_eviction_is_answered() {
     let test = async {
         let mut setup = InboundTest::set_up().await;
         let mut clients = Vec::new();
         while clients.len() < MAX_CONNECTIONS {
             clients.push(setup.connect().await);
         }
-        until(|| setup.inbound.connections.borrow().len() >= MAX_CONNECTIONS).await;
-        let _newcomer = std::net::TcpStream::connect(setup.addr).expect("a connection");
-        setup.write_unnoticed(&clients[0], ConnectionId(0), REQUEST);
+        wait_until(|| setup.inbound.connections.borrow().len() >= MAX_CONNECTIONS).await;
+        let _new_client = std::net::TcpStream::connect(setup.addr).expect("connect to the listener");
+        setup.write_without_polling(&clients[0], ConnectionId(0), SUBMISSION);
         setup.expect_accepted(&mut clients[0]).await;
-        assert_eq!(clients[1].read(&mut [0; 1]).await.expect("no reset"), 0);
+        assert_eq!(clients[1].read(&mut [0; 1]).await.expect("connection without a reset"), 0);
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A rejected body is still read: closing a socket with unread bytes would reset the connection and lose the response.
+/// The body is rejected before it is complete, and is still read: closing a socket with unread bytes would reset the
+/// connection, and the client would lose the response.
 #[tokio::test]
-async fn a_response_ahead_of_the_rest_of_its_request_is_followed_by_a_close_without_reset() {
+async fn an_early_response_is_followed_by_a_close_without_reset() {
     let test = async {
         let setup = InboundTest::set_up().await;
         let mut client = setup.connect().await;
         let head = "POST /safe HTTP/1.1\r\nHost: a\r\nContent-Length: 200000\r\n\r\n";
-        client.write_all(head.as_bytes()).await.expect("writable");
+        client.write_all(head.as_bytes()).await.expect("write to the connection");
         let (mut reader, mut writer) = client.split();
         let mut received = Vec::new();
         let body = vec![b'x'; 200_000];
-        let both = async { tokio::join!(reader.read_to_end(&mut received), writer.write_all(&body)) };
-        let (read, written) = timeout(TEST_TIMEOUT, both).await.expect("in time");
+        let read_and_write =
+            async { tokio::join!(reader.read_to_end(&mut received), writer.write_all(&body)) };
+        let (read, written) =
+            timeout(TEST_TIMEOUT, read_and_write).await.expect("completion within the timeout");
         assert!(read.is_ok() && written.is_ok(), "{read:?}, {written:?}");
         assert!(received.starts_with(b"HTTP/1.1 413"), "{}", String::from_utf8_lossy(&received));
         // Bytes that the client sends before it detects the close are read as well.
-        writer.write_all(REQUEST).await.expect("no reset");
-        writer.shutdown().await.expect("no reset");
-        until(|| setup.inbound.connections.borrow().is_empty()).await;
+        writer.write_all(SUBMISSION).await.expect("connection without a reset");
+        writer.shutdown().await.expect("connection without a reset");
+        wait_until(|| setup.inbound.connections.borrow().is_empty()).await;
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Clients whose connections are being closed do not close their side.
+/// The clients do not close their side. Their connections keep their slots until the close times out, or until other
+/// connections need the slots.
 #[tokio::test(start_paused = true)]
-async fn connections_that_close_slowly_keep_their_slots_until_the_timeout_or_until_others_need_them() {
+async fn slowly_closing_connections_keep_their_slots_for_a_limited_time() {
     let test = async {
         let _frozen = freeze_clock();
         let setup = InboundTest::set_up().await;
-        let mut slow = Vec::new();
-        while slow.len() < MAX_CONNECTIONS {
+        let mut slow_clients = Vec::new();
+        while slow_clients.len() < MAX_CONNECTIONS {
             let mut client = setup.connect().await;
-            client.write_all(b"PUT / HTTP/1.1\r\nHost: a\r\n\r\n").await.expect("writable");
+            client.write_all(b"PUT / HTTP/1.1\r\nHost: a\r\n\r\n").await.expect("write to the connection");
             assert_eq!(read_status(&mut client).await, 405);
-            slow.push(client);
+            slow_clients.push(client);
         }
-        let (_newcomer, id) = setup.connect_idle().await;
-        let open =
+        let (_new_client, id) = setup.connect_idle().await;
+        let open_connections =
             |setup: &InboundTest| setup.inbound.connections.borrow().keys().copied().collect::<Vec<_>>();
         assert_eq!(
-            (open(&setup), id),
+            (open_connections(&setup), id),
             ((1..=8).map(ConnectionId).collect(), ConnectionId(8)),
-            "the first to be closed is evicted"
+            "the connection that began to close first is evicted"
         );
         tokio::time::advance(graceful_close::CLOSE_TIMEOUT).await;
-        until(|| open(&setup).len() == 1).await;
-        assert_eq!(open(&setup), [ConnectionId(8)]);
+        wait_until(|| open_connections(&setup).len() == 1).await;
+        assert_eq!(open_connections(&setup), [ConnectionId(8)]);
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// The engine has stopped: one request is in its queue, half the body of another has been received, one client is idle.
+/// The engine has stopped. One request is in its queue, half the body of another request has been received, and one
+/// client is idle.
 #[tokio::test(start_paused = true)]
-async fn once_the_engine_has_stopped_requests_are_refused_and_connections_closed_without_reset() {
+async fn shutdown_refuses_requests_and_closes_connections_without_reset() {
     let test = async {
         let _frozen = freeze_clock();
         let InboundTest { inbound, addr, inputs, admission_state } = InboundTest::set_up().await;
         let mut clients = Vec::new();
-        for bytes in [REQUEST, &REQUEST[..REQUEST.len() - 2], b""] {
-            let mut client = TcpStream::connect(addr).await.expect("a client");
-            client.write_all(bytes).await.expect("writable");
+        for bytes in [SUBMISSION, &SUBMISSION[..SUBMISSION.len() - 2], b""] {
+            let mut client = TcpStream::connect(addr).await.expect("connect to the listener");
+            client.write_all(bytes).await.expect("write to the connection");
             clients.push(client);
         }
-        until(|| {
+        wait_until(|| {
             inbound.connections.borrow().len() == 3
                 && !inputs.is_empty()
                 && inbound.is_request_arriving(ConnectionId(1))
@@ -137,12 +148,12 @@
             async move { inbound.shut_down().await }
         });
         assert_eq!(read_status(&mut clients[0]).await, 503);
-        clients[1].write_all(b"xt").await.expect("writable");
+        clients[1].write_all(b"xt").await.expect("write to the connection");
         assert_eq!(read_status(&mut clients[1]).await, 503);
         for client in &mut clients[..2] {
-            assert_eq!(client.read(&mut [0; 1]).await.expect("no reset"), 0);
+            assert_eq!(client.read(&mut [0; 1]).await.expect("connection without a reset"), 0);
         }
-        // The third is idle: its connection is closed, and it has some time to close its side.
+        // The third client is idle: its connection is closed, and it has LAST_CLOSE_TIMEOUT to close its side.
         let step = Duration::from_millis(10);
         let mut waited = Duration::ZERO;
         while waited <= LAST_ACCEPT_GRACE + LAST_RESPONSE_TIMEOUT {
@@ -152,29 +163,29 @@
                 tokio::task::yield_now().await;
             }
         }
-        assert_eq!(clients[2].read(&mut [0; 1]).await.expect("no reset"), 0);
+        assert_eq!(clients[2].read(&mut [0; 1]).await.expect("connection without a reset"), 0);
         assert!(!shutdown.is_finished());
         drop(clients);
-        until(|| shutdown.is_finished()).await;
+        wait_until(|| shutdown.is_finished()).await;
         assert!(inbound.connections.borrow().is_empty());
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// The last bytes of a body are received as the process ends.
+/// The last bytes of a body are received when the process exits.
 #[tokio::test]
 async fn bytes_unread_at_the_end_of_the_process_reset_no_connection() {
-    let set = LocalSet::new();
+    let local_set = LocalSet::new();
     let test = async {
         let setup = InboundTest::set_up().await;
         let mut client = setup.connect().await;
-        client.write_all(&REQUEST[..REQUEST.len() - 2]).await.expect("writable");
-        until(|| setup.inbound.is_request_arriving(ConnectionId(0))).await;
-        setup.write_unnoticed(&client, ConnectionId(0), b"x");
-        setup.inbound.abandon_all();
+        client.write_all(&SUBMISSION[..SUBMISSION.len() - 2]).await.expect("write to the connection");
+        wait_until(|| setup.inbound.is_request_arriving(ConnectionId(0))).await;
+        setup.write_without_polling(&client, ConnectionId(0), b"x");
+        setup.inbound.close_all_without_waiting();
         client
     };
-    let mut client = set.run_until(test).await;
-    drop(set);
-    assert_eq!(client.read(&mut [0; 1]).await.expect("no reset"), 0);
+    let mut client = local_set.run_until(test).await;
+    drop(local_set);
+    assert_eq!(client.read(&mut [0; 1]).await.expect("connection without a reset"), 0);
 }
