--- a/crates/sender/src/write_progress.rs
+++ b/crates/sender/src/write_progress.rs
@@ -1,5 +1,5 @@
-//! Tracks how much of a message was written to a connection and what was received in return. This decides whether a
-//! request may have been executed.
+//! Tracks how much of an HTTP message was written to a connection and what was received in return, which determines
+//! whether a request may have been executed.
 
 mod response_head;
 mod tracked_stream;
@@ -15,7 +15,7 @@
 use response_head::ResponseHead;
 pub(crate) use tracked_stream::{SharedSocket, TrackedStream};
 
-/// Maximum bytes of a head or a body that an HTTP connection buffers in each direction.
+/// Maximum number of bytes that an HTTP connection buffers in each direction.
 pub(crate) const MAX_BUFFER: usize = 16 * 1024;
 
 /// Progress of the current message on one connection: a request to a receiver, or a response to a client.
@@ -23,12 +23,12 @@
 pub(crate) struct WriteProgress {
     bytes_written: Cell<u64>,
     write_complete: Cell<bool>,
-    /// When the first byte was received, not counting interim (1xx) responses.
+    /// When the first byte of the message being received arrived, not counting interim (1xx) responses.
     first_byte_received_at: Cell<Option<Instant>>,
-    /// The head of the current response; only on a connection to a receiver.
+    /// The head of the current response; `None` on a connection from a client.
     response_head: Option<RefCell<ResponseHead>>,
-    /// The metrics that count the message once its last byte is written; `None` after that.
-    uncounted: RefCell<Option<Rc<Metrics>>>,
+    /// The metrics that count the message once its last byte is written; `None` after that, or if it is not counted.
+    metrics_when_complete: RefCell<Option<Rc<Metrics>>>,
     /// Notified whenever bytes are received.
     bytes_received: Notify,
 }
@@ -43,7 +43,7 @@
     pub(crate) fn reset(&self) {
         self.bytes_written.set(0);
         self.write_complete.set(false);
-        self.uncounted.borrow_mut().take();
+        self.metrics_when_complete.borrow_mut().take();
         self.reset_received();
     }
 
@@ -55,9 +55,9 @@
         }
     }
 
-    /// Counts the current message as a written call once its last byte is written.
+    /// Makes `metrics` count the current message as a written call once its last byte is written.
     pub(crate) fn count_when_complete(&self, metrics: Rc<Metrics>) {
-        *self.uncounted.borrow_mut() = Some(metrics);
+        *self.metrics_when_complete.borrow_mut() = Some(metrics);
     }
 
     /// Whether any byte of the current message has been written.
@@ -80,7 +80,8 @@
         self.response_head.as_ref().is_some_and(|head| head.borrow().has_ok_status_line())
     }
 
-    /// Resolves `limit` after the first byte of a response; meant to be raced against the complete head.
+    /// Resolves `limit` after the first byte of a response, whether or not the head is complete by then. The caller
+    /// races this against the complete head.
     pub(crate) async fn response_head_overdue(&self, limit: Duration) {
         loop {
             if let Some(received_at) = self.first_byte_received_at() {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Resolves at `deadline` if the last byte is not written by then, and never otherwise.
+    /// Resolves at `deadline` if the last byte is not written by then; never resolves otherwise.
     pub(crate) async fn write_incomplete_at(&self, deadline: Instant) {
         sleep_until(deadline).await;
         if self.write_complete() {
@@ -109,7 +110,7 @@
 
     fn record_write_complete(&self) {
         self.write_complete.set(true);
-        if let Some(metrics) = self.uncounted.borrow_mut().take() {
+        if let Some(metrics) = self.metrics_when_complete.borrow_mut().take() {
             metrics.call_written();
         }
     }
--- a/crates/sender/src/write_progress/response_head.rs
+++ b/crates/sender/src/write_progress/response_head.rs
@@ -1,10 +1,11 @@
-//! Buffers the beginning of a response, and reads the status in its first line.
+//! Buffers the beginning of a response, and parses its status line.
 
-/// Bytes of a response that are buffered: interim (1xx) responses and the status line.
+/// Maximum number of bytes that are buffered: interim (1xx) responses and the status line.
 const MAX_BUFFERED_HEAD: usize = 2 * 1024;
 
 /// The beginning of the status line of an interim response.
 const INTERIM_STATUS: &[u8] = b"HTTP/1.1 1";
+/// The end of the head of a response.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// The first bytes of one response, without the interim (1xx) responses before it.
@@ -14,21 +15,21 @@
 }
 
 impl ResponseHead {
-    /// Clears the buffer; the next byte belongs to another response.
+    /// Clears the buffer before the next response.
     pub(super) fn clear(&mut self) {
         self.buffered.clear();
     }
 
     /// Appends received bytes, up to [`MAX_BUFFERED_HEAD`], and removes complete interim responses.
     pub(super) fn append(&mut self, bytes: &[u8]) {
-        let free = MAX_BUFFERED_HEAD.saturating_sub(self.buffered.len());
-        self.buffered.extend_from_slice(&bytes[..bytes.len().min(free)]);
-        while let Some(end) = self.interim_response_end() {
-            self.buffered.drain(..end);
+        let free_space = MAX_BUFFERED_HEAD.saturating_sub(self.buffered.len());
+        self.buffered.extend_from_slice(&bytes[..bytes.len().min(free_space)]);
+        while let Some(len) = self.interim_response_len() {
+            self.buffered.drain(..len);
         }
     }
 
-    /// Whether a byte of the final response has been received.
+    /// Whether a byte of the final response has been received: the buffer does not begin with an interim response.
     pub(super) fn has_final_response(&self) -> bool {
         !self.buffered.is_empty() && !self.buffered.starts_with(INTERIM_STATUS)
     }
@@ -42,13 +43,13 @@
         version.starts_with(b"HTTP/1.") && after_status.first().is_none_or(u8::is_ascii_whitespace)
     }
 
-    /// Length of the interim response at the beginning, if it is complete.
-    fn interim_response_end(&self) -> Option<usize> {
+    /// Length of the interim response at the beginning of the buffer; `None` if there is none or it is incomplete.
+    fn interim_response_len(&self) -> Option<usize> {
         if !self.buffered.starts_with(INTERIM_STATUS) {
             return None;
         }
-        let position = self.buffered.windows(HEAD_END.len()).position(|window| window == HEAD_END)?;
-        Some(position + HEAD_END.len())
+        let head_end = self.buffered.windows(HEAD_END.len()).position(|window| window == HEAD_END)?;
+        Some(head_end + HEAD_END.len())
     }
 }
 
--- a/crates/sender/src/write_progress/tracked_stream.rs
+++ b/crates/sender/src/write_progress/tracked_stream.rs
@@ -17,10 +17,10 @@
 /// Bytes read by one call.
 const READ_CHUNK_SIZE: usize = 4 * 1024;
 
-/// A socket that outlives the HTTP connection over it, so that its owner decides how it is closed.
+/// A socket that its owner can close gracefully or with a reset after the HTTP connection over it has ended.
 pub(crate) type SharedSocket = Rc<RefCell<TcpStream>>;
 
-/// A stream that records its progress.
+/// A stream that records what is read and written.
 pub(crate) struct TrackedStream {
     socket: SharedSocket,
     progress: Rc<WriteProgress>,
@@ -32,8 +32,8 @@
         Self { socket, progress }
     }
 
-    /// Fails if a request is about to begin on a connection that has unread bytes or has ended: unread bytes would be
-    /// taken for its response, and an ended connection would lose it.
+    /// Returns an error if a request is about to be written to a connection that has unread bytes or has ended: unread
+    /// bytes would be interpreted as the response, and the request would be lost on an ended connection.
     fn check_no_unsolicited_bytes(&self) -> Result<()> {
         if !self.progress.tracks_responses() || self.progress.write_started() {
             return Ok(());
@@ -46,8 +46,8 @@
         }
     }
 
-    fn record_write(&self, result: &Poll<Result<usize>>) {
-        if let Poll::Ready(Ok(written)) = result {
+    fn record_write(&self, write_result: &Poll<Result<usize>>) {
+        if let Poll::Ready(Ok(written)) = write_result {
             self.progress.record_written(*written);
         }
     }
@@ -59,7 +59,7 @@
         context: &mut Context<'_>,
         mut target: ReadBufCursor<'_>,
     ) -> Poll<Result<()>> {
-        // A separate buffer: bytes that were put into hyper's cursor cannot be read again.
+        // A separate buffer is used because bytes that were put into hyper's cursor cannot be read again.
         let mut bytes = [0; READ_CHUNK_SIZE];
         let capacity = target.remaining().min(READ_CHUNK_SIZE);
         let mut chunk = ReadBuf::new(&mut bytes[..capacity]);
@@ -73,9 +73,9 @@
 impl Write for TrackedStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
         self.check_no_unsolicited_bytes()?;
-        let result = Pin::new(&mut *self.socket.borrow_mut()).poll_write(context, bytes);
-        self.record_write(&result);
-        result
+        let write_result = Pin::new(&mut *self.socket.borrow_mut()).poll_write(context, bytes);
+        self.record_write(&write_result);
+        write_result
     }
 
     fn poll_write_vectored(
@@ -84,9 +84,9 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
         self.check_no_unsolicited_bytes()?;
-        let result = Pin::new(&mut *self.socket.borrow_mut()).poll_write_vectored(context, slices);
-        self.record_write(&result);
-        result
+        let write_result = Pin::new(&mut *self.socket.borrow_mut()).poll_write_vectored(context, slices);
+        self.record_write(&write_result);
+        write_result
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -94,8 +94,8 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
-        // hyper flushes only after it has written everything that is encoded, and encodes a message with a ready body
-        // in one piece: a flush after the first byte means that the last byte is written.
+        // hyper encodes a message with a ready body in one piece, and flushes only after it has written everything that
+        // is encoded. Therefore a flush after the first byte means that the last byte is written.
         if self.progress.write_started() {
             self.progress.record_write_complete();
         }
