--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -1,4 +1,4 @@
-//! Sends calls and health checks to receivers, over pooled connections and outside the receivers' backoffs.
+//! Sends calls and health checks to receivers over pooled connections. Nothing is sent during a receiver's backoff.
 
 mod backoff;
 mod connection;
@@ -29,7 +29,7 @@
 use routes::RouteTable;
 pub use routes::{ReceiverLocation, Route};
 
-/// Interval in which expired idle connections and backoffs are removed.
+/// Interval between two removals of expired idle connections and backoffs.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Cancels a call that is in flight.
@@ -41,7 +41,7 @@
 }
 
 impl CallHandle {
-    /// Cancels the call. Its one outcome is still reported; a response that has been read by then counts.
+    /// Cancels the call. The call still reports one outcome: that of its response if the head has been read by now.
     pub fn cancel(&self) {
         self.cancelled.notify_one();
     }
@@ -57,13 +57,14 @@
     free_connections: Arc<Semaphore>,
     connect_timeout: Duration,
     metrics: Rc<Metrics>,
-    /// Receives every backoff that a receiver requests.
+    /// Successor or predecessor process, to which each backoff that a receiver requests is reported.
     peer_process: Rc<PeerProcess>,
     to_engine: mpsc::Sender<Input>,
 }
 
 impl Outbound {
-    /// Creates the state without routes; at most `max_connections` may be open. Outcomes are sent to `to_engine`.
+    /// Creates the state without routes. At most `max_connections` are open at a time; outcomes are sent to
+    /// `to_engine`.
     pub fn new(
         settings: &Settings,
         max_connections: usize,
@@ -85,23 +86,24 @@
         }
     }
 
-    /// Applies an entry of the endpoint list. Idle connections that it makes useless are closed.
+    /// Applies an entry of the endpoint list. The route's idle connections are closed if the route no longer accepts
+    /// calls or its address has changed.
     pub fn update_route(&self, id: RouteId, route: Route) {
-        let connections_usable =
+        let connections_stay_valid =
             route.listing == Listing::Ready && self.routes.address_matches(id, route.addr);
-        if !connections_usable {
+        if !connections_stay_valid {
             self.idle.remove_route(id);
         }
         self.routes.update(id, route);
     }
 
-    /// Removes all routes that are not in a complete endpoint list.
-    pub fn retain_routes(&self, listed: &HashSet<RouteId>) {
-        self.routes.retain(listed);
-        self.idle.retain_routes(listed);
+    /// Removes all routes but `listed_routes`, the routes of a complete endpoint list.
+    pub fn retain_routes(&self, listed_routes: &HashSet<RouteId>) {
+        self.routes.retain(listed_routes);
+        self.idle.retain_routes(listed_routes);
     }
 
-    /// The name and the zone of a route's receiver.
+    /// Receiver and zone of a route; `None` if the route is not on the endpoint list.
     pub fn receiver_location(&self, id: RouteId) -> Option<ReceiverLocation> {
         self.routes.receiver_location(id)
     }
@@ -116,33 +118,34 @@
         }
     }
 
-    /// Spawns a call, whose one outcome is reported to the engine. The call ends at its deadline at the latest;
-    /// [`CallHandle::cancel`] ends it earlier.
+    /// Spawns a call and reports its outcome to the engine exactly once, at the call's deadline at the latest;
+    /// [`CallHandle::cancel`] ends the call earlier.
     pub fn start_call(self: &Rc<Self>, call: Call) -> CallHandle {
         let cancelled = Rc::new(Notify::new());
         let handle = CallHandle { attempt: call.attempt, cancelled: cancelled.clone() };
         let outbound = self.clone();
         spawn_local(async move {
             let exchange = Exchange::call(&call, &cancelled);
-            let exchanged = outbound.exchange(&exchange).await;
-            let outcome = Input::Outcome { id: call.id, attempt: call.attempt, result: exchanged.result };
-            let _ = outbound.to_engine.send(outcome).await;
-            outbound.recycle(call.route, exchanged.used_connection).await;
+            let exchange_outcome = outbound.exchange(&exchange).await;
+            let input =
+                Input::Outcome { id: call.id, attempt: call.attempt, result: exchange_outcome.call_outcome };
+            let _ = outbound.to_engine.send(input).await;
+            outbound.recycle(call.route, exchange_outcome.used_connection).await;
         });
         handle
     }
 
-    /// Spawns a health check, whose outcome is reported to the engine. It ends after [`request::HEALTH_CHECK_TIMEOUT`] at
-    /// the latest.
+    /// Spawns a health check and reports its outcome to the engine, after [`request::HEALTH_CHECK_TIMEOUT`] at the
+    /// latest.
     pub fn start_health_check(self: &Rc<Self>, route: RouteId) {
         let outbound = self.clone();
         spawn_local(async move {
             let never_cancelled = Notify::new();
             let exchange = Exchange::health_check(route, &never_cancelled);
-            let exchanged = outbound.exchange(&exchange).await;
-            let outcome = exchanged.result.outcome;
+            let exchange_outcome = outbound.exchange(&exchange).await;
+            let outcome = exchange_outcome.call_outcome.outcome;
             let _ = outbound.to_engine.send(Input::HealthChecked { route, outcome }).await;
-            outbound.recycle(route, exchanged.used_connection).await;
+            outbound.recycle(route, exchange_outcome.used_connection).await;
         });
     }
 }
--- a/crates/sender/src/outbound/backoff.rs
+++ b/crates/sender/src/outbound/backoff.rs
@@ -10,34 +10,34 @@
 use super::{MAX_BACKOFF_MS, Outbound};
 use crate::handover::HandoverMessage;
 
-/// What a backoff applies to: a route with separate backoffs, or a whole destination.
+/// What a backoff applies to: one route (see [`super::Route::has_own_backoff`]) or all routes of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum BackoffScope {
     Route(RouteId),
     Destination(DestinationId),
 }
 
-/// The remaining time of a backoff.
+/// An active backoff, with its remaining time in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct RemainingBackoff {
     scope: BackoffScope,
     remaining: Millis,
 }
 
-/// The time until which no call may be sent, by scope.
+/// The active backoffs: for each scope, the time before which no call may be sent.
 #[derive(Debug, Default)]
 pub(super) struct Backoffs {
     backoff_until: RefCell<HashMap<BackoffScope, Instant>>,
 }
 
 impl Backoffs {
-    /// Starts a backoff that ends after `wait`, or extends the present one. The scope may be that of a route that is no
-    /// longer listed.
+    /// Starts a backoff that ends after `wait`, or extends the active one if that ends earlier. The route of the scope
+    /// may have been removed from the endpoint list.
     pub(super) fn extend(&self, scope: BackoffScope, wait: Millis) {
         let until = Instant::now() + Duration::from_secs_f64(wait / 1_000.0);
         let mut backoff_until = self.backoff_until.borrow_mut();
-        let present = backoff_until.entry(scope).or_insert(until);
-        *present = (*present).max(until);
+        let current_until = backoff_until.entry(scope).or_insert(until);
+        *current_until = (*current_until).max(until);
     }
 
     /// Removes the backoffs that have ended.
@@ -53,10 +53,10 @@
         let now = Instant::now();
         let remaining_of = |until: Instant| until.saturating_duration_since(now).as_secs_f64() * 1_000.0;
         let backoff_until = self.backoff_until.borrow();
-        let remaining = backoff_until
+        let backoffs = backoff_until
             .iter()
             .map(|(&scope, &until)| RemainingBackoff { scope, remaining: remaining_of(until) });
-        remaining.collect()
+        backoffs.collect()
     }
 
     #[cfg(test)]
@@ -66,7 +66,7 @@
 }
 
 impl Outbound {
-    /// Applies a backoff that the peer process reports, of a route or of a whole destination.
+    /// Applies a backoff that the peer process reports, to one route or, without a route, to the whole destination.
     pub fn apply_backoff(&self, destination: DestinationId, route: Option<RouteId>, wait: Millis) {
         let scope = route.map_or(BackoffScope::Destination(destination), BackoffScope::Route);
         self.backoffs.extend(scope, wait.clamp(0.0, MAX_BACKOFF_MS));
@@ -74,11 +74,12 @@
 
     /// The active backoffs as messages for the peer process.
     pub fn active_backoffs(&self) -> Vec<HandoverMessage> {
-        let remaining = self.backoffs.remaining().into_iter();
-        remaining.map(|backoff| self.backoff_message(backoff.scope, backoff.remaining)).collect()
+        let backoffs = self.backoffs.remaining().into_iter();
+        backoffs.map(|backoff| self.backoff_message(backoff.scope, backoff.remaining)).collect()
     }
 
-    /// Applies the backoff that a receiver requests, if any, and reports it to the peer process.
+    /// Applies the backoff that a receiver requests and reports it to the peer process; `wait` is 0 if none is
+    /// requested.
     pub(super) fn apply_retry_after(&self, scope: BackoffScope, wait: Millis) {
         if wait > 0.0 {
             self.backoffs.extend(scope, wait);
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Whether calls may be sent to the route at this moment.
+    /// Whether calls may be sent to the route now: it is ready, and no backoff of its scope is active.
     pub(super) fn accepts_calls(&self, id: RouteId) -> bool {
         self.routes.ready_backoff_scope(id).is_some_and(|scope| !self.backoffs.is_active(scope))
     }
--- a/crates/sender/src/outbound/connection.rs
+++ b/crates/sender/src/outbound/connection.rs
@@ -18,15 +18,15 @@
 use super::outcome::Interruption;
 use crate::write_progress::{MAX_BUFFER, TrackedStream, WriteProgress};
 
-/// Minimum user timeout; 0 would mean none.
+/// Minimum TCP user timeout that is set; the system takes 0 for its default.
 const MIN_USER_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// A connection to a receiver. Dropping it closes it: with a reset, unless it is idle.
+/// A connection to a receiver. Dropping the value closes the connection, with a reset unless it is idle.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     pub(super) write_progress: Rc<WriteProgress>,
-    /// Owned by the task.
+    /// The socket, which is owned by `task`.
     pub(super) socket: Weak<RefCell<TcpStream>>,
     addr: SocketAddr,
     /// Drives the connection and owns its slot; aborted when the connection is dropped.
@@ -41,8 +41,8 @@
     async fn open(addr: SocketAddr, slot: OwnedSemaphorePermit) -> Option<Self> {
         let stream = TcpStream::connect(addr).await.ok()?;
         stream.set_nodelay(true).ok()?;
-        // When a connection with a call in flight ends, also by the end of this process, the system must discard the rest
-        // of the call: it could be executed after the call was interrupted.
+        // When a connection with a call in flight is closed, also by the exit of this process, the system must discard
+        // the unsent bytes: otherwise the call could be executed after it was interrupted.
         let _ = stream.set_zero_linger();
         let write_progress = Rc::new(WriteProgress::tracking_responses());
         let stream = Rc::new(RefCell::new(stream));
@@ -51,7 +51,7 @@
         let (sender, http) = http1::Builder::new().max_buf_size(MAX_BUFFER).handshake(tracked).await.ok()?;
         let task = spawn_local(async move {
             let _slot = slot;
-            // The request in flight reports how it ended.
+            // An error is also returned to the request in flight, which reports it.
             let _ = http.await;
         });
         Some(Self {
@@ -66,28 +66,28 @@
         })
     }
 
-    /// The receiver's address.
+    /// Address of the receiver.
     pub(super) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Since when the connection has been idle.
+    /// When the connection became idle; when it was opened if it has never been idle.
     pub(super) fn idle_since(&self) -> Instant {
         self.idle_since
     }
 
-    /// Marks the connection as idle.
-    pub(super) fn become_idle(&mut self) {
+    /// Marks the connection as idle, so that dropping it sends no reset.
+    pub(super) fn mark_idle(&mut self) {
         self.is_idle = true;
         self.idle_since = Instant::now();
     }
 
-    /// Marks the connection as in use.
-    pub(super) fn leave_idle(&mut self) {
+    /// Marks the connection as in use, so that dropping it sends a reset.
+    pub(super) fn mark_in_use(&mut self) {
         self.is_idle = false;
     }
 
-    /// Whether the connection is open and has not been idle for too long.
+    /// Whether the connection is open and has been idle for less than `max_idle_time`.
     pub(super) fn is_reusable(&self, now: Instant, max_idle_time: Duration) -> bool {
         !self.sender.is_closed() && now - self.idle_since < max_idle_time
     }
@@ -133,7 +133,8 @@
         opened.ok().flatten().ok_or(Interruption::ConnectionBroken)
     }
 
-    /// Acquires the slot of a new connection, for which an idle one is closed if necessary.
+    /// Acquires the slot of a new connection, and closes an idle connection if no slot is free. Returns `None` if no
+    /// slot is free by `deadline`, or none can be freed because no connection is idle.
     async fn acquire_slot(&self, deadline: Instant) -> Option<OwnedSemaphorePermit> {
         if let Ok(slot) = self.free_connections.clone().try_acquire_owned() {
             return Some(slot);
@@ -141,7 +142,7 @@
         if !self.idle.close_longest_idle() {
             return None;
         }
-        // The slot of the closed connection is free once its task has been dropped.
+        // The closed connection's slot becomes free when its task is dropped.
         let freed = timeout_at(deadline, self.free_connections.clone().acquire_owned()).await;
         freed.ok()?.ok()
     }
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends one request over a connection and determines its result from what is received.
+//! Sends one request over a connection and determines the outcome from the bytes that are received.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use super::Outbound;
 use super::connection::Connection;
 use super::outcome::{
-    Interruption, RequestProgress, ResponseProgress, outcome_without_response, result_of_response,
+    Interruption, RequestProgress, ResponseProgress, call_outcome_of_response, outcome_without_response,
 };
 use super::request::{OutgoingRequest, PreparedRequest, RequestDeadlines};
 use super::response::{ReliableResponse, UsedConnection};
@@ -30,19 +30,19 @@
     cancelled: &'a Notify,
 }
 
-/// The result of an exchange.
+/// The outcome of an exchange, with its connection.
 #[derive(Debug)]
-pub(super) struct Exchanged {
-    pub(super) result: CallOutcome,
-    /// The connection, if it may be reused.
+pub(super) struct ExchangeOutcome {
+    pub(super) call_outcome: CallOutcome,
+    /// The connection; `None` if it must not be reused.
     pub(super) used_connection: Option<UsedConnection>,
 }
 
-/// A connection for a request.
+/// The connection that a request is sent over.
 #[derive(Debug)]
 struct AcquiredConnection {
     connection: Connection,
-    /// Whether it is from the pool, and may have been closed by the receiver.
+    /// Whether the connection is from the pool; the receiver may have closed it.
     reused: bool,
 }
 
@@ -66,16 +66,17 @@
     }
 }
 
-impl From<Outcome> for Exchanged {
-    /// The result of an exchange whose connection is not reused.
+impl From<Outcome> for ExchangeOutcome {
+    /// The outcome of an exchange whose connection is not reused.
     fn from(outcome: Outcome) -> Self {
-        Self { result: outcome.into(), used_connection: None }
+        Self { call_outcome: outcome.into(), used_connection: None }
     }
 }
 
 impl Outbound {
-    /// Sends a request within its deadlines and reads the head of the response.
-    pub(super) async fn exchange(&self, exchange: &Exchange<'_>) -> Exchanged {
+    /// Sends a request within its deadlines and reads the head of the response. Another connection is tried if a
+    /// pooled one turns out to be closed.
+    pub(super) async fn exchange(&self, exchange: &Exchange<'_>) -> ExchangeOutcome {
         loop {
             let Some(target) = self.routes.target(exchange.route) else { return Outcome::NotSent.into() };
             let acquired = match self.acquire_connection(exchange, target).await {
@@ -86,8 +87,8 @@
                 self.return_to_pool(exchange.route, acquired.connection);
                 return Outcome::NotSent.into();
             };
-            if let Some(exchanged) = self.exchange_over(acquired, exchange, target, prepared).await {
-                return exchanged;
+            if let Some(exchange_outcome) = self.exchange_over(acquired, exchange, target, prepared).await {
+                return exchange_outcome;
             }
         }
     }
@@ -96,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// The outcome of the exchange if there is no connection for it.
+    /// The outcome of the exchange if no connection is available.
     async fn acquire_connection(
         &self,
         exchange: &Exchange<'_>,
@@ -113,7 +114,7 @@
         };
         match connected {
             Ok(connection) => Ok(AcquiredConnection { connection, reused: false }),
-            // The time was too short for a conclusion about the receiver.
+            // No failure of the receiver: the write deadline may have been too short for the connection to open.
             Err(_) if Instant::now() >= write_deadline => Err(Outcome::NotSent),
             Err(interruption) => Err(outcome_without_response(
                 RequestProgress::NotStarted,
@@ -123,8 +124,8 @@
         }
     }
 
-    /// The request, if it may still be sent: since the decision, and while a connection was opened, the receiver may have
-    /// begun to drain or to back off, or a deadline may have passed.
+    /// Builds the request; `None` if it must no longer be sent, because the receiver has begun to drain or has
+    /// requested a backoff, or a deadline has passed, since the engine started the call.
     fn prepare(&self, exchange: &Exchange<'_>, target: Target) -> Option<PreparedRequest> {
         let RequestDeadlines { response_deadline, write_deadline, .. } = exchange.deadlines;
         let now = Instant::now();
@@ -135,48 +136,53 @@
         exchange.request.prepare(target.addr, response_deadline, now).ok()
     }
 
-    /// Sends the request over a connection. Returns `None` if a pooled connection was unusable before a byte was written;
-    /// that is no attempt.
+    /// Sends the request over a connection. Returns `None` if a pooled connection broke before a byte was written: this
+    /// does not count as an attempt.
     async fn exchange_over(
         &self,
         acquired: AcquiredConnection,
         exchange: &Exchange<'_>,
         target: Target,
         prepared: PreparedRequest,
-    ) -> Option<Exchanged> {
+    ) -> Option<ExchangeOutcome> {
         let AcquiredConnection { mut connection, reused } = acquired;
         let response_deadline = prepared.response_deadline;
         let progress = connection.write_progress.clone();
         self.track_request(exchange, &mut connection);
         let response = send(&mut connection, exchange, prepared).await;
-        // The timer has the resolution of a tick; a response in the same tick is returned before it fires.
+        // Timers have the resolution of one tick: a response that is read in the tick of the deadline is returned
+        // before the timer fires.
         let late =
             progress.first_byte_received_at().is_some_and(|received_at| received_at >= response_deadline);
         let interruption = match response {
             Ok(response) if late => {
-                // The backoff in the response applies although the response is late.
-                let result = result_of_response(response.status(), response.headers());
-                self.apply_retry_after(target.backoff_scope, result.retry_after);
+                // A backoff that a late response requests still applies.
+                let call_outcome = call_outcome_of_response(response.status(), response.headers());
+                self.apply_retry_after(target.backoff_scope, call_outcome.retry_after);
                 Interruption::TimedOut
             }
             Ok(response) => {
                 let request_progress = RequestProgress::of(&progress);
                 match ReliableResponse::read(response, request_progress, response_deadline).await {
                     Some(response) => {
-                        return Some(self.complete(exchange, target, connection, reused, response));
+                        return Some(self.finish_exchange(exchange, target, connection, reused, response));
                     }
                     None => Interruption::ConnectionBroken,
                 }
             }
             Err(interruption) => interruption,
         };
-        let sent = RequestProgress::of(&progress);
-        let received = if late { ResponseProgress::Nothing } else { ResponseProgress::of(&progress) };
-        tracing::debug!(target: MESSAGE_LOG, message_id = exchange.message_id(), ?interruption, reused, ?sent, ?received,
-            "attempt ended without a usable response");
-        let no_attempt =
-            reused && interruption == Interruption::ConnectionBroken && sent == RequestProgress::NotStarted;
-        (!no_attempt).then(|| outcome_without_response(sent, received, interruption).into())
+        let request_progress = RequestProgress::of(&progress);
+        let response_progress =
+            if late { ResponseProgress::Nothing } else { ResponseProgress::of(&progress) };
+        tracing::debug!(target: MESSAGE_LOG, message_id = exchange.message_id(), ?interruption, reused,
+            sent = ?request_progress, received = ?response_progress,
+            "attempt ended without a reliable response");
+        let connection_was_stale = reused
+            && interruption == Interruption::ConnectionBroken
+            && request_progress == RequestProgress::NotStarted;
+        (!connection_was_stale)
+            .then(|| outcome_without_response(request_progress, response_progress, interruption).into())
     }
 
     /// Starts tracking the progress of a request that is about to be written.
@@ -191,23 +197,24 @@
         }
     }
 
-    /// The result of a reliable response.
-    fn complete(
+    /// Applies the backoff of a reliable response, and returns the outcome of the exchange.
+    fn finish_exchange(
         &self,
         exchange: &Exchange<'_>,
         target: Target,
         connection: Connection,
         reused: bool,
         response: ReliableResponse,
-    ) -> Exchanged {
-        let ReliableResponse { result, unread_body } = response;
+    ) -> ExchangeOutcome {
+        let ReliableResponse { call_outcome, unread_body } = response;
         tracing::debug!(target: MESSAGE_LOG, message_id = exchange.message_id(), addr = %target.addr, reused,
-            outcome = ?result.outcome, retry_after_ms = result.retry_after, "response received");
-        self.apply_retry_after(target.backoff_scope, result.retry_after);
-        // If a call is rejected before its last byte is written, the rest must not be sent.
+            outcome = ?call_outcome.outcome, retry_after_ms = call_outcome.retry_after, "response received");
+        self.apply_retry_after(target.backoff_scope, call_outcome.retry_after);
+        // The rest of a call that is rejected before its last byte is written must not be sent: the connection is
+        // closed.
         let request_complete = RequestProgress::of(&connection.write_progress) == RequestProgress::Complete;
         let used_connection = request_complete.then_some(UsedConnection { connection, unread_body });
-        Exchanged { result, used_connection }
+        ExchangeOutcome { call_outcome, used_connection }
     }
 }
 
@@ -215,7 +222,7 @@
 ///
 /// # Errors
 ///
-/// [`Interruption`]: why the response is no longer waited for.
+/// [`Interruption`] if the head of the response is not received.
 async fn send(
     connection: &mut Connection,
     exchange: &Exchange<'_>,
--- a/crates/sender/src/outbound/outcome.rs
+++ b/crates/sender/src/outbound/outcome.rs
@@ -1,5 +1,5 @@
-//! Determines the outcome of an attempt, and so whether it may have been executed, by the protocol's table 'Senders to
-//! receivers'. [`Outcome::possibly_executed`] is true for each outcome whose call may have been executed.
+//! Determines the outcome of an attempt according to the table 'Senders to receivers' of the protocol. The outcome also
+//! states whether the receiver may have executed the call: [`Outcome::possibly_executed`].
 
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderName};
@@ -21,7 +21,7 @@
     NotStarted,
     /// The first byte, but not the last.
     Partial,
-    /// The last byte: the receiver executes the call once it has received that.
+    /// The last byte; the receiver executes the call once it has received this byte.
     Complete,
 }
 
@@ -30,10 +30,10 @@
 pub(super) enum ResponseProgress {
     /// No byte of a response.
     Nothing,
-    /// A status line with status 200; the rest is unusable.
+    /// A complete status line with status 200; the rest is missing or malformed.
     OkStatusLine,
-    /// Anything else.
-    Unusable,
+    /// At least one byte, but no complete status line with status 200.
+    NoOkStatusLine,
 }
 
 impl RequestProgress {
@@ -53,21 +53,22 @@
         match progress.first_byte_received_at() {
             None => Self::Nothing,
             Some(_) if progress.received_ok_status_line() => Self::OkStatusLine,
-            Some(_) => Self::Unusable,
+            Some(_) => Self::NoOkStatusLine,
         }
     }
 }
 
-/// Why a response is no longer waited for.
+/// Why an exchange ended without a reliable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Interruption {
-    /// The connection could not be opened or ended, or the received bytes are not a response.
+    /// The connection could not be opened, or it ended, or the received bytes are not a valid response.
     ConnectionBroken,
     /// A deadline passed.
     TimedOut,
     /// The engine cancelled the call.
     Cancelled,
-    /// The request must not be sent: a deadline has passed, the receiver drains or backs off, or there is no connection.
+    /// The request must not be sent: a deadline has passed, the receiver is draining or has requested a backoff, or no
+    /// connection is available.
     Withheld,
 }
 
@@ -79,30 +80,30 @@
 ) -> Outcome {
     use Interruption::{Cancelled, ConnectionBroken, TimedOut, Withheld};
     use RequestProgress::{Complete, NotStarted, Partial};
-    use ResponseProgress::{Nothing, OkStatusLine, Unusable};
+    use ResponseProgress::{NoOkStatusLine, Nothing, OkStatusLine};
     match (request, response, interruption) {
-        // Never executed: bytes received before the last byte is written are not a response to this call. An interruption
-        // by this process is no failure of the receiver.
+        // Never executed, whatever was received: bytes that are received before the last byte is written are not a
+        // response to this call. An interruption by this process is no failure of the receiver.
         (NotStarted | Partial, _, Cancelled | Withheld) => Outcome::NotSent,
         (NotStarted | Partial, _, ConnectionBroken | TimedOut) => Outcome::ConnectFailed,
-        // The status line suffices.
+        // A complete status line with status 200 proves that the call was executed.
         (Complete, OkStatusLine, _) => Outcome::Ok,
-        (Complete, Nothing | Unusable, Cancelled | Withheld) => Outcome::Cancelled,
-        // Executed, and the receiver is up.
-        (Complete, Unusable, ConnectionBroken | TimedOut) => Outcome::Error,
+        (Complete, Nothing | NoOkStatusLine, Cancelled | Withheld) => Outcome::Cancelled,
+        // Possibly executed; the receiver is up, because it has sent bytes.
+        (Complete, NoOkStatusLine, ConnectionBroken | TimedOut) => Outcome::Error,
         (Complete, Nothing, ConnectionBroken) => Outcome::Reset,
         (Complete, Nothing, TimedOut) => Outcome::Timeout,
     }
 }
 
-/// Whether a response with this outcome is reliable at this progress of the request. Before the last byte is written, the
-/// call cannot have been executed.
+/// Whether a response with this outcome is reliable at this progress of the request. A response that reports a possible
+/// execution before the last byte is written does not belong to the call: the call cannot have been executed yet.
 pub(super) fn is_reliable(request: RequestProgress, outcome: Outcome) -> bool {
     request == RequestProgress::Complete || !outcome.possibly_executed()
 }
 
-/// The result of a complete response.
-pub(super) fn result_of_response(status: StatusCode, headers: &HeaderMap) -> CallOutcome {
+/// The outcome that a response reports by its status and headers.
+pub(super) fn call_outcome_of_response(status: StatusCode, headers: &HeaderMap) -> CallOutcome {
     match status.as_u16() {
         200 => Outcome::Ok.into(),
         429 => CallOutcome { retry_after: retry_after(headers), ..Outcome::Rejected.into() },
@@ -110,11 +111,12 @@
         503 => CallOutcome { retry_after: retry_after(headers), ..Outcome::Rejected.into() },
         504 => Outcome::AttemptsExhausted.into(),
         410 => CallOutcome { completed: true, ..Outcome::NotSent.into() },
-        // 500 and any other status: possibly executed.
+        // With status 500 and any other status the call was possibly executed.
         _ => Outcome::Error.into(),
     }
 }
 
+/// The backoff in `X-Backoff-Ms`, at most [`MAX_BACKOFF_MS`]; 0 if the header is missing or not a finite number.
 fn retry_after(headers: &HeaderMap) -> Millis {
     let text = headers.get(X_BACKOFF_MS).and_then(|value| value.to_str().ok());
     let wait = text.and_then(|text| text.trim().parse::<f64>().ok()).filter(|wait| wait.is_finite());
--- a/crates/sender/src/outbound/pool.rs
+++ b/crates/sender/src/outbound/pool.rs
@@ -1,4 +1,4 @@
-//! Keeps idle connections to receivers for further requests.
+//! The pool of idle connections to receivers, which later requests reuse.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -10,11 +10,11 @@
 use super::Outbound;
 use super::connection::Connection;
 
-/// How long before the receiver's idle timeout a connection is closed here. The receiver's timeout starts earlier, when
-/// it writes its response.
+/// How long before the receiver's idle timeout this process closes a connection: the receiver's timeout starts earlier,
+/// when the receiver writes its response.
 pub(super) const IDLE_CLOSE_MARGIN: Duration = Duration::from_secs(2);
 
-/// The idle connections of each route, the longest idle first.
+/// The idle connections by route; the longest idle connection of a route is first.
 #[derive(Debug)]
 pub(super) struct IdlePool {
     by_route: RefCell<HashMap<RouteId, Vec<Connection>>>,
@@ -22,19 +22,19 @@
 }
 
 impl IdlePool {
-    /// Creates an empty pool; connections are kept for `max_idle_time`.
+    /// Creates an empty pool that closes connections once they have been idle for `max_idle_time`.
     pub(super) fn new(max_idle_time: Duration) -> Self {
         Self { by_route: RefCell::default(), max_idle_time }
     }
 
-    /// Takes the most recently used connection, so that the others can expire.
+    /// Takes the most recently used connection of a route, so that the others can expire.
     pub(super) fn take(&self, route: RouteId) -> Option<Connection> {
         let now = Instant::now();
         let mut by_route = self.by_route.borrow_mut();
         let connections = by_route.get_mut(&route)?;
         while let Some(mut connection) = connections.pop() {
             if connection.is_reusable(now, self.max_idle_time) {
-                connection.leave_idle();
+                connection.mark_in_use();
                 return Some(connection);
             }
         }
@@ -46,12 +46,12 @@
         self.by_route.borrow_mut().remove(&route);
     }
 
-    /// Closes the idle connections of all routes but the `listed` ones.
-    pub(super) fn retain_routes(&self, listed: &HashSet<RouteId>) {
-        self.by_route.borrow_mut().retain(|route, _| listed.contains(route));
+    /// Closes the idle connections of all routes but `listed_routes`.
+    pub(super) fn retain_routes(&self, listed_routes: &HashSet<RouteId>) {
+        self.by_route.borrow_mut().retain(|route, _| listed_routes.contains(route));
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for the maximum time.
     pub(super) fn remove_expired(&self, now: Instant) {
         self.by_route.borrow_mut().retain(|_, connections| {
             connections.retain(|connection| connection.is_reusable(now, self.max_idle_time));
@@ -59,11 +59,11 @@
         });
     }
 
-    /// Closes the longest idle connection of all routes; returns `false` if there is none.
+    /// Closes the connection that has been idle longest, over all routes; returns `false` if none is idle.
     pub(super) fn close_longest_idle(&self) -> bool {
         let mut by_route = self.by_route.borrow_mut();
-        let occupied = by_route.values_mut().filter(|connections| !connections.is_empty());
-        let Some(connections) = occupied.min_by_key(|connections| connections[0].idle_since()) else {
+        let non_empty = by_route.values_mut().filter(|connections| !connections.is_empty());
+        let Some(connections) = non_empty.min_by_key(|connections| connections[0].idle_since()) else {
             return false;
         };
         connections.remove(0);
@@ -86,9 +86,10 @@
 }
 
 impl Outbound {
-    /// Returns a connection without a request in flight to the pool, or closes it if the route has another address now.
+    /// Returns a connection without a request in flight to the pool. The connection is closed instead if it has ended,
+    /// or if the route no longer accepts calls at its address.
     pub(super) fn return_to_pool(&self, route: RouteId, mut connection: Connection) {
-        connection.become_idle();
+        connection.mark_idle();
         if self.routes.is_ready_at(route, connection.addr()) && !connection.sender.is_closed() {
             connection.limit_unacknowledged(None);
             self.idle.put(route, connection);
--- a/crates/sender/src/outbound/request.rs
+++ b/crates/sender/src/outbound/request.rs
@@ -18,40 +18,40 @@
 const MESSAGES_PATH: &str = "/v1/messages";
 const HEALTH_PATH: &str = "/-/healthy";
 
-/// How long the response to a health check is waited for.
+/// Maximum time from the start of a health check to its response.
 pub(super) const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A request to a receiver.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum OutgoingRequest<'a> {
-    /// A message.
+    /// Delivers a message.
     Call(&'a Call),
-    /// A health check.
+    /// Checks the receiver's health.
     HealthCheck,
 }
 
-/// The deadlines of a request.
+/// The times by which a request must be written and its response received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestDeadlines {
-    /// When the response must have arrived.
+    /// When the response must have been received.
     pub(super) response_deadline: Instant,
     /// When the last byte must have been written.
     pub(super) write_deadline: Instant,
-    /// Whether the request must also not arrive after `write_deadline`: an earlier attempt may have been executed, and the
-    /// receiver discards its idempotency key then.
+    /// Whether this is a retry with an idempotency key, which also must not be received after `write_deadline`: an
+    /// earlier attempt may have been executed, and the receiver discards the key at that time.
     pub(super) keyed_retry: bool,
 }
 
-/// A request that is ready to be sent.
+/// A request with all headers, ready to be sent.
 #[derive(Debug)]
 pub(super) struct PreparedRequest {
     pub(super) request: Request<Full<Bytes>>,
-    /// When the time announced to the receiver is over, and its response no longer counts.
+    /// When the remaining time announced to the receiver ends; a later response does not count.
     pub(super) response_deadline: Instant,
 }
 
 impl OutgoingRequest<'_> {
-    /// The deadlines of this request if it begins now.
+    /// The deadlines of this request if it starts now.
     pub(super) fn deadlines(&self) -> RequestDeadlines {
         match self {
             Self::Call(call) => RequestDeadlines {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The id of the message in the request.
+    /// The id of the message in the request; `None` for a health check.
     pub(super) fn message_id(&self) -> Option<&MessageId> {
         match self {
             Self::Call(call) => Some(&call.message_id),
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Builds the request to a receiver at `addr`. It announces the remaining time in whole milliseconds; a later response
-    /// does not count, as the receiver treats the call as abandoned.
+    /// Builds the request to a receiver at `addr`. A call announces its remaining time in whole milliseconds; a
+    /// response after that time does not count, because the receiver treats the call as abandoned.
     ///
     /// # Errors
     ///
-    /// An error if a header cannot be encoded.
+    /// [`hyper::http::Error`] if a header value contains bytes that are not allowed.
     pub(super) fn prepare(
         &self,
         addr: SocketAddr,
@@ -111,7 +111,7 @@
     request.body(Full::new(call.body.clone()))
 }
 
-/// Rounds down to the resolution of `X-Remaining`.
+/// Rounds down to milliseconds, the resolution of `X-Remaining`.
 fn whole_milliseconds(time: Duration) -> Duration {
     time - Duration::from_nanos(u64::from(time.subsec_nanos()) % 1_000_000)
 }
--- a/crates/sender/src/outbound/response.rs
+++ b/crates/sender/src/outbound/response.rs
@@ -11,45 +11,46 @@
 
 use super::Outbound;
 use super::connection::Connection;
-use super::outcome::{RequestProgress, is_reliable, result_of_response};
+use super::outcome::{RequestProgress, call_outcome_of_response, is_reliable};
 use crate::event::CallOutcome;
 
-/// Maximum time for the rest of a response; after that its connection is closed.
+/// Maximum time to read the rest of a response; a connection that takes longer is closed.
 const RESPONSE_BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A response whose result is reliable.
+/// A response that determines the outcome of its call (see [`is_reliable`]).
 #[derive(Debug)]
 pub(super) struct ReliableResponse {
-    pub(super) result: CallOutcome,
-    /// The body, if it has not been read.
+    pub(super) call_outcome: CallOutcome,
+    /// The body of the response; `None` if it has been read.
     pub(super) unread_body: Option<Incoming>,
 }
 
-/// A connection after a response on it.
+/// A connection on which a response has been received.
 #[derive(Debug)]
 pub(super) struct UsedConnection {
     pub(super) connection: Connection,
-    /// The body, if it has not been read.
+    /// The body of the response; `None` if it has been read.
     pub(super) unread_body: Option<Incoming>,
 }
 
 impl ReliableResponse {
-    /// Interprets a response; `None` if it is not reliable. An outcome without execution counts only if the response is
-    /// well-formed to its end.
+    /// Determines the outcome from a response; `None` if the response is not reliable. A response by which the call was
+    /// not executed counts only if its body is complete and well-formed; the body is read until `deadline` at the
+    /// latest.
     pub(super) async fn read(
         response: Response<Incoming>,
         request: RequestProgress,
         deadline: Instant,
     ) -> Option<Self> {
-        let result = result_of_response(response.status(), response.headers());
-        if !is_reliable(request, result.outcome) {
+        let call_outcome = call_outcome_of_response(response.status(), response.headers());
+        if !is_reliable(request, call_outcome.outcome) {
             return None;
         }
         let body = response.into_body();
-        if result.outcome.possibly_executed() {
-            return Some(Self { result, unread_body: Some(body) });
+        if call_outcome.outcome.possibly_executed() {
+            return Some(Self { call_outcome, unread_body: Some(body) });
         }
-        drain(body, deadline).await.then_some(Self { result, unread_body: None })
+        drain(body, deadline).await.then_some(Self { call_outcome, unread_body: None })
     }
 }
 
@@ -67,12 +68,13 @@
     }
 }
 
-/// Reads a body to its end; returns `false` if it is too long or takes too long.
+/// Reads a body to its end. Returns `false` if the body is malformed, longer than [`MAX_BODY`], or not complete by
+/// `deadline` or within [`RESPONSE_BODY_TIMEOUT`].
 async fn drain(body: Incoming, deadline: Instant) -> bool {
     if body.size_hint().lower() > MAX_BODY as u64 {
         return false;
     }
     let deadline = deadline.min(Instant::now() + RESPONSE_BODY_TIMEOUT);
-    let read = timeout_at(deadline, Limited::new(body, MAX_BODY).collect()).await;
-    matches!(read, Ok(Ok(_)))
+    let drained = timeout_at(deadline, Limited::new(body, MAX_BODY).collect()).await;
+    matches!(drained, Ok(Ok(_)))
 }
--- a/crates/sender/src/outbound/routes.rs
+++ b/crates/sender/src/outbound/routes.rs
@@ -1,4 +1,4 @@
-//! The routes of the endpoint list, with what is needed to call them.
+//! The routes of the endpoint list, with the address and the backoff scope of each.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -12,30 +12,30 @@
 /// A receiver as the endpoint list describes it.
 #[derive(Debug)]
 pub struct Route {
-    /// Its address; `None` if the address in the list cannot be parsed.
+    /// Address of the receiver; `None` if the address in the list cannot be parsed.
     pub addr: Option<SocketAddr>,
     /// The receiver's name.
     pub receiver: Rc<str>,
-    /// Its zone.
+    /// Zone of the receiver.
     pub zone: Rc<str>,
-    /// Its destination.
+    /// Destination that the receiver belongs to.
     pub destination: DestinationId,
-    /// Whether its backoffs apply to it alone, and not to its destination.
+    /// Whether a backoff that the receiver requests applies to this route alone, and not to the whole destination.
     pub has_own_backoff: bool,
-    /// Whether it accepts calls.
+    /// Whether the receiver accepts calls.
     pub listing: Listing,
 }
 
-/// The receiver of a route, and its zone.
+/// The receiver of a route and its zone, both by name.
 #[derive(Clone, Debug)]
 pub struct ReceiverLocation {
     /// The receiver's name.
     pub receiver: Rc<str>,
-    /// Its zone.
+    /// Zone of the receiver.
     pub zone: Rc<str>,
 }
 
-/// The address that a request is sent to, and the scope of its backoffs.
+/// The address that a request is sent to, and the scope of a backoff that its response requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Target {
     pub(super) addr: SocketAddr,
@@ -59,7 +59,7 @@
 }
 
 impl RouteTable {
-    /// Adds or replaces a route, or removes it if it is no longer listed.
+    /// Adds or replaces a route, or removes it if its listing is [`Listing::Removed`].
     pub(super) fn update(&self, id: RouteId, route: Route) {
         let mut routes = self.routes.borrow_mut();
         if route.listing == Listing::Removed {
@@ -69,17 +69,17 @@
         }
     }
 
-    /// Removes all routes but the `listed` ones.
-    pub(super) fn retain(&self, listed: &HashSet<RouteId>) {
-        self.routes.borrow_mut().retain(|id, _| listed.contains(id));
+    /// Removes all routes but `listed_routes`.
+    pub(super) fn retain(&self, listed_routes: &HashSet<RouteId>) {
+        self.routes.borrow_mut().retain(|id, _| listed_routes.contains(id));
     }
 
-    /// Whether the route is known at this address.
+    /// Whether the route is on the endpoint list with this address.
     pub(super) fn address_matches(&self, id: RouteId, addr: Option<SocketAddr>) -> bool {
         self.routes.borrow().get(&id).is_some_and(|route| route.addr == addr)
     }
 
-    /// Whether the route accepts calls at this address.
+    /// Whether the route is on the endpoint list with this address and accepts calls.
     pub(super) fn is_ready_at(&self, id: RouteId, addr: SocketAddr) -> bool {
         let routes = self.routes.borrow();
         routes.get(&id).is_some_and(|route| route.listing == Listing::Ready && route.addr == Some(addr))
@@ -99,12 +99,12 @@
         (route.listing == Listing::Ready).then(|| route.backoff_scope(id))
     }
 
-    /// The destination of a route.
+    /// The destination of a route; `None` if it is not listed.
     pub(super) fn destination(&self, id: RouteId) -> Option<DestinationId> {
         self.routes.borrow().get(&id).map(|route| route.destination)
     }
 
-    /// The name and the zone of a route's receiver.
+    /// Receiver and zone of a route; `None` if it is not listed.
     pub(super) fn receiver_location(&self, id: RouteId) -> Option<ReceiverLocation> {
         let routes = self.routes.borrow();
         let route = routes.get(&id)?;
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -1,4 +1,4 @@
-//! Calls over loopback sockets, with the test in place of the receiver.
+//! Tests calls over loopback sockets. The test acts as the receiver.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
 }
 
 impl Outbound {
-    /// Number of routes, backoffs and idle connections.
+    /// Total number of routes, backoffs and idle connections.
     pub fn entries(&self) -> usize {
         self.routes.len() + self.backoffs.len() + self.idle.len()
     }
@@ -53,12 +53,12 @@
         "extra": {"calls_out": 4}, "kinds": ["k"],
         "lanes": [{"name": "safe", "effect": "free", "deadline": 9000.0}],
         "limits": {"max_attempts": 4, "most_held": 50, "connect_timeout": 5000.0, "idle_close": 15000.0}});
-    let settings = rudderspindle_policy::settings::read(&json).expect("settings");
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let settings = rudderspindle_policy::settings::read(&json).expect("valid settings");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a loopback port");
     let (to_engine, inputs) = mpsc::channel(16);
     let metrics = Rc::new(Metrics::new(&[]));
     let outbound = Rc::new(Outbound::new(&settings, max_connections, metrics, Rc::default(), to_engine));
-    outbound.update_route(ROUTE, route(listener.local_addr().expect("an address"), Listing::Ready));
+    outbound.update_route(ROUTE, route(listener.local_addr().expect("listener address"), Listing::Ready));
     (outbound, listener, inputs)
 }
 
@@ -76,12 +76,15 @@
     }
 }
 
-async fn next(inputs: &mut mpsc::Receiver<Input>) -> Input {
-    timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input")
+async fn next_input(inputs: &mut mpsc::Receiver<Input>) -> Input {
+    timeout(Duration::from_secs(20), inputs.recv())
+        .await
+        .expect("completion within the timeout")
+        .expect("an open engine channel")
 }
 
-async fn next_outcome(inputs: &mut mpsc::Receiver<Input>) -> CallOutcome {
-    let Input::Outcome { result, .. } = next(inputs).await else { panic!("no outcome") };
+async fn next_call_outcome(inputs: &mut mpsc::Receiver<Input>) -> CallOutcome {
+    let Input::Outcome { result, .. } = next_input(inputs).await else { panic!("expected an outcome") };
     result
 }
 
@@ -90,20 +93,20 @@
     let mut buffer = [0; 1024];
     let mut filled = 0;
     while !buffer[..filled].ends_with(b"text") {
-        let n = stream.read(&mut buffer[filled..]).await.expect("a request");
-        assert!(n > 0, "the request ends too early");
+        let n = stream.read(&mut buffer[filled..]).await.expect("read the request");
+        assert!(n > 0, "connection ended before the last byte of the request");
         filled += n;
     }
 }
 
-/// Reads the next request and responds with this status, and header lines, if any.
+/// Reads the next request and responds with `status`: the status line without its version, and header lines, if any.
 async fn respond(stream: &mut TcpStream, status: &str) {
     read_request(stream).await;
     let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-    stream.write_all(response.as_bytes()).await.expect("writable");
+    stream.write_all(response.as_bytes()).await.expect("write to the connection");
 }
 
-/// Makes a call that succeeds, and waits until its connection is idle. Returns the receiver's side of the connection.
+/// Makes a call that succeeds, and waits until its connection is idle. Returns the receiver's end of the connection.
 async fn complete_call(
     outbound: &Rc<Outbound>,
     listener: &TcpListener,
@@ -111,9 +114,9 @@
     call: Call,
 ) -> TcpStream {
     outbound.start_call(call);
-    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let (mut stream, _) = listener.accept().await.expect("accept a connection");
     respond(&mut stream, "200 OK").await;
-    let call_outcome = next_outcome(inputs).await;
+    let call_outcome = next_call_outcome(inputs).await;
     assert_eq!(call_outcome, Outcome::Ok.into());
     while outbound.idle.len() == 0 {
         tokio::task::yield_now().await;
@@ -121,30 +124,31 @@
     stream
 }
 
-/// Length of a body that is only partly written while a [`narrow`] listener does not read.
-const LARGE: usize = 60_000;
+/// Length of a body that is only partly written while a [`listener_with_small_buffers`] listener does not read.
+const LARGE_BODY_LEN: usize = 60_000;
 
-/// A listener whose connections have small receive buffers.
-fn narrow() -> TcpListener {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_recv_buffer_size(2_048).expect("a window");
-    SockRef::from(&socket).set_tcp_mss(536).expect("a segment size");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    socket.listen(16).expect("a listener")
+/// Creates a listener whose connections have small receive buffers.
+fn listener_with_small_buffers() -> TcpListener {
+    let socket = TcpSocket::new_v4().expect("create a socket");
+    socket.set_recv_buffer_size(2_048).expect("set the receive buffer size");
+    SockRef::from(&socket).set_tcp_mss(536).expect("set the segment size");
+    socket.bind("127.0.0.1:0".parse().expect("valid address")).expect("bind to a loopback port");
+    socket.listen(16).expect("listen on the socket")
 }
 
-/// Counts the bytes received until the connection ends, by a reset or not.
+/// Reads until the connection is closed or reset; returns the number of bytes received.
 async fn read_to_end(stream: &mut TcpStream) -> usize {
     let mut received = 0;
     let mut buffer = vec![0; 4096];
-    while let Ok(n @ 1..) = timeout(Duration::from_secs(20), stream.read(&mut buffer)).await.expect("an end")
+    while let Ok(n @ 1..) =
+        timeout(Duration::from_secs(20), stream.read(&mut buffer)).await.expect("end of the connection")
     {
         received += n;
     }
     received
 }
 
-/// Polls a future once.
+/// Polls a future once, and returns its output if it is ready.
 trait NowOrNever: Future + Sized {
     fn now_or_never(self) -> Option<Self::Output> {
         let mut context = std::task::Context::from_waker(std::task::Waker::noop());
--- a/crates/sender/src/outbound/tests/idle_connections.rs
+++ b/crates/sender/src/outbound/tests/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections and their use for further calls.
+//! Tests idle connections and their reuse for further calls.
 
 use std::time::Duration;
 
@@ -7,39 +7,41 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout};
 
-use super::{ROUTE, call, complete_call, next, next_outcome, respond, route, set_up};
+use super::{ROUTE, call, complete_call, next_call_outcome, next_input, respond, route, set_up};
 
+/// The receiver may be about to close a connection that has been idle for long.
 #[tokio::test]
-async fn an_idle_connection_is_not_used_when_the_receiver_may_be_about_to_close_it() {
+async fn a_connection_is_not_reused_close_to_the_idle_timeout() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
         let _stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
-        let connection = outbound.idle.take(ROUTE).expect("it is pooled");
+        let connection = outbound.idle.take(ROUTE).expect("an idle connection");
         let max_idle_time = outbound.idle.max_idle_time();
-        let old = Instant::now() + Duration::from_secs(13);
+        let close_to_timeout = Instant::now() + Duration::from_secs(13);
         assert!(
             connection.is_reusable(Instant::now(), max_idle_time)
-                && !connection.is_reusable(old, max_idle_time)
+                && !connection.is_reusable(close_to_timeout, max_idle_time)
         );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// Bytes received after a response may not have been read when the next call is sent; they would be taken for its
-/// response.
+/// Bytes that are received after a response may be unread when the next call is sent, and would be interpreted as the
+/// response to that call.
 #[tokio::test]
-async fn a_connection_with_unsolicited_bytes_carries_no_further_call() {
+async fn a_connection_with_unsolicited_bytes_is_not_reused() {
     let test = async {
-        for noise in [&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..], b"noise"] {
+        for unsolicited in [&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..], b"noise"] {
             let (outbound, listener, mut inputs) = set_up().await;
             let stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
-            // No await here: the runtime must not poll its sockets before the call is sent.
-            assert_eq!(stream.try_write(noise).expect("writable"), noise.len());
+            // Written without an await, because the runtime must not poll its sockets before the call is sent.
+            assert_eq!(stream.try_write(unsolicited).expect("write to the connection"), unsolicited.len());
             outbound.start_call(call());
-            let again = timeout(Duration::from_secs(20), listener.accept()).await;
-            let (mut stream, _) = again.expect("a new connection").expect("a connection");
+            let accepted = timeout(Duration::from_secs(20), listener.accept()).await;
+            let (mut stream, _) =
+                accepted.expect("a new connection within the timeout").expect("accept a connection");
             respond(&mut stream, "500 No").await;
-            let call_outcome = next_outcome(&mut inputs).await;
+            let call_outcome = next_call_outcome(&mut inputs).await;
             assert_eq!(call_outcome, Outcome::Error.into());
         }
     };
@@ -47,30 +49,41 @@
 }
 
 #[tokio::test]
-async fn a_connection_to_an_address_that_the_route_has_left_is_not_pooled() {
+async fn a_connection_to_a_former_address_of_its_route_is_not_pooled() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
         outbound.start_call(call());
-        let (mut stream, _) = listener.accept().await.expect("a connection");
-        let other = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        outbound.update_route(ROUTE, route(other.local_addr().expect("an address"), Listing::Ready));
+        let (mut stream, _) = listener.accept().await.expect("accept a connection");
+        let new_listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a loopback port");
+        outbound
+            .update_route(ROUTE, route(new_listener.local_addr().expect("listener address"), Listing::Ready));
         respond(&mut stream, "200 OK").await;
-        next(&mut inputs).await;
-        let end = timeout(Duration::from_secs(20), stream.read(&mut [0; 8])).await.expect("in time");
-        assert_eq!(end.expect("an end"), 0);
+        next_input(&mut inputs).await;
+        let read = timeout(Duration::from_secs(20), stream.read(&mut [0; 8]))
+            .await
+            .expect("completion within the timeout");
+        assert_eq!(read.expect("end of the connection"), 0);
         assert!(outbound.idle.len() == 0);
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// Small writes are not delayed, and are not lost by a close.
+/// `TCP_NODELAY` is set, so that small writes are not delayed, and are not lost by a close.
 #[tokio::test]
 async fn an_opened_connection_sends_small_writes_at_once() {
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
         let _stream = complete_call(&outbound, &listener, &mut inputs, call()).await;
-        let connection = outbound.idle.take(ROUTE).expect("it is pooled");
-        assert!(connection.socket.upgrade().expect("open").borrow().nodelay().expect("it can be read"));
+        let connection = outbound.idle.take(ROUTE).expect("an idle connection");
+        assert!(
+            connection
+                .socket
+                .upgrade()
+                .expect("an open socket")
+                .borrow()
+                .nodelay()
+                .expect("read the socket option")
+        );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/sender/src/outbound/tests/responses.rs
+++ b/crates/sender/src/outbound/tests/responses.rs
@@ -1,15 +1,16 @@
-//! Results of complete responses.
+//! Tests the outcomes of complete responses.
 
 use rudderspindle_policy::interface::Outcome;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use super::super::outcome::MAX_BACKOFF_MS;
-use super::{ROUTE, call, next, next_outcome, respond, set_up};
+use super::{ROUTE, call, next_call_outcome, next_input, respond, set_up};
 use crate::event::{CallOutcome, Input};
 
 #[tokio::test]
-async fn responses_have_the_results_of_the_protocol() {
-    let call_outcome = |outcome, wait, completed| CallOutcome { outcome, retry_after: wait, completed };
+async fn each_response_has_the_outcome_that_the_protocol_defines() {
+    let call_outcome =
+        |outcome, backoff_ms, completed| CallOutcome { outcome, retry_after: backoff_ms, completed };
     let cases = [
         ("200 OK", call_outcome(Outcome::Ok, 0.0, true)),
         ("500 No", call_outcome(Outcome::Error, 0.0, false)),
@@ -25,10 +26,10 @@
         for (text, expected) in cases {
             let (outbound, listener, mut inputs) = set_up().await;
             outbound.start_call(call());
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("accept a connection");
             respond(&mut stream, text).await;
-            let found = next_outcome(&mut inputs).await;
-            assert_eq!(found, expected, "{text}");
+            let received_outcome = next_call_outcome(&mut inputs).await;
+            assert_eq!(received_outcome, expected, "{text}");
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -40,16 +41,16 @@
         for (status, outcome) in [("200 OK", Outcome::Ok), ("503 No", Outcome::Rejected)] {
             let (outbound, listener, mut inputs) = set_up().await;
             outbound.start_health_check(ROUTE);
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("accept a connection");
             let mut head = [0; 18];
-            stream.read_exact(&mut head).await.expect("a request");
+            stream.read_exact(&mut head).await.expect("read the request");
             assert_eq!(&head, b"GET /-/healthy HTT");
             let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
-            stream.write_all(response.as_bytes()).await.expect("writable");
-            let Input::HealthChecked { outcome: found, .. } = next(&mut inputs).await else {
-                panic!("no health check")
+            stream.write_all(response.as_bytes()).await.expect("write to the connection");
+            let Input::HealthChecked { outcome: received_outcome, .. } = next_input(&mut inputs).await else {
+                panic!("expected the outcome of a health check")
             };
-            assert_eq!(found, outcome);
+            assert_eq!(received_outcome, outcome);
         }
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -60,10 +61,13 @@
     let test = async {
         let (outbound, listener, mut inputs) = set_up().await;
         outbound.start_call(call());
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("accept a connection");
         respond(&mut stream, "429 No\r\nX-Backoff-Ms: 1e300").await;
-        let found = next_outcome(&mut inputs).await;
-        assert_eq!((found.outcome, found.retry_after), (Outcome::Rejected, MAX_BACKOFF_MS));
+        let received_outcome = next_call_outcome(&mut inputs).await;
+        assert_eq!(
+            (received_outcome.outcome, received_outcome.retry_after),
+            (Outcome::Rejected, MAX_BACKOFF_MS)
+        );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
