--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -124,7 +124,7 @@
     stream
 }
 
-/// Length of a body that is only partly written while a [`listener_with_small_buffers`] listener does not read.
+/// Length of a body that is only partly written to a connection of [`listener_with_small_buffers`] that is not read.
 const LARGE_BODY_LEN: usize = 60_000;
 
 /// Creates a listener whose connections have small receive buffers.
--- a/crates/sender/src/outbound/tests/interrupted.rs
+++ b/crates/sender/src/outbound/tests/interrupted.rs
@@ -19,7 +19,8 @@
 };
 use crate::event::{Call, Input};
 
-/// Length of a body that the system buffers completely while a [`listener_with_small_buffers`] listener does not read.
+/// Length of a body that the system buffers completely on a connection of [`listener_with_small_buffers`] that is not
+/// read.
 const MEDIUM_BODY_LEN: usize = 8_000;
 
 /// A call with a body of `size` bytes.
