--- a/crates/sender/src/admission_state.rs
+++ b/crates/sender/src/admission_state.rs
@@ -1,12 +1,12 @@
-//! Whether clients' connections and requests are accepted.
+//! The admission state: whether connections and requests of clients are accepted.
 
-/// Admission state of clients.
+/// Whether connections and requests of clients are accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdmissionState {
     /// Connections and requests are accepted.
     #[default]
     Accepting,
-    /// An operator drains this sender: each connection is closed after its next response. Accepted messages are
+    /// An operator drains this sender: each connection is closed after its next response. Accepted messages are still
     /// delivered.
     Drained,
     /// The process is stopping.
@@ -21,7 +21,7 @@
         matches!(self, Self::Stopping | Self::HandingOver)
     }
 
-    /// The state after an operator has requested another one; a process that is stopping stays in its state.
+    /// The state after an operator has requested another one; the state of a stopping process does not change.
     #[must_use]
     pub fn after_request(self, requested: Self) -> Self {
         if self.is_stopping() { self } else { requested }
--- a/crates/sender/src/failpoint.rs
+++ b/crates/sender/src/failpoint.rs
@@ -1,9 +1,10 @@
-//! Named points at which a test stops and kills the program; only built with the feature `failpoints`.
+//! Named points at which a test can stop the program in order to kill it there; only built with the feature
+//! `failpoints`.
 
-/// Environment variable with the name of the point at which the program stops.
+/// Environment variable that names the point at which the program stops.
 const FAILPOINT_VARIABLE: &str = "RELAY_FAILPOINT";
 
-/// Logs and blocks this thread if the environment names this point.
+/// Logs `point` and blocks this thread for ever if [`FAILPOINT_VARIABLE`] names it.
 pub(crate) fn reach(point: &str) {
     if std::env::var(FAILPOINT_VARIABLE).is_ok_and(|name| name == point) {
         tracing::warn!(point, "failpoint reached");
--- a/crates/sender/src/incarnation.rs
+++ b/crates/sender/src/incarnation.rs
@@ -1,4 +1,5 @@
-//! The incarnation number of this process, larger than those of all earlier processes with the same state folder.
+//! The incarnation number of this process; it is larger than the numbers of all earlier processes with the same state
+//! folder.
 
 use std::io;
 use std::path::Path;
@@ -6,20 +7,20 @@
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::Incarnation;
 
-/// Name of the file in the state folder that holds the last number, as text.
-const FILE: &str = "incarnation";
+/// Name of the file in the state folder that holds the last number as decimal text.
+const FILE_NAME: &str = "incarnation";
 
-/// Starts an incarnation and stores its number, which must happen before it is first announced. Without a readable file the
-/// number is that of the clock, `now`.
+/// Starts an incarnation and stores its number. The number must be stored before it is first announced, because a later
+/// process must not use it again. If no stored number can be read, the number is taken from the wall clock, `now`.
 ///
 /// # Errors
 ///
-/// The file system's error if the number cannot be stored.
+/// The error of the file system if the number cannot be stored.
 pub(crate) fn start(state_folder: &Path, now: UnixMillis) -> io::Result<Incarnation> {
-    let file = state_folder.join(FILE);
+    let file = state_folder.join(FILE_NAME);
     let last = std::fs::read_to_string(&file).ok().and_then(|text| text.trim().parse().ok());
     let next = Incarnation::next(last.map(Incarnation), now);
-    let temporary_file = state_folder.join(format!("{FILE}.new"));
+    let temporary_file = state_folder.join(format!("{FILE_NAME}.new"));
     std::fs::write(&temporary_file, next.0.to_string())?;
     std::fs::rename(temporary_file, file)?;
     Ok(next)
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -1,9 +1,11 @@
 //! A sender on real sockets: the I/O around the decisions of `rudderspindle-policy`.
 //!
 //! The [`Service`] accepts messages from clients over HTTP/1.1, writes them to its journal before it responds with
-//! 202, delivers them to receivers as the policy decides, and notifies the platform of those that it could not
-//! deliver. The tasks send their events to the engine (`engine`) as an `Input` (`event`) and do not depend on the engine.
-//! This crate does not decide about messages.
+//! 202, delivers them to receivers as the policy decides, and notifies the platform of messages that it could not
+//! deliver. The policy alone decides about messages; this crate executes the decisions.
+//!
+//! The module `engine` passes events to the policy and executes its decisions. The tasks around the engine do the I/O,
+//! send their events as an `Input` (module `event`), and do not depend on the engine.
 //!
 //! ```no_run
 //! use rudderspindle_sender::{Service, ValidatedConfig};
@@ -23,7 +25,7 @@
 //! # }
 //! ```
 
-/// A point at which a test can stop the program; expands to nothing without the feature `failpoints`.
+/// Marks a named point at which a test can stop the program; expands to nothing without the feature `failpoints`.
 macro_rules! failpoint {
     ($($point:tt)*) => {
         #[cfg(feature = "failpoints")]
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts the gossip with the other senders of the fleet, as configured.
+//! Starts the gossip with the other senders of the fleet if it is configured.
 
 use std::path::Path;
 
@@ -15,30 +15,33 @@
 use crate::gossip::{FLEET_LOG_TARGET, FleetSettings, GossipTask};
 use crate::incarnation;
 
-/// Time after the start of a recovery ramp at which its growth is sampled, in milliseconds.
-const RAMP_SAMPLE: Millis = 1_000.0;
+/// Time after the start of a recovery ramp at which the ramp's growth is sampled, in milliseconds.
+const RAMP_SAMPLE_TIME: Millis = 1_000.0;
 
-/// The gossip with other senders, as configured.
+/// The configured gossip with other senders, before its task is spawned.
 #[derive(Debug)]
 pub(super) struct FleetGossip {
     config: GossipConfig,
     file: FleetFile,
-    ramp: RecoveryRamp,
-    /// Messages per second of each tenant, over all senders.
-    quotas: Vec<f64>,
+    recovery_ramp: RecoveryRamp,
+    /// Quota of each tenant over all senders, in messages per second, by index in the settings.
+    tenant_quotas: Vec<f64>,
 }
 
 impl FleetGossip {
-    /// The configured gossip; `None` if there is none or the fleet is too small for it.
+    /// The configured gossip; `None` if none is configured or the fleet has too few senders for it.
     pub fn new(config: &Config, settings: &Settings, file: FleetFile) -> Option<Self> {
         let config = config.gossip().filter(|gossip| gossip.peers.len() >= file.share().min_senders())?;
-        let start = settings.ramp(0.0);
-        let ramp = RecoveryRamp { initial_fraction: start, growth_per_s: settings.ramp(RAMP_SAMPLE) - start };
-        let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
-        Some(Self { config, file, ramp, quotas })
+        let initial_fraction = settings.ramp(0.0);
+        let recovery_ramp = RecoveryRamp {
+            initial_fraction,
+            growth_per_s: settings.ramp(RAMP_SAMPLE_TIME) - initial_fraction,
+        };
+        let tenant_quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
+        Some(Self { config, file, recovery_ramp, tenant_quotas })
     }
 
-    /// How limits are shared.
+    /// How the senders share the limits of receivers.
     pub fn limit_sharing(&self) -> LimitSharing {
         if self.file.share().is_strict() { LimitSharing::Permits } else { LimitSharing::Demand }
     }
@@ -48,22 +51,22 @@
         self.file.share().detects_outliers() || self.file.share().shares_quotas()
     }
 
-    /// Spawns the gossip. It ends when the engine does.
+    /// Spawns the gossip task, which ends when the engine ends.
     ///
     /// # Errors
     ///
-    /// [`StartError::State`] if the incarnation's number cannot be stored.
+    /// [`StartError::State`] if the incarnation number cannot be stored.
     pub fn spawn(self, state: &Path, to_engine: mpsc::Sender<Input>) -> Result<(), StartError> {
         let incarnation = self.start_incarnation(state)?;
         let strict = self.limit_sharing() == LimitSharing::Permits;
-        let Self { config, file, ramp, quotas } = self;
+        let Self { config, file, recovery_ramp, tenant_quotas } = self;
         tracing::info!(target: FLEET_LOG_TARGET, senders = config.peers.len(), strict, "limits are shared with other senders");
-        let settings = FleetSettings { fleet_file: file, tenant_quotas: quotas, incarnation };
-        spawn_local(GossipTask::new(config, ramp, settings).run(to_engine));
+        let settings = FleetSettings { fleet_file: file, tenant_quotas, incarnation };
+        spawn_local(GossipTask::new(config, recovery_ramp, settings).run(to_engine));
         Ok(())
     }
 
-    /// Starts an incarnation if permits or the fleet view need its number.
+    /// Starts an incarnation if permits or the fleet view require one; otherwise returns `None`.
     fn start_incarnation(&self, state: &Path) -> Result<Option<Incarnation>, StartError> {
         if self.limit_sharing() != LimitSharing::Permits && !self.has_fleet_view() {
             return Ok(None);
--- a/crates/sender/src/service/listeners.rs
+++ b/crates/sender/src/service/listeners.rs
@@ -1,4 +1,4 @@
-//! The listening sockets of a sender, for clients and for operators.
+//! The listening sockets of a sender: one for clients, and optionally one for operators.
 
 use std::net::SocketAddr;
 
@@ -9,24 +9,24 @@
 /// The bound listeners.
 #[derive(Debug)]
 pub(super) struct Listeners {
-    /// For clients.
+    /// The listener for clients.
     pub clients: TcpListener,
-    /// The address of the listener for clients.
+    /// The local address of the listener for clients.
     pub addr: SocketAddr,
-    /// For operators, if the configuration has an address for it.
+    /// The listener for operators; `None` if no address is configured for it.
     pub control: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Binds the configured addresses. If `inherited` is given, it is used for clients instead.
+    /// Binds the configured addresses. An `inherited` socket is used for clients instead of the configured address.
     ///
     /// # Errors
     ///
-    /// [`StartError::Listen`] with the address that cannot be bound.
+    /// [`StartError::Listen`] with the configured address if a socket cannot be bound or used.
     pub async fn bind(config: &Config, inherited: Option<std::net::TcpListener>) -> Result<Self, StartError> {
         let listen_error = |error| StartError::Listen { addr: config.listen, error };
         let clients = match inherited {
-            Some(socket) => adopt(socket).map_err(listen_error)?,
+            Some(socket) => from_inherited_socket(socket).map_err(listen_error)?,
             None => bind(config.listen).await?,
         };
         let addr = clients.local_addr().map_err(listen_error)?;
@@ -38,7 +38,7 @@
     }
 }
 
-fn adopt(socket: std::net::TcpListener) -> std::io::Result<TcpListener> {
+fn from_inherited_socket(socket: std::net::TcpListener) -> std::io::Result<TcpListener> {
     socket.set_nonblocking(true)?;
     TcpListener::from_std(socket)
 }
--- a/crates/sender/src/service/ownership.rs
+++ b/crates/sender/src/service/ownership.rs
@@ -1,4 +1,4 @@
-//! Connects to the other process of this sender, as the journal's owner or as its successor.
+//! Connects this process to the other process of this sender: as the journal's owner, or as the owner's successor.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -12,11 +12,11 @@
 use crate::event::Input;
 use crate::handover::{self, HandoverState, PeerProcess};
 
-/// Interval in which a successor checks whether the journal's owner has ended.
+/// How often a successor checks whether the journal's owner has ended.
 const TAKEOVER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Accepts successors if this process owns the journal. Else requests the owner's state, and takes over once the owner
-/// has ended. The spawned tasks end when the engine does.
+/// Accepts successors if this process owns the journal. Otherwise requests the owner's state, returns it, and takes
+/// over once the owner has ended. The spawned tasks end when the engine ends.
 pub(super) async fn join_peer_process(
     state: &Path,
     store: &mut Store,
@@ -33,7 +33,7 @@
     handover_state
 }
 
-/// Lets the engine take over the journal once its owner has ended, and then accepts successors.
+/// Requests the takeover from the engine until this process owns the journal, and then accepts successors.
 async fn take_over(state: PathBuf, peer_process: Rc<PeerProcess>, to_engine: mpsc::Sender<Input>) {
     loop {
         tokio::time::sleep(TAKEOVER_CHECK_INTERVAL).await;
