--- a/crates/sender/src/activity.rs
+++ b/crates/sender/src/activity.rs
@@ -1,4 +1,4 @@
-//! Collects the activity that the engine reports to the gossip: attempt results and accepted messages.
+//! Collects the activity that the engine reports to the gossip task: results of attempts, and accepted messages.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,30 +7,30 @@
 
 use crate::event::{AcceptedMessages, ActivityReport, MAX_CALL_RESULTS, ReceiverResult};
 
-/// The activity since the last report. Stays empty while disabled.
+/// The activity since the last report; stays empty if disabled.
 #[derive(Debug)]
 pub(crate) struct ActivityLog {
     enabled: bool,
-    /// Oldest first; at most [`MAX_CALL_RESULTS`].
-    results: VecDeque<ReceiverResult>,
-    /// Number of messages by tenant.
-    accepted: BTreeMap<u16, u32>,
+    /// Results of the attempts, oldest first; at most [`MAX_CALL_RESULTS`].
+    call_results: VecDeque<ReceiverResult>,
+    /// Number of accepted messages by index of the tenant.
+    accepted_by_tenant: BTreeMap<u16, u32>,
 }
 
 impl ActivityLog {
-    /// An empty log.
+    /// Creates an empty log; one that is not `enabled` collects nothing.
     pub fn new(enabled: bool) -> Self {
-        Self { enabled, results: VecDeque::new(), accepted: BTreeMap::new() }
+        Self { enabled, call_results: VecDeque::new(), accepted_by_tenant: BTreeMap::new() }
     }
 
-    /// Whether activity is recorded.
+    /// Whether activity is collected.
     pub fn is_enabled(&self) -> bool {
         self.enabled
     }
 
-    /// Records an attempt's outcome. Attempts that were not sent or were cancelled are ignored: they do not depend on the
-    /// receiver's health.
-    pub fn record_outcome(&mut self, receiver: Option<ReceiverId>, outcome: Outcome) {
+    /// Adds the outcome of an attempt. Attempts that were not sent or were cancelled are ignored, because
+    /// they do not depend on the receiver's health.
+    pub fn add_outcome(&mut self, receiver: Option<ReceiverId>, outcome: Outcome) {
         let result = match outcome {
             Outcome::Ok | Outcome::Rejected => CallResult::Answered,
             Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => CallResult::Failed,
@@ -40,26 +40,28 @@
             return;
         }
         let Some(receiver) = receiver else { return };
-        self.results.push_back(ReceiverResult { receiver, result });
-        if self.results.len() > MAX_CALL_RESULTS {
-            self.results.pop_front();
+        self.call_results.push_back(ReceiverResult { receiver, result });
+        if self.call_results.len() > MAX_CALL_RESULTS {
+            self.call_results.pop_front();
         }
     }
 
-    /// Records that a message of this tenant, by index, was accepted.
-    pub fn record_accepted(&mut self, tenant: usize) {
+    /// Counts an accepted message of the tenant with this index.
+    pub fn add_accepted(&mut self, tenant: usize) {
         if self.enabled {
-            let count = self.accepted.entry(u16::try_from(tenant).unwrap_or(u16::MAX)).or_default();
+            let count = self.accepted_by_tenant.entry(u16::try_from(tenant).unwrap_or(u16::MAX)).or_default();
             *count = count.saturating_add(1);
         }
     }
 
-    /// Empties the log into a report without demands and endpoints.
+    /// Empties the log into a report whose demands and listed receivers are left empty.
     pub fn take(&mut self) -> ActivityReport {
-        let accepted = std::mem::take(&mut self.accepted).into_iter();
+        let accepted_by_tenant = std::mem::take(&mut self.accepted_by_tenant).into_iter();
         ActivityReport {
-            results: std::mem::take(&mut self.results).into(),
-            accepted: accepted.map(|(tenant, messages)| AcceptedMessages { tenant, messages }).collect(),
+            call_results: std::mem::take(&mut self.call_results).into(),
+            accepted_messages: accepted_by_tenant
+                .map(|(tenant, messages)| AcceptedMessages { tenant, messages })
+                .collect(),
             ..ActivityReport::default()
         }
     }
--- a/crates/sender/src/control/golden.rs
+++ b/crates/sender/src/control/golden.rs
@@ -22,7 +22,7 @@
         (2, FinalOutcome::Delivered, 4),
     ];
     for (class, outcome, times) in outcomes {
-        (0..times).for_each(|_| metrics.record_outcome(class, outcome));
+        (0..times).for_each(|_| metrics.count_outcome(class, outcome));
     }
     (0..5).for_each(|_| metrics.call_written());
     metrics.client_connected();
--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -1,7 +1,11 @@
-//! The engine: gathers inputs into batches, lets the policy decide, writes the journal, and only then acts.
+//! The engine: collects inputs into batches, passes each batch to the policy, writes the decisions to the journal, and
+//! executes them only after that write.
 //!
-//! There is one batch at a time, and at most one for each tick. The engine runs as one task and owns its state; other
-//! tasks send it an [`Input`], and share only the parts in [`EngineIo`].
+//! Batches run one after the other, at most one per tick of the settings. The engine runs as one task and owns its
+//! state. Other tasks send it an [`Input`], and share with it only the parts in [`EngineIo`].
+//!
+//! Start reading at [`Engine::run`]; `batch` handles the inputs of a batch, and `commit` writes and executes its
+//! decisions.
 
 mod attempts;
 mod backlog;
@@ -41,17 +45,17 @@
 use timers::Timers;
 use tracked_messages::TrackedMessages;
 
-/// Interval in which the engine checks whether it can stop.
+/// How often the engine checks during a shutdown whether it can stop.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Maximum time between two batches.
+/// Maximum time between two batches when no input, timer or deadline is due.
 const MAX_BATCH_INTERVAL: Duration = Duration::from_secs(3600);
 /// Maximum number of inputs in a batch.
 const MAX_BATCH_INPUTS: usize = 4096;
 
-/// The engine of one sender process.
+/// The engine of one sender process. Create it with [`Engine::new`], then poll [`Engine::run`].
 pub struct Engine {
     policy: Policy,
-    /// Zero of the policy's clock.
+    /// The instant that is zero on the policy's clock.
     policy_epoch: Instant,
     timers: Timers,
     settings: Settings,
@@ -59,14 +63,14 @@
     store: Store,
     io: EngineIo,
     shutdown: Shutdown,
-    /// When the last batch began.
-    last_batch: Instant,
-    /// Inputs for the next batch.
+    /// When the last batch started.
+    last_batch_at: Instant,
+    /// Inputs that did not fit into the last batch.
     next_batch_inputs: Vec<Input>,
-    /// Events for the next batch.
+    /// Events for the policy that the last batch, or the creation of the engine, has left for the next batch.
     next_batch_events: Vec<Event>,
-    tracked: TrackedMessages,
-    /// Recovered messages that the policy has no capacity for yet.
+    tracked_messages: TrackedMessages,
+    /// Recovered messages that wait for capacity in the policy.
     backlog: Backlog,
     endpoints: EndpointTable,
     calls: CallsInFlight,
@@ -74,7 +78,8 @@
 }
 
 impl Engine {
-    /// Creates an engine, applies the configured endpoint list and the fetched one, and recovers the journal.
+    /// Creates an engine, applies the configured endpoint list and then the one fetched from discovery, and recovers
+    /// the messages and notifications of the journal.
     ///
     /// # Errors
     ///
@@ -87,7 +92,8 @@
         let mut engine = Self::build(dependencies)?;
         let entries = engine.apply_entries(configured);
         engine.next_batch_events.push(Event::List(ListChange::Cached(entries)));
-        // The configured list may be old: recovered messages must not go to a receiver that is draining by now.
+        // The configured list may be outdated: recovered messages must not be sent to a receiver that is draining by
+        // now.
         if let Some(list) = fetched {
             let entries = engine.apply_entries(list);
             engine.next_batch_events.push(Event::List(ListChange::Full(entries)));
@@ -103,7 +109,7 @@
 
     /// Creates an engine without receivers and messages.
     fn build(dependencies: EngineDependencies) -> Result<Self, SettingsError> {
-        let EngineDependencies { policy: options, store, io, shared_listener, record_activity } =
+        let EngineDependencies { policy: options, store, io, shared_listener, collect_activity } =
             dependencies;
         let policy = options.build()?;
         let PolicyOptions { settings, names, .. } = options;
@@ -118,13 +124,13 @@
             store,
             io,
             shutdown: Shutdown::new(shared_listener),
-            last_batch: now,
+            last_batch_at: now,
             next_batch_inputs: Vec::new(),
             next_batch_events: Vec::new(),
-            tracked: TrackedMessages::default(),
+            tracked_messages: TrackedMessages::default(),
             backlog: Backlog::default(),
             calls: CallsInFlight::default(),
-            activity: ActivityLog::new(record_activity),
+            activity: ActivityLog::new(collect_activity),
         })
     }
 
@@ -133,16 +139,16 @@
         while let Some(inputs) = self.next_inputs().await {
             self.run_batch(inputs);
             if self.shutdown.is_complete(Instant::now(), self.remaining_work()) {
-                // Another process may own the journal from now on, and send the messages again.
+                // From now on another process may own the journal and send the messages again.
                 self.calls.cancel_all();
                 return;
             }
         }
     }
 
-    /// Waits until a batch is due; returns its inputs, or `None` if the channel of inputs is closed.
+    /// Waits until a batch is due, and returns its inputs; `None` if the channel of inputs is closed.
     async fn next_inputs(&mut self) -> Option<Vec<Input>> {
-        let due = self.next_due();
+        let next_batch_due = self.next_batch_due();
         let mut inputs = std::mem::take(&mut self.next_batch_inputs);
         if inputs.is_empty() {
             tokio::select! {
@@ -151,10 +157,10 @@
                         return None;
                     }
                 }
-                () = sleep_until(due) => {}
+                () = sleep_until(next_batch_due) => {}
             }
         }
-        sleep_until(self.last_batch + from_millis(self.settings.tick)).await;
+        sleep_until(self.last_batch_at + from_millis(self.settings.tick)).await;
         while inputs.len() < MAX_BATCH_INPUTS {
             let Ok(input) = self.io.inputs.try_recv() else { break };
             inputs.push(input);
@@ -162,8 +168,8 @@
         Some(inputs)
     }
 
-    /// When the next batch is due without inputs.
-    fn next_due(&self) -> Instant {
+    /// When the next batch is due if no input arrives before.
+    fn next_batch_due(&self) -> Instant {
         let now = Instant::now();
         let can_recover = !self.backlog.is_empty() && self.policy.free_capacity() > 0;
         let latest = if !self.next_batch_events.is_empty() || can_recover {
@@ -176,13 +182,13 @@
         self.timers.due_times().chain(self.backlog.deadlines()).fold(latest, Instant::min)
     }
 
-    /// What has to be done before the engine can stop.
+    /// The work that must be finished before the engine can stop.
     fn remaining_work(&self) -> RemainingWork {
         RemainingWork {
             calls: self.calls.len(),
             has_notifications: !self.io.notifications.is_idle(),
-            messages: self.tracked.len(),
-            clients: self.io.metrics.clients(),
+            messages: self.tracked_messages.len(),
+            client_connections: self.io.metrics.client_connections(),
         }
     }
 }
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts to deliver a message: their records in the journal, and their outcomes.
+//! Attempts to deliver a message: their records in the journal at the start and at the end.
 
 use std::time::Duration;
 
@@ -14,36 +14,37 @@
 use crate::metrics::FinalOutcome;
 use crate::outbound::ReceiverLocation;
 
-/// Allowance for the transmission of the client's request: its deadline counts from when the client sent it.
+/// Allowance for the transmission of the client's request: the client's deadline counts from when it sent the request.
 const REQUEST_TRANSIT_TIME: Duration = Duration::from_millis(5);
-/// Maximum time from the receipt of a request to its batch, in ticks. A response within this time and
+/// Maximum time from the receipt of a request to its batch, in ticks. A response that arrives less than this time plus
 /// [`REQUEST_TRANSIT_TIME`] before the deadline may be late for the client, and does not count.
 const DEADLINE_MARGIN_TICKS: f64 = 2.0;
 
 /// An attempt that the policy requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptRequest {
-    /// The message.
+    /// The message's handle.
     pub id: MessageHandle,
-    /// The receiver to call.
+    /// The receiver to call, by its id in the policy.
     pub route: RouteId,
-    /// How long to wait for the response; 0 for as long as the message's deadline allows.
+    /// Maximum time until the response; 0 if only the message's deadline limits it.
     pub timeout: Millis,
-    /// How soon the request must be written; infinite if only the message's deadline limits that.
+    /// Maximum time until the request is written; infinite if only the message's deadline limits it.
     pub start_within: Millis,
 }
 
 impl Engine {
-    /// Reserves an attempt in the journal; returns the call that is started once the record is written. `None` if the
-    /// shutdown no longer allows attempts: the message stays in the journal for the next process.
-    pub(super) fn reserve_attempt(&mut self, now: Instant, request: AttemptRequest) -> Option<Call> {
+    /// Records the start of an attempt, and returns the call to start once the record is written. `None` if the message
+    /// or the receiver is unknown, or if the shutdown no longer allows attempts: the message then stays in the journal
+    /// for the next process.
+    pub(super) fn record_attempt(&mut self, now: Instant, request: AttemptRequest) -> Option<Call> {
         if !self.shutdown.allows_attempts(now) {
             return None;
         }
         let AttemptRequest { id, route, timeout, start_within } = request;
-        let margin = from_millis(DEADLINE_MARGIN_TICKS * self.settings.tick) + REQUEST_TRANSIT_TIME;
-        let message = self.tracked.get_mut(id)?;
-        let last = message.deadline.checked_sub(margin).unwrap_or(now);
+        let deadline_margin = from_millis(DEADLINE_MARGIN_TICKS * self.settings.tick) + REQUEST_TRANSIT_TIME;
+        let message = self.tracked_messages.get_mut(id)?;
+        let latest_response = message.deadline.checked_sub(deadline_margin).unwrap_or(now);
         let ReceiverLocation { receiver, zone } = self.io.outbound.receiver_location(route)?;
         let attempt = message.attempts;
         message.attempts += 1;
@@ -52,7 +53,8 @@
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
         let execution = PossibleExecution { sent_at: UnixMillis::now(), receiver, zone };
         self.store.start_attempt(&message.message_id, execution);
-        let response_deadline = if timeout == 0.0 { last } else { (now + from_millis(timeout)).min(last) };
+        let response_deadline =
+            if timeout == 0.0 { latest_response } else { (now + from_millis(timeout)).min(latest_response) };
         let start_within = Duration::try_from_secs_f64(start_within.max(0.0) / 1_000.0);
         Some(Call {
             id,
@@ -66,26 +68,32 @@
         })
     }
 
-    /// Records the outcome of an attempt with this batch, and completes a delivered message.
-    pub(super) fn record_result(&mut self, id: MessageHandle, attempt: u32, result: CallOutcome) -> Event {
+    /// Records the outcome of an attempt, and completes the message if [`CallOutcome::completed`] is set. Returns the
+    /// event for the policy.
+    pub(super) fn record_attempt_outcome(
+        &mut self,
+        id: MessageHandle,
+        attempt: u32,
+        call_outcome: CallOutcome,
+    ) -> Event {
         self.calls.remove(id);
-        let CallOutcome { outcome, retry_after, completed } = result;
-        let receiver = self.tracked.get_mut(id).and_then(|message| message.receiver.take());
-        self.activity.record_outcome(receiver, outcome);
-        if let Some(message) = self.tracked.get(id) {
+        let CallOutcome { outcome, retry_after, completed } = call_outcome;
+        let receiver = self.tracked_messages.get_mut(id).and_then(|message| message.receiver.take());
+        self.activity.add_outcome(receiver, outcome);
+        if let Some(message) = self.tracked_messages.get(id) {
             tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, ?outcome, retry_after, "outcome");
             if completed {
                 failpoint!("delivered-before-record");
                 self.store.complete(&message.message_id, None);
                 if outcome == Outcome::Ok {
-                    self.io.metrics.record_outcome(message.class, FinalOutcome::Delivered);
+                    self.io.metrics.count_outcome(message.class, FinalOutcome::Delivered);
                 }
-                self.tracked.remove(id);
+                self.tracked_messages.remove(id);
             } else {
                 self.store.finish_attempt(&message.message_id, attempt, outcome.possibly_executed());
             }
         }
-        let completed = !self.tracked.contains(id);
+        let completed = !self.tracked_messages.contains(id);
         Event::Outcome(AttemptResult { id, attempt, outcome, retry_after, completed })
     }
 }
--- a/crates/sender/src/engine/backlog.rs
+++ b/crates/sender/src/engine/backlog.rs
@@ -1,21 +1,21 @@
-//! Recovered messages that the policy has no capacity for yet.
+//! Recovered messages that wait for capacity in the policy.
 
 use rudderspindle_journal as journal;
 use rudderspindle_policy::interface::PriorExecution;
 use tokio::time::Instant;
 
-/// A message that was read from the journal.
+/// A message that was read from the journal and is not tracked yet.
 #[derive(Debug)]
 pub(super) struct RecoveredMessage {
-    /// Index of its class in the settings.
+    /// Index of the message's class in the settings.
     pub class: usize,
-    /// Value of its class.
+    /// Value of the message's class; a higher one is taken first.
     pub value: f64,
-    /// Its deadline.
+    /// The message's deadline.
     pub deadline: Instant,
     /// The attempt that may have been executed, if there is one.
     pub possibly_executed: Option<RecoveredExecution>,
-    /// Its record in the journal.
+    /// The message as read from the journal.
     pub message: journal::Message,
 }
 
@@ -24,11 +24,11 @@
 pub(super) struct RecoveredExecution {
     /// When the journal was read.
     pub read_at: Instant,
-    /// The attempt, with its age at that time.
+    /// The attempt; `ago` is its age at `read_at`.
     pub execution: PriorExecution,
 }
 
-/// The waiting messages, the most valuable last.
+/// The waiting messages, ordered by ascending value: the next one to take is last.
 #[derive(Debug, Default)]
 pub(super) struct Backlog(Vec<RecoveredMessage>);
 
@@ -57,10 +57,11 @@
         });
     }
 
-    /// Removes the `count` most valuable messages, the most valuable first, and then all whose deadline is over.
+    /// Removes the `count` most valuable messages, and then all others whose deadline has passed. Returns the most
+    /// valuable first.
     pub fn take(&mut self, count: usize, now: Instant) -> Vec<RecoveredMessage> {
-        let rest = self.0.len().saturating_sub(count);
-        let mut taken = self.0.split_off(rest);
+        let remaining_count = self.0.len().saturating_sub(count);
+        let mut taken = self.0.split_off(remaining_count);
         taken.reverse();
         taken.extend(self.0.extract_if(.., |message| message.deadline <= now));
         taken
--- a/crates/sender/src/engine/backlog/tests.rs
+++ b/crates/sender/src/engine/backlog/tests.rs
@@ -7,7 +7,7 @@
 
 use super::{Backlog, RecoveredMessage};
 
-/// A message with this value whose deadline is `time_left_ms` after `now`.
+/// A message whose class has this value, with a deadline `time_left_ms` after `now`.
 fn message(now: Instant, message_id: &str, value: f64, time_left_ms: u64) -> RecoveredMessage {
     RecoveredMessage {
         class: 0,
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Runs a batch: translates the inputs into events for the policy, and carries out its decisions.
+//! Runs a batch: translates the inputs into events, passes them to the policy, and commits the policy's actions.
 
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_policy::interface::{self, Action, Event, Millis, Permit};
@@ -10,30 +10,32 @@
 use crate::event::{Input, PermitUpdate, TenantQuota};
 
 impl Engine {
-    /// Handles these inputs, the due timers and the backlog as one batch.
+    /// Runs one batch with these inputs, the due timers, and as much of the backlog as the policy has capacity for.
     pub(super) fn run_batch(&mut self, inputs: Vec<Input>) {
         let now = Instant::now();
-        self.last_batch = now;
+        self.last_batch_at = now;
         let mut events = std::mem::take(&mut self.next_batch_events);
         let mut intake = Intake::default();
         for input in inputs {
             self.handle_input(input, now, &mut intake, &mut events);
         }
         events.append(&mut self.next_batch_events);
-        events.extend(self.take_from_backlog(now, intake.new.len()));
+        events.extend(self.take_from_backlog(now, intake.new_submissions.len()));
         events.extend(self.timers.take_due(now).into_iter().map(Event::Wake));
         let actions = self.decide(now, &events);
-        self.carry_out(now, intake, actions);
+        self.commit_batch(now, intake, actions);
     }
 
-    /// Handles an input, and adds its events for the policy to `events`.
+    /// Handles an input: adds a submission to `intake`, and the events for the policy to `events`.
     fn handle_input(&mut self, input: Input, now: Instant, intake: &mut Intake, events: &mut Vec<Event>) {
         match input {
             Input::Submitted(submission) => {
                 events.extend(self.admit(submission, now, intake).map(Event::Message));
             }
             Input::Withdrawn(submission) => events.extend(self.withdraw(submission)),
-            Input::Outcome { id, attempt, result } => events.push(self.record_result(id, attempt, result)),
+            Input::AttemptFinished { id, attempt, outcome } => {
+                events.push(self.record_attempt_outcome(id, attempt, outcome));
+            }
             Input::HealthChecked { route, outcome } => events.push(Event::HealthChecked { route, outcome }),
             Input::List(list) => events.push(Event::List(self.apply_list(&list))),
             Input::NotificationsAcknowledged(message_ids) => {
@@ -55,16 +57,16 @@
             }
             Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
             Input::Quotas(quotas) => events.extend(quotas.into_iter().map(quota_event)),
-            // The receivers of these responses may have ended.
-            Input::TakeOver(response) => {
+            // Sending the response fails if the requesting task has ended; nothing depends on it then.
+            Input::TakeOver(response_sender) => {
                 self.take_over_journal(now);
-                let _ = response.send(self.store.is_owner());
+                let _ = response_sender.send(self.store.is_owner());
             }
-            Input::ReportActivity(response) => {
-                let _ = response.send(self.report_activity());
+            Input::ReportActivity(response_sender) => {
+                let _ = response_sender.send(self.report_activity());
             }
-            Input::QueryStatus(response) => {
-                let _ = response.send(self.status());
+            Input::QueryStatus(response_sender) => {
+                let _ = response_sender.send(self.status());
             }
             Input::Stop => self.shutdown.request(now),
         }
@@ -78,13 +80,14 @@
     }
 }
 
-/// The permits with their times relative to now, so that later changes of the wall clock do not matter.
+/// Converts permits to the policy's event. Their times become relative to `wall_now`, because the wall clock may be
+/// changed later.
 fn permits_event(update: PermitUpdate, wall_now: UnixMillis) -> Event {
-    let relative = |time: UnixMillis| time.0 as Millis - wall_now.0 as Millis;
+    let millis_from_now = |time: UnixMillis| time.0 as Millis - wall_now.0 as Millis;
     let permit = |permit: rudderspindle_gossip::Permit| Permit {
         number: permit.number,
-        from: relative(permit.from),
-        until: relative(permit.until),
+        from: millis_from_now(permit.from),
+        until: millis_from_now(permit.until),
     };
     let permits = update.permits.into_iter().map(permit).collect();
     Event::Permits(interface::PermitUpdate { scope: update.scope, permits })
--- a/crates/sender/src/engine/calls_in_flight.rs
+++ b/crates/sender/src/engine/calls_in_flight.rs
@@ -1,4 +1,4 @@
-//! The calls in flight, and their number as last announced to the peer process.
+//! The handles of the calls in flight, and the number of calls that was last announced to the peer process.
 
 use std::collections::HashMap;
 
@@ -11,8 +11,8 @@
 #[derive(Debug, Default)]
 pub(super) struct CallsInFlight {
     handles: HashMap<MessageHandle, CallHandle>,
-    /// Number of calls as last announced to the peer process.
-    announced: usize,
+    /// The number of calls that was last announced to the peer process.
+    announced_count: usize,
 }
 
 impl CallsInFlight {
@@ -27,23 +27,23 @@
         self.handles.is_empty()
     }
 
-    /// Whether a call of this message is in flight.
+    /// Whether a call for this message is in flight.
     pub fn contains(&self, id: MessageHandle) -> bool {
         self.handles.contains_key(&id)
     }
 
-    /// Adds the call of a message.
+    /// Adds the call for a message.
     pub fn insert(&mut self, id: MessageHandle, call: CallHandle) {
         self.handles.insert(id, call);
     }
 
-    /// Removes the call of a message, whose outcome is known.
+    /// Removes the call for a message once its outcome is known.
     pub fn remove(&mut self, id: MessageHandle) {
         self.handles.remove(&id);
     }
 
-    /// Cancels the call that makes this attempt, if it is in flight. The call reports its outcome as usual, and the
-    /// message is not sent again before that: no attempt's outcome is taken for that of another.
+    /// Cancels the call of this attempt if it is in flight. The call still reports its outcome, and the message is not
+    /// sent again before that, so that no outcome is assigned to a different attempt.
     pub fn cancel(&self, id: MessageHandle, attempt: u32) {
         if let Some(call) = self.handles.get(&id).filter(|call| call.attempt == attempt) {
             call.cancel();
@@ -57,18 +57,18 @@
         }
     }
 
-    /// Whether the number of calls differs from the one last announced.
+    /// Whether the number of calls differs from the number last announced.
     pub fn is_announcement_due(&self) -> bool {
-        self.announced != self.handles.len()
+        self.announced_count != self.handles.len()
     }
 
-    /// The message that announces the number of calls to the peer process.
+    /// Returns the message that announces the number of calls, and counts that number as announced.
     pub fn announce(&mut self) -> HandoverMessage {
-        self.announced = self.handles.len();
-        HandoverMessage::CallsInFlight(self.announced)
+        self.announced_count = self.handles.len();
+        HandoverMessage::CallsInFlight(self.announced_count)
     }
 
-    /// The messages whose calls are in flight.
+    /// Handles of the messages whose calls are in flight.
     #[cfg(test)]
     pub fn ids(&self) -> impl Iterator<Item = MessageHandle> + '_ {
         self.handles.keys().copied()
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -1,9 +1,13 @@
-//! Carries out the policy's decisions for a batch, with one write to the journal.
+//! Writes the policy's decisions for a batch to the journal, in one write, and then executes them.
 //!
-//! Invariant: no response and no call is sent before the write. The steps before it change only the engine and the
-//! journal's buffer, and collect [`Effects`]; these are executed after it. If it fails, submissions are refused and
-//! attempts dropped. Completions stay in the journal's buffer until a later write: their messages are not sent again,
-//! and their notifications go to the platform. Cancellations and health checks promise nothing, and go at once.
+//! Invariant: no response and no call is sent before the write. The steps before the write change only the engine and
+//! the journal's buffer, and collect [`Effects`], which are executed after the write.
+//!
+//! If the write fails, submissions are refused and attempts are dropped. Completions stay in the journal's buffer until
+//! a later write: their messages are not sent again, and their notifications are sent to the platform. Cancellations
+//! and health checks are executed before the write, because they do not depend on the journal.
+//!
+//! "To record" means here to add to the journal's buffer.
 
 use std::collections::BTreeMap;
 
@@ -20,19 +24,19 @@
 use crate::event::{Call, CallOutcome, MESSAGE_LOG, SubmissionResponse};
 use crate::metrics::FinalOutcome;
 
-/// Messages that the policy completes without delivery, by handle.
+/// The status of each message that the policy completes without delivery, by handle.
 type Completions = BTreeMap<MessageHandle, Status>;
 
-/// What is sent once the batch is written.
+/// The responses, notifications and calls that are sent once the batch is written.
 #[derive(Debug, Default)]
 struct Effects {
-    /// Responses to submissions that were not accepted by this batch.
+    /// Responses to submissions whose messages this batch does not add to the journal.
     responses: Vec<PendingResponse>,
-    /// Submissions that are accepted by this batch.
+    /// Submissions whose messages this batch accepts.
     accepted: Vec<AcceptedSubmission>,
     /// Notifications for the platform.
     notifications: Vec<PendingNotification>,
-    /// The calls of reserved attempts.
+    /// The calls of the recorded attempts.
     calls: Vec<Call>,
 }
 
@@ -40,64 +44,64 @@
 #[derive(Debug)]
 struct AcceptedSubmission {
     id: MessageHandle,
-    channel: oneshot::Sender<SubmissionResponse>,
+    response_sender: oneshot::Sender<SubmissionResponse>,
 }
 
 impl Engine {
-    /// Records the decisions in one write, and only then acts on them.
-    pub(super) fn carry_out(&mut self, now: Instant, intake: Intake, actions: Vec<Action>) {
-        let mut effects = Effects { responses: intake.responses, ..Effects::default() };
+    /// Records the policy's actions, writes them to the journal, and only then executes them.
+    pub(super) fn commit_batch(&mut self, now: Instant, intake: Intake, actions: Vec<Action>) {
+        let mut effects = Effects { responses: intake.immediate_responses, ..Effects::default() };
         let mut completions = completions(&actions);
-        self.record_submissions(intake.new, &mut completions, &mut effects);
+        self.record_submissions(intake.new_submissions, &mut completions, &mut effects);
         self.record_completions(now, completions, &mut effects);
         self.apply_actions(now, actions, &mut effects);
-        self.write(&mut effects);
-        self.execute(effects);
+        self.write_batch(&mut effects);
+        self.execute_effects(effects);
     }
 
-    /// Records the accepted submissions. A message that is completed by the batch of its submission is not accepted: its
-    /// client has the response, and there is no notification.
+    /// Records the accepted messages. A message that is completed by the batch of its submission is not recorded: its
+    /// client receives the status as the response, without a notification.
     fn record_submissions(
         &mut self,
         submissions: Vec<NewSubmission>,
         completions: &mut Completions,
         effects: &mut Effects,
     ) {
-        for NewSubmission { id, class, record, channel } in submissions {
+        for NewSubmission { id, class, journal_message, response_sender } in submissions {
             if let Some(status) = completions.remove(&id) {
-                self.tracked.remove(id);
-                self.io.metrics.record_outcome(class, status.into());
-                effects.responses.push(PendingResponse { channel, response: response_to(status) });
+                self.tracked_messages.remove(id);
+                self.io.metrics.count_outcome(class, status.into());
+                effects.responses.push(PendingResponse { response_sender, response: response_to(status) });
             } else {
-                tracing::debug!(target: MESSAGE_LOG, message_id = &*record.message_id, class = &*record.class,
-                    destination = record.destination, "accepted");
-                self.store.accept(record);
-                effects.accepted.push(AcceptedSubmission { id, channel });
+                tracing::debug!(target: MESSAGE_LOG, message_id = &*journal_message.message_id, class = &*journal_message.class,
+                    destination = journal_message.destination, "accepted");
+                self.store.accept(journal_message);
+                effects.accepted.push(AcceptedSubmission { id, response_sender });
             }
         }
     }
 
-    /// Records the completions of accepted messages, and the notifications of their clients.
+    /// Records the completions of messages accepted earlier, and adds the notifications about them.
     fn record_completions(&mut self, now: Instant, completions: Completions, effects: &mut Effects) {
         for (id, status) in completions {
-            let Some(message) = self.tracked.remove(id) else { continue };
+            let Some(message) = self.tracked_messages.remove(id) else { continue };
             if self.return_to_backlog(now, &message) {
                 continue;
             }
             tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, ?status, "completed");
             self.store.complete(&message.message_id, Some(status));
-            self.io.metrics.record_outcome(message.class, status.into());
+            self.io.metrics.count_outcome(message.class, status.into());
             effects.notifications.push(PendingNotification { message_id: message.message_id, status });
         }
     }
 
-    /// Reserves attempts, sets timers, and applies the remaining actions.
+    /// Records attempts and outages, sets timers, cancels calls and starts health checks.
     fn apply_actions(&mut self, now: Instant, actions: Vec<Action>, effects: &mut Effects) {
         for action in actions {
             match action {
                 Action::Send { id, route, timeout, start_within } => {
                     let request = AttemptRequest { id, route, timeout, start_within };
-                    effects.calls.extend(self.reserve_attempt(now, request));
+                    effects.calls.extend(self.record_attempt(now, request));
                 }
                 Action::Wake { delay, token } => self.timers.set(now + from_millis(delay), token),
                 Action::Cancel { id, attempt } => self.calls.cancel(id, attempt),
@@ -105,20 +109,20 @@
                 Action::PersistOutage { scope, outage } => {
                     record_outage(&mut self.store, &self.io.outbound, scope, outage);
                 }
-                // The endpoint list is always watched, and completions have been recorded.
+                // The endpoint list is always watched, and `record_completions` has handled completions.
                 Action::Subscribe | Action::Refuse { .. } | Action::Fail { .. } => {}
             }
         }
     }
 
-    /// Writes the batch to the journal; if that fails, removes the effects that depend on it.
-    fn write(&mut self, effects: &mut Effects) {
+    /// Writes the batch to the journal. If that fails, drops the effects that depend on the write.
+    fn write_batch(&mut self, effects: &mut Effects) {
         if !effects.accepted.is_empty() {
             failpoint!("accepted-before-record");
         }
         if let Err(error) = self.store.commit() {
             tracing::warn!(%error, "journal write failed");
-            self.undo(effects);
+            self.drop_unwritten(effects);
         }
         if !effects.accepted.is_empty() {
             failpoint!("accepted-recorded");
@@ -128,31 +132,35 @@
         }
     }
 
-    /// Refuses the submissions and drops the attempts that could not be written.
-    fn undo(&mut self, effects: &mut Effects) {
-        for AcceptedSubmission { id, channel } in effects.accepted.drain(..) {
-            if let Some(message) = self.tracked.remove(id) {
+    /// Refuses the submissions and drops the attempts of a failed write.
+    fn drop_unwritten(&mut self, effects: &mut Effects) {
+        for AcceptedSubmission { id, response_sender } in effects.accepted.drain(..) {
+            if let Some(message) = self.tracked_messages.remove(id) {
                 self.store.discard(&message.message_id);
                 self.next_batch_events.push(Event::Dropped(id));
-                self.io.metrics.record_outcome(message.class, FinalOutcome::Rejected);
+                self.io.metrics.count_outcome(message.class, FinalOutcome::Rejected);
             }
-            effects.responses.push(PendingResponse { channel, response: SubmissionResponse::REFUSED });
+            effects
+                .responses
+                .push(PendingResponse { response_sender, response: SubmissionResponse::REFUSED });
         }
         for call in effects.calls.drain(..) {
-            let event = self.record_result(call.id, call.attempt, CallOutcome::from(Outcome::NotSent));
+            let event =
+                self.record_attempt_outcome(call.id, call.attempt, CallOutcome::from(Outcome::NotSent));
             self.next_batch_events.push(event);
         }
     }
 
-    /// Sends the responses and notifications, starts the calls, and announces their number to the peer process.
-    fn execute(&mut self, effects: Effects) {
+    /// Sends the responses and notifications, starts the calls, and announces the number of calls in flight to the peer
+    /// process.
+    fn execute_effects(&mut self, effects: Effects) {
         let Effects { responses, accepted, notifications, calls } = effects;
-        for PendingResponse { channel, response } in responses {
-            // Fails if the client has disconnected, which is reported as a withdrawal.
-            let _ = channel.send(response);
+        for PendingResponse { response_sender, response } in responses {
+            // Fails if the client has disconnected; `Input::Withdrawn` reports that.
+            let _ = response_sender.send(response);
         }
-        for AcceptedSubmission { channel, .. } in accepted {
-            let _ = channel.send(SubmissionResponse::Accepted);
+        for AcceptedSubmission { response_sender, .. } in accepted {
+            let _ = response_sender.send(SubmissionResponse::Accepted);
         }
         for notification in notifications {
             self.io.notifications.push(notification);
@@ -165,7 +173,7 @@
     }
 }
 
-/// The completions among the actions.
+/// The messages that the actions complete without delivery.
 fn completions(actions: &[Action]) -> Completions {
     let completion = |action: &Action| match *action {
         Action::Refuse { id, retry_after } => {
@@ -177,7 +185,7 @@
     actions.iter().filter_map(completion).collect()
 }
 
-/// The response to a submission that the policy does not accept.
+/// The response to a submission whose message is completed with this status by its own batch.
 fn response_to(status: Status) -> SubmissionResponse {
     match status {
         Status::Undeliverable => SubmissionResponse::Failed,
--- a/crates/sender/src/engine/dependencies.rs
+++ b/crates/sender/src/engine/dependencies.rs
@@ -1,4 +1,4 @@
-//! The parts that an engine is created from.
+//! The journal, the options and the connections to other tasks that an engine is created from.
 
 use std::rc::Rc;
 
@@ -14,27 +14,27 @@
 use crate::notifications::Notifications;
 use crate::outbound::Outbound;
 
-/// The parts that an engine is created from.
+/// Arguments of [`Engine::new`](super::Engine::new).
 pub struct EngineDependencies {
     /// The options of the policy.
     pub policy: PolicyOptions,
     /// The journal.
     pub store: Store,
-    /// The tasks that the engine works with.
+    /// The connections to the tasks around the engine.
     pub io: EngineIo,
     /// Whether a successor can accept clients from the same listening socket.
     pub shared_listener: bool,
-    /// Whether activity is recorded for the gossip.
-    pub record_activity: bool,
+    /// Whether activity is collected for the gossip.
+    pub collect_activity: bool,
 }
 
 /// The options of a policy.
 pub struct PolicyOptions {
-    /// The settings.
+    /// The settings of the policy and of the engine.
     pub settings: Settings,
     /// The names of classes, tenants, kinds and zones, by index.
     pub names: Names,
-    /// Seed of its random numbers.
+    /// Seed of the policy's random numbers.
     pub seed: u64,
     /// How the limits are shared with other senders.
     pub limit_sharing: LimitSharing,
@@ -43,23 +43,23 @@
 /// How the limits of receivers are shared with the other senders of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitSharing {
-    /// Each sender assumes an equal share.
+    /// Each sender assumes an equal share, without gossip.
     Equal,
-    /// By the demand that the senders report to each other.
+    /// The shares follow the demand that the senders report to each other.
     Demand,
-    /// By demand, and each call needs a permit.
+    /// The shares follow the demand, and each call needs a permit.
     Permits,
 }
 
 /// The engine's connections to the tasks around it.
 pub struct EngineIo {
-    /// The calls to receivers.
+    /// Starts calls to receivers and health checks.
     pub outbound: Rc<Outbound>,
-    /// The notifications to the platform.
+    /// Queue of the notifications for the platform.
     pub notifications: Rc<Notifications>,
-    /// The counters.
+    /// The counters of this process.
     pub metrics: Rc<Metrics>,
-    /// The other process of this sender during a takeover.
+    /// The connection to the other process of this sender during a takeover.
     pub peer_process: Rc<PeerProcess>,
     /// The engine's inputs.
     pub inputs: mpsc::Receiver<Input>,
--- a/crates/sender/src/engine/endpoint_table.rs
+++ b/crates/sender/src/engine/endpoint_table.rs
@@ -10,29 +10,29 @@
 
 use crate::event::ListedReceiver;
 
-/// How long a removed receiver keeps its id; longer than the policy keeps the receiver's state, so that a receiver that
-/// is listed again does not lose it.
+/// How long a removed receiver keeps its id. Longer than the policy keeps the state of a receiver, so that a receiver
+/// that is listed again within that time gets its state back.
 const REMOVED_RECEIVER_RETENTION: Duration = Duration::from_secs(70);
 
-/// A known receiver.
+/// A receiver that is listed or was removed recently.
 #[derive(Debug)]
 struct KnownReceiver {
-    /// Its id in the policy.
+    /// The receiver's id in the policy.
     route: RouteId,
-    /// Its destination, as last listed; `None` if it never was.
+    /// The receiver's destination as last listed; `None` if the receiver was never listed.
     destination: Option<DestinationId>,
-    /// When it was removed from the list; `None` while it is listed.
+    /// When the receiver was removed from the list; `None` while it is listed.
     removed_at: Option<Instant>,
 }
 
-/// The receivers that are listed or were removed recently.
+/// The known receivers, that is, those that are listed or were removed recently, with their destinations and zones.
 #[derive(Debug)]
 pub(super) struct EndpointTable {
-    /// By the receiver's id in the list.
+    /// The known receivers, by their id in the endpoint list.
     receivers: HashMap<Rc<str>, KnownReceiver>,
     next_route: u64,
     destinations: HashSet<DestinationId>,
-    /// Names of the zones; the index is the zone's id in the policy.
+    /// Names of the zones; the index of a name is the zone's id in the policy.
     zones: Vec<String>,
 }
 
@@ -43,7 +43,7 @@
     }
 
     /// Whether a receiver of this destination is known.
-    pub fn serves(&self, destination: DestinationId) -> bool {
+    pub fn has_destination(&self, destination: DestinationId) -> bool {
         self.destinations.contains(&destination)
     }
 
@@ -53,12 +53,12 @@
     }
 
     /// Number of listed receivers.
-    pub fn listed_count(&self) -> usize {
+    pub fn listed_receiver_count(&self) -> usize {
         self.receivers.values().filter(|known| known.removed_at.is_none()).count()
     }
 
-    /// The listed receivers, ordered.
-    pub fn listed(&self) -> Vec<ListedReceiver> {
+    /// The listed receivers, ordered by destination and route.
+    pub fn listed_receivers(&self) -> Vec<ListedReceiver> {
         let listed = self.receivers.iter().filter(|(_, known)| known.removed_at.is_none());
         let mut listed: Vec<ListedReceiver> = listed
             .filter_map(|(name, known)| {
@@ -67,23 +67,23 @@
                 Some(ListedReceiver { destination, route: known.route, receiver })
             })
             .collect();
-        // The map has no defined order.
+        // The iteration order of the map is random.
         listed.sort_unstable();
         listed
     }
 
-    /// The id of a known receiver.
-    pub fn find(&self, receiver: &str) -> Option<RouteId> {
+    /// The policy's id of a receiver, if the receiver is known.
+    pub fn find_route(&self, receiver: &str) -> Option<RouteId> {
         self.receivers.get(receiver).map(|known| known.route)
     }
 
-    /// The destination of a known receiver.
+    /// The destination of a receiver; `None` if the receiver is unknown or was never listed.
     pub fn destination(&self, receiver: &str) -> Option<DestinationId> {
         self.receivers.get(receiver)?.destination
     }
 
-    /// The id of a receiver; one that is not known yet counts as removed.
-    pub fn route(&mut self, receiver: &str, now: Instant) -> RouteId {
+    /// The policy's id of a receiver. An unknown receiver is added with a new id, and counts as removed.
+    pub fn find_or_add_route(&mut self, receiver: &str, now: Instant) -> RouteId {
         if let Some(known) = self.receivers.get(receiver) {
             return known.route;
         }
@@ -94,17 +94,18 @@
         route
     }
 
-    /// The id of a zone. A zone that is not in the settings gets a new id.
-    pub fn zone(&mut self, zone: &str) -> u8 {
-        let known = self.zones.iter().position(|name| name == zone);
-        let next = self.zones.len();
-        if known.is_none() && next < usize::from(u8::MAX) {
+    /// The policy's id of a zone. An unknown zone is added with a new id while there is one below `u8::MAX`; all others
+    /// share the id `u8::MAX`.
+    pub fn find_or_add_zone(&mut self, zone: &str) -> u8 {
+        let known_id = self.zones.iter().position(|name| name == zone);
+        let next_id = self.zones.len();
+        if known_id.is_none() && next_id < usize::from(u8::MAX) {
             self.zones.push(zone.to_owned());
         }
-        known.unwrap_or(next) as u8
+        known_id.unwrap_or(next_id) as u8
     }
 
-    /// Records a list entry of a known receiver.
+    /// Updates a known receiver from its entry in the endpoint list.
     pub fn update(&mut self, receiver: &str, destination: DestinationId, listing: Listing, now: Instant) {
         let Some(known) = self.receivers.get_mut(receiver) else { return };
         if listing == Listing::Removed {
@@ -115,15 +116,16 @@
         }
     }
 
-    /// Marks all receivers as removed that are not in a complete list.
-    pub fn remove_all_but(&mut self, listed: &HashSet<RouteId>, now: Instant) {
+    /// Marks all receivers as removed that are not `listed` in a complete list.
+    pub fn mark_removed_except(&mut self, listed: &HashSet<RouteId>, now: Instant) {
         for known in self.receivers.values_mut().filter(|known| !listed.contains(&known.route)) {
             known.removed_at = known.removed_at.or(Some(now));
         }
     }
 
-    /// Discards receivers whose retention is over.
-    pub fn forget_removed(&mut self, now: Instant) {
+    /// Discards the receivers that were removed at least [`REMOVED_RECEIVER_RETENTION`] ago, and the destinations that
+    /// no known receiver has.
+    pub fn discard_expired(&mut self, now: Instant) {
         self.receivers
             .retain(|_, known| known.removed_at.is_none_or(|at| now - at < REMOVED_RECEIVER_RETENTION));
         self.destinations = self.receivers.values().filter_map(|known| known.destination).collect();
@@ -131,7 +133,7 @@
 
     /// Total number of receivers and destinations.
     #[cfg(test)]
-    pub fn entries(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.receivers.len() + self.destinations.len()
     }
 
--- a/crates/sender/src/engine/endpoints.rs
+++ b/crates/sender/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! Translates endpoint lists for the policy, and updates the outbound connections with them.
+//! Translates endpoint lists into events for the policy, and updates the endpoint table and the outbound routes.
 
 use std::collections::HashSet;
 
@@ -10,13 +10,14 @@
 use crate::outbound::Route;
 
 impl Engine {
-    /// Applies a list from discovery.
+    /// Applies a list from discovery; returns the change for the policy.
     pub(super) fn apply_list(&mut self, list: &EndpointList) -> ListChange {
         let entries = self.apply_entries(list);
         if list.complete { ListChange::Full(entries) } else { ListChange::Delta(entries) }
     }
 
-    /// Applies the entries of a list, and the removals if it is complete.
+    /// Applies the entries of a list, and removes the receivers that a complete list does not have. Returns the entries
+    /// for the policy.
     pub(super) fn apply_entries(&mut self, list: &EndpointList) -> Vec<RouteEntry> {
         let now = Instant::now();
         let entries: Vec<RouteEntry> =
@@ -24,24 +25,24 @@
         if list.complete {
             let listed: HashSet<RouteId> = entries.iter().map(|entry| entry.route).collect();
             self.io.outbound.retain_routes(&listed);
-            self.endpoints.remove_all_but(&listed, now);
+            self.endpoints.mark_removed_except(&listed, now);
         }
-        self.endpoints.forget_removed(now);
+        self.endpoints.discard_expired(now);
         entries
     }
 
     fn apply_endpoint(&mut self, endpoint: &Endpoint, now: Instant) -> RouteEntry {
-        let kind = self.kind_of(endpoint);
+        let kind_index = self.kind_index(endpoint);
         let listing = match endpoint.phase.as_str() {
             "SERVING" => Listing::Ready,
             "DELETED" => Listing::Removed,
             _ => Listing::Draining,
         };
         let entry = RouteEntry {
-            route: self.endpoints.route(&endpoint.id, now),
+            route: self.endpoints.find_or_add_route(&endpoint.id, now),
             destination: DestinationId(endpoint.destination),
-            zone: self.endpoints.zone(&endpoint.zone),
-            kind: kind as u16,
+            zone: self.endpoints.find_or_add_zone(&endpoint.zone),
+            kind: kind_index as u16,
             listing,
             rate: endpoint.rate,
         };
@@ -51,16 +52,16 @@
             receiver: endpoint.id.as_str().into(),
             zone: endpoint.zone.as_str().into(),
             destination: entry.destination,
-            has_own_backoff: self.settings.kinds.get(kind).is_some_and(|kind| kind.limit_per_route),
+            has_own_backoff: self.settings.kinds.get(kind_index).is_some_and(|kind| kind.limit_per_route),
             listing,
         };
         self.io.outbound.update_route(entry.route, route);
         entry
     }
 
-    /// Index of the endpoint's kind in the settings; the last one if they do not name it.
-    fn kind_of(&self, endpoint: &Endpoint) -> usize {
-        let kind = self.names.kinds.iter().position(|name| *name == endpoint.kind);
-        kind.unwrap_or(self.settings.kinds.len().saturating_sub(1))
+    /// Index of the endpoint's kind in the settings; the last kind if the settings do not have it.
+    fn kind_index(&self, endpoint: &Endpoint) -> usize {
+        let known_index = self.names.kinds.iter().position(|name| *name == endpoint.kind);
+        known_index.unwrap_or(self.settings.kinds.len().saturating_sub(1))
     }
 }
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -1,4 +1,4 @@
-//! Admission of submitted messages, before the policy decides about them.
+//! Intake of submissions: which ones the policy decides about, and which ones are answered without it.
 
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_journal::{self as journal, Store};
@@ -15,55 +15,57 @@
 /// The submissions of one batch.
 #[derive(Debug, Default)]
 pub(super) struct Intake {
-    /// Space that the records of the new messages need in the journal, in bytes.
+    /// Journal space that the new messages need, in bytes.
     journal_bytes: u64,
-    /// Submissions of messages that the policy decides about.
-    pub new: Vec<NewSubmission>,
-    /// Submissions with a response that does not depend on the policy.
-    pub responses: Vec<PendingResponse>,
+    /// Submissions of new messages, which the policy decides about.
+    pub new_submissions: Vec<NewSubmission>,
+    /// Responses that do not depend on the policy.
+    pub immediate_responses: Vec<PendingResponse>,
 }
 
-/// A submitted message that this batch decides about.
+/// The submission of a new message, which the policy decides about in this batch.
 #[derive(Debug)]
 pub(super) struct NewSubmission {
-    /// The message.
+    /// The message's handle.
     pub id: MessageHandle,
-    /// Index of its class in the settings.
+    /// Index of the message's class in the settings.
     pub class: usize,
-    /// Its record, written if the message is accepted.
-    pub record: journal::Message,
-    /// The channel for the response.
-    pub channel: oneshot::Sender<SubmissionResponse>,
+    /// The message as written to the journal if it is accepted.
+    pub journal_message: journal::Message,
+    /// Sends the response to the client's connection.
+    pub response_sender: oneshot::Sender<SubmissionResponse>,
 }
 
 /// A response that is sent once the batch is in the journal.
 #[derive(Debug)]
 pub(super) struct PendingResponse {
-    /// The channel for the response.
-    pub channel: oneshot::Sender<SubmissionResponse>,
-    /// The response.
+    /// Sends the response to the client's connection.
+    pub response_sender: oneshot::Sender<SubmissionResponse>,
+    /// The response to send.
     pub response: SubmissionResponse,
 }
 
 impl Engine {
-    /// Admits a submission; returns the message for the policy. A submission whose response does not depend on the
-    /// policy is added to `intake`; one that does not fit into this batch is left for the next.
+    /// Adds a submission to `intake`, and returns its message if the policy decides about it. A submission whose
+    /// message does not fit into this batch of the journal is put back for the next one.
     pub(super) fn admit(
         &mut self,
         submission: Submission,
         now: Instant,
         intake: &mut Intake,
     ) -> Option<Message> {
-        if submission.response.is_closed() {
+        if submission.response_sender.is_closed() {
             return None;
         }
         if let Some(response) = self.immediate_response(&submission, intake) {
             self.respond(submission, response, intake);
             return None;
         }
-        let record = self.record_of(&submission, now);
-        let journal_bytes = intake.journal_bytes + record.reserved_bytes();
-        if self.tracked.len() >= self.settings.max_pending || !self.store.has_space_for(journal_bytes) {
+        let journal_message = self.journal_message(&submission, now);
+        let journal_bytes = intake.journal_bytes + journal_message.reserved_bytes();
+        if self.tracked_messages.len() >= self.settings.max_pending
+            || !self.store.has_space_for(journal_bytes)
+        {
             self.respond(submission, SubmissionResponse::REFUSED, intake);
             return None;
         }
@@ -72,21 +74,24 @@
             return None;
         }
         intake.journal_bytes = journal_bytes;
-        Some(self.track_new(submission, record, now, intake))
+        Some(self.track_new_message(submission, journal_message, now, intake))
     }
 
-    /// Responds to a submission with this batch.
+    /// Adds the response to a submission to `intake`, and counts a refusal.
     fn respond(&self, submission: Submission, response: SubmissionResponse, intake: &mut Intake) {
         if matches!(response, SubmissionResponse::Refused { .. }) {
-            self.io.metrics.record_outcome(submission.class, FinalOutcome::Rejected);
+            self.io.metrics.count_outcome(submission.class, FinalOutcome::Rejected);
         }
-        intake.responses.push(PendingResponse { channel: submission.response, response });
+        intake
+            .immediate_responses
+            .push(PendingResponse { response_sender: submission.response_sender, response });
     }
 
-    /// The response to a submission for an unknown destination, or of a message that is already known.
+    /// The response to a submission whose destination is unknown or whose message is already known; `None` for others.
     fn immediate_response(&mut self, submission: &Submission, intake: &Intake) -> Option<SubmissionResponse> {
-        if !self.endpoints.serves(submission.destination) {
-            // Before the first list every destination is unknown.
+        if !self.endpoints.has_destination(submission.destination) {
+            // Until the first endpoint list arrives every destination is unknown; the client may submit the message
+            // again.
             let no_list = self.endpoints.is_empty();
             return Some(if no_list {
                 SubmissionResponse::REFUSED
@@ -94,18 +99,20 @@
                 SubmissionResponse::UnknownDestination
             });
         }
-        if let Some(id) = self.tracked.find(&submission.message_id) {
-            // Each client that submits the message is counted: else any client with the same id could withdraw the
-            // message by disconnecting.
-            let undecided = intake.new.iter().any(|new| new.id == id);
-            let added = !undecided && self.tracked.add_submission(id, submission.id);
+        if let Some(id) = self.tracked_messages.find(&submission.message_id) {
+            // Each client that submits the message is counted; otherwise any client that uses the same message id could
+            // withdraw the message by disconnecting.
+            let undecided = intake.new_submissions.iter().any(|new| new.id == id);
+            let added = !undecided && self.tracked_messages.add_submission(id, submission.id);
             return Some(if added { SubmissionResponse::Accepted } else { SubmissionResponse::REFUSED });
         }
-        // While a notification is pending: its acknowledgement must not complete a new message with the same id.
+        // The journal still contains a message whose notification is pending. The acknowledgement of that notification
+        // must not complete a new message with the same id.
         self.store.contains(&submission.message_id).then_some(SubmissionResponse::REFUSED)
     }
 
-    fn record_of(&self, submission: &Submission, now: Instant) -> journal::Message {
+    /// The message of a submission, as written to the journal.
+    fn journal_message(&self, submission: &Submission, now: Instant) -> journal::Message {
         let time_left = submission.deadline.saturating_duration_since(now);
         journal::Message {
             message_id: submission.message_id.clone(),
@@ -121,10 +128,11 @@
         }
     }
 
-    fn track_new(
+    /// Tracks the new message of a submission, adds the submission to `intake`, and returns the message for the policy.
+    fn track_new_message(
         &mut self,
         submission: Submission,
-        record: journal::Message,
+        journal_message: journal::Message,
         now: Instant,
         intake: &mut Intake,
     ) -> Message {
@@ -137,7 +145,7 @@
             idempotency_key,
             body,
             deadline,
-            response,
+            response_sender,
         } = submission;
         let id = self.track(TrackedMessage {
             message_id,
@@ -150,8 +158,8 @@
             attempts: 0,
             receiver: None,
         });
-        self.activity.record_accepted(tenant);
-        intake.new.push(NewSubmission { id, class, record, channel: response });
+        self.activity.add_accepted(tenant);
+        intake.new_submissions.push(NewSubmission { id, class, journal_message, response_sender });
         Message {
             id,
             class,
@@ -165,12 +173,13 @@
 
     /// Tracks a message under a handle that no call in flight uses.
     pub(super) fn track(&mut self, message: TrackedMessage) -> MessageHandle {
-        self.tracked.insert(message, |id| self.calls.contains(id))
+        self.tracked_messages.insert(message, |id| self.calls.contains(id))
     }
 
-    /// Removes a submission whose client has disconnected, and completes its message if no other client has submitted it.
+    /// Removes a submission whose client has disconnected. Completes the message if no other client has submitted it,
+    /// and returns the event for the policy then.
     pub(super) fn withdraw(&mut self, submission: SubmissionId) -> Option<Event> {
-        let WithdrawnMessage { handle, message_id } = self.tracked.withdraw(submission)?;
+        let WithdrawnMessage { handle, message_id } = self.tracked_messages.withdraw(submission)?;
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message_id, "withdrawn");
         self.store.complete(&message_id, None);
         Some(Event::Dropped(handle))
--- a/crates/sender/src/engine/outage_records.rs
+++ b/crates/sender/src/engine/outage_records.rs
@@ -1,4 +1,4 @@
-//! Persistent records of outages, converted from and to the types of the policy and of the handover.
+//! The journal's records of outages, converted to and from the types of the policy and of the handover.
 
 use rudderspindle_journal::{self as journal, Store};
 use rudderspindle_policy::interface::{
@@ -9,7 +9,8 @@
 use crate::handover::{self, HandoverMessage};
 use crate::outbound::Outbound;
 
-/// Records with the current batch the state of an outage, for a later process.
+/// Adds the state of an outage to the journal's buffer, so that a later process can restore it. A receiver that is no
+/// longer listed is ignored.
 pub(super) fn record_outage(store: &mut Store, outbound: &Outbound, scope: LimitScope, outage: OutageState) {
     let LimitScope { destination, route } = scope;
     let receiver = match route {
@@ -21,21 +22,21 @@
         },
     };
     let endpoint = journal::EndpointKey::new(destination.0, receiver);
-    store.record_outage(endpoint, to_record(outage));
+    store.record_outage(endpoint, to_journal(outage));
 }
 
-/// The outages on record, as events for the policy.
+/// The outages in the journal, as events for the policy; without those of unknown receivers.
 pub(super) fn recorded_outages(store: &Store, endpoints: &EndpointTable) -> Vec<Event> {
     let event = |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| {
         let receiver = &endpoint.receiver;
-        let route = if receiver.is_empty() { None } else { Some(endpoints.find(receiver)?) };
+        let route = if receiver.is_empty() { None } else { Some(endpoints.find_route(receiver)?) };
         let scope = LimitScope { destination: DestinationId(endpoint.destination), route };
-        Some(Event::PersistedOutage(PersistedOutage { scope, outage: from_record(outage) }))
+        Some(Event::PersistedOutage(PersistedOutage { scope, outage: from_journal(outage) }))
     };
     store.outage_records().filter_map(event).collect()
 }
 
-/// The outages on record, as messages for a successor process.
+/// The outages in the journal, as messages for a successor process.
 pub(super) fn outage_messages(store: &Store) -> Vec<HandoverMessage> {
     let message =
         |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| HandoverMessage::OutageState {
@@ -46,7 +47,8 @@
     store.outage_records().map(message).collect()
 }
 
-/// Records the outages received from the owner, with values out of range clamped.
+/// Adds the outages among the owner's messages to the journal's buffer. Clamps values out of range, because they come
+/// from another process.
 pub fn restore_outages(store: &mut Store, messages: &[HandoverMessage]) {
     for message in messages {
         if let HandoverMessage::OutageState { destination, receiver, outage } = message {
@@ -56,8 +58,8 @@
     }
 }
 
-/// The record of an outage; none if there is no outage.
-fn to_record(outage: OutageState) -> Option<journal::OutageState> {
+/// The journal's state of an outage; `None` for a healthy destination or receiver.
+fn to_journal(outage: OutageState) -> Option<journal::OutageState> {
     match outage {
         OutageState::Healthy => None,
         OutageState::Down { retry_after_remaining } => {
@@ -69,7 +71,7 @@
     }
 }
 
-fn from_record(outage: journal::OutageState) -> OutageState {
+fn from_journal(outage: journal::OutageState) -> OutageState {
     match outage {
         journal::OutageState::Down { retry_after_remaining } => {
             OutageState::Down { retry_after_remaining: retry_after_remaining as Millis }
--- a/crates/sender/src/engine/outage_records/tests.rs
+++ b/crates/sender/src/engine/outage_records/tests.rs
@@ -1,4 +1,4 @@
-//! Values from the peer process are not trusted.
+//! Outages from the peer process are clamped, because it may send any number.
 
 use rudderspindle_journal::{self as journal, Store};
 
@@ -6,7 +6,7 @@
 use crate::handover::{self, HandoverMessage};
 
 #[test]
-fn outages_out_of_range_are_clamped_when_they_are_restored() {
+fn outages_out_of_range_are_clamped_when_restored() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path(), 3_000_000).expect("a journal");
     let outages = [
@@ -21,7 +21,7 @@
     });
     restore_outages(&mut store, &messages);
     for (key, outage) in store.outage_records() {
-        let fits = match outage {
+        let is_in_range = match outage {
             journal::OutageState::Down { retry_after_remaining } => {
                 key.destination == 1 && retry_after_remaining <= 60_000
             }
@@ -29,7 +29,7 @@
                 since_recovery >= -60_000 && (0.0..=1.0).contains(&ramp_share)
             }
         };
-        assert!(fits, "{key:?}: {outage:?}");
+        assert!(is_in_range, "{key:?}: {outage:?}");
     }
     assert_eq!(store.outage_records().count(), 3);
 }
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -1,6 +1,6 @@
-//! Recovers messages and notifications from the journal, at the start and at a takeover.
+//! Recovers messages and notifications from the journal, at the start of the process and at a takeover.
 //!
-//! An attempt without an outcome on record may have been executed.
+//! An attempt without an outcome in the journal may have been executed.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,24 +19,25 @@
 use super::tracked_messages::TrackedMessage;
 use crate::event::MESSAGE_LOG;
 
-/// Minimum remaining time of a message that returns to the backlog when the policy sheds it.
+/// Minimum time to the deadline with which a message returns to the backlog when the policy sheds it.
 const MIN_TIME_TO_REQUEUE: Duration = Duration::from_millis(500);
 
-/// The clocks at the time of a recovery.
+/// The time of a recovery, on both clocks.
 #[derive(Clone, Copy, Debug)]
 struct RecoveryTime {
     now: Instant,
-    /// The wall clock.
-    wall: UnixMillis,
-    /// Whether the wall clock is before the latest attempt on record.
-    set_back: bool,
+    /// The wall clock at `now`.
+    wall_now: UnixMillis,
+    /// Whether the wall clock is before the latest attempt in the journal.
+    clock_set_back: bool,
 }
 
 impl RecoveryTime {
-    /// The age of an attempt; the maximum if the wall clock was set back.
+    /// The age of an attempt. If the wall clock was set back, the age counts from [`UnixMillis::EPOCH`], so that it is
+    /// longer than any idempotency window.
     fn age_of_attempt(&self, started_at: UnixMillis) -> Millis {
-        let started_at = if self.set_back { UnixMillis::EPOCH } else { started_at };
-        self.wall.millis_since(started_at) as Millis
+        let started_at = if self.clock_set_back { UnixMillis::EPOCH } else { started_at };
+        self.wall_now.millis_since(started_at) as Millis
     }
 }
 
@@ -49,14 +50,14 @@
         messages: Vec<journal::Message>,
         mut pending: Vec<PendingNotification>,
     ) {
-        // The order of the journal's map is random.
+        // The iteration order of the journal's map is random.
         pending.sort_unstable_by(|a, b| a.message_id.cmp(&b.message_id));
         for notification in pending {
             self.io.notifications.push(notification);
         }
-        let wall = UnixMillis::now();
-        let time = RecoveryTime { now, wall, set_back: self.store.latest_attempt() > wall };
-        if time.set_back {
+        let wall_now = UnixMillis::now();
+        let time = RecoveryTime { now, wall_now, clock_set_back: self.store.latest_attempt() > wall_now };
+        if time.clock_set_back {
             tracing::warn!(
                 "clock was set back; attempts on record count as outside their idempotency window"
             );
@@ -76,20 +77,21 @@
         self.backlog.extend(recovered);
     }
 
+    /// Converts a message of the journal for the backlog.
     fn recover_message(
         &mut self,
         time: RecoveryTime,
         class: usize,
         message: journal::Message,
     ) -> RecoveredMessage {
-        // The wall clock may have been set back.
+        // Limited by the class's deadline, because the wall clock may have been set back.
         let max_time_left = self.settings.classes[class].deadline as u64;
-        let time_left = message.deadline.millis_since(time.wall).min(max_time_left);
+        let time_left = message.deadline.millis_since(time.wall_now).min(max_time_left);
         let possibly_executed = message.possibly_executed.as_ref().map(|execution| {
             let execution = PriorExecution {
                 ago: time.age_of_attempt(execution.sent_at),
-                route: self.endpoints.route(&execution.receiver, time.now),
-                zone: self.endpoints.zone(&execution.zone),
+                route: self.endpoints.find_or_add_route(&execution.receiver, time.now),
+                zone: self.endpoints.find_or_add_zone(&execution.zone),
             };
             RecoveredExecution { read_at: time.now, execution }
         });
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Fails the messages whose class is no longer in the settings.
+    /// Completes the messages whose class is no longer in the settings as undeliverable.
     fn fail_unknown_classes(&mut self, unknown_classes: BTreeMap<Rc<str>, Vec<MessageId>>) {
         for (class, mut message_ids) in unknown_classes {
             tracing::warn!(%class, messages = message_ids.len(), "messages failed: the settings do not have their class");
@@ -114,19 +116,20 @@
         }
     }
 
-    /// Moves messages from the backlog to the policy: those whose deadline is over, and as many as it has capacity for
-    /// besides the new ones of this batch, so that none is shed without an attempt.
+    /// Moves messages from the backlog to the policy: those whose deadline has passed, and as many others as the policy
+    /// has capacity for besides the new messages of this batch, so that no recovered message is shed without an
+    /// attempt.
     pub(super) fn take_from_backlog(&mut self, now: Instant, new_messages: usize) -> Vec<Event> {
         let capacity = self.policy.free_capacity().saturating_sub(new_messages);
         let taken = self.backlog.take(capacity, now);
-        taken.into_iter().map(|message| self.track_recovered(now, message)).collect()
+        taken.into_iter().map(|message| self.track_recovered_message(now, message)).collect()
     }
 
-    /// Returns a message that the policy has shed to the backlog, if an earlier process accepted it, no attempt was made
-    /// and enough time is left. Returns whether that is so.
+    /// Puts a message that the policy has shed back into the backlog if an earlier process accepted it, no attempt was
+    /// made and at least [`MIN_TIME_TO_REQUEUE`] remains to its deadline. Returns whether it was put back.
     pub(super) fn return_to_backlog(&mut self, now: Instant, shed: &TrackedMessage) -> bool {
-        let untried = shed.attempts == 0 && shed.recovered;
-        if !untried || shed.deadline.saturating_duration_since(now) < MIN_TIME_TO_REQUEUE {
+        let never_attempted = shed.attempts == 0 && shed.recovered;
+        if !never_attempted || shed.deadline.saturating_duration_since(now) < MIN_TIME_TO_REQUEUE {
             return false;
         }
         let Some(message) = self.store.pending_message(&shed.message_id).cloned() else { return false };
@@ -141,24 +144,25 @@
         true
     }
 
-    fn track_recovered(&mut self, now: Instant, recovered: RecoveredMessage) -> Event {
-        let RecoveredMessage { class, deadline, possibly_executed, message: record, .. } = recovered;
+    /// Tracks a message from the backlog, and returns the event for the policy.
+    fn track_recovered_message(&mut self, now: Instant, recovered: RecoveredMessage) -> Event {
+        let RecoveredMessage { class, deadline, possibly_executed, message: journal_message, .. } = recovered;
         let time_left = to_millis(deadline.saturating_duration_since(now));
-        tracing::debug!(target: MESSAGE_LOG, message_id = &*record.message_id, attempts = record.attempts,
-            possibly_executed = ?record.possibly_executed, time_left, "recovered");
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*journal_message.message_id, attempts = journal_message.attempts,
+            possibly_executed = ?journal_message.possibly_executed, time_left, "recovered");
         let possibly_executed = possibly_executed.map(|RecoveredExecution { read_at, execution }| {
-            let since = to_millis(now.saturating_duration_since(read_at));
-            PriorExecution { ago: execution.ago + since, ..execution }
+            let time_since_read = to_millis(now.saturating_duration_since(read_at));
+            PriorExecution { ago: execution.ago + time_since_read, ..execution }
         });
-        let tenant = self.names.tenants.iter().position(|name| **name == *record.tenant);
-        let attempts = record.attempts;
+        let tenant_index = self.names.tenants.iter().position(|name| **name == *journal_message.tenant);
+        let attempts = journal_message.attempts;
         let id = self.track(TrackedMessage {
-            message_id: record.message_id,
+            message_id: journal_message.message_id,
             class,
             recovered: true,
             submissions: Vec::new(),
-            idempotency_key: record.idempotency_key,
-            body: record.body,
+            idempotency_key: journal_message.idempotency_key,
+            body: journal_message.body,
             deadline,
             attempts,
             receiver: None,
@@ -166,11 +170,11 @@
         let message = Message {
             id,
             class,
-            tenant: tenant.unwrap_or(usize::MAX),
+            tenant: tenant_index.unwrap_or(usize::MAX),
             ordering_key: 0,
             time_left,
             work_estimate: None,
-            destination: DestinationId(record.destination),
+            destination: DestinationId(journal_message.destination),
         };
         Event::Recovered(message, AttemptHistory { attempts, possibly_executed })
     }
--- a/crates/sender/src/engine/status.rs
+++ b/crates/sender/src/engine/status.rs
@@ -8,15 +8,16 @@
 use crate::metrics::EngineStatus;
 
 impl Engine {
-    /// The current demand, and the activity since the last report.
+    /// The current demand, the activity since the last report and, if activity is collected, the listed receivers.
     pub(super) fn report_activity(&mut self) -> ActivityReport {
-        let listed = if self.activity.is_enabled() { self.endpoints.listed() } else { Vec::new() };
-        ActivityReport { demands: self.demands(), listed, ..self.activity.take() }
+        let listed_receivers =
+            if self.activity.is_enabled() { self.endpoints.listed_receivers() } else { Vec::new() };
+        ActivityReport { demands: self.demands(), listed_receivers, ..self.activity.take() }
     }
 
-    /// The demand for each limit, without those of receivers that are no longer listed.
+    /// The demand for each limit, without the limits of receivers that are no longer listed.
     fn demands(&self) -> Vec<LimitDemand> {
-        let named = |demand: Demand| {
+        let limit_demand = |demand: Demand| {
             let receiver = match demand.scope.route {
                 Some(route) => Some(self.io.outbound.receiver_location(route)?.receiver),
                 None => None,
@@ -24,14 +25,14 @@
             let limit = LimitId::of(demand.scope.destination.0, receiver.as_deref());
             Some(LimitDemand { limit, demand })
         };
-        self.policy.demands().into_iter().filter_map(named).collect()
+        self.policy.demands().into_iter().filter_map(limit_demand).collect()
     }
 
-    /// The current status.
+    /// The current status for operators.
     pub(super) fn status(&self) -> EngineStatus {
         EngineStatus {
-            open_requests: self.tracked.len() + self.backlog.len(),
-            registry_entries: self.endpoints.listed_count(),
+            open_requests: self.tracked_messages.len() + self.backlog.len(),
+            registry_entries: self.endpoints.listed_receiver_count(),
             out_of_rotation: self.policy.routes_out_of_rotation(),
         }
     }
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -1,4 +1,4 @@
-//! The engine's part in a takeover, while two processes of one sender run.
+//! Takeover of a sender by a successor process: shared resources, exchanged state, and the journal's change of owner.
 
 use rudderspindle_policy::interface::{DestinationId, Event, LimitScope, Millis, RetryAfterUpdate};
 use tokio::time::Instant;
@@ -9,7 +9,8 @@
 use crate::outbound::MAX_BACKOFF_MS;
 
 impl Engine {
-    /// Shares the disk with a successor, and sends it the state of outages and backoffs.
+    /// Shares the disk budget with the successor, and sends it the state of outages and backoffs and the number of
+    /// calls in flight. Does nothing if this process does not own the journal.
     pub(super) fn successor_connected(&mut self) {
         if !self.store.is_owner() {
             return;
@@ -26,10 +27,10 @@
         self.io.peer_process.send(HandoverMessage::FreeSpace);
     }
 
-    /// Takes back the connection slots and the disk space that were shared with the peer process.
+    /// Reclaims the connection slots and the disk budget that were shared with the peer process.
     pub(super) fn peer_disconnected(&mut self) {
         self.policy.set_slots_used_by_peer(0);
-        // A peer that owns the journal may not have ended; the journal's lock is checked for that.
+        // If the peer process owns the journal, it may still run; only the journal's lock shows that it has ended.
         if self.store.is_owner() {
             self.share_disk(false);
         }
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Announces the number of calls in flight to the peer process, if it has changed.
+    /// Announces the number of calls in flight to a connected peer process if the number has changed.
     pub(super) fn announce_changed_calls(&mut self) {
         if self.io.peer_process.is_connected() && self.calls.is_announcement_due() {
             self.announce_calls();
@@ -52,7 +53,8 @@
         self.io.peer_process.send(self.calls.announce());
     }
 
-    /// Applies a backoff that a receiver has requested from the peer process.
+    /// Applies a backoff that a receiver has requested from the peer process; `receiver` is `None` for the whole
+    /// destination. Limits `wait` to 0 to [`MAX_BACKOFF_MS`].
     pub(super) fn apply_peer_backoff(
         &mut self,
         destination: u16,
@@ -61,8 +63,8 @@
     ) -> Option<Event> {
         let route = match receiver {
             None => None,
-            // No calls are sent to a receiver that is not known here.
-            Some(receiver) => Some(self.endpoints.find(receiver)?),
+            // This process does not call a receiver that it does not know.
+            Some(receiver) => Some(self.endpoints.find_route(receiver)?),
         };
         let destination = DestinationId(destination);
         let wait = wait.clamp(0.0, MAX_BACKOFF_MS);
@@ -71,7 +73,7 @@
         Some(Event::RetryAfter(RetryAfterUpdate { scope, remaining: wait }))
     }
 
-    /// Takes over the journal with its messages and notifications, if its owner has ended.
+    /// Takes over the journal with its messages and notifications if its owner has ended; otherwise does nothing.
     pub(super) fn take_over_journal(&mut self, now: Instant) {
         match self.store.take_over() {
             Ok(None) => {}
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! A complete engine on a journal, without its run loop.
+//! Tests of a complete engine on a journal. The tests run its batches themselves instead of `Engine::run`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
         store,
         io: EngineIo { outbound, notifications: Rc::default(), metrics, peer_process, inputs },
         shared_listener: false,
-        record_activity: false,
+        collect_activity: false,
     };
     let member = serde_json::json!({"id": "r1", "host_port": "127.0.0.1:1", "cell": 7, "phase": "SERVING"});
     let list = serde_json::json!({"revision": 1, "complete": true, "members": [member]});
@@ -46,8 +46,9 @@
     (Engine::new(dependencies, &list, None).expect("an engine"), to_engine)
 }
 
+/// A submission of a message for destination 7 with a deadline in 9 s, and the receiver of its response.
 pub(super) fn submission(number: u64, message_id: &str) -> (Input, oneshot::Receiver<SubmissionResponse>) {
-    let (response, answered) = oneshot::channel();
+    let (response_sender, response) = oneshot::channel();
     let (message_id, body) = (message_id.into(), Bytes::from_static(b"text"));
     let (deadline, destination) = (Instant::now() + Duration::from_secs(9), DestinationId(7));
     let submission = Submission {
@@ -59,72 +60,75 @@
         idempotency_key: None,
         body,
         deadline,
-        response,
+        response_sender,
     };
-    (Input::Submitted(submission), answered)
+    (Input::Submitted(submission), response)
 }
 
-/// Otherwise a client could withdraw a message for which another client has the response 202.
+/// Otherwise a client could withdraw a message for which another client has received the response 202.
 #[tokio::test]
-async fn a_message_is_withdrawn_only_when_all_of_its_clients_have_disconnected() {
+async fn a_message_is_withdrawn_once_all_its_clients_have_disconnected() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let (mut engine, _inputs) = engine(folder.path());
         for number in 1..=MAX_CLIENTS_PER_MESSAGE as u64 + 1 {
-            let (input, answered) = submission(number, "m1");
+            let (input, response) = submission(number, "m1");
             engine.run_batch(vec![input]);
             let is_refused = number > MAX_CLIENTS_PER_MESSAGE as u64;
             let expected =
                 if is_refused { SubmissionResponse::REFUSED } else { SubmissionResponse::Accepted };
-            assert_eq!(answered.await, Ok(expected));
+            assert_eq!(response.await, Ok(expected));
         }
         for number in 2..=MAX_CLIENTS_PER_MESSAGE as u64 + 1 {
             engine.run_batch(vec![Input::Withdrawn(SubmissionId(number))]);
             assert!(
-                engine.tracked.len() == 1 && engine.store.contains(&"m1".into()),
-                "withdrawn by {number}"
+                engine.tracked_messages.len() == 1 && engine.store.contains(&"m1".into()),
+                "withdrawn by submission {number}"
             );
         }
         engine.run_batch(vec![Input::Withdrawn(SubmissionId(1))]);
         assert!(
-            engine.tracked.is_empty()
-                && engine.tracked.entries() == 0
+            engine.tracked_messages.is_empty()
+                && engine.tracked_messages.entry_count() == 0
                 && !engine.store.contains(&"m1".into())
         );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// Receivers are replaced by others with new ids, and each message is new.
+/// Each round replaces a receiver by one with a new id and a new zone, and submits a new message.
 #[tokio::test(start_paused = true)]
 async fn memory_stays_bounded_while_receivers_and_messages_change() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let (mut engine, mut _inputs) = engine(folder.path());
-        let mut after = Vec::new();
+        let mut entry_counts = Vec::new();
         for n in 0..1_200u64 {
-            let entry = |n: u64, phase| {
+            let endpoint = |n: u64, phase| {
                 let port = 1 + n % 50;
                 serde_json::json!({"id": format!("r{n}"), "host_port": format!("127.0.0.1:{port}"),
                     "locality": format!("zone-{n}"), "cell": 7 + n % 3, "phase": phase})
             };
             let members = if n < 3 {
-                vec![entry(n, "SERVING")]
+                vec![endpoint(n, "SERVING")]
             } else {
-                vec![entry(n, "SERVING"), entry(n - 3, "DELETED")]
+                vec![endpoint(n, "SERVING"), endpoint(n - 3, "DELETED")]
             };
             let list = serde_json::json!({"revision": n, "complete": false, "members": members});
             engine.run_batch(vec![Input::List(serde_json::from_value(list).expect("a list"))]);
-            let (input, _answered) = submission(n, &format!("m{n}"));
+            let (input, _response) = submission(n, &format!("m{n}"));
             engine.run_batch(vec![input, Input::Withdrawn(SubmissionId(n))]);
             tokio::time::advance(Duration::from_millis(500)).await;
             engine.run_batch(Vec::new());
-            let entries = engine.endpoints.entries() + engine.tracked.entries();
+            let entries = engine.endpoints.entry_count() + engine.tracked_messages.entry_count();
             let entries = entries + engine.calls.len() + engine.timers.len();
-            after.push(entries + engine.io.outbound.entries() + engine.policy.state_entry_count());
+            entry_counts.push(entries + engine.io.outbound.entries() + engine.policy.state_entry_count());
         }
-        let (half, end) = (after[599], after[1_199]);
-        assert!(end <= half + 10 && end < 600, "{half} half-way, {end} at the end");
+        let (halfway, final_count) = (entry_counts[599], entry_counts[1_199]);
+        assert!(
+            final_count <= halfway + 10 && final_count < 600,
+            "entries: {halfway} after 600 rounds, {final_count} after 1,200"
+        );
         assert!(engine.endpoints.zone_count() <= usize::from(u8::MAX));
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -1,4 +1,4 @@
-//! Cancellations of calls that cross their outcomes.
+//! Cancellations of calls whose outcome arrives at about the same time.
 
 use std::time::Duration;
 
@@ -22,42 +22,44 @@
     listener
 }
 
-/// Submits a message and reads its call to the last byte.
+/// Submits a message, and reads the request of its call to the last byte.
 async fn call(engine: &mut Engine, listener: &TcpListener, number: u64) -> TcpStream {
-    let (input, answered) = submission(number, &format!("m{number}"));
+    let (input, response) = submission(number, &format!("m{number}"));
     engine.run_batch(vec![input]);
-    assert_eq!(answered.await, Ok(SubmissionResponse::Accepted));
+    assert_eq!(response.await, Ok(SubmissionResponse::Accepted));
     let (mut stream, _) = with_timeout(listener.accept()).await.expect("a connection");
-    request(&mut stream).await;
+    read_request(&mut stream).await;
     stream
 }
 
-/// Reads a call to the last byte.
-pub(super) async fn request(stream: &mut TcpStream) -> Vec<u8> {
+/// Reads the request of a call to the last byte.
+pub(super) async fn read_request(stream: &mut TcpStream) -> Vec<u8> {
     let mut request = Vec::new();
     while !request.ends_with(b"text") {
         assert!(
             with_timeout(stream.read_buf(&mut request)).await.expect("a request") > 0,
-            "it ends too early"
+            "the connection closes before the end of the request"
         );
     }
     request
 }
 
+/// Fails the test if the future does not complete within 20 s.
 pub(super) async fn with_timeout<T>(future: impl Future<Output = T>) -> T {
     tokio::time::timeout(Duration::from_secs(20), future).await.expect("in time")
 }
 
-pub(super) async fn until(mut holds: impl FnMut() -> bool) {
+/// Yields to the other tasks until the condition holds.
+pub(super) async fn until(mut condition: impl FnMut() -> bool) {
     with_timeout(async {
-        while !holds() {
+        while !condition() {
             tokio::task::yield_now().await;
         }
     })
     .await;
 }
 
-/// Runs a batch with the inputs that have arrived.
+/// Runs a batch with the inputs that are in the engine's queue.
 pub(super) fn run_batch(engine: &mut Engine) {
     let mut inputs = Vec::new();
     while let Ok(input) = engine.io.inputs.try_recv() {
@@ -66,20 +68,21 @@
     engine.run_batch(inputs);
 }
 
+/// Cancels the only call in flight.
 fn cancel(engine: &mut Engine) {
-    let id = engine.calls.ids().next().expect("a call is out");
-    let attempt = engine.tracked.get(id).expect("it is tracked").attempts - 1;
-    engine.carry_out(Instant::now(), Intake::default(), vec![Action::Cancel { id, attempt }]);
+    let id = engine.calls.ids().next().expect("a call is in flight");
+    let attempt = engine.tracked_messages.get(id).expect("the message is tracked").attempts - 1;
+    engine.commit_batch(Instant::now(), Intake::default(), vec![Action::Cancel { id, attempt }]);
 }
 
-/// The response has arrived when the call is cancelled: the message is delivered and is not sent again.
+/// The response has arrived when the call is cancelled. The message must be complete, and must not be sent again.
 #[tokio::test]
-async fn a_delivery_that_crosses_a_cancellation_completes_the_message() {
+async fn a_response_before_a_cancellation_completes_the_message() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let (mut engine, _inputs) = engine(folder.path());
         let listener = receiver(&mut engine).await;
-        let before = engine.policy.state_entry_count();
+        let entry_count_before = engine.policy.state_entry_count();
         let mut stream = call(&mut engine, &listener, 1).await;
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("writable");
         until(|| !engine.io.inputs.is_empty()).await;
@@ -87,24 +90,28 @@
         for _ in 0..3 {
             run_batch(&mut engine);
         }
-        assert!(engine.tracked.is_empty() && !engine.store.contains(&"m1".into()), "it is not complete");
-        assert!(engine.calls.is_empty(), "it was sent again");
-        assert_eq!(engine.policy.state_entry_count(), before, "the policy still has it");
+        assert!(
+            engine.tracked_messages.is_empty() && !engine.store.contains(&"m1".into()),
+            "the message is not complete"
+        );
+        assert!(engine.calls.is_empty(), "the message was sent again");
+        assert_eq!(engine.policy.state_entry_count(), entry_count_before, "entries of the policy's state");
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// An outcome that waits for the engine's queue when its call is cancelled is not lost: the call was not executed.
+/// The outcome waits for space in the engine's queue when its call is cancelled. If the outcome were lost, the attempt
+/// would count as possibly executed.
 #[tokio::test]
-async fn a_rejection_that_waits_for_the_engine_counts_though_its_call_is_cancelled() {
+async fn a_rejection_waiting_for_the_queue_survives_a_cancellation() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let (mut engine, inputs) = engine(folder.path());
         let listener = receiver(&mut engine).await;
         let mut stream = call(&mut engine, &listener, 1).await;
         while inputs.try_send(Input::PeerCallsInFlight(0)).is_ok() {}
-        let answer = b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 30000\r\nContent-Length: 0\r\n\r\n";
-        stream.write_all(answer).await.expect("writable");
+        let response_bytes = b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 30000\r\nContent-Length: 0\r\n\r\n";
+        stream.write_all(response_bytes).await.expect("writable");
         // The backoff is applied before the outcome is sent.
         until(|| !engine.io.outbound.active_backoffs().is_empty()).await;
         cancel(&mut engine);
@@ -121,9 +128,9 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The request was written completely; the connection is closed.
+/// The request was written completely before the connection is closed.
 #[tokio::test]
-async fn a_call_that_is_cancelled_without_a_response_may_have_been_executed() {
+async fn a_call_cancelled_without_a_response_is_possibly_executed() {
     let folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let (mut engine, _inputs) = engine(folder.path());
@@ -135,7 +142,7 @@
             engine.store.pending_messages().all(|m| m.possibly_executed.is_some())
         })
         .await;
-        // The connection ends, by a reset or not.
+        // The connection is closed, with or without a reset.
         assert!(matches!(with_timeout(stream.read(&mut [0; 1])).await, Ok(0) | Err(_)));
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/crates/sender/src/engine/timers.rs
+++ b/crates/sender/src/engine/timers.rs
@@ -1,11 +1,12 @@
-//! The timers that the policy has set.
+//! The timers that the policy has requested.
 
 use tokio::time::Instant;
 
-/// A timer, with the token that identifies it to the policy.
+/// A timer of the policy.
 #[derive(Clone, Copy, Debug)]
 struct Timer {
     due_at: Instant,
+    /// Identifies the timer to the policy.
     token: u64,
 }
 
@@ -14,7 +15,7 @@
 pub(super) struct Timers(Vec<Timer>);
 
 impl Timers {
-    /// Sets a timer.
+    /// Adds a timer that is due at `due_at`.
     pub fn set(&mut self, due_at: Instant, token: u64) {
         self.0.push(Timer { due_at, token });
     }
@@ -24,7 +25,7 @@
         self.0.extract_if(.., |timer| timer.due_at <= now).map(|timer| timer.token).collect()
     }
 
-    /// When the timers are due, in the order in which they were set.
+    /// The due times of all timers, in the order in which the timers were set.
     pub fn due_times(&self) -> impl Iterator<Item = Instant> + '_ {
         self.0.iter().map(|timer| timer.due_at)
     }
--- a/crates/sender/src/engine/tracked_messages.rs
+++ b/crates/sender/src/engine/tracked_messages.rs
@@ -1,4 +1,4 @@
-//! The messages that the engine has accepted or decides about, until they are complete.
+//! The messages that are accepted or wait for the policy's decision, until they are complete.
 
 use std::collections::HashMap;
 
@@ -10,45 +10,45 @@
 
 use crate::event::SubmissionId;
 
-/// Maximum number of clients that may submit the same message; further ones are refused.
+/// Maximum number of clients that may submit the same message; submissions of further clients are refused.
 pub(super) const MAX_CLIENTS_PER_MESSAGE: usize = 4;
 
 /// A tracked message.
 #[derive(Debug)]
 pub(super) struct TrackedMessage {
-    /// The id that the client gave it.
+    /// The id that the client gave the message.
     pub message_id: MessageId,
-    /// Index of its class in the settings.
+    /// Index of the message's class in the settings.
     pub class: usize,
-    /// Whether an earlier process accepted it and responded to its client.
+    /// Whether an earlier process accepted the message and responded to its client.
     pub recovered: bool,
-    /// Its submissions, without those whose client disconnected before the response. While there is one, a client may
-    /// have the response that the message is accepted, and it must not be withdrawn.
+    /// The message's submissions, without those whose client disconnected before the response. While there is one, a
+    /// client may have received the response that the message is accepted, and the message must not be withdrawn.
     pub submissions: Vec<SubmissionId>,
-    /// Its idempotency key, if it has one.
+    /// The idempotency key, if the client gave one.
     pub idempotency_key: Option<Bytes>,
-    /// Its payload.
+    /// The message's payload.
     pub body: Bytes,
-    /// Its deadline.
+    /// The message's deadline.
     pub deadline: Instant,
-    /// Number of attempts on record.
+    /// Number of attempts that were started.
     pub attempts: u32,
-    /// The receiver of the attempt in flight.
+    /// The receiver of the attempt in flight; `None` if there is none.
     pub receiver: Option<ReceiverId>,
 }
 
-/// A message without submissions that is no longer tracked.
+/// A message that is no longer tracked because all of its clients have disconnected.
 #[derive(Debug)]
 pub(super) struct WithdrawnMessage {
-    /// Its handle.
+    /// The handle that the message had.
     pub handle: MessageHandle,
-    /// The id that the client gave it.
+    /// The id that the client gave the message.
     pub message_id: MessageId,
 }
 
 impl TrackedMessage {
-    /// Number of clients that may have the response that the message is accepted.
-    fn clients(&self) -> usize {
+    /// Number of clients that may have received the response that the message is accepted.
+    fn client_count(&self) -> usize {
         self.submissions.len() + usize::from(self.recovered)
     }
 }
@@ -57,7 +57,7 @@
 #[derive(Debug, Default)]
 pub(super) struct TrackedMessages {
     messages: HashMap<MessageHandle, TrackedMessage>,
-    by_id: HashMap<MessageId, MessageHandle>,
+    by_message_id: HashMap<MessageId, MessageHandle>,
     by_submission: HashMap<SubmissionId, MessageHandle>,
     next_handle: u32,
 }
@@ -74,27 +74,27 @@
         self.messages.is_empty()
     }
 
-    /// Whether this message is tracked.
+    /// Whether a message with this handle is tracked.
     pub fn contains(&self, handle: MessageHandle) -> bool {
         self.messages.contains_key(&handle)
     }
 
-    /// A message by its handle.
+    /// The message with this handle.
     pub fn get(&self, handle: MessageHandle) -> Option<&TrackedMessage> {
         self.messages.get(&handle)
     }
 
-    /// A message by its handle, for changes.
+    /// The message with this handle, mutably.
     pub fn get_mut(&mut self, handle: MessageHandle) -> Option<&mut TrackedMessage> {
         self.messages.get_mut(&handle)
     }
 
     /// The handle of the message with this id.
     pub fn find(&self, message_id: &MessageId) -> Option<MessageHandle> {
-        self.by_id.get(message_id).copied()
+        self.by_message_id.get(message_id).copied()
     }
 
-    /// Tracks a message under a new handle that is not `in_use`.
+    /// Tracks a message under a new handle for which `in_use` is false.
     pub fn insert(
         &mut self,
         message: TrackedMessage,
@@ -105,18 +105,19 @@
             handle = MessageHandle(handle.0.wrapping_add(1));
         }
         self.next_handle = handle.0.wrapping_add(1);
-        self.by_id.insert(message.message_id.clone(), handle);
-        for id in &message.submissions {
-            self.by_submission.insert(*id, handle);
+        self.by_message_id.insert(message.message_id.clone(), handle);
+        for submission in &message.submissions {
+            self.by_submission.insert(*submission, handle);
         }
         self.messages.insert(handle, message);
         handle
     }
 
-    /// Adds a submission to a tracked message; returns `false` if it has too many.
+    /// Adds a submission to a tracked message. Returns `false` if the message is not tracked or already has
+    /// [`MAX_CLIENTS_PER_MESSAGE`] clients.
     pub fn add_submission(&mut self, handle: MessageHandle, id: SubmissionId) -> bool {
         let Some(message) = self.messages.get_mut(&handle) else { return false };
-        if message.clients() >= MAX_CLIENTS_PER_MESSAGE {
+        if message.client_count() >= MAX_CLIENTS_PER_MESSAGE {
             return false;
         }
         message.submissions.push(id);
@@ -124,12 +125,12 @@
         true
     }
 
-    /// Removes a submission; if no client is left, stops tracking its message and returns it.
+    /// Removes a submission. If its message has no other client, stops tracking the message and returns it.
     pub fn withdraw(&mut self, id: SubmissionId) -> Option<WithdrawnMessage> {
         let handle = self.by_submission.remove(&id)?;
         let message = self.messages.get_mut(&handle)?;
         message.submissions.retain(|&other| other != id);
-        if message.clients() > 0 {
+        if message.client_count() > 0 {
             return None;
         }
         let message_id = self.remove(handle)?.message_id;
@@ -139,17 +140,17 @@
     /// Stops tracking a message.
     pub fn remove(&mut self, handle: MessageHandle) -> Option<TrackedMessage> {
         let message = self.messages.remove(&handle)?;
-        self.by_id.remove(&message.message_id);
-        for id in &message.submissions {
-            self.by_submission.remove(id);
+        self.by_message_id.remove(&message.message_id);
+        for submission in &message.submissions {
+            self.by_submission.remove(submission);
         }
         Some(message)
     }
 
-    /// Total size of the three maps.
+    /// Total number of entries of the three maps.
     #[cfg(test)]
-    pub fn entries(&self) -> usize {
-        self.messages.len() + self.by_id.len() + self.by_submission.len()
+    pub fn entry_count(&self) -> usize {
+        self.messages.len() + self.by_message_id.len() + self.by_submission.len()
     }
 }
 
--- a/crates/sender/src/engine/tracked_messages/tests.rs
+++ b/crates/sender/src/engine/tracked_messages/tests.rs
@@ -44,13 +44,13 @@
 }
 
 #[test]
-fn a_recovered_message_counts_a_client_more_and_is_never_withdrawn() {
+fn a_recovered_message_counts_as_one_client_and_is_not_withdrawn() {
     let mut messages = TrackedMessages::default();
     let handle = messages.insert(message("m1", true, Vec::new()), |_| false);
-    let accepted = (0..MAX_CLIENTS_PER_MESSAGE as u64 + 1)
+    let added = (0..MAX_CLIENTS_PER_MESSAGE as u64 + 1)
         .filter(|number| messages.add_submission(handle, SubmissionId(*number)))
         .count();
-    assert_eq!(accepted, MAX_CLIENTS_PER_MESSAGE - 1);
+    assert_eq!(added, MAX_CLIENTS_PER_MESSAGE - 1);
     for number in 0..MAX_CLIENTS_PER_MESSAGE as u64 + 1 {
         assert!(messages.withdraw(SubmissionId(number)).is_none());
     }
@@ -62,8 +62,8 @@
     let mut messages = TrackedMessages::default();
     let handle = messages.insert(message("m1", false, vec![FIRST]), |_| false);
     assert!(messages.add_submission(handle, SECOND));
-    assert_eq!(messages.entries(), 4);
+    assert_eq!(messages.entry_count(), 4);
     assert!(messages.remove(handle).is_some());
-    assert_eq!(messages.entries(), 0);
+    assert_eq!(messages.entry_count(), 0);
     assert!(messages.withdraw(FIRST).is_none() && !messages.add_submission(handle, FIRST));
 }
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -1,6 +1,6 @@
-//! The messages between the engine and the tasks around it, so that the tasks do not depend on the engine.
+//! The messages between the engine and the tasks around it. The tasks depend on this module instead of the engine.
 //!
-//! Spans of time are milliseconds ([`Millis`]); rates are events per second.
+//! Durations are in milliseconds ([`Millis`]), rates in events per second.
 
 mod activity;
 mod delivery;
@@ -23,30 +23,30 @@
 /// HTTP header of a message's idempotency key, in client requests and in calls to receivers.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Log target of the events of each message; each line has its `message_id`.
+/// Log target of the events in the life of a message; each log line has the `message_id`.
 pub(crate) const MESSAGE_LOG: &str = "story";
 
-/// An event for the engine.
+/// An event or a request for the engine.
 #[derive(Debug)]
 pub enum Input {
     /// A client has submitted a message.
     Submitted(Submission),
-    /// The client of this submission has disconnected before it had a response.
+    /// The client of this submission has disconnected before the response was sent.
     Withdrawn(SubmissionId),
-    /// An attempt has ended.
-    Outcome {
-        /// The message.
+    /// An attempt has finished.
+    AttemptFinished {
+        /// The message's handle.
         id: MessageHandle,
         /// Index of the attempt, from 0.
         attempt: u32,
-        /// How the attempt ended.
-        result: CallOutcome,
+        /// The outcome of the attempt's call.
+        outcome: CallOutcome,
     },
-    /// A health check has ended.
+    /// A health check has finished.
     HealthChecked {
-        /// The receiver that was checked.
+        /// The checked receiver, by its id in the policy.
         route: RouteId,
-        /// How the check ended.
+        /// The outcome of the check.
         outcome: Outcome,
     },
     /// Discovery has sent an endpoint list, or the changes to one.
@@ -55,7 +55,7 @@
     NotificationsAcknowledged(Vec<MessageId>),
     /// A successor process has connected.
     SuccessorConnected,
-    /// The connection to the peer process, successor or predecessor, has ended.
+    /// The connection to the peer process (successor or predecessor) has closed.
     PeerDisconnected,
     /// A receiver has requested a backoff from the peer process.
     RetryAfter {
@@ -63,20 +63,20 @@
         destination: u16,
         /// The receiver's id; `None` if the backoff applies to the whole destination.
         receiver: Option<String>,
-        /// The remaining time. Received from another process, so it may be any number.
+        /// The remaining time of the backoff. It may be any number, because another process sent it.
         wait: Millis,
     },
     /// The number of calls that the peer process has in flight.
     PeerCallsInFlight(usize),
-    /// Take over the journal if its owner has ended. The response is whether this process owns the journal.
+    /// Take over the journal if its owner has ended. The response is whether this process owns the journal now.
     TakeOver(oneshot::Sender<bool>),
     /// Report the current demand, and the activity since the last report.
     ReportActivity(oneshot::Sender<ActivityReport>),
-    /// This sender's shares of the limits that it has demand for.
+    /// This sender's shares of those limits that it has demand for.
     CapacityUpdates(Vec<CapacityUpdate>),
-    /// The permits that this sender holds, for each limit that needs them.
+    /// The permits that this sender holds, for each limit that requires permits.
     Permits(Vec<PermitUpdate>),
-    /// The receivers that the other senders of this zone consider down. Replaces the previous set.
+    /// The receivers that the other senders of this zone consider down; replaces the previous set.
     EjectedReceivers(Vec<RouteId>),
     /// This sender's shares of the tenants' quotas.
     Quotas(Vec<TenantQuota>),
--- a/crates/sender/src/event/activity.rs
+++ b/crates/sender/src/event/activity.rs
@@ -6,41 +6,41 @@
 /// Maximum number of attempt results in an [`ActivityReport`]; the oldest are dropped first.
 pub(crate) const MAX_CALL_RESULTS: usize = 4_096;
 
-/// The demand and the recent activity of this sender, for the gossip with other senders.
+/// The demand and the recent activity of this sender, as reported to the gossip task.
 #[derive(Debug, Default)]
 pub struct ActivityReport {
-    /// Current demand.
+    /// Current demand for each limit.
     pub demands: Vec<LimitDemand>,
-    /// Attempt results since the last report, oldest first; at most [`MAX_CALL_RESULTS`].
-    pub results: Vec<ReceiverResult>,
-    /// Messages accepted since the last report, ordered by tenant.
-    pub accepted: Vec<AcceptedMessages>,
+    /// Results of the attempts since the last report, oldest first; at most [`MAX_CALL_RESULTS`].
+    pub call_results: Vec<ReceiverResult>,
+    /// Number of messages accepted since the last report, ordered by tenant.
+    pub accepted_messages: Vec<AcceptedMessages>,
     /// The receivers in the endpoint list, ordered by destination and route.
-    pub listed: Vec<ListedReceiver>,
+    pub listed_receivers: Vec<ListedReceiver>,
 }
 
-/// Demand for a limit.
+/// This sender's demand for a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitDemand {
     /// The limit's name in datagrams.
     pub limit: LimitId,
-    /// This sender's demand for it.
+    /// The demand, as computed by the policy.
     pub demand: Demand,
 }
 
-/// The result of an attempt, as evidence of the receiver's health.
+/// The result of an attempt; the senders judge the receiver's health by such results.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceiverResult {
-    /// The receiver.
+    /// The receiver that was called.
     pub receiver: ReceiverId,
-    /// Whether it responded.
+    /// Whether the receiver answered the call.
     pub result: CallResult,
 }
 
 /// Number of messages accepted from a tenant.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptedMessages {
-    /// Index of the tenant in the settings; `u16::MAX` for all beyond that.
+    /// Index of the tenant in the settings; `u16::MAX` also stands for all larger indices.
     pub tenant: u16,
     /// Number of messages.
     pub messages: u32,
@@ -49,10 +49,10 @@
 /// A receiver in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListedReceiver {
-    /// Its destination.
+    /// The receiver's destination.
     pub destination: DestinationId,
-    /// Its id in the policy.
+    /// The receiver's id in the policy.
     pub route: RouteId,
-    /// Its name in datagrams.
+    /// The receiver's name in datagrams.
     pub receiver: ReceiverId,
 }
--- a/crates/sender/src/event/delivery.rs
+++ b/crates/sender/src/event/delivery.rs
@@ -1,4 +1,4 @@
-//! The submission of a message, the response to it, and the attempts to deliver the message.
+//! Submissions of messages with their responses, and calls to receivers with their outcomes.
 
 use bytes::Bytes;
 use rudderspindle_journal::MessageId;
@@ -10,10 +10,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SubmissionId(pub u64);
 
-/// A message that a client submits, and the channel for the response to it.
+/// A message that a client submits, and the sender of the response.
 #[derive(Debug)]
 pub struct Submission {
-    /// The submission's id.
+    /// Identifies the submission, not the message.
     pub id: SubmissionId,
     /// The id that the client gave the message.
     pub message_id: MessageId,
@@ -21,16 +21,16 @@
     pub class: usize,
     /// Index of the tenant in the settings.
     pub tenant: usize,
-    /// The destination.
+    /// The destination of the message.
     pub destination: DestinationId,
     /// The idempotency key, if the client gave one.
     pub idempotency_key: Option<Bytes>,
-    /// The payload.
+    /// The message's payload.
     pub body: Bytes,
     /// The message's deadline.
     pub deadline: Instant,
-    /// The channel for the response; closed once the client has disconnected.
-    pub response: oneshot::Sender<SubmissionResponse>,
+    /// Sends the response to the client's connection; closed once the client has disconnected.
+    pub response_sender: oneshot::Sender<SubmissionResponse>,
 }
 
 /// The response to a submission.
@@ -40,7 +40,7 @@
     Accepted,
     /// The message was shed.
     Refused {
-        /// When the client should submit it again; 0 for no advice.
+        /// After which time the client should submit the message again; 0 if no time is given.
         retry_after: Millis,
     },
     /// The message cannot be delivered.
@@ -50,39 +50,39 @@
 }
 
 impl SubmissionResponse {
-    /// The message was shed, without advice on when to submit it again.
+    /// The message was shed; no time for another submission is given.
     pub const REFUSED: Self = Self::Refused { retry_after: 0.0 };
 }
 
-/// One attempt to deliver a message.
+/// The call that makes one attempt to deliver a message.
 #[derive(Debug)]
 pub struct Call {
-    /// The message.
+    /// The message's handle.
     pub id: MessageHandle,
     /// Index of the attempt, from 0.
     pub attempt: u32,
-    /// The receiver to call.
+    /// The receiver to call, by its id in the policy.
     pub route: RouteId,
-    /// The message's id on the wire.
+    /// The id that the client gave the message; it is sent to the receiver.
     pub message_id: MessageId,
     /// The idempotency key, if the message has one.
     pub idempotency_key: Option<Bytes>,
-    /// The payload.
+    /// The message's payload.
     pub body: Bytes,
-    /// When the response must have arrived.
+    /// The latest time at which the response counts.
     pub response_deadline: Instant,
-    /// When the request must be written completely; it is not sent later than this.
+    /// When the request must be written completely; no part of it is sent after this time.
     pub write_deadline: Instant,
 }
 
 /// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallOutcome {
-    /// The outcome in the policy's terms.
+    /// The outcome as the policy classifies it.
     pub outcome: Outcome,
     /// The backoff that the receiver requests; 0 for none.
     pub retry_after: Millis,
-    /// Whether the message is complete: it needs neither a further attempt nor a notification.
+    /// Whether the message is complete, that is, needs neither a further attempt nor a notification.
     pub completed: bool,
 }
 
--- a/crates/sender/src/event/endpoints.rs
+++ b/crates/sender/src/event/endpoints.rs
@@ -1,13 +1,13 @@
-//! The endpoint list in the encoding of discovery.
+//! The endpoint list, decoded from the JSON of discovery.
 
 use serde::Deserialize;
 
-/// An endpoint list, or the changed entries of one.
+/// A complete endpoint list, or the entries that have changed since an earlier revision.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
-    /// The list's revision.
+    /// The revision of the list, from which the watch continues.
     pub revision: u64,
-    /// Whether this is the complete list; receivers that are not in it have been removed then.
+    /// Whether this is the complete list. If so, receivers that are not in it have been removed.
     pub complete: bool,
     /// The entries.
     pub members: Vec<Endpoint>,
@@ -18,21 +18,21 @@
 pub struct Endpoint {
     /// The receiver's id.
     pub id: String,
-    /// Address to call, `IP:port`.
+    /// The address to call, as `IP:port`.
     #[serde(default)]
     pub host_port: String,
-    /// Name of its zone.
+    /// Name of the receiver's zone.
     #[serde(default, rename = "locality")]
     pub zone: String,
-    /// Name of its kind in the settings.
+    /// Name of the receiver's kind in the settings.
     #[serde(default, rename = "flavor")]
     pub kind: String,
-    /// Its destination.
+    /// The receiver's destination.
     #[serde(rename = "cell")]
     pub destination: u16,
-    /// Its lifecycle phase: `SERVING`, `DELETED`, or another while it drains.
+    /// The receiver's lifecycle phase: `SERVING`, `DELETED`, or any other text while the receiver drains.
     pub phase: String,
-    /// Its announced rate limit, in calls per second; 0 for none.
+    /// The receiver's announced rate limit, in calls per second; 0 for none.
     #[serde(default, rename = "size")]
     pub rate: f64,
 }
--- a/crates/sender/src/event/limits.rs
+++ b/crates/sender/src/event/limits.rs
@@ -1,4 +1,4 @@
-//! This sender's shares of limits and quotas of the fleet.
+//! This sender's permits, and its shares of the tenants' quotas.
 
 use rudderspindle_policy::interface::LimitScope;
 
@@ -7,7 +7,7 @@
 pub struct PermitUpdate {
     /// The limit.
     pub scope: LimitScope,
-    /// The permits; their times are wall clock times, in milliseconds since 1970.
+    /// The permits. Their times are wall clock times, in milliseconds since 1970.
     pub permits: Vec<rudderspindle_gossip::Permit>,
 }
 
@@ -16,6 +16,6 @@
 pub struct TenantQuota {
     /// Index of the tenant in the settings.
     pub tenant: usize,
-    /// Messages per second; `None` while no other sender's usage is known.
+    /// The share in messages per second; `None` while no other sender's usage is known.
     pub messages_per_s: Option<f64>,
 }
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -92,7 +92,7 @@
     pub(super) fn exchange(&mut self, now: UnixMillis, activity: &ActivityReport) -> Vec<Input> {
         self.record(now, activity);
         let mut inputs = Vec::new();
-        inputs.extend(self.update_ejections(now, &activity.listed));
+        inputs.extend(self.update_ejections(now, &activity.listed_receivers));
         if !self.quotas.is_empty() {
             inputs.push(Input::Quotas(self.quota_shares(now)));
         }
@@ -100,10 +100,10 @@
     }
 
     fn record(&mut self, now: UnixMillis, activity: &ActivityReport) {
-        for result in &activity.results {
+        for result in &activity.call_results {
             self.view.record_call(now, result.receiver, result.result);
         }
-        for usage in &activity.accepted {
+        for usage in &activity.accepted_messages {
             for _ in 0..usage.messages {
                 self.view.record_message(now, usage.tenant);
             }
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -113,7 +113,7 @@
         &self,
         head: SubmissionHead,
         body: Bytes,
-        response: oneshot::Sender<SubmissionResponse>,
+        response_sender: oneshot::Sender<SubmissionResponse>,
     ) -> Submission {
         let max_remaining_s = self.settings.classes[head.class].deadline / 1_000.0;
         let remaining = Duration::from_secs_f64(head.remaining_s.min(max_remaining_s));
@@ -128,7 +128,7 @@
             idempotency_key: head.idempotency_key,
             body,
             deadline: Instant::now() + remaining,
-            response,
+            response_sender,
         }
     }
 
@@ -149,7 +149,7 @@
 
     /// Rejects a message that is not sent to the engine, which would count it otherwise.
     fn reject_for_capacity(&self, class: usize) -> RequestRejection {
-        self.metrics.record_outcome(class, FinalOutcome::Rejected);
+        self.metrics.count_outcome(class, FinalOutcome::Rejected);
         self.overloaded(0.0)
     }
 
--- a/crates/sender/src/inbound/tests.rs
+++ b/crates/sender/src/inbound/tests.rs
@@ -89,7 +89,7 @@
             let Some(Input::Submitted(submission)) = self.inputs.recv().await else {
                 panic!("not submitted")
             };
-            submission.response.send(SubmissionResponse::Accepted).expect("it waits for the decision");
+            submission.response_sender.send(SubmissionResponse::Accepted).expect("it waits for the decision");
             std::future::pending::<()>().await;
         };
         let either = async {
@@ -156,7 +156,7 @@
         let mut client = setup.connect().await;
         client.write_all(REQUEST).await.expect("writable");
         let Input::Submitted(submission) = setup.next_input().await else { panic!("not submitted") };
-        submission.response.send(SubmissionResponse::Accepted).expect("it waits for the decision");
+        submission.response_sender.send(SubmissionResponse::Accepted).expect("it waits for the decision");
         let mut head = [0; 12];
         client.read_exact(&mut head).await.expect("a response");
         assert_eq!(&head, b"HTTP/1.1 202");
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of this process, and the engine's status, as one JSON line for operators.
+//! Counters of this process and the status of its engine, reported to operators as one JSON line.
 //!
 //! Events are counted where they occur; reading the counters does not wait for the engine.
 
@@ -13,9 +13,9 @@
 pub enum FinalOutcome {
     /// Delivered.
     Delivered,
-    /// Shed: refused when it was submitted, or reported as deferred in a notification.
+    /// Shed: refused at its submission, or reported as deferred in a notification.
     Rejected,
-    /// Failed: no further attempt is made.
+    /// Reported as undeliverable: no further attempt is made.
     Failed,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The engine's status at one moment.
+/// The engine's status at the time of the report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EngineStatus {
     /// Number of messages that are accepted and not complete.
@@ -49,8 +49,8 @@
     /// Number of calls whose request was written completely.
     calls_written: Cell<u64>,
     /// Number of open connections of clients.
-    clients: Cell<usize>,
-    /// The engine's status as last reported.
+    client_connections: Cell<usize>,
+    /// The engine's status as last set.
     engine_status: Cell<EngineStatus>,
 }
 
@@ -62,7 +62,7 @@
     failed: u64,
 }
 
-/// The JSON line; its keys are part of the control protocol.
+/// The JSON line; the keys are part of the control protocol.
 #[derive(Serialize)]
 struct Report<'a> {
     #[serde(rename = "fulfilled")]
@@ -78,19 +78,19 @@
 }
 
 impl Metrics {
-    /// Counters at zero; `classes` are the names of the classes, by index.
+    /// Creates counters at zero; `classes` are the names of the classes, by index.
     pub fn new(classes: &[String]) -> Self {
         Self {
             classes: classes.to_vec(),
             outcomes: RefCell::new(vec![OutcomeCounts::default(); classes.len()]),
             calls_written: Cell::new(0),
-            clients: Cell::new(0),
+            client_connections: Cell::new(0),
             engine_status: Cell::default(),
         }
     }
 
-    /// Counts the final outcome of a message of this class; a class that does not exist is ignored.
-    pub fn record_outcome(&self, class: usize, outcome: FinalOutcome) {
+    /// Counts the final outcome of a message; the outcome of a `class` that does not exist is ignored.
+    pub fn count_outcome(&self, class: usize, outcome: FinalOutcome) {
         if let Some(counts) = self.outcomes.borrow_mut().get_mut(class) {
             match outcome {
                 FinalOutcome::Delivered => counts.delivered += 1,
@@ -105,19 +105,19 @@
         self.calls_written.set(self.calls_written.get() + 1);
     }
 
-    /// Counts a client's connection.
+    /// Counts a new connection of a client.
     pub fn client_connected(&self) {
-        self.clients.set(self.clients.get() + 1);
+        self.client_connections.set(self.client_connections.get() + 1);
     }
 
-    /// Counts the end of a client's connection.
+    /// Counts a closed connection of a client.
     pub fn client_disconnected(&self) {
-        self.clients.set(self.clients.get().saturating_sub(1));
+        self.client_connections.set(self.client_connections.get().saturating_sub(1));
     }
 
     /// Number of open connections of clients.
-    pub fn clients(&self) -> usize {
-        self.clients.get()
+    pub fn client_connections(&self) -> usize {
+        self.client_connections.get()
     }
 
     /// Stores the engine's status for the next report.
@@ -125,16 +125,16 @@
         self.engine_status.set(status);
     }
 
-    /// All counters as one line of JSON, without a line end.
+    /// Formats all counters and the engine's status as one line of JSON, without a line break.
     pub fn to_json(&self) -> String {
         let outcomes = self.outcomes.borrow();
-        let by_class = |count: fn(&OutcomeCounts) -> u64| -> BTreeMap<&str, u64> {
+        let counts_by_class = |count: fn(&OutcomeCounts) -> u64| -> BTreeMap<&str, u64> {
             self.classes.iter().map(String::as_str).zip(outcomes.iter().map(count)).collect()
         };
         let report = Report {
-            delivered: by_class(|counts| counts.delivered),
-            rejected: by_class(|counts| counts.rejected),
-            failed: by_class(|counts| counts.failed),
+            delivered: counts_by_class(|counts| counts.delivered),
+            rejected: counts_by_class(|counts| counts.rejected),
+            failed: counts_by_class(|counts| counts.failed),
             calls_written: self.calls_written.get(),
             engine_status: self.engine_status.get(),
         };
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -125,7 +125,8 @@
         spawn_local(async move {
             let exchange = Exchange::call(&call, &cancelled);
             let exchanged = outbound.exchange(&exchange).await;
-            let outcome = Input::Outcome { id: call.id, attempt: call.attempt, result: exchanged.result };
+            let outcome =
+                Input::AttemptFinished { id: call.id, attempt: call.attempt, outcome: exchanged.result };
             let _ = outbound.to_engine.send(outcome).await;
             outbound.recycle(call.route, exchanged.used_connection).await;
         });
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -81,8 +81,8 @@
 }
 
 async fn next_outcome(inputs: &mut mpsc::Receiver<Input>) -> CallOutcome {
-    let Input::Outcome { result, .. } = next(inputs).await else { panic!("no outcome") };
-    result
+    let Input::AttemptFinished { outcome, .. } = next(inputs).await else { panic!("no outcome") };
+    outcome
 }
 
 /// Reads the next request to its last byte.
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -28,10 +28,10 @@
 
 /// Maximum number of inputs that wait for the engine.
 const INPUT_QUEUE_LEN: usize = 4096;
-/// Bytes in a megabyte of the configuration.
+/// Number of bytes in a megabyte, the configuration's unit of the disk budget.
 const BYTES_PER_MB: f64 = 1_000_000.0;
 
-/// A sender that listens, and runs once [`Service::run`] is polled.
+/// A sender that listens for clients; its engine runs while [`Service::run`] is polled.
 pub struct Service {
     engine: Engine,
     inbound: Rc<Inbound>,
@@ -50,16 +50,17 @@
 }
 
 impl Service {
-    /// Starts a sender on the journal in the folder `state`, and listens. Its tasks run on the current
-    /// [`tokio::task::LocalSet`] and end with it; dropping the set has the effect of a kill.
+    /// Starts a sender on the journal in the folder `state`, and listens. The sender's tasks run on the current
+    /// [`tokio::task::LocalSet`] and end with it; dropping the set has the effect of killing the process.
     ///
-    /// With `listener`, a listening socket that another process of this sender may hold as well, clients are accepted
-    /// from that instead of the configured address. If another process uses the folder, this one is its successor and
-    /// takes over when it has ended.
+    /// `listener` is a listening socket that another process of this sender may hold as well; if given, clients are
+    /// accepted on it instead of the configured address. If another process uses the folder, this process is its
+    /// successor, and takes over the journal once the other process has ended.
     ///
     /// # Errors
     ///
-    /// [`StartError`] if an address cannot be bound or the journal cannot be opened.
+    /// [`StartError`] if an address cannot be bound, the journal cannot be opened, the settings contradict each other,
+    /// or the incarnation number cannot be stored.
     pub async fn start(
         config: ValidatedConfig,
         state: &Path,
@@ -67,7 +68,7 @@
     ) -> Result<Self, StartError> {
         let ValidatedConfig { mut config, settings, names, fleet } = config;
         let shared_listener = listener.is_some();
-        // First: a process that cannot listen must not change the folder.
+        // Before the folder is used, because a process that cannot listen must not change it.
         let listeners = Listeners::bind(&config, listener).await?;
         let gossip = FleetGossip::new(&config, &settings, fleet);
         let mut store = open_store(state, &config)?;
@@ -80,11 +81,11 @@
         let schedule = PollSchedule::new(shared.settings.discovery, shared.settings.peers_total, seed);
         let fetched = fetch_list(&config, &schedule).await;
         let revision = initial_revision(&schedule, fetched.as_ref());
-        // Before the first client is accepted, as recovered messages have priority.
+        // Built before the first client is accepted, because recovered messages have priority.
         let dependencies =
             engine_dependencies(&shared, seed, store, inputs, shared_listener, gossip.as_ref());
         let engine = build_engine(dependencies, &mut config, fetched.as_ref())?;
-        forward(handover.messages, &shared.to_engine).await;
+        forward_owner_messages(handover.messages, &shared.to_engine).await;
 
         let (discovery, discovery_address) = watch::channel(config.discovery);
         shared.spawn_discovery(discovery_address.clone(), revision, schedule);
@@ -103,7 +104,7 @@
         Ok(Self { engine, inbound, control, addr: listeners.addr })
     }
 
-    /// The address for clients.
+    /// The address on which clients are accepted.
     pub fn local_addr(&self) -> SocketAddr {
         self.addr
     }
@@ -115,7 +116,7 @@
 
     /// Runs until the service has stopped after [`Control::stop`].
     pub async fn run(self) {
-        // Keeps the channels to client connections and watches open until the end.
+        // Keeps the channels of the admission state and of the discovery address open until the service has stopped.
         let _control = self.control;
         self.engine.run().await;
         self.inbound.shut_down().await;
@@ -129,11 +130,11 @@
         let has_successor = self.shared_listener && self.peer_process.is_connected();
         let state = if has_successor { AdmissionState::HandingOver } else { AdmissionState::Stopping };
         self.admission.send_replace(state);
-        // Fails only if the engine has ended.
+        // Sending fails only if the engine has ended.
         let _ = self.to_engine.send(Input::Stop).await;
     }
 
-    /// Applies the one value of a configuration that can change while the service runs: the address of discovery.
+    /// Applies the address of discovery, the only value of a configuration that can change while the service runs.
     pub fn configure(&self, config: &ValidatedConfig) {
         let new_address = config.discovery();
         self.discovery.send_if_modified(|address| std::mem::replace(address, new_address) != new_address);
@@ -146,18 +147,18 @@
     Store::open(state, budget).map_err(|error| StartError::Journal { path: state.to_owned(), error })
 }
 
-/// The seed of all random numbers; 0 if it cannot be read.
+/// The seed of all random numbers; 0 if the configured text is not a hexadecimal number.
 fn seed(config: &Config) -> u64 {
     u64::from_str_radix(&config.seed, 16).unwrap_or_default()
 }
 
-/// The current endpoint list of discovery; the configured one may be older or from another address. `None` for staggered
-/// senders, which receive it with their watch.
+/// Fetches the current endpoint list from discovery, because the configured one may be older or from another address.
+/// `None` if discovery did not send one, and for staggered senders, which receive the list with their watch.
 async fn fetch_list(config: &Config, schedule: &PollSchedule) -> Option<EndpointList> {
     if schedule.is_staggered() { None } else { discovery::fetch(config.discovery).await }
 }
 
-/// The revision from which the watch starts; `None` to have the complete list first.
+/// The revision from which the watch on the endpoint list starts; `None` to request the complete list first.
 fn initial_revision(schedule: &PollSchedule, fetched: Option<&EndpointList>) -> Option<u64> {
     if schedule.is_staggered() { Some(0) } else { fetched.map(|list| list.revision) }
 }
@@ -186,23 +187,23 @@
             inputs,
         },
         shared_listener,
-        record_activity: gossip.is_some_and(FleetGossip::has_fleet_view),
+        collect_activity: gossip.is_some_and(FleetGossip::has_fleet_view),
     }
 }
 
-/// Builds the engine on the configured endpoint list, if there is one, and the fetched one.
+/// Builds the engine with the configured endpoint list (empty if none is configured) and the fetched one.
 fn build_engine(
     dependencies: EngineDependencies,
     config: &mut Config,
     fetched: Option<&EndpointList>,
 ) -> Result<Engine, SettingsError> {
-    let empty = EndpointList { revision: 0, complete: true, members: Vec::new() };
-    let configured = config.known.take().unwrap_or(empty);
+    let empty_list = EndpointList { revision: 0, complete: true, members: Vec::new() };
+    let configured = config.known.take().unwrap_or(empty_list);
     Engine::new(dependencies, &configured, fetched)
 }
 
-/// Forwards the backoffs and the number of calls in flight from the owner to the engine.
-async fn forward(messages: Vec<HandoverMessage>, to_engine: &mpsc::Sender<Input>) {
+/// Forwards the backoffs and the number of calls in flight, which the journal's owner has sent, to the engine.
+async fn forward_owner_messages(messages: Vec<HandoverMessage>, to_engine: &mpsc::Sender<Input>) {
     for message in messages {
         if let Some(input) = message.into_input() {
             let _ = to_engine.send(input).await;
--- a/crates/sender/src/service/tasks.rs
+++ b/crates/sender/src/service/tasks.rs
@@ -1,6 +1,6 @@
 //! Spawns the tasks around the engine.
 //!
-//! They run on the current [`tokio::task::LocalSet`] and end with it at the latest.
+//! The tasks run on the current [`tokio::task::LocalSet`] and end with it at the latest.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,27 +22,27 @@
 use crate::outbound::Outbound;
 use crate::poll_schedule::PollSchedule;
 
-/// What the tasks of one sender share.
+/// The state that the tasks of one sender share.
 #[derive(Debug)]
 pub(super) struct Shared {
     /// The settings.
     pub settings: Settings,
     /// The names of classes, tenants, kinds and zones, by index.
     pub names: Names,
-    /// The counters.
+    /// The counters of this process.
     pub metrics: Rc<Metrics>,
-    /// The notifications to the platform.
+    /// Queue of the notifications for the platform.
     pub notifications: Rc<Notifications>,
-    /// The calls to receivers.
+    /// Starts calls to receivers and health checks.
     pub outbound: Rc<Outbound>,
-    /// The other process of this sender during a takeover.
+    /// The connection to the other process of this sender during a takeover.
     pub peer_process: Rc<PeerProcess>,
-    /// The engine's inputs.
+    /// Sends inputs to the engine.
     pub to_engine: mpsc::Sender<Input>,
 }
 
 impl Shared {
-    /// Creates the shared parts; `max_connections` limits the connections to receivers.
+    /// Creates the shared state; `max_connections` limits the connections to receivers.
     pub fn new(
         settings: Settings,
         names: Names,
@@ -62,7 +62,7 @@
         Self { settings, names, metrics, notifications, outbound: Rc::new(outbound), peer_process, to_engine }
     }
 
-    /// Spawns the watch on the endpoint list. It ends when the engine does.
+    /// Spawns the watch on the endpoint list, which ends when the engine ends.
     pub fn spawn_discovery(
         &self,
         address: watch::Receiver<SocketAddr>,
@@ -72,14 +72,14 @@
         spawn_local(discovery::watch(address, revision, schedule, self.to_engine.clone()));
     }
 
-    /// Spawns the delivery of notifications to the platform. It ends when the engine does.
+    /// Spawns the delivery of notifications to the platform, which ends when the engine ends.
     pub fn spawn_notifications(&self, address: watch::Receiver<SocketAddr>) {
         let notifications = self.notifications.clone();
         let to_engine = self.to_engine.clone();
         spawn_local(async move { notifications.run(address, to_engine).await });
     }
 
-    /// Spawns the task that closes idle connections to receivers. It ends with the local set.
+    /// Spawns the task that closes idle connections to receivers; the task ends with the local set.
     pub fn spawn_idle_sweep(&self) {
         let outbound = self.outbound.clone();
         spawn_local(async move { outbound.sweep().await });
@@ -105,7 +105,7 @@
         inbound
     }
 
-    /// Spawns the task that serves operators. It ends with the local set.
+    /// Spawns the task that serves operators; the task ends with the local set.
     pub fn spawn_control(&self, listener: TcpListener, admission: watch::Sender<AdmissionState>) {
         if let Ok(addr) = listener.local_addr() {
             tracing::info!("operators: listening on {addr}");
