--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -73,8 +73,8 @@
                 self.io.metrics.count_outcome(class, status.into());
                 effects.responses.push(PendingResponse { response_sender, response: response_to(status) });
             } else {
-                tracing::debug!(target: MESSAGE_LOG, message_id = &*journal_message.message_id, class = &*journal_message.class,
-                    destination = journal_message.destination, "accepted");
+                tracing::debug!(target: MESSAGE_LOG, message_id = &*journal_message.message_id,
+                    class = &*journal_message.class, destination = journal_message.destination, "accepted");
                 self.store.accept(journal_message);
                 effects.accepted.push(AcceptedSubmission { id, response_sender });
             }
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -148,8 +148,8 @@
     fn track_recovered_message(&mut self, now: Instant, recovered: RecoveredMessage) -> Event {
         let RecoveredMessage { class, deadline, possibly_executed, message: journal_message, .. } = recovered;
         let time_left = to_millis(deadline.saturating_duration_since(now));
-        tracing::debug!(target: MESSAGE_LOG, message_id = &*journal_message.message_id, attempts = journal_message.attempts,
-            possibly_executed = ?journal_message.possibly_executed, time_left, "recovered");
+        tracing::debug!(target: MESSAGE_LOG, message_id = &*journal_message.message_id,
+            attempts = journal_message.attempts, possibly_executed = ?journal_message.possibly_executed, time_left, "recovered");
         let possibly_executed = possibly_executed.map(|RecoveredExecution { read_at, execution }| {
             let time_since_read = to_millis(now.saturating_duration_since(read_at));
             PriorExecution { ago: execution.ago + time_since_read, ..execution }
