--- a/crates/sender/src/inbound/tests.rs
+++ b/crates/sender/src/inbound/tests.rs
@@ -94,7 +94,7 @@
                 panic!("expected a submission")
             };
             submission
-                .response
+                .response_sender
                 .send(SubmissionResponse::Accepted)
                 .expect("a request that waits for the response");
             std::future::pending::<()>().await;
@@ -172,7 +172,7 @@
         client.write_all(SUBMISSION).await.expect("write to the connection");
         let Input::Submitted(submission) = setup.next_input().await else { panic!("expected a submission") };
         submission
-            .response
+            .response_sender
             .send(SubmissionResponse::Accepted)
             .expect("a request that waits for the response");
         let mut head = [0; 12];
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -127,8 +127,11 @@
         spawn_local(async move {
             let exchange = Exchange::call(&call, &cancelled);
             let exchange_outcome = outbound.exchange(&exchange).await;
-            let input =
-                Input::Outcome { id: call.id, attempt: call.attempt, result: exchange_outcome.call_outcome };
+            let input = Input::AttemptFinished {
+                id: call.id,
+                attempt: call.attempt,
+                outcome: exchange_outcome.call_outcome,
+            };
             let _ = outbound.to_engine.send(input).await;
             outbound.recycle(call.route, exchange_outcome.used_connection).await;
         });
--- a/crates/sender/src/outbound/tests.rs
+++ b/crates/sender/src/outbound/tests.rs
@@ -84,8 +84,10 @@
 }
 
 async fn next_call_outcome(inputs: &mut mpsc::Receiver<Input>) -> CallOutcome {
-    let Input::Outcome { result, .. } = next_input(inputs).await else { panic!("expected an outcome") };
-    result
+    let Input::AttemptFinished { outcome, .. } = next_input(inputs).await else {
+        panic!("expected an outcome")
+    };
+    outcome
 }
 
 /// Reads the next request to its last byte.
