--- a/crates/sender/src/discovery.rs
+++ b/crates/sender/src/discovery.rs
@@ -12,5 +12,5 @@
 pub use client::fetch;
 pub use watcher::watch;
 
-/// Log target of each request to discovery and its result.
+/// Log target of the requests to discovery, the received lists and the errors.
 const LOG_TARGET: &str = "discovery";
--- a/crates/sender/src/discovery/client.rs
+++ b/crates/sender/src/discovery/client.rs
@@ -14,20 +14,22 @@
 use crate::event::EndpointList;
 use crate::platform::{Connection, Driver, HttpError, connect};
 
-/// How long a starting process waits for the full list.
+/// Timeout of the request for the full list at the start of the process.
 pub(super) const STARTUP_FETCH_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The body of a response; its connection is closed when this is dropped.
+/// The body of a response. Dropping it closes the connection.
 #[derive(Debug)]
 pub(super) struct StreamingResponse {
     pub(super) body: Incoming,
+    /// Held until the body has been read, because dropping it closes the connection.
     _driver: Driver,
 }
 
-/// Fetches the full list at the start of the process; `None` if that fails or takes too long.
+/// Fetches the full list at the start of the process; `None` if the request fails or takes longer than
+/// [`STARTUP_FETCH_TIMEOUT`].
 pub async fn fetch(addr: SocketAddr) -> Option<EndpointList> {
-    let list = timeout(STARTUP_FETCH_TIMEOUT, fetch_full_list(addr, STARTUP_FETCH_TIMEOUT)).await;
-    match list.unwrap_or(Err(HttpError::TimedOut.into())) {
+    let result = timeout(STARTUP_FETCH_TIMEOUT, fetch_full_list(addr, STARTUP_FETCH_TIMEOUT)).await;
+    match result.unwrap_or(Err(HttpError::TimedOut.into())) {
         Ok(list) => Some(list),
         Err(error) => {
             tracing::warn!(%error, "discovery list not received; starting with the configured one");
@@ -36,11 +38,11 @@
     }
 }
 
-/// Fetches the full list. Its response has to begin within `response_timeout`.
+/// Fetches the full list. The response has to begin within `response_timeout`; the caller limits the time for the body.
 ///
 /// # Errors
 ///
-/// [`WatchError`] if the request fails, or the body is not a complete list.
+/// [`WatchError`] if the request fails, or the body is not a full list.
 pub(super) async fn fetch_full_list(
     addr: SocketAddr,
     response_timeout: Duration,
@@ -52,7 +54,7 @@
     if list.complete { Ok(list) } else { Err(WatchError::Incomplete) }
 }
 
-/// Opens a watch for changes after a revision. Its response has to begin within `response_timeout`.
+/// Opens a watch for the changes after a revision. The response has to begin within `response_timeout`.
 ///
 /// # Errors
 ///
@@ -66,7 +68,7 @@
     get(addr, &path, response_timeout).await
 }
 
-/// Sends a GET request on a new connection; its response has to begin within `response_timeout`.
+/// Sends a GET request on a new connection. The response has to begin within `response_timeout`.
 async fn get(
     addr: SocketAddr,
     path: &str,
--- a/crates/sender/src/discovery/decoder.rs
+++ b/crates/sender/src/discovery/decoder.rs
@@ -1,7 +1,8 @@
-//! Incremental decoder for the body of a watch, independent of how the bytes are split into frames. No I/O, no clock.
+//! Incremental decoder for the body of a watch, independent of how the bytes are split into frames. It uses no I/O and
+//! no clock.
 //!
-//! A list is one JSON object on one line or several. An empty line between two lists is a heartbeat. Each byte is
-//! scanned once, and a list is parsed once its closing bracket has arrived.
+//! A list is one JSON object on one or several lines. An empty line between two lists is a heartbeat. Each byte is
+//! scanned once, and a list is parsed as soon as its closing bracket has been scanned.
 
 use crate::event::EndpointList;
 
@@ -12,38 +13,40 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DecodeError {
     /// A list is longer than [`MAX_LIST_LEN`].
-    #[error("a list of over {MAX_LIST_LEN} bytes")]
+    #[error("the list is longer than {MAX_LIST_LEN} bytes")]
     TooLong,
-    /// A JSON value is not a list.
-    #[error("unreadable list: {0}")]
+    /// A bracketed JSON value is not a list.
+    #[error("malformed list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A byte between two lists that begins neither a list nor a line.
-    #[error("{0:?} between lists")]
+    /// A byte between two lists is neither white space nor an opening bracket.
+    #[error("unexpected character {0:?} between lists")]
     UnexpectedByte(char),
-    /// A line ends within a string: the list was cut off, and the next line follows.
-    #[error("a line that ends within a string")]
+    /// A line ends within a string, which means that the list was truncated before the line end.
+    #[error("line ends within a JSON string: the list is truncated")]
     UnterminatedString,
 }
 
 /// An event of a watch.
 #[derive(Debug)]
 pub(super) enum WatchEvent {
-    /// A full list, or the changes of one.
+    /// A full list, or a list of changes.
     List(EndpointList),
-    /// An empty line between lists: nothing has changed.
+    /// An empty line between lists, which discovery sends if nothing has changed.
     Heartbeat,
 }
 
 /// Decodes the events of a watch from its bytes.
 #[derive(Debug, Default)]
 pub(super) struct Decoder {
+    /// Received bytes that have not been discarded.
     bytes: Vec<u8>,
-    /// Offset of the first byte that is not part of a returned event.
+    /// Offset in `bytes` of the first byte after the last returned event.
     start: usize,
-    /// Number of bytes that have been scanned.
+    /// Number of scanned bytes at the start of `bytes`.
     scanned: usize,
     /// Number of open brackets; zero between two lists.
     depth: usize,
+    /// Whether the next byte belongs to a JSON string.
     in_string: bool,
     /// Whether the previous byte was a backslash in a string.
     escaped: bool,
@@ -52,7 +55,7 @@
 }
 
 impl Decoder {
-    /// Appends received bytes.
+    /// Appends received bytes and discards those of returned events.
     pub(super) fn feed(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.start);
         self.scanned -= self.start;
@@ -64,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if the bytes are not an event; nothing after them can be decoded either.
+    /// [`DecodeError`] if the bytes are not an event. Later bytes cannot be decoded either.
     pub(super) fn next(&mut self) -> Result<Option<WatchEvent>, DecodeError> {
         while let Some(&byte) = self.bytes.get(self.scanned) {
             self.scanned += 1;
@@ -83,14 +86,14 @@
             _ if self.escaped => self.escaped = false,
             b'\\' => self.escaped = true,
             b'"' => self.in_string = false,
-            // Not allowed in a JSON string.
+            // A JSON string cannot contain a line feed.
             b'\n' => return Err(DecodeError::UnterminatedString),
             _ => {}
         }
         Ok(())
     }
 
-    /// Scans a byte outside strings; returns the event that it completes.
+    /// Scans a byte outside strings; returns the event that ends with it, if any.
     fn scan(&mut self, byte: u8) -> Result<Option<WatchEvent>, DecodeError> {
         match byte {
             b'\n' if self.depth == 0 => return Ok(self.end_line()),
@@ -110,14 +113,14 @@
         Ok(None)
     }
 
-    /// Ends a line between lists; a heartbeat if it is empty.
+    /// Ends a line between lists; returns a heartbeat if the line is empty.
     fn end_line(&mut self) -> Option<WatchEvent> {
         self.start = self.scanned;
         let had_content = std::mem::take(&mut self.line_has_content);
         (!had_content).then_some(WatchEvent::Heartbeat)
     }
 
-    /// Parses the list whose closing bracket was scanned last.
+    /// Parses the list that ends with the byte scanned last.
     fn parse_list(&mut self) -> Result<WatchEvent, DecodeError> {
         let list = serde_json::from_slice(&self.bytes[self.start..self.scanned])?;
         self.start = self.scanned;
--- a/crates/sender/src/discovery/decoder/tests.rs
+++ b/crates/sender/src/discovery/decoder/tests.rs
@@ -1,11 +1,11 @@
-//! The decoded events do not depend on how the bytes of a watch are split.
+//! Decoding of lists and heartbeats, independent of how the bytes of a watch are split.
 
 use proptest::prelude::{Just, Strategy, any, prop, prop_assert, prop_assert_eq, prop_oneof, proptest};
 use serde_json::{Value, json};
 
 use super::{DecodeError, Decoder, MAX_LIST_LEN, WatchEvent};
 
-/// A list's revision, whether it is complete, and its members' ids; `None` for a heartbeat.
+/// A list's revision, `complete`, and the ids of its members; `None` for a heartbeat.
 type Decoded = Option<(u64, bool, Vec<String>)>;
 
 fn entry(id: &str) -> Value {
@@ -18,7 +18,7 @@
     json!({"revision": revision, "complete": false, "members": members})
 }
 
-/// The events of a watch whose bytes arrive in these parts, up to the first error.
+/// The events decoded from these parts of a body, up to the first error.
 fn decode<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> (Vec<Decoded>, Result<(), DecodeError>) {
     let (mut decoder, mut decoded) = (Decoder::default(), Vec::new());
     for part in parts {
@@ -38,8 +38,8 @@
     (decoded, Ok(()))
 }
 
-/// A list on one line or indented, or an empty line, with either kind of line end; and the event that it is.
-fn decoded() -> impl Strategy<Value = (Decoded, String)> {
+/// An event, and its encoding: a list on one line or indented, or an empty line, with either kind of line end.
+fn event() -> impl Strategy<Value = (Decoded, String)> {
     let id = prop_oneof!["[a-z]{1,6}", Just("{[\"\\\n}]".to_owned()), Just("s-\u{e9}\u{4e2d}".to_owned())];
     let list = (any::<u64>(), any::<bool>(), prop::collection::vec(id, 0..4), any::<bool>());
     let list = list.prop_map(|(revision, complete, ids, indented)| {
@@ -50,14 +50,14 @@
         (Some((revision, complete, ids)), text.expect("JSON"))
     });
     (prop_oneof![3 => list, 1 => Just((None, String::new()))], any::<bool>())
-        .prop_map(|((decoded, text), dos)| (decoded, text + if dos { "\r\n" } else { "\n" }))
+        .prop_map(|((decoded, text), crlf)| (decoded, text + if crlf { "\r\n" } else { "\n" }))
 }
 
 proptest! {
     #[test]
-    fn the_events_are_the_same_when_split_at_any_byte(script in prop::collection::vec(decoded(), 1..5)) {
-        let expected: Vec<Decoded> = script.iter().map(|(decoded, _)| decoded.clone()).collect();
-        let bytes: Vec<u8> = script.iter().flat_map(|(_, text)| text.bytes()).collect();
+    fn the_events_are_the_same_when_split_at_any_byte(events in prop::collection::vec(event(), 1..5)) {
+        let expected: Vec<Decoded> = events.iter().map(|(decoded, _)| decoded.clone()).collect();
+        let bytes: Vec<u8> = events.iter().flat_map(|(_, text)| text.bytes()).collect();
         for cut in 0..=bytes.len() {
             let (decoded, end) = decode([&bytes[..cut], &bytes[cut..]]);
             prop_assert!(end.is_ok(), "cut at {}: {:?}", cut, end);
@@ -76,18 +76,18 @@
 }
 
 #[test]
-fn a_list_is_complete_with_its_closing_bracket_without_the_end_of_the_line() {
+fn a_list_ends_with_its_closing_bracket_not_with_the_line() {
     let text = serde_json::to_string_pretty(&list(8, &["a"])).expect("JSON");
     let (decoded, end) = decode([text.as_bytes()]);
     assert!(end.is_ok(), "{end:?}");
     assert_eq!(decoded, [Some((8, false, vec!["a".to_owned()]))]);
 }
 
-/// A list that is truncated within a string is an error; the next list is not taken for its rest.
+/// The list is truncated within a string; the next list must not be decoded as the rest of it.
 #[test]
 fn a_line_that_ends_within_a_string_is_an_error() {
     let complete = list(8, &["abcdef"]).to_string();
-    let cut = complete.find("abc").expect("it is there") + 2;
+    let cut = complete.find("abc").expect("the id") + 2;
     let (decoded, end) = decode([format!("{}\n{complete}\n", &complete[..cut]).as_bytes()]);
     assert!(
         matches!(end, Err(DecodeError::UnterminatedString)) && decoded.is_empty(),
@@ -95,9 +95,8 @@
     );
 }
 
-/// An empty line within an incomplete list is no heartbeat.
 #[test]
-fn an_empty_line_within_a_list_is_no_heartbeat() {
+fn an_empty_line_within_a_list_is_not_a_heartbeat() {
     let (decoded, end) = decode(["{\"revision\": 8,\n".as_bytes(), b"\n", b"\r\n", b"\n"]);
     assert!(end.is_ok() && decoded.is_empty(), "{decoded:?}, {end:?}");
 }
@@ -110,12 +109,13 @@
         let (decoded, end) = decode([bytes]);
         assert!(end.is_err() && decoded.is_empty(), "{what}: {decoded:?}");
     }
-    let much = vec![b' '; MAX_LIST_LEN + 1];
-    let (_, end) = decode([&b"{"[..], &much]);
+    let too_many_bytes = vec![b' '; MAX_LIST_LEN + 1];
+    let (_, end) = decode([&b"{"[..], &too_many_bytes]);
     assert!(matches!(end, Err(DecodeError::TooLong)), "{end:?}");
 }
 
-/// Four megabytes in frames of a kilobyte; a decoder that starts over with each frame would scan eight billion bytes.
+/// The list has four megabytes in frames of a kilobyte; a decoder that scans the whole list again after each frame
+/// would scan eight billion bytes.
 #[test]
 fn each_byte_of_a_large_list_in_many_frames_is_scanned_once() {
     let ids: Vec<String> = (0..25_000).map(|n| format!("s-{n:08x}")).collect();
--- a/crates/sender/src/discovery/session.rs
+++ b/crates/sender/src/discovery/session.rs
@@ -1,4 +1,4 @@
-//! The watch on one connection: the full list first if its revision is not known, then changes as they arrive.
+//! One session of the watch: fetches the full list if no revision is known, then receives changes on one connection.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,10 +21,10 @@
 /// Minimum timeout of a request for the full list.
 const MIN_FULL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The progress of a watch over all of its sessions.
+/// The progress of the watch over all sessions.
 #[derive(Debug)]
 pub(super) struct WatchProgress {
-    /// Revision of the last list; `None` if the full list has to be fetched.
+    /// Revision of the last received list; `None` if the full list has to be fetched.
     pub(super) revision: Option<u64>,
     /// When the last request began or, on a watch, when the last event arrived.
     pub(super) last_activity: Instant,
@@ -32,18 +32,20 @@
     pub(super) received_event: bool,
 }
 
-/// The watch on one connection.
+/// One session of the watch.
 #[derive(Debug)]
 pub(super) struct Session<'a> {
+    /// The address of discovery.
     pub(super) addr: SocketAddr,
-    /// Maximum time until a response begins.
+    /// Maximum time from a request until its response begins.
     pub(super) response_timeout: Duration,
     pub(super) progress: &'a mut WatchProgress,
+    /// Inputs of the engine, which receives the lists.
     pub(super) engine: &'a mpsc::Sender<Input>,
 }
 
 impl Session<'_> {
-    /// Sends lists to the engine until the watch ends; returns why it ended.
+    /// Sends lists to the engine until the session ends; returns the reason.
     pub(super) async fn run(&mut self) -> WatchError {
         match self.watch().await {
             Ok(never) => match never {},
@@ -55,7 +57,7 @@
         self.progress.last_activity = Instant::now();
         let from = match self.progress.revision {
             Some(revision) => revision,
-            None => self.load_full_list().await?,
+            None => self.deliver_full_list().await?,
         };
         tracing::debug!(target: LOG_TARGET, addr = %self.addr, from, "requesting changes");
         let response = open_watch(self.addr, from, self.response_timeout).await?;
@@ -71,7 +73,7 @@
     }
 
     /// Fetches the full list and sends it to the engine; returns its revision.
-    async fn load_full_list(&mut self) -> Result<u64, WatchError> {
+    async fn deliver_full_list(&mut self) -> Result<u64, WatchError> {
         tracing::debug!(target: LOG_TARGET, addr = %self.addr, "requesting the full list");
         let list_timeout = self.response_timeout.max(MIN_FULL_LIST_TIMEOUT);
         let list = timeout(list_timeout, fetch_full_list(self.addr, self.response_timeout))
@@ -83,7 +85,8 @@
         Ok(revision)
     }
 
-    /// Feeds the next frame of the body to the decoder. Only complete events restart the idle timeout.
+    /// Feeds the next frame of the body to the decoder. The idle timeout runs from the last complete event, so
+    /// incomplete ones do not restart it.
     async fn receive_frame(&self, body: &mut Incoming, decoder: &mut Decoder) -> Result<(), WatchError> {
         let idle_at = self.progress.last_activity + WATCH_IDLE_TIMEOUT;
         let frame = timeout_at(idle_at, body.frame()).await.map_err(|_| HttpError::TimedOut)?;
@@ -103,7 +106,7 @@
         self.deliver(list).await
     }
 
-    /// Sends a list to the engine; later watches start at its revision.
+    /// Sends a list to the engine; later sessions start at its revision.
     async fn deliver(&mut self, list: EndpointList) -> Result<(), WatchError> {
         self.progress.revision = Some(list.revision);
         self.engine.send(Input::List(list)).await.map_err(|_| WatchError::EngineClosed)
--- a/crates/sender/src/discovery/tests.rs
+++ b/crates/sender/src/discovery/tests.rs
@@ -17,12 +17,12 @@
 
 // ---- Lists in pieces -------------------------------------------------------------------------------------
 
-/// A list may be indented, with each line in a separate frame.
+/// Each line of an indented list arrives in a separate frame, on a watch that stays open.
 #[tokio::test]
-async fn an_indented_list_in_many_frames_is_received_and_the_watch_stays_open() {
+async fn indented_lists_in_many_frames_are_received() {
     local(async {
         let discovery = ScriptedDiscovery::start().await;
-        let mut running = start_agent_watch(discovery.addr, Some(41));
+        let mut watch = start_agent_watch(discovery.addr, Some(41));
         let (from, mut stream) = discovery.accept_watch().await;
         assert_eq!(from, 41);
         write(&mut stream, WATCH_HEAD).await;
@@ -35,7 +35,7 @@
                 write(&mut stream, chunk(line)).await;
                 tokio::task::yield_now().await;
             }
-            assert_eq!(running.next_revision().await, revision);
+            assert_eq!(watch.next_revision().await, revision);
             write(&mut stream, chunk("\n")).await;
         }
     })
@@ -43,10 +43,10 @@
 }
 
 #[tokio::test]
-async fn a_watch_that_ends_within_a_list_resumes_after_the_last_complete_one() {
+async fn a_watch_cut_off_within_a_list_resumes_after_the_last_list() {
     local(async {
         let discovery = ScriptedDiscovery::start().await;
-        let mut running = start_agent_watch(discovery.addr, Some(41));
+        let mut watch = start_agent_watch(discovery.addr, Some(41));
         let (_, mut stream) = discovery.accept_watch().await;
         let next = list_json(43);
         write(
@@ -54,12 +54,12 @@
             WATCH_HEAD.to_owned() + &chunk(&(list_json(42) + "\n")) + &chunk(&next[..next.len() - 1]),
         )
         .await;
-        assert_eq!(running.next_revision().await, 42);
+        assert_eq!(watch.next_revision().await, 42);
         drop(stream);
         let (from, mut stream) = discovery.accept_watch().await;
         assert_eq!(from, 42);
         write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&next)).await;
-        assert_eq!(running.next_revision().await, 43);
+        assert_eq!(watch.next_revision().await, 43);
     })
     .await;
 }
@@ -69,12 +69,12 @@
     local(async {
         for malformed in ["{\"revision\": 43}\n", "noise\n", "{\"revision\": 43, \"comp\n"] {
             let discovery = ScriptedDiscovery::start().await;
-            let mut running = start_agent_watch(discovery.addr, Some(41));
+            let mut watch = start_agent_watch(discovery.addr, Some(41));
             let (_, mut stream) = discovery.accept_watch().await;
             write(&mut stream, WATCH_HEAD.to_owned() + &chunk(malformed)).await;
             let mut stream = discovery.accept_full_list_request().await;
             write(&mut stream, full_response(&list_json(44))).await;
-            assert_eq!(running.next_revision().await, 44, "{malformed:?}");
+            assert_eq!(watch.next_revision().await, 44, "{malformed:?}");
             assert_eq!(discovery.accept_watch().await.0, 44, "{malformed:?}");
         }
     })
@@ -83,24 +83,24 @@
 
 // ---- Changes of the address ------------------------------------------------------------------------------
 
-/// Revisions of one address are unrelated to those of another, where they may be lower.
+/// Revisions of two addresses are unrelated, so those of the new one may be lower.
 #[tokio::test]
-async fn after_a_change_of_address_the_full_list_with_a_lower_revision_is_received() {
+async fn a_new_address_may_send_a_full_list_with_a_lower_revision() {
     local(async {
         let (old, new) = (ScriptedDiscovery::start().await, ScriptedDiscovery::start().await);
-        let mut running = start_agent_watch(old.addr, Some(41));
+        let mut watch = start_agent_watch(old.addr, Some(41));
         let (_, mut stream) = old.accept_watch().await;
         write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(42) + "\n"))).await;
-        assert_eq!(running.next_revision().await, 42);
-        running.address.send_replace(new.addr);
-        let mut asked = new.accept_full_list_request().await;
+        assert_eq!(watch.next_revision().await, 42);
+        watch.address.send_replace(new.addr);
+        let mut request = new.accept_full_list_request().await;
         wait_until_closed(&mut stream).await;
-        write(&mut asked, full_response(&list_json(3))).await;
-        assert_eq!(running.next_revision().await, 3);
+        write(&mut request, full_response(&list_json(3))).await;
+        assert_eq!(watch.next_revision().await, 3);
         let (from, mut stream) = new.accept_watch().await;
         assert_eq!(from, 3);
         write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(4) + "\n"))).await;
-        assert_eq!(running.next_revision().await, 4);
+        assert_eq!(watch.next_revision().await, 4);
         drop(stream);
         assert_eq!(new.accept_watch().await.0, 4);
     })
@@ -109,34 +109,34 @@
 
 /// The address changes at each step of opening a watch, and once more before the new one has responded.
 #[tokio::test]
-async fn a_change_of_address_while_a_watch_opens_leaves_nothing_of_the_old_one() {
+async fn a_change_of_address_cancels_a_watch_that_is_being_opened() {
     local(async {
-        for moment in 0..4 {
-            let (old, between, new) = (
+        for step in 0..4 {
+            let (old, intermediate, new) = (
                 ScriptedDiscovery::start().await,
                 ScriptedDiscovery::start().await,
                 ScriptedDiscovery::start().await,
             );
-            let mut running = start_agent_watch(old.addr, (moment > 0).then_some(41));
+            let mut watch = start_agent_watch(old.addr, (step > 0).then_some(41));
             let mut stream =
-                if moment > 0 { old.accept_watch().await.1 } else { old.accept_full_list_request().await };
-            // Nothing, a head, or half a list has been received.
-            let half = &list_json(99)[..20];
-            match moment {
+                if step > 0 { old.accept_watch().await.1 } else { old.accept_full_list_request().await };
+            // The old address has sent nothing, a response head, or a part of a list.
+            let partial_list = &list_json(99)[..20];
+            match step {
                 2 => write(&mut stream, WATCH_HEAD).await,
-                3 => write(&mut stream, WATCH_HEAD.to_owned() + &chunk(half)).await,
+                3 => write(&mut stream, WATCH_HEAD.to_owned() + &chunk(partial_list)).await,
                 _ => {}
             }
-            running.address.send_replace(between.addr);
-            let mut first = between.accept_full_list_request().await;
+            watch.address.send_replace(intermediate.addr);
+            let mut first = intermediate.accept_full_list_request().await;
             wait_until_closed(&mut stream).await;
             write(&mut first, "HTTP/1.1 200 OK\r\nContent-Length: 51\r\n\r\n{\"revision\":").await;
-            running.address.send_replace(new.addr);
+            watch.address.send_replace(new.addr);
             let mut second = new.accept_full_list_request().await;
             wait_until_closed(&mut first).await;
             write(&mut second, full_response(&list_json(5))).await;
-            assert_eq!(running.next_revision().await, 5, "{moment}");
-            assert_eq!(new.accept_watch().await.0, 5, "{moment}");
+            assert_eq!(watch.next_revision().await, 5, "{step}");
+            assert_eq!(new.accept_watch().await.0, 5, "{step}");
         }
     })
     .await;
@@ -144,7 +144,7 @@
 
 // ---- Starts ----------------------------------------------------------------------------------------------
 
-/// A start is not delayed by discovery.
+/// The process starts with the configured list if discovery has not responded within [`STARTUP_FETCH_TIMEOUT`].
 #[tokio::test]
 async fn a_start_is_not_delayed_by_a_list_that_arrives_slowly_or_never() {
     let discovery = ScriptedDiscovery::start().await;
@@ -153,7 +153,7 @@
         let slow_response = async {
             let mut stream = discovery.accept_full_list_request().await;
             write(&mut stream, head).await;
-            // Until the client closes the connection.
+            // Bytes are sent until the client closes the connection.
             while stream.write_all(b" ").await.is_ok() {
                 sleep(Duration::from_millis(10)).await;
             }
--- a/crates/sender/src/discovery/tests/idle_watch.rs
+++ b/crates/sender/src/discovery/tests/idle_watch.rs
@@ -1,4 +1,4 @@
-//! An idle watch is closed and opened again; one that receives heartbeats stays open.
+//! An idle watch is closed and opened again; a watch with heartbeats stays open.
 
 use std::time::{Duration, Instant};
 
@@ -10,28 +10,31 @@
     ScriptedDiscovery, WATCH_HEAD, chunk, list_json, local, start_agent_watch, start_watch, write,
 };
 
-/// Changes that an idle watch misses are received within this time.
-const IN_EFFECT_WITHIN: Duration = Duration::from_secs(6);
+/// Maximum time from the start of an idle watch until the changes that it misses are received.
+const MAX_CHANGE_DELAY: Duration = Duration::from_secs(6);
 
-/// How a watch becomes idle.
+/// What a watch receives before it becomes idle.
 #[derive(Clone, Copy, Debug)]
 enum Idle {
-    /// It receives no response.
+    /// No response.
     WithoutResponse,
+    /// The head of the response.
     AfterHead,
+    /// The head and a heartbeat.
     AfterHeartbeat,
+    /// The head and a part of a list.
     WithinALine,
-    /// Single bytes arrive, and the list never ends.
+    /// Single bytes of a list that never ends.
     Trickling,
-    /// Empty lines arrive within a list that never ends.
+    /// Empty lines within a list that never ends.
     EmptyLinesWithinList,
 }
 
-/// Checks that an idle watch is opened again and that missed changes are received in time. Returns when they were,
-/// from the start of the idle watch on.
+/// Checks that an idle watch is opened again and that missed changes are received in time. Returns the time from the
+/// start of the idle watch until they were received.
 async fn time_to_missed_change(idle: Idle, discovery_mode: Discovery) -> Duration {
     let discovery = ScriptedDiscovery::start().await;
-    let mut running = start_watch(discovery_mode, discovery.addr, Some(41));
+    let mut watch = start_watch(discovery_mode, discovery.addr, Some(41));
     let (_, mut stream) = discovery.accept_watch().await;
     let since = Instant::now();
     match idle {
@@ -59,24 +62,24 @@
         }
         std::future::pending::<()>().await;
     };
-    let next = async {
+    let reopened = async {
         let (from, mut stream) = discovery.accept_watch().await;
         assert_eq!(from, 41, "{idle:?}");
         write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(43) + "\n"))).await;
-        assert_eq!(running.next_revision().await, 43, "{idle:?}");
+        assert_eq!(watch.next_revision().await, 43, "{idle:?}");
     };
     tokio::select! {
         () = trickle => {}
-        () = next => {}
+        () = reopened => {}
     }
-    let after = since.elapsed();
-    assert!(after < IN_EFFECT_WITHIN, "{idle:?}, {discovery_mode:?}: {after:?}");
-    after
+    let elapsed = since.elapsed();
+    assert!(elapsed < MAX_CHANGE_DELAY, "{idle:?}, {discovery_mode:?}: {elapsed:?}");
+    elapsed
 }
 
-/// The watch is opened again and missed changes are received in time, in each of these cases.
+/// All cases run concurrently, as each takes seconds.
 #[tokio::test]
-async fn an_idle_watch_is_opened_again_and_missed_changes_are_received_in_time() {
+async fn an_idle_watch_is_reopened_and_missed_changes_arrive_in_time() {
     let on_request = Discovery::OnRequest { ask_within: 10_000.0 };
     local(async {
         use Idle::{
@@ -94,18 +97,18 @@
             time_to_missed_change(AfterHead, on_request),
             time_to_missed_change(Trickling, on_request),
         );
-        // An agent responds at once, or is polled again.
+        // An agent that does not respond at once is polled again.
         assert!(without_response < Duration::from_secs(1), "{without_response:?}");
     })
     .await;
 }
 
-/// Without changes a heartbeat arrives every two seconds.
+/// While nothing changes, a heartbeat arrives every two seconds.
 #[tokio::test]
 async fn a_watch_with_heartbeats_stays_open() {
     local(async {
         let discovery = ScriptedDiscovery::start().await;
-        let mut running = start_agent_watch(discovery.addr, Some(41));
+        let mut watch = start_agent_watch(discovery.addr, Some(41));
         let (_, mut stream) = discovery.accept_watch().await;
         write(&mut stream, WATCH_HEAD).await;
         for _ in 0..3 {
@@ -113,26 +116,29 @@
             write(&mut stream, chunk("\n")).await;
         }
         write(&mut stream, chunk(&list_json(42))).await;
-        assert_eq!(running.next_revision().await, 42);
-        assert!(timeout(Duration::ZERO, discovery.listener.accept()).await.is_err(), "it was opened again");
+        assert_eq!(watch.next_revision().await, 42);
+        assert!(
+            timeout(Duration::ZERO, discovery.listener.accept()).await.is_err(),
+            "the watch was opened again"
+        );
     })
     .await;
 }
 
-/// An agent is polled at a constant rate, as its list is in effect at once.
+/// The rate is constant because the list of an agent is in effect at once.
 #[tokio::test]
-async fn an_agent_that_was_unresponsive_for_long_is_polled_as_often_as_at_first() {
+async fn an_unresponsive_agent_is_polled_at_a_constant_rate() {
     local(async {
         let agent = ScriptedDiscovery::start().await;
-        let mut running = start_agent_watch(agent.addr, Some(41));
-        let mut held = Vec::new();
+        let mut watch = start_agent_watch(agent.addr, Some(41));
+        let mut unanswered = Vec::new();
         for _ in 0..8 {
-            held.push(agent.accept_watch().await);
+            unanswered.push(agent.accept_watch().await);
         }
         let since = Instant::now();
         let (_, mut stream) = agent.accept_watch().await;
         write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(42) + "\n"))).await;
-        assert_eq!(running.next_revision().await, 42);
+        assert_eq!(watch.next_revision().await, 42);
         assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
     })
     .await;
@@ -140,21 +146,21 @@
 
 /// An agent that refuses connections is polled with a constant delay.
 #[tokio::test]
-async fn an_agent_that_refused_connections_is_polled_soon_when_it_is_back() {
+async fn an_agent_that_refused_connections_is_polled_soon_afterwards() {
     local(async {
         let agent = ScriptedDiscovery::start().await;
         let addr = agent.addr;
         drop(agent.listener);
-        let mut running = start_agent_watch(addr, Some(41));
+        let mut watch = start_agent_watch(addr, Some(41));
         sleep(Duration::from_secs(2)).await;
         let agent = ScriptedDiscovery {
-            listener: tokio::net::TcpListener::bind(addr).await.expect("its port"),
+            listener: tokio::net::TcpListener::bind(addr).await.expect("the same port"),
             addr,
         };
         let since = Instant::now();
         let (_, mut stream) = agent.accept_watch().await;
         write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(42) + "\n"))).await;
-        assert_eq!(running.next_revision().await, 42);
+        assert_eq!(watch.next_revision().await, 42);
         assert!(since.elapsed() < Duration::from_millis(500), "{:?}", since.elapsed());
     })
     .await;
--- a/crates/sender/src/discovery/tests/scripted.rs
+++ b/crates/sender/src/discovery/tests/scripted.rs
@@ -1,4 +1,4 @@
-//! A discovery server whose responses are scripted byte by byte, and a running watch of it.
+//! A discovery server whose responses are scripted byte by byte, and a running watch of that server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::event::Input;
 use crate::poll_schedule::PollSchedule;
 
-/// Timeout of each step, far longer than any takes unless something is broken.
+/// Timeout of each step, far longer than any step takes unless the test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(super) async fn in_time<T>(what: &str, future: impl Future<Output = T>) -> T {
-    timeout(TEST_TIMEOUT, future).await.unwrap_or_else(|_| panic!("in vain: {what}"))
+    timeout(TEST_TIMEOUT, future).await.unwrap_or_else(|_| panic!("timed out: {what}"))
 }
 
-/// A discovery server or a local agent of it; each request is returned with its connection.
+/// A discovery server or a local agent. The test accepts each request and writes the response on its connection.
 pub(super) struct ScriptedDiscovery {
     pub(super) listener: TcpListener,
     pub(super) addr: SocketAddr,
@@ -34,7 +34,7 @@
         Self { listener, addr }
     }
 
-    /// The target of the next request, and its connection.
+    /// Accepts the next request; returns its target and its connection.
     pub(super) async fn accept_request(&self) -> (String, TcpStream) {
         let (mut stream, _) = in_time("a connection", self.listener.accept()).await.expect("a connection");
         let mut head = Vec::new();
@@ -46,14 +46,14 @@
         (head.split(' ').nth(1).expect("a target").to_owned(), stream)
     }
 
-    /// The revision from which the next watch starts, and its connection.
+    /// Accepts the next request, which must open a watch; returns its `from` revision and its connection.
     pub(super) async fn accept_watch(&self) -> (u64, TcpStream) {
         let (target, stream) = self.accept_request().await;
         let from = target.strip_prefix("/api/targets?watch=1&from=").expect("a watch");
         (from.parse().expect("a revision"), stream)
     }
 
-    /// The connection of the next request, which must be for the full list.
+    /// Accepts the next request, which must be for the full list; returns its connection.
     pub(super) async fn accept_full_list_request(&self) -> TcpStream {
         let (target, stream) = self.accept_request().await;
         assert_eq!(target, "/api/targets");
@@ -61,18 +61,19 @@
     }
 }
 
+/// Head of the response that opens a watch.
 pub(super) const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 pub(super) async fn write(stream: &mut TcpStream, bytes: impl AsRef<[u8]>) {
     stream.write_all(bytes.as_ref()).await.expect("writable");
 }
 
-/// A chunk of the body of a watch.
+/// A chunk in the chunked encoding of the body of a watch.
 pub(super) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A complete response.
+/// A complete response with this body.
 pub(super) fn full_response(text: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
 }
@@ -82,16 +83,21 @@
     json!({"revision": revision, "complete": true, "members": []}).to_string()
 }
 
-/// A watch that runs until the test is over.
+/// A watch that runs until the end of the test.
 pub(super) struct RunningWatch {
     pub(super) address: watch::Sender<SocketAddr>,
     pub(super) inputs: mpsc::Receiver<Input>,
 }
 
 pub(super) fn start_watch(discovery: Discovery, at: SocketAddr, revision: Option<u64>) -> RunningWatch {
-    let (address, running) = watch::channel(at);
+    let (address, configured_address) = watch::channel(at);
     let (engine, inputs) = mpsc::channel(16);
-    spawn_local(crate::discovery::watch(running, revision, PollSchedule::new(discovery, 1, 1), engine));
+    spawn_local(crate::discovery::watch(
+        configured_address,
+        revision,
+        PollSchedule::new(discovery, 1, 1),
+        engine,
+    ));
     RunningWatch { address, inputs }
 }
 
@@ -109,9 +115,8 @@
     }
 }
 
-/// Waits until the peer closes the connection, without another byte.
+/// Waits until the peer closes or resets the connection; another byte is an error.
 pub(super) async fn wait_until_closed(stream: &mut TcpStream) {
-    // Also by a reset.
     let read = in_time("a close", stream.read(&mut [0; 16])).await;
     assert!(matches!(read, Ok(0) | Err(_)), "{read:?}");
 }
--- a/crates/sender/src/discovery/watcher.rs
+++ b/crates/sender/src/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! Keeps a watch open while the engine runs: reconnects after failures and after changes of the address.
+//! Keeps a watch of discovery open while the engine runs: reconnects after failures and changes of the address.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,8 +13,9 @@
 use crate::platform::HttpError;
 use crate::poll_schedule::PollSchedule;
 
-/// Watches discovery at the configured address and sends its lists to the engine. Starts at `revision`, or with the
-/// full list if that is `None`. Ends when the engine has ended or the address can no longer change.
+/// Watches discovery at the configured address and sends the received lists to the engine. Starts with the changes
+/// after `revision`, or with the full list if `revision` is `None`. Ends when the engine has ended or the sender of
+/// `address` has been dropped.
 pub async fn watch(
     address: watch::Receiver<SocketAddr>,
     revision: Option<u64>,
@@ -25,7 +26,7 @@
     Watcher { address, progress, schedule, engine }.run().await;
 }
 
-/// Reconnects to discovery, session after session.
+/// Runs one session after another.
 #[derive(Debug)]
 struct Watcher {
     address: watch::Receiver<SocketAddr>,
@@ -34,14 +35,14 @@
     engine: mpsc::Sender<Input>,
 }
 
-/// How a session ended.
+/// Why a session ended.
 #[derive(Debug)]
 enum SessionEnd {
-    /// The watch failed or was closed.
+    /// The session failed, or the server ended the watch.
     Failed { addr: SocketAddr, error: WatchError },
-    /// The configuration names another address.
+    /// The configured address has changed.
     AddressChanged,
-    /// The service has ended.
+    /// The service is shutting down: the engine has ended or the address can no longer change.
     ShutDown,
 }
 
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Runs a session after a delay. A change of the address ends both at once.
+    /// Runs a session after a delay. A change of the address ends the delay or the session immediately.
     async fn run_session(&mut self, delay: Duration) -> SessionEnd {
         self.progress.received_event = false;
         let addr = *self.address.borrow_and_update();
@@ -84,18 +85,18 @@
         }
     }
 
-    /// Resets the progress, as revisions of two addresses are unrelated. The first request is delayed as at a start,
-    /// since the addresses of many senders may change at the same moment.
+    /// Resets the progress, because revisions of two addresses are unrelated. Returns the delay of the first request,
+    /// which is that of a start because the addresses of many senders may change at the same moment.
     fn reset_for_new_address(&mut self) -> Duration {
         self.progress.revision = None;
         self.schedule.record_success();
         self.schedule.initial_delay()
     }
 
-    /// The delay until the next session.
+    /// Logs the error and returns the delay until the next session.
     fn delay_after_failure(&mut self, addr: SocketAddr, error: &WatchError) -> Duration {
         if matches!(error, WatchError::Unreadable(_)) {
-            // Changes were missed; only the full list has them.
+            // Changes were lost; only the full list contains them.
             self.progress.revision = None;
         }
         let elapsed = self.progress.last_activity.elapsed();
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -1,7 +1,7 @@
 //! State transfer from a running process to its successor, over a Unix socket in the state folder.
 //!
 //! The transferred state (outages, Retry-After backoffs, calls in flight, free disk space) is advisory: a successor
-//! that does not receive it works without it. Messages are transferred by the journal alone.
+//! that does not receive it starts without it. Accepted messages are transferred through the journal only.
 
 mod codec;
 mod connection;
@@ -22,8 +22,8 @@
 
 /// File name of the socket in the state folder.
 const SOCKET_NAME: &str = "handover";
-/// Protocol version of this program; a connection that announces another one is closed without a response.
+/// Protocol version of this program. A connection whose handshake has another version is closed without a response.
 const VERSION: u32 = 1;
-/// How long a successor waits for the owner's state before it starts without it, and how long either waits for the
-/// other's handshake or for a message to be written.
+/// Timeout of the state transfer, after which a successor starts without the owner's state. Also the timeout of a
+/// handshake, of the disconnection of an earlier successor, and of each write.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/sender/src/handover/codec.rs
+++ b/crates/sender/src/handover/codec.rs
@@ -1,4 +1,4 @@
-//! The encoding of messages between two processes: one JSON value for each line, in both directions.
+//! The encoding of messages between two processes of a sender: one JSON value on each line, in both directions.
 
 use std::io;
 
@@ -10,17 +10,17 @@
 /// Maximum encoded length of a [`HandoverMessage`] with its line end, in bytes.
 const MAX_MESSAGE_LEN: u64 = 2_048;
 
-/// Why a connection between two processes failed.
+/// Why a connection between two processes of a sender failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum HandoverError {
-    /// The socket failed.
+    /// Reading or writing the socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A line is not a message of this version.
+    /// A received line is not a message of this protocol version.
     #[error("malformed message: {0}")]
     Malformed(#[from] serde_json::Error),
     /// The owner closed the connection before the end of the state transfer.
-    #[error("the connection was closed before the state was complete")]
+    #[error("the owner closed the connection before the end of the state transfer")]
     Incomplete,
 }
 
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// [`HandoverError`] if the socket fails, or if the line is too long or not a message.
+    /// [`HandoverError`] if reading fails, or if the line is longer than [`MAX_MESSAGE_LEN`] or not a message.
     pub(super) async fn read(&mut self) -> Result<Option<HandoverMessage>, HandoverError> {
         let mut line = Vec::new();
         (&mut self.0).take(MAX_MESSAGE_LEN).read_until(b'\n', &mut line).await?;
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// [`HandoverError`] if the socket fails.
+    /// [`HandoverError`] if writing fails.
     pub(super) async fn write(&mut self, message: &HandoverMessage) -> Result<(), HandoverError> {
         let mut line = serde_json::to_vec(message)?;
         line.push(b'\n');
--- a/crates/sender/src/handover/connection.rs
+++ b/crates/sender/src/handover/connection.rs
@@ -1,4 +1,4 @@
-//! An established connection between two processes, with messages in both directions until one of them ends.
+//! A connection between two processes of a sender. Both send messages until one of them ends.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use super::peer_process::PeerProcess;
 use crate::event::Input;
 
-/// Maximum number of queued messages; further ones are dropped.
+/// Maximum number of messages that wait to be written; further ones are dropped.
 const MAX_QUEUED_MESSAGES: usize = 2_048;
 
 /// Both directions of a connection to the other process.
@@ -29,16 +29,16 @@
         Self { reader: MessageReader::new(reader), writer: MessageWriter::new(writer) }
     }
 
-    /// Connects `peer_process` and spawns the task that sends and receives messages. The task ends with the connection
-    /// or when the engine has ended, and reports the disconnection to the engine.
+    /// Connects `peer_process` and spawns the task that sends and receives messages. The task ends when the connection
+    /// fails or is closed, or when the engine has ended, and reports the disconnection to the engine.
     pub(super) fn spawn_exchange(self, peer_process: Rc<PeerProcess>, engine: mpsc::Sender<Input>) {
-        let (outgoing, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let (outgoing, queue) = mpsc::channel(MAX_QUEUED_MESSAGES);
         peer_process.connect(outgoing);
         let Self { reader, writer } = self;
         spawn_local(async move {
             tokio::select! {
                 () = receive(reader, &engine) => {}
-                () = transmit(writer, queued) => {}
+                () = transmit(writer, queue) => {}
             }
             peer_process.disconnect();
             let _ = engine.send(Input::PeerDisconnected).await;
@@ -46,7 +46,7 @@
     }
 }
 
-/// Sends received messages to the engine, until the connection fails or ends.
+/// Sends received messages to the engine, until the connection fails or is closed, or the engine has ended.
 async fn receive(mut reader: MessageReader, engine: &mpsc::Sender<Input>) {
     while let Ok(Some(message)) = reader.read().await {
         let Some(input) = message.into_input() else { continue };
@@ -56,9 +56,9 @@
     }
 }
 
-/// Writes queued messages, until a write fails or times out.
-async fn transmit(mut writer: MessageWriter, mut queued: mpsc::Receiver<HandoverMessage>) {
-    while let Some(message) = queued.recv().await {
+/// Writes queued messages, until a write fails or times out, or the connection is removed from [`PeerProcess`].
+async fn transmit(mut writer: MessageWriter, mut queue: mpsc::Receiver<HandoverMessage>) {
+    while let Some(message) = queue.recv().await {
         let written = timeout(HANDOVER_TIMEOUT, writer.write(&message)).await;
         if !matches!(written, Ok(Ok(()))) {
             return;
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -20,21 +20,23 @@
 const ACCEPTED: &str = include_str!("../../tests/golden/handover.accepted.json");
 const REFUSED: &str = include_str!("../../tests/golden/handover.refused.txt");
 
-/// A line in an accepted encoding, and the line that this program writes for it.
+/// A line in another encoding that is accepted, and the line that this program writes for the same message.
 #[derive(Deserialize)]
 struct Accepted {
-    given: String,
-    means: String,
+    #[serde(rename = "given")]
+    received: String,
+    #[serde(rename = "means")]
+    written: String,
 }
 
-/// Messages of each variant, with and without each optional field, in the order of the file.
+/// Messages of each variant, with and without each optional field, in the order of the recorded lines.
 fn messages() -> Vec<HandoverMessage> {
     let outage = |receiver: &str, outage| HandoverMessage::OutageState {
         destination: 3,
         receiver: receiver.to_owned(),
         outage,
     };
-    let wait = |receiver: Option<&str>, ms| HandoverMessage::RetryAfter {
+    let retry_after = |receiver: Option<&str>, ms| HandoverMessage::RetryAfter {
         destination: 65_535,
         receiver: receiver.map(str::to_owned),
         ms,
@@ -46,10 +48,10 @@
         outage("", OutageState::Down { retry_after_remaining: 0 }),
         outage("r1", OutageState::WarmingUp { since_recovery: 250, ramp_share: 0.25 }),
         outage("", OutageState::WarmingUp { since_recovery: -250, ramp_share: 1.0 }),
-        wait(None, 0.0),
-        wait(Some("r1"), 1_500.5),
-        wait(Some(""), 5.0),
-        wait(Some("a \"b\"\n\u{e9}"), 1e300),
+        retry_after(None, 0.0),
+        retry_after(Some("r1"), 1_500.5),
+        retry_after(Some(""), 5.0),
+        retry_after(Some("a \"b\"\n\u{e9}"), 1e300),
         HandoverMessage::CallsInFlight(0),
         HandoverMessage::CallsInFlight(4_096),
         HandoverMessage::FreeSpace,
@@ -60,12 +62,12 @@
     UnixStream::pair().expect("a connection")
 }
 
-/// Reads the messages in these bytes, after which the connection is closed.
-async fn read_of(bytes: &[u8]) -> Result<Vec<HandoverMessage>, HandoverError> {
-    let (mut theirs, ours) = socket_pair();
-    theirs.write_all(bytes).await?;
-    drop(theirs);
-    let mut connection = Connection::new(ours);
+/// The messages that a connection reads if it receives these bytes and is then closed.
+async fn read_messages(bytes: &[u8]) -> Result<Vec<HandoverMessage>, HandoverError> {
+    let (mut remote, local) = socket_pair();
+    remote.write_all(bytes).await?;
+    drop(remote);
+    let mut connection = Connection::new(local);
     let mut messages = Vec::new();
     while let Some(message) = connection.reader.read().await? {
         messages.push(message);
@@ -75,30 +77,30 @@
 
 #[tokio::test]
 async fn each_message_is_written_as_the_recorded_line() {
-    let (ours, mut theirs) = socket_pair();
-    let mut connection = Connection::new(ours);
+    let (local, mut remote) = socket_pair();
+    let mut connection = Connection::new(local);
     for message in messages() {
         connection.writer.write(&message).await.expect("writable");
     }
     drop(connection);
     let mut text = String::new();
-    theirs.read_to_string(&mut text).await.expect("text");
+    remote.read_to_string(&mut text).await.expect("text");
     assert_eq!(text, WRITTEN);
 }
 
 #[tokio::test]
 async fn each_recorded_line_is_read_as_its_message() {
-    assert_eq!(read_of(WRITTEN.as_bytes()).await.expect("messages"), messages());
+    assert_eq!(read_messages(WRITTEN.as_bytes()).await.expect("messages"), messages());
 }
 
 #[tokio::test]
-async fn a_line_in_another_encoding_is_read_as_recorded() {
+async fn a_line_in_another_encoding_is_read_as_its_message() {
     let lines: Vec<Accepted> = serde_json::from_str(ACCEPTED).expect("a table");
-    for Accepted { given, means } in lines {
-        let read = read_of(format!("{given}\n").as_bytes()).await.expect(&given);
-        let again: Vec<String> =
-            read.iter().map(|message| serde_json::to_string(message).expect("a line")).collect();
-        assert_eq!(again, [means], "{given}");
+    for Accepted { received, written } in lines {
+        let messages = read_messages(format!("{received}\n").as_bytes()).await.expect(&received);
+        let rewritten: Vec<String> =
+            messages.iter().map(|message| serde_json::to_string(message).expect("a line")).collect();
+        assert_eq!(rewritten, [written], "{received}");
     }
 }
 
@@ -106,33 +108,34 @@
 async fn a_malformed_line_is_an_error_of_the_connection() {
     assert!(REFUSED.lines().count() > 20);
     for line in REFUSED.lines() {
-        assert!(read_of(format!("{line}\n").as_bytes()).await.is_err(), "{line:?}");
+        assert!(read_messages(format!("{line}\n").as_bytes()).await.is_err(), "{line:?}");
     }
-    // The longest line has 2048 bytes with its end.
-    let of_length = |length: usize| format!("{{\"out\":{}7}}\n", " ".repeat(length - 10));
-    assert_eq!(of_length(2_048).len(), 2_048);
+    // The maximum length of a line is 2048 bytes with its line end.
+    let line_of_length = |length: usize| format!("{{\"out\":{}7}}\n", " ".repeat(length - 10));
+    assert_eq!(line_of_length(2_048).len(), 2_048);
     assert_eq!(
-        read_of(of_length(2_048).as_bytes()).await.expect("messages"),
+        read_messages(line_of_length(2_048).as_bytes()).await.expect("messages"),
         [HandoverMessage::CallsInFlight(7)]
     );
-    assert!(read_of(of_length(2_050).as_bytes()).await.is_err());
-    // An incomplete line, and the end of the connection.
-    assert!(read_of(b"{\"out\":").await.is_err());
-    assert_eq!(read_of(b"").await.expect("the end"), []);
+    assert!(read_messages(line_of_length(2_050).as_bytes()).await.is_err());
+    // The connection is closed within a line, or before one.
+    assert!(read_messages(b"{\"out\":").await.is_err());
+    assert_eq!(read_messages(b"").await.expect("the end"), []);
 }
 
+/// Lines after the malformed one are ignored.
 #[tokio::test]
-async fn a_malformed_line_ends_an_established_connection_and_later_lines_are_ignored() {
+async fn a_malformed_line_ends_an_established_connection() {
     let test = async {
         for line in REFUSED.lines() {
-            let (mut theirs, ours) = socket_pair();
+            let (mut remote, local) = socket_pair();
             let (engine, mut inputs) = mpsc::channel(8);
             let peer_process = Rc::new(PeerProcess::default());
-            Connection::new(ours).spawn_exchange(peer_process.clone(), engine.clone());
+            Connection::new(local).spawn_exchange(peer_process.clone(), engine.clone());
             assert!(peer_process.is_connected());
             let wait = "{\"wait\":{\"destination\":3,\"receiver\":\"r1\",\"ms\":5.0}}";
             let lines = format!("{{\"hello\":1}}\n\"room\"\n{wait}\n{{\"out\":7}}\n{line}\n{{\"out\":8}}\n");
-            theirs.write_all(lines.as_bytes()).await.expect("writable");
+            remote.write_all(lines.as_bytes()).await.expect("writable");
             let first = inputs.recv().await;
             assert!(
                 matches!(&first, Some(Input::RetryAfter { destination: 3, receiver: Some(receiver), wait })
@@ -152,30 +155,30 @@
 #[tokio::test]
 async fn a_connection_without_a_handshake_of_this_version_is_rejected() {
     let test = async {
-        let others = ["{\"hello\":0}", "{\"hello\":2}", "\"room\"", "{\"out\":7}"];
-        for line in REFUSED.lines().chain(others) {
-            let (mut theirs, ours) = socket_pair();
+        let other_messages = ["{\"hello\":0}", "{\"hello\":2}", "\"room\"", "{\"out\":7}"];
+        for line in REFUSED.lines().chain(other_messages) {
+            let (mut remote, local) = socket_pair();
             let (engine, mut inputs) = mpsc::channel(8);
             let peer_process = Rc::new(PeerProcess::default());
-            theirs.write_all(format!("{line}\n").as_bytes()).await.expect("writable");
-            accept_successor(ours, peer_process.clone(), engine).await;
+            remote.write_all(format!("{line}\n").as_bytes()).await.expect("writable");
+            accept_successor(local, peer_process.clone(), engine).await;
             assert!(!peer_process.is_connected(), "{line:?}");
             assert!(inputs.recv().await.is_none(), "{line:?}");
-            let mut answer = Vec::new();
-            theirs.read_to_end(&mut answer).await.expect("an end");
-            assert!(answer.is_empty(), "{line:?}: {answer:?}");
+            let mut response = Vec::new();
+            remote.read_to_end(&mut response).await.expect("the end of the connection");
+            assert!(response.is_empty(), "{line:?}: {response:?}");
         }
-        let (mut theirs, ours) = socket_pair();
+        let (mut remote, local) = socket_pair();
         let (engine, mut inputs) = mpsc::channel(8);
-        theirs.write_all(b"{\"hello\":1}\n").await.expect("writable");
-        accept_successor(ours, Rc::default(), engine).await;
+        remote.write_all(b"{\"hello\":1}\n").await.expect("writable");
+        accept_successor(local, Rc::default(), engine).await;
         assert!(matches!(inputs.recv().await, Some(Input::SuccessorConnected)));
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
-async fn a_successor_that_reads_a_malformed_line_continues_with_the_messages_before_it() {
+async fn a_successor_keeps_the_messages_before_a_malformed_line() {
     let test = async {
         let calls = HandoverMessage::CallsInFlight(7);
         for (line, is_complete) in REFUSED.lines().map(|line| (line, false)).chain([("\"room\"", true)]) {
--- a/crates/sender/src/handover/message.rs
+++ b/crates/sender/src/handover/message.rs
@@ -1,4 +1,5 @@
-//! The messages between two processes of one sender. Their names in JSON are part of the protocol.
+//! The messages between two processes of one sender. The names in JSON are part of the protocol, so they are kept
+//! where a Rust name differs.
 
 use rudderspindle_journal as journal;
 use serde::{Deserialize, Serialize};
@@ -10,39 +11,41 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HandoverMessage {
-    /// Handshake of a successor: its protocol version.
+    /// Handshake: the protocol version of the successor.
     Hello(u32),
-    /// Outage state of a receiver, or of a whole destination where `receiver` is empty.
+    /// Outage state of a receiver, or of a whole destination if `receiver` is empty.
     #[serde(rename = "trouble")]
     OutageState {
         /// The destination's number.
         destination: u16,
-        /// The receiver's name.
+        /// The receiver's name; empty for the whole destination.
         receiver: String,
-        /// What is known of the outage.
+        /// The outage state when the message was sent.
         #[serde(rename = "trouble")]
         outage: OutageState,
     },
-    /// A Retry-After backoff that applies to both processes.
+    /// A Retry-After backoff, which both processes observe.
     #[serde(rename = "wait")]
     RetryAfter {
         /// The destination's number.
         destination: u16,
-        /// The receiver, where receivers of the destination are limited separately; else the whole destination.
+        /// The receiver's name, if the receivers of the destination are limited separately; `None` for the whole
+        /// destination.
         receiver: Option<String>,
-        /// The rest of the backoff, in milliseconds.
+        /// Remaining time of the backoff, in milliseconds.
         ms: f64,
     },
-    /// Calls in flight from the process that sends this: connection slots belong to the sender, not to each process.
+    /// Number of calls in flight from the process that sends the message. Both processes share the connection slots of
+    /// the sender.
     #[serde(rename = "out")]
     CallsInFlight(usize),
-    /// End of the state transfer: the successor may use half of the disk space.
+    /// End of the state transfer, from which on the successor may use half of the disk space.
     #[serde(rename = "room")]
     FreeSpace,
 }
 
 impl HandoverMessage {
-    /// The engine input for this message; `None` for the messages of the handshake and the state transfer.
+    /// The engine input for this message; `None` for a message of the handshake or of the state transfer.
     pub fn into_input(self) -> Option<Input> {
         match self {
             Self::RetryAfter { destination, receiver, ms } => {
@@ -54,20 +57,20 @@
     }
 }
 
-/// Outage state as the two processes exchange it; the same values as the journal's [`journal::OutageState`].
+/// Outage state in a message between two processes, with the same values as [`journal::OutageState`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutageState {
-    /// In an outage.
+    /// The receiver or destination is in an outage.
     Down {
-        /// Remaining time of the Retry-After, in milliseconds; 0 for none.
+        /// Remaining time of the Retry-After backoff, in milliseconds; 0 without one.
         #[serde(rename = "wait")]
         retry_after_remaining: u64,
     },
-    /// In slow start after an outage.
+    /// The receiver or destination is in slow start after an outage.
     #[serde(rename = "cold")]
     WarmingUp {
-        /// Milliseconds since the recovery; negative while a Retry-After has to pass first.
+        /// Time since the recovery, in milliseconds; negative while a Retry-After backoff has to pass first.
         #[serde(rename = "ago")]
         since_recovery: i64,
         /// This sender's share of the recovery ramp, from 0 to 1.
@@ -77,7 +80,8 @@
 }
 
 impl OutageState {
-    /// The nearest state with plausible values: what the other process sends is not trusted.
+    /// The state with its values limited to their valid ranges, because the other process is not trusted to send valid
+    /// ones.
     #[must_use]
     pub fn clamped(self) -> Self {
         match self {
--- a/crates/sender/src/handover/owner.rs
+++ b/crates/sender/src/handover/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side: the process that owns the state folder accepts one successor at a time.
+//! The owner's side of the handover: the process that owns the state folder accepts one successor at a time.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -16,12 +16,13 @@
 use super::{HANDOVER_TIMEOUT, SOCKET_NAME, VERSION};
 use crate::event::Input;
 
-/// Maximum number of connections in the handshake.
+/// Maximum number of connections whose handshake is not complete.
 const MAX_HANDSHAKES: usize = 8;
 /// Delay before the next attempt to accept a connection after one has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts successors, one at a time, until the engine ends. The engine receives each one's connection and messages.
+/// Accepts successors, one at a time, until the engine ends. The engine is notified of each successor and receives its
+/// messages.
 pub async fn accept_successors(folder: PathBuf, peer_process: Rc<PeerProcess>, engine: mpsc::Sender<Input>) {
     let listener = match bind(&folder) {
         Ok(listener) => listener,
@@ -30,7 +31,7 @@
             return;
         }
     };
-    // Handshakes run concurrently, so that one does not delay another. They are cancelled with this task.
+    // Handshakes run concurrently, so that a slow one does not delay the others. All are cancelled with this task.
     let mut handshakes = JoinSet::new();
     while !engine.is_closed() {
         while handshakes.try_join_next().is_some() {}
@@ -46,15 +47,15 @@
     }
 }
 
-/// Binds the socket, and replaces that of an earlier process: this process owns the folder.
+/// Binds the socket. Removes the socket of an earlier process first, because this process owns the folder now.
 fn bind(folder: &Path) -> io::Result<UnixListener> {
     let path = folder.join(SOCKET_NAME);
     let _ = std::fs::remove_file(&path);
     UnixListener::bind(&path)
 }
 
-/// Performs the handshake with a connection, and makes it the successor once an earlier successor has disconnected. The
-/// lock of an earlier successor may be free before its connection is closed here.
+/// Performs the handshake with a connection, and accepts it as the successor once an earlier successor has
+/// disconnected: the lock of an earlier successor may be free before its connection is closed at this end.
 pub(super) async fn accept_successor(
     stream: UnixStream,
     peer_process: Rc<PeerProcess>,
--- a/crates/sender/src/handover/peer_process.rs
+++ b/crates/sender/src/handover/peer_process.rs
@@ -1,4 +1,4 @@
-//! The connection to the other process of this sender, as the other tasks see it.
+//! Sending messages to the other process of this sender, whether or not one is connected.
 
 use std::cell::RefCell;
 
@@ -6,9 +6,10 @@
 
 use super::message::HandoverMessage;
 
-/// The connection to the other process of this sender. Messages are dropped while there is none.
+/// The connection to the other process of this sender. Messages are dropped while no process is connected.
 #[derive(Debug, Default)]
 pub struct PeerProcess {
+    /// The queue of the connected process; `None` while no process is connected.
     outgoing: RefCell<Option<mpsc::Sender<HandoverMessage>>>,
 }
 
@@ -18,14 +19,14 @@
         self.outgoing.borrow().as_ref().is_some_and(|outgoing| !outgoing.is_closed())
     }
 
-    /// Queues a message for the other process; dropped if it is not connected or its queue is full.
+    /// Queues a message for the other process. The message is dropped if no process is connected or the queue is full.
     pub fn send(&self, message: HandoverMessage) {
         if let Some(outgoing) = &*self.outgoing.borrow() {
             let _ = outgoing.try_send(message);
         }
     }
 
-    /// Waits until [`PeerProcess::disconnect`] has been called for the connected process, if there is one.
+    /// Waits until the connected process, if there is one, has been disconnected by [`PeerProcess::disconnect`].
     pub(super) async fn disconnected(&self) {
         loop {
             let Some(outgoing) = self.outgoing.borrow().clone() else { return };
@@ -33,12 +34,12 @@
         }
     }
 
-    /// Sends messages to the queue of a new connection from now on.
+    /// Sets the queue of a new connection, to which later messages are sent.
     pub(super) fn connect(&self, outgoing: mpsc::Sender<HandoverMessage>) {
         *self.outgoing.borrow_mut() = Some(outgoing);
     }
 
-    /// Removes the connection.
+    /// Removes the connection; later messages are dropped.
     pub(super) fn disconnect(&self) {
         *self.outgoing.borrow_mut() = None;
     }
--- a/crates/sender/src/handover/successor.rs
+++ b/crates/sender/src/handover/successor.rs
@@ -1,4 +1,5 @@
-//! The successor's side: a starting process receives the state of the process that owns the state folder.
+//! The successor's side of the handover: a starting process receives the state of the process that owns the state
+//! folder.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -19,12 +20,13 @@
 pub struct HandoverState {
     /// Outages, backoffs and calls in flight, in the order in which the owner sent them.
     pub messages: Vec<HandoverMessage>,
-    /// Whether the transfer was completed, with which the owner shares the disk space.
+    /// Whether the end of the transfer was received, from which on the owner leaves half of the disk space to this
+    /// process.
     pub is_complete: bool,
 }
 
-/// Requests the state of the process that owns the folder, and stays connected to it. If that fails or takes too long,
-/// returns the messages received by then.
+/// Requests the state of the process that owns the folder, and stays connected to that process. If the transfer fails
+/// or takes longer than [`HANDOVER_TIMEOUT`], returns the messages received by then.
 pub async fn connect_to_owner(
     folder: &Path,
     peer_process: &Rc<PeerProcess>,
--- a/crates/sender/src/notifications/delivery.rs
+++ b/crates/sender/src/notifications/delivery.rs
@@ -1,7 +1,7 @@
-//! Sends notifications and handles the responses.
+//! Sends notifications to the platform and handles the responses.
 //!
-//! A request without a response is repeated on another connection, as a notification may be repeated but must not be late.
-//! Responses to earlier requests still count.
+//! A request without a response is repeated on another connection, because a notification may be repeated but must not
+//! be late. A late response to an earlier request is still an acknowledgement.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use crate::event::Input;
 use crate::platform::HttpError;
 
-/// Time from the first request to the second; doubled after each request up to [`MAX_RETRY_INTERVAL`].
+/// Time from the first request to the second. The interval is doubled after each request, up to [`MAX_RETRY_INTERVAL`].
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum time from a request to the next one.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Timeout of a response; newer requests do not end it.
+/// Timeout of a response, which newer requests do not shorten.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of notifications in one request.
 const MAX_BATCH_LEN: usize = 200;
@@ -37,15 +37,15 @@
 /// An event of the delivery.
 #[derive(Debug)]
 enum DeliveryEvent {
-    /// The queue is no longer empty.
+    /// A notification was queued while the queue was empty.
     Pushed,
-    /// The configuration names another address.
+    /// The configured address has changed.
     AddressChanged,
     /// The next request is due.
     RequestDue,
-    /// A request has ended.
+    /// A request was acknowledged or failed.
     Completed(CompletedRequest),
-    /// A request's task failed; the request is repeated.
+    /// The task of a request panicked or was cancelled; the request is repeated.
     TaskFailed,
 }
 
@@ -58,7 +58,7 @@
         Self { notifications, address, engine, requests: Requests::default() }
     }
 
-    /// Runs until an acknowledgement cannot be reported, because the engine has ended.
+    /// Runs until an acknowledgement cannot be reported because the engine has ended.
     pub(super) async fn run(mut self) {
         loop {
             let addr = self.current_address();
@@ -67,20 +67,20 @@
                 DeliveryEvent::RequestDue => self.send_batch(addr),
                 DeliveryEvent::Completed(request) => match request.result {
                     Ok(connection) => {
-                        let message_ids = self.acknowledge(&request.numbers, connection);
+                        let message_ids = self.acknowledge(&request.notification_numbers, connection);
                         let acknowledged = Input::NotificationsAcknowledged(message_ids);
                         if self.engine.send(acknowledged).await.is_err() {
                             return;
                         }
                     }
-                    Err(error) => self.schedule_retry(request.numbers.len(), &error),
+                    Err(error) => self.schedule_retry(request.notification_numbers.len(), &error),
                 },
             }
         }
     }
 
-    /// The configured address. If it has changed, requests to the old one are cancelled; unacknowledged notifications are
-    /// sent to the new one.
+    /// The configured address. If the address has changed, requests to the old one are cancelled, and unacknowledged
+    /// notifications are sent to the new one.
     fn current_address(&mut self) -> SocketAddr {
         if self.address.has_changed().unwrap_or(false) {
             self.requests = Requests::default();
@@ -90,7 +90,8 @@
 
     async fn next_event(&mut self) -> DeliveryEvent {
         if self.notifications.is_idle() {
-            // Also while idle: the idle connection belongs to the old address.
+            // A change of the address also matters while the queue is empty, because the idle connection belongs to the
+            // old address.
             return tokio::select! {
                 () = self.notifications.pushed.notified() => DeliveryEvent::Pushed,
                 () = address_changed(&mut self.address) => DeliveryEvent::AddressChanged,
@@ -103,7 +104,7 @@
                 Ok(request) => DeliveryEvent::Completed(request),
                 Err(_) => DeliveryEvent::TaskFailed,
             },
-            () = sleep_until(self.requests.next_at) => DeliveryEvent::RequestDue,
+            () = sleep_until(self.requests.next_request_at) => DeliveryEvent::RequestDue,
         }
     }
 
@@ -113,9 +114,10 @@
     }
 
     /// Removes acknowledged notifications from the queue, and cancels the other requests in flight, which repeat them.
-    fn acknowledge(&mut self, numbers: &[u64], connection: Connection) -> Vec<MessageId> {
+    /// Returns the message ids of the removed notifications.
+    fn acknowledge(&mut self, notification_numbers: &[u64], connection: Connection) -> Vec<MessageId> {
         self.requests = Requests { idle_connection: Some(connection), ..Requests::default() };
-        self.notifications.acknowledge(numbers)
+        self.notifications.acknowledge(notification_numbers)
     }
 
     fn schedule_retry(&mut self, notifications: usize, error: &HttpError) {
@@ -125,15 +127,17 @@
         }
         let retry_at = Instant::now() + retry_interval / 4;
         if matches!(error, HttpError::Status(_)) {
-            // One notification for each request, in rotation: one that the platform rejects must not delay the others.
+            // Each request contains one notification, in rotation, so that one which the platform rejects does not
+            // delay the others.
             self.requests = Requests::one_by_one(retry_interval, retry_at);
             self.notifications.rotate();
         }
-        self.requests.next_at = self.requests.next_at.min(retry_at);
+        self.requests.next_request_at = self.requests.next_request_at.min(retry_at);
     }
 }
 
-/// Waits until the address changes, and leaves the change marked. Never resolves once the address can no longer change.
+/// Waits until the address changes, and leaves the change marked as unseen. Never resolves after the sender of
+/// `address` has been dropped.
 async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
@@ -141,23 +145,25 @@
     address.mark_changed();
 }
 
-/// A request that has ended.
+/// A request that was acknowledged or failed.
 #[derive(Debug)]
 struct CompletedRequest {
-    /// The numbers of its notifications.
-    numbers: Vec<u64>,
-    /// The connection, if the notifications were acknowledged.
+    /// The numbers of the notifications in the request.
+    notification_numbers: Vec<u64>,
+    /// The connection, idle again, if the notifications were acknowledged.
     result: Result<Connection, HttpError>,
 }
 
-/// The requests in flight, and when the next one is due. Dropping it cancels the requests.
+/// The requests in flight, and the time of the next one. Dropping this cancels the requests in flight.
 #[derive(Debug)]
 struct Requests {
     in_flight: JoinSet<CompletedRequest>,
+    /// A connection without a request in flight.
     idle_connection: Option<Connection>,
-    next_at: Instant,
-    /// Time from the next request to the one after it.
+    next_request_at: Instant,
+    /// Time from the next request to the one after that.
     retry_interval: Duration,
+    /// Maximum number of notifications in the next request.
     max_batch_len: usize,
 }
 
@@ -166,7 +172,7 @@
         Self {
             in_flight: JoinSet::new(),
             idle_connection: None,
-            next_at: Instant::now(),
+            next_request_at: Instant::now(),
             retry_interval: MIN_RETRY_INTERVAL,
             max_batch_len: MAX_BATCH_LEN,
         }
@@ -174,20 +180,20 @@
 }
 
 impl Requests {
-    /// Requests with one notification each.
-    fn one_by_one(retry_interval: Duration, next_at: Instant) -> Self {
-        Self { retry_interval, next_at, max_batch_len: 1, ..Self::default() }
+    /// No requests in flight, and later ones with one notification each.
+    fn one_by_one(retry_interval: Duration, next_request_at: Instant) -> Self {
+        Self { retry_interval, next_request_at, max_batch_len: 1, ..Self::default() }
     }
 
     /// Spawns a request; it is cancelled when [`Requests`] is dropped.
     fn send(&mut self, addr: SocketAddr, batch: Vec<QueuedNotification>) {
         let idle_connection = self.idle_connection.take();
-        self.next_at = Instant::now() + self.retry_interval;
+        self.next_request_at = Instant::now() + self.retry_interval;
         self.retry_interval = (self.retry_interval * 2).min(MAX_RETRY_INTERVAL);
         self.in_flight.spawn_local(async move {
             let response = timeout(RESPONSE_TIMEOUT, post(addr, idle_connection, &batch)).await;
-            let numbers = batch.iter().map(|pending| pending.number).collect();
-            CompletedRequest { numbers, result: response.unwrap_or(Err(HttpError::TimedOut)) }
+            let notification_numbers = batch.iter().map(|queued| queued.number).collect();
+            CompletedRequest { notification_numbers, result: response.unwrap_or(Err(HttpError::TimedOut)) }
         });
     }
 }
--- a/crates/sender/src/notifications/request.rs
+++ b/crates/sender/src/notifications/request.rs
@@ -1,4 +1,4 @@
-//! A request with notifications: one line of JSON for each, acknowledged by status 204.
+//! A request with notifications: the body has one line of JSON for each, and status 204 acknowledges all of them.
 
 use std::net::SocketAddr;
 
@@ -10,11 +10,11 @@
 use super::QueuedNotification;
 use crate::platform::{self, HttpError, connect};
 
-/// A connection that notifications are sent on.
+/// A connection on which notifications are sent.
 pub(super) type Connection = platform::Connection<Full<Bytes>>;
 
-/// Sends notifications on the idle connection or a new one, and waits for the acknowledgement. Returns the connection,
-/// which is idle again.
+/// Sends notifications on the idle connection, or on a new one, and waits for the acknowledgement. Returns the
+/// connection, which is then idle.
 ///
 /// # Errors
 ///
@@ -39,17 +39,17 @@
     Ok(connection)
 }
 
-/// The body of a request.
+/// The body of a request with these notifications.
 fn encode(batch: &[QueuedNotification]) -> String {
     let mut lines = String::new();
-    for pending in batch {
-        lines.push_str(&line(&pending.notification).to_string());
+    for queued in batch {
+        lines.push_str(&to_json(&queued.notification).to_string());
         lines.push('\n');
     }
     lines
 }
 
-fn line(notification: &PendingNotification) -> serde_json::Value {
+fn to_json(notification: &PendingNotification) -> serde_json::Value {
     let id = &*notification.message_id;
     match notification.status {
         Status::Undeliverable => serde_json::json!({ "id": id, "status": "undeliverable" }),
--- a/crates/sender/src/notifications/tests.rs
+++ b/crates/sender/src/notifications/tests.rs
@@ -14,30 +14,32 @@
 use super::Notifications;
 use crate::event::Input;
 
-/// Timeout of each step, far longer than any takes unless something is broken.
+/// Timeout of each step, far longer than any step takes unless the test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// A notification that arrives later than this is lost.
+/// Maximum delay of a repeated notification; one that arrives later counts as lost.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_millis(300);
 const ACKNOWLEDGEMENT: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
 async fn in_time<T>(what: &str, future: impl Future<Output = T>) -> T {
-    timeout(TEST_TIMEOUT, future).await.unwrap_or_else(|_| panic!("in vain: {what}"))
+    timeout(TEST_TIMEOUT, future).await.unwrap_or_else(|_| panic!("timed out: {what}"))
 }
 
-/// The next connection, after it has sent a complete notification.
+/// Accepts the next connection and reads a complete notification from it.
 async fn accept_notification(listener: &TcpListener) -> TcpStream {
     let (mut stream, _) = in_time("a connection", listener.accept()).await.expect("a connection");
-    let mut seen = Vec::new();
-    while !seen.ends_with(b"}\n") {
-        let read = in_time("a notification", stream.read_buf(&mut seen)).await.expect("readable");
+    let mut received = Vec::new();
+    while !received.ends_with(b"}\n") {
+        let read = in_time("a notification", stream.read_buf(&mut received)).await.expect("readable");
         assert!(read > 0, "the request ends early");
     }
     stream
 }
 
+/// A delivery that runs until the end of the test.
 struct RunningDelivery {
     notifications: Rc<Notifications>,
     inputs: mpsc::Receiver<Input>,
+    /// Held so that the channel of the address stays open.
     _address: watch::Sender<SocketAddr>,
 }
 
@@ -68,9 +70,9 @@
     }
 }
 
-/// Also after many requests without a response, a notification arrives in time once the platform responds.
+/// The platform has not responded to many requests before.
 #[tokio::test]
-async fn a_notification_arrives_in_time_at_a_platform_that_is_back() {
+async fn a_notification_arrives_in_time_once_the_platform_responds() {
     let test = async {
         let platform = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut delivery = start_delivery(platform.local_addr().expect("an address"));
@@ -89,7 +91,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A response also counts after the next request has begun, as a slow platform could not acknowledge any otherwise.
+/// A response also counts after the next request has begun; otherwise a slow platform could not acknowledge any
+/// notification.
 #[tokio::test]
 async fn a_late_acknowledgement_is_accepted() {
     let test = async {
@@ -98,7 +101,7 @@
         delivery.push("a");
         let mut first = accept_notification(&platform).await;
         let mut unanswered = vec![accept_notification(&platform).await, accept_notification(&platform).await];
-        // Pushed later, so it is not in the first request.
+        // Pushed after the first request, which therefore does not contain it.
         delivery.push("b");
         unanswered.push(accept_notification(&platform).await);
         first.write_all(ACKNOWLEDGEMENT).await.expect("writable");
@@ -114,7 +117,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// The response ends within its head, or the connection is reset before it.
+/// The connection is closed within the head of the response, or reset before the response.
 #[tokio::test]
 async fn a_notification_whose_acknowledgement_is_lost_is_repeated() {
     let test = async {
--- a/crates/sender/src/platform.rs
+++ b/crates/sender/src/platform.rs
@@ -16,7 +16,7 @@
 /// Why a request to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HttpError {
-    /// The response did not arrive in time.
+    /// A timeout of the request or of its response expired.
     #[error("no answer in time")]
     TimedOut,
     /// The connection could not be opened.
@@ -33,15 +33,15 @@
     Status(StatusCode),
 }
 
-/// The task that drives a connection; dropping it cancels the task and closes the connection.
+/// The task that reads and writes a connection. Dropping it cancels the task and closes the connection.
 pub(crate) type Driver = JoinSet<hyper::Result<()>>;
 
 /// A connection to the platform.
 #[derive(Debug)]
 pub(crate) struct Connection<B> {
-    /// Sends requests.
+    /// Sends requests on the connection.
     pub(crate) sender: SendRequest<B>,
-    /// Keeps the connection open.
+    /// Must be held as long as the connection is in use.
     pub(crate) driver: Driver,
 }
 
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// [`HttpError`] if the address does not accept it.
+/// [`HttpError`] if the connection is refused or fails.
 pub(crate) async fn connect<B>(addr: SocketAddr) -> Result<Connection<B>, HttpError>
 where
     B: Body<Data = Bytes, Error = Infallible> + 'static,
