--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: its file, validated, and the settings of the policy.
+//! Reads and validates the configuration file, which contains the settings of the policy.
 
 mod file;
 mod fleet_size;
@@ -25,7 +25,7 @@
 pub(crate) use gossip::GossipConfig;
 pub use start_error::StartError;
 
-/// A validated configuration, with the settings of the policy.
+/// A validated configuration file, with the settings of the policy and the fleet file.
 #[derive(Debug)]
 pub struct ValidatedConfig {
     pub(crate) config: Config,
@@ -35,11 +35,11 @@
 }
 
 impl ValidatedConfig {
-    /// Reads and validates a configuration.
+    /// Reads and validates a configuration file. The fleet file has its defaults.
     ///
     /// # Errors
     ///
-    /// [`StartError`] names the file, or the key that is missing or out of range.
+    /// [`StartError`] names the file that cannot be read, or the key that is missing, of another type or out of range.
     pub fn read(path: &Path) -> Result<Self, StartError> {
         let json = read_json(path)?;
         let config = Config::read(&json)?;
@@ -52,33 +52,33 @@
         }
         settings.peers_total = fleet_size.senders;
         settings.validate()?;
-        // Last, so that a configuration that is rejected is logged by its error alone.
+        // Logged after the last check, so that a rejected configuration is reported by its error alone.
         if let Some(warning) = fleet_size.warning {
             tracing::warn!(reason = %warning, senders = fleet_size.senders, "number of senders is ambiguous");
         }
         Ok(Self { config, settings, names, fleet: FleetFile::default() })
     }
 
-    /// Replaces the address of the control listener.
+    /// Replaces the address of the control listener, which is the key `control` of the file.
     #[must_use]
     pub fn with_control(mut self, control: SocketAddr) -> Self {
         self.config.control = Some(control);
         self
     }
 
-    /// Replaces the fleet file.
+    /// Sets the fleet file; without it, the defaults apply.
     #[must_use]
     pub fn with_fleet(mut self, fleet: FleetFile) -> Self {
         self.fleet = fleet;
         self
     }
 
-    /// The fleet file; its defaults if there is none.
+    /// The fleet file; [`FleetFile::default`] if none was set.
     pub fn fleet(&self) -> &FleetFile {
         &self.fleet
     }
 
-    /// The address of the platform, for discovery and notifications.
+    /// The address of the platform, which serves discovery and receives notifications.
     pub fn discovery(&self) -> SocketAddr {
         self.config.discovery
     }
@@ -90,7 +90,7 @@
     serde_json::from_slice(&text).map_err(|error| StartError::Malformed { path: path.to_owned(), error })
 }
 
-/// Rejects classes that are delivered in order: the protocol has no ordering key.
+/// Rejects classes that are delivered in order, because requests have no ordering key.
 fn reject_ordered_classes(settings: &Settings, names: &Names) -> Result<(), StartError> {
     let mut classes = names.classes.iter().zip(&settings.classes);
     match classes.find(|(_, class)| class.ordered) {
@@ -99,7 +99,7 @@
     }
 }
 
-/// The number of senders by `settings.peers_total`, if it is configured, and by `peers`.
+/// The number of senders according to `settings.peers_total`, if it is configured, and `peers`.
 fn fleet_size(config: &Config, settings: &Settings) -> FleetSize {
     let is_configured = config.settings.get("peers_total").is_some_and(|value| !value.is_null());
     FleetSize::new(is_configured.then_some(settings.peers_total), config.peers.len())
--- a/crates/sender/src/config/file.rs
+++ b/crates/sender/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration's own keys, without the policy's settings. Unknown keys are ignored.
+//! The keys of the configuration file outside `settings`, which is read by the policy. Unknown keys are ignored.
 
 use std::net::SocketAddr;
 
@@ -10,31 +10,31 @@
 use super::limits::Limits;
 use crate::event::EndpointList;
 
-/// The contents of the configuration file.
+/// The contents of the configuration file; `settings` is unparsed.
 #[derive(Debug)]
 pub(crate) struct Config {
-    /// The address for clients.
+    /// The address on which requests of clients are accepted.
     pub(crate) listen: SocketAddr,
-    /// The platform's address, for discovery and notifications.
+    /// The address of the platform, which serves discovery and receives notifications.
     pub(crate) discovery: SocketAddr,
-    /// The address of the control listener; `None` for none.
+    /// The address of the control listener; `None` if it is not started.
     pub(crate) control: Option<SocketAddr>,
-    /// Seed of the random numbers, as hexadecimal text.
+    /// Seed of the random numbers, as hexadecimal text; empty if missing.
     pub(crate) seed: String,
     /// Resource limits of the process.
     pub(crate) limits: Limits,
-    /// The last known endpoint list.
+    /// The endpoint list to start with if discovery does not respond; `None` if missing.
     pub(crate) known: Option<EndpointList>,
-    /// The gossip address of each sender of the fleet, by its number.
+    /// The gossip address of each sender of the fleet, indexed by sender number; empty if missing.
     pub(crate) peers: Vec<String>,
-    /// The address on which gossip is received.
+    /// The address on which gossip is received; `None` if missing.
     pub(crate) peer_listen: Option<SocketAddr>,
-    /// The settings of the policy.
+    /// The settings of the policy as JSON; null if missing.
     pub(super) settings: Value,
 }
 
 impl Config {
-    /// Reads the configuration's own keys.
+    /// Reads the keys outside `settings`.
     ///
     /// # Errors
     ///
@@ -47,15 +47,15 @@
             control: address(&root.child("control"))?,
             seed: root.child("seed").text_or("")?.to_owned(),
             limits: Limits::read(&root.child("limits"))?,
-            known: known_list(&root.child("known"))?,
+            known: known_endpoint_list(&root.child("known"))?,
             peers: root.child("peers").map(|peer| Ok(peer.text_or("")?.to_owned()))?,
             peer_listen: address(&root.child("peer_listen"))?,
             settings: json.get("settings").cloned().unwrap_or_default(),
         })
     }
 
-    /// The configuration of gossip; `None` if there is none. A configuration that cannot be used is logged, and the
-    /// sender works without gossip.
+    /// The configuration of gossip; `None` if gossip is not allowed or no peers are listed, or if the configuration is
+    /// invalid. An invalid one is logged, and the sender works without gossip.
     pub(crate) fn gossip(&self) -> Option<GossipConfig> {
         if !self.allows_gossip() || self.peers.is_empty() {
             return None;
@@ -80,7 +80,7 @@
     }
 }
 
-/// An optional address with a port.
+/// The address and port of a key; `None` if it is missing.
 fn address(field: &Field<'_>) -> Result<Option<SocketAddr>, ReadError> {
     if field.is_missing() {
         return Ok(None);
@@ -97,7 +97,7 @@
     field.invalid("an address and a port, as in \"127.0.0.1:9000\"")
 }
 
-fn known_list(field: &Field<'_>) -> Result<Option<EndpointList>, ReadError> {
+fn known_endpoint_list(field: &Field<'_>) -> Result<Option<EndpointList>, ReadError> {
     Option::deserialize(field.value())
         .map_err(|error| field.invalid(&format!("a list of receivers ({error})")))
 }
--- a/crates/sender/src/config/golden.rs
+++ b/crates/sender/src/config/golden.rs
@@ -15,13 +15,17 @@
 const MINIMAL_VALUES: &str = include_str!("../../tests/golden/config.least.values.json");
 const CHOICES: &str = include_str!("../../tests/golden/config.choices.json");
 
-/// The complete configuration with another value at one place, and the resulting value of one key.
+/// A change of the complete configuration, and the resulting value of one key.
 #[derive(Deserialize)]
 struct Choice {
+    /// JSON pointer to the changed value.
     at: String,
+    /// The new value.
     value: Value,
+    /// The key of [`values`] that is compared.
     key: String,
-    gives: Value,
+    #[serde(rename = "gives")]
+    expected: Value,
 }
 
 fn golden(text: &str) -> Value {
@@ -37,9 +41,9 @@
     golden(&std::fs::read_to_string(file("config.json")).expect("a file"))
 }
 
-/// Replaces or removes the value at a place.
+/// Replaces the value at a JSON pointer, or removes it if `value` is `None`.
 fn put(config: &mut Value, at: &str, value: Option<Value>) {
-    let (parent, key) = at.rsplit_once('/').expect("a place");
+    let (parent, key) = at.rsplit_once('/').expect("a JSON pointer");
     match (config.pointer_mut(parent).expect("a parent"), value) {
         (Value::Object(parent), Some(value)) => _ = parent.insert(key.to_owned(), value),
         (Value::Object(parent), None) => _ = parent.remove(key).expect("a value"),
@@ -55,7 +59,7 @@
     ValidatedConfig::read(&path).map_err(|error| error.to_string())
 }
 
-/// The values of a class, by the keys of the configuration.
+/// The values of a class, under the keys of the configuration file.
 fn class(name: &str, class: &Class) -> Value {
     let (effect, group, window) = match class.effect {
         Effect::Idempotent => ("free", None, None),
@@ -69,7 +73,7 @@
         "window": window, "in_order": class.ordered})
 }
 
-/// The settings of the policy, by the keys of the configuration.
+/// The settings of the policy, under the keys of the configuration file.
 fn settings(config: &ValidatedConfig) -> Value {
     let (s, names) = (&config.settings, &config.names);
     let (discovery, ask_within) = match s.discovery {
@@ -85,7 +89,7 @@
         LateDecay::Linear => "linear",
         LateDecay::Halving => "halving",
     };
-    let of_kinds = |value: fn(&rudderspindle_policy::interface::Kind) -> Value| -> Vec<Value> {
+    let for_each_kind = |value: fn(&rudderspindle_policy::interface::Kind) -> Value| -> Vec<Value> {
         s.kinds.iter().map(value).collect()
     };
     json!({"az": s.zone, "azs": names.zones, "kinds": names.kinds, "peers_total": s.peers_total, "tick": s.tick,
@@ -93,8 +97,8 @@
         "tariffs.cross_zone": s.cross_zone_price,
         "projects.name": names.tenants,
         "projects.quota_per_s": s.tenants.iter().map(|tenant| tenant.quota_per_s).collect::<Vec<_>>(),
-        "extra.calls_out": s.slots, "extra.bundle_max": of_kinds(|kind| kind.max_batch.into()),
-        "extra.kind_apart": of_kinds(|kind| kind.limit_per_route.into()), "extra.loses_worth": loses_worth,
+        "extra.calls_out": s.slots, "extra.bundle_max": for_each_kind(|kind| kind.max_batch.into()),
+        "extra.kind_apart": for_each_kind(|kind| kind.limit_per_route.into()), "extra.loses_worth": loses_worth,
         "extra.fee_by_zone": s.zone_fees,
         "limits.most_held": s.max_pending, "limits.max_attempts": s.max_attempts,
         "limits.max_retry_after": s.max_retry_after, "limits.retry_after": s.retry_after,
@@ -106,8 +110,8 @@
         "rules.ask_within": ask_within})
 }
 
-/// The configuration's own values, by its keys.
-fn own(config: &Config) -> Value {
+/// The values outside `settings`, under the keys of the configuration file.
+fn values_outside_settings(config: &Config) -> Value {
     let known = config.known.as_ref().map(|list| {
         let members = list.members.iter().map(|member| {
             json!({"id": member.id, "host_port": member.host_port, "locality": member.zone,
@@ -126,15 +130,15 @@
         "notes.peers": gossip.as_ref().map(|gossip| &gossip.peers)})
 }
 
-/// All values of a configuration.
+/// All values of a configuration, by the path of the key.
 fn values(config: &ValidatedConfig) -> Value {
     let mut all = Map::new();
     let object = |value: Value| value.as_object().cloned().expect("an object");
-    all.extend(object(own(&config.config)));
+    all.extend(object(values_outside_settings(&config.config)));
     all.extend(object(settings(config)).into_iter().map(|(key, value)| (format!("settings.{key}"), value)));
-    for (index, (name, of)) in config.names.classes.iter().zip(&config.settings.classes).enumerate() {
-        let of = object(class(name, of)).into_iter();
-        all.extend(of.map(|(key, value)| (format!("settings.lanes[{index}].{key}"), value)));
+    for (index, (name, settings)) in config.names.classes.iter().zip(&config.settings.classes).enumerate() {
+        let values = object(class(name, settings)).into_iter();
+        all.extend(values.map(|(key, value)| (format!("settings.lanes[{index}].{key}"), value)));
     }
     assert_eq!(config.names.classes.len(), config.settings.classes.len());
     all.into()
@@ -142,13 +146,13 @@
 
 #[test]
 fn a_configuration_with_every_key_has_the_recorded_values() {
-    let config = ValidatedConfig::read(&file("config.json")).expect("usable");
+    let config = ValidatedConfig::read(&file("config.json")).expect("a valid configuration");
     assert_eq!(values(&config), golden(VALUES));
 }
 
 #[test]
 fn the_defaults_are_the_recorded_ones() {
-    let config = ValidatedConfig::read(&file("config.least.json")).expect("usable");
+    let config = ValidatedConfig::read(&file("config.least.json")).expect("a valid configuration");
     assert_eq!(values(&config), golden(MINIMAL_VALUES));
 }
 
@@ -156,10 +160,10 @@
 fn each_choice_and_form_of_a_value_is_read_as_recorded() {
     let choices: Vec<Choice> = serde_json::from_str(CHOICES).expect("a table");
     assert!(choices.len() > 20);
-    for Choice { at, value, key, gives } in choices {
+    for Choice { at, value, key, expected } in choices {
         let mut config = complete_config();
         put(&mut config, &at, Some(value.clone()));
         let config = read(&config).unwrap_or_else(|error| panic!("{at} {value}: {error}"));
-        assert_eq!(values(&config).get(&key), Some(&gives), "{at} {value}");
+        assert_eq!(values(&config).get(&key), Some(&expected), "{at} {value}");
     }
 }
--- a/crates/sender/src/config/golden/refused.rs
+++ b/crates/sender/src/config/golden/refused.rs
@@ -1,5 +1,5 @@
-//! Invalid configurations, compared with recorded errors: key and cause must be the same. The wording may differ; the
-//! recorded line is in the file for readers.
+//! Invalid configurations, compared with recorded errors: key and cause must be the same, the wording may differ. The
+//! recorded line is checked like the error of this program.
 
 use std::collections::BTreeMap;
 
@@ -11,29 +11,32 @@
 
 const REFUSED: &str = include_str!("../../../tests/golden/config.refused.json");
 
-/// The complete configuration with an invalid change, and the error.
+/// An invalid change of the complete configuration, and its error.
 #[derive(Deserialize)]
 struct Refused {
+    /// JSON pointer to the changed value.
     at: String,
-    /// The new value; `None` removes the old one.
+    /// The new value; `None` removes the key.
     #[serde(default, deserialize_with = "present")]
     value: Option<Value>,
-    /// Further changes that the error needs.
+    /// Further changes, by JSON pointer, without which the error would be another.
     #[serde(default)]
     also: BTreeMap<String, Value>,
+    /// The path of the key at the start of the error.
     key: String,
     cause: String,
-    /// The value in the error.
+    /// The value as the error contains it.
     shown: String,
+    /// The recorded error.
     line: String,
 }
 
-/// Reads a null as a value.
+/// Deserializes null as [`Value::Null`], where an [`Option`] would be `None`.
 fn present<'de, D: serde::Deserializer<'de>>(value: D) -> Result<Option<Value>, D::Error> {
     Value::deserialize(value).map(Some)
 }
 
-/// The type that an error expects.
+/// The type of the valid values that an error names.
 fn expected_type(line: &str) -> &'static str {
     let types = [
         ("an address and a port", "text"),
@@ -47,10 +50,10 @@
         ("false", "flag"),
     ];
     let found = types.iter().find(|(text, _)| line.contains(text));
-    found.map(|(_, of)| *of).unwrap_or_else(|| panic!("no type that is known: {line}"))
+    found.map(|(_, of)| *of).unwrap_or_else(|| panic!("the error names no known type: {line}"))
 }
 
-/// The type of the value in an error.
+/// The type of the invalid value, as the error contains it.
 fn type_of(shown: &str) -> &'static str {
     match shown.chars().next() {
         Some('"') => "text",
@@ -80,7 +83,7 @@
 }
 
 #[test]
-fn each_invalid_configuration_is_reported_with_the_recorded_key_and_cause() {
+fn each_invalid_configuration_has_the_recorded_key_and_cause() {
     let table: Vec<Refused> = serde_json::from_str(REFUSED).expect("a table");
     assert!(table.len() > 100);
     for Refused { at, value, also, key, cause: expected, shown, line } in table {
@@ -101,12 +104,12 @@
 }
 
 #[test]
-fn a_file_that_is_missing_or_not_json_is_reported_with_cause_and_place() {
+fn a_missing_or_malformed_file_is_reported_with_cause_and_place() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
     let error = || ValidatedConfig::read(&path).expect_err("refused").to_string();
-    let begins = format!("{}: ", path.display());
-    assert_eq!(error(), format!("{begins}No such file or directory (os error 2)"));
+    let prefix = format!("{}: ", path.display());
+    assert_eq!(error(), format!("{prefix}No such file or directory (os error 2)"));
     for (text, place) in [
         ("", "line 1 column 0"),
         ("{", "line 1 column 1"),
@@ -118,7 +121,7 @@
         std::fs::write(&path, text).expect("a file");
         let error = error();
         assert!(
-            error.starts_with(&begins) && error.ends_with(place) && !error.contains('\n'),
+            error.starts_with(&prefix) && error.ends_with(place) && !error.contains('\n'),
             "{text}: {error}"
         );
     }
--- a/crates/sender/src/config/gossip.rs
+++ b/crates/sender/src/config/gossip.rs
@@ -2,31 +2,31 @@
 
 use std::net::{AddrParseError, SocketAddr};
 
-/// Addresses of gossip between the senders of a fleet.
+/// The validated addresses of the senders that exchange gossip.
 #[derive(Clone, Debug)]
 pub(crate) struct GossipConfig {
-    /// This sender's number.
+    /// This sender's number, an index of `peers`.
     pub me: usize,
     /// The address on which this sender receives gossip.
     pub listen: SocketAddr,
-    /// The address on which each sender receives gossip, by its number.
+    /// The address on which each sender receives gossip, indexed by sender number.
     pub peers: Vec<SocketAddr>,
 }
 
-/// Why the configuration of gossip cannot be used.
+/// Why the configuration of gossip is invalid; the sender then works without gossip.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum GossipConfigError {
-    /// This sender's number is missing, or is not that of a listed peer.
-    #[error("settings.me is not a number below that of peers, {peers}")]
+    /// The key `settings.me` is missing or is not the number of a listed peer.
+    #[error("settings.me must be a whole number below {peers}, the number of peers")]
     InvalidNumber {
-        /// The number of senders.
+        /// Number of entries of the key `peers`.
         peers: usize,
     },
-    /// The address on which gossip is received is missing.
-    #[error("peers are listed, and peer_listen is missing")]
+    /// The key `peer_listen` is missing.
+    #[error("peer_listen is missing: must be an address and a port, because peers are listed")]
     MissingListenAddress,
-    /// The address of a sender cannot be parsed.
-    #[error("peers: {0}")]
+    /// An entry of the key `peers` is not an address and a port.
+    #[error("peers contains an invalid entry: {0}")]
     InvalidPeer(#[from] AddrParseError),
 }
 
--- a/crates/sender/src/config/limits.rs
+++ b/crates/sender/src/config/limits.rs
@@ -1,15 +1,15 @@
-//! Resource limits of the process.
+//! Resource limits of the process, from the key `limits`.
 
 use rudderspindle_journal::MAX_BODY;
 use rudderspindle_policy::settings::{Field, Range, ReadError};
 
-/// Descriptors reserved for files, listeners, discovery and the runtime.
+/// Number of descriptors reserved for files, listeners, discovery and the runtime.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// Minimum number of descriptors: the reserved ones, one for a client and one for a receiver.
+/// Minimum valid number of descriptors: the reserved ones, one for a client and one for a receiver.
 const MIN_DESCRIPTORS: u32 = RESERVED_DESCRIPTORS as u32 + 2;
-/// Share of the memory limit for bodies of requests that have not been received completely.
-const BODY_MEMORY_SHARE: f64 = 0.125;
-/// Minimum effective memory limit, in MB, and the one in effect if none is configured.
+/// Fraction of the memory limit for request bodies that have not been received completely.
+const BODY_MEMORY_FRACTION: f64 = 0.125;
+/// Minimum memory limit, in MB; a lower configured limit is raised to it, and it applies if none is configured.
 const MIN_MEMORY_MB: f64 = 8.0;
 
 const DISK_RANGE: Range = Range::new("a number of MB above 0", |x| x > 0.0);
@@ -18,9 +18,11 @@
 /// Descriptors, disk space and memory that the process may use.
 #[derive(Clone, Debug)]
 pub(crate) struct Limits {
+    /// Maximum number of open file descriptors.
     descriptors: usize,
-    /// Disk space, in MB.
+    /// Maximum disk space of the journal, in MB.
     pub(crate) disk_mb: f64,
+    /// Memory limit, in MB; 0 if none is configured.
     memory_mb: f64,
 }
 
@@ -38,14 +40,15 @@
         })
     }
 
-    /// Maximum number of connections of clients; the same number is allowed to receivers.
+    /// Maximum number of connections from clients; the maximum for connections to receivers is the same.
     pub(crate) fn max_connections(&self) -> usize {
         self.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2
     }
 
-    /// Memory for bodies that have not been received completely, in bytes; at most one body for each client connection.
+    /// Memory for request bodies that have not been received completely, in bytes; at most one body of the maximum
+    /// length for each client connection.
     pub(crate) fn body_bytes(&self) -> usize {
-        let share = self.memory_mb.max(MIN_MEMORY_MB) * 1_000_000.0 * BODY_MEMORY_SHARE;
-        (share as usize).min(self.max_connections().saturating_mul(MAX_BODY))
+        let bytes = self.memory_mb.max(MIN_MEMORY_MB) * 1_000_000.0 * BODY_MEMORY_FRACTION;
+        (bytes as usize).min(self.max_connections().saturating_mul(MAX_BODY))
     }
 }
--- a/crates/sender/src/config/start_error.rs
+++ b/crates/sender/src/config/start_error.rs
@@ -1,4 +1,4 @@
-//! Errors of a start.
+//! Errors at the start of a sender.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,25 +8,25 @@
 use rudderspindle_policy::interface::SettingsError;
 use rudderspindle_policy::settings::ReadError;
 
-/// Why a sender cannot start, or cannot use a configuration.
+/// Why a sender does not start, or rejects a configuration.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// The configuration's file cannot be read.
+    /// The configuration file cannot be read.
     #[error("{path}: {error}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// The cause.
         #[source]
         error: io::Error,
     },
-    /// The configuration is not JSON.
+    /// The configuration file is not JSON.
     #[error("{path}: {error}")]
     Malformed {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The cause, with its position in the file.
+        /// The parser's error, with line and column.
         #[source]
         error: serde_json::Error,
     },
@@ -36,35 +36,33 @@
     /// A value is missing, of another type or out of range.
     #[error("{0}")]
     Read(#[from] ReadError),
-    /// The fleet has no senders.
-    #[error(
-        "settings.peers_total is 0, and peers lists nobody: a whole number of senders from 1 on is wanted"
-    )]
+    /// The number of senders is configured as 0, and no peers are listed.
+    #[error("settings.peers_total is 0 and peers is empty: must be a whole number of senders, 1 or more")]
     NoSenders,
-    /// A class, by its name, is configured to be delivered in order, which the protocol does not support.
+    /// The class with this name is configured to be delivered in order, for which requests have no ordering key.
     #[error(
-        "settings.lanes[*].in_order ({0:?}) is true: false is wanted, as messages come without a key for it"
+        "settings.lanes[*].in_order ({0:?}) is true: must be false, because messages have no ordering key"
     )]
     Ordered(String),
     /// The journal cannot be opened.
     #[error("the journal in {path} cannot be used: {error}")]
     Journal {
-        /// The folder.
+        /// The state folder.
         path: PathBuf,
         /// The cause.
         #[source]
         error: JournalError,
     },
-    /// The persistent state of the process cannot be written.
-    #[error("the folder {path} keeps nothing: {error}")]
+    /// This process's incarnation cannot be stored in the state folder.
+    #[error("state cannot be stored in the folder {path}: {error}")]
     State {
-        /// The folder.
+        /// The state folder.
         path: PathBuf,
         /// The cause.
         #[source]
         error: io::Error,
     },
-    /// An address cannot be listened on.
+    /// A listener cannot be bound to its address.
     #[error("cannot listen on {addr}: {error}")]
     Listen {
         /// The address.
--- a/crates/sender/src/config/tests.rs
+++ b/crates/sender/src/config/tests.rs
@@ -7,7 +7,7 @@
 use super::fleet_size::FleetSize;
 use super::limits::Limits;
 
-/// An invalid configuration of peers neither prevents a start nor starts gossip that is not allowed.
+/// With an invalid configuration of peers the sender starts without gossip.
 #[test]
 fn gossip_needs_a_complete_and_valid_configuration() {
     let gossip = |me: i64, allowed: bool, listen: Option<&str>, peers: &[&str]| {
@@ -18,8 +18,8 @@
         Config::read(&json).expect("a configuration").gossip()
     };
     let (listen, peers) = (Some("127.0.0.1:3"), ["10.0.0.1:3", "10.0.0.2:3"]);
-    let good = gossip(1, true, listen, &peers).expect("gossip");
-    assert_eq!((good.me, good.peers.len()), (1, 2));
+    let config = gossip(1, true, listen, &peers).expect("gossip");
+    assert_eq!((config.me, config.peers.len()), (1, 2));
     assert!(gossip(1, false, listen, &peers).is_none());
     assert!(gossip(1, true, None, &peers).is_none());
     assert!(gossip(2, true, listen, &peers).is_none());
@@ -28,17 +28,18 @@
     assert!(gossip(0, true, listen, &[]).is_none());
 }
 
+/// Each warning is one line.
 #[test]
-fn the_larger_of_two_numbers_of_senders_is_used_and_each_warning_is_one_line() {
+fn the_larger_sender_count_is_used_and_a_mismatch_is_warned_of() {
     assert_eq!(FleetSize::new(Some(3), 3), FleetSize { senders: 3, warning: None });
-    // A fleet without gossip lists no peers.
+    // Without gossip, the configuration lists no peers.
     assert_eq!(FleetSize::new(Some(3), 0), FleetSize { senders: 3, warning: None });
     for (peers_total, peers, expected, text) in [
-        (Some(3), 100, 100, "peers_total is 3, and peers lists 100"),
-        (Some(100), 3, 100, "peers_total is 100, and peers lists 3"),
-        (Some(0), 7, 7, "peers_total is 0, and peers lists 7"),
-        (None, 7, 7, "peers_total is missing"),
-        (None, 0, 1, "neither settings.peers_total nor peers"),
+        (Some(3), 100, 100, "peers_total is 3, but peers lists 100 senders"),
+        (Some(100), 3, 100, "peers_total is 100, but peers lists 3 senders"),
+        (Some(0), 7, 7, "peers_total is 0, but peers lists 7 senders"),
+        (None, 7, 7, "peers_total is missing: the number of peers is used"),
+        (None, 0, 1, "settings.peers_total is missing and peers is empty"),
     ] {
         let size = FleetSize::new(peers_total, peers);
         assert_eq!(size.senders, expected, "{peers_total:?} {peers}");
@@ -48,7 +49,7 @@
             "{warning:?}"
         );
     }
-    // Rejected with the settings.
+    // The number 0 is rejected when the configuration is validated.
     assert_eq!(FleetSize::new(Some(0), 0), FleetSize { senders: 0, warning: None });
 }
 
@@ -64,7 +65,7 @@
     // At most 64 KiB for each of 492 clients.
     assert_eq!(bytes(1024.0, Some(1_920.0)), 492 * 65_536);
     assert_eq!(bytes(1024.0, Some(1e300)), 492 * 65_536);
-    // No limit, or less than the minimum.
+    // No memory limit, or one below the minimum.
     for memory in [None, Some(0.0), Some(7.0)] {
         assert_eq!(bytes(1024.0, memory), 1_000_000);
     }
--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -1,4 +1,4 @@
-//! Control listener: accepts one command line for each connection and sends one response.
+//! Control listener: reads one command line on each connection and sends one response.
 //!
 //! | command | response |
 //! | --- | --- |
@@ -36,40 +36,41 @@
 
 /// Maximum length of a command line, in bytes.
 const MAX_LINE_LEN: u64 = 256;
-/// How long a command may take to be read, executed and answered.
+/// Maximum time for reading a command, executing it and sending the response.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the engine's status is waited for before the last known one is reported; clients time out after 1 s.
+/// Timeout of the query for the engine's status, after which the last known status is reported. Clients time out
+/// after 1 s.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Serves the control protocol.
+/// Serves the commands of operators.
 #[derive(Debug)]
 pub struct ControlListener {
     /// The metrics that `stats` reports.
     pub metrics: Rc<Metrics>,
-    /// Whether clients are accepted.
+    /// Whether requests of clients are accepted; changed by `standby` and `active`.
     pub admission_state: watch::Sender<AdmissionState>,
-    /// The engine, which is queried for its status.
+    /// Inputs of the engine, which is queried for its status.
     pub engine: mpsc::Sender<Input>,
 }
 
 impl ControlListener {
-    /// Accepts connections without end. Each is served by a task that ends after [`COMMAND_TIMEOUT`] at the latest, or
-    /// when newer connections need its descriptor.
+    /// Accepts connections until the task is cancelled. Each connection is served by a task of its own, which ends
+    /// after [`COMMAND_TIMEOUT`] at the latest, or when the connection is closed to limit the number of open ones.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
-        let open = Rc::new(OpenConnections::default());
+        let open_connections = Rc::new(OpenConnections::default());
         let mut acceptor = Acceptor::new(listener, "control");
         for number in 0.. {
             let accepted = acceptor.accept(|| ()).await;
-            spawn_local(self.clone().serve_connection(accepted.stream, open.add(number)));
+            spawn_local(self.clone().serve_connection(accepted.stream, open_connections.add(number)));
         }
     }
 
-    /// Serves one command, and closes the connection without a reset.
+    /// Serves one command, and closes the connection without resetting it.
     async fn serve_connection(self: Rc<Self>, mut stream: TcpStream, guard: ConnectionGuard) {
         tokio::select! {
             biased;
             () = guard.close_requested() => {}
-            // A client that sends nothing, or does not read the response, is disconnected.
+            // The timeout disconnects a client that sends no command or does not read the response.
             _ = timeout(COMMAND_TIMEOUT, self.serve_command(&mut stream)) => {}
         }
         graceful_close::finish(&Rc::new(RefCell::new(stream)), guard.close_requested()).await;
@@ -87,7 +88,7 @@
         writer.shutdown().await
     }
 
-    /// Executes a command.
+    /// Executes a command and returns its response.
     async fn respond(&self, command: Result<Command, UnknownCommand>) -> Response {
         match command {
             Ok(Command::Status) if self.admission_state.borrow().is_stopping() => Response::Stopping,
@@ -103,7 +104,7 @@
 
     /// Changes the admission state, unless the process is stopping.
     fn set_admission(&self, requested: AdmissionState) -> Response {
-        // Copied: the state must not be borrowed while it is replaced.
+        // Copied, because `send_replace` must not be called while the state is borrowed.
         let from = *self.admission_state.borrow();
         let to = from.after_request(requested);
         if self.admission_state.send_replace(to) != to {
@@ -112,11 +113,12 @@
         if to == requested { Response::Done } else { Response::Stopping }
     }
 
-    /// Queries the engine for its status; keeps the last known one if it does not respond in time.
+    /// Queries the engine for its status. The metrics keep the last known status if the engine does not respond within
+    /// [`STATUS_TIMEOUT`].
     async fn update_engine_status(&self) {
-        let (status, reported) = oneshot::channel();
-        if self.engine.try_send(Input::QueryStatus(status)).is_ok()
-            && let Ok(Ok(status)) = timeout(STATUS_TIMEOUT, reported).await
+        let (reply, status) = oneshot::channel();
+        if self.engine.try_send(Input::QueryStatus(reply)).is_ok()
+            && let Ok(Ok(status)) = timeout(STATUS_TIMEOUT, status).await
         {
             self.metrics.set_engine_status(status);
         }
--- a/crates/sender/src/control/command.rs
+++ b/crates/sender/src/control/command.rs
@@ -1,23 +1,23 @@
-//! Commands of the control protocol: one line each.
+//! Commands of the control protocol; each is one line.
 
 use std::str::FromStr;
 
 use crate::admission_state::AdmissionState;
 
-/// What an operator requests.
+/// A command of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Command {
-    /// Whether this process can serve.
+    /// Reports whether this process can serve, which it cannot while it is stopping.
     Status,
-    /// The metrics.
+    /// Reports the metrics.
     Stats,
-    /// Accept clients, or drain.
+    /// Accepts clients (`active`) or drains them (`standby`).
     SetAdmission(AdmissionState),
 }
 
-/// A line that is not a command.
+/// The received line is not a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("one line of status, stats, standby or active is wanted")]
+#[error("unknown command: must be one line of status, stats, standby or active")]
 pub(super) struct UnknownCommand;
 
 impl FromStr for Command {
@@ -35,11 +35,11 @@
 }
 
 impl Command {
-    /// Parses a received line, which must be complete.
+    /// Parses a received line, which must include its line end.
     ///
     /// # Errors
     ///
-    /// [`UnknownCommand`] if the line has no end, is not UTF-8 or names no command.
+    /// [`UnknownCommand`] if the line end is missing, or the line is not UTF-8 or not a command.
     pub(super) fn parse(line: &[u8]) -> Result<Self, UnknownCommand> {
         let line = std::str::from_utf8(line).map_err(|_| UnknownCommand)?;
         if !line.ends_with('\n') {
--- a/crates/sender/src/control/command/tests.rs
+++ b/crates/sender/src/control/command/tests.rs
@@ -1,3 +1,5 @@
+//! Parsing of command lines.
+
 use super::{Command, UnknownCommand};
 use crate::admission_state::AdmissionState;
 
@@ -10,7 +12,7 @@
 }
 
 #[test]
-fn a_line_without_its_end_or_of_other_bytes_than_text_is_no_command() {
+fn an_unterminated_or_non_utf8_line_is_not_a_command() {
     assert_eq!(Command::parse(b"status\n"), Ok(Command::Status));
     assert_eq!(Command::parse(b"status"), Err(UnknownCommand));
     assert_eq!(Command::parse(b"status\xff\n"), Err(UnknownCommand));
--- a/crates/sender/src/control/connections.rs
+++ b/crates/sender/src/control/connections.rs
@@ -1,4 +1,4 @@
-//! The open connections of the control listener, limited in number.
+//! The open connections of the control listener, and their maximum number.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,23 +6,25 @@
 
 use tokio::sync::Notify;
 
-/// Maximum number of open connections; beyond it the oldest one is closed.
+/// Maximum number of open connections; if another one is accepted, the oldest is closed.
 const MAX_CONNECTIONS: usize = 12;
 
-/// The open connections by number, in the order in which they were accepted.
+/// The open connections, by their numbers in the order of acceptance.
 #[derive(Debug, Default)]
 pub(super) struct OpenConnections(RefCell<BTreeMap<u64, Rc<Notify>>>);
 
-/// The entry of an open connection; removed when dropped.
+/// Registration of an open connection; dropping it removes the connection.
 #[derive(Debug)]
 pub(super) struct ConnectionGuard {
-    open: Rc<OpenConnections>,
+    open_connections: Rc<OpenConnections>,
     number: u64,
-    close: Rc<Notify>,
+    /// Notified when the connection is to be closed.
+    close_request: Rc<Notify>,
 }
 
 impl OpenConnections {
-    /// Adds the connection with this number. If there are too many, requests the close of the oldest.
+    /// Adds the connection with this number. If [`MAX_CONNECTIONS`] are open already, requests that the oldest is
+    /// closed.
     pub(super) fn add(self: &Rc<Self>, number: u64) -> ConnectionGuard {
         let mut connections = self.0.borrow_mut();
         if connections.len() >= MAX_CONNECTIONS
@@ -30,21 +32,21 @@
         {
             oldest.notify_one();
         }
-        let close = Rc::new(Notify::new());
-        connections.insert(number, close.clone());
-        ConnectionGuard { open: self.clone(), number, close }
+        let close_request = Rc::new(Notify::new());
+        connections.insert(number, close_request.clone());
+        ConnectionGuard { open_connections: self.clone(), number, close_request }
     }
 }
 
 impl ConnectionGuard {
-    /// Waits until the close of this connection is requested.
+    /// Waits until this connection has to be closed.
     pub(super) async fn close_requested(&self) {
-        self.close.notified().await;
+        self.close_request.notified().await;
     }
 }
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.open.0.borrow_mut().remove(&self.number);
+        self.open_connections.0.borrow_mut().remove(&self.number);
     }
 }
--- a/crates/sender/src/control/golden.rs
+++ b/crates/sender/src/control/golden.rs
@@ -12,7 +12,7 @@
 const SERVING: &str = include_str!("../../tests/golden/control.serving.txt");
 const STOPPING: &str = include_str!("../../tests/golden/control.stopping.txt");
 
-/// Metrics in which no two numbers are equal.
+/// Metrics whose non-zero numbers all differ.
 fn metrics() -> Metrics {
     let metrics = Metrics::new(&["keyed".to_owned(), "a \"b\"".to_owned(), "plain".to_owned()]);
     let outcomes = [
@@ -30,14 +30,14 @@
     metrics
 }
 
-/// A control listener in this state, and the receiver of its queries.
+/// A control listener with this admission state, and the queries that it sends to the engine.
 fn control(state: AdmissionState) -> (ControlListener, mpsc::Receiver<Input>) {
     let (engine, queries) = mpsc::channel(4);
     let admission_state = watch::channel(state).0;
     (ControlListener { metrics: Rc::new(metrics()), admission_state, engine }, queries)
 }
 
-/// Each command after a `> `, and its response.
+/// Each command on a line that begins with `> `, followed by its response.
 async fn transcript(control: &ControlListener, commands: &[&str]) -> String {
     let mut text = String::new();
     for command in commands {
@@ -51,20 +51,20 @@
 async fn a_serving_sender_responds_to_each_command_as_recorded() {
     let (control, mut queries) = control(AdmissionState::Accepting);
     let engine = async {
-        while let Some(Input::QueryStatus(status)) = queries.recv().await {
-            let now = EngineStatus { open_requests: 60, registry_entries: 70, out_of_rotation: 80 };
-            status.send(now).expect("a query");
+        while let Some(Input::QueryStatus(reply)) = queries.recv().await {
+            let current = EngineStatus { open_requests: 60, registry_entries: 70, out_of_rotation: 80 };
+            reply.send(current).expect("a waiting query");
         }
     };
     let commands = ["status", "stats", "standby", "status", "active", " status ", "", "STATUS", "stop"];
     let text = tokio::select! {
         text = transcript(&control, &commands) => text,
-        () = engine => unreachable!("the listener holds the other end"),
+        () = engine => unreachable!("the control listener keeps the channel open"),
     };
     assert_eq!(text, SERVING);
 }
 
-/// The engine has ended: the metrics have the status that it reported last.
+/// The engine has ended, so the metrics contain the last status that it reported.
 #[tokio::test]
 async fn a_stopping_sender_responds_to_each_command_as_recorded() {
     for state in [AdmissionState::Stopping, AdmissionState::HandingOver] {
--- a/crates/sender/src/control/response.rs
+++ b/crates/sender/src/control/response.rs
@@ -4,16 +4,16 @@
 
 use super::command::UnknownCommand;
 
-/// The response to a command. [`fmt::Display`] writes its encoding, with the end of the last line.
+/// The response to a command. [`fmt::Display`] writes the response as sent, including the last line end.
 #[derive(Debug)]
 pub(super) enum Response {
-    /// The command is in effect.
+    /// The command was executed.
     Done,
-    /// The process is stopping.
+    /// The process is stopping, so it cannot serve, and its admission state does not change.
     Stopping,
     /// The metrics, as one line of JSON.
     Stats(String),
-    /// The line is not a command.
+    /// The received line is not a command.
     Unknown(UnknownCommand),
 }
 
--- a/crates/sender/src/fleet_file.rs
+++ b/crates/sender/src/fleet_file.rs
@@ -1,5 +1,5 @@
-//! The operator's fleet file, which configures what the senders of a fleet share: TOML, at the path in `RELAY_FLEET`. Without
-//! it nothing is shared.
+//! The operator's fleet file, in TOML at the path in `RELAY_FLEET`. It configures which state the senders of a fleet
+//! share; without the file they share none.
 
 mod error;
 
@@ -15,38 +15,40 @@
 
 pub use error::FleetFileError;
 
-/// Default minimum number of senders for gossip; in smaller fleets each sender's own calls are sufficient.
+/// Default minimum number of senders for gossip. In smaller fleets the calls of each sender alone are sufficient,
+/// without gossip.
 const DEFAULT_MIN_SENDERS: usize = 11;
 /// Default maximum rate of messages submitted to one sender, in messages a second.
 const DEFAULT_MAX_MESSAGES_PER_S: u32 = 100;
 /// Minimum valid value of `share.from`.
 const MIN_GOSSIPING_SENDERS: usize = 2;
 
-/// The operator's file, validated.
+/// The operator's fleet file, validated.
 ///
 /// ```
 /// use rudderspindle_sender::FleetFile;
 /// let file = FleetFile::parse("[share]\nfrom = 3\nbound = \"strict\"\n").expect("a valid file");
-/// assert!(file.share().is_strict());
+/// assert!(file.sharing().is_strict());
 /// assert!(FleetFile::parse("[share]\nbond = \"strict\"").is_err());
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetFile {
-    #[serde(default)]
-    share: SharingConfig,
-    /// The numbers of the senders in each zone.
+    #[serde(default, rename = "share")]
+    sharing: SharingConfig,
+    /// The numbers of the senders in each zone, by zone name.
     #[serde(default, rename = "halls")]
     zones: BTreeMap<String, Vec<usize>>,
 }
 
-/// The table `[share]`: what the senders share.
+/// The table `[share]`: which state the senders share.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SharingConfig {
     #[serde(rename = "from")]
     min_senders: usize,
-    bound: LimitBound,
+    #[serde(rename = "bound")]
+    limit_bound: LimitBound,
     #[serde(rename = "judgements")]
     outlier_detection: bool,
     #[serde(rename = "counts")]
@@ -59,11 +61,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LimitBound {
-    /// The limit is shared by demand; it may be exceeded while gossip is not received.
+    /// Each sender uses a part of the limit in proportion to its demand; the limit may be exceeded while gossip is not
+    /// received.
     #[default]
     #[serde(rename = "use")]
     BestEffort,
-    /// No call starts without a permit: the limit is never exceeded.
+    /// No call starts without a permit, so the limit is never exceeded.
     Strict,
 }
 
@@ -71,7 +74,7 @@
     fn default() -> Self {
         Self {
             min_senders: DEFAULT_MIN_SENDERS,
-            bound: LimitBound::BestEffort,
+            limit_bound: LimitBound::BestEffort,
             outlier_detection: false,
             shared_quotas: false,
             max_messages_per_s: DEFAULT_MAX_MESSAGES_PER_S,
@@ -85,24 +88,25 @@
         self.min_senders
     }
 
-    /// Whether receivers whose calls fail at several senders of a zone are ejected in the whole zone.
+    /// Whether a receiver whose calls from several senders of a zone fail is ejected by all senders of that zone.
     pub fn detects_outliers(&self) -> bool {
         self.outlier_detection
     }
 
-    /// Whether tenants' quotas apply to the whole fleet.
+    /// Whether each tenant's quota is enforced over the whole fleet.
     pub fn shares_quotas(&self) -> bool {
         self.shared_quotas
     }
 
-    /// Maximum rate of messages submitted to one sender, in messages a second; assumed for senders that do not report.
+    /// Maximum rate of messages submitted to one sender, in messages a second. This rate is assumed for a sender whose
+    /// reports are not received.
     pub fn max_messages_per_s(&self) -> u32 {
         self.max_messages_per_s
     }
 
-    /// Whether no call may start without a permit.
+    /// Whether a call may start only with a permit.
     pub fn is_strict(&self) -> bool {
-        self.bound == LimitBound::Strict
+        self.limit_bound == LimitBound::Strict
     }
 }
 
@@ -111,14 +115,14 @@
     ///
     /// # Errors
     ///
-    /// [`FleetFileError`] names the file, the position in it and what is expected.
+    /// [`FleetFileError`] contains the path of the file, the line or key, and the valid values.
     pub fn read(path: &Path) -> Result<Self, FleetFileError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| FleetFileError::Unreadable { path: path.to_owned(), error })?;
         Self::parse_file(&text, path)
     }
 
-    /// Parses and validates the text of a file.
+    /// Parses and validates the text of a file; errors name the file `fleet.toml`.
     ///
     /// # Errors
     ///
@@ -138,31 +142,40 @@
         let invalid = |key, value: String, expected| {
             Err(FleetFileError::OutOfRange { path: path.to_owned(), key, value, expected })
         };
-        if self.share.min_senders < MIN_GOSSIPING_SENDERS {
-            let value = self.share.min_senders.to_string();
-            return invalid("share.from", value, "a number of senders from 2 on");
+        if self.sharing.min_senders < MIN_GOSSIPING_SENDERS {
+            let value = self.sharing.min_senders.to_string();
+            return invalid("share.from", value, "a whole number of senders, 2 or more");
         }
-        if let Some(sender) = self.sender_listed_twice() {
-            return invalid("halls", format!("sender {sender} twice"), "each sender in one hall");
+        if let Some(sender) = self.duplicate_sender() {
+            return invalid(
+                "halls",
+                format!("a table with sender {sender} twice"),
+                "a table with each sender once at most",
+            );
         }
-        if self.share.outlier_detection && self.zones.is_empty() {
-            let expected = "the senders of each hall, for share.judgements,";
+        if self.sharing.outlier_detection && self.zones.is_empty() {
+            let expected = "a table with the senders of each hall, because share.judgements is true";
             return invalid("halls", "empty".to_owned(), expected);
         }
-        if self.share.max_messages_per_s == 0 {
-            return invalid("share.most_per_s", "0".to_owned(), "a number of messages from 1 on");
+        if self.sharing.max_messages_per_s == 0 {
+            return invalid(
+                "share.most_per_s",
+                "0".to_owned(),
+                "a whole number of messages per second, 1 or more",
+            );
         }
         Ok(())
     }
 
     /// The first sender that is listed more than once, in the order of zone names.
-    fn sender_listed_twice(&self) -> Option<usize> {
-        let listed: Vec<usize> = self.zones.values().flatten().copied().collect();
-        let times = |sender| listed.iter().filter(|listed| **listed == sender).count();
-        listed.iter().copied().find(|sender| times(*sender) > 1)
+    fn duplicate_sender(&self) -> Option<usize> {
+        let senders: Vec<usize> = self.zones.values().flatten().copied().collect();
+        let occurrences = |sender| senders.iter().filter(|other| **other == sender).count();
+        senders.iter().copied().find(|sender| occurrences(*sender) > 1)
     }
 
-    /// The number of each sender's zone; senders that are not listed are in zone 0.
+    /// The zone number of each sender, indexed by sender number. Listed zones are numbered from 1 in the order of their
+    /// names; senders that are not listed are in zone 0.
     pub fn zones(&self, senders: usize) -> Vec<u16> {
         (0..senders).map(|sender| self.zone_of(sender)).collect()
     }
@@ -172,8 +185,8 @@
         position.map_or(0, |index| index as u16 + 1)
     }
 
-    /// What the senders share.
-    pub fn share(&self) -> &SharingConfig {
-        &self.share
+    /// Which state the senders share.
+    pub fn sharing(&self) -> &SharingConfig {
+        &self.sharing
     }
 }
--- a/crates/sender/src/fleet_file/golden.rs
+++ b/crates/sender/src/fleet_file/golden.rs
@@ -1,4 +1,4 @@
-//! The operator's file, compared with recorded values and errors.
+//! The operator's fleet file, compared with recorded values and errors.
 
 use std::path::Path;
 
@@ -11,33 +11,34 @@
 const DEFAULTS: &str = include_str!("../../tests/golden/fleet.defaults.json");
 const REFUSED: &str = include_str!("../../tests/golden/fleet.refused.json");
 
-/// A file that is rejected, and its error.
+/// A file that is rejected, and its recorded error.
 #[derive(Deserialize)]
 struct Refused {
     file: String,
-    /// The key, or the line if there is none.
+    /// The key at the start of the error, or the line if the error names no key.
     place: String,
-    /// The value that the error displays.
+    /// The value as the error contains it.
     shown: String,
+    /// The kind of error, as [`cause`] returns it.
     cause: String,
     /// The recorded error.
     line: String,
 }
 
-/// The value of each key, by its name in the file.
+/// The value of each key, by the path of the key in the file.
 fn values(file: &FleetFile) -> Value {
-    let bound = match file.share.bound {
+    let bound = match file.sharing.limit_bound {
         LimitBound::BestEffort => "use",
         LimitBound::Strict => "strict",
     };
-    let share = file.share();
-    assert_eq!(share.is_strict(), bound == "strict");
-    json!({"share.from": share.min_senders(), "share.bound": bound, "share.judgements": share.detects_outliers(),
-        "share.counts": share.shares_quotas(), "share.most_per_s": share.max_messages_per_s(),
+    let sharing = file.sharing();
+    assert_eq!(sharing.is_strict(), bound == "strict");
+    json!({"share.from": sharing.min_senders(), "share.bound": bound, "share.judgements": sharing.detects_outliers(),
+        "share.counts": sharing.shares_quotas(), "share.most_per_s": sharing.max_messages_per_s(),
         "halls": file.zones, "hall of each of 7 senders": file.zones(7)})
 }
 
-/// The cause of an error.
+/// The kind of error, determined by its text.
 fn cause(line: &str) -> &'static str {
     let causes = [
         ("unknown field", "unknown name"),
@@ -49,8 +50,8 @@
         ("duplicate key", "twice"),
         (" twice", "twice"),
         ("share.judgements", "missing"),
-        ("from 2 on", "out of range"),
-        ("from 1 on", "out of range"),
+        ("2 or more", "out of range"),
+        ("1 or more", "out of range"),
     ];
     causes.iter().find(|(text, _)| line.contains(text)).map_or("no TOML", |(_, cause)| cause)
 }
@@ -75,14 +76,16 @@
 }
 
 #[test]
-fn each_rejected_file_is_reported_with_the_recorded_place_and_cause() {
+fn each_rejected_file_has_the_recorded_place_and_cause() {
     let table: Vec<Refused> = serde_json::from_str(REFUSED).expect("a table");
     assert!(table.len() > 20);
     for Refused { file, place, shown, cause: expected, line } in table {
         let error = FleetFile::parse(&file).expect_err(&file).to_string();
         for error in [&error, &line] {
-            let after =
-                error.strip_prefix("fleet.toml").expect("the file first").trim_start_matches([':', ',', ' ']);
+            let after = error
+                .strip_prefix("fleet.toml")
+                .expect("the path of the file first")
+                .trim_start_matches([':', ',', ' ']);
             let after = after.strip_prefix(&place).unwrap_or_else(|| panic!("{place}: {error}"));
             assert!(
                 !after.starts_with(|c: char| c.is_alphanumeric() || "._[".contains(c)),
@@ -96,7 +99,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_reported_with_the_cause() {
+fn an_unreadable_file_is_reported_with_the_cause() {
     let error = FleetFile::read(Path::new("/nowhere/fleet.toml")).expect_err("no file").to_string();
     assert!(error.starts_with("/nowhere/fleet.toml: No such file or directory"), "{error}");
 }
--- a/crates/sender/src/fleet_file/tests.rs
+++ b/crates/sender/src/fleet_file/tests.rs
@@ -1,4 +1,4 @@
-//! Defaults and errors of the operator's file.
+//! Defaults and errors of the operator's fleet file.
 
 use std::path::Path;
 
@@ -7,8 +7,8 @@
 #[test]
 fn an_empty_file_has_the_defaults() {
     assert_eq!(FleetFile::parse("").expect("a file"), FleetFile::default());
-    assert_eq!(FleetFile::default().share().min_senders(), 11);
-    assert!(!FleetFile::default().share().is_strict());
+    assert_eq!(FleetFile::default().sharing().min_senders(), 11);
+    assert!(!FleetFile::default().sharing().is_strict());
 }
 
 #[test]
@@ -17,13 +17,19 @@
         ("[share]\nbond = \"strict\"", "line 2: unknown field `bond`"),
         ("[shares]", "unknown field `shares`"),
         ("[share]\nbound = \"tight\"", "unknown variant `tight`, expected `use` or `strict`"),
-        ("[share]\nfrom = 1", "share.from is 1; a number of senders from 2 on is wanted"),
+        ("[share]\nfrom = 1", "share.from is 1: must be a whole number of senders, 2 or more"),
         (
             "[share]\njudgements = true",
-            "halls is empty; the senders of each hall, for share.judgements, is wanted",
+            "halls is empty: must be a table with the senders of each hall, because share.judgements is true",
+        ),
+        (
+            "[halls]\na = [0, 1]\nb = [1]",
+            "halls is a table with sender 1 twice: must be a table with each sender once at most",
+        ),
+        (
+            "[share]\nmost_per_s = 0",
+            "share.most_per_s is 0: must be a whole number of messages per second, 1 or more",
         ),
-        ("[halls]\na = [0, 1]\nb = [1]", "halls is sender 1 twice; each sender in one hall is wanted"),
-        ("[share]\nmost_per_s = 0", "share.most_per_s is 0; a number of messages from 1 on is wanted"),
         ("[share]\nfrom = -3", "invalid value: integer `-3`"),
         ("share", "fleet.toml, line 1: "),
     ] {
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -20,30 +20,30 @@
 use rudderspindle_policy::interface::LimitScope;
 use shared_view::SharedView;
 
-/// Log target of dropped datagrams.
+/// Log target of the reasons for which received datagrams were dropped.
 const LOG_TARGET: &str = "notes";
-/// Log target of the state that the fleet shares.
+/// Log target of the state that the senders of the fleet share.
 pub(crate) const FLEET_LOG_TARGET: &str = "fleet";
-/// Interval between attempts to bind the listening address, which an earlier process may use until it exits.
+/// Interval between attempts to bind the listening address, which an earlier process may hold until it exits.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The settings of what the senders share besides capacity.
+/// Settings of the state that the senders share besides capacity.
 #[derive(Debug, Default)]
 pub(crate) struct FleetSettings {
-    /// The operator's file.
+    /// The operator's fleet file.
     pub fleet_file: FleetFile,
-    /// Quota of each tenant over all senders, in messages a second.
+    /// Quota of each tenant over all senders, in messages a second, indexed by tenant number.
     pub tenant_quotas: Vec<f64>,
-    /// This process's incarnation, if permits or the fleet view need it.
+    /// This process's incarnation; `None` if neither permits nor the fleet view are in use.
     pub incarnation: Option<Incarnation>,
 }
 
-/// A limit as last reported by the engine.
+/// A limit from the last activity report of the engine.
 #[derive(Clone, Copy, Debug)]
 struct ReportedLimit {
     id: LimitId,
     scope: LimitScope,
-    /// Estimated fraction of the limit that the destination accepts, from 0 to 1.
+    /// Estimated fraction of the limit that the destination accepts at present, from 0 to 1.
     available_fraction: f64,
 }
 
@@ -53,36 +53,39 @@
     config: GossipConfig,
     demand_exchange: DemandExchange,
     settings: FleetSettings,
+    /// `None` if permits are not in use.
     permits: Option<PermitLedger>,
+    /// `None` if the fleet view is not in use.
     shared_view: Option<SharedView>,
     limits: Vec<ReportedLimit>,
 }
 
 impl GossipTask {
-    /// A task for the sender and its peers in `config`; destinations recover from an outage along `ramp`.
+    /// Creates the task for the sender and the peers in `config`. `ramp` is the capacity over time of a destination
+    /// that recovers from an outage.
     pub(crate) fn new(config: GossipConfig, ramp: RecoveryRamp, settings: FleetSettings) -> Self {
         let demand_exchange = DemandExchange::new(config.me, config.peers.len(), ramp);
         Self { config, demand_exchange, settings, permits: None, shared_view: None, limits: Vec::new() }
     }
 
-    /// Runs until the engine stops.
+    /// Exchanges gossip until the engine has stopped.
     pub(crate) async fn run(self, engine: mpsc::Sender<Input>) {
         if let Some(socket) = self.bind(&engine).await {
             self.exchange(socket, engine).await;
         }
     }
 
-    /// Binds the listening address as soon as it is free; `None` if the engine has stopped before.
+    /// Binds the listening address, and retries until it is free; `None` if the engine has stopped before that.
     async fn bind(&self, engine: &mpsc::Sender<Input>) -> Option<UdpSocket> {
-        let mut is_reported = false;
+        let mut is_logged = false;
         loop {
             match UdpSocket::bind(self.config.listen).await {
                 Ok(socket) => return Some(socket),
                 Err(_) if engine.is_closed() => return None,
-                Err(error) if !is_reported => {
+                Err(error) if !is_logged => {
                     let listen = self.config.listen;
                     tracing::warn!(%listen, %error, "gossip address unavailable; retrying");
-                    is_reported = true;
+                    is_logged = true;
                 }
                 Err(_) => {}
             }
--- a/crates/sender/src/gossip/engine.rs
+++ b/crates/sender/src/gossip/engine.rs
@@ -1,4 +1,4 @@
-//! The gossip task's communication with the engine.
+//! The queries and inputs with which the gossip task communicates with the engine.
 
 use std::collections::HashMap;
 
@@ -13,14 +13,14 @@
 /// How long a capacity update is valid, in milliseconds.
 const CAPACITY_VALIDITY: Millis = 1_000.0;
 
-/// The engine has stopped, so the exchange ends.
+/// The engine has stopped, so the gossip task ends.
 #[derive(Debug, thiserror::Error)]
 #[error("the engine has stopped")]
 pub(super) struct EngineClosed;
 
 impl GossipTask {
-    /// Queries the engine's activity, updates the shared view with it, and sends the resulting inputs to the engine. Returns
-    /// the engine's demands.
+    /// Queries the engine's activity, records it in the shared view, and sends the resulting inputs to the engine.
+    /// Returns the demands in the activity.
     async fn query_demands(
         &mut self,
         engine: &mpsc::Sender<Input>,
@@ -38,7 +38,8 @@
         Ok(activity.demands)
     }
 
-    /// Reports this sender's demands to the fleet, and updates the engine's capacity from the latest sums.
+    /// The datagrams that report this sender's demands to the fleet. Updates the engine's capacity from the latest
+    /// sums.
     pub(super) async fn report(
         &mut self,
         engine: &mpsc::Sender<Input>,
@@ -54,7 +55,7 @@
         Ok(datagrams)
     }
 
-    /// The limits that the engine reported; without sums they are assumed to be fully available.
+    /// The limits in the demands; without sums of the fleet, each is assumed to be fully available.
     fn reported_limits(&self, demands: &[LimitDemand], have_sums: bool) -> Vec<ReportedLimit> {
         let mut limits = Vec::with_capacity(demands.len());
         for LimitDemand { limit: id, demand } in demands {
@@ -65,15 +66,15 @@
         limits
     }
 
-    /// The capacity of each limit; infinite if it is far from reached.
+    /// The capacity of each limit; infinite for a limit without one, which the fleet is far from reaching.
     fn capacity_updates(&self, demands: &[LimitDemand], capacities: &[LimitCapacity]) -> Input {
-        let by_limit: HashMap<LimitId, f64> =
+        let rate_by_limit: HashMap<LimitId, f64> =
             capacities.iter().map(|capacity| (capacity.limit_id, capacity.rate_per_demand)).collect();
         let mut updates = Vec::with_capacity(demands.len());
         for LimitDemand { limit: id, demand } in demands {
             updates.push(CapacityUpdate {
                 scope: demand.scope,
-                calls_per_demand: by_limit.get(id).copied().unwrap_or(f64::INFINITY),
+                calls_per_demand: rate_by_limit.get(id).copied().unwrap_or(f64::INFINITY),
                 total_demand: self.demand_exchange.fleet_demand(*id),
                 valid_for: CAPACITY_VALIDITY,
             });
@@ -81,7 +82,7 @@
         Input::CapacityUpdates(updates)
     }
 
-    /// Offers the permits that this sender does not need, and updates the engine's permits.
+    /// The datagram that offers the permits which this sender does not need, if any. Updates the engine's permits.
     pub(super) async fn offer(
         &mut self,
         engine: &mpsc::Sender<Input>,
@@ -94,7 +95,7 @@
         Ok(datagram)
     }
 
-    /// Updates the engine's permits, if permits are in use.
+    /// Sends the current permits of each limit to the engine, if permits are in use.
     pub(super) async fn update_permits(&self, engine: &mpsc::Sender<Input>) -> Result<(), EngineClosed> {
         let Some(ledger) = &self.permits else { return Ok(()) };
         let now = UnixMillis::now();
@@ -107,7 +108,7 @@
     }
 }
 
-/// The engine's demands as the gossip protocols use them.
+/// Converts the engine's demands to those of the gossip protocols.
 fn local_demands(demands: &[LimitDemand]) -> Vec<LocalDemand> {
     let local = demands.iter().map(|LimitDemand { limit, demand }| LocalDemand {
         limit_id: *limit,
--- a/crates/sender/src/gossip/exchange.rs
+++ b/crates/sender/src/gossip/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of datagrams: timers, received datagrams, and their effects on the engine.
+//! The exchange of datagrams with the other senders: sending on timers, and dispatching received datagrams.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,41 +16,42 @@
 use super::{FLEET_LOG_TARGET, FleetSettings, GossipTask, LOG_TARGET};
 use crate::event::Input;
 
-/// Number of rounds per report while permits are in use, whose datagrams share the bandwidth.
+/// Number of rounds per report while permits are in use, because the datagrams of permits use the same bandwidth.
 const ROUNDS_PER_REPORT_WITH_PERMITS: u64 = 2;
 
-/// When the engine's demand is queried next.
+/// The next times at which the engine's demand is queried.
 #[derive(Debug)]
 struct Schedule {
+    /// Time of the next report.
     report_at: UnixMillis,
-    /// `None` if permits are not in use.
+    /// Time of the next permit offer; `None` if permits are not in use.
     offer_at: Option<UnixMillis>,
 }
 
 /// The effect of a received datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Received {
-    /// Permits may have been granted.
+    /// The datagram may have granted permits.
     Permits,
-    /// Anything else.
+    /// The datagram was dropped or has another effect.
     Other,
 }
 
 impl GossipTask {
-    /// Sends and receives datagrams until the engine stops.
+    /// Sends and receives datagrams until the engine has stopped.
     pub(super) async fn exchange(mut self, socket: UdpSocket, engine: mpsc::Sender<Input>) {
-        let numbers = self.sender_numbers();
+        let number_by_addr = self.sender_numbers();
         let now = UnixMillis::now();
         self.begin_incarnation(now);
         let mut schedule = Schedule { report_at: self.next_report(now), offer_at: self.next_offer(now) };
-        // One byte more than the maximum length, to detect longer datagrams.
+        // One byte longer than the maximum, so that longer datagrams are detected.
         let mut buffer = [0; MAX_MESSAGE_LEN + 1];
         loop {
             let wake_at = self.next_wake(&schedule);
             tokio::select! {
                 received = socket.recv_from(&mut buffer) => {
                     let Ok((length, from)) = received else { continue };
-                    let from = numbers.get(&from).copied().unwrap_or(usize::MAX);
+                    let from = number_by_addr.get(&from).copied().unwrap_or(usize::MAX);
                     if self.receive(from, &buffer[..length]) == Received::Permits
                         && self.update_permits(&engine).await.is_err()
                     {
@@ -65,18 +66,18 @@
         }
     }
 
-    /// The number of each sender, by its address.
+    /// The number of each sender, by address.
     fn sender_numbers(&self) -> HashMap<SocketAddr, usize> {
         self.config.peers.iter().enumerate().map(|(number, addr)| (*addr, number)).collect()
     }
 
-    /// Starts permits and the fleet view if they are configured. As this process has bound the listening address, no earlier
-    /// process with the same number runs.
+    /// Starts permits and the fleet view if they are configured. No earlier process with the same sender number is
+    /// running, because this process has bound the listening address.
     fn begin_incarnation(&mut self, now: UnixMillis) {
         let (me, senders) = (self.config.me, self.config.peers.len());
         let FleetSettings { fleet_file, tenant_quotas, incarnation } = &self.settings;
         let Some(incarnation) = *incarnation else { return };
-        if fleet_file.share().is_strict() {
+        if fleet_file.sharing().is_strict() {
             self.permits = Some(PermitLedger::new(me, senders, incarnation, now));
         }
         match SharedView::new(fleet_file, me, senders, tenant_quotas, incarnation, now) {
@@ -87,12 +88,12 @@
         }
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer expires.
     fn next_wake(&self, schedule: &Schedule) -> UnixMillis {
         let allocation_at = self.permits.as_ref().and_then(PermitLedger::next_allocation);
         let view_at = self.shared_view.as_ref().map(|_| SharedView::next_poll(UnixMillis::now()));
-        let others = [self.demand_exchange.next_sums(), allocation_at, schedule.offer_at, view_at];
-        others.into_iter().flatten().fold(schedule.report_at, UnixMillis::min)
+        let other_timers = [self.demand_exchange.next_sums(), allocation_at, schedule.offer_at, view_at];
+        other_timers.into_iter().flatten().fold(schedule.report_at, UnixMillis::min)
     }
 
     fn next_report(&self, now: UnixMillis) -> UnixMillis {
@@ -106,7 +107,7 @@
         self.permits.as_ref().map(|permits| permits.next_offer(now))
     }
 
-    /// The datagrams that are due; the engine's demand is queried if a report or an offer is due.
+    /// The datagrams that are due. Queries the engine's demand if a report or an offer is due.
     async fn due_datagrams(
         &mut self,
         schedule: &mut Schedule,
@@ -133,13 +134,13 @@
     fn send(&self, socket: &UdpSocket, datagrams: &[OutgoingDatagram]) {
         for OutgoingDatagram { to, bytes } in datagrams {
             if let Some(addr) = self.config.peers.get(*to) {
-                // A datagram that cannot be sent immediately counts as lost.
+                // A datagram that cannot be sent immediately is dropped, like one lost on the network.
                 let _ = socket.try_send_to(bytes, *addr);
             }
         }
     }
 
-    /// Handles a received datagram; a malformed, late or unexpected one is dropped.
+    /// Handles a received datagram. A malformed, late or unexpected one is logged and dropped.
     fn receive(&mut self, from: usize, message: &[u8]) -> Received {
         self.dispatch(from, message).unwrap_or_else(|error| {
             tracing::debug!(target: LOG_TARGET, from, %error, "datagram dropped");
@@ -147,7 +148,7 @@
         })
     }
 
-    /// Dispatches a datagram to its protocol.
+    /// Dispatches a datagram to the protocol of its kind.
     fn dispatch(&mut self, from: usize, message: &[u8]) -> Result<Received, ReceiveError> {
         let now = UnixMillis::now();
         let kind = open(message).map(|envelope| envelope.kind);
@@ -160,7 +161,7 @@
                 shared_view.receive(now, from, message)?;
                 Ok(Received::Other)
             }
-            // Unknown and damaged datagrams, too: the error names the cause.
+            // Also handles datagrams of an unknown kind and damaged ones, for which the error names the cause.
             _ => {
                 self.demand_exchange.receive(now, from, message)?;
                 Ok(Received::Other)
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -1,4 +1,4 @@
-//! Feeds the engine's activity into the fleet view and turns the result into quotas and ejections.
+//! Records the engine's activity in the fleet view and converts the result to quotas and ejections.
 
 use std::collections::BTreeMap;
 
@@ -13,42 +13,45 @@
 use crate::event::{ActivityReport, Input, ListedReceiver, TenantQuota};
 use crate::fleet_file::FleetFile;
 
-/// Interval at which the view is polled for due datagrams, in milliseconds: several times within a round.
+/// Interval at which the view is polled for due datagrams, in milliseconds. A round has several of them.
 const VIEW_INTERVAL: u64 = 50;
-/// Datagram class of reports; each is answered, so it costs two datagrams.
+/// Datagram class of reports. The cost is two datagrams, because each report has a response.
 const REPORT_CLASS: DatagramClass = DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 };
 
-/// One sender's view of the fleet, and the ejections last reported to the engine.
+/// This sender's view of the fleet, and the ejections last reported to the engine.
 #[derive(Debug)]
 pub(super) struct SharedView {
     view: FleetView,
     budget: DatagramBudget,
+    /// Whether receivers are ejected in the whole zone.
     detects_outliers: bool,
-    /// Fleet-wide quota of each tenant, in messages a second; empty if quotas are not shared.
+    /// Fleet-wide quota of each tenant, in messages a second, indexed by tenant number; empty if quotas are not shared.
     quotas: Vec<f64>,
-    /// The ejected routes last reported to the engine.
-    ejected: Vec<RouteId>,
+    /// The routes to ejected receivers, as last reported to the engine.
+    ejected_routes: Vec<RouteId>,
 }
 
 impl SharedView {
-    /// A view as configured in the operator's file; `None` if none is.
+    /// Creates the view that the operator's fleet file configures; `None` if neither outlier detection nor shared
+    /// quotas are configured.
     ///
     /// # Errors
     ///
     /// [`FleetViewError`] if the fleet is too large.
     pub(super) fn new(
-        file: &FleetFile,
+        fleet_file: &FleetFile,
         me: usize,
         senders: usize,
         quotas: &[f64],
         incarnation: Incarnation,
         now: UnixMillis,
     ) -> Result<Option<Self>, FleetViewError> {
-        let sharing = file.share();
+        let sharing = fleet_file.sharing();
         if !sharing.detects_outliers() && !sharing.shares_quotas() {
             return Ok(None);
         }
-        // An earlier process may have accepted messages under this number until now.
+        // Counts are complete from now on only, because an earlier process may have accepted messages under this
+        // number.
         let local = LocalSender {
             number: me,
             incarnation,
@@ -56,15 +59,15 @@
             max_messages_per_second: sharing.max_messages_per_s(),
         };
         Ok(Some(Self {
-            view: FleetView::new(local, file.zones(senders))?,
+            view: FleetView::new(local, fleet_file.zones(senders))?,
             budget: DatagramBudget::new(&[REPORT_CLASS]),
             detects_outliers: sharing.detects_outliers(),
             quotas: if sharing.shares_quotas() { quotas.to_vec() } else { Vec::new() },
-            ejected: Vec::new(),
+            ejected_routes: Vec::new(),
         }))
     }
 
-    /// When to check next whether datagrams are due.
+    /// The next time at which to poll the view for due datagrams.
     pub(super) fn next_poll(now: UnixMillis) -> UnixMillis {
         UnixMillis((now.0 / VIEW_INTERVAL + 1) * VIEW_INTERVAL)
     }
@@ -74,11 +77,11 @@
         self.view.due_datagrams(now, &mut self.budget)
     }
 
-    /// Handles a datagram of another sender.
+    /// Handles a datagram from another sender.
     ///
     /// # Errors
     ///
-    /// [`FleetViewError`] is why it was dropped.
+    /// [`FleetViewError`] if the datagram is rejected.
     pub(super) fn receive(
         &mut self,
         now: UnixMillis,
@@ -88,20 +91,20 @@
         self.view.receive(now, from, message)
     }
 
-    /// Records the engine's activity and returns the resulting inputs for the engine.
+    /// Records the engine's activity and returns the resulting inputs for the engine: changed ejections and quotas.
     pub(super) fn exchange(&mut self, now: UnixMillis, activity: &ActivityReport) -> Vec<Input> {
-        self.record(now, activity);
+        self.record_activity(now, activity);
         let mut inputs = Vec::new();
         inputs.extend(self.update_ejections(now, &activity.listed));
         if !self.quotas.is_empty() {
-            inputs.push(Input::Quotas(self.quota_shares(now)));
+            inputs.push(Input::Quotas(self.own_quotas(now)));
         }
         inputs
     }
 
-    fn record(&mut self, now: UnixMillis, activity: &ActivityReport) {
-        for result in &activity.results {
-            self.view.record_call(now, result.receiver, result.result);
+    fn record_activity(&mut self, now: UnixMillis, activity: &ActivityReport) {
+        for call in &activity.results {
+            self.view.record_call(now, call.receiver, call.result);
         }
         for usage in &activity.accepted {
             for _ in 0..usage.messages {
@@ -110,45 +113,49 @@
         }
     }
 
-    /// The ejected routes, if they have changed.
-    fn update_ejections(&mut self, now: UnixMillis, listed: &[ListedReceiver]) -> Option<Input> {
+    /// The engine input with the routes to ejected receivers, if they have changed.
+    fn update_ejections(&mut self, now: UnixMillis, listed_receivers: &[ListedReceiver]) -> Option<Input> {
         if !self.detects_outliers {
             return None;
         }
-        let ejected = self.ejected_routes(now, listed);
-        if ejected == self.ejected {
+        let ejected_routes = self.ejected_routes(now, listed_receivers);
+        if ejected_routes == self.ejected_routes {
             return None;
         }
-        let receivers = ejected.len();
+        let receivers = ejected_routes.len();
         tracing::info!(target: FLEET_LOG_TARGET, receivers, "ejected receivers changed");
-        self.ejected.clone_from(&ejected);
-        Some(Input::EjectedReceivers(ejected))
+        self.ejected_routes.clone_from(&ejected_routes);
+        Some(Input::EjectedReceivers(ejected_routes))
     }
 
     /// The routes to ejected receivers, sorted; receivers are ejected for each destination separately.
-    fn ejected_routes(&mut self, now: UnixMillis, listed: &[ListedReceiver]) -> Vec<RouteId> {
+    fn ejected_routes(&mut self, now: UnixMillis, listed_receivers: &[ListedReceiver]) -> Vec<RouteId> {
         let mut by_destination: BTreeMap<DestinationId, Vec<ListedReceiver>> = BTreeMap::new();
-        for listed in listed {
-            by_destination.entry(listed.destination).or_default().push(*listed);
+        for receiver in listed_receivers {
+            by_destination.entry(receiver.destination).or_default().push(*receiver);
         }
         let mut ejected_routes = Vec::new();
         for receivers in by_destination.values() {
-            let names: Vec<ReceiverId> = receivers.iter().map(|listed| listed.receiver).collect();
-            let ejected = self.view.ejected(now, &names);
-            let of_ejected = receivers.iter().filter(|listed| ejected.contains(&listed.receiver));
-            ejected_routes.extend(of_ejected.map(|listed| listed.route));
+            let ids: Vec<ReceiverId> = receivers.iter().map(|receiver| receiver.receiver).collect();
+            let ejected = self.view.ejected(now, &ids);
+            let ejected_receivers = receivers.iter().filter(|receiver| ejected.contains(&receiver.receiver));
+            ejected_routes.extend(ejected_receivers.map(|receiver| receiver.route));
         }
         ejected_routes.sort_unstable();
         ejected_routes
     }
 
-    /// This sender's share of each tenant's quota, in messages a second; `None` without recent usage of other senders.
-    fn quota_shares(&self, now: UnixMillis) -> Vec<TenantQuota> {
-        let mut shares = Vec::with_capacity(self.quotas.len());
+    /// This sender's part of each tenant's quota, in messages a second; `None` if no recent usage of other senders is
+    /// known.
+    fn own_quotas(&self, now: UnixMillis) -> Vec<TenantQuota> {
+        let mut own_quotas = Vec::with_capacity(self.quotas.len());
         for (tenant, quota) in self.quotas.iter().enumerate() {
-            let number = u16::try_from(tenant).unwrap_or(u16::MAX);
-            shares.push(TenantQuota { tenant, messages_per_s: self.view.own_quota(now, number, *quota) });
+            let tenant_number = u16::try_from(tenant).unwrap_or(u16::MAX);
+            own_quotas.push(TenantQuota {
+                tenant,
+                messages_per_s: self.view.own_quota(now, tenant_number, *quota),
+            });
         }
-        shares
+        own_quotas
     }
 }
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -15,15 +15,16 @@
 use crate::config::GossipConfig;
 use crate::event::{ActivityReport, Input, LimitDemand};
 
+/// Limit of the destination, in calls a second.
 const LIMIT: f64 = 60.0;
 
-fn demand(wanted: f64) -> LimitDemand {
+fn limit_demand(calls: f64) -> LimitDemand {
     let scope = LimitScope { destination: DestinationId(7), route: None };
-    let demand = Demand { scope, limit: LIMIT, calls_wanted: wanted, called: 0, rejected: 0, failed: 0 };
+    let demand = Demand { scope, limit: LIMIT, calls_wanted: calls, called: 0, rejected: 0, failed: 0 };
     LimitDemand { limit: LimitId::of(7, None), demand }
 }
 
-/// Starts three senders; returns the address of each, and the inputs of its engine.
+/// Starts three senders; returns the address of each and the inputs of the engine of each.
 async fn start_three_senders() -> Vec<(SocketAddr, mpsc::Receiver<Input>)> {
     let mut sockets = Vec::new();
     for _ in 0..3 {
@@ -47,20 +48,25 @@
     sockets.into_iter().enumerate().map(start).collect()
 }
 
-/// Acts as the engine of one sender until all three have received a capacity below their demand; returns this sender's
-/// first one.
-async fn run_engine(inputs: &mut mpsc::Receiver<Input>, wanted: f64, limited_senders: &Cell<usize>) -> f64 {
-    let mut first_share = None;
-    // A sender that stopped earlier would be missing in the sums of the others.
+/// Acts as the engine of one sender until all three senders have received a capacity below their demand. Returns the
+/// first such capacity of this sender, in calls per unit of demand.
+async fn run_engine(
+    inputs: &mut mpsc::Receiver<Input>,
+    calls_wanted: f64,
+    limited_senders: &Cell<usize>,
+) -> f64 {
+    let mut first_capacity = None;
+    // A sender must not stop earlier, because its demand would be missing in the sums of the others.
     while limited_senders.get() < 3 {
         match timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input") {
             Input::ReportActivity(reply) => {
-                let activity = ActivityReport { demands: vec![demand(wanted)], ..ActivityReport::default() };
+                let activity =
+                    ActivityReport { demands: vec![limit_demand(calls_wanted)], ..ActivityReport::default() };
                 let _ = reply.send(activity);
             }
             Input::CapacityUpdates(updates) => {
-                if let Some(share) = updates.first().filter(|share| share.calls_per_demand < 0.9)
-                    && first_share.replace(share.calls_per_demand).is_none()
+                if let Some(update) = updates.first().filter(|update| update.calls_per_demand < 0.9)
+                    && first_capacity.replace(update.calls_per_demand).is_none()
                 {
                     limited_senders.set(limited_senders.get() + 1);
                 }
@@ -68,31 +74,31 @@
             other => panic!("{other:?}"),
         }
     }
-    first_share.expect("a capacity share")
+    first_capacity.expect("a capacity")
 }
 
-/// Their total demand is two and a half times the limit, the demand of each is below it. Malformed datagrams of an unknown
-/// sender change nothing.
+/// The total demand is two and a half times the limit; the demand of each sender is below the limit. Malformed
+/// datagrams of an unknown sender have no effect.
 #[tokio::test]
-async fn three_senders_learn_their_capacity_shares_from_one_another() {
+async fn three_senders_divide_a_limit_by_exchanging_demands() {
     let test = async {
         let mut senders = start_three_senders().await;
         let unknown_sender = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         for (addr, _) in &senders {
-            for junk in [&b""[..], b"a", &[0x61; 256], &[0x62; 300]] {
-                unknown_sender.send_to(junk, addr).await.expect("sent");
+            for malformed in [&b""[..], b"a", &[0x61; 256], &[0x62; 300]] {
+                unknown_sender.send_to(malformed, addr).await.expect("sent");
             }
         }
         let [a, b, c] = &mut senders[..] else { panic!("three") };
         let limited_senders = Cell::new(0);
-        let shares = tokio::join!(
+        let capacities = tokio::join!(
             run_engine(&mut a.1, 50.0, &limited_senders),
             run_engine(&mut b.1, 50.0, &limited_senders),
             run_engine(&mut c.1, 50.0, &limited_senders)
         );
-        for share in [shares.0, shares.1, shares.2] {
-            // The first sums may not include all three; encoded loads are accurate to a twentieth.
-            assert!((LIMIT / 150.0 * 0.85..=LIMIT / 50.0 * 0.9).contains(&share), "{share}");
+        for capacity in [capacities.0, capacities.1, capacities.2] {
+            // The first sums may not include all three senders; encoded loads are accurate to a twentieth.
+            assert!((LIMIT / 150.0 * 0.85..=LIMIT / 50.0 * 0.9).contains(&capacity), "{capacity}");
         }
     };
     LocalSet::new().run_until(test).await;
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -31,7 +31,7 @@
 impl FleetGossip {
     /// The configured gossip; `None` if there is none or the fleet is too small for it.
     pub fn new(config: &Config, settings: &Settings, file: FleetFile) -> Option<Self> {
-        let config = config.gossip().filter(|gossip| gossip.peers.len() >= file.share().min_senders())?;
+        let config = config.gossip().filter(|gossip| gossip.peers.len() >= file.sharing().min_senders())?;
         let start = settings.ramp(0.0);
         let ramp = RecoveryRamp { initial_fraction: start, growth_per_s: settings.ramp(RAMP_SAMPLE) - start };
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
@@ -40,12 +40,12 @@
 
     /// How limits are shared.
     pub fn limit_sharing(&self) -> LimitSharing {
-        if self.file.share().is_strict() { LimitSharing::Permits } else { LimitSharing::Demand }
+        if self.file.sharing().is_strict() { LimitSharing::Permits } else { LimitSharing::Demand }
     }
 
     /// Whether the senders share a view of receivers and of tenants' usage.
     pub fn has_fleet_view(&self) -> bool {
-        self.file.share().detects_outliers() || self.file.share().shares_quotas()
+        self.file.sharing().detects_outliers() || self.file.sharing().shares_quotas()
     }
 
     /// Spawns the gossip. It ends when the engine does.
