--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -31,7 +31,7 @@
 impl FleetGossip {
     /// The configured gossip; `None` if none is configured or the fleet has too few senders for it.
     pub fn new(config: &Config, settings: &Settings, file: FleetFile) -> Option<Self> {
-        let config = config.gossip().filter(|gossip| gossip.peers.len() >= file.share().min_senders())?;
+        let config = config.gossip().filter(|gossip| gossip.peers.len() >= file.sharing().min_senders())?;
         let initial_fraction = settings.ramp(0.0);
         let recovery_ramp = RecoveryRamp {
             initial_fraction,
@@ -43,12 +43,12 @@
 
     /// How the senders share the limits of receivers.
     pub fn limit_sharing(&self) -> LimitSharing {
-        if self.file.share().is_strict() { LimitSharing::Permits } else { LimitSharing::Demand }
+        if self.file.sharing().is_strict() { LimitSharing::Permits } else { LimitSharing::Demand }
     }
 
     /// Whether the senders share a view of receivers and of tenants' usage.
     pub fn has_fleet_view(&self) -> bool {
-        self.file.share().detects_outliers() || self.file.share().shares_quotas()
+        self.file.sharing().detects_outliers() || self.file.sharing().shares_quotas()
     }
 
     /// Spawns the gossip task, which ends when the engine ends.
