--- a/crates/sender/src/control/command.rs
+++ b/crates/sender/src/control/command.rs
@@ -17,7 +17,7 @@
 
 /// The received line is not a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("unknown command: must be one line of status, stats, standby or active")]
+#[error("one line of status, stats, standby or active is wanted")]
 pub(super) struct UnknownCommand;
 
 impl FromStr for Command {
