--- a/crates/policy/src/calls.rs
+++ b/crates/policy/src/calls.rs
@@ -24,8 +24,14 @@
 }
 
 impl Call {
-    /// Creates a call that carries this number of messages.
-    pub fn new(id: CallId, route: RouteId, sent_at: Millis, messages: usize, is_rate_limited: bool) -> Self {
+    /// Creates a call that is sent at `sent_at` and carries `message_count` messages.
+    pub fn new(
+        id: CallId,
+        route: RouteId,
+        sent_at: Millis,
+        message_count: usize,
+        is_rate_limited: bool,
+    ) -> Self {
         Self {
             id,
             route,
@@ -33,18 +39,19 @@
             is_rate_limited,
             has_outcome: false,
             later_successes: 0,
-            messages_without_outcome: messages,
+            messages_without_outcome: message_count,
             is_cancelled: false,
         }
     }
 
-    /// Whether cancellation of the call's attempts was requested.
+    /// Whether the host was requested to cancel the attempts of the call.
     pub fn is_cancelled(&self) -> bool {
         self.is_cancelled
     }
 }
 
-/// Whether a result was the first or the last one of its call; neither if the call is unknown.
+/// Whether a result was the first or the last one among the attempts of its call; neither if the call is
+/// unknown.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ResultPosition {
     pub is_first: bool,
@@ -86,14 +93,14 @@
         }
     }
 
-    /// Marks the calls whose attempts are being cancelled.
+    /// Marks calls as cancelled after the cancellation of their attempts was requested.
     pub fn mark_cancelled(&mut self, ids: &[CallId]) {
         for call in &mut self.0 {
             call.is_cancelled |= ids.contains(&call.id);
         }
     }
 
-    /// Records that one attempt of a call has an outcome; the last outcome removes the call.
+    /// Records that one attempt of a call has an outcome. The call is removed with its last outcome.
     pub fn record_result(&mut self, id: CallId) -> ResultPosition {
         let Some(index) = self.0.iter().position(|call| call.id == id) else {
             return ResultPosition::default();
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -13,15 +13,15 @@
 //! | closed, slow start | many errors among the answers | slow start, from its beginning |
 //! | open | `probe_at` is reached | half-open: one call may start |
 //! | half-open | the probe starts | open, with a later `probe_at` |
-//! | open | failure of a call sent since it opened, or a sign of an outage | open, new `probe_at` |
+//! | open | failure of a call sent since it opened, or a rejection as above | open, new `probe_at` |
 //! | open | success of a call sent since it opened; if unresponsive, of any call | slow start |
 //! | slow start | a call starts after the end of the recovery ramp | closed |
 //! | any | an outage from before a restart is restored | open, or slow start |
 //! | any, of a route | failures or overdue calls change the shared breaker | closed |
 //!
-//! Results of calls that were sent before the current state began are not counted. The shared breaker changes
-//! its state on failures and errors only if most routes are degraded, or if few failures are enough to open
-//! it.
+//! In other states than closed, results of calls that were sent before the state began are not counted. The
+//! shared breaker changes its state on failures and errors only if most routes are degraded, or if few
+//! failures are enough to open it.
 
 mod outage_report;
 mod recovery;
@@ -40,7 +40,7 @@
 const MAX_ERROR_RATE: f64 = 0.45;
 /// Error rate above which a breaker in slow start has many errors: two errors among a few answers exceed it.
 const MAX_SLOW_START_ERROR_RATE: f64 = 0.3;
-/// Error rate above which about one of the last four answers was an error.
+/// Error rate above which recent calls count as failed: about one of the last four answers was an error.
 const RECENT_ERROR_RATE: f64 = 0.1;
 
 /// The state of a circuit breaker, with the failures and error rate that change the state.
@@ -49,15 +49,16 @@
     state: BreakerState,
     /// When the next call of slow start may start; not used in other states.
     next_call_at: Millis,
+    /// When the last answer was received; 0 if there was none.
     last_answer_at: Millis,
-    /// Failures since the last success.
+    /// Number of failures since the last success.
     consecutive_failures: u32,
     /// Exponential moving average of the errors among answers, from 0 to 1.
     error_rate: f64,
     outage_report: OutageReport,
 }
 
-/// Conditions.
+/// Queries of the state.
 impl CircuitBreaker {
     pub fn is_closed(&self) -> bool {
         self.state == BreakerState::Closed
@@ -124,7 +125,7 @@
     }
 }
 
-/// Reports.
+/// Outage reports to the host.
 impl CircuitBreaker {
     /// The outage state that the host has to persist, if it has changed since the last report.
     pub fn unreported_outage(&mut self, now: Millis, retry_after_until: Millis) -> Option<OutageState> {
@@ -132,14 +133,14 @@
     }
 }
 
-/// Results of calls.
+/// Counting of the results of calls.
 impl CircuitBreaker {
     /// Records that an answer to a call was received.
     pub fn record_answer(&mut self, now: Millis) {
         self.last_answer_at = now;
     }
 
-    /// Counts the result of a call. Rejections because of the limit must not be passed here.
+    /// Counts the result of a call. A rejection because of the limit must not be counted here.
     pub fn record_result(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Ok => self.error_rate += ERROR_WEIGHT * (0.0 - self.error_rate),
@@ -154,7 +155,7 @@
     }
 }
 
-/// Transitions.
+/// Transitions of the state.
 impl CircuitBreaker {
     /// Closes the breaker, and clears failures and the error rate.
     pub fn reset(&mut self) {
@@ -201,8 +202,8 @@
         self.enter_slow_start(since, limits.sender_share, next_call_at);
     }
 
-    /// Resumes a slow start from before a restart. The restart is taken to be at a random time between two
-    /// calls.
+    /// Resumes a slow start from before a restart. The restart is assumed to have happened at a random time
+    /// between two calls.
     pub fn restore_slow_start(
         &mut self,
         context: &mut Context,
--- a/crates/policy/src/circuit_breaker/outage_report.rs
+++ b/crates/policy/src/circuit_breaker/outage_report.rs
@@ -3,7 +3,7 @@
 use super::state::BreakerState;
 use crate::interface::{Millis, OutageState};
 
-/// The last report to the host, to detect changes.
+/// The outage in the last report to the host, with which the current outage is compared.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OutageReport {
     last: ReportedOutage,
--- a/crates/policy/src/circuit_breaker/recovery.rs
+++ b/crates/policy/src/circuit_breaker/recovery.rs
@@ -9,11 +9,13 @@
 const ROUGH_RATE_MARGIN: f64 = 1.5;
 /// Minimum of the mean pause between probes, in ms.
 const MIN_PROBE_PAUSE: Millis = 400.0;
-/// Mean pause between probes: the time of this number of calls at this sender's share of the limit, because
-/// rejected probes may count against the limit. In a fleet the pause is longer, up to the pause at the start
-/// of the ramp, because the probes of all senders could overload the destination.
+/// Mean pause between probes, as the number of calls that this sender's share of the limit allows in that
+/// time. The pause is this long because rejected probes may count against the limit. In a fleet the pause is
+/// longer, up to the pause at the start of the ramp, because the probes of all senders could overload the
+/// destination.
 const PROBE_PAUSE_CALLS: f64 = 2.0;
-/// Maximum time over which probes are spread after a Retry-After, in ms; multiplied in large fleets.
+/// Maximum time over which probes are spread after a Retry-After, in ms; multiplied by the scale of the
+/// fleet.
 const MAX_PROBE_SPREAD: Millis = 2_000.0;
 
 /// The limits on the calls of this sender during an outage and in slow start.
@@ -42,8 +44,8 @@
         // With this pause between calls, all senders together send at the rate of the start of the ramp.
         let ramp_pause = 1_000.0 / (self.sender_rate() * context.settings.ramp(0.0));
         if self.retry_after_until > context.now {
-            // Senders with the same Retry-After all resume when it ends. They spread their probes, so that
-            // together they exceed the rate at the start of the ramp by little.
+            // All senders with the same Retry-After resume when it ends. Their probes are spread, so that the
+            // rate of all probes exceeds the rate at the start of the ramp only slightly.
             let spread = ramp_pause.min(MAX_PROBE_SPREAD * fleet_scale);
             return self.retry_after_until + spread * context.rng.unit();
         }
--- a/crates/policy/src/circuit_breaker/state.rs
+++ b/crates/policy/src/circuit_breaker/state.rs
@@ -10,6 +10,7 @@
     Closed,
     /// No call starts except one half-open probe at a time.
     Open {
+        /// When the breaker opened.
         since: Millis,
         /// When the next probe may start.
         probe_at: Millis,
@@ -19,9 +20,9 @@
     },
     /// Calls are limited by the recovery ramp.
     SlowStart {
-        /// When the ramp begins.
+        /// When the recovery ramp begins.
         since: Millis,
-        /// This sender's share of the ramp, from 0 to 1.
+        /// This sender's share of the recovery ramp, from 0 to 1.
         sender_share: f64,
     },
 }
--- a/crates/policy/src/destination.rs
+++ b/crates/policy/src/destination.rs
@@ -24,7 +24,8 @@
 use crate::throttle::{CapacitySource, Throttle};
 use route::Route;
 
-/// A receiver's system. Removed once it has neither routes nor waiting messages.
+/// The routes to one receiver, and the messages that wait to be sent to it. A destination is removed once it
+/// has neither routes nor waiting messages.
 #[derive(Debug, Default)]
 pub(crate) struct Destination {
     id: DestinationId,
@@ -33,9 +34,9 @@
     /// Whether each route has a limit, and so a throttle, of its own.
     limit_per_route: bool,
     routes: Vec<Route>,
-    /// The throttle of all routes, unless each has its own.
+    /// The throttle of all routes; not used if each route has a limit of its own.
     shared_throttle: Throttle,
-    /// The circuit breaker of all routes, unless each has a limit of its own.
+    /// The circuit breaker of all routes; not used if each route has a limit of its own.
     shared_breaker: CircuitBreaker,
     /// Messages without an attempt in flight; they may be sent or completed.
     waiting: Vec<MessageHandle>,
@@ -61,14 +62,14 @@
         self.routes.push(Route::new(entry, throttle));
     }
 
-    /// Applies a changed entry of the list. Returns whether the entry's route is known.
+    /// Applies a changed entry of the list. Returns false if the route of the entry is unknown.
     pub fn update_route(&mut self, entry: &RouteEntry) -> bool {
         let route = self.routes.iter_mut().find(|route| route.id == entry.route);
         route.map(|route| route.listing = entry.listing).is_some()
     }
 
     /// Marks all routes as removed from the list.
-    pub fn remove_all_routes(&mut self) {
+    pub fn mark_all_routes_removed(&mut self) {
         for route in &mut self.routes {
             route.listing = Listing::Removed;
         }
@@ -85,9 +86,9 @@
         self.routes.len()
     }
 
-    /// Drops the routes that the list removed at least `REMOVED_ROUTE_TTL` ago, unless a call to them
-    /// is in flight.
-    pub fn drop_outdated_routes(&mut self, now: Millis) {
+    /// Deletes the routes that the list removed more than `REMOVED_ROUTE_TTL` ago, unless a call to them is
+    /// in flight.
+    pub fn delete_outdated_routes(&mut self, now: Millis) {
         for route in &mut self.routes {
             route.update_removal(now);
         }
@@ -114,8 +115,8 @@
         self.waiting.retain(|&waiting| waiting != id);
     }
 
-    /// Counts the arrival of a message that is already in the queue. If no other message waits, its draw is
-    /// scheduled by the shared rate.
+    /// Counts the arrival of a message that already waits. If no other message waits, its draw is scheduled
+    /// at the shared rate.
     pub fn record_arrival(&mut self, context: &mut Context) {
         self.arrival_rate.record(context.now);
         if self.waiting.len() != 1 {
--- a/crates/policy/src/destination/availability.rs
+++ b/crates/policy/src/destination/availability.rs
@@ -7,7 +7,8 @@
 use crate::interface::{Listing, Millis};
 use crate::messages::PendingMessages;
 
-/// Number of overdue calls, with no answer received since they were sent, that shows a route is unresponsive.
+/// A route is unresponsive if at least this number of its calls are overdue, and no answer was received since
+/// they were sent.
 const UNRESPONSIVE_CALLS: usize = 2;
 
 impl Destination {
@@ -16,13 +17,14 @@
         self.breaker_scopes(route_index).any(|scope| self.breaker(scope).is_open())
     }
 
-    /// Whether a condition holds for a route, or for more than half of the ready routes.
-    pub(super) fn holds_for_most(&self, scope: Scope, holds: impl Fn(&CircuitBreaker) -> bool) -> bool {
+    /// Whether a condition holds for the breaker of a route, or for those of more than half of the ready
+    /// routes.
+    pub(super) fn holds_for_most(&self, scope: Scope, condition: impl Fn(&CircuitBreaker) -> bool) -> bool {
         match scope {
-            Scope::Route(_) => holds(self.breaker(scope)),
+            Scope::Route(_) => condition(self.breaker(scope)),
             Scope::All => {
                 let matching_routes =
-                    self.ready_routes().filter(|&route_index| holds(&self.routes[route_index].breaker));
+                    self.ready_routes().filter(|&route_index| condition(&self.routes[route_index].breaker));
                 matching_routes.count() * 2 > self.ready_routes().count()
             }
         }
@@ -33,11 +35,12 @@
         self.throttle(route_index).latency().overdue_after()
     }
 
-    /// The overdue calls that the throttle of a route has counted.
+    /// The overdue calls that belong to the throttle of a route: the calls by that route, or by all routes
+    /// that share the throttle.
     pub(super) fn overdue_calls(&self, route_index: usize, now: Millis) -> impl Iterator<Item = &Call> {
         let route = self.routes[route_index].id;
-        let is_counted = move |call: &&Call| !self.limit_per_route || call.route == route;
-        self.calls.iter().filter(move |call| is_counted(call) && self.is_overdue(call, now))
+        let uses_the_throttle = move |call: &&Call| !self.limit_per_route || call.route == route;
+        self.calls.iter().filter(move |call| uses_the_throttle(call) && self.is_overdue(call, now))
     }
 
     fn is_overdue(&self, call: &Call, now: Millis) -> bool {
@@ -98,7 +101,7 @@
         (0..self.routes.len()).filter(|&route_index| self.next_call_at(route_index, now) <= now).collect()
     }
 
-    /// When a waiting message is due next: for its final outcome, or for a draw; infinity if never.
+    /// When the next final outcome or draw of a waiting message is due; infinity if none is.
     pub fn next_due_at(&self, messages: &PendingMessages, now: Millis) -> Millis {
         let messages = self.waiting.iter().filter_map(|&id| messages.get(id));
         let next_calls = (0..self.routes.len()).map(|route_index| self.next_call_at(route_index, now));
@@ -108,8 +111,8 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Number of listed routes to which no ordinary call may start now: draining, in an outage, or within a
-    /// Retry-After.
+    /// Number of listed routes that accept no calls other than probes now, because they are draining, in an
+    /// outage, or within a Retry-After.
     pub fn routes_out_of_rotation(&self, now: Millis) -> usize {
         let is_out_of_rotation = |&route_index: &usize| match self.routes[route_index].listing {
             Listing::Ready => {
--- a/crates/policy/src/destination/dispatch.rs
+++ b/crates/policy/src/destination/dispatch.rs
@@ -1,4 +1,5 @@
-//! Sends the waiting messages of a destination as far as throttles, circuit breakers and free slots allow.
+//! Sends the waiting messages of a destination for which throttles, circuit breakers and free slots allow
+//! calls.
 
 use std::collections::VecDeque;
 
@@ -9,11 +10,13 @@
 use crate::messages::PendingMessages;
 use crate::slots::CallSlots;
 
-/// Number of later successful calls by the same route after which an overdue call may be lost.
+/// An overdue call counts as lost only after this number of successful calls that were sent later by the same
+/// route.
 const MIN_LATER_SUCCESSES: u32 = 10;
-/// Time in flight after which a call may be lost, as a multiple of the time after which it is overdue.
+/// Minimum time in flight of a lost call, as a multiple of the time after which a call is overdue.
 const LOST_CALL_MULTIPLE: f64 = 1.3;
-/// Maximum number of calls of a destination, as a multiple of the number of free slots.
+/// Maximum number of calls in flight to a destination without unanswered calls, as a multiple of the number
+/// of free slots.
 const CALLS_PER_FREE_SLOT: usize = 3;
 
 /// The state of the policy that all destinations use while they send.
@@ -58,8 +61,9 @@
 
     /// Whether another call of this destination may take a slot.
     ///
-    /// Extension (few slots are free): a destination leaves some slots to other destinations, and more of them
-    /// while it has unanswered calls. A lost call among answered ones does not count as unanswered.
+    /// Extension (few slots are free): a destination leaves some slots to other destinations, and more of
+    /// them while it has unanswered calls. An overdue call does not count as unanswered if
+    /// an answer was received after it was sent.
     fn may_take_slot(&self, now: Millis, free_slots: usize) -> bool {
         let has_unanswered_calls =
             (0..self.routes.len()).any(|route_index| self.unanswered_calls(route_index, now) > 0);
--- a/crates/policy/src/destination/outage_detection.rs
+++ b/crates/policy/src/destination/outage_detection.rs
@@ -6,10 +6,10 @@
 use crate::context::Context;
 use crate::interface::{Millis, Outcome};
 
-/// Consecutive failures that open a circuit breaker.
+/// Number of consecutive failures that opens a circuit breaker.
 const MAX_FAILURES: f64 = 4.0;
-/// Consecutive failures that open a circuit breaker even if most routes have not failed, where fewer than
-/// [`MAX_FAILURES`] are enough to open it.
+/// Number of consecutive failures that opens a shared circuit breaker even if most routes have not failed. It
+/// applies only while fewer than [`MAX_FAILURES`] failures are enough to open the breaker.
 const MIN_REPEATED_FAILURES: f64 = 2.0;
 
 /// The result of a call: the first result among its attempts.
@@ -36,7 +36,7 @@
 
     /// Opens the circuit breakers of unresponsive scopes.
     ///
-    /// Extension (calls are overdue, without an answer since): the breaker opens before the calls time out,
+    /// Extension (calls are overdue, without a later answer): the breaker opens before the calls time out,
     /// because the time-out of a call is much later.
     pub(super) fn open_unresponsive_breakers(&mut self, context: &mut Context) {
         for scope in self.all_breaker_scopes() {
@@ -50,7 +50,7 @@
     }
 
     /// Counts a result at the circuit breakers of a route; a success may end an outage.
-    pub(super) fn record_at_breakers(
+    pub(super) fn record_result_at_breakers(
         &mut self,
         context: &mut Context,
         route_index: usize,
@@ -85,7 +85,8 @@
         self.throttle_mut(route_index).clear_counts();
     }
 
-    /// Changes the state of the circuit breakers if a result is a reason for that, the widest scope first.
+    /// Opens a circuit breaker of the route, or begins slow start, if a result indicates an outage. The
+    /// breaker of the widest scope is checked first.
     pub(super) fn react_to_result(&mut self, context: &mut Context, route_index: usize, result: &CallResult) {
         for scope in self.breaker_scopes(route_index) {
             let breaker = self.breaker(scope);
@@ -106,7 +107,7 @@
     }
 
     /// Opens the circuit breaker or begins slow start, if a failure indicates that an outage of this scope
-    /// has begun or continues. Returns whether it does.
+    /// has begun or continues. Returns whether the failure indicates that.
     fn react_to_failure(&mut self, context: &mut Context, scope: Scope, indicates_outage: bool) -> bool {
         let limits = self.recovery_limits(context, scope);
         let max_failures = self.max_failures(context, scope, &limits);
@@ -133,18 +134,18 @@
         true
     }
 
-    /// Extension (this sender's share of the overload is small): until the breaker opens, calls start no
-    /// faster than this sender's share of the limit.
+    /// Extension (this sender's share of the overload is small): until the breaker opens, calls start at
+    /// most at the rate of this sender's share of the limit.
     fn back_off_to_own_share(&mut self, context: &mut Context, scope: Scope, limits: &RecoveryLimits) {
         let pause = context.rng.pause(1_000.0 / limits.sender_rate());
         self.throttle_of_mut(scope).delay_next_draw(context.now + pause);
     }
 
-    /// Consecutive failures that open the breaker.
+    /// Number of consecutive failures that opens the breaker.
     ///
     /// Extension (this sender's share of the overload is small): the number is this sender's share of the
     /// calls that overload the destination, because with more failures per sender the fleet would overload it
-    /// before the breakers open. The number is not reduced while the fleet reports capacity.
+    /// before the breakers open. The number is not reduced while a capacity update is valid.
     fn max_failures(&self, context: &Context, scope: Scope, limits: &RecoveryLimits) -> f64 {
         if self.shared_rate(scope, context.now).is_some() {
             return MAX_FAILURES;
--- a/crates/policy/src/destination/outage_persistence.rs
+++ b/crates/policy/src/destination/outage_persistence.rs
@@ -5,13 +5,13 @@
 use crate::interface::{Action, Millis, OutageState, PersistedOutage};
 
 impl Destination {
-    /// Appends an action for each outage that has changed, so that the host persists it.
+    /// Appends an action for each outage state that has changed, so that the host persists it.
     pub fn report_outages(&mut self, now: Millis, actions: &mut Vec<Action>) {
         for scope in self.throttle_scopes() {
             let retry_after_until = self.throttle_of(scope).retry_after_until();
             let outage = self.breaker_mut(scope).unreported_outage(now, retry_after_until);
             if let Some(outage) = outage {
-                let scope = self.limit_scope(scope);
+                let scope = self.to_limit_scope(scope);
                 actions.push(Action::PersistOutage { scope, outage });
             }
         }
@@ -20,13 +20,14 @@
     /// Restores an outage that the host persisted before a restart.
     pub fn restore_outage(&mut self, context: &mut Context, persisted: &PersistedOutage) {
         let route = persisted.scope.route;
-        let names_a_limit = self.limit_per_route || route.is_none();
-        let Some(scope) = self.throttle_scope(route).filter(|_| names_a_limit) else { return };
+        // An outage of a single route is ignored where routes share a limit.
+        let is_scope_of_a_limit = self.limit_per_route || route.is_none();
+        let Some(scope) = self.resolve_scope(route).filter(|_| is_scope_of_a_limit) else { return };
         match persisted.outage {
             OutageState::Healthy => {}
             OutageState::Down { retry_after_remaining } => {
-                let until = context.now + retry_after_remaining;
-                self.throttle_of_mut(scope).extend_retry_after(until);
+                let retry_after_until = context.now + retry_after_remaining;
+                self.throttle_of_mut(scope).extend_retry_after(retry_after_until);
                 let limits = self.recovery_limits(context, scope);
                 self.breaker_mut(scope).open(context, &limits, 0.0);
             }
--- a/crates/policy/src/destination/queue.rs
+++ b/crates/policy/src/destination/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which destinations are served and the waiting messages of each one are sent.
+//! The order in which destinations are served, and in which the waiting messages of a destination are sent.
 
 use std::cmp::Ordering;
 use std::collections::VecDeque;
@@ -50,7 +50,8 @@
         };
         let mut queue: Vec<QueuedMessage> = self.waiting.iter().filter_map(queued).collect();
         queue.sort_by(QueuedMessage::order);
-        // The sum prefers calls that carry many messages, where slots are scarce.
+        // Because of the sum, calls that carry many messages come first, which matters while slots are
+        // scarce.
         let urgency = queue.iter().take(self.max_batch).map(|queued| queued.urgency).sum();
         let messages = queue.into_iter().map(|queued| queued.id).collect();
         DestinationQueue { urgency, destination: self.id, messages }
--- a/crates/policy/src/destination/results.rs
+++ b/crates/policy/src/destination/results.rs
@@ -22,8 +22,8 @@
         let call = self.calls.get(call)?;
         let route_index = self.route_index(call.route)?;
         let zone = self.routes[route_index].zone;
-        // Messages of one call may report the same Retry-After in several batches of events. Each of them
-        // backs off again, so the last one counts.
+        // The attempts of one call may report the same Retry-After in several batches of events. The throttle
+        // backs off again for each of them, so the last one determines when the backoff ends.
         if result.outcome == Outcome::Rejected && result.retry_after > 0.0 {
             let shared_rate = self.shared_rate(Scope::Route(route_index), context.now);
             self.throttle_mut(route_index).back_off(context, result.retry_after, shared_rate);
@@ -31,11 +31,11 @@
         if result.outcome == Outcome::Ok {
             self.calls.count_later_success(call.route, call.sent_at);
         }
-        let position = self.calls.record_result(call.id);
-        if position.is_last {
+        let result_position = self.calls.record_result(call.id);
+        if result_position.is_last {
             slots.release();
         }
-        if position.is_first && counts_at_throttle(result.outcome) {
+        if result_position.is_first && counts_at_throttle(result.outcome) {
             self.record_call_result(context, route_index, &call, result);
         }
         Some(PossibleExecution { sent_at: call.sent_at, route: call.route, zone })
@@ -57,7 +57,7 @@
         let indicates_outage =
             self.throttle_mut(route_index).record_result(context, outcome, result.retry_after);
         let result = CallResult { sent_at: call.sent_at, outcome, indicates_outage };
-        self.record_at_breakers(context, route_index, &result);
+        self.record_result_at_breakers(context, route_index, &result);
         self.react_to_result(context, route_index, &result);
         if outcome == Outcome::Ok {
             self.throttle_mut(route_index).record_latency(context.now - call.sent_at);
@@ -65,7 +65,8 @@
     }
 }
 
-/// Whether an outcome says anything about the limit or the receiver.
+/// Whether an outcome depends on the limit or the receiver; the throttle and the breakers ignore other
+/// outcomes.
 fn counts_at_throttle(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::NotSent | Outcome::AttemptsExhausted | Outcome::Cancelled)
 }
--- a/crates/policy/src/destination/route.rs
+++ b/crates/policy/src/destination/route.rs
@@ -7,20 +7,21 @@
 /// How long a route that was removed from the list is kept, in ms, because it may be listed again.
 const REMOVED_ROUTE_TTL: Millis = 60_000.0;
 
-/// An endpoint. Kept for [`REMOVED_ROUTE_TTL`] after the list removed it, and while calls are in flight to
-/// it.
+/// An endpoint of a destination. The route is kept for [`REMOVED_ROUTE_TTL`] after it was removed from the
+/// list, and while calls to it are in flight.
 #[derive(Debug)]
 pub(super) struct Route {
     pub id: RouteId,
     pub zone: u8,
     pub listing: Listing,
-    /// Whether other senders have ejected it as an outlier.
+    /// Whether other senders have ejected the route as an outlier.
     pub ejected: bool,
-    /// Not used if all routes share a throttle.
+    /// The throttle of this route; not used if all routes share a throttle.
     pub throttle: Throttle,
     pub breaker: CircuitBreaker,
+    /// When the last call by this route started; 0 before the first call.
     pub last_used_at: Millis,
-    /// Since when the route is removed from the list.
+    /// When the route was removed from the list; `None` while it is listed.
     removed_at: Option<Millis>,
 }
 
--- a/crates/policy/src/destination/route_choice.rs
+++ b/crates/policy/src/destination/route_choice.rs
@@ -14,9 +14,12 @@
 /// Sort key of a route; the least one is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RoutePreference {
+    /// Whether a circuit breaker that covers the route is open.
     is_down: bool,
+    /// Whether the route is down, has failed recently, or was ejected by other senders.
     is_suspect: bool,
-    is_not_closed: bool,
+    /// Whether the circuit breaker of the route is open or in slow start.
+    is_breaker_not_closed: bool,
     /// While the shared breaker is open: when the route was used last, in ms, so that probes alternate
     /// between routes; otherwise 0.
     last_probed_at: u64,
@@ -71,7 +74,7 @@
             // Extension (other senders have ejected the route): other routes draw first, because the ejected
             // one is likely to fail.
             is_suspect: route.ejected || is_down || failed_recently,
-            is_not_closed: !route.breaker.is_closed(),
+            is_breaker_not_closed: !route.breaker.is_closed(),
             last_probed_at: if is_destination_down { route.last_used_at as u64 } else { 0 },
             in_other_zone: route.zone != context.settings.zone,
             calls_in_flight: self.calls.count_by_route(route.id),
@@ -80,7 +83,8 @@
         }
     }
 
-    /// Draws at a route's throttle whether the message may be sent; after a drop the throttle backs off.
+    /// Draws at a route's throttle, which backs off if the message is dropped. Returns whether the message
+    /// may be sent now.
     fn passes_throttle(
         &mut self,
         dispatch: &mut Dispatch<'_>,
@@ -88,10 +92,10 @@
         id: MessageHandle,
     ) -> bool {
         let context = &mut *dispatch.context;
-        let overdue = self.overdue_calls(route_index, context.now).count();
+        let overdue_call_count = self.overdue_calls(route_index, context.now).count();
         let shared_rate = self.shared_rate(Scope::Route(route_index), context.now);
         let throttle = self.throttle_mut(route_index);
-        match throttle.draw(context, overdue, shared_rate) {
+        match throttle.draw(context, overdue_call_count, shared_rate) {
             Draw::Passed => true,
             Draw::NotDue => false,
             Draw::Dropped => {
--- a/crates/policy/src/destination/scope.rs
+++ b/crates/policy/src/destination/scope.rs
@@ -15,7 +15,7 @@
 }
 
 impl Destination {
-    /// The throttle that counts a route's calls.
+    /// The throttle that counts the calls by a route.
     pub(super) fn throttle(&self, route_index: usize) -> &Throttle {
         if self.limit_per_route { &self.routes[route_index].throttle } else { &self.shared_throttle }
     }
@@ -25,7 +25,7 @@
         if self.limit_per_route { &mut self.routes[route_index].throttle } else { &mut self.shared_throttle }
     }
 
-    /// The throttle that counts a scope's calls.
+    /// The throttle that counts the calls of a scope.
     pub(super) fn throttle_of(&self, scope: Scope) -> &Throttle {
         match scope {
             Scope::Route(route_index) => self.throttle(route_index),
@@ -78,16 +78,17 @@
         (!self.limit_per_route).then_some(Scope::All)
     }
 
-    /// The scope of the throttle of a route. Where routes share a throttle, `route` is ignored.
-    pub(super) fn throttle_scope(&self, route: Option<RouteId>) -> Option<Scope> {
+    /// The scope of the throttle that counts the calls of a [`LimitScope`] with this route; `None` if the
+    /// route is unknown. Where routes share a throttle, `route` is ignored.
+    pub(super) fn resolve_scope(&self, route: Option<RouteId>) -> Option<Scope> {
         if !self.limit_per_route {
             return Some(Scope::All);
         }
         self.route_index(route?).map(Scope::Route)
     }
 
-    /// The scope as the host identifies it; only scopes with a throttle of their own have one.
-    pub(super) fn limit_scope(&self, scope: Scope) -> LimitScope {
+    /// Converts a scope with a throttle of its own to the scope that the host uses.
+    pub(super) fn to_limit_scope(&self, scope: Scope) -> LimitScope {
         let route = match scope {
             Scope::Route(route_index) => Some(self.routes[route_index].id),
             Scope::All => None,
@@ -95,7 +96,7 @@
         LimitScope { destination: self.id, route }
     }
 
-    /// The indices of the routes to which the list allows new calls.
+    /// The indices of the routes to which new calls are allowed by the list.
     pub(super) fn ready_routes(&self) -> impl Iterator<Item = usize> {
         (0..self.routes.len()).filter(|&route_index| self.routes[route_index].is_ready())
     }
--- a/crates/policy/src/destination/send.rs
+++ b/crates/policy/src/destination/send.rs
@@ -1,4 +1,4 @@
-//! Sends a call: schedules the next call, and sets the time-out of each attempt.
+//! Sends a call: schedules the draw of the next call, and sets the time-out of each attempt.
 
 use super::Destination;
 use super::dispatch::Dispatch;
@@ -12,16 +12,16 @@
 const TIMEOUT_MULTIPLE: f64 = 3.0;
 
 impl Destination {
-    /// Sends a call with these messages by a route.
+    /// Sends one call by a route; the call carries the messages of `batch`.
     pub(super) fn send(
         &mut self,
         dispatch: &mut Dispatch<'_>,
         batch: Vec<MessageHandle>,
         route_index: usize,
     ) {
-        let is_rate_limited = self.schedule_next_call(dispatch.context, route_index);
+        let is_rate_limited = self.record_call_at_throttle(dispatch.context, route_index);
         self.waiting.retain(|id| !batch.contains(id));
-        self.schedule_at_breakers(dispatch.context, route_index);
+        self.record_call_at_breakers(dispatch.context, route_index);
         let call = self.begin_call(dispatch, route_index, batch.len(), is_rate_limited);
         for id in batch {
             let Some(message) = dispatch.messages.get_mut(id) else { continue };
@@ -32,14 +32,16 @@
         }
     }
 
-    /// Schedules the next draw at the route's throttle. Returns whether the send rate limits the calls.
-    fn schedule_next_call(&mut self, context: &mut Context, route_index: usize) -> bool {
+    /// Records the call at the route's throttle, which schedules the draw of the next call. Returns whether
+    /// the send rate limits the calls.
+    fn record_call_at_throttle(&mut self, context: &mut Context, route_index: usize) -> bool {
         let shared_rate = self.shared_rate(Scope::Route(route_index), context.now);
         self.throttle_mut(route_index).record_call(context, shared_rate)
     }
 
-    /// Schedules the next probe, or the next call of slow start, at the route's circuit breakers.
-    fn schedule_at_breakers(&mut self, context: &mut Context, route_index: usize) {
+    /// Records the call at the route's circuit breakers, which schedule the next probe or the next call of
+    /// slow start.
+    fn record_call_at_breakers(&mut self, context: &mut Context, route_index: usize) {
         for scope in self.breaker_scopes(route_index) {
             let limits = self.recovery_limits(context, scope);
             let overdue_after = self.overdue_after(route_index);
@@ -51,18 +53,19 @@
         &mut self,
         dispatch: &mut Dispatch<'_>,
         route_index: usize,
-        messages: usize,
+        message_count: usize,
         is_rate_limited: bool,
     ) -> Call {
         let now = dispatch.context.now;
         let route = &mut self.routes[route_index];
         route.last_used_at = now;
-        let call = Call::new(dispatch.slots.acquire(), route.id, now, messages, is_rate_limited);
+        let call = Call::new(dispatch.slots.acquire(), route.id, now, message_count, is_rate_limited);
         self.calls.add(call);
         call
     }
 
-    /// The time-out of an attempt. The time-out leaves time for a retry, unless the message must not be repeated.
+    /// The time-out of an attempt. A message that must not be repeated may use all of its remaining time; any
+    /// other time-out is shorter, so that time remains for a retry.
     fn attempt_timeout(&self, context: &Context, message: &PendingMessage, route_index: usize) -> Millis {
         let time_left = message.weight.expires_at - context.now;
         let retryable_timeout = self.overdue_after(route_index) * TIMEOUT_MULTIPLE;
--- a/crates/policy/src/destinations.rs
+++ b/crates/policy/src/destinations.rs
@@ -1,4 +1,4 @@
-//! All destinations, in step with the endpoint list, and which of them have waiting messages.
+//! All destinations of the endpoint list, and which of them have waiting messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,8 @@
 use crate::interface::{DestinationId, Listing, MessageHandle, Millis, RouteEntry, RouteId};
 use crate::throttle::CapacitySource;
 
-/// The destinations of the endpoint list, and removed ones that still have waiting messages.
+/// The destinations of the endpoint list. A destination that was removed from the list is deleted once it has
+/// neither routes nor waiting messages.
 #[derive(Debug, Default)]
 pub(crate) struct Destinations {
     by_id: BTreeMap<DestinationId, Destination>,
@@ -15,7 +16,7 @@
     with_waiting_messages: BTreeSet<DestinationId>,
 }
 
-/// Access and waiting messages.
+/// Access to the destinations, and the set of those with waiting messages.
 impl Destinations {
     pub fn get_mut(&mut self, id: DestinationId) -> Option<&mut Destination> {
         self.by_id.get_mut(&id)
@@ -40,7 +41,7 @@
         self.with_waiting_messages.iter().filter_map(|id| self.by_id.get(id))
     }
 
-    /// Removes the destinations whose messages no longer wait from the set of those with waiting messages.
+    /// Removes the destinations without waiting messages from the set of those with waiting messages.
     pub fn update_with_waiting_messages(&mut self) {
         let by_id = &self.by_id;
         self.with_waiting_messages
@@ -51,13 +52,13 @@
 /// Changes of the endpoint list.
 impl Destinations {
     /// Marks all routes as removed, before the entries of a complete list are applied.
-    pub fn remove_all_routes(&mut self) {
+    pub fn mark_all_routes_removed(&mut self) {
         for destination in self.by_id.values_mut() {
-            destination.remove_all_routes();
+            destination.mark_all_routes_removed();
         }
     }
 
-    /// Applies entries of the list, and drops routes that were removed long ago.
+    /// Applies entries of the list, and deletes routes that were removed long ago.
     pub fn apply_entries(&mut self, context: &Context, entries: &[RouteEntry], source: CapacitySource) {
         for entry in entries {
             let destination = self.by_id.get_mut(&entry.destination);
@@ -66,7 +67,7 @@
                 self.add_route(context, entry, source);
             }
         }
-        self.drop_outdated_routes(context.now);
+        self.delete_outdated_routes(context.now);
     }
 
     fn add_route(&mut self, context: &Context, entry: &RouteEntry, source: CapacitySource) {
@@ -75,10 +76,10 @@
         self.get_or_insert(entry.destination).add_route(context, entry, kind, source);
     }
 
-    /// Drops the routes that were removed from the list long ago, and unused destinations.
-    fn drop_outdated_routes(&mut self, now: Millis) {
+    /// Deletes the routes that were removed from the list long ago, and unused destinations.
+    fn delete_outdated_routes(&mut self, now: Millis) {
         for destination in self.by_id.values_mut() {
-            destination.drop_outdated_routes(now);
+            destination.delete_outdated_routes(now);
         }
         self.by_id.retain(|_, destination| !destination.is_unused());
     }
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -2,7 +2,7 @@
 
 use super::{LimitScope, MessageHandle, Millis, OutageState, RouteId};
 
-/// A sender's demand at one limit, and the calls that it has made there since it started.
+/// A sender's demand at one limit, and the numbers of its calls within that limit since it started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     /// Which calls the limit covers.
@@ -22,9 +22,9 @@
 /// An action for the host to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the next attempt of a message. The host combines the attempts of one batch of events by one
-    /// route into calls, each with at most the `max_batch` messages of the destination's
-    /// [`Kind`](super::Kind).
+    /// Start the next attempt of a message. The host combines the attempts that the policy starts by the same
+    /// route in one batch of events into calls, each with at most the `max_batch` messages of the
+    /// destination's [`Kind`](super::Kind).
     Send {
         /// The message.
         id: MessageHandle,
@@ -69,8 +69,8 @@
     },
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Persist an outage for the time after a restart, in place of the persisted one of the same scope. The
-    /// host may delete it after a minute.
+    /// Persist an outage, so that it can be restored after a restart. It replaces the persisted outage of the
+    /// same scope. The host may delete it after a minute.
     PersistOutage {
         /// Which calls the outage concerns.
         scope: LimitScope,
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -24,8 +24,8 @@
     Cancelled,
     /// The attempt was never sent.
     NotSent,
-    /// The attempt was never sent, because the maximum number of attempts is reached. The policy still has to
-    /// give the message its final outcome.
+    /// The attempt was never sent, because the message has had the maximum number of attempts. The policy
+    /// must still give the message its final outcome.
     AttemptsExhausted,
 }
 
@@ -63,22 +63,22 @@
     Message(Message),
     /// A message that was accepted before a restart has no final outcome yet.
     Recovered(Message, AttemptHistory),
-    /// An outage that was persisted before a restart. Must come after the first [`Event::List`].
+    /// An outage that was persisted before a restart. It must be reported after the first [`Event::List`].
     PersistedOutage(PersistedOutage),
     /// Another process of this sender has received a Retry-After.
     RetryAfter(RetryAfterUpdate),
     /// This sender's share of a limit has changed.
     Capacity(CapacityUpdate),
-    /// Permits of a limit, in place of those reported before.
+    /// The current permits of a limit. They replace all permits reported earlier for that limit.
     Permits(PermitUpdate),
-    /// Routes that other senders have ejected as outliers, in place of those reported before. The policy
-    /// prefers other routes.
+    /// The routes that other senders currently eject as outliers. They replace all routes reported earlier.
+    /// The policy prefers other routes.
     EjectedReceivers(Vec<RouteId>),
     /// This sender's share of a tenant's quota, calculated from the usage of the whole fleet.
     Quota {
         /// Index of the tenant in the settings.
         tenant: usize,
-        /// Messages per second; `None` if the usage of other senders is unknown.
+        /// The share in messages per second; `None` if the usage of other senders is unknown.
         per_s: Option<f64>,
     },
     /// A response has started to stream; the attempt now lasts until the client or the destination ends it.
--- a/crates/policy/src/interface/limit.rs
+++ b/crates/policy/src/interface/limit.rs
@@ -11,8 +11,8 @@
     pub route: Option<RouteId>,
 }
 
-/// The outage state of a limit's scope that is persisted for the time after a restart. Without it a restarted
-/// sender would send at its full rate to an endpoint that is down or warming up.
+/// The outage state of a limit's scope, which is persisted and restored after a restart. Without it a
+/// restarted sender would send at its full rate to an endpoint that is down or warming up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OutageState {
     /// No outage is known.
@@ -54,7 +54,8 @@
 pub struct CapacityUpdate {
     /// Which calls the limit covers.
     pub scope: LimitScope,
-    /// Calls per second for each call of this sender's demand; infinite if the limit covers all demand.
+    /// Calls per second for each call of this sender's demand; infinite if the limit is sufficient for the
+    /// demand of all senders.
     pub calls_per_demand: f64,
     /// Demand of all senders, in calls, with an estimate for senders that have not reported; 0 if unknown.
     pub total_demand: f64,
@@ -62,7 +63,8 @@
     pub valid_for: Millis,
 }
 
-/// The permits of a limit that this sender may use, in place of those reported before.
+/// The permits of a limit that this sender may use now. They replace all permits reported earlier for that
+/// limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PermitUpdate {
     /// Which calls the limit covers.
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -110,11 +110,11 @@
     pub kinds: Vec<Kind>,
     /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Value of a message above its tenant's quota, as a fraction of the value of its class.
+    /// Value of a message that exceeds its tenant's quota, as a fraction of the value of its class.
     pub over_quota_value: f64,
     /// How the value of a delivery decreases after the latency objective.
     pub late_decay: LateDecay,
-    /// Maximum number of calls in flight.
+    /// Maximum number of calls in flight to all destinations.
     pub slots: usize,
     /// Maximum number of pending messages; the host rejects further ones.
     pub max_pending: usize,
@@ -138,9 +138,9 @@
     pub rate_hint: RateHint,
     /// How changes of the endpoint list arrive.
     pub discovery: Discovery,
-    /// Price of an attempt to another zone.
+    /// Price of an attempt to another zone (no unit).
     pub cross_zone_price: f64,
-    /// Price of a message that a route with its own limit accepts, by zone.
+    /// Price of a message that a route with its own limit accepts, by zone of the route (no unit).
     pub zone_fees: Vec<f64>,
     /// Minimum fraction of its capacity that a destination has at the start of its recovery, above 0, up to
     /// 1.
--- a/crates/policy/src/key_ordering.rs
+++ b/crates/policy/src/key_ordering.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 struct KeyQueue {
     messages: VecDeque<MessageHandle>,
-    /// Until when the key is paused for all messages other than `paused_by`.
+    /// When the pause of the key ends; the pause applies to all messages other than `paused_by`.
     paused_until: Millis,
     /// The message whose attempt may still be running; it may be retried during the pause.
     paused_by: Option<MessageHandle>,
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::Millis;
 
-/// The mean latency before the first answer, in ms.
+/// The mean latency before the first successful call, in ms.
 const INITIAL_MEAN: Millis = 400.0;
 /// Weight of the newest call in the mean.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
@@ -13,7 +13,7 @@
 /// Minimum time after which a call is overdue, in ms, because a short stall is not an outage.
 const MIN_OVERDUE: Millis = 1_000.0;
 
-/// The latency of the answered calls through a throttle.
+/// The latency of the successful calls that a throttle has counted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Latency {
     mean: Millis,
@@ -27,7 +27,7 @@
 }
 
 impl Latency {
-    /// Updates mean and deviation with the latency of an answered call.
+    /// Updates mean and deviation with the latency of a successful call.
     pub fn record(&mut self, latency: Millis) {
         let error = latency - self.mean;
         self.mean += error * MEAN_WEIGHT;
--- a/crates/policy/src/messages.rs
+++ b/crates/policy/src/messages.rs
@@ -55,8 +55,8 @@
         self.get_mut(id)?.in_flight.take_if(|in_flight| in_flight.attempt == attempt)
     }
 
-    /// Records whether an attempt may have been executed. The message's ordering key is paused while the
-    /// attempt may still be running.
+    /// Records the result of an attempt: whether it may have been executed, and that no attempts are left.
+    /// The message's ordering key is paused while the attempt may still be running.
     pub fn record_result(
         &mut self,
         context: &Context,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Records that a response has started to stream, after which the message no longer expires.
+    /// Records that a response has started to stream; from then on the message does not expire.
     pub fn record_start_of_response(&mut self, id: MessageHandle, attempt: u32) {
         let Some(message) = self.by_id.get_mut(&id) else { return };
         if message.in_flight.is_some_and(|in_flight| in_flight.attempt == attempt) {
--- a/crates/policy/src/messages/pending.rs
+++ b/crates/policy/src/messages/pending.rs
@@ -11,17 +11,19 @@
 const OUTCOME_MARGIN: Millis = 5.0;
 /// No attempt starts within this time, in ms, before the end of an idempotency key's window.
 const KEY_WINDOW_MARGIN: Millis = 50.0;
-/// Waiting time, in ms, over which a message's loss of value is its urgency.
+/// The urgency of a message is the value that it loses if it waits for this time, in ms.
 const URGENCY_HORIZON: Millis = 2_000.0;
 
 /// An accepted message; removed once it is completed and no attempt is in flight.
 #[derive(Debug)]
 pub(crate) struct PendingMessage {
+    /// The message's value over time, and when the message expires.
     pub weight: PriorityWeight,
     pub destination: DestinationId,
     /// The ordering key; 0 for none.
     pub ordering_key: u64,
-    /// When the final outcome is due if the message is still waiting.
+    /// When the final outcome is due if the message is still waiting: at the latest two ticks and
+    /// [`OUTCOME_MARGIN`] before it expires.
     pub outcome_due_at: Millis,
     /// Number of attempts started, including those before a restart.
     pub attempts: u32,
@@ -42,7 +44,7 @@
     pub call: CallId,
 }
 
-/// When, by which route and in which zone a message may have taken effect.
+/// The attempt with which a message may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PossibleExecution {
     pub sent_at: Millis,
@@ -51,7 +53,7 @@
 }
 
 impl PendingMessage {
-    /// Creates a message that is accepted now; `history` has its attempts before a restart.
+    /// Creates a message that is accepted now; `history` holds its attempts before a restart.
     pub fn new(context: &Context, message: &Message, history: &AttemptHistory, within_quota: bool) -> Self {
         let settings = &context.settings;
         let class_index = message.class.min(settings.classes.len() - 1);
@@ -106,8 +108,8 @@
         self.counted_as_dropped = false;
     }
 
-    /// Records that a throttle has dropped the message. Returns whether that had happened before, since the
-    /// last attempt.
+    /// Records that a throttle has dropped the message. Returns whether the message had already been dropped
+    /// since its last attempt.
     pub fn mark_dropped(&mut self) -> bool {
         std::mem::replace(&mut self.counted_as_dropped, true)
     }
@@ -127,8 +129,8 @@
     /// Whether a retry is allowed: the message has not expired, and a retry cannot make it take effect twice.
     pub fn may_be_retried(&self, context: &Context) -> bool {
         let effect = self.effect(&context.settings);
-        let is_final = self.possibly_executed.is_some() && effect == Effect::NotIdempotent;
-        !is_final && self.weight.expires_at > context.now
+        let must_not_be_repeated = self.possibly_executed.is_some() && effect == Effect::NotIdempotent;
+        !must_not_be_repeated && self.weight.expires_at > context.now
     }
 
     /// Whether the client may safely submit the message again.
@@ -141,12 +143,12 @@
         }
     }
 
-    /// The value that is lost while the message waits for [`URGENCY_HORIZON`]; the most urgent message is
-    /// sent first.
+    /// The value that the message loses if it waits for [`URGENCY_HORIZON`]; the most urgent message is sent
+    /// first.
     pub fn urgency(&self, context: &Context) -> f64 {
-        let now = context.settings.value_at(&self.weight, context.now);
-        let later = context.settings.value_at(&self.weight, context.now + URGENCY_HORIZON);
-        now - later
+        let value_now = context.settings.value_at(&self.weight, context.now);
+        let value_later = context.settings.value_at(&self.weight, context.now + URGENCY_HORIZON);
+        value_now - value_later
     }
 }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,4 +1,4 @@
-//! The policy of one sender: its state, and the steps of a batch.
+//! The policy of one sender: its state, and the steps in which it handles a batch of events.
 //!
 //! The decisions are made by the types that own the state: [`Destination`] with its throttles and circuit
 //! breakers, [`PendingMessages`], [`CallSlots`] and [`Quotas`]. The base algorithm is adaptive throttling
@@ -10,17 +10,17 @@
 //! | a shared rate is known | a call passes without a draw | `throttle.rs` |
 //! | the message was dropped before | the message counts as one request | `throttle.rs` |
 //! | a call was rejected | the send rate is reduced | `throttle.rs` |
-//! | all calls were rejected for longer than a limit lasts | an outage has begun | `throttle/rejections.rs` |
+//! | rejections last longer than at an exceeded limit | an outage has begun | `throttle/rejections.rs` |
 //! | an outage was detected | the recovery ramp limits the calls | `destination/outage_detection.rs` |
-//! | calls are overdue, without an answer since | the circuit breaker opens | `destination/outage_detection.rs` |
+//! | calls are overdue, without a later answer | the circuit breaker opens | `destination/outage_detection.rs` |
 //! | about half of the answers are errors | slow start begins | `destination/outage_detection.rs` |
-//! | this sender's share of the overload is small | fewer failures count | `destination/outage_detection.rs` |
+//! | this sender's share of the overload is small | fewer failures open the breaker | `destination/outage_detection.rs` |
 //! | the circuit breaker is open | a half-open probe does not draw | `destination/route_choice.rs` |
 //! | other senders have ejected the route | other routes draw first | `destination/route_choice.rs` |
 //! | permits are required | no call starts without one | `destination/availability.rs` |
 //! | few slots are free | a destination leaves some slots to others | `destination/dispatch.rs` |
 //! | no slot is free | lost calls are cancelled | `destination/dispatch.rs` |
-//! | an equal part of a quota is few messages | a tenant's share of the arrivals is used | `quota.rs` |
+//! | an equal share of a quota is few messages | a tenant's share of the arrivals is used | `quota.rs` |
 //! | the list arrives on request only | the policy subscribes to it | `subscription.rs` |
 
 mod completion;
@@ -96,7 +96,7 @@
         self.refuse_or_fail_due_messages(actions);
         self.shed_load(actions);
         self.draw_and_send(actions);
-        self.wake_for_next_draw(actions);
+        self.request_wake_up(actions);
     }
 
     /// Draws for the waiting messages and sends those that pass, the destination with the most urgent call
@@ -120,9 +120,9 @@
         }
     }
 
-    /// Requests a wake-up for the next draw, final outcome, end of a key's pause or subscription, unless an
-    /// earlier wake-up is pending.
-    fn wake_for_next_draw(&mut self, actions: &mut Vec<Action>) {
+    /// Requests a wake-up for the earliest of these times, unless an earlier wake-up is pending: the next
+    /// draw, final outcome or subscription, and the end of the pause of an ordering key.
+    fn request_wake_up(&mut self, actions: &mut Vec<Action>) {
         self.destinations.update_with_waiting_messages();
         let now = self.context.now;
         let next_at = self
--- a/crates/policy/src/policy/completion.rs
+++ b/crates/policy/src/policy/completion.rs
@@ -1,14 +1,15 @@
-//! Completes messages: final outcomes that are due, and load shedding.
+//! Completes messages whose final outcome is due, and sheds load.
 
 use super::Policy;
 use crate::destination::Destination;
 use crate::interface::{Action, MessageHandle, Millis};
 
 /// Fraction of the maximum number of pending messages above which load is shed.
-const SHED_AT: f64 = 0.95;
+const SHED_THRESHOLD_FRACTION: f64 = 0.95;
 
 impl Policy {
-    /// Completes a message without an action; an attempt in flight delays its removal.
+    /// Completes a message without an action to the host. The message is removed at once, or when the result
+    /// of its attempt in flight arrives.
     pub(super) fn complete(&mut self, id: MessageHandle) {
         let Some(destination) = self.messages.complete(id) else { return };
         if let Some(destination) = self.destinations.get_mut(destination) {
@@ -48,11 +49,11 @@
 
     /// Number of pending messages above which load is shed.
     pub(super) fn shed_threshold(&self) -> usize {
-        (self.context.settings.max_pending as f64 * SHED_AT) as usize
+        (self.context.settings.max_pending as f64 * SHED_THRESHOLD_FRACTION) as usize
     }
 
-    /// Refuses the least valuable waiting messages while there are too many, early enough for clients to
-    /// submit them again.
+    /// Refuses the least valuable waiting messages while the number of pending messages is above the
+    /// threshold. Clients then have time to submit the refused messages again.
     pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
         while self.messages.len() > self.shed_threshold() {
             let Some(id) = self.messages.least_valuable_refusable(&self.context) else { return };
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -7,7 +7,7 @@
 use crate::messages::PendingMessage;
 
 impl Policy {
-    /// Applies one event; new messages are admitted and results are counted.
+    /// Applies one event.
     pub(super) fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
         let now = self.context.now;
         match event {
@@ -54,7 +54,8 @@
         self.capacity_source.reports_capacity = true;
     }
 
-    /// Declares that the host will report permits, as [`Event::Permits`]; no call starts without one.
+    /// Declares that the host will report permits, as [`Event::Permits`]. From then on no call starts without
+    /// a permit.
     pub fn require_permits(&mut self) {
         self.capacity_source.requires_permits = true;
     }
@@ -62,7 +63,7 @@
     fn apply_list_change(&mut self, change: &ListChange) {
         let entries = match change {
             ListChange::Full(entries) | ListChange::Cached(entries) => {
-                self.destinations.remove_all_routes();
+                self.destinations.mark_all_routes_removed();
                 entries
             }
             ListChange::Delta(entries) => entries,
@@ -74,7 +75,8 @@
         self.destinations.apply_entries(&self.context, entries, self.capacity_source);
     }
 
-    /// Accepts a message, with its attempts before a restart; a message that is already pending is ignored.
+    /// Accepts a message; `history` holds its attempts before a restart. A message that is already pending is
+    /// ignored.
     fn admit(&mut self, message: &Message, history: &AttemptHistory) {
         if self.messages.contains(message.id) {
             return;
--- a/crates/policy/src/priority_weight.rs
+++ b/crates/policy/src/priority_weight.rs
@@ -2,14 +2,17 @@
 
 use crate::interface::{LateDecay, Millis, Settings};
 
-/// The fields of a message that determine its value over time.
+/// The value of a message over time: the message is worth its full value until `objective_at`, then less, and
+/// nothing after `expires_at`.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PriorityWeight {
     /// Index of the message's class in the settings.
     pub class: usize,
     /// The value of a delivery within the latency objective.
     pub value: f64,
+    /// When the latency objective ends.
     pub objective_at: Millis,
+    /// When the message expires; infinity once a response has started to stream.
     pub expires_at: Millis,
 }
 
--- a/crates/policy/src/rng.rs
+++ b/crates/policy/src/rng.rs
@@ -24,7 +24,8 @@
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Draws a pause, uniformly distributed around this mean.
+    /// Draws a pause with this mean, uniformly distributed from [`MIN_PAUSE_MULTIPLE`] to
+    /// [`MAX_PAUSE_MULTIPLE`] times the mean.
     pub fn pause(&mut self, mean: Millis) -> Millis {
         mean * (MIN_PAUSE_MULTIPLE + (MAX_PAUSE_MULTIPLE - MIN_PAUSE_MULTIPLE) * self.unit())
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -32,7 +32,7 @@
     pub kinds: Vec<String>,
 }
 
-/// Reads settings from JSON text; unknown keys are ignored.
+/// Reads settings from JSON text as [`read`] does.
 ///
 /// # Errors
 ///
@@ -43,7 +43,7 @@
     read(&json)
 }
 
-/// Reads the names from a JSON value.
+/// Reads the names of classes, tenants, zones and kinds from a JSON value.
 ///
 /// # Errors
 ///
@@ -54,12 +54,12 @@
     let read_name = |field: Field<'_>| read_text(field.child("name"));
     let lanes = root.child("lanes");
     let classes = lanes.map(read_name)?;
-    for (index, name) in classes.iter().enumerate() {
-        let field = lanes.at(index).child("name");
+    for (class_index, name) in classes.iter().enumerate() {
+        let field = lanes.at(class_index).child("name");
         if name.is_empty() {
             return Err(field.invalid("a name"));
         }
-        if let Some(first) = classes[..index].iter().position(|other| other == name) {
+        if let Some(first) = classes[..class_index].iter().position(|other| other == name) {
             return Err(field.invalid(&format!("another name than that of {SETTINGS_KEY}.lanes[{first}]")));
         }
     }
@@ -71,7 +71,8 @@
     })
 }
 
-/// Reads settings from a JSON value; unknown keys are ignored.
+/// Reads settings from a JSON value: each key of the configuration becomes a field of [`Settings`]. Unknown
+/// keys are ignored.
 ///
 /// # Errors
 ///
@@ -168,8 +169,8 @@
 }
 
 fn class(field: Field<'_>) -> Result<Class, ReadError> {
-    // The effect has no default, because the settings must say whether a message may take effect twice.
-    // `None` stands for an idempotency key, which has further settings.
+    // The effect has no default, because whether a message may take effect twice must be set explicitly.
+    // `None` stands for an idempotency key, which has a group and a window in addition.
     let effects =
         [("free", Some(Effect::Idempotent)), ("guarded", None), ("single_shot", Some(Effect::NotIdempotent))];
     let effect = match field.child("effect").variant(&effects)? {
--- a/crates/policy/src/settings/field.rs
+++ b/crates/policy/src/settings/field.rs
@@ -22,7 +22,7 @@
 pub struct InvalidValue {
     /// Path of the key, such as `settings.lanes[0].effect`.
     path: String,
-    /// The `name` of the innermost list entry that contains the value.
+    /// The value of the key `name` in the innermost list entry that contains the value.
     entry_name: Option<String>,
     /// The value as JSON, shortened to [`MAX_SHOWN_LEN`] characters; `missing` without a value.
     received: String,
@@ -51,7 +51,7 @@
 
 impl std::error::Error for ReadError {}
 
-/// The valid range of a number, as words for errors and as a predicate.
+/// The valid range of a number: a predicate, and its description for errors.
 #[derive(Clone, Copy, Debug)]
 pub struct Range {
     expected: &'static str,
@@ -74,12 +74,12 @@
 pub struct Field<'a> {
     value: &'a Value,
     path: String,
-    /// The `name` of the innermost list entry that contains the value.
+    /// The value of the key `name` in the innermost list entry that contains the value.
     entry_name: Option<&'a str>,
 }
 
 impl<'a> Field<'a> {
-    /// Creates the field of a whole configuration, with an empty path, or of a part with its path.
+    /// Creates the field of a whole configuration, for which `path` is empty, or of the part at this path.
     pub fn new(value: &'a Value, path: &str) -> Self {
         Self { value, path: path.to_owned(), entry_name: None }
     }
--- a/crates/policy/src/settings/tests.rs
+++ b/crates/policy/src/settings/tests.rs
@@ -7,8 +7,9 @@
 
 mod invalid;
 
-/// Settings with all keys that are read, and a valid value for each.
-fn complete() -> Value {
+/// Settings with all keys that are read, and a valid value for each. [`read`] defines which field of
+/// [`Settings`](crate::interface::Settings) each key sets.
+fn complete_settings() -> Value {
     json!({"az": 0, "azs": ["left", "right"], "kinds": ["k"], "peers_total": 2, "tick": 5.0, "weights": "rough",
         "discovery": "on_request", "over_share_worth": 0.2, "tariffs": {"cross_zone": 0.1},
         "lanes": [
@@ -27,8 +28,8 @@
 }
 
 /// The complete settings with another value at a JSON pointer; `None` removes the key.
-fn with(pointer: &str, value: Option<Value>) -> Value {
-    let mut json = complete();
+fn settings_with(pointer: &str, value: Option<Value>) -> Value {
+    let mut json = complete_settings();
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer with a key");
     match (json.pointer_mut(parent).expect("the parent of the key"), value) {
         (Value::Object(parent), Some(value)) => _ = parent.insert(key.to_owned(), value),
@@ -40,19 +41,20 @@
 
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
 #[test]
-fn missing_and_unknown_keys_and_other_notations_are_accepted() {
+fn optional_and_unknown_keys_and_number_notations_are_accepted() {
     // Window and group are read only for a class with idempotency keys, so the first class may have a window
     // of 0.
-    let settings = read(&complete()).expect("settings");
+    let settings = read(&complete_settings()).expect("settings");
     assert_eq!(settings.classes[0].effect, Effect::Idempotent);
     assert_eq!(settings.classes[1].effect, Effect::IdempotencyKey { group: KeyGroup::Zone, window: 1000.0 });
     assert_eq!((settings.classes[1].latency_objective, settings.classes[1].value), (9000.0, 1.0));
-    let with_value = |pointer, value: Value| with(pointer, Some(value));
+    let with_value = |pointer, value: Value| settings_with(pointer, Some(value));
     for json in [
         with_value("/lanes/0/window", json!("none")),
         with_value("/lanes/0/group", json!("every")),
         with_value("/lanes/0/credit", json!(0)),
-        // A latency objective after the deadline is valid: every delivery has its full value.
+        // A latency objective later than the deadline is valid. It means that every delivery before the
+        // deadline has its full value.
         with_value("/lanes/0/target", json!(10_000)),
         with_value("/lanes/0/novel", json!({"a": [1]})),
         with_value("/novel", json!(-1)),
@@ -65,7 +67,7 @@
         assert_eq!(read(&json).map(|_| ()), Ok(()), "{json}");
         assert!(names(&json).is_ok(), "{json}");
     }
-    let group = read(&with("/lanes/1/group", None)).expect("settings").classes[1].effect;
+    let group = read(&settings_with("/lanes/1/group", None)).expect("settings").classes[1].effect;
     assert_eq!(group, Effect::IdempotencyKey { group: KeyGroup::Route, window: 1000.0 });
     for optional in [
         "/az",
@@ -100,7 +102,7 @@
         "/limits/connect_timeout",
         "/rules",
     ] {
-        for json in [with(optional, None), with(optional, Some(Value::Null))] {
+        for json in [settings_with(optional, None), settings_with(optional, Some(Value::Null))] {
             let settings = read(&json).unwrap_or_else(|error| panic!("{optional}: {error}"));
             assert_eq!(settings.validate(), Ok(()), "{optional}");
             assert!(names(&json).is_ok(), "{optional}");
@@ -108,11 +110,11 @@
     }
 }
 
-/// Reading and [`Settings::validate`](crate::interface::Settings::validate) check the same ranges and must
-/// agree: each of many values at each key is either an error that names the key, or gives settings that are
-/// valid.
+/// [`read`] and [`Settings::validate`](crate::interface::Settings::validate) check the same ranges and must
+/// agree. Each test value at each key is either rejected with an error that begins with a path in the
+/// settings, or read as valid settings.
 #[test]
-fn any_value_is_read_as_valid_settings_or_rejected_with_its_key() {
+fn any_value_is_read_as_valid_settings_or_rejected() {
     fn collect_pointers(pointer: &str, json: &Value, pointers: &mut Vec<String>) {
         let mut visit =
             |key: &str, value: &Value| collect_pointers(&format!("{pointer}/{key}"), value, pointers);
@@ -124,9 +126,9 @@
         pointers.push(pointer.to_owned());
     }
     let mut pointers = Vec::new();
-    collect_pointers("", &complete(), &mut pointers);
+    collect_pointers("", &complete_settings(), &mut pointers);
     pointers.retain(|pointer| !pointer.is_empty());
-    assert!(pointers.len() > 50, "{pointers:?}");
+    assert!(pointers.len() > 50, "the complete settings must have more than 50 keys: {pointers:?}");
     let values = [
         json!(null),
         json!(0),
@@ -145,17 +147,18 @@
     ];
     for pointer in &pointers {
         for value in &values {
-            let json = with(pointer, Some(value.clone()));
+            let json = settings_with(pointer, Some(value.clone()));
             match read(&json) {
+                // `read` accepts 0 senders, but `validate` rejects them.
                 Ok(settings) if settings.peers_total == 0 => assert_eq!(pointer, "/peers_total"),
                 Ok(settings) => assert_eq!(settings.validate(), Ok(()), "{pointer} {value}"),
                 Err(error) => {
-                    let line = error.to_string();
+                    let error_text = error.to_string();
                     assert!(
-                        line.starts_with("settings.") && line.contains(": must be "),
-                        "{pointer} {value}: {line}"
+                        error_text.starts_with("settings.") && error_text.contains(": must be "),
+                        "{pointer} {value}: {error_text}"
                     );
-                    assert!(!line.contains('\n'), "{pointer} {value}: {line}");
+                    assert!(!error_text.contains('\n'), "{pointer} {value}: {error_text}");
                 }
             }
         }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -2,8 +2,8 @@
 
 use crate::calls::CallId;
 
-/// Counts the slots in use: one for each call of this process, and those of another process of this sender
-/// during a handover.
+/// Counts the slots in use: one for each call of this process and, during a handover, those that another
+/// process of this sender uses.
 #[derive(Debug)]
 pub(crate) struct CallSlots {
     total: usize,
@@ -13,7 +13,7 @@
 }
 
 impl CallSlots {
-    /// Creates slots of which none is in use.
+    /// Creates `total` slots, all of them free.
     pub fn new(total: usize) -> Self {
         Self { total, in_use: 0, used_by_peer: 0, next_call_id: 0 }
     }
--- a/crates/policy/src/subscription.rs
+++ b/crates/policy/src/subscription.rs
@@ -13,6 +13,7 @@
 #[derive(Debug)]
 pub(crate) struct Subscription {
     is_on_request: bool,
+    /// When the next subscription is due; `None` if none is scheduled.
     due_at: Option<Millis>,
 }
 
@@ -23,7 +24,7 @@
         Self { is_on_request, due_at: is_on_request.then_some(0.0) }
     }
 
-    /// Whether to subscribe now; if so, the subscription is no longer due.
+    /// Returns whether a subscription is due now, and removes it from the schedule.
     pub fn take_due(&mut self, now: Millis) -> bool {
         self.due_at.take_if(|due_at| *due_at <= now).is_some()
     }
--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -1,8 +1,8 @@
 //! The throttle of the calls that share a limit: drop probability, send rate and backoff.
 //!
 //! The throttle counts requests and accepts over a sliding window. At `next_draw_at` a call may draw: it is
-//! dropped locally with the probability that follows from the counts. Each call and each drop schedules the
-//! next draw.
+//! dropped locally with a probability that is calculated from the counts. Each call and each drop schedules
+//! the next draw.
 
 mod initial;
 mod rejections;
@@ -19,9 +19,9 @@
 use rejections::ConsecutiveRejections;
 use send_rate::SendRate;
 
-/// Burst that an idle throttle may send at once: the calls of this time, in ms, at the send rate.
+/// An idle throttle may send a burst at once: as many calls as the send rate allows in this time, in ms.
 const BURST: Millis = 500.0;
-/// Mean backoff after a rejection, in ms, at a send rate of one call per second.
+/// Mean backoff after the first of consecutive rejections, in ms, at a send rate of one call per second.
 const REJECTION_BACKOFF: Millis = 500.0;
 /// Number of senders up to which a fleet is small: each sender then increases its send rate and sends probes
 /// as if it were the only one.
@@ -34,11 +34,12 @@
     /// Factor by which the age of the window's entries is multiplied, 1 or more.
     time_scale: f64,
     send_rate: SendRate,
-    /// When the last Retry-After ends; no call starts before.
+    /// When the last Retry-After ends; no call starts before that time.
     retry_after_until: Millis,
     next_draw_at: Millis,
     rejections: ConsecutiveRejections,
     latency: Latency,
+    /// This sender's share of the limit, from the updates of the fleet.
     capacity: gossip::CapacityShare,
 }
 
@@ -84,7 +85,7 @@
         &self.latency
     }
 
-    /// Records the latency of an answered call.
+    /// Records the latency of a successful call.
     pub fn record_latency(&mut self, latency: Millis) {
         self.latency.record(latency);
     }
@@ -94,7 +95,7 @@
         self.window.clear();
     }
 
-    /// Draws whether a call may start; overdue calls count as requests that were not accepted.
+    /// Draws whether a call may start; the `overdue` calls count as requests that were not accepted.
     pub fn draw(&mut self, context: &mut Context, overdue: usize, shared_rate: Option<f64>) -> Draw {
         if self.next_draw_at > context.now {
             return Draw::NotDue;
@@ -113,7 +114,7 @@
     /// Extension (the message was dropped before): a message counts as one request, however often it draws,
     /// because its repeated draws are not additional load.
     pub fn record_drop(&mut self, context: &mut Context, was_dropped_before: bool) {
-        self.window.count(context.now, if was_dropped_before { 0.0 } else { 1.0 }, 0.0);
+        self.window.add(context.now, if was_dropped_before { 0.0 } else { 1.0 }, 0.0);
         self.next_draw_at = context.now + context.rng.pause(1_000.0 / self.send_rate.current());
     }
 
@@ -128,8 +129,8 @@
         is_rate_limited
     }
 
-    /// Backs off until a Retry-After ends and for a random pause after it, because other senders wait for the
-    /// same time.
+    /// Backs off until a Retry-After ends and for a random pause after it, because other senders may have
+    /// received the same Retry-After.
     pub fn back_off(&mut self, context: &mut Context, retry_after: Millis, shared_rate: Option<f64>) {
         let until = context.now + retry_after;
         let rejections = f64::from(self.rejections.count() + 1).min(context.settings.fleet_scale());
@@ -145,7 +146,7 @@
     /// Counts the result of a call. Returns whether this result alone indicates an outage.
     pub fn record_result(&mut self, context: &Context, outcome: Outcome, retry_after: Millis) -> bool {
         let accepted = matches!(outcome, Outcome::Ok | Outcome::Error);
-        self.window.count(context.now, 1.0, if accepted { 1.0 } else { 0.0 });
+        self.window.add(context.now, 1.0, if accepted { 1.0 } else { 0.0 });
         match outcome {
             Outcome::Ok => {}
             Outcome::Rejected => {
@@ -162,7 +163,7 @@
         self.send_rate.increase(context, self.time_scale);
     }
 
-    /// Reduces the send rate after a rejection, unless the last reduction was a short time ago.
+    /// Reduces the send rate after a rejection, unless it was reduced a short time ago.
     ///
     /// Extension (a call was rejected): adaptive throttling alone only drops calls. The rejection indicates
     /// that the send rate was above this sender's share of the limit.
@@ -186,15 +187,16 @@
     }
 }
 
-/// This sender's share of the limit by the fleet's reports.
+/// This sender's share of the limit, from the updates of the fleet.
 impl Throttle {
-    /// This sender's call rate by the fleet's reports, in calls per second, for a demand in calls; `None`
-    /// without a current report.
+    /// The call rate that the last capacity update allows this sender, in calls per second, for a demand in
+    /// calls; `None` without a valid update.
     pub fn shared_rate(&self, now: Millis, demand: f64) -> Option<f64> {
         self.capacity.rate(now, demand, self.limit())
     }
 
-    /// This sender's fraction of the fleet's demand, from 0 to 1; `None` without a current report.
+    /// This sender's fraction of the fleet's demand, from 0 to 1; `None` without a valid
+    /// capacity update.
     pub fn demand_fraction(&self, now: Millis, demand: f64) -> Option<f64> {
         self.capacity.demand_fraction(now, demand)
     }
@@ -204,12 +206,12 @@
         self.capacity.next_lease_at(now)
     }
 
-    /// The state of this sender's share, which also counts calls, rejections and failures since the start.
+    /// This sender's share of the limit, with the numbers of calls, rejections and failures since the start.
     pub fn capacity(&self) -> &gossip::CapacityShare {
         &self.capacity
     }
 
-    /// Applies a report of the fleet, and schedules the next draw by the reported rate.
+    /// Applies a capacity update, and schedules the next draw at the rate of the update.
     pub fn apply_capacity(&mut self, now: Millis, update: &gossip::CapacityUpdate) {
         let scheduled =
             gossip::ScheduledCall { due_at: self.next_draw_at, not_before: self.retry_after_until };
@@ -227,8 +229,8 @@
         self.capacity.set_leases(now, &leases);
     }
 
-    /// Schedules the draw of the first waiting message by the shared rate, at a random place between the
-    /// calls of all senders.
+    /// Schedules the draw of the first waiting message after a random delay, which is shorter at a higher
+    /// shared rate. Without the delay, many senders that were idle could start calls at the same time.
     pub fn schedule_first_call(&mut self, context: &mut Context, shared_rate: f64) {
         let draw = context.rng.unit();
         if let Some(draw_at) = self.capacity.schedule_first_call(context.now, shared_rate, draw) {
@@ -238,7 +240,7 @@
 }
 
 impl Settings {
-    /// The number of senders as a multiple of a small fleet's, 1 or more.
+    /// Number of senders in the fleet as a multiple of [`SMALL_FLEET`], 1 or more.
     pub(crate) fn fleet_scale(&self) -> f64 {
         (self.peers_total as f64 / SMALL_FLEET).max(1.0)
     }
--- a/crates/policy/src/throttle/initial.rs
+++ b/crates/policy/src/throttle/initial.rs
@@ -14,7 +14,7 @@
 /// The limit of a route for which the list has none, in calls per second.
 const DEFAULT_LIMIT: f64 = 20.0;
 
-/// Which reports of the fleet the host forwards to the policy.
+/// Which updates about the fleet the host reports to the policy.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CapacitySource {
     /// Whether the host reports the demand of other senders.
@@ -24,8 +24,8 @@
 }
 
 impl CapacitySource {
-    /// This sender's share of a limit before the first report about the limit.
-    fn before_first_report(self, now: Millis, limit: f64, senders: usize) -> CapacityShare {
+    /// This sender's share of a limit before the first update of that share.
+    fn before_first_update(self, now: Millis, limit: f64, senders: usize) -> CapacityShare {
         let capacity = if self.reports_capacity {
             CapacityShare::equal(now, limit, senders)
         } else {
@@ -46,7 +46,7 @@
         Self {
             time_scale: (REFERENCE_DEADLINE / longest_deadline).max(1.0),
             send_rate: SendRate::new(context.now, limit, settings.peers_total),
-            capacity: source.before_first_report(context.now, limit, settings.peers_total),
+            capacity: source.before_first_update(context.now, limit, settings.peers_total),
             ..Self::default()
         }
     }
--- a/crates/policy/src/throttle/rejections.rs
+++ b/crates/policy/src/throttle/rejections.rs
@@ -7,7 +7,8 @@
 /// Number of consecutive rejections that indicates an outage if they last longer than
 /// [`OUTAGE_REJECTIONS_SPAN`].
 const OUTAGE_REJECTIONS: u32 = 4;
-/// Minimum time since the first consecutive rejection, in ms. An exceeded limit recovers within this time.
+/// Consecutive rejections indicate an outage only if the first one was more than this time ago, in ms,
+/// because an exceeded limit recovers within this time.
 const OUTAGE_REJECTIONS_SPAN: Millis = 2_000.0;
 
 /// The rejections since the last call that was not rejected.
@@ -32,7 +33,7 @@
             self.first_at = now;
         }
         self.count += 1;
-        // Extension (all calls were rejected for longer than a limit lasts): an outage has begun, even if the
+        // Extension (rejections last longer than at an exceeded limit): an outage has begun, even if the
         // rejections had no Retry-After.
         let is_repeated = self.count >= OUTAGE_REJECTIONS && now - self.first_at > OUTAGE_REJECTIONS_SPAN;
         retry_after > OUTAGE_RETRY_AFTER || is_repeated
--- a/crates/policy/src/throttle/send_rate.rs
+++ b/crates/policy/src/throttle/send_rate.rs
@@ -13,8 +13,8 @@
 /// Minimum initial rate, in calls per second. An equal share of a small limit would be too low in a large
 /// fleet, where few senders use that limit.
 const MIN_INITIAL_RATE: f64 = 0.25;
-/// Rejections within this time after a reduction, in ms, have the same cause and do not reduce the rate
-/// again.
+/// Rejections within this time after a reduction, in ms, do not reduce the rate again, because they have the
+/// same cause.
 const REDUCTION_INTERVAL: Millis = 400.0;
 /// Increase of the rate for each accepted call, as a fraction of the limit. In a large fleet the increase is
 /// smaller for a new throttle and after a reduction, because all senders increase their rates at that time.
@@ -23,10 +23,11 @@
 /// The rate at which calls start, in calls per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SendRate {
-    /// The limit on the calls of all senders together.
+    /// The limit on the calls of all senders together, in calls per second.
     limit: f64,
     initial: f64,
     current: f64,
+    /// When the rate was last reduced.
     reduced_at: Millis,
 }
 
@@ -67,13 +68,14 @@
         self.current = (self.current + share * self.limit).min(self.limit);
     }
 
-    /// Whether a rejection at `now` may reduce the rate; not a short time after the last reduction.
+    /// Whether a rejection at `now` may reduce the rate: more than [`REDUCTION_INTERVAL`] after the last
+    /// reduction.
     pub fn may_be_reduced(&self, now: Millis) -> bool {
         now - self.reduced_at > REDUCTION_INTERVAL
     }
 
     /// Multiplies the rate by the fraction of requests that the drop formula passes, within bounds. `counts`
-    /// are those of the last `span`.
+    /// holds the requests and accepts of the last `span` ms.
     pub fn reduce(&mut self, now: Millis, counts: WindowCounts, span: Millis, senders: usize) {
         self.reduced_at = now;
         let sent_rate = (counts.requests * 1_000.0 / span).max(self.initial);
--- a/crates/policy/src/wake_timer.rs
+++ b/crates/policy/src/wake_timer.rs
@@ -5,9 +5,10 @@
 /// Minimum delay of a wake-up, in ms.
 const MIN_DELAY: Millis = 1.0;
 
-/// The wake-up that was requested last; earlier requests are ignored when they fire.
+/// The wake-up that was requested last. Wake-ups that were requested before it are ignored when they fire.
 #[derive(Debug, Default)]
 pub(crate) struct WakeTimer {
+    /// When the wake-up fires; `None` if no wake-up is pending.
     due_at: Option<Millis>,
     token: u64,
 }
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -1,4 +1,5 @@
-//! A sliding window of request and accept counts, and the drop probability that follows from them.
+//! A sliding window that counts requests and accepts, and the drop probability that is calculated from the
+//! counts.
 
 use std::collections::VecDeque;
 
@@ -17,6 +18,7 @@
     pub min_span: Millis,
     /// Maximum span, in ms, while the window holds fewer requests than `min_samples`.
     pub max_span: Millis,
+    /// Number of requests that limits the span to `min_span`.
     pub min_samples: f64,
 }
 
@@ -28,10 +30,9 @@
 }
 
 impl WindowCounts {
-    /// The probability with which a call is dropped locally, if this number of requests without an accept is
-    /// added.
-    pub fn drop_probability(self, more_requests: usize) -> f64 {
-        let requests = self.requests + more_requests as f64;
+    /// The probability with which a call is dropped locally; `unaccepted_requests` are counted in addition.
+    pub fn drop_probability(self, unaccepted_requests: usize) -> f64 {
+        let requests = self.requests + unaccepted_requests as f64;
         ((requests - ACCEPTS_MULTIPLIER * self.accepts) / (requests + 1.0)).max(0.0)
     }
 
@@ -55,7 +56,8 @@
 }
 
 impl Window {
-    pub fn count(&mut self, now: Millis, requests: f64, accepts: f64) {
+    /// Adds requests and accepts at this time.
+    pub fn add(&mut self, now: Millis, requests: f64, accepts: f64) {
         let counts = WindowCounts { requests, accepts };
         self.entries.push_back(Entry { at: now, counts });
         self.total.requests += requests;
--- a/crates/policy/src/window/tests.rs
+++ b/crates/policy/src/window/tests.rs
@@ -8,7 +8,7 @@
     let bounds = WindowBounds { min_span: 100.0, max_span: 300.0, min_samples: 2.0 };
     let mut window = Window::default();
     for at in [0.0, 150.0, 250.0] {
-        window.count(at, 1.0, 1.0);
+        window.add(at, 1.0, 1.0);
     }
     // At 260 the first entry is older than the minimum span and is removed, because two others remain.
     assert_eq!(window.counts(260.0, 1.0, bounds), counts(2.0));
