--- a/crates/policy/tests/common/delivery_rules.rs
+++ b/crates/policy/tests/common/delivery_rules.rs
@@ -82,13 +82,13 @@
                 Effect::IdempotencyKey { group, window } => {
                     assert!(
                         self.now + start_within <= earlier.sent_at + window,
-                        "may be sent after the window of its idempotency key"
+                        "a message may be sent after the window of its idempotency key"
                     );
                     let first = &self.routes[&earlier.route];
                     match group {
                         KeyGroup::All => {}
-                        KeyGroup::Zone => assert_eq!(first.zone, entry.zone, "retried in another zone"),
-                        KeyGroup::Route => assert_eq!(first.route, entry.route, "retried by another route"),
+                        KeyGroup::Zone => assert_eq!(first.zone, entry.zone, "retry in another zone"),
+                        KeyGroup::Route => assert_eq!(first.route, entry.route, "retry by another route"),
                     }
                 }
             }
--- a/crates/policy/tests/common/harness.rs
+++ b/crates/policy/tests/common/harness.rs
@@ -31,14 +31,14 @@
 /// A pause of an ordering key, after an attempt that the receiver may still execute.
 pub struct KeyPause {
     pub ends_at: Millis,
-    /// The message of that attempt; the pause does not delay its retries.
+    /// The message whose attempt caused the pause; the pause does not delay its retries.
     pub paused_by: MessageHandle,
 }
 
 /// A policy under test, with the state that the checks of the delivery rules need.
 pub struct Harness {
     pub policy: Policy,
-    /// Simulated time.
+    /// Current simulated time.
     pub now: Millis,
     pub(super) settings: Settings,
     pub(super) accepted: BTreeMap<MessageHandle, AcceptedMessage>,
@@ -46,9 +46,9 @@
     pub(super) acceptance_order: Vec<MessageHandle>,
     /// Current entry of each route, including removed ones.
     pub(super) routes: BTreeMap<RouteId, RouteEntry>,
-    /// Time when the Retry-After of a limit ends.
+    /// When the Retry-After of each limit ends.
     pub(super) retry_after_until: BTreeMap<LimitScope, Millis>,
-    /// Pauses by ordering key.
+    /// The last pause of each ordering key.
     pub(super) key_pauses: BTreeMap<u64, KeyPause>,
 }
 
@@ -96,7 +96,7 @@
     }
 
     /// Advances the clock by 10 ms at a time, for `max_duration` at most, until the policy returns an action
-    /// other than a wake-up or an outage state to store. Returns the actions of that step.
+    /// other than a wake-up or an outage state to persist. Returns the actions of that step.
     pub fn run(&mut self, max_duration: Millis) -> Vec<Action> {
         let end = self.now + max_duration;
         let mut token = 0;
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -12,10 +12,12 @@
 };
 use rudderspindle_simulation::fixtures::outcome;
 
+/// Returns the submission of a message without an ordering key; the message expires in 10 s.
 pub fn message(id: u32, class: usize, destination: u16) -> Event {
     keyed_message(id, class, destination, 0)
 }
 
+/// Returns the submission of a message with an ordering key; the message expires in 10 s.
 pub fn keyed_message(id: u32, class: usize, destination: u16, ordering_key: u64) -> Event {
     Event::Message(Message {
         id: MessageHandle(id),
@@ -37,7 +39,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// A call that a receiver has received.
+/// A call that the policy has sent to a receiver.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
     /// Time when the call was sent.
@@ -65,8 +67,9 @@
 
 /// Runs the policy for `duration`, starting with `initial_events`, and returns its calls.
 ///
-/// `answer` returns the answer to a call by its time and route. `attempts` holds the number of attempts by
-/// message, and is passed on to the next run of the same policy.
+/// `answer` returns the answer to a call; its arguments are the time of the call and the id of the route.
+/// `attempts` holds the number of attempts of each message, and must be passed on to the next run of the same
+/// policy.
 pub fn play_calls(
     harness: &mut Harness,
     initial_events: Vec<Event>,
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,6 +1,5 @@
 //! Tests of many senders to one receiver, in simulated time. Rejected calls count towards the receiver's
-//! limit, so that behaviour which is harmless for one sender may overload the receiver if a hundred senders
-//! show it.
+//! limit, so behaviour that is harmless in one sender may overload the receiver in a hundred senders.
 
 use rudderspindle_simulation::receiver::{GossipNetwork, Limit, LoadPeak, Outage, Scenario, simulate};
 
@@ -23,61 +22,61 @@
     }
 }
 
-/// Results of one scenario, or their means over several scenarios.
-struct Figures {
+/// Rejections and deliveries of one scenario, or their means over several scenarios.
+struct Results {
     /// Number of rejections per delivered message.
     rejections: f64,
-    /// Delivered messages as a fraction of those that the limit and the submissions allow.
+    /// Delivered messages as a fraction of the submitted ones or, if fewer, of the calls within the limit.
     delivered: f64,
 }
 
-fn figures(scenario: &Scenario) -> Figures {
+fn results_of(scenario: &Scenario) -> Results {
     let observations = simulate(scenario);
     let capacity = scenario.announced_rate * scenario.duration / 1_000.0;
     let delivered = observations.delivered as f64;
-    Figures {
+    Results {
         rejections: observations.rejected as f64 / delivered,
         delivered: delivered / capacity.min(observations.submitted as f64),
     }
 }
 
-fn mean(figures: impl Iterator<Item = Figures>) -> Figures {
-    let scenario_results: Vec<Figures> = figures.collect();
+fn mean(results: impl Iterator<Item = Results>) -> Results {
+    let scenario_results: Vec<Results> = results.collect();
     let scenario_count = scenario_results.len() as f64;
-    Figures {
+    Results {
         rejections: scenario_results.iter().map(|result| result.rejections).sum::<f64>() / scenario_count,
         delivered: scenario_results.iter().map(|result| result.delivered).sum::<f64>() / scenario_count,
     }
 }
 
 #[test]
-fn an_overloaded_fleet_does_not_use_up_the_limit_with_rejections() {
+fn rejections_do_not_exhaust_the_limit_of_an_overloaded_fleet() {
     for (senders, max_rejections) in [(1, 0.05), (3, 0.25), (30, 0.45), (100, 0.35)] {
-        let Figures { rejections, delivered: used } =
-            mean((0..4).map(|seed| figures(&calm_scenario(seed, senders, 1.2))));
-        println!("{senders} senders: {rejections:.2} rejections each, {used:.2} of the limit used");
+        let Results { rejections, delivered: used } =
+            mean((0..4).map(|seed| results_of(&calm_scenario(seed, senders, 1.2))));
+        println!("{senders} senders: {rejections:.2} rejections per delivery, {used:.2} of the limit used");
         assert!(
             rejections < max_rejections,
-            "{senders} senders: {rejections:.2} rejections, max {max_rejections}"
+            "{senders} senders: {rejections:.2} rejections per delivery: must be below {max_rejections}"
         );
-        assert!(used > 0.68, "{senders} senders: {used:.2} of the limit used, min 0.68");
+        assert!(used > 0.68, "{senders} senders: {used:.2} of the limit used: must be above 0.68");
     }
 }
 
 #[test]
 fn one_busy_sender_among_idle_ones_gets_nearly_the_whole_limit() {
-    // The sender may use an equal part of the limit at first, and the whole limit later.
+    // The sender may use an equal share of the limit at first, and the whole limit later.
     let one_busy = |seed| Scenario { busy_senders: 1, duration: 120_000.0, ..calm_scenario(seed, 100, 0.9) };
-    let Figures { rejections, delivered: used } = mean((0..4).map(|seed| figures(&one_busy(seed))));
-    println!("one of 100 busy: {rejections:.2} rejections each, {used:.2} of the limit used");
+    let Results { rejections, delivered: used } = mean((0..4).map(|seed| results_of(&one_busy(seed))));
+    println!("one of 100 busy: {rejections:.2} rejections per delivery, {used:.2} of the limit used");
     assert!(
         used > 0.85 && rejections < 0.1,
-        "{used:.2} used: must be above 0.85; {rejections:.2} rejections each: must be below 0.1"
+        "{used:.2} used: must be above 0.85; {rejections:.2} rejections per delivery: must be below 0.1"
     );
 }
 
-/// Senders with the same Retry-After send again at the same time. A hundred of them could use up a limit with
-/// rejected calls permanently, though each of them sends only one call.
+/// Senders with the same Retry-After send again at the same time. A hundred of them could permanently exhaust
+/// a limit with rejected calls, although each of them sends only one call.
 #[test]
 fn a_fleet_recovers_after_a_limit_was_halved_for_nine_seconds() {
     let limit = Limit::TokenBucket { halved: 8_000.0..17_000.0, retry_after: 750.0, max_debt: 1_500.0 };
@@ -88,11 +87,11 @@
             duration: 40_000.0,
             ..calm_scenario(seed, senders, 0.9)
         };
-        let Figures { rejections, delivered } = mean((0..4).map(|seed| figures(&scenario(seed))));
-        println!("{senders} senders, halved: {delivered:.2} delivered, {rejections:.2} rejections each");
+        let Results { rejections, delivered } = mean((0..4).map(|seed| results_of(&scenario(seed))));
+        println!("{senders} senders: {delivered:.2} delivered, {rejections:.2} rejections per delivery");
         assert!(
             delivered > min_delivered,
-            "{senders} senders: {delivered:.2} delivered, {rejections:.2} rejections each"
+            "{senders} senders: {delivered:.2} delivered, {rejections:.2} rejections per delivery"
         );
     }
 }
@@ -114,7 +113,7 @@
 }
 
 /// Of hundreds of senders only a few see enough failures to detect an outage, and the others would overload
-/// the recovering receiver at their full rate. The fleet's reports inform each sender of the failures of all.
+/// the recovering receiver at their full rate. With reports each sender has the failures of all.
 #[test]
 fn reports_of_an_outage_reach_senders_that_saw_little_of_it() {
     for outage in [
@@ -185,26 +184,25 @@
     }
 }
 
-/// Hundreds of senders with equal parts of a limit saturate it permanently once a burst has exceeded it,
-/// because rejected calls use up the limit and few senders see more than one rejection. With reports of the
-/// demand of all senders they share the limit.
+/// Hundreds of senders with equal shares of a limit saturate it permanently once a burst has exceeded it,
+/// because rejected calls count towards the limit and few senders receive more than one rejection. With
+/// reports of the demand of all senders the limit is shared by demand.
 #[test]
 fn senders_that_report_their_demand_recover_from_a_saturated_limit() {
     for (senders, min_delivered, min_gain) in [(30, 0.9, 0.0), (300, 0.7, 0.05)] {
-        let mean_figures = |gossip: Option<GossipNetwork>| {
-            mean((0..2).map(|seed| figures(&rate_limited_scenario(seed, senders, gossip.clone()))))
+        let mean_results = |gossip: Option<GossipNetwork>| {
+            mean((0..2).map(|seed| results_of(&rate_limited_scenario(seed, senders, gossip.clone()))))
         };
-        let Figures { rejections: rejections_without, delivered: delivered_without } = mean_figures(None);
+        let Results { rejections: rejections_without, delivered: delivered_without } = mean_results(None);
         let lossless = GossipNetwork::with_loss(0.0);
-        let Figures { rejections, delivered } = mean_figures(Some(lossless.clone()));
-        let Figures { rejections: rejections_half_lost, delivered: delivered_half_lost } =
-            mean_figures(Some(GossipNetwork { loss: 0.5, ..lossless.clone() }));
-        let Figures { rejections: rejections_partitioned, delivered: delivered_partitioned } =
-            mean_figures(Some(GossipNetwork { partition: 6_000.0..16_000.0, ..lossless }));
+        let Results { rejections, delivered } = mean_results(Some(lossless.clone()));
+        let Results { rejections: rejections_half_lost, delivered: delivered_half_lost } =
+            mean_results(Some(GossipNetwork { loss: 0.5, ..lossless.clone() }));
+        let Results { rejections: rejections_partitioned, delivered: delivered_partitioned } =
+            mean_results(Some(GossipNetwork { partition: 6_000.0..16_000.0, ..lossless }));
         println!(
-            "{senders} senders, delivered and rejections each: \
-            {delivered_without:.2} {rejections_without:.2} without reports, \
-            {delivered:.2} {rejections:.2} with reports, \
+            "{senders} senders, delivered fraction and rejections per delivery: {delivered_without:.2} \
+            {rejections_without:.2} without reports, {delivered:.2} {rejections:.2} with reports, \
             {delivered_half_lost:.2} {rejections_half_lost:.2} with half of the reports lost, \
             {delivered_partitioned:.2} {rejections_partitioned:.2} without reports for 10 s"
         );
@@ -212,9 +210,11 @@
             delivered > min_delivered && delivered > delivered_without + min_gain,
             "{senders} senders: {delivered:.2} delivered, {delivered_without:.2} without reports"
         );
-        assert!(rejections < 0.5 * rejections_without, "{senders} senders: {rejections:.2} rejections each");
-        // Half of the reports are better than none, because lost ones are estimated. A partition of 10 s, in
-        // which no reports arrive, has little effect.
+        assert!(
+            rejections < 0.5 * rejections_without,
+            "{senders} senders: {rejections:.2} rejections per delivery"
+        );
+        // Half of the reports help, because lost ones are estimated. A partition of 10 s has little effect.
         assert!(
             delivered_half_lost > delivered_without - 0.05 + min_gain,
             "{senders} senders: {delivered_half_lost:.2} delivered with half of the reports lost"
@@ -225,11 +225,11 @@
         );
         assert!(
             rejections_half_lost < 0.9 * rejections_without,
-            "{senders} senders: {rejections_half_lost:.2} rejections each with half of the reports lost"
+            "{senders} senders: {rejections_half_lost:.2} rejections per delivery with half of reports lost"
         );
         assert!(
             rejections_partitioned < 1.5 * rejections_without,
-            "{senders} senders: {rejections_partitioned:.2} rejections each without reports for 10 s"
+            "{senders} senders: {rejections_partitioned:.2} rejections per delivery without reports for 10 s"
         );
     }
 }
@@ -244,7 +244,7 @@
         duration: 12_000.0,
         ..calm_scenario(seed, 300, 0.8)
     };
-    let Figures { rejections, .. } = mean((0..3).map(|seed| figures(&scenario(seed))));
-    println!("300 senders that start together: {rejections:.2} rejections per delivered message");
-    assert!(rejections < 0.1, "{rejections:.2} rejections per delivered message: must be below 0.1");
+    let Results { rejections, .. } = mean((0..3).map(|seed| results_of(&scenario(seed))));
+    println!("300 senders that start together: {rejections:.2} rejections per delivery");
+    assert!(rejections < 0.1, "{rejections:.2} rejections per delivery: must be below 0.1");
 }
--- a/crates/policy/tests/recovery/main.rs
+++ b/crates/policy/tests/recovery/main.rs
@@ -1,5 +1,5 @@
-//! Tests of outages: a receiver whose routes share a limit gets one probe and one recovery ramp for all
-//! routes. Single cases are tested step by step, and then many scenarios in simulated time.
+//! Tests of outages: during an outage a receiver whose routes share a limit gets one probe at a time and one
+//! recovery ramp for all routes. Some tests run a single case, and others many scenarios in simulated time.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -52,8 +52,9 @@
 /// Returns how many calls one of two senders may send to a receiver of 10 calls per second in the first
 /// `seconds` after its recovery.
 fn ramp_calls_of_one_sender(seconds: f64) -> f64 {
-    // The sender's share is a half, and senders use 0.66 of the load that overloads the receiver, which is
-    // 2 times its capacity. The capacity grows from a fifth to the whole in 10 s.
+    // The share of each of the two senders is a half. All senders together use 0.66 of the load that
+    // overloads the receiver, which is 2 times its capacity. The capacity increases from a fifth to the whole
+    // in 10 s.
     0.5 * 0.66 * 2.0 * 10.0 * seconds * (0.2 + 0.8 * seconds / 10.0 / 2.0)
 }
 
--- a/crates/policy/tests/recovery/outage_scope.rs
+++ b/crates/policy/tests/recovery/outage_scope.rs
@@ -43,9 +43,10 @@
     }
 }
 
-/// The outage begins before each route has failed often. Each route is probed during the outage.
+/// The shared outage is detected before each single route has failed often. All routes are probed during the
+/// outage.
 #[test]
-fn refused_connections_soon_are_an_outage_of_all_routes() {
+fn refused_connections_at_all_routes_are_one_shared_outage() {
     for seed in 0..20 {
         let mut harness = harness_with_routes(1..=4, 0, seed);
         let recovered_at = harness.now + 9_000.0;
@@ -143,7 +144,8 @@
         let early_calls =
             calls.iter().filter(|call| (recovered_at..recovered_at + 3_000.0).contains(&call.at)).count()
                 as f64;
-        // The bound is higher than after an outage, because the last error may be long ago.
+        // The bound is higher than after an outage, because the last error may have been long before the
+        // recovery.
         without_slow_start += usize::from(early_calls > 2.0 + 1.35 * ramp_calls_of_one_sender(3.0));
     }
     assert!(without_slow_start <= 2, "{without_slow_start} of 40 runs without slow start: must be at most 2");
@@ -151,7 +153,7 @@
 
 /// Rejections are an outage if no call is accepted for longer than the window of a limit.
 #[test]
-fn rejections_of_all_calls_for_long_are_an_outage() {
+fn rejections_of_all_calls_for_seconds_are_an_outage() {
     let mut limited_call_count = 0;
     for seed in 0..20 {
         let mut harness = harness_with_routes(1..=2, 0, seed);
@@ -159,7 +161,8 @@
         let answer = answers_until(recovered_at, rejected(0.0));
         let calls = play_calls(&mut harness, messages(0..80), 13_000.0, &mut BTreeMap::new(), answer);
         assert_one_probe_and_one_ramp(&calls, recovered_at, &format!("seed {seed}"));
-        // One call of each second is accepted: other senders use up the limit, and there is no outage.
+        // One call of each second is accepted: other senders use the rest of the limit, and there is no
+        // outage.
         let mut harness = harness_with_routes(1..=2, 0, seed);
         let mut accepted_second = 0;
         let limited_answer = |now: Millis, _| {
--- a/crates/policy/tests/recovery/restart.rs
+++ b/crates/policy/tests/recovery/restart.rs
@@ -1,4 +1,4 @@
-//! Tests of outage states that are stored over a restart.
+//! Tests of outage states that are persisted and restored after a restart.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use rudderspindle_simulation::fixtures::outcome;
 
 #[test]
-fn a_restarted_sender_continues_the_remembered_outage() {
+fn a_restarted_sender_restores_the_persisted_outage() {
     for (kind, route) in [(0, None), (1, Some(RouteId(1)))] {
         for seed in 0..20 {
-            // Down within a Retry-After: one probe is sent when the Retry-After ends.
+            // The persisted state is down, within a Retry-After: one probe is sent when the Retry-After ends.
             let mut harness = harness_with_routes(1..=1, kind, seed);
             let recovered_at = harness.now + 4_000.0;
             let scope = LimitScope { destination: DestinationId(0), route };
@@ -26,7 +26,7 @@
                 "kind {kind}, seed {seed}: sent within the Retry-After"
             );
             assert_one_probe_and_one_ramp(&calls, recovered_at, &format!("kind {kind}, seed {seed}"));
-            // Warming up for 1 s: the recovery ramp continues.
+            // The persisted state is warming up since 1 s: the recovery ramp continues.
             let mut harness = harness_with_routes(1..=1, kind, seed);
             let started_at = harness.now;
             let mut initial_events =
--- a/crates/policy/tests/recovery/scenarios.rs
+++ b/crates/policy/tests/recovery/scenarios.rs
@@ -7,7 +7,7 @@
 use super::{harness_with_routes, messages, rejects_until};
 use crate::common::play_calls;
 
-/// Senders would overload the receiver if all of them probed when the Retry-After ends.
+/// If all senders probed at the time when the Retry-After ends, they would overload the receiver.
 #[test]
 fn senders_with_the_same_retry_after_spread_their_probes() {
     // There are two senders and a receiver of 10 calls per second, which recovers with a fifth of this
@@ -22,7 +22,8 @@
     }
     probe_delays.sort_by(f64::total_cmp);
     assert_eq!(probe_delays.len(), 40, "a probe must be sent in each of the 40 runs");
-    // A sender's share of a half is one call in 758 ms, and probes are spread evenly over this time.
+    // Each sender's share is a half of that rate: one call in 758 ms. Probes are spread evenly over this
+    // time.
     assert!(probe_delays[39] <= 790.0 && probe_delays[20] >= 200.0, "{probe_delays:?}");
     let probe_clusters = probe_delays.windows(14).filter(|delays| delays[13] - delays[0] < 100.0).count();
     assert_eq!(probe_clusters, 0, "more than a third of the probes within 100 ms: {probe_delays:?}");
@@ -31,7 +32,7 @@
 /// Highest load of the receiver after its recovery in one scenario.
 #[derive(Clone, Copy, Debug)]
 struct WorstLoad {
-    /// As a multiple of the receiver's capacity.
+    /// The load as a multiple of the receiver's capacity.
     ratio: f64,
     /// Seed of the scenario.
     seed: u64,
@@ -95,8 +96,8 @@
             let loads = worst_loads(60, outage, restart);
             let outage_name = format!("{outage_name}, a sender restarted {restart_delay} ms after its end");
             if matches!(outage(0.0), Outage::Errors { .. }) {
-                // The bound is higher because the stored state has no error rate, only that the receiver was
-                // warming up.
+                // The bound is higher because the persisted state contains no error rate, only that the
+                // receiver was warming up.
                 assert!(
                     loads[loads.len() - 1].ratio < 2.5,
                     "{outage_name}: {:?}: the ratio must be below 2.5",
--- a/crates/policy/tests/replay/adapter.rs
+++ b/crates/policy/tests/replay/adapter.rs
@@ -53,8 +53,8 @@
 }
 
 impl PolicyAdapter {
-    /// Applies an input that creates or removes a policy or calls one of its methods, and ignores inputs of
-    /// an instance without a policy. Returns false if the input has to be passed on as an event.
+    /// Applies an input that creates or removes a policy, or that corresponds to one of its methods. Returns
+    /// false if the input must be passed on as an event. Inputs of an instance without a policy are ignored.
     fn apply_without_event(&mut self, instance: u32, input: &Input) -> bool {
         if let Input::Start { seed, settings } = input {
             let settings = settings::parse(settings.as_bytes()).expect("settings in valid JSON");
--- a/crates/policy/tests/replay/main.rs
+++ b/crates/policy/tests/replay/main.rs
@@ -1,8 +1,8 @@
 //! Golden-file tests: seeded sessions are replayed against the policy, and its actions must be those of the
 //! golden files, bit for bit.
 //!
-//! Neither the simulated host nor the text that is hashed depends on names of the policy, so that its types,
-//! fields and modules can be renamed with no change in the golden files.
+//! The simulated host and the hashed text contain no names of the policy's code, so types, fields and modules
+//! of the policy can be renamed without a change in the golden files.
 
 mod adapter;
 mod text;
--- a/crates/policy/tests/replay/text.rs
+++ b/crates/policy/tests/replay/text.rs
@@ -1,5 +1,5 @@
-//! Text form of the policy's actions and metrics. Golden files hold hashes of this text, so its words are
-//! fixed: they do not follow renames in the policy.
+//! Text form of the policy's actions and metrics. Golden files contain hashes of this text, so its words must
+//! not change when names in the policy are renamed.
 
 use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{Action, LimitScope, OutageState};
--- a/crates/policy/tests/rules/host.rs
+++ b/crates/policy/tests/rules/host.rs
@@ -36,6 +36,7 @@
 
 #[test]
 fn the_same_events_and_seed_give_the_same_actions() {
+    // Returns the actions of each policy; all policies handle the same events.
     let play = |policies: &mut [Policy]| {
         let mut actions_by_policy = vec![Vec::new(); policies.len()];
         let mut events = vec![list(vec![entry(1, 0, 0, 0), entry(2, 0, 0, 0)])];
--- a/crates/policy/tests/rules/outages.rs
+++ b/crates/policy/tests/rules/outages.rs
@@ -7,23 +7,26 @@
 use rudderspindle_policy::interface::Outcome;
 use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
-/// The other slots stay free for messages to other destinations.
+/// The sender has 20 slots. A destination that answers no call may use only some of them, so that calls to
+/// other destinations can still start.
 #[test]
-fn an_unresponsive_route_uses_only_some_of_the_slots() {
+fn an_unresponsive_destination_leaves_slots_to_others() {
     let mut harness = Harness::new(settings(vec![class(IDEMPOTENT)]), 1);
+    // Route 1 leads to destination 0, which never answers, and route 2 to destination 1.
     let mut events = vec![list(vec![entry(1, 0, 0, 0), entry(2, 1, 0, 0)])];
     events.extend((0..60).map(|i| message(i, 0, 0)));
     let mut sent = sends(&harness.step(0.0, &events)).len();
     for _ in 0..100 {
         sent += sends(&harness.step(20.0, &[])).len();
     }
-    assert!(sent <= 15, "{sent} of 20 slots used by a destination that never answered: must be at most 15");
+    assert!(sent <= 15, "a destination that never answered used {sent} of 20 slots: must be at most 15");
     let actions = harness.step(5.0, &[message(100, 0, 1)]);
     assert_eq!(sends(&actions), [(100, 2)]);
 }
 
+/// A destination with 40 waiting messages refuses all connections for 8 s.
 #[test]
-fn during_an_outage_one_probe_is_in_flight_at_a_time() {
+fn during_an_outage_only_a_few_probes_are_sent() {
     let mut harness = Harness::new(settings(vec![class(IDEMPOTENT)]), 1);
     let mut events = vec![list(vec![entry(1, 0, 0, 0)])];
     events.extend((0..40).map(|i| message(i, 0, 0)));
--- a/crates/policy/tests/rules/random_streams.rs
+++ b/crates/policy/tests/rules/random_streams.rs
@@ -12,7 +12,8 @@
 };
 use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
-/// A random step of the stream. `pick` selects an attempt in flight or a message, modulo their number.
+/// A random step of the stream. `pick`, modulo the number of attempts in flight or of messages, is the index
+/// of one of them.
 #[derive(Clone, Debug)]
 enum Step {
     Message { class: usize, destination: u16, key: u64 },
@@ -71,11 +72,13 @@
 struct RandomHost {
     harness: Harness,
     in_flight: Vec<InFlight>,
-    /// Number of attempts by message.
+    /// Number of attempts of each message.
     attempts: BTreeMap<u32, u32>,
     /// Events of the next batch.
     events: Vec<Event>,
+    /// Id of the next message.
     next_message: u32,
+    /// Token of the last wake-up that the policy has requested.
     wake_token: u64,
 }
 
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Adds the event of a step, and advances the clock by the step's duration.
+    /// Adds the event of a step, and advances the clock by the duration of the step.
     fn apply(&mut self, step: &Step) {
         let mut duration = 5.0;
         match *step {
--- a/crates/policy/tests/rules/retry_after.rs
+++ b/crates/policy/tests/rules/retry_after.rs
@@ -5,7 +5,8 @@
 use rudderspindle_policy::interface::Outcome;
 use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
-/// It delays calls by all routes of the destination, or by one route if each has its own limit.
+/// A Retry-After delays the calls by all routes of the destination, or by one route if each route has its own
+/// limit.
 #[test]
 fn a_retry_after_applies_to_the_scope_of_the_limit() {
     for (kind, other_route_used) in [(0, false), (1, true)] {
--- a/crates/policy/tests/rules/route_list.rs
+++ b/crates/policy/tests/rules/route_list.rs
@@ -16,9 +16,10 @@
     assert_eq!(sends(&actions), [(1, 2)]);
 }
 
-/// The state is kept at first, and dropped within 91 s.
+/// The state of routes is kept when the list removes them, because they may be listed again. It must be
+/// deleted within 91 s.
 #[test]
-fn the_state_of_removed_routes_is_dropped_after_a_while() {
+fn the_state_of_removed_routes_is_deleted_after_a_while() {
     let ordered = Class { ordered: true, ..class(IDEMPOTENT) };
     let mut harness = Harness::new(settings(vec![ordered]), 1);
     for round in 0..10u64 {
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,7 +1,7 @@
-//! Tests of the calls of all senders to a recovering receiver, in simulated time. The bound is N + 2 root N +
-//! 2 calls: N calls overload the receiver on average, and the rest allows for the random draws. Only calls of
-//! senders that have seen a failure in the outage count. `rudderspindle-bench fleet-limit --recovery` prints
-//! the whole table.
+//! Tests that the calls of all senders to a recovering receiver do not exceed a bound, in simulated time. The
+//! bound is N + 2 root N + 2 calls: N calls overload the receiver on average, and the rest allows for the
+//! random draws. Only calls of senders that have observed a failure in the outage count. `rudderspindle-bench
+//! fleet-limit --recovery` prints the whole table.
 
 use rudderspindle_simulation::receiver::{
     GossipNetwork, Limit, LoadPeak, Outage, Restart, Scenario, recovery_ramp_capacity, simulate,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Load from senders that have seen a failure in the outage.
+/// Load from senders that have observed a failure in the outage.
 #[derive(Default)]
 struct Load {
     /// Load as a multiple of the bound.
@@ -67,10 +67,11 @@
     highest
 }
 
-/// Asserts that the calls of senders that have seen the outage keep to the bound, at two submitted loads.
-fn assert_bound(senders: usize, announced_rate: f64, gossip_network: &Option<GossipNetwork>) {
-    // Loads below the limit and at three times the limit; at the latter each sender has more messages than
-    // its share allows.
+/// Asserts that the calls of senders that have observed the outage do not exceed the bound, at two submitted
+/// loads.
+fn assert_within_bound(senders: usize, announced_rate: f64, gossip_network: &Option<GossipNetwork>) {
+    // The first load is below the limit. The second is three times the limit, so each sender has more
+    // messages than its share allows.
     for load in [0.9, 3.0] {
         let Load { ratio, scenario } = highest_load(senders, announced_rate, load, gossip_network);
         println!("{senders} senders, {announced_rate} calls/s, load {load}: {ratio:.2} of the bound");
@@ -84,19 +85,19 @@
 #[test]
 fn without_reports_2_to_30_senders_keep_to_the_recovery_bound() {
     for senders in [2, 10, 20, 30] {
-        assert_bound(senders, 5.0, &None);
-        assert_bound(senders, 75.0, &None);
+        assert_within_bound(senders, 5.0, &None);
+        assert_within_bound(senders, 75.0, &None);
     }
 }
 
-/// All reports arrive, or half of them are lost.
+/// The bound holds if all reports arrive, and if half of them are lost.
 #[test]
 fn with_reports_20_to_30_senders_keep_to_the_recovery_bound() {
     for loss in [0.0, 0.5] {
         let gossip = Some(GossipNetwork::with_loss(loss));
         for senders in [20, 30] {
-            assert_bound(senders, 5.0, &gossip);
-            assert_bound(senders, 75.0, &gossip);
+            assert_within_bound(senders, 5.0, &gossip);
+            assert_within_bound(senders, 75.0, &gossip);
         }
     }
 }
@@ -105,7 +106,7 @@
 fn a_partitioned_fleet_keeps_to_the_recovery_bound() {
     let partitioned = Some(GossipNetwork { loss: 0.0, partition: 6_000.0..f64::INFINITY });
     for senders in [20, 30] {
-        assert_bound(senders, 75.0, &partitioned);
+        assert_within_bound(senders, 75.0, &partitioned);
     }
 }
 
@@ -118,8 +119,8 @@
     }
 }
 
-/// With reports a busy sender among many may use more than an equal part, because the other senders report no
-/// demand.
+/// With reports a busy sender among many may use more than an equal share of the limit, because the other
+/// senders report no demand.
 #[test]
 fn with_reports_busy_senders_use_the_capacity_of_idle_ones() {
     let used_capacity = |gossip: Option<GossipNetwork>| -> f64 {
@@ -138,6 +139,6 @@
     );
     assert!(
         used_with_reports > 0.6 && used_with_reports > 2.0 * used_without_reports,
-        "{used_with_reports:.2} with reports, {used_without_reports:.2} without"
+        "{used_with_reports:.2} of the ramp used with reports, {used_without_reports:.2} without"
     );
 }
--- a/crates/policy/tests/throttle/drop_probability.rs
+++ b/crates/policy/tests/throttle/drop_probability.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Calls in flight do not count, and rejections stop counting when they leave the window.
+/// Calls in flight do not count. Rejections count until they are older than the window.
 #[test]
 fn rejections_raise_the_drop_probability_until_they_age_out() {
     // Three calls rejected, none accepted: p = (3 - 0) / (3 + 1) = 0.75 for the next one. While the three
@@ -71,10 +71,10 @@
 
 #[test]
 fn a_message_counts_as_one_request_however_often_it_is_dropped() {
-    // Each new draw for a waiting message once counted as a request, so that the drop probability rose to
+    // Each new draw for a waiting message once counted as a request, which increased the drop probability to
     // one. After three failed calls the first draw drops the message with 3/4 and each further one with 4/5,
-    // so that ten draws let 90% of the messages through. If each drop counted, the draws would drop it with
-    // 3/4, 4/5, 5/6 and so on, and let 77% through.
+    // so that 90% of the messages pass one of ten draws. If each drop counted, the draws would drop the
+    // message with 3/4, 4/5, 5/6 and so on, and 77% would pass one of them.
     let mut sent = 0;
     for seed in 0..400 {
         let mut harness = Harness::new(idempotent_settings(), seed);
--- a/crates/policy/tests/throttle/fleet_reports.rs
+++ b/crates/policy/tests/throttle/fleet_reports.rs
@@ -1,12 +1,12 @@
-//! Tests of the demand that a sender reports and of the capacity that the fleet leaves to it.
+//! Tests of the demand that a sender reports, and of the capacity updates that it receives.
 
 use super::idempotent_settings;
 use crate::common::{Harness, message, sends};
 use rudderspindle_policy::interface::{CapacityUpdate, DestinationId, Event, LimitScope, Outcome};
 use rudderspindle_simulation::fixtures::{entry, list, outcome};
 
-/// Returns a report of the capacity that the fleet leaves to a sender, in calls per second for each call of
-/// the sender's demand.
+/// Returns a capacity update, which allows the sender this number of calls per second for each call of its
+/// demand.
 fn capacity(calls_per_demand: f64) -> Event {
     let scope = LimitScope { destination: DestinationId(0), route: None };
     let valid_for = 20_000.0;
@@ -31,8 +31,8 @@
     assert!(harness.policy.demands()[0].calls_wanted < 0.1);
 }
 
-/// All senders with the same Retry-After send again when it ends, so each must keep to the rate that the
-/// fleet leaves to it.
+/// All senders with the same Retry-After send again when it ends, so each sender must not exceed the rate of
+/// its capacity update.
 #[test]
 fn the_call_after_a_retry_after_keeps_to_the_reported_capacity() {
     for (calls_per_demand, expected_delay) in [(0.25, 1_600.0..5_700.0), (1.0, 400.0..1_500.0)] {
@@ -41,7 +41,7 @@
             harness.step(0.0, &[list(vec![entry(1, 0, 0, 0)]), capacity(f64::INFINITY), message(1, 0, 0)]);
             harness.step(10.0, &[capacity(calls_per_demand), outcome(1, 0, Outcome::Rejected, 1_000.0)]);
             let retry_after_end = harness.now + 1_000.0;
-            // The rejection halved the reported capacity; the next report restores it.
+            // The rejection has halved the capacity of the last update; the next update restores it.
             harness.step(250.0, &[capacity(calls_per_demand)]);
             let sent = sends(&harness.run(9_000.0));
             let delay = harness.now - retry_after_end;
--- a/crates/policy/tests/throttle/main.rs
+++ b/crates/policy/tests/throttle/main.rs
@@ -16,7 +16,7 @@
 use rudderspindle_simulation::fixtures::{class, settings};
 
 /// Runs the policy for `duration`, starting with `initial_events`, and returns its calls. `answer` returns
-/// the answer to a call by the number of earlier calls and the route.
+/// the answer to a call; its arguments are the number of earlier calls and the id of the route.
 fn play(
     harness: &mut Harness,
     initial_events: Vec<Event>,
--- a/crates/policy/tests/throttle/order.rs
+++ b/crates/policy/tests/throttle/order.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn after_a_recent_failure_the_next_call_goes_to_another_route() {
-    // A sender with few calls once retried by the route that had just failed, four times in a row.
+    // A sender with few calls once retried a message four times in a row by the route that had just failed.
     let mut harness = Harness::new(idempotent_settings(), 5);
     harness.step(0.0, &[list(vec![entry(1, 0, 1, 0), entry(2, 0, 1, 1)])]);
     assert_eq!(sends(&harness.step(5.0, &[message(1, 0, 0)])), [(1, 1)]);
--- a/crates/policy/tests/throttle/send_rate.rs
+++ b/crates/policy/tests/throttle/send_rate.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn probes_keep_to_the_senders_share_of_the_limit() {
-    // Probes of four senders once used up a limit that counts rejected calls.
+    // The probes of four senders once exhausted a limit that counts rejected calls.
     let mut settings = idempotent_settings();
     settings.peers_total = 4;
     let mut harness = Harness::new(settings, 5);
@@ -16,7 +16,7 @@
     events.extend((0..50).map(|i| message(i, 0, 0)));
     let first = sends(&harness.step(0.0, &events));
     harness.step(20.0, &[outcome(first[0].0, 0, Outcome::Rejected, 2_600.0)]);
-    // A Retry-After this long indicates an outage: when it ends, only probes are sent.
+    // A Retry-After of 2,600 ms indicates an outage, so only probes are sent after its end.
     let calls = play(&mut harness, vec![], 8_600.0, |_, _| Answer::new(30.0, Outcome::ConnectFailed));
     assert!(
         (1..=5).contains(&calls.len()),
@@ -61,8 +61,8 @@
 
 #[test]
 fn one_of_300_senders_delivers_messages_before_they_expire() {
-    // An equal part of 3 calls per second is one call in 100 s, and the second message of a sender once
-    // expired while it waited.
+    // An equal share of 3 calls per second is one call in 100 s for each sender. At that rate the second
+    // message of a sender once expired while it waited.
     let mut settings = idempotent_settings();
     settings.peers_total = 300;
     for seed in 0..20 {
@@ -76,7 +76,7 @@
 
 #[test]
 fn one_of_300_senders_backs_off_from_a_rejecting_receiver() {
-    // A limit that counts rejected calls stays used up while all senders retry soon.
+    // A limit that counts rejected calls remains exhausted if all senders retry soon after a rejection.
     let mut settings = idempotent_settings();
     settings.peers_total = 300;
     let mut calls = 0;
@@ -94,9 +94,9 @@
     );
 }
 
-/// A single overshoot of the limit once delayed hundreds of messages until they expired, though slots were
-/// free: the send rate fell to a small part of the limit, and took longer to recover than the deadline of a
-/// message.
+/// A single burst above the limit once delayed hundreds of messages until they expired, although slots were
+/// free: the send rate was reduced to a small part of the limit, and needed longer to recover than the
+/// deadline of a message.
 #[test]
 fn the_send_rate_recovers_soon_after_a_burst_of_rejections() {
     let mut delivered = 0;
--- a/crates/policy/tests/throttle/slots.rs
+++ b/crates/policy/tests/throttle/slots.rs
@@ -5,21 +5,21 @@
 use rudderspindle_policy::interface::{Action, Effect, Event, MessageHandle, Outcome, RouteEntry, Settings};
 use rudderspindle_simulation::fixtures::{class, entry, list, outcome, settings};
 
-/// Returns the number of calls in flight to a busy destination, including one that hangs. If `answered`,
-/// calls that were sent after the hanging one have been answered.
-fn calls_with_one_hanging(answered: bool) -> usize {
+/// Returns the number of calls in flight to a destination with many waiting messages. One call hangs and is
+/// overdue; if `later_calls_answered`, three later calls have been answered.
+fn calls_in_flight_with_one_hanging(later_calls_answered: bool) -> usize {
     let settings = Settings { slots: 6, ..idempotent_settings() };
     let mut harness = Harness::new(settings, 1);
     let high_rate_entry = RouteEntry { rate: 1_000.0, ..entry(1, 0, 0, 0) };
     harness.step(0.0, &[list(vec![high_rate_entry])]);
     assert_eq!(sends(&harness.step(1_000.0, &[message(0, 0, 0)])).len(), 1);
-    if answered {
+    if later_calls_answered {
         for n in 1..4 {
             assert_eq!(sends(&harness.step(200.0, &[message(n, 0, 0)])).len(), 1);
             harness.step(100.0, &[outcome(n, 0, Outcome::Ok, 0.0)]);
         }
     }
-    let elapsed = if answered { 500.0 } else { 1_400.0 };
+    let elapsed = if later_calls_answered { 500.0 } else { 1_400.0 };
     let mut sent =
         sends(&harness.step(elapsed, &(10..30).map(|n| message(n, 0, 0)).collect::<Vec<_>>())).len();
     // The policy spaces out its draws. No call is answered during these steps.
@@ -29,13 +29,13 @@
     1 + sent
 }
 
-/// A connection that breaks without notice loses one call. Though other calls were answered, the lost one
-/// once cost its destination most of the slots. Only an unresponsive route, which answers no call, may lose
-/// slots.
+/// A connection that breaks without notice loses one call. Because of one lost call a destination once could
+/// use few of the slots, although its other calls were answered. Only an unresponsive route, which answers no
+/// call, may reduce the slots of its destination.
 #[test]
 fn a_lost_call_does_not_reduce_the_slots_of_its_destination() {
-    assert_eq!(calls_with_one_hanging(true), 5);
-    assert_eq!(calls_with_one_hanging(false), 3);
+    assert_eq!(calls_in_flight_with_one_hanging(true), 5);
+    assert_eq!(calls_in_flight_with_one_hanging(false), 3);
 }
 
 /// Two processes of one sender share its slots.
@@ -59,10 +59,13 @@
 }
 
 /// Returns the actions that cancel a hanging call after `answered` later calls were answered. At the end a
-/// message waits; if `full`, both slots are in use.
-fn cancel_actions(answered: u32, full: bool, effect: Effect) -> Vec<Action> {
-    let settings =
-        Settings { slots: if full { 2 } else { 9 }, cancelling: true, ..settings(vec![class(effect)]) };
+/// message waits; if `all_slots_used`, the sender has two slots, and both are in use.
+fn cancel_actions(answered: u32, all_slots_used: bool, effect: Effect) -> Vec<Action> {
+    let settings = Settings {
+        slots: if all_slots_used { 2 } else { 9 },
+        cancelling: true,
+        ..settings(vec![class(effect)])
+    };
     let mut harness = Harness::new(settings, 1);
     harness.step(0.0, &[list(vec![RouteEntry { rate: 1_000.0, ..entry(1, 0, 0, 0) }])]);
     assert_eq!(sends(&harness.step(1_000.0, &[message(0, 0, 0)])).len(), 1);
