--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -73,7 +73,7 @@
     Permits(PermitUpdate),
     /// The routes that other senders currently eject as outliers. They replace all routes reported earlier.
     /// The policy prefers other routes.
-    EjectedReceivers(Vec<RouteId>),
+    EjectedRoutes(Vec<RouteId>),
     /// This sender's share of a tenant's quota, calculated from the usage of the whole fleet.
     Quota {
         /// Index of the tenant in the settings.
@@ -82,7 +82,7 @@
         per_s: Option<f64>,
     },
     /// A response has started to stream; the attempt now lasts until the client or the destination ends it.
-    Started {
+    ResponseStarted {
         /// The message.
         id: MessageHandle,
         /// Number of the attempt, from 0.
@@ -91,7 +91,7 @@
     /// An attempt has ended.
     Outcome(AttemptResult),
     /// The client has disconnected. The results of attempts in flight are still reported.
-    Dropped(MessageHandle),
+    ClientDisconnected(MessageHandle),
     /// A wake-up that [`Action::Wake`](super::Action::Wake) requested has fired; contains its token.
     Wake(u64),
     /// The result of a health check.
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -34,11 +34,11 @@
                     destination.apply_permits(now, update);
                 }
             }
-            Event::EjectedReceivers(ejected) => self.destinations.apply_ejections(ejected),
+            Event::EjectedRoutes(ejected) => self.destinations.apply_ejections(ejected),
             Event::Quota { tenant, per_s } => self.quotas.set_share(*tenant, *per_s),
-            Event::Started { id, attempt } => self.messages.record_start_of_response(*id, *attempt),
+            Event::ResponseStarted { id, attempt } => self.messages.record_start_of_response(*id, *attempt),
             Event::Outcome(result) => self.record_result(result, actions),
-            Event::Dropped(id) => self.complete(*id),
+            Event::ClientDisconnected(id) => self.complete(*id),
             Event::Wake(token) => self.wake_timer.fired(*token),
             Event::HealthChecked { .. } => {}
         }
--- a/crates/policy/tests/common/harness.rs
+++ b/crates/policy/tests/common/harness.rs
@@ -117,7 +117,7 @@
         match event {
             Event::Message(message) => self.record_message(message, 0),
             Event::Recovered(message, history) => self.record_message(message, history.attempts),
-            Event::Dropped(id) => {
+            Event::ClientDisconnected(id) => {
                 self.accepted.entry(*id).and_modify(|message| message.completed = true);
             }
             Event::Outcome(result) => self.record_outcome(result),
--- a/crates/policy/tests/replay/adapter.rs
+++ b/crates/policy/tests/replay/adapter.rs
@@ -80,7 +80,7 @@
     Some(match input.clone() {
         Input::List { update, entries } => Event::List(list_change(update, &entries)),
         Input::Message(message) => Event::Message(policy_message(&message)),
-        Input::Started { id, attempt } => Event::Started { id: MessageHandle(id), attempt },
+        Input::Started { id, attempt } => Event::ResponseStarted { id: MessageHandle(id), attempt },
         Input::Outcome { id, attempt, outcome, retry_after, completed } => Event::Outcome(AttemptResult {
             id: MessageHandle(id),
             attempt,
@@ -88,7 +88,7 @@
             retry_after: f64::from(retry_after),
             completed,
         }),
-        Input::Dropped { id } => Event::Dropped(MessageHandle(id)),
+        Input::Dropped { id } => Event::ClientDisconnected(MessageHandle(id)),
         Input::Wake { token } => Event::Wake(token),
         Input::HealthChecked { route, outcome } => {
             Event::HealthChecked { route: RouteId(route), outcome: attempt_outcome(outcome) }
@@ -112,9 +112,7 @@
             let permits = permits.into_iter().map(permit).collect();
             Event::Permits(PermitUpdate { scope: limit_scope(limit), permits })
         }
-        Input::EjectedReceivers { routes } => {
-            Event::EjectedReceivers(routes.into_iter().map(RouteId).collect())
-        }
+        Input::EjectedReceivers { routes } => Event::EjectedRoutes(routes.into_iter().map(RouteId).collect()),
         Input::Quota { tenant, per_s } => Event::Quota { tenant, per_s },
         Input::Start { .. } | Input::PowerOff | Input::Peer => return None,
         Input::ExpectCapacityReports | Input::RequirePermits | Input::SlotsUsedByPeer { .. } => return None,
--- a/crates/policy/tests/rules/host.rs
+++ b/crates/policy/tests/rules/host.rs
@@ -60,7 +60,8 @@
 #[test]
 fn unknown_ids_are_ignored_and_invalid_settings_are_an_error() {
     let mut harness = Harness::new(settings(vec![class(IDEMPOTENT)]), 1);
-    let events = [outcome(99, 0, Outcome::Ok, 0.0), Event::Dropped(MessageHandle(5)), Event::Wake(77)];
+    let events =
+        [outcome(99, 0, Outcome::Ok, 0.0), Event::ClientDisconnected(MessageHandle(5)), Event::Wake(77)];
     assert_eq!(harness.step(0.0, &events), []);
     assert_eq!(Policy::new(settings(vec![]), 1).err(), Some(SettingsError::NoClasses));
     let mut invalid = settings(vec![class(Effect::IdempotencyKey { group: KeyGroup::All, window: 0.0 })]);
--- a/crates/policy/tests/rules/random_streams.rs
+++ b/crates/policy/tests/rules/random_streams.rs
@@ -116,7 +116,7 @@
             }
             Step::Disconnect { pick } if self.next_message > 0 => {
                 let id = (pick % self.next_message as usize) as u32;
-                self.events.push(Event::Dropped(MessageHandle(id)));
+                self.events.push(Event::ClientDisconnected(MessageHandle(id)));
             }
             Step::List { route, listing } => {
                 let entry = RouteEntry { listing: LISTINGS[usize::from(listing)], ..listed_entry(route) };
--- a/crates/policy/tests/rules/route_list.rs
+++ b/crates/policy/tests/rules/route_list.rs
@@ -26,7 +26,7 @@
         let routes =
             (round * 1_000..(round + 1) * 1_000).map(|route| entry(route, (route % 5_000) as u16, 0, 0));
         harness.step(5.0, &[list(routes.collect()), keyed_message(round as u32, 0, 6_000, round + 1)]);
-        harness.step(5.0, &[Event::Dropped(MessageHandle(round as u32))]);
+        harness.step(5.0, &[Event::ClientDisconnected(MessageHandle(round as u32))]);
     }
     assert!(
         harness.policy.state_entry_count() >= 10_000,
--- a/crates/policy/tests/throttle/drop_probability.rs
+++ b/crates/policy/tests/throttle/drop_probability.rs
@@ -31,7 +31,7 @@
             let mut answers = Vec::new();
             if !in_flight {
                 answers.extend((0..3).map(|i| outcome(i, 0, Outcome::Rejected, 0.0)));
-                answers.extend((0..3).map(|i| Event::Dropped(MessageHandle(i))));
+                answers.extend((0..3).map(|i| Event::ClientDisconnected(MessageHandle(i))));
             }
             harness.step(10.0, &answers);
             // Long enough for the first backoff to end, but not for a second one.
@@ -60,7 +60,8 @@
         // limit.
         harness.step(0.0, &[list(vec![entry(1, 0, 1, 0), entry(2, 0, 1, 1)])]);
         assert_eq!(sends(&harness.step(5.0, &[message(1, 0, 0)])), [(1, 1)]);
-        harness.step(5.0, &[outcome(1, 0, Outcome::Rejected, 0.0), Event::Dropped(MessageHandle(1))]);
+        harness
+            .step(5.0, &[outcome(1, 0, Outcome::Rejected, 0.0), Event::ClientDisconnected(MessageHandle(1))]);
         let actions = sends(&harness.step(500.0, &[message(2, 0, 0)]));
         assert_eq!(actions.len(), 1, "the message must be sent at once by one of the two routes");
         diverted += usize::from(actions[0].1 == 2);
@@ -83,8 +84,9 @@
             harness.step(250.0, &[message(i, 0, 0)]);
         }
         // Failed connections count like rejections, but do not change the send rate.
-        let failed = (0..3)
-            .flat_map(|i| [outcome(i, 0, Outcome::ConnectFailed, 0.0), Event::Dropped(MessageHandle(i))]);
+        let failed = (0..3).flat_map(|i| {
+            [outcome(i, 0, Outcome::ConnectFailed, 0.0), Event::ClientDisconnected(MessageHandle(i))]
+        });
         harness.step(10.0, &failed.collect::<Vec<_>>());
         let mut actions = harness.step(500.0, &[message(9, 0, 0)]);
         for _ in 0..120 {
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -53,7 +53,7 @@
                 let wall_now = UnixMillis::now();
                 events.extend(updates.into_iter().map(|update| permits_event(update, wall_now)));
             }
-            Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
+            Input::EjectedReceivers(routes) => events.push(Event::EjectedRoutes(routes)),
             Input::Quotas(quotas) => events.extend(quotas.into_iter().map(quota_event)),
             // The receivers of these responses may have ended.
             Input::TakeOver(response) => {
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -133,7 +133,7 @@
         for AcceptedSubmission { id, channel } in effects.accepted.drain(..) {
             if let Some(message) = self.tracked.remove(id) {
                 self.store.discard(&message.message_id);
-                self.next_batch_events.push(Event::Dropped(id));
+                self.next_batch_events.push(Event::ClientDisconnected(id));
                 self.io.metrics.record_outcome(message.class, FinalOutcome::Rejected);
             }
             effects.responses.push(PendingResponse { channel, response: SubmissionResponse::REFUSED });
--- a/crates/sender/src/engine/commit/tests.rs
+++ b/crates/sender/src/engine/commit/tests.rs
@@ -37,7 +37,7 @@
         assert!(engine.calls.is_empty() && engine.tracked.is_empty());
         assert!(!engine.store.contains(&"m1".into()));
         let [
-            Event::Dropped(dropped),
+            Event::ClientDisconnected(dropped),
             Event::Outcome(AttemptResult { id: completed, outcome: Outcome::NotSent, .. }),
         ] = engine.next_batch_events[..]
         else {
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -173,6 +173,6 @@
         let WithdrawnMessage { handle, message_id } = self.tracked.withdraw(submission)?;
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message_id, "withdrawn");
         self.store.complete(&message_id, None);
-        Some(Event::Dropped(handle))
+        Some(Event::ClientDisconnected(handle))
     }
 }
--- a/crates/simulator-adapter/src/frame/record/messages.rs
+++ b/crates/simulator-adapter/src/frame/record/messages.rs
@@ -30,7 +30,7 @@
     fields.skip_f64()?;
     let attempt = u32::from(fields.u8()?);
     let _route = fields.route()?;
-    Ok(Record::Event { instance, event: Event::Started { id, attempt } })
+    Ok(Record::Event { instance, event: Event::ResponseStarted { id, attempt } })
 }
 
 pub(super) fn outcome(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
@@ -52,7 +52,7 @@
 pub(super) fn dropped(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
     let instance = instance_id(fields)?;
     let id = message_handle(fields)?;
-    Ok(Record::Event { instance, event: Event::Dropped(id) })
+    Ok(Record::Event { instance, event: Event::ClientDisconnected(id) })
 }
 
 fn message_handle(fields: &mut FieldReader<'_>) -> Result<MessageHandle, MalformedFrame> {
