--- a/crates/policy-replay/src/input.rs
+++ b/crates/policy-replay/src/input.rs
@@ -98,9 +98,9 @@
         limit: Limit,
         /// Calls per second for each call of the sender's demand; infinite if the limit covers
         /// all demand.
-        calls_per_demand: f64,
+        rate_per_demand: f64,
         /// Demand of all senders, in calls.
-        total_demand: f64,
+        fleet_demand: f64,
         /// Time until this report expires, in ms.
         valid_for: f64,
     },
@@ -121,7 +121,7 @@
         /// Number of the tenant.
         tenant: usize,
         /// Messages per second; `None` if the usage of other senders is unknown.
-        per_s: Option<f64>,
+        messages_per_s: Option<f64>,
     },
     /// The host is going to send [`Input::Capacity`] reports.
     ExpectCapacityReports,
--- a/crates/policy-replay/src/policy_only.rs
+++ b/crates/policy-replay/src/policy_only.rs
@@ -66,8 +66,8 @@
             inputs.push(Input::EjectedReceivers { routes });
         }
         130..150 => {
-            let per_s = host.random.per_mille(700).then(|| host.random.between(0, 40) as f64 / 8.0);
-            inputs.push(Input::Quota { tenant: host.random.below(3) as usize, per_s });
+            let messages_per_s = host.random.per_mille(700).then(|| host.random.between(0, 40) as f64 / 8.0);
+            inputs.push(Input::Quota { tenant: host.random.below(3) as usize, messages_per_s });
         }
         150..165 => inputs.push(Input::SlotsUsedByPeer { used: host.random.below(40) as usize }),
         165..180 => inputs.push(remembered_outage(host)),
@@ -100,11 +100,11 @@
 
 fn capacity(host: &mut Host<'_>) -> Input {
     let limit = random_limit(host);
-    let calls_per_demand =
+    let rate_per_demand =
         if host.random.per_mille(300) { f64::INFINITY } else { host.random.between(1, 64) as f64 / 16.0 };
-    let total_demand = host.random.below(30) as f64;
+    let fleet_demand = host.random.below(30) as f64;
     let valid_for = host.random.between(200, 2_500) as f64;
-    Input::Capacity { limit, calls_per_demand, total_demand, valid_for }
+    Input::Capacity { limit, rate_per_demand, fleet_demand, valid_for }
 }
 
 fn permits(host: &mut Host<'_>) -> Input {
--- a/crates/policy/src/destination/demand.rs
+++ b/crates/policy/src/destination/demand.rs
@@ -59,7 +59,7 @@
             scope: self.to_limit_scope(scope),
             limit: throttle.limit(),
             calls_wanted: self.calls_wanted(scope, now),
-            called: capacity.calls,
+            calls_made: capacity.calls,
             rejected: capacity.rejected,
             failed: capacity.failed,
         }
@@ -72,8 +72,8 @@
     pub fn apply_capacity(&mut self, now: Millis, update: &CapacityUpdate) {
         let Some(scope) = self.resolve_scope(update.scope.route) else { return };
         let gossip_update = gossip::CapacityUpdate {
-            rate_per_demand: update.calls_per_demand,
-            fleet_demand: update.total_demand,
+            rate_per_demand: update.rate_per_demand,
+            fleet_demand: update.fleet_demand,
             valid_for: update.valid_for,
             own_demand: self.calls_wanted(scope, now),
             limit: self.throttle_of(scope).limit(),
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -12,7 +12,7 @@
     /// Number of calls for the waiting messages and for those expected before the next report.
     pub calls_wanted: f64,
     /// Number of calls made.
-    pub called: u64,
+    pub calls_made: u64,
     /// Number of calls that the destination rejected.
     pub rejected: u64,
     /// Number of calls that failed, without an answer or with an error.
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -79,7 +79,7 @@
         /// Index of the tenant in the settings.
         tenant: usize,
         /// The share in messages per second; `None` if the usage of other senders is unknown.
-        per_s: Option<f64>,
+        messages_per_s: Option<f64>,
     },
     /// A response has started to stream; the attempt now lasts until the client or the destination ends it.
     ResponseStarted {
--- a/crates/policy/src/interface/limit.rs
+++ b/crates/policy/src/interface/limit.rs
@@ -56,9 +56,9 @@
     pub scope: LimitScope,
     /// Calls per second for each call of this sender's demand; infinite if the limit is sufficient for the
     /// demand of all senders.
-    pub calls_per_demand: f64,
+    pub rate_per_demand: f64,
     /// Demand of all senders, in calls, with an estimate for senders that have not reported; 0 if unknown.
-    pub total_demand: f64,
+    pub fleet_demand: f64,
     /// Time for which the update is valid, from now.
     pub valid_for: Millis,
 }
--- a/crates/policy/src/policy/events.rs
+++ b/crates/policy/src/policy/events.rs
@@ -35,7 +35,7 @@
                 }
             }
             Event::EjectedRoutes(ejected) => self.destinations.apply_ejections(ejected),
-            Event::Quota { tenant, per_s } => self.quotas.set_share(*tenant, *per_s),
+            Event::Quota { tenant, messages_per_s } => self.quotas.set_share(*tenant, *messages_per_s),
             Event::ResponseStarted { id, attempt } => self.messages.record_start_of_response(*id, *attempt),
             Event::Outcome(result) => self.record_result(result, actions),
             Event::ClientDisconnected(id) => self.complete(*id),
--- a/crates/policy/tests/replay/adapter.rs
+++ b/crates/policy/tests/replay/adapter.rs
@@ -104,16 +104,16 @@
         Input::RetryAfter { limit, remaining } => {
             Event::RetryAfter(RetryAfterUpdate { scope: limit_scope(limit), remaining })
         }
-        Input::Capacity { limit, calls_per_demand, total_demand, valid_for } => {
+        Input::Capacity { limit, rate_per_demand, fleet_demand, valid_for } => {
             let scope = limit_scope(limit);
-            Event::Capacity(CapacityUpdate { scope, calls_per_demand, total_demand, valid_for })
+            Event::Capacity(CapacityUpdate { scope, rate_per_demand, fleet_demand, valid_for })
         }
         Input::Permits { limit, permits } => {
             let permits = permits.into_iter().map(permit).collect();
             Event::Permits(PermitUpdate { scope: limit_scope(limit), permits })
         }
         Input::EjectedReceivers { routes } => Event::EjectedRoutes(routes.into_iter().map(RouteId).collect()),
-        Input::Quota { tenant, per_s } => Event::Quota { tenant, per_s },
+        Input::Quota { tenant, messages_per_s } => Event::Quota { tenant, messages_per_s },
         Input::Start { .. } | Input::PowerOff | Input::Peer => return None,
         Input::ExpectCapacityReports | Input::RequirePermits | Input::SlotsUsedByPeer { .. } => return None,
     })
--- a/crates/policy/tests/replay/text.rs
+++ b/crates/policy/tests/replay/text.rs
@@ -51,7 +51,7 @@
     );
     for demand in policy.demands() {
         let (limit, calls_wanted) = (bits(demand.limit), bits(demand.calls_wanted));
-        let counts = format!("{} {} {}", demand.called, demand.rejected, demand.failed);
+        let counts = format!("{} {} {}", demand.calls_made, demand.rejected, demand.failed);
         text += &format!("want {} {limit} {calls_wanted} {counts}\n", scope_text(demand.scope));
     }
     text
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -91,5 +91,5 @@
 }
 
 fn quota_event(quota: TenantQuota) -> Event {
-    Event::Quota { tenant: quota.tenant, per_s: quota.messages_per_s }
+    Event::Quota { tenant: quota.tenant, messages_per_s: quota.messages_per_s }
 }
--- a/crates/sender/src/gossip/engine.rs
+++ b/crates/sender/src/gossip/engine.rs
@@ -73,8 +73,8 @@
         for LimitDemand { limit: id, demand } in demands {
             updates.push(CapacityUpdate {
                 scope: demand.scope,
-                calls_per_demand: by_limit.get(id).copied().unwrap_or(f64::INFINITY),
-                total_demand: self.demand_exchange.fleet_demand(*id),
+                rate_per_demand: by_limit.get(id).copied().unwrap_or(f64::INFINITY),
+                fleet_demand: self.demand_exchange.fleet_demand(*id),
                 valid_for: CAPACITY_VALIDITY,
             });
         }
@@ -113,7 +113,7 @@
         limit_id: *limit,
         limit: demand.limit,
         demand: demand.calls_wanted,
-        calls: demand.called,
+        calls: demand.calls_made,
         rejected: demand.rejected,
         failed: demand.failed,
     });
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -19,7 +19,7 @@
 
 fn demand(wanted: f64) -> LimitDemand {
     let scope = LimitScope { destination: DestinationId(7), route: None };
-    let demand = Demand { scope, limit: LIMIT, calls_wanted: wanted, called: 0, rejected: 0, failed: 0 };
+    let demand = Demand { scope, limit: LIMIT, calls_wanted: wanted, calls_made: 0, rejected: 0, failed: 0 };
     LimitDemand { limit: LimitId::of(7, None), demand }
 }
 
@@ -59,8 +59,8 @@
                 let _ = reply.send(activity);
             }
             Input::CapacityUpdates(updates) => {
-                if let Some(share) = updates.first().filter(|share| share.calls_per_demand < 0.9)
-                    && first_share.replace(share.calls_per_demand).is_none()
+                if let Some(share) = updates.first().filter(|share| share.rate_per_demand < 0.9)
+                    && first_share.replace(share.rate_per_demand).is_none()
                 {
                     limited_senders.set(limited_senders.get() + 1);
                 }
--- a/crates/simulation/src/receiver/simulated_sender.rs
+++ b/crates/simulation/src/receiver/simulated_sender.rs
@@ -166,8 +166,8 @@
             let capacity = capacities.iter().find(|capacity| capacity.limit_id == limit_id);
             self.events.push(Event::Capacity(CapacityUpdate {
                 scope: demand.scope,
-                calls_per_demand: capacity.map_or(f64::INFINITY, |capacity| capacity.rate_per_demand),
-                total_demand: self.demand_exchange.fleet_demand(limit_id),
+                rate_per_demand: capacity.map_or(f64::INFINITY, |capacity| capacity.rate_per_demand),
+                fleet_demand: self.demand_exchange.fleet_demand(limit_id),
                 valid_for: CAPACITY_VALIDITY,
             }));
         }
@@ -232,7 +232,7 @@
         limit_id: limit_id(demand),
         limit: demand.limit,
         demand: demand.calls_wanted,
-        calls: demand.called,
+        calls: demand.calls_made,
         rejected: demand.rejected,
         failed: demand.failed,
     };
