--- a/crates/policy/tests/replay/adapter.rs
+++ b/crates/policy/tests/replay/adapter.rs
@@ -53,8 +53,8 @@
 }
 
 impl PolicyAdapter {
-    /// Applies an input that creates or removes a policy or calls one of its methods, and ignores inputs of
-    /// an instance without a policy. Returns false if the input has to be passed on as an event.
+    /// Applies an input that creates or removes a policy, or that corresponds to one of its methods. Returns
+    /// false if the input must be passed on as an event. Inputs of an instance without a policy are ignored.
     fn apply_without_event(&mut self, instance: u32, input: &Input) -> bool {
         if let Input::Start { seed, settings } = input {
             let settings = settings::parse(settings.as_bytes()).expect("settings in valid JSON");
@@ -80,7 +80,7 @@
     Some(match input.clone() {
         Input::List { update, entries } => Event::List(list_change(update, &entries)),
         Input::Message(message) => Event::Message(policy_message(&message)),
-        Input::Started { id, attempt } => Event::Started { id: MessageHandle(id), attempt },
+        Input::Started { id, attempt } => Event::ResponseStarted { id: MessageHandle(id), attempt },
         Input::Outcome { id, attempt, outcome, retry_after, completed } => Event::Outcome(AttemptResult {
             id: MessageHandle(id),
             attempt,
@@ -88,7 +88,7 @@
             retry_after: f64::from(retry_after),
             completed,
         }),
-        Input::Dropped { id } => Event::Dropped(MessageHandle(id)),
+        Input::Dropped { id } => Event::ClientDisconnected(MessageHandle(id)),
         Input::Wake { token } => Event::Wake(token),
         Input::HealthChecked { route, outcome } => {
             Event::HealthChecked { route: RouteId(route), outcome: attempt_outcome(outcome) }
@@ -104,18 +104,16 @@
         Input::RetryAfter { limit, remaining } => {
             Event::RetryAfter(RetryAfterUpdate { scope: limit_scope(limit), remaining })
         }
-        Input::Capacity { limit, calls_per_demand, total_demand, valid_for } => {
+        Input::Capacity { limit, rate_per_demand, fleet_demand, valid_for } => {
             let scope = limit_scope(limit);
-            Event::Capacity(CapacityUpdate { scope, calls_per_demand, total_demand, valid_for })
+            Event::Capacity(CapacityUpdate { scope, rate_per_demand, fleet_demand, valid_for })
         }
         Input::Permits { limit, permits } => {
             let permits = permits.into_iter().map(permit).collect();
             Event::Permits(PermitUpdate { scope: limit_scope(limit), permits })
         }
-        Input::EjectedReceivers { routes } => {
-            Event::EjectedReceivers(routes.into_iter().map(RouteId).collect())
-        }
-        Input::Quota { tenant, per_s } => Event::Quota { tenant, per_s },
+        Input::EjectedReceivers { routes } => Event::EjectedRoutes(routes.into_iter().map(RouteId).collect()),
+        Input::Quota { tenant, messages_per_s } => Event::Quota { tenant, messages_per_s },
         Input::Start { .. } | Input::PowerOff | Input::Peer => return None,
         Input::ExpectCapacityReports | Input::RequirePermits | Input::SlotsUsedByPeer { .. } => return None,
     })
--- a/crates/policy/tests/replay/text.rs
+++ b/crates/policy/tests/replay/text.rs
@@ -1,5 +1,5 @@
-//! Text form of the policy's actions and metrics. Golden files hold hashes of this text, so its words are
-//! fixed: they do not follow renames in the policy.
+//! Text form of the policy's actions and metrics. Golden files contain hashes of this text, so its words must
+//! not change when names in the policy are renamed.
 
 use rudderspindle_policy::Policy;
 use rudderspindle_policy::interface::{Action, LimitScope, OutageState};
@@ -51,7 +51,7 @@
     );
     for demand in policy.demands() {
         let (limit, calls_wanted) = (bits(demand.limit), bits(demand.calls_wanted));
-        let counts = format!("{} {} {}", demand.called, demand.rejected, demand.failed);
+        let counts = format!("{} {} {}", demand.calls_made, demand.rejected, demand.failed);
         text += &format!("want {} {limit} {calls_wanted} {counts}\n", scope_text(demand.scope));
     }
     text
--- a/crates/policy/tests/throttle/drop_probability.rs
+++ b/crates/policy/tests/throttle/drop_probability.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Calls in flight do not count, and rejections stop counting when they leave the window.
+/// Calls in flight do not count. Rejections count until they are older than the window.
 #[test]
 fn rejections_raise_the_drop_probability_until_they_age_out() {
     // Three calls rejected, none accepted: p = (3 - 0) / (3 + 1) = 0.75 for the next one. While the three
@@ -31,7 +31,7 @@
             let mut answers = Vec::new();
             if !in_flight {
                 answers.extend((0..3).map(|i| outcome(i, 0, Outcome::Rejected, 0.0)));
-                answers.extend((0..3).map(|i| Event::Dropped(MessageHandle(i))));
+                answers.extend((0..3).map(|i| Event::ClientDisconnected(MessageHandle(i))));
             }
             harness.step(10.0, &answers);
             // Long enough for the first backoff to end, but not for a second one.
@@ -60,7 +60,8 @@
         // limit.
         harness.step(0.0, &[list(vec![entry(1, 0, 1, 0), entry(2, 0, 1, 1)])]);
         assert_eq!(sends(&harness.step(5.0, &[message(1, 0, 0)])), [(1, 1)]);
-        harness.step(5.0, &[outcome(1, 0, Outcome::Rejected, 0.0), Event::Dropped(MessageHandle(1))]);
+        harness
+            .step(5.0, &[outcome(1, 0, Outcome::Rejected, 0.0), Event::ClientDisconnected(MessageHandle(1))]);
         let actions = sends(&harness.step(500.0, &[message(2, 0, 0)]));
         assert_eq!(actions.len(), 1, "the message must be sent at once by one of the two routes");
         diverted += usize::from(actions[0].1 == 2);
@@ -71,10 +72,10 @@
 
 #[test]
 fn a_message_counts_as_one_request_however_often_it_is_dropped() {
-    // Each new draw for a waiting message once counted as a request, so that the drop probability rose to
+    // Each new draw for a waiting message once counted as a request, which increased the drop probability to
     // one. After three failed calls the first draw drops the message with 3/4 and each further one with 4/5,
-    // so that ten draws let 90% of the messages through. If each drop counted, the draws would drop it with
-    // 3/4, 4/5, 5/6 and so on, and let 77% through.
+    // so that 90% of the messages pass one of ten draws. If each drop counted, the draws would drop the
+    // message with 3/4, 4/5, 5/6 and so on, and 77% would pass one of them.
     let mut sent = 0;
     for seed in 0..400 {
         let mut harness = Harness::new(idempotent_settings(), seed);
@@ -83,8 +84,9 @@
             harness.step(250.0, &[message(i, 0, 0)]);
         }
         // Failed connections count like rejections, but do not change the send rate.
-        let failed = (0..3)
-            .flat_map(|i| [outcome(i, 0, Outcome::ConnectFailed, 0.0), Event::Dropped(MessageHandle(i))]);
+        let failed = (0..3).flat_map(|i| {
+            [outcome(i, 0, Outcome::ConnectFailed, 0.0), Event::ClientDisconnected(MessageHandle(i))]
+        });
         harness.step(10.0, &failed.collect::<Vec<_>>());
         let mut actions = harness.step(500.0, &[message(9, 0, 0)]);
         for _ in 0..120 {
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -55,7 +55,7 @@
                 let wall_now = UnixMillis::now();
                 events.extend(updates.into_iter().map(|update| permits_event(update, wall_now)));
             }
-            Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
+            Input::EjectedReceivers(routes) => events.push(Event::EjectedRoutes(routes)),
             Input::Quotas(quotas) => events.extend(quotas.into_iter().map(quota_event)),
             // Sending the response fails if the requesting task has ended; nothing depends on it then.
             Input::TakeOver(response_sender) => {
@@ -94,5 +94,5 @@
 }
 
 fn quota_event(quota: TenantQuota) -> Event {
-    Event::Quota { tenant: quota.tenant, per_s: quota.messages_per_s }
+    Event::Quota { tenant: quota.tenant, messages_per_s: quota.messages_per_s }
 }
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -137,7 +137,7 @@
         for AcceptedSubmission { id, response_sender } in effects.accepted.drain(..) {
             if let Some(message) = self.tracked_messages.remove(id) {
                 self.store.discard(&message.message_id);
-                self.next_batch_events.push(Event::Dropped(id));
+                self.next_batch_events.push(Event::ClientDisconnected(id));
                 self.io.metrics.count_outcome(message.class, FinalOutcome::Rejected);
             }
             effects
--- a/crates/sender/src/engine/commit/tests.rs
+++ b/crates/sender/src/engine/commit/tests.rs
@@ -39,7 +39,7 @@
         assert!(engine.calls.is_empty() && engine.tracked_messages.is_empty());
         assert!(!engine.store.contains(&"m1".into()));
         let [
-            Event::Dropped(dropped),
+            Event::ClientDisconnected(dropped),
             Event::Outcome(AttemptResult { id: finished, outcome: Outcome::NotSent, .. }),
         ] = engine.next_batch_events[..]
         else {
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -20,7 +20,7 @@
 
 fn limit_demand(calls: f64) -> LimitDemand {
     let scope = LimitScope { destination: DestinationId(7), route: None };
-    let demand = Demand { scope, limit: LIMIT, calls_wanted: calls, called: 0, rejected: 0, failed: 0 };
+    let demand = Demand { scope, limit: LIMIT, calls_wanted: calls, calls_made: 0, rejected: 0, failed: 0 };
     LimitDemand { limit: LimitId::of(7, None), demand }
 }
 
@@ -65,8 +65,8 @@
                 let _ = reply.send(activity);
             }
             Input::CapacityUpdates(updates) => {
-                if let Some(update) = updates.first().filter(|update| update.calls_per_demand < 0.9)
-                    && first_capacity.replace(update.calls_per_demand).is_none()
+                if let Some(update) = updates.first().filter(|update| update.rate_per_demand < 0.9)
+                    && first_capacity.replace(update.rate_per_demand).is_none()
                 {
                     limited_senders.set(limited_senders.get() + 1);
                 }
