--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -1,6 +1,6 @@
-//! Checks from an event log whether a sender kept the six rules, and counts the outcomes of its messages.
+//! Checks from an event log whether the senders obeyed the six rules, and counts the outcomes of their messages.
 //!
-//! The checker is independent of the sender: its only input is what the fakes and clients recorded.
+//! The checker does not depend on the sender's code: its only input is the log that fakes and clients recorded.
 
 mod accounting;
 mod draining;
@@ -32,12 +32,12 @@
 
 use crate::event_log::{Effect, Event, Line};
 
-/// Milliseconds as microseconds.
-fn us(ms: u64) -> u64 {
+/// Converts milliseconds to microseconds, the unit of the log's clock.
+fn ms_to_us(ms: u64) -> u64 {
     ms * 1_000
 }
 
-/// A sender and an endpoint, between which there is a link.
+/// The link between a sender and an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct SenderEndpoint {
     sender: String,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Checks a complete log.
+/// Checks a complete log, whose lines are in the order of their times.
 ///
 /// ```
 /// use rudderspindle_testkit::checker::check_events;
@@ -68,13 +68,13 @@
     checker.finish(lines.last().map_or(0, |line| line.t))
 }
 
-/// Checks a log line by line while it is written.
+/// Checks a log line by line, also while the log is being written.
 #[derive(Debug, Default)]
 pub struct Checker {
     topology: Topology,
     table: MessageTable,
     processes: Processes,
-    /// Links that lose responses.
+    /// Links that currently lose responses.
     lossy_links: BTreeSet<SenderEndpoint>,
     duplication: DuplicationRule,
     draining: DrainingRule,
@@ -83,11 +83,12 @@
     retry_after: RetryAfterRule,
     accounting: Accounting,
     violations: Vec<Violation>,
-    lag_us: u64,
+    /// The highest lag of a fake so far, in microseconds.
+    max_lag_us: u64,
 }
 
 impl Checker {
-    /// Processes the line with this number, from 1. Lines must be in the order of their times.
+    /// Processes the line with this number, counted from 1. Lines must be passed in the order of their times.
     pub fn process(&mut self, number: usize, line: &Line) {
         let at = LogPosition { line: number, time_us: line.t };
         self.settle_overlaps(at.time_us);
@@ -125,7 +126,7 @@
             Event::Notified { acknowledged: false, .. } => {}
             Event::Outage { endpoint, kind, on } => self.outage_changed(at, endpoint, kind, *on),
             Event::ProcessChanged { sender, state } => self.process_changed(at, sender, *state),
-            // A silent service announces no changes, so that the log has no lines for them.
+            // No state to change: a silent discovery service announces no list changes, so the log contains none.
             Event::DiscoveryFault { kind, .. } if kind == "silent" => {}
             Event::DiscoveryFault { sender, on, .. } => {
                 self.processes.block_notifications(sender, *on, at.time_us);
@@ -133,7 +134,7 @@
             Event::LinkFault { sender, endpoint, hides_responses, on, .. } => {
                 self.link_changed(sender, endpoint, *hides_responses && *on);
             }
-            Event::Lagged { lag_us, .. } => self.lag_us = self.lag_us.max(*lag_us),
+            Event::Lagged { lag_us, .. } => self.max_lag_us = self.max_lag_us.max(*lag_us),
         }
     }
 
@@ -143,7 +144,7 @@
         self.table.messages().filter(|(_, message)| is_pending(message)).count()
     }
 
-    /// Ends the log at this time, in microseconds, and gives the verdict.
+    /// Returns the verdict on a log that ends at this time, in microseconds.
     pub fn finish(mut self, log_end_us: u64) -> Verdict {
         self.settle_overlaps(u64::MAX);
         self.check_outcomes(log_end_us);
@@ -151,30 +152,31 @@
         Verdict {
             accounting: self.accounting,
             violations: self.violations,
-            lag_us: self.lag_us,
+            lag_us: self.max_lag_us,
             recoveries: self.recovery.into_recoveries(),
         }
     }
 
     fn check_outcomes(&mut self, log_end_us: u64) {
         for (id, message) in self.table.messages() {
-            let class = self.topology.class(message.class);
+            let class = self.topology.class(message.class_index);
             if message.executions > 1 && class.effect != Effect::Idempotent {
                 self.accounting.duplicated += 1;
             }
             let Some(accepted_line) = message.accepted_line else { continue };
-            let due = self.processes.outcome_due(message, &self.topology.rules);
-            self.violations.extend(loss::check_deadline(id, message, accepted_line, due, log_end_us));
-            if loss::is_lost(message, due, log_end_us) {
+            let due_us = self.processes.outcome_due(message, &self.topology.rules);
+            self.violations.extend(loss::check_deadline(id, message, accepted_line, due_us, log_end_us));
+            if loss::is_lost(message, due_us, log_end_us) {
                 self.accounting.lost += 1;
             } else {
-                self.accounting.count_outcome(message, us(class.target_ms));
+                self.accounting.count_outcome(message, ms_to_us(class.target_ms));
             }
         }
     }
 
+    /// Decides the overlapping calls whose outcome is known at this time.
     fn settle_overlaps(&mut self, time_us: u64) {
-        let slack_us = us(self.topology.rules.slack_ms);
+        let slack_us = ms_to_us(self.topology.rules.slack_ms);
         self.violations.extend(self.duplication.settle_overlaps(time_us, slack_us, &self.table));
     }
 }
--- a/crates/testkit/src/checker/accounting.rs
+++ b/crates/testkit/src/checker/accounting.rs
@@ -4,10 +4,10 @@
 
 use super::messages::{FinalOutcome, Message};
 
-/// Totals of a log. Messages are counted per submission.
+/// Totals of a log. A message that a client submits again counts as another message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Accounting {
-    /// Submissions whose last byte was written.
+    /// Submissions whose last byte a client wrote.
     #[serde(rename = "handed_in")]
     pub submitted: u64,
     /// Submissions answered with 200 or 202.
@@ -24,24 +24,24 @@
     pub unanswered: u64,
     /// Accepted messages that were delivered.
     pub delivered: u64,
-    /// Accepted messages that a notification rejected.
+    /// Accepted messages that the sender rejected later with a `deferred` notification.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Accepted messages that a notification failed.
+    /// Accepted messages that the sender failed later with an `undeliverable` notification.
     pub failed: u64,
-    /// Accepted messages without a final outcome, which is not due yet.
+    /// Accepted messages without a final outcome whose outcome is not due yet.
     #[serde(rename = "open")]
     pub pending: u64,
-    /// Accepted messages whose final outcome is overdue.
+    /// Accepted messages without a final outcome although the outcome was due.
     pub lost: u64,
-    /// Messages that are not idempotent and were executed more than once.
+    /// Messages of a class that is not idempotent that were executed more than once.
     #[serde(rename = "doubled")]
     pub duplicated: u64,
     /// Delivered messages that met their latency objective.
     pub in_time: u64,
-    /// Delivered messages that missed it.
+    /// Delivered messages that missed their latency objective.
     pub late: u64,
-    /// Calls that endpoints received.
+    /// Calls that endpoints received completely.
     pub calls: u64,
     /// Calls answered with 429 or 503.
     #[serde(rename = "calls_refused")]
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Counts what became of an accepted message that is not lost.
+    /// Counts the outcome of an accepted message that is not lost; `target_us` is its latency objective.
     pub(super) fn count_outcome(&mut self, message: &Message, target_us: u64) {
         let Some(recorded) = &message.outcome else {
             self.pending += 1;
--- a/crates/testkit/src/checker/duplication.rs
+++ b/crates/testkit/src/checker/duplication.rs
@@ -1,27 +1,30 @@
-//! Rule: no message is executed more often than its class allows, and none has two attempts in flight.
+//! Rule: no message is executed more often than its class allows or has two attempts in flight.
 
 use super::messages::{Call, CallState, Message, MessageTable, ReceivedCall};
+use super::ms_to_us;
 use super::rule::{Rule, Violation};
 use super::topology::Topology;
-use super::us;
 use crate::event_log::{Effect, KeyGroup};
 
-/// A second call that arrived while the first was in flight: a violation unless the first ends at once.
+/// Two calls of a message, of which the second arrived while the first was in flight: a violation unless the first
+/// connection ends within the tolerance.
 #[derive(Debug)]
 struct Overlap {
+    /// When the second call arrived, in microseconds.
     time_us: u64,
-    first: u64,
-    second: u64,
+    first_call_id: u64,
+    second_call_id: u64,
 }
 
-/// State of the rule: overlaps that are not decided yet.
+/// State of the rule: overlaps of which it is not yet known whether they are violations.
 #[derive(Debug, Default)]
 pub(super) struct DuplicationRule {
     overlaps: Vec<Overlap>,
 }
 
 impl DuplicationRule {
-    /// Checks that a call does not repeat a possible execution, and remembers the calls that it overlaps.
+    /// Checks that a call does not repeat a possible execution that must not be repeated, and records the calls that it
+    /// overlaps.
     pub(super) fn check_call(
         &mut self,
         topology: &Topology,
@@ -29,20 +32,25 @@
         message: &Message,
         call: &ReceivedCall<'_>,
     ) -> Option<Violation> {
-        for &first in &message.calls {
-            if table.call(first).is_some_and(Call::is_in_flight) {
-                self.overlaps.push(Overlap { time_us: call.at.time_us, first, second: call.id });
+        for &first_call_id in &message.call_ids {
+            if table.call(first_call_id).is_some_and(Call::is_in_flight) {
+                self.overlaps.push(Overlap {
+                    time_us: call.at.time_us,
+                    first_call_id,
+                    second_call_id: call.id,
+                });
             }
         }
-        let executed = table.calls_of(message).find(|earlier| earlier.possibly_executed())?;
-        let what = forbidden_repeat(topology, message, executed, call)?;
-        Some(Violation { rule: Rule::Duplication, what, lines: vec![executed.line, call.at.line] })
+        let possible_execution = table.calls_of(message).find(|earlier| earlier.possibly_executed())?;
+        let what = forbidden_repeat(topology, message, possible_execution, call)?;
+        Some(Violation { rule: Rule::Duplication, what, lines: vec![possible_execution.line, call.at.line] })
     }
 
-    /// Decides the overlaps that are old enough.
+    /// Decides the overlaps whose first call has ended or is older than the tolerance, and returns the violations.
     ///
-    /// An endpoint may notice the end of a connection shortly after the first byte of the next call. A response is recorded
-    /// before it is written, so that one that is later in the log was written later.
+    /// The tolerance applies to aborted calls, because an endpoint may notice the end of a connection shortly after the
+    /// first byte of the next call. It does not apply to answered calls: a response is recorded before it is written, so
+    /// a response that is recorded after the second call was also written after it.
     pub(super) fn settle_overlaps(
         &mut self,
         time_us: u64,
@@ -51,7 +59,9 @@
     ) -> Vec<Violation> {
         let mut violations = Vec::new();
         self.overlaps.retain(|overlap| {
-            let (Some(first), Some(second)) = (table.call(overlap.first), table.call(overlap.second)) else {
+            let (Some(first), Some(second)) =
+                (table.call(overlap.first_call_id), table.call(overlap.second_call_id))
+            else {
                 return true;
             };
             let is_violation = match first.state {
@@ -70,30 +80,36 @@
     }
 }
 
-/// Describes why a call must not follow a possible execution; `None` if it may.
+/// Describes why a call must not follow a possible execution; `None` if the call is allowed.
 fn forbidden_repeat(
     topology: &Topology,
     message: &Message,
-    executed: &Call,
+    possible_execution: &Call,
     call: &ReceivedCall<'_>,
 ) -> Option<String> {
-    let class = topology.class(message.class);
+    let class = topology.class(message.class_index);
     let (id, endpoint) = (call.message_id, call.endpoint);
     match class.effect {
         Effect::Idempotent => None,
         Effect::AtMostOnce => Some(format!("{id} is sent again after a possible execution")),
-        Effect::IdempotencyKey if !topology.share_keys(class.group, &executed.endpoint, endpoint) => {
-            Some(format!("{id} was possibly executed at {} and is sent to {endpoint}", executed.endpoint))
+        Effect::IdempotencyKey
+            if !topology.share_keys(class.group, &possible_execution.endpoint, endpoint) =>
+        {
+            Some(format!(
+                "{id} was possibly executed at {} and is sent to {endpoint}",
+                possible_execution.endpoint
+            ))
         }
         Effect::IdempotencyKey => {
-            let forgotten_us = executed.first_us + us(class.window_ms + topology.rules.slack_ms);
-            let late_us = call.first_us.checked_sub(forgotten_us).filter(|late| *late > 0)?;
+            let key_expiry_us =
+                possible_execution.first_us + ms_to_us(class.window_ms + topology.rules.slack_ms);
+            let late_us = call.first_us.checked_sub(key_expiry_us).filter(|late| *late > 0)?;
             Some(format!("{id} is sent again {} ms after its key has expired", late_us / 1_000))
         }
     }
 }
 
-/// Checks that a rejected message, which its client may submit again elsewhere, is not possibly executed.
+/// Checks that a rejected message was not possibly executed, because the client may submit it again to another sender.
 pub(super) fn check_rejection(
     topology: &Topology,
     table: &MessageTable,
@@ -101,7 +117,7 @@
     line: usize,
 ) -> Option<Violation> {
     let message = table.message(message_id)?;
-    let class = topology.class(message.class);
+    let class = topology.class(message.class_index);
     let is_repeatable = match class.effect {
         Effect::Idempotent => true,
         Effect::IdempotencyKey => class.group == KeyGroup::All,
@@ -110,7 +126,7 @@
     if is_repeatable {
         return None;
     }
-    let executed = table.calls_of(message).find(|call| call.possibly_executed())?;
+    let possible_execution = table.calls_of(message).find(|call| call.possibly_executed())?;
     let what = format!("{message_id} is rejected after a possible execution");
-    Some(Violation { rule: Rule::Duplication, what, lines: vec![executed.line, line] })
+    Some(Violation { rule: Rule::Duplication, what, lines: vec![possible_execution.line, line] })
 }
--- a/crates/testkit/src/checker/events.rs
+++ b/crates/testkit/src/checker/events.rs
@@ -1,8 +1,8 @@
-//! What each event of the log changes, and which rules it is checked against.
+//! Applies each event of the log to the checker's state and checks it against the rules.
 
 use super::{
     CallState, Checker, FinalOutcome, LogPosition, Message, ReceivedCall, SenderEndpoint, duplication, loss,
-    us,
+    ms_to_us,
 };
 use crate::event_log::{Event, ProcessState};
 
@@ -10,54 +10,56 @@
 const DEFERRED: &str = "deferred";
 
 impl Checker {
-    /// An [`Event::Submitted`]; other events are ignored.
+    /// Records an [`Event::Submitted`]; other events are ignored.
     pub(super) fn submitted(&mut self, at: LogPosition, event: &Event) {
         let Event::Submitted { message_id, sender, class, time_left_ms, ordering_key, .. } = event else {
             return;
         };
         self.accounting.submitted += 1;
-        let Some(class) = self.topology.class_index(class) else { return };
-        if let Some(key) = ordering_key.as_ref().filter(|_| self.topology.class(class).ordered) {
-            let start = self.processes.starts(sender);
-            self.ordering.record_submission(sender, start, key, message_id);
+        let Some(class_index) = self.topology.class_index(class) else { return };
+        if let Some(key) = ordering_key.as_ref().filter(|_| self.topology.class(class_index).ordered) {
+            let start_count = self.processes.start_count(sender);
+            self.ordering.record_submission(sender, start_count, key, message_id);
         }
         let message = Message {
-            class,
+            class_index,
             sender: sender.clone(),
             submitted: at,
-            deadline_us: at.time_us + us(*time_left_ms),
+            deadline_us: at.time_us + ms_to_us(*time_left_ms),
             ordering_key: ordering_key.clone(),
             accepted_line: None,
             outcome: None,
-            calls: Vec::new(),
+            call_ids: Vec::new(),
             executions: 0,
         };
         self.table.add_message(message_id, message);
     }
 
+    /// Records the response to a submission.
     pub(super) fn responded(&mut self, at: LogPosition, message_id: &str, status: u16) {
         self.accounting.count_response(status);
         let Some(message) = self.table.message_mut(message_id) else { return };
         match status {
             200 | 202 => message.accepted_line = message.accepted_line.or(Some(at.line)),
-            429 | 503 => self.complete(at, message_id, FinalOutcome::Rejected),
-            _ => self.complete(at, message_id, FinalOutcome::Failed),
+            429 | 503 => self.record_outcome(at, message_id, FinalOutcome::Rejected),
+            _ => self.record_outcome(at, message_id, FinalOutcome::Failed),
         }
     }
 
+    /// Records a notification that the platform acknowledged.
     pub(super) fn notified(&mut self, at: LogPosition, message_id: &str, status: &str) {
         let outcome = if status == DEFERRED { FinalOutcome::Rejected } else { FinalOutcome::Failed };
-        self.complete(at, message_id, outcome);
+        self.record_outcome(at, message_id, outcome);
     }
 
-    /// Records a final outcome and checks that it fits what happened before.
-    fn complete(&mut self, at: LogPosition, message_id: &str, outcome: FinalOutcome) {
+    /// Records a final outcome and checks that it does not contradict the message's calls and earlier outcome.
+    fn record_outcome(&mut self, at: LogPosition, message_id: &str, outcome: FinalOutcome) {
         if outcome == FinalOutcome::Rejected {
             let violation = duplication::check_rejection(&self.topology, &self.table, message_id, at.line);
             self.violations.extend(violation);
         }
         if let Some(message) = self.table.message_mut(message_id) {
-            self.violations.extend(loss::complete(message_id, message, outcome, at));
+            self.violations.extend(loss::record_outcome(message_id, message, outcome, at));
         }
     }
 
@@ -87,16 +89,16 @@
         let (sender, message_id) = (call.sender.clone(), call.message_id.clone());
         let scope = self.topology.limit_scope(&call.endpoint);
         // A Retry-After on a link that loses responses did not reach the sender.
-        let is_backoff = retry_after_ms > 0 && !call.unobservable;
+        let reached_sender = retry_after_ms > 0 && !call.unobservable;
         if matches!(status, 429 | 503) {
             self.accounting.calls_rejected += 1;
         }
         if status == 200 {
-            self.complete(at, &message_id, FinalOutcome::Delivered);
+            self.record_outcome(at, &message_id, FinalOutcome::Delivered);
         } else {
             self.recovery.record_failure(&self.topology, &sender, &call.endpoint);
         }
-        if let Some(scope) = scope.filter(|_| is_backoff) {
+        if let Some(scope) = scope.filter(|_| reached_sender) {
             self.retry_after.record(&sender, scope, at, retry_after_ms);
         }
     }
@@ -116,7 +118,7 @@
         }
     }
 
-    /// An outage of an endpoint begins or ends.
+    /// Records that an outage of an endpoint begins or ends.
     pub(super) fn outage_changed(&mut self, at: LogPosition, endpoint: &str, kind: &str, begins: bool) {
         if begins {
             self.recovery.begin_outage(&self.topology, endpoint);
@@ -125,11 +127,11 @@
         }
     }
 
-    /// A link begins to lose responses, or no longer does.
+    /// Records that a link begins or ceases to lose responses.
     pub(super) fn link_changed(&mut self, sender: &str, endpoint: &str, loses_responses: bool) {
         let link = SenderEndpoint::new(sender, endpoint);
         if loses_responses {
-            self.table.hide_calls(sender, endpoint);
+            self.table.mark_calls_unobservable(sender, endpoint);
             self.lossy_links.insert(link);
         } else {
             self.lossy_links.remove(&link);
@@ -139,8 +141,8 @@
     pub(super) fn process_changed(&mut self, at: LogPosition, sender: &str, state: ProcessState) {
         self.processes.change_state(sender, state, at.time_us);
         if state == ProcessState::Exited {
-            self.retry_after.forget(sender);
-            self.recovery.forget(sender);
+            self.retry_after.forget_sender(sender);
+            self.recovery.forget_sender(sender);
         }
     }
 }
--- a/crates/testkit/src/checker/loss.rs
+++ b/crates/testkit/src/checker/loss.rs
@@ -1,15 +1,15 @@
-//! Rule: every accepted message has exactly one final outcome, in time.
+//! Rule: every accepted message has exactly one final outcome, and has it in time.
 
 use super::messages::{FinalOutcome, LogPosition, Message, ReceivedCall, RecordedOutcome};
+use super::ms_to_us;
 use super::rule::{Rule, Violation};
-use super::us;
 use crate::event_log::Rules;
 
 fn violation(what: String, lines: Vec<usize>) -> Violation {
     Violation { rule: Rule::Loss, what, lines }
 }
 
-/// The violation of a call for a message that was not submitted.
+/// The violation by a call for a message that no client submitted.
 pub(super) fn unknown_message(call: &ReceivedCall<'_>) -> Violation {
     violation(format!("{} was never submitted", call.message_id), vec![call.at.line])
 }
@@ -17,15 +17,15 @@
 /// Checks that a message is not sent after it was rejected or failed.
 pub(super) fn check_call(message: &Message, call: &ReceivedCall<'_>, rules: &Rules) -> Option<Violation> {
     let RecordedOutcome { outcome, at } = message.outcome?;
-    if outcome == FinalOutcome::Delivered || call.first_us <= at.time_us + us(rules.slack_ms) {
+    if outcome == FinalOutcome::Delivered || call.first_us <= at.time_us + ms_to_us(rules.slack_ms) {
         return None;
     }
     let what = format!("{} is sent after its final outcome, {outcome}", call.message_id);
     Some(violation(what, vec![at.line, call.at.line]))
 }
 
-/// Records a final outcome. Two different ones contradict each other unless one of them is a delivery.
-pub(super) fn complete(
+/// Records a final outcome. Two different outcomes contradict each other unless one of them is a delivery.
+pub(super) fn record_outcome(
     message_id: &str,
     message: &mut Message,
     outcome: FinalOutcome,
@@ -44,12 +44,13 @@
     })
 }
 
-/// Whether a message has no outcome although one was due before the log ended.
+/// Whether a message has no outcome although it was due before the log ended.
 pub(super) fn is_lost(message: &Message, due_us: Option<u64>, log_end_us: u64) -> bool {
     message.outcome.is_none() && due_us.is_some_and(|due| log_end_us > due)
 }
 
-/// Checks at the end of the log that an accepted message got its outcome in time.
+/// Checks, at the end of the log, that an accepted message got its outcome in time. `due_us` is `None` while no outcome is
+/// due.
 pub(super) fn check_deadline(
     message_id: &str,
     message: &Message,
--- a/crates/testkit/src/checker/messages.rs
+++ b/crates/testkit/src/checker/messages.rs
@@ -1,4 +1,4 @@
-//! Messages and calls as the log shows them.
+//! Messages and calls, reconstructed from the log.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -40,19 +40,19 @@
 /// A submitted message.
 #[derive(Debug)]
 pub(super) struct Message {
-    /// Index of its class in the header.
-    pub(super) class: usize,
+    /// Index of the message's class in the header.
+    pub(super) class_index: usize,
     pub(super) sender: String,
     pub(super) submitted: LogPosition,
-    /// Its deadline, in microseconds.
+    /// Deadline of the delivery, in microseconds on the log's clock.
     pub(super) deadline_us: u64,
     pub(super) ordering_key: Option<String>,
-    /// Line in which its client read that it was accepted.
+    /// Line in which the client received the acceptance; `None` if it did not.
     pub(super) accepted_line: Option<usize>,
     pub(super) outcome: Option<RecordedOutcome>,
-    /// Ids of its calls, in the order of the log.
-    pub(super) calls: Vec<u64>,
-    /// Number of executions, without dropped repeats.
+    /// Ids of the message's calls, in the order of the log.
+    pub(super) call_ids: Vec<u64>,
+    /// Number of executions; repeats that the receiver dropped do not count.
     pub(super) executions: u32,
 }
 
@@ -62,7 +62,7 @@
     InFlight,
     /// Answered with this status.
     Answered(u16),
-    /// Its connection ended before a response.
+    /// The connection ended before a response.
     Aborted {
         at_us: u64,
     },
@@ -74,27 +74,29 @@
     pub(super) message_id: String,
     pub(super) sender: String,
     pub(super) endpoint: String,
-    /// When its first byte arrived, in microseconds.
+    /// When the first byte of the call arrived, in microseconds.
     pub(super) first_us: u64,
+    /// Line in which the call was received.
     pub(super) line: usize,
     pub(super) state: CallState,
-    /// It was sent on a link that loses responses: the endpoint may not see that its sender has cancelled it.
+    /// Whether the link loses responses, so that the endpoint may not notice that the sender cancelled the call.
     pub(super) unobservable: bool,
 }
 
 impl Call {
-    /// Whether the call counts as in flight for its sender.
+    /// Whether the sender has the call in flight, as far as the log can show.
     pub(super) fn is_in_flight(&self) -> bool {
         self.state == CallState::InFlight && !self.unobservable
     }
 
-    /// Whether the sender has to assume that the call was executed.
+    /// Whether the sender has to assume that the call was executed: any call that is not answered with 429, 503, 504 or
+    /// 410.
     pub(super) fn possibly_executed(&self) -> bool {
         !matches!(self.state, CallState::Answered(429 | 503 | 504 | 410))
     }
 }
 
-/// A call as an endpoint has just received it.
+/// A call that an endpoint has just received; it is checked before it is added to the table.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReceivedCall<'a> {
     pub(super) at: LogPosition,
@@ -102,7 +104,7 @@
     pub(super) sender: &'a str,
     pub(super) endpoint: &'a str,
     pub(super) message_id: &'a str,
-    /// When its first byte arrived, in microseconds.
+    /// When the first byte of the call arrived, in microseconds.
     pub(super) first_us: u64,
 }
 
@@ -114,7 +116,7 @@
 }
 
 impl MessageTable {
-    /// Adds a message; a second submission of an id is the same message.
+    /// Adds a message, unless a message with the same id was submitted before.
     pub(super) fn add_message(&mut self, id: &str, message: Message) {
         self.messages.entry(id.to_owned()).or_insert(message);
     }
@@ -127,12 +129,12 @@
         self.messages.get_mut(id)
     }
 
-    /// All messages, by their ids.
+    /// All messages with their ids, in the order of the ids.
     pub(super) fn messages(&self) -> impl Iterator<Item = (&String, &Message)> {
         self.messages.iter()
     }
 
-    /// Adds a call to its message, if there is one.
+    /// Adds a call, and its id to the message if the message was submitted.
     pub(super) fn add_call(&mut self, received: &ReceivedCall<'_>, unobservable: bool) {
         let call = Call {
             message_id: received.message_id.to_owned(),
@@ -145,7 +147,7 @@
         };
         self.calls.insert(received.id, call);
         if let Some(message) = self.messages.get_mut(received.message_id) {
-            message.calls.push(received.id);
+            message.call_ids.push(received.id);
         }
     }
 
@@ -155,10 +157,10 @@
 
     /// The calls of a message, in the order of the log.
     pub(super) fn calls_of<'a>(&'a self, message: &'a Message) -> impl Iterator<Item = &'a Call> {
-        message.calls.iter().map(|id| &self.calls[id])
+        message.call_ids.iter().map(|id| &self.calls[id])
     }
 
-    /// Ends a call that is in flight, and returns it; `None` if it was not in flight.
+    /// Sets the final state of a call in flight and returns the call; `None` if the call was not in flight.
     pub(super) fn finish_call(&mut self, id: u64, state: CallState) -> Option<&Call> {
         let call = self.calls.get_mut(&id).filter(|call| call.state == CallState::InFlight)?;
         call.state = state;
@@ -166,7 +168,7 @@
     }
 
     /// Marks the calls in flight between a sender and an endpoint as unobservable.
-    pub(super) fn hide_calls(&mut self, sender: &str, endpoint: &str) {
+    pub(super) fn mark_calls_unobservable(&mut self, sender: &str, endpoint: &str) {
         for call in self.calls.values_mut() {
             if call.state == CallState::InFlight && call.sender == sender && call.endpoint == endpoint {
                 call.unobservable = true;
@@ -174,9 +176,9 @@
         }
     }
 
-    /// Counts an execution of a call's message.
-    pub(super) fn count_execution(&mut self, call: u64) {
-        let Some(call) = self.calls.get(&call) else { return };
+    /// Counts an execution of the message that a call carried.
+    pub(super) fn count_execution(&mut self, call_id: u64) {
+        let Some(call) = self.calls.get(&call_id) else { return };
         if let Some(message) = self.messages.get_mut(&call.message_id) {
             message.executions += 1;
         }
--- a/crates/testkit/src/checker/ordering.rs
+++ b/crates/testkit/src/checker/ordering.rs
@@ -3,20 +3,21 @@
 use std::collections::HashMap;
 
 use super::messages::{Call, CallState, Message, MessageTable, ReceivedCall};
+use super::ms_to_us;
 use super::processes::Processes;
 use super::rule::{Rule, Violation};
 use super::topology::Topology;
-use super::us;
 
-/// An ordering key at one start of a sender: a restart begins a new queue.
+/// Identifies a queue: an ordering key between two starts of a sender, because a restart begins a new queue.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct QueueKey {
     sender: String,
-    start: u64,
+    /// How often the sender had become ready.
+    start_count: u64,
     ordering_key: String,
 }
 
-/// State of the rule: the messages of each ordering key, in the order of their submission.
+/// State of the rule: the message ids of each queue, in the order of their submission.
 #[derive(Debug, Default)]
 pub(super) struct OrderingRule {
     queues: HashMap<QueueKey, Vec<String>>,
@@ -27,15 +28,15 @@
     pub(super) fn record_submission(
         &mut self,
         sender: &str,
-        start: u64,
+        start_count: u64,
         ordering_key: &str,
         message_id: &str,
     ) {
-        let key = QueueKey { sender: sender.to_owned(), start, ordering_key: ordering_key.to_owned() };
+        let key = QueueKey { sender: sender.to_owned(), start_count, ordering_key: ordering_key.to_owned() };
         self.queues.entry(key).or_default().push(message_id.to_owned());
     }
 
-    /// Checks that the messages before a call's own are complete.
+    /// Checks that all earlier messages of the same queue are complete when a call is received.
     pub(super) fn check_call(
         &self,
         topology: &Topology,
@@ -44,27 +45,31 @@
         message: &Message,
         call: &ReceivedCall<'_>,
     ) -> Option<Violation> {
-        let ordering_key = message.ordering_key.clone().filter(|_| topology.class(message.class).ordered)?;
-        let start = processes.starts(&message.sender);
-        let key = QueueKey { sender: message.sender.clone(), start, ordering_key };
+        let ordering_key =
+            message.ordering_key.clone().filter(|_| topology.class(message.class_index).ordered)?;
+        let start_count = processes.start_count(&message.sender);
+        let key = QueueKey { sender: message.sender.clone(), start_count, ordering_key };
         let queue = self.queues.get(&key)?;
-        let pause_us = us(topology.rules.ordering_pause_ms);
+        let pause_us = ms_to_us(topology.rules.ordering_pause_ms);
         let earlier_ids = queue.iter().take_while(|id| *id != call.message_id);
         let obstacle = earlier_ids
             .filter_map(|id| Some((id, table.message(id)?)))
-            .find_map(|(id, earlier)| obstacle(table, id, earlier, call, pause_us))?;
+            .find_map(|(id, earlier)| find_obstacle(table, id, earlier, call, pause_us))?;
         let lines = vec![obstacle.line, call.at.line];
         Some(Violation { rule: Rule::Ordering, what: obstacle.what, lines })
     }
 }
 
-/// Why an earlier message of the same key forbids a call.
+/// Why an earlier message of the same queue forbids a call.
 struct Obstacle {
+    /// Text of the violation.
     what: String,
+    /// Line that shows the state of the earlier message.
     line: usize,
 }
 
-fn obstacle(
+/// Checks whether an earlier message is in flight, incomplete or possibly still executing.
+fn find_obstacle(
     table: &MessageTable,
     earlier_id: &str,
     earlier: &Message,
@@ -72,17 +77,17 @@
     pause_us: u64,
 ) -> Option<Obstacle> {
     let id = call.message_id;
-    if let Some(in_flight) = table.calls_of(earlier).find(|other| other.is_in_flight()) {
+    if let Some(in_flight) = table.calls_of(earlier).find(|earlier_call| earlier_call.is_in_flight()) {
         let what = format!("{id} is sent while {earlier_id} is in flight");
         return Some(Obstacle { what, line: in_flight.line });
     }
-    // A message without a response may have been rejected.
+    // A message whose submission got no response may have been rejected.
     if earlier.outcome.is_none() && earlier.accepted_line.is_some() {
         let what = format!("{id} is sent before {earlier_id} is complete");
         return Some(Obstacle { what, line: earlier.submitted.line });
     }
-    let may_still_run = |other: &&Call| matches!(other.state, CallState::Aborted { at_us } if call.first_us < at_us + pause_us);
-    let running = table.calls_of(earlier).find(may_still_run)?;
+    let may_still_be_executing = |other: &&Call| matches!(other.state, CallState::Aborted { at_us } if call.first_us < at_us + pause_us);
+    let executing = table.calls_of(earlier).find(may_still_be_executing)?;
     let what = format!("{id} is sent while {earlier_id} may still be executing");
-    Some(Obstacle { what, line: running.line })
+    Some(Obstacle { what, line: executing.line })
 }
--- a/crates/testkit/src/checker/recovery.rs
+++ b/crates/testkit/src/checker/recovery.rs
@@ -3,15 +3,15 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 use super::messages::LogPosition;
+use super::ms_to_us;
 use super::rule::{Rule, Violation};
 use super::topology::{LimitScope, Topology};
-use super::us;
 use super::verdict::Recovery;
 use crate::event_log::Rules;
 
-/// Calls beyond the capacity of a warming endpoint that random arrivals may cause.
+/// Calls in the overload window beyond the limit that are tolerated, because arrivals are random.
 const OVERLOAD_SLACK: f64 = 3.0;
-/// Share of the overloading calls that must come from senders that saw the outage.
+/// Smallest share of the calls in the window that must come from senders that saw the outage for a violation.
 const OBSERVER_SHARE: f64 = 2.0 / 3.0;
 
 /// A call or health check that arrived during a recovery.
@@ -21,32 +21,35 @@
     sender: String,
 }
 
-/// A recovery that has begun, and its index among the recoveries.
+/// A recovery that has begun.
 #[derive(Clone, Copy, Debug)]
-struct Begun {
+struct BegunRecovery {
+    /// When the outage ended, in microseconds.
     at_us: u64,
+    /// Index in [`RecoveryRule::recoveries`].
     index: usize,
 }
 
-/// The latest outage of a limit.
+/// The latest outage of a limit, and the recovery from it.
 #[derive(Debug, Default)]
-struct OutageHistory {
+struct LatestOutage {
     /// Endpoints that are in an outage now.
-    affected: BTreeSet<String>,
-    /// Whether all endpoints of the limit were in an outage at once.
-    was_complete: bool,
-    recovery: Option<Begun>,
-    /// Senders that saw the outage.
+    affected_endpoints: BTreeSet<String>,
+    /// Whether all endpoints of the limit were in an outage at the same time.
+    affected_all_endpoints: bool,
+    recovery: Option<BegunRecovery>,
+    /// Senders that saw a failure during the outage and have not exited since.
     observers: BTreeSet<String>,
     /// Arrivals within the overload window.
     arrivals: VecDeque<Arrival>,
+    /// Whether an overload was detected, which is reported at most once.
     overloaded: bool,
 }
 
-/// State of the rule: outages by limit, and all recoveries.
+/// State of the rule: the latest outage of each limit, and all recoveries.
 #[derive(Debug, Default)]
 pub(super) struct RecoveryRule {
-    outages: HashMap<LimitScope, OutageHistory>,
+    outages: HashMap<LimitScope, LatestOutage>,
     recoveries: Vec<Recovery>,
 }
 
@@ -56,19 +59,20 @@
         self.recoveries
     }
 
-    /// Records the begin of an endpoint's outage.
+    /// Records that an outage of an endpoint begins.
     pub(super) fn begin_outage(&mut self, topology: &Topology, endpoint: &str) {
         let Some(scope) = topology.limit_scope(endpoint) else { return };
-        let members = topology.member_count(&scope);
+        let endpoint_count = topology.endpoint_count(&scope);
         let outage = self.outages.entry(scope).or_default();
-        if outage.affected.is_empty() {
-            *outage = OutageHistory::default();
+        if outage.affected_endpoints.is_empty() {
+            *outage = LatestOutage::default();
         }
-        outage.affected.insert(endpoint.to_owned());
-        outage.was_complete |= outage.affected.len() == members;
+        outage.affected_endpoints.insert(endpoint.to_owned());
+        outage.affected_all_endpoints |= outage.affected_endpoints.len() == endpoint_count;
     }
 
-    /// Records the end of an endpoint's outage; the last end after a complete outage begins a recovery.
+    /// Records that an outage of an endpoint ends. The last end after an outage of all endpoints of the limit begins the
+    /// recovery.
     pub(super) fn end_outage(&mut self, topology: &Topology, endpoint: &str, kind: &str, at_us: u64) {
         let Some(scope) = topology.limit_scope(endpoint) else { return };
         let (limit, shared) = match &scope {
@@ -76,26 +80,26 @@
             LimitScope::Receiver(number) => (format!("receiver {number}"), true),
         };
         let outage = self.outages.entry(scope).or_default();
-        outage.affected.remove(endpoint);
-        if !outage.affected.is_empty() || !outage.was_complete {
+        outage.affected_endpoints.remove(endpoint);
+        if !outage.affected_endpoints.is_empty() || !outage.affected_all_endpoints {
             return;
         }
-        outage.recovery = Some(Begun { at_us, index: self.recoveries.len() });
+        outage.recovery = Some(BegunRecovery { at_us, index: self.recoveries.len() });
         let kind = kind.to_owned();
         self.recoveries.push(Recovery { limit, shared, kind, at_us, peak_ratio: 0.0, peak_calls: 0 });
     }
 
-    /// Records that a sender saw an endpoint fail.
+    /// Records that a sender saw a failure of an endpoint; ignored if the limit is in no outage.
     pub(super) fn record_failure(&mut self, topology: &Topology, sender: &str, endpoint: &str) {
         let scope = topology.limit_scope(endpoint);
         let outage = scope.and_then(|scope| self.outages.get_mut(&scope));
-        if let Some(outage) = outage.filter(|outage| !outage.affected.is_empty()) {
+        if let Some(outage) = outage.filter(|outage| !outage.affected_endpoints.is_empty()) {
             outage.observers.insert(sender.to_owned());
         }
     }
 
     /// Removes a sender whose process has exited from the observers.
-    pub(super) fn forget(&mut self, sender: &str) {
+    pub(super) fn forget_sender(&mut self, sender: &str) {
         for outage in self.outages.values_mut() {
             outage.observers.remove(sender);
         }
@@ -113,12 +117,12 @@
         let per_s = topology.endpoint(endpoint)?.per_s;
         let rules = &topology.rules;
         let outage = self.outages.get_mut(&scope)?;
-        let Begun { at_us, index } = outage.recovery?;
-        if at.time_us > at_us + us(rules.warm_up_ms) {
+        let BegunRecovery { at_us, index } = outage.recovery?;
+        if at.time_us > at_us + ms_to_us(rules.warm_up_ms) {
             return None;
         }
         outage.arrivals.push_back(Arrival { at, sender: sender.to_owned() });
-        outage.drop_arrivals_before(at.time_us, us(rules.overload_window_ms));
+        outage.drop_arrivals_before(at.time_us, ms_to_us(rules.overload_window_ms));
         let capacity = window_capacity(rules, per_s, at_us, at.time_us);
         let ratio = outage.arrivals.len() as f64 / capacity;
         if let Some(recovery) = self.recoveries.get_mut(index).filter(|recovery| ratio > recovery.peak_ratio)
@@ -130,15 +134,15 @@
     }
 }
 
-impl OutageHistory {
-    /// Drops the arrivals that have left the window ending now.
+impl LatestOutage {
+    /// Removes the arrivals before the window that ends now.
     fn drop_arrivals_before(&mut self, now_us: u64, window_us: u64) {
         while self.arrivals.front().is_some_and(|arrival| arrival.at.time_us + window_us < now_us) {
             self.arrivals.pop_front();
         }
     }
 
-    /// Reports an overload once, if mostly senders that saw the outage caused it.
+    /// Reports the first overload, if senders that saw the outage caused at least [`OBSERVER_SHARE`] of it.
     fn check_overload(&mut self, rules: &Rules, endpoint: &str, capacity: f64) -> Option<Violation> {
         let calls = self.arrivals.len();
         if self.overloaded || calls as f64 <= rules.overload_multiple * capacity + OVERLOAD_SLACK {
@@ -158,13 +162,13 @@
     }
 }
 
-/// Calls that a warming endpoint can accept in the window that ends now. The part of the window before the recovery counts
-/// with the capacity at the start of the recovery.
+/// Calls that a warming endpoint can accept in the overload window that ends now. The part of the window before the
+/// recovery counts with the capacity at the start of the recovery.
 fn window_capacity(rules: &Rules, per_s: f64, recovery_us: u64, now_us: u64) -> f64 {
-    let window_us = us(rules.overload_window_ms);
-    let from_us = recovery_us.max(now_us.saturating_sub(window_us));
+    let window_us = ms_to_us(rules.overload_window_ms);
+    let warm_up_start_us = recovery_us.max(now_us.saturating_sub(window_us));
     let window_s = window_us as f64 / 1e6;
-    let share_at_begin = rules.warm_share(from_us - recovery_us);
+    let share_at_start = rules.warm_share(warm_up_start_us - recovery_us);
     let share_now = rules.warm_share(now_us - recovery_us);
-    per_s * window_s * (share_at_begin + share_now) / 2.0
+    per_s * window_s * (share_at_start + share_now) / 2.0
 }
--- a/crates/testkit/src/checker/rule.rs
+++ b/crates/testkit/src/checker/rule.rs
@@ -1,29 +1,29 @@
-//! The six rules that a sender must keep, and how a broken one is reported.
+//! The six rules that a sender must obey, and the report of a violation.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// A rule that every sender must keep.
+/// A rule that every sender must obey.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Every accepted message has exactly one final outcome, in time.
+    /// Every accepted message has exactly one final outcome, and has it in time.
     #[serde(rename = "lost")]
     Loss,
     /// No message is executed more often than its class allows or has two attempts in flight.
     #[serde(rename = "doubled")]
     Duplication,
-    /// Nothing new is sent to an endpoint that drains or has left the list.
+    /// No new call is sent to an endpoint that is draining or was deleted from the endpoint list.
     #[serde(rename = "drains")]
     Draining,
-    /// An endpoint that recovers from an outage is not overloaded.
+    /// An endpoint that recovers from an outage is not overloaded by senders that saw the outage.
     #[serde(rename = "return")]
     Recovery,
     /// Messages of one ordering key are sent one at a time, in the order of their submission.
     #[serde(rename = "order")]
     Ordering,
-    /// Nothing is sent before a Retry-After has passed.
+    /// No call is sent before a Retry-After has passed.
     #[serde(rename = "waits")]
     RetryAfter,
 }
@@ -51,13 +51,13 @@
     }
 }
 
-/// A violation of a rule, with its proof.
+/// A violation of a rule, with the lines of the log that prove it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The broken rule.
+    /// The violated rule.
     pub rule: Rule,
     /// What happened, in one sentence.
     pub what: String,
-    /// Numbers of the log's lines that prove it, from 1.
+    /// Numbers of the lines that prove the violation, counted from 1.
     pub lines: Vec<usize>,
 }
--- a/crates/testkit/src/checker/topology.rs
+++ b/crates/testkit/src/checker/topology.rs
@@ -1,13 +1,15 @@
-//! What the log's header describes, indexed for the rules.
+//! The classes, endpoints and rule limits of the log's header, indexed for the rules.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::event_log::{Class, Endpoint, KeyGroup, Rules};
 
-/// What shares a rate limit, a Retry-After and an outage: an independent endpoint, or a receiver.
+/// The scope of a rate limit, a Retry-After and an outage: one independent endpoint, or all endpoints of a receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum LimitScope {
+    /// Id of the independent endpoint.
     Endpoint(String),
+    /// Number of the receiver.
     Receiver(u16),
 }
 
@@ -21,52 +23,52 @@
     }
 }
 
-/// Classes, endpoints and limits of the rules.
+/// The content of the header; empty until [`Topology::load`].
 #[derive(Debug, Default)]
 pub(super) struct Topology {
     pub(super) rules: Rules,
     classes: Vec<Class>,
     endpoints: HashMap<String, Endpoint>,
-    members: HashMap<LimitScope, BTreeSet<String>>,
+    /// Ids of the endpoints in each scope.
+    endpoint_ids: HashMap<LimitScope, BTreeSet<String>>,
 }
 
 impl Topology {
-    /// Takes over a header.
+    /// Loads the content of a header.
     pub(super) fn load(&mut self, classes: &[Class], endpoints: &[Endpoint], rules: &Rules) {
         self.classes = classes.to_vec();
         self.rules = rules.clone();
         for endpoint in endpoints {
-            self.members.entry(LimitScope::of(endpoint)).or_default().insert(endpoint.id.clone());
+            self.endpoint_ids.entry(LimitScope::of(endpoint)).or_default().insert(endpoint.id.clone());
             self.endpoints.insert(endpoint.id.clone(), endpoint.clone());
         }
     }
 
-    /// The index of a class, by its name.
+    /// The index of the class with this name; `None` if the header has no such class.
     pub(super) fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// The class with an index that [`Topology::class_index`] gave.
+    /// The class with an index that [`Topology::class_index`] returned.
     pub(super) fn class(&self, index: usize) -> &Class {
         &self.classes[index]
     }
 
-    /// The endpoint with an id.
     pub(super) fn endpoint(&self, id: &str) -> Option<&Endpoint> {
         self.endpoints.get(id)
     }
 
-    /// What an endpoint shares its limit with.
+    /// The scope of an endpoint's limit; `None` if the endpoint is unknown.
     pub(super) fn limit_scope(&self, endpoint: &str) -> Option<LimitScope> {
         self.endpoint(endpoint).map(LimitScope::of)
     }
 
     /// Number of endpoints that share a limit.
-    pub(super) fn member_count(&self, scope: &LimitScope) -> usize {
-        self.members.get(scope).map_or(0, BTreeSet::len)
+    pub(super) fn endpoint_count(&self, scope: &LimitScope) -> usize {
+        self.endpoint_ids.get(scope).map_or(0, BTreeSet::len)
     }
 
-    /// Whether two endpoints share their memory of idempotency keys.
+    /// Whether two endpoints, given by their ids, share their memory of idempotency keys.
     pub(super) fn share_keys(&self, group: KeyGroup, one: &str, other: &str) -> bool {
         let zone = |id: &str| self.endpoint(id).map(|endpoint| &endpoint.zone);
         match group {
--- a/crates/testkit/src/checker/verdict.rs
+++ b/crates/testkit/src/checker/verdict.rs
@@ -1,4 +1,4 @@
-//! The checker's result, and its summary as text.
+//! The verdict of the checker, and its summary as text.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,9 +8,9 @@
 use super::accounting::Accounting;
 use super::rule::{Rule, Violation};
 
-/// Lag of a fake beyond which a run is inconclusive, in microseconds.
+/// Lag of a fake above which the verdict on a run is inconclusive, in microseconds.
 pub const MAX_LAG_US: u64 = 50_000;
-/// Violations of one rule that the summary lists.
+/// Most violations of one rule that the summary lists.
 const MAX_LISTED_VIOLATIONS: usize = 5;
 /// Width of the accounting's labels, in columns.
 const LABEL_WIDTH: usize = 22;
@@ -22,20 +22,20 @@
 /// The load on a rate limit after an outage of all its endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Recovery {
-    /// The receiver, or the endpoint if it is independent.
+    /// `receiver` and its number, or the id of an independent endpoint.
     #[serde(rename = "gate")]
     pub limit: String,
     /// Whether several endpoints share the limit and recover together.
     pub shared: bool,
-    /// Kind of the outage.
+    /// Kind of the outage, as in [`Event::Outage`](crate::event_log::Event::Outage).
     pub kind: String,
     /// When the outage ended, in microseconds on the log's clock.
     pub at_us: u64,
-    /// The highest ratio of calls to capacity over the overload window, counting all senders, whether they had seen
-    /// the outage or not.
+    /// The highest ratio of calls to capacity in an overload window during the warm-up. Calls of all senders count,
+    /// whether or not they saw the outage.
     #[serde(rename = "worst_ratio")]
     pub peak_ratio: f64,
-    /// Calls in the window with that ratio.
+    /// Calls in the window that had the highest ratio.
     #[serde(rename = "worst_calls")]
     pub peak_calls: usize,
 }
@@ -57,12 +57,12 @@
 }
 
 impl Verdict {
-    /// Whether the fakes lagged too much for the result to mean anything; the run is to be repeated.
+    /// Whether the fakes lagged by more than [`MAX_LAG_US`], so that the run has to be repeated.
     pub fn is_inconclusive(&self) -> bool {
         self.lag_us > MAX_LAG_US
     }
 
-    /// Whether no rule is broken and no message lost or duplicated.
+    /// Whether no rule is violated and no message is lost or duplicated.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty() && self.accounting.lost == 0 && self.accounting.duplicated == 0
     }
@@ -72,7 +72,7 @@
         self.recoveries.iter().map(|recovery| recovery.peak_ratio).fold(0.0, f64::max)
     }
 
-    /// The rules that were broken.
+    /// The rules with at least one violation.
     pub fn broken_rules(&self) -> BTreeSet<Rule> {
         self.violations.iter().map(|violation| violation.rule).collect()
     }
@@ -91,7 +91,7 @@
     }
 }
 
-/// Writes one line of the accounting.
+/// Writes one line of the accounting; `details` follow the count.
 fn write_count(f: &mut fmt::Formatter<'_>, label: &str, count: u64, details: &str) -> fmt::Result {
     writeln!(f, "{label:<LABEL_WIDTH$}{count:>COUNT_WIDTH$}{details}")
 }
