--- a/crates/testkit/src/event_log.rs
+++ b/crates/testkit/src/event_log.rs
@@ -1,8 +1,9 @@
-//! The event log that fakes and clients write and the checker reads: JSON lines on one monotonic clock.
+//! The event log that fakes and clients write and the checker reads: JSON lines whose times are on one monotonic clock.
 //!
 //! The first line is the header and carries the version of the format. Every line has `t`, microseconds since the
-//! log began. Later versions check kept logs again: fields may be added, none changes its meaning within a version.
-//! Names of fields and events in JSON are fixed; the code maps them. `docs/operate/checker.md` lists the events.
+//! log began. Stored logs are checked again by later releases: within a version of the format, fields may be added, but
+//! no field changes its meaning. The names of fields and events in JSON are fixed; attributes map them to the names in the
+//! code. `docs/operate/checker.md` lists the events.
 
 mod codec;
 mod event;
@@ -24,7 +25,7 @@
 pub struct Line {
     /// Time since the log began, in microseconds.
     pub t: u64,
-    /// The event.
+    /// The event, whose fields stand beside `t`.
     #[serde(flatten)]
     pub event: Event,
 }
--- a/crates/testkit/src/event_log/codec.rs
+++ b/crates/testkit/src/event_log/codec.rs
@@ -13,21 +13,21 @@
     /// A line is not valid JSON of the format.
     #[error("line {line}: {error}")]
     Line {
-        /// Number of the line, from 1.
+        /// Number of the line, counted from 1.
         line: usize,
-        /// Cause, with the column.
+        /// The cause, which names the column.
         error: serde_json::Error,
     },
     /// The first line is not a header of the supported version.
-    #[error("line 1: not a world of version {VERSION}")]
+    #[error("line 1: must be an event `world` with `v` = version {VERSION}")]
     Version,
 }
 
-/// Reads an event log; blank lines are skipped.
+/// Reads an event log. Blank lines are skipped.
 ///
 /// # Errors
 ///
-/// [`ReadError`] names the line.
+/// [`ReadError`] names the line that is invalid.
 pub fn read(from: impl BufRead) -> Result<Vec<Line>, ReadError> {
     let mut lines = Vec::new();
     for (index, text) in from.lines().enumerate() {
@@ -44,11 +44,11 @@
     }
 }
 
-/// Writes an event log.
+/// Writes an event log, one event a line.
 ///
 /// # Errors
 ///
-/// The writer's error.
+/// The error of the writer.
 pub fn write(lines: &[Line], mut to: impl Write) -> std::io::Result<()> {
     for line in lines {
         serde_json::to_writer(&mut to, line)?;
--- a/crates/testkit/src/event_log/event.rs
+++ b/crates/testkit/src/event_log/event.rs
@@ -8,21 +8,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessState {
-    /// It has answered that it is ready.
+    /// The process has answered that it is ready.
     Ready,
-    /// It was asked to stop.
+    /// The process was asked to stop with SIGTERM.
     #[serde(rename = "term")]
     Terminating,
-    /// The process has exited, for whatever reason.
+    /// The process has exited, for any reason.
     #[serde(rename = "ended")]
     Exited,
 }
 
-/// An event. Names of senders, endpoints and messages are those on the wire.
+/// An event. Senders, endpoints and messages are identified as on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ev", rename_all = "snake_case")]
 pub enum Event {
-    /// The first line: what the test consists of.
+    /// The first line of the log, which describes the test.
     #[serde(rename = "world")]
     Header {
         /// Version of the format.
@@ -40,22 +40,22 @@
         /// Id of the message, new for each submission.
         #[serde(rename = "txn")]
         message_id: String,
-        /// Id of its first submission.
+        /// Id of the first submission of the same message by the client.
         #[serde(rename = "first")]
         first_message_id: String,
-        /// The sender it was submitted to.
+        /// The sender to which the message was submitted.
         sender: String,
-        /// Name of its class.
+        /// Name of the message's class.
         class: String,
-        /// Its tenant.
+        /// Name of the message's tenant.
         tenant: String,
-        /// Number of its receiver.
+        /// Number of the message's receiver.
         #[serde(rename = "partner")]
         receiver: u16,
         /// Time left to deliver it, in milliseconds.
         #[serde(rename = "left_ms")]
         time_left_ms: u64,
-        /// Its ordering key.
+        /// Ordering key of the message, if it has one.
         #[serde(default, skip_serializing_if = "Option::is_none", rename = "order")]
         ordering_key: Option<String>,
     },
@@ -65,10 +65,10 @@
         /// The message.
         #[serde(rename = "txn")]
         message_id: String,
-        /// 200 or 202: accepted; 429 or 503: rejected; else failed.
+        /// Status of the response. 200 and 202: accepted; 429 and 503: rejected; any other: failed.
         status: u16,
     },
-    /// A client has disconnected without a response.
+    /// A client has disconnected before it received a response.
     #[serde(rename = "unheard")]
     Unanswered {
         /// The message.
@@ -78,7 +78,7 @@
     /// An endpoint has read the last byte of a call.
     #[serde(rename = "called")]
     CallReceived {
-        /// Id of the call.
+        /// Id of the call, unique in the log.
         call: u64,
         /// The sender that made it.
         sender: String,
@@ -87,25 +87,25 @@
         /// The message.
         #[serde(rename = "txn")]
         message_id: String,
-        /// When its first byte arrived, in microseconds on the log's clock.
+        /// When the first byte of the call arrived, in microseconds on the log's clock.
         first_us: u64,
     },
-    /// A call was executed, or dropped as a repeat.
+    /// A receiver has executed a call, or dropped it as a repeat.
     #[serde(rename = "effect")]
     Executed {
         /// The call.
         call: u64,
-        /// Whether it was dropped as a repeat.
+        /// Whether the call was dropped as a repeat.
         repeat: bool,
     },
-    /// An endpoint writes the response to a call.
+    /// An endpoint begins to write the response to a call.
     #[serde(rename = "answered")]
     CallAnswered {
         /// The call.
         call: u64,
         /// Status of the response.
         status: u16,
-        /// Its Retry-After in milliseconds; 0 for none.
+        /// Retry-After of the response, in milliseconds; 0 if it has none.
         #[serde(rename = "wait_ms")]
         retry_after_ms: u64,
     },
@@ -122,7 +122,7 @@
         sender: String,
         /// The endpoint.
         endpoint: String,
-        /// Whether the response was good.
+        /// Whether the response reported a healthy endpoint.
         ok: bool,
     },
     /// An endpoint has reset a connection before it read a byte.
@@ -140,7 +140,7 @@
         sender: String,
         /// The endpoint.
         endpoint: String,
-        /// `SERVING`, `DRAINING` or `DELETED`.
+        /// The new phase: `SERVING`, `DRAINING` or `DELETED`.
         phase: String,
     },
     /// A notification has arrived at the platform.
@@ -151,19 +151,19 @@
         /// The message.
         #[serde(rename = "txn")]
         message_id: String,
-        /// `undeliverable` or `deferred`.
+        /// Status of the notification: `undeliverable` or `deferred`.
         status: String,
-        /// Whether the platform acknowledged it.
+        /// Whether the platform acknowledged the notification.
         #[serde(rename = "taken")]
         acknowledged: bool,
     },
-    /// An outage of an endpoint begins or ends. After its end the endpoint warms up.
+    /// An outage of an endpoint begins or ends. The endpoint warms up after the end.
     Outage {
         /// The endpoint.
         endpoint: String,
-        /// Kind of the outage.
+        /// Kind of the outage, as [`Outage::kind`](crate::scenario::Outage::kind) returns it.
         kind: String,
-        /// Whether it begins.
+        /// Whether the outage begins.
         on: bool,
     },
     /// A fault of the discovery service beside a sender begins or ends.
@@ -171,9 +171,9 @@
     DiscoveryFault {
         /// The sender.
         sender: String,
-        /// `silent`, `refuses_notices` or `ignores_notices`.
+        /// Kind of the fault: `silent`, `refuses_notices` or `ignores_notices`.
         kind: String,
-        /// Whether it begins.
+        /// Whether the fault begins.
         on: bool,
     },
     /// A fault of the link between a sender and an endpoint begins or ends.
@@ -185,10 +185,10 @@
         endpoint: String,
         /// Kind of the fault.
         kind: String,
-        /// Whether it may lose or delay responses and ends of connections without an error.
+        /// Whether the fault may lose or delay responses and ends of connections without an error.
         #[serde(rename = "hides")]
         hides_responses: bool,
-        /// Whether it begins.
+        /// Whether the fault begins.
         on: bool,
     },
     /// The state of a sender's process has changed.
@@ -196,14 +196,14 @@
     ProcessChanged {
         /// The sender.
         sender: String,
-        /// Its new state.
+        /// The new state.
         #[serde(rename = "life")]
         state: ProcessState,
     },
-    /// A fake acted later than it was due, so that a violation may not be the sender's.
+    /// A fake acted late, so that a violation may not be the sender's fault.
     #[serde(rename = "late")]
     Lagged {
-        /// Which fake.
+        /// Name of the fake.
         who: String,
         /// The delay in microseconds.
         #[serde(rename = "by_us")]
--- a/crates/testkit/src/event_log/header.rs
+++ b/crates/testkit/src/event_log/header.rs
@@ -1,4 +1,4 @@
-//! What the header of an event log describes: message classes, endpoints and the limits of the rules.
+//! The parts of an event log's header: message classes, endpoints and the limits of the rules.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Idempotent: may be repeated and rejected at any time.
+    /// The message is idempotent: it may be sent again and rejected at any time.
     #[serde(rename = "safe")]
     Idempotent,
-    /// Carries an idempotency key: receivers drop repeats within a [`KeyGroup`], for a time.
+    /// The message carries an idempotency key: endpoints of a [`KeyGroup`] drop repeats of it while they remember the key.
     #[serde(rename = "keyed")]
     IdempotencyKey,
-    /// At most once: never sent again after a possible execution.
+    /// The message is not sent again after a possible execution.
     #[serde(rename = "unsafe")]
     AtMostOnce,
 }
@@ -21,33 +21,33 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyGroup {
-    /// All endpoints of the receiver.
+    /// All endpoints of the receiver share one memory.
     #[default]
     All,
-    /// The endpoints of one zone.
+    /// The endpoints of one zone share one memory.
     #[serde(rename = "hall")]
     Zone,
-    /// Each endpoint has its own.
+    /// Each endpoint has a memory of its own.
     Endpoint,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Name of the class.
+    /// Name of the class, as in submissions.
     pub name: String,
-    /// How often a message may be executed.
+    /// How often a message of the class may be executed.
     pub effect: Effect,
-    /// For [`Effect::IdempotencyKey`]: which endpoints drop one another's repeats.
+    /// Endpoints that drop one another's repeats; used with [`Effect::IdempotencyKey`] alone.
     #[serde(default)]
     pub group: KeyGroup,
-    /// For [`Effect::IdempotencyKey`]: how long a key is remembered, in milliseconds.
+    /// How long a key is remembered, in milliseconds; used with [`Effect::IdempotencyKey`] alone.
     #[serde(default)]
     pub window_ms: u64,
-    /// Latency objective, in milliseconds.
+    /// Latency objective: time from submission to delivery, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub target_ms: u64,
-    /// Time after which an undelivered message fails, in milliseconds.
+    /// Time after its submission at which an undelivered message fails, in milliseconds.
     pub deadline_ms: u64,
     /// Whether messages of one ordering key are sent one at a time, in the order of their submission.
     #[serde(default)]
@@ -59,55 +59,58 @@
 pub struct Endpoint {
     /// Id of the endpoint, the same for every sender.
     pub id: String,
-    /// Number of its receiver.
+    /// Number of the receiver that the endpoint belongs to.
     #[serde(rename = "partner")]
     pub receiver: u16,
-    /// The zone it is in.
+    /// Name of the zone that the endpoint is in.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether its rate limit and outages are its own rather than its receiver's.
+    /// Whether the endpoint has a rate limit and outages of its own; otherwise it shares them with the receiver's other
+    /// endpoints.
     #[serde(default, rename = "apart")]
     pub independent: bool,
-    /// Calls per second it accepts when warm: alone if independent, else all endpoints of its receiver together.
+    /// Rate limit when warm, in calls per second: of this endpoint if it is independent, otherwise of all endpoints of the
+    /// receiver together.
     pub per_s: f64,
 }
 
-/// The limits of the rules; times are in milliseconds.
+/// The limits of the rules. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// How long calls may still begin after a sender was notified that an endpoint drains.
+    /// How long calls may still begin after a sender was notified that an endpoint is draining.
     pub drain_grace_ms: u64,
-    /// A warming endpoint is overloaded when it gets more than this multiple of its current capacity ...
+    /// Multiple of its current capacity that a warming endpoint may receive in [`Rules::overload_window_ms`]; above it, the
+    /// endpoint is overloaded.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... over a window of this length.
+    /// Length of the window in which the calls to a warming endpoint are counted.
     #[serde(rename = "fall_ms")]
     pub overload_window_ms: u64,
-    /// Share of its rate that an endpoint accepts directly after an outage.
+    /// Share of its rate limit that an endpoint accepts directly after an outage, from 0 to 1.
     #[serde(rename = "cold_from")]
     pub initial_capacity: f64,
-    /// Time in which that share grows linearly to 1.
+    /// Time in which the accepted share grows linearly from [`Rules::initial_capacity`] to 1.
     #[serde(rename = "warm_ms")]
     pub warm_up_ms: u64,
     /// How long calls may still begin after a Retry-After was sent.
     #[serde(rename = "wait_grace_ms")]
     pub retry_after_grace_ms: u64,
-    /// Tolerance on every limit for delays of sockets and scheduling.
+    /// Tolerance added to every time limit for delays of sockets and scheduling.
     pub slack_ms: u64,
-    /// Time after a message's deadline within which it has its final outcome.
+    /// Time after a message's deadline within which it must have its final outcome.
     #[serde(rename = "end_ms")]
     pub outcome_ms: u64,
-    /// Time after a restarted process is ready again within which nothing is overdue.
+    /// Time after a restarted process is ready again within which no outcome is overdue.
     pub restart_ms: u64,
     /// How long an ordering key is blocked after an attempt that may still be executing.
     #[serde(rename = "order_rest_ms")]
     pub ordering_pause_ms: u64,
-    /// Time within which notifications are repeated after the platform accepts them again.
+    /// Time within which notifications are repeated after the platform acknowledges notifications again.
     #[serde(default = "default_notification_ms", rename = "notice_ms")]
     pub notification_ms: u64,
 }
 
-/// Default of [`Rules::notification_ms`], which older logs lack.
+/// Value of [`Rules::notification_ms`] for logs of earlier releases, which lack the field.
 const DEFAULT_NOTIFICATION_MS: u64 = 3_000;
 
 fn default_notification_ms() -> u64 {
@@ -133,9 +136,9 @@
 }
 
 impl Rules {
-    /// Share of its rate that an endpoint accepts at a time after the end of its outage, in microseconds.
+    /// Share of its rate limit that an endpoint accepts `since_us` microseconds after the end of its outage, from 0 to 1.
     pub fn warm_share(&self, since_us: u64) -> f64 {
-        let warm = since_us as f64 / (self.warm_up_ms.max(1) * 1_000) as f64;
-        (self.initial_capacity + (1.0 - self.initial_capacity) * warm).min(1.0)
+        let warm_up_progress = since_us as f64 / (self.warm_up_ms.max(1) * 1_000) as f64;
+        (self.initial_capacity + (1.0 - self.initial_capacity) * warm_up_progress).min(1.0)
     }
 }
--- a/crates/testkit/src/event_log/recorder.rs
+++ b/crates/testkit/src/event_log/recorder.rs
@@ -1,36 +1,38 @@
-//! The event log while a test runs: fakes and clients append to it from several tasks.
+//! The event log during a test: fakes and clients append to it from several tasks.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use super::{Class, Endpoint, Event, Line, Rules, VERSION};
 
-/// A log that is being written; clones append to the same one.
+/// An event log that is being written. Clones append to the same log.
 #[derive(Clone, Debug)]
 pub struct EventLog(Arc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
-    origin: Instant,
-    recorded: Mutex<Recorded>,
+    /// Time 0 of the log's clock.
+    started_at: Instant,
+    content: Mutex<Content>,
 }
 
 #[derive(Debug)]
-struct Recorded {
+struct Content {
     lines: Vec<Line>,
+    /// The last id that [`EventLog::next_call_id`] returned; 0 before the first.
     last_call_id: u64,
 }
 
 impl EventLog {
-    /// Starts a log with its header; the clock starts now.
+    /// Starts a log with its header. Its clock starts now.
     pub fn start(classes: Vec<Class>, endpoints: Vec<Endpoint>, rules: Rules) -> Self {
         let header = Event::Header { v: VERSION, classes, endpoints, rules };
-        let recorded = Recorded { lines: vec![Line { t: 0, event: header }], last_call_id: 0 };
-        Self(Arc::new(Inner { origin: Instant::now(), recorded: Mutex::new(recorded) }))
+        let content = Content { lines: vec![Line { t: 0, event: header }], last_call_id: 0 };
+        Self(Arc::new(Inner { started_at: Instant::now(), content: Mutex::new(content) }))
     }
 
-    fn recorded(&self) -> MutexGuard<'_, Recorded> {
-        self.0.recorded.lock().unwrap_or_else(PoisonError::into_inner)
+    fn content(&self) -> MutexGuard<'_, Content> {
+        self.0.content.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Microseconds since the log began.
@@ -38,34 +40,34 @@
         self.time_of(Instant::now())
     }
 
-    /// An instant as microseconds on the log's clock; 0 for instants before the log began.
+    /// Converts an instant to microseconds on the log's clock; 0 for instants before the log began.
     pub fn time_of(&self, instant: Instant) -> u64 {
-        instant.saturating_duration_since(self.0.origin).as_micros() as u64
+        instant.saturating_duration_since(self.0.started_at).as_micros() as u64
     }
 
-    /// The instant of a time on the log's clock, in microseconds.
+    /// Converts a time on the log's clock, in microseconds, to an instant.
     pub fn instant(&self, time_us: u64) -> Instant {
-        self.0.origin + Duration::from_micros(time_us)
+        self.0.started_at + Duration::from_micros(time_us)
     }
 
     /// Appends an event with the current time.
     pub fn record(&self, event: Event) {
-        let mut recorded = self.recorded();
-        // Read under the lock, so that lines are in the order of their times.
+        let mut content = self.content();
+        // The clock is read under the lock, so that lines are in the order of their times.
         let t = self.now();
-        recorded.lines.push(Line { t, event });
+        content.lines.push(Line { t, event });
     }
 
-    /// A new id of a call, unique within the log.
+    /// Returns a new call id, unique in the log.
     pub fn next_call_id(&self) -> u64 {
-        let mut recorded = self.recorded();
-        recorded.last_call_id += 1;
-        recorded.last_call_id
+        let mut content = self.content();
+        content.last_call_id += 1;
+        content.last_call_id
     }
 
-    /// The lines recorded so far, without the first `skipped`.
-    pub fn lines_from(&self, skipped: usize) -> Vec<Line> {
-        self.recorded().lines.get(skipped..).unwrap_or_default().to_vec()
+    /// The lines recorded so far, except the first `skipped_count`.
+    pub fn lines_from(&self, skipped_count: usize) -> Vec<Line> {
+        self.content().lines.get(skipped_count..).unwrap_or_default().to_vec()
     }
 
     /// All lines recorded so far.
--- a/crates/testkit/src/usage.rs
+++ b/crates/testkit/src/usage.rs
@@ -1,4 +1,4 @@
-//! How much of a receiver's limit was used in a span of the event log, and how many calls were rejected for that.
+//! Measures from the event log which share of a receiver's rate limit was used, and how many calls were rejected.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
@@ -8,26 +8,26 @@
 #[cfg(test)]
 mod tests;
 
-/// Length of a receiver's count window, in microseconds.
+/// Length of the fixed window in which a receiver counts calls, in microseconds.
 const SECOND_US: u64 = 1_000_000;
 
-/// Received calls, including rejected ones, as shares of a limit.
+/// Received calls, including rejected ones, as shares of a rate limit: 1 is a full use of the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
-    /// Share over the whole span.
+    /// Share in the whole time span.
     pub mean: f64,
-    /// Share over the first second of the span, which is part of no other field except the mean.
+    /// Share in the first second of the time span. Except for the mean, the other shares leave out that second.
     pub first: f64,
-    /// Highest share in a whole second of the receiver's count that begins after the first second.
+    /// Highest share in one of the receiver's fixed windows of a second that begin after the first second.
     pub worst: f64,
-    /// Highest share in a second that begins anywhere after the first.
+    /// Highest share in any period of a second that begins after the first second.
     pub worst_sliding: f64,
     /// Rejected calls per delivered call.
     pub rejected: f64,
 }
 
 impl Usage {
-    /// Measures a span of the log, in microseconds, against a limit in calls per second.
+    /// Measures a time span of the log, in microseconds, against a rate limit in calls per second.
     pub fn of(lines: &[Line], span: Range<u64>, per_s: f64) -> Self {
         let (mut calls, mut rejected, mut delivered) = (Vec::new(), 0u64, 0u64);
         for line in lines.iter().filter(|line| span.contains(&line.t)) {
@@ -38,26 +38,27 @@
                 _ => {}
             }
         }
-        let (mut seconds, mut last, mut sliding) = (BTreeMap::<u64, usize>::new(), VecDeque::new(), 0);
-        let rest = span.start + SECOND_US;
-        let first = calls.iter().filter(|t| **t < rest).count();
-        for &t in &calls[first..] {
+        let (mut calls_by_second, mut last_second, mut most_in_sliding_second) =
+            (BTreeMap::<u64, usize>::new(), VecDeque::new(), 0);
+        let first_second_end = span.start + SECOND_US;
+        let first_second_call_count = calls.iter().filter(|t| **t < first_second_end).count();
+        for &t in &calls[first_second_call_count..] {
             let second = t / SECOND_US;
-            if second * SECOND_US >= rest {
-                *seconds.entry(second).or_default() += 1;
+            if second * SECOND_US >= first_second_end {
+                *calls_by_second.entry(second).or_default() += 1;
             }
-            last.push_back(t);
-            while last.front().is_some_and(|first| first + SECOND_US <= t) {
-                last.pop_front();
+            last_second.push_back(t);
+            while last_second.front().is_some_and(|oldest| oldest + SECOND_US <= t) {
+                last_second.pop_front();
             }
-            sliding = sliding.max(last.len());
+            most_in_sliding_second = most_in_sliding_second.max(last_second.len());
         }
         let share = |calls: usize, seconds: f64| calls as f64 / (per_s * seconds);
         Self {
             mean: share(calls.len(), span.end.saturating_sub(span.start).max(1) as f64 / SECOND_US as f64),
-            first: share(first, 1.0),
-            worst: share(seconds.into_values().max().unwrap_or(0), 1.0),
-            worst_sliding: share(sliding, 1.0),
+            first: share(first_second_call_count, 1.0),
+            worst: share(calls_by_second.into_values().max().unwrap_or(0), 1.0),
+            worst_sliding: share(most_in_sliding_second, 1.0),
             rejected: rejected as f64 / delivered.max(1) as f64,
         }
     }
--- a/crates/testkit/src/usage/tests.rs
+++ b/crates/testkit/src/usage/tests.rs
@@ -1,10 +1,11 @@
-//! Test of the shares of the limit.
+//! Test of the measured shares of a rate limit.
 
 use super::Usage;
 use crate::event_log::{Event, Line};
 
+/// The first second of the time span counts in the mean and in `first` alone.
 #[test]
-fn calls_count_in_the_receivers_seconds_and_in_any_second_but_the_first_one() {
+fn shares_are_measured_in_fixed_and_sliding_seconds() {
     let called = |ms: u64| Line {
         t: ms * 1_000,
         event: Event::CallReceived {
@@ -17,7 +18,8 @@
     };
     let answered =
         |status| Line { t: 2_500_000, event: Event::CallAnswered { call: 0, status, retry_after_ms: 0 } };
-    // One before the span, ten in its first second, four around the start of a second, two in one second, one after the span.
+    // One call before the time span, ten in its first second, four around the start of a fixed second, two in one fixed
+    // second, and one after the time span.
     let mut lines: Vec<Line> = [400].into_iter().chain(500..510).map(called).collect();
     lines.extend([1_980, 1_990, 1_995, 2_010, 3_100, 3_200, 4_500].map(called));
     lines.extend([200, 200, 429, 500].map(answered));
