--- a/crates/testkit/src/checker/duplication.rs
+++ b/crates/testkit/src/checker/duplication.rs
@@ -46,7 +46,7 @@
         Some(Violation { rule: Rule::Duplication, what, lines: vec![possible_execution.line, call.at.line] })
     }
 
-    /// Decides the overlaps whose first call has ended or is older than the tolerance, and returns the violations.
+    /// Decides the overlaps whose first call has ended or that are older than the tolerance, and returns the violations.
     ///
     /// The tolerance applies to aborted calls, because an endpoint may notice the end of a connection shortly after the
     /// first byte of the next call. It does not apply to answered calls: a response is recorded before it is written, so
--- a/crates/testkit/src/checker/events.rs
+++ b/crates/testkit/src/checker/events.rs
@@ -89,7 +89,7 @@
         let (sender, message_id) = (call.sender.clone(), call.message_id.clone());
         let scope = self.topology.limit_scope(&call.endpoint);
         // A Retry-After on a link that loses responses did not reach the sender.
-        let reached_sender = retry_after_ms > 0 && !call.unobservable;
+        let sender_received_retry_after = retry_after_ms > 0 && !call.unobservable;
         if matches!(status, 429 | 503) {
             self.accounting.calls_rejected += 1;
         }
@@ -98,7 +98,7 @@
         } else {
             self.recovery.record_failure(&self.topology, &sender, &call.endpoint);
         }
-        if let Some(scope) = scope.filter(|_| reached_sender) {
+        if let Some(scope) = scope.filter(|_| sender_received_retry_after) {
             self.retry_after.record(&sender, scope, at, retry_after_ms);
         }
     }
--- a/crates/testkit/src/checker/processes.rs
+++ b/crates/testkit/src/checker/processes.rs
@@ -91,6 +91,6 @@
 
 /// The latest time to which a downtime postpones an outcome; `due_us` if none does.
 fn postpone(downtimes: &[Downtime], due_us: u64, grace_us: u64) -> u64 {
-    let postponed_dues = downtimes.iter().filter_map(|downtime| downtime.postponed_due(due_us, grace_us));
-    postponed_dues.fold(due_us, u64::max)
+    let postponed_times_us = downtimes.iter().filter_map(|downtime| downtime.postponed_due(due_us, grace_us));
+    postponed_times_us.fold(due_us, u64::max)
 }
--- a/crates/testkit/src/checker/recovery.rs
+++ b/crates/testkit/src/checker/recovery.rs
@@ -11,7 +11,7 @@
 
 /// Calls in the overload window beyond the limit that are tolerated, because arrivals are random.
 const OVERLOAD_SLACK: f64 = 3.0;
-/// Smallest share of the calls in the window that must come from senders that saw the outage for a violation.
+/// An overload is a violation only if at least this share of the calls in the window came from senders that saw the outage.
 const OBSERVER_SHARE: f64 = 2.0 / 3.0;
 
 /// A call or health check that arrived during a recovery.
@@ -71,8 +71,8 @@
         outage.affected_all_endpoints |= outage.affected_endpoints.len() == endpoint_count;
     }
 
-    /// Records that an outage of an endpoint ends. The last end after an outage of all endpoints of the limit begins the
-    /// recovery.
+    /// Records that an outage of an endpoint ends. The recovery begins with the last end, if all endpoints of the
+    /// limit were in an outage at the same time.
     pub(super) fn end_outage(&mut self, topology: &Topology, endpoint: &str, kind: &str, at_us: u64) {
         let Some(scope) = topology.limit_scope(endpoint) else { return };
         let (limit, shared) = match &scope {
@@ -166,9 +166,9 @@
 /// recovery counts with the capacity at the start of the recovery.
 fn window_capacity(rules: &Rules, per_s: f64, recovery_us: u64, now_us: u64) -> f64 {
     let window_us = ms_to_us(rules.overload_window_ms);
-    let warm_up_start_us = recovery_us.max(now_us.saturating_sub(window_us));
+    let window_start_us = recovery_us.max(now_us.saturating_sub(window_us));
     let window_s = window_us as f64 / 1e6;
-    let share_at_start = rules.warm_share(warm_up_start_us - recovery_us);
+    let share_at_start = rules.warm_share(window_start_us - recovery_us);
     let share_now = rules.warm_share(now_us - recovery_us);
     per_s * window_s * (share_at_start + share_now) / 2.0
 }
--- a/crates/testkit/src/event_log/codec.rs
+++ b/crates/testkit/src/event_log/codec.rs
@@ -19,7 +19,7 @@
         error: serde_json::Error,
     },
     /// The first line is not a header of the supported version.
-    #[error("line 1: must be an event `world` with `v` = version {VERSION}")]
+    #[error("line 1: must be the header (`ev` is `world`) of a log of version {VERSION}")]
     Version,
 }
 
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios: receivers, traffic and scheduled faults of a test, read from TOML or drawn from a seed.
 //!
-//! Figures are checked where they are read, so that an error names the file, the line and the field. The TOML
-//! has the names of the fields; the aliases are the names in earlier releases.
+//! Values are checked while the TOML is parsed, so that an error names the file, the line and the field. The keys of the
+//! TOML are the names of the fields; the aliases are the keys of earlier releases.
 
 mod events;
 mod generator;
@@ -22,25 +22,25 @@
 pub use units::{Ms, OutOfRange, PerSecond, Share};
 pub use validation::{Inconsistency, Target};
 
-/// Traffic of the clients.
+/// Traffic that the clients generate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
     /// Messages per second to all senders together.
     pub per_s: PerSecond,
-    /// Share of idempotent messages; the others have idempotency keys.
+    /// Share of messages that are idempotent; the other messages carry idempotency keys.
     #[serde(alias = "status_share")]
     pub idempotent_share: Share,
-    /// Share of messages that are in bursts for one receiver.
+    /// Share of messages that belong to a burst for one receiver.
     #[serde(alias = "clumps")]
     pub burst_share: Share,
     /// Messages in a burst.
     #[serde(alias = "clump")]
     pub burst_len: u16,
-    /// Share of clients that submit once more after a rejection.
+    /// Share of messages that the client submits once more after a rejection.
     #[serde(alias = "retries")]
     pub retry_share: Share,
-    /// Share of clients that disconnect before the response.
+    /// Share of messages whose client disconnects before the response.
     #[serde(alias = "leave")]
     pub abandon_share: Share,
     /// Malformed requests per second.
@@ -48,7 +48,7 @@
     pub malformed_per_s: f64,
 }
 
-/// A test with its receivers, traffic and scheduled events.
+/// A test: its receivers, traffic and scheduled events.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -58,31 +58,31 @@
     pub seconds: u16,
     /// Number of senders, from 1 to 16.
     pub senders: usize,
-    /// Delay with which changes of the endpoint list reach senders.
+    /// Delay after which changes of the endpoint list reach the senders.
     #[serde(alias = "list_late_ms")]
     pub list_delay_ms: Ms,
-    /// Traffic of the clients.
+    /// Traffic that the clients generate.
     pub traffic: Traffic,
-    /// The receivers.
+    /// The receivers, at least one.
     #[serde(alias = "partners")]
     pub receivers: Vec<ReceiverPlan>,
-    /// What happens at set times.
+    /// Faults, changes of the endpoint list and restarts, in any order.
     #[serde(default, alias = "happenings")]
     pub events: Vec<ScheduledEvent>,
 }
 
 impl Scenario {
-    /// Draws a scenario of `seconds` with two senders and faults: the same for a seed on every machine.
+    /// Draws a scenario of `seconds` with two senders and faults. A seed draws the same scenario on every machine.
     pub fn random(seed: u64, seconds: u16) -> Self {
         generator::scenario(seed, seconds)
     }
 
-    /// Whether a sender is replaced under load.
+    /// Whether a process of a sender is replaced while clients submit messages.
     pub fn has_takeover(&self) -> bool {
         self.events.iter().any(|event| matches!(event, ScheduledEvent::Upgrade { .. }))
     }
 
-    /// Whether all endpoints of a receiver with one shared limit reject calls or connections at once.
+    /// Whether an outage makes all endpoints that share a rate limit reject calls or connections at the same time.
     pub fn has_shared_outage(&self) -> bool {
         let is_shared = |number: u16| {
             self.receivers.iter().any(|receiver| receiver.number == number && !receiver.independent)
--- a/crates/testkit/src/scenario/events.rs
+++ b/crates/testkit/src/scenario/events.rs
@@ -1,10 +1,10 @@
-//! What happens at set times of a scenario: faults, changes of the endpoint list, and restarts of senders.
+//! Events at set times of a scenario: faults, changes of the endpoint list, and restarts of senders.
 
 use serde::{Deserialize, Serialize};
 
 use super::units::{Ms, Share};
 
-/// Fault of a receiver's endpoints.
+/// Fault of the endpoints of a receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Outage {
@@ -14,28 +14,29 @@
     /// All calls are rejected, with a Retry-After until the end of the outage.
     #[serde(alias = "shut")]
     RejectAll,
-    /// A share of the calls fails at once; half of those are executed.
+    /// A share of the calls fails without a delay; half of the failing calls are executed.
     Errors {
-        /// The share.
+        /// Share of the calls that fail.
         share: Share,
     },
-    /// The endpoint stalls for `stop_ms` of every `every_ms`. It needs no warm-up afterwards.
+    /// The endpoint stalls for `stop_ms` of every `every_ms`. It does not need to warm up after the outage.
     Stall {
         /// Length of a stall.
         stop_ms: Ms,
         /// Period of the stalls.
         every_ms: Ms,
     },
-    /// Calls are read and never answered.
+    /// Calls are read but never answered.
     #[serde(alias = "silent")]
     Unresponsive,
-    /// As [`Outage::Unresponsive`], also for calls that were executed before; open connections are reset at the end.
+    /// As [`Outage::Unresponsive`], but calls that were executed before the outage are not answered either, and open
+    /// connections are reset at the end of the outage.
     #[serde(alias = "vanish")]
     Unreachable,
 }
 
 impl Outage {
-    /// Its kind as the event log names it.
+    /// The kind of the outage, as the event log names it.
     pub fn kind(self) -> &'static str {
         match self {
             Self::RefuseConnections => "refuse",
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Whether an endpoint has to warm up after it; not after stalls or if half of the calls or more passed.
+    /// Whether an endpoint has to warm up after the outage: not after stalls, nor if at least half of the calls succeeded.
     pub fn needs_warm_up(self) -> bool {
         match self {
             Self::Stall { .. } => false,
@@ -57,11 +58,11 @@
     }
 }
 
-/// Fault of the discovery service beside a sender.
+/// Fault of a sender's discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiscoveryFault {
-    /// Discovery sends nothing; notifications are still accepted.
+    /// The service sends nothing, but still acknowledges notifications.
     Silent,
     /// Notifications are answered with 500.
     #[serde(alias = "refuses_notices")]
@@ -75,29 +76,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum LinkFault {
-    /// Everything is delayed, each way.
+    /// All bytes are delayed in both directions.
     Delay {
-        /// The delay.
+        /// The delay in each direction.
         ms: Ms,
     },
-    /// Everything towards the sender is lost without an error.
+    /// All bytes to the sender are lost without an error.
     #[serde(alias = "lose_back")]
     LoseResponses,
-    /// Everything is lost both ways without an error.
+    /// All bytes are lost in both directions without an error.
     BlackHole,
-    /// Both ends are reset after a number of bytes towards the receiver.
+    /// A connection is reset at both ends after a number of bytes to the receiver.
     CutAfter {
-        /// The number of bytes.
+        /// Bytes that are forwarded before the reset.
         bytes: u32,
     },
-    /// The direction towards the receiver ends after a number of bytes.
+    /// The direction to the receiver is closed after a number of bytes.
     HalfCloseAfter {
-        /// The number of bytes.
+        /// Bytes that are forwarded before the close.
         bytes: u32,
     },
-    /// One byte at a time, each way.
+    /// Bytes are forwarded one at a time in both directions.
     Trickle {
-        /// The pause after each byte.
+        /// Pause after each byte.
         pause_ms: Ms,
     },
     /// Open connections are reset once, when the fault begins.
@@ -108,16 +109,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Phase {
-    /// It accepts calls.
+    /// The endpoint accepts calls.
     Serving,
-    /// It accepts no new calls.
+    /// The endpoint accepts no new calls.
     Draining,
-    /// It has left the list.
+    /// The endpoint was removed from the list.
     Deleted,
 }
 
 impl Phase {
-    /// The phase as it is on the wire.
+    /// The phase as the endpoint list names it.
     pub fn wire_name(self) -> &'static str {
         match self {
             Self::Serving => "SERVING",
@@ -127,7 +128,7 @@
     }
 }
 
-/// An event at a set time after the start of the scenario.
+/// An event. Its time is relative to the start of the scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ScheduledEvent {
@@ -141,43 +142,43 @@
         /// Number of the receiver.
         #[serde(alias = "partner")]
         receiver: u16,
-        /// Ids of the endpoints; all if there are none.
+        /// Ids of the endpoints in the outage; an empty list stands for all endpoints of the receiver.
         #[serde(default)]
         endpoints: Vec<String>,
         /// The fault.
         outage: Outage,
     },
-    /// An endpoint's phase on the list changes.
+    /// The phase of an endpoint on the endpoint list changes.
     List {
         /// Time.
         at_ms: Ms,
         /// Id of the endpoint.
         endpoint: String,
-        /// Its new phase.
+        /// The new phase.
         phase: Phase,
     },
-    /// Changes of the list reach senders later than usual.
+    /// Changes of the endpoint list reach the senders later than usual.
     Stale {
         /// Begin.
         at_ms: Ms,
         /// Duration.
         #[serde(alias = "for_ms")]
         duration_ms: Ms,
-        /// Additional delay.
+        /// Delay in addition to [`Scenario::list_delay_ms`](super::Scenario::list_delay_ms).
         #[serde(alias = "late_ms")]
         delay_ms: Ms,
     },
-    /// A sender is killed and started again.
+    /// A sender's process is killed and started again.
     Kill {
         /// Time.
         at_ms: Ms,
         /// Index of the sender.
         sender: usize,
-        /// Time after which it is started again.
+        /// Time after the kill at which the process is started again.
         #[serde(alias = "back_ms")]
         restart_after_ms: Ms,
     },
-    /// A fault of the discovery service beside a sender.
+    /// A fault of a sender's discovery service.
     #[serde(alias = "agent")]
     Discovery {
         /// Begin.
@@ -191,7 +192,8 @@
         #[serde(alias = "trouble")]
         fault: DiscoveryFault,
     },
-    /// The discovery service beside a sender moves to another address, and the sender gets SIGHUP.
+    /// The discovery service of a sender moves to another address. The sender's configuration is changed, and the sender
+    /// receives SIGHUP.
     #[serde(alias = "move")]
     MoveDiscovery {
         /// Time.
@@ -215,13 +217,13 @@
         #[serde(alias = "trouble")]
         fault: LinkFault,
     },
-    /// A sender is stopped, and started again when it has exited.
+    /// A sender's process is stopped with SIGTERM and started again after its exit.
     Restart {
         /// Time.
         at_ms: Ms,
         /// Index of the sender.
         sender: usize,
-        /// Time after its exit at which it is started again.
+        /// Time after the exit at which the process is started again.
         #[serde(alias = "back_ms")]
         restart_after_ms: Ms,
     },
--- a/crates/testkit/src/scenario/generator.rs
+++ b/crates/testkit/src/scenario/generator.rs
@@ -1,6 +1,6 @@
 //! Draws scenarios from a seed.
 //!
-//! The order of the draws is fixed: a seed stands for the same scenario in all versions.
+//! The order of the draws must not change, so that a seed draws the same scenario in all versions.
 
 use super::rng::SeededRng;
 use super::units::{Ms, PerSecond};
@@ -9,9 +9,9 @@
     ScheduledEvent, Traffic,
 };
 
-/// Senders of a drawn scenario.
+/// Number of senders in a drawn scenario.
 const SENDERS: usize = 2;
-/// Names of the zones, as scenarios and configurations have them.
+/// Names of the zones in scenarios and in the senders' configurations.
 const ZONES: [&str; 2] = ["hall-a", "hall-b"];
 
 /// Draws a scenario of `seconds` with faults.
@@ -21,7 +21,7 @@
 
 struct Generator {
     rng: SeededRng,
-    /// When clients stop, in milliseconds.
+    /// Time at which clients stop submitting, in milliseconds after the start.
     end_ms: u64,
 }
 
@@ -30,7 +30,7 @@
         let count = self.rng.integer(4, 7) as u16;
         let receivers: Vec<ReceiverPlan> = (0..count).map(|index| self.receiver(index)).collect();
         let limits: f64 = receivers.iter().map(total_rate).sum();
-        // Below the receivers' limits in sum, near that of the busiest one.
+        // The total stays below the sum of the receivers' limits, but the busiest receiver gets about as much as its limit.
         let per_s = PerSecond(limits * self.rng.between(0.45, 0.7));
         let mut events = Vec::new();
         self.outages(&receivers, &mut events);
@@ -45,7 +45,7 @@
             receivers,
             events,
         };
-        // Drawn last, so that seeds keep what they drew before these faults existed.
+        // These faults were added in later versions. They are drawn last, so that all other draws of a seed stay the same.
         self.discovery_faults(&mut scenario.events);
         self.link_faults(&scenario.receivers, &mut scenario.events);
         self.upgrade(&mut scenario.events);
@@ -114,7 +114,7 @@
             _ => Outage::Unreachable,
         };
         let at_ms = self.rng.ms(self.end_ms / 10, self.end_ms / 2);
-        // As long as outages in production, for which the senders' health checks are configured.
+        // The typical length of outages in production, for which the senders' health checks are configured.
         let duration_ms = self.rng.ms(7_600, 14_000);
         let is_partial = receiver.endpoints.len() > 1 && self.rng.chance(0.2);
         let endpoints = if is_partial { vec![receiver.endpoints[0].id.clone()] } else { Vec::new() };
@@ -149,9 +149,9 @@
     }
 
     fn drain(&mut self, endpoint: String, events: &mut Vec<ScheduledEvent>) {
-        let drained = self.rng.ms(self.end_ms / 5, self.end_ms / 2);
-        let deleted = Ms(drained.0 + self.rng.integer(3_000, 6_000));
-        let phases = [(drained, Phase::Draining), (deleted, Phase::Deleted)];
+        let drained_at = self.rng.ms(self.end_ms / 5, self.end_ms / 2);
+        let deleted_at = Ms(drained_at.0 + self.rng.integer(3_000, 6_000));
+        let phases = [(drained_at, Phase::Draining), (deleted_at, Phase::Deleted)];
         events.extend(phases.map(|(at_ms, phase)| ScheduledEvent::List {
             at_ms,
             endpoint: endpoint.clone(),
@@ -206,7 +206,7 @@
         }
     }
 
-    /// A time in the middle of the scenario.
+    /// A time between one sixth and three quarters of the scenario.
     fn any_time(&mut self) -> Ms {
         self.rng.ms(self.end_ms / 6, self.end_ms * 3 / 4)
     }
--- a/crates/testkit/src/scenario/parse.rs
+++ b/crates/testkit/src/scenario/parse.rs
@@ -11,25 +11,25 @@
     /// The file cannot be read.
     #[error("{path}: {error}")]
     Io {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// The cause.
         error: std::io::Error,
     },
-    /// The file is not valid TOML, or a figure is out of range; the cause names the line and the field.
+    /// The file is not valid TOML, or a value is out of range. The cause names the line and the field.
     #[error("{path}: {error}")]
     Toml {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// The cause.
         error: Box<toml::de::Error>,
     },
-    /// Fields contradict each other.
+    /// A field contradicts another one, or is outside its range.
     #[error("{path}: {error}")]
     Inconsistent {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The field, and what is wrong with it.
+        /// The field and the cause.
         error: Inconsistency,
     },
 }
@@ -39,18 +39,18 @@
     ///
     /// # Errors
     ///
-    /// [`ScenarioError`] names the file, the line and the field.
+    /// [`ScenarioError`] names the file and the field, and the line for an error in the TOML.
     pub fn read(path: &Path) -> Result<Self, ScenarioError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| ScenarioError::Io { path: path.to_owned(), error })?;
         Self::parse(&text, path)
     }
 
-    /// Parses a scenario's text; errors name `path`.
+    /// Parses the text of a scenario file. `path` is only used to name the file in errors.
     ///
     /// # Errors
     ///
-    /// As [`Scenario::read`].
+    /// [`ScenarioError`], as for [`Scenario::read`].
     pub fn parse(text: &str, path: &Path) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text)
             .map_err(|error| ScenarioError::Toml { path: path.to_owned(), error: Box::new(error) })?;
--- a/crates/testkit/src/scenario/receiver_plan.rs
+++ b/crates/testkit/src/scenario/receiver_plan.rs
@@ -1,16 +1,16 @@
-//! Receivers of a scenario: their endpoints, rate limits and service times.
+//! The receivers of a scenario, with their endpoints, rate limits and service times.
 
 use serde::{Deserialize, Serialize};
 
 use super::units::{Ms, PerSecond, Share};
 
-/// How a receiver limits its rate.
+/// How a receiver limits the rate of its calls.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Limit {
-    /// A token bucket that holds half a second's rate.
+    /// A token bucket whose capacity is the rate of half a second.
     Rate,
-    /// A count in each fixed window.
+    /// A maximum number of calls in each fixed window.
     #[serde(alias = "span")]
     Window {
         /// Length of the window.
@@ -19,60 +19,61 @@
     },
 }
 
-/// When a receiver sends a Retry-After with a rejection.
+/// Which rejections carry a Retry-After, and its value.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryAfterPolicy {
-    /// Share of the rejections that carry one.
+    /// Share of the rejections that carry a Retry-After.
     pub share: Share,
-    /// Its least value; without it, the time until a call would be accepted.
+    /// Lower bound of the Retry-After. If the time until a call would be accepted is longer, or there is no lower bound, that
+    /// time is sent.
     #[serde(default)]
     pub wait_ms: Option<Ms>,
 }
 
-/// An endpoint of a receiver.
+/// An endpoint of a planned receiver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointPlan {
-    /// Id of the endpoint.
+    /// Id of the endpoint, unique in the scenario.
     pub id: String,
-    /// The zone it is in.
+    /// Name of the zone that the endpoint is in.
     #[serde(alias = "hall")]
     pub zone: String,
 }
 
-/// A receiver.
+/// A receiver of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReceiverPlan {
-    /// Number by which messages name it.
+    /// Number that messages give as their receiver.
     pub number: u16,
-    /// Name for people.
+    /// Name for display.
     pub name: String,
-    /// Its endpoints.
+    /// The receiver's endpoints, at least one.
     pub endpoints: Vec<EndpointPlan>,
     /// Whether each endpoint has a rate limit and outages of its own.
     #[serde(default, alias = "apart")]
     pub independent: bool,
-    /// Calls per second that it accepts (each endpoint, if independent).
+    /// Rate limit in calls per second: of each endpoint if they are independent, otherwise of all endpoints together.
     pub per_s: PerSecond,
-    /// How it limits its rate.
+    /// How the rate limit is enforced.
     pub limit: Limit,
-    /// Whether rejected calls count against the limit.
+    /// Whether rejected calls count towards the rate limit.
     #[serde(default, alias = "refused_count")]
     pub counts_rejected: bool,
-    /// When it sends a Retry-After.
+    /// Which rejections carry a Retry-After.
     #[serde(alias = "tells")]
     pub retry_after: RetryAfterPolicy,
     /// Mean service time of a call.
     #[serde(alias = "work_ms")]
     pub service_time_ms: Ms,
-    /// Calls that may wait for a free worker of an endpoint.
+    /// Most calls that wait for a free worker of an endpoint; further calls are rejected.
     #[serde(alias = "queue")]
     pub max_queued: u16,
-    /// Connections that an endpoint accepts at once.
+    /// Most connections that an endpoint has open at the same time.
     #[serde(alias = "connections")]
     pub max_connections: u16,
-    /// Weight among the receivers when messages are drawn.
+    /// Relative share of the messages for this receiver, above 0.
     pub weight: f64,
 }
--- a/crates/testkit/src/scenario/rng.rs
+++ b/crates/testkit/src/scenario/rng.rs
@@ -1,46 +1,46 @@
-//! A seeded generator of random figures, the same on every machine.
+//! A seeded generator of random numbers, which draws the same numbers on every machine.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
 use super::units::{Ms, Share};
 
-/// Draws figures from a seed.
+/// Draws random numbers from a seed.
 #[derive(Clone, Debug)]
 pub struct SeededRng(ChaCha8Rng);
 
 impl SeededRng {
-    /// A generator that starts from a seed.
+    /// Creates a generator. Generators with the same seed draw the same numbers.
     pub fn new(seed: u64) -> Self {
         Self(ChaCha8Rng::seed_from_u64(seed))
     }
 
-    /// Uniform from 0 up to but not including 1.
+    /// A number with uniform distribution, from 0 up to but not including 1.
     pub fn unit(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Uniform between two figures.
+    /// A number with uniform distribution, from `low` up to but not including `high`.
     pub fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * self.unit()
     }
 
-    /// An integer from `low` up to but not including `high`.
+    /// An integer with uniform distribution, from `low` up to but not including `high`.
     pub fn integer(&mut self, low: u64, high: u64) -> u64 {
         low + (self.unit() * (high - low) as f64) as u64
     }
 
-    /// True with this probability.
+    /// Returns true with this probability, from 0 to 1.
     pub fn chance(&mut self, probability: f64) -> bool {
         self.unit() < probability
     }
 
-    /// Exponentially distributed with this mean, as times between independent events are.
+    /// A number with exponential distribution and this mean, such as the time between independent events.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.unit()).ln()
     }
 
-    /// A share, uniform between two figures.
+    /// A share with uniform distribution between `low` and `high`.
     pub(super) fn share(&mut self, low: f64, high: f64) -> Share {
         Share::clamped(self.between(low, high))
     }
--- a/crates/testkit/src/scenario/units.rs
+++ b/crates/testkit/src/scenario/units.rs
@@ -1,23 +1,23 @@
-//! Checked units of a scenario's figures.
+//! The units of a scenario's values, whose ranges are checked when the scenario is parsed.
 
 use serde::{Deserialize, Serialize};
 
-/// Highest rate of a scenario, per second.
+/// Highest rate in a scenario, per second.
 const MAX_PER_SECOND: f64 = 100_000.0;
 /// Longest time in a scenario, in milliseconds.
 const MAX_MS: u64 = 3_600_000;
 
-/// A figure that is out of the range of its unit.
+/// A value that is out of the range of its unit.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum OutOfRange {
-    /// Not a share.
-    #[error("{0} is not a share from 0 to 1")]
+    /// A share is out of range.
+    #[error("share is {0}: must be from 0 to 1")]
     Share(f64),
-    /// Not a rate.
-    #[error("{0} is not a rate a second above 0, up to 100000")]
+    /// A rate is out of range.
+    #[error("rate is {0} per second: must be above 0 and at most 100000")]
     PerSecond(f64),
-    /// Not a time.
-    #[error("{0} ms are more than an hour")]
+    /// A time is out of range.
+    #[error("time is {0} ms: must be at most 3600000 ms (1 hour)")]
     Ms(u64),
 }
 
@@ -35,12 +35,12 @@
 }
 
 impl Share {
-    /// A share from a figure that is brought into its range.
+    /// The share closest to a number, which may be out of range.
     pub(super) fn clamped(value: f64) -> Self {
         Self(value.clamp(0.0, 1.0))
     }
 
-    /// The figure.
+    /// The share as a number from 0 to 1.
     pub fn get(self) -> f64 {
         self.0
     }
@@ -61,13 +61,13 @@
 }
 
 impl PerSecond {
-    /// The figure.
+    /// The rate as a number per second.
     pub fn get(self) -> f64 {
         self.0
     }
 }
 
-/// A time in milliseconds, up to an hour.
+/// A time in whole milliseconds, up to an hour.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "u64")]
 pub struct Ms(pub(super) u64);
@@ -81,12 +81,12 @@
 }
 
 impl Ms {
-    /// The figure.
+    /// The time as a number of milliseconds.
     pub fn get(self) -> u64 {
         self.0
     }
 
-    /// As a [`Duration`](std::time::Duration).
+    /// The time as a [`Duration`](std::time::Duration).
     pub fn duration(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
--- a/crates/testkit/src/scenario/validation.rs
+++ b/crates/testkit/src/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! Checks that the fields of a scenario fit together.
+//! Checks that the fields of a scenario are consistent with each other.
 
 use std::collections::BTreeSet;
 
@@ -7,48 +7,48 @@
 /// Maximum number of senders.
 const MAX_SENDERS: usize = 16;
 
-/// A field that does not fit the others, by its key.
+/// A field that is outside its range or contradicts another field. The text begins with its key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Inconsistency {
-    /// Number of senders out of range.
-    #[error("senders: {0} is not from 1 to 16")]
+    /// The number of senders is out of range.
+    #[error("senders is {0}: must be from 1 to 16")]
     Senders(usize),
-    /// There is no receiver.
-    #[error("receivers: there are none")]
+    /// The scenario has no receiver.
+    #[error("receivers is empty: must contain at least one receiver")]
     NoReceivers,
     /// A receiver has no endpoint.
-    #[error("receivers[{receiver}].endpoints: there are none")]
+    #[error("receivers[{receiver}].endpoints is empty: must contain at least one endpoint")]
     NoEndpoints {
         /// Index of the receiver.
         receiver: usize,
     },
     /// A receiver's weight is not a positive number.
-    #[error("receivers[{receiver}].weight: {weight} is not above 0")]
+    #[error("receivers[{receiver}].weight is {weight}: must be a finite number above 0")]
     Weight {
         /// Index of the receiver.
         receiver: usize,
-        /// The weight.
+        /// The invalid weight.
         weight: f64,
     },
     /// Two endpoints have the same id.
-    #[error("receivers[{receiver}].endpoints: {id} is there twice")]
+    #[error("receivers[{receiver}].endpoints has the id {id} a second time: must be unique in the scenario")]
     DuplicateEndpoint {
-        /// Index of the second one's receiver.
+        /// Index of the receiver that has the second endpoint.
         receiver: usize,
-        /// The id.
+        /// Id of both endpoints.
         id: String,
     },
-    /// An event names something that does not exist.
-    #[error("events[{event}]: there is no {missing}")]
+    /// An event names a sender, receiver or endpoint that does not exist.
+    #[error("events[{event}] names {missing}, which is not in the scenario")]
     UnknownTarget {
         /// Index of the event.
         event: usize,
-        /// What it names.
+        /// What the event names.
         missing: Target,
     },
 }
 
-/// What an event happens to.
+/// The sender, receiver or endpoint that an event affects.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Target {
     /// A receiver, by its number.
@@ -63,11 +63,11 @@
 }
 
 impl Scenario {
-    /// Checks what the types cannot express.
+    /// Checks the constraints that the types of the fields do not express.
     ///
     /// # Errors
     ///
-    /// The first [`Inconsistency`].
+    /// The first [`Inconsistency`] found.
     pub(super) fn validate(&self) -> Result<(), Inconsistency> {
         if self.senders == 0 || self.senders > MAX_SENDERS {
             return Err(Inconsistency::Senders(self.senders));
@@ -87,6 +87,7 @@
         Ok(())
     }
 
+    /// The first target of an event that does not exist in the scenario; `None` if all of them exist.
     fn missing_target(&self, event: &ScheduledEvent, endpoint_ids: &BTreeSet<&str>) -> Option<Target> {
         let receiver_target = |number: u16| {
             let exists = self.receivers.iter().any(|receiver| receiver.number == number);
@@ -115,6 +116,7 @@
     }
 }
 
+/// Checks the receiver with this index in the scenario, and adds its endpoints to `endpoint_ids`.
 fn validate_receiver<'a>(
     index: usize,
     receiver: &'a ReceiverPlan,
--- a/crates/testkit/src/test_environment.rs
+++ b/crates/testkit/src/test_environment.rs
@@ -1,5 +1,5 @@
-//! The environment of real sender processes in a test: starts receivers, discovery services, proxies and clients, plays a
-//! scenario and returns the event log.
+//! The test environment of real sender processes: starts fake receivers, discovery services, fault proxies, senders and
+//! clients, plays a scenario and returns the event log.
 
 mod configuration;
 mod failures;
@@ -31,31 +31,31 @@
 use crate::program::{Launch, Program, ProgramError};
 use crate::scenario::{Scenario, ScheduledEvent};
 
-/// Time after the last message's lifetime in which outcomes are awaited.
+/// How long outcomes are awaited after the lifetime of the last message.
 pub(crate) const OUTCOME_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How often it is checked whether messages have their outcomes.
+/// Interval of the checks whether all messages have their outcomes.
 const OUTCOME_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Distinguishes the seed of malformed requests from the scenario's.
+/// Changes the scenario's seed (by XOR) to draw the malformed requests from a seed of their own.
 const MALFORMED_SEED: u64 = 0xbad;
 
-/// How a scenario is played.
+/// Configuration of a test environment.
 #[derive(Clone, Debug)]
 pub struct EnvironmentConfig {
     /// How a sender is started.
     pub launch: Launch,
-    /// An empty folder for configurations, journals and logs.
+    /// An empty folder for the senders' configurations, journals and logs.
     pub folder: PathBuf,
-    /// Longest time a message may take to be delivered, which bounds the length of a test.
+    /// Upper bound of a message's lifetime, which bounds the length of a test.
     pub max_lifetime: Duration,
 }
 
 /// Error of starting a test environment.
 #[derive(Debug, thiserror::Error)]
 pub enum EnvironmentError {
-    /// Sockets or files of the fakes.
+    /// A socket or file of a fake cannot be created.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A sender.
+    /// A sender cannot be started.
     #[error("{0}")]
     Program(#[from] ProgramError),
 }
@@ -65,11 +65,11 @@
 pub struct RunResult {
     /// The event log.
     pub lines: Vec<Line>,
-    /// Failures of senders to start, stop or hand over.
+    /// Failures of senders to start, to stop or to be taken over.
     pub failures: Vec<RunFailure>,
-    /// Processor time of the processes that ran at the end, in microseconds.
+    /// Total processor time of the sender processes that ran at the end of the test, in microseconds.
     pub cpu_us: u64,
-    /// The highest memory use of such a process, in KiB.
+    /// The highest memory use of one of these processes, in KiB.
     pub peak_kib: u64,
 }
 
@@ -86,7 +86,7 @@
     links: Vec<Arc<ProxiedLink>>,
 }
 
-/// Starts a scenario's receivers.
+/// Starts the receivers of a scenario.
 ///
 /// # Errors
 ///
@@ -106,7 +106,7 @@
 }
 
 impl TestEnvironment {
-    /// Starts the receivers, discovery services and senders of a scenario.
+    /// Starts the receivers, fault proxies, discovery services and senders of a scenario.
     ///
     /// # Errors
     ///
@@ -140,20 +140,21 @@
         Ok(Self { scenario, config, event_log, receivers, discoveries, programs, clients, links })
     }
 
-    /// The event log while it is written.
+    /// A handle to the event log, which is written until [`TestEnvironment::run`] returns.
     pub fn event_log(&self) -> EventLog {
         self.event_log.clone()
     }
 
-    /// Plays the scenario until every accepted message has its final outcome or its time for one has passed.
+    /// Plays the scenario, then waits until every accepted message has its final outcome or the time for outcomes has passed,
+    /// and stops the senders.
     pub async fn run(self) -> RunResult {
         let start = Instant::now();
         let failures = Failures::default();
-        // Cancelled when the run returns.
+        // The tasks are cancelled when this function returns.
         let mut tasks = JoinSet::new();
         self.start_tasks(start, &failures, &mut tasks);
-        let planned = client::plan(&self.scenario, self.config.max_lifetime);
-        self.clients.clone().run(planned, start).await;
+        let planned_messages = client::plan(&self.scenario, self.config.max_lifetime);
+        self.clients.clone().run(planned_messages, start).await;
         let deadline = Instant::now() + self.config.max_lifetime + OUTCOME_TIMEOUT;
         wait_for_outcomes(&self.event_log, deadline, OUTCOME_CHECK_INTERVAL).await;
         let mut result = RunResult::default();
@@ -163,6 +164,7 @@
         result
     }
 
+    /// Starts the tasks that run beside the clients: the lag monitor, malformed requests and the scenario's events.
     fn start_tasks(&self, start: Instant, failures: &Failures, tasks: &mut JoinSet<()>) {
         let malformed_per_s = self.scenario.traffic.malformed_per_s;
         tasks.spawn(record_lag(self.event_log.clone()));
@@ -182,6 +184,7 @@
         player.schedule_all();
     }
 
+    /// Stops the senders and adds their resource use to the result.
     async fn stop_programs(&self, failures: &Failures, result: &mut RunResult) {
         for program in &self.programs {
             let mut program = program.lock().await;
@@ -192,16 +195,17 @@
     }
 }
 
-/// Whether the scenario upgrades this sender, so that its listening socket has to outlast its process.
+/// Whether the scenario upgrades the sender with this index, so that its listening socket must stay open after its process
+/// exits.
 fn is_upgraded(scenario: &Scenario, index: usize) -> bool {
     let is_upgrade =
         |event: &ScheduledEvent| matches!(event, ScheduledEvent::Upgrade { sender, .. } if *sender == index);
     scenario.events.iter().any(is_upgrade)
 }
 
-/// The sender's program in the folder of the running program, where cargo puts both.
+/// Path of the sender's program in the folder of the running program, where cargo puts both; `None` if it does not exist.
 pub fn program_beside_this_one() -> Option<PathBuf> {
-    let folder = std::env::current_exe().ok()?;
-    let path = folder.parent()?.join("rudderspindle");
+    let running_program = std::env::current_exe().ok()?;
+    let path = running_program.parent()?.join("rudderspindle");
     path.exists().then_some(path)
 }
--- a/crates/testkit/src/test_environment/configuration.rs
+++ b/crates/testkit/src/test_environment/configuration.rs
@@ -1,4 +1,4 @@
-//! The senders' configuration in a test, and the classes and endpoints that the event log's header describes.
+//! The senders' configuration in a test, and the classes and endpoints in the header of the event log.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 const KEYED_TARGET_MS: u64 = 4_000;
 /// Latency objective of idempotent messages, in milliseconds.
 const IDEMPOTENT_TARGET_MS: u64 = 2_000;
-/// Base of the senders' seeds.
+/// Seed of the first sender; each further sender has the next number.
 const SEED_BASE: u64 = 0x9e37_79b9;
 
 /// Name of the sender with this index.
@@ -22,7 +22,7 @@
     format!("n{index}")
 }
 
-/// The message classes of a test in which no message lives longer than `max_lifetime`.
+/// The message classes of a test. Deadlines are at most `max_lifetime`.
 pub fn classes(max_lifetime: Duration) -> Vec<Class> {
     let class = |class: MessageClass, effect, group, window: Duration, target_ms| Class {
         name: class.name.to_owned(),
@@ -39,7 +39,7 @@
     ]
 }
 
-/// The endpoints of receivers, as the event log's header describes them.
+/// The endpoints of receivers for the header of the event log.
 pub fn endpoints(receivers: &[ReceiverPlan]) -> Vec<Endpoint> {
     let mut endpoints = Vec::new();
     for receiver in receivers {
@@ -56,7 +56,7 @@
     endpoints
 }
 
-/// The configuration of the sender with this index among `senders`.
+/// The content of the configuration file of the sender with this index. `senders` is the number of senders in the test.
 pub fn configuration(
     discovery: &FakeDiscovery,
     classes: &[Class],
@@ -64,14 +64,14 @@
     senders: usize,
     index: usize,
 ) -> Value {
-    let lanes: Vec<Value> = classes.iter().map(lane).collect();
+    let class_settings: Vec<Value> = classes.iter().map(class_settings).collect();
     json!({"discovery": discovery.addr().to_string(), "seed": format!("{:016x}", SEED_BASE + index as u64),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 16},
         "known": discovery.list(),
         "settings": {
             "az": index % 2, "azs": ["hall-a", "hall-b"], "kinds": ["big-platform", "any-size"],
             "peers_total": senders, "me": index, "tick": 5.0, "weights": "nominal",
-            "lanes": lanes, "projects": projects(),
+            "lanes": class_settings, "projects": tenant_settings(),
             "extra": {"bundle_max": [1, 1], "kind_apart": [true, false], "calls_out": 64,
                       "loses_worth": "linear"},
             "limits": {"connect_timeout": 1500.0, "idle_close": 15000.0, "max_attempts": 12, "most_held": 800,
@@ -80,7 +80,8 @@
                       "tip_after": rules.overload_window_ms, "warm_within": rules.warm_up_ms}}})
 }
 
-fn lane(class: &Class) -> Value {
+/// The settings of a message class.
+fn class_settings(class: &Class) -> Value {
     let (effect, group) = match class.effect {
         Effect::Idempotent => ("free", "all"),
         Effect::IdempotencyKey if class.group == KeyGroup::All => ("guarded", "all"),
@@ -92,7 +93,8 @@
            "target": class.target_ms, "credit": credit, "deadline": class.deadline_ms, "late_worth": 0.3})
 }
 
-fn projects() -> Vec<Value> {
-    let project = |tenant: &Tenant| json!({"name": tenant.name, "fraction": 0.2, "quota_per_s": 1000.0});
-    TENANTS.iter().map(project).collect()
+/// The settings of all tenants.
+fn tenant_settings() -> Vec<Value> {
+    let settings = |tenant: &Tenant| json!({"name": tenant.name, "fraction": 0.2, "quota_per_s": 1000.0});
+    TENANTS.iter().map(settings).collect()
 }
--- a/crates/testkit/src/test_environment/failures.rs
+++ b/crates/testkit/src/test_environment/failures.rs
@@ -1,38 +1,38 @@
-//! Failures of senders during a test, collected from the tasks that play the scenario's events.
+//! Collects failures of senders from the tasks that play the events of a scenario.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use crate::program::ProgramError;
 
-/// A failure of a sender's process that the checker cannot see.
+/// A failure of a sender's process, which is not in the event log.
 #[derive(Debug, thiserror::Error)]
 pub enum RunFailure {
-    /// It did not exit with success after SIGTERM, or not in time.
+    /// The process did not exit successfully and in time after SIGTERM.
     #[error("a sender did not exit cleanly after SIGTERM")]
     UncleanExit,
-    /// The process that was replaced did not exit with success.
+    /// The process that was replaced in a takeover did not exit successfully and in time.
     #[error("a sender did not exit cleanly after a takeover")]
     UncleanTakeover,
-    /// It could not be started, stopped or configured.
+    /// The process could not be started, stopped or configured.
     #[error(transparent)]
     Program(#[from] ProgramError),
 }
 
-/// The failures so far; clones collect into the same list.
+/// The failures so far. Clones add to the same list.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Failures(Arc<Mutex<Vec<RunFailure>>>);
 
 impl Failures {
-    /// Records the result of stopping a process: whether it exited cleanly, else `unclean`.
-    pub(super) fn check_exit(&self, exited_cleanly: Result<bool, ProgramError>, unclean: RunFailure) {
+    /// Records the failure `unclean_exit` if a process did not exit cleanly, or the error of stopping it.
+    pub(super) fn check_exit(&self, exited_cleanly: Result<bool, ProgramError>, unclean_exit: RunFailure) {
         match exited_cleanly {
             Ok(true) => {}
-            Ok(false) => self.push(unclean),
+            Ok(false) => self.push(unclean_exit),
             Err(error) => self.push(error.into()),
         }
     }
 
-    /// Records an error.
+    /// Records the error of a result, if it is one.
     pub(super) fn check(&self, result: Result<(), ProgramError>) {
         if let Err(error) = result {
             self.push(error.into());
--- a/crates/testkit/src/test_environment/links.rs
+++ b/crates/testkit/src/test_environment/links.rs
@@ -1,4 +1,4 @@
-//! The fault proxies between senders and endpoints, and the endpoint lists with their addresses.
+//! Starts the fault proxies between senders and endpoints, and builds the endpoint lists with the proxies' addresses.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::fault_proxy::{Fault, FaultProxy};
 use crate::scenario::{LinkFault, Phase, Scenario, ScheduledEvent};
 
-/// Longest delay within the tolerance of the rules, in milliseconds.
+/// Longest delay of a link that the tolerance of the rules covers, in milliseconds.
 const MAX_TOLERATED_DELAY_MS: u64 = 20;
 
 /// A proxy between a sender and an endpoint of a receiver.
@@ -19,12 +19,13 @@
     pub(super) sender: usize,
     /// Number of the receiver.
     pub(super) receiver: u16,
+    /// Id of the endpoint.
     endpoint: String,
     proxy: FaultProxy,
 }
 
 impl ProxiedLink {
-    /// Begins or ends a fault, and records that.
+    /// Begins or ends a fault of the link, and records the change in the event log.
     pub(super) fn set_fault(&self, fault: LinkFault, on: bool, event_log: &EventLog) {
         event_log.record(Event::LinkFault {
             sender: sender_name(self.sender),
@@ -40,7 +41,7 @@
     }
 }
 
-/// The fault's kind as the event log names it.
+/// The kind of the fault, as the event log names it.
 fn kind(fault: LinkFault) -> &'static str {
     match fault {
         LinkFault::Delay { .. } => "delay",
@@ -53,7 +54,7 @@
     }
 }
 
-/// Whether responses may be lost or long delayed without an error.
+/// Whether the fault may lose responses, or delay them beyond the tolerance of the rules, without an error.
 fn hides_responses(fault: LinkFault) -> bool {
     match fault {
         LinkFault::Delay { ms } => ms.get() > MAX_TOLERATED_DELAY_MS,
@@ -62,7 +63,7 @@
     }
 }
 
-/// Starts a proxy for each link that a scenario has a fault for.
+/// Starts a proxy for each link that has a fault in the scenario.
 ///
 /// # Errors
 ///
@@ -79,9 +80,9 @@
             continue;
         };
         for endpoint in &receiver.plan().endpoints {
-            let exists = links.iter().any(|link| link.sender == sender && link.endpoint == endpoint.id);
+            let has_proxy = links.iter().any(|link| link.sender == sender && link.endpoint == endpoint.id);
             let addr = receiver.addr(&sender_names[sender], &endpoint.id);
-            let Some(addr) = addr.filter(|_| !exists) else { continue };
+            let Some(addr) = addr.filter(|_| !has_proxy) else { continue };
             let proxy = FaultProxy::start(addr).await?;
             let endpoint = endpoint.id.clone();
             links.push(Arc::new(ProxiedLink { sender, receiver: number, endpoint, proxy }));
@@ -90,7 +91,7 @@
     Ok(links)
 }
 
-/// The endpoint list of a sender at the start of a test.
+/// The endpoint list of the sender with this index at the start of a test. A link with a proxy has the proxy's address.
 pub(crate) fn list_entries(
     receivers: &[Arc<FakeReceiver>],
     links: &[Arc<ProxiedLink>],
@@ -101,11 +102,11 @@
     for receiver in receivers {
         let plan = receiver.plan();
         for endpoint in &plan.endpoints {
-            let Some(direct) = receiver.addr(&sender_name, &endpoint.id) else { continue };
+            let Some(direct_addr) = receiver.addr(&sender_name, &endpoint.id) else { continue };
             let link = links.iter().find(|link| link.sender == sender && link.endpoint == endpoint.id);
             entries.push(Entry {
                 id: endpoint.id.clone(),
-                addr: link.map_or(direct, |link| link.proxy.addr()),
+                addr: link.map_or(direct_addr, |link| link.proxy.addr()),
                 zone: endpoint.zone.clone(),
                 kind: if plan.independent { "big-platform" } else { "any-size" }.to_owned(),
                 receiver: plan.number,
--- a/crates/testkit/src/test_environment/monitor.rs
+++ b/crates/testkit/src/test_environment/monitor.rs
@@ -1,4 +1,4 @@
-//! Watches a running test: whether this process keeps up, and whether all messages have their outcomes.
+//! Monitors a running test: measures the lag of the test process, and waits until all messages have their outcomes.
 
 use std::time::{Duration, Instant};
 
@@ -7,38 +7,40 @@
 use crate::checker::{Checker, MAX_LAG_US};
 use crate::event_log::{Event, EventLog};
 
-/// How often the lag of this process is measured.
+/// Interval of the measurements of the test process's lag.
 const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Lag that is recorded, in microseconds.
+/// Lag above which a measurement is recorded, in microseconds.
 const RECORDED_LAG_US: u64 = MAX_LAG_US / 2;
 
-/// Records delays of this process until it is cancelled, as they may cause violations that are not the sender's.
+/// Records the lag of this process in the event log until the task is cancelled. A lag of the fakes may cause violations
+/// that are not a sender's fault.
 pub async fn record_lag(event_log: EventLog) {
-    let mut next = Instant::now();
+    let mut next_check = Instant::now();
     loop {
-        next += LAG_CHECK_INTERVAL;
-        sleep_until(next.into()).await;
-        let lag_us = next.elapsed().as_micros() as u64;
+        next_check += LAG_CHECK_INTERVAL;
+        sleep_until(next_check.into()).await;
+        let lag_us = next_check.elapsed().as_micros() as u64;
         if lag_us > RECORDED_LAG_US {
             event_log.record(Event::Lagged { who: "fakes".to_owned(), lag_us });
-            next = Instant::now();
+            next_check = Instant::now();
         }
     }
 }
 
-/// Waits until every accepted message has its final outcome or the deadline has passed; checks once per interval.
+/// Waits until every accepted message has its final outcome or the deadline has passed, and returns the checker of the lines
+/// so far. The log is checked once per interval.
 pub(crate) async fn wait_for_outcomes(
     event_log: &EventLog,
     deadline: Instant,
     interval: Duration,
 ) -> Checker {
-    // Each line is processed once: repeated checks of the whole log would make the fakes lag.
+    // Each line is processed only once, because repeated checks of the whole log would make the fakes lag.
     let mut checker = Checker::default();
-    let mut checked = 0;
+    let mut processed_lines = 0;
     loop {
-        for line in event_log.lines_from(checked) {
-            checked += 1;
-            checker.process(checked, &line);
+        for line in event_log.lines_from(processed_lines) {
+            processed_lines += 1;
+            checker.process(processed_lines, &line);
         }
         if checker.pending() == 0 || Instant::now() > deadline {
             return checker;
--- a/crates/testkit/src/test_environment/player.rs
+++ b/crates/testkit/src/test_environment/player.rs
@@ -1,4 +1,4 @@
-//! Plays the scheduled events of a scenario, each in its own task.
+//! Plays the scheduled events of a scenario, each in a task of its own.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,17 +15,17 @@
 use crate::program::{Program, ProgramError};
 use crate::scenario::{DiscoveryFault, LinkFault, Ms, Outage, Phase, Scenario, ScheduledEvent};
 
-/// Interval between the announcements of a list change to successive senders, in milliseconds.
+/// Interval between the announcements of an endpoint list change to one sender and the next, in milliseconds.
 const LIST_STAGGER_MS: u64 = 40;
 
-/// Time span of a fault.
+/// The time span in which a fault is active.
 #[derive(Clone, Copy)]
 struct FaultWindow {
     begin: Instant,
     duration: Duration,
 }
 
-/// What the events of a scenario act on.
+/// Plays the events of a scenario on the fakes and senders of the test environment.
 pub(super) struct Player<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) receivers: &'a [Arc<FakeReceiver>],
@@ -34,9 +34,9 @@
     pub(super) links: &'a [Arc<ProxiedLink>],
     pub(super) event_log: &'a EventLog,
     pub(super) failures: &'a Failures,
-    /// When the scenario began.
+    /// Start of the scenario, to which the events' times are relative.
     pub(super) start: Instant,
-    /// Owner of the events' tasks, which are cancelled when it is dropped.
+    /// The tasks of the events, which are cancelled when the set is dropped.
     pub(super) tasks: &'a mut JoinSet<()>,
 }
 
@@ -57,7 +57,7 @@
             ScheduledEvent::List { at_ms, endpoint, phase } => {
                 self.schedule_list_change(at_ms, &endpoint, phase);
             }
-            // Part of the delay of each change of the list.
+            // Needs no task: `list_delay_ms` adds the delay to each list change.
             ScheduledEvent::Stale { .. } => {}
             ScheduledEvent::Discovery { at_ms, duration_ms, sender, fault } => {
                 self.schedule_discovery_fault(self.window(at_ms, duration_ms), sender, fault);
@@ -76,6 +76,7 @@
         }
     }
 
+    /// The instant of a time relative to the start of the scenario.
     fn at(&self, time: Ms) -> Instant {
         self.start + time.duration()
     }
@@ -106,16 +107,16 @@
         }
     }
 
-    /// Delay with which a change of the list at this time reaches senders.
+    /// Delay after which a change of the endpoint list at this time reaches the first sender.
     fn list_delay_ms(&self, at_ms: u64) -> u64 {
-        let additional = self.scenario.events.iter().filter_map(|event| match event {
+        let additional_delays = self.scenario.events.iter().filter_map(|event| match event {
             ScheduledEvent::Stale { at_ms: begin, duration_ms, delay_ms } => {
                 let is_stale = (begin.get()..begin.get() + duration_ms.get()).contains(&at_ms);
                 is_stale.then(|| delay_ms.get())
             }
             _ => None,
         });
-        self.scenario.list_delay_ms.get() + additional.max().unwrap_or(0)
+        self.scenario.list_delay_ms.get() + additional_delays.max().unwrap_or(0)
     }
 
     fn schedule_discovery_fault(&mut self, window: FaultWindow, sender: usize, fault: DiscoveryFault) {
@@ -133,19 +134,19 @@
         let (discovery, program) = (self.discoveries[sender].clone(), self.programs[sender].clone());
         self.tasks.spawn(async move {
             sleep_until(when.into()).await;
-            let moved = async {
-                // Not between a process's start and its readiness, when it may not have read the file.
+            let relocation = async {
+                // The lock excludes the time between a process's start and its readiness, when it may not have read the file.
                 let mut program = program.lock().await;
                 let addr = discovery.relocate().await?.to_string();
                 program.reconfigure(&[("discovery", addr.into())]).await
             };
-            failures.check(moved.await);
+            failures.check(relocation.await);
         });
     }
 
     fn schedule_link_fault(&mut self, window: FaultWindow, sender: usize, receiver: u16, fault: LinkFault) {
-        let affected = |link: &&Arc<ProxiedLink>| link.sender == sender && link.receiver == receiver;
-        for link in self.links.iter().filter(affected) {
+        let is_affected = |link: &&Arc<ProxiedLink>| link.sender == sender && link.receiver == receiver;
+        for link in self.links.iter().filter(is_affected) {
             let (link, event_log) = (link.clone(), self.event_log.clone());
             self.tasks.spawn(async move {
                 sleep_until(window.begin.into()).await;
@@ -191,7 +192,7 @@
     }
 }
 
-/// Starts a sender again after a delay, with the current endpoint list in its configuration.
+/// Starts a sender again after a delay. Its configuration gets the current endpoint list as the known endpoints.
 async fn restart(program: &mut Program, discovery: &FakeDiscovery, delay_ms: Ms) -> Result<(), ProgramError> {
     sleep(delay_ms.duration()).await;
     let reconfigured = program.reconfigure(&[("known", discovery.list())]).await;
