--- a/crates/testkit/src/event_log/event.rs
+++ b/crates/testkit/src/event_log/event.rs
@@ -43,7 +43,7 @@
         /// Id of the first submission of the same message by the client.
         #[serde(rename = "first")]
         first_message_id: String,
-        /// The sender to which the message was submitted.
+        /// Name of the sender to which the message was submitted.
         sender: String,
         /// Name of the message's class.
         class: String,
@@ -62,7 +62,7 @@
     /// A client has read the response to its submission.
     #[serde(rename = "heard")]
     Responded {
-        /// The message.
+        /// Id of the message.
         #[serde(rename = "txn")]
         message_id: String,
         /// Status of the response. 200 and 202: accepted; 429 and 503: rejected; any other: failed.
@@ -71,7 +71,7 @@
     /// A client has disconnected before it received a response.
     #[serde(rename = "unheard")]
     Unanswered {
-        /// The message.
+        /// Id of the message.
         #[serde(rename = "txn")]
         message_id: String,
     },
@@ -80,11 +80,11 @@
     CallReceived {
         /// Id of the call, unique in the log.
         call: u64,
-        /// The sender that made it.
+        /// Name of the sender that made the call.
         sender: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
-        /// The message.
+        /// Id of the message.
         #[serde(rename = "txn")]
         message_id: String,
         /// When the first byte of the call arrived, in microseconds on the log's clock.
@@ -93,7 +93,7 @@
     /// A receiver has executed a call, or dropped it as a repeat.
     #[serde(rename = "effect")]
     Executed {
-        /// The call.
+        /// Id of the call.
         call: u64,
         /// Whether the call was dropped as a repeat.
         repeat: bool,
@@ -101,7 +101,7 @@
     /// An endpoint begins to write the response to a call.
     #[serde(rename = "answered")]
     CallAnswered {
-        /// The call.
+        /// Id of the call.
         call: u64,
         /// Status of the response.
         status: u16,
@@ -112,15 +112,15 @@
     /// The connection of a call has ended before its response.
     #[serde(rename = "cut")]
     CallAborted {
-        /// The call.
+        /// Id of the call.
         call: u64,
     },
     /// An endpoint has received a health check.
     #[serde(rename = "probed")]
     HealthChecked {
-        /// The sender that made it.
+        /// Name of the sender that made the health check.
         sender: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
         /// Whether the response reported a healthy endpoint.
         ok: bool,
@@ -128,17 +128,17 @@
     /// An endpoint has reset a connection before it read a byte.
     #[serde(rename = "turned")]
     ConnectionRefused {
-        /// The sender that connected.
+        /// Name of the sender that connected.
         sender: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
     },
     /// A change of the endpoint list was written to a sender.
     #[serde(rename = "told")]
     EndpointChanged {
-        /// The sender.
+        /// Name of the sender.
         sender: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
         /// The new phase: `SERVING`, `DRAINING` or `DELETED`.
         phase: String,
@@ -146,9 +146,9 @@
     /// A notification has arrived at the platform.
     #[serde(rename = "noticed")]
     Notified {
-        /// The sender of the notification.
+        /// Name of the sender of the notification.
         sender: String,
-        /// The message.
+        /// Id of the message.
         #[serde(rename = "txn")]
         message_id: String,
         /// Status of the notification: `undeliverable` or `deferred`.
@@ -159,7 +159,7 @@
     },
     /// An outage of an endpoint begins or ends. The endpoint warms up after the end.
     Outage {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
         /// Kind of the outage, as [`Outage::kind`](crate::scenario::Outage::kind) returns it.
         kind: String,
@@ -169,7 +169,7 @@
     /// A fault of the discovery service beside a sender begins or ends.
     #[serde(rename = "agent")]
     DiscoveryFault {
-        /// The sender.
+        /// Name of the sender.
         sender: String,
         /// Kind of the fault: `silent`, `refuses_notices` or `ignores_notices`.
         kind: String,
@@ -179,9 +179,9 @@
     /// A fault of the link between a sender and an endpoint begins or ends.
     #[serde(rename = "link")]
     LinkFault {
-        /// The sender.
+        /// Name of the sender.
         sender: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
         /// Kind of the fault.
         kind: String,
@@ -194,7 +194,7 @@
     /// The state of a sender's process has changed.
     #[serde(rename = "sender")]
     ProcessChanged {
-        /// The sender.
+        /// Name of the sender.
         sender: String,
         /// The new state.
         #[serde(rename = "life")]
--- a/crates/testkit/src/scenario/events.rs
+++ b/crates/testkit/src/scenario/events.rs
@@ -134,9 +134,9 @@
 pub enum ScheduledEvent {
     /// An outage of a receiver's endpoints.
     Outage {
-        /// Begin.
+        /// Start of the fault.
         at_ms: Ms,
-        /// Duration.
+        /// Duration of the fault.
         #[serde(alias = "for_ms")]
         duration_ms: Ms,
         /// Number of the receiver.
@@ -145,12 +145,12 @@
         /// Ids of the endpoints in the outage; an empty list stands for all endpoints of the receiver.
         #[serde(default)]
         endpoints: Vec<String>,
-        /// The fault.
+        /// Kind of the fault.
         outage: Outage,
     },
     /// The phase of an endpoint on the endpoint list changes.
     List {
-        /// Time.
+        /// Time of the event.
         at_ms: Ms,
         /// Id of the endpoint.
         endpoint: String,
@@ -159,9 +159,9 @@
     },
     /// Changes of the endpoint list reach the senders later than usual.
     Stale {
-        /// Begin.
+        /// Start of the fault.
         at_ms: Ms,
-        /// Duration.
+        /// Duration of the fault.
         #[serde(alias = "for_ms")]
         duration_ms: Ms,
         /// Delay in addition to [`Scenario::list_delay_ms`](super::Scenario::list_delay_ms).
@@ -170,7 +170,7 @@
     },
     /// A sender's process is killed and started again.
     Kill {
-        /// Time.
+        /// Time of the event.
         at_ms: Ms,
         /// Index of the sender.
         sender: usize,
@@ -181,14 +181,14 @@
     /// A fault of a sender's discovery service.
     #[serde(alias = "agent")]
     Discovery {
-        /// Begin.
+        /// Start of the fault.
         at_ms: Ms,
-        /// Duration.
+        /// Duration of the fault.
         #[serde(alias = "for_ms")]
         duration_ms: Ms,
         /// Index of the sender.
         sender: usize,
-        /// The fault.
+        /// Kind of the fault.
         #[serde(alias = "trouble")]
         fault: DiscoveryFault,
     },
@@ -196,16 +196,16 @@
     /// receives SIGHUP.
     #[serde(alias = "move")]
     MoveDiscovery {
-        /// Time.
+        /// Time of the event.
         at_ms: Ms,
         /// Index of the sender.
         sender: usize,
     },
     /// A fault of the links between a sender and a receiver.
     Link {
-        /// Begin.
+        /// Start of the fault.
         at_ms: Ms,
-        /// Duration.
+        /// Duration of the fault.
         #[serde(alias = "for_ms")]
         duration_ms: Ms,
         /// Index of the sender.
@@ -213,13 +213,13 @@
         /// Number of the receiver.
         #[serde(alias = "partner")]
         receiver: u16,
-        /// The fault.
+        /// Kind of the fault.
         #[serde(alias = "trouble")]
         fault: LinkFault,
     },
     /// A sender's process is stopped with SIGTERM and started again after its exit.
     Restart {
-        /// Time.
+        /// Time of the event.
         at_ms: Ms,
         /// Index of the sender.
         sender: usize,
@@ -229,7 +229,7 @@
     },
     /// A second process of a sender takes over, and the first one exits.
     Upgrade {
-        /// Time.
+        /// Time of the event.
         at_ms: Ms,
         /// Index of the sender.
         sender: usize,
