--- a/crates/testkit/src/event_log/event.rs
+++ b/crates/testkit/src/event_log/event.rs
@@ -8,21 +8,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessState {
-    /// It has answered that it is ready.
+    /// The process has answered that it is ready.
     Ready,
-    /// It was asked to stop.
+    /// The process was asked to stop with SIGTERM.
     #[serde(rename = "term")]
     Terminating,
-    /// The process has exited, for whatever reason.
+    /// The process has exited, for any reason.
     #[serde(rename = "ended")]
     Exited,
 }
 
-/// An event. Names of senders, endpoints and messages are those on the wire.
+/// An event. Senders, endpoints and messages are identified as on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ev", rename_all = "snake_case")]
 pub enum Event {
-    /// The first line: what the test consists of.
+    /// The first line of the log, which describes the test.
     #[serde(rename = "world")]
     Header {
         /// Version of the format.
@@ -40,170 +40,170 @@
         /// Id of the message, new for each submission.
         #[serde(rename = "txn")]
         message_id: String,
-        /// Id of its first submission.
+        /// Id of the first submission of the same message by the client.
         #[serde(rename = "first")]
         first_message_id: String,
-        /// The sender it was submitted to.
+        /// Name of the sender to which the message was submitted.
         sender: String,
-        /// Name of its class.
+        /// Name of the message's class.
         class: String,
-        /// Its tenant.
+        /// Name of the message's tenant.
         tenant: String,
-        /// Number of its receiver.
+        /// Number of the message's receiver.
         #[serde(rename = "partner")]
         receiver: u16,
         /// Time left to deliver it, in milliseconds.
         #[serde(rename = "left_ms")]
         time_left_ms: u64,
-        /// Its ordering key.
+        /// Ordering key of the message, if it has one.
         #[serde(default, skip_serializing_if = "Option::is_none", rename = "order")]
         ordering_key: Option<String>,
     },
     /// A client has read the response to its submission.
     #[serde(rename = "heard")]
     Responded {
-        /// The message.
+        /// Id of the message.
         #[serde(rename = "txn")]
         message_id: String,
-        /// 200 or 202: accepted; 429 or 503: rejected; else failed.
+        /// Status of the response. 200 and 202: accepted; 429 and 503: rejected; any other: failed.
         status: u16,
     },
-    /// A client has disconnected without a response.
+    /// A client has disconnected before it received a response.
     #[serde(rename = "unheard")]
     Unanswered {
-        /// The message.
+        /// Id of the message.
         #[serde(rename = "txn")]
         message_id: String,
     },
     /// An endpoint has read the last byte of a call.
     #[serde(rename = "called")]
     CallReceived {
-        /// Id of the call.
+        /// Id of the call, unique in the log.
         call: u64,
-        /// The sender that made it.
+        /// Name of the sender that made the call.
         sender: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
-        /// The message.
+        /// Id of the message.
         #[serde(rename = "txn")]
         message_id: String,
-        /// When its first byte arrived, in microseconds on the log's clock.
+        /// When the first byte of the call arrived, in microseconds on the log's clock.
         first_us: u64,
     },
-    /// A call was executed, or dropped as a repeat.
+    /// A receiver has executed a call, or dropped it as a repeat.
     #[serde(rename = "effect")]
     Executed {
-        /// The call.
+        /// Id of the call.
         call: u64,
-        /// Whether it was dropped as a repeat.
+        /// Whether the call was dropped as a repeat.
         repeat: bool,
     },
-    /// An endpoint writes the response to a call.
+    /// An endpoint begins to write the response to a call.
     #[serde(rename = "answered")]
     CallAnswered {
-        /// The call.
+        /// Id of the call.
         call: u64,
         /// Status of the response.
         status: u16,
-        /// Its Retry-After in milliseconds; 0 for none.
+        /// Retry-After of the response, in milliseconds; 0 if it has none.
         #[serde(rename = "wait_ms")]
         retry_after_ms: u64,
     },
     /// The connection of a call has ended before its response.
     #[serde(rename = "cut")]
     CallAborted {
-        /// The call.
+        /// Id of the call.
         call: u64,
     },
     /// An endpoint has received a health check.
     #[serde(rename = "probed")]
     HealthChecked {
-        /// The sender that made it.
+        /// Name of the sender that made the health check.
         sender: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
-        /// Whether the response was good.
+        /// Whether the response reported a healthy endpoint.
         ok: bool,
     },
     /// An endpoint has reset a connection before it read a byte.
     #[serde(rename = "turned")]
     ConnectionRefused {
-        /// The sender that connected.
+        /// Name of the sender that connected.
         sender: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
     },
     /// A change of the endpoint list was written to a sender.
     #[serde(rename = "told")]
     EndpointChanged {
-        /// The sender.
+        /// Name of the sender.
         sender: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
-        /// `SERVING`, `DRAINING` or `DELETED`.
+        /// The new phase: `SERVING`, `DRAINING` or `DELETED`.
         phase: String,
     },
     /// A notification has arrived at the platform.
     #[serde(rename = "noticed")]
     Notified {
-        /// The sender of the notification.
+        /// Name of the sender of the notification.
         sender: String,
-        /// The message.
+        /// Id of the message.
         #[serde(rename = "txn")]
         message_id: String,
-        /// `undeliverable` or `deferred`.
+        /// Status of the notification: `undeliverable` or `deferred`.
         status: String,
-        /// Whether the platform acknowledged it.
+        /// Whether the platform acknowledged the notification.
         #[serde(rename = "taken")]
         acknowledged: bool,
     },
-    /// An outage of an endpoint begins or ends. After its end the endpoint warms up.
+    /// An outage of an endpoint begins or ends. The endpoint warms up after the end.
     Outage {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
-        /// Kind of the outage.
+        /// Kind of the outage, as [`Outage::kind`](crate::scenario::Outage::kind) returns it.
         kind: String,
-        /// Whether it begins.
+        /// Whether the outage begins.
         on: bool,
     },
     /// A fault of the discovery service beside a sender begins or ends.
     #[serde(rename = "agent")]
     DiscoveryFault {
-        /// The sender.
+        /// Name of the sender.
         sender: String,
-        /// `silent`, `refuses_notices` or `ignores_notices`.
+        /// Kind of the fault: `silent`, `refuses_notices` or `ignores_notices`.
         kind: String,
-        /// Whether it begins.
+        /// Whether the fault begins.
         on: bool,
     },
     /// A fault of the link between a sender and an endpoint begins or ends.
     #[serde(rename = "link")]
     LinkFault {
-        /// The sender.
+        /// Name of the sender.
         sender: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
         /// Kind of the fault.
         kind: String,
-        /// Whether it may lose or delay responses and ends of connections without an error.
+        /// Whether the fault may lose or delay responses and ends of connections without an error.
         #[serde(rename = "hides")]
         hides_responses: bool,
-        /// Whether it begins.
+        /// Whether the fault begins.
         on: bool,
     },
     /// The state of a sender's process has changed.
     #[serde(rename = "sender")]
     ProcessChanged {
-        /// The sender.
+        /// Name of the sender.
         sender: String,
-        /// Its new state.
+        /// The new state.
         #[serde(rename = "life")]
         state: ProcessState,
     },
-    /// A fake acted later than it was due, so that a violation may not be the sender's.
+    /// A fake acted late, so that a violation may not be the sender's fault.
     #[serde(rename = "late")]
     Lagged {
-        /// Which fake.
+        /// Name of the fake.
         who: String,
         /// The delay in microseconds.
         #[serde(rename = "by_us")]
