--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -45,11 +45,11 @@
                 }
             }
             Input::SuccessorConnected => self.successor_connected(),
-            Input::PeerDisconnected => self.peer_disconnected(),
-            Input::RetryAfter { destination, receiver, wait } => {
+            Input::PeerProcessDisconnected => self.peer_disconnected(),
+            Input::PeerProcessBackoff { destination, receiver, wait } => {
                 events.extend(self.apply_peer_backoff(destination, receiver.as_deref(), wait));
             }
-            Input::PeerCallsInFlight(calls) => self.policy.set_slots_used_by_peer(calls),
+            Input::PeerProcessCallsInFlight(calls) => self.policy.set_slots_used_by_peer(calls),
             Input::CapacityUpdates(updates) => events.extend(updates.into_iter().map(Event::Capacity)),
             Input::Permits(updates) => {
                 let wall_now = UnixMillis::now();
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -140,9 +140,10 @@
                 self.next_batch_events.push(Event::Dropped(id));
                 self.io.metrics.count_outcome(message.class, FinalOutcome::Rejected);
             }
-            effects
-                .responses
-                .push(PendingResponse { response_sender, response: SubmissionResponse::REFUSED });
+            effects.responses.push(PendingResponse {
+                response_sender,
+                response: SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER,
+            });
         }
         for call in effects.calls.drain(..) {
             let event =
--- a/crates/sender/src/engine/commit/tests.rs
+++ b/crates/sender/src/engine/commit/tests.rs
@@ -35,7 +35,7 @@
         assert_eq!(response.try_recv(), Err(TryRecvError::Empty));
         engine.store = Store::open(full_disk.path(), 0).expect("a journal");
         engine.commit_batch(Instant::now(), intake, vec![send(id)]);
-        assert_eq!(response.try_recv(), Ok(SubmissionResponse::REFUSED));
+        assert_eq!(response.try_recv(), Ok(SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER));
         assert!(engine.calls.is_empty() && engine.tracked_messages.is_empty());
         assert!(!engine.store.contains(&"m1".into()));
         let [
@@ -75,7 +75,7 @@
     let test = async {
         let cases = [
             (SubmissionResponse::Failed, None),
-            (SubmissionResponse::REFUSED, Some(0.0)),
+            (SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER, Some(0.0)),
             (SubmissionResponse::Refused { retry_after: 250.0 }, Some(250.0)),
         ];
         let (mut engine, _inputs) = engine(folder.path());
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -66,7 +66,7 @@
         if self.tracked_messages.len() >= self.settings.max_pending
             || !self.store.has_space_for(journal_bytes)
         {
-            self.respond(submission, SubmissionResponse::REFUSED, intake);
+            self.respond(submission, SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER, intake);
             return None;
         }
         if !Store::fits_batch(journal_bytes) {
@@ -94,7 +94,7 @@
             // again.
             let no_list = self.endpoints.is_empty();
             return Some(if no_list {
-                SubmissionResponse::REFUSED
+                SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER
             } else {
                 SubmissionResponse::UnknownDestination
             });
@@ -104,11 +104,15 @@
             // withdraw the message by disconnecting.
             let undecided = intake.new_submissions.iter().any(|new| new.id == id);
             let added = !undecided && self.tracked_messages.add_submission(id, submission.id);
-            return Some(if added { SubmissionResponse::Accepted } else { SubmissionResponse::REFUSED });
+            return Some(if added {
+                SubmissionResponse::Accepted
+            } else {
+                SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER
+            });
         }
         // The journal still contains a message whose notification is pending. The acknowledgement of that notification
         // must not complete a new message with the same id.
-        self.store.contains(&submission.message_id).then_some(SubmissionResponse::REFUSED)
+        self.store.contains(&submission.message_id).then_some(SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER)
     }
 
     /// The message of a submission, as written to the journal.
--- a/crates/sender/src/engine/takeover/tests.rs
+++ b/crates/sender/src/engine/takeover/tests.rs
@@ -12,7 +12,7 @@
     let test = async {
         for wait in [1e300, f64::INFINITY, -5.0] {
             let (mut engine, _inputs) = engine(folder.path());
-            engine.run_batch(vec![Input::RetryAfter { destination: 7, receiver: None, wait }]);
+            engine.run_batch(vec![Input::PeerProcessBackoff { destination: 7, receiver: None, wait }]);
             tokio::time::advance(Duration::from_millis(MAX_BACKOFF_MS as u64 + 1)).await;
             let (input, response) = submission(1, "m1");
             engine.run_batch(vec![input]);
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -75,8 +75,11 @@
             let (input, response) = submission(number, "m1");
             engine.run_batch(vec![input]);
             let is_refused = number > MAX_CLIENTS_PER_MESSAGE as u64;
-            let expected =
-                if is_refused { SubmissionResponse::REFUSED } else { SubmissionResponse::Accepted };
+            let expected = if is_refused {
+                SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER
+            } else {
+                SubmissionResponse::Accepted
+            };
             assert_eq!(response.await, Ok(expected));
         }
         for number in 2..=MAX_CLIENTS_PER_MESSAGE as u64 + 1 {
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -109,7 +109,7 @@
         let (mut engine, inputs) = engine(folder.path());
         let listener = receiver(&mut engine).await;
         let mut stream = call(&mut engine, &listener, 1).await;
-        while inputs.try_send(Input::PeerCallsInFlight(0)).is_ok() {}
+        while inputs.try_send(Input::PeerProcessCallsInFlight(0)).is_ok() {}
         let response_bytes = b"HTTP/1.1 429 No\r\nX-Backoff-Ms: 30000\r\nContent-Length: 0\r\n\r\n";
         stream.write_all(response_bytes).await.expect("writable");
         // The backoff is applied before the outcome is sent.
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -56,9 +56,9 @@
     /// A successor process has connected.
     SuccessorConnected,
     /// The connection to the peer process (successor or predecessor) has closed.
-    PeerDisconnected,
+    PeerProcessDisconnected,
     /// A receiver has requested a backoff from the peer process.
-    RetryAfter {
+    PeerProcessBackoff {
         /// The receiver's destination.
         destination: u16,
         /// The receiver's id; `None` if the backoff applies to the whole destination.
@@ -67,7 +67,7 @@
         wait: Millis,
     },
     /// The number of calls that the peer process has in flight.
-    PeerCallsInFlight(usize),
+    PeerProcessCallsInFlight(usize),
     /// Take over the journal if its owner has ended. The response is whether this process owns the journal now.
     TakeOver(oneshot::Sender<bool>),
     /// Report the current demand, and the activity since the last report.
--- a/crates/sender/src/event/delivery.rs
+++ b/crates/sender/src/event/delivery.rs
@@ -51,7 +51,7 @@
 
 impl SubmissionResponse {
     /// The message was shed; no time for another submission is given.
-    pub const REFUSED: Self = Self::Refused { retry_after: 0.0 };
+    pub const REFUSED_WITHOUT_RETRY_AFTER: Self = Self::Refused { retry_after: 0.0 };
 }
 
 /// The call that makes one attempt to deliver a message.
--- a/crates/sender/src/handover/connection.rs
+++ b/crates/sender/src/handover/connection.rs
@@ -41,7 +41,7 @@
                 () = transmit(writer, queue) => {}
             }
             peer_process.disconnect();
-            let _ = engine.send(Input::PeerDisconnected).await;
+            let _ = engine.send(Input::PeerProcessDisconnected).await;
         });
     }
 }
--- a/crates/sender/src/handover/golden.rs
+++ b/crates/sender/src/handover/golden.rs
@@ -138,12 +138,12 @@
             remote.write_all(lines.as_bytes()).await.expect("writable");
             let first = inputs.recv().await;
             assert!(
-                matches!(&first, Some(Input::RetryAfter { destination: 3, receiver: Some(receiver), wait })
+                matches!(&first, Some(Input::PeerProcessBackoff { destination: 3, receiver: Some(receiver), wait })
                     if receiver == "r1" && *wait == 5.0),
                 "{line:?}: {first:?}"
             );
-            assert!(matches!(inputs.recv().await, Some(Input::PeerCallsInFlight(7))), "{line:?}");
-            assert!(matches!(inputs.recv().await, Some(Input::PeerDisconnected)), "{line:?}");
+            assert!(matches!(inputs.recv().await, Some(Input::PeerProcessCallsInFlight(7))), "{line:?}");
+            assert!(matches!(inputs.recv().await, Some(Input::PeerProcessDisconnected)), "{line:?}");
             assert!(!peer_process.is_connected(), "{line:?}");
             drop(engine);
             assert!(inputs.recv().await.is_none(), "{line:?}");
--- a/crates/sender/src/handover/message.rs
+++ b/crates/sender/src/handover/message.rs
@@ -49,9 +49,9 @@
     pub fn into_input(self) -> Option<Input> {
         match self {
             Self::RetryAfter { destination, receiver, ms } => {
-                Some(Input::RetryAfter { destination, receiver, wait: ms })
+                Some(Input::PeerProcessBackoff { destination, receiver, wait: ms })
             }
-            Self::CallsInFlight(calls) => Some(Input::PeerCallsInFlight(calls)),
+            Self::CallsInFlight(calls) => Some(Input::PeerProcessCallsInFlight(calls)),
             Self::Hello(_) | Self::OutageState { .. } | Self::FreeSpace => None,
         }
     }
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -81,7 +81,8 @@
         let id = submission.id;
         self.send_to_engine(submission)?;
         connection.submission_started(id);
-        let submission_response = response_receiver.await.unwrap_or(SubmissionResponse::REFUSED);
+        let submission_response =
+            response_receiver.await.unwrap_or(SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER);
         if submission_response == SubmissionResponse::Accepted {
             connection.submission_accepted(id);
         } else {
