--- a/crates/sender/src/engine.rs
+++ b/crates/sender/src/engine.rs
@@ -47,7 +47,7 @@
 
 /// How often the engine checks during a shutdown whether it can stop.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Maximum time between two batches when no input, timer or deadline is due.
+/// Maximum time between two batches while no input arrives and no timer or deadline is due.
 const MAX_BATCH_INTERVAL: Duration = Duration::from_secs(3600);
 /// Maximum number of inputs in a batch.
 const MAX_BATCH_INPUTS: usize = 4096;
@@ -65,9 +65,10 @@
     shutdown: Shutdown,
     /// When the last batch started.
     last_batch_at: Instant,
-    /// Inputs that did not fit into the last batch.
+    /// Submissions that did not fit into the last batch of the journal.
     next_batch_inputs: Vec<Input>,
-    /// Events for the policy that the last batch, or the creation of the engine, has left for the next batch.
+    /// Events for the policy that arose after the events of the last batch were passed to it, or while the engine was
+    /// created. The next batch passes them to the policy.
     next_batch_events: Vec<Event>,
     tracked_messages: TrackedMessages,
     /// Recovered messages that wait for capacity in the policy.
@@ -86,15 +87,15 @@
     /// [`SettingsError`] if the settings contradict each other.
     pub fn new(
         dependencies: EngineDependencies,
-        configured: &EndpointList,
-        fetched: Option<&EndpointList>,
+        configured_list: &EndpointList,
+        fetched_list: Option<&EndpointList>,
     ) -> Result<Self, SettingsError> {
         let mut engine = Self::build(dependencies)?;
-        let entries = engine.apply_entries(configured);
+        let entries = engine.apply_entries(configured_list);
         engine.next_batch_events.push(Event::List(ListChange::Cached(entries)));
-        // The configured list may be outdated: recovered messages must not be sent to a receiver that is draining by
-        // now.
-        if let Some(list) = fetched {
+        // The fetched list is applied before messages are recovered, because the configured list may be outdated:
+        // a recovered message must not be sent to a receiver that is draining by now.
+        if let Some(list) = fetched_list {
             let entries = engine.apply_entries(list);
             engine.next_batch_events.push(Event::List(ListChange::Full(entries)));
         }
@@ -186,7 +187,7 @@
     fn remaining_work(&self) -> RemainingWork {
         RemainingWork {
             calls: self.calls.len(),
-            has_notifications: !self.io.notifications.is_idle(),
+            has_unacknowledged_notifications: !self.io.notifications.is_idle(),
             messages: self.tracked_messages.len(),
             client_connections: self.io.metrics.client_connections(),
         }
--- a/crates/sender/src/engine/attempts.rs
+++ b/crates/sender/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts to deliver a message: their records in the journal at the start and at the end.
+//! Records the start and the outcome of each attempt to deliver a message in the journal.
 
 use std::time::Duration;
 
@@ -14,10 +14,12 @@
 use crate::metrics::FinalOutcome;
 use crate::outbound::ReceiverLocation;
 
-/// Allowance for the transmission of the client's request: the client's deadline counts from when it sent the request.
+/// Allowance for the transmission of the client's request. The client's deadline counts from when it sent the request,
+/// the engine's deadline from when the request was received.
 const REQUEST_TRANSIT_TIME: Duration = Duration::from_millis(5);
-/// Maximum time from the receipt of a request to its batch, in ticks. A response that arrives less than this time plus
-/// [`REQUEST_TRANSIT_TIME`] before the deadline may be late for the client, and does not count.
+/// Maximum time from the receipt of the client's request to its batch, in ticks of the settings. The client's deadline
+/// may be earlier than the engine's by this time plus [`REQUEST_TRANSIT_TIME`]. A receiver's response that arrives
+/// within this margin before the engine's deadline may be late for the client, and does not count.
 const DEADLINE_MARGIN_TICKS: f64 = 2.0;
 
 /// An attempt that the policy requests.
@@ -27,9 +29,10 @@
     pub id: MessageHandle,
     /// The receiver to call, by its id in the policy.
     pub route: RouteId,
-    /// Maximum time until the response; 0 if only the message's deadline limits it.
+    /// Maximum time until the response arrives, in milliseconds; 0 if only the message's deadline limits it.
     pub timeout: Millis,
-    /// Maximum time until the request is written; infinite if only the message's deadline limits it.
+    /// Maximum time until the request is written completely, in milliseconds; infinite if only the message's deadline
+    /// limits it.
     pub start_within: Millis,
 }
 
@@ -49,13 +52,14 @@
         let attempt = message.attempts;
         message.attempts += 1;
         let destination = self.endpoints.destination(&receiver);
-        message.receiver = destination.map(|destination| ReceiverId::of(destination.0, &receiver));
+        message.called_receiver = destination.map(|destination| ReceiverId::of(destination.0, &receiver));
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, receiver = &*receiver, zone = &*zone, "attempt");
         let execution = PossibleExecution { sent_at: UnixMillis::now(), receiver, zone };
         self.store.start_attempt(&message.message_id, execution);
         let response_deadline =
             if timeout == 0.0 { latest_response } else { (now + from_millis(timeout)).min(latest_response) };
-        let start_within = Duration::try_from_secs_f64(start_within.max(0.0) / 1_000.0);
+        // An infinite `start_within` cannot be converted to a `Duration`; the message's deadline applies then.
+        let time_to_write = Duration::try_from_secs_f64(start_within.max(0.0) / 1_000.0);
         Some(Call {
             id,
             attempt,
@@ -64,7 +68,7 @@
             idempotency_key: message.idempotency_key.clone(),
             body: message.body.clone(),
             response_deadline,
-            write_deadline: start_within.map_or(message.deadline, |start_within| now + start_within),
+            write_deadline: time_to_write.map_or(message.deadline, |time_to_write| now + time_to_write),
         })
     }
 
@@ -78,8 +82,9 @@
     ) -> Event {
         self.calls.remove(id);
         let CallOutcome { outcome, retry_after, completed } = call_outcome;
-        let receiver = self.tracked_messages.get_mut(id).and_then(|message| message.receiver.take());
-        self.activity.add_outcome(receiver, outcome);
+        let called_receiver =
+            self.tracked_messages.get_mut(id).and_then(|message| message.called_receiver.take());
+        self.activity.add_outcome(called_receiver, outcome);
         if let Some(message) = self.tracked_messages.get(id) {
             tracing::debug!(target: MESSAGE_LOG, message_id = &*message.message_id, attempt, ?outcome, retry_after, "outcome");
             if completed {
@@ -93,6 +98,7 @@
                 self.store.finish_attempt(&message.message_id, attempt, outcome.possibly_executed());
             }
         }
+        // The message may also have been completed before its call ended, for instance because its clients withdrew it.
         let completed = !self.tracked_messages.contains(id);
         Event::Outcome(AttemptResult { id, attempt, outcome, retry_after, completed })
     }
--- a/crates/sender/src/engine/backlog.rs
+++ b/crates/sender/src/engine/backlog.rs
@@ -9,7 +9,7 @@
 pub(super) struct RecoveredMessage {
     /// Index of the message's class in the settings.
     pub class: usize,
-    /// Value of the message's class; a higher one is taken first.
+    /// Value of the message's class in the settings; messages with a higher value are taken first.
     pub value: f64,
     /// The message's deadline.
     pub deadline: Instant,
@@ -24,11 +24,11 @@
 pub(super) struct RecoveredExecution {
     /// When the journal was read.
     pub read_at: Instant,
-    /// The attempt; `ago` is its age at `read_at`.
+    /// The attempt; its field `ago` is the attempt's age at `read_at`, in milliseconds.
     pub execution: PriorExecution,
 }
 
-/// The waiting messages, ordered by ascending value: the next one to take is last.
+/// The waiting messages, ordered by ascending value: the message to take next is the last one.
 #[derive(Debug, Default)]
 pub(super) struct Backlog(Vec<RecoveredMessage>);
 
@@ -57,8 +57,8 @@
         });
     }
 
-    /// Removes the `count` most valuable messages, and then all others whose deadline has passed. Returns the most
-    /// valuable first.
+    /// Removes the `count` most valuable messages, and all others whose deadline has passed. Returns the most valuable
+    /// messages first, in descending order, and then those past their deadline.
     pub fn take(&mut self, count: usize, now: Instant) -> Vec<RecoveredMessage> {
         let remaining_count = self.0.len().saturating_sub(count);
         let mut taken = self.0.split_off(remaining_count);
--- a/crates/sender/src/engine/backlog/tests.rs
+++ b/crates/sender/src/engine/backlog/tests.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn ids(messages: &[RecoveredMessage]) -> Vec<&str> {
+fn message_ids(messages: &[RecoveredMessage]) -> Vec<&str> {
     messages.iter().map(|recovered| &*recovered.message.message_id).collect()
 }
 
@@ -43,7 +43,7 @@
         message(now, "b", 1.0, 400),
         message(now, "a", 2.0, 900),
     ]);
-    assert_eq!(ids(&backlog.take(3, now)), ["a", "b", "c"]);
+    assert_eq!(message_ids(&backlog.take(3, now)), ["a", "b", "c"]);
     assert_eq!(backlog.len(), 1);
 }
 
@@ -52,7 +52,7 @@
     let now = Instant::now();
     let mut backlog = Backlog::default();
     backlog.extend([message(now, "late", 1.0, 0), message(now, "early", 1.0, 1)]);
-    assert_eq!(ids(&backlog.take(0, now)), ["late"]);
-    assert_eq!(ids(&backlog.take(1, now)), ["early"]);
+    assert_eq!(message_ids(&backlog.take(0, now)), ["late"]);
+    assert_eq!(message_ids(&backlog.take(1, now)), ["early"]);
     assert!(backlog.is_empty());
 }
--- a/crates/sender/src/engine/batch.rs
+++ b/crates/sender/src/engine/batch.rs
@@ -45,10 +45,11 @@
                 }
             }
             Input::SuccessorConnected => self.successor_connected(),
-            Input::PeerProcessDisconnected => self.peer_disconnected(),
+            Input::PeerProcessDisconnected => self.peer_process_disconnected(),
             Input::PeerProcessBackoff { destination, receiver, wait } => {
-                events.extend(self.apply_peer_backoff(destination, receiver.as_deref(), wait));
+                events.extend(self.apply_peer_process_backoff(destination, receiver.as_deref(), wait));
             }
+            // Each call in flight uses one of the connection slots that both processes share.
             Input::PeerProcessCallsInFlight(calls) => self.policy.set_slots_used_by_peer(calls),
             Input::CapacityUpdates(updates) => events.extend(updates.into_iter().map(Event::Capacity)),
             Input::Permits(updates) => {
@@ -57,7 +58,7 @@
             }
             Input::EjectedReceivers(routes) => events.push(Event::EjectedReceivers(routes)),
             Input::Quotas(quotas) => events.extend(quotas.into_iter().map(quota_event)),
-            // Sending the response fails if the requesting task has ended; nothing depends on it then.
+            // Sending a response fails only if the task that requested it has ended and no longer needs the response.
             Input::TakeOver(response_sender) => {
                 self.take_over_journal(now);
                 let _ = response_sender.send(self.store.is_owner());
@@ -80,8 +81,8 @@
     }
 }
 
-/// Converts permits to the policy's event. Their times become relative to `wall_now`, because the wall clock may be
-/// changed later.
+/// Converts permits to the policy's event. The permits' times become relative to `wall_now`, the current wall clock
+/// time, because the wall clock may be changed later.
 fn permits_event(update: PermitUpdate, wall_now: UnixMillis) -> Event {
     let millis_from_now = |time: UnixMillis| time.0 as Millis - wall_now.0 as Millis;
     let permit = |permit: rudderspindle_gossip::Permit| Permit {
--- a/crates/sender/src/engine/commit.rs
+++ b/crates/sender/src/engine/commit.rs
@@ -4,10 +4,10 @@
 //! the journal's buffer, and collect [`Effects`], which are executed after the write.
 //!
 //! If the write fails, submissions are refused and attempts are dropped. Completions stay in the journal's buffer until
-//! a later write: their messages are not sent again, and their notifications are sent to the platform. Cancellations
-//! and health checks are executed before the write, because they do not depend on the journal.
+//! a later write: the completed messages are not sent again, and the notifications about them are sent to the platform.
+//! Cancellations and health checks are executed before the write, because they do not depend on the journal.
 //!
-//! "To record" means here to add to the journal's buffer.
+//! In this module, "to record" means to add to the journal's buffer.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
 use crate::event::{Call, CallOutcome, MESSAGE_LOG, SubmissionResponse};
 use crate::metrics::FinalOutcome;
 
-/// The status of each message that the policy completes without delivery, by handle.
+/// The final status of each message that the policy completes without delivery, by the message's handle.
 type Completions = BTreeMap<MessageHandle, Status>;
 
 /// The responses, notifications and calls that are sent once the batch is written.
@@ -36,14 +36,16 @@
     accepted: Vec<AcceptedSubmission>,
     /// Notifications for the platform.
     notifications: Vec<PendingNotification>,
-    /// The calls of the recorded attempts.
+    /// The calls of the attempts that this batch records.
     calls: Vec<Call>,
 }
 
 /// A submission whose message is accepted once the batch is written.
 #[derive(Debug)]
 struct AcceptedSubmission {
+    /// The message's handle.
     id: MessageHandle,
+    /// Sends the response to the client's connection.
     response_sender: oneshot::Sender<SubmissionResponse>,
 }
 
@@ -59,8 +61,8 @@
         self.execute_effects(effects);
     }
 
-    /// Records the accepted messages. A message that is completed by the batch of its submission is not recorded: its
-    /// client receives the status as the response, without a notification.
+    /// Records the accepted messages. A message that is completed by the batch of its submission is not recorded: the
+    /// client receives the final status as the response, and no notification is sent.
     fn record_submissions(
         &mut self,
         submissions: Vec<NewSubmission>,
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Refuses the submissions and drops the attempts of a failed write.
+    /// Refuses the submissions and drops the attempts of a batch whose write failed.
     fn drop_unwritten(&mut self, effects: &mut Effects) {
         for AcceptedSubmission { id, response_sender } in effects.accepted.drain(..) {
             if let Some(message) = self.tracked_messages.remove(id) {
@@ -153,11 +155,11 @@
     }
 
     /// Sends the responses and notifications, starts the calls, and announces the number of calls in flight to the peer
-    /// process.
+    /// process (the successor or predecessor during a takeover).
     fn execute_effects(&mut self, effects: Effects) {
         let Effects { responses, accepted, notifications, calls } = effects;
         for PendingResponse { response_sender, response } in responses {
-            // Fails if the client has disconnected; `Input::Withdrawn` reports that.
+            // Sending fails if the client has disconnected; `Input::Withdrawn` reports that.
             let _ = response_sender.send(response);
         }
         for AcceptedSubmission { response_sender, .. } in accepted {
@@ -174,7 +176,7 @@
     }
 }
 
-/// The messages that the actions complete without delivery.
+/// The messages that the actions complete without delivery, with their final status.
 fn completions(actions: &[Action]) -> Completions {
     let completion = |action: &Action| match *action {
         Action::Refuse { id, retry_after } => {
--- a/crates/sender/src/engine/commit/tests.rs
+++ b/crates/sender/src/engine/commit/tests.rs
@@ -1,4 +1,5 @@
-//! Responses and calls are sent after the write to the journal, and not if the write fails.
+//! Responses and calls are sent only after the batch is written to the journal. If the write fails, submissions are
+//! refused and no call starts.
 
 use rudderspindle_journal::Store;
 use rudderspindle_policy::interface::{Action, AttemptResult, Event, MessageHandle, Outcome, RouteId};
@@ -23,17 +24,18 @@
     Action::Send { id, route: RouteId(0), timeout: 1_000.0, start_within: f64::INFINITY }
 }
 
-/// The journal has no disk space for the batch.
+/// The disk budget of the journal has no space for the batch.
 #[tokio::test]
 async fn a_failed_write_refuses_submissions_and_starts_no_attempt() {
     let folder = tempfile::tempdir().expect("a folder");
-    let full_disk = tempfile::tempdir().expect("a folder");
+    let full_journal_folder = tempfile::tempdir().expect("a folder");
     let test = async {
         let (mut engine, _inputs) = engine(folder.path());
         let (input, mut response) = submission(1, "m1");
         let (intake, id) = admit(&mut engine, input);
         assert_eq!(response.try_recv(), Err(TryRecvError::Empty));
-        engine.store = Store::open(full_disk.path(), 0).expect("a journal");
+        // Each write to a journal whose disk budget is 0 bytes fails.
+        engine.store = Store::open(full_journal_folder.path(), 0).expect("a journal");
         engine.commit_batch(Instant::now(), intake, vec![send(id)]);
         assert_eq!(response.try_recv(), Ok(SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER));
         assert!(engine.calls.is_empty() && engine.tracked_messages.is_empty());
@@ -43,7 +45,10 @@
             Event::Outcome(AttemptResult { id: finished, outcome: Outcome::NotSent, .. }),
         ] = engine.next_batch_events[..]
         else {
-            panic!("events for the policy: {:?}", engine.next_batch_events)
+            panic!(
+                "next batch events = {:?}: must be the dropped message and its unsent attempt",
+                engine.next_batch_events
+            )
         };
         assert_eq!((dropped, finished), (id, id));
     };
@@ -68,7 +73,8 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// Its client receives the status as the response, so that no notification is sent.
+/// The client of a message that completes in the batch that admits it receives the final status as the response; no
+/// notification is sent.
 #[tokio::test]
 async fn a_message_completed_by_its_own_batch_is_not_recorded() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/sender/src/engine/dependencies.rs
+++ b/crates/sender/src/engine/dependencies.rs
@@ -24,7 +24,7 @@
     pub io: EngineIo,
     /// Whether a successor can accept clients from the same listening socket.
     pub shared_listener: bool,
-    /// Whether activity is collected for the gossip.
+    /// Whether the engine collects activity for the gossip task.
     pub collect_activity: bool,
 }
 
@@ -43,11 +43,11 @@
 /// How the limits of receivers are shared with the other senders of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitSharing {
-    /// Each sender assumes an equal share, without gossip.
+    /// Each sender assumes that its share of each limit is equal to that of every other sender; no gossip is needed.
     Equal,
-    /// The shares follow the demand that the senders report to each other.
+    /// The shares are computed from the demand that the senders report to each other by gossip.
     Demand,
-    /// The shares follow the demand, and each call needs a permit.
+    /// The shares are computed from the demand, and each call also needs a permit.
     Permits,
 }
 
@@ -59,7 +59,7 @@
     pub notifications: Rc<Notifications>,
     /// The counters of this process.
     pub metrics: Rc<Metrics>,
-    /// The connection to the other process of this sender during a takeover.
+    /// The connection to the peer process, that is, the other process of this sender during a takeover.
     pub peer_process: Rc<PeerProcess>,
     /// The engine's inputs.
     pub inputs: mpsc::Receiver<Input>,
--- a/crates/sender/src/engine/endpoint_table.rs
+++ b/crates/sender/src/engine/endpoint_table.rs
@@ -10,8 +10,8 @@
 
 use crate::event::ListedReceiver;
 
-/// How long a removed receiver keeps its id. Longer than the policy keeps the state of a receiver, so that a receiver
-/// that is listed again within that time gets its state back.
+/// How long a removed receiver keeps its id. This time is longer than the policy keeps the state of a removed receiver,
+/// so that a receiver that is listed again while the policy has its state keeps that state.
 const REMOVED_RECEIVER_RETENTION: Duration = Duration::from_secs(70);
 
 /// A receiver that is listed or was removed recently.
@@ -30,7 +30,9 @@
 pub(super) struct EndpointTable {
     /// The known receivers, by their id in the endpoint list.
     receivers: HashMap<Rc<str>, KnownReceiver>,
+    /// The policy's id for the next receiver that is added.
     next_route: u64,
+    /// The destinations of the known receivers.
     destinations: HashSet<DestinationId>,
     /// Names of the zones; the index of a name is the zone's id in the policy.
     zones: Vec<String>,
@@ -94,8 +96,8 @@
         route
     }
 
-    /// The policy's id of a zone. An unknown zone is added with a new id while there is one below `u8::MAX`; all others
-    /// share the id `u8::MAX`.
+    /// The policy's id of a zone. An unknown zone is added with the next id below `u8::MAX`. Once these ids are used
+    /// up, all other zones share the id `u8::MAX`.
     pub fn find_or_add_zone(&mut self, zone: &str) -> u8 {
         let known_id = self.zones.iter().position(|name| name == zone);
         let next_id = self.zones.len();
@@ -105,7 +107,7 @@
         known_id.unwrap_or(next_id) as u8
     }
 
-    /// Updates a known receiver from its entry in the endpoint list.
+    /// Updates a known receiver from its entry in the endpoint list; ignores an unknown receiver.
     pub fn update(&mut self, receiver: &str, destination: DestinationId, listing: Listing, now: Instant) {
         let Some(known) = self.receivers.get_mut(receiver) else { return };
         if listing == Listing::Removed {
--- a/crates/sender/src/engine/endpoint_table/tests.rs
+++ b/crates/sender/src/engine/endpoint_table/tests.rs
@@ -8,8 +8,8 @@
 
 const DESTINATION: DestinationId = DestinationId(7);
 
-/// Adds a list entry of a receiver of [`DESTINATION`]; returns the receiver's id in the policy.
-fn list(table: &mut EndpointTable, receiver: &str, listing: Listing, now: Instant) -> RouteId {
+/// Applies an endpoint list entry for a receiver of [`DESTINATION`]; returns the receiver's id in the policy.
+fn apply_entry(table: &mut EndpointTable, receiver: &str, listing: Listing, now: Instant) -> RouteId {
     let route = table.find_or_add_route(receiver, now);
     table.update(receiver, DESTINATION, listing, now);
     table.discard_expired(now);
@@ -20,24 +20,24 @@
 fn a_removed_receiver_keeps_its_id_during_its_retention() {
     let start = Instant::now();
     let mut table = EndpointTable::new(Vec::new());
-    let route = list(&mut table, "r1", Listing::Ready, start);
+    let route = apply_entry(&mut table, "r1", Listing::Ready, start);
     table.mark_removed_except(&HashSet::new(), start);
     assert_eq!((table.listed_receiver_count(), table.has_destination(DESTINATION)), (0, true));
     let just_before = start + REMOVED_RECEIVER_RETENTION - Duration::from_millis(1);
     table.discard_expired(just_before);
-    assert_eq!(list(&mut table, "r1", Listing::Ready, just_before), route);
+    assert_eq!(apply_entry(&mut table, "r1", Listing::Ready, just_before), route);
     table.mark_removed_except(&HashSet::new(), start);
     table.discard_expired(start + REMOVED_RECEIVER_RETENTION);
     assert_eq!((table.find_route("r1"), table.is_empty()), (None, true));
-    assert_ne!(list(&mut table, "r1", Listing::Ready, start), route);
+    assert_ne!(apply_entry(&mut table, "r1", Listing::Ready, start), route);
 }
 
 #[test]
 fn a_repeated_removal_does_not_extend_the_retention() {
     let start = Instant::now();
     let mut table = EndpointTable::new(Vec::new());
-    list(&mut table, "r1", Listing::Removed, start);
-    list(&mut table, "r1", Listing::Removed, start + REMOVED_RECEIVER_RETENTION / 2);
+    apply_entry(&mut table, "r1", Listing::Removed, start);
+    apply_entry(&mut table, "r1", Listing::Removed, start + REMOVED_RECEIVER_RETENTION / 2);
     table.discard_expired(start + REMOVED_RECEIVER_RETENTION);
     assert_eq!(table.find_route("r1"), None);
 }
@@ -51,7 +51,7 @@
     assert!(table.is_empty() && table.listed_receivers().is_empty());
 }
 
-/// Zones beyond the 255th share the last id.
+/// The ids 0 to 254 are each given to one zone; all further zones share the id 255.
 #[test]
 fn zones_not_in_the_settings_get_the_next_free_ids() {
     let mut table = EndpointTable::new(vec!["a".to_owned()]);
--- a/crates/sender/src/engine/endpoints.rs
+++ b/crates/sender/src/engine/endpoints.rs
@@ -10,14 +10,14 @@
 use crate::outbound::Route;
 
 impl Engine {
-    /// Applies a list from discovery; returns the change for the policy.
+    /// Applies an endpoint list from discovery, and returns the change for the policy.
     pub(super) fn apply_list(&mut self, list: &EndpointList) -> ListChange {
         let entries = self.apply_entries(list);
         if list.complete { ListChange::Full(entries) } else { ListChange::Delta(entries) }
     }
 
-    /// Applies the entries of a list, and removes the receivers that a complete list does not have. Returns the entries
-    /// for the policy.
+    /// Applies the entries of an endpoint list; if the list is complete, marks the receivers that are not in it as
+    /// removed. Returns the entries for the policy.
     pub(super) fn apply_entries(&mut self, list: &EndpointList) -> Vec<RouteEntry> {
         let now = Instant::now();
         let entries: Vec<RouteEntry> =
@@ -31,6 +31,7 @@
         entries
     }
 
+    /// Applies one entry to the endpoint table and the outbound routes; returns the entry for the policy.
     fn apply_endpoint(&mut self, endpoint: &Endpoint, now: Instant) -> RouteEntry {
         let kind_index = self.kind_index(endpoint);
         let listing = match endpoint.phase.as_str() {
--- a/crates/sender/src/engine/intake.rs
+++ b/crates/sender/src/engine/intake.rs
@@ -1,4 +1,5 @@
-//! Intake of submissions: which ones the policy decides about, and which ones are answered without it.
+//! Intake of submissions: passes the messages of new submissions to the policy, and answers the other submissions
+//! without the policy.
 
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_journal::{self as journal, Store};
@@ -15,15 +16,15 @@
 /// The submissions of one batch.
 #[derive(Debug, Default)]
 pub(super) struct Intake {
-    /// Journal space that the new messages need, in bytes.
+    /// Journal space that the new messages of the batch need, in bytes.
     journal_bytes: u64,
-    /// Submissions of new messages, which the policy decides about.
+    /// Submissions of new messages, which the policy accepts or refuses.
     pub new_submissions: Vec<NewSubmission>,
     /// Responses that do not depend on the policy.
     pub immediate_responses: Vec<PendingResponse>,
 }
 
-/// The submission of a new message, which the policy decides about in this batch.
+/// The submission of a new message, which the policy accepts or refuses in this batch.
 #[derive(Debug)]
 pub(super) struct NewSubmission {
     /// The message's handle.
@@ -46,8 +47,8 @@
 }
 
 impl Engine {
-    /// Adds a submission to `intake`, and returns its message if the policy decides about it. A submission whose
-    /// message does not fit into this batch of the journal is put back for the next one.
+    /// Adds a submission to `intake`, and returns its message if the policy must decide whether to accept it. A
+    /// submission whose message does not fit into this batch of the journal is put back for the next batch.
     pub(super) fn admit(
         &mut self,
         submission: Submission,
@@ -87,11 +88,12 @@
             .push(PendingResponse { response_sender: submission.response_sender, response });
     }
 
-    /// The response to a submission whose destination is unknown or whose message is already known; `None` for others.
+    /// The response to a submission whose destination is unknown or whose message is already known; `None` for any
+    /// other submission.
     fn immediate_response(&mut self, submission: &Submission, intake: &Intake) -> Option<SubmissionResponse> {
         if !self.endpoints.has_destination(submission.destination) {
-            // Until the first endpoint list arrives every destination is unknown; the client may submit the message
-            // again.
+            // Until the first endpoint list arrives, every destination is unknown. The client may submit the message
+            // again later.
             let no_list = self.endpoints.is_empty();
             return Some(if no_list {
                 SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER
@@ -100,8 +102,8 @@
             });
         }
         if let Some(id) = self.tracked_messages.find(&submission.message_id) {
-            // Each client that submits the message is counted; otherwise any client that uses the same message id could
-            // withdraw the message by disconnecting.
+            // Each client that submits the message is counted, because otherwise any client that uses the same message
+            // id could withdraw the message by disconnecting.
             let undecided = intake.new_submissions.iter().any(|new| new.id == id);
             let added = !undecided && self.tracked_messages.add_submission(id, submission.id);
             return Some(if added {
@@ -160,7 +162,7 @@
             body,
             deadline,
             attempts: 0,
-            receiver: None,
+            called_receiver: None,
         });
         self.activity.add_accepted(tenant);
         intake.new_submissions.push(NewSubmission { id, class, journal_message, response_sender });
@@ -180,8 +182,8 @@
         self.tracked_messages.insert(message, |id| self.calls.contains(id))
     }
 
-    /// Removes a submission whose client has disconnected. Completes the message if no other client has submitted it,
-    /// and returns the event for the policy then.
+    /// Removes a submission whose client has disconnected. If no other client has submitted the message, completes the
+    /// message and returns the event for the policy.
     pub(super) fn withdraw(&mut self, submission: SubmissionId) -> Option<Event> {
         let WithdrawnMessage { handle, message_id } = self.tracked_messages.withdraw(submission)?;
         tracing::debug!(target: MESSAGE_LOG, message_id = &*message_id, "withdrawn");
--- a/crates/sender/src/engine/outage_records.rs
+++ b/crates/sender/src/engine/outage_records.rs
@@ -9,15 +9,14 @@
 use crate::handover::{self, HandoverMessage};
 use crate::outbound::Outbound;
 
-/// Adds the state of an outage to the journal's buffer, so that a later process can restore it. A receiver that is no
-/// longer listed is ignored.
+/// Adds the state of an outage to the journal's buffer, so that a later process can restore it. The outage of a
+/// receiver that is no longer listed is ignored.
 pub(super) fn record_outage(store: &mut Store, outbound: &Outbound, scope: LimitScope, outage: OutageState) {
     let LimitScope { destination, route } = scope;
     let receiver = match route {
         None => "".into(),
         Some(route) => match outbound.receiver_location(route) {
             Some(location) => location.receiver,
-            // The receiver is no longer listed.
             None => return,
         },
     };
@@ -25,7 +24,7 @@
     store.record_outage(endpoint, to_journal(outage));
 }
 
-/// The outages in the journal, as events for the policy; without those of unknown receivers.
+/// The outages in the journal, as events for the policy. Outages of unknown receivers are omitted.
 pub(super) fn recorded_outages(store: &Store, endpoints: &EndpointTable) -> Vec<Event> {
     let event = |(endpoint, outage): (&journal::EndpointKey, journal::OutageState)| {
         let receiver = &endpoint.receiver;
@@ -47,8 +46,8 @@
     store.outage_records().map(message).collect()
 }
 
-/// Adds the outages among the owner's messages to the journal's buffer. Clamps values out of range, because they come
-/// from another process.
+/// Adds the outages among the messages of the journal's owner to the journal's buffer. Clamps values that are out of
+/// range, because the owner is another process and may send any number.
 pub fn restore_outages(store: &mut Store, messages: &[HandoverMessage]) {
     for message in messages {
         if let HandoverMessage::OutageState { destination, receiver, outage } = message {
@@ -58,7 +57,7 @@
     }
 }
 
-/// The journal's state of an outage; `None` for a healthy destination or receiver.
+/// Converts an outage from the policy's type to the journal's; `None` for a healthy destination or receiver.
 fn to_journal(outage: OutageState) -> Option<journal::OutageState> {
     match outage {
         OutageState::Healthy => None,
@@ -71,6 +70,7 @@
     }
 }
 
+/// Converts an outage from the journal's type to the policy's.
 fn from_journal(outage: journal::OutageState) -> OutageState {
     match outage {
         journal::OutageState::Down { retry_after_remaining } => {
--- a/crates/sender/src/engine/outage_records/tests.rs
+++ b/crates/sender/src/engine/outage_records/tests.rs
@@ -1,4 +1,5 @@
-//! Outages from the peer process are clamped, because it may send any number.
+//! Outages from the journal's owner, another process of this sender, are clamped, because that process may send any
+//! number.
 
 use rudderspindle_journal::{self as journal, Store};
 
--- a/crates/sender/src/engine/recovery.rs
+++ b/crates/sender/src/engine/recovery.rs
@@ -1,6 +1,6 @@
 //! Recovers messages and notifications from the journal, at the start of the process and at a takeover.
 //!
-//! An attempt without an outcome in the journal may have been executed.
+//! An attempt whose outcome is not in the journal may have been executed by its receiver.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,22 +19,23 @@
 use super::tracked_messages::TrackedMessage;
 use crate::event::MESSAGE_LOG;
 
-/// Minimum time to the deadline with which a message returns to the backlog when the policy sheds it.
+/// Minimum time that must remain to a message's deadline for the message to return to the backlog when the policy sheds
+/// it.
 const MIN_TIME_TO_REQUEUE: Duration = Duration::from_millis(500);
 
-/// The time of a recovery, on both clocks.
+/// The time of a recovery, on the monotonic clock and on the wall clock.
 #[derive(Clone, Copy, Debug)]
 struct RecoveryTime {
     now: Instant,
-    /// The wall clock at `now`.
+    /// The wall clock time at `now`.
     wall_now: UnixMillis,
-    /// Whether the wall clock is before the latest attempt in the journal.
+    /// Whether the wall clock time is before the latest attempt in the journal.
     clock_set_back: bool,
 }
 
 impl RecoveryTime {
-    /// The age of an attempt. If the wall clock was set back, the age counts from [`UnixMillis::EPOCH`], so that it is
-    /// longer than any idempotency window.
+    /// The age of an attempt, in milliseconds. If the wall clock was set back, the age counts from
+    /// [`UnixMillis::EPOCH`], so that it is longer than any idempotency window.
     fn age_of_attempt(&self, started_at: UnixMillis) -> Millis {
         let started_at = if self.clock_set_back { UnixMillis::EPOCH } else { started_at };
         self.wall_now.millis_since(started_at) as Millis
@@ -48,11 +49,11 @@
         &mut self,
         now: Instant,
         messages: Vec<journal::Message>,
-        mut pending: Vec<PendingNotification>,
+        mut notifications: Vec<PendingNotification>,
     ) {
-        // The iteration order of the journal's map is random.
-        pending.sort_unstable_by(|a, b| a.message_id.cmp(&b.message_id));
-        for notification in pending {
+        // The notifications come in random order, because they are iterated from a hash map.
+        notifications.sort_unstable_by(|a, b| a.message_id.cmp(&b.message_id));
+        for notification in notifications {
             self.io.notifications.push(notification);
         }
         let wall_now = UnixMillis::now();
@@ -77,14 +78,15 @@
         self.backlog.extend(recovered);
     }
 
-    /// Converts a message of the journal for the backlog.
+    /// Converts a message from the journal to an entry of the backlog.
     fn recover_message(
         &mut self,
         time: RecoveryTime,
         class: usize,
         message: journal::Message,
     ) -> RecoveredMessage {
-        // Limited by the class's deadline, because the wall clock may have been set back.
+        // The time left is limited to the deadline of the message's class, because the wall clock may have been set
+        // back.
         let max_time_left = self.settings.classes[class].deadline as u64;
         let time_left = message.deadline.millis_since(time.wall_now).min(max_time_left);
         let possibly_executed = message.possibly_executed.as_ref().map(|execution| {
@@ -104,7 +106,8 @@
         }
     }
 
-    /// Completes the messages whose class is no longer in the settings as undeliverable.
+    /// Completes messages whose class is no longer in the settings as undeliverable. `unknown_classes` has the ids of
+    /// these messages by the name of the class.
     fn fail_unknown_classes(&mut self, unknown_classes: BTreeMap<Rc<str>, Vec<MessageId>>) {
         for (class, mut message_ids) in unknown_classes {
             tracing::warn!(%class, messages = message_ids.len(), "messages failed: the settings do not have their class");
@@ -116,9 +119,9 @@
         }
     }
 
-    /// Moves messages from the backlog to the policy: those whose deadline has passed, and as many others as the policy
-    /// has capacity for besides the new messages of this batch, so that no recovered message is shed without an
-    /// attempt.
+    /// Moves messages from the backlog to the policy: all messages whose deadline has passed, and as many others as the
+    /// policy has capacity for besides the `new_messages` of this batch. This limit keeps the policy from shedding a
+    /// recovered message without an attempt.
     pub(super) fn take_from_backlog(&mut self, now: Instant, new_messages: usize) -> Vec<Event> {
         let capacity = self.policy.free_capacity().saturating_sub(new_messages);
         let taken = self.backlog.take(capacity, now);
@@ -165,7 +168,7 @@
             body: journal_message.body,
             deadline,
             attempts,
-            receiver: None,
+            called_receiver: None,
         });
         let message = Message {
             id,
--- a/crates/sender/src/engine/recovery/tests.rs
+++ b/crates/sender/src/engine/recovery/tests.rs
@@ -1,4 +1,4 @@
-//! Recovered messages and new ones that compete for the policy's capacity.
+//! Recovered messages that compete with new messages for the policy's capacity.
 
 use std::time::Duration;
 
@@ -28,8 +28,8 @@
     store.commit().expect("written");
 }
 
-/// The policy gives new messages a higher value than older ones of the same class. Recovered messages that it sheds
-/// before their first attempt must return to the backlog.
+/// The policy gives new messages a higher value than older ones of the same class. A recovered message that the policy
+/// sheds before the message's first attempt must return to the backlog.
 #[tokio::test(start_paused = true)]
 async fn recovered_messages_without_attempts_are_not_shed_for_new_ones() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/sender/src/engine/status.rs
+++ b/crates/sender/src/engine/status.rs
@@ -1,4 +1,4 @@
-//! The engine's reports: demand and activity for the gossip, and the status for operators.
+//! The engine's reports: demand and activity for the gossip task, and the status for operators.
 
 use rudderspindle_gossip::LimitId;
 use rudderspindle_policy::interface::Demand;
@@ -15,7 +15,8 @@
         ActivityReport { demands: self.demands(), listed_receivers, ..self.activity.take() }
     }
 
-    /// The demand for each limit, without the limits of receivers that are no longer listed.
+    /// This sender's demand for each limit of a destination or receiver. Limits of receivers that are no longer listed
+    /// are omitted.
     fn demands(&self) -> Vec<LimitDemand> {
         let limit_demand = |demand: Demand| {
             let receiver = match demand.scope.route {
--- a/crates/sender/src/engine/takeover.rs
+++ b/crates/sender/src/engine/takeover.rs
@@ -1,4 +1,7 @@
-//! Takeover of a sender by a successor process: shared resources, exchanged state, and the journal's change of owner.
+//! Takeover of a sender by a successor process: shares the disk budget and the connection slots, exchanges state with
+//! the peer process, and changes the journal's owner.
+//!
+//! The peer process is the other process of this sender: its successor or its predecessor.
 
 use rudderspindle_policy::interface::{DestinationId, Event, LimitScope, Millis, RetryAfterUpdate};
 use tokio::time::Instant;
@@ -28,14 +31,16 @@
     }
 
     /// Reclaims the connection slots and the disk budget that were shared with the peer process.
-    pub(super) fn peer_disconnected(&mut self) {
+    pub(super) fn peer_process_disconnected(&mut self) {
         self.policy.set_slots_used_by_peer(0);
-        // If the peer process owns the journal, it may still run; only the journal's lock shows that it has ended.
+        // If the peer process owns the journal, it may still run after the connection has closed. Only the journal's
+        // lock shows that the process has ended.
         if self.store.is_owner() {
             self.share_disk(false);
         }
     }
 
+    /// Limits the journal to half of the disk budget, or restores the whole budget.
     fn share_disk(&mut self, with_successor: bool) {
         if let Err(error) = self.store.share_disk(with_successor) {
             tracing::warn!(%error, with_successor, "disk budget could not be changed");
@@ -49,13 +54,14 @@
         }
     }
 
+    /// Announces the number of calls in flight to the peer process.
     fn announce_calls(&mut self) {
         self.io.peer_process.send(self.calls.announce());
     }
 
     /// Applies a backoff that a receiver has requested from the peer process; `receiver` is `None` for the whole
-    /// destination. Limits `wait` to 0 to [`MAX_BACKOFF_MS`].
-    pub(super) fn apply_peer_backoff(
+    /// destination. `wait`, in milliseconds, is clamped to the range from 0 to [`MAX_BACKOFF_MS`].
+    pub(super) fn apply_peer_process_backoff(
         &mut self,
         destination: u16,
         receiver: Option<&str>,
@@ -63,7 +69,7 @@
     ) -> Option<Event> {
         let route = match receiver {
             None => None,
-            // This process does not call a receiver that it does not know.
+            // A backoff of an unknown receiver is ignored, because this process does not call that receiver.
             Some(receiver) => Some(self.endpoints.find_route(receiver)?),
         };
         let destination = DestinationId(destination);
--- a/crates/sender/src/engine/takeover/tests.rs
+++ b/crates/sender/src/engine/takeover/tests.rs
@@ -1,4 +1,4 @@
-//! Backoffs from the peer process are limited, because it may send any number.
+//! Backoffs from the peer process are clamped, because the peer process may send any number.
 
 use std::time::Duration;
 
--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a complete engine on a journal. The tests run its batches themselves instead of `Engine::run`.
+//! Tests of a complete engine on a journal. The tests run the engine's batches themselves instead of `Engine::run`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -65,7 +65,8 @@
     (Input::Submitted(submission), response)
 }
 
-/// Otherwise a client could withdraw a message for which another client has received the response 202.
+/// If the message were withdrawn when only one of its clients disconnects, it would be lost for another client that has
+/// received the response 202.
 #[tokio::test]
 async fn a_message_is_withdrawn_once_all_its_clients_have_disconnected() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/sender/src/engine/tests/cancels.rs
+++ b/crates/sender/src/engine/tests/cancels.rs
@@ -12,7 +12,7 @@
 use crate::engine::intake::Intake;
 use crate::event::{Input, SubmissionResponse};
 
-/// Creates a listener and makes it the only receiver in the list.
+/// Creates a listener, and makes it the only receiver in the engine's endpoint list.
 pub(super) async fn receiver(engine: &mut Engine) -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address").to_string();
@@ -22,7 +22,7 @@
     listener
 }
 
-/// Submits a message, and reads the request of its call to the last byte.
+/// Submits a message, and reads the request of its call to the last byte. Returns the connection.
 async fn call(engine: &mut Engine, listener: &TcpListener, number: u64) -> TcpStream {
     let (input, response) = submission(number, &format!("m{number}"));
     engine.run_batch(vec![input]);
@@ -46,7 +46,7 @@
 
 /// Fails the test if the future does not complete within 20 s.
 pub(super) async fn with_timeout<T>(future: impl Future<Output = T>) -> T {
-    tokio::time::timeout(Duration::from_secs(20), future).await.expect("in time")
+    tokio::time::timeout(Duration::from_secs(20), future).await.expect("the future completes within 20 s")
 }
 
 /// Yields to the other tasks until the condition holds.
@@ -70,12 +70,12 @@
 
 /// Cancels the only call in flight.
 fn cancel(engine: &mut Engine) {
-    let id = engine.calls.ids().next().expect("a call is in flight");
+    let id = engine.calls.message_handles().next().expect("a call is in flight");
     let attempt = engine.tracked_messages.get(id).expect("the message is tracked").attempts - 1;
     engine.commit_batch(Instant::now(), Intake::default(), vec![Action::Cancel { id, attempt }]);
 }
 
-/// The response has arrived when the call is cancelled. The message must be complete, and must not be sent again.
+/// The response arrives before the call is cancelled. The message must become complete, and must not be sent again.
 #[tokio::test]
 async fn a_response_before_a_cancellation_completes_the_message() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -128,7 +128,8 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The request was written completely before the connection is closed.
+/// The request of the call is written completely before the call is cancelled, so that the receiver may have executed
+/// it.
 #[tokio::test]
 async fn a_call_cancelled_without_a_response_is_possibly_executed() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/sender/src/engine/tests/deadline.rs
+++ b/crates/sender/src/engine/tests/deadline.rs
@@ -10,7 +10,7 @@
 use crate::event::{Input, SubmissionResponse};
 
 /// The client's deadline is slightly earlier than the sender's, because it counts from when the client sent the
-/// message. A response between the two is late for the client, which must be notified.
+/// message. A response between the two deadlines is late for the client, so the platform must be notified.
 #[tokio::test]
 async fn a_response_just_before_the_deadline_counts_as_undelivered() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -31,7 +31,7 @@
             remaining.parse::<f64>().is_ok_and(|s| s <= 0.495),
             "X-Remaining = {remaining} s: must be at most 0.495 s of the 0.5 s to the deadline"
         );
-        // Between the client's deadline and the sender's.
+        // The response is sent between the client's deadline and the sender's.
         tokio::time::sleep_until(deadline - Duration::from_millis(2)).await;
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
         until(|| {
--- a/crates/sender/src/engine/timers.rs
+++ b/crates/sender/src/engine/timers.rs
@@ -15,7 +15,7 @@
 pub(super) struct Timers(Vec<Timer>);
 
 impl Timers {
-    /// Adds a timer that is due at `due_at`.
+    /// Adds a timer that is due at `due_at`; `token` identifies it to the policy.
     pub fn set(&mut self, due_at: Instant, token: u64) {
         self.0.push(Timer { due_at, token });
     }
--- a/crates/sender/src/engine/tracked_messages.rs
+++ b/crates/sender/src/engine/tracked_messages.rs
@@ -22,8 +22,9 @@
     pub class: usize,
     /// Whether an earlier process accepted the message and responded to its client.
     pub recovered: bool,
-    /// The message's submissions, without those whose client disconnected before the response. While there is one, a
-    /// client may have received the response that the message is accepted, and the message must not be withdrawn.
+    /// The message's submissions, without those whose client disconnected before the response. While a submission
+    /// remains, its client may have received the response that the message is accepted, and the message must not be
+    /// withdrawn.
     pub submissions: Vec<SubmissionId>,
     /// The idempotency key, if the client gave one.
     pub idempotency_key: Option<Bytes>,
@@ -33,8 +34,9 @@
     pub deadline: Instant,
     /// Number of attempts that were started.
     pub attempts: u32,
-    /// The receiver of the attempt in flight; `None` if there is none.
-    pub receiver: Option<ReceiverId>,
+    /// The receiver of the attempt in flight; `None` if no attempt is in flight or the receiver's destination is
+    /// unknown.
+    pub called_receiver: Option<ReceiverId>,
 }
 
 /// A message that is no longer tracked because all of its clients have disconnected.
@@ -94,7 +96,7 @@
         self.by_message_id.get(message_id).copied()
     }
 
-    /// Tracks a message under a new handle for which `in_use` is false.
+    /// Tracks a message under a new handle that no tracked message has and for which `in_use` is false.
     pub fn insert(
         &mut self,
         message: TrackedMessage,
--- a/crates/sender/src/engine/tracked_messages/tests.rs
+++ b/crates/sender/src/engine/tracked_messages/tests.rs
@@ -5,8 +5,8 @@
 use super::{MAX_CLIENTS_PER_MESSAGE, TrackedMessage, TrackedMessages};
 use crate::event::SubmissionId;
 
-const FIRST: SubmissionId = SubmissionId(1);
-const SECOND: SubmissionId = SubmissionId(2);
+const FIRST_SUBMISSION: SubmissionId = SubmissionId(1);
+const SECOND_SUBMISSION: SubmissionId = SubmissionId(2);
 
 fn message(message_id: &str, recovered: bool, submissions: Vec<SubmissionId>) -> TrackedMessage {
     TrackedMessage {
@@ -18,17 +18,17 @@
         body: Bytes::new(),
         deadline: Instant::now(),
         attempts: 0,
-        receiver: None,
+        called_receiver: None,
     }
 }
 
 #[test]
 fn a_handle_of_a_call_in_flight_is_not_given_to_another_message() {
     let mut messages = TrackedMessages::default();
-    let first = messages.insert(message("m1", false, vec![FIRST]), |_| false);
+    let first = messages.insert(message("m1", false, vec![FIRST_SUBMISSION]), |_| false);
     assert!(messages.remove(first).is_some());
     messages.next_handle = first.0;
-    let second = messages.insert(message("m2", false, vec![SECOND]), |handle| handle == first);
+    let second = messages.insert(message("m2", false, vec![SECOND_SUBMISSION]), |handle| handle == first);
     assert_ne!(second, first);
     assert_eq!(messages.find(&"m2".into()), Some(second));
 }
@@ -36,8 +36,11 @@
 #[test]
 fn handles_start_again_after_the_last_one_and_skip_those_in_use() {
     let mut messages = TrackedMessages { next_handle: u32::MAX, ..TrackedMessages::default() };
-    assert_eq!(messages.insert(message("m1", false, vec![FIRST]), |_| false), MessageHandle(u32::MAX));
-    assert_eq!(messages.insert(message("m2", false, vec![SECOND]), |_| false), MessageHandle(0));
+    assert_eq!(
+        messages.insert(message("m1", false, vec![FIRST_SUBMISSION]), |_| false),
+        MessageHandle(u32::MAX)
+    );
+    assert_eq!(messages.insert(message("m2", false, vec![SECOND_SUBMISSION]), |_| false), MessageHandle(0));
     messages.next_handle = u32::MAX;
     let third = messages.insert(message("m3", false, vec![SubmissionId(3)]), |_| false);
     assert_eq!(third, MessageHandle(1));
@@ -60,10 +63,12 @@
 #[test]
 fn a_removed_message_leaves_no_entry() {
     let mut messages = TrackedMessages::default();
-    let handle = messages.insert(message("m1", false, vec![FIRST]), |_| false);
-    assert!(messages.add_submission(handle, SECOND));
+    let handle = messages.insert(message("m1", false, vec![FIRST_SUBMISSION]), |_| false);
+    assert!(messages.add_submission(handle, SECOND_SUBMISSION));
     assert_eq!(messages.entry_count(), 4);
     assert!(messages.remove(handle).is_some());
     assert_eq!(messages.entry_count(), 0);
-    assert!(messages.withdraw(FIRST).is_none() && !messages.add_submission(handle, FIRST));
+    assert!(
+        messages.withdraw(FIRST_SUBMISSION).is_none() && !messages.add_submission(handle, FIRST_SUBMISSION)
+    );
 }
--- a/crates/sender/src/event.rs
+++ b/crates/sender/src/event.rs
@@ -1,5 +1,8 @@
 //! The messages between the engine and the tasks around it. The tasks depend on this module instead of the engine.
 //!
+//! The peer process is the other process of this sender during a takeover, that is, its successor or its predecessor.
+//! It is not one of the other senders of the fleet.
+//!
 //! Durations are in milliseconds ([`Millis`]), rates in events per second.
 
 mod activity;
@@ -31,7 +34,7 @@
 pub enum Input {
     /// A client has submitted a message.
     Submitted(Submission),
-    /// The client of this submission has disconnected before the response was sent.
+    /// A client has withdrawn its submission, by disconnecting before it received the response.
     Withdrawn(SubmissionId),
     /// An attempt has finished.
     AttemptFinished {
@@ -55,26 +58,29 @@
     NotificationsAcknowledged(Vec<MessageId>),
     /// A successor process has connected.
     SuccessorConnected,
-    /// The connection to the peer process (successor or predecessor) has closed.
+    /// The connection to the peer process has closed.
     PeerProcessDisconnected,
-    /// A receiver has requested a backoff from the peer process.
+    /// A receiver has requested a backoff in a response to the peer process. This process must respect it too.
     PeerProcessBackoff {
         /// The receiver's destination.
         destination: u16,
         /// The receiver's id; `None` if the backoff applies to the whole destination.
         receiver: Option<String>,
-        /// The remaining time of the backoff. It may be any number, because another process sent it.
+        /// The remaining time of the backoff, in milliseconds. The value is not validated yet: the peer process may
+        /// send any number.
         wait: Millis,
     },
-    /// The number of calls that the peer process has in flight.
+    /// The number of calls that the peer process has in flight. Both processes share the connection slots of the
+    /// sender.
     PeerProcessCallsInFlight(usize),
-    /// Take over the journal if its owner has ended. The response is whether this process owns the journal now.
+    /// Take over the journal if the process that owns it has ended. The response is whether this process owns the
+    /// journal now.
     TakeOver(oneshot::Sender<bool>),
     /// Report the current demand, and the activity since the last report.
     ReportActivity(oneshot::Sender<ActivityReport>),
-    /// This sender's shares of those limits that it has demand for.
+    /// This sender's shares of the limits of destinations and receivers, for the limits that it has demand for.
     CapacityUpdates(Vec<CapacityUpdate>),
-    /// The permits that this sender holds, for each limit that requires permits.
+    /// The permits that this sender holds, for each limit whose calls require permits.
     Permits(Vec<PermitUpdate>),
     /// The receivers that the other senders of this zone consider down; replaces the previous set.
     EjectedReceivers(Vec<RouteId>),
--- a/crates/sender/src/event/activity.rs
+++ b/crates/sender/src/event/activity.rs
@@ -3,7 +3,7 @@
 use rudderspindle_gossip::{CallResult, LimitId, ReceiverId};
 use rudderspindle_policy::interface::{Demand, DestinationId, RouteId};
 
-/// Maximum number of attempt results in an [`ActivityReport`]; the oldest are dropped first.
+/// Maximum number of call results in an [`ActivityReport`]; the oldest are dropped first.
 pub(crate) const MAX_CALL_RESULTS: usize = 4_096;
 
 /// The demand and the recent activity of this sender, as reported to the gossip task.
@@ -11,29 +11,29 @@
 pub struct ActivityReport {
     /// Current demand for each limit.
     pub demands: Vec<LimitDemand>,
-    /// Results of the attempts since the last report, oldest first; at most [`MAX_CALL_RESULTS`].
+    /// Results of the calls that ended since the last report, oldest first; at most [`MAX_CALL_RESULTS`].
     pub call_results: Vec<ReceiverResult>,
-    /// Number of messages accepted since the last report, ordered by tenant.
+    /// Numbers of messages accepted since the last report, ordered by tenant.
     pub accepted_messages: Vec<AcceptedMessages>,
     /// The receivers in the endpoint list, ordered by destination and route.
     pub listed_receivers: Vec<ListedReceiver>,
 }
 
-/// This sender's demand for a limit.
+/// This sender's demand for calls that one limit covers: the limit of a destination, or of a receiver that has its own.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitDemand {
-    /// The limit's name in datagrams.
+    /// The limit's identifier in gossip datagrams.
     pub limit: LimitId,
     /// The demand, as computed by the policy.
     pub demand: Demand,
 }
 
-/// The result of an attempt; the senders judge the receiver's health by such results.
+/// The result of one call to a receiver. The senders use these results to detect unhealthy receivers.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceiverResult {
     /// The receiver that was called.
     pub receiver: ReceiverId,
-    /// Whether the receiver answered the call.
+    /// Whether the receiver answered the call or the call failed.
     pub result: CallResult,
 }
 
@@ -42,7 +42,7 @@
 pub struct AcceptedMessages {
     /// Index of the tenant in the settings; `u16::MAX` also stands for all larger indices.
     pub tenant: u16,
-    /// Number of messages.
+    /// Number of messages accepted since the last report.
     pub messages: u32,
 }
 
@@ -53,6 +53,6 @@
     pub destination: DestinationId,
     /// The receiver's id in the policy.
     pub route: RouteId,
-    /// The receiver's name in datagrams.
+    /// The receiver's identifier in gossip datagrams.
     pub receiver: ReceiverId,
 }
--- a/crates/sender/src/event/delivery.rs
+++ b/crates/sender/src/event/delivery.rs
@@ -40,7 +40,7 @@
     Accepted,
     /// The message was shed.
     Refused {
-        /// After which time the client should submit the message again; 0 if no time is given.
+        /// Time after which the client should submit the message again, in milliseconds; 0 if no time is given.
         retry_after: Millis,
     },
     /// The message cannot be delivered.
@@ -50,7 +50,7 @@
 }
 
 impl SubmissionResponse {
-    /// The message was shed; no time for another submission is given.
+    /// The message was shed, and the client is not told when to submit it again.
     pub const REFUSED_WITHOUT_RETRY_AFTER: Self = Self::Refused { retry_after: 0.0 };
 }
 
@@ -69,7 +69,7 @@
     pub idempotency_key: Option<Bytes>,
     /// The message's payload.
     pub body: Bytes,
-    /// The latest time at which the response counts.
+    /// When the response must have arrived; a later response does not count.
     pub response_deadline: Instant,
     /// When the request must be written completely; no part of it is sent after this time.
     pub write_deadline: Instant,
@@ -80,9 +80,10 @@
 pub struct CallOutcome {
     /// The outcome as the policy classifies it.
     pub outcome: Outcome,
-    /// The backoff that the receiver requests; 0 for none.
+    /// The backoff that the receiver requests, in milliseconds; 0 for none.
     pub retry_after: Millis,
-    /// Whether the message is complete, that is, needs neither a further attempt nor a notification.
+    /// Whether this outcome completes the message, that is, the message needs neither a further attempt nor a
+    /// notification.
     pub completed: bool,
 }
 
--- a/crates/sender/src/event/endpoints.rs
+++ b/crates/sender/src/event/endpoints.rs
@@ -9,7 +9,7 @@
     pub revision: u64,
     /// Whether this is the complete list. If so, receivers that are not in it have been removed.
     pub complete: bool,
-    /// The entries.
+    /// The entries: all receivers of a complete list, otherwise the changed receivers.
     pub members: Vec<Endpoint>,
 }
 
