--- a/crates/sender/src/activity.rs
+++ b/crates/sender/src/activity.rs
@@ -1,4 +1,5 @@
-//! Collects the activity that the engine reports to the gossip task: results of attempts, and accepted messages.
+//! Collects the activity that the engine reports to the gossip task: results of calls, and numbers of accepted
+//! messages.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,11 +8,11 @@
 
 use crate::event::{AcceptedMessages, ActivityReport, MAX_CALL_RESULTS, ReceiverResult};
 
-/// The activity since the last report; stays empty if disabled.
+/// The activity since the last report. A log that is not enabled stays empty.
 #[derive(Debug)]
 pub(crate) struct ActivityLog {
     enabled: bool,
-    /// Results of the attempts, oldest first; at most [`MAX_CALL_RESULTS`].
+    /// Results of the calls, oldest first; at most [`MAX_CALL_RESULTS`].
     call_results: VecDeque<ReceiverResult>,
     /// Number of accepted messages by index of the tenant.
     accepted_by_tenant: BTreeMap<u16, u32>,
@@ -28,8 +29,8 @@
         self.enabled
     }
 
-    /// Adds the outcome of an attempt. Attempts that were not sent or were cancelled are ignored, because
-    /// they do not depend on the receiver's health.
+    /// Adds the outcome of a call to `receiver`; `None` if the receiver is unknown. Calls that were not sent or were
+    /// cancelled are ignored, because their outcome does not depend on the receiver's health.
     pub fn add_outcome(&mut self, receiver: Option<ReceiverId>, outcome: Outcome) {
         let result = match outcome {
             Outcome::Ok | Outcome::Rejected => CallResult::Answered,
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Empties the log into a report whose demands and listed receivers are left empty.
+    /// Moves the collected activity into a report, and leaves the log empty. The report has no demands and no listed
+    /// receivers; the caller adds them.
     pub fn take(&mut self) -> ActivityReport {
         let accepted_by_tenant = std::mem::take(&mut self.accepted_by_tenant).into_iter();
         ActivityReport {
--- a/crates/sender/src/admission_state.rs
+++ b/crates/sender/src/admission_state.rs
@@ -21,7 +21,8 @@
         matches!(self, Self::Stopping | Self::HandingOver)
     }
 
-    /// The state after an operator has requested another one; the state of a stopping process does not change.
+    /// The state after an operator has requested the state `requested`. The state of a stopping process does not
+    /// change.
     #[must_use]
     pub fn after_request(self, requested: Self) -> Self {
         if self.is_stopping() { self } else { requested }
--- a/crates/sender/src/incarnation.rs
+++ b/crates/sender/src/incarnation.rs
@@ -7,11 +7,12 @@
 use rudderspindle_clock::UnixMillis;
 use rudderspindle_gossip::Incarnation;
 
-/// Name of the file in the state folder that holds the last number as decimal text.
+/// Name of the file in the state folder that contains the last incarnation number as decimal text.
 const FILE_NAME: &str = "incarnation";
 
-/// Starts an incarnation and stores its number. The number must be stored before it is first announced, because a later
-/// process must not use it again. If no stored number can be read, the number is taken from the wall clock, `now`.
+/// Starts an incarnation: chooses its number and stores the number in the state folder. The number must be stored
+/// before it is first announced to other senders, because a later process must not use it again. If no stored number
+/// can be read, the number is taken from the wall clock time `now`.
 ///
 /// # Errors
 ///
--- a/crates/sender/src/metrics.rs
+++ b/crates/sender/src/metrics.rs
@@ -11,9 +11,9 @@
 /// The final outcome of a message, as reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// Delivered.
+    /// Delivered to a receiver, whose response was a success.
     Delivered,
-    /// Shed: refused at its submission, or reported as deferred in a notification.
+    /// Shed: refused when it was submitted, or reported as deferred in a notification.
     Rejected,
     /// Reported as undeliverable: no further attempt is made.
     Failed,
@@ -39,7 +39,7 @@
     pub out_of_rotation: usize,
 }
 
-/// The counters of this process, since it started.
+/// The counters since this process started, and the engine's status.
 #[derive(Debug)]
 pub struct Metrics {
     /// Names of the classes, by index.
@@ -62,7 +62,7 @@
     failed: u64,
 }
 
-/// The JSON line; the keys are part of the control protocol.
+/// The report as serialized to JSON; the keys are part of the control protocol.
 #[derive(Serialize)]
 struct Report<'a> {
     #[serde(rename = "fulfilled")]
--- a/crates/sender/src/service.rs
+++ b/crates/sender/src/service.rs
@@ -28,7 +28,7 @@
 
 /// Maximum number of inputs that wait for the engine.
 const INPUT_QUEUE_LEN: usize = 4096;
-/// Number of bytes in a megabyte, the configuration's unit of the disk budget.
+/// Number of bytes in a megabyte. The disk budget is configured in megabytes.
 const BYTES_PER_MB: f64 = 1_000_000.0;
 
 /// A sender that listens for clients; its engine runs while [`Service::run`] is polled.
@@ -43,15 +43,18 @@
 #[derive(Clone, Debug)]
 pub struct Control {
     to_engine: mpsc::Sender<Input>,
-    admission: watch::Sender<AdmissionState>,
-    discovery: watch::Sender<SocketAddr>,
+    admission_state: watch::Sender<AdmissionState>,
+    discovery_address: watch::Sender<SocketAddr>,
+    /// The connection to the other process of this sender during a takeover.
     peer_process: Rc<PeerProcess>,
+    /// Whether a successor can accept clients from the same listening socket.
     shared_listener: bool,
 }
 
 impl Service {
-    /// Starts a sender on the journal in the folder `state`, and listens. The sender's tasks run on the current
-    /// [`tokio::task::LocalSet`] and end with it; dropping the set has the effect of killing the process.
+    /// Starts a sender that listens for clients and stores its journal in the folder `state`. The sender's tasks run on
+    /// the current [`tokio::task::LocalSet`] and end with it; dropping the set has the same effect as killing the
+    /// process.
     ///
     /// `listener` is a listening socket that another process of this sender may hold as well; if given, clients are
     /// accepted on it instead of the configured address. If another process uses the folder, this process is its
@@ -68,7 +71,8 @@
     ) -> Result<Self, StartError> {
         let ValidatedConfig { mut config, settings, names, fleet } = config;
         let shared_listener = listener.is_some();
-        // Before the folder is used, because a process that cannot listen must not change it.
+        // The listeners are bound before the state folder is used, because a process that cannot listen must not change
+        // the folder.
         let listeners = Listeners::bind(&config, listener).await?;
         let gossip = FleetGossip::new(&config, &settings, fleet);
         let mut store = open_store(state, &config)?;
@@ -79,28 +83,29 @@
 
         let seed = seed(&config);
         let schedule = PollSchedule::new(shared.settings.discovery, shared.settings.peers_total, seed);
-        let fetched = fetch_list(&config, &schedule).await;
-        let revision = initial_revision(&schedule, fetched.as_ref());
-        // Built before the first client is accepted, because recovered messages have priority.
+        let fetched_list = fetch_list(&config, &schedule).await;
+        let revision = initial_revision(&schedule, fetched_list.as_ref());
+        // The engine is built before the first client is accepted, because recovered messages have priority.
         let dependencies =
             engine_dependencies(&shared, seed, store, inputs, shared_listener, gossip.as_ref());
-        let engine = build_engine(dependencies, &mut config, fetched.as_ref())?;
+        let engine = build_engine(dependencies, &mut config, fetched_list.as_ref())?;
         forward_owner_messages(handover.messages, &shared.to_engine).await;
 
-        let (discovery, discovery_address) = watch::channel(config.discovery);
-        shared.spawn_discovery(discovery_address.clone(), revision, schedule);
-        shared.spawn_notifications(discovery_address);
+        let (discovery_address, address_updates) = watch::channel(config.discovery);
+        shared.spawn_discovery(address_updates.clone(), revision, schedule);
+        shared.spawn_notifications(address_updates);
         shared.spawn_idle_sweep();
         if let Some(gossip) = gossip {
             gossip.spawn(state, shared.to_engine.clone())?;
         }
-        let (admission, admission_state) = watch::channel(AdmissionState::Accepting);
-        let inbound = shared.spawn_inbound(listeners.clients, inbound_limits(&config), admission_state);
+        let (admission_state, state_updates) = watch::channel(AdmissionState::Accepting);
+        let inbound = shared.spawn_inbound(listeners.clients, inbound_limits(&config), state_updates);
         if let Some(listener) = listeners.control {
-            shared.spawn_control(listener, admission.clone());
+            shared.spawn_control(listener, admission_state.clone());
         }
         let Shared { to_engine, peer_process, .. } = shared;
-        let control = Control { to_engine, admission, discovery, peer_process, shared_listener };
+        let control =
+            Control { to_engine, admission_state, discovery_address, peer_process, shared_listener };
         Ok(Self { engine, inbound, control, addr: listeners.addr })
     }
 
@@ -116,7 +121,8 @@
 
     /// Runs until the service has stopped after [`Control::stop`].
     pub async fn run(self) {
-        // Keeps the channels of the admission state and of the discovery address open until the service has stopped.
+        // `Control` keeps the channels of the admission state and of the discovery address open until the service has
+        // stopped.
         let _control = self.control;
         self.engine.run().await;
         self.inbound.shut_down().await;
@@ -129,15 +135,17 @@
     pub async fn stop(&self) {
         let has_successor = self.shared_listener && self.peer_process.is_connected();
         let state = if has_successor { AdmissionState::HandingOver } else { AdmissionState::Stopping };
-        self.admission.send_replace(state);
+        self.admission_state.send_replace(state);
         // Sending fails only if the engine has ended.
         let _ = self.to_engine.send(Input::Stop).await;
     }
 
-    /// Applies the address of discovery, the only value of a configuration that can change while the service runs.
+    /// Applies the discovery address of a new configuration. All other values of a configuration take effect only when
+    /// a process starts.
     pub fn configure(&self, config: &ValidatedConfig) {
         let new_address = config.discovery();
-        self.discovery.send_if_modified(|address| std::mem::replace(address, new_address) != new_address);
+        self.discovery_address
+            .send_if_modified(|address| std::mem::replace(address, new_address) != new_address);
     }
 }
 
@@ -147,20 +155,22 @@
     Store::open(state, budget).map_err(|error| StartError::Journal { path: state.to_owned(), error })
 }
 
-/// The seed of all random numbers; 0 if the configured text is not a hexadecimal number.
+/// The seed of all random numbers of the process; 0 if the configured text is not a hexadecimal number.
 fn seed(config: &Config) -> u64 {
     u64::from_str_radix(&config.seed, 16).unwrap_or_default()
 }
 
-/// Fetches the current endpoint list from discovery, because the configured one may be older or from another address.
-/// `None` if discovery did not send one, and for staggered senders, which receive the list with their watch.
+/// Fetches the current endpoint list from discovery, because the configured list may be older or from another address.
+/// Returns `None` if discovery did not send a list. A sender whose requests are staggered with those of other senders
+/// does not fetch the list here (`None`): it receives the list by its watch.
 async fn fetch_list(config: &Config, schedule: &PollSchedule) -> Option<EndpointList> {
     if schedule.is_staggered() { None } else { discovery::fetch(config.discovery).await }
 }
 
-/// The revision from which the watch on the endpoint list starts; `None` to request the complete list first.
-fn initial_revision(schedule: &PollSchedule, fetched: Option<&EndpointList>) -> Option<u64> {
-    if schedule.is_staggered() { Some(0) } else { fetched.map(|list| list.revision) }
+/// The revision from which the watch on the endpoint list starts: 0 if requests are staggered, otherwise the revision
+/// of the fetched list; `None` to request the complete list first.
+fn initial_revision(schedule: &PollSchedule, fetched_list: Option<&EndpointList>) -> Option<u64> {
+    if schedule.is_staggered() { Some(0) } else { fetched_list.map(|list| list.revision) }
 }
 
 fn engine_dependencies(
@@ -195,14 +205,14 @@
 fn build_engine(
     dependencies: EngineDependencies,
     config: &mut Config,
-    fetched: Option<&EndpointList>,
+    fetched_list: Option<&EndpointList>,
 ) -> Result<Engine, SettingsError> {
     let empty_list = EndpointList { revision: 0, complete: true, members: Vec::new() };
-    let configured = config.known.take().unwrap_or(empty_list);
-    Engine::new(dependencies, &configured, fetched)
+    let configured_list = config.known.take().unwrap_or(empty_list);
+    Engine::new(dependencies, &configured_list, fetched_list)
 }
 
-/// Forwards the backoffs and the number of calls in flight, which the journal's owner has sent, to the engine.
+/// Forwards the messages of the journal's owner to the engine: the backoffs, and the owner's number of calls in flight.
 async fn forward_owner_messages(messages: Vec<HandoverMessage>, to_engine: &mpsc::Sender<Input>) {
     for message in messages {
         if let Some(input) = message.into_input() {
--- a/crates/sender/src/service/fleet.rs
+++ b/crates/sender/src/service/fleet.rs
@@ -15,7 +15,8 @@
 use crate::gossip::{FLEET_LOG_TARGET, FleetSettings, GossipTask};
 use crate::incarnation;
 
-/// Time after the start of a recovery ramp at which the ramp's growth is sampled, in milliseconds.
+/// Time after the start of a recovery ramp at which the ramp is sampled, in milliseconds. It is one second, so that the
+/// growth since the start is the growth per second.
 const RAMP_SAMPLE_TIME: Millis = 1_000.0;
 
 /// The configured gossip with other senders, before its task is spawned.
@@ -29,7 +30,8 @@
 }
 
 impl FleetGossip {
-    /// The configured gossip; `None` if none is configured or the fleet has too few senders for it.
+    /// Creates the gossip from its configuration; `None` if no gossip is configured or the fleet has too few senders
+    /// for it.
     pub fn new(config: &Config, settings: &Settings, file: FleetFile) -> Option<Self> {
         let config = config.gossip().filter(|gossip| gossip.peers.len() >= file.sharing().min_senders())?;
         let initial_fraction = settings.ramp(0.0);
@@ -46,7 +48,7 @@
         if self.file.sharing().is_strict() { LimitSharing::Permits } else { LimitSharing::Demand }
     }
 
-    /// Whether the senders share a view of receivers and of tenants' usage.
+    /// Whether the senders share a view of the receivers' health or of the tenants' usage.
     pub fn has_fleet_view(&self) -> bool {
         self.file.sharing().detects_outliers() || self.file.sharing().shares_quotas()
     }
@@ -66,7 +68,8 @@
         Ok(())
     }
 
-    /// Starts an incarnation if permits or the fleet view require one; otherwise returns `None`.
+    /// Starts an incarnation, that is, stores a new incarnation number, if permits or the fleet view require one;
+    /// otherwise returns `None`.
     fn start_incarnation(&self, state: &Path) -> Result<Option<Incarnation>, StartError> {
         if self.limit_sharing() != LimitSharing::Permits && !self.has_fleet_view() {
             return Ok(None);
--- a/crates/sender/src/service/listeners.rs
+++ b/crates/sender/src/service/listeners.rs
@@ -38,6 +38,7 @@
     }
 }
 
+/// Converts a socket that this process has inherited to a non-blocking listener.
 fn from_inherited_socket(socket: std::net::TcpListener) -> std::io::Result<TcpListener> {
     socket.set_nonblocking(true)?;
     TcpListener::from_std(socket)
--- a/crates/sender/src/service/ownership.rs
+++ b/crates/sender/src/service/ownership.rs
@@ -15,8 +15,9 @@
 /// How often a successor checks whether the journal's owner has ended.
 const TAKEOVER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Accepts successors if this process owns the journal. Otherwise requests the owner's state, returns it, and takes
-/// over once the owner has ended. The spawned tasks end when the engine ends.
+/// If this process owns the journal, spawns the task that accepts successors. Otherwise requests the owner's state,
+/// returns it, and spawns the task that takes over once the owner has ended. The spawned tasks end when the engine
+/// ends.
 pub(super) async fn join_peer_process(
     state: &Path,
     store: &mut Store,
@@ -37,8 +38,8 @@
 async fn take_over(state: PathBuf, peer_process: Rc<PeerProcess>, to_engine: mpsc::Sender<Input>) {
     loop {
         tokio::time::sleep(TAKEOVER_CHECK_INTERVAL).await;
-        let (response, is_owner) = oneshot::channel();
-        if to_engine.send(Input::TakeOver(response)).await.is_err() {
+        let (response_sender, is_owner) = oneshot::channel();
+        if to_engine.send(Input::TakeOver(response_sender)).await.is_err() {
             return;
         }
         if is_owner.await.unwrap_or(false) {
--- a/crates/sender/src/service/tasks.rs
+++ b/crates/sender/src/service/tasks.rs
@@ -25,7 +25,7 @@
 /// The state that the tasks of one sender share.
 #[derive(Debug)]
 pub(super) struct Shared {
-    /// The settings.
+    /// The settings of the policy and of the tasks.
     pub settings: Settings,
     /// The names of classes, tenants, kinds and zones, by index.
     pub names: Names,
@@ -35,7 +35,7 @@
     pub notifications: Rc<Notifications>,
     /// Starts calls to receivers and health checks.
     pub outbound: Rc<Outbound>,
-    /// The connection to the other process of this sender during a takeover.
+    /// The connection to the peer process, that is, the other process of this sender during a takeover.
     pub peer_process: Rc<PeerProcess>,
     /// Sends inputs to the engine.
     pub to_engine: mpsc::Sender<Input>,
@@ -62,7 +62,8 @@
         Self { settings, names, metrics, notifications, outbound: Rc::new(outbound), peer_process, to_engine }
     }
 
-    /// Spawns the watch on the endpoint list, which ends when the engine ends.
+    /// Spawns the task that watches the endpoint list at the discovery `address`, from `revision` on; the task ends
+    /// when the engine ends.
     pub fn spawn_discovery(
         &self,
         address: watch::Receiver<SocketAddr>,
@@ -72,7 +73,8 @@
         spawn_local(discovery::watch(address, revision, schedule, self.to_engine.clone()));
     }
 
-    /// Spawns the delivery of notifications to the platform, which ends when the engine ends.
+    /// Spawns the task that delivers notifications to the platform at the discovery address; the task ends when the
+    /// engine ends.
     pub fn spawn_notifications(&self, address: watch::Receiver<SocketAddr>) {
         let notifications = self.notifications.clone();
         let to_engine = self.to_engine.clone();
@@ -91,7 +93,7 @@
         &self,
         listener: TcpListener,
         limits: inbound::Limits,
-        admission: watch::Receiver<AdmissionState>,
+        admission_state: watch::Receiver<AdmissionState>,
     ) -> Rc<Inbound> {
         let inbound = Rc::new(Inbound::new(
             self.settings.clone(),
@@ -99,20 +101,20 @@
             limits,
             self.metrics.clone(),
             self.to_engine.clone(),
-            admission,
+            admission_state,
         ));
         spawn_local(inbound.clone().run(listener));
         inbound
     }
 
     /// Spawns the task that serves operators; the task ends with the local set.
-    pub fn spawn_control(&self, listener: TcpListener, admission: watch::Sender<AdmissionState>) {
+    pub fn spawn_control(&self, listener: TcpListener, admission_state: watch::Sender<AdmissionState>) {
         if let Ok(addr) = listener.local_addr() {
             tracing::info!("operators: listening on {addr}");
         }
         let control = ControlListener {
             metrics: self.metrics.clone(),
-            admission_state: admission,
+            admission_state,
             engine: self.to_engine.clone(),
         };
         spawn_local(Rc::new(control).run(listener));
