--- a/crates/sender/src/engine/tests.rs
+++ b/crates/sender/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a complete engine on a journal. The tests run its batches themselves instead of `Engine::run`.
+//! Tests of a complete engine on a journal. The tests run the engine's batches themselves instead of `Engine::run`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -65,7 +65,8 @@
     (Input::Submitted(submission), response)
 }
 
-/// Otherwise a client could withdraw a message for which another client has received the response 202.
+/// If the message were withdrawn when only one of its clients disconnects, it would be lost for another client that has
+/// received the response 202.
 #[tokio::test]
 async fn a_message_is_withdrawn_once_all_its_clients_have_disconnected() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -75,8 +76,11 @@
             let (input, response) = submission(number, "m1");
             engine.run_batch(vec![input]);
             let is_refused = number > MAX_CLIENTS_PER_MESSAGE as u64;
-            let expected =
-                if is_refused { SubmissionResponse::REFUSED } else { SubmissionResponse::Accepted };
+            let expected = if is_refused {
+                SubmissionResponse::REFUSED_WITHOUT_RETRY_AFTER
+            } else {
+                SubmissionResponse::Accepted
+            };
             assert_eq!(response.await, Ok(expected));
         }
         for number in 2..=MAX_CLIENTS_PER_MESSAGE as u64 + 1 {
