--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients: they submit planned messages, wait for responses and submit again after some rejections. Some disconnect early,
-//! and some send malformed requests.
+//! Simulated clients: they submit planned messages, wait for responses and retry after some rejections. Some clients
+//! disconnect before the response, and some send malformed requests.
 
 mod malformed;
 mod plan;
@@ -28,36 +28,36 @@
 
 /// How long a client waits for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Range of the pause before a message is submitted again that was not answered, in milliseconds.
+/// Range of the pause before an unanswered message is submitted again, in milliseconds.
 const RESUBMIT_PAUSE_MS: Range<f64> = 710.0..1_700.0;
-/// Submissions of a message after its first.
+/// Maximum number of submissions of a message after the first one.
 const MAX_RESUBMISSIONS: u32 = 4;
-/// Delay of a submission beyond which a lag of this machine is recorded.
+/// Lag of a submission behind its planned time above which the event log records it: the test machine is overloaded.
 const MAX_LAG: Duration = Duration::from_millis(20);
-/// How long a malicious client reads the response.
-const MALICIOUS_READ_TIMEOUT: Duration = Duration::from_secs(6);
+/// How long a client reads the response to a malformed request.
+const MALFORMED_READ_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Address of a sender; `None` while it is down.
+/// Address at which clients reach a sender; `None` while the sender is down.
 pub type Address = watch::Receiver<Option<SocketAddr>>;
 
-/// An idle connection that can be used again.
+/// An open connection without a request, which the next submission can use.
 #[derive(Debug)]
-struct KeptConnection {
+struct IdleConnection {
     stream: TcpStream,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// A sender as its clients see it.
+/// Name, address and idle connections of a sender.
 #[derive(Debug)]
 struct Sender {
     name: String,
     address: Address,
-    kept: Mutex<Vec<KeptConnection>>,
+    idle_connections: Mutex<Vec<IdleConnection>>,
 }
 
 impl Sender {
-    fn kept(&self) -> MutexGuard<'_, Vec<KeptConnection>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn idle_connections(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
+        self.idle_connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -69,17 +69,17 @@
 }
 
 impl Clients {
-    /// Clients of these senders, by name.
+    /// Creates the clients of `senders`, which are given as pairs of name and address.
     pub fn new(senders: Vec<(String, Address)>, event_log: &EventLog) -> Arc<Self> {
-        let sender = |(name, address)| Sender { name, address, kept: Mutex::default() };
+        let sender = |(name, address)| Sender { name, address, idle_connections: Mutex::default() };
         let senders = senders.into_iter().map(sender).collect();
         Arc::new(Self { senders, event_log: event_log.clone() })
     }
 
-    /// Submits all planned messages from `start` on; returns when the last client is done.
+    /// Submits all planned messages at their times after `start`; returns when the last client is done.
     pub async fn run(self: Arc<Self>, planned: Vec<PlannedMessage>, start: Instant) {
-        // Owns the clients' tasks, which are cancelled with this one.
-        let mut open = JoinSet::new();
+        // Owns the clients' tasks, so that they are cancelled together with this one.
+        let mut client_tasks = JoinSet::new();
         for message in planned {
             let due = start + message.at;
             sleep_until(due.into()).await;
@@ -89,14 +89,14 @@
                 self.event_log.record(Event::Lagged { who: "clients".to_owned(), lag_us });
             }
             let this = self.clone();
-            open.spawn(async move { this.deliver(message).await });
-            while open.try_join_next().is_some() {}
+            client_tasks.spawn(async move { this.submit_with_retries(message).await });
+            while client_tasks.try_join_next().is_some() {}
         }
-        while open.join_next().await.is_some() {}
+        while client_tasks.join_next().await.is_some() {}
     }
 
-    /// Submits one message, and again as its client would.
-    async fn deliver(&self, message: PlannedMessage) {
+    /// Submits one message, and retries as its client is planned to.
+    async fn submit_with_retries(&self, message: PlannedMessage) {
         let mut sender = message.sender;
         let mut rng = SeededRng::new(u64::from_str_radix(&message.message_id, 16).unwrap_or_default());
         let start = Instant::now();
@@ -114,7 +114,7 @@
                 SubmissionResult::Responded { .. } => return,
                 SubmissionResult::Unanswered if message.disconnects => return,
                 SubmissionResult::Unanswered | SubmissionResult::NotSubmitted => {
-                    // The sender is probably down: use the next one.
+                    // The sender is probably down, so the next submission goes to the next sender.
                     sender = (sender + 1) % self.senders.len();
                     let pause_ms = rng.between(RESUBMIT_PAUSE_MS.start, RESUBMIT_PAUSE_MS.end);
                     Duration::from_secs_f64(pause_ms / 1_000.0)
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Sends malformed requests at this rate until it is cancelled.
+    /// Sends malformed requests to random senders at a mean rate of `per_s` until the task is cancelled.
     pub async fn send_malformed(self: Arc<Self>, per_s: f64, seed: u64) {
         if per_s <= 0.0 {
             return;
@@ -139,21 +139,25 @@
             let sender = rng.integer(0, self.senders.len() as u64) as usize;
             let Some(addr) = *self.senders[sender].address.borrow() else { continue };
             let request = malformed_request(&mut rng);
-            // Ends after its timeouts.
+            // The task is not owned: it ends by its own timeouts.
             tokio::spawn(send_and_read(addr, request));
         }
     }
 }
 
-/// Id of a submission: the message's own id, with a number for the later ones.
-fn submission_id(first: &str, resubmissions: u32) -> String {
-    if resubmissions == 0 { first.to_owned() } else { format!("{first}-{resubmissions}") }
+/// Id of a submission: the id of the message's first submission, with a number appended for each later one.
+fn submission_id(first_message_id: &str, resubmissions: u32) -> String {
+    if resubmissions == 0 {
+        first_message_id.to_owned()
+    } else {
+        format!("{first_message_id}-{resubmissions}")
+    }
 }
 
-/// Writes a request and reads until the connection ends or a timeout.
+/// Writes a request, then reads until the connection ends or [`MALFORMED_READ_TIMEOUT`] has passed.
 async fn send_and_read(addr: SocketAddr, request: Vec<u8>) {
     let connected = timeout(RESPONSE_TIMEOUT, TcpStream::connect(addr)).await;
     let Ok(Ok(mut stream)) = connected else { return };
     let _ = timeout(RESPONSE_TIMEOUT, stream.write_all(&request)).await;
-    let _ = timeout(MALICIOUS_READ_TIMEOUT, stream.read_to_end(&mut Vec::new())).await;
+    let _ = timeout(MALFORMED_READ_TIMEOUT, stream.read_to_end(&mut Vec::new())).await;
 }
--- a/crates/testkit/src/client/malformed.rs
+++ b/crates/testkit/src/client/malformed.rs
@@ -1,8 +1,8 @@
-//! Malformed requests.
+//! Bytes of malformed requests.
 
 use crate::scenario::SeededRng;
 
-/// Draws the bytes of a malformed request; never a message that could be accepted.
+/// Draws the bytes of a malformed request. No sender may accept any of them as a message.
 pub(super) fn malformed_request(rng: &mut SeededRng) -> Vec<u8> {
     let post = |headers: &str, body: &str| {
         format!("POST /safe HTTP/1.1\r\nHost: a\r\nX-Org: tenant-b\r\n{headers}\r\n\r\n{body}").into_bytes()
--- a/crates/testkit/src/client/plan.rs
+++ b/crates/testkit/src/client/plan.rs
@@ -1,23 +1,23 @@
-//! Draws what clients submit from a scenario's seed.
+//! Draws the messages that clients submit from a scenario's seed.
 //!
-//! The order of the draws is fixed: a scenario stands for the same messages in all versions.
+//! Invariant: the order of the random draws stays the same, so that a scenario yields the same messages in all versions.
 
 use std::ops::Range;
 use std::time::Duration;
 
 use crate::scenario::{ReceiverPlan, Scenario, SeededRng, Traffic};
 
-/// Distinguishes the clients' seed from the scenario's.
+/// Combined by XOR with the scenario's seed, so that clients use a random sequence of their own.
 const CLIENT_SEED: u64 = 0x636c_6965_6e74;
-/// Range of the pause before a client submits again, in seconds.
+/// Range of the pause before a client submits a rejected message again, in seconds.
 const RETRY_PAUSE_S: Range<f64> = 0.33..1.2;
-/// Range of the body's length, in bytes.
+/// Range of the length of a message's body, in bytes.
 const BODY_LEN: Range<u64> = 50..800;
 
 /// A tenant and its share of the traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Name of the tenant.
+    /// Value of `X-Org` in the tenant's submissions.
     pub name: &'static str,
     /// Share of the messages, from 0 to 1.
     pub share: f64,
@@ -32,12 +32,12 @@
     Tenant { name: "tenant-e", share: 0.10 },
 ];
 
-/// A class of messages as clients submit them.
+/// A message class and the lifetime that clients give to its messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MessageClass {
-    /// Name of the class.
+    /// Name of the class, which is also the path of a submission.
     pub name: &'static str,
-    /// Time in which a message may be delivered.
+    /// Time from the submission in which a message may be delivered.
     pub lifetime: Duration,
 }
 
@@ -49,30 +49,30 @@
 /// A message that a client will submit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedMessage {
-    /// When, after the start.
+    /// Time of the first submission, after the start of the load.
     pub at: Duration,
-    /// Id of its first submission.
+    /// Id of the first submission.
     pub message_id: String,
-    /// Its class.
+    /// Name of the message class.
     pub class: &'static str,
-    /// Its tenant.
+    /// Name of the tenant.
     pub tenant: &'static str,
-    /// Number of its receiver.
+    /// Number of the receiver that the message is addressed to.
     pub receiver: u16,
-    /// Index of the sender that it is submitted to first.
+    /// Index of the sender that gets the first submission.
     pub sender: usize,
-    /// Time in which it may be delivered.
+    /// Time from the first submission in which the message may be delivered.
     pub lifetime: Duration,
-    /// Pause before its client submits again after a rejection, if it does.
+    /// Pause before the client retries after a rejection; `None` if it does not retry.
     pub retry_pause: Option<Duration>,
-    /// Whether its client disconnects before the response.
+    /// Whether the client disconnects before the response.
     pub disconnects: bool,
-    /// Length of its body, in bytes.
+    /// Length of the body, in bytes.
     pub body_len: usize,
 }
 
-/// Draws all messages of a scenario: the same for the same scenario. `max_lifetime` bounds how long a message may take
-/// to be delivered, and so the length of a test.
+/// Draws all messages of a scenario; the same scenario always yields the same messages. `max_lifetime` bounds the
+/// lifetime of each message, and so the length of a test.
 pub fn plan(scenario: &Scenario, max_lifetime: Duration) -> Vec<PlannedMessage> {
     let mut planner = Planner {
         rng: SeededRng::new(scenario.seed ^ CLIENT_SEED),
@@ -85,6 +85,7 @@
     planner.planned
 }
 
+/// Random sequence and result of [`plan`].
 struct Planner<'a> {
     rng: SeededRng,
     scenario: &'a Scenario,
@@ -93,7 +94,7 @@
     planned: Vec<PlannedMessage>,
 }
 
-/// What the messages of one arrival have in common.
+/// Time, receiver and first sender that all messages of one arrival share.
 #[derive(Clone, Copy)]
 struct Arrival {
     at_s: f64,
@@ -106,7 +107,7 @@
         let traffic = &self.scenario.traffic;
         let burst_len = traffic.burst_len.max(1);
         let burst_share = traffic.burst_share.get();
-        // An arrival with a burst has several messages, so that there are fewer arrivals for the same rate.
+        // A burst is one arrival of several messages, so fewer arrivals per second give the same rate of messages.
         let per_arrival = messages_per_arrival(traffic);
         let mut at_s = 0.0;
         loop {
--- a/crates/testkit/src/client/submission.rs
+++ b/crates/testkit/src/client/submission.rs
@@ -1,4 +1,4 @@
-//! One submission of a message to a sender, on a kept or a new connection.
+//! One submission of a message to a sender, on an idle or a new connection.
 
 use std::time::{Duration, Instant};
 
@@ -7,14 +7,14 @@
 use tokio::time::{sleep, timeout};
 
 use super::response::{SubmissionResponse, read_response};
-use super::{Clients, KeptConnection, PlannedMessage, RESPONSE_TIMEOUT};
+use super::{Clients, IdleConnection, PlannedMessage, RESPONSE_TIMEOUT};
 use crate::event_log::Event;
 
-/// Connections to one sender that are kept for later submissions.
-const MAX_KEPT: usize = 32;
-/// Idle time after which a kept connection is not used again.
-const KEPT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time after its submission at which a client disconnects.
+/// Maximum number of idle connections to one sender.
+const MAX_IDLE_CONNECTIONS: usize = 32;
+/// Idle time after which a connection is closed without being used again.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time from writing a request to closing the connection, for clients that disconnect before the response.
 const DISCONNECT_DELAY: Duration = Duration::from_millis(1);
 
 /// One submission of a message.
@@ -25,7 +25,7 @@
     pub(super) sender: usize,
     /// Id of this submission.
     pub(super) message_id: &'a str,
-    /// Time in which the message may be delivered.
+    /// Time from now in which the message may be delivered.
     pub(super) time_left: Duration,
 }
 
@@ -38,7 +38,7 @@
     },
     /// No response in time, or the connection ended.
     Unanswered,
-    /// The sender could not be reached, or closed a kept connection: nothing was submitted.
+    /// Nothing was submitted, because the sender could not be reached or had closed the idle connection.
     NotSubmitted,
 }
 
@@ -56,7 +56,7 @@
         request
     }
 
-    fn event(&self, sender: String) -> Event {
+    fn submitted_event(&self, sender: String) -> Event {
         Event::Submitted {
             message_id: self.message_id.to_owned(),
             first_message_id: self.message.message_id.clone(),
@@ -71,11 +71,11 @@
 }
 
 impl Clients {
-    /// Submits a message, on a kept connection if there is one.
+    /// Submits a message, on an idle connection if there is one.
     pub(super) async fn submit(&self, submission: &Submission<'_>) -> SubmissionResult {
-        if let Some(stream) = self.take_kept(submission.sender) {
+        if let Some(stream) = self.take_idle_connection(submission.sender) {
             match self.exchange(stream, submission).await {
-                // The sender has closed the connection: submitted once more on a new one, with the same id.
+                // The sender has closed the idle connection, so the same submission is sent on a new one.
                 SubmissionResult::NotSubmitted => {}
                 result => return result,
             }
@@ -96,7 +96,7 @@
             return SubmissionResult::NotSubmitted;
         }
         let request = submission.request();
-        self.event_log.record(submission.event(self.senders[submission.sender].name.clone()));
+        self.event_log.record(submission.submitted_event(self.senders[submission.sender].name.clone()));
         let response = send(&mut stream, &request, submission.message.disconnects).await;
         let message_id = submission.message_id.to_owned();
         let Some(SubmissionResponse { status, retry_after, keep_alive }) = response else {
@@ -105,31 +105,31 @@
         };
         self.event_log.record(Event::Responded { message_id, status });
         if keep_alive {
-            self.keep(submission.sender, stream);
+            self.store_idle_connection(submission.sender, stream);
         }
         SubmissionResult::Responded { status, retry_after }
     }
 
-    fn take_kept(&self, sender: usize) -> Option<TcpStream> {
-        let mut kept = self.senders[sender].kept();
-        kept.retain(|connection| connection.since.elapsed() < KEPT_TIMEOUT);
-        kept.pop().map(|connection| connection.stream)
+    fn take_idle_connection(&self, sender: usize) -> Option<TcpStream> {
+        let mut idle_connections = self.senders[sender].idle_connections();
+        idle_connections.retain(|connection| connection.idle_since.elapsed() < IDLE_TIMEOUT);
+        idle_connections.pop().map(|connection| connection.stream)
     }
 
-    fn keep(&self, sender: usize, stream: TcpStream) {
-        let mut kept = self.senders[sender].kept();
-        if kept.len() < MAX_KEPT {
-            kept.push(KeptConnection { stream, since: Instant::now() });
+    fn store_idle_connection(&self, sender: usize, stream: TcpStream) {
+        let mut idle_connections = self.senders[sender].idle_connections();
+        if idle_connections.len() < MAX_IDLE_CONNECTIONS {
+            idle_connections.push(IdleConnection { stream, idle_since: Instant::now() });
         }
     }
 }
 
-/// Whether a connection is still open.
+/// Whether the peer has neither closed the connection nor sent bytes that nobody has requested.
 fn is_open(stream: &TcpStream) -> bool {
     matches!(stream.try_read(&mut [0; 1]), Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// Writes a request and reads the response, unless the client disconnects first.
+/// Writes a request and reads the response; `None` if the client disconnects first or no valid response arrives in time.
 async fn send(stream: &mut TcpStream, request: &[u8], disconnects: bool) -> Option<SubmissionResponse> {
     stream.write_all(request).await.ok()?;
     if disconnects {
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -1,6 +1,6 @@
-//! Several sender processes that are connected by datagram proxies and share their receivers.
+//! Several sender processes that gossip through datagram proxies and call the same receivers.
 //!
-//! Invariant: the processes end with the cluster, also if a test panics.
+//! Invariant: the processes are killed when the cluster is dropped, also if a test panics.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::ops::Range;
@@ -27,19 +27,19 @@
 };
 use crate::usage::Usage;
 
-/// How often it is checked whether messages have their outcomes.
+/// Interval at which the event log is checked for messages without a final outcome.
 const OUTCOME_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Content of a sender's state folder when it is started again.
+/// Content of a sender's state folder when the sender is started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Journal {
     /// The files of its earlier process.
     Kept,
-    /// Nothing, as after the loss of the machine.
+    /// No files, as after the loss of the machine.
     Empty,
 }
 
-/// Running senders with their receivers and clients. Only the first receiver counts in [`Cluster::usage`].
+/// Running senders with their receivers and clients. [`Cluster::usage`] covers the first receiver only.
 #[derive(Debug)]
 pub struct Cluster {
     /// The proxies for datagrams between the senders.
@@ -50,21 +50,21 @@
     event_log: EventLog,
     programs: Vec<Program>,
     clients: Arc<Clients>,
-    /// The task of the clients.
+    /// The task of the clients, once the load has started.
     load: Option<JoinHandle<()>>,
-    // Run until the cluster is dropped.
+    // The services and tasks below run until the cluster is dropped.
     _discoveries: Vec<FakeDiscovery>,
     receivers: Vec<Arc<FakeReceiver>>,
     _tasks: JoinSet<()>,
 }
 
 impl Cluster {
-    /// Starts all senders of a scenario, which gossip with each other. The scenario's events are not played. `folder` must
-    /// be empty; `max_lifetime` bounds the lifetime of a message.
+    /// Starts all senders of a scenario, which gossip with each other. The scenario's events are ignored. `folder` must be
+    /// empty; `max_lifetime` bounds the lifetime of a message.
     ///
     /// # Errors
     ///
-    /// [`EnvironmentError`] if a part of it cannot be started.
+    /// [`EnvironmentError`] if a sender, receiver, discovery service or proxy cannot be started.
     pub async fn start(
         scenario: &Scenario,
         launch: &Launch,
@@ -111,19 +111,19 @@
         })
     }
 
-    /// The event log while it is written.
+    /// The event log, which the fakes and clients are still writing.
     pub fn event_log(&self) -> &EventLog {
         &self.event_log
     }
 
-    /// Starts the clients, which submit messages for the scenario's time.
+    /// Starts the clients, which submit messages for the scenario's duration.
     pub fn start_load(&mut self) {
         let planned = client::plan(&self.scenario, self.max_lifetime);
         self.load = Some(tokio::spawn(self.clients.clone().run(planned, Instant::now())));
     }
 
-    /// Waits until all clients are done and every message has its final outcome or its time for one has passed; returns
-    /// the verdict.
+    /// Waits until all clients are done and every message has its final outcome or has exceeded its time for one; returns
+    /// the checker's verdict.
     pub async fn finish(&mut self) -> Verdict {
         if let Some(load) = self.load.take() {
             // The event log shows whether a client has panicked.
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     ///
-    /// If it cannot be waited for.
+    /// If the process cannot be waited for.
     pub async fn kill(&mut self, sender: usize) -> Result<(), EnvironmentError> {
         Ok(self.programs[sender].kill().await?)
     }
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     ///
-    /// If it does not start, or its folder cannot be emptied.
+    /// If the sender does not start, or its state folder cannot be emptied.
     pub async fn restart(&mut self, sender: usize, journal: Journal) -> Result<(), EnvironmentError> {
         if journal == Journal::Empty {
             let state = self.folder.join(sender_name(sender)).join("state");
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     ///
-    /// If it cannot be signalled.
+    /// If the process cannot be signalled.
     pub async fn pause(&self, sender: usize) -> Result<(), EnvironmentError> {
         self.signal(sender, "-STOP").await
     }
@@ -170,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// If it cannot be signalled.
+    /// If the process cannot be signalled.
     pub async fn resume(&self, sender: usize) -> Result<(), EnvironmentError> {
         self.signal(sender, "-CONT").await
     }
@@ -181,7 +181,7 @@
         if status.success() {
             Ok(())
         } else {
-            Err(std::io::Error::other(format!("kill {signal} {pid}")).into())
+            Err(std::io::Error::other(format!("`kill {signal} {pid}` failed: {status}")).into())
         }
     }
 
@@ -192,13 +192,13 @@
         }
     }
 
-    /// How the first receiver's limit was used in a span of the log, in microseconds.
+    /// How the first receiver's limit was used in a span of the event log, in microseconds.
     pub fn usage(&self, span: Range<u64>) -> Usage {
         let limit = self.scenario.receivers.first().map_or(f64::INFINITY, |receiver| receiver.per_s.get());
         Usage::of(&self.event_log.lines(), span, limit)
     }
 
-    /// Measures the usage of the first receiver's limit for a time from now on.
+    /// Measures how the first receiver's limit is used during `duration` from now on.
     pub async fn measure_usage(&self, duration: Duration) -> Usage {
         let from = self.event_log.now();
         sleep(duration).await;
@@ -206,8 +206,8 @@
     }
 }
 
-/// Free addresses for the senders' datagrams, each on a loopback address that is not used otherwise.
+/// Free addresses for the senders' datagrams, each on a loopback IP address that nothing else in the test uses.
 fn gossip_addresses(senders: usize) -> std::io::Result<Vec<SocketAddr>> {
-    let free_address = |n: usize| UdpSocket::bind((format!("127.0.1.{}", n + 1), 0))?.local_addr();
+    let free_address = |index: usize| UdpSocket::bind((format!("127.0.1.{}", index + 1), 0))?.local_addr();
     (0..senders).map(free_address).collect()
 }
--- a/crates/testkit/src/datagram_proxy.rs
+++ b/crates/testkit/src/datagram_proxy.rs
@@ -1,7 +1,7 @@
 //! UDP proxies between all pairs of senders: each sender reaches every other one at an address of the proxy.
 //!
-//! Invariant: a datagram arrives from the address at which its receiver reaches its sender, and none arrives over a link
-//! that is cut. Each pair of senders has two sockets, one for each direction.
+//! Invariants: a datagram arrives from the address at which the receiving sender reaches the sending one, and no datagram
+//! arrives over a link that is cut. Each pair of senders has two sockets, one for each direction.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,59 +13,61 @@
 
 use crate::fault_schedule::{DatagramCopy, LinkFaultSampler, LinkFaults};
 
-/// Maximum length of a forwarded datagram, in bytes: longer than a valid one, so that the receiver sees invalid ones.
+/// Maximum length of a forwarded datagram, in bytes. It exceeds the length of valid datagrams, so that senders also
+/// receive datagrams that are too long.
 const MAX_DATAGRAM_LEN: usize = 2_048;
-/// Maximum number of delayed datagrams of a link; further ones are dropped.
+/// Maximum number of delayed datagrams of a link; further datagrams are dropped.
 const MAX_DELAYED: usize = 4_096;
 
 /// Counts of a link's datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
-    /// Datagrams received from the sender.
+    /// Datagrams received from the sending side.
     pub sent: u64,
-    /// Datagrams written to the receiver, each copy counted.
+    /// Datagrams written to the receiving side, each copy counted.
     pub passed: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams counted in `passed`.
     pub passed_bytes: u64,
-    /// Datagrams and copies that were lost, cut off, or beyond the maximum number of delayed ones.
+    /// Datagrams and copies that were lost by a fault, sent over a cut link, or delayed beyond the maximum number.
     pub dropped: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams counted in `dropped`.
     pub dropped_bytes: u64,
 }
 
+/// Faults and counts of one link.
 #[derive(Debug)]
-struct State {
+struct LinkState {
     sampler: LinkFaultSampler,
     faults: LinkFaults,
     cut: bool,
     counts: DatagramCounts,
 }
 
-impl State {
+impl LinkState {
     fn count_dropped(&mut self, bytes: usize) {
         self.counts.dropped += 1;
         self.counts.dropped_bytes += bytes as u64;
     }
 }
 
-fn locked(state: &Mutex<State>) -> MutexGuard<'_, State> {
+fn locked(state: &Mutex<LinkState>) -> MutexGuard<'_, LinkState> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Proxies between senders, which run until it is dropped.
+/// The proxies between all pairs of senders; they run until this value is dropped.
 #[derive(Debug)]
 pub struct DatagramProxy {
     addrs: Vec<SocketAddr>,
-    /// The address at which the first sender reaches the second.
+    /// The address at which the first sender of a pair reaches the second one.
     peer_addrs: BTreeMap<(usize, usize), SocketAddr>,
-    /// The link from the first sender to the second.
-    links: BTreeMap<(usize, usize), Arc<Mutex<State>>>,
+    /// The link from the first sender of a pair to the second one.
+    links: BTreeMap<(usize, usize), Arc<Mutex<LinkState>>>,
     _tasks: JoinSet<()>,
 }
 
 impl DatagramProxy {
-    /// Starts proxies without faults between senders that receive datagrams at `addrs`, by index. `seed` determines the
-    /// random choices.
+    /// Starts proxies without faults between senders that receive datagrams at `addrs`, in the order of their indices.
+    /// `seed` determines the random choices.
     ///
     /// # Errors
     ///
@@ -91,7 +93,7 @@
         let (mut peer_addrs, mut links, mut tasks) = (BTreeMap::new(), BTreeMap::new(), JoinSet::new());
         for (&(from, to), inbound) in &sockets {
             let (faults, cut, counts) = Default::default();
-            let state = Arc::new(Mutex::new(State {
+            let state = Arc::new(Mutex::new(LinkState {
                 sampler: LinkFaultSampler::new(seed, from, to),
                 faults,
                 cut,
@@ -102,20 +104,21 @@
             let Some(outbound) = sockets.get(&(to, from)) else { continue };
             let inbound = LinkSide { socket: inbound.clone(), sender: addrs[from] };
             let outbound = LinkSide { socket: outbound.clone(), sender: addrs[to] };
-            tasks.spawn(carry(inbound, outbound, state));
+            tasks.spawn(forward_link(inbound, outbound, state));
         }
         Ok(Self { addrs: addrs.to_vec(), peer_addrs, links, _tasks: tasks })
     }
 
-    /// The addresses at which a sender reaches each of them, by index, with its own address for itself: its `peers`.
-    pub fn peers(&self, me: usize) -> Vec<SocketAddr> {
-        let address = |other| *self.peer_addrs.get(&(me, other)).unwrap_or(&self.addrs[other]);
+    /// The addresses at which a sender reaches all senders, by index, with its own address at its own index: the value of
+    /// `peers` in its configuration.
+    pub fn peers(&self, sender: usize) -> Vec<SocketAddr> {
+        let address = |other| *self.peer_addrs.get(&(sender, other)).unwrap_or(&self.addrs[other]);
         (0..self.addrs.len()).map(address).collect()
     }
 
-    fn each(&self, from: &[usize], to: &[usize], change: impl Fn(&mut State)) {
-        for ((a, b), state) in &self.links {
-            if from.contains(a) && to.contains(b) {
+    fn change_links(&self, from: &[usize], to: &[usize], change: impl Fn(&mut LinkState)) {
+        for ((link_from, link_to), state) in &self.links {
+            if from.contains(link_from) && to.contains(link_to) {
                 change(&mut locked(state));
             }
         }
@@ -123,16 +126,16 @@
 
     /// Sets the faults of the links from each of `from` to each of `to`.
     pub fn set(&self, from: &[usize], to: &[usize], faults: &LinkFaults) {
-        self.each(from, to, |state| state.faults = faults.clone());
+        self.change_links(from, to, |state| state.faults = faults.clone());
     }
 
-    /// Cuts the links from each of `from` to each of `to`, also for datagrams that are being delayed. The other direction
-    /// stays as it is.
+    /// Cuts the links from each of `from` to each of `to`, also for datagrams that are being delayed. The links in the
+    /// other direction do not change.
     pub fn cut(&self, from: &[usize], to: &[usize]) {
-        self.each(from, to, |state| state.cut = true);
+        self.change_links(from, to, |state| state.cut = true);
     }
 
-    /// Ends all cuts and faults. Delayed datagrams arrive when they are due.
+    /// Ends all cuts and faults. Datagrams that are being delayed still arrive when they are due.
     pub fn heal(&self) {
         for state in self.links.values() {
             let mut state = locked(state);
@@ -157,15 +160,15 @@
     sender: SocketAddr,
 }
 
-/// Order of delayed datagrams: by the time at which they are due, then by number.
+/// Order in which delayed datagrams are sent: by the time at which they are due, then by the order of their arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DeliveryOrder {
     due: Instant,
     number: u64,
 }
 
-/// Forwards the datagrams of one link until it is cancelled: received at `inbound`, sent from `outbound`.
-async fn carry(inbound: LinkSide, outbound: LinkSide, state: Arc<Mutex<State>>) {
+/// Forwards the datagrams of one link until the task is cancelled: received at `inbound`, sent from `outbound`.
+async fn forward_link(inbound: LinkSide, outbound: LinkSide, state: Arc<Mutex<LinkState>>) {
     let mut delayed = BTreeMap::<DeliveryOrder, Vec<u8>>::new();
     let mut number = 0;
     let mut buffer = [0; MAX_DATAGRAM_LEN];
@@ -174,18 +177,18 @@
         tokio::select! {
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
                 let Some((_, datagram)) = delayed.pop_first() else { continue };
-                pass(&outbound, &datagram, &state).await;
+                send_unless_cut(&outbound, &datagram, &state).await;
             }
-            got = inbound.socket.recv_from(&mut buffer) => {
-                // Datagrams of strangers are not forwarded: they would arrive from the address of the sender.
-                let Ok((length, source)) = got else { continue };
+            received = inbound.socket.recv_from(&mut buffer) => {
+                // Datagrams from other addresses are dropped, because forwarded ones would appear to be the sender's.
+                let Ok((length, source)) = received else { continue };
                 if source != inbound.sender {
                     continue;
                 }
                 let copies = {
                     let mut state = locked(&state);
                     state.counts.sent += 1;
-                    let State { sampler, faults, .. } = &mut *state;
+                    let LinkState { sampler, faults, .. } = &mut *state;
                     let copies = sampler.sample(&buffer[..length], faults);
                     if copies.is_empty() {
                         state.count_dropped(length);
@@ -194,7 +197,7 @@
                 };
                 for DatagramCopy { delay, bytes } in copies {
                     if delay.is_zero() {
-                        pass(&outbound, &bytes, &state).await;
+                        send_unless_cut(&outbound, &bytes, &state).await;
                     } else if delayed.len() < MAX_DELAYED {
                         number += 1;
                         delayed.insert(DeliveryOrder { due: Instant::now() + delay, number }, bytes);
@@ -208,7 +211,7 @@
 }
 
 /// Sends a datagram to its receiver, unless the link is cut.
-async fn pass(receiver: &LinkSide, datagram: &[u8], state: &Mutex<State>) {
+async fn send_unless_cut(receiver: &LinkSide, datagram: &[u8], state: &Mutex<LinkState>) {
     let cut = locked(state).cut;
     let sent = !cut && receiver.socket.send_to(datagram, receiver.sender).await.is_ok();
     let mut state = locked(state);
--- a/crates/testkit/src/fake_discovery.rs
+++ b/crates/testkit/src/fake_discovery.rs
@@ -1,4 +1,5 @@
-//! A fake discovery service of one sender: serves the endpoint list and watches, and receives notifications.
+//! A fake platform for one sender: its discovery service serves the endpoint list and watches of it, and notifications
+//! are received at the same address.
 
 mod entry;
 mod list;
@@ -20,36 +21,37 @@
 use crate::event_log::{Event, EventLog};
 use crate::scenario::{DiscoveryFault, Phase};
 
-/// How long the connections of an address stay open after the service has moved away.
+/// How long open connections of an address are still served after the service has moved to another address.
 const OLD_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 
-/// How notifications are answered.
+/// How the service responds to notifications.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotificationMode {
-    /// With 204.
+    /// Status 204.
     Acknowledge,
-    /// With 500.
+    /// Status 500.
     Reject,
-    /// Not at all.
+    /// No response.
     Ignore,
 }
 
-/// An address of the service. After it is dropped it accepts no connection, and the open ones are closed after
+/// An address of the service. Dropping this value closes the listener at once, and the open connections after
 /// [`OLD_ADDRESS_CLOSE_DELAY`].
 #[derive(Debug)]
 struct ServedAddress {
     addr: SocketAddr,
+    /// Closed when this value is dropped, which ends the task that serves the address.
     _serving: watch::Sender<()>,
 }
 
-/// What all tasks of a service share.
+/// State that all tasks of a service share.
 #[derive(Debug)]
 struct Shared {
-    /// Name of the sender.
+    /// Name of the sender that uses the service.
     sender: String,
     event_log: EventLog,
     state: Mutex<ListState>,
-    /// While it is true, requests are not answered and changes not announced.
+    /// While true, requests for the list or a watch get no response and watches get no lines.
     silent: watch::Sender<bool>,
 }
 
@@ -58,7 +60,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that a phase is being written to the sender, which counts as notified from now on.
+    /// Records that an endpoint's phase is being written to the sender. The sender counts as notified from now on.
     fn announce(&self, state: &mut ListState, endpoint: &str, phase: Phase) {
         if state.announce(endpoint, phase) {
             let (sender, endpoint) = (self.sender.clone(), endpoint.to_owned());
@@ -76,7 +78,7 @@
 }
 
 impl FakeDiscovery {
-    /// Starts a service for a sender with a first list.
+    /// Starts a service for a sender, with `entries` as the first endpoint list.
     ///
     /// # Errors
     ///
@@ -92,7 +94,7 @@
         Ok(Self { address, shared })
     }
 
-    /// The address at which the sender reaches it.
+    /// The address at which the sender reaches the service.
     pub fn addr(&self) -> SocketAddr {
         self.address().addr
     }
@@ -101,8 +103,8 @@
         self.address.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Moves to another address, which it returns. The old one accepts no connection from now on, and closes the open
-    /// ones after 1.5 s.
+    /// Moves the service to a new address and returns it. The old address accepts no connection from now on, and its open
+    /// connections are closed after 1.5 s.
     ///
     /// # Errors
     ///
@@ -114,23 +116,23 @@
         Ok(addr)
     }
 
-    /// The complete list, in the form of the configuration's `known`.
+    /// The complete endpoint list, in the format of the configuration's `known`.
     pub fn list(&self) -> Value {
-        self.shared.state().whole()
+        self.shared.state().complete_list()
     }
 
-    /// Changes an endpoint's phase and sends the change to the watches. The sender counts as notified when the line is
-    /// written.
+    /// Changes an endpoint's phase and sends the change to the watches. The sender counts as notified when the line of
+    /// the change is written.
     pub fn change(&self, endpoint: &str, phase: Phase) {
         self.shared.state().change(endpoint, phase);
     }
 
-    /// Sets how notifications are answered from now on.
+    /// Sets how the service responds to notifications from now on.
     pub fn set_notification_mode(&self, mode: NotificationMode) {
         self.shared.state().notification_mode = mode;
     }
 
-    /// Begins or ends a fault, and records that.
+    /// Begins or ends a fault, and records the change in the event log.
     pub fn set_fault(&self, fault: DiscoveryFault, on: bool) {
         let set_mode =
             |mode| self.set_notification_mode(if on { mode } else { NotificationMode::Acknowledge });
@@ -152,23 +154,23 @@
         self.shared.event_log.record(Event::DiscoveryFault { sender, kind, on });
     }
 
-    /// Stops or resumes responses and announcements.
+    /// Stops or resumes responses to requests for the list or a watch, and lines of open watches.
     pub fn set_silent(&self, silent: bool) {
         self.shared.silent.send_replace(silent);
     }
 }
 
-/// Serves the list at a new address until that is dropped.
+/// Serves the list at a new address until the returned value is dropped.
 async fn serve_new_address(shared: &Arc<Shared>) -> std::io::Result<ServedAddress> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
     let (serving, mut dropped) = watch::channel(());
     let shared = shared.clone();
-    // Ends some time after the address is dropped, and with it the connections' tasks.
+    // The task ends `OLD_ADDRESS_CLOSE_DELAY` after the address is dropped, and the connections' tasks end with it.
     tokio::spawn(async move {
-        let mut open = JoinSet::new();
+        let mut connection_tasks = JoinSet::new();
         tokio::select! {
-            () = requests::serve(shared, &listener, &mut open) => {}
+            () = requests::serve(shared, &listener, &mut connection_tasks) => {}
             _ = dropped.changed() => {}
         }
         drop(listener);
--- a/crates/testkit/src/fake_discovery/entry.rs
+++ b/crates/testkit/src/fake_discovery/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the endpoint list.
+//! Entries of an endpoint list and their wire format.
 
 use std::net::SocketAddr;
 
@@ -9,24 +9,24 @@
 /// An entry of a sender's endpoint list.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Id of the endpoint.
+    /// Id of the endpoint, unique in the list.
     pub id: String,
-    /// Address at which this sender reaches it.
+    /// Address at which the sender of this list reaches the endpoint.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: String,
-    /// Its kind, as the settings name it.
+    /// Kind of the endpoint: one of the values of `kinds` in the settings.
     pub kind: String,
-    /// Number of its receiver.
+    /// Number of the receiver that the endpoint belongs to.
     pub receiver: u16,
-    /// Its phase.
+    /// Phase of the endpoint: serving, draining or deleted.
     pub phase: Phase,
-    /// Calls per second that its receiver accepts from all senders together.
+    /// Calls per second that the receiver accepts from all senders together.
     pub per_s: f64,
 }
 
 impl Entry {
-    /// The entry as it is on the wire.
+    /// The entry in its wire format.
     pub(super) fn json(&self) -> Value {
         json!({"id": self.id, "host_port": self.addr.to_string(), "locality": self.zone, "flavor": self.kind,
                "cell": self.receiver, "phase": self.phase.wire_name(), "size": self.per_s, "up_since_ms": 0})
--- a/crates/testkit/src/fake_discovery/list.rs
+++ b/crates/testkit/src/fake_discovery/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of a sender, its changes, and the watches that get them.
+//! The endpoint list of a sender, its changes, and the watches to which the changes are sent.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use super::entry::Entry;
 use crate::scenario::Phase;
 
-/// Maximum number of unread lines of a watch; a watch with more is closed.
+/// Maximum number of changes that wait to be written to a watch; a watch with more is closed.
 const MAX_WAITING_LINES: usize = 1_024;
 
-/// A change and its line on watches.
+/// A change of an endpoint's phase, and the line with which watches announce it.
 #[derive(Clone, Debug)]
 pub(super) struct Change {
     pub(super) line: String,
@@ -27,7 +27,7 @@
     pub(super) phase: Phase,
 }
 
-/// A change with its revision, for watches that begin later.
+/// A change with its revision and entry, for watches that begin later.
 #[derive(Debug)]
 struct RecordedChange {
     revision: u64,
@@ -35,25 +35,25 @@
     change: Change,
 }
 
-/// A watch that has just begun.
+/// First line and later changes of a watch that has just begun.
 #[derive(Debug)]
 pub(super) struct NewWatch {
-    /// Its first line.
-    pub(super) first: String,
-    /// The later changes.
+    /// The complete list, or the changes after the requested revision.
+    pub(super) first_line: String,
+    /// Changes made after the watch began.
     pub(super) changes: mpsc::Receiver<Change>,
 }
 
-/// State of a discovery service.
+/// Endpoint list, its changes and the open watches of a discovery service.
 #[derive(Debug)]
 pub(super) struct ListState {
     revision: u64,
     changes: Vec<RecordedChange>,
     entries: Vec<Entry>,
     watches: Vec<mpsc::Sender<Change>>,
-    /// How notifications are answered.
+    /// How the service responds to notifications.
     pub(super) notification_mode: NotificationMode,
-    /// The phase of each changed endpoint that was last announced to the sender.
+    /// The phase last announced to the sender, for each endpoint that has changed.
     announced: BTreeMap<String, Phase>,
 }
 
@@ -69,20 +69,20 @@
         }
     }
 
-    /// The complete list as it is on the wire.
-    pub(super) fn whole(&self) -> Value {
+    /// The complete list in its wire format.
+    pub(super) fn complete_list(&self) -> Value {
         let members: Vec<Value> = self.entries.iter().map(Entry::json).collect();
         json!({"revision": self.revision, "complete": true, "members": members})
     }
 
-    /// The changes after a revision as they are on the wire.
+    /// The changes after a revision in their wire format.
     fn changes_after(&self, revision: u64) -> Value {
         let later = self.changes.iter().filter(|recorded| recorded.revision > revision);
         let members: Vec<Value> = later.map(|recorded| recorded.entry.clone()).collect();
         json!({"revision": self.revision, "complete": false, "members": members})
     }
 
-    /// Changes an endpoint's phase and sends that to the watches.
+    /// Changes an endpoint's phase and sends the change to the watches. An unknown endpoint is ignored.
     pub(super) fn change(&mut self, endpoint: &str, phase: Phase) {
         let Some(entry) = self.entries.iter_mut().find(|entry| entry.id == endpoint) else { return };
         entry.phase = phase;
@@ -98,7 +98,8 @@
         self.changes.push(RecordedChange { revision, entry, change });
     }
 
-    /// The phases that a request announces: all changes, or those after the revision that a watch begins at.
+    /// The phases that the response to a request announces: those of the changes after `revision`, or of all changes if it
+    /// is `None` or unknown.
     pub(super) fn changes_since(&self, revision: Option<u64>) -> Vec<EndpointPhase> {
         let since = revision.filter(|revision| *revision <= self.revision).unwrap_or(0);
         let later = self.changes.iter().filter(|recorded| recorded.revision > since);
@@ -109,19 +110,19 @@
         later.map(|recorded| phase(&recorded.change)).collect()
     }
 
-    /// Records that a phase is announced to the sender; whether it differs from the last one.
+    /// Records that a phase is announced to the sender. Returns whether it differs from the last announced one.
     pub(super) fn announce(&mut self, endpoint: &str, phase: Phase) -> bool {
         self.announced.insert(endpoint.to_owned(), phase) != Some(phase)
     }
 
-    /// Begins a watch from a revision.
+    /// Begins a watch of the changes after a revision.
     pub(super) fn watch(&mut self, from: Option<u64>) -> NewWatch {
         let (lines, changes) = mpsc::channel(MAX_WAITING_LINES);
         let first = match from {
             Some(revision) if revision <= self.revision => self.changes_after(revision),
-            _ => self.whole(),
+            _ => self.complete_list(),
         };
         self.watches.push(lines);
-        NewWatch { first: first.to_string(), changes }
+        NewWatch { first_line: first.to_string(), changes }
     }
 }
--- a/crates/testkit/src/fake_discovery/requests.rs
+++ b/crates/testkit/src/fake_discovery/requests.rs
@@ -1,4 +1,4 @@
-//! Answers a sender's requests for the endpoint list and for watches, and its notifications.
+//! Responds to a sender's requests: for the endpoint list, for watches, and with notifications.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use crate::line_body::LineBody;
 use crate::listen;
 
-/// Maximum length of a request with notifications, in bytes.
+/// Maximum length of the body of a notification request, in bytes.
 const MAX_NOTIFICATIONS_LEN: usize = 4 << 20;
 
 type Reply = Response<BoxBody<Bytes, Infallible>>;
@@ -32,15 +32,15 @@
     reply
 }
 
-/// Serves a listener's connections, whose tasks `open` owns, until it is cancelled.
-pub(super) async fn serve(shared: Arc<Shared>, listener: &TcpListener, open: &mut JoinSet<()>) {
+/// Serves a listener's connections until the task is cancelled. `connection_tasks` owns a task for each connection.
+pub(super) async fn serve(shared: Arc<Shared>, listener: &TcpListener, connection_tasks: &mut JoinSet<()>) {
     loop {
-        let stream = listen::next(listener, open).await;
+        let stream = listen::next(listener, connection_tasks).await;
         let shared = shared.clone();
-        open.spawn(async move {
+        connection_tasks.spawn(async move {
             let service = service_fn(|request| answer(shared.clone(), request));
             let builder = hyper::server::conn::http1::Builder::new();
-            // The sender may end a connection in any way.
+            // Ignored, because the sender may end a connection in any way.
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
         });
     }
@@ -48,7 +48,7 @@
 
 async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Result<Reply, std::io::Error> {
     if request.uri().path() == "/reports" {
-        // Notifications are answered also while discovery is silent.
+        // Notifications get a response also while discovery is silent.
         let body = Limited::new(request.into_body(), MAX_NOTIFICATIONS_LEN).collect().await;
         let body = body.map_err(|_| std::io::Error::from(std::io::ErrorKind::UnexpectedEof))?;
         return accept_notifications(&shared, &body.to_bytes()).await;
@@ -58,7 +58,7 @@
     Ok(if query.contains("watch=1") { begin_watch(shared, revision(query)) } else { send_list(&shared) })
 }
 
-/// The revision after which a query requests changes.
+/// The revision after which a query requests changes; `None` if it has no valid `from`.
 fn revision(query: &str) -> Option<u64> {
     query.split('&').find_map(|pair| pair.strip_prefix("from=")).and_then(|from| from.parse().ok())
 }
@@ -68,7 +68,7 @@
     for EndpointPhase { endpoint, phase } in state.changes_since(None) {
         shared.announce(&mut state, &endpoint, phase);
     }
-    reply(StatusCode::OK, state.whole().to_string())
+    reply(StatusCode::OK, state.complete_list().to_string())
 }
 
 fn begin_watch(shared: Arc<Shared>, from: Option<u64>) -> Reply {
@@ -85,7 +85,7 @@
 async fn accept_notifications(shared: &Shared, body: &[u8]) -> Result<Reply, std::io::Error> {
     let lines = body.split(|&byte| byte == b'\n').filter(|line| !line.is_empty());
     let lines: Result<Vec<Value>, _> = lines.map(serde_json::from_slice).collect();
-    let Ok(lines) = lines else { return Ok(reply(StatusCode::BAD_REQUEST, "no JSON lines".to_owned())) };
+    let Ok(lines) = lines else { return Ok(reply(StatusCode::BAD_REQUEST, "invalid JSON line".to_owned())) };
     let mode = shared.state().notification_mode;
     for line in &lines {
         let text = |name: &str| line[name].as_str().unwrap_or_default().to_owned();
--- a/crates/testkit/src/fake_discovery/watch_lines.rs
+++ b/crates/testkit/src/fake_discovery/watch_lines.rs
@@ -1,4 +1,4 @@
-//! The lines of a watch: one per change, and empty ones as heartbeats.
+//! The lines of a watch: one line per change, and empty lines as heartbeats.
 
 use std::sync::Arc;
 use std::task::{Context, Poll};
@@ -12,11 +12,12 @@
 use crate::line_body::LineSource;
 
 /// Interval of the empty lines.
-const HEARTBEAT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Lines of a watch's response.
+/// Source of the lines of a watch's response.
 pub(super) struct WatchLines {
-    first: Option<String>,
+    /// The first line, until it is sent.
+    first_line: Option<String>,
     changes: mpsc::Receiver<Change>,
     heartbeat: Interval,
     silent: watch::Receiver<bool>,
@@ -25,18 +26,25 @@
 
 impl WatchLines {
     pub(super) fn new(watch: NewWatch, shared: Arc<Shared>) -> Self {
-        let NewWatch { first, changes } = watch;
+        let NewWatch { first_line, changes } = watch;
         let silent = shared.silent.subscribe();
-        Self { first: Some(first), changes, heartbeat: tokio::time::interval(HEARTBEAT), silent, shared }
+        Self {
+            first_line: Some(first_line),
+            changes,
+            heartbeat: tokio::time::interval(HEARTBEAT_INTERVAL),
+            silent,
+            shared,
+        }
     }
 }
 
 impl LineSource for WatchLines {
     fn poll_line(&mut self, cx: &mut Context<'_>) -> Poll<Option<String>> {
-        // While the service is silent the heartbeat polls again. The sender may give up the watch before that.
+        // While the service is silent, each tick of the heartbeat polls again, so that lines resume after the silence. The
+        // sender may close the watch before that.
         let silent = *self.silent.borrow();
-        if let Some(first) = self.first.take() {
-            return Poll::Ready(Some(first));
+        if let Some(first_line) = self.first_line.take() {
+            return Poll::Ready(Some(first_line));
         }
         if !silent && let Poll::Ready(change) = self.changes.poll_recv(cx) {
             let Some(change) = change else { return Poll::Ready(None) };
--- a/crates/testkit/src/fake_receiver.rs
+++ b/crates/testkit/src/fake_receiver.rs
@@ -1,6 +1,6 @@
-//! A fake receiver: endpoints in zones that accept, reject and execute calls, and fail as scheduled.
+//! A fake receiver: its endpoints are in zones, accept, reject and execute calls, and can be put into outages.
 //!
-//! Each endpoint has one address per sender, which identifies the caller.
+//! Each endpoint has one address per sender, so that the address of a call identifies the sender.
 
 mod connections;
 mod endpoint;
@@ -21,7 +21,7 @@
 use tokio::time::sleep;
 
 use endpoint::{ActiveOutage, Endpoint, locked};
-pub use key_memory::KEY_TIME;
+pub use key_memory::KEY_LIFETIME;
 use key_memory::KeyMemory;
 use limit_state::LimitState;
 pub use rate_limiter::{LimitExceeded, RateLimiter};
@@ -29,35 +29,35 @@
 use crate::event_log::{Event, EventLog, Rules};
 use crate::scenario::{Outage, ReceiverPlan};
 
-/// A receiver that runs until it is dropped.
+/// A receiver that runs until this value is dropped.
 #[derive(Debug)]
 pub struct FakeReceiver {
     shared: Arc<Shared>,
     endpoints: Vec<Arc<Endpoint>>,
     /// Addresses by the names of sender and endpoint.
     addrs: HashMap<(String, String), SocketAddr>,
-    /// Owns the accepting tasks, which are cancelled when it is dropped.
+    /// Owns the tasks that accept connections; they are cancelled when this value is dropped.
     tasks: JoinSet<()>,
 }
 
-/// What all tasks of a receiver share.
+/// State that all tasks of a receiver share.
 #[derive(Debug)]
 struct Shared {
     plan: ReceiverPlan,
     rules: Rules,
     event_log: EventLog,
-    /// Remembered idempotency keys by zone.
+    /// Idempotency keys of executed calls, by zone.
     keys: Mutex<HashMap<String, KeyMemory>>,
 }
 
-fn new_limit(plan: &ReceiverPlan, members: usize) -> Arc<Mutex<LimitState>> {
+fn new_limit(plan: &ReceiverPlan, endpoint_count: usize) -> Arc<Mutex<LimitState>> {
     let per_s = plan.per_s.get();
     let limiter = RateLimiter::new(plan.limit, per_s, plan.counts_rejected);
-    Arc::new(Mutex::new(LimitState::new(limiter, per_s, members)))
+    Arc::new(Mutex::new(LimitState::new(limiter, per_s, endpoint_count)))
 }
 
 impl FakeReceiver {
-    /// Starts a receiver for these senders; `seed` determines its random choices.
+    /// Starts a receiver with one address per endpoint and sender. `seed` determines the random choices.
     ///
     /// # Errors
     ///
@@ -77,10 +77,10 @@
         });
         let addrs = HashMap::new();
         let mut receiver = Self { shared, endpoints: Vec::new(), addrs, tasks: JoinSet::new() };
-        let common_limit = new_limit(plan, plan.endpoints.len());
+        let shared_limit = new_limit(plan, plan.endpoints.len());
         for (index, endpoint) in plan.endpoints.iter().enumerate() {
             let seed = seed ^ (u64::from(plan.number) << 32) ^ index as u64;
-            let limit = if plan.independent { new_limit(plan, 1) } else { common_limit.clone() };
+            let limit = if plan.independent { new_limit(plan, 1) } else { shared_limit.clone() };
             let endpoint = Arc::new(Endpoint::new(plan, endpoint, seed, limit));
             for sender in senders {
                 receiver.listen(&endpoint, sender).await?;
@@ -104,12 +104,12 @@
         self.addrs.get(&(sender.to_owned(), endpoint.to_owned())).copied()
     }
 
-    /// Its plan.
+    /// The plan that the receiver was started with.
     pub fn plan(&self) -> &ReceiverPlan {
         &self.shared.plan
     }
 
-    /// Puts endpoints (all, if none is named) into an outage, and returns when it is over.
+    /// Puts the named endpoints, or all if `endpoints` is empty, into an outage. Returns when the outage is over.
     pub async fn fail(&self, endpoints: &[String], outage: Outage, duration: Duration) {
         let begin = Instant::now();
         let active = ActiveOutage { outage, begin, end: begin + duration };
@@ -138,7 +138,7 @@
         self.shared.event_log.record(Event::Outage { endpoint, kind, on });
     }
 
-    /// Whether an endpoint has collapsed under load while it warmed up.
+    /// Whether an endpoint has collapsed under overload during a warm-up.
     pub fn has_collapsed(&self) -> bool {
         self.endpoints.iter().any(|endpoint| endpoint.has_collapsed())
     }
--- a/crates/testkit/src/fake_receiver/connections.rs
+++ b/crates/testkit/src/fake_receiver/connections.rs
@@ -1,4 +1,4 @@
-//! Accepts an endpoint's connections and serves each until it ends or an outage ends it.
+//! Accepts an endpoint's connections and serves each one until it ends or an outage resets it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,30 +16,30 @@
 use crate::listen;
 use crate::scenario::Outage;
 
-/// How long an idle connection stays open.
+/// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Makes the closing of a stream reset its connection.
+/// Sets the socket to send a reset when the stream is closed.
 fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-fn is(outage: Option<ActiveOutage>, kind: Outage) -> bool {
+fn is_of_kind(outage: Option<ActiveOutage>, kind: Outage) -> bool {
     outage.is_some_and(|active| active.outage == kind)
 }
 
-/// Accepts connections of one sender to an endpoint until it is cancelled.
+/// Accepts connections of one sender to an endpoint until the task is cancelled.
 pub(super) async fn accept(
     shared: Arc<Shared>,
     endpoint: Arc<Endpoint>,
     sender: String,
     listener: TcpListener,
 ) {
-    // Owns the connections' tasks, which end with this one.
-    let mut open = JoinSet::new();
+    // Owns the connections' tasks, so that they are cancelled together with this one.
+    let mut connection_tasks = JoinSet::new();
     loop {
-        let stream = listen::next(&listener, &mut open).await;
-        if endpoint.has_collapsed() || endpoint.suffers(Outage::RefuseConnections) {
+        let stream = listen::next(&listener, &mut connection_tasks).await;
+        if endpoint.has_collapsed() || endpoint.is_in_outage(Outage::RefuseConnections) {
             let (sender, endpoint) = (sender.clone(), endpoint.id.clone());
             shared.event_log.record(Event::ConnectionRefused { sender, endpoint });
             reset_on_close(&stream);
@@ -50,7 +50,7 @@
             continue;
         };
         let (shared, endpoint, sender) = (shared.clone(), endpoint.clone(), sender.clone());
-        open.spawn(async move {
+        connection_tasks.spawn(async move {
             serve(&shared, &endpoint, &sender, stream).await;
             drop(permit);
         });
@@ -63,10 +63,10 @@
         return;
     }
     let mut outage = endpoint.outage.subscribe();
-    // An unreachable endpoint answers nothing, and open connections are reset at the end of the outage. It still reads, to
-    // see that a sender has cancelled a call; the call would count as in flight otherwise.
-    let mut is_unreachable = is(*outage.borrow_and_update(), Outage::Unreachable);
-    let Ok((handle, stream)) = duplicate(stream) else { return };
+    // An unreachable endpoint sends no response, and its open connections are reset at the end of the outage. It still
+    // reads, because a call that the sender has cancelled would count as in flight otherwise.
+    let mut is_unreachable = is_of_kind(*outage.borrow_and_update(), Outage::Unreachable);
+    let Ok((reset_handle, stream)) = duplicate(stream) else { return };
     let activity = Arc::new(Notify::new());
     let service = service_fn(|request| {
         activity.notify_one();
@@ -82,25 +82,25 @@
                     return;
                 }
                 let active = *outage.borrow_and_update();
-                if is_unreachable || is(active, Outage::RefuseConnections) {
+                if is_unreachable || is_of_kind(active, Outage::RefuseConnections) {
                     break;
                 }
-                is_unreachable = is(active, Outage::Unreachable);
+                is_unreachable = is_of_kind(active, Outage::Unreachable);
             }
-            () = idle(&activity) => return,
+            () = wait_until_idle(&activity) => return,
         }
     }
-    let _ = SockRef::from(&handle).set_linger(Some(Duration::ZERO));
+    let _ = SockRef::from(&reset_handle).set_linger(Some(Duration::ZERO));
 }
 
-/// A second handle of a stream's socket, by which it can be reset while it is served.
+/// Splits off a second handle of a stream's socket, by which the connection can be reset while it is served.
 fn duplicate(stream: TcpStream) -> std::io::Result<(std::net::TcpStream, TcpStream)> {
     let stream = stream.into_std()?;
     let handle = stream.try_clone()?;
     Ok((handle, TcpStream::from_std(stream)?))
 }
 
-/// Returns when there was no request for [`IDLE_TIMEOUT`].
-async fn idle(activity: &Notify) {
+/// Returns when no request has arrived for [`IDLE_TIMEOUT`].
+async fn wait_until_idle(activity: &Notify) {
     while tokio::time::timeout(IDLE_TIMEOUT, activity.notified()).await.is_ok() {}
 }
--- a/crates/testkit/src/fake_receiver/endpoint.rs
+++ b/crates/testkit/src/fake_receiver/endpoint.rs
@@ -1,4 +1,4 @@
-//! State of an endpoint: its outage, connections, workers and rate limit.
+//! State of one endpoint: outage, connections, workers and rate limit.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -9,15 +9,15 @@
 use super::limit_state::LimitState;
 use crate::scenario::{EndpointPlan, Outage, ReceiverPlan, SeededRng};
 
-/// Factor on the number of workers that the rate limit needs.
-const WORKER_RESERVE: f64 = 1.33;
+/// Ratio of the number of workers to the mean number that is busy at the full rate.
+const WORKER_HEADROOM: f64 = 1.33;
 
-/// Locks a mutex, even if it is poisoned.
+/// Locks a mutex, also if it is poisoned.
 pub(super) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// An outage that an endpoint is in.
+/// The current outage of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ActiveOutage {
     pub(super) outage: Outage,
@@ -30,15 +30,17 @@
 pub(super) struct Endpoint {
     pub(super) id: String,
     pub(super) zone: String,
+    /// The current outage; `None` while the endpoint works.
     pub(super) outage: watch::Sender<Option<ActiveOutage>>,
     /// Permits for open connections.
     pub(super) connections: Arc<Semaphore>,
     /// Permits for calls that are being served.
     pub(super) workers: Arc<Semaphore>,
-    /// Calls that wait for a worker.
+    /// Number of calls that wait for a worker.
     queued: Mutex<usize>,
     max_queued: usize,
     pub(super) rng: Mutex<SeededRng>,
+    /// The receiver's limit, or the endpoint's own one if its endpoints are independent.
     pub(super) limit: Arc<Mutex<LimitState>>,
 }
 
@@ -49,13 +51,13 @@
         seed: u64,
         limit: Arc<Mutex<LimitState>>,
     ) -> Self {
-        let busy_workers = plan.per_s.get() * plan.service_time_ms.get() as f64 / 1_000.0 * WORKER_RESERVE;
+        let worker_count = plan.per_s.get() * plan.service_time_ms.get() as f64 / 1_000.0 * WORKER_HEADROOM;
         Self {
             id: endpoint.id.clone(),
             zone: endpoint.zone.clone(),
             outage: watch::channel(None).0,
             connections: Arc::new(Semaphore::new(plan.max_connections.into())),
-            workers: Arc::new(Semaphore::new((busy_workers.ceil() as usize).max(1))),
+            workers: Arc::new(Semaphore::new((worker_count.ceil() as usize).max(1))),
             queued: Mutex::new(0),
             max_queued: plan.max_queued.into(),
             rng: Mutex::new(SeededRng::new(seed)),
@@ -63,17 +65,16 @@
         }
     }
 
-    /// The outage that it is in now.
     pub(super) fn active_outage(&self) -> Option<ActiveOutage> {
         *self.outage.borrow()
     }
 
-    /// Whether it is in an outage of this kind now.
-    pub(super) fn suffers(&self, outage: Outage) -> bool {
+    /// Whether the endpoint is in this outage now.
+    pub(super) fn is_in_outage(&self, outage: Outage) -> bool {
         self.active_outage().is_some_and(|active| active.outage == outage)
     }
 
-    /// Whether it has collapsed under load.
+    /// Whether the endpoint has collapsed under overload.
     pub(super) fn has_collapsed(&self) -> bool {
         locked(&self.limit).has_collapsed()
     }
@@ -93,14 +94,14 @@
         *locked(&self.queued) -= 1;
     }
 
-    /// Waits for the end of the current stall, if there is one.
+    /// Waits for the end of the current stop, if the endpoint is in a stall, which stops the workers periodically.
     pub(super) async fn wait_out_stall(&self) {
         let Some(active) = self.active_outage() else { return };
         let Outage::Stall { stop_ms, every_ms } = active.outage else { return };
-        let into_period_ms = active.begin.elapsed().as_millis() as u64 % every_ms.get().max(1);
-        if into_period_ms < stop_ms.get() {
-            let rest = Duration::from_millis(stop_ms.get() - into_period_ms);
-            sleep_until((Instant::now() + rest).into()).await;
+        let elapsed_in_period_ms = active.begin.elapsed().as_millis() as u64 % every_ms.get().max(1);
+        if elapsed_in_period_ms < stop_ms.get() {
+            let remaining = Duration::from_millis(stop_ms.get() - elapsed_in_period_ms);
+            sleep_until((Instant::now() + remaining).into()).await;
         }
     }
 }
--- a/crates/testkit/src/fake_receiver/rate_limiter.rs
+++ b/crates/testkit/src/fake_receiver/rate_limiter.rs
@@ -1,37 +1,39 @@
-//! A receiver's rate limit: a token bucket, or a count in fixed windows.
+//! A receiver's rate limit: a token bucket, or a fixed-window counter.
 
 use crate::scenario::Limit;
 
-/// Capacity of the token bucket, in seconds of its rate.
+/// Capacity of the token bucket, as the time in seconds in which an empty bucket is refilled.
 const BURST_S: f64 = 0.5;
 
-/// A call beyond the limit.
+/// Rejection of a call that exceeds the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitExceeded {
-    /// Microseconds until a call would be accepted if there were no other calls.
+    /// Time until a call will be accepted if no other call arrives before, in microseconds.
     pub available_in_us: u64,
 }
 
-/// Decides which calls a receiver accepts. Times are microseconds on any one clock.
+/// Decides which calls a receiver accepts. All times are microseconds of the same clock.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     limit: Limit,
     per_s: f64,
+    /// Whether rejected calls count against the limit too.
     counts_rejected: bool,
-    /// Index of the current window.
+    /// Number of the current window since time 0.
     window: u64,
-    /// Calls counted in it.
-    used: f64,
-    /// Tokens in the bucket as of `refilled_us`.
+    /// Calls counted in the current window.
+    counted_calls: f64,
+    /// Tokens in the bucket at `refilled_us`; negative if rejected calls are counted.
     tokens: f64,
+    /// Time of the last refill.
     refilled_us: u64,
 }
 
 impl RateLimiter {
-    /// A limiter that has accepted nothing yet.
+    /// Creates a limiter with a full bucket or an empty window.
     pub fn new(limit: Limit, per_s: f64, counts_rejected: bool) -> Self {
         let tokens = per_s * BURST_S;
-        Self { limit, per_s, counts_rejected, window: 0, used: 0.0, tokens, refilled_us: 0 }
+        Self { limit, per_s, counts_rejected, window: 0, counted_calls: 0.0, tokens, refilled_us: 0 }
     }
 
     /// Accepts or rejects a call at this time.
@@ -66,12 +68,12 @@
         let window = now_us / window_us;
         if window != self.window {
             self.window = window;
-            self.used = 0.0;
+            self.counted_calls = 0.0;
         }
         let capacity = (self.per_s * window_us as f64 / 1e6).max(1.0);
-        let is_accepted = self.used + 1.0 <= capacity;
+        let is_accepted = self.counted_calls + 1.0 <= capacity;
         if is_accepted || self.counts_rejected {
-            self.used += 1.0;
+            self.counted_calls += 1.0;
         }
         if is_accepted {
             Ok(())
--- a/crates/testkit/src/fake_receiver/requests.rs
+++ b/crates/testkit/src/fake_receiver/requests.rs
@@ -1,4 +1,4 @@
-//! Answers an endpoint's requests: health checks and calls.
+//! Responds to an endpoint's requests: health checks and calls.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 
 /// Maximum length of a call's body, in bytes.
 const MAX_BODY_LEN: usize = 64 * 1024;
-/// Share of the calls failing in an outage with errors that were executed.
+/// Share of the calls that are executed, among those that fail in an outage with errors.
 const EXECUTED_SHARE: f64 = 0.5;
 
 type HttpResponse = Response<Full<Bytes>>;
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Reply {
     status: u16,
-    /// 0 for none.
+    /// Retry-After in milliseconds; 0 for none.
     retry_after_ms: u64,
 }
 
@@ -42,7 +42,7 @@
 enum OutageEffect {
     /// The call is served as usual.
     None,
-    /// The call is never answered.
+    /// The call gets no response.
     NoResponse,
     /// The call gets this reply.
     Reply(Reply),
@@ -50,7 +50,7 @@
     ExecuteAndReply(Reply),
 }
 
-/// A call that was received; records that it was aborted if it is dropped before its response.
+/// A call that was received. Dropping it before the response records that the call was aborted.
 struct ReceivedCall {
     event_log: EventLog,
     id: u64,
@@ -62,7 +62,7 @@
         let Reply { status, retry_after_ms } = reply;
         self.answered = true;
         self.event_log.record(Event::CallAnswered { call: self.id, status, retry_after_ms });
-        let mut response = plain(status);
+        let mut response = empty_response(status);
         if retry_after_ms > 0 {
             response.headers_mut().insert("x-backoff-ms", retry_after_ms.into());
         }
@@ -78,13 +78,13 @@
     }
 }
 
-fn plain(status: u16) -> HttpResponse {
+fn empty_response(status: u16) -> HttpResponse {
     let mut response = Response::new(Full::default());
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response
 }
 
-/// The error that makes the server close the connection without a response.
+/// The error with which the server closes the connection without a response.
 fn close_connection() -> std::io::Error {
     std::io::ErrorKind::UnexpectedEof.into()
 }
@@ -93,7 +93,7 @@
     headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
 }
 
-/// Answers one request of a sender.
+/// Responds to one request of a sender.
 ///
 /// # Errors
 ///
@@ -110,7 +110,7 @@
         return Ok(health_check(&shared, &endpoint, sender));
     }
     let (Some(message_id), "/v1/messages") = (header(&head.headers, "x-txn"), head.uri.path()) else {
-        return Ok(plain(400));
+        return Ok(empty_response(400));
     };
     let key = header(&head.headers, "idempotency-key");
     Limited::new(body, MAX_BODY_LEN).collect().await.map_err(|_| close_connection())?;
@@ -131,7 +131,7 @@
     let ok = endpoint.active_outage().is_none() && !endpoint.has_collapsed();
     locked(&endpoint.limit).record_arrival(&shared.rules, shared.event_log.now());
     shared.event_log.record(Event::HealthChecked { sender, endpoint: endpoint.id.clone(), ok });
-    plain(if ok { 200 } else { 503 })
+    empty_response(if ok { 200 } else { 503 })
 }
 
 async fn serve_call(
@@ -140,17 +140,17 @@
     call: ReceivedCall,
     key: Option<String>,
 ) -> Result<HttpResponse, std::io::Error> {
-    let effect_of_outage = endpoint.active_outage();
+    let active_outage = endpoint.active_outage();
     let now_us = shared.event_log.now();
     let admission = locked(&endpoint.limit).admit(&shared.rules, now_us);
     if admission.collapsed {
         return Err(close_connection());
     }
-    let effect = effect_of_outage
+    let effect = active_outage
         .map_or(OutageEffect::None, |active| outage_effect(shared, endpoint, active.outage, active.end));
     match effect {
         OutageEffect::None => {}
-        // Until the connection ends.
+        // Pending until the connection ends, which cancels this task.
         OutageEffect::NoResponse => pending().await,
         OutageEffect::Reply(reply) => return Ok(call.answer(reply)),
         OutageEffect::ExecuteAndReply(reply) => {
@@ -164,9 +164,9 @@
     if !endpoint.try_enqueue() {
         return Ok(call.answer(Reply::status(503)));
     }
-    work(shared, endpoint, call.id, key, admission.capacity).await?;
-    if endpoint.suffers(Outage::Unreachable) {
-        // Executed, but without a response.
+    execute_when_worker_is_free(shared, endpoint, call.id, key, admission.capacity_share).await?;
+    if endpoint.is_in_outage(Outage::Unreachable) {
+        // The call was executed, but its response is lost.
         pending::<()>().await;
     }
     Ok(call.answer(Reply::status(200)))
@@ -176,9 +176,9 @@
     match outage {
         Outage::Unresponsive | Outage::Unreachable => OutageEffect::NoResponse,
         Outage::RejectAll => {
-            let left_ms = end.saturating_duration_since(Instant::now()).as_millis() as u64;
+            let remaining_ms = end.saturating_duration_since(Instant::now()).as_millis() as u64;
             let has_retry_after = locked(&endpoint.rng).chance(shared.plan.retry_after.share.get());
-            let retry_after_ms = if has_retry_after { left_ms.max(1) } else { 0 };
+            let retry_after_ms = if has_retry_after { remaining_ms.max(1) } else { 0 };
             OutageEffect::Reply(Reply { status: 503, retry_after_ms })
         }
         Outage::Errors { share } => {
@@ -195,7 +195,7 @@
     }
 }
 
-/// The reply to a call beyond the rate limit.
+/// The reply to a call that exceeds the rate limit.
 fn rejection(shared: &Shared, endpoint: &Endpoint, exceeded: LimitExceeded) -> Reply {
     let policy = &shared.plan.retry_after;
     if !locked(&endpoint.rng).chance(policy.share.get()) {
@@ -206,17 +206,17 @@
     Reply { status: 429, retry_after_ms }
 }
 
-/// Waits for a worker and executes the call after its service time, even if its connection ends meanwhile.
-async fn work(
+/// Waits for a free worker and executes the call after its service time, even if its connection ends meanwhile.
+async fn execute_when_worker_is_free(
     shared: &Arc<Shared>,
     endpoint: &Arc<Endpoint>,
     call: u64,
     key: Option<String>,
-    capacity: f64,
+    capacity_share: f64,
 ) -> Result<(), std::io::Error> {
-    let service_time = service_time(shared, endpoint, capacity);
+    let service_time = service_time(shared, endpoint, capacity_share);
     let (shared, endpoint) = (shared.clone(), endpoint.clone());
-    // Not owned by the connection: it ends after the service time.
+    // The connection does not own this task, so the call is executed also if the connection ends before.
     let task = tokio::spawn(async move {
         let worker = endpoint.workers.clone().acquire_owned().await;
         endpoint.dequeue();
@@ -228,14 +228,15 @@
     task.await.map_err(|_| close_connection())
 }
 
-/// Draws the time that a call takes: at least a third of the mean, and seldom over three times of it.
-fn service_time(shared: &Shared, endpoint: &Endpoint, capacity: f64) -> Duration {
+/// Draws the service time of a call: at least a third of the mean, rarely more than three times the mean, and longer in
+/// inverse proportion to the share of the capacity.
+fn service_time(shared: &Shared, endpoint: &Endpoint, capacity_share: f64) -> Duration {
     let mean_s = shared.plan.service_time_ms.get() as f64 / 1_000.0;
     let drawn_s = locked(&endpoint.rng).exponential(mean_s * 2.0 / 3.0);
-    Duration::from_secs_f64((mean_s / 3.0 + drawn_s) / capacity)
+    Duration::from_secs_f64((mean_s / 3.0 + drawn_s) / capacity_share)
 }
 
-/// Executes a call, unless its key was seen in the zone before.
+/// Records the execution of a call, as a repeat if its idempotency key is remembered in the zone.
 fn execute(shared: &Shared, endpoint: &Endpoint, call: u64, key: Option<&str>) {
     let repeat = key.is_some_and(|key| {
         let mut zones = locked(&shared.keys);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,8 @@
-//! The environment of a sender in tests and benchmarks: fake receivers, discovery services, clients and links with faults,
-//! all on loopback and driven by scenarios and seeds; clusters of sender processes; and the checker of the six rules, which
-//! reads only what the fakes recorded.
+//! Test environment for senders, used by tests, benchmarks and the demo: fake receivers, discovery services, clients and
+//! faulty links, all on loopback and driven by seeded scenarios; clusters of sender processes; and the checker of the six
+//! rules, whose only input is the event log that the fakes write.
 //!
-//! No shipped crate depends on this one, and it does not depend on the sender.
+//! No shipped crate depends on this crate, and this crate does not depend on the sender.
 
 pub mod checker;
 pub mod client;
--- a/crates/testkit/src/test_environment/configuration.rs
+++ b/crates/testkit/src/test_environment/configuration.rs
@@ -7,7 +7,7 @@
 use crate::client::{KEYED, MessageClass, SAFE, TENANTS, Tenant};
 use crate::event_log::{Class, Effect, Endpoint, KeyGroup, Rules};
 use crate::fake_discovery::FakeDiscovery;
-use crate::fake_receiver::KEY_TIME;
+use crate::fake_receiver::KEY_LIFETIME;
 use crate::scenario::ReceiverPlan;
 
 /// Latency objective of messages with idempotency keys, in milliseconds.
@@ -34,7 +34,7 @@
         ordered: false,
     };
     vec![
-        class(KEYED, Effect::IdempotencyKey, KeyGroup::Zone, KEY_TIME, KEYED_TARGET_MS),
+        class(KEYED, Effect::IdempotencyKey, KeyGroup::Zone, KEY_LIFETIME, KEYED_TARGET_MS),
         class(SAFE, Effect::Idempotent, KeyGroup::All, Duration::ZERO, IDEMPOTENT_TARGET_MS),
     ]
 }
