--- a/crates/testkit/src/fault_proxy.rs
+++ b/crates/testkit/src/fault_proxy.rs
@@ -1,6 +1,6 @@
-//! A TCP proxy on loopback that delays, loses, cuts and trickles what it carries.
+//! A TCP proxy on loopback that can delay, lose, cut off and slow down the bytes that it forwards.
 
-mod carry;
+mod forward;
 #[cfg(test)]
 mod tests;
 
@@ -14,20 +14,20 @@
 use crate::listen;
 use crate::scenario::LinkFault;
 
-/// Faults of a proxy; the default is none. The client is the peer that connects to the proxy.
+/// Faults of a proxy; the default is no fault. The client is the peer that connects to the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
-    /// Delay of everything, each way.
+    /// Delay of all bytes, in each direction.
     pub delay: Duration,
-    /// Nothing more reaches the client, without an error.
+    /// Bytes to the client are lost without an error.
     pub lose_responses: bool,
-    /// Nothing more passes either way, without an error. New connections are accepted.
+    /// Bytes in both directions are lost without an error. New connections are still accepted.
     pub black_hole: bool,
-    /// Number of bytes to the server after which both ends are reset.
+    /// Number of bytes to the server after which the connections to client and server are reset.
     pub cut_after: Option<u64>,
-    /// Number of bytes to the server after which that direction ends; the other one stays open.
+    /// Number of bytes to the server after which that direction is shut down; the other direction stays open.
     pub half_close_after: Option<u64>,
-    /// One byte at a time, with this pause, each way.
+    /// Pause after each byte, in both directions; bytes are written one at a time.
     pub trickle: Option<Duration>,
 }
 
@@ -46,18 +46,18 @@
     }
 }
 
-/// A proxy that runs until it is dropped.
+/// A proxy that runs until this value is dropped.
 #[derive(Debug)]
 pub struct FaultProxy {
     addr: SocketAddr,
     fault: watch::Sender<Fault>,
-    /// Counts the resets of all open connections.
+    /// Number of calls of [`FaultProxy::reset`]; each change resets all open connections.
     resets: watch::Sender<u64>,
     _tasks: JoinSet<()>,
 }
 
 impl FaultProxy {
-    /// Starts a proxy to a server, without faults.
+    /// Starts a proxy to a server without faults.
     ///
     /// # Errors
     ///
@@ -83,32 +83,37 @@
         Ok(Self { addr, fault, resets, _tasks: tasks })
     }
 
-    /// Its address.
+    /// The address at which clients connect to the proxy.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sets the faults from now on, also of open connections.
+    /// Sets the faults from now on, also for open connections.
     pub fn set(&self, fault: Fault) {
         self.fault.send_replace(fault);
     }
 
-    /// Resets both ends of all open connections.
+    /// Resets all open connections, to clients and to the server.
     pub fn reset(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 }
 
-/// Accepts connections until it is cancelled, and their tasks with it.
+/// Accepts connections until the task is cancelled, which cancels the connections' tasks too.
 async fn accept(
     listener: TcpListener,
     server: SocketAddr,
     fault: watch::Sender<Fault>,
     resets: watch::Sender<u64>,
 ) {
-    let mut open = JoinSet::new();
+    let mut connection_tasks = JoinSet::new();
     loop {
-        let stream = listen::next(&listener, &mut open).await;
-        open.spawn(carry::carry(stream, server, fault.subscribe(), resets.subscribe()));
+        let stream = listen::next(&listener, &mut connection_tasks).await;
+        connection_tasks.spawn(forward::forward_connection(
+            stream,
+            server,
+            fault.subscribe(),
+            resets.subscribe(),
+        ));
     }
 }
--- a/crates/testkit/src/frames.rs
+++ b/crates/testkit/src/frames.rs
@@ -1,7 +1,7 @@
-//! HTTP/2 frames written and read byte for byte (RFC 9113, 4 and 6), for gateways with behaviour that libraries do not
-//! support.
+//! Server side of an HTTP/2 connection on the level of frames (RFC 9113, sections 4 and 6), for fake gateways whose
+//! behaviour HTTP/2 libraries do not support.
 //!
-//! Made for tests: an unexpected event panics with a message.
+//! For tests only: an unexpected event panics with a message.
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -19,43 +19,44 @@
 const END_STREAM: u8 = 1;
 const ACK: u8 = 1;
 const END_HEADERS: u8 = 4;
-/// `SETTINGS_MAX_CONCURRENT_STREAMS` and `SETTINGS_INITIAL_WINDOW_SIZE`.
+/// Identifier of `SETTINGS_MAX_CONCURRENT_STREAMS`.
 const MAX_STREAMS: u16 = 3;
+/// Identifier of `SETTINGS_INITIAL_WINDOW_SIZE`.
 const INITIAL_WINDOW: u16 = 4;
 
 /// A received frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Its type.
+    /// Type of the frame, such as 0 for DATA.
     pub kind: u8,
-    /// Its flags.
+    /// Flags of the frame, such as 1 for `END_STREAM`.
     pub flags: u8,
-    /// Its stream; 0 for the connection.
+    /// Id of the stream; 0 for the connection.
     pub stream: u32,
-    /// Its payload.
+    /// Payload after the frame's header of nine bytes.
     pub payload: Vec<u8>,
 }
 
 /// A reset of a stream (`RST_STREAM`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamReset {
-    /// The stream.
+    /// Id of the stream.
     pub stream: u32,
-    /// Its error code.
+    /// Error code, such as 8 for `CANCEL`.
     pub code: u32,
 }
 
-/// The gateway's side of a connection.
+/// The gateway's side of an HTTP/2 connection.
 #[derive(Debug)]
 pub struct Frames {
     io: TcpStream,
-    /// Whether PINGs are answered.
+    /// Whether [`Frames::next`] acknowledges PINGs.
     pub answers_pings: bool,
 }
 
 impl Frames {
-    /// Accepts a connection: reads the client's preface and sends the maximum number of streams and the initial window
-    /// size.
+    /// Accepts a connection: reads the client's preface, then sends the maximum number of concurrent streams and the
+    /// initial window size of streams in bytes.
     pub async fn accept(mut io: TcpStream, streams: u32, window: u32) -> Self {
         let mut preface = [0; PREFACE.len()];
         with_timeout("a preface", io.read_exact(&mut preface)).await.expect("readable");
@@ -72,14 +73,14 @@
         self.write(SETTINGS, 0, 0, &payload).await;
     }
 
-    /// Changes the maximum number of streams.
+    /// Changes the maximum number of concurrent streams.
     pub async fn allow(&mut self, streams: u32) {
         self.settings(&[(MAX_STREAMS, streams)]).await;
     }
 
     /// Writes one frame.
     pub async fn write(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) {
-        let length = u32::try_from(payload.len()).expect("short").to_be_bytes();
+        let length = u32::try_from(payload.len()).expect("a payload shorter than 4 GiB").to_be_bytes();
         let head = [&length[1..], &[kind, flags], &stream.to_be_bytes()].concat();
         self.io.write_all(&[&head[..], payload].concat()).await.expect("writable");
     }
@@ -94,7 +95,8 @@
         Some(Frame { kind: head[3], flags: head[4], stream, payload })
     }
 
-    /// The next frame other than SETTINGS, PING and `WINDOW_UPDATE`; `None` at the end of the connection.
+    /// Reads the next frame other than SETTINGS, PING and `WINDOW_UPDATE`, and acknowledges SETTINGS and, if
+    /// `answers_pings`, PING. `None` at the end of the connection.
     pub async fn next(&mut self) -> Option<Frame> {
         loop {
             let frame = self.read().await?;
@@ -107,10 +109,10 @@
         }
     }
 
-    /// The stream of the next complete request.
+    /// Reads the next complete request and returns the id of its stream.
     pub async fn request(&mut self) -> u32 {
         loop {
-            let frame = self.next().await.expect("a request before the end");
+            let frame = self.next().await.expect("a request before the connection ends");
             if matches!(frame.kind, HEADERS | DATA) && frame.flags & END_STREAM != 0 {
                 return frame.stream;
             }
@@ -120,21 +122,21 @@
     /// Waits for a reset by the client.
     pub async fn reset_by_client(&mut self) -> StreamReset {
         loop {
-            let frame = self.next().await.expect("a reset before the end");
+            let frame = self.next().await.expect("a reset before the connection ends");
             if frame.kind == RST_STREAM {
-                let code = u32::from_be_bytes(frame.payload.try_into().expect("four bytes"));
+                let code = u32::from_be_bytes(frame.payload.try_into().expect("an error code of four bytes"));
                 return StreamReset { stream: frame.stream, code };
             }
         }
     }
 
-    /// Writes the head of a response with a status and an optional Retry-After.
+    /// Writes the header of a response with a status and an optional Retry-After; `ends` ends the response with it.
     pub async fn head(&mut self, stream: u32, status: u16, retry_after: Option<&str>, ends: bool) {
         // Literals without indexing (RFC 7541, 6.2.2): names 8 (:status) and 53 (retry-after) of the static table.
         let mut block = vec![0x08, 3];
         block.extend(status.to_string().bytes());
         if let Some(value) = retry_after {
-            block.extend([0x0f, 53 - 15, u8::try_from(value.len()).expect("short")]);
+            block.extend([0x0f, 53 - 15, u8::try_from(value.len()).expect("a value shorter than 256 bytes")]);
             block.extend(value.bytes());
         }
         let flags = END_HEADERS | if ends { END_STREAM } else { 0 };
@@ -148,7 +150,7 @@
 
     /// Writes trailers that end a response.
     pub async fn trailers(&mut self, stream: u32) {
-        // A literal with a new name.
+        // A literal without indexing and with a new name (RFC 7541, 6.2.2).
         self.write(HEADERS, END_HEADERS | END_STREAM, stream, b"\x00\x04x-ok\x011").await;
     }
 
@@ -157,24 +159,25 @@
         self.write(RST_STREAM, 0, stream, &code.to_be_bytes()).await;
     }
 
-    /// Writes GOAWAY.
-    pub async fn go_away(&mut self, last: u32, code: u32) {
-        self.write(GOAWAY, 0, 0, &[last.to_be_bytes(), code.to_be_bytes()].concat()).await;
+    /// Writes GOAWAY with the id of the last stream that the gateway processes.
+    pub async fn go_away(&mut self, last_stream: u32, code: u32) {
+        self.write(GOAWAY, 0, 0, &[last_stream.to_be_bytes(), code.to_be_bytes()].concat()).await;
     }
 
-    /// Writes a PING and waits for its acknowledgement: the client has read all earlier frames.
+    /// Writes a PING and waits for its acknowledgement, after which the client has read all earlier frames. Other frames
+    /// that arrive meanwhile are dropped.
     pub async fn ping(&mut self) {
         self.write(PING, 0, 0, b"read it?").await;
         loop {
-            let frame = self.read().await.expect("the answer to a PING before the end");
+            let frame = self.read().await.expect("an acknowledged PING before the connection ends");
             if frame.kind == PING && frame.flags & ACK != 0 {
                 return;
             }
         }
     }
 
-    /// Increases the window of a stream, or with 0 that of the connection.
-    pub async fn window(&mut self, stream: u32, by: u32) {
-        self.write(WINDOW_UPDATE, 0, stream, &by.to_be_bytes()).await;
+    /// Increases the flow-control window of a stream, or of the connection for stream 0, by a number of bytes.
+    pub async fn window(&mut self, stream: u32, increment: u32) {
+        self.write(WINDOW_UPDATE, 0, stream, &increment.to_be_bytes()).await;
     }
 }
--- a/crates/testkit/src/line_body.rs
+++ b/crates/testkit/src/line_body.rs
@@ -8,7 +8,7 @@
 use hyper::body::{Body, Frame};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Gives the lines of a body, without their line breaks.
+/// Source of the lines of a body, without line breaks.
 pub(crate) trait LineSource: Unpin {
     /// Polls for the next line; `None` at the end of the body.
     fn poll_line(&mut self, cx: &mut Context<'_>) -> Poll<Option<String>>;
@@ -20,7 +20,7 @@
     }
 }
 
-/// A body with one frame for each line of a source.
+/// A response body with one frame for each line of its source.
 pub(crate) struct LineBody<S>(pub(crate) S);
 
 impl<S: LineSource> Body for LineBody<S> {
--- a/crates/testkit/src/listen.rs
+++ b/crates/testkit/src/listen.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, and reaps the tasks of those that have ended.
+//! Accepts connections and removes the tasks of connections that have ended.
 
 use std::time::Duration;
 
@@ -6,17 +6,18 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Pause after an error of accepting.
-const ERROR_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before accepting again after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts the next connection, and meanwhile reaps the tasks in `open` that have ended.
-pub(crate) async fn next(listener: &TcpListener, open: &mut JoinSet<()>) -> TcpStream {
+/// Accepts the next connection. Meanwhile removes the tasks that have ended from `connection_tasks`, which would grow
+/// without bound otherwise.
+pub(crate) async fn next(listener: &TcpListener, connection_tasks: &mut JoinSet<()>) -> TcpStream {
     loop {
         tokio::select! {
-            Some(_) = open.join_next(), if !open.is_empty() => {}
+            Some(_) = connection_tasks.join_next(), if !connection_tasks.is_empty() => {}
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => return stream,
-                Err(_) => sleep(ERROR_PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             },
         }
     }
--- a/crates/testkit/src/program.rs
+++ b/crates/testkit/src/program.rs
@@ -1,4 +1,4 @@
-//! A sender's processes: started with a configuration, killed, stopped, started again, and replaced under load.
+//! The processes of a sender: started with a configuration, killed, stopped, restarted, and replaced under load.
 
 mod launch;
 mod probe;
@@ -21,58 +21,60 @@
 use crate::client::Address;
 use crate::event_log::{Event, EventLog, ProcessState};
 
-/// Time within which a process exits after SIGTERM; then it is killed.
+/// Time in which a process must exit after SIGTERM before it is killed.
 const STOP_TIMEOUT: Duration = Duration::from_millis(3_700);
-/// How long clients still connect to a process that is stopping.
-const CLIENTS_NOTICE_STOP: Duration = Duration::from_millis(300);
-/// Backlog of a listening socket that outlasts the processes.
+/// How long clients still connect to a process that is stopping: the time in which they notice the stop.
+const STOP_NOTICE_DELAY: Duration = Duration::from_millis(300);
+/// Backlog of a listening socket that stays open when the process changes.
 const BACKLOG: i32 = 128;
 
 /// Error of a sender's process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
-    /// A file, socket or signal.
+    /// An error of a file, a socket or a signal.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// It exited before it was ready.
-    #[error("{name} ended before it was ready: {log}")]
+    /// The process exited before it was ready.
+    #[error("sender {name} exited before it was ready; last lines of its log: {log}")]
     Exited {
         /// Name of the sender.
         name: String,
-        /// The last lines of its log, the last one first.
+        /// The last lines of the process's log, the last one first, separated by ` | `.
         log: String,
     },
-    /// It was not ready in time.
-    #[error("{name} was not ready in time")]
+    /// The process was not ready in time.
+    #[error("sender {name} was not ready in time")]
     TimedOut {
         /// Name of the sender.
         name: String,
     },
 }
 
-/// One sender with its folder, through all its processes.
+/// A sender with its folder. Its process may be replaced by another one at any time, or there may be none.
 #[derive(Debug)]
 pub struct Program {
     name: String,
     launch: Launch,
     folder: PathBuf,
-    /// Address at which clients reach it.
+    /// Address at which clients reach the sender, the same for all its processes.
     addr: SocketAddr,
+    /// The only processor that the process runs on; `None` for all.
     cpu: Option<usize>,
     child: Option<Child>,
-    /// The clients' listening socket, if it outlasts the processes.
+    /// The clients' listening socket, if it stays open when the process changes.
     listener: Option<Socket>,
+    /// Address of the sender while it is ready.
     ready: watch::Sender<Option<SocketAddr>>,
     event_log: EventLog,
 }
 
 impl Program {
-    /// A sender that is not started yet. `folder` outlasts its processes; `config` is written there with an address to
-    /// listen on. It runs on the processor `cpu` alone, if one is given.
+    /// Creates a sender without starting it. `folder` holds the files of all its processes; `config` is written there with
+    /// the sender's name and a free address to listen on. If `cpu` is given, the processes run on that processor only.
     ///
     /// # Errors
     ///
-    /// If the folder cannot be written or there is no free port.
+    /// If a file in the folder cannot be written or there is no free port.
     pub fn new(
         name: &str,
         launch: &Launch,
@@ -81,7 +83,7 @@
         cpu: Option<usize>,
         event_log: &EventLog,
     ) -> Result<Self, ProgramError> {
-        // Kept over restarts.
+        // Chosen once, so that the address stays the same over restarts.
         let addr = free_address()?;
         config["listen"] = addr.to_string().into();
         config["name"] = name.into();
@@ -100,12 +102,12 @@
         })
     }
 
-    /// Its address while it is ready.
+    /// The sender's address for clients, `None` while the sender is not ready.
     pub fn address(&self) -> Address {
         self.ready.subscribe()
     }
 
-    /// Id of its process, while it has one.
+    /// Id of the running process.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
@@ -122,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// If it does not start or is not ready in time.
+    /// If the process does not start or is not ready in time.
     pub async fn start(&mut self) -> Result<(), ProgramError> {
         let Spawned { mut child, .. } = self.spawn()?;
         let startup = Probe::Clients(self.addr).wait_until_ready(&mut child).await?;
@@ -142,7 +144,8 @@
         }
     }
 
-    /// Keeps the clients' listening socket open over all processes, so that one can take over from another.
+    /// Opens the clients' listening socket here and lets all later processes inherit it, so that a process can take over
+    /// from another one without refused connections.
     ///
     /// # Errors
     ///
@@ -157,12 +160,12 @@
         Ok(())
     }
 
-    /// Starts a second process, and stops the first one when the second can serve. Whether the first exited cleanly
-    /// and in time. It needs a kept listener; without a process it does nothing.
+    /// Starts a second process, and stops the first one when the second is ready. Returns whether the first process exited
+    /// cleanly and in time. Does nothing if no process runs.
     ///
     /// # Errors
     ///
-    /// If the second does not start or is not ready in time.
+    /// If the second process does not start or is not ready in time, or [`Program::keep_listener`] was not called.
     pub async fn upgrade(&mut self) -> Result<bool, ProgramError> {
         let Some(mut old) = self.child.take() else { return Ok(true) };
         let Spawned { child: mut new, control } = self.spawn()?;
@@ -173,11 +176,11 @@
         terminate(&mut old).await
     }
 
-    /// Replaces keys of its configuration, and makes its process, if it has one, read it again.
+    /// Replaces values of top-level keys in the sender's configuration, and makes the running process reload it (SIGHUP).
     ///
     /// # Errors
     ///
-    /// If the file cannot be replaced or the process not be signalled.
+    /// If the file cannot be replaced or the process cannot be signalled.
     pub async fn reconfigure(&mut self, keys: &[(&str, Value)]) -> Result<(), ProgramError> {
         let path = self.folder.join("config.json");
         let mut config: Value =
@@ -185,7 +188,7 @@
         for (key, value) in keys {
             config[*key] = value.clone();
         }
-        // Replaced atomically: a reader sees one or the other.
+        // The file is replaced atomically, so that a reader sees either the old or the new one.
         let new = self.folder.join("config.json.new");
         std::fs::write(&new, config.to_string())?;
         std::fs::rename(new, path)?;
@@ -195,11 +198,11 @@
         Ok(())
     }
 
-    /// Kills its process (`SIGKILL`).
+    /// Kills the running process (`SIGKILL`).
     ///
     /// # Errors
     ///
-    /// If it cannot be waited for.
+    /// If the process cannot be waited for.
     pub async fn kill(&mut self) -> Result<(), ProgramError> {
         if let Some(mut child) = self.child.take() {
             self.record_state(ProcessState::Terminating);
@@ -210,27 +213,28 @@
         Ok(())
     }
 
-    /// Asks its process to stop and waits until it has exited; clients still connect for a short time. Whether it exited
-    /// cleanly and in time.
+    /// Stops the running process (SIGTERM) and waits until it has exited; clients still connect for a short time. Returns
+    /// whether the process exited cleanly and in time, or none was running.
     ///
     /// # Errors
     ///
-    /// If it cannot be signalled or waited for.
+    /// If the process cannot be signalled or waited for.
     pub async fn stop(&mut self) -> Result<bool, ProgramError> {
         let Some(mut child) = self.child.take() else { return Ok(true) };
         self.record_state(ProcessState::Terminating);
         let ready = self.ready.clone();
-        let clients_notice = async {
-            sleep(CLIENTS_NOTICE_STOP).await;
+        let hide_from_clients = async {
+            sleep(STOP_NOTICE_DELAY).await;
             ready.send_replace(None);
         };
-        let (exited_cleanly, ()) = tokio::join!(terminate(&mut child), clients_notice);
+        let (exited_cleanly, ()) = tokio::join!(terminate(&mut child), hide_from_clients);
         self.record_state(ProcessState::Exited);
         exited_cleanly
     }
 }
 
-/// Asks a process to stop and waits until it has exited; kills it after [`STOP_TIMEOUT`]. Whether it exited cleanly.
+/// Sends SIGTERM to a process and waits until it has exited; kills it after [`STOP_TIMEOUT`]. Returns whether it exited
+/// cleanly and in time.
 async fn terminate(child: &mut Child) -> Result<bool, ProgramError> {
     if let Some(pid) = child.id() {
         Command::new("kill").args(["-TERM", &pid.to_string()]).status().await?;
--- a/crates/testkit/src/program/launch.rs
+++ b/crates/testkit/src/program/launch.rs
@@ -1,4 +1,4 @@
-//! How a sender's program is started.
+//! Program, arguments and environment with which a sender's process is started.
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::AsRawFd;
@@ -8,7 +8,7 @@
 use socket2::Socket;
 use tokio::process::{Child, Command};
 
-/// Lines of a process's log that an error shows.
+/// Number of lines of a process's log that an error shows.
 const LOG_TAIL_LINES: usize = 3;
 
 /// The sender's program with its arguments and environment.
@@ -16,9 +16,9 @@
 pub struct Launch {
     /// Path of the program.
     pub program: PathBuf,
-    /// Arguments that make it a sender.
+    /// Arguments with which the program runs as a sender.
     pub arguments: Vec<String>,
-    /// Environment variables besides those of every sender.
+    /// Names and values of environment variables, besides those that every sender gets.
     pub variables: Vec<(String, String)>,
 }
 
@@ -32,22 +32,22 @@
 #[derive(Debug)]
 pub(super) struct Spawned {
     pub(super) child: Child,
-    /// Address of its control listener, if it inherits a listening socket.
+    /// Address of the control listener; `None` unless the process inherits a listening socket.
     pub(super) control: Option<SocketAddr>,
 }
 
-/// A free address on loopback; most likely it is still free when the process binds it.
+/// A free address on loopback. Another process could bind it before the sender does, which is unlikely.
 pub(super) fn free_address() -> std::io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
 impl Launch {
-    /// Starts a process in a folder, on one processor if `cpu` is given, with an inherited listening socket if there
-    /// is one.
+    /// Starts a process with its files in `folder`, on the processor `cpu` only if it is given, and with `listener` as
+    /// inherited listening socket if there is one.
     ///
     /// # Errors
     ///
-    /// An error of the files or of the start.
+    /// If the log cannot be opened, no port is free or the program cannot be started.
     pub(super) fn spawn(
         &self,
         folder: &Path,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The last lines of the log in a process's folder, the last one first.
+/// The last lines of the log in a process's folder, the last one first, separated by ` | `.
 pub(super) fn log_tail(folder: &Path) -> String {
     let log = std::fs::read_to_string(folder.join("log")).unwrap_or_default();
     log.lines().rev().take(LOG_TAIL_LINES).collect::<Vec<_>>().join(" | ")
--- a/crates/testkit/src/program/probe.rs
+++ b/crates/testkit/src/program/probe.rs
@@ -1,4 +1,4 @@
-//! Asks a process whether it is ready.
+//! Readiness probes of a process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,23 +8,23 @@
 use tokio::process::Child;
 use tokio::time::{sleep, timeout};
 
-/// Time that one probe may take.
+/// Maximum time of one probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time within which a process becomes ready.
+/// Time in which a process must become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause between probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Where and how a process is probed.
+/// Address and protocol with which a process is probed.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Probe {
-    /// The readiness request at the clients' address.
+    /// The HTTP readiness request, at the address for clients.
     Clients(SocketAddr),
-    /// The status command at the control listener.
+    /// The `status` command, at the address of the control listener.
     Control(SocketAddr),
 }
 
-/// Result of waiting for a process.
+/// Result of waiting for a process to become ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Startup {
     Ready,
@@ -43,11 +43,11 @@
         }
     }
 
-    /// Waits until a process is ready or has exited.
+    /// Waits until a process is ready, has exited or has exceeded [`START_TIMEOUT`].
     ///
     /// # Errors
     ///
-    /// If the process's state cannot be read.
+    /// If the exit status of the process cannot be read.
     pub(super) async fn wait_until_ready(self, child: &mut Child) -> std::io::Result<Startup> {
         let ready = async {
             loop {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Whether the response to a request begins as expected, and in time.
+/// Whether the response to a request begins with `expected` and arrives within [`PROBE_TIMEOUT`].
 async fn responds<const N: usize>(addr: SocketAddr, request: &[u8], expected: &[u8; N]) -> bool {
     let response = async {
         let mut stream = TcpStream::connect(addr).await.ok()?;
--- a/crates/testkit/src/program/resources.rs
+++ b/crates/testkit/src/program/resources.rs
@@ -1,9 +1,9 @@
-//! What a sender's process has used, from the system's accounting.
+//! Processor time and memory of a sender's process, read from `/proc`.
 
 use super::Program;
 
 impl Program {
-    /// Processor time of its process so far, in microseconds.
+    /// Processor time that the running process has used so far, in microseconds; `None` without a process.
     pub fn cpu_us(&self) -> Option<u64> {
         // The first field of schedstat is the time on the processor in nanoseconds.
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid()?)).ok()?;
@@ -11,7 +11,7 @@
         Some(ns / 1_000)
     }
 
-    /// The highest memory use of its process, in KiB.
+    /// Peak resident memory of the running process, in KiB; `None` without a process.
     pub fn peak_kib(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid()?)).ok()?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
--- a/crates/testkit/src/scripted_peers.rs
+++ b/crates/testkit/src/scripted_peers.rs
@@ -1,7 +1,7 @@
-//! Peers for tests that script every response, call by call: a platform, a receiver, and a receiver that writes raw
-//! bytes. For tests that follow a scenario see [`crate::test_environment`].
+//! Peers of a sender for tests that script each response: a platform, a receiver, and a receiver that writes raw bytes.
+//! For tests that play a scenario see [`crate::test_environment`].
 //!
-//! Made for tests: an unexpected event panics with a message.
+//! For tests only: an unexpected event panics with a message.
 
 mod configuration;
 mod http_server;
@@ -22,14 +22,14 @@
 pub use raw_client::{connect_from, raw_submission, rest, rest_of_answer, status};
 pub use receiver::{Call, Receiver, ScriptedResponse};
 
-/// How long an event is awaited.
+/// Maximum time to wait for an event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Awaits an event for at most 20 s.
+/// Waits for an event for at most 20 s. `event` names it in the message of the panic.
 ///
 /// # Panics
 ///
-/// Panics with `what` after that time.
-pub async fn with_timeout<T>(what: &str, future: impl Future<Output = T>) -> T {
-    timeout(EVENT_TIMEOUT, future).await.unwrap_or_else(|_| panic!("timed out: {what}"))
+/// If the event has not occurred after 20 s.
+pub async fn with_timeout<T>(event: &str, future: impl Future<Output = T>) -> T {
+    timeout(EVENT_TIMEOUT, future).await.unwrap_or_else(|_| panic!("no event within 20 s: {event}"))
 }
--- a/crates/testkit/src/scripted_peers/http_server.rs
+++ b/crates/testkit/src/scripted_peers/http_server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server whose responses are given by a function.
+//! An HTTP/1.1 server whose responses are returned by a function.
 
 use std::net::SocketAddr;
 
@@ -13,21 +13,22 @@
 
 pub(super) type Reply = Response<BoxBody<Bytes, std::convert::Infallible>>;
 
-/// An empty response with a status.
+/// A response with a status and an empty body.
 pub(super) fn reply(status: u16) -> Reply {
     let mut reply = Response::new(Full::default().boxed());
     *reply.status_mut() = StatusCode::from_u16(status).expect("a status");
     reply
 }
 
-/// A listener on a free port, and its address.
+/// Listens on a free port of loopback; returns the listener and its address.
 pub(super) async fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     (listener, addr)
 }
 
-/// Serves each connection with the responses of `answer`; `None` closes it without one. The task ends with the runtime.
+/// Serves all connections with the responses of `answer`; `None` closes the connection without a response. The task ends
+/// with the runtime.
 pub(super) fn serve<F, A>(listener: TcpListener, answer: F)
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
--- a/crates/testkit/src/scripted_peers/notification.rs
+++ b/crates/testkit/src/scripted_peers/notification.rs
@@ -1,23 +1,23 @@
-//! Notifications of final outcomes as the scripted platform receives them.
+//! Notifications of final outcomes, as received by the scripted platform.
 
 use serde_json::Value;
 
 /// A notification of a message's final outcome.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Notification {
-    /// Id of the message.
+    /// Id of the message, from the key `id`.
     pub message_id: String,
     /// `undeliverable` or `deferred`.
     pub status: String,
 }
 
 impl Notification {
-    /// The notification that a message is undeliverable.
+    /// Creates the notification that a message is undeliverable.
     pub fn undeliverable(message_id: &str) -> Self {
         Self { message_id: message_id.to_owned(), status: "undeliverable".to_owned() }
     }
 
-    /// The notification that a message was rejected and can be submitted again.
+    /// Creates the notification that a message was rejected and can be submitted again.
     pub fn deferred(message_id: &str) -> Self {
         Self { message_id: message_id.to_owned(), status: "deferred".to_owned() }
     }
@@ -30,17 +30,17 @@
     }
 }
 
-/// A request with notifications, and the status of the platform's response.
+/// A request with notifications, and the status of the response to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotificationRequest {
     /// The notifications, in the order of their lines.
     pub notifications: Vec<Notification>,
-    /// Status of the response.
+    /// Status of the platform's response.
     pub status: u16,
 }
 
 impl NotificationRequest {
-    /// A request with one notification.
+    /// Creates a request with one notification.
     pub fn one(notification: Notification, status: u16) -> Self {
         Self { notifications: vec![notification], status }
     }
--- a/crates/testkit/src/scripted_peers/platform.rs
+++ b/crates/testkit/src/scripted_peers/platform.rs
@@ -1,4 +1,4 @@
-//! A scripted platform: serves discovery and receives notifications.
+//! A scripted platform: serves the endpoint list and watches, and receives notifications.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,28 +15,28 @@
 use super::with_timeout;
 use crate::line_body::LineBody;
 
-/// A watch of the endpoint list.
+/// A watch of the endpoint list that a sender has begun.
 #[derive(Debug)]
 pub struct Watch {
-    /// Query of its request.
+    /// Query of the request, such as `watch=1&from=7`.
     pub query: String,
-    /// Sends its lines; the watch ends when this is dropped.
+    /// Lines to send on the watch, which ends when this is dropped.
     pub lines: UnboundedSender<String>,
 }
 
 /// A platform with scripted responses.
 #[derive(Debug)]
 pub struct FakePlatform {
-    /// Its address.
+    /// Address at which senders reach the platform.
     pub addr: SocketAddr,
     watches: UnboundedReceiver<Watch>,
     notifications: UnboundedReceiver<NotificationRequest>,
     statuses: Arc<Mutex<VecDeque<u16>>>,
-    /// The complete list, for requests without a query.
+    /// The complete endpoint list, for requests without a query; the response is empty while it is `None`.
     list: Arc<Mutex<Option<Value>>>,
 }
 
-/// The server's side of a platform.
+/// State of a platform that its HTTP server uses.
 #[derive(Clone)]
 struct Server {
     watches: UnboundedSender<Watch>,
@@ -89,27 +89,27 @@
         Self { addr, watches, notifications, statuses, list }
     }
 
-    /// Sets the statuses of the next responses to notifications; after these it is 204.
+    /// Adds statuses of the next responses to notifications. Responses after the last one have 204.
     pub fn script_statuses(&self, statuses: &[u16]) {
         self.statuses.lock().expect("the statuses").extend(statuses);
     }
 
-    /// Sets the complete list.
+    /// Sets the complete endpoint list.
     pub fn set_list(&self, list: Value) {
         *self.list.lock().expect("a list") = Some(list);
     }
 
-    /// The next watch.
+    /// Waits for the next watch.
     pub async fn next_watch(&mut self) -> Watch {
         with_timeout("a watch", self.watches.recv()).await.expect("a platform")
     }
 
-    /// The next request with notifications.
+    /// Waits for the next request with notifications.
     pub async fn next_notifications(&mut self) -> NotificationRequest {
         with_timeout("a notification", self.notifications.recv()).await.expect("a platform")
     }
 
-    /// Whether no further notification has arrived.
+    /// Whether all requests with notifications that have arrived were returned by [`Self::next_notifications`].
     pub fn has_no_notifications(&mut self) -> bool {
         self.notifications.try_recv().is_err()
     }
--- a/crates/testkit/src/scripted_peers/raw_client.rs
+++ b/crates/testkit/src/scripted_peers/raw_client.rs
@@ -7,7 +7,8 @@
 
 use super::with_timeout;
 
-/// The bytes of a submission.
+/// The bytes of a submission. `length` holds the header lines that give the length of the body, each with its line
+/// break.
 pub fn raw_submission(message_id: &str, length: &str, body: &str) -> Vec<u8> {
     format!(
         "POST /safe HTTP/1.1\r\nHost: app.svc\r\nX-Txn: {message_id}\r\nX-Org: acme\r\nX-Remaining: 60\r\n\
@@ -25,21 +26,21 @@
     }
 }
 
-/// Reads the rest of a response after [`status`], up to where the next one would begin.
+/// Reads the rest of a response after [`status`], up to the end of its body.
 pub async fn rest_of_answer(stream: &mut TcpStream) {
-    let mut seen = Vec::new();
-    let length = |head: &str| {
+    let mut received = Vec::new();
+    let content_length = |head: &str| {
         let field = head.lines().find_map(|line| line.strip_prefix("content-length: "));
         field.map_or(0, |length| length.parse::<usize>().expect("a length"))
     };
     loop {
-        let text = String::from_utf8_lossy(&seen);
+        let text = String::from_utf8_lossy(&received);
         if let Some((head, body)) = text.split_once("\r\n\r\n")
-            && body.len() >= length(&head.to_lowercase())
+            && body.len() >= content_length(&head.to_lowercase())
         {
             return;
         }
-        with_timeout("an answer", stream.read_buf(&mut seen)).await.expect("readable");
+        with_timeout("an answer", stream.read_buf(&mut received)).await.expect("readable");
     }
 }
 
@@ -53,7 +54,7 @@
 /// Reads until the connection ends.
 pub async fn rest(stream: &mut TcpStream) -> Vec<u8> {
     let mut rest = Vec::new();
-    // A reset ends it as well.
+    // An error is ignored, because a reset ends the connection as well.
     let _ = with_timeout("the end", stream.read_to_end(&mut rest)).await;
     rest
 }
--- a/crates/testkit/src/scripted_peers/receiver.rs
+++ b/crates/testkit/src/scripted_peers/receiver.rs
@@ -1,4 +1,4 @@
-//! A scripted receiver.
+//! A receiver with scripted HTTP responses.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -18,48 +18,48 @@
 use super::http_server::{Reply, listen, reply};
 use super::with_timeout;
 
-/// Time in which a response is written before its connection is closed.
+/// Delay before a connection is closed after its response, so that the response is written first.
 const CLOSE_DELAY: Duration = Duration::from_millis(5);
 
-/// A call that a receiver has read.
+/// A call that a receiver has read completely.
 #[derive(Debug)]
 pub struct Call {
-    /// Id of the message.
+    /// Id of the message, from the header `X-Txn`; empty without one.
     pub message_id: String,
-    /// All headers.
+    /// All headers of the request.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body of the request.
     pub body: Bytes,
-    /// When its last byte arrived.
+    /// Time at which the last byte of the request was read.
     pub at: Instant,
 }
 
-/// How a call is answered.
+/// Response to a call.
 #[derive(Clone, Copy, Debug)]
 pub enum ScriptedResponse {
-    /// With a status.
+    /// A response with a status.
     Status(u16),
-    /// With a status and a header of this name and value.
+    /// A response with a status and a header of this name and value.
     StatusWithHeader(u16, &'static str, &'static str),
-    /// With a 200 after which the connection is closed without `Connection: close`.
+    /// A response with status 200 and without `Connection: close`, after which the connection is closed.
     OkThenClose,
-    /// Never.
+    /// No response while the connection is open.
     NoResponse,
-    /// The connection is closed without a response.
+    /// No response; the connection is closed.
     Disconnect,
 }
 
-/// A receiver with scripted responses; after these it answers with 200.
+/// A receiver with scripted responses. Calls after the last scripted response get status 200.
 #[derive(Debug)]
 pub struct Receiver {
-    /// Its address.
+    /// Address at which senders reach the receiver.
     pub addr: SocketAddr,
-    /// Each call.
+    /// All calls, in the order of their arrival.
     pub calls: UnboundedReceiver<Call>,
     script: Arc<Mutex<VecDeque<ScriptedResponse>>>,
 }
 
-/// The server's side of a receiver, on one connection.
+/// State of a receiver that the server of one connection uses.
 #[derive(Clone)]
 struct Connection {
     calls: UnboundedSender<Call>,
@@ -88,7 +88,7 @@
 
     async fn answer(self, request: Request<Incoming>) -> Result<Reply, &'static str> {
         let (head, body) = request.into_parts();
-        let body = body.collect().await.map_err(|_| "cut short")?.to_bytes();
+        let body = body.collect().await.map_err(|_| "the body of the request is incomplete")?.to_bytes();
         let message_id = head.headers.get("x-txn").and_then(|value| value.to_str().ok());
         let message_id = message_id.unwrap_or_default().to_owned();
         let response = self.script.lock().expect("a script").pop_front();
@@ -111,13 +111,13 @@
 }
 
 impl Receiver {
-    /// Starts a receiver with these responses.
+    /// Starts a receiver with these responses to its first calls.
     pub async fn start(responses: &[ScriptedResponse]) -> Self {
         let (listener, addr) = listen().await;
         let (call_sender, calls) = unbounded_channel();
         let script = Arc::new(Mutex::new(VecDeque::from(responses.to_vec())));
         let shared_script = script.clone();
-        // Ends with the runtime, as do the connections' tasks.
+        // The task and those of the connections end with the runtime.
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (calls, script) = (call_sender.clone(), shared_script.clone());
@@ -133,12 +133,12 @@
         self.script.lock().expect("a script").extend(responses);
     }
 
-    /// The next call.
+    /// Waits for the next call.
     pub async fn next_call(&mut self) -> Call {
         with_timeout("a call", self.calls.recv()).await.expect("a receiver")
     }
 
-    /// Whether no further call has arrived.
+    /// Whether all calls that have arrived were returned by [`Self::next_call`].
     pub fn has_no_calls(&mut self) -> bool {
         self.calls.try_recv().is_err()
     }
