--- a/crates/daemon/tests/broken_calls.rs
+++ b/crates/daemon/tests/broken_calls.rs
@@ -7,7 +7,7 @@
 use common::program::Program;
 use common::{DEADLINE_MS, body, listener_with_small_window};
 use rudderspindle_testkit::scripted_peers::{
-    FakePlatform, GOOD, Notification, config, member, rest, with_timeout,
+    FakePlatform, GOOD, Notification, config, member, read_until_close, with_timeout,
 };
 use serde_json::Value;
 use socket2::SockRef;
@@ -125,7 +125,7 @@
     let mut stream = scripted.accept().await;
     stream.readable().await.expect("the first bytes");
     scripted.program.kill().await;
-    let read = rest(&mut stream).await.len();
+    let read = read_until_close(&mut stream).await.len();
     let unread = SockRef::from(&stream).recv_buffer_size().expect("a size");
     // Not more than had arrived before the kill.
     assert!(read <= unread, "{read} bytes arrived in a buffer of {unread}");
--- a/crates/daemon/tests/client_connections.rs
+++ b/crates/daemon/tests/client_connections.rs
@@ -7,7 +7,9 @@
 use common::fixture::{Fixture, set_up};
 use common::program::Program;
 use common::{DEADLINE_MS, REJECTION_TIMEOUT};
-use rudderspindle_testkit::scripted_peers::{connect_from, raw_submission, rest, rest_of_answer, status};
+use rudderspindle_testkit::scripted_peers::{
+    connect_from, raw_submission, read_rest_of_response, read_status, read_until_close,
+};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -33,7 +35,7 @@
         kept.push(program.raw(b"").await);
         let since = Instant::now();
         let mut stream = program.raw(&raw_submission(&format!("m{n}"), "Content-Length: 4", "text")).await;
-        assert_eq!(status(&mut stream).await, Some(202));
+        assert_eq!(read_status(&mut stream).await, Some(202));
         // Sooner than the timeout of the silent ones.
         assert!(since.elapsed() < Duration::from_secs(1), "m{n}: {:?}", since.elapsed());
         assert_eq!(receiver.next_call().await.message_id, format!("m{n}"));
@@ -51,20 +53,20 @@
     let mut kept = Vec::new();
     for n in 0..30 {
         let mut stream = program.raw(&raw_submission(&format!("m{n}"), "Content-Length: 4", "text")).await;
-        assert_eq!(status(&mut stream).await, Some(202));
+        assert_eq!(read_status(&mut stream).await, Some(202));
         assert_eq!(receiver.next_call().await.message_id, format!("m{n}"));
         kept.push(stream);
     }
     // A quarter of the 44 slots is for idle connections.
     let mut last = kept.split_off(30 - 11);
     for stream in &mut kept {
-        rest(stream).await;
+        read_until_close(stream).await;
     }
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
     let again = raw_submission("again", "Content-Length: 4", "text");
-    rest_of_answer(&mut last[10]).await;
+    read_rest_of_response(&mut last[10]).await;
     last[10].write_all(&again).await.expect("it is kept");
-    assert_eq!(status(&mut last[10]).await, Some(202));
+    assert_eq!(read_status(&mut last[10]).await, Some(202));
 }
 
 /// A new client that is silent for long is still served when those that compete for slots come from other addresses.
@@ -77,7 +79,7 @@
     tokio::time::sleep(Duration::from_millis(400)).await;
     let _silent = connect_silently("127.0.0.2", &program).await;
     early.write_all(&raw_submission("late", "Content-Length: 4", "text")).await.expect("it is kept");
-    assert_eq!(status(&mut early).await, Some(202));
+    assert_eq!(read_status(&mut early).await, Some(202));
     assert_eq!(receiver.next_call().await.message_id, "late");
 }
 
@@ -86,11 +88,11 @@
     let Fixture { platform: _platform, mut receiver, program, folder: _folder, .. } =
         set_up(&[], DEADLINE_MS).await;
     let mut client = program.raw(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await;
-    assert_eq!(status(&mut client).await, Some(200));
-    rest_of_answer(&mut client).await;
+    assert_eq!(read_status(&mut client).await, Some(200));
+    read_rest_of_response(&mut client).await;
     let _silent = connect_silently("127.0.0.1", &program).await;
     client.write_all(&raw_submission("m1", "Content-Length: 4", "text")).await.expect("it is kept");
-    assert_eq!(status(&mut client).await, Some(202));
+    assert_eq!(read_status(&mut client).await, Some(202));
     assert_eq!(receiver.next_call().await.message_id, "m1");
 }
 
@@ -102,18 +104,18 @@
     let mut client = program.raw(b"").await;
     for n in 0..3 {
         client.write_all(&raw_submission(&format!("r{n}"), "Content-Length: 4", "text")).await.expect("kept");
-        assert_eq!(status(&mut client).await, Some(202));
-        rest_of_answer(&mut client).await;
+        assert_eq!(read_status(&mut client).await, Some(202));
+        read_rest_of_response(&mut client).await;
         assert_eq!(receiver.next_call().await.message_id, format!("r{n}"));
     }
     let mut once = Vec::new();
     for n in 0..200 {
         let mut stream = program.raw(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").await;
-        assert_eq!(status(&mut stream).await, Some(200), "{n}");
+        assert_eq!(read_status(&mut stream).await, Some(200), "{n}");
         once.push(stream);
     }
     client.write_all(&raw_submission("last", "Content-Length: 4", "text")).await.expect("it is kept");
-    assert_eq!(status(&mut client).await, Some(202));
+    assert_eq!(read_status(&mut client).await, Some(202));
     assert_eq!(receiver.next_call().await.message_id, "last");
 }
 
@@ -124,15 +126,15 @@
     let whole = raw_submission("slow", "Content-Length: 4", "text");
     let silent = async {
         let mut stream = program.raw(b"").await;
-        assert_eq!(status(&mut stream).await, None);
+        assert_eq!(read_status(&mut stream).await, None);
     };
     let half_a_head = async {
         let mut stream = program.raw(&whole[..40]).await;
-        assert_eq!(status(&mut stream).await, None);
+        assert_eq!(read_status(&mut stream).await, None);
     };
     let half_a_body = async {
         let mut stream = program.raw(&whole[..whole.len() - 1]).await;
-        assert!(status(&mut stream).await.is_none_or(|status| status == 408));
+        assert!(read_status(&mut stream).await.is_none_or(|status| status == 408));
     };
     // Each byte arrives within the timeout for one.
     let trickle = async {
--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control.rs
@@ -7,7 +7,9 @@
 
 use common::fixture::{ControlFixture, set_up_with_control};
 use common::{body, control_response};
-use rudderspindle_testkit::scripted_peers::{ScriptedResponse, raw_submission, rest, rest_of_answer, status};
+use rudderspindle_testkit::scripted_peers::{
+    ScriptedResponse, raw_submission, read_rest_of_response, read_status, read_until_close,
+};
 use serde_json::Value;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -55,30 +57,30 @@
     // An idle connection, one with a half-sent request, and a new one when the drain begins.
     let submit = |message_id| raw_submission(message_id, "Content-Length: 4", "text");
     let mut idle = program.raw(&submit("m1")).await;
-    assert_eq!(status(&mut idle).await, Some(202));
+    assert_eq!(read_status(&mut idle).await, Some(202));
     let whole = submit("m2");
     let mut partial = program.raw(&whole[..30]).await;
     let mut fresh = program.raw(b"").await;
     assert_eq!(program.readiness().await, 200);
     assert_eq!(control_response(control, b"standby\n").await, "done\n");
-    rest(&mut idle).await;
+    read_until_close(&mut idle).await;
     assert_eq!(program.readiness().await, 503);
     partial.write_all(&whole[30..]).await.expect("it is open");
-    assert_eq!(status(&mut partial).await, Some(202));
-    rest(&mut partial).await;
+    assert_eq!(read_status(&mut partial).await, Some(202));
+    read_until_close(&mut partial).await;
     fresh.write_all(&submit("m3")).await.expect("it is open");
-    assert_eq!(status(&mut fresh).await, Some(202));
-    rest(&mut fresh).await;
+    assert_eq!(read_status(&mut fresh).await, Some(202));
+    read_until_close(&mut fresh).await;
     for message_id in ["m1", "m2", "m3"] {
         assert_eq!(receiver.next_call().await.message_id, message_id);
     }
     assert_eq!(control_response(control, b"active\n").await, "done\n");
     assert_eq!(program.readiness().await, 200);
     let mut kept = program.raw(&submit("m4")).await;
-    assert_eq!(status(&mut kept).await, Some(202));
-    rest_of_answer(&mut kept).await;
+    assert_eq!(read_status(&mut kept).await, Some(202));
+    read_rest_of_response(&mut kept).await;
     kept.write_all(&submit("m5")).await.expect("it is kept");
-    assert_eq!(status(&mut kept).await, Some(202));
+    assert_eq!(read_status(&mut kept).await, Some(202));
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/crash_points.rs
+++ b/crates/daemon/tests/crash_points.rs
@@ -6,7 +6,7 @@
 use common::program::Program;
 use common::{DEADLINE_MS, body};
 use rudderspindle_testkit::scripted_peers::{
-    Call, Notification, NotificationRequest, ScriptedResponse, raw_submission, status, with_timeout,
+    Call, Notification, NotificationRequest, ScriptedResponse, raw_submission, read_status, with_timeout,
 };
 
 /// The classes: idempotent, with an idempotency key, at most once.
@@ -56,7 +56,7 @@
     let mut client = program.raw(&raw(class)).await;
     program.wait_for_log_line("failpoint reached").await;
     program.kill().await;
-    assert_eq!(status(&mut client).await, None);
+    assert_eq!(read_status(&mut client).await, None);
 }
 
 #[tokio::test]
@@ -67,7 +67,7 @@
         let program = site.start().await;
         site.expect_nothing_more(&program).await;
         let mut client = program.raw(&raw(class)).await;
-        assert_eq!(status(&mut client).await, Some(202));
+        assert_eq!(read_status(&mut client).await, Some(202));
         assert_eq!(site.receiver.next_call().await.message_id, "m1");
     }
 }
--- a/crates/daemon/tests/golden/log_lines.rs
+++ b/crates/daemon/tests/golden/log_lines.rs
@@ -2,7 +2,9 @@
 
 use std::net::SocketAddr;
 
-use rudderspindle_testkit::scripted_peers::{ScriptedResponse, Watch, config, list, raw_submission, status};
+use rudderspindle_testkit::scripted_peers::{
+    ScriptedResponse, Watch, config, list, raw_submission, read_status,
+};
 use serde_json::json;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -19,7 +21,7 @@
     let addr = program.address_after("listening on ");
     let mut stream = TcpStream::connect(addr).await.expect("a connection");
     stream.write_all(&raw_submission("m1", "Content-Length: 4", "text")).await.expect("writable");
-    assert_eq!(status(&mut stream).await, Some(202));
+    assert_eq!(read_status(&mut stream).await, Some(202));
 }
 
 async fn change_state(control: SocketAddr, command: &str) {
--- a/crates/daemon/tests/golden/receivers.rs
+++ b/crates/daemon/tests/golden/receivers.rs
@@ -1,7 +1,7 @@
 //! Requests to receivers: first and repeated attempts, with and without an idempotency key.
 
 use rudderspindle_testkit::scripted_peers::{
-    FakePlatform, config, member, raw_submission, rest_of_answer, status,
+    FakePlatform, config, member, raw_submission, read_rest_of_response, read_status,
 };
 
 use crate::common::DEADLINE_MS;
@@ -49,8 +49,8 @@
 async fn attempts_of_a_message_without_a_key_have_these_bytes() {
     let RecordedReceiver { _platform, mut receiver, program, _folder } = RecordedReceiver::start().await;
     let mut client = program.raw(&raw_submission("m1", "Content-Length: 4", "text")).await;
-    assert_eq!(status(&mut client).await, Some(202));
-    rest_of_answer(&mut client).await;
+    assert_eq!(read_status(&mut client).await, Some(202));
+    read_rest_of_response(&mut client).await;
     assert_two_attempts(
         &mut receiver,
         ["receiver_first_attempt_without_key.txt", "receiver_repeated_attempt_without_key.txt"],
--- a/crates/daemon/tests/malformed_requests.rs
+++ b/crates/daemon/tests/malformed_requests.rs
@@ -11,7 +11,7 @@
 use common::{DEADLINE_MS, REJECTION_TIMEOUT, body};
 use http_body_util::Full;
 use hyper::Request;
-use rudderspindle_testkit::scripted_peers::{raw_submission, rest, status, with_timeout};
+use rudderspindle_testkit::scripted_peers::{raw_submission, read_status, read_until_close, with_timeout};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -102,9 +102,9 @@
         let mut stream = TcpStream::connect(program.addr).await.expect("a connection");
         // The sender may close the connection during the write.
         let _ = stream.write_all(&bytes).await;
-        let status = status(&mut stream).await;
+        let status = read_status(&mut stream).await;
         assert!(status.is_none_or(|status| (400..500).contains(&status)), "{what}: {status:?}");
-        rest(&mut stream).await;
+        read_until_close(&mut stream).await;
         assert!(since.elapsed() < REJECTION_TIMEOUT, "{what}: {:?}", since.elapsed());
     }
     assert!(receiver.has_no_calls() && platform.has_no_notifications());
@@ -123,8 +123,8 @@
         let body = format!("4\r\ntext\r\n0\r\n\r\n{hidden}");
         let fields = fields.replace("LENGTH", &body.len().to_string());
         let mut stream = program.raw(&raw_submission("outer", &fields, &body)).await;
-        assert_eq!(status(&mut stream).await, Some(400));
-        let rest = String::from_utf8_lossy(&rest(&mut stream).await).into_owned();
+        assert_eq!(read_status(&mut stream).await, Some(400));
+        let rest = String::from_utf8_lossy(&read_until_close(&mut stream).await).into_owned();
         assert!(!rest.contains("HTTP/1.1"), "{rest}");
     }
     program.submit("safe", "last", body()).await;
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -9,7 +9,7 @@
 use common::folder::{Folder, persistent_folder};
 use common::program::{Program, spawn};
 use rudderspindle_testkit::scripted_peers::{
-    FakePlatform, Receiver, config, member, raw_submission, status, with_timeout,
+    FakePlatform, Receiver, config, member, raw_submission, read_status, with_timeout,
 };
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, BufReader};
@@ -157,7 +157,7 @@
     let mut client = tokio::net::TcpStream::connect(addr).await.expect("a connection");
     let whole = raw_submission("m1", "Content-Length: 4", "text");
     tokio::io::AsyncWriteExt::write_all(&mut client, &whole).await.expect("writable");
-    assert_eq!(status(&mut client).await, Some(202));
+    assert_eq!(read_status(&mut client).await, Some(202));
     assert_eq!(receiver.next_call().await.message_id, "m1");
     child.kill().await.expect("it can be killed");
 }
--- a/crates/daemon/tests/shutdown.rs
+++ b/crates/daemon/tests/shutdown.rs
@@ -9,7 +9,8 @@
 use common::program::{Program, signal, spawn};
 use common::{DEADLINE_MS, body, read_to_end};
 use rudderspindle_testkit::scripted_peers::{
-    Notification, Receiver, ScriptedResponse, list, raw_submission, rest_of_answer, status, with_timeout,
+    Notification, Receiver, ScriptedResponse, list, raw_submission, read_rest_of_response, read_status,
+    with_timeout,
 };
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -102,8 +103,8 @@
     let Fixture { mut platform, mut receiver, mut program, folder: _folder, .. } =
         set_up(&[], DEADLINE_MS).await;
     let mut idle = program.raw(&request("first")).await;
-    assert_eq!(status(&mut idle).await, Some(202));
-    rest_of_answer(&mut idle).await;
+    assert_eq!(read_status(&mut idle).await, Some(202));
+    read_rest_of_response(&mut idle).await;
     assert_eq!(receiver.next_call().await.message_id, "first");
     program.signal("-STOP").await;
     let mut clients = vec![idle];
@@ -184,7 +185,7 @@
     wait_for_unread_bytes(&unread, bytes.len()).await;
     program.kill().await;
     for client in [&mut half, &mut unread] {
-        assert_eq!(status(client).await, None);
+        assert_eq!(read_status(client).await, None);
     }
     let program = Program::start(&config, &folder.state).await;
     assert_eq!(receiver.next_call().await.message_id, "answered");
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -8,7 +8,7 @@
 use common::fixture::Site;
 use common::program::Program;
 use common::{DEADLINE_MS, body, inherited_listener, next_notifications};
-use rudderspindle_testkit::scripted_peers::{Notification, ScriptedResponse, raw_submission, status};
+use rudderspindle_testkit::scripted_peers::{Notification, ScriptedResponse, raw_submission, read_status};
 use tokio::io::AsyncWriteExt;
 
 /// What both processes of a sender share.
@@ -54,7 +54,7 @@
         (&mut fresh, &raw_submission("m5", "Content-Length: 4", "text")[..], "m5"),
     ] {
         stream.write_all(bytes).await.expect("it is open");
-        assert_eq!(status(stream).await, Some(202), "{message_id}");
+        assert_eq!(read_status(stream).await, Some(202), "{message_id}");
         assert_eq!(shared.site.receiver.next_call().await.message_id, message_id);
     }
     assert!(old.exit().await.success());
--- a/crates/testkit/src/scripted_peers.rs
+++ b/crates/testkit/src/scripted_peers.rs
@@ -19,7 +19,7 @@
 pub use malformed_responder::{GOOD, MalformedResponder, RawCall};
 pub use notification::{Notification, NotificationRequest};
 pub use platform::{FakePlatform, Watch};
-pub use raw_client::{connect_from, raw_submission, rest, rest_of_answer, status};
+pub use raw_client::{connect_from, raw_submission, read_rest_of_response, read_status, read_until_close};
 pub use receiver::{Call, Receiver, ScriptedResponse};
 
 /// Maximum time to wait for an event.
--- a/crates/testkit/src/scripted_peers/raw_client.rs
+++ b/crates/testkit/src/scripted_peers/raw_client.rs
@@ -18,7 +18,7 @@
 }
 
 /// Reads the status of the next response; `None` if the connection ends instead.
-pub async fn status(stream: &mut TcpStream) -> Option<u16> {
+pub async fn read_status(stream: &mut TcpStream) -> Option<u16> {
     let mut head = [0; 12];
     match with_timeout("an answer or a close", stream.read_exact(&mut head)).await {
         Ok(_) => Some(String::from_utf8_lossy(&head[9..]).parse().expect("a status")),
@@ -26,8 +26,8 @@
     }
 }
 
-/// Reads the rest of a response after [`status`], up to the end of its body.
-pub async fn rest_of_answer(stream: &mut TcpStream) {
+/// Reads the rest of a response after [`read_status`], up to the end of its body.
+pub async fn read_rest_of_response(stream: &mut TcpStream) {
     let mut received = Vec::new();
     let content_length = |head: &str| {
         let field = head.lines().find_map(|line| line.strip_prefix("content-length: "));
@@ -52,7 +52,7 @@
 }
 
 /// Reads until the connection ends.
-pub async fn rest(stream: &mut TcpStream) -> Vec<u8> {
+pub async fn read_until_close(stream: &mut TcpStream) -> Vec<u8> {
     let mut rest = Vec::new();
     // An error is ignored, because a reset ends the connection as well.
     let _ = with_timeout("the end", stream.read_to_end(&mut rest)).await;
