--- a/crates/http2/tests/client/flow_control.rs
+++ b/crates/http2/tests/client/flow_control.rs
@@ -21,14 +21,14 @@
         // With half of its body a request is still incomplete; with the rest it is complete.
         let call = harness.call(SHORT);
         assert_eq!(gateway.next().await.expect("a head").stream, 5);
-        gateway.window(5, 2).await;
+        gateway.increase_window(5, 2).await;
         assert_eq!(gateway.next().await.expect("a part").payload, b"te");
         assert_eq!(outcome(call).await, incomplete(StreamOutcome::DeadlineExceeded));
         gateway.reset_by_client().await;
         let call = harness.call(LONG);
         assert_eq!(gateway.next().await.expect("a head").stream, 7);
-        gateway.window(7, 2).await;
-        gateway.window(7, 2).await;
+        gateway.increase_window(7, 2).await;
+        gateway.increase_window(7, 2).await;
         assert_eq!(gateway.request().await, 7);
         gateway.head(7, 200, None, true).await;
         assert_eq!(outcome(call).await, complete(response(200)));
@@ -56,7 +56,7 @@
         for _ in 0..10 {
             active.push(gateway.request().await);
         }
-        gateway.allow(0).await;
+        gateway.set_max_streams(0).await;
         gateway.head(active.remove(0), 200, None, true).await;
         assert_eq!(outcome(calls.remove(0)).await.stream, response(200));
         // The gateway refuses the streams beyond its limit: they are not executed.
@@ -67,7 +67,7 @@
         calls.extend((0..4).map(|_| harness.call(LONG)));
         yield_now().await;
         assert_eq!(harness.endpoint.available_slots(), 0);
-        gateway.allow(3).await;
+        gateway.set_max_streams(3).await;
         for _ in 0..3 {
             active.push(gateway.request().await);
         }
--- a/crates/testkit/src/frames.rs
+++ b/crates/testkit/src/frames.rs
@@ -74,7 +74,7 @@
     }
 
     /// Changes the maximum number of concurrent streams.
-    pub async fn allow(&mut self, streams: u32) {
+    pub async fn set_max_streams(&mut self, streams: u32) {
         self.settings(&[(MAX_STREAMS, streams)]).await;
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Increases the flow-control window of a stream, or of the connection for stream 0, by a number of bytes.
-    pub async fn window(&mut self, stream: u32, increment: u32) {
+    pub async fn increase_window(&mut self, stream: u32, increment: u32) {
         self.write(WINDOW_UPDATE, 0, stream, &increment.to_be_bytes()).await;
     }
 }
