--- a/crates/http2/tests/client/flow_control.rs
+++ b/crates/http2/tests/client/flow_control.rs
@@ -22,14 +22,14 @@
         // A request is incomplete with half of its body, and complete with all of it.
         let call = harness.call(SHORT_TIMEOUT);
         assert_eq!(gateway.next().await.expect("a head").stream, 5);
-        gateway.window(5, 2).await;
+        gateway.increase_window(5, 2).await;
         assert_eq!(gateway.next().await.expect("half of the body").payload, b"te");
         assert_eq!(outcome(call).await, incomplete(StreamOutcome::DeadlineExceeded));
         gateway.reset_by_client().await;
         let call = harness.call(LONG_TIMEOUT);
         assert_eq!(gateway.next().await.expect("a head").stream, 7);
-        gateway.window(7, 2).await;
-        gateway.window(7, 2).await;
+        gateway.increase_window(7, 2).await;
+        gateway.increase_window(7, 2).await;
         assert_eq!(gateway.request().await, 7);
         gateway.head(7, 200, None, true).await;
         assert_eq!(outcome(call).await, complete(response(200)));
@@ -57,7 +57,7 @@
         for _ in 0..10 {
             active.push(gateway.request().await);
         }
-        gateway.allow(0).await;
+        gateway.set_max_streams(0).await;
         gateway.head(active.remove(0), 200, None, true).await;
         assert_eq!(outcome(calls.remove(0)).await.stream, response(200));
         // The gateway refuses the streams beyond its limit: they are not executed.
@@ -68,7 +68,7 @@
         calls.extend((0..4).map(|_| harness.call(LONG_TIMEOUT)));
         yield_now().await;
         assert_eq!(harness.endpoint.available_slots(), 0);
-        gateway.allow(3).await;
+        gateway.set_max_streams(3).await;
         for _ in 0..3 {
             active.push(gateway.request().await);
         }
