--- a/crates/gossip/src/arrival_rate.rs
+++ b/crates/gossip/src/arrival_rate.rs
@@ -6,11 +6,12 @@
 /// Time constant of the decay, in milliseconds.
 const DECAY_TIME: Millis = 1_000.0;
 
-/// A decaying count of arrived messages.
+/// The estimate: a count of arrived messages that decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ArrivalRate {
     /// The count at `updated_at`; it decays by a factor of e in each [`DECAY_TIME`].
     count: f64,
+    /// When `count` was last updated.
     updated_at: Millis,
 }
 
--- a/crates/gossip/src/arrival_rate/tests.rs
+++ b/crates/gossip/src/arrival_rate/tests.rs
@@ -1,8 +1,8 @@
-//! The estimate at a steady rate, and after the arrivals have ended.
+//! Tests the estimate at a steady rate, and after the arrivals have ended.
 
 use super::ArrivalRate;
 
-/// Ten arrivals a second for ten seconds, and none for the next four.
+/// Ten messages arrive a second for ten seconds, and none in the next four seconds.
 #[test]
 fn the_estimate_follows_the_arrivals() {
     let mut arrival_rate = ArrivalRate::default();
--- a/crates/gossip/src/capacity.rs
+++ b/crates/gossip/src/capacity.rs
@@ -1,16 +1,16 @@
-//! One sender's share of one limit: its part of the fleet's rate, and the permits that it holds.
+//! One sender's share of one limit: the part of the fleet's rate that the sender may use, and the permits that it holds.
 //!
-//! Without a recent update there is no shared rate, and only the policy's own rate control applies. Where permits are
-//! required, each call uses one, and the shared rate does not limit the calls.
+//! Without a recent update there is no shared rate, and only the policy's own rate control applies. If permits are required
+//! at the limit, each call uses one permit, and the shared rate does not limit the calls.
 
 use std::collections::BTreeMap;
 
 /// A time span or a point in time on a monotonic clock, in milliseconds.
 type Millis = f64;
 
-/// Minimum shared rate of a sender, in calls a second; it allows one call within the lifetime of most messages.
+/// Minimum shared rate of a sender, in calls a second. It allows one call within the time in which most messages expire.
 const MIN_RATE: f64 = 0.05;
-/// How long an equal share is valid, in milliseconds; the first update is received within this time.
+/// How long an equal share is valid, in milliseconds. The first update is received within this time.
 const EQUAL_SHARE_VALIDITY: Millis = 1_000.0;
 /// Factor by which a rejected call reduces the share until the next update.
 const REJECTION_FACTOR: f64 = 0.5;
@@ -70,7 +70,7 @@
     fleet_demand: f64,
     /// The shared rate by which the next call was scheduled; 0 if it was not scheduled by a shared rate.
     scheduled_rate: f64,
-    /// Leases by permit number; `None` where calls need no permit.
+    /// Leases by permit number; `None` if calls need no permit.
     leases: Option<BTreeMap<u64, TrackedLease>>,
     /// Calls started so far.
     pub calls: u64,
@@ -109,15 +109,15 @@
         self.leases = Some(tracked);
     }
 
-    /// When the first unused lease that has not expired starts, which is in the past if it is valid now. Infinity if
-    /// there is no such lease, negative infinity if calls need no permit.
+    /// The start of the first unused lease that has not expired; it is in the past if the lease is valid now. Infinity if
+    /// there is no such lease, and negative infinity if calls need no permit.
     pub fn next_lease_at(&self, now: Millis) -> Millis {
         let Some(leases) = &self.leases else { return f64::NEG_INFINITY };
-        let unused = leases.values().filter(|lease| !lease.is_used && lease.until > now);
-        unused.map(|lease| lease.from).fold(f64::INFINITY, f64::min)
+        let unused_leases = leases.values().filter(|lease| !lease.is_used && lease.until > now);
+        unused_leases.map(|lease| lease.from).fold(f64::INFINITY, f64::min)
     }
 
-    /// The shared rate for a demand and a limit, in calls a second; `None` without a recent update, infinite where
+    /// The shared rate for this sender's demand at a limit, in calls a second. `None` without a recent update; infinite if
     /// permits limit the calls.
     pub fn rate(&self, now: Millis, demand: f64, limit: f64) -> Option<f64> {
         if self.valid_until <= now {
@@ -137,7 +137,8 @@
     }
 
     /// Applies an update and returns the new due time of the scheduled call. If the call was scheduled by an earlier
-    /// shared rate, its remaining delay is scaled to the new rate, except for a Retry-After period.
+    /// shared rate, its remaining delay is scaled to the new rate; the part of the delay within a Retry-After period is not
+    /// scaled.
     pub fn apply(&mut self, now: Millis, update: &CapacityUpdate, scheduled: ScheduledCall) -> Millis {
         self.rate_per_demand = update.rate_per_demand;
         self.fleet_demand = update.fleet_demand;
@@ -177,8 +178,8 @@
     pub fn record_call(&mut self, now: Millis, rate: Option<f64>) {
         self.calls += 1;
         let is_valid = |lease: &&mut TrackedLease| !lease.is_used && lease.from <= now && now < lease.until;
-        let valid = self.leases.iter_mut().flat_map(BTreeMap::values_mut).filter(is_valid);
-        if let Some(lease) = valid.min_by(|a, b| a.until.total_cmp(&b.until)) {
+        let valid_leases = self.leases.iter_mut().flat_map(BTreeMap::values_mut).filter(is_valid);
+        if let Some(lease) = valid_leases.min_by(|a, b| a.until.total_cmp(&b.until)) {
             lease.is_used = true;
         }
         self.scheduled_rate = rate.unwrap_or(0.0);
--- a/crates/gossip/src/capacity/tests.rs
+++ b/crates/gossip/src/capacity/tests.rs
@@ -1,11 +1,12 @@
-//! Shared rates, rescheduling, rejections and leases of one sender's share.
+//! Tests the shared rate, rescheduled calls, rejections and leases of one sender's share of a limit.
 
 use super::{CapacityShare, CapacityUpdate, MIN_RATE, PermitLease, ScheduledCall};
 
-/// A scheduled call without effect: due at time 0, without a Retry-After period.
+/// A scheduled call that an update does not reschedule, because it is already due: at time 0, without a Retry-After
+/// period.
 const NO_CALL: ScheduledCall = ScheduledCall { due_at: 0.0, not_before: 0.0 };
 
-/// An update that is valid for a second, of a limit of 40 calls a second.
+/// An update for a limit of 40 calls a second that is valid for one second.
 fn update(rate_per_demand: f64, own_demand: f64) -> CapacityUpdate {
     CapacityUpdate { rate_per_demand, fleet_demand: 0.0, valid_for: 1_000.0, own_demand, limit: 40.0 }
 }
@@ -25,19 +26,19 @@
 #[test]
 fn a_call_scheduled_by_an_older_rate_is_rescheduled_in_proportion() {
     let mut share = CapacityShare::default();
-    let at = |due_at, not_before| ScheduledCall { due_at, not_before };
+    let scheduled = |due_at, not_before| ScheduledCall { due_at, not_before };
     share.apply(0.0, &update(0.1, 1.0), NO_CALL);
     share.record_call(0.0, share.rate(0.0, 1.0, 40.0));
     // The call is due ten seconds later at 0.1 calls a second; at 0.4 the remaining delay is a quarter.
-    assert_eq!(share.apply(2_000.0, &update(0.4, 1.0), at(10_000.0, 0.0)), 4_000.0);
+    assert_eq!(share.apply(2_000.0, &update(0.4, 1.0), scheduled(10_000.0, 0.0)), 4_000.0);
     // A Retry-After period is not scaled.
     share.record_call(2_000.0, share.rate(2_000.0, 1.0, 40.0));
-    assert_eq!(share.apply(2_500.0, &update(0.8, 1.0), at(6_000.0, 4_000.0)), 5_000.0);
+    assert_eq!(share.apply(2_500.0, &update(0.8, 1.0), scheduled(6_000.0, 4_000.0)), 5_000.0);
     share.record_call(2_500.0, share.rate(2_500.0, 1.0, 40.0));
     // A due call stays due, and a call that was not scheduled by a shared rate is unchanged.
-    assert_eq!(share.apply(5_000.0, &update(0.1, 1.0), at(4_000.0, 0.0)), 4_000.0);
+    assert_eq!(share.apply(5_000.0, &update(0.1, 1.0), scheduled(4_000.0, 0.0)), 4_000.0);
     share.record_call(5_000.0, None);
-    assert_eq!(share.apply(6_000.0, &update(0.4, 1.0), at(9_000.0, 0.0)), 9_000.0);
+    assert_eq!(share.apply(6_000.0, &update(0.4, 1.0), scheduled(9_000.0, 0.0)), 9_000.0);
 }
 
 #[test]
@@ -74,7 +75,7 @@
     share.set_leases(61.0, &leases);
     share.record_call(61.0, None);
     assert_eq!(share.next_lease_at(61.0), 200.0);
-    // An expired lease is not available, also if it is set again.
+    // An expired lease is not available, even if it is set again.
     assert_eq!(share.next_lease_at(300.0), f64::INFINITY);
     share.set_leases(300.0, &leases);
     assert_eq!(share.next_lease_at(300.0), f64::INFINITY);
--- a/crates/gossip/src/datagram_budget.rs
+++ b/crates/gossip/src/datagram_budget.rs
@@ -1,8 +1,7 @@
 //! Schedules datagrams of several kinds within a common rate limit.
 //!
-//! Invariant: in any second at most [`MAX_DATAGRAMS_PER_S`] datagrams plus one are sent, responses that they cause
-//! included; and each requested datagram may be sent within [`DatagramBudget::max_wait`], however many others are
-//! requested.
+//! Invariant: in any second at most [`MAX_DATAGRAMS_PER_S`] datagrams plus one are sent, including the responses that they
+//! cause. Each requested datagram may be sent within [`DatagramBudget::max_wait`], however many others are requested.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +14,7 @@
 pub const MAX_DATAGRAMS_PER_S: u64 = 4;
 /// Time for which one datagram occupies the budget, in milliseconds.
 pub const DATAGRAM_INTERVAL: u64 = 1_000 / MAX_DATAGRAMS_PER_S;
-/// Time that a request yields to more urgent requests for each step of its rank, in milliseconds.
+/// Time for which a request yields to more urgent requests, in milliseconds for each step of its rank.
 pub const PRIORITY_STEP: u64 = 500;
 
 /// The priority, rate limit and cost of one kind of datagram.
@@ -27,7 +26,8 @@
     pub rank: u8,
     /// Minimum time between two datagrams of the kind, in milliseconds.
     pub min_interval: u64,
-    /// Number of datagrams that one datagram of the kind causes, itself included: 2 if the receiver responds to it.
+    /// Number of datagrams that are sent because of one datagram of the kind, including that datagram: 2 if its receiver
+    /// responds to it.
     pub cost: u8,
 }
 
@@ -106,11 +106,11 @@
         if now < self.free_at {
             return None;
         }
-        let ready = self.schedules.iter().filter_map(|(kind, schedule)| {
+        let ready_kinds = self.schedules.iter().filter_map(|(kind, schedule)| {
             let requested_at = schedule.requested_at.filter(|requested_at| *requested_at <= now)?;
             Some((requested_at + schedule.class.yield_time(), schedule.class.rank, *kind))
         });
-        ready.min().map(|(.., kind)| kind)
+        ready_kinds.min().map(|(.., kind)| kind)
     }
 
     /// Whether a datagram of that kind may be sent now. If so, its request ends and its cost is charged to the budget.
@@ -134,10 +134,10 @@
     pub fn max_wait(&self, kind: Kind) -> Option<u64> {
         let yield_time = self.schedules.get(&kind)?.class.yield_time();
         let occupied_time = |schedule: &KindSchedule| schedule.class.occupied_time();
-        let longest = self.schedules.values().map(occupied_time).max()?;
-        let others = self.schedules.iter().filter(|(other, _)| **other != kind);
-        let others: u64 = others.map(|(_, schedule)| occupied_time(schedule)).sum();
-        Some(yield_time + longest + others)
+        let longest_time = self.schedules.values().map(occupied_time).max()?;
+        let other_schedules = self.schedules.iter().filter(|(other, _)| **other != kind);
+        let other_times: u64 = other_schedules.map(|(_, schedule)| occupied_time(schedule)).sum();
+        Some(yield_time + longest_time + other_times)
     }
 }
 
--- a/crates/gossip/src/datagram_budget/tests.rs
+++ b/crates/gossip/src/datagram_budget/tests.rs
@@ -1,4 +1,4 @@
-//! The maximum number of datagrams in any second, and the maximum wait of a request.
+//! Tests the maximum number of datagrams in any second, and the maximum time for which a request waits.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
         let mut waiting = BTreeMap::new();
         for millis in (0..30_000).step_by(10) {
             let now = UnixMillis(millis);
-            let requested = requests.iter().filter(|(_, at)| at / 10 * 10 == millis).map(|(kind, _)| *kind);
+            let requested = requests.iter().filter(|(_, requested_at)| requested_at / 10 * 10 == millis).map(|(kind, _)| *kind);
             // One kind is requested in every step.
             for index in requested.chain([greedy_kind]) {
                 let kind = Kind::ALL[index];
@@ -37,11 +37,11 @@
                 prop_assert!(waited <= bound + 10, "{kind:?} waited {waited} ms, allowed {bound} ms");
             }
         }
-        for (index, (at, _)) in sent.iter().enumerate() {
+        for (index, (sent_at, _)) in sent.iter().enumerate() {
             // The datagrams that the last one causes may be sent in the next second.
-            let within_second = sent[index..].iter().take_while(|(then, _)| then - at < 1_000);
+            let within_second = sent[index..].iter().take_while(|(later, _)| later - sent_at < 1_000);
             let cost: u64 = within_second.map(|(_, cost)| cost).sum();
-            prop_assert!(cost <= MAX_DATAGRAMS_PER_S + 1, "{cost} datagrams within a second from {at} ms");
+            prop_assert!(cost <= MAX_DATAGRAMS_PER_S + 1, "{cost} datagrams within a second from {sent_at} ms");
         }
         prop_assert!(waiting.len() <= 4);
     }
--- a/crates/gossip/src/demand_exchange.rs
+++ b/crates/gossip/src/demand_exchange.rs
@@ -1,5 +1,5 @@
-//! Exchange of demand between the senders of a fleet, without a leader: in each round every sender reports its load at
-//! each limit to one or a few aggregators, which send the sums of all reports to all reporters.
+//! Exchanges demand between the senders of a fleet without a leader. In each round every sender reports its load at each
+//! limit to one or a few aggregators, which send the sums of all reports to all reporters.
 //!
 //! The aggregators differ from round to round; every sender selects them by the same computation. From the sums each
 //! sender computes the capacity of each limit.
@@ -30,10 +30,10 @@
 use crate::message::{GossipError, GossipMessage, MessageKind, is_zero_when_encoded};
 use crate::outgoing_datagram::OutgoingDatagram;
 
-/// The first part of a round, over which the senders' reports are spread, in milliseconds. The last reports are
-/// received in the remaining part.
+/// Time over which the senders' reports are spread, in milliseconds from the start of a round. The last reports are
+/// received between the end of this time and the end of the round.
 const REPORT_WINDOW: u64 = 200;
-/// Maximum age of sums that are used, in rounds.
+/// Maximum age of the sums from which capacities are computed, in rounds.
 const MAX_SUMS_AGE: u64 = 4;
 /// Sums include a limit if its demand or its calls exceed this fraction of it, or if calls were rejected or failed.
 const NEAR_LIMIT_FRACTION: f64 = 0.5;
@@ -49,10 +49,11 @@
     last_report_round: Option<u64>,
     aggregators: AggregatorSelection,
     liveness: LivenessEstimate,
-    /// The sums of the reports received as an aggregator, by round, until they are sent: of the current, the previous
-    /// and the next round.
+    /// The sums of the reports that this sender received as an aggregator, by round. There may be sums of the previous,
+    /// the current and the next round; they are removed when they are sent.
     open_rounds: BTreeMap<u64, RoundTotals>,
-    /// The received sums of the latest round; if several were received for it, those that include the most senders.
+    /// The received sums of the latest round. If several aggregators sent sums for that round, those that include the most
+    /// senders are stored.
     received_sums: Option<ReceivedSums>,
     /// The latest round whose sums were applied to the estimates.
     applied_round: Option<u64>,
@@ -84,11 +85,11 @@
     /// When the next [`report`](Self::report) is due.
     pub fn next_report(&self, now: UnixMillis) -> UnixMillis {
         let offset = self.own_number as u64 * REPORT_WINDOW / self.sender_count.max(1) as u64;
-        let at = round_start(round_at(now)) + offset;
-        if at > now { at } else { at + ROUND }
+        let report_at = round_start(round_at(now)) + offset;
+        if report_at > now { report_at } else { report_at + ROUND }
     }
 
-    /// When the next [`sums`](Self::sums) are due; `None` if no reports have been received for them.
+    /// When the next [`sums`](Self::sums) are due; `None` if no received reports wait to be added up and sent.
     pub fn next_sums(&self) -> Option<UnixMillis> {
         self.open_rounds.keys().next().map(|round| round_start(round + 1))
     }
@@ -127,12 +128,12 @@
                 self.local_demand.entry(demand.limit_id).or_insert_with(|| DemandHistory::new(round_at(now)));
             history.record(now, demand);
         }
-        let is_reported = |limit_id: &LimitId| demands.iter().any(|demand| demand.limit_id == *limit_id);
-        self.local_demand.retain(|limit_id, _| is_reported(limit_id));
-        self.estimates.retain(|limit_id, _| is_reported(limit_id));
+        let is_in_demands = |limit_id: &LimitId| demands.iter().any(|demand| demand.limit_id == *limit_id);
+        self.local_demand.retain(|limit_id, _| is_in_demands(limit_id));
+        self.estimates.retain(|limit_id, _| is_in_demands(limit_id));
     }
 
-    /// This sender's load at each limit, without loads that are encoded as zero.
+    /// This sender's load at each limit. Loads that would be encoded as zero are omitted.
     fn local_loads(&self) -> Vec<LimitLoad> {
         let loads =
             self.local_demand.iter().map(|(&limit_id, history)| LimitLoad { limit_id, load: history.load() });
@@ -192,7 +193,7 @@
         Ok(())
     }
 
-    /// The sums of all rounds that have ended, addressed to each sender that reported in the round.
+    /// Returns the sums of all rounds that have ended. Those of a round are addressed to each sender that reported in it.
     pub fn sums(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         let mut datagrams = Vec::new();
         while let Some(entry) =
@@ -204,7 +205,8 @@
         datagrams
     }
 
-    /// The sums of one round, addressed to each sender that reported in it except this one, for which they are stored.
+    /// Returns the sums of one round, addressed to each other sender that reported in it. If this sender reported in it,
+    /// the sums are stored.
     fn sums_of_round(&mut self, round: u64, totals: RoundTotals) -> Vec<OutgoingDatagram> {
         let RoundTotals { reporters, loads } = totals;
         let sample_bits = self.liveness.sample_bits(&reporters);
@@ -219,19 +221,20 @@
         if reporters.contains(&self.own_number) {
             self.store_own_sums(round, sample_bits, &bytes);
         }
-        let others = reporters.into_iter().filter(|sender| *sender != self.own_number);
-        others.map(|to| OutgoingDatagram { to, bytes: bytes.clone() }).collect()
+        let other_reporters = reporters.into_iter().filter(|sender| *sender != self.own_number);
+        other_reporters.map(|to| OutgoingDatagram { to, bytes: bytes.clone() }).collect()
     }
 
-    /// Whether a limit is included in sums. A limit that this sender does not report is always included, because its
-    /// value is unknown here and may be nearly reached.
+    /// Whether a limit is included in sums. A limit that this sender does not report is always included, because this
+    /// sender does not have the limit's value, and the load may be near it.
     fn is_relevant(&self, entry: &LimitLoad) -> bool {
         let Load { demand, calls, rejected, failed } = entry.load;
         let limit = self.local_demand.get(&entry.limit_id).map_or(0.0, |history| history.limit);
         rejected + failed != 0.0 || demand.max(calls) > NEAR_LIMIT_FRACTION * limit
     }
 
-    /// Stores the sums computed by this sender, rounded by the encoding as other senders receive them.
+    /// Stores the sums that this sender computed. They are decoded from the message, so that they are rounded in the same
+    /// way as at the senders that receive them.
     fn store_own_sums(&mut self, round: u64, sample_bits: u64, bytes: &[u8]) {
         if let Ok(message) = GossipMessage::decode(bytes) {
             let included = self.liveness.observe(round, sample_bits);
--- a/crates/gossip/src/demand_exchange/aggregator_selection.rs
+++ b/crates/gossip/src/demand_exchange/aggregator_selection.rs
@@ -7,7 +7,7 @@
 
 /// Maximum number of aggregators of one round.
 pub(crate) const MAX_AGGREGATORS: usize = 3;
-/// Number of rounds for which an aggregator counts as unresponsive after it sent no sums.
+/// Number of rounds for which an aggregator counts as unresponsive after a round for which it sent no sums.
 const UNRESPONSIVE_ROUNDS: u64 = 40;
 
 /// One sender's selection of aggregators.
@@ -16,10 +16,10 @@
     sender_count: usize,
     /// The aggregators selected for the last round.
     last_selected: Vec<usize>,
-    /// Number of consecutive rounds without sums.
+    /// Number of consecutive rounds for which no sums were received.
     missed_rounds: usize,
-    /// The unresponsive senders, each with the last round in which it sent no sums.
-    unresponsive_since: BTreeMap<usize, u64>,
+    /// The unresponsive senders, each with the round in which it was last found unresponsive.
+    unresponsive_senders: BTreeMap<usize, u64>,
 }
 
 impl AggregatorSelection {
@@ -29,7 +29,7 @@
             sender_count,
             last_selected: Vec::new(),
             missed_rounds: 0,
-            unresponsive_since: BTreeMap::new(),
+            unresponsive_senders: BTreeMap::new(),
         }
     }
 
@@ -41,7 +41,7 @@
         self.record_responses(round, own_number, has_recent_sums);
         let mut selected = first_in_order(round, self.sender_count, MAX_AGGREGATORS);
         let first_responsive =
-            selected.iter().position(|sender| !self.unresponsive_since.contains_key(sender));
+            selected.iter().position(|sender| !self.unresponsive_senders.contains_key(sender));
         let responsive_count = first_responsive.map_or(selected.len(), |position| position + 1);
         selected.truncate(responsive_count.max(self.missed_rounds + 1));
         self.last_selected.clone_from(&selected);
@@ -52,24 +52,24 @@
     fn record_responses(&mut self, round: u64, own_number: usize, has_recent_sums: bool) {
         self.missed_rounds = if has_recent_sums { 0 } else { self.missed_rounds.saturating_add(1) };
         if self.missed_rounds > 0 {
-            let others = self.last_selected.iter().filter(|sender| **sender != own_number);
-            self.unresponsive_since.extend(others.map(|sender| (*sender, round)));
+            let other_aggregators = self.last_selected.iter().filter(|sender| **sender != own_number);
+            self.unresponsive_senders.extend(other_aggregators.map(|sender| (*sender, round)));
         }
-        self.unresponsive_since.retain(|_, since| *since + UNRESPONSIVE_ROUNDS > round);
+        self.unresponsive_senders.retain(|_, last_round| *last_round + UNRESPONSIVE_ROUNDS > round);
     }
 
     /// Records that a message of a sender was received, so that it counts as responsive.
     pub fn record_alive(&mut self, sender: usize) {
-        self.unresponsive_since.remove(&sender);
+        self.unresponsive_senders.remove(&sender);
     }
 
-    /// Number of unresponsive senders, for the tests of its bound.
+    /// Number of unresponsive senders. Tests check that it is bounded.
     #[cfg(test)]
     pub fn unresponsive_count(&self) -> usize {
-        self.unresponsive_since.len()
+        self.unresponsive_senders.len()
     }
 
-    /// Number of aggregators of the last round, for the tests of its bound.
+    /// Number of aggregators of the last round. Tests check that it is bounded.
     #[cfg(test)]
     pub fn selected_count(&self) -> usize {
         self.last_selected.len()
--- a/crates/gossip/src/demand_exchange/limit_capacity.rs
+++ b/crates/gossip/src/demand_exchange/limit_capacity.rs
@@ -16,8 +16,8 @@
 }
 
 impl DemandExchange {
-    /// The estimated fraction of a limit that the destination accepts, from 0 to 1, as of the last
-    /// [`capacities`](Self::capacities).
+    /// The estimated fraction of a limit that the destination accepts, from 0 to 1. It was computed by the last call of
+    /// [`capacities`](Self::capacities); without an estimate it is 1.
     pub fn available_fraction(&self, limit_id: LimitId, limit: f64) -> f64 {
         self.estimates.get(&limit_id).map_or(1.0, |estimate| estimate.available_fraction(limit))
     }
@@ -32,8 +32,8 @@
         load.demand * self.sender_count as f64 / received.sender_count.max(1) as f64
     }
 
-    /// The capacity of each limit that the latest sums include, and of each limit whose first report of this sender is
-    /// too new to be included in them. `None` without recent sums.
+    /// The capacity of each limit that the latest sums include, and of each limit that this sender first reported after
+    /// the round of these sums. `None` if no recent sums were received.
     pub fn capacities(&mut self, now: UnixMillis) -> Option<Vec<LimitCapacity>> {
         let round = self.sums_round(round_at(now))?;
         if self.applied_round != Some(round) {
@@ -44,8 +44,8 @@
         Some(capacities)
     }
 
-    /// The round of the sums from which capacities are computed; 0 in the first rounds after a start, before any sums
-    /// can have been received. `None` without recent sums, or if this sender reports no limit.
+    /// The round of the sums from which capacities are computed. It is 0 in the first rounds after this sender's first
+    /// report, if no sums were received yet. `None` if there are no recent sums, or if this sender reports no limit.
     fn sums_round(&self, current_round: u64) -> Option<u64> {
         let first_round = self.local_demand.values().map(|history| history.first_round).min()?;
         match &self.received_sums {
@@ -58,8 +58,9 @@
     /// Updates the estimate of each limit with the stored sums.
     fn apply_sums(&mut self, round: u64) {
         let Some(received) = &self.received_sums else { return };
-        let rounds = self.applied_round.map_or(1, |applied| round.saturating_sub(applied));
-        let elapsed_s = (rounds.clamp(1, MAX_SUMS_AGE) * ROUND) as f64 / 1_000.0;
+        let elapsed_rounds =
+            self.applied_round.map_or(1, |applied_round| round.saturating_sub(applied_round));
+        let elapsed_s = (elapsed_rounds.clamp(1, MAX_SUMS_AGE) * ROUND) as f64 / 1_000.0;
         let live_per_included = self.liveness.live_per_included(received.included_bits);
         self.applied_round = Some(round);
         self.capacities.clear();
--- a/crates/gossip/src/demand_exchange/liveness.rs
+++ b/crates/gossip/src/demand_exchange/liveness.rs
@@ -1,14 +1,15 @@
-//! Estimates the fraction of live senders that sums include, from a sample of the senders in recent sums.
+//! Estimates which fraction of the live senders is included in sums. The estimate is based on a sample of the fleet's
+//! senders, and on which of them recent sums included.
 
 use std::collections::VecDeque;
 
 use super::aggregator_selection::MAX_AGGREGATORS;
 use crate::peer_selection::PeerSample;
 
-/// Number of rounds whose sums are considered.
+/// Number of rounds for which observations are stored.
 const HISTORY_ROUNDS: u64 = 16;
-/// A sender counts as down once the probability that it is missing in the latest sums because of message loss is below
-/// this.
+/// A sender that is missing in the latest sums counts as down once the probability that this is due to message loss alone
+/// is below this value.
 const MAX_LOSS_PROBABILITY: f64 = 0.05;
 /// Maximum number of stored observations.
 pub(crate) const MAX_HISTORY: usize = HISTORY_ROUNDS as usize * MAX_AGGREGATORS;
@@ -20,7 +21,7 @@
     included_bits: u64,
 }
 
-/// The estimate, and the recent observations on which it is based.
+/// Estimates the number of live senders from the recent observations.
 #[derive(Debug)]
 pub(crate) struct LivenessEstimate {
     sample: PeerSample,
@@ -34,13 +35,13 @@
         Self { sample: PeerSample::new(sender_count), history: VecDeque::new() }
     }
 
-    /// The bits of those of these senders that are sampled.
+    /// The bits of the sampled senders among `senders`.
     pub fn sample_bits(&self, senders: &[usize]) -> u64 {
         self.sample.bits(senders.iter().copied())
     }
 
-    /// Records the sampled senders that the sums of a round included. Returns their bits without those that belong to
-    /// no sender.
+    /// Records the bits of the sampled senders that the sums of a round included. Bits that belong to no sender are ignored;
+    /// the others are returned.
     pub fn observe(&mut self, round: u64, bits: u64) -> u64 {
         let included_bits = bits & self.sample.all_bits();
         self.history.push_back(Observation { round, included_bits });
@@ -50,6 +51,7 @@
         included_bits
     }
 
+    /// Whether the oldest observation is at least [`HISTORY_ROUNDS`] older than `round`.
     fn is_oldest_outdated(&self, round: u64) -> bool {
         self.history.front().is_some_and(|oldest| oldest.round + HISTORY_ROUNDS <= round)
     }
@@ -60,24 +62,25 @@
     /// lost, unless it is missing in more consecutive sums than message loss can explain.
     pub fn live_per_included(&self, included_bits: u64) -> f64 {
         let latest = self.history.iter().rev().take(self.max_consecutive_losses());
-        let alive = latest.fold(included_bits, |alive, observation| alive | observation.included_bits);
-        f64::from(alive.count_ones().max(1)) / f64::from(included_bits.count_ones().max(1))
+        let alive_bits =
+            latest.fold(included_bits, |alive_bits, observation| alive_bits | observation.included_bits);
+        f64::from(alive_bits.count_ones().max(1)) / f64::from(included_bits.count_ones().max(1))
     }
 
-    /// Number of consecutive sums in which message loss can explain that a sender is missing.
+    /// Number of consecutive sums in which a sender may be missing because of message loss alone.
     fn max_consecutive_losses(&self) -> usize {
-        let known =
-            self.history.iter().fold(0, |known, observation| known | observation.included_bits).count_ones();
-        let included: u32 =
+        let ever_included =
+            self.history.iter().fold(0, |bits, observation| bits | observation.included_bits).count_ones();
+        let total_included: u32 =
             self.history.iter().map(|observation| observation.included_bits.count_ones()).sum();
-        let loss_rate =
-            1.0 - f64::from(included) / f64::from(known.max(1)) / self.history.len().max(1) as f64;
+        let loss_rate = 1.0
+            - f64::from(total_included) / f64::from(ever_included.max(1)) / self.history.len().max(1) as f64;
         if loss_rate > 0.0 { (MAX_LOSS_PROBABILITY.ln() / loss_rate.ln()).ceil() as usize } else { 1 }
     }
 
-    /// Number of observations, for the tests of its bound.
+    /// Number of stored observations. Tests check that it is bounded.
     #[cfg(test)]
-    pub fn len(&self) -> usize {
+    pub fn observation_count(&self) -> usize {
         self.history.len()
     }
 }
--- a/crates/gossip/src/demand_exchange/local_demand.rs
+++ b/crates/gossip/src/demand_exchange/local_demand.rs
@@ -10,12 +10,12 @@
 /// Time span over which calls are counted, in milliseconds.
 const COUNT_WINDOW: u64 = 1_000;
 
-/// This sender's demand at one limit, and total counts of its calls at the limit.
+/// This sender's demand at one limit, and the numbers of its calls at the limit since the process started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalDemand {
     /// The limit.
     pub limit_id: LimitId,
-    /// The limit that the destination announces, in calls a second of all senders together.
+    /// The limit that the destination announces for all senders together, in calls a second.
     pub limit: f64,
     /// Calls in demand: queued calls, and calls expected before the next report.
     pub demand: f64,
@@ -27,10 +27,10 @@
     pub failed: u64,
 }
 
-/// Total counts of calls since the start, at one point in time.
+/// Numbers of calls since the process started, as of one point in time.
 #[derive(Clone, Copy, Debug)]
 struct CallCounts {
-    at: UnixMillis,
+    recorded_at: UnixMillis,
     calls: u64,
     rejected: u64,
     failed: u64,
@@ -43,7 +43,7 @@
     pub first_round: u64,
     pub limit: f64,
     demand: f64,
-    /// Call counts, oldest first. The first is the last one before the window, if there is one.
+    /// Call counts, oldest first. The first entry is the newest one that was recorded before the window, if there is any.
     counts: VecDeque<CallCounts>,
 }
 
@@ -58,13 +58,13 @@
         self.limit = local.limit;
         self.demand = local.demand;
         let LocalDemand { calls, rejected, failed, .. } = *local;
-        self.counts.push_back(CallCounts { at: now, calls, rejected, failed });
-        while self.counts.len() > 1 && self.counts[1].at + COUNT_WINDOW <= now {
+        self.counts.push_back(CallCounts { recorded_at: now, calls, rejected, failed });
+        while self.counts.len() > 1 && self.counts[1].recorded_at + COUNT_WINDOW <= now {
             self.counts.pop_front();
         }
     }
 
-    /// The latest demand, and the calls within the window.
+    /// The latest demand, and the calls within the last [`COUNT_WINDOW`].
     pub fn load(&self) -> Load {
         let since_first = |count: fn(&CallCounts) -> u64| {
             let first = self.counts.front().map_or(0, count);
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Number of stored call counts, for the tests of its bound.
+    /// Number of stored call counts. Tests check that it is bounded.
     #[cfg(test)]
-    pub fn len(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.counts.len()
     }
 }
--- a/crates/gossip/src/demand_exchange/received_sums.rs
+++ b/crates/gossip/src/demand_exchange/received_sums.rs
@@ -1,4 +1,4 @@
-//! The sums of one round as received from an aggregator.
+//! The sums of one round that an aggregator computed, which may be this sender.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub(crate) struct ReceivedSums {
     pub round: u64,
-    /// Number of senders whose loads are included.
+    /// Number of senders whose loads are included in the sums.
     pub sender_count: usize,
     /// Bits of the sampled senders whose loads are included.
     pub included_bits: u64,
@@ -18,7 +18,8 @@
 }
 
 impl ReceivedSums {
-    /// The sums of a round from a message. `included_bits` are the bits of the sampled senders whose loads it includes.
+    /// Creates the sums of a round from a message that contains them. `included_bits` are the bits of the sampled senders
+    /// whose loads the sums include.
     pub fn new(round: u64, included_bits: u64, message: GossipMessage) -> Self {
         let loads = message.loads.into_iter().map(|entry| (entry.limit_id, entry.load));
         Self { round, sender_count: usize::from(message.sender_count), included_bits, loads: loads.collect() }
--- a/crates/gossip/src/demand_exchange/tests.rs
+++ b/crates/gossip/src/demand_exchange/tests.rs
@@ -1,5 +1,5 @@
-//! The exchange among many senders: capacity with message loss and stopped senders, bounds on memory, and malformed
-//! sums.
+//! Tests the exchange among many senders: the capacity despite message loss and stopped senders, bounds on memory, and
+//! malformed sums.
 
 use super::aggregator_selection::MAX_AGGREGATORS;
 use super::limit_capacity::LimitCapacity;
@@ -132,7 +132,7 @@
     assert_eq!(exchange.capacities(round_start(7_100)), None);
 }
 
-/// A message with limits that do not exist, for a round near the current one.
+/// A message with limits that do not exist, for a round near `round`.
 fn false_message(round: u64, from: usize) -> GossipMessage {
     let load = Load { demand: 9.0, calls: 9.0, rejected: 9.0, failed: 9.0 };
     let limit_id = |n: u64| LimitId::of((round * 31 + n + from as u64) as u16, Some("liar"));
@@ -151,14 +151,14 @@
             && exchange.estimates.len() <= 20
             && exchange.capacities.len() <= 20
     );
-    assert!(exchange.local_demand.values().all(|history| history.len() <= 6));
+    assert!(exchange.local_demand.values().all(|history| history.entry_count() <= 6));
     let unresponsive = exchange.aggregators.unresponsive_count();
     let selected = exchange.aggregators.selected_count();
     assert!(exchange.open_rounds.len() <= 3 && unresponsive < SENDER_COUNT && selected <= MAX_AGGREGATORS);
     assert!(exchange.open_rounds.values().all(|totals| {
         totals.reporters.len() <= SENDER_COUNT && totals.loads.len() <= SENDER_COUNT * MAX_LIMITS
     }));
-    assert!(exchange.liveness.len() <= MAX_HISTORY);
+    assert!(exchange.liveness.observation_count() <= MAX_HISTORY);
 }
 
 /// If the bits of nonexistent senders counted, most of the fleet would appear to be missing in the next sums.
--- a/crates/gossip/src/envelope/tests.rs
+++ b/crates/gossip/src/envelope/tests.rs
@@ -1,4 +1,4 @@
-//! Damaged datagrams, and lists that are too long.
+//! Tests that damaged datagrams, and lists that are too long, are rejected.
 
 use super::bounded_list::bounded;
 use super::{EnvelopeError, Kind, open, read, seal};
--- a/crates/gossip/src/fleet_view.rs
+++ b/crates/gossip/src/fleet_view.rs
@@ -1,7 +1,8 @@
-//! One sender's view of its fleet: membership, tenant usage and outliers, exchanged in rounds.
+//! One sender's view of its fleet. In each round the senders exchange their tenant usage and their votes on receivers;
+//! from the received messages each sender derives the membership of the fleet, its usage and the ejected receivers.
 //!
-//! Invariant: a datagram of a round that is not accepted, of a replaced incarnation or of an unknown sender does not change
-//! the view.
+//! Invariant: a datagram does not change the view if its round is not accepted, if its sender is unknown, or if its sender
+//! has been replaced by a newer incarnation.
 //!
 //! Each round has one aggregator, or two while a summary is missing or a receiver is voted down. Every sender computes the
 //! same order of aggregators. All senders report to the aggregator, which answers each reporter with a summary: the sum of
@@ -22,12 +23,12 @@
 use crate::tenant_usage::{LocalSender, TenantUsage, quota_share};
 pub use error::FleetViewError;
 
-/// Maximum number of senders in a fleet, because a bit set with one bit for each takes a fourth of a datagram.
+/// Maximum number of senders in a fleet. A bit set with one bit for each of them takes a fourth of a datagram.
 pub const MAX_SENDERS: usize = 512;
 /// Number of epochs over which quota shares are computed, because a single sender accepts few messages in one epoch.
 const QUOTA_EPOCHS: u64 = 5;
-/// Time for which received usage of other senders is current, in milliseconds; without current usage no quota share is
-/// computed.
+/// Time for which the received usage of an epoch is current after the end of the epoch, in milliseconds. Without current
+/// usage of other senders no quota share is computed.
 pub const USAGE_TIMEOUT: u64 = 5_000;
 
 /// One sender's view of its fleet, which it exchanges with the other senders by datagrams.
@@ -72,7 +73,7 @@
     reported_round: Option<u64>,
     /// The aggregators of `reported_round` to which no report has been sent yet.
     pending_aggregators: Vec<usize>,
-    /// The senders that reported to this one, by round. A round is removed when its summaries are sent.
+    /// The senders that reported to this one as an aggregator, by round. A round is removed when its summaries are sent.
     reporters: BTreeMap<u64, BTreeSet<usize>>,
     /// The oldest round for which reports are accepted; the summaries of earlier rounds have been sent.
     oldest_open_round: u64,
@@ -139,10 +140,10 @@
     ///
     /// `None` if no usage of other senders is known for an epoch that ended within the last [`USAGE_TIMEOUT`].
     pub fn own_quota(&self, now: UnixMillis, tenant: u16, fleet_quota: f64) -> Option<f64> {
-        let fleet = self.usage.read(now, tenant, QUOTA_EPOCHS);
-        fleet.newest_epoch_end.filter(|end| end.saturating_add(USAGE_TIMEOUT) > now)?;
-        let own = self.usage.read_own(now, tenant, QUOTA_EPOCHS);
-        Some(fleet_quota * quota_share(own, &fleet, self.zones.len()))
+        let fleet_usage = self.usage.read(now, tenant, QUOTA_EPOCHS);
+        fleet_usage.newest_epoch_end.filter(|end| end.saturating_add(USAGE_TIMEOUT) > now)?;
+        let own_messages = self.usage.read_own(now, tenant, QUOTA_EPOCHS);
+        Some(fleet_quota * quota_share(own_messages, &fleet_usage, self.zones.len()))
     }
 
     /// Returns those of a destination's `receivers` that are ejected; see [`OutlierDetector::ejected`].
--- a/crates/gossip/src/fleet_view/error.rs
+++ b/crates/gossip/src/fleet_view/error.rs
@@ -14,7 +14,7 @@
     /// The datagram belongs to another protocol.
     #[error("datagram kind {0:?}: must be Report or Summary")]
     UnexpectedKind(Kind),
-    /// The round of the report or summary is over, too far in the past or in the future by this sender's clock.
+    /// By this sender's clock the round of the report or summary is over, or too far in the past or in the future.
     #[error("round of the report or summary is not among the rounds accepted now")]
     WrongRound,
     /// The sender number of a datagram is this sender's own, or a sender number is not below the fleet's size.
@@ -26,7 +26,7 @@
     /// The incarnation in the datagram is too far ahead of this sender's clock.
     #[error(transparent)]
     IncarnationTooFarAhead(#[from] IncarnationTooFarAhead),
-    /// The fleet has more senders than a datagram has bits for.
+    /// The fleet has more than [`MAX_SENDERS`] senders, which is the number of bits for senders in a datagram.
     #[error("fleet of {0} senders: must have at most {MAX_SENDERS}")]
     TooManySenders(usize),
 }
--- a/crates/gossip/src/fleet_view/message.rs
+++ b/crates/gossip/src/fleet_view/message.rs
@@ -11,7 +11,7 @@
 use crate::tenant_usage::{MAX_LISTED_TENANTS, Register, TenantTotal, WindowSlice};
 pub(super) use encoded_vote::EncodedVote;
 
-/// Maximum number of epochs in a report. Each epoch is in three consecutive reports, so two of them may be lost.
+/// Maximum number of epochs in a report. Each epoch is included in three consecutive reports, so two of these may be lost.
 pub(super) const MAX_REGISTERS: usize = 3;
 /// Maximum number of epochs in a summary.
 pub(super) const MAX_SLICES: usize = 3;
@@ -24,7 +24,7 @@
 /// One sender's register for one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RegisterEntry {
-    /// Age of the epoch, in epochs: 0 for the last one that was over when the round began.
+    /// Age of the epoch, in epochs: 0 is the last epoch that was over when the round began.
     pub epochs_back: u8,
     #[serde(deserialize_with = "bounded::<MAX_LISTED_TENANTS, _, _>")]
     totals: Vec<TenantTotal>,
@@ -71,7 +71,7 @@
     pub vote: EncodedVote,
 }
 
-/// The votes on one receiver.
+/// The votes of several observers on one receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ReceiverEntry {
     pub receiver: ReceiverId,
@@ -79,15 +79,16 @@
     pub votes: Vec<ObserverEntry>,
 }
 
-/// The fleet's usage of one epoch.
+/// The usage of all reporters in one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SliceEntry {
-    /// Age of the epoch, in epochs: 0 for the last one that was over when the round began.
+    /// Age of the epoch, in epochs: 0 is the last epoch that was over when the round began.
     pub epochs_back: u8,
     pub slice: WindowSlice,
 }
 
-/// An aggregator's answer to a report: the usage of all reporters, and the votes of the senders in the reader's zone.
+/// An aggregator's response to a report: the usage of all reporters, and the votes of those senders that are in the same
+/// zone as the reader of the summary.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Summary {
     pub incarnation: u64,
@@ -123,15 +124,16 @@
 
     /// Removes one entry and returns `true`, or returns `false` if there is none.
     ///
-    /// Entries are removed in this order: the oldest epochs but one; the tenants with the fewest messages, down to half of
-    /// the maximum list; the receivers with the fewest down votes; the remaining tenants.
+    /// Entries are removed in this order: all epochs but the newest, the oldest first; the tenants with the fewest messages,
+    /// until half of [`MAX_LISTED_TENANTS`] are listed; the receivers with the fewest down votes; the remaining tenants; the
+    /// last epoch.
     fn drop_least_important(&mut self) -> bool {
-        let tenants = self.slices.first().map_or(0, |entry| entry.slice.listed_tenants());
+        let listed_tenants = self.slices.first().map_or(0, |entry| entry.slice.listed_tenants());
         let has_votes = !self.receivers.is_empty();
-        if self.slices.len() > 1 || (tenants == 0 && !has_votes) {
+        if self.slices.len() > 1 || (listed_tenants == 0 && !has_votes) {
             return self.slices.pop().is_some();
         }
-        if has_votes && tenants <= MAX_LISTED_TENANTS / 2 {
+        if has_votes && listed_tenants <= MAX_LISTED_TENANTS / 2 {
             self.receivers.pop();
             return true;
         }
--- a/crates/gossip/src/fleet_view/message/encoded_vote.rs
+++ b/crates/gossip/src/fleet_view/message/encoded_vote.rs
@@ -1,4 +1,4 @@
-//! Compact encoding of the times of a vote, relative to the round of the message that contains the vote.
+//! Encodes the times of a vote compactly, relative to the round of the message that contains the vote.
 
 use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 use crate::outlier_detection::Vote;
 use crate::tenant_usage::EPOCH_LENGTH;
 
-/// Resolution of encoded times, in milliseconds. Wall clock times are rounded up to a multiple of it.
+/// Resolution of encoded times, in milliseconds. Times are rounded up to a multiple of it before they are encoded.
 const TIME_STEP: u64 = 50;
 
-/// A vote with times relative to the reference time: the end of the round that follows the message's round.
+/// A vote whose times are relative to a reference time, the end of the round that follows the message's round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct EncodedVote {
     /// Time from the last observation to the reference time, in units of `TIME_STEP`; saturates at the largest `u8`.
@@ -22,21 +22,25 @@
 impl EncodedVote {
     /// Encodes a vote for a message of `round`.
     pub fn new(round: u64, vote: &Vote) -> Self {
-        let observed_at = vote.observed_at.0.div_ceil(TIME_STEP);
-        let began_at = vote.began_at.0.div_ceil(TIME_STEP);
+        let last_observed_at = vote.last_observed_at.0.div_ceil(TIME_STEP);
+        let first_observed_at = vote.first_observed_at.0.div_ceil(TIME_STEP);
         Self {
-            age: u8::try_from(reference_step(round).saturating_sub(observed_at)).unwrap_or(u8::MAX),
-            duration: u16::try_from(observed_at.saturating_sub(began_at)).unwrap_or(u16::MAX),
+            age: u8::try_from(reference_step(round).saturating_sub(last_observed_at)).unwrap_or(u8::MAX),
+            duration: u16::try_from(last_observed_at.saturating_sub(first_observed_at)).unwrap_or(u16::MAX),
             recovered: vote.recovered,
         }
     }
 
     /// Decodes a vote from a message of `round`.
     pub fn decode(self, round: u64) -> Vote {
-        let observed_at = reference_step(round).saturating_sub(u64::from(self.age));
-        let began_at = observed_at.saturating_sub(u64::from(self.duration));
+        let last_observed_at = reference_step(round).saturating_sub(u64::from(self.age));
+        let first_observed_at = last_observed_at.saturating_sub(u64::from(self.duration));
         let time = |steps: u64| UnixMillis(steps.saturating_mul(TIME_STEP));
-        Vote { observed_at: time(observed_at), began_at: time(began_at), recovered: self.recovered }
+        Vote {
+            last_observed_at: time(last_observed_at),
+            first_observed_at: time(first_observed_at),
+            recovered: self.recovered,
+        }
     }
 }
 
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -111,10 +111,14 @@
 
 #[test]
 fn votes_encode_to_fixed_steps_and_decode_within_one_step() {
-    let observed_at = epoch_start(ROUND) + 130;
-    let vote = Vote { observed_at, began_at: observed_at - 60_000, recovered: true };
+    let last_observed_at = epoch_start(ROUND) + 130;
+    let vote = Vote { last_observed_at, first_observed_at: last_observed_at - 60_000, recovered: true };
     let encoded = EncodedVote { age: 37, duration: 1_200, recovered: true };
     assert_eq!(EncodedVote::new(ROUND, &vote), encoded);
-    let decoded = Vote { observed_at: observed_at + 20, began_at: observed_at - 59_980, recovered: true };
+    let decoded = Vote {
+        last_observed_at: last_observed_at + 20,
+        first_observed_at: last_observed_at - 59_980,
+        recovered: true,
+    };
     assert_eq!(encoded.decode(ROUND), decoded);
 }
--- a/crates/gossip/src/fleet_view/receiving.rs
+++ b/crates/gossip/src/fleet_view/receiving.rs
@@ -9,7 +9,7 @@
 use crate::outlier_detection::ObserverVote;
 use crate::tenant_usage::{RegisterKey, epoch_at};
 
-/// Maximum age of an accepted summary, in rounds.
+/// Maximum age at which a summary is accepted, in rounds.
 const MAX_SUMMARY_AGE: u64 = 3;
 
 impl FleetView {
@@ -17,7 +17,7 @@
     ///
     /// # Errors
     ///
-    /// [`FleetViewError`] is the reason why the datagram was dropped; the view is unchanged.
+    /// [`FleetViewError`] if the datagram was dropped; the view is unchanged.
     pub fn receive(&mut self, now: UnixMillis, from: usize, datagram: &[u8]) -> Result<(), FleetViewError> {
         if from == self.local.number || from >= self.zones.len() {
             return Err(FleetViewError::UnknownSender);
@@ -34,8 +34,8 @@
         let round = report.round;
         // Clocks differ by less than a round, so the next round is accepted as well. A report that arrives after the
         // summaries of its round were sent is dropped.
-        let oldest = self.oldest_open_round.max(epoch_at(now).saturating_sub(1));
-        if round < oldest || round > epoch_at(now) + 1 {
+        let oldest_accepted = self.oldest_open_round.max(epoch_at(now).saturating_sub(1));
+        if round < oldest_accepted || round > epoch_at(now) + 1 {
             return Err(FleetViewError::WrongRound);
         }
         let incarnation = self.check_incarnation(now, from, report.incarnation)?;
@@ -86,8 +86,8 @@
         Ok(())
     }
 
-    /// Rejects a message of a replaced process. If the message is the first one of a newer process, the votes of the earlier
-    /// process are dropped.
+    /// Records that a message of this incarnation was received, or rejects it if the process was replaced. If the message is
+    /// the first one of a newer process, the votes of the earlier process are removed.
     fn check_incarnation(
         &mut self,
         now: UnixMillis,
--- a/crates/gossip/src/fleet_view/sending.rs
+++ b/crates/gossip/src/fleet_view/sending.rs
@@ -1,4 +1,5 @@
-//! Datagrams that are sent in a round: this sender's report, and summaries for the senders that reported to it.
+//! Creates the datagrams that are sent in a round: this sender's report, and summaries for the senders that reported to
+//! it.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,13 +21,13 @@
 /// When the first sender reports, in milliseconds after the start of a round: late enough for the summaries of the previous
 /// round to have arrived.
 const REPORT_START: u64 = 200;
-/// Time over which the reports of all senders are spread, in milliseconds.
+/// Time over which the reports of all senders are spread after [`REPORT_START`], in milliseconds.
 const REPORT_WINDOW: u64 = 200;
 /// Number of aggregators after a round without a summary, or while a receiver is voted down; otherwise there is one
 /// aggregator.
 const MAX_AGGREGATORS: usize = 2;
-/// Bit that is set in the hashed sender number, so that the order of aggregators is independent of the order in the demand
-/// exchange, which uses the same hash function.
+/// Bit that is set in the sender number before it is hashed. It makes the order of aggregators independent of that in the
+/// demand exchange, which uses the same hash function.
 const AGGREGATOR_HASH_DOMAIN: u64 = 1 << 32;
 
 impl FleetView {
@@ -40,7 +41,7 @@
         datagrams
     }
 
-    /// Returns the summaries of the rounds before `round`, for which reports are no longer accepted afterwards.
+    /// Returns the summaries of the rounds before `round`. Reports for these rounds are no longer accepted afterwards.
     fn due_summaries(&mut self, now: UnixMillis, round: u64) -> Vec<OutgoingDatagram> {
         let mut datagrams = Vec::new();
         while let Some(entry) = self.reporters.first_entry().filter(|entry| *entry.key() < round) {
@@ -54,7 +55,8 @@
         datagrams
     }
 
-    /// Selects the aggregators of a round when this sender's report becomes due; clears those of the previous round before.
+    /// Until this sender's report for the round is due, clears the aggregators of the previous round. Then it selects those
+    /// of the round.
     fn begin_round(&mut self, now: UnixMillis, round: u64) {
         if self.reported_round == Some(round) {
             return;
@@ -72,6 +74,7 @@
         REPORT_START + self.local.number as u64 * REPORT_WINDOW / self.zones.len().max(1) as u64
     }
 
+    /// Adds this sender's report for each pending aggregator to `datagrams`, as long as the budget allows it.
     fn send_reports(
         &mut self,
         now: UnixMillis,
@@ -95,39 +98,43 @@
         let hash = |number: usize| hash_words([round, number as u64 | AGGREGATOR_HASH_DOMAIN]);
         let mut order: Vec<usize> = (0..self.zones.len()).collect();
         order.sort_by_cached_key(|number| (hash(*number), *number));
-        let needs_second = self.has_missed_summary(round) || self.outliers.has_down_votes(now);
-        order.truncate(if needs_second { MAX_AGGREGATORS } else { 1 });
+        let needs_second_aggregator = self.has_missed_summary(round) || self.outliers.has_down_votes(now);
+        order.truncate(if needs_second_aggregator { MAX_AGGREGATORS } else { 1 });
         order.retain(|number| *number != self.local.number);
         order
     }
 
-    /// Counts the senders of this zone whose usage or messages were received recently. The count remains unchanged after a
-    /// round without a summary.
+    /// Updates the number of live senders in this sender's zone: those whose usage or messages were received recently. After
+    /// a round without a summary the number remains unchanged.
     fn update_zone_senders(&mut self, now: UnixMillis, round: u64) {
         if self.has_missed_summary(round) {
             return;
         }
-        let mut known = self.usage.known_senders(now);
-        known.extend((0..self.zones.len()).filter(|number| self.members.is_alive(*number, now)));
-        known.insert(self.local.number);
+        let mut live_senders = self.usage.known_senders(now);
+        live_senders.extend((0..self.zones.len()).filter(|number| self.members.is_alive(*number, now)));
+        live_senders.insert(self.local.number);
         let own_zone = self.zones.get(self.local.number);
-        self.zone_senders = known.into_iter().filter(|number| self.zones.get(*number) == own_zone).count();
+        self.zone_senders =
+            live_senders.into_iter().filter(|number| self.zones.get(*number) == own_zone).count();
     }
 
+    /// Whether no summary of the round before `round` was received or sent.
     fn has_missed_summary(&self, round: u64) -> bool {
         self.newest_summary_round + 1 < round
     }
 
+    /// Encodes this sender's report for a round.
     fn report(&self, now: UnixMillis, round: u64) -> Result<Vec<u8>, EnvelopeError> {
         let register = |epochs_back| {
-            let own = self.usage.own_register(now, epoch_of(round, epochs_back)?)?;
-            Some(RegisterEntry::new(epochs_back, own))
+            let own_register = self.usage.own_register(now, epoch_of(round, epochs_back)?)?;
+            Some(RegisterEntry::new(epochs_back, own_register))
         };
         let registers = (0..MAX_REGISTERS as u8).filter_map(register).collect();
         let votes = self.outliers.own_votes(now);
-        let votes = votes
-            .iter()
-            .map(|own| VoteEntry { receiver: own.receiver, vote: EncodedVote::new(round, &own.vote) });
+        let votes = votes.iter().map(|own_vote| VoteEntry {
+            receiver: own_vote.receiver,
+            vote: EncodedVote::new(round, &own_vote.vote),
+        });
         Report { incarnation: self.local.incarnation.0, round, registers, votes: votes.collect() }.encode()
     }
 
@@ -154,6 +161,7 @@
         datagrams
     }
 
+    /// The usage of the senders that reported to this one, for each epoch of a summary.
     fn slices(&self, now: UnixMillis, round: u64) -> Vec<SliceEntry> {
         let slice = |epochs_back| {
             let slice = self.usage.aggregate(now, epoch_of(round, epochs_back)?)?;
@@ -162,7 +170,8 @@
         (0..MAX_SLICES as u8).filter_map(slice).collect()
     }
 
-    /// The votes of a zone's senders, by receiver. The receivers with the most down votes come first.
+    /// The entries of a summary for the senders of `zone`: the votes of the zone's senders, by receiver. The receivers with
+    /// the most down votes come first.
     fn receivers(
         &self,
         round: u64,
@@ -177,7 +186,7 @@
             if zone_votes.is_empty() {
                 continue;
             }
-            zone_votes.sort_by_key(|(observer, vote)| (Reverse(vote.observed_at), **observer));
+            zone_votes.sort_by_key(|(observer, vote)| (Reverse(vote.last_observed_at), **observer));
             let down_votes = zone_votes.iter().filter(|(_, vote)| !vote.recovered).count();
             let votes = zone_votes.into_iter().take(MAX_OBSERVERS).map(|(observer, vote)| ObserverEntry {
                 observer: *observer as u16,
--- a/crates/gossip/src/fleet_view/tests.rs
+++ b/crates/gossip/src/fleet_view/tests.rs
@@ -34,9 +34,9 @@
     FleetView::new(local(number, NOW.0 - 60_000, u32::MAX), zones).expect("a sender of the fleet")
 }
 
-/// A down vote that was last observed `age_ms` before `NOW`, after failures for 3,000 s.
+/// A vote that a receiver is down: its last failure was observed `age_ms` before `NOW`, its first one 3,000 s earlier.
 fn vote(age_ms: u64) -> Vote {
-    Vote { observed_at: NOW - age_ms, began_at: NOW - age_ms - 3_000_000, recovered: false }
+    Vote { last_observed_at: NOW - age_ms, first_observed_at: NOW - age_ms - 3_000_000, recovered: false }
 }
 
 /// Entries that do not fit into a datagram are left out; the others decode to what was encoded.
@@ -67,11 +67,11 @@
         assert!(read.max >= u64::from(u32::MAX / 512) * 511, "{read:?}");
         assert!(reader.outliers.has_down_votes(NOW), "the down votes are in the summary");
     }
-    let own = |epochs_back| RegisterEntry::new(epochs_back, register.clone().truncated());
+    let register_entry = |epochs_back| RegisterEntry::new(epochs_back, register.clone().truncated());
     let own_vote =
         |n| VoteEntry { receiver: ReceiverId::of(n, "r"), vote: EncodedVote::new(ROUND, &vote(0)) };
     let votes = (0..8).map(own_vote).collect();
-    let registers = (0..3).map(own).collect();
+    let registers = (0..3).map(register_entry).collect();
     let report = Report { incarnation: u64::MAX, round: u64::MAX, registers, votes };
     assert!(report.encode().expect("encoded message").len() <= 256);
     let too_large = FleetView::new(local(0, 1, 1), vec![0; 513]);
@@ -84,11 +84,13 @@
     for age_ms in [0, 30, 499, 2_000, 4_999] {
         let decoded = EncodedVote::new(ROUND, &vote(age_ms)).decode(ROUND);
         assert!(
-            (vote(age_ms).observed_at..vote(age_ms).observed_at + 50).contains(&decoded.observed_at),
+            (vote(age_ms).last_observed_at..vote(age_ms).last_observed_at + 50)
+                .contains(&decoded.last_observed_at),
             "{age_ms}: {decoded:?}"
         );
         assert!(
-            (vote(age_ms).began_at..vote(age_ms).began_at + 50).contains(&decoded.began_at),
+            (vote(age_ms).first_observed_at..vote(age_ms).first_observed_at + 50)
+                .contains(&decoded.first_observed_at),
             "{age_ms}: {decoded:?}"
         );
         assert_eq!(EncodedVote::new(ROUND + 2, &vote(age_ms)).decode(ROUND + 2), decoded);
@@ -152,8 +154,8 @@
 impl Forgery {
     fn new(now: UnixMillis, arbitrary: u64, numbers: [u32; 6], bytes: [u8; 6]) -> Self {
         let vote = Vote {
-            observed_at: UnixMillis(arbitrary),
-            began_at: UnixMillis(numbers[0].into()),
+            last_observed_at: UnixMillis(arbitrary),
+            first_observed_at: UnixMillis(numbers[0].into()),
             recovered: false,
         };
         Self {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,9 +1,10 @@
 //! Gossip between the senders of a fleet, by which hundreds of senders share a limit without a leader.
 //!
-//! Several times a second each sender reports its load at every limit (of a destination, or of a single endpoint) and
-//! receives the sums of all recent reports. From the sums it computes the capacity that each limit has for its calls.
-//! No sender decides for another: the aggregator of a round is the first sender in an order that all senders compute
-//! identically, and any other sender can replace it.
+//! Several times a second each sender reports its load at every limit and receives the sums of all recent reports. A limit
+//! belongs to a destination or to a single endpoint. From the sums each sender computes the capacity that every limit has
+//! for its calls.
+//! No sender is a leader: an aggregator only adds up the reports of one round. It is the first sender in an order that all
+//! senders compute identically, and any other sender can replace it.
 //!
 //! - [`DemandExchange`] exchanges loads and computes the capacity of each limit; [`CapacityShare`] applies
 //!   the capacity to the calls of one sender's policy.
@@ -47,7 +48,7 @@
 };
 pub use message::{GossipError, MAX_MESSAGE_LEN};
 pub use outgoing_datagram::OutgoingDatagram;
-pub use outlier_detection::{CallResult, ObserverVote, OutlierDetector, ReceiverId, ReceiverVote, Vote};
+pub use outlier_detection::{CallResult, ObserverVote, OutlierDetector, OwnVote, ReceiverId, Vote};
 pub use permits::{Permit, PermitError, PermitLedger};
 pub use tenant_usage::{
     EPOCH_LENGTH, LocalSender, MAX_TOTAL_SHARE, QuotaBucket, READ_LAG, Register, RegisterKey, TenantTotal,
--- a/crates/gossip/src/limit_estimate.rs
+++ b/crates/gossip/src/limit_estimate.rs
@@ -5,28 +5,30 @@
 
 use crate::load_totals::Load;
 
-/// Multiplier of accepted calls in the formula of client-side throttling, as in the policy.
+/// Multiplier of accepted calls in the formula of client-side throttling. The policy uses the same value.
 const ACCEPT_MULTIPLIER: f64 = 1.5;
 /// Minimum fraction of the calls that throttling does not reject, so that a recovery is detected.
 const MIN_PASS_FRACTION: f64 = 0.15;
 /// Fraction of a limit that is issued while no calls are rejected; it is below 1 because the calls of many senders are
 /// not evenly spaced.
 const MAX_ISSUED_FRACTION: f64 = 0.95;
-/// Minimum factor of a single reduction of the accepted fraction.
+/// Minimum factor by which a single update reduces the accepted fraction.
 const MIN_REDUCTION_FACTOR: f64 = 0.7;
 /// Growth of the accepted fraction per second without rejections.
 const GROWTH_PER_S: f64 = 0.1;
 /// Lower bound of the accepted fraction.
 const MIN_ACCEPTED_FRACTION: f64 = 0.2;
-/// Maximum fraction of rejected calls that is considered noise.
+/// Maximum fraction of rejected calls at which the accepted fraction is not reduced, because so few rejections are
+/// considered noise.
 const MAX_NOISE_FRACTION: f64 = 0.02;
-/// Number of failures that indicate an outage, if there are few answered calls between them.
+/// Number of failures that indicate an outage, if fewer calls between them were answered than
+/// [`OUTAGE_FAILURE_FRACTION`] allows.
 const OUTAGE_FAILURES: f64 = 4.0;
-/// Minimum fraction of failed calls that counts as failing; if one endpoint fails among healthy ones, the fraction is
-/// lower.
+/// Minimum fraction of failed calls at which the destination counts as failing. If only one endpoint fails among healthy
+/// ones, the fraction is lower.
 const OUTAGE_FAILURE_FRACTION: f64 = 0.8;
-/// Maximum multiple of the issued rate at which rejections count. If there are more calls, some were started under an
-/// earlier rate, and the rejections are ignored.
+/// Rejections are ignored if the calls exceed the issued rate by more than this factor, because some of the calls were then
+/// started under an earlier rate.
 const MAX_EXCESS_FACTOR: f64 = 1.15;
 
 /// The fraction of a destination's limit that all senders together use during an outage and the recovery from it.
@@ -44,13 +46,14 @@
     /// Estimated fraction of the announced limit that the destination accepts. It is estimated because destinations do
     /// not announce reductions.
     accepted_fraction: f64,
-    /// Rate that was computed from the last totals for all senders together, in calls a second.
+    /// Rate for all senders together that was computed from the last totals, in calls a second.
     issued_rate: f64,
     /// Whether the last totals showed rejections.
     is_rejecting: bool,
-    /// Failures at all senders since the last answered call.
+    /// Number of failed calls at all senders since the last update in which the destination was called and did not count
+    /// as failing.
     failures: f64,
-    /// Fraction of the limit that the recovery ramp allows; infinite before the first outage.
+    /// Fraction of the limit that the recovery ramp allows. It is infinite before the first outage.
     recovery_fraction: f64,
 }
 
@@ -75,8 +78,9 @@
     /// Updates the estimate with the totals of all senders, `elapsed_s` seconds after the last update. Returns the rate
     /// for each call in demand, in calls a second.
     ///
-    /// The issued rate is the limit times the lower of the accepted fraction and the recovery ramp's fraction, reduced
-    /// by client-side throttling over the calls and accepted calls of all senders.
+    /// The issued rate is the limit times the lower of the accepted fraction and the recovery ramp's fraction. It is reduced
+    /// by the fraction of calls that client-side throttling rejects, computed from the calls and the accepted calls of all
+    /// senders.
     pub fn update(&mut self, limit: f64, totals: &Load, elapsed_s: f64, ramp: RecoveryRamp) -> f64 {
         self.update_accepted_fraction(totals, elapsed_s);
         self.update_recovery(totals, elapsed_s, ramp);
@@ -85,7 +89,7 @@
         self.issued_rate / totals.demand.max(f64::MIN_POSITIVE)
     }
 
-    /// Reduces the accepted fraction if calls were rejected although the calls did not exceed the issued rate, and
+    /// Reduces the accepted fraction if calls were rejected although their rate did not exceed the issued rate, and
     /// increases it if rejections are within noise. Rejections of a burst above the issued rate are ignored.
     fn update_accepted_fraction(&mut self, totals: &Load, elapsed_s: f64) {
         let is_rejecting = totals.rejected > MAX_NOISE_FRACTION * totals.calls;
@@ -116,10 +120,10 @@
     }
 }
 
-/// The fraction of the calls that client-side throttling rejects locally.
+/// The fraction of the calls that client-side throttling rejects before they are sent.
 fn throttled_fraction(totals: &Load) -> f64 {
-    let accepts = (totals.calls - totals.rejected).max(0.0);
-    let excess = totals.calls - ACCEPT_MULTIPLIER * accepts;
+    let accepted = (totals.calls - totals.rejected).max(0.0);
+    let excess = totals.calls - ACCEPT_MULTIPLIER * accepted;
     (excess / (totals.calls + 1.0)).clamp(0.0, 1.0 - MIN_PASS_FRACTION)
 }
 
--- a/crates/gossip/src/limit_estimate/tests.rs
+++ b/crates/gossip/src/limit_estimate/tests.rs
@@ -1,4 +1,5 @@
-//! The estimate after rejections, during an outage and the recovery from it, and after failures that are not an outage.
+//! Tests the estimate after rejections, during an outage and the recovery from it, and after failures that are not an
+//! outage.
 
 use super::{LimitEstimate, RecoveryRamp};
 use crate::load_totals::Load;
@@ -14,7 +15,7 @@
     assert!(rate > 0.88, "rate per call {rate} after one call in nineteen was rejected");
 }
 
-/// The issued rates at a limit of 100 calls a second after each of these totals, which follow at intervals of 0.25 s.
+/// The issued rate after each of `totals`, which are applied at intervals of 0.25 s to a limit of 100 calls a second.
 fn issued_rates(estimate: &mut LimitEstimate, totals: &[Load]) -> Vec<f64> {
     let rounded = |rate: f64| (rate * 1e6).round() / 1e6;
     let rate = |totals: &Load| estimate.update(100.0, totals, 0.25, RAMP) * totals.demand;
--- a/crates/gossip/src/limit_id.rs
+++ b/crates/gossip/src/limit_id.rs
@@ -1,10 +1,10 @@
 //! Identifies a limit in the messages between senders.
 
-/// Identifier of a limit, the same at every sender. The limit is that of a destination, or of an endpoint if each endpoint
-/// has its own.
+/// Identifier of a limit; all senders compute the same one. A limit belongs to a destination, or to a single endpoint if
+/// each endpoint of the destination has its own limit.
 ///
-/// The identifier is a hash of 24 bits. If two limits have the same identifier by chance (in one of 30 fleets with a
-/// thousand limits), their loads are added up and both receive less capacity than they have.
+/// The identifier is a hash of 24 bits. In a fleet with a thousand limits, the probability that any two share an identifier
+/// is about 1 in 30. The loads at the two limits are then added up, and the senders use less of each limit than it allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LimitId(pub(crate) u32);
 
--- a/crates/gossip/src/load_totals.rs
+++ b/crates/gossip/src/load_totals.rs
@@ -1,4 +1,4 @@
-//! Load at a limit, and its totals over the senders that reported in one round.
+//! The load at a limit, and the totals of the loads that several senders reported in one round.
 
 use std::collections::BTreeMap;
 
--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -31,7 +31,7 @@
     Older,
     /// The newest incarnation known.
     Current,
-    /// An incarnation that replaces the known one, whose state is obsolete.
+    /// An incarnation that replaces the newest one known so far, whose state is obsolete.
     Newer,
 }
 
@@ -71,6 +71,7 @@
         Self { incarnation, first_received: now, last_received: now, last_event }
     }
 
+    /// Records a message of an earlier incarnation than this one.
     fn record_older(&mut self, now: UnixMillis) -> IncarnationOrder {
         if now > self.first_received.saturating_add(MAX_DATAGRAM_DELAY) {
             self.last_event = MemberEvent::DuplicateDetected;
@@ -78,6 +79,7 @@
         IncarnationOrder::Older
     }
 
+    /// Records a message of this incarnation.
     fn record_current(&mut self, now: UnixMillis) -> IncarnationOrder {
         if now > self.last_received.saturating_add(LIVENESS_TIMEOUT) {
             self.last_event = MemberEvent::Resumed;
@@ -100,7 +102,9 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MembershipList {
+    /// Number of senders in the fleet.
     senders: usize,
+    /// The newest incarnation received under each sender number.
     members: BTreeMap<usize, Member>,
 }
 
--- a/crates/gossip/src/membership/incarnation.rs
+++ b/crates/gossip/src/membership/incarnation.rs
@@ -1,11 +1,11 @@
-//! Incarnation numbers: each start of a sender's process has a larger one than all earlier starts under its sender number.
+//! Incarnation numbers. Each start of a sender's process has a larger one than all earlier starts under its sender number.
 
 use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
-/// Maximum lead of an incarnation over the reader's clock, in milliseconds.
+/// Maximum time by which an incarnation may be ahead of the reader's clock, in milliseconds.
 ///
-/// The lead is larger than the difference between clocks, and short enough that a sender number is usable again a minute
+/// The time is larger than the difference between clocks, and short enough that a sender number is usable again a minute
 /// after a process started with a wrong clock.
 pub(super) const MAX_CLOCK_LEAD: u64 = 60_000;
 
--- a/crates/gossip/src/membership/tests.rs
+++ b/crates/gossip/src/membership/tests.rs
@@ -18,7 +18,8 @@
     assert!(Incarnation::next(None, START + 600) > first, "started with an empty state folder 0.6 s later");
 }
 
-/// A message of an older incarnation is a late datagram up to `MAX_DATAGRAM_DELAY`, and of a duplicate process after it.
+/// Up to `MAX_DATAGRAM_DELAY` after a restart, a message of the older incarnation is a late datagram; after that it was sent
+/// by a duplicate process.
 #[test]
 fn older_incarnations_are_ignored_and_duplicate_processes_detected() {
     let mut members = MembershipList::new(2);
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -64,9 +64,9 @@
 /// The kind of a message, with the content that only this kind has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MessageKind {
-    /// The loads of the sender itself.
+    /// The loads of the message's sender.
     Report,
-    /// Sums over the senders that reported in a round.
+    /// The sums of the loads of all senders that reported to the message's sender in a round.
     Sums {
         /// Bits of the sampled senders whose reports are included.
         sample_bits: u64,
@@ -108,7 +108,7 @@
         bytes
     }
 
-    /// Decodes a datagram. Its round and its sender are not checked.
+    /// Decodes a datagram. The caller must check the round and the sender of the message.
     ///
     /// # Errors
     ///
@@ -124,8 +124,8 @@
         if checksum(&bytes[CHECKSUM_START..]) != bytes[1..CHECKSUM_START] {
             return Err(GossipError::Checksum);
         }
-        let (header, rest) = bytes.split_at(HEADER_LEN);
-        let (sample_bits, entries) = rest.split_at(sample_bits_len);
+        let (header, body) = bytes.split_at(HEADER_LEN);
+        let (sample_bits, entries) = body.split_at(sample_bits_len);
         let kind = match sample_bits.try_into() {
             Ok(bits) => MessageKind::Sums { sample_bits: u64::from_le_bytes(bits) },
             Err(_) => MessageKind::Report,
--- a/crates/gossip/src/message/load_code.rs
+++ b/crates/gossip/src/message/load_code.rs
@@ -1,4 +1,5 @@
-//! One-byte code of each figure of a load: exact for integers up to 16, above that in steps of a twenty-fourth.
+//! Encodes each figure of a load in one byte. Integers up to 16 are encoded exactly; above that, each code stands for a
+//! figure that is larger by a twenty-fourth than that of the previous code.
 
 use crate::load_totals::Load;
 
@@ -7,7 +8,8 @@
 /// Factor between the figures of two consecutive codes above [`MAX_EXACT`].
 const STEP: f64 = 25.0 / 24.0;
 
-/// The code of a figure. Negative figures and NaN are encoded as 0, figures that are too large as the highest code.
+/// The code nearest to a figure. Negative figures and NaN are encoded as 0, and figures that are too large as the highest
+/// code.
 pub(super) fn encode_figure(figure: f64) -> u8 {
     let steps = if figure <= MAX_EXACT { figure } else { MAX_EXACT + (figure / MAX_EXACT).ln() / STEP.ln() };
     steps.round() as u8
--- a/crates/gossip/src/message/tests.rs
+++ b/crates/gossip/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! Round trips, the precision of figures, and malformed datagrams.
+//! Tests that messages decode to what was encoded, the precision of figures, and malformed datagrams.
 
 use super::load_code::{decode_figure, encode_figure};
 use super::{GossipError, GossipMessage, MAX_LIMITS, MAX_MESSAGE_LEN, MessageKind};
--- a/crates/gossip/src/outlier_detection.rs
+++ b/crates/gossip/src/outlier_detection.rs
@@ -1,4 +1,5 @@
-//! Ejection of receivers to which calls fail at several senders of a zone. A single sender makes too few calls to decide.
+//! Ejects receivers to which the calls of several senders of a zone fail. The senders exchange votes, because a single
+//! sender makes too few calls to detect a failing receiver.
 //!
 //! Invariant: a receiver is never ejected by the votes of senders outside the reader's zone or of a single sender, nor if the
 //! reader's own calls refute the votes. At least half of a destination's receivers, and at least one, are not ejected.
@@ -22,19 +23,19 @@
 use call_history::CallHistory;
 use ejection::EjectionPeriod;
 use reported_votes::ReportedVotes;
-pub use vote::{CallResult, ObserverVote, ReceiverId, ReceiverVote, Vote};
+pub use vote::{CallResult, ObserverVote, OwnVote, ReceiverId, Vote};
 
-/// Maximum lead of a vote's last observation over the reader's clock, in milliseconds.
+/// Maximum time by which a vote's last observation may be ahead of the reader's clock, in milliseconds.
 const MAX_CLOCK_SKEW: u64 = 500;
 /// Maximum number of receivers whose call history is stored.
 pub const MAX_HISTORIES: usize = 1_024;
-/// Maximum number of own votes in a report.
+/// Maximum number of votes that a sender includes in its report.
 pub const MAX_ANNOUNCED_VOTES: usize = 8;
 
 /// The results of this sender's calls, the votes of other senders, and the resulting ejections.
 ///
 /// At most `MAX_REPORTED_VOTES` votes for each sender of the fleet and `MAX_HISTORIES` call histories are stored, all of
-/// which expire. Ejections are stored for ten seconds longer.
+/// which expire. An ejection period is stored for ten seconds after a quorum last voted the receiver down.
 ///
 /// ```
 /// use rudderspindle_clock::UnixMillis;
@@ -42,7 +43,7 @@
 /// let mut detector = OutlierDetector::new(0, vec![0; 6]); // six senders in one zone
 /// let failing = ReceiverId::of(3, "a:1");
 /// let now = UnixMillis(1_000);
-/// let vote = Vote { began_at: now - 500, observed_at: now - 100, recovered: false };
+/// let vote = Vote { first_observed_at: now - 500, last_observed_at: now - 100, recovered: false };
 /// for observer in 1..=3 {
 ///     detector.receive_votes(now, observer, &[ObserverVote { receiver: failing, observer, vote }]);
 /// }
@@ -57,7 +58,7 @@
     histories: BTreeMap<ReceiverId, CallHistory>,
     /// The votes of other senders, by the sender that reported them.
     votes: BTreeMap<usize, ReportedVotes>,
-    /// The periods of receivers that a quorum votes down, or voted down recently.
+    /// The ejection period of each receiver that a quorum votes down or recently voted down.
     ejections: BTreeMap<ReceiverId, EjectionPeriod>,
 }
 
@@ -77,13 +78,13 @@
     }
 
     /// This sender's own votes, newest first, at most `MAX_ANNOUNCED_VOTES`.
-    pub fn own_votes(&self, now: UnixMillis) -> Vec<ReceiverVote> {
+    pub fn own_votes(&self, now: UnixMillis) -> Vec<OwnVote> {
         let votes = self.histories.iter().filter_map(|(receiver, history)| {
             let vote = history.vote()?;
-            Some(ReceiverVote { receiver: *receiver, vote })
+            Some(OwnVote { receiver: *receiver, vote })
         });
-        let mut votes: Vec<ReceiverVote> = votes.filter(|own| own.vote.is_fresh(now)).collect();
-        votes.sort_by_key(|own| (Reverse(own.vote.observed_at), own.receiver));
+        let mut votes: Vec<OwnVote> = votes.filter(|own_vote| own_vote.vote.is_fresh(now)).collect();
+        votes.sort_by_key(|own_vote| (Reverse(own_vote.vote.last_observed_at), own_vote.receiver));
         votes.truncate(MAX_ANNOUNCED_VOTES);
         votes
     }
@@ -99,8 +100,8 @@
         }
         for &reported in votes {
             let vote = reported.vote;
-            let is_possible =
-                vote.began_at <= vote.observed_at && vote.observed_at <= now.saturating_add(MAX_CLOCK_SKEW);
+            let is_possible = vote.first_observed_at <= vote.last_observed_at
+                && vote.last_observed_at <= now.saturating_add(MAX_CLOCK_SKEW);
             if is_possible && vote.is_fresh(now) && self.is_peer(reported.observer) {
                 self.votes.entry(reporter).or_default().insert(now, reported);
             }
@@ -128,7 +129,7 @@
                 }
             }
         }
-        for ReceiverVote { receiver, vote } in self.own_votes(now) {
+        for OwnVote { receiver, vote } in self.own_votes(now) {
             relayable.entry(receiver).or_default().insert(self.own_number, vote);
         }
         relayable
@@ -137,8 +138,8 @@
     /// Whether there is a valid vote that a receiver is down.
     pub fn has_down_votes(&self, now: UnixMillis) -> bool {
         let reported = self.votes.values().flat_map(|votes| votes.valid(now)).map(|reported| reported.vote);
-        let own = self.own_votes(now).into_iter().map(|own| own.vote);
-        reported.chain(own).any(|vote| !vote.recovered)
+        let own_votes = self.own_votes(now).into_iter().map(|own_vote| own_vote.vote);
+        reported.chain(own_votes).any(|vote| !vote.recovered)
     }
 
     fn is_peer(&self, number: usize) -> bool {
--- a/crates/gossip/src/outlier_detection/call_history.rs
+++ b/crates/gossip/src/outlier_detection/call_history.rs
@@ -13,12 +13,13 @@
 /// The recent calls to one receiver.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct CallHistory {
-    /// Number of failures since the last answer.
+    /// Number of failed calls since the last answered one.
     consecutive_failures: u32,
     /// When the first of the consecutive failures was recorded.
     first_failure: UnixMillis,
     /// When a call last failed.
     last_failure: UnixMillis,
+    /// When a call was last answered.
     last_answer: Option<UnixMillis>,
     /// Whether the receiver has ever recovered: it answered a call after it had been down.
     recovered: bool,
@@ -52,26 +53,27 @@
         if self.consecutive_failures > 0 { self.last_failure } else { UnixMillis::EPOCH }
     }
 
-    /// This sender's vote on the receiver: down, or recovered from that. `None` if the receiver was never down, or a single
-    /// call failed since the last answer.
+    /// This sender's vote on the receiver: that it is down, or that it recovered. `None` if the receiver was never down, or
+    /// if exactly one call failed since the last answer.
     pub fn vote(&self) -> Option<Vote> {
         if self.is_down() {
             return Some(Vote {
-                observed_at: self.last_failure,
-                began_at: self.first_failure,
+                last_observed_at: self.last_failure,
+                first_observed_at: self.first_failure,
                 recovered: false,
             });
         }
         let answer = self.last_answer.filter(|_| self.recovered && self.consecutive_failures == 0)?;
-        Some(Vote { observed_at: answer, began_at: answer, recovered: true })
+        Some(Vote { last_observed_at: answer, first_observed_at: answer, recovered: true })
     }
 
-    /// Whether the last call was answered, at or after `first_failure`: this refutes a vote whose failures began at that
-    /// time.
+    /// Whether the last call was answered at or after `first_failure`. This refutes a vote that the receiver is down whose
+    /// first failure was recorded at that time.
     pub fn refutes(&self, first_failure: UnixMillis) -> bool {
         self.consecutive_failures == 0 && self.last_answer.is_some_and(|answer| answer >= first_failure)
     }
 
+    /// Whether the last call was recorded within [`HISTORY_TTL`] before `now`.
     pub fn is_fresh(&self, now: UnixMillis) -> bool {
         self.last_call().saturating_add(HISTORY_TTL) > now
     }
--- a/crates/gossip/src/outlier_detection/ejection.rs
+++ b/crates/gossip/src/outlier_detection/ejection.rs
@@ -9,19 +9,21 @@
 use super::matching::max_matching;
 use super::vote::{ObserverVote, ReceiverId, Vote};
 
-/// Number of observers that must vote a receiver down. With two, one forged vote and one vote by chance would be enough.
+/// Number of observers that must vote a receiver down. With two, one forged vote and one vote after failures by chance
+/// would eject a receiver.
 pub const QUORUM: usize = 3;
 /// Minimum quorum. In zones of fewer than five live senders, a quorum is more than half of the senders, but at least this
 /// number.
 pub const MIN_QUORUM: usize = 2;
-/// Time for which a receiver is ejected after the quorum was reached or a call of this sender failed, in milliseconds. Then
-/// this sender probes the receiver.
+/// Time for which a receiver is ejected after the quorum was reached or a call of this sender failed, in milliseconds.
+/// After this time this sender probes the receiver with a call.
 ///
-/// The time is shorter than [`OBSERVATION_TTL`](super::vote::OBSERVATION_TTL), so that senders whose probes fail renew their
-/// votes before these expire.
+/// The time is shorter than [`VOTE_TTL_AFTER_OBSERVATION`](super::vote::VOTE_TTL_AFTER_OBSERVATION), so that senders whose
+/// probes fail renew their votes before these expire.
 pub const EJECTION_DURATION: u64 = 3_000;
-/// Time within which a quorum that is reached again continues the same ejection, in milliseconds. Otherwise lost datagrams
-/// would start a new [`EJECTION_DURATION`].
+/// Time for which an ejection period is stored after its quorum was last confirmed, in milliseconds. If the quorum is
+/// reached again within this time, the period continues; otherwise a quorum that is briefly missed because of lost
+/// datagrams would start a new [`EJECTION_DURATION`].
 const EJECTION_MEMORY: u64 = 10_000;
 /// At most 1 / `EJECTED_SHARE_DIVISOR` of a destination's receivers are ejected at the same time.
 pub const EJECTED_SHARE_DIVISOR: usize = 2;
@@ -42,7 +44,7 @@
     receiver: ReceiverId,
 }
 
-/// An observer's newest vote on a receiver, and the senders that reported a down vote of this observer.
+/// An observer's newest vote on a receiver, and the senders that reported a vote of this observer that it is down.
 #[derive(Clone, Debug)]
 struct ObserverState {
     vote: Vote,
@@ -83,7 +85,8 @@
         (!must_probe).then_some(Candidate { down_since, receiver })
     }
 
-    /// When the receiver's failures had begun at a quorum of observers; `None` if there is no quorum.
+    /// The earliest time at which the first failures of a quorum of observers had been recorded; `None` if there is no
+    /// quorum.
     fn down_since(
         &self,
         now: UnixMillis,
@@ -97,7 +100,7 @@
             return None;
         }
         let mut first_failures: Vec<UnixMillis> =
-            observers.iter().map(|observer| observer.vote.began_at).collect();
+            observers.iter().map(|observer| observer.vote.first_observed_at).collect();
         first_failures.sort_unstable();
         first_failures.get(quorum - 1).copied()
     }
@@ -112,11 +115,11 @@
         let mut observers: BTreeMap<usize, ObserverState> = BTreeMap::new();
         for (reporter, votes) in &self.votes {
             for ObserverVote { observer, vote, .. } in votes.valid_on(now, receiver) {
-                if !self.is_in_own_zone(observer) || history.refutes(vote.began_at) {
+                if !self.is_in_own_zone(observer) || history.refutes(vote.first_observed_at) {
                     continue;
                 }
-                let new = ObserverState { vote, reporters: BTreeSet::new() };
-                let state = observers.entry(observer).or_insert(new);
+                let initial_state = ObserverState { vote, reporters: BTreeSet::new() };
+                let state = observers.entry(observer).or_insert(initial_state);
                 state.vote = state.vote.max(vote);
                 if !vote.recovered {
                     state.reporters.insert(*reporter);
@@ -124,8 +127,8 @@
             }
         }
         if let Some(vote) = history.vote().filter(|vote| vote.is_fresh(now)) {
-            let own = ObserverState { vote, reporters: [self.own_number].into() };
-            observers.insert(self.own_number, own);
+            let own_state = ObserverState { vote, reporters: [self.own_number].into() };
+            observers.insert(self.own_number, own_state);
         }
         observers.into_values().filter(|state| !state.vote.recovered).collect()
     }
--- a/crates/gossip/src/outlier_detection/reported_votes.rs
+++ b/crates/gossip/src/outlier_detection/reported_votes.rs
@@ -7,9 +7,9 @@
 use super::bounded_map::evict_oldest;
 use super::vote::{ObserverVote, ReceiverId, Vote};
 
-/// Time for which a vote is valid after it was received, in milliseconds: two rounds of datagrams.
-pub const VOTE_TTL: u64 = 2_000;
-/// Maximum number of stored votes of one reporter; those received last are stored.
+/// Time after which a vote expires unless it is received again, in milliseconds: two rounds of datagrams.
+pub const VOTE_TTL_AFTER_RECEIPT: u64 = 2_000;
+/// Maximum number of stored votes that one sender reported. If there are more, the votes received last are stored.
 pub const MAX_REPORTED_VOTES: usize = 32;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -27,7 +27,7 @@
 
 impl ReceivedVote {
     fn is_valid(&self, now: UnixMillis) -> bool {
-        self.received_at.saturating_add(VOTE_TTL) > now && self.vote.is_fresh(now)
+        self.received_at.saturating_add(VOTE_TTL_AFTER_RECEIPT) > now && self.vote.is_fresh(now)
     }
 }
 
@@ -42,9 +42,9 @@
     pub fn insert(&mut self, now: UnixMillis, reported: ObserverVote) {
         let ObserverVote { receiver, observer, vote } = reported;
         let received = ReceivedVote { vote, received_at: now };
-        let known = self.votes.entry(VoteKey { receiver, observer }).or_insert(received);
-        if vote >= known.vote {
-            *known = received;
+        let stored = self.votes.entry(VoteKey { receiver, observer }).or_insert(received);
+        if vote >= stored.vote {
+            *stored = received;
         }
         evict_oldest(&mut self.votes, MAX_REPORTED_VOTES, |received| (received.received_at, received.vote));
     }
--- a/crates/gossip/src/outlier_detection/tests.rs
+++ b/crates/gossip/src/outlier_detection/tests.rs
@@ -5,8 +5,8 @@
 
 use super::ejection::EJECTION_DURATION;
 use super::matching::max_matching;
-use super::reported_votes::{MAX_REPORTED_VOTES, VOTE_TTL};
-use super::{CallResult, MAX_HISTORIES, ObserverVote, OutlierDetector, ReceiverId, ReceiverVote, Vote};
+use super::reported_votes::{MAX_REPORTED_VOTES, VOTE_TTL_AFTER_RECEIPT};
+use super::{CallResult, MAX_HISTORIES, ObserverVote, OutlierDetector, OwnVote, ReceiverId, Vote};
 
 const NOW: UnixMillis = UnixMillis(1_700_000_000_000);
 
@@ -14,8 +14,8 @@
     (0..n).map(|n| ReceiverId::of(1, &format!("r{n}"))).collect()
 }
 
-fn down_vote(began_at: UnixMillis, observed_at: UnixMillis) -> Vote {
-    Vote { began_at, observed_at, recovered: false }
+fn down_vote(first_observed_at: UnixMillis, last_observed_at: UnixMillis) -> Vote {
+    Vote { first_observed_at, last_observed_at, recovered: false }
 }
 
 fn vote_of(observer: usize, receiver: ReceiverId, vote: Vote) -> [ObserverVote; 1] {
@@ -60,10 +60,10 @@
     detector.record_call(NOW + 100, receivers[0], CallResult::Failed);
     assert_eq!(detector.ejected(NOW + 100, 10, &receivers), [receivers[0]]);
     let vote = down_vote(NOW, NOW + 100);
-    assert_eq!(detector.own_votes(NOW + 100), [ReceiverVote { receiver: receivers[0], vote }]);
+    assert_eq!(detector.own_votes(NOW + 100), [OwnVote { receiver: receivers[0], vote }]);
     detector.record_call(NOW + 200, receivers[0], CallResult::Answered);
-    let vote = Vote { began_at: NOW + 200, observed_at: NOW + 200, recovered: true };
-    assert_eq!(detector.own_votes(NOW + 200), [ReceiverVote { receiver: receivers[0], vote }]);
+    let vote = Vote { first_observed_at: NOW + 200, last_observed_at: NOW + 200, recovered: true };
+    assert_eq!(detector.own_votes(NOW + 200), [OwnVote { receiver: receivers[0], vote }]);
     assert!(
         detector.ejected(NOW + 200, 10, &receivers).is_empty(),
         "the own answer refutes the votes of the others"
@@ -87,39 +87,44 @@
 fn an_earlier_down_vote_does_not_replace_a_recovered_vote() {
     let receivers = receivers(2);
     let mut detector = detector(&[1, 2, 3], receivers[0], down_vote(NOW - 900, NOW - 100), NOW);
-    let recovered = Vote { began_at: NOW, observed_at: NOW, recovered: true };
+    let recovered = Vote { first_observed_at: NOW, last_observed_at: NOW, recovered: true };
     detector.receive_votes(NOW + 50, 3, &vote_of(3, receivers[0], recovered));
     detector.receive_votes(NOW + 60, 3, &vote_of(3, receivers[0], down_vote(NOW - 900, NOW - 100)));
     assert!(detector.ejected(NOW + 60, 10, &receivers).is_empty());
 }
 
-/// A vote expires `VOTE_TTL` after it was received and `OBSERVATION_TTL` after its last observation.
+/// A vote expires `VOTE_TTL_AFTER_RECEIPT` after it was received, or `VOTE_TTL_AFTER_OBSERVATION` after its last observation
+/// if that is earlier.
 #[test]
 fn votes_expire_even_if_they_are_reported_repeatedly() {
     let receivers = receivers(2);
     let mut votes_of_three = detector(&[1, 2, 3], receivers[0], down_vote(NOW - 900, NOW), NOW);
-    assert_eq!(votes_of_three.ejected(NOW + VOTE_TTL - 1, 10, &receivers), [receivers[0]]);
+    assert_eq!(votes_of_three.ejected(NOW + VOTE_TTL_AFTER_RECEIPT - 1, 10, &receivers), [receivers[0]]);
     assert!(
-        votes_of_three.ejected(NOW + VOTE_TTL, 10, &receivers).is_empty(),
-        "the votes were not reported again within VOTE_TTL"
+        votes_of_three.ejected(NOW + VOTE_TTL_AFTER_RECEIPT, 10, &receivers).is_empty(),
+        "the votes were not reported again within VOTE_TTL_AFTER_RECEIPT"
     );
-    // These observations expire although `VOTE_TTL` has not passed since the votes were received.
+    // These observations expire although `VOTE_TTL_AFTER_RECEIPT` has not passed since the votes were received.
     let mut old_votes = detector(&[1, 2, 3], receivers[0], down_vote(NOW - 4_800, NOW - 4_500), NOW);
     assert_eq!(old_votes.ejected(NOW + 499, 10, &receivers), [receivers[0]]);
     assert!(old_votes.ejected(NOW + 500, 10, &receivers).is_empty());
-    let mut repeated = detector(&[], receivers[0], down_vote(NOW, NOW), NOW);
+    let mut repeated_votes = detector(&[], receivers[0], down_vote(NOW, NOW), NOW);
     let mut ejected_at = Vec::new();
     for millis in (0..20_000).step_by(500) {
         let now = NOW + millis;
         for observer in 1..=3 {
-            repeated.receive_votes(now, observer, &vote_of(observer, receivers[0], down_vote(NOW, NOW)));
+            repeated_votes.receive_votes(
+                now,
+                observer,
+                &vote_of(observer, receivers[0], down_vote(NOW, NOW)),
+            );
         }
-        if !repeated.ejected(now, 10, &receivers).is_empty() {
+        if !repeated_votes.ejected(now, 10, &receivers).is_empty() {
             ejected_at.push(millis);
         }
     }
     assert_eq!(ejected_at.last(), Some(&(EJECTION_DURATION - 500)));
-    assert!(repeated.votes.is_empty(), "an expired vote was stored again");
+    assert!(repeated_votes.votes.is_empty(), "an expired vote was stored again");
 }
 
 /// A probe is due after `EJECTION_DURATION`. A failed probe extends the ejection, and an answered one ends it.
@@ -180,8 +185,8 @@
         let receivers = receivers(4);
         let mut detector = detector(&honest, receivers[0], down_vote(NOW - 900, NOW), NOW);
         for (observer, receiver, duration_ms, age_ms, recovered) in forged {
-            let observed_at = (NOW + 1_000).saturating_sub(age_ms);
-            let vote = Vote { began_at: observed_at.saturating_sub(duration_ms), observed_at, recovered };
+            let last_observed_at = (NOW + 1_000).saturating_sub(age_ms);
+            let vote = Vote { first_observed_at: last_observed_at.saturating_sub(duration_ms), last_observed_at, recovered };
             detector.receive_votes(NOW, 1, &vote_of(observer, receivers[receiver], vote));
             prop_assert!(detector.votes.values().all(|votes| votes.len() <= MAX_REPORTED_VOTES));
         }
@@ -192,12 +197,13 @@
     fn max_matching_is_as_large_as_by_exhaustive_search(
         reporters in proptest::collection::vec(proptest::collection::btree_set(0_usize..5, 0..4), 0..5),
     ) {
+        /// The size of the largest matching, found by trying every reporter of each observer.
         fn largest(observers: &[&BTreeSet<usize>], used: &mut Vec<usize>) -> usize {
-            let Some((first, rest)) = observers.split_first() else { return 0 };
-            let mut largest_so_far = largest(rest, used);
+            let Some((first, other_observers)) = observers.split_first() else { return 0 };
+            let mut largest_so_far = largest(other_observers, used);
             for reporter in first.iter().filter(|reporter| !used.contains(reporter)).collect::<Vec<_>>() {
                 used.push(*reporter);
-                largest_so_far = largest_so_far.max(1 + largest(rest, used));
+                largest_so_far = largest_so_far.max(1 + largest(other_observers, used));
                 used.pop();
             }
             largest_so_far
--- a/crates/gossip/src/outlier_detection/vote.rs
+++ b/crates/gossip/src/outlier_detection/vote.rs
@@ -3,18 +3,20 @@
 use rudderspindle_clock::UnixMillis;
 use serde::{Deserialize, Serialize};
 
-/// Time for which a vote is valid after its last observation, in milliseconds, however often the vote is received.
-pub const OBSERVATION_TTL: u64 = 5_000;
+/// Time after which a vote expires, from the observer's last observation, in milliseconds. Receiving the vote again does
+/// not extend it.
+pub const VOTE_TTL_AFTER_OBSERVATION: u64 = 5_000;
 
-/// Identifier of a receiver in datagrams, the same at every sender: the CRC-32 of the receiver's destination and id.
+/// Identifier of a receiver in datagrams: the CRC-32 of its destination's number and its id. All senders compute the same
+/// identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReceiverId(u32);
 
 impl ReceiverId {
     /// The identifier of a destination's receiver, from the destination's number and the receiver's id.
     ///
-    /// In one of 8,000 fleets with a thousand receivers, two of them have the same identifier by chance. A vote on one of
-    /// them then counts for both.
+    /// In a fleet with a thousand receivers, the probability that any two share an identifier is about 1 in 8,000. A vote
+    /// on one of the two then counts for both.
     pub fn of(destination: u16, receiver: &str) -> Self {
         let mut hash = crc32fast::Hasher::new();
         hash.update(&destination.to_le_bytes());
@@ -35,27 +37,28 @@
 /// An observer's vote on a receiver. The greater of two votes is the newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Vote {
-    /// When the observer last observed the receiver in this state.
-    pub observed_at: UnixMillis,
-    /// When the failures began; if the receiver recovered, when it last answered.
-    pub began_at: UnixMillis,
-    /// Whether the receiver recovered; otherwise it is down.
+    /// When the observer's last call on which the vote is based ended: the last failure of a receiver that is down, or the
+    /// last answer of one that recovered.
+    pub last_observed_at: UnixMillis,
+    /// When the first of the consecutive failures was recorded; equal to `last_observed_at` if the receiver recovered.
+    pub first_observed_at: UnixMillis,
+    /// Whether the receiver answers calls again after it had been down; otherwise it is down.
     pub recovered: bool,
 }
 
 impl Vote {
-    /// Whether the last observation is within [`OBSERVATION_TTL`] before `now`.
+    /// Whether the last observation is within [`VOTE_TTL_AFTER_OBSERVATION`] before `now`.
     pub(super) fn is_fresh(&self, now: UnixMillis) -> bool {
-        self.observed_at.saturating_add(OBSERVATION_TTL) > now
+        self.last_observed_at.saturating_add(VOTE_TTL_AFTER_OBSERVATION) > now
     }
 }
 
 /// A sender's own vote on a receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReceiverVote {
+pub struct OwnVote {
     /// The receiver that the vote is about.
     pub receiver: ReceiverId,
-    /// This sender's vote.
+    /// The vote of the sender itself.
     pub vote: Vote,
 }
 
--- a/crates/gossip/src/peer_selection.rs
+++ b/crates/gossip/src/peer_selection.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// Up to 64 senders that represent the fleet in bit sets, with one bit each. They are selected by a hash, because
-/// senders with consecutive numbers may be in the same zone.
+/// A sample of up to 64 senders that represents the fleet in bit sets, in which each of them has one bit. The senders are
+/// selected by a hash, because senders with consecutive numbers may be in the same zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PeerSample {
     members: Vec<usize>,
--- a/crates/gossip/src/permits.rs
+++ b/crates/gossip/src/permits.rs
@@ -3,13 +3,15 @@
 //! Invariant: each permit of a limit is used by at most one process, within
 //! [`PERMIT_VALIDITY`](rounds::PERMIT_VALIDITY) of its start.
 //!
-//! A limit is divided into permits ([`PermitSchedule`](schedule::PermitSchedule)). Each permit is a lease whose owner
-//! is determined by the wall clock. In each round a sender offers the permits of the round's term that it does not need
-//! to one sender, the allocator, which grants them to senders that request permits. Permits are released before the
-//! offer is sent, so if a message is lost, permits stay unused and none is used twice.
+//! A limit is divided into permits ([`PermitSchedule`](schedule::PermitSchedule)). Each permit is a lease for
+//! one call; its number determines which sender owns it and when it starts on the wall clock. In each round every sender
+//! offers the permits of the round's term that it does not need to the round's allocator, which is one of the senders.
+//! The allocator grants them to senders that request permits. Permits are released before the offer is sent, so if a
+//! message is lost, permits stay unused and none is used twice.
 //!
 //! If the senders' clocks differ by at most `e`, at most `0.95 * limit * (s + PERMIT_VALIDITY + 2 e) + 1` calls start in
-//! a span `s`. While the endpoint list changes, `limit` is the larger of the two limits.
+//! a time span of length `s`, with the limit in calls a second and all times in seconds. While the endpoint list changes,
+//! `limit` is the larger of the limits before and after the change.
 
 mod allocation;
 mod allocator;
@@ -94,18 +96,18 @@
     pub fn next_offer(&self, now: UnixMillis) -> UnixMillis {
         let window = OFFER_WINDOW.end - OFFER_WINDOW.start;
         let offset = self.own_number as u64 * window / self.sender_count.max(1) as u64;
-        let at = round_start(round_at(now)) + OFFER_WINDOW.start + offset;
-        if at > now { at } else { at + ROUND }
+        let offer_at = round_start(round_at(now)) + OFFER_WINDOW.start + offset;
+        if offer_at > now { offer_at } else { offer_at + ROUND }
     }
 
-    /// When the next [`allocate`](Self::allocate) is due; `None` if no offers have been received for it.
+    /// When the next [`allocate`](Self::allocate) is due; `None` if no received offer waits for an allocation.
     pub fn next_allocation(&self) -> Option<UnixMillis> {
         self.allocator.next_round().map(|round| round_start(round + 1))
     }
 
-    /// Records the wall clock. If the clock was set back, the ledger is reset. It then starts in the latest round that
-    /// was reached, because messages about permits of earlier rounds may still be received, unless that round is
-    /// further ahead than [`MAX_MESSAGE_AGE_ROUNDS`].
+    /// Records the wall clock. If the clock was set back, the ledger is reset. It restarts in the latest round that it had
+    /// reached, because messages about permits of earlier rounds may still be received. If that round is more than
+    /// [`MAX_MESSAGE_AGE_ROUNDS`] ahead of the clock, the ledger restarts in the clock's current round.
     fn observe_clock(&mut self, now: UnixMillis) {
         if now + CLOCK_STEP_TOLERANCE < self.latest_time {
             let round = round_at(now);
@@ -180,8 +182,8 @@
 
     /// The permits of a limit that have not expired and that this sender may use, ordered by number.
     ///
-    /// `available_fraction` is the estimated fraction of the limit that the destination accepts, from 0 to 1; the permits
-    /// beyond it are left out, the same ones at every sender.
+    /// `available_fraction` is the estimated fraction of the limit that the destination accepts, from 0 to 1. Only this
+    /// fraction of the permits is returned; all senders select the same permits.
     pub fn permits(&self, now: UnixMillis, limit_id: LimitId, available_fraction: f64) -> Vec<Permit> {
         // The ledger forgets released permits when they expire, so a clock that was set back could make them valid
         // again.
@@ -197,6 +199,6 @@
 
 /// Whether a permit belongs to the available fraction of a limit's permits, by a hash that is the same at every sender.
 fn is_available(number: u64, limit_id: LimitId, fraction: f64) -> bool {
-    let draw = hash_words([number, u64::from(limit_id.0)]);
-    fraction >= 1.0 || f64::from(draw) < fraction * f64::from(u32::MAX)
+    let hash = hash_words([number, u64::from(limit_id.0)]);
+    fraction >= 1.0 || f64::from(hash) < fraction * f64::from(u32::MAX)
 }
--- a/crates/gossip/src/permits/allocation.rs
+++ b/crates/gossip/src/permits/allocation.rs
@@ -61,19 +61,19 @@
     granted.iter().map(|(sender, numbers)| SenderGrant { sender: *sender, entry: entry(numbers) }).collect()
 }
 
-/// The numbers of the permits that the offers release, ascending. An offer releases the last of its sender's own
-/// permits.
+/// The numbers of the permits that the offers release, ascending. Of its sender's own permits in the term, an offer
+/// releases those that start last.
 fn released_permits(round: u64, schedule: &PermitSchedule, offers: &[SenderOffer]) -> Vec<u64> {
     let mut released = Vec::new();
     for offer in offers {
-        let own: Vec<u64> = schedule.owned_by(offer.sender, term(round)).collect();
-        released.extend(own.iter().rev().take(usize::from(offer.entry.released)));
+        let own_numbers: Vec<u64> = schedule.owned_by(offer.sender, term(round)).collect();
+        released.extend(own_numbers.iter().rev().take(usize::from(offer.entry.released)));
     }
     released.sort_unstable();
     released
 }
 
-/// The requests, in the order in which the first permits are granted.
+/// The senders' requests, in the order in which each sender is granted its first permit.
 fn open_requests(round: u64, limit_id: LimitId, offers: &[SenderOffer]) -> VecDeque<OpenRequest> {
     let mut requests: Vec<OpenRequest> = offers
         .iter()
@@ -87,7 +87,8 @@
     VecDeque::from(requests)
 }
 
-/// Ascending permit numbers, each as the difference to the previous number, the first to `term_start`.
+/// Encodes ascending permit numbers: each as its difference from the previous number, the first as its difference from
+/// `term_start`.
 fn number_deltas(term_start: u64, numbers: &[u64]) -> Vec<u16> {
     let previous = std::iter::once(term_start).chain(numbers.iter().copied());
     numbers.iter().zip(previous).map(|(number, previous)| (number - previous) as u16).collect()
--- a/crates/gossip/src/permits/allocator.rs
+++ b/crates/gossip/src/permits/allocator.rs
@@ -24,7 +24,7 @@
 pub(crate) struct PermitAllocator {
     /// Rounds up to this one are closed because they were allocated, possibly by an earlier process.
     closed_round: u64,
-    /// Offers of the current round and, because clocks differ, of the next one.
+    /// The offers of each round that is not closed. Because clocks differ, this includes offers of the next round.
     open_rounds: BTreeMap<u64, Offers>,
 }
 
@@ -51,7 +51,7 @@
         is_first
     }
 
-    /// The earliest round with offers, to be allocated when the round is over.
+    /// The earliest round for which offers are stored. It is allocated when it is over; `None` if there are no offers.
     pub fn next_round(&self) -> Option<u64> {
         self.open_rounds.keys().next().copied()
     }
@@ -59,8 +59,8 @@
     /// Closes the rounds before `current_round`. Returns a grant for each sender that sent an offer in one of these
     /// rounds.
     ///
-    /// `candidate_bits` returns the bits of the allocator candidates among the given senders, and `schedule_of` the schedule of
-    /// a limit, `None` if the limit is unknown.
+    /// `candidate_bits` returns the bits of the allocator candidates among the given senders. `schedule_of` returns the
+    /// schedule of a limit, or `None` if this sender does not have the limit.
     pub fn allocate(
         &mut self,
         current_round: u64,
@@ -78,14 +78,14 @@
         grants
     }
 
-    /// Number of stored offers, for the tests of its bound.
+    /// Number of stored offers. Tests check that it is bounded.
     #[cfg(test)]
-    pub fn len(&self) -> usize {
+    pub fn offer_count(&self) -> usize {
         self.open_rounds.values().map(BTreeMap::len).sum()
     }
 }
 
-/// One grant for each sender that sent an offer in the round, also if it is granted no permits.
+/// Returns one grant for each sender that sent an offer in the round, even if the grant contains no permits.
 fn grants_of_round(
     round: u64,
     offers: Offers,
@@ -93,9 +93,9 @@
     schedule_of: impl Fn(LimitId) -> Option<PermitSchedule>,
 ) -> Vec<AddressedGrant> {
     let mut entries_by_sender: BTreeMap<usize, Vec<PermitGrantEntry>> = BTreeMap::new();
-    for (limit_id, offers) in offers_by_limit(&offers) {
+    for (limit_id, limit_offers) in offers_by_limit(&offers) {
         let Some(schedule) = schedule_of(limit_id) else { continue };
-        for grant in allocate_limit(round, limit_id, &schedule, &offers) {
+        for grant in allocate_limit(round, limit_id, &schedule, &limit_offers) {
             entries_by_sender.entry(grant.sender).or_default().push(grant.entry);
         }
     }
@@ -113,17 +113,17 @@
     let mut limits: BTreeMap<LimitId, Vec<SenderOffer>> = BTreeMap::new();
     for (&sender, offer) in offers {
         for &entry in &offer.entries {
-            let at_limit = limits.entry(LimitId(entry.limit_id)).or_default();
-            let is_repeated = at_limit.last().is_some_and(|last| last.sender == sender);
+            let limit_offers = limits.entry(LimitId(entry.limit_id)).or_default();
+            let is_repeated = limit_offers.last().is_some_and(|last| last.sender == sender);
             if !is_repeated {
-                at_limit.push(SenderOffer { sender, entry });
+                limit_offers.push(SenderOffer { sender, entry });
             }
         }
     }
     limits
 }
 
-/// Shortens a grant until it fits into a datagram. Permits that are left out stay unused in this term.
+/// Shortens a grant until it fits into a datagram. The omitted permits stay unused in the round's term.
 fn truncated_to_fit(mut grant: PermitGrant) -> PermitGrant {
     while PermitMessage::PermitGrant(grant.clone()).encode().is_err() {
         let longest = grant.entries.iter_mut().max_by_key(|entry| entry.number_deltas.len());
--- a/crates/gossip/src/permits/allocator_selection.rs
+++ b/crates/gossip/src/permits/allocator_selection.rs
@@ -4,7 +4,7 @@
 
 use crate::peer_selection::{PeerSample, RankedSender};
 
-/// Number of rounds without a report after which a candidate counts as down.
+/// Number of rounds after which a candidate counts as down if no grant reported it as alive.
 const LIVENESS_ROUNDS: u64 = 8;
 /// In every round whose number is a multiple of this, all candidates are considered, so that senders discover each
 /// other after a partition has healed.
@@ -22,17 +22,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AllocatorSelection {
     candidates: PeerSample,
-    /// For each candidate the last round in which an allocator received its offer.
-    last_reported: BTreeMap<usize, u64>,
+    /// For each candidate that counts as alive, the last round in which an allocator received its offer.
+    last_offer_rounds: BTreeMap<usize, u64>,
 }
 
 impl AllocatorSelection {
     /// A selection for a fleet of `sender_count` senders, none of which has been reported alive.
     pub fn new(sender_count: usize) -> Self {
-        Self { candidates: PeerSample::new(sender_count), last_reported: BTreeMap::new() }
+        Self { candidates: PeerSample::new(sender_count), last_offer_rounds: BTreeMap::new() }
     }
 
-    /// The bits of those of these senders that are candidates.
+    /// The bits of the candidates among `senders`.
     pub fn candidate_bits(&self, senders: impl IntoIterator<Item = usize>) -> u64 {
         self.candidates.bits(senders)
     }
@@ -40,14 +40,15 @@
     /// Records the candidates, as `bits`, whose offers an allocator received in a round.
     pub fn record_alive(&mut self, round: u64, bits: u64) {
         for sender in self.candidates.senders(bits) {
-            let last = self.last_reported.entry(sender).or_default();
-            *last = round.max(*last);
+            let last_round = self.last_offer_rounds.entry(sender).or_default();
+            *last_round = round.max(*last_round);
         }
     }
 
     /// The allocator of a round; `None` for an empty fleet.
     pub fn select(&mut self, round: u64) -> Option<SelectedAllocator> {
-        self.last_reported.retain(|_, last| *last + LIVENESS_ROUNDS > round && *last <= round);
+        self.last_offer_rounds
+            .retain(|_, last_round| *last_round + LIVENESS_ROUNDS > round && *last_round <= round);
         let considers_all = self.considers_all(round);
         let members = self.candidates.members().iter().copied();
         let eligible = members.filter(|sender| considers_all || self.is_alive(*sender));
@@ -55,12 +56,15 @@
         Some(SelectedAllocator { sender, is_known_alive: self.is_alive(sender) })
     }
 
+    /// Whether the allocator of a round is selected among all candidates instead of those that are alive: no candidate is
+    /// known to be alive, or some are not and the round is one in which senders discover each other.
     fn considers_all(&self, round: u64) -> bool {
-        let alive = self.last_reported.len();
-        alive == 0 || (alive < self.candidates.members().len() && round.is_multiple_of(DISCOVERY_PERIOD))
+        let alive_count = self.last_offer_rounds.len();
+        alive_count == 0
+            || (alive_count < self.candidates.members().len() && round.is_multiple_of(DISCOVERY_PERIOD))
     }
 
     fn is_alive(&self, sender: usize) -> bool {
-        self.last_reported.contains_key(&sender)
+        self.last_offer_rounds.contains_key(&sender)
     }
 }
--- a/crates/gossip/src/permits/error.rs
+++ b/crates/gossip/src/permits/error.rs
@@ -9,8 +9,8 @@
     /// The datagram is not a valid message of this protocol.
     #[error(transparent)]
     Envelope(#[from] EnvelopeError),
-    /// The message is an offer of another round or a repeated offer, or a grant that does not come from the round's
-    /// allocator or is for another process.
+    /// The message is an offer of a round that is not open, or a repeated offer; or it is a grant that was not sent by the
+    /// round's allocator, or that was sent to another process.
     #[error(
         "the message is a late, early or repeated offer, or a grant of another round, allocator or process"
     )]
--- a/crates/gossip/src/permits/exhaustive.rs
+++ b/crates/gossip/src/permits/exhaustive.rs
@@ -1,6 +1,6 @@
 //! Model check of the permits of three senders at one limit. It covers every order of offers, allocations, received,
-//! lost and duplicate datagrams, kills and pauses: for two rounds and their terms, or for one round and two faults,
-//! each of which is a killed process or a clock that is set back.
+//! lost and duplicate datagrams, killed processes and pauses. One check covers two rounds and their terms, and another
+//! one round and two faults, each of which is a killed process or a clock that is set back.
 //!
 //! Every permit is used as soon as it is valid, so there is no action for its use. Any action may be omitted, which
 //! models a paused process.
@@ -17,7 +17,7 @@
 use crate::membership::Incarnation;
 use state::{Datagram, HALF_ROUND, LIMIT, LIMIT_ID, SENDER_COUNT, State};
 
-/// One step of the model; the index is the sender that takes it.
+/// One step of the model. The number of an action is that of the sender that takes the step.
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     PassTime,
@@ -45,7 +45,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let mut state = State::new(self.first_round);
-        state.used.clear();
+        state.used_permits.clear();
         vec![state]
     }
 
@@ -106,7 +106,7 @@
             }),
             Property::sometimes("a granted permit is used", |_, state: &State| {
                 let schedule = PermitSchedule::new(LIMIT_ID, LIMIT, SENDER_COUNT);
-                state.used.iter().any(|(number, process)| schedule.owner(*number) != process.sender)
+                state.used_permits.iter().any(|(number, process)| schedule.owner(*number) != process.sender)
             }),
         ]
     }
@@ -115,11 +115,11 @@
 /// Checks all orders of actions, and returns the number of unique states.
 #[expect(clippy::disallowed_methods, reason = "the check itself has a time limit")]
 fn check(cluster: Cluster) -> usize {
-    let start = Instant::now();
+    let started_at = Instant::now();
     let checker = cluster.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
-    println!("{} states, {:?}", checker.unique_state_count(), start.elapsed());
+    println!("{} states, {:?}", checker.unique_state_count(), started_at.elapsed());
     checker.assert_properties();
-    assert!(start.elapsed() < Duration::from_secs(120), "{:?}", start.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(120), "{:?}", started_at.elapsed());
     checker.unique_state_count()
 }
 
--- a/crates/gossip/src/permits/exhaustive/state.rs
+++ b/crates/gossip/src/permits/exhaustive/state.rs
@@ -12,12 +12,12 @@
 use crate::permits::rounds::{PERMIT_VALIDITY, ROUND, round_at, round_start};
 
 pub(super) const SENDER_COUNT: usize = 3;
-/// Limit of all senders together, in calls a second: each sender owns one or two permits in a term.
+/// Limit of all senders together, in calls a second. With it each sender owns one or two permits in a term.
 pub(super) const LIMIT: f64 = 9.0;
-/// Step of time, in milliseconds: grants are sent at the start of a round, offers in the middle, and datagrams are
-/// received at both.
+/// Step of time, in milliseconds. Grants are sent at the start of a round and offers in its middle; datagrams are received
+/// at both times.
 pub(super) const HALF_ROUND: u64 = ROUND / 2;
-/// Interval at which a sender polls its permits, in milliseconds: at least once while each permit is valid.
+/// Interval at which a sender polls its permits, in milliseconds. It polls at least once while a permit is valid.
 pub(super) const POLL_INTERVAL: u64 = PERMIT_VALIDITY / 2;
 /// Number of rounds without faults before the check; after them the allocators are known to be alive.
 pub(super) const WARM_UP_ROUNDS: u64 = 4;
@@ -51,14 +51,14 @@
     pub(super) ledgers: Vec<Option<PermitLedger>>,
     /// The incarnation of each sender's last process.
     pub(super) incarnations: [u64; SENDER_COUNT],
-    /// How far each clock was set back, in milliseconds.
+    /// How far each sender's clock has been set back in total, in milliseconds.
     pub(super) clock_lag: [u64; SENDER_COUNT],
     /// Number of faults so far.
     pub(super) faults: u32,
     /// All sent datagrams; each may be received any number of times, in any order.
     pub(super) network: BTreeSet<Datagram>,
     /// The first process that used each permit.
-    pub(super) used: BTreeMap<u64, Process>,
+    pub(super) used_permits: BTreeMap<u64, Process>,
     pub(super) double_use: Option<DoubleUse>,
 }
 
@@ -74,7 +74,7 @@
             clock_lag: [0; SENDER_COUNT],
             faults: 0,
             network: BTreeSet::new(),
-            used: BTreeMap::new(),
+            used_permits: BTreeMap::new(),
             double_use: None,
         };
         while state.now < round_start(first_round) {
@@ -125,6 +125,7 @@
         }
     }
 
+    /// Advances the time by [`HALF_ROUND`]; the senders use permits at each poll.
     pub(super) fn pass_time(&mut self) {
         for _ in 0..HALF_ROUND / POLL_INTERVAL {
             self.now += POLL_INTERVAL;
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Every sender uses all its valid permits.
+    /// Lets every sender use all its valid permits.
     pub(super) fn use_permits(&mut self) {
         for sender in 0..SENDER_COUNT {
             let clock = self.clock(sender);
@@ -146,9 +147,9 @@
             let ledger = self.ledgers[sender].as_ref();
             let permits = ledger.map_or(Vec::new(), |ledger| ledger.permits(clock, LIMIT_ID, 1.0));
             for permit in permits.iter().filter(|permit| permit.from <= clock) {
-                let first = *self.used.entry(permit.number).or_insert(process);
-                if first != process {
-                    let processes = [first, process];
+                let first_process = *self.used_permits.entry(permit.number).or_insert(process);
+                if first_process != process {
+                    let processes = [first_process, process];
                     self.double_use = Some(DoubleUse { number: permit.number, processes });
                 }
             }
--- a/crates/gossip/src/permits/holding.rs
+++ b/crates/gossip/src/permits/holding.rs
@@ -1,8 +1,8 @@
 //! The permits of one limit that one sender may use: its own permits that it has not released, and permits granted to
 //! it.
 //!
-//! Invariant: this sender never uses a permit that it released, and uses a granted permit only if it starts in the term
-//! of the round of the grant.
+//! Invariant: this sender never uses a permit that it released. It uses a permit that was granted in a round only if the
+//! permit starts in the term of that round.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,21 +20,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PermitHolding {
     pub schedule: PermitSchedule,
-    /// Own permits that start before this time are not used, because an earlier process may have released or used them.
-    own_permits_from: UnixMillis,
-    /// By round, the number of own permits that are not released in the round's term, the first ones. In rounds without
-    /// an entry no permits are released.
+    /// Own permits that start before this time are not usable, because an earlier process may have released or used them.
+    own_permits_usable_from: UnixMillis,
+    /// For each round in which permits were released: the number of own permits that this sender retained in the round's
+    /// term. The retained permits are those that start first, and the others are released.
     retained_counts: BTreeMap<u64, usize>,
     /// The numbers of the permits that were granted to this sender.
     granted: BTreeSet<u64>,
 }
 
 impl PermitHolding {
-    /// The holding at a limit that is new in `round`; the sender's own permits are used after that round's term.
+    /// The holding at a limit that this sender first has in `round`. The sender uses its own permits only after the term of
+    /// that round.
     pub fn new(schedule: PermitSchedule, round: u64) -> Self {
         Self {
             schedule,
-            own_permits_from: term(round).end,
+            own_permits_usable_from: term(round).end,
             retained_counts: BTreeMap::new(),
             granted: BTreeSet::new(),
         }
@@ -45,7 +46,7 @@
     pub fn own_count(&self, sender: usize, round: u64) -> usize {
         self.schedule
             .owned_by(sender, term(round))
-            .filter(|&number| self.schedule.starts_at(number) >= self.own_permits_from)
+            .filter(|&number| self.schedule.starts_at(number) >= self.own_permits_usable_from)
             .count()
     }
 
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Removes granted permits and the counts of retained permits that have expired. The counts are kept longer by the
-    /// tolerance by which a clock may be set back.
+    /// Removes granted permits and the counts of retained permits that have expired. The counts are stored
+    /// [`CLOCK_STEP_TOLERANCE`] longer than the permits are valid, because the clock may be set back by that time.
     pub fn remove_expired(&mut self, now: UnixMillis) {
         self.retained_counts
             .retain(|round, _| term(*round).end + PERMIT_VALIDITY + CLOCK_STEP_TOLERANCE > now);
@@ -82,7 +83,7 @@
         let own = self
             .schedule
             .owned_by(sender, start_range.clone())
-            .filter(|&number| self.is_retained(sender, number));
+            .filter(|&number| self.is_usable_own_permit(sender, number));
         let granted = self
             .granted
             .iter()
@@ -99,18 +100,21 @@
         Permit { number, from, until: from + PERMIT_VALIDITY }
     }
 
-    /// Whether an own permit is used by this sender, that is, neither released nor possibly used by an earlier process.
-    fn is_retained(&self, sender: usize, number: u64) -> bool {
+    /// Whether this sender may use one of its own permits: the permit is not released, and no earlier process may have used
+    /// it.
+    fn is_usable_own_permit(&self, sender: usize, number: u64) -> bool {
         let starts_at = self.schedule.starts_at(number);
         let round = round_of_term_at(starts_at);
-        let is_among_first =
-            |count: &usize| self.schedule.owned_by(sender, term(round)).take(*count).any(|own| own == number);
-        starts_at >= self.own_permits_from && self.retained_counts.get(&round).is_none_or(is_among_first)
+        let is_among_first = |count: &usize| {
+            self.schedule.owned_by(sender, term(round)).take(*count).any(|own_number| own_number == number)
+        };
+        starts_at >= self.own_permits_usable_from
+            && self.retained_counts.get(&round).is_none_or(is_among_first)
     }
 
-    /// Number of stored counts and granted permits, for the tests of its bound.
+    /// Number of stored entries: counts of retained permits, and granted permits. Tests check that it is bounded.
     #[cfg(test)]
-    pub fn len(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.retained_counts.len() + self.granted.len()
     }
 }
--- a/crates/gossip/src/permits/message.rs
+++ b/crates/gossip/src/permits/message.rs
@@ -13,7 +13,7 @@
 /// Maximum number of permits in an entry of a grant.
 const MAX_NUMBER_DELTAS: usize = MAX_REQUESTED_PERMITS as usize;
 
-/// One sender's offer for a round: the number of permits that it releases or requests at each limit.
+/// One sender's offer for a round. It contains how many permits the sender releases or requests at each limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PermitOffer {
     pub round: u64,
@@ -28,7 +28,7 @@
     pub limit_id: u32,
     /// Checksum of the sender's permit schedule.
     pub schedule_checksum: u16,
-    /// Number of released permits; they are the last of the sender's own permits in the round's term.
+    /// Number of released permits. Of the sender's own permits in the round's term, those that start last are released.
     pub released: u16,
     /// Number of permits requested in addition to the sender's own permits.
     pub requested: u8,
@@ -52,7 +52,8 @@
     pub limit_id: u32,
     /// Checksum of the allocator's permit schedule.
     pub schedule_checksum: u16,
-    /// Permit numbers, each as the difference to the previous number, the first to the first number of the term.
+    /// The numbers of the granted permits, ascending. Each is encoded as its difference from the previous one, the first
+    /// as its difference from the first permit number of the round's term.
     #[serde(deserialize_with = "bounded::<MAX_NUMBER_DELTAS, _, _>")]
     pub number_deltas: Vec<u16>,
 }
--- a/crates/gossip/src/permits/offering.rs
+++ b/crates/gossip/src/permits/offering.rs
@@ -1,4 +1,5 @@
-//! Once a round, a sender offers the permits that it does not need, or requests the additional permits that it needs.
+//! Prepares the offer that a sender sends once in each round: it releases the sender's permits that are not needed, or
+//! requests additional permits.
 
 use std::cmp::Reverse;
 
@@ -17,16 +18,17 @@
 struct OfferContext {
     round: u64,
     now: UnixMillis,
-    /// End of the term of the previous offer; the sender's permits before it are determined by earlier rounds.
+    /// End of the term of the previous offer's round. The offers and grants of earlier rounds determine which permits the
+    /// sender has before this time.
     determined_until: UnixMillis,
-    /// Whether permits may be released: the allocator is known to be alive.
+    /// Whether permits may be released, which requires that the allocator is known to be alive.
     may_release: bool,
 }
 
 impl PermitLedger {
     /// Prepares this sender's offer, once a round. Later calls in the same round only update the set of limits.
     ///
-    /// Returns `None` if there is nothing to send, also if this sender is the round's allocator.
+    /// Returns `None` if no datagram is to be sent, for instance because this sender is the round's allocator.
     pub fn offer(&mut self, now: UnixMillis, demands: &[LocalDemand]) -> Option<OutgoingDatagram> {
         self.observe_clock(now);
         let round = round_at(now);
@@ -77,12 +79,12 @@
     /// The entry for a limit; `None` if no permits are released or requested.
     fn offer_entry(&self, context: &OfferContext, demand: &LocalDemand) -> Option<PermitOfferEntry> {
         let holding = self.holdings.get(&demand.limit_id)?;
-        let available =
+        let available_count =
             holding.unexpired_permits(self.own_number, context.now, context.determined_until).len();
-        let needed = (demand.demand - available as f64).round().max(0.0) as usize;
-        let own = holding.own_count(self.own_number, context.round);
-        let released = if context.may_release { own.saturating_sub(needed) } else { 0 };
-        let requested = needed.saturating_sub(own).min(usize::from(MAX_REQUESTED_PERMITS));
+        let needed_count = (demand.demand - available_count as f64).round().max(0.0) as usize;
+        let own_count = holding.own_count(self.own_number, context.round);
+        let released = if context.may_release { own_count.saturating_sub(needed_count) } else { 0 };
+        let requested = needed_count.saturating_sub(own_count).min(usize::from(MAX_REQUESTED_PERMITS));
         let entry = PermitOfferEntry {
             limit_id: demand.limit_id.0,
             schedule_checksum: holding.schedule.checksum(),
@@ -97,8 +99,8 @@
     fn release(&mut self, round: u64, entries: &[PermitOfferEntry]) {
         for entry in entries.iter().filter(|entry| entry.released > 0) {
             if let Some(holding) = self.holdings.get_mut(&LimitId(entry.limit_id)) {
-                let own = holding.own_count(self.own_number, round);
-                holding.retain_first(round, own - usize::from(entry.released));
+                let own_count = holding.own_count(self.own_number, round);
+                holding.retain_first(round, own_count - usize::from(entry.released));
             }
         }
     }
--- a/crates/gossip/src/permits/schedule.rs
+++ b/crates/gossip/src/permits/schedule.rs
@@ -8,26 +8,28 @@
 use crate::limit_id::LimitId;
 use crate::peer_selection::hash_words;
 
-/// The fraction of a limit that is issued as permits. It is below 1 because calls arrive at the destination less evenly
+/// The fraction of a limit for which permits exist. It is below 1 because calls arrive at the destination less evenly
 /// than they start.
 const ISSUED_FRACTION: f64 = 0.95;
-/// Minimum time between permits, in microseconds: 125,000 calls a second.
+/// Minimum time between the starts of two permits, in microseconds. It allows 125,000 calls a second.
 const MIN_INTERVAL_US: f64 = 8.0;
-/// Maximum time between permits, in microseconds: one call an hour.
+/// Maximum time between the starts of two permits, in microseconds. It allows one call an hour.
 const MAX_INTERVAL_US: f64 = 3.6e9;
 
 /// Permit number `k` starts `k` intervals after the Unix epoch (1970). The senders own the permits in rotation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PermitSchedule {
+    /// Time between the starts of two consecutive permits, in microseconds.
     interval_us: u64,
     sender_count: u64,
-    /// Offset of the rotation, different for each limit.
+    /// Offset of the rotation of owners. It differs between limits, so that permits with the same number have different
+    /// owners.
     phase: u64,
 }
 
 impl PermitSchedule {
-    /// The schedule of a limit in calls a second. If the limit is not a positive number, the permits have the maximum
-    /// interval.
+    /// The schedule of a limit of `limit` calls a second. If `limit` is not a positive number, the permits start at the
+    /// maximum interval.
     pub fn new(limit_id: LimitId, limit: f64, sender_count: usize) -> Self {
         let interval = 1e6 / (limit * ISSUED_FRACTION);
         let interval = if interval.is_nan() || interval <= 0.0 {
--- a/crates/gossip/src/permits/schedule/tests.rs
+++ b/crates/gossip/src/permits/schedule/tests.rs
@@ -1,4 +1,4 @@
-//! Owners of permits, and limits that are not positive numbers.
+//! Tests the owners of permits, and schedules of limits that are not positive numbers.
 
 use rudderspindle_clock::UnixMillis;
 
--- a/crates/gossip/src/permits/tests.rs
+++ b/crates/gossip/src/permits/tests.rs
@@ -1,4 +1,5 @@
-//! The permit protocol in simulated clusters: use of the limit, the bound on calls under faults, and bounds on memory.
+//! Tests the permit protocol in simulated clusters: how much of the limit is used, the bound on calls despite faults, and
+//! the bounds on memory.
 
 mod cluster;
 mod rejections;
@@ -48,6 +49,7 @@
 fn partitions_observe_the_bound_and_share_the_limit_once_healed() {
     let mut cluster = Cluster::new(9, 12, 60.0, DELAYS);
     cluster.run(4_000, 90.0);
+    // Each of the first six senders is alone in its partition, and the other six are in one.
     cluster.partition = (0..12).map(|sender| if sender < 6 { sender + 1 } else { 0 }).collect();
     let calls_while_partitioned = cluster.run(12_000, 90.0);
     assert!(
@@ -72,8 +74,10 @@
     let mut ledger = PermitLedger::new(0, 3, Incarnation(7), START);
     let limit_id = LimitId::of(7, None);
     let demands = [LocalDemand { limit_id, limit: 60.0, demand: 30.0, calls: 0, rejected: 0, failed: 0 }];
-    let rounds = (0..).map(|n| START + n * ROUND);
-    let allocator = rounds.map(|at| ledger.offer(at + 300, &demands)).find_map(|offer| Some(offer?.to));
+    let round_starts = (0..).map(|n| START + n * ROUND);
+    let allocator = round_starts
+        .map(|round_start| ledger.offer(round_start + 300, &demands))
+        .find_map(|offer| Some(offer?.to));
     let allocator = allocator.expect("an offer is sent");
     let round = ledger.last_offer_round;
     let entry = PermitGrantEntry {
@@ -120,7 +124,7 @@
             cluster.clock_offset[sender] = (cluster.rng.unit() * clock_skew as f64) as i64;
             cluster.restart(sender);
         }
-        let mut recorded: Vec<InFlight> = Vec::new();
+        let mut recorded_datagrams: Vec<InFlight> = Vec::new();
         for _ in 0..60 {
             cluster.run(200, limit * 1.4);
             let sender = cluster.rng.below(sender_count);
@@ -129,10 +133,10 @@
                 1 => cluster.running[sender] = false,
                 2 => cluster.running[sender] = true,
                 3 => cluster.partition[sender] = cluster.rng.below(2),
-                4 => recorded.extend(cluster.in_flight.iter().cloned()),
+                4 => recorded_datagrams.extend(cluster.in_flight.iter().cloned()),
                 _ => {
                     let arrives_at = cluster.now + 1;
-                    let replayed = recorded.drain(..).map(|datagram| InFlight { arrives_at, ..datagram });
+                    let replayed = recorded_datagrams.drain(..).map(|datagram| InFlight { arrives_at, ..datagram });
                     cluster.in_flight.extend(replayed);
                 }
             }
@@ -151,7 +155,7 @@
         // The same bytes as the body of a valid envelope.
         let datagram = seal(Kind::PermitGrant, &bytes).unwrap_or_default();
         let _ = ledger.receive(START + 700, 1, &datagram);
-        prop_assert!(ledger.allocator.len() <= 1);
+        prop_assert!(ledger.allocator.offer_count() <= 1);
     }
 }
 
@@ -179,11 +183,15 @@
                 .receive(now, offer.to, &malformed_grant(now, &demands))
                 .expect("the grant is from the allocator");
         }
-        assert!(ledger.holdings.len() <= 20 && ledger.allocators.len() <= 4 && ledger.allocator.len() <= 16);
         assert!(
-            ledger.holdings.values().all(|holding| holding.len() <= 30),
+            ledger.holdings.len() <= 20
+                && ledger.allocators.len() <= 4
+                && ledger.allocator.offer_count() <= 16
+        );
+        assert!(
+            ledger.holdings.values().all(|holding| holding.entry_count() <= 30),
             "{:?}",
-            ledger.holdings.values().map(PermitHolding::len)
+            ledger.holdings.values().map(PermitHolding::entry_count)
         );
         ledger.allocate(now + ROUND);
     }
@@ -203,7 +211,7 @@
     offer.encode().expect("the message fits")
 }
 
-/// A grant with numbers of which some are not ascending and some are outside the term.
+/// A grant in which some permit numbers are not ascending and some are outside the round's term.
 fn malformed_grant(now: UnixMillis, demands: &[LocalDemand]) -> Vec<u8> {
     let entry = |demand: &LocalDemand| PermitGrantEntry {
         limit_id: demand.limit_id.0,
--- a/crates/gossip/src/permits/tests/cluster.rs
+++ b/crates/gossip/src/permits/tests/cluster.rs
@@ -129,12 +129,13 @@
         }
     }
 
+    /// Queues the calls that arrive in one step, each at a random sender.
     fn add_arrivals(&mut self, load: f64) {
-        let mut expected = load * STEP as f64 / 1_000.0;
-        while expected > 0.0 {
+        let mut expected_arrivals = load * STEP as f64 / 1_000.0;
+        while expected_arrivals > 0.0 {
             let to = self.rng.below(self.ledgers.len());
-            self.queued[to] += u32::from(self.rng.unit() < expected);
-            expected -= 1.0;
+            self.queued[to] += u32::from(self.rng.unit() < expected_arrivals);
+            expected_arrivals -= 1.0;
         }
     }
 
@@ -195,11 +196,12 @@
     /// Maximum number of calls in any span of `span` milliseconds.
     pub(super) fn max_calls_within(&self, span: u64) -> usize {
         let calls = &self.call_times;
-        let first = |index: usize| calls.partition_point(|at| *at + span <= calls[index]);
-        (0..calls.len()).map(|index| index + 1 - first(index)).max().unwrap_or(0)
+        let first_within_span =
+            |index: usize| calls.partition_point(|started_at| *started_at + span <= calls[index]);
+        (0..calls.len()).map(|index| index + 1 - first_within_span(index)).max().unwrap_or(0)
     }
 
-    /// The bound on calls in a span if the clocks differ by at most `clock_skew`, both in milliseconds.
+    /// The bound on calls within `span` if the clocks differ by at most `clock_skew`; both are in milliseconds.
     pub(super) fn allowed_calls_within(&self, span: u64, clock_skew: u64) -> f64 {
         0.95 * self.limit * (span + PERMIT_VALIDITY + 2 * clock_skew + STEP) as f64 / 1_000.0 + 1.0
     }
--- a/crates/gossip/src/permits/tests/rejections.rs
+++ b/crates/gossip/src/permits/tests/rejections.rs
@@ -1,5 +1,5 @@
-//! Released permits stay released and closed rounds stay closed, even if the clock is set back or peers send invalid
-//! messages.
+//! Tests that released permits stay released and closed rounds stay closed, even if the clock is set back or peers send
+//! invalid messages.
 
 use crate::demand_exchange::LocalDemand;
 use crate::limit_id::LimitId;
@@ -25,10 +25,10 @@
 /// alive, is the allocator.
 fn ledger_with_live_allocator() -> (PermitLedger, u64) {
     let mut ledger = PermitLedger::new(0, 2, Incarnation(7), round_start(FIRST_ROUND));
-    let other = SelectedAllocator { sender: 1, is_known_alive: true };
+    let other_sender = SelectedAllocator { sender: 1, is_known_alive: true };
     for round in FIRST_ROUND + 1.. {
         ledger.allocator_selection.record_alive(round - 1, u64::MAX);
-        if round > FIRST_ROUND + 4 && ledger.allocator_selection.clone().select(round) == Some(other) {
+        if round > FIRST_ROUND + 4 && ledger.allocator_selection.clone().select(round) == Some(other_sender) {
             return (ledger, round);
         }
         // The sender needs all its own permits, so it releases none.
@@ -48,8 +48,8 @@
     let (mut ledger, round) = ledger_with_live_allocator();
     assert!(ledger.offer(round_start(round) + 100, &demand(0.0)).is_some());
     assert_eq!(permits_in_term(&ledger, round), 0);
-    for at in [round_start(round) - 100, round_start(round) + 100, round_start(round + 1) + 100] {
-        ledger.offer(at, &demand(1_000.0));
+    for offer_at in [round_start(round) - 100, round_start(round) + 100, round_start(round + 1) + 100] {
+        ledger.offer(offer_at, &demand(1_000.0));
     }
     assert_eq!(ledger.last_offer_round, round + 1);
     assert_eq!(permits_in_term(&ledger, round), 0);
@@ -61,11 +61,11 @@
 #[test]
 fn a_clock_set_far_back_does_not_block_a_sender() {
     let (mut ledger, round) = ledger_with_live_allocator();
-    let early = round - MAX_MESSAGE_AGE_ROUNDS - 3;
-    for round in early..early + 3 {
+    let early_round = round - MAX_MESSAGE_AGE_ROUNDS - 3;
+    for round in early_round..early_round + 3 {
         ledger.offer(round_start(round) + 100, &demand(1_000.0));
     }
-    assert!(permits_in_term(&ledger, early + 2) > 0);
+    assert!(permits_in_term(&ledger, early_round + 2) > 0);
 }
 
 /// After the term has ended, the clock is set back within or beyond the tolerance of clock steps.
@@ -73,28 +73,28 @@
 fn released_permits_stay_released_after_their_term() {
     let (mut ledger, round) = ledger_with_live_allocator();
     ledger.offer(round_start(round) + 100, &demand(0.0));
-    let term_over = term(round).end + PERMIT_VALIDITY;
-    ledger.offer(term_over - ROUND, &demand(1_000.0));
-    ledger.offer(term_over, &demand(1_000.0));
+    let term_over_at = term(round).end + PERMIT_VALIDITY;
+    ledger.offer(term_over_at - ROUND, &demand(1_000.0));
+    ledger.offer(term_over_at, &demand(1_000.0));
     let is_released = |permit: &Permit| term(round).contains(&permit.from);
-    for back in [0, 10, CLOCK_STEP_TOLERANCE, CLOCK_STEP_TOLERANCE + 1, 200, 400] {
+    for set_back_by in [0, 10, CLOCK_STEP_TOLERANCE, CLOCK_STEP_TOLERANCE + 1, 200, 400] {
         assert!(
-            !ledger.permits(term_over - back, LIMIT_ID, 1.0).iter().any(is_released),
-            "clock set back by {back} ms"
+            !ledger.permits(term_over_at - set_back_by, LIMIT_ID, 1.0).iter().any(is_released),
+            "clock set back by {set_back_by} ms"
         );
     }
-    ledger.offer(term_over + ROUND, &demand(1_000.0));
-    for back in (0..2 * ROUND).step_by(10) {
+    ledger.offer(term_over_at + ROUND, &demand(1_000.0));
+    for set_back_by in (0..2 * ROUND).step_by(10) {
         assert!(
-            !ledger.permits(term_over + ROUND - back, LIMIT_ID, 1.0).iter().any(is_released),
-            "clock set back by {back} ms"
+            !ledger.permits(term_over_at + ROUND - set_back_by, LIMIT_ID, 1.0).iter().any(is_released),
+            "clock set back by {set_back_by} ms"
         );
     }
 }
 
 #[test]
 fn a_round_is_allocated_once_if_the_clock_is_set_back() {
-    for back in [20, 300] {
+    for set_back_by in [20, 300] {
         let (mut ledger, round) = ledger_with_live_allocator();
         let offer = |incarnation: u64| {
             let incarnation = Incarnation(incarnation);
@@ -102,10 +102,10 @@
             PermitMessage::PermitOffer(offer).encode().expect("the message fits")
         };
         assert_eq!(ledger.receive(round_start(round) + 400, 1, &offer(1)), Ok(false));
-        let round_over = round_start(round + 1) + 10;
-        assert_eq!(ledger.allocate(round_over).len(), 1);
-        assert_eq!(ledger.receive(round_over - back, 1, &offer(2)), Err(PermitError::Unexpected));
-        assert_eq!(ledger.allocate(round_over), []);
+        let round_over_at = round_start(round + 1) + 10;
+        assert_eq!(ledger.allocate(round_over_at).len(), 1);
+        assert_eq!(ledger.receive(round_over_at - set_back_by, 1, &offer(2)), Err(PermitError::Unexpected));
+        assert_eq!(ledger.allocate(round_over_at), []);
     }
 }
 
--- a/crates/gossip/src/tenant_usage.rs
+++ b/crates/gossip/src/tenant_usage.rs
@@ -1,5 +1,8 @@
-//! Messages per tenant that the whole fleet accepted, as an interval, computed from registers by sender, incarnation and
-//! epoch.
+//! Computes how many messages of each tenant the whole fleet accepted, as an interval that contains the true number.
+//!
+//! Each incarnation of a sender counts its accepted messages by tenant in one register for each epoch. The interval is
+//! computed from the registers of this sender, the registers that other senders reported, and received slices, each of
+//! which is the sum of many senders' registers.
 //!
 //! Invariant: the number of messages of a tenant accepted within an epoch lies in the computed interval, even if datagrams
 //! are lost, duplicated, late or replayed, as long as no sender accepts more than the configured maximum.
@@ -82,34 +85,34 @@
 
     /// Counts one message that this sender accepted at `now`; `tenant` is the tenant's index in the settings.
     pub fn record_message(&mut self, now: UnixMillis, tenant: u16) {
-        self.drop_old_epochs(now);
+        self.drop_unretained_epochs(now);
         let epoch = epoch_at(now);
         let empty = self.local.empty_register(epoch);
         let registers = self.registers.entry(epoch).or_default();
-        let own = registers.entry(self.local.register_key()).or_insert(empty);
-        let total = own.totals.entry(tenant).or_default();
+        let own_register = registers.entry(self.local.register_key()).or_insert(empty);
+        let total = own_register.totals.entry(tenant).or_default();
         *total = total.saturating_add(1);
     }
 
     /// This sender's own register of an epoch, as it is sent in a report.
     ///
-    /// `None` if the epoch is not over, is no longer retained, or ended before the process started.
+    /// `None` if the epoch is not over, if it is no longer retained, or if it ended before the process started.
     pub fn own_register(&self, now: UnixMillis, epoch: u64) -> Option<Register> {
-        let started = epoch_start(epoch.saturating_add(1)) > UnixMillis(self.local.incarnation.0);
+        let ends_after_start = epoch_start(epoch.saturating_add(1)) > UnixMillis(self.local.incarnation.0);
         let is_retained = epoch < epoch_at(now) && epoch + RETAINED_EPOCHS > epoch_at(now);
-        if !(started && is_retained) {
+        if !(ends_after_start && is_retained) {
             return None;
         }
         let registers = self.registers.get(&epoch);
-        let own = registers.and_then(|registers| registers.get(&self.local.register_key()));
-        let own = own.cloned().unwrap_or_else(|| self.local.empty_register(epoch));
-        Some(own.truncated())
+        let stored = registers.and_then(|registers| registers.get(&self.local.register_key()));
+        let register = stored.cloned().unwrap_or_else(|| self.local.empty_register(epoch));
+        Some(register.truncated())
     }
 
     /// Merges a register from another sender's report. Returns whether the register was accepted.
     ///
     /// The register is rejected if its epoch is in the future or no longer retained, if the sender is this one or unknown, or
-    /// if it has more messages than a sender accepts in an epoch.
+    /// if the register has more messages than a sender accepts in an epoch.
     pub fn merge_register(
         &mut self,
         now: UnixMillis,
@@ -117,7 +120,7 @@
         epoch: u64,
         register: &Register,
     ) -> bool {
-        self.drop_old_epochs(now);
+        self.drop_unretained_epochs(now);
         let is_peer = self.is_peer(key.sender);
         if !is_peer || !is_accepted(now, epoch) || !register.is_plausible(self.limits.max_per_sender) {
             return false;
@@ -128,19 +131,21 @@
         true
     }
 
-    /// The sum of the registers of this sender and all its reporters for an epoch; `None` if the epoch is not over, or no
-    /// register is known for it.
+    /// The sum of the registers of this sender and all its reporters for an epoch. `None` if the epoch is not over, or if no
+    /// register of it is stored.
     pub fn aggregate(&self, now: UnixMillis, epoch: u64) -> Option<WindowSlice> {
         if epoch >= epoch_at(now) {
             return None;
         }
-        let own = self.own_register(now, epoch);
+        let own_register = self.own_register(now, epoch);
         let own_key = self.local.register_key();
-        let known = self.registers.get(&epoch).into_iter().flatten();
-        let others = known.filter(|(key, _)| **key != own_key);
-        let others = others.map(|(key, register)| SenderRegister { sender: key.sender, register });
-        let mut registers: Vec<SenderRegister<'_>> = others.collect();
-        registers.extend(own.iter().map(|own| SenderRegister { sender: self.local.number, register: own }));
+        let stored = self.registers.get(&epoch).into_iter().flatten();
+        let reported = stored.filter(|(key, _)| **key != own_key);
+        let reported = reported.map(|(key, register)| SenderRegister { sender: key.sender, register });
+        let mut registers: Vec<SenderRegister<'_>> = reported.collect();
+        registers.extend(
+            own_register.iter().map(|own| SenderRegister { sender: self.local.number, register: own }),
+        );
         (!registers.is_empty()).then(|| WindowSlice::sum(&registers, self.limits.senders))
     }
 
@@ -155,7 +160,7 @@
         epoch: u64,
         slice: &WindowSlice,
     ) -> bool {
-        self.drop_old_epochs(now);
+        self.drop_unretained_epochs(now);
         let is_peer = self.is_peer(aggregator);
         if !is_peer || !is_accepted(now, epoch) || !slice.is_plausible(self.limits) {
             return false;
@@ -165,7 +170,7 @@
             Some(received) => received.slice = received.slice.clone().max(slice.clone()),
             None => slices.push(ReceivedSlice { aggregator, slice: slice.clone() }),
         }
-        keep_most_complete(slices);
+        retain_most_complete(slices);
         true
     }
 
@@ -173,7 +178,8 @@
         number < self.limits.senders && number != self.local.number
     }
 
-    fn drop_old_epochs(&mut self, now: UnixMillis) {
+    /// Removes the registers and slices of epochs that are not retained at `now`.
+    fn drop_unretained_epochs(&mut self, now: UnixMillis) {
         let retained = retained_epochs(now);
         self.registers.retain(|epoch, _| retained.contains(epoch));
         self.slices.retain(|epoch, _| retained.contains(epoch));
@@ -196,8 +202,9 @@
     }
 }
 
-/// Keeps the [`MAX_SLICES`] slices with the most complete senders, in an order that does not depend on their arrival.
-fn keep_most_complete(slices: &mut Vec<ReceivedSlice>) {
+/// Removes all but the [`MAX_SLICES`] slices with the most complete senders. The result does not depend on the order in
+/// which the slices were received.
+fn retain_most_complete(slices: &mut Vec<ReceivedSlice>) {
     slices.sort_by(|left, right| {
         let by_senders = right.slice.complete_senders().cmp(&left.slice.complete_senders());
         let by_content = right.slice.cmp(&left.slice);
--- a/crates/gossip/src/tenant_usage/epochs.rs
+++ b/crates/gossip/src/tenant_usage/epochs.rs
@@ -1,4 +1,4 @@
-//! Epochs that are counted, retained and read at a given time.
+//! Determines which epochs are counted, accepted, retained and read at a given time.
 
 use std::ops::Range;
 
@@ -6,11 +6,11 @@
 
 /// Length of an epoch, in milliseconds.
 pub const EPOCH_LENGTH: u64 = 1_000;
-/// Number of past epochs that are retained, including the current one.
+/// Number of epochs that are retained: the current one and the epochs before it.
 pub const RETAINED_EPOCHS: u64 = 10;
 /// Age of the newest epoch that is read, in epochs.
 ///
-/// An epoch is reported in the following three epochs, and the summaries arrive after that.
+/// Senders report an epoch during the following three epochs, and receive the last summaries of it after that.
 pub const READ_LAG: u64 = 4;
 /// Maximum number of epochs that are read at once.
 pub const MAX_READ_EPOCHS: u64 = RETAINED_EPOCHS - READ_LAG;
@@ -25,8 +25,8 @@
     UnixMillis(epoch.saturating_mul(EPOCH_LENGTH))
 }
 
-/// The epochs that are read at `now`: the last `epochs` of those that are at least [`READ_LAG`] old. `epochs` is clamped to 1 to
-/// `MAX_READ_EPOCHS`.
+/// The epochs that are read at `now`: the newest ones that are at least [`READ_LAG`] epochs old, `epochs` in number.
+/// `epochs` is clamped to the range from 1 to `MAX_READ_EPOCHS`.
 pub fn read_epochs(now: UnixMillis, epochs: u64) -> Range<u64> {
     let end = (epoch_at(now) + 1).saturating_sub(READ_LAG);
     end.saturating_sub(epochs.clamp(1, MAX_READ_EPOCHS))..end
--- a/crates/gossip/src/tenant_usage/local_sender.rs
+++ b/crates/gossip/src/tenant_usage/local_sender.rs
@@ -13,8 +13,8 @@
     pub number: usize,
     /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// The last time at which another process may have accepted messages under the same number: epochs that began no later
-    /// are partial.
+    /// The last time at which another process may have accepted messages under the same sender number. This sender's usage
+    /// of the epochs that began at or before this time is partial.
     pub complete_from: UnixMillis,
     /// Maximum rate at which all processes of one sender together accept messages, in messages per second; the same for all
     /// senders.
--- a/crates/gossip/src/tenant_usage/quota.rs
+++ b/crates/gossip/src/tenant_usage/quota.rs
@@ -14,17 +14,21 @@
 pub const MIN_BURST: f64 = 4.0;
 /// Upper bound on the sum of all senders' shares, as a multiple of the quota.
 ///
-/// The shares by traffic add up to at most one, because each is a fraction of an upper bound on the total. The equal shares,
-/// which are each sender's minimum, add up to one as well.
+/// The shares by accepted messages add up to at most one, because each is a fraction of an upper bound on the total. The
+/// equal shares, which are each sender's minimum, add up to one as well.
 pub const MAX_TOTAL_SHARE: f64 = 2.0;
 
 /// One sender's share of a fleet-wide quota, from 0 to 1, in a fleet of `senders` senders.
 ///
-/// The share is the ratio of the sender's `own` messages to the upper bound on the `fleet`'s messages in the same epochs, but
-/// at least an equal share.
-pub fn quota_share(own: u64, fleet: &UsageInterval, senders: usize) -> f64 {
+/// The share is the ratio of the messages that the sender accepted to the upper bound on the messages that the fleet
+/// accepted in the same epochs, but at least an equal share.
+pub fn quota_share(own_messages: u64, fleet_usage: &UsageInterval, senders: usize) -> f64 {
     let equal_share = 1.0 / senders.max(1) as f64;
-    if fleet.max == 0 { equal_share } else { (own as f64 / fleet.max as f64).clamp(equal_share, 1.0) }
+    if fleet_usage.max == 0 {
+        equal_share
+    } else {
+        (own_messages as f64 / fleet_usage.max as f64).clamp(equal_share, 1.0)
+    }
 }
 
 /// A tenant's token bucket at one sender.
@@ -40,7 +44,7 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaBucket {
-    /// Number of messages that may be admitted; infinite before the first message, so that the bucket starts full.
+    /// Number of messages that may be admitted. It is infinite before the first message, so that the bucket starts full.
     tokens: f64,
     /// When `tokens` was last updated.
     updated_at: UnixMillis,
--- a/crates/gossip/src/tenant_usage/reading.rs
+++ b/crates/gossip/src/tenant_usage/reading.rs
@@ -15,7 +15,7 @@
     pub min: u64,
     /// Upper bound, in messages.
     pub max: u64,
-    /// Number of senders whose usage is known, including this one, in the epoch in which the fewest are known.
+    /// Smallest number of senders, including this one, whose usage is known in any of the epochs.
     pub senders: usize,
     /// End of the newest epoch in which another sender's usage is known; `None` if there is no such epoch.
     pub newest_epoch_end: Option<UnixMillis>,
@@ -25,7 +25,8 @@
     /// Bounds on the number of messages of a tenant that all senders accepted in the epochs of
     /// [`super::read_epochs`].
     ///
-    /// The bounds change with received datagrams, a few times per second, and when the next epoch is read.
+    /// The bounds change a few times per second, when datagrams are received, and at the start of each epoch, when the next
+    /// epoch becomes readable.
     pub fn read(&self, now: UnixMillis, tenant: u16, epochs: u64) -> UsageInterval {
         let mut total =
             UsageInterval { min: 0, max: 0, senders: self.limits.senders, newest_epoch_end: None };
@@ -53,17 +54,17 @@
     pub fn known_senders(&self, now: UnixMillis) -> BTreeSet<usize> {
         let oldest = oldest_retained_epoch(now);
         let slices = self.slices.range(oldest..).flat_map(|(_, slices)| slices);
-        let relayed = slices.flat_map(|received| received.slice.complete_numbers());
-        let keys = self.registers.range(oldest..).flat_map(|(_, registers)| registers.keys());
-        relayed.chain(keys.map(|key| key.sender)).collect()
+        let aggregated = slices.flat_map(|received| received.slice.complete_numbers());
+        let register_keys = self.registers.range(oldest..).flat_map(|(_, registers)| registers.keys());
+        aggregated.chain(register_keys.map(|key| key.sender)).collect()
     }
 
-    /// Intersects the intervals of all slices, each of which contains the true number.
+    /// Reads one epoch: intersects the intervals of all slices, each of which contains the true number.
     fn read_epoch(&self, now: UnixMillis, tenant: u16, epoch: u64) -> UsageInterval {
-        let own = self.aggregate(now, epoch).unwrap_or_default();
+        let own_slice = self.aggregate(now, epoch).unwrap_or_default();
         let received = self.slices.get(&epoch).into_iter().flatten();
         let received = received.map(|ReceivedSlice { slice, .. }| slice);
-        let slices: Vec<&WindowSlice> = received.chain([&own]).collect();
+        let slices: Vec<&WindowSlice> = received.chain([&own_slice]).collect();
         let senders = slices.iter().map(|slice| slice.senders()).max().unwrap_or_default();
         let newest_epoch_end = (senders > 1).then_some(epoch_start(epoch + 1));
         let bounds = slices.iter().map(|slice| slice.bounds(tenant, self.limits));
@@ -74,7 +75,7 @@
         }
         // The slices contradict each other, so at least one of them is false. The lower bound of this sender's own slice and
         // the largest of all upper bounds are used.
-        let min = own.bounds(tenant, self.limits).min;
+        let min = own_slice.bounds(tenant, self.limits).min;
         let max = bounds.map(|bounds| bounds.max).max().unwrap_or_default();
         UsageInterval { min, max, senders, newest_epoch_end }
     }
--- a/crates/gossip/src/tenant_usage/register.rs
+++ b/crates/gossip/src/tenant_usage/register.rs
@@ -1,4 +1,4 @@
-//! Register: the messages that one incarnation of a sender accepted in an epoch, by tenant.
+//! A register counts the messages that one incarnation of a sender accepted in an epoch, by tenant.
 
 use std::collections::BTreeMap;
 
@@ -6,11 +6,11 @@
 
 use crate::membership::Incarnation;
 
-/// Maximum number of tenants listed in a register or a slice: those with the most messages. One upper bound covers each of
-/// the others.
+/// Maximum number of tenants that a register or a slice lists: those with the most messages. For each other tenant the same
+/// upper bound applies.
 pub const MAX_LISTED_TENANTS: usize = 16;
 
-/// Identifies one of the registers of an epoch, by sender and incarnation.
+/// Identifies a register within an epoch by its sender and incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RegisterKey {
     /// The number of the sender that accepted the messages.
@@ -19,7 +19,7 @@
     pub incarnation: Incarnation,
 }
 
-/// Number of messages of one tenant in an epoch.
+/// The number of accepted messages of one tenant in an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantTotal {
     /// The tenant's index in the settings.
@@ -35,7 +35,8 @@
     pub totals: BTreeMap<u16, u32>,
     /// Upper bound on the number of messages of each tenant that is not listed.
     pub max_unlisted: u32,
-    /// Whether another process may have accepted messages in the epoch under the same number.
+    /// Whether another process may have accepted messages in the epoch under the same sender number, so that the totals may
+    /// be too low.
     pub partial: bool,
 }
 
@@ -67,10 +68,10 @@
         }
     }
 
-    /// Whether a sender that accepts at most `max` messages in an epoch can have accepted the messages of this register.
-    pub(super) fn is_plausible(&self, max: u64) -> bool {
-        let listed =
+    /// Whether a sender that accepts at most `max_messages` messages in an epoch can have accepted those of this register.
+    pub(super) fn is_plausible(&self, max_messages: u64) -> bool {
+        let listed_messages =
             self.totals.values().fold(0_u64, |sum, messages| sum.saturating_add(u64::from(*messages)));
-        listed <= max && u64::from(self.max_unlisted) <= max
+        listed_messages <= max_messages && u64::from(self.max_unlisted) <= max_messages
     }
 }
--- a/crates/gossip/src/tenant_usage/tests.rs
+++ b/crates/gossip/src/tenant_usage/tests.rs
@@ -30,7 +30,7 @@
     WindowSlice::sum(&registers.iter().map(with_sender).collect::<Vec<_>>(), senders)
 }
 
-/// Minimum and maximum for tenant 1, and the number of senders whose usage is known.
+/// The lower and upper bound for tenant 1 in an epoch, and the number of senders whose usage is known.
 fn read(usage: &TenantUsage, epoch: u64) -> (u64, u64, usize) {
     let interval = usage.read(epoch_start(epoch + READ_LAG), 1, 1);
     (interval.min, interval.max, interval.senders)
--- a/crates/gossip/src/tenant_usage/window_slice.rs
+++ b/crates/gossip/src/tenant_usage/window_slice.rs
@@ -1,4 +1,4 @@
-//! Slice: the sum of many senders' registers for one epoch.
+//! A slice is the sum of many senders' registers for one epoch.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,9 @@
 /// The size of a fleet, and the maximum number of messages that a sender accepts in an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct FleetLimits {
+    /// Number of senders in the fleet.
     pub senders: usize,
+    /// Maximum number of messages that one sender accepts in an epoch.
     pub max_per_sender: u64,
 }
 
@@ -43,24 +45,26 @@
 pub struct WindowSlice {
     /// Bit set of the senders whose usage is complete; the lowest bit of the first byte is that of sender number 0.
     #[serde(deserialize_with = "bounded::<MAX_BIT_SET_LEN, _, _>")]
-    complete: Vec<u8>,
+    complete_bits: Vec<u8>,
     /// Number of senders whose usage is partial, because another incarnation may have accepted messages in the epoch.
-    partial: u16,
+    partial_count: u16,
+    /// Number of messages of each listed tenant.
     #[serde(deserialize_with = "bounded::<MAX_LISTED_TENANTS, _, _>")]
     totals: Vec<TenantTotal>,
-    /// Upper bound on the number of messages that each tenant's total lacks.
+    /// Upper bound on the number of messages of each tenant that are missing in the list of totals: of a listed tenant beyond
+    /// its total, of any other tenant altogether.
     max_missing: u32,
 }
 
 impl WindowSlice {
     /// The sum of registers with different [keys](super::RegisterKey) in a fleet of `senders` senders.
     pub(crate) fn sum(registers: &[SenderRegister<'_>], senders: usize) -> Self {
-        let all: BTreeSet<usize> = registers.iter().map(|entry| entry.sender).collect();
-        let incomplete = registers.iter().filter(|entry| entry.register.partial);
-        let partial: BTreeSet<usize> = incomplete.map(|entry| entry.sender).collect();
+        let all_senders: BTreeSet<usize> = registers.iter().map(|entry| entry.sender).collect();
+        let partial_registers = registers.iter().filter(|entry| entry.register.partial);
+        let partial_senders: BTreeSet<usize> = partial_registers.map(|entry| entry.sender).collect();
         let mut slice = Self {
-            complete: bit_set(all.difference(&partial).copied(), senders),
-            partial: u16::try_from(partial.len()).unwrap_or(u16::MAX),
+            complete_bits: bit_set(all_senders.difference(&partial_senders).copied(), senders),
+            partial_count: u16::try_from(partial_senders.len()).unwrap_or(u16::MAX),
             totals: sum_totals(registers),
             max_missing: registers
                 .iter()
@@ -89,12 +93,12 @@
 
     /// Number of senders whose usage is complete.
     pub fn complete_senders(&self) -> usize {
-        self.complete.iter().map(|byte| byte.count_ones() as usize).sum()
+        self.complete_bits.iter().map(|byte| byte.count_ones() as usize).sum()
     }
 
     /// Number of senders whose usage is included in the sum, complete or partial.
     pub fn senders(&self) -> usize {
-        self.complete_senders() + usize::from(self.partial)
+        self.complete_senders() + usize::from(self.partial_count)
     }
 
     /// Numbers of the senders whose usage is complete.
@@ -102,23 +106,23 @@
         let numbers_of_byte = |(position, &byte): (usize, &u8)| {
             (0..8).filter(move |bit| byte & (1 << bit) != 0).map(move |bit| position * 8 + bit)
         };
-        self.complete.iter().enumerate().flat_map(numbers_of_byte)
+        self.complete_bits.iter().enumerate().flat_map(numbers_of_byte)
     }
 
     /// Bounds on the number of messages of a tenant that the whole fleet accepted in the epoch.
     pub(crate) fn bounds(&self, tenant: u16, limits: FleetLimits) -> Bounds {
-        let unknown = limits.senders.saturating_sub(self.complete_senders());
-        let max = self.max_of_known(tenant).saturating_add(limits.max_messages(unknown));
+        let unknown_senders = limits.senders.saturating_sub(self.complete_senders());
+        let max = self.max_of_included(tenant).saturating_add(limits.max_messages(unknown_senders));
         Bounds { min: self.listed_total(tenant), max }
     }
 
-    /// Whether the slice is possible in a fleet with these limits: it has only known senders, each tenant once, and at most
-    /// the maximum number of messages.
+    /// Whether the slice is possible in a fleet with these limits: its sender numbers are below the fleet's size, it lists
+    /// each tenant once, and its messages do not exceed the maximum of its senders.
     pub(crate) fn is_plausible(&self, limits: FleetLimits) -> bool {
         let messages: u64 = self.totals.iter().map(|total| u64::from(total.messages)).sum();
         let tenants: BTreeSet<u16> = self.totals.iter().map(|total| total.tenant).collect();
         tenants.len() == self.totals.len()
-            && self.complete.len() == limits.senders.div_ceil(8)
+            && self.complete_bits.len() == limits.senders.div_ceil(8)
             && self.complete_numbers().all(|number| number < limits.senders)
             && self.senders() <= limits.senders
             && messages <= limits.max_messages(self.senders())
@@ -130,7 +134,7 @@
     }
 
     /// Upper bound on the number of messages of a tenant that the senders included in the sum accepted.
-    fn max_of_known(&self, tenant: u16) -> u64 {
+    fn max_of_included(&self, tenant: u16) -> u64 {
         self.listed_total(tenant).saturating_add(u64::from(self.max_missing))
     }
 }
@@ -150,17 +154,17 @@
 fn max_of_union(slices: &[&WindowSlice], tenant: u16, limits: FleetLimits) -> u64 {
     let mut known_senders = BTreeSet::new();
     let mut known_max = 0_u64;
-    let mut smallest = u64::MAX;
+    let mut smallest_max = u64::MAX;
     for slice in slices {
-        let known_before = known_senders.len();
+        let count_before = known_senders.len();
         known_senders.extend(slice.complete_numbers());
-        if known_senders.len() > known_before {
-            known_max = known_max.saturating_add(slice.max_of_known(tenant));
-            let unknown = limits.senders.saturating_sub(known_senders.len());
-            smallest = smallest.min(known_max.saturating_add(limits.max_messages(unknown)));
+        if known_senders.len() > count_before {
+            known_max = known_max.saturating_add(slice.max_of_included(tenant));
+            let unknown_senders = limits.senders.saturating_sub(known_senders.len());
+            smallest_max = smallest_max.min(known_max.saturating_add(limits.max_messages(unknown_senders)));
         }
     }
-    smallest
+    smallest_max
 }
 
 /// A bit set with `senders` bits, in which the bits of `numbers` are set.
