--- a/crates/gossip/tests/fleet_view/outlier_detection.rs
+++ b/crates/gossip/tests/fleet_view/outlier_detection.rs
@@ -1,9 +1,9 @@
-//! Ejections of receivers by many senders that exchange datagrams.
+//! Tests which receivers are ejected by many senders that exchange their votes in datagrams.
 
 use super::simulated_fleet::{START, SimulatedFleet};
 use rudderspindle_gossip::{CallResult, ReceiverId};
 
-/// The zone of each sender, if consecutive senders are in consecutive zones.
+/// The zone of each sender. Consecutive senders are in consecutive zones, in rotation.
 fn alternating_zones(senders: usize, zones: usize) -> Vec<u16> {
     (0..senders).map(|sender| (sender % zones) as u16).collect()
 }
@@ -25,13 +25,13 @@
 /// Lets the observers' calls to the first receiver fail. Returns, for each second, the number of senders that eject any
 /// receiver.
 fn ejecting_senders(fleet: &mut SimulatedFleet, observers: &[usize], seconds: u64) -> Vec<usize> {
-    let first = receivers()[0];
+    let first_receiver = receivers()[0];
     let mut ejecting = Vec::new();
     fleet.run(seconds * 1_000, |fleet| {
         // Each observer calls the receiver every 0.9 s.
         if fleet.elapsed().is_multiple_of(900) {
             for observer in observers {
-                record_call(fleet, *observer, first, CallResult::Failed);
+                record_call(fleet, *observer, first_receiver, CallResult::Failed);
             }
         }
         if fleet.elapsed() % 1_000 == 950 {
@@ -52,7 +52,7 @@
         let ejected = ejected(&mut fleet, sender);
         assert!(ejected.is_empty() || sender % 3 == 0, "sender {sender} of another zone ejects {ejected:?}");
     }
-    let after_first_second = fleet.sent.iter().filter(|((_, second), _)| *second > START.0 / 1_000);
+    let after_first_second = fleet.sent_datagrams.iter().filter(|((_, second), _)| *second > START.0 / 1_000);
     let sent: u64 = after_first_second.map(|(_, datagrams)| *datagrams).sum();
     let rate = sent as f64 / 300.0 / 6.0;
     println!("ejected by {ejecting:?} of 100, by second; {rate} datagrams per second from each sender");
@@ -63,8 +63,8 @@
 #[test]
 fn a_zone_ejects_a_receiver_despite_datagram_loss() {
     let mut fleet = SimulatedFleet::new(&alternating_zones(24, 2), 6);
-    fleet.loss = 0.5;
-    fleet.duplication = 0.5;
+    fleet.loss_probability = 0.5;
+    fleet.duplication_probability = 0.5;
     let ejecting = ejecting_senders(&mut fleet, &[0, 2, 4, 6, 8, 10], 12);
     assert!(ejecting.iter().max() > Some(&2), "{ejecting:?}");
     let mut other_zone = (0..24).filter(|sender| sender % 2 == 1);
@@ -92,16 +92,16 @@
 #[test]
 fn senders_that_reach_a_receiver_rarely_eject_it() {
     let mut fleet = SimulatedFleet::new(&alternating_zones(12, 1), 9);
-    let first = receivers()[0];
+    let first_receiver = receivers()[0];
     let mut answered_calls = 0;
     let mut ejections = 0;
     fleet.run(60_000, |fleet| {
         if fleet.now.0.is_multiple_of(500) {
-            (0..6).for_each(|sender| record_call(fleet, sender, first, CallResult::Failed));
+            (0..6).for_each(|sender| record_call(fleet, sender, first_receiver, CallResult::Failed));
             // The other senders call the receiver, unless they eject it, and receive answers.
             for sender in 6..12 {
                 if ejected(fleet, sender).is_empty() {
-                    record_call(fleet, sender, first, CallResult::Answered);
+                    record_call(fleet, sender, first_receiver, CallResult::Answered);
                     answered_calls += 1;
                 } else {
                     ejections += 1;
@@ -120,7 +120,7 @@
     for (number, sender) in fleet.senders.iter_mut().enumerate() {
         sender.clock_offset = number as i64 % 3 * 100 - 100;
     }
-    let first = receivers()[0];
+    let first_receiver = receivers()[0];
     let mut failed_without_ejection = 0;
     let mut failed_with_ejection = 0;
     let mut ejected_after_recovery = 0;
@@ -139,7 +139,7 @@
             ejected_after_recovery += usize::from(is_ejected && fleet.now > START + 25_000 + 9_000);
             if !is_ejected {
                 let result = if is_down { CallResult::Failed } else { CallResult::Answered };
-                record_call(fleet, sender, first, result);
+                record_call(fleet, sender, first_receiver, result);
             }
         }
     });
--- a/crates/gossip/tests/fleet_view/simulated_fleet.rs
+++ b/crates/gossip/tests/fleet_view/simulated_fleet.rs
@@ -48,7 +48,7 @@
     bytes: Vec<u8>,
 }
 
-/// The arrival of a datagram. The random number separates datagrams that arrive at the same time.
+/// When a datagram arrives. The random `tie_breaker` distinguishes datagrams that arrive at the same time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     time: UnixMillis,
@@ -61,26 +61,27 @@
     pub senders: Vec<Sender>,
     zones: Vec<u16>,
     /// Probability that a datagram is lost.
-    pub loss: f64,
+    pub loss_probability: f64,
     /// Probability that a datagram is duplicated.
-    pub duplication: f64,
+    pub duplication_probability: f64,
     /// Probability that an old datagram is replayed in a step.
-    pub replay: f64,
+    pub replay_probability: f64,
     /// Links on which all datagrams are lost, as pairs of the sending and the receiving sender's number.
     pub partitions: BTreeSet<(usize, usize)>,
     in_flight: BTreeMap<Arrival, Transmission>,
-    /// Sent datagrams for replay, each with the time of sending, oldest first.
+    /// Sent datagrams that may be replayed, each with the time at which it was sent, oldest first.
     log: VecDeque<(UnixMillis, Transmission)>,
-    /// Number of messages accepted by the fleet, by epoch (of the accepting sender's clock) and tenant.
-    pub truth: BTreeMap<(u64, u16), u64>,
+    /// True number of messages that the fleet accepted, by epoch and tenant. The epoch is that of the accepting sender's
+    /// clock.
+    pub accepted_by_tenant: BTreeMap<(u64, u16), u64>,
     /// Number of accepted messages, by sender and epoch.
-    accepted: BTreeMap<(usize, u64), u32>,
+    accepted_by_sender: BTreeMap<(usize, u64), u32>,
     /// Number of sent datagrams, by sender and second.
-    pub sent: BTreeMap<(usize, u64), u64>,
+    pub sent_datagrams: BTreeMap<(usize, u64), u64>,
     seed: u64,
 }
 
-/// A budget for reports only. Each costs two datagrams, because it is answered by a summary.
+/// A budget for reports only. Each report costs two datagrams, because its receiver responds with a summary.
 pub fn report_budget() -> DatagramBudget {
     DatagramBudget::new(&[DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 }])
 }
@@ -102,15 +103,15 @@
             now: START,
             senders: (0..zones.len()).map(sender).collect(),
             zones: zones.to_vec(),
-            loss: 0.0,
-            duplication: 0.0,
-            replay: 0.0,
+            loss_probability: 0.0,
+            duplication_probability: 0.0,
+            replay_probability: 0.0,
             partitions: BTreeSet::new(),
             in_flight: BTreeMap::new(),
             log: VecDeque::new(),
-            truth: BTreeMap::new(),
-            accepted: BTreeMap::new(),
-            sent: BTreeMap::new(),
+            accepted_by_tenant: BTreeMap::new(),
+            accepted_by_sender: BTreeMap::new(),
+            sent_datagrams: BTreeMap::new(),
             seed,
         }
     }
@@ -142,10 +143,10 @@
     pub fn accept_message(&mut self, sender: usize, tenant: u16) {
         let clock = self.clock(sender);
         let epoch = clock.0 / EPOCH_LENGTH;
-        let accepted = self.accepted.entry((sender, epoch)).or_default();
+        let accepted = self.accepted_by_sender.entry((sender, epoch)).or_default();
         if *accepted < MAX_MESSAGES_PER_SECOND {
             *accepted += 1;
-            *self.truth.entry((epoch, tenant)).or_default() += 1;
+            *self.accepted_by_tenant.entry((epoch, tenant)).or_default() += 1;
             self.senders[sender].view.record_message(clock, tenant);
         }
     }
@@ -161,11 +162,11 @@
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         assert!(bytes.len() <= 256, "{} bytes", bytes.len());
-        *self.sent.entry((from, self.now.0 / 1_000)).or_default() += 1;
+        *self.sent_datagrams.entry((from, self.now.0 / 1_000)).or_default() += 1;
         let transmission = Transmission { from, to, bytes };
-        let copies = if self.chance(self.duplication) { 2 } else { 1 };
+        let copies = if self.chance(self.duplication_probability) { 2 } else { 1 };
         for _ in 0..copies {
-            if !self.chance(self.loss) && !self.partitions.contains(&(from, to)) {
+            if !self.chance(self.loss_probability) && !self.partitions.contains(&(from, to)) {
                 let time = self.now + 1 + self.random() % MAX_DELAY;
                 let tie_breaker = self.random();
                 self.in_flight.insert(Arrival { time, tie_breaker }, transmission.clone());
@@ -195,8 +196,9 @@
         }
     }
 
+    /// Replays the oldest logged datagram with the probability `replay_probability`, if it is old enough.
     fn replay_oldest(&mut self) {
-        let is_replay_due = self.chance(self.replay);
+        let is_replay_due = self.chance(self.replay_probability);
         let oldest =
             self.log.front().filter(|(sent_at, _)| is_replay_due && *sent_at + MIN_REPLAY_AGE <= self.now);
         if let Some((_, transmission)) = oldest.cloned() {
--- a/crates/gossip/tests/fleet_view/tenant_usage.rs
+++ b/crates/gossip/tests/fleet_view/tenant_usage.rs
@@ -1,5 +1,5 @@
-//! Tenant usage of senders that are killed and restarted, over a network that loses, duplicates, reorders and replays
-//! datagrams.
+//! Tests the tenant usage of senders that are killed and restarted, while the network loses, duplicates, reorders and
+//! replays datagrams.
 
 use proptest::prelude::{Just, ProptestConfig, any, prop_assert_eq, prop_oneof, proptest};
 use rudderspindle_gossip::{FleetViewError, Incarnation, OutgoingDatagram, UsageInterval, read_epochs};
@@ -12,6 +12,7 @@
     sender: usize,
     epochs: u64,
     interval: UsageInterval,
+    /// The true number of messages.
     truth: u64,
 }
 
@@ -25,7 +26,7 @@
     let clock = fleet.clock(sender);
     let interval = fleet.senders[sender].view.usage().read(clock, tenant, epochs);
     let epochs_read = read_epochs(clock, epochs);
-    let truth: u64 = epochs_read.filter_map(|epoch| fleet.truth.get(&(epoch, tenant))).sum();
+    let truth: u64 = epochs_read.filter_map(|epoch| fleet.accepted_by_tenant.get(&(epoch, tenant))).sum();
     if interval.min <= truth && truth <= interval.max {
         Ok(())
     } else {
@@ -45,9 +46,9 @@
         clock_offsets in proptest::collection::vec(-100_i64..=100, 9),
     ) {
         let mut fleet = SimulatedFleet::new(&vec![0; senders], seed);
-        fleet.loss = loss;
-        fleet.duplication = 0.3;
-        fleet.replay = 0.5;
+        fleet.loss_probability = loss;
+        fleet.duplication_probability = 0.3;
+        fleet.replay_probability = 0.5;
         for (sender, clock_offset) in fleet.senders.iter_mut().zip(clock_offsets) {
             sender.clock_offset = clock_offset;
         }
@@ -73,8 +74,8 @@
 /// The sender restarts with its state folder or with an empty one.
 #[test]
 fn a_restart_within_an_epoch_counts_under_both_incarnations() {
-    // The restart is in the middle of an epoch, or in its first millisecond, in which the earlier process accepted messages
-    // as well.
+    // The sender restarts in the middle of an epoch, or in the first millisecond of an epoch in which its earlier process
+    // accepted messages as well.
     for (keeps_state_folder, restart_ms) in [(true, 4_400), (false, 4_400), (true, 5_000), (false, 5_000)] {
         let mut fleet = SimulatedFleet::new(&[0; 4], 7);
         let mut restarted = false;
@@ -170,7 +171,7 @@
 /// Simulates 300 senders, each of which accepts 4 messages per second.
 fn read_in_large_fleet(loss: f64) -> LargeFleetReadings {
     let mut fleet = SimulatedFleet::new(&[0; 300], 13);
-    fleet.loss = loss;
+    fleet.loss_probability = loss;
     fleet.run(12_000, |fleet| {
         if fleet.now.0.is_multiple_of(250) {
             (0..300).for_each(|sender| fleet.accept_message(sender, 1));
@@ -179,15 +180,15 @@
     (0..300)
         .for_each(|sender| check_interval(&fleet, sender, 1, 5).expect("an interval with the true number"));
     let seconds = START.0 / 1_000 + 4..START.0 / 1_000 + 12;
-    let sent_in_seconds = fleet.sent.iter().filter(|((_, second), _)| seconds.contains(second));
+    let sent_in_seconds = fleet.sent_datagrams.iter().filter(|((_, second), _)| seconds.contains(second));
     let datagrams: u64 = sent_in_seconds.map(|(_, datagrams)| datagrams).sum();
     let readings = fleet.senders.iter().map(|sender| sender.view.usage().read(fleet.now, 1, 5));
     let bounds = readings.map(|reading| (reading.min, reading.max)).collect();
     LargeFleetReadings { bounds, datagrams_per_second: datagrams as f64 / 300.0 / 8.0 }
 }
 
-/// Without loss at least 290 senders have exact bounds. With a fifth of the datagrams lost, at least half of the senders
-/// have an upper bound of at most four times the true number, and at least 270 one of at most ten times.
+/// Without lost datagrams, at least 290 senders compute exact bounds. With a fifth of the datagrams lost, at least half of
+/// the senders have an upper bound of at most four times the true number, and at least 270 one of at most ten times.
 #[test]
 fn three_hundred_senders_compute_close_bounds_even_with_loss() {
     let lossless = read_in_large_fleet(0.0);
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -41,8 +41,8 @@
     writeln!(transcript, "{verb} by {recipient}").expect("writing to a string");
 }
 
-/// Demand at three limits: a healthy one, one that rejects calls and one at which calls fail. Senders with higher
-/// numbers start more calls.
+/// Demand at three limits: at the first all calls succeed, at the second some are rejected, and at the third all fail.
+/// Senders with higher numbers start more calls.
 fn demands(now: UnixMillis, sender: usize) -> [LocalDemand; 3] {
     let call_count = now.millis_since(START) / 100 * (sender as u64 + 1);
     let healthy = |destination, receiver| {
@@ -76,7 +76,7 @@
                 datagrams.extend(exchanges[from].report(now, &demands(now, from)));
                 due_at[from] = exchanges[from].next_report(now);
             }
-            if exchanges[from].next_sums().is_some_and(|at| at <= now) {
+            if exchanges[from].next_sums().is_some_and(|due_at| due_at <= now) {
                 datagrams.extend(exchanges[from].sums(now));
             }
             write_datagrams(&mut transcript, now, from, &datagrams);
@@ -92,8 +92,8 @@
             let capacity = capacities.iter().find(|capacity| capacity.limit_id == local_demand.limit_id);
             let rate = capacity.map(|capacity| capacity.rate_per_demand);
             let fleet_demand = exchange.fleet_demand(local_demand.limit_id);
-            let available = exchange.available_fraction(local_demand.limit_id, local_demand.limit);
-            writeln!(transcript, "{number} {rate:.6?} {fleet_demand:.6} {available:.6}")
+            let available_fraction = exchange.available_fraction(local_demand.limit_id, local_demand.limit);
+            writeln!(transcript, "{number} {rate:.6?} {fleet_demand:.6} {available_fraction:.6}")
                 .expect("writing to a string");
         }
     }
@@ -113,7 +113,7 @@
                 datagrams.extend(ledgers[from].offer(now, &demands(now, from)));
                 due_at[from] = ledgers[from].next_offer(now);
             }
-            if ledgers[from].next_allocation().is_some_and(|at| at <= now) {
+            if ledgers[from].next_allocation().is_some_and(|due_at| due_at <= now) {
                 datagrams.extend(ledgers[from].allocate(now));
             }
             write_datagrams(&mut transcript, now, from, &datagrams);
@@ -125,15 +125,16 @@
     }
     for (number, ledger) in ledgers.iter().enumerate() {
         for local_demand in demands(START, number) {
-            for available in [1.0, 0.5] {
-                let permits = ledger.permits(START + 5_000, local_demand.limit_id, available);
+            for available_fraction in [1.0, 0.5] {
+                let permits = ledger.permits(START + 5_000, local_demand.limit_id, available_fraction);
                 let permits: Vec<(u64, u64, u64)> = permits
                     .iter()
                     .map(|permit| {
                         (permit.number, permit.from.millis_since(START), permit.until.millis_since(START))
                     })
                     .collect();
-                writeln!(transcript, "{number} {available} {permits:?}").expect("writing to a string");
+                writeln!(transcript, "{number} {available_fraction} {permits:?}")
+                    .expect("writing to a string");
             }
         }
     }
--- a/crates/gossip/tests/registers_model.rs
+++ b/crates/gossip/tests/registers_model.rs
@@ -1,5 +1,5 @@
-//! Model check of the usage registers of three senders: every order of reports, lost and duplicate messages and kills
-//! within two epochs.
+//! Model check of the usage registers of three senders. It covers every order of reports, lost and duplicate messages and
+//! killed processes within two epochs.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -16,11 +16,12 @@
 const READER: usize = 0;
 /// The sender that receives and aggregates reports.
 const AGGREGATOR: usize = 1;
-const EPOCHS: u64 = 2;
+/// Number of epochs in which messages are accepted.
+const EPOCH_COUNT: u64 = 2;
 /// Maximum number of messages that a sender accepts in an epoch.
 const MAX_MESSAGES: u32 = 2;
-/// Number of messages that each sender accepts, by epoch and sender: few enough to check all orders.
-const ACCEPTED: [[u32; SENDER_COUNT]; EPOCHS as usize] = [[0, 1, 1], [0, 0, 1]];
+/// Number of messages that are accepted, by epoch and sender. The numbers are low enough to check all orders.
+const ACCEPTED: [[u32; SENDER_COUNT]; EPOCH_COUNT as usize] = [[0, 1, 1], [0, 0, 1]];
 const TENANT: u16 = 7;
 
 fn local_sender(number: usize, incarnation: Incarnation, complete_from: UnixMillis) -> LocalSender {
@@ -44,6 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: UnixMillis,
+    /// Number of killed processes so far.
     kills: u32,
     usage: Vec<TenantUsage>,
     members: Vec<MembershipList>,
@@ -85,7 +87,7 @@
             kills: 0,
             usage: (0..SENDER_COUNT).map(usage).collect(),
             members: vec![MembershipList::new(SENDER_COUNT); SENDER_COUNT],
-            accepted: vec![[0; SENDER_COUNT]; EPOCHS as usize],
+            accepted: vec![[0; SENDER_COUNT]; EPOCH_COUNT as usize],
             in_flight: BTreeSet::new(),
             incarnations,
         }]
@@ -93,7 +95,7 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         let epoch = (state.now.0 / EPOCH_LENGTH - 1) as usize;
-        if epoch < EPOCHS as usize {
+        if epoch < EPOCH_COUNT as usize {
             let has_messages_to_accept =
                 |sender: usize| state.accepted[epoch][sender] < ACCEPTED[epoch][sender];
             actions.extend(
@@ -215,10 +217,10 @@
 
 #[test]
 fn every_interval_contains_the_number_of_accepted_messages() {
-    let start = Instant::now();
+    let started_at = Instant::now();
     let checker = FleetModel.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
     checker.assert_properties();
-    println!("{} states, {:?}", checker.unique_state_count(), start.elapsed());
+    println!("{} states, {:?}", checker.unique_state_count(), started_at.elapsed());
     assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
-    assert!(start.elapsed() < Duration::from_secs(120), "{:?}", start.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(120), "{:?}", started_at.elapsed());
 }
