--- a/crates/gossip/src/datagram_budget/tests.rs
+++ b/crates/gossip/src/datagram_budget/tests.rs
@@ -22,7 +22,10 @@
         let mut waiting = BTreeMap::new();
         for millis in (0..30_000).step_by(10) {
             let now = UnixMillis(millis);
-            let requested = requests.iter().filter(|(_, requested_at)| requested_at / 10 * 10 == millis).map(|(kind, _)| *kind);
+            let requested = requests
+                .iter()
+                .filter(|(_, requested_at)| requested_at / 10 * 10 == millis)
+                .map(|(kind, _)| *kind);
             // One kind is requested in every step.
             for index in requested.chain([greedy_kind]) {
                 let kind = Kind::ALL[index];
--- a/crates/gossip/src/demand_exchange/tests.rs
+++ b/crates/gossip/src/demand_exchange/tests.rs
@@ -20,8 +20,8 @@
     LocalDemand { limit_id, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 }
 }
 
-/// All senders may start at the same time, so each is assumed to have one call in demand until sums are received of a
-/// round in which the limit was reported. If no sums are received by then, there is no shared capacity.
+/// All senders may start at the same time, so each is assumed to have one call in demand until the first sums that may
+/// include the limit are due. If no sums are received by then, there is no shared capacity.
 #[test]
 fn a_new_limit_is_shared_equally_until_its_first_sums_are_due() {
     let limit_id = LimitId::of(7, None);
@@ -45,17 +45,18 @@
     let mut means = Vec::new();
     for round in rounds {
         let start = round_start(round);
-        for (at, is_round_end) in [(start + 100, false), (start + ROUND, true)] {
+        for (now, is_round_end) in [(start + 100, false), (start + ROUND, true)] {
             let mut in_flight = Vec::new();
             for (from, exchange) in exchanges.iter_mut().enumerate().filter(|(sender, _)| is_running(*sender))
             {
-                let datagrams = if is_round_end { exchange.sums(at) } else { exchange.report(at, &demands) };
+                let datagrams =
+                    if is_round_end { exchange.sums(now) } else { exchange.report(now, &demands) };
                 in_flight.extend(datagrams.into_iter().map(|datagram| (from, datagram)));
             }
             for (from, OutgoingDatagram { to, bytes }) in in_flight {
                 if is_running(to) && is_delivered() {
                     // Sums that do not supersede those of another aggregator are dropped.
-                    let _ = exchanges[to].receive(at, from, &bytes);
+                    let _ = exchanges[to].receive(now, from, &bytes);
                 }
             }
         }
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of reports and summaries: the wire format must not change.
+//! Compares encoded reports and summaries with golden bytes, because the wire format must not change.
 
 use super::encoded_vote::EncodedVote;
 use super::{ObserverEntry, ReceiverEntry, RegisterEntry, Report, SliceEntry, Summary, VoteEntry};
@@ -42,10 +42,11 @@
         let totals = [(7, 1), (tenant, total)].into_iter().collect();
         Register { totals, max_unlisted, partial }
     };
-    let [a, b, c] = [register(513, 70_000, 2, false), register(8, 5, 4, false), register(9, 3, 0, false)];
-    let d = register(513, partial_total, 1, true);
+    let [of_0, of_3, of_8] =
+        [register(513, 70_000, 2, false), register(8, 5, 4, false), register(9, 3, 0, false)];
+    let partial_of_5 = register(513, partial_total, 1, true);
     let of_sender = |(sender, register)| SenderRegister { sender, register };
-    WindowSlice::sum(&[(0, &a), (3, &b), (8, &c), (5, &d)].map(of_sender), 9)
+    WindowSlice::sum(&[(0, &of_0), (3, &of_3), (8, &of_8), (5, &partial_of_5)].map(of_sender), 9)
 }
 
 fn summary() -> Summary {
--- a/crates/gossip/src/membership/tests.rs
+++ b/crates/gossip/src/membership/tests.rs
@@ -60,7 +60,7 @@
     assert_eq!(members.last_event(0), Some(MemberEvent::Resumed));
 }
 
-/// Incarnations beyond the maximum lead are rejected; those within it are forgotten after `FORGET_TIMEOUT`.
+/// Incarnations more than `MAX_CLOCK_LEAD` ahead of the clock are rejected; others are forgotten after `FORGET_TIMEOUT`.
 #[test]
 fn incarnations_ahead_of_the_clock_block_no_number_permanently() {
     let mut members = MembershipList::new(2);
--- a/crates/gossip/src/tenant_usage/quota/tests.rs
+++ b/crates/gossip/src/tenant_usage/quota/tests.rs
@@ -5,16 +5,16 @@
 use super::{MAX_TOTAL_SHARE, quota_share};
 
 proptest! {
-    /// Senders that receive no usage of others compute their shares from larger upper bounds.
+    /// Senders that do not receive the usage of the others compute their shares from larger upper bounds.
     #[test]
     fn shares_of_all_senders_add_up_to_at_most_two_quotas(
         senders in proptest::collection::vec((0_u64..500, 0_u64..2_000, any::<bool>()), 1..40),
     ) {
-        let truth: u64 = senders.iter().map(|(own, ..)| own).sum();
-        let shares = senders.iter().map(|(own, unknown, receives)| {
-            let max = truth + if *receives { 0 } else { *unknown };
-            let fleet = UsageInterval { min: *own, max, senders: 1, newest_epoch_end: None };
-            quota_share(*own, &fleet, senders.len())
+        let truth: u64 = senders.iter().map(|(own_messages, ..)| own_messages).sum();
+        let shares = senders.iter().map(|(own_messages, unknown_messages, receives_usage)| {
+            let max = truth + if *receives_usage { 0 } else { *unknown_messages };
+            let fleet_usage = UsageInterval { min: *own_messages, max, senders: 1, newest_epoch_end: None };
+            quota_share(*own_messages, &fleet_usage, senders.len())
         });
         let total: f64 = shares.sum();
         prop_assert!(total <= MAX_TOTAL_SHARE + 1e-9, "{total}");
@@ -24,9 +24,11 @@
 
 #[test]
 fn a_sender_with_half_of_a_tenants_traffic_has_half_of_its_quota() {
-    let fleet = UsageInterval { min: 200, max: 220, senders: 300, newest_epoch_end: Some(UnixMillis(1)) };
-    assert!((quota_share(110, &fleet, 300) - 0.5).abs() < 1e-9);
-    assert!((quota_share(0, &fleet, 300) - 1.0 / 300.0).abs() < 1e-9);
-    let idle = UsageInterval { min: 0, max: 0, senders: 300, newest_epoch_end: Some(UnixMillis(1)) };
-    assert!((quota_share(0, &idle, 300) - 1.0 / 300.0).abs() < 1e-9);
+    let fleet_usage =
+        UsageInterval { min: 200, max: 220, senders: 300, newest_epoch_end: Some(UnixMillis(1)) };
+    assert!((quota_share(110, &fleet_usage, 300) - 0.5).abs() < 1e-9);
+    assert!((quota_share(0, &fleet_usage, 300) - 1.0 / 300.0).abs() < 1e-9);
+    let idle_fleet_usage =
+        UsageInterval { min: 0, max: 0, senders: 300, newest_epoch_end: Some(UnixMillis(1)) };
+    assert!((quota_share(0, &idle_fleet_usage, 300) - 1.0 / 300.0).abs() < 1e-9);
 }
--- a/crates/gossip/src/tenant_usage/tests.rs
+++ b/crates/gossip/src/tenant_usage/tests.rs
@@ -51,7 +51,8 @@
     assert_eq!(read(&usage, 48), (24, 224, 2), "the register of the oldest of three incarnations is removed");
 }
 
-/// The epochs are too old or in the future, the senders are unknown or this one, or the messages are too many.
+/// Registers and slices are rejected if the epoch is too old or in the future, if the sender is unknown or this one, or if
+/// there are too many messages.
 #[test]
 fn impossible_registers_and_slices_are_rejected() {
     let mut usage = usage(3, 100);
--- a/crates/gossip/tests/golden_transcripts.rs
+++ b/crates/gossip/tests/golden_transcripts.rs
@@ -191,9 +191,10 @@
     for tenant in 0..4 {
         let interval = view.usage().read(now, tenant, 5);
         let bounds = (interval.min, interval.max);
-        let known = (interval.senders, interval.newest_epoch_end.map(|end| end.millis_since(START)));
+        let known_senders_and_end =
+            (interval.senders, interval.newest_epoch_end.map(|end| end.millis_since(START)));
         let quota = view.own_quota(now, tenant, 100.0);
-        writeln!(transcript, "{number} {tenant} {bounds:?} {known:?} {quota:.6?}")
+        writeln!(transcript, "{number} {tenant} {bounds:?} {known_senders_and_end:?} {quota:.6?}")
             .expect("writing to a string");
     }
     let ejected = view.ejected(now, receivers);
