--- a/crates/gossip/src/demand_exchange/tests.rs
+++ b/crates/gossip/src/demand_exchange/tests.rs
@@ -1,5 +1,5 @@
-//! The exchange among many senders: capacity with message loss and stopped senders, bounds on memory, and malformed
-//! sums.
+//! Tests the exchange among many senders: the capacity despite message loss and stopped senders, bounds on memory, and
+//! malformed sums.
 
 use super::aggregator_selection::MAX_AGGREGATORS;
 use super::limit_capacity::LimitCapacity;
@@ -20,8 +20,8 @@
     LocalDemand { limit_id, limit: LIMIT, demand, calls: 0, rejected: 0, failed: 0 }
 }
 
-/// All senders may start at the same time, so each is assumed to have one call in demand until sums are received of a
-/// round in which the limit was reported. If no sums are received by then, there is no shared capacity.
+/// All senders may start at the same time, so each is assumed to have one call in demand until the first sums that may
+/// include the limit are due. If no sums are received by then, there is no shared capacity.
 #[test]
 fn a_new_limit_is_shared_equally_until_its_first_sums_are_due() {
     let limit_id = LimitId::of(7, None);
@@ -45,17 +45,18 @@
     let mut means = Vec::new();
     for round in rounds {
         let start = round_start(round);
-        for (at, is_round_end) in [(start + 100, false), (start + ROUND, true)] {
+        for (now, is_round_end) in [(start + 100, false), (start + ROUND, true)] {
             let mut in_flight = Vec::new();
             for (from, exchange) in exchanges.iter_mut().enumerate().filter(|(sender, _)| is_running(*sender))
             {
-                let datagrams = if is_round_end { exchange.sums(at) } else { exchange.report(at, &demands) };
+                let datagrams =
+                    if is_round_end { exchange.sums(now) } else { exchange.report(now, &demands) };
                 in_flight.extend(datagrams.into_iter().map(|datagram| (from, datagram)));
             }
             for (from, OutgoingDatagram { to, bytes }) in in_flight {
                 if is_running(to) && is_delivered() {
                     // Sums that do not supersede those of another aggregator are dropped.
-                    let _ = exchanges[to].receive(at, from, &bytes);
+                    let _ = exchanges[to].receive(now, from, &bytes);
                 }
             }
         }
@@ -132,7 +133,7 @@
     assert_eq!(exchange.capacities(round_start(7_100)), None);
 }
 
-/// A message with limits that do not exist, for a round near the current one.
+/// A message with limits that do not exist, for a round near `round`.
 fn false_message(round: u64, from: usize) -> GossipMessage {
     let load = Load { demand: 9.0, calls: 9.0, rejected: 9.0, failed: 9.0 };
     let limit_id = |n: u64| LimitId::of((round * 31 + n + from as u64) as u16, Some("liar"));
@@ -151,14 +152,14 @@
             && exchange.estimates.len() <= 20
             && exchange.capacities.len() <= 20
     );
-    assert!(exchange.local_demand.values().all(|history| history.len() <= 6));
+    assert!(exchange.local_demand.values().all(|history| history.entry_count() <= 6));
     let unresponsive = exchange.aggregators.unresponsive_count();
     let selected = exchange.aggregators.selected_count();
     assert!(exchange.open_rounds.len() <= 3 && unresponsive < SENDER_COUNT && selected <= MAX_AGGREGATORS);
     assert!(exchange.open_rounds.values().all(|totals| {
         totals.reporters.len() <= SENDER_COUNT && totals.loads.len() <= SENDER_COUNT * MAX_LIMITS
     }));
-    assert!(exchange.liveness.len() <= MAX_HISTORY);
+    assert!(exchange.liveness.observation_count() <= MAX_HISTORY);
 }
 
 /// If the bits of nonexistent senders counted, most of the fleet would appear to be missing in the next sums.
--- a/crates/gossip/src/fleet_view/message/golden.rs
+++ b/crates/gossip/src/fleet_view/message/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of reports and summaries: the wire format must not change.
+//! Compares encoded reports and summaries with golden bytes, because the wire format must not change.
 
 use super::encoded_vote::EncodedVote;
 use super::{ObserverEntry, ReceiverEntry, RegisterEntry, Report, SliceEntry, Summary, VoteEntry};
@@ -42,10 +42,11 @@
         let totals = [(7, 1), (tenant, total)].into_iter().collect();
         Register { totals, max_unlisted, partial }
     };
-    let [a, b, c] = [register(513, 70_000, 2, false), register(8, 5, 4, false), register(9, 3, 0, false)];
-    let d = register(513, partial_total, 1, true);
+    let [of_0, of_3, of_8] =
+        [register(513, 70_000, 2, false), register(8, 5, 4, false), register(9, 3, 0, false)];
+    let partial_of_5 = register(513, partial_total, 1, true);
     let of_sender = |(sender, register)| SenderRegister { sender, register };
-    WindowSlice::sum(&[(0, &a), (3, &b), (8, &c), (5, &d)].map(of_sender), 9)
+    WindowSlice::sum(&[(0, &of_0), (3, &of_3), (8, &of_8), (5, &partial_of_5)].map(of_sender), 9)
 }
 
 fn summary() -> Summary {
@@ -111,10 +112,14 @@
 
 #[test]
 fn votes_encode_to_fixed_steps_and_decode_within_one_step() {
-    let observed_at = epoch_start(ROUND) + 130;
-    let vote = Vote { observed_at, began_at: observed_at - 60_000, recovered: true };
+    let last_observed_at = epoch_start(ROUND) + 130;
+    let vote = Vote { last_observed_at, first_observed_at: last_observed_at - 60_000, recovered: true };
     let encoded = EncodedVote { age: 37, duration: 1_200, recovered: true };
     assert_eq!(EncodedVote::new(ROUND, &vote), encoded);
-    let decoded = Vote { observed_at: observed_at + 20, began_at: observed_at - 59_980, recovered: true };
+    let decoded = Vote {
+        last_observed_at: last_observed_at + 20,
+        first_observed_at: last_observed_at - 59_980,
+        recovered: true,
+    };
     assert_eq!(encoded.decode(ROUND), decoded);
 }
--- a/crates/gossip/src/membership/tests.rs
+++ b/crates/gossip/src/membership/tests.rs
@@ -18,7 +18,8 @@
     assert!(Incarnation::next(None, START + 600) > first, "started with an empty state folder 0.6 s later");
 }
 
-/// A message of an older incarnation is a late datagram up to `MAX_DATAGRAM_DELAY`, and of a duplicate process after it.
+/// Up to `MAX_DATAGRAM_DELAY` after a restart, a message of the older incarnation is a late datagram; after that it was sent
+/// by a duplicate process.
 #[test]
 fn older_incarnations_are_ignored_and_duplicate_processes_detected() {
     let mut members = MembershipList::new(2);
@@ -59,7 +60,7 @@
     assert_eq!(members.last_event(0), Some(MemberEvent::Resumed));
 }
 
-/// Incarnations beyond the maximum lead are rejected; those within it are forgotten after `FORGET_TIMEOUT`.
+/// Incarnations more than `MAX_CLOCK_LEAD` ahead of the clock are rejected; others are forgotten after `FORGET_TIMEOUT`.
 #[test]
 fn incarnations_ahead_of_the_clock_block_no_number_permanently() {
     let mut members = MembershipList::new(2);
--- a/crates/gossip/src/tenant_usage/tests.rs
+++ b/crates/gossip/src/tenant_usage/tests.rs
@@ -30,7 +30,7 @@
     WindowSlice::sum(&registers.iter().map(with_sender).collect::<Vec<_>>(), senders)
 }
 
-/// Minimum and maximum for tenant 1, and the number of senders whose usage is known.
+/// The lower and upper bound for tenant 1 in an epoch, and the number of senders whose usage is known.
 fn read(usage: &TenantUsage, epoch: u64) -> (u64, u64, usize) {
     let interval = usage.read(epoch_start(epoch + READ_LAG), 1, 1);
     (interval.min, interval.max, interval.senders)
@@ -51,7 +51,8 @@
     assert_eq!(read(&usage, 48), (24, 224, 2), "the register of the oldest of three incarnations is removed");
 }
 
-/// The epochs are too old or in the future, the senders are unknown or this one, or the messages are too many.
+/// Registers and slices are rejected if the epoch is too old or in the future, if the sender is unknown or this one, or if
+/// there are too many messages.
 #[test]
 fn impossible_registers_and_slices_are_rejected() {
     let mut usage = usage(3, 100);
