--- a/crates/sender/src/discovery/tests.rs
+++ b/crates/sender/src/discovery/tests.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use self::scripted::{
-    ScriptedDiscovery, WATCH_HEAD, chunk, full_response, list_json, local, start_agent_watch,
+    ScriptedDiscovery, WATCH_HEAD, chunk, full_response, list_json, run_local, start_agent_watch,
     wait_until_closed, write,
 };
 use super::client::{STARTUP_FETCH_TIMEOUT, fetch};
@@ -20,7 +20,7 @@
 /// Each line of an indented list arrives in a separate frame, on a watch that stays open.
 #[tokio::test]
 async fn indented_lists_in_many_frames_are_received() {
-    local(async {
+    run_local(async {
         let discovery = ScriptedDiscovery::start().await;
         let mut watch = start_agent_watch(discovery.addr, Some(41));
         let (from, mut stream) = discovery.accept_watch().await;
@@ -44,7 +44,7 @@
 
 #[tokio::test]
 async fn a_watch_cut_off_within_a_list_resumes_after_the_last_list() {
-    local(async {
+    run_local(async {
         let discovery = ScriptedDiscovery::start().await;
         let mut watch = start_agent_watch(discovery.addr, Some(41));
         let (_, mut stream) = discovery.accept_watch().await;
@@ -66,7 +66,7 @@
 
 #[tokio::test]
 async fn after_a_malformed_list_the_full_list_is_requested() {
-    local(async {
+    run_local(async {
         for malformed in ["{\"revision\": 43}\n", "noise\n", "{\"revision\": 43, \"comp\n"] {
             let discovery = ScriptedDiscovery::start().await;
             let mut watch = start_agent_watch(discovery.addr, Some(41));
@@ -86,13 +86,13 @@
 /// Revisions of two addresses are unrelated, so those of the new one may be lower.
 #[tokio::test]
 async fn a_new_address_may_send_a_full_list_with_a_lower_revision() {
-    local(async {
+    run_local(async {
         let (old, new) = (ScriptedDiscovery::start().await, ScriptedDiscovery::start().await);
         let mut watch = start_agent_watch(old.addr, Some(41));
         let (_, mut stream) = old.accept_watch().await;
         write(&mut stream, WATCH_HEAD.to_owned() + &chunk(&(list_json(42) + "\n"))).await;
         assert_eq!(watch.next_revision().await, 42);
-        watch.address.send_replace(new.addr);
+        watch.address_sender.send_replace(new.addr);
         let mut request = new.accept_full_list_request().await;
         wait_until_closed(&mut stream).await;
         write(&mut request, full_response(&list_json(3))).await;
@@ -110,7 +110,7 @@
 /// The address changes at each step of opening a watch, and once more before the new one has responded.
 #[tokio::test]
 async fn a_change_of_address_cancels_a_watch_that_is_being_opened() {
-    local(async {
+    run_local(async {
         for step in 0..4 {
             let (old, intermediate, new) = (
                 ScriptedDiscovery::start().await,
@@ -127,11 +127,11 @@
                 3 => write(&mut stream, WATCH_HEAD.to_owned() + &chunk(partial_list)).await,
                 _ => {}
             }
-            watch.address.send_replace(intermediate.addr);
+            watch.address_sender.send_replace(intermediate.addr);
             let mut first = intermediate.accept_full_list_request().await;
             wait_until_closed(&mut stream).await;
             write(&mut first, "HTTP/1.1 200 OK\r\nContent-Length: 51\r\n\r\n{\"revision\":").await;
-            watch.address.send_replace(new.addr);
+            watch.address_sender.send_replace(new.addr);
             let mut second = new.accept_full_list_request().await;
             wait_until_closed(&mut first).await;
             write(&mut second, full_response(&list_json(5))).await;
@@ -158,7 +158,7 @@
                 sleep(Duration::from_millis(10)).await;
             }
         };
-        let (fetched, ()) = local(async { tokio::join!(fetch(discovery.addr), slow_response) }).await;
+        let (fetched, ()) = run_local(async { tokio::join!(fetch(discovery.addr), slow_response) }).await;
         assert!(fetched.is_none());
         assert!(since.elapsed() < 3 * STARTUP_FETCH_TIMEOUT, "{:?}", since.elapsed());
     }
--- a/crates/sender/src/fleet_file.rs
+++ b/crates/sender/src/fleet_file.rs
@@ -104,7 +104,7 @@
         self.max_messages_per_s
     }
 
-    /// Whether a call may start only with a permit.
+    /// Whether the limit of a destination is enforced strictly: a call to it may start only with a permit.
     pub fn is_strict(&self) -> bool {
         self.limit_bound == LimitBound::Strict
     }
@@ -149,8 +149,8 @@
         if let Some(sender) = self.duplicate_sender() {
             return invalid(
                 "halls",
-                format!("a table with sender {sender} twice"),
-                "a table with each sender once at most",
+                format!("a table that lists sender {sender} twice"),
+                "a table that lists each sender at most once",
             );
         }
         if self.sharing.outlier_detection && self.zones.is_empty() {
--- a/crates/sender/src/handover/codec.rs
+++ b/crates/sender/src/handover/codec.rs
@@ -19,8 +19,10 @@
     /// A received line is not a message of this protocol version.
     #[error("malformed message: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The owner closed the connection before the end of the state transfer.
-    #[error("the owner closed the connection before the end of the state transfer")]
+    /// The process that owns the state folder closed the connection before the end of the state transfer.
+    #[error(
+        "the process that owns the state folder closed the connection before the end of the state transfer"
+    )]
     Incomplete,
 }
 
--- a/crates/simulator-adapter/src/frame/record.rs
+++ b/crates/simulator-adapter/src/frame/record.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceId(pub u32);
 
-/// Identifies an endpoint list that several updates may refer to.
+/// Identifies an endpoint list, which several updates may refer to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListId(pub u32);
 
@@ -44,13 +44,13 @@
     /// An instance stops and loses its state.
     PowerOff { instance: InstanceId },
     /// Defines or replaces an endpoint list.
-    List {
+    DefineList {
         /// Identifier by which updates refer to the list.
         list: ListId,
         /// All routes of the list.
         entries: Vec<RouteEntry>,
     },
-    /// The discovery of an instance returns a list or fails.
+    /// The discovery of an instance returns a list that a [`Record::DefineList`] has defined, or fails.
     ListUpdate {
         instance: InstanceId,
         /// How the list is applied: one of the `LIST_UPDATE_*` codes of the host.
@@ -60,9 +60,9 @@
     },
     /// An event for the policy of an instance.
     Event { instance: InstanceId, event: Event },
-    /// A datagram from another instance; its content is ignored because the policy uses no datagrams on this
-    /// protocol.
-    Peer {
+    /// A datagram from another instance. The content is ignored because the policy uses no datagrams in this protocol,
+    /// but the policy of the receiving instance is called.
+    Datagram {
         /// Instance that received the datagram.
         instance: InstanceId,
     },
@@ -77,7 +77,7 @@
         POWER_OFF => instances::power_off(&mut fields)?,
         WAKE => instances::wake(&mut fields)?,
         LIST => lists::list(&mut fields)?,
-        PEER => instances::peer(&mut fields)?,
+        PEER => instances::datagram(&mut fields)?,
         LIST_UPDATE => lists::list_update(&mut fields)?,
         OUTCOME => messages::outcome(&mut fields)?,
         START => instances::start(&mut fields)?,
--- a/crates/simulator-adapter/src/frame/record/instances.rs
+++ b/crates/simulator-adapter/src/frame/record/instances.rs
@@ -34,10 +34,10 @@
     Ok(Record::Event { instance, event: Event::HealthChecked { route, outcome } })
 }
 
-pub(super) fn peer(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
+pub(super) fn datagram(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
     let instance = instance_id(fields)?;
-    let _sending_peer = fields.u16()?;
+    let _sender_of_datagram = fields.u16()?;
     let length = usize::from(fields.u16()?);
     let _datagram = fields.take(length)?;
-    Ok(Record::Peer { instance })
+    Ok(Record::Datagram { instance })
 }
--- a/crates/simulator-adapter/src/frame/record/lists.rs
+++ b/crates/simulator-adapter/src/frame/record/lists.rs
@@ -10,7 +10,7 @@
     let list = ListId(fields.u32()?);
     let entry_count = fields.u32()?;
     let entries = (0..entry_count).map(|_| route_entry(fields)).collect::<Result<_, _>>()?;
-    Ok(Record::List { list, entries })
+    Ok(Record::DefineList { list, entries })
 }
 
 pub(super) fn list_update(fields: &mut FieldReader<'_>) -> Result<Record, MalformedFrame> {
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -9,13 +9,14 @@
 
 use crate::frame::{Batch, InstanceId, ListId, MalformedFrame, Record, Reply};
 
-// Codes of the kinds of list updates.
+// Codes for how a list update is applied. The protocol does not use code 3.
 const LIST_UPDATE_FULL: u8 = 0;
 const LIST_UPDATE_FAILED: u8 = 1;
 const LIST_UPDATE_DELTA: u8 = 2;
 const LIST_UPDATE_CACHED: u8 = 4;
 
-/// Events of one batch by instance; the policy of an instance with an empty list is called too.
+/// The events of one batch, by instance. The policy of each instance in the map is called, even if the instance has no
+/// events.
 type PendingEvents = BTreeMap<InstanceId, Vec<Event>>;
 
 /// Why a batch could not be answered.
@@ -63,7 +64,7 @@
                 self.policies.remove(&instance);
                 pending.remove(&instance);
             }
-            Record::List { list, entries } => {
+            Record::DefineList { list, entries } => {
                 self.lists.insert(list, entries);
             }
             Record::ListUpdate { instance, kind, list } => {
@@ -71,7 +72,7 @@
                 pending.entry(instance).or_default().push(Event::List(change));
             }
             Record::Event { instance, event } => pending.entry(instance).or_default().push(event),
-            Record::Peer { instance } => {
+            Record::Datagram { instance } => {
                 pending.entry(instance).or_default();
             }
         }
