--- a/crates/sender/src/connection_slots.rs
+++ b/crates/sender/src/connection_slots.rs
@@ -1,10 +1,14 @@
 //! Decides which client connection is closed when slots are scarce. Does no I/O and reads no clock.
 //!
-//! Idle connections (without an open request) take at most 1 / [`IDLE_SLOTS_DIVISOR`] of the slots, even if other slots
-//! are free. When more are idle, the longest idle one is closed; connections with one response so far are closed before
-//! connections with several. When all slots are taken, connections are evicted in this order: connections that are
-//! closing, connections without a request for over [`NEW_CONNECTION_GRACE`] (from the address that has most of them),
-//! idle connections, and other new connections.
+//! Idle connections, which have had a response and have no open request, take at most 1 / [`IDLE_SLOTS_DIVISOR`] of the
+//! slots, even if other slots are free. If more are idle, the longest idle one is closed; connections with one response
+//! so far are closed before connections with several. If all slots are taken, connections are evicted in this order:
+//!
+//! 1. connections that are being closed;
+//! 2. connections that have sent no request for over [`NEW_CONNECTION_GRACE`] since they were accepted, beginning with
+//!    the address that has most of them;
+//! 3. idle connections;
+//! 4. other new connections.
 
 mod candidates;
 
@@ -42,6 +46,7 @@
     state: SlotState,
     /// When the connection entered its state.
     entered_at: Duration,
+    /// Number of responses that were sent on the connection.
     response_count: u32,
 }
 
--- a/crates/sender/src/connection_slots/candidates.rs
+++ b/crates/sender/src/connection_slots/candidates.rs
@@ -30,7 +30,7 @@
             .or_else(|| self.idle_after_first.iter().find(evictable).copied())
             .or_else(|| self.idle_after_several.iter().find(evictable).copied())
             .or_else(|| self.new.iter().find(evictable).copied())
-            // All others are receiving a request: evict the one that has taken longest.
+            // A request is arriving on each remaining connection: evict the connection that has waited longest for it.
             .or_else(|| self.longest_without_request(excluded));
         entry.map(|entry| entry.id)
     }
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -1,6 +1,7 @@
-//! State transfer from a running process to its successor, over a Unix socket in the state folder.
+//! State transfer from a running process of this sender to its successor, over a Unix socket in the state folder. The
+//! running process is the owner: it owns the journal in the state folder.
 //!
-//! The transferred state (outages, Retry-After backoffs, calls in flight, free disk space) is advisory: a successor
+//! The transferred state (outages, Retry-After backoffs, calls in flight, disk space) is advisory: a successor
 //! that does not receive it starts without it. Accepted messages are transferred through the journal only.
 
 mod codec;
--- a/crates/sender/src/handover/connection.rs
+++ b/crates/sender/src/handover/connection.rs
@@ -1,4 +1,4 @@
-//! A connection between two processes of a sender. Both send messages until one of them ends.
+//! A connection between two processes of a sender. Both processes send messages until one of them exits.
 
 use std::rc::Rc;
 
--- a/crates/sender/src/handover/message.rs
+++ b/crates/sender/src/handover/message.rs
@@ -35,11 +35,11 @@
         /// Remaining time of the backoff, in milliseconds.
         ms: f64,
     },
-    /// Number of calls in flight from the process that sends the message. Both processes share the connection slots of
-    /// the sender.
+    /// Number of calls in flight of the process that sends the message. The two processes share the connection slots of
+    /// this sender.
     #[serde(rename = "out")]
     CallsInFlight(usize),
-    /// End of the state transfer, from which on the successor may use half of the disk space.
+    /// End of the state transfer. From then on the successor may use half of the journal's disk budget.
     #[serde(rename = "room")]
     FreeSpace,
 }
--- a/crates/sender/src/handover/owner.rs
+++ b/crates/sender/src/handover/owner.rs
@@ -16,7 +16,7 @@
 use super::{HANDOVER_TIMEOUT, SOCKET_NAME, VERSION};
 use crate::event::Input;
 
-/// Maximum number of connections whose handshake is not complete.
+/// Maximum number of connections whose handshake is not complete; further ones wait until a handshake ends.
 const MAX_HANDSHAKES: usize = 8;
 /// Delay before the next attempt to accept a connection after one has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -31,7 +31,8 @@
             return;
         }
     };
-    // Handshakes run concurrently, so that a slow one does not delay the others. All are cancelled with this task.
+    // Handshakes run concurrently, so that a slow one does not delay the others. They are cancelled when this task
+    // ends.
     let mut handshakes = JoinSet::new();
     while !engine.is_closed() {
         while handshakes.try_join_next().is_some() {}
--- a/crates/sender/src/handover/successor.rs
+++ b/crates/sender/src/handover/successor.rs
@@ -20,7 +20,7 @@
 pub struct HandoverState {
     /// Outages, backoffs and calls in flight, in the order in which the owner sent them.
     pub messages: Vec<HandoverMessage>,
-    /// Whether the end of the transfer was received, from which on the owner leaves half of the disk space to this
+    /// Whether the end of the transfer was received. If so, the owner leaves half of the journal's disk budget to this
     /// process.
     pub is_complete: bool,
 }
--- a/crates/sender/src/inbound.rs
+++ b/crates/sender/src/inbound.rs
@@ -32,7 +32,7 @@
 use connection::ClientConnection;
 use slots::OpenConnection;
 
-/// Interval between two checks for overdue connections, which are closed.
+/// Interval between two checks for overdue connections: those whose next request was not complete in time.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Resource limits that all clients share.
@@ -51,8 +51,9 @@
     settings: Settings,
     names: Names,
     to_engine: mpsc::Sender<Input>,
+    /// Number of the next submission, counted over all connections.
     next_submission: Cell<u64>,
-    /// One permit for each connection that may be opened.
+    /// One permit for each connection from a client that may still be opened.
     free_slots: Arc<Semaphore>,
     connections: RefCell<BTreeMap<ConnectionId, Rc<ClientConnection>>>,
     slots: RefCell<ConnectionSlots>,
@@ -94,8 +95,8 @@
 
     /// Accepts connections until this process hands over to its successor.
     ///
-    /// Spawns a task that closes overdue connections until the runtime ends, and for each connection a task that serves
-    /// it until it is closed; [`Inbound::shut_down`] closes all connections.
+    /// Spawns one task that closes overdue connections until the runtime ends, and for each connection a task that
+    /// serves the connection until it is closed. [`Inbound::shut_down`] closes all connections.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         spawn_local(self.clone().close_overdue_connections());
         let mut admission_state = self.admission_state.clone();
@@ -127,7 +128,7 @@
         }
     }
 
-    /// The present time, in the form that `slots` expects.
+    /// Time since `started_at`, as `slots` expects it.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
--- a/crates/sender/src/inbound/connection.rs
+++ b/crates/sender/src/inbound/connection.rs
@@ -18,7 +18,7 @@
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
 /// Maximum time from the first byte of a later request to the complete request. Further bytes do not extend it.
 const NEXT_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// Time after which an idle connection is closed; earlier if its slot is needed.
+/// Time after which an idle connection is closed; it is closed earlier if its slot is needed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The state of a connection's current request.
@@ -40,12 +40,13 @@
     None,
     /// The engine has not responded.
     AwaitingResponse(SubmissionId),
-    /// The engine has accepted the submission; the connection's write progress is that of its response, with status
+    /// The engine has accepted the submission. The connection's write progress is that of the response, which has
+    /// status
     /// 202.
     Accepted(SubmissionId),
 }
 
-/// A client's connection. Only its own task serves and closes the connection; other tasks request the close.
+/// A client's connection. Only the connection's own task serves and closes it; other tasks request the close.
 #[derive(Debug)]
 pub(super) struct ClientConnection {
     pub(super) id: ConnectionId,
@@ -104,8 +105,8 @@
         self.write_progress.reset_received();
     }
 
-    /// When the next request must be complete, or its first byte received if the connection is idle; `None` while a
-    /// request is open.
+    /// When the next request must be complete or, on an idle connection, when its first byte must have been received;
+    /// `None` while a request is open.
     pub(super) fn request_deadline(&self) -> Option<Instant> {
         match self.request_state.get() {
             RequestState::AwaitingFirst { opened_at } => Some(opened_at + FIRST_REQUEST_TIMEOUT),
--- a/crates/sender/src/inbound/conversation.rs
+++ b/crates/sender/src/inbound/conversation.rs
@@ -13,8 +13,8 @@
 use crate::write_progress::{MAX_BUFFER, TrackedStream};
 
 impl Inbound {
-    /// Serves requests until the connection ends or its close is requested, withdraws a submission that is not
-    /// acknowledged, and closes the connection.
+    /// Serves requests until the connection ends or its close is requested. Then withdraws the last submission if no
+    /// byte of its response was written, and closes the connection.
     pub(super) async fn serve(&self, connection: &ClientConnection) {
         self.serve_requests(connection).await;
         // The message is withdrawn because the client has received no response and may submit it to another sender.
--- a/crates/sender/src/inbound/request_body.rs
+++ b/crates/sender/src/inbound/request_body.rs
@@ -16,7 +16,8 @@
 /// the body is not complete by `deadline`.
 pub(super) async fn read(body: Incoming, deadline: Instant) -> Result<Bytes, RequestRejection> {
     match timeout_at(deadline, Limited::new(body, MAX_BODY).collect()).await {
-        // Copied, because a body that was received in one piece would keep the connection's whole buffer in memory.
+        // The body is copied because one that was received in one piece would keep the connection's whole buffer in
+        // memory.
         Ok(Ok(body)) => Ok(Bytes::copy_from_slice(&body.to_bytes())),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestRejection::BodyTooLarge),
         Ok(Err(error)) => Err(RequestRejection::IncompleteBody(error)),
--- a/crates/sender/src/inbound/requests.rs
+++ b/crates/sender/src/inbound/requests.rs
@@ -24,7 +24,7 @@
 const READY_PATH: &str = "/-/ready";
 
 impl Inbound {
-    /// Handles a request, and records that its response is ready.
+    /// Responds to a request, and records that its response is ready.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -34,7 +34,7 @@
         let mut response = response.unwrap_or_else(RequestRejection::into_response);
         if response.status().is_client_error() || *self.admission_state.borrow() != AdmissionState::Accepting
         {
-            // Closed after a malformed request because the next bytes may be the rest of its body.
+            // The connection is closed after a malformed request because the next bytes may be the rest of its body.
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         connection.request_finished();
@@ -98,7 +98,7 @@
         connection: &ClientConnection,
     ) -> Result<Bytes, RequestRejection> {
         let _reservation = self.reserve_body_bytes(head)?;
-        // There always is a deadline at this point, because no request is open while one is being received.
+        // A deadline always exists here, because the request that is being received is not open before it is complete.
         let deadline = connection.request_deadline().unwrap_or_else(Instant::now);
         request_body::read(body, deadline).await
     }
@@ -108,8 +108,8 @@
         reservation.map_err(|_| self.reject_for_capacity(head.class))
     }
 
-    /// Creates a submission. The message's remaining time starts now, with the last byte of its body, and is at most
-    /// the deadline of its class.
+    /// Creates a submission. The message's remaining time starts now, when the last byte of its body has been received,
+    /// and is at most the deadline of its class.
     fn new_submission(
         &self,
         head: SubmissionHead,
@@ -152,7 +152,8 @@
         }
     }
 
-    /// Rejects a message for lack of capacity and counts it: the engine counts only the messages that are sent to it.
+    /// Rejects a message for lack of capacity. Counts the rejection, because the engine counts only the messages that
+    /// are sent to it.
     fn reject_for_capacity(&self, class: usize) -> RequestRejection {
         self.metrics.count_outcome(class, FinalOutcome::Rejected);
         self.overload_rejection(0.0)
--- a/crates/sender/src/inbound/shutdown.rs
+++ b/crates/sender/src/inbound/shutdown.rs
@@ -7,9 +7,10 @@
 use super::Inbound;
 use crate::graceful_close;
 
-/// How long connections in the listener's queue are still accepted after the engine has stopped.
+/// How long after the engine has stopped connections in the listener's queue are still accepted.
 pub(super) const LAST_ACCEPT_GRACE: Duration = Duration::from_millis(20);
-/// How long clients may take to complete requests that are being received; these requests are refused.
+/// How long clients may take to complete requests that are being received. These requests are refused, because the
+/// engine has stopped.
 pub(super) const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long connections may take to close after [`LAST_RESPONSE_TIMEOUT`].
 const LAST_CLOSE_TIMEOUT: Duration = Duration::from_millis(40);
--- a/crates/sender/src/inbound/slots.rs
+++ b/crates/sender/src/inbound/slots.rs
@@ -17,7 +17,8 @@
 /// An open connection and its slot. Dropping it closes the socket and frees the slot.
 pub(super) struct OpenConnection {
     inbound: Rc<Inbound>,
-    // Declared, and so dropped, before the slot: the descriptor must be closed before the next connection is accepted.
+    // Declared before the slot so that it is dropped first: the descriptor must be closed before the next connection is
+    // accepted.
     connection: Rc<ClientConnection>,
     _slot: OwnedSemaphorePermit,
 }
@@ -60,8 +61,8 @@
                 return slot;
             }
             self.evict_connection();
-            // An evicted connection is closed at once. If none was evicted, all have a request open, and the first
-            // response is due soon.
+            // An evicted connection is closed at once. If none was evicted, all connections have a request open, and
+            // the first response is expected soon.
             let freed_slot = self.free_slots.clone().acquire_owned();
             if let Ok(Ok(slot)) = timeout(SLOT_RETRY_INTERVAL, freed_slot).await {
                 return slot;
--- a/crates/sender/src/outbound.rs
+++ b/crates/sender/src/outbound.rs
@@ -35,13 +35,14 @@
 /// Cancels a call that is in flight.
 #[derive(Debug)]
 pub struct CallHandle {
-    /// Index of the attempt, from 0.
+    /// Index of the attempt among those of its message, from 0.
     pub attempt: u32,
     cancelled: Rc<Notify>,
 }
 
 impl CallHandle {
-    /// Cancels the call. The call still reports one outcome: that of its response if the head has been read by now.
+    /// Cancels the call. The call still reports exactly one outcome; if the head of its response has been read by now,
+    /// this is the outcome that the response reports.
     pub fn cancel(&self) {
         self.cancelled.notify_one();
     }
@@ -53,18 +54,19 @@
     routes: RouteTable,
     backoffs: Backoffs,
     idle: IdlePool,
-    /// One permit for each connection that may be opened.
+    /// One permit for each connection to a receiver that may still be opened.
     free_connections: Arc<Semaphore>,
     connect_timeout: Duration,
     metrics: Rc<Metrics>,
-    /// Successor or predecessor process, to which each backoff that a receiver requests is reported.
+    /// The other process of this sender during a handover, its successor or predecessor. Each backoff that a receiver
+    /// requests is reported to that process.
     peer_process: Rc<PeerProcess>,
     to_engine: mpsc::Sender<Input>,
 }
 
 impl Outbound {
-    /// Creates the state without routes. At most `max_connections` are open at a time; outcomes are sent to
-    /// `to_engine`.
+    /// Creates the state without routes. At most `max_connections` to receivers are open at a time; outcomes
+    /// are sent to `to_engine`.
     pub fn new(
         settings: &Settings,
         max_connections: usize,
--- a/crates/sender/src/outbound/backoff.rs
+++ b/crates/sender/src/outbound/backoff.rs
@@ -1,4 +1,5 @@
-//! Withholds calls from receivers that requested a backoff, and shares the backoffs with the peer process.
+//! Withholds calls from receivers that requested a backoff, and shares the backoffs with the peer process: the other
+//! process of this sender during a handover.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,7 +11,7 @@
 use super::{MAX_BACKOFF_MS, Outbound};
 use crate::handover::HandoverMessage;
 
-/// What a backoff applies to: one route (see [`super::Route::has_own_backoff`]) or all routes of a destination.
+/// What a backoff applies to: one route, if [`super::Route::has_own_backoff`] is true, or all routes of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum BackoffScope {
     Route(RouteId),
@@ -31,8 +32,8 @@
 }
 
 impl Backoffs {
-    /// Starts a backoff that ends after `wait`, or extends the active one if that ends earlier. The route of the scope
-    /// may have been removed from the endpoint list.
+    /// Starts a backoff that ends after `wait`, or extends the active backoff of the scope if that one ends earlier.
+    /// The route of the scope may have been removed from the endpoint list.
     pub(super) fn extend(&self, scope: BackoffScope, wait: Millis) {
         let until = Instant::now() + Duration::from_secs_f64(wait / 1_000.0);
         let mut backoff_until = self.backoff_until.borrow_mut();
@@ -66,7 +67,8 @@
 }
 
 impl Outbound {
-    /// Applies a backoff that the peer process reports, to one route or, without a route, to the whole destination.
+    /// Applies a backoff that the peer process reports: to one route or, if `route` is `None`, to the whole
+    /// destination.
     pub fn apply_backoff(&self, destination: DestinationId, route: Option<RouteId>, wait: Millis) {
         let scope = route.map_or(BackoffScope::Destination(destination), BackoffScope::Route);
         self.backoffs.extend(scope, wait.clamp(0.0, MAX_BACKOFF_MS));
--- a/crates/sender/src/outbound/connection.rs
+++ b/crates/sender/src/outbound/connection.rs
@@ -18,7 +18,7 @@
 use super::outcome::Interruption;
 use crate::write_progress::{MAX_BUFFER, TrackedStream, WriteProgress};
 
-/// Minimum TCP user timeout that is set; the system takes 0 for its default.
+/// Minimum TCP user timeout that is set, because the system interprets 0 as its default.
 const MIN_USER_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// A connection to a receiver. Dropping the value closes the connection, with a reset unless it is idle.
@@ -26,10 +26,11 @@
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     pub(super) write_progress: Rc<WriteProgress>,
-    /// The socket, which is owned by `task`.
+    /// The socket; `task` owns it.
     pub(super) socket: Weak<RefCell<TcpStream>>,
     addr: SocketAddr,
-    /// Drives the connection and owns its slot; aborted when the connection is dropped.
+    /// The task that reads and writes the connection. It owns the socket and the connection's slot, and is aborted when
+    /// the connection is dropped.
     task: JoinHandle<()>,
     idle_since: Instant,
     is_idle: bool,
@@ -51,7 +52,7 @@
         let (sender, http) = http1::Builder::new().max_buf_size(MAX_BUFFER).handshake(tracked).await.ok()?;
         let task = spawn_local(async move {
             let _slot = slot;
-            // An error is also returned to the request in flight, which reports it.
+            // The error is ignored because the request in flight also receives and reports it.
             let _ = http.await;
         });
         Some(Self {
@@ -71,7 +72,7 @@
         self.addr
     }
 
-    /// When the connection became idle; when it was opened if it has never been idle.
+    /// When the connection became idle; if it has never been idle, when it was opened.
     pub(super) fn idle_since(&self) -> Instant {
         self.idle_since
     }
@@ -93,7 +94,7 @@
     }
 
     /// Limits how long the system retransmits unacknowledged bytes, or buffers bytes that the receiver does not accept;
-    /// `None` for the system's default. If the limit cannot be set, the request's deadlines apply.
+    /// `None` restores the system's default. If the limit cannot be set, only the request's deadlines apply.
     pub(super) fn limit_unacknowledged(&mut self, limit: Option<Duration>) {
         if !self.has_user_timeout && limit.is_none() {
             return;
@@ -133,8 +134,8 @@
         opened.ok().flatten().ok_or(Interruption::ConnectionBroken)
     }
 
-    /// Acquires the slot of a new connection, and closes an idle connection if no slot is free. Returns `None` if no
-    /// slot is free by `deadline`, or none can be freed because no connection is idle.
+    /// Acquires the slot of a new connection. If no slot is free, closes an idle connection to free one. Returns `None`
+    /// if no connection is idle, or if the slot is not free by `deadline`.
     async fn acquire_slot(&self, deadline: Instant) -> Option<OwnedSemaphorePermit> {
         if let Ok(slot) = self.free_connections.clone().try_acquire_owned() {
             return Some(slot);
--- a/crates/sender/src/outbound/exchange.rs
+++ b/crates/sender/src/outbound/exchange.rs
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 struct AcquiredConnection {
     connection: Connection,
-    /// Whether the connection is from the pool; the receiver may have closed it.
+    /// Whether the connection is from the pool. The receiver may have closed such a connection while it was idle.
     reused: bool,
 }
 
@@ -114,7 +114,8 @@
         };
         match connected {
             Ok(connection) => Ok(AcquiredConnection { connection, reused: false }),
-            // No failure of the receiver: the write deadline may have been too short for the connection to open.
+            // This does not count as a failure of the receiver, because the time until the write deadline may have been
+            // too short for the connection to open.
             Err(_) if Instant::now() >= write_deadline => Err(Outcome::NotSent),
             Err(interruption) => Err(outcome_without_response(
                 RequestProgress::NotStarted,
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Builds the request; `None` if it must no longer be sent, because the receiver has begun to drain or has
-    /// requested a backoff, or a deadline has passed, since the engine started the call.
+    /// Builds the request; `None` if it must no longer be sent, because since the engine started the call the receiver
+    /// has begun to drain or has requested a backoff, or a deadline has passed.
     fn prepare(&self, exchange: &Exchange<'_>, target: Target) -> Option<PreparedRequest> {
         let RequestDeadlines { response_deadline, write_deadline, .. } = exchange.deadlines;
         let now = Instant::now();
@@ -136,8 +137,8 @@
         exchange.request.prepare(target.addr, response_deadline, now).ok()
     }
 
-    /// Sends the request over a connection. Returns `None` if a pooled connection broke before a byte was written: this
-    /// does not count as an attempt.
+    /// Sends the request over a connection. Returns `None` if a pooled connection broke before a byte of the request
+    /// was written: the request is then sent over another connection, and this does not count as an attempt.
     async fn exchange_over(
         &self,
         acquired: AcquiredConnection,
@@ -150,8 +151,8 @@
         let progress = connection.write_progress.clone();
         self.track_request(exchange, &mut connection);
         let response = send(&mut connection, exchange, prepared).await;
-        // Timers have the resolution of one tick: a response that is read in the tick of the deadline is returned
-        // before the timer fires.
+        // The runtime's timers have the resolution of one tick: a response that is read after the deadline, but in the
+        // same tick, is returned before the timer fires.
         let late =
             progress.first_byte_received_at().is_some_and(|received_at| received_at >= response_deadline);
         let interruption = match response {
@@ -210,8 +211,8 @@
         tracing::debug!(target: MESSAGE_LOG, message_id = exchange.message_id(), addr = %target.addr, reused,
             outcome = ?call_outcome.outcome, retry_after_ms = call_outcome.retry_after, "response received");
         self.apply_retry_after(target.backoff_scope, call_outcome.retry_after);
-        // The rest of a call that is rejected before its last byte is written must not be sent: the connection is
-        // closed.
+        // If the response is received before the last byte of the request is written, the connection is closed, so that
+        // the rest of the request is not sent.
         let request_complete = RequestProgress::of(&connection.write_progress) == RequestProgress::Complete;
         let used_connection = request_complete.then_some(UsedConnection { connection, unread_body });
         ExchangeOutcome { call_outcome, used_connection }
--- a/crates/sender/src/outbound/outcome.rs
+++ b/crates/sender/src/outbound/outcome.rs
@@ -1,5 +1,5 @@
 //! Determines the outcome of an attempt according to the table 'Senders to receivers' of the protocol. The outcome also
-//! states whether the receiver may have executed the call: [`Outcome::possibly_executed`].
+//! states whether the receiver may have executed the call (see [`Outcome::possibly_executed`]).
 
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderName};
@@ -17,22 +17,22 @@
 /// How much of a request was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestProgress {
-    /// No byte.
+    /// No byte was written.
     NotStarted,
-    /// The first byte, but not the last.
+    /// The first byte was written, but not the last.
     Partial,
-    /// The last byte; the receiver executes the call once it has received this byte.
+    /// The last byte was written; the receiver executes the call once it has received this byte.
     Complete,
 }
 
 /// What was received of a response that is not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseProgress {
-    /// No byte of a response.
+    /// No byte of a response was received.
     Nothing,
-    /// A complete status line with status 200; the rest is missing or malformed.
+    /// A complete status line with status 200 was received; the rest is missing or malformed.
     OkStatusLine,
-    /// At least one byte, but no complete status line with status 200.
+    /// At least one byte was received, but no complete status line with status 200.
     NoOkStatusLine,
 }
 
@@ -61,7 +61,7 @@
 /// Why an exchange ended without a reliable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Interruption {
-    /// The connection could not be opened, or it ended, or the received bytes are not a valid response.
+    /// The connection could not be opened, the connection ended, or the received bytes are not a valid response.
     ConnectionBroken,
     /// A deadline passed.
     TimedOut,
@@ -82,14 +82,14 @@
     use RequestProgress::{Complete, NotStarted, Partial};
     use ResponseProgress::{NoOkStatusLine, Nothing, OkStatusLine};
     match (request, response, interruption) {
-        // Never executed, whatever was received: bytes that are received before the last byte is written are not a
-        // response to this call. An interruption by this process is no failure of the receiver.
+        // The call was not executed, whatever was received: bytes that are received before the last byte is written are
+        // not a response to this call. An interruption by this process does not count as a failure of the receiver.
         (NotStarted | Partial, _, Cancelled | Withheld) => Outcome::NotSent,
         (NotStarted | Partial, _, ConnectionBroken | TimedOut) => Outcome::ConnectFailed,
         // A complete status line with status 200 proves that the call was executed.
         (Complete, OkStatusLine, _) => Outcome::Ok,
         (Complete, Nothing | NoOkStatusLine, Cancelled | Withheld) => Outcome::Cancelled,
-        // Possibly executed; the receiver is up, because it has sent bytes.
+        // The call may have been executed, and the receiver is up, because it has sent bytes.
         (Complete, NoOkStatusLine, ConnectionBroken | TimedOut) => Outcome::Error,
         (Complete, Nothing, ConnectionBroken) => Outcome::Reset,
         (Complete, Nothing, TimedOut) => Outcome::Timeout,
@@ -111,12 +111,13 @@
         503 => CallOutcome { retry_after: retry_after(headers), ..Outcome::Rejected.into() },
         504 => Outcome::AttemptsExhausted.into(),
         410 => CallOutcome { completed: true, ..Outcome::NotSent.into() },
-        // With status 500 and any other status the call was possibly executed.
+        // The call may have been executed if the status is 500 or any other.
         _ => Outcome::Error.into(),
     }
 }
 
-/// The backoff in `X-Backoff-Ms`, at most [`MAX_BACKOFF_MS`]; 0 if the header is missing or not a finite number.
+/// The backoff in `X-Backoff-Ms`, in milliseconds, at most [`MAX_BACKOFF_MS`]; 0 if the header is missing or not a
+/// finite number.
 fn retry_after(headers: &HeaderMap) -> Millis {
     let text = headers.get(X_BACKOFF_MS).and_then(|value| value.to_str().ok());
     let wait = text.and_then(|text| text.trim().parse::<f64>().ok()).filter(|wait| wait.is_finite());
--- a/crates/sender/src/outbound/pool.rs
+++ b/crates/sender/src/outbound/pool.rs
@@ -10,8 +10,8 @@
 use super::Outbound;
 use super::connection::Connection;
 
-/// How long before the receiver's idle timeout this process closes a connection: the receiver's timeout starts earlier,
-/// when the receiver writes its response.
+/// How long before the receiver's idle timeout this process closes a connection. The margin is necessary because the
+/// receiver's timeout starts earlier than this process's, when the receiver writes its response.
 pub(super) const IDLE_CLOSE_MARGIN: Duration = Duration::from_secs(2);
 
 /// The idle connections by route; the longest idle connection of a route is first.
@@ -27,7 +27,8 @@
         Self { by_route: RefCell::default(), max_idle_time }
     }
 
-    /// Takes the most recently used connection of a route, so that the others can expire.
+    /// Takes the idle connection of a route that was used last, so that the others can expire. Returns `None` if the
+    /// route has no reusable connection.
     pub(super) fn take(&self, route: RouteId) -> Option<Connection> {
         let now = Instant::now();
         let mut by_route = self.by_route.borrow_mut();
--- a/crates/sender/src/outbound/request.rs
+++ b/crates/sender/src/outbound/request.rs
@@ -37,8 +37,8 @@
     pub(super) response_deadline: Instant,
     /// When the last byte must have been written.
     pub(super) write_deadline: Instant,
-    /// Whether this is a retry with an idempotency key, which also must not be received after `write_deadline`: an
-    /// earlier attempt may have been executed, and the receiver discards the key at that time.
+    /// Whether this is a retry with an idempotency key. The receiver must not receive such a retry after
+    /// `write_deadline`, because it discards the key at that time, and an earlier attempt may have been executed.
     pub(super) keyed_retry: bool,
 }
 
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(super) struct PreparedRequest {
     pub(super) request: Request<Full<Bytes>>,
-    /// When the remaining time announced to the receiver ends; a later response does not count.
+    /// When the remaining time ends that the request announces to the receiver; a later response does not count.
     pub(super) response_deadline: Instant,
 }
 
--- a/crates/sender/src/outbound/response.rs
+++ b/crates/sender/src/outbound/response.rs
@@ -34,9 +34,9 @@
 }
 
 impl ReliableResponse {
-    /// Determines the outcome from a response; `None` if the response is not reliable. A response by which the call was
-    /// not executed counts only if its body is complete and well-formed; the body is read until `deadline` at the
-    /// latest.
+    /// Determines the outcome from a response; `None` if the response is not reliable. A response which reports that
+    /// the call was not executed counts only if its body is complete and well-formed; the body is read until `deadline`
+    /// at the latest.
     pub(super) async fn read(
         response: Response<Incoming>,
         request: RequestProgress,
--- a/crates/sender/src/outbound/routes.rs
+++ b/crates/sender/src/outbound/routes.rs
@@ -20,7 +20,7 @@
     pub zone: Rc<str>,
     /// Destination that the receiver belongs to.
     pub destination: DestinationId,
-    /// Whether a backoff that the receiver requests applies to this route alone, and not to the whole destination.
+    /// Whether a backoff that the receiver requests applies to this route alone instead of to the whole destination.
     pub has_own_backoff: bool,
     /// Whether the receiver accepts calls.
     pub listing: Listing,
--- a/crates/sender/src/write_progress.rs
+++ b/crates/sender/src/write_progress.rs
@@ -1,5 +1,5 @@
-//! Tracks how much of an HTTP message was written to a connection and what was received in return, which determines
-//! whether a request may have been executed.
+//! Tracks how much of an HTTP message was written to a connection and what was received in return. This determines
+//! whether the receiver may have executed a request.
 
 mod response_head;
 mod tracked_stream;
@@ -21,7 +21,9 @@
 /// Progress of the current message on one connection: a request to a receiver, or a response to a client.
 #[derive(Debug, Default)]
 pub(crate) struct WriteProgress {
+    /// Number of bytes of the current message that were written.
     bytes_written: Cell<u64>,
+    /// Whether the last byte of the current message was written.
     write_complete: Cell<bool>,
     /// When the first byte of the message being received arrived, not counting interim (1xx) responses.
     first_byte_received_at: Cell<Option<Instant>>,
@@ -81,7 +83,7 @@
     }
 
     /// Resolves `limit` after the first byte of a response, whether or not the head is complete by then. The caller
-    /// races this against the complete head.
+    /// must wait for this and the complete head at the same time.
     pub(crate) async fn response_head_overdue(&self, limit: Duration) {
         loop {
             if let Some(received_at) = self.first_byte_received_at() {
--- a/crates/sender/src/write_progress/tracked_stream.rs
+++ b/crates/sender/src/write_progress/tracked_stream.rs
@@ -14,10 +14,11 @@
 
 use super::WriteProgress;
 
-/// Bytes read by one call.
+/// Maximum number of bytes that one call reads.
 const READ_CHUNK_SIZE: usize = 4 * 1024;
 
-/// A socket that its owner can close gracefully or with a reset after the HTTP connection over it has ended.
+/// A socket that is shared with the HTTP connection over it, so that the connection's task can close the socket
+/// gracefully or with a reset after the HTTP connection has ended.
 pub(crate) type SharedSocket = Rc<RefCell<TcpStream>>;
 
 /// A stream that records what is read and written.
