--- a/crates/sender/src/accept.rs
+++ b/crates/sender/src/accept.rs
@@ -7,10 +7,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep};
 
-/// Delay after a failure to accept a connection before the next attempt.
+/// Time from a failure to accept a connection to the next attempt.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// A failure is logged only if the previous failure is longer ago than this, so that a series of failures is logged
-/// once.
+/// A failure is logged only if the previous failure occurred longer ago than this, so that a series of failures is
+/// logged once.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// OS error number: the system's limit of open files is reached.
 const ENFILE: i32 = 23;
--- a/crates/sender/src/config/file.rs
+++ b/crates/sender/src/config/file.rs
@@ -25,7 +25,7 @@
     pub(crate) limits: Limits,
     /// The endpoint list to start with if discovery does not respond; `None` if missing.
     pub(crate) known: Option<EndpointList>,
-    /// The gossip address of each sender of the fleet, indexed by sender number; empty if missing.
+    /// The gossip address of each sender of the fleet, this one included, indexed by sender number; empty if missing.
     pub(crate) peers: Vec<String>,
     /// The address on which gossip is received; `None` if missing.
     pub(crate) peer_listen: Option<SocketAddr>,
@@ -54,8 +54,8 @@
         })
     }
 
-    /// The configuration of gossip; `None` if gossip is not allowed or no peers are listed, or if the configuration is
-    /// invalid. An invalid one is logged, and the sender works without gossip.
+    /// The configuration of gossip; `None` if gossip is not allowed, no peers are listed, or the configuration of
+    /// gossip is invalid. The error is logged in the last case, and the sender works without gossip.
     pub(crate) fn gossip(&self) -> Option<GossipConfig> {
         if !self.allows_gossip() || self.peers.is_empty() {
             return None;
--- a/crates/sender/src/config/fleet_size.rs
+++ b/crates/sender/src/config/fleet_size.rs
@@ -1,4 +1,4 @@
-//! The number of senders in the fleet, which share each destination's limit.
+//! The number of senders in the fleet, among which each destination's limit is divided.
 
 /// The number of senders, from the keys `settings.peers_total` and `peers`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/sender/src/config/golden/refused.rs
+++ b/crates/sender/src/config/golden/refused.rs
@@ -19,11 +19,12 @@
     /// The new value; `None` removes the key.
     #[serde(default, deserialize_with = "present")]
     value: Option<Value>,
-    /// Further changes, by JSON pointer, without which the error would be another.
+    /// Further changes, by JSON pointer, which are necessary so that this error is reported instead of another one.
     #[serde(default)]
     also: BTreeMap<String, Value>,
     /// The path of the key at the start of the error.
     key: String,
+    /// The kind of error, as [`cause`] returns it.
     cause: String,
     /// The value as the error contains it.
     shown: String,
--- a/crates/sender/src/config/gossip.rs
+++ b/crates/sender/src/config/gossip.rs
@@ -9,7 +9,7 @@
     pub me: usize,
     /// The address on which this sender receives gossip.
     pub listen: SocketAddr,
-    /// The address on which each sender receives gossip, indexed by sender number.
+    /// The address on which each sender of the fleet, this one included, receives gossip, indexed by sender number.
     pub peers: Vec<SocketAddr>,
 }
 
--- a/crates/sender/src/config/limits.rs
+++ b/crates/sender/src/config/limits.rs
@@ -9,7 +9,8 @@
 const MIN_DESCRIPTORS: u32 = RESERVED_DESCRIPTORS as u32 + 2;
 /// Fraction of the memory limit for request bodies that have not been received completely.
 const BODY_MEMORY_FRACTION: f64 = 0.125;
-/// Minimum memory limit, in MB; a lower configured limit is raised to it, and it applies if none is configured.
+/// Minimum memory limit, in MB. A lower configured limit is raised to this value, which also applies if no limit is
+/// configured.
 const MIN_MEMORY_MB: f64 = 8.0;
 
 const DISK_RANGE: Range = Range::new("a number of MB above 0", |x| x > 0.0);
--- a/crates/sender/src/config/tests.rs
+++ b/crates/sender/src/config/tests.rs
@@ -62,10 +62,10 @@
     assert_eq!(bytes(1024.0, Some(192.0)), 24_000_000);
     assert_eq!(bytes(65_536.0, Some(192.0)), 24_000_000);
     assert_eq!(bytes(65_536.0, Some(1_920.0)), 240_000_000);
-    // At most 64 KiB for each of 492 clients.
+    // The memory is at most 64 KiB for each of 492 client connections.
     assert_eq!(bytes(1024.0, Some(1_920.0)), 492 * 65_536);
     assert_eq!(bytes(1024.0, Some(1e300)), 492 * 65_536);
-    // No memory limit, or one below the minimum.
+    // The minimum applies if no memory limit or a lower one is configured.
     for memory in [None, Some(0.0), Some(7.0)] {
         assert_eq!(bytes(1024.0, memory), 1_000_000);
     }
--- a/crates/sender/src/connection_slots/tests.rs
+++ b/crates/sender/src/connection_slots/tests.rs
@@ -67,7 +67,7 @@
     slots.opened(ConnectionId(3), loopback(3), at(3));
     slots.request_finished(ConnectionId(3), at(4), never);
     assert_eq!(slots.evict(at(400), never, never), Some(ConnectionId(1)));
-    // One connection remains from each address: the oldest is evicted.
+    // One connection remains from each address, so the oldest of them is evicted.
     assert_eq!(slots.evict(at(400), never, never), Some(ConnectionId(0)));
     assert_eq!(slots.evict(at(400), |id| id == ConnectionId(2), never), Some(ConnectionId(3)));
     assert_eq!(slots.evict(at(400), |id| id == ConnectionId(2), never), Some(ConnectionId(2)));
--- a/crates/sender/src/control.rs
+++ b/crates/sender/src/control.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | `status` | `done` if this process can serve, else `error` |
 //! | `stats` | the metrics as one line of JSON, then the line `end` |
-//! | `standby` | `done`: clients are drained; accepted messages are delivered |
+//! | `standby` | `done`: clients are drained, and accepted messages are still delivered |
 //! | `active` | `done`: clients are accepted again |
 
 mod command;
@@ -38,8 +38,8 @@
 const MAX_LINE_LEN: u64 = 256;
 /// Maximum time for reading a command, executing it and sending the response.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Timeout of the query for the engine's status, after which the last known status is reported. Clients time out
-/// after 1 s.
+/// Timeout of the query for the engine's status, after which the last known status is reported. It is short because the
+/// clients of this listener time out after 1 s.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Serves the commands of operators.
@@ -49,13 +49,13 @@
     pub metrics: Rc<Metrics>,
     /// Whether requests of clients are accepted; changed by `standby` and `active`.
     pub admission_state: watch::Sender<AdmissionState>,
-    /// Inputs of the engine, which is queried for its status.
+    /// Sends queries for the status to the engine.
     pub engine: mpsc::Sender<Input>,
 }
 
 impl ControlListener {
-    /// Accepts connections until the task is cancelled. Each connection is served by a task of its own, which ends
-    /// after [`COMMAND_TIMEOUT`] at the latest, or when the connection is closed to limit the number of open ones.
+    /// Accepts connections until the task is cancelled. Each connection is served by a task of its own. The task ends
+    /// after [`COMMAND_TIMEOUT`] at the latest, and earlier if the connection is closed because too many are open.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let open_connections = Rc::new(OpenConnections::default());
         let mut acceptor = Acceptor::new(listener, "control");
--- a/crates/sender/src/control/connections.rs
+++ b/crates/sender/src/control/connections.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(super) struct OpenConnections(RefCell<BTreeMap<u64, Rc<Notify>>>);
 
-/// Registration of an open connection; dropping it removes the connection.
+/// Registration of an open connection; dropping it removes the connection from [`OpenConnections`].
 #[derive(Debug)]
 pub(super) struct ConnectionGuard {
     open_connections: Rc<OpenConnections>,
--- a/crates/sender/src/discovery/client.rs
+++ b/crates/sender/src/discovery/client.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct StreamingResponse {
     pub(super) body: Incoming,
-    /// Held until the body has been read, because dropping it closes the connection.
+    /// Held until the body has been read, because dropping the driver closes the connection.
     _driver: Driver,
 }
 
--- a/crates/sender/src/discovery/decoder.rs
+++ b/crates/sender/src/discovery/decoder.rs
@@ -13,13 +13,13 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DecodeError {
     /// A list is longer than [`MAX_LIST_LEN`].
-    #[error("the list is longer than {MAX_LIST_LEN} bytes")]
+    #[error("list is too long: must be at most {MAX_LIST_LEN} bytes")]
     TooLong,
     /// A bracketed JSON value is not a list.
     #[error("malformed list: {0}")]
     Malformed(#[from] serde_json::Error),
     /// A byte between two lists is neither white space nor an opening bracket.
-    #[error("unexpected character {0:?} between lists")]
+    #[error("character between lists is {0:?}: must be white space or an opening bracket")]
     UnexpectedByte(char),
     /// A line ends within a string, which means that the list was truncated before the line end.
     #[error("line ends within a JSON string: the list is truncated")]
@@ -42,9 +42,9 @@
     bytes: Vec<u8>,
     /// Offset in `bytes` of the first byte after the last returned event.
     start: usize,
-    /// Number of scanned bytes at the start of `bytes`.
+    /// Number of bytes at the start of `bytes` that have been scanned.
     scanned: usize,
-    /// Number of open brackets; zero between two lists.
+    /// Number of brackets that have been opened and not closed; zero between two lists.
     depth: usize,
     /// Whether the next byte belongs to a JSON string.
     in_string: bool,
--- a/crates/sender/src/discovery/decoder/tests.rs
+++ b/crates/sender/src/discovery/decoder/tests.rs
@@ -83,7 +83,7 @@
     assert_eq!(decoded, [Some((8, false, vec!["a".to_owned()]))]);
 }
 
-/// The list is truncated within a string; the next list must not be decoded as the rest of it.
+/// The list is truncated within a string; the next list must not be decoded as the rest of that string.
 #[test]
 fn a_line_that_ends_within_a_string_is_an_error() {
     let complete = list(8, &["abcdef"]).to_string();
@@ -103,9 +103,11 @@
 
 #[test]
 fn input_that_is_not_a_list_is_an_error() {
-    for (bytes, what) in
-        [(&b"nothing\n"[..], "a word"), (b"]\n", "a bracket"), (b"{\"revision\": 8}\n", "half")]
-    {
+    for (bytes, what) in [
+        (&b"nothing\n"[..], "a word"),
+        (b"]\n", "a closing bracket"),
+        (b"{\"revision\": 8}\n", "an object without members"),
+    ] {
         let (decoded, end) = decode([bytes]);
         assert!(end.is_err() && decoded.is_empty(), "{what}: {decoded:?}");
     }
--- a/crates/sender/src/discovery/session.rs
+++ b/crates/sender/src/discovery/session.rs
@@ -40,7 +40,7 @@
     /// Maximum time from a request until its response begins.
     pub(super) response_timeout: Duration,
     pub(super) progress: &'a mut WatchProgress,
-    /// Inputs of the engine, which receives the lists.
+    /// Sends the lists to the engine.
     pub(super) engine: &'a mpsc::Sender<Input>,
 }
 
@@ -85,8 +85,8 @@
         Ok(revision)
     }
 
-    /// Feeds the next frame of the body to the decoder. The idle timeout runs from the last complete event, so
-    /// incomplete ones do not restart it.
+    /// Feeds the next frame of the body to the decoder. The idle timeout runs from the last complete event; bytes of an
+    /// incomplete event do not restart it.
     async fn receive_frame(&self, body: &mut Incoming, decoder: &mut Decoder) -> Result<(), WatchError> {
         let idle_at = self.progress.last_activity + WATCH_IDLE_TIMEOUT;
         let frame = timeout_at(idle_at, body.frame()).await.map_err(|_| HttpError::TimedOut)?;
--- a/crates/sender/src/discovery/tests.rs
+++ b/crates/sender/src/discovery/tests.rs
@@ -83,7 +83,7 @@
 
 // ---- Changes of the address ------------------------------------------------------------------------------
 
-/// Revisions of two addresses are unrelated, so those of the new one may be lower.
+/// The revisions of two addresses are unrelated, so the revisions of the new address may be lower.
 #[tokio::test]
 async fn a_new_address_may_send_a_full_list_with_a_lower_revision() {
     run_local(async {
@@ -107,7 +107,7 @@
     .await;
 }
 
-/// The address changes at each step of opening a watch, and once more before the new one has responded.
+/// The address changes at each step of opening a watch, and changes once more before the new address has responded.
 #[tokio::test]
 async fn a_change_of_address_cancels_a_watch_that_is_being_opened() {
     run_local(async {
--- a/crates/sender/src/discovery/tests/idle_watch.rs
+++ b/crates/sender/src/discovery/tests/idle_watch.rs
@@ -10,23 +10,23 @@
     ScriptedDiscovery, WATCH_HEAD, chunk, list_json, run_local, start_agent_watch, start_watch, write,
 };
 
-/// Maximum time from the start of an idle watch until the changes that it misses are received.
+/// Maximum time from the start of an idle watch until the changes that the watch misses are received.
 const MAX_CHANGE_DELAY: Duration = Duration::from_secs(6);
 
 /// What a watch receives before it becomes idle.
 #[derive(Clone, Copy, Debug)]
 enum Idle {
-    /// No response.
+    /// The watch receives no response.
     WithoutResponse,
-    /// The head of the response.
+    /// The watch receives the head of the response.
     AfterHead,
-    /// The head and a heartbeat.
+    /// The watch receives the head and a heartbeat.
     AfterHeartbeat,
-    /// The head and a part of a list.
+    /// The watch receives the head and a part of a list.
     WithinALine,
-    /// Single bytes of a list that never ends.
+    /// The watch keeps receiving single bytes of a list that never ends.
     Trickling,
-    /// Empty lines within a list that never ends.
+    /// The watch keeps receiving empty lines within a list that never ends.
     EmptyLinesWithinList,
 }
 
--- a/crates/sender/src/discovery/watcher.rs
+++ b/crates/sender/src/discovery/watcher.rs
@@ -14,8 +14,8 @@
 use crate::poll_schedule::PollSchedule;
 
 /// Watches discovery at the configured address and sends the received lists to the engine. Starts with the changes
-/// after `revision`, or with the full list if `revision` is `None`. Ends when the engine has ended or the sender of
-/// `address` has been dropped.
+/// after `revision`, or with the full list if `revision` is `None`. Ends when the engine has ended, or when the sending
+/// half of the channel `address` has been dropped.
 pub async fn watch(
     address: watch::Receiver<SocketAddr>,
     revision: Option<u64>,
@@ -42,7 +42,7 @@
     Failed { addr: SocketAddr, error: WatchError },
     /// The configured address has changed.
     AddressChanged,
-    /// The service is shutting down: the engine has ended or the address can no longer change.
+    /// This process is shutting down: the engine has ended, or the sending half of the address channel was dropped.
     ShutDown,
 }
 
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Resets the progress, because revisions of two addresses are unrelated. Returns the delay of the first request,
-    /// which is that of a start because the addresses of many senders may change at the same moment.
+    /// Resets the progress, because the revisions of two addresses are unrelated. Returns the delay of the first
+    /// request: the initial delay of the schedule, because the addresses of many senders may change at the same moment.
     fn reset_for_new_address(&mut self) -> Duration {
         self.progress.revision = None;
         self.schedule.record_success();
@@ -96,7 +96,7 @@
     /// Logs the error and returns the delay until the next session.
     fn delay_after_failure(&mut self, addr: SocketAddr, error: &WatchError) -> Duration {
         if matches!(error, WatchError::Unreadable(_)) {
-            // Changes were lost; only the full list contains them.
+            // Changes were lost, so the next session must fetch the full list, which contains them.
             self.progress.revision = None;
         }
         let elapsed = self.progress.last_activity.elapsed();
--- a/crates/sender/src/gossip.rs
+++ b/crates/sender/src/gossip.rs
@@ -27,7 +27,7 @@
 /// Interval between attempts to bind the listening address, which an earlier process may hold until it exits.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Settings of the state that the senders share besides capacity.
+/// Settings of the state that the senders share in addition to the demand exchange.
 #[derive(Debug, Default)]
 pub(crate) struct FleetSettings {
     /// The operator's fleet file.
@@ -57,12 +57,13 @@
     permits: Option<PermitLedger>,
     /// `None` if the fleet view is not in use.
     shared_view: Option<SharedView>,
+    /// The limits in the last activity report of the engine.
     limits: Vec<ReportedLimit>,
 }
 
 impl GossipTask {
-    /// Creates the task for the sender and the peers in `config`. `ramp` is the capacity over time of a destination
-    /// that recovers from an outage.
+    /// Creates the task for this sender and the other senders of the fleet, which `config` lists as `peers`. `ramp` is
+    /// the capacity over time of a destination that recovers from an outage.
     pub(crate) fn new(config: GossipConfig, ramp: RecoveryRamp, settings: FleetSettings) -> Self {
         let demand_exchange = DemandExchange::new(config.me, config.peers.len(), ramp);
         Self { config, demand_exchange, settings, permits: None, shared_view: None, limits: Vec::new() }
--- a/crates/sender/src/gossip/engine.rs
+++ b/crates/sender/src/gossip/engine.rs
@@ -39,7 +39,7 @@
     }
 
     /// The datagrams that report this sender's demands to the fleet. Updates the engine's capacity from the latest
-    /// sums.
+    /// demand sums of the fleet.
     pub(super) async fn report(
         &mut self,
         engine: &mpsc::Sender<Input>,
@@ -55,7 +55,7 @@
         Ok(datagrams)
     }
 
-    /// The limits in the demands; without sums of the fleet, each is assumed to be fully available.
+    /// The limits in the demands. Each limit is assumed to be fully available if no demand sums of the fleet are known.
     fn reported_limits(&self, demands: &[LimitDemand], have_sums: bool) -> Vec<ReportedLimit> {
         let mut limits = Vec::with_capacity(demands.len());
         for LimitDemand { limit: id, demand } in demands {
@@ -66,7 +66,8 @@
         limits
     }
 
-    /// The capacity of each limit; infinite for a limit without one, which the fleet is far from reaching.
+    /// The capacity of each limit. It is infinite if `capacities` does not contain the limit, because the fleet is far
+    /// from reaching that limit.
     fn capacity_updates(&self, demands: &[LimitDemand], capacities: &[LimitCapacity]) -> Input {
         let rate_by_limit: HashMap<LimitId, f64> =
             capacities.iter().map(|capacity| (capacity.limit_id, capacity.rate_per_demand)).collect();
@@ -82,7 +83,8 @@
         Input::CapacityUpdates(updates)
     }
 
-    /// The datagram that offers the permits which this sender does not need, if any. Updates the engine's permits.
+    /// The datagram that offers the permits which this sender does not need; `None` if it has none to offer. Updates
+    /// the engine's permits.
     pub(super) async fn offer(
         &mut self,
         engine: &mpsc::Sender<Input>,
--- a/crates/sender/src/gossip/exchange.rs
+++ b/crates/sender/src/gossip/exchange.rs
@@ -16,10 +16,11 @@
 use super::{FLEET_LOG_TARGET, FleetSettings, GossipTask, LOG_TARGET};
 use crate::event::Input;
 
-/// Number of rounds per report while permits are in use, because the datagrams of permits use the same bandwidth.
+/// A report is sent only every second round while permits are in use, because the datagrams of permits use the same
+/// bandwidth.
 const ROUNDS_PER_REPORT_WITH_PERMITS: u64 = 2;
 
-/// The next times at which the engine's demand is queried.
+/// When the engine's demand is queried next.
 #[derive(Debug)]
 struct Schedule {
     /// Time of the next report.
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The number of each sender, by address.
+    /// The number of each sender of the fleet, by its gossip address.
     fn sender_numbers(&self) -> HashMap<SocketAddr, usize> {
         self.config.peers.iter().enumerate().map(|(number, addr)| (*addr, number)).collect()
     }
@@ -107,7 +108,7 @@
         self.permits.as_ref().map(|permits| permits.next_offer(now))
     }
 
-    /// The datagrams that are due. Queries the engine's demand if a report or an offer is due.
+    /// The datagrams to send now. Queries the engine's demand if a report or a permit offer is due.
     async fn due_datagrams(
         &mut self,
         schedule: &mut Schedule,
--- a/crates/sender/src/gossip/shared_view.rs
+++ b/crates/sender/src/gossip/shared_view.rs
@@ -13,7 +13,7 @@
 use crate::event::{ActivityReport, Input, ListedReceiver, TenantQuota};
 use crate::fleet_file::FleetFile;
 
-/// Interval at which the view is polled for due datagrams, in milliseconds. A round has several of them.
+/// Interval at which the view is polled for due datagrams, in milliseconds. A gossip round has several such intervals.
 const VIEW_INTERVAL: u64 = 50;
 /// Datagram class of reports. The cost is two datagrams, because each report has a response.
 const REPORT_CLASS: DatagramClass = DatagramClass { kind: Kind::Report, rank: 0, min_interval: 0, cost: 2 };
@@ -50,8 +50,8 @@
         if !sharing.detects_outliers() && !sharing.shares_quotas() {
             return Ok(None);
         }
-        // Counts are complete from now on only, because an earlier process may have accepted messages under this
-        // number.
+        // The message counts are complete from now on only, because an earlier process may have accepted messages under
+        // this number.
         let local = LocalSender {
             number: me,
             incarnation,
@@ -72,7 +72,7 @@
         UnixMillis((now.0 / VIEW_INTERVAL + 1) * VIEW_INTERVAL)
     }
 
-    /// The datagrams that are due.
+    /// The datagrams to send now, within the datagram budget.
     pub(super) fn due_datagrams(&mut self, now: UnixMillis) -> Vec<OutgoingDatagram> {
         self.view.due_datagrams(now, &mut self.budget)
     }
--- a/crates/sender/src/gossip/tests.rs
+++ b/crates/sender/src/gossip/tests.rs
@@ -56,7 +56,7 @@
     limited_senders: &Cell<usize>,
 ) -> f64 {
     let mut first_capacity = None;
-    // A sender must not stop earlier, because its demand would be missing in the sums of the others.
+    // A sender must not stop earlier, because its demand would be missing in the sums of the other senders.
     while limited_senders.get() < 3 {
         match timeout(Duration::from_secs(20), inputs.recv()).await.expect("in time").expect("an input") {
             Input::ReportActivity(reply) => {
@@ -71,7 +71,7 @@
                     limited_senders.set(limited_senders.get() + 1);
                 }
             }
-            other => panic!("{other:?}"),
+            other => panic!("input is {other:?}: must be an activity query or capacity updates"),
         }
     }
     first_capacity.expect("a capacity")
@@ -89,7 +89,7 @@
                 unknown_sender.send_to(malformed, addr).await.expect("sent");
             }
         }
-        let [a, b, c] = &mut senders[..] else { panic!("three") };
+        let [a, b, c] = &mut senders[..] else { panic!("expected three senders") };
         let limited_senders = Cell::new(0);
         let capacities = tokio::join!(
             run_engine(&mut a.1, 50.0, &limited_senders),
@@ -97,7 +97,7 @@
             run_engine(&mut c.1, 50.0, &limited_senders)
         );
         for capacity in [capacities.0, capacities.1, capacities.2] {
-            // The first sums may not include all three senders; encoded loads are accurate to a twentieth.
+            // The first demand sums may not include all three senders; encoded loads are accurate to a twentieth.
             assert!((LIMIT / 150.0 * 0.85..=LIMIT / 50.0 * 0.9).contains(&capacity), "{capacity}");
         }
     };
--- a/crates/sender/src/graceful_close.rs
+++ b/crates/sender/src/graceful_close.rs
@@ -1,4 +1,5 @@
-//! Closes a connection without a reset, so that the peer receives everything that was written before.
+//! Closes a connection without a reset, so that the peer (the client at the remote end) receives everything that was
+//! written before.
 //!
 //! Closing a socket with unread bytes sends a reset, and the peer loses the data that it has not read yet. To avoid
 //! this, the writing half is shut down first, and received bytes are discarded until the peer closes its side.
@@ -21,7 +22,7 @@
 /// Maximum number of bytes that are discarded; the connection of a peer that sends more may be reset. A request has a
 /// head and a body of up to 64 KiB.
 const MAX_DISCARDED: usize = 256 * 1024;
-/// Bytes read by one call.
+/// Maximum number of bytes that one call reads.
 const READ_CHUNK_SIZE: usize = 4 * 1024;
 
 /// Whether bytes have been received that this process has not read.
@@ -74,8 +75,8 @@
     false
 }
 
-/// Discards received bytes until the peer closes its side or the connection fails; returns `false` if the limit is
-/// reached before that.
+/// Discards received bytes until the peer closes its side or the connection fails; returns `false` if
+/// `discard_budget` bytes were discarded before that.
 async fn discard_until_closed(socket: &SharedSocket, discard_budget: &mut usize) -> bool {
     while *discard_budget > 0 {
         match read(socket).await {
--- a/crates/sender/src/inbound/tests.rs
+++ b/crates/sender/src/inbound/tests.rs
@@ -23,7 +23,7 @@
 const SUBMISSION: &[u8] = b"POST /safe HTTP/1.1\r\nHost: a\r\nX-Txn: m1\r\nX-Remaining: 5\r\n\
     X-Route-To: dest=7\r\nContent-Length: 4\r\n\r\ntext";
 const READINESS_CHECK: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
-/// Timeout of each step, far longer than a step takes unless it fails.
+/// Timeout of each step, far longer than any step takes unless the test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_CONNECTIONS: usize = 8;
 
@@ -81,7 +81,7 @@
     /// Asserts that the client's message is submitted, accepts it, and asserts that the response has status 202.
     async fn expect_accepted(&mut self, client: &mut TcpStream) {
         let responded = async {
-            // Fails without a timeout if the connection has ended.
+            // This fails immediately, without the timeout, if the connection has ended.
             let mut first_byte = [0; 1];
             assert_eq!(
                 client.peek(&mut first_byte).await.expect("connection without a reset"),
--- a/crates/sender/src/notifications.rs
+++ b/crates/sender/src/notifications.rs
@@ -1,5 +1,5 @@
-//! Notifications to the platform about accepted messages that were not delivered. Each is sent until the platform
-//! acknowledges it.
+//! Notifications to the platform about accepted messages that were not delivered. Each notification is sent repeatedly
+//! until the platform acknowledges it.
 
 mod delivery;
 mod request;
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct Notifications {
     queue: RefCell<VecDeque<QueuedNotification>>,
-    /// The number of the next notification in the queue.
+    /// The number of the next notification that is queued.
     next_number: Cell<u64>,
     /// Notified when a notification is queued.
     pushed: Notify,
--- a/crates/sender/src/notifications/delivery.rs
+++ b/crates/sender/src/notifications/delivery.rs
@@ -1,7 +1,7 @@
 //! Sends notifications to the platform and handles the responses.
 //!
-//! A request without a response is repeated on another connection, because a notification may be repeated but must not
-//! be late. A late response to an earlier request is still an acknowledgement.
+//! A request without a response is repeated on another connection, because a notification may be received twice but
+//! must not be late. A late response to an earlier request still acknowledges its notifications.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum time from a request to the next one.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Timeout of a response, which newer requests do not shorten.
+/// Timeout of a response. A newer request does not shorten the timeout of an earlier one.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of notifications in one request.
 const MAX_BATCH_LEN: usize = 200;
@@ -90,7 +90,7 @@
 
     async fn next_event(&mut self) -> DeliveryEvent {
         if self.notifications.is_idle() {
-            // A change of the address also matters while the queue is empty, because the idle connection belongs to the
+            // A change of the address is handled also while the queue is empty, because the idle connection is to the
             // old address.
             return tokio::select! {
                 () = self.notifications.pushed.notified() => DeliveryEvent::Pushed,
@@ -136,8 +136,8 @@
     }
 }
 
-/// Waits until the address changes, and leaves the change marked as unseen. Never resolves after the sender of
-/// `address` has been dropped.
+/// Waits until the address changes, and leaves the change marked as unseen. Never resolves after the sending half of
+/// the channel `address` has been dropped.
 async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
@@ -150,7 +150,7 @@
 struct CompletedRequest {
     /// The numbers of the notifications in the request.
     notification_numbers: Vec<u64>,
-    /// The connection, idle again, if the notifications were acknowledged.
+    /// The connection, which is idle again, if the notifications were acknowledged.
     result: Result<Connection, HttpError>,
 }
 
@@ -180,7 +180,7 @@
 }
 
 impl Requests {
-    /// No requests in flight, and later ones with one notification each.
+    /// No request is in flight, and later requests contain one notification each.
     fn one_by_one(retry_interval: Duration, next_request_at: Instant) -> Self {
         Self { retry_interval, next_request_at, max_batch_len: 1, ..Self::default() }
     }
--- a/crates/sender/src/notifications/request.rs
+++ b/crates/sender/src/notifications/request.rs
@@ -1,4 +1,5 @@
-//! A request with notifications: the body has one line of JSON for each, and status 204 acknowledges all of them.
+//! A request with notifications: the body has one line of JSON for each notification, and a response with status 204
+//! acknowledges all of them.
 
 use std::net::SocketAddr;
 
--- a/crates/sender/src/notifications/tests.rs
+++ b/crates/sender/src/notifications/tests.rs
@@ -20,6 +20,7 @@
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_millis(300);
 const ACKNOWLEDGEMENT: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
+/// Waits for `future`; the test fails after [`TEST_TIMEOUT`].
 async fn in_time<T>(what: &str, future: impl Future<Output = T>) -> T {
     timeout(TEST_TIMEOUT, future).await.unwrap_or_else(|_| panic!("timed out: {what}"))
 }
@@ -65,12 +66,12 @@
             Some(Input::NotificationsAcknowledged(message_ids)) => {
                 message_ids.iter().map(ToString::to_string).collect()
             }
-            other => panic!("{other:?}"),
+            other => panic!("input is {other:?}: must be acknowledged notifications"),
         }
     }
 }
 
-/// The platform has not responded to many requests before.
+/// The platform has not responded to the first eight requests.
 #[tokio::test]
 async fn a_notification_arrives_in_time_once_the_platform_responds() {
     let test = async {
@@ -110,7 +111,10 @@
         while !buffer.ends_with(b"}\n") {
             assert!(in_time("the idle connection", first.read_buf(&mut buffer)).await.expect("readable") > 0);
         }
-        assert!(!String::from_utf8_lossy(&buffer).contains("\"a\""), "sent twice");
+        assert!(
+            !String::from_utf8_lossy(&buffer).contains("\"a\""),
+            "the acknowledged notification was sent again"
+        );
         first.write_all(ACKNOWLEDGEMENT).await.expect("writable");
         assert_eq!(delivery.next_acknowledged().await, ["b"]);
     };
--- a/crates/sender/src/outbound/tests/deadline.rs
+++ b/crates/sender/src/outbound/tests/deadline.rs
@@ -54,8 +54,8 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// A rejection counts only if it is complete. The rest of an incomplete one is awaited until the call's deadline at the
-/// latest.
+/// A rejection counts only if it is complete. The sender waits for the rest of an incomplete rejection until the call's
+/// deadline at the latest.
 #[tokio::test]
 async fn an_incomplete_rejection_ends_its_call_at_the_deadline() {
     let test = async {
@@ -74,7 +74,7 @@
 
 /// A complete status line with status 200 proves the delivery of a message; part of a status line does not.
 #[tokio::test]
-async fn half_a_status_line_delivers_nothing() {
+async fn only_a_complete_ok_status_line_counts_as_delivered() {
     let test = async {
         for (written, outcome) in [
             ("HTTP/1.1 200", Outcome::Error),
--- a/crates/sender/src/outbound/tests/idle_connections.rs
+++ b/crates/sender/src/outbound/tests/idle_connections.rs
@@ -9,7 +9,7 @@
 
 use super::{ROUTE, call, complete_call, next_call_outcome, next_input, respond, route, set_up};
 
-/// The receiver may be about to close a connection that has been idle for long.
+/// The receiver may be about to close a connection that has been idle for nearly its idle timeout.
 #[tokio::test]
 async fn a_connection_is_not_reused_close_to_the_idle_timeout() {
     let test = async {
@@ -68,7 +68,7 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// `TCP_NODELAY` is set, so that small writes are not delayed, and are not lost by a close.
+/// `TCP_NODELAY` is set so that the system does not delay small writes, which a close would then discard.
 #[tokio::test]
 async fn an_opened_connection_sends_small_writes_at_once() {
     let test = async {
--- a/crates/sender/src/outbound/tests/interrupted.rs
+++ b/crates/sender/src/outbound/tests/interrupted.rs
@@ -40,7 +40,7 @@
     call_outcome.outcome
 }
 
-/// Buffered bytes of an interrupted call must not be sent, because the call could be executed later.
+/// The buffered bytes of an interrupted call must not be sent, because the receiver could then execute the call.
 #[tokio::test]
 async fn nothing_of_a_call_arrives_after_it_was_interrupted() {
     let test = async {
@@ -115,7 +115,8 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// All slots are taken, and one connection is idle. It is closed for the call, which loses no attempt.
+/// All slots are taken, and one connection is idle. That connection is closed to free a slot for the call, which does
+/// not count as a failed attempt.
 #[tokio::test]
 async fn a_call_without_a_free_slot_replaces_an_idle_connection() {
     let test = async {
--- a/crates/sender/src/outbound/tests/outcomes.rs
+++ b/crates/sender/src/outbound/tests/outcomes.rs
@@ -14,13 +14,14 @@
 };
 use crate::event::{Call, CallOutcome};
 
-/// Asserts the possible execution without a complete response, for each progress of the request.
+/// Asserts whether a call without a complete response counts as possibly executed, for each progress of the request.
 fn assert_possible_execution(response_progress: ResponseProgress, interruption: Interruption) {
-    // Never executed: the connection was refused, was never opened, or broke before the last byte was written.
+    // The call was not executed if the connection was refused, was not opened, or broke before the last byte was
+    // written.
     for request_progress in [RequestProgress::NotStarted, RequestProgress::Partial] {
         let outcome = outcome_without_response(request_progress, response_progress, interruption);
         assert!(!outcome.possibly_executed(), "{request_progress:?} {response_progress:?} {interruption:?}");
-        // An interruption by this process is no failure of the receiver.
+        // An interruption by this process does not count as a failure of the receiver.
         let caused_by_sender = matches!(interruption, Interruption::Cancelled | Interruption::Withheld);
         assert_eq!(
             outcome == Outcome::NotSent,
@@ -28,7 +29,7 @@
             "{request_progress:?} {response_progress:?} {interruption:?}"
         );
     }
-    // Possibly executed after the last byte was written.
+    // The call may have been executed if its last byte was written.
     let outcome = outcome_without_response(RequestProgress::Complete, response_progress, interruption);
     assert!(outcome.possibly_executed(), "{response_progress:?} {interruption:?}");
     assert_eq!(
@@ -38,7 +39,7 @@
     );
 }
 
-/// Covers each row of the protocol's table without a complete response, for each interruption.
+/// Covers, for each interruption, the rows of the protocol's table in which no complete response is received.
 #[test]
 fn possible_execution_follows_the_protocols_table() {
     for interruption in [
@@ -125,7 +126,7 @@
     read_request(&mut stream).await;
     for piece in pieces {
         stream.write_all(piece).await.expect("write to the connection");
-        // Yields so that most pieces are read one by one; the outcome does not depend on it.
+        // Yields so that most pieces are read one by one; the outcome must be the same if they are not.
         for _ in 0..3 {
             tokio::task::yield_now().await;
         }
--- a/crates/sender/src/outbound/tests/withheld.rs
+++ b/crates/sender/src/outbound/tests/withheld.rs
@@ -9,7 +9,8 @@
 use super::{ROUTE, call, complete_call, next_call_outcome, route, set_up};
 use crate::event::Call;
 
-/// The backoff or the drain is reported after the engine has started the call and before its first byte is written.
+/// The backoff or the drain is reported after the engine has started the call and before the first byte of the call is
+/// written.
 #[tokio::test]
 async fn a_call_is_withheld_by_a_later_backoff_or_drain() {
     let test = async {
--- a/crates/sender/src/platform.rs
+++ b/crates/sender/src/platform.rs
@@ -41,7 +41,7 @@
 pub(crate) struct Connection<B> {
     /// Sends requests on the connection.
     pub(crate) sender: SendRequest<B>,
-    /// Must be held as long as the connection is in use.
+    /// Must be held as long as the connection is in use, because dropping the driver closes the connection.
     pub(crate) driver: Driver,
 }
 
--- a/crates/sender/src/poll_schedule.rs
+++ b/crates/sender/src/poll_schedule.rs
@@ -4,9 +4,9 @@
 //! The sender polls the agent without an initial delay and retries after a short constant delay.
 //!
 //! In the mode `on_request`, all senders poll one discovery service, and a change is in effect
-//! [`CHANGE_IN_EFFECT_AFTER`] after the service has it. From the start of a request that fails, or the last event of a
-//! watch, to the start of the next request it takes at most [`MAX_POLL_GAP`]. Within that bound the requests of a fleet
-//! are staggered with jitter, so that a service that has just recovered does not receive all of them at once.
+//! [`CHANGE_IN_EFFECT_AFTER`] after the service has it. At most [`MAX_POLL_GAP`] passes from the start of a request
+//! that fails, or from the last event of a watch, to the start of the next request. Within that bound the requests of a
+//! fleet are staggered with jitter, so that a service that has just recovered does not receive all of them at once.
 //!
 //! A service that sheds load rejects excess requests at once and serves those that it accepts. A service that queues
 //! requests and fails them later would serve no sender at this rate, so the delays after such rejections are longer.
@@ -31,7 +31,7 @@
 const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Delay after a failed request to a local agent.
 const AGENT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Length of a round per sender; each sender sends one request in a round.
+/// Length of a polling round divided by the number of senders. In a round each sender sends one request.
 const ROUND_TIME_PER_SENDER: Duration = Duration::from_millis(100);
 /// Maximum length of a round in which requests are not staggered.
 const MAX_UNSTAGGERED_ROUND: Duration = Duration::from_secs(1);
@@ -55,12 +55,12 @@
 enum PollStrategy {
     /// Constant delays, for a local agent.
     LocalAgent,
-    /// Exponential backoff, for one of a few senders.
+    /// Exponential backoff, for a sender in a small fleet.
     Backoff {
         /// The delay after the next failure.
         next_delay: Duration,
     },
-    /// Delays with jitter, for one of many senders, whose requests are spread over a round.
+    /// Delays with jitter, for a sender in a large fleet, whose requests are spread over a round.
     Staggered {
         /// Time in which each sender polls once.
         round: Duration,
@@ -119,7 +119,7 @@
     pub(crate) fn response_timeout(&self) -> Duration {
         match self.strategy {
             PollStrategy::LocalAgent => AGENT_RESPONSE_TIMEOUT,
-            // Long enough to receive a rejection after the maximum response time.
+            // The timeout is long enough to receive a rejection that is sent after the maximum response time.
             PollStrategy::Backoff { .. } | PollStrategy::Staggered { .. } => {
                 MAX_RESPONSE_TIME + REQUEST_OVERHEAD
             }
--- a/crates/sender/src/poll_schedule/tests.rs
+++ b/crates/sender/src/poll_schedule/tests.rs
@@ -30,7 +30,7 @@
 
 // ---- Bounds ----------------------------------------------------------------------------------------------
 
-/// Discovery has the change just after a failed request; the sender receives it with the next one.
+/// Discovery has a change just after a request that failed; the sender receives the change with the next request.
 #[test]
 fn changes_arrive_before_they_are_in_effect_despite_failures() {
     for ask_within in [POLL_DEADLINE, 2_000.0, 0.0] {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Half of the time until a change is in effect has passed when a dead watch is detected.
+/// When a sender detects that a watch is dead, half of the time until a missed change is in effect has passed.
 #[test]
 fn changes_missed_by_a_dead_watch_arrive_before_taking_effect() {
     let idle = Duration::from_secs(3);
@@ -167,7 +167,7 @@
     }
 }
 
-/// All senders receive their lists in time nevertheless.
+/// The requests are staggered, and all senders still receive their lists in time.
 #[test]
 fn a_recovering_discovery_is_not_polled_by_all_senders_at_once() {
     for (seed, senders) in (0..20).flat_map(|seed| [30, 100, 300].map(|senders| (seed, senders))) {
@@ -186,13 +186,17 @@
                 last <= max_time,
                 "seed {seed}, {senders} senders, {total} s: the last list after {last} s"
             );
-            // Requests in any tenth of a second after the recovery, at most a fifth of the senders; if the requests
-            // were spread evenly, it would be a thirtieth.
+            // At most a fifth of the senders send a request in any tenth of a second after the recovery. If the
+            // requests were spread evenly, it would be a thirtieth.
             let requests_from = |from: f64| {
                 result.requests_sent_at.iter().filter(|&&at| at >= from && at < from + 0.1).count()
             };
-            let max = (0..40).map(|n| requests_from(reachable_at + f64::from(n) * 0.1)).max().expect("some");
-            assert!(max * 5 <= senders, "seed {seed}: {max} of {senders} within a tenth of a second");
+            let max =
+                (0..40).map(|n| requests_from(reachable_at + f64::from(n) * 0.1)).max().expect("a maximum");
+            assert!(
+                max * 5 <= senders,
+                "seed {seed}: {max} of {senders} senders sent a request within a tenth of a second"
+            );
         }
     }
 }
@@ -205,8 +209,12 @@
         let delay =
             |n| PollSchedule::new(ON_REQUEST, senders, n).delay_after_failure(elapsed).as_millis() / 100;
         let delays: Vec<u128> = (0..senders as u64).map(delay).collect();
-        let max = (0..60).map(|at| delays.iter().filter(|&&delay| delay == at).count()).max().expect("some");
-        assert!(max * 5 <= senders, "{max} of {senders} within a tenth of a second, {elapsed:?}");
+        let max =
+            (0..60).map(|at| delays.iter().filter(|&&delay| delay == at).count()).max().expect("a maximum");
+        assert!(
+            max * 5 <= senders,
+            "{max} of {senders} senders poll within a tenth of a second, {elapsed:?}"
+        );
     }
 }
 
