--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -9,7 +9,7 @@
 
 use crate::frame::{Batch, InstanceId, ListId, MalformedFrame, Record, Reply};
 
-// Codes for how a list update is applied. The protocol does not use code 3.
+// Codes for how a list update is applied. Other codes, 3 included, are rejected.
 const LIST_UPDATE_FULL: u8 = 0;
 const LIST_UPDATE_FAILED: u8 = 1;
 const LIST_UPDATE_DELTA: u8 = 2;
