--- a/crates/heavy-hitters/src/aggregator.rs
+++ b/crates/heavy-hitters/src/aggregator.rs
@@ -4,7 +4,7 @@
 //! for that slice. Therefore a sender receives at most one datagram for each datagram that it publishes, and
 //! two broadcasts for each slice.
 //!
-//! Memory: that of [`DigestStore`], and three numbers for each sender. The numbers are discarded at the end of
+//! Memory: the registers of [`DigestStore`], and three numbers for each sender. The numbers are discarded at the end of
 //! the slice, the stored digests when they leave the window or when this sender is no longer an aggregator.
 
 use std::collections::BTreeMap;
@@ -59,7 +59,7 @@
         Self { store, publishers: BTreeMap::new(), last_broadcast: None }
     }
 
-    /// Begins another slice; `is_selected` tells whether this sender is still an aggregator.
+    /// Begins another slice; `is_selected` is false if this sender is no longer an aggregator.
     pub(crate) fn begin_slice(&mut self, slice: Slice, is_selected: bool) {
         self.publishers.clear();
         self.store.discard_expired(slice);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Stores a digest of another sender, to which a reply is then pending.
+    /// Stores a digest of another sender; a reply to that sender is then pending.
     pub(crate) fn receive(
         &mut self,
         now: UnixMillis,
@@ -88,13 +88,14 @@
     /// Stores digests of this sender.
     pub(crate) fn insert_own(&mut self, own_id: SenderId, digests: Vec<Digest>, slice: Slice) {
         for digest in digests {
-            // Fails only if this sender accepted more messages than the configured maximum.
+            // The insertion fails only if this sender accepted more messages than the configured maximum.
             let _ = self.store.insert(own_id, digest, slice);
         }
     }
 
-    /// Returns the reply to the senders that published in earlier rounds; in a broadcast round, to all senders
-    /// that have published in this slice. `None` before the first broadcast round, and if no reply is due.
+    /// Returns the reply that is due: to the senders whose digests were received in earlier rounds, and once for each
+    /// broadcast round to all senders that have published in this slice. `None` before the first broadcast round, and if
+    /// no reply is due.
     pub(crate) fn poll_replies(
         &mut self,
         now: UnixMillis,
--- a/crates/heavy-hitters/src/digest_publisher.rs
+++ b/crates/heavy-hitters/src/digest_publisher.rs
@@ -61,7 +61,7 @@
     incarnation: Incarnation,
     last_published_round: Option<Round>,
     /// The aggregators contacted in the open slice, each with the round index of its last reply; `None` before
-    /// the first.
+    /// its first reply.
     contacted_aggregators: BTreeMap<SenderId, Option<u64>>,
     /// The acknowledged total of each acknowledged slice.
     acknowledged_totals: BTreeMap<AcknowledgedSlice, u64>,
@@ -83,14 +83,16 @@
         }
     }
 
-    /// Returns the publish time of the current round if it is in the future and the round has not been published.
+    /// Returns the publish time of the current round if it is in the future and this sender has not
+    /// published in the round.
     pub(crate) fn next_publish_time(&self, now: UnixMillis) -> Option<UnixMillis> {
         let round = Round::containing(now);
         let publish_time = round.publish_time(self.own_id.0, self.sender_count);
         (publish_time > now && self.last_published_round != Some(round)).then_some(publish_time)
     }
 
-    /// Whether the current round must be published now; true once for each round.
+    /// Whether this sender must publish now, because the publish time of the current round has come. Returns true only once
+    /// for each round.
     pub(crate) fn take_due_round(&mut self, now: UnixMillis) -> bool {
         let round = Round::containing(now);
         if now < round.publish_time(self.own_id.0, self.sender_count)
@@ -143,8 +145,8 @@
         aggregator == self.own_id || self.contacted_aggregators.get(&aggregator).is_some_and(Option::is_some)
     }
 
-    /// Selects the digests to send to an aggregator from all digests of a window: those that it has not
-    /// acknowledged. If it has acknowledged all, one digest is sent as long as another reply is needed.
+    /// Selects, from all digests of a window, the digests to send to an aggregator: those that the aggregator has not
+    /// acknowledged. If it has acknowledged all of them, one digest is sent as long as another reply is needed.
     fn due_digests(&self, to: SenderId, round_index: u64, digests: Vec<Digest>) -> Vec<Digest> {
         let (mut acknowledged, mut due): (Vec<Digest>, Vec<Digest>) =
             digests.into_iter().partition(|digest| self.is_acknowledged(to, digest));
@@ -153,7 +155,8 @@
             return acknowledged;
         }
         if due.len() > MAX_DIGESTS_PER_ROUND {
-            // Digests are rotated because none is acknowledged before the first reply.
+            // The digests are rotated from round to round, so that all are sent although none is acknowledged before the
+            // first reply.
             let rotation = round_index as usize * MAX_DIGESTS_PER_ROUND % due.len();
             due.rotate_left(rotation);
             due.truncate(MAX_DIGESTS_PER_ROUND);
--- a/crates/heavy-hitters/src/digest_store.rs
+++ b/crates/heavy-hitters/src/digest_store.rs
@@ -22,7 +22,9 @@
 #[derive(Clone, Debug, Default)]
 struct Register {
     incarnation: Incarnation,
+    /// Whether all messages that the sender accepted in the slice are counted.
     complete: bool,
+    /// Number of messages that the sender accepted in the slice.
     total: u64,
     streams: TopEntries,
     idempotency_keys: TopEntries,
--- a/crates/heavy-hitters/src/fleet_view.rs
+++ b/crates/heavy-hitters/src/fleet_view.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// How many of the complete counts of a window a view is based on; each sender has one for each slice.
+/// How many complete counts of a window a view is based on; each sender reports one complete count for each slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Coverage {
     /// Number of complete counts received.
@@ -77,30 +77,30 @@
         self.summary.slice.minus(SLICES_PER_WINDOW)..self.summary.slice
     }
 
-    /// How many of the complete counts of the window the view is based on.
+    /// How many complete counts of the window the view is based on.
     #[must_use]
     pub fn coverage(&self) -> Coverage {
         let received = self.summary.complete_counts.iter().map(|senders| usize::from(*senders)).sum();
         Coverage { received, expected: self.sender_count * SLICES_PER_WINDOW as usize }
     }
 
-    /// Number of messages that all senders accepted within the window.
+    /// Bounds of the number of messages that all senders accepted within the window.
     #[must_use]
-    pub fn messages(&self) -> Interval {
+    pub fn message_bounds(&self) -> Interval {
         let min = self.summary.messages;
         Interval { min, max: min.saturating_add(self.max_missing) }
     }
 
-    /// Number of messages of a stream that all senders accepted within the window.
+    /// Bounds of the number of messages of a stream that all senders accepted within the window.
     #[must_use]
-    pub fn stream(&self, stream: Key) -> Interval {
-        self.interval(&self.summary.streams, stream)
+    pub fn stream_bounds(&self, stream: Key) -> Interval {
+        self.key_bounds(&self.summary.streams, stream)
     }
 
-    /// Number of messages with an idempotency key that all senders accepted within the window.
+    /// Bounds of the number of messages with an idempotency key that all senders accepted within the window.
     #[must_use]
-    pub fn idempotency_key(&self, key: Key) -> Interval {
-        self.interval(&self.summary.idempotency_keys, key)
+    pub fn idempotency_key_bounds(&self, key: Key) -> Interval {
+        self.key_bounds(&self.summary.idempotency_keys, key)
     }
 
     /// The listed streams in descending order of their lower bounds.
@@ -121,10 +121,10 @@
         &self.summary
     }
 
-    fn interval(&self, top_keys: &TopKeys, key: Key) -> Interval {
+    fn key_bounds(&self, top_keys: &TopKeys, key: Key) -> Interval {
         let listed_total = top_keys.totals.iter().find(|total| total.key == key);
         let (min, max) = listed_total.map_or((0, top_keys.max_unlisted), |total| (total.min, total.max()));
-        Interval { min, max: max.saturating_add(self.max_missing).min(self.messages().max) }
+        Interval { min, max: max.saturating_add(self.max_missing).min(self.message_bounds().max) }
     }
 }
 
--- a/crates/heavy-hitters/src/heavy_hitters.rs
+++ b/crates/heavy-hitters/src/heavy_hitters.rs
@@ -1,7 +1,8 @@
 //! Heavy-hitter detection of one sender.
 //!
-//! Invariant: a sender decides only by summaries, including those of its own aggregator, and by the better of
-//! two summaries. Therefore all senders that receive the same summaries make the same decisions.
+//! Invariant: a sender decides which streams are hot only by summaries, including the summaries that it makes itself as
+//! an aggregator, and of two summaries it uses the better one. Therefore all senders that receive the same summaries
+//! make the same decisions.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -49,7 +50,7 @@
     publisher: DigestPublisher,
     aggregator: Aggregator,
     /// The slice that was open at the last call.
-    current: Slice,
+    open_slice: Slice,
     view: Option<FleetView>,
     detector: HotStreamDetector,
 }
@@ -80,7 +81,7 @@
             counter: SliceCounter::new(&settings, now, idle_before),
             publisher: DigestPublisher::new(own_id, sender_count, incarnation),
             aggregator: Aggregator::new(sender_count, settings.max_per_slice()),
-            current: Slice::containing(now, settings.slice_ms()),
+            open_slice: Slice::containing(now, settings.slice_ms()),
             view: None,
             detector: HotStreamDetector::new(settings.hot_fraction),
         })
@@ -103,8 +104,8 @@
         self.detector.hot_streams()
     }
 
-    /// The best view of the latest window; `None` before the first summary. Its age follows from
-    /// [`FleetView::slices`].
+    /// The best view of the latest window; `None` before the first summary. The age of the view follows
+    /// from [`FleetView::slices`].
     #[must_use]
     pub fn view(&self) -> Option<&FleetView> {
         self.view.as_ref()
@@ -183,12 +184,12 @@
         Ok(())
     }
 
-    /// Replaces the view if the summary is better than that of the view.
+    /// Replaces the view if the summary is better than the one on which the view is based.
     fn apply_summary(&mut self, summary: &WindowSummary) -> Result<(), DatagramError> {
         let view = FleetView::new(summary.clone(), self.sender_count, &self.settings)?;
         if let Some(previous) = &self.view {
             // If the clock was stepped forward far and then corrected, the previous view may be of a future window.
-            let previous_is_current = previous.slices().end <= self.current.plus(1);
+            let previous_is_current = previous.slices().end <= self.open_slice.plus(1);
             if previous.summary().quality() >= summary.quality() && previous_is_current {
                 return Ok(());
             }
@@ -208,14 +209,15 @@
         is_selected(slice) || is_selected(slice.plus(1))
     }
 
-    /// Begins the slice that is open at `now` and discards expired state; returns the slice.
+    /// Returns the slice that is open at `now`. Discards expired state, and begins the slice if another one was open at the
+    /// last call.
     fn begin_open_slice(&mut self, now: UnixMillis) -> Slice {
         let slice = Slice::containing(now, self.settings.slice_ms());
         self.counter.discard_expired(now);
-        if self.current != slice {
-            self.publisher.begin_slice(self.current, slice);
+        if self.open_slice != slice {
+            self.publisher.begin_slice(self.open_slice, slice);
             self.aggregator.begin_slice(slice, self.is_aggregator(slice));
-            self.current = slice;
+            self.open_slice = slice;
         }
         slice
     }
--- a/crates/heavy-hitters/src/hot_streams.rs
+++ b/crates/heavy-hitters/src/hot_streams.rs
@@ -1,13 +1,14 @@
 //! Detection of hot streams: those with a large fraction of all messages of the fleet.
 //!
 //! Invariant: a stream becomes hot only if its lower bound exceeds the hot fraction of the upper bound of all
-//! messages. It stays hot until its upper bound has been below half of that fraction of the lower bound of all
-//! messages for a window without gaps. Missing reports make lower bounds smaller and upper bounds larger and
-//! leave gaps, so they neither make a stream hot nor end that.
+//! messages. It stops being hot once its upper bound has been below the cool threshold (half the hot fraction,
+//! times the lower bound of all messages) in every view of one full window without gaps. Missing reports make lower
+//! bounds smaller and upper bounds larger and leave gaps, so missing reports can neither make a stream hot nor make a
+//! hot stream cool.
 //!
 //! At most `1 / fraction` streams are hot because the lower bounds of one window add up to at most the upper
-//! bound of all messages. If one more stream exceeds the fraction, an earlier one is below it by now, and the
-//! lightest one is removed.
+//! bound of all messages. If one more stream exceeds the hot fraction, at least one of the hot streams no longer
+//! exceeds it, and the hot stream with the smallest lower bound is removed.
 
 use std::collections::BTreeMap;
 
@@ -19,22 +20,23 @@
 /// between the two thresholds, so a stream does not alternate between hot and not hot.
 const COOL_FACTOR: f64 = 0.5;
 
-/// Consecutive views without a gap in which a stream was cool. A view is identified by the slice after its window.
+/// The first and the last of the consecutive views, without a gap, in which a stream was below the cool threshold. A
+/// view is identified by the slice after its window.
 #[derive(Clone, Copy, Debug)]
 struct CoolPeriod {
     first: Slice,
     last: Slice,
 }
 
-/// The state of a hot stream.
+/// Whether and since when a hot stream has been below the cool threshold.
 #[derive(Clone, Copy, Debug, Default)]
 struct HotStream {
-    /// `None` if the stream was not cool in the latest view.
+    /// `None` if the stream was not below the cool threshold in the latest view.
     cool_period: Option<CoolPeriod>,
 }
 
 impl HotStream {
-    /// Records a view in which the stream was cool; returns whether the stream stays hot.
+    /// Records a view in which the stream was below the cool threshold. Returns whether the stream stays hot.
     fn record_cool_view(&mut self, slice: Slice) -> bool {
         // There is a gap if the windows of two views neither overlap nor are adjacent.
         let continued_period =
@@ -45,7 +47,7 @@
     }
 }
 
-/// Decides which streams are hot, from one view after the other.
+/// Decides which streams are hot, given the views of the fleet in the order of their windows.
 #[derive(Clone, Debug)]
 pub struct HotStreamDetector {
     hot_fraction: f64,
@@ -61,23 +63,23 @@
 
     /// Marks as hot the streams that exceed the hot fraction in a view.
     pub fn detect(&mut self, view: &FleetView) {
-        let threshold = self.hot_fraction * view.messages().max as f64;
-        for total in view.streams().iter().filter(|total| total.min as f64 > threshold) {
+        let hot_threshold = self.hot_fraction * view.message_bounds().max as f64;
+        for total in view.streams().iter().filter(|total| total.min as f64 > hot_threshold) {
             if !self.hot_streams.contains_key(&total.key) {
-                self.evict_lightest_if_full(view);
+                self.evict_smallest_if_full(view);
                 self.hot_streams.insert(total.key, HotStream::default());
             }
         }
     }
 
-    /// Removes the hot streams that have been cool for a window; `view` must be the last and most precise view
-    /// of its slice.
+    /// Removes the hot streams that have been below the cool threshold for a window. Of the views whose windows end with
+    /// the same slice, `view` must be the last one, which is the most precise.
     pub fn remove_cooled(&mut self, view: &FleetView) {
         let slice = view.slices().end;
-        let threshold = COOL_FACTOR * self.hot_fraction * view.messages().min as f64;
+        let cool_threshold = COOL_FACTOR * self.hot_fraction * view.message_bounds().min as f64;
         self.hot_streams.retain(|key, stream| {
-            let max = view.stream(*key).max;
-            if max as f64 >= threshold && max > 0 {
+            let upper_bound = view.stream_bounds(*key).max;
+            if upper_bound as f64 >= cool_threshold && upper_bound > 0 {
                 stream.cool_period = None;
                 return true;
             }
@@ -96,14 +98,14 @@
         self.hot_streams.keys().copied()
     }
 
-    /// Removes the lightest hot stream if the maximum number of hot streams is reached.
-    fn evict_lightest_if_full(&mut self, view: &FleetView) {
+    /// Removes the hot stream with the smallest lower bound if the maximum number of hot streams is reached.
+    fn evict_smallest_if_full(&mut self, view: &FleetView) {
         let max_hot = (1.0 / self.hot_fraction) as usize;
-        let weight = |key: &Key| (view.stream(*key).min, *key);
+        let lower_bound_then_key = |key: &Key| (view.stream_bounds(*key).min, *key);
         if self.hot_streams.len() >= max_hot
-            && let Some(lightest) = self.hot_streams.keys().copied().min_by_key(weight)
+            && let Some(smallest) = self.hot_streams.keys().copied().min_by_key(lower_bound_then_key)
         {
-            self.hot_streams.remove(&lightest);
+            self.hot_streams.remove(&smallest);
         }
     }
 }
--- a/crates/heavy-hitters/src/repeated_key.rs
+++ b/crates/heavy-hitters/src/repeated_key.rs
@@ -20,8 +20,9 @@
     pub window_end: UnixMillis,
 }
 
-/// Returns bounds on the copies of an idempotency key if, by a view that is less than a window old at `now`,
-/// several senders accepted the key; a slice has `slice_ms` milliseconds.
+/// Returns bounds on the copies of an idempotency key, or `None` unless the view lists the key as accepted by several
+/// senders and the window of the view ended less than one window before or after `now`. A slice has `slice_ms`
+/// milliseconds.
 ///
 /// Not every repeated key is found because digests do not list all keys. To make a match likely, all senders
 /// order equally frequent keys in the same way, which differs from slice to slice, so that a key is published
--- a/crates/heavy-hitters/src/tests/key.rs
+++ b/crates/heavy-hitters/src/tests/key.rs
@@ -1,4 +1,4 @@
-//! Which inputs a key depends on.
+//! Tests on which inputs a key depends.
 use crate::key::KeyHasher;
 
 /// The key depends on its kind, on where the tenant's name ends, and on the secret of the fleet.
--- a/crates/heavy-hitters/src/window_summary.rs
+++ b/crates/heavy-hitters/src/window_summary.rs
@@ -70,7 +70,7 @@
     pub fn new(slice: Slice, round_index: u8, totals: &WindowTotals) -> Self {
         let streams = heaviest_first(&totals.streams);
         let idempotency_keys = most_repeated_first(&totals.idempotency_keys);
-        // A key of a single sender was not retried at another sender.
+        // A key that only one sender accepted was not retried at another sender, so it is not listed.
         let repeated_count = idempotency_keys.partition_point(|total| total.senders > 1);
         let available_len = MAX_BODY_LEN.saturating_sub(max_head_len(slice, totals));
         let packed = pack_alternately(
@@ -116,7 +116,7 @@
 }
 
 impl TopKeys {
-    /// Takes the first `count` totals; no upper bound exceeds the number of all messages.
+    /// Takes the first `count` totals. Upper bounds are reduced to `messages`, the number of all messages.
     fn first(mut totals: Vec<KeyTotal>, count: usize, max_unlisted: u64, messages: u64) -> Self {
         let unlisted = totals[count..].iter().map(KeyTotal::max);
         let max_unlisted = unlisted.fold(max_unlisted, u64::max).min(messages);
--- a/crates/heavy-hitters/tests/digest_store.rs
+++ b/crates/heavy-hitters/tests/digest_store.rs
@@ -1,5 +1,5 @@
-//! Totals are independent of order, duplicates and replays, and intervals contain the true counts if datagrams
-//! are lost.
+//! Tests that the totals do not depend on the order, duplicates and replays of digests, and that intervals contain the
+//! true counts if digests are lost.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,8 @@
 struct SenderTraffic {
     /// The key of each message, by slice of the window; at most 20 messages in a slice.
     keys_by_slice: Vec<Vec<u64>>,
-    /// The position of the slice after half of whose messages the sender restarts without its counts.
+    /// The position of the slice in which the sender restarts without its counts, after half of the messages of that
+    /// slice; `None` if the sender does not restart.
     restart_in: Option<usize>,
 }
 
@@ -151,14 +152,14 @@
             .expect("the summary counts each sender at most once in a slice");
         let true_total = true_counts.values().sum();
         prop_assert!(
-            view.messages().contains(true_total),
-            "true total {} is outside {:?}", true_total, view.messages()
+            view.message_bounds().contains(true_total),
+            "true total {} is outside {:?}", true_total, view.message_bounds()
         );
         for key in (0..31).map(Key::new) {
             let count = true_counts.get(&key).copied().unwrap_or(0);
             prop_assert!(
-                view.stream(key).contains(count),
-                "true count {} of {:?} is outside {:?}", count, key, view.stream(key)
+                view.stream_bounds(key).contains(count),
+                "true count {} of {:?} is outside {:?}", count, key, view.stream_bounds(key)
             );
         }
     }
@@ -173,8 +174,8 @@
     counter.digest(Incarnation(incarnation), slice).expect("the process started in this slice")
 }
 
-/// After that, a digest of the earlier incarnation is rejected, as are unknown senders, other windows and large
-/// totals.
+/// Once the later digest is stored, a digest of the earlier incarnation is rejected. Digests of unknown senders, of slices
+/// outside the window and with too large totals are rejected, too.
 #[test]
 fn a_later_incarnation_replaces_the_digest_of_its_slice() {
     let slice = before_current(1);
@@ -204,7 +205,8 @@
     assert_eq!(store.register_count(), 0);
 }
 
-/// This does not apply to slices of which a digest was received, whether before or after the digest of the start.
+/// A slice of which a digest was received, whether before or after the digest of the start, keeps the content of that
+/// digest.
 #[test]
 fn slices_before_a_first_start_are_complete_and_empty() {
     let counts_and_messages = |store: &DigestStore| {
--- a/crates/heavy-hitters/tests/faults.rs
+++ b/crates/heavy-hitters/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Detection while senders are unreachable, down or restarted, and of streams that are heavy only in total.
+//! Tests the detection of hot streams while senders are unreachable, down or restarted, and the detection of streams
+//! that are heavy only in total.
 
 mod simulation;
 
--- a/crates/heavy-hitters/tests/hot_streams.rs
+++ b/crates/heavy-hitters/tests/hot_streams.rs
@@ -1,4 +1,4 @@
-//! When a stream becomes hot and when that ends, tested with constructed views.
+//! Tests with constructed views when a stream becomes hot and when it stops being hot.
 
 use proptest::prelude::{prop, prop_assert, proptest};
 use rudderspindle_clock::UnixMillis;
@@ -131,7 +131,7 @@
             detector.detect(&view);
             prop_assert!(detector.hot_streams().count() <= 10);
             for key in detector.hot_streams().filter(|key| !hot_before.contains(key)) {
-                prop_assert!(view.stream(key).min > 100);
+                prop_assert!(view.stream_bounds(key).min > 100);
             }
             prop_assert!(streams.iter().all(|stream| stream.min <= 100 || detector.is_hot(Key::new(stream.key))));
             detector.remove_cooled(&view);
--- a/crates/heavy-hitters/tests/simulation/mod.rs
+++ b/crates/heavy-hitters/tests/simulation/mod.rs
@@ -184,13 +184,13 @@
             let Some(view) = sender.view() else { continue };
             let true_counts = self.accepted_in(view.slices());
             let true_total = true_counts.values().sum();
-            let messages = view.messages();
+            let messages = view.message_bounds();
             assert!(
                 messages.contains(true_total),
                 "sender {index}: true total {true_total} is outside {messages:?} in {view:?}"
             );
             for (key, count) in &true_counts {
-                let interval = view.stream(*key);
+                let interval = view.stream_bounds(*key);
                 assert!(
                     interval.contains(*count),
                     "sender {index}: true count {count} is outside {interval:?} in {view:?}"
@@ -198,7 +198,7 @@
             }
             for total in view.streams() {
                 let count = true_counts.get(&total.key).copied().unwrap_or(0);
-                let interval = view.stream(total.key);
+                let interval = view.stream_bounds(total.key);
                 assert!(
                     interval.contains(count),
                     "sender {index}: true count {count} is outside the interval of {total:?} in {view:?}"
--- a/crates/placement/src/access.rs
+++ b/crates/placement/src/access.rs
@@ -1,6 +1,7 @@
 //! Decides in which zones a sender may act for a tenant.
 //!
-//! Invariant: a ruled tenant has access to no zone without a lease, and only to zones that all held rule sets allow.
+//! Invariant: without a valid lease, a sender may act for a ruled tenant in no zone; with a valid lease, only in the
+//! zones that all held rule sets allow.
 
 use rudderspindle_clock::UnixMillis;
 use thiserror::Error;
--- a/crates/placement/src/body_disposal.rs
+++ b/crates/placement/src/body_disposal.rs
@@ -1,7 +1,7 @@
 //! Disposal of stored bodies of tenants whose zones no longer include this sender's zone.
 //!
 //! Invariant: such a body is erased within `erase_within_ms` after the rule that excludes the zone was received, and a message
-//! that may have been executed is never returned to its client for another zone.
+//! that may have been executed is never returned to its client, which could send it again in another zone.
 
 use rudderspindle_clock::UnixMillis;
 
@@ -29,38 +29,41 @@
     /// Return the message to its client as deferred, and erase the body.
     ReturnToClient {
         /// When the body must be erased at the latest.
-        deadline: UnixMillis,
+        erase_deadline: UnixMillis,
     },
-    /// Start no further calls, wait until the call in flight ends, and then ask for the disposal again.
-    AwaitOutcome {
+    /// Start no further calls, wait until the call in flight ends, and then call [`Placement::body_disposal`] again with the
+    /// new execution state.
+    AwaitCallEnd {
         /// When the call must have ended at the latest.
-        deadline: UnixMillis,
+        call_deadline: UnixMillis,
     },
-    /// Complete the message as its class determines for possibly executed messages, and erase the body.
+    /// Complete the message with the result that its class sets for messages that may have been executed, and erase the body.
     CompleteByClass {
         /// When the body must be erased at the latest.
-        deadline: UnixMillis,
+        erase_deadline: UnixMillis,
     },
     /// Rewrite the message's journal records without the body.
     Erase {
         /// When the body must be erased at the latest.
-        deadline: UnixMillis,
+        erase_deadline: UnixMillis,
     },
 }
 
 impl Placement {
-    /// The disposal of a stored body of this tenant. Must be called again after each event and whenever a call ends. An expired
-    /// lease causes no disposal.
+    /// What must be done with a stored body of this tenant.
+    ///
+    /// Must be called again after each [`Placement::reload`], [`Placement::receive`] and [`Placement::poll_datagrams`], because
+    /// these may change the tenant's zones, and whenever a call ends. A body is kept if only this sender's lease has expired.
     pub fn body_disposal(&self, tenant: TenantId, state: ExecutionState) -> BodyDisposal {
         let Some(&excluded_since) = self.excluded_since.get(&tenant) else { return BodyDisposal::Keep };
-        let deadline = excluded_since.saturating_add(self.settings.erase_within_ms);
+        let erase_deadline = excluded_since.saturating_add(self.settings.erase_within_ms);
         match state {
-            ExecutionState::NeverExecuted => BodyDisposal::ReturnToClient { deadline },
-            ExecutionState::PossiblyExecuted => BodyDisposal::CompleteByClass { deadline },
-            ExecutionState::InFlight => BodyDisposal::AwaitOutcome {
-                deadline: excluded_since.saturating_add(self.settings.max_call_ms),
+            ExecutionState::NeverExecuted => BodyDisposal::ReturnToClient { erase_deadline },
+            ExecutionState::PossiblyExecuted => BodyDisposal::CompleteByClass { erase_deadline },
+            ExecutionState::InFlight => BodyDisposal::AwaitCallEnd {
+                call_deadline: excluded_since.saturating_add(self.settings.max_call_ms),
             },
-            ExecutionState::Completed => BodyDisposal::Erase { deadline },
+            ExecutionState::Completed => BodyDisposal::Erase { erase_deadline },
         }
     }
 }
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -33,7 +33,7 @@
         /// The rule set.
         id: RuleSetId,
     },
-    /// A rule set was dropped, because [`MAX_RULE_SETS`](crate::MAX_RULE_SETS) are held.
+    /// A received rule set was not added, because [`MAX_RULE_SETS`](crate::MAX_RULE_SETS) are held.
     TooManyRuleSets {
         /// The rule set.
         id: RuleSetId,
@@ -45,7 +45,7 @@
         /// The sender of the last part.
         from: SenderId,
     },
-    /// This sender had been started without a record, and votes again.
+    /// This sender, which was started without a record, has recovered and votes again.
     Recovered,
     /// The lease is valid for the first time since the start or since it expired.
     LeaseAcquired {
--- a/crates/placement/src/gossip_message.rs
+++ b/crates/placement/src/gossip_message.rs
@@ -51,8 +51,8 @@
         "summary contradicts itself: each rule set in a report must be named and, if acknowledged, stored"
     )]
     InvalidSummary,
-    /// The sender of the message is not another sender of this fleet, or this sender or the other one is not an aggregator of
-    /// the message's round.
+    /// The named sender is not another sender of this fleet, or it is not an aggregator of the message's round: the sender of a
+    /// summary and the recipient of a heartbeat must be one.
     #[error("sender {0} is not in this fleet, or not an aggregator of the message's round")]
     UnexpectedSender(SenderId),
     /// The round is over or has not begun.
--- a/crates/placement/src/heartbeat_collector.rs
+++ b/crates/placement/src/heartbeat_collector.rs
@@ -49,21 +49,22 @@
 }
 
 impl HeartbeatCollector {
-    /// Adds a heartbeat of a current round. Of two heartbeats of one sender, the one of the later incarnation is used.
+    /// Adds a heartbeat of a current round. Of two heartbeats of one sender, the one of the later
+    /// incarnation is used; of the same incarnation, the one received last.
     pub fn insert(&mut self, from: SenderId, heartbeat: &Heartbeat) {
         if heartbeat.round <= self.last_summarized_round {
             return;
         }
-        let round = self.rounds.entry(heartbeat.round).or_default();
-        if round.get(&from).is_none_or(|known| known.incarnation <= heartbeat.incarnation) {
-            round.insert(from, CollectedHeartbeat::of(heartbeat));
+        let heartbeats = self.rounds.entry(heartbeat.round).or_default();
+        if heartbeats.get(&from).is_none_or(|known| known.incarnation <= heartbeat.incarnation) {
+            heartbeats.insert(from, CollectedHeartbeat::of(heartbeat));
         }
         while self.rounds.len() > MAX_OPEN_ROUNDS {
             self.rounds.pop_first();
         }
     }
 
-    /// Removes the rounds that are due at `now` and returns their summaries for a fleet of `sender_count` senders.
+    /// Removes the rounds whose summaries are due at `now` and returns their summaries for a fleet of `sender_count` senders.
     pub fn due_summaries(&mut self, now: UnixMillis, sender_count: u16) -> Vec<RoundSummary> {
         let mut due = Vec::new();
         while let Some(first) = self.rounds.first_entry() {
--- a/crates/placement/src/held_rule_sets.rs
+++ b/crates/placement/src/held_rule_sets.rs
@@ -46,17 +46,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct HeldRuleSets {
     pub by_id: BTreeMap<RuleSetId, HeldRuleSet>,
-    /// The highest revision known to be committed; 0 if none is.
+    /// The highest revision known to be committed; 0 if no revision is.
     pub committed_revision: u64,
 }
 
 impl HeldRuleSets {
-    /// The highest revision held; 0 if none is.
+    /// The highest revision of the held rule sets; 0 if no rule set is held.
     pub fn highest_revision(&self) -> u64 {
         self.by_id.keys().next_back().map_or(0, |id| id.revision)
     }
 
-    /// Adds a rule set that is received at `now`; its restrictions apply immediately.
+    /// Adds a rule set that was received at `now`; the restrictions of an added rule set apply immediately.
     pub fn insert(&mut self, id: RuleSetId, rules: RuleSet, now: UnixMillis) -> Insertion {
         if self.by_id.contains_key(&id) {
             return Insertion::AlreadyHeld;
@@ -72,7 +72,8 @@
         Insertion::Added { conflicting }
     }
 
-    /// Marks a rule set as committed and drops lower revisions. Returns false if it was committed already or is not held.
+    /// Marks a rule set as committed and drops lower revisions. Returns false if its revision or a higher one is committed
+    /// already, or if the rule set is not held.
     pub fn commit(&mut self, id: RuleSetId) -> bool {
         if id.revision <= self.committed_revision || !self.by_id.contains_key(&id) {
             return false;
@@ -92,12 +93,12 @@
         self.by_id.values().flat_map(|held| held.rules.zones_by_tenant.keys().copied())
     }
 
-    /// Acknowledges a rule set. Returns false if it was acknowledged already or is not held.
+    /// Acknowledges a rule set. Returns false if the rule set was acknowledged already or is not held.
     pub fn acknowledge(&mut self, id: RuleSetId) -> bool {
         self.by_id.get_mut(&id).is_some_and(|held| held.announced_since.take().is_some())
     }
 
-    /// Acknowledges the rule sets that have been announced for `announce_ms` at `now`. Returns whether there were any.
+    /// Acknowledges the rule sets that have been announced for `announce_ms` at `now`. Returns whether any was acknowledged.
     pub fn acknowledge_due(&mut self, now: UnixMillis, announce_ms: u64) -> bool {
         let mut acknowledged = false;
         for held in self.by_id.values_mut() {
@@ -118,7 +119,7 @@
         bits
     }
 
-    /// Whether a rule set is not held and may still apply, so that it must be downloaded.
+    /// Whether a rule set must be downloaded: it is not held, and no higher revision is known to be committed.
     pub fn is_missing(&self, id: RuleSetId) -> bool {
         id.revision >= self.committed_revision.max(1) && !self.by_id.contains_key(&id)
     }
--- a/crates/placement/src/lease.rs
+++ b/crates/placement/src/lease.rs
@@ -1,7 +1,8 @@
 //! The lease under which a sender acts for ruled tenants, and the recovery of a sender that lost its record.
 //!
-//! Invariant: a lease begins at the start of the round that renewed it, so that delays shorten it. In true time it ends at most
-//! `lease_ms + 2 * clock_error_ms` after any heartbeat on which it is based.
+//! Invariant: a lease begins at the start of the round that renewed it, so that a delayed summary shortens the lease and never
+//! extends it. In true time, the lease ends at most `lease_ms + 2 * clock_error_ms` after any heartbeat on which it is
+//! based.
 
 use std::collections::BTreeSet;
 
@@ -26,13 +27,14 @@
 }
 
 impl Lease {
-    /// The state at a start, without a lease; `voting` is that of the record, false without one.
+    /// The state at a start, without a lease; `voting` is the value in the record, or false without a record.
     pub fn new(voting: bool, started_at: UnixMillis) -> Lease {
         let (senders_seen, voting_senders_seen) = (BTreeSet::new(), BTreeSet::new());
         Lease { expires_at: UnixMillis::EPOCH, voting, started_at, senders_seen, voting_senders_seen }
     }
 
-    /// Applies a summary whose acknowledged rule sets this sender holds. Returns whether the sender recovered and votes again.
+    /// Applies a summary. This sender must hold all rule sets that the summary reports as acknowledged. Returns whether this
+    /// sender recovered and votes again.
     pub fn apply_summary(&mut self, summary: &RoundSummary, settings: &Settings) -> bool {
         let recovered = !self.voting && self.try_recover(summary, settings);
         let others = summary.reports_except(settings.own_id);
@@ -47,11 +49,11 @@
     /// Makes this sender vote again if that is safe. Returns whether it votes.
     ///
     /// A sender that lost its record may have been part of a majority that committed a revision. It votes again once it holds
-    /// the rule sets of a majority of senders without itself, or of all other senders, in rounds that began after its start,
+    /// the rule sets of a majority that does not include itself, or of all other senders, in rounds that began after its start,
     /// because at least one of those senders holds that revision, too.
     fn try_recover(&mut self, summary: &RoundSummary, settings: &Settings) -> bool {
-        let earliest = self.started_at.saturating_add(settings.clock_error_ms.saturating_mul(2));
-        if summary.round.start() < earliest {
+        let earliest_round_start = self.started_at.saturating_add(settings.clock_error_ms.saturating_mul(2));
+        if summary.round.start() < earliest_round_start {
             return false;
         }
         for (sender, report) in summary.reports_except(settings.own_id) {
@@ -62,8 +64,8 @@
                 self.voting_senders_seen.insert(sender);
             }
         }
-        let seen_all = self.senders_seen.len() + 1 == usize::from(settings.sender_count);
-        self.voting = seen_all || settings.is_majority(self.voting_senders_seen.len());
+        let all_others_seen = self.senders_seen.len() + 1 == usize::from(settings.sender_count);
+        self.voting = all_others_seen || settings.is_majority(self.voting_senders_seen.len());
         if self.voting {
             self.senders_seen.clear();
             self.voting_senders_seen.clear();
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,7 +1,7 @@
-//! Data residency: in which zones a tenant's messages may be accepted, stored and sent to.
+//! Data residency: the zones in which a tenant's messages may be accepted and stored, and to which they may be sent.
 //!
-//! Invariant: once a revision has been committed for longer than the lease, twice the clock error and one call, no sender
-//! accepts or sends messages of a ruled tenant outside the zones of that revision.
+//! Invariant: once a revision has been committed for longer than the sum of the lease, twice the clock error and the maximum
+//! duration of a call, no sender accepts or sends messages of a ruled tenant outside the zones of that revision.
 //!
 //! An operator's file assigns zones to tenants ([`RuleSet`]); a tenant with such a rule is a ruled tenant. Senders report the
 //! rule sets that they hold by gossip, and transfer them to each other. A revision is committed once a majority of the senders
@@ -12,7 +12,7 @@
 //! The crate does no I/O and reads no clock: the caller passes the time and the received datagrams to [`Placement`], which
 //! returns the datagrams to send. The crate does not depend on messages, receivers or the journal.
 //!
-//! Where to begin reading: `placement` (the state), `outgoing` and `incoming` (datagrams), `quorum` (the effects of a round),
+//! Entry points for a reader: `placement` (the state), `outgoing` and `incoming` (datagrams), `quorum` (the effects of a round),
 //! `access` and `body_disposal` (the decisions).
 #![forbid(unsafe_code)]
 #![warn(clippy::disallowed_methods)]
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -86,7 +86,7 @@
     pub(crate) uploads: RuleSetUploads,
     /// The tenants whose zones do not include this sender's zone, and since when.
     pub(crate) excluded_since: BTreeMap<TenantId, UnixMillis>,
-    /// Number of changes of the state that must be persisted.
+    /// Number of changes, since the start, of the state that must be persisted.
     pub(crate) generation: u64,
     /// The latest generation that is on disk.
     pub(crate) persisted_generation: u64,
@@ -96,7 +96,7 @@
 impl Placement {
     /// The snapshot that must be on disk before the next heartbeat is sent, or `None` if nothing has changed.
     ///
-    /// Must be called before each [`Placement::poll_datagrams`]. Acknowledges the rule sets that have been announced for
+    /// Must be called before each [`Placement::poll_datagrams`]. Also acknowledges the rule sets that have been announced for
     /// `announce_ms`.
     pub fn poll_snapshot(&mut self, now: UnixMillis) -> Option<Snapshot> {
         if self.held.acknowledge_due(now, self.settings.announce_ms) {
@@ -120,7 +120,7 @@
         self.persisted_generation = self.persisted_generation.max(generation.min(self.generation));
     }
 
-    /// When the lease expires; the Unix epoch if there has been none since the start. The caller must check it immediately
+    /// When the lease expires; the Unix epoch if no lease was acquired since the start. The caller must check it immediately
     /// before it sends a call.
     pub fn lease_expires_at(&self) -> UnixMillis {
         self.lease.expires_at
@@ -131,7 +131,7 @@
         self.held.by_id.keys().copied()
     }
 
-    /// The highest revision known to be committed; 0 if none is.
+    /// The highest revision known to be committed; 0 if no revision is.
     pub fn committed_revision(&self) -> u64 {
         self.held.committed_revision
     }
@@ -153,8 +153,8 @@
         self.events.push(event);
     }
 
-    /// Must be called after each change of the state to be persisted; also updates the tenants that exclude this sender's
-    /// zone.
+    /// Must be called after each change of the state to be persisted; also updates the tenants whose zones do not
+    /// include this sender's zone.
     pub(crate) fn mark_changed(&mut self, now: UnixMillis) {
         self.generation += 1;
         let mut excluded_since = BTreeMap::new();
@@ -172,7 +172,7 @@
         self.persisted_generation == self.generation
     }
 
-    /// Whether this sender holds no rule set and does not vote, so that it cannot tell which tenants are ruled.
+    /// Whether this sender holds no rule set and does not vote, so that the ruled tenants are unknown to it.
     pub(crate) fn has_no_rules(&self) -> bool {
         self.held.by_id.is_empty() && !self.lease.voting
     }
--- a/crates/placement/src/quorum.rs
+++ b/crates/placement/src/quorum.rs
@@ -11,7 +11,7 @@
     /// Applies the summary of a current round.
     ///
     /// Commits the rule sets that a majority acknowledges. The summary renews the lease only if this sender holds every rule
-    /// set that some sender acknowledges; missing ones are downloaded first.
+    /// set that some sender acknowledges; missing rule sets are downloaded first.
     pub(crate) fn apply_summary(&mut self, now: UnixMillis, summary: &RoundSummary) {
         for (slot, id) in summary.rule_sets_with_slots() {
             self.commit_by_majority(now, summary, slot, id);
@@ -33,10 +33,11 @@
     /// Commits a rule set that a majority acknowledged in the summary's round.
     ///
     /// This sender's own acknowledgement counts only if the summary includes it: if it was made after that round, senders that
-    /// acknowledged in the round may have lost their state since, so that there never was a majority.
+    /// acknowledged in the round may have lost their state since, so that their acknowledgements and its own may never have
+    /// formed a majority.
     fn commit_by_majority(&mut self, now: UnixMillis, summary: &RoundSummary, slot: usize, id: RuleSetId) {
-        let acknowledging = summary.acknowledging(slot).count();
-        if self.settings.is_majority(acknowledging) && self.held.commit(id) {
+        let acknowledgement_count = summary.senders_acknowledging(slot).count();
+        if self.settings.is_majority(acknowledgement_count) && self.held.commit(id) {
             self.record_event(PlacementEvent::RuleSetCommitted { id });
             self.mark_changed(now);
         }
@@ -45,7 +46,7 @@
     /// Acknowledges an announced rule set early if another sender acknowledges it or all voting senders store it.
     fn acknowledge_early(&mut self, now: UnixMillis, summary: &RoundSummary, slot: usize, id: RuleSetId) {
         let own_id = self.settings.own_id;
-        let acknowledged_elsewhere = summary.acknowledging(slot).any(|sender| sender != own_id);
+        let acknowledged_elsewhere = summary.senders_acknowledging(slot).any(|sender| sender != own_id);
         let is_propagated = acknowledged_elsewhere || summary.is_stored_by_all_others(slot, own_id);
         if is_propagated && self.held.acknowledge(id) {
             self.mark_changed(now);
--- a/crates/placement/src/round_summary.rs
+++ b/crates/placement/src/round_summary.rs
@@ -81,19 +81,19 @@
     }
 
     /// The senders that store the rule set in a slot, so that they can transfer it.
-    pub fn storing(&self, slot: usize) -> impl Iterator<Item = SenderId> {
+    pub fn senders_storing(&self, slot: usize) -> impl Iterator<Item = SenderId> {
         self.senders_whose_mask(move |mask| mask.is_stored(slot))
     }
 
     /// The senders that acknowledge the rule set in a slot.
-    pub fn acknowledging(&self, slot: usize) -> impl Iterator<Item = SenderId> {
+    pub fn senders_acknowledging(&self, slot: usize) -> impl Iterator<Item = SenderId> {
         self.senders_whose_mask(move |mask| mask.is_acknowledged(slot))
     }
 
     /// Whether all voting senders other than `own_id` store the rule set in a slot, and are a majority together with `own_id`.
     pub fn is_stored_by_all_others(&self, slot: usize, own_id: SenderId) -> bool {
         let voting = self.reports_except(own_id).filter(|(_, report)| report.is_voting()).count();
-        let storing = self.storing(slot).filter(|&sender| sender != own_id).count();
+        let storing = self.senders_storing(slot).filter(|&sender| sender != own_id).count();
         storing == voting && (voting + 1) * 2 > self.reports.len()
     }
 
--- a/crates/placement/src/rule_set.rs
+++ b/crates/placement/src/rule_set.rs
@@ -114,7 +114,7 @@
             }
             let tenant = key.tenant_id(rule.tenant);
             if let Some(earlier) = names_by_id.insert(tenant, rule.tenant) {
-                return Err(repeated_id(earlier, rule.tenant));
+                return Err(repeated_tenant_error(earlier, rule.tenant));
             }
             zones_by_tenant.insert(tenant, rule.zone_set(zones)?);
         }
@@ -183,7 +183,7 @@
 }
 
 /// The error of two rules with the same tenant id: they name one tenant, or two tenants whose hashes collide.
-fn repeated_id(earlier: &str, later: &str) -> RuleSetError {
+fn repeated_tenant_error(earlier: &str, later: &str) -> RuleSetError {
     if earlier == later {
         RuleSetError::DuplicateTenant(later.to_owned())
     } else {
--- a/crates/placement/src/rule_set_downloads.rs
+++ b/crates/placement/src/rule_set_downloads.rs
@@ -1,7 +1,7 @@
 //! Downloads rule sets that other senders store and this sender does not hold.
 //!
-//! Invariant: a rule set is assembled only from parts with its id, only until it is no longer in summaries, and is used only if
-//! the hash of its content matches the id.
+//! Invariant: a rule set is assembled only from parts with its id and used only if the hash of its content matches the id. Its
+//! download is abandoned some time after summaries no longer contain the rule set.
 
 use std::collections::BTreeMap;
 
@@ -92,7 +92,7 @@
     ) -> bool {
         let mut may_be_committed = false;
         for (slot, id) in summary.rule_sets_with_slots().filter(|(_, id)| held.is_missing(*id)) {
-            may_be_committed |= summary.acknowledging(slot).next().is_some();
+            may_be_committed |= summary.senders_acknowledging(slot).next().is_some();
             self.fetch(id, slot, summary, settings);
         }
         // The lowest revisions are abandoned first, because the commit of a higher revision makes them obsolete.
@@ -104,7 +104,7 @@
 
     fn fetch(&mut self, id: RuleSetId, slot: usize, summary: &RoundSummary, settings: &Settings) {
         let sources: Vec<SenderId> =
-            summary.storing(slot).filter(|&sender| sender != settings.own_id).collect();
+            summary.senders_storing(slot).filter(|&sender| sender != settings.own_id).collect();
         let salt = DrawSalt::of_sender(settings.own_id.0);
         let source_index = settings.key.draw(summary.round.number(), salt, sources.len());
         let Some(&source) = sources.get(source_index) else { return };
@@ -125,15 +125,15 @@
         self.by_id.insert(id, download);
     }
 
-    /// Abandons downloads of rule sets that are no longer missing, or without a summary or part for
-    /// [`DOWNLOAD_TIMEOUT_ROUNDS`].
+    /// Abandons the downloads of rule sets that are no longer missing, and those for which no summary and no part was
+    /// received for [`DOWNLOAD_TIMEOUT_ROUNDS`].
     pub fn abandon_obsolete(&mut self, round: Round, held: &HeldRuleSets) {
         self.by_id.retain(|id, download| {
             held.is_missing(*id) && download.last_active_round.plus(DOWNLOAD_TIMEOUT_ROUNDS) >= round
         });
     }
 
-    /// The request that is due at `now`, for each of the rule sets in turn.
+    /// The request that is due at `now`, if any. Successive requests are for each of the downloaded rule sets in turn.
     pub fn poll_request(&mut self, now: UnixMillis, settings: &Settings) -> Option<OutgoingDatagram> {
         if self.by_id.is_empty() || now < self.next_request_at {
             return None;
@@ -142,7 +142,9 @@
         let interval = now.0 / REQUEST_INTERVAL_MS;
         let download_index = (interval % self.by_id.len() as u64) as usize;
         let (&rule_set, download) = self.by_id.iter().nth(download_index)?;
-        if download.parts.is_empty() && !may_start(download, interval, &settings.key, settings.own_id) {
+        if download.parts.is_empty()
+            && !may_request_first_part(download, interval, &settings.key, settings.own_id)
+        {
             return None;
         }
         let request = PartRequest { rule_set, parts: download.missing_parts() };
@@ -174,9 +176,9 @@
     }
 }
 
-/// Whether this sender may request the first part of a rule set in this interval. Few senders may while few senders store the
-/// rule set, so that the sources are not overloaded.
-fn may_start(download: &Download, interval: u64, key: &FleetKey, own_id: SenderId) -> bool {
+/// Whether this sender may request the first part of a rule set in this interval. The fewer senders store the rule
+/// set, the fewer other senders may start to request it, so that the sources are not overloaded.
+fn may_request_first_part(download: &Download, interval: u64, key: &FleetKey, own_id: SenderId) -> bool {
     let drawn = key.draw(interval, DrawSalt::of_sender(own_id.0), download.non_source_count);
     drawn < download.source_count * REQUESTS_PER_SOURCE
 }
--- a/crates/placement/src/rule_set_uploads.rs
+++ b/crates/placement/src/rule_set_uploads.rs
@@ -52,7 +52,8 @@
     }
 
     /// Removes all requests and returns them in the order in which they are answered: requests for the fewest parts first, so
-    /// that some senders soon have the complete rule set and can transfer it; the first sender of equal ones is drawn.
+    /// that some senders soon have the complete rule set and can transfer it. Requests for equally many parts are answered in
+    /// the order of the senders' numbers, starting at a number that is drawn for each round.
     fn take_requests(&mut self, settings: &Settings) -> Vec<(SenderId, PartRequest)> {
         let fleet_size = usize::from(settings.sender_count);
         let first_answered = settings.key.draw(self.round.number(), DrawSalt::FIRST_ANSWERED, fleet_size);
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -30,9 +30,9 @@
     pub lease_ms: u64,
     /// Maximum error of any sender's clock in either direction, in milliseconds.
     pub clock_error_ms: u64,
-    /// How long this sender announces a rule set that not all senders store before it acknowledges it, in milliseconds: about
-    /// the time until all senders have received it. An acknowledgement keeps senders without the rule set from renewing
-    /// their leases.
+    /// Time from the receipt of a rule set until this sender acknowledges it if not all senders store it, in milliseconds.
+    /// Should be about the time until all senders have received a rule set, because an acknowledgement prevents senders
+    /// without the rule set from renewing their leases. Until then, the rule set is only announced in heartbeats.
     pub announce_ms: u64,
     /// Maximum duration of a call, in milliseconds.
     pub max_call_ms: u64,
--- a/crates/placement/src/startup.rs
+++ b/crates/placement/src/startup.rs
@@ -37,7 +37,7 @@
     /// The rules of this revision refer to another list of zones than the settings contain.
     #[error("rules of revision {0} refer to another list of zones: must be the list in the settings")]
     ZoneListMismatch(u64),
-    /// The maximum number of rule sets is held, and those after the committed one are still pending.
+    /// The maximum number of rule sets is held, and the revisions above the committed one are still pending.
     #[error(
         "revision {0} not accepted: four rule sets are held; retry once a later one of them is committed"
     )]
@@ -159,7 +159,7 @@
         Ok(())
     }
 
-    /// As [`Placement::reload`], but a file with an outdated revision does not prevent the start.
+    /// Loads the rules of the file like [`Placement::reload`], but a file with an outdated revision does not prevent the start.
     fn load_first_file(&mut self, now: UnixMillis, rules: RuleSet) -> Result<(), StartError> {
         match self.reload(now, rules) {
             Err(ReloadError::RevisionTooLow { given, held, .. }) => {
--- a/crates/placement/src/summary_codec.rs
+++ b/crates/placement/src/summary_codec.rs
@@ -39,7 +39,7 @@
         GossipMessage::Summary(summary).encode()
     }
 
-    /// Decodes a summary; an error if it is not of a fleet of `sender_count` senders or contradicts itself.
+    /// Decodes a summary. Returns an error if the summary is not of a fleet of `sender_count` senders or contradicts itself.
     pub fn decode(encoded: &EncodedSummary<'_>, sender_count: u16) -> Result<RoundSummary, GossipError> {
         let report_count = usize::from(sender_count);
         if encoded.sender_count != sender_count || encoded.report_codes.len() != encoded_len(report_count) {
--- a/crates/placement/tests/body_disposal.rs
+++ b/crates/placement/tests/body_disposal.rs
@@ -19,20 +19,23 @@
 #[test]
 fn each_execution_state_has_a_disposal_and_a_deadline() {
     let process = sender_in_excluded_zone();
-    let deadline = at(START_MS + 1_200);
+    let erase_deadline = at(START_MS + 1_200);
     assert_eq!(
         process.body_disposal(tenant(), ExecutionState::NeverExecuted),
-        BodyDisposal::ReturnToClient { deadline }
+        BodyDisposal::ReturnToClient { erase_deadline }
     );
     assert_eq!(
         process.body_disposal(tenant(), ExecutionState::PossiblyExecuted),
-        BodyDisposal::CompleteByClass { deadline }
+        BodyDisposal::CompleteByClass { erase_deadline }
     );
     assert_eq!(
         process.body_disposal(tenant(), ExecutionState::InFlight),
-        BodyDisposal::AwaitOutcome { deadline: at(START_MS + 700) }
+        BodyDisposal::AwaitCallEnd { call_deadline: at(START_MS + 700) }
+    );
+    assert_eq!(
+        process.body_disposal(tenant(), ExecutionState::Completed),
+        BodyDisposal::Erase { erase_deadline }
     );
-    assert_eq!(process.body_disposal(tenant(), ExecutionState::Completed), BodyDisposal::Erase { deadline });
     assert_eq!(
         process.body_disposal(key().tenant_id("tapi-news"), ExecutionState::Completed),
         BodyDisposal::Keep
@@ -49,7 +52,7 @@
             .unwrap();
     assert_eq!(
         restarted.body_disposal(tenant(), ExecutionState::Completed),
-        BodyDisposal::Erase { deadline: at(START_MS + 1_200) }
+        BodyDisposal::Erase { erase_deadline: at(START_MS + 1_200) }
     );
 }
 
--- a/crates/placement/tests/golden.rs
+++ b/crates/placement/tests/golden.rs
@@ -11,7 +11,7 @@
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Runs four times six ticks of 100 ms, and writes one line for six ticks. Every seventh datagram is lost, and every fifth is
+/// Runs 24 ticks of 100 ms, and writes one line for each six ticks. Every seventh datagram is lost, and every fifth is
 /// delivered twice.
 fn run(simulation: &mut Simulation, lines: &mut String) {
     for _ in 0..4 {
--- a/crates/placement/tests/random_faults.rs
+++ b/crates/placement/tests/random_faults.rs
@@ -220,7 +220,7 @@
     ]
 };
 
-/// The sender itself acknowledges the rule set first, after the round and before it applies the round's summary.
+/// A sender acknowledges a rule set for the first time after a round, and then applies the summary of that round.
 #[test]
 fn a_late_summary_does_not_commit_a_later_acknowledgement() {
     let result = run_history(5, 0, 14_517_408_887_838_224_880, 201, LATE_SUMMARY);
--- a/crates/placement/tests/rule_set_transfer.rs
+++ b/crates/placement/tests/rule_set_transfer.rs
@@ -11,11 +11,11 @@
 use large_fleet::Fleet;
 use simulation::{LEASE_MS, PART, START_MS, Simulation, at, fixed_seed_config, key, rules, tenant};
 
-/// Leases and datagrams of a fleet over some time.
+/// The leases and the datagram rate of a fleet, as means over 60 s.
 struct LeaseCoverage {
-    /// Fraction of senders and time with a lease, from 0 to 1.
-    leased: f64,
-    /// Datagrams sent by each sender, per second.
+    /// Mean fraction of the senders that have a lease, from 0 to 1.
+    leased_fraction: f64,
+    /// Mean number of datagrams that a sender sends, per second.
     send_rate: f64,
 }
 
@@ -24,26 +24,29 @@
     let mut fleet = Fleet::new(300, aggregators_per_round, 20, 5_000);
     let first_lease_ms = fleet.step_until_all(|sender| sender.lease_expires_at() > UnixMillis::EPOCH);
     assert!(first_lease_ms < 15_000, "all senders had a lease only after {first_lease_ms} ms");
-    let (mut acting, sent_before) = (0, fleet.sent_count);
+    let (mut acting_count, sent_before) = (0, fleet.sent_count);
     for _ in 0..600 {
         fleet.step();
-        acting += fleet.acting_count();
+        acting_count += fleet.acting_count();
     }
     LeaseCoverage {
-        leased: acting as f64 / 600.0 / 300.0,
+        leased_fraction: acting_count as f64 / 600.0 / 300.0,
         send_rate: (fleet.sent_count - sent_before) as f64 / 60.0 / 300.0,
     }
 }
 
-/// Of 300 senders with one or two aggregators; a fifth of all datagrams is lost.
+/// The fleet has 300 senders and one or two aggregators in each round; a fifth of all datagrams is lost.
 #[test]
 fn lost_datagrams_rarely_prevent_the_renewal_of_leases() {
-    for (aggregators, min_leased, max_send_rate) in [(1, 0.999, 4.1), (2, 0.999_99, 8.1)] {
-        let LeaseCoverage { leased, send_rate } = lease_coverage(aggregators);
+    for (aggregators, min_leased_fraction, max_send_rate) in [(1, 0.999, 4.1), (2, 0.999_99, 8.1)] {
+        let LeaseCoverage { leased_fraction, send_rate } = lease_coverage(aggregators);
         println!(
-            "{aggregators} aggregators: leased {leased:.6}, {send_rate:.2} datagrams per second and sender"
+            "{aggregators} aggregators: leased {leased_fraction:.6}, {send_rate:.2} datagrams per second and sender"
+        );
+        assert!(
+            leased_fraction >= min_leased_fraction && send_rate <= max_send_rate,
+            "{leased_fraction} {send_rate}"
         );
-        assert!(leased >= min_leased && send_rate <= max_send_rate, "{leased} {send_rate}");
     }
 }
 
@@ -53,8 +56,8 @@
     held_after_ms: u64,
     /// Time until all senders have committed the rule set and dropped the earlier one, in milliseconds.
     committed_after_ms: u64,
-    /// Fraction of senders and time without access for the tenant within 12 s, from 0 to 1.
-    closed: f64,
+    /// Mean fraction of the senders that may not act for the tenant, over 12 s, from 0 to 1.
+    closed_fraction: f64,
 }
 
 /// Reloads a narrower file at one sender of a committed fleet, and measures for 12 s.
@@ -64,10 +67,10 @@
     (0..30).for_each(|_| fleet.step());
     let start_ms = fleet.now_ms;
     fleet.senders[17].reload(at(start_ms), rules(2, &["hall-a"])).unwrap();
-    let (mut held_after_ms, mut committed_after_ms, mut closed) = (0, 0, 0);
+    let (mut held_after_ms, mut committed_after_ms, mut closed_count) = (0, 0, 0);
     while fleet.now_ms < start_ms + 12_000 {
         fleet.step();
-        closed += 300 - fleet.acting_count();
+        closed_count += 300 - fleet.acting_count();
         if !fleet.senders.iter().all(|sender| sender.rule_sets().any(|id| id.revision == 2)) {
             held_after_ms = fleet.now_ms - start_ms;
         }
@@ -79,24 +82,27 @@
             committed_after_ms = fleet.now_ms - start_ms;
         }
     }
-    Propagation { held_after_ms, committed_after_ms, closed: closed as f64 / 120.0 / 300.0 }
+    Propagation { held_after_ms, committed_after_ms, closed_fraction: closed_count as f64 / 120.0 / 300.0 }
 }
 
 /// One of 300 senders reloads a narrower file; the rule set is announced for 5 s or acknowledged immediately.
 #[test]
 fn an_announced_narrower_file_reaches_all_without_loss_of_access() {
-    for (announce_ms, lost_percent, max_closed) in
+    for (announce_ms, lost_percent, max_closed_fraction) in
         [(5_000, 0, 0.0), (5_000, 20, 0.002), (0, 0, 1.0), (0, 20, 1.0)]
     {
-        let Propagation { held_after_ms, committed_after_ms, closed } =
+        let Propagation { held_after_ms, committed_after_ms, closed_fraction } =
             propagate_narrower_file(announce_ms, lost_percent);
         let measured = format!(
-            "held after {held_after_ms} ms, committed after {committed_after_ms} ms, closed {closed:.4}"
+            "held after {held_after_ms} ms, committed after {committed_after_ms} ms, closed {closed_fraction:.4}"
         );
         println!("announced for {announce_ms} ms, {lost_percent}% lost: {measured}");
-        assert!(held_after_ms < 8_000 && committed_after_ms < 11_000 && closed <= max_closed, "{measured}");
         assert!(
-            announce_ms > 0 || closed > 0.02,
+            held_after_ms < 8_000 && committed_after_ms < 11_000 && closed_fraction <= max_closed_fraction,
+            "{measured}"
+        );
+        assert!(
+            announce_ms > 0 || closed_fraction > 0.02,
             "without an announcement, senders that lack the rule set must lose access"
         );
     }
@@ -116,22 +122,22 @@
 fn a_damaged_part_is_an_event_and_the_rule_set_is_requested_again() {
     let mut simulation = Simulation::committed(3, &rules(1, &["hall-a"]));
     simulation.reload(0, largest_rule_set(2));
-    let (mut parts, mut invalid) = (0, 0);
+    let (mut part_count, mut invalid_count) = (0, 0);
     while simulation.now_ms < START_MS + 20_000 {
         for (from, mut datagram) in simulation.tick() {
             if datagram.body[0] == PART {
-                parts += 1;
+                part_count += 1;
                 let last = datagram.body.len() - 1;
-                datagram.body[last] ^= u8::from(parts == 5);
+                datagram.body[last] ^= u8::from(part_count == 5);
             }
             simulation.deliver_and_observe(from, &datagram, |event| {
-                invalid += usize::from(matches!(event, PlacementEvent::InvalidRuleSet { .. }));
+                invalid_count += usize::from(matches!(event, PlacementEvent::InvalidRuleSet { .. }));
             });
         }
         simulation.advance();
     }
-    assert_eq!(invalid, 1);
-    assert!(parts >= 2 * 15, "{parts} parts");
+    assert_eq!(invalid_count, 1);
+    assert!(part_count >= 2 * 15, "{part_count} parts");
     for index in 0..simulation.nodes.len() {
         let process = simulation.process(index);
         assert_eq!(process.committed_revision(), 2);
--- a/crates/placement/tests/simulation/mod.rs
+++ b/crates/placement/tests/simulation/mod.rs
@@ -1,8 +1,9 @@
-//! A simulated fleet of a few senders with one wall clock and persistent records, and a checker.
+//! A simulated fleet of a few senders with one wall clock and persistent records, and a tracker of committed revisions.
 //!
-//! The checker is independent of summaries and leases: it reads the stored records and the zones in which senders would act.
+//! The tracker is independent of the senders' summaries and leases: it reads their stored records. Its allowed zones are compared
+//! with the zones in which the senders would act.
 #![allow(dead_code, reason = "each test file uses a part of the simulation")]
-mod checker;
+mod commit_tracker;
 mod node;
 
 use std::collections::BTreeSet;
@@ -15,7 +16,7 @@
     StateRecord, TenantId, TenantRule, ZoneAccess, ZoneList, ZoneSet,
 };
 
-use checker::Checker;
+use commit_tracker::CommitTracker;
 use node::Node;
 
 /// Duration of a lease in the simulation, in milliseconds.
@@ -73,7 +74,7 @@
     }
 }
 
-/// The senders, their clock and the checker.
+/// The senders, their clock and the tracker of committed revisions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Simulation {
     pub now_ms: u64,
@@ -83,7 +84,7 @@
     /// heartbeats), the last 400 (for summaries).
     pub ticks_ms: &'static [u64],
     pub nodes: Vec<Node>,
-    checker: Checker,
+    commit_tracker: CommitTracker,
 }
 
 impl Simulation {
@@ -95,7 +96,7 @@
             announce_ms: 0,
             ticks_ms: &[0, 400],
             nodes: nodes.collect(),
-            checker: Checker::default(),
+            commit_tracker: CommitTracker::default(),
         };
         simulation.check_records();
         for _ in 0..2 {
@@ -115,7 +116,7 @@
         let next = self.ticks_ms.iter().map(|tick| start + tick).find(|&tick| tick > self.now_ms);
         self.now_ms = next.unwrap_or(start + ROUND_MS);
         if next.is_none() {
-            self.checker.begin_round();
+            self.commit_tracker.begin_round();
         }
         self.check_records();
     }
@@ -204,7 +205,7 @@
 
     fn check_records(&mut self) {
         let acknowledged = self.nodes.iter().map(|node| &node.acknowledged);
-        self.checker.observe(self.now_ms, acknowledged);
+        self.commit_tracker.observe(self.now_ms, acknowledged);
     }
 
     /// The zones in which a sender would act for the tenant now; all zones if it holds no rule for the tenant.
@@ -223,7 +224,7 @@
     /// Whether all senders act only within the zones that recently committed revisions allow; `zones_of` returns the zones of a
     /// revision.
     pub fn nobody_acts_outside(&self, zones_of: impl Fn(u64) -> ZoneSet) -> bool {
-        let allowed = self.checker.allowed_zones(self.now_ms, zones_of);
+        let allowed = self.commit_tracker.allowed_zones(self.now_ms, zones_of);
         (0..self.nodes.len()).all(|index| self.acting_zones(index).0 & !allowed.0 == 0)
     }
 }
