--- a/crates/placement/src/heartbeat_collector.rs
+++ b/crates/placement/src/heartbeat_collector.rs
@@ -49,8 +49,8 @@
 }
 
 impl HeartbeatCollector {
-    /// Adds a heartbeat of a current round. Of two heartbeats of one sender, the one of the later
-    /// incarnation is used; of the same incarnation, the one received last.
+    /// Adds a heartbeat of a current round. Of two heartbeats of one sender, the one of the later incarnation is used;
+    /// of the same incarnation, the one received last.
     pub fn insert(&mut self, from: SenderId, heartbeat: &Heartbeat) {
         if heartbeat.round <= self.last_summarized_round {
             return;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -12,8 +12,8 @@
 //! The crate does no I/O and reads no clock: the caller passes the time and the received datagrams to [`Placement`], which
 //! returns the datagrams to send. The crate does not depend on messages, receivers or the journal.
 //!
-//! Entry points for a reader: `placement` (the state), `outgoing` and `incoming` (datagrams), `quorum` (the effects of a round),
-//! `access` and `body_disposal` (the decisions).
+//! Entry points for a reader: `placement` (the state), `outgoing` and `incoming` (datagrams), `quorum` (the effects of a
+//! round), `access` and `body_disposal` (the decisions).
 #![forbid(unsafe_code)]
 #![warn(clippy::disallowed_methods)]
 
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -30,9 +30,10 @@
     pub lease_ms: u64,
     /// Maximum error of any sender's clock in either direction, in milliseconds.
     pub clock_error_ms: u64,
-    /// Time from the receipt of a rule set until this sender acknowledges it if not all senders store it, in milliseconds.
-    /// Should be about the time until all senders have received a rule set, because an acknowledgement prevents senders
-    /// without the rule set from renewing their leases. Until then, the rule set is only announced in heartbeats.
+    /// Maximum time for which this sender announces a rule set in its heartbeats before it acknowledges the rule set, in
+    /// milliseconds. It acknowledges the rule set earlier if another sender acknowledges it or all other voting senders store
+    /// it. The time should be about that until all senders have received a rule set, because an acknowledgement prevents
+    /// senders without the rule set from renewing their leases.
     pub announce_ms: u64,
     /// Maximum duration of a call, in milliseconds.
     pub max_call_ms: u64,
--- a/crates/placement/tests/simulation/commit_tracker.rs
+++ b/crates/placement/tests/simulation/commit_tracker.rs
@@ -1,5 +1,5 @@
-//! Determines the committed revisions, and the zones that they allow, from the stored records and the duration of a lease alone,
-//! without the summaries and leases of the senders.
+//! Determines the committed revisions, and the zones that they allow, from the stored records and the duration of a lease
+//! alone, without the summaries and leases of the senders.
 use std::collections::{BTreeMap, BTreeSet};
 
 use rudderspindle_placement::ZoneSet;
@@ -13,7 +13,8 @@
     acknowledged_in_round: BTreeMap<u64, BTreeSet<usize>>,
     /// When the records of a majority first acknowledged each revision at the same time, in milliseconds.
     majority_since: BTreeMap<u64, u64>,
-    /// The committed revisions: those that a majority has acknowledged within one round, though not necessarily at the same time.
+    /// The committed revisions: a majority has acknowledged each of them within one round, but not necessarily at the same
+    /// time.
     ever_committed: BTreeSet<u64>,
 }
 
@@ -31,10 +32,10 @@
     ) {
         let half = acknowledged.len() / 2;
         let mut acknowledgement_counts: BTreeMap<u64, usize> = BTreeMap::new();
-        for (index, revisions) in acknowledged.enumerate() {
+        for (sender, revisions) in acknowledged.enumerate() {
             for &revision in revisions {
                 *acknowledgement_counts.entry(revision).or_default() += 1;
-                self.acknowledged_in_round.entry(revision).or_default().insert(index);
+                self.acknowledged_in_round.entry(revision).or_default().insert(sender);
             }
         }
         for (&revision, _) in acknowledgement_counts.iter().filter(|&(_, &count)| count > half) {
--- a/crates/placement/tests/simulation/mod.rs
+++ b/crates/placement/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
 //! A simulated fleet of a few senders with one wall clock and persistent records, and a tracker of committed revisions.
 //!
-//! The tracker is independent of the senders' summaries and leases: it reads their stored records. Its allowed zones are compared
-//! with the zones in which the senders would act.
+//! The tracker is independent of the senders' summaries and leases: it reads their stored records. The zones that it allows
+//! are compared with the zones in which the senders would act.
 #![allow(dead_code, reason = "each test file uses a part of the simulation")]
 mod commit_tracker;
 mod node;
