--- a/crates/testkit/src/checker/processes.rs
+++ b/crates/testkit/src/checker/processes.rs
@@ -74,7 +74,7 @@
     /// When a message must have its final outcome, in microseconds; `None` while its sender is down or while the
     /// platform does not acknowledge notifications.
     pub(super) fn outcome_due(&self, message: &Message, rules: &Rules) -> Option<u64> {
-        let due_us = message.deadline_us + ms_to_us(rules.outcome_ms + rules.slack_ms);
+        let due_us = message.deadline_us + ms_to_us(rules.outcome_grace_ms + rules.slack_ms);
         let Some(process) = self.0.get(&message.sender) else { return Some(due_us) };
         let began_before_due = |since_us: Option<u64>| since_us.is_some_and(|since_us| since_us <= due_us);
         if began_before_due(process.down_since_us) || began_before_due(process.notifications_blocked_since_us)
--- a/crates/testkit/src/event_log/header.rs
+++ b/crates/testkit/src/event_log/header.rs
@@ -99,7 +99,7 @@
     pub slack_ms: u64,
     /// Time after a message's deadline within which it must have its final outcome.
     #[serde(rename = "end_ms")]
-    pub outcome_ms: u64,
+    pub outcome_grace_ms: u64,
     /// Time after a restarted process is ready again within which no outcome is overdue.
     pub restart_ms: u64,
     /// How long an ordering key is blocked after an attempt that may still be executing.
@@ -127,7 +127,7 @@
             warm_up_ms: 9_300,
             retry_after_grace_ms: 100,
             slack_ms: 50,
-            outcome_ms: 300,
+            outcome_grace_ms: 300,
             restart_ms: 1_500,
             ordering_pause_ms: 1_000,
             notification_ms: DEFAULT_NOTIFICATION_MS,
--- a/crates/testkit/tests/wrong_senders/test_run.rs
+++ b/crates/testkit/tests/wrong_senders/test_run.rs
@@ -22,7 +22,7 @@
         drain_grace_ms: 200,
         overload_window_ms: 1_000,
         warm_up_ms: 3_000,
-        outcome_ms: 100,
+        outcome_grace_ms: 100,
         ordering_pause_ms: 300,
         ..Rules::default()
     }
