--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -1,6 +1,7 @@
 //! Checks from an event log whether the senders obeyed the six rules, and counts the outcomes of their messages.
 //!
-//! The checker does not depend on the sender's code: its only input is the log that fakes and clients recorded.
+//! The checker does not depend on the sender's code: its only input is the log that the fakes (of receivers and of the
+//! discovery service) and the clients recorded.
 
 mod accounting;
 mod draining;
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Decides the overlapping calls whose outcome is known at this time.
+    /// Adds the violations by overlapping calls that are certain at this time.
     fn settle_overlaps(&mut self, time_us: u64) {
         let slack_us = ms_to_us(self.topology.rules.slack_ms);
         self.violations.extend(self.duplication.settle_overlaps(time_us, slack_us, &self.table));
--- a/crates/testkit/src/checker/accounting.rs
+++ b/crates/testkit/src/checker/accounting.rs
@@ -7,7 +7,7 @@
 /// Totals of a log. A message that a client submits again counts as another message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Accounting {
-    /// Submissions whose last byte a client wrote.
+    /// Submissions that a client wrote to the last byte.
     #[serde(rename = "handed_in")]
     pub submitted: u64,
     /// Submissions answered with 200 or 202.
@@ -19,7 +19,7 @@
     /// Submissions answered with another status.
     #[serde(rename = "failed_at_the_door")]
     pub failed_on_submission: u64,
-    /// Submissions without a response before the client disconnected.
+    /// Submissions whose client disconnected before it received a response.
     #[serde(rename = "unheard")]
     pub unanswered: u64,
     /// Accepted messages that were delivered.
@@ -29,10 +29,10 @@
     pub rejected: u64,
     /// Accepted messages that the sender failed later with an `undeliverable` notification.
     pub failed: u64,
-    /// Accepted messages without a final outcome whose outcome is not due yet.
+    /// Accepted messages without a final outcome, whose outcome was not due when the log ended.
     #[serde(rename = "open")]
     pub pending: u64,
-    /// Accepted messages without a final outcome although the outcome was due.
+    /// Accepted messages without a final outcome although the outcome was due before the log ended.
     pub lost: u64,
     /// Messages of a class that is not idempotent that were executed more than once.
     #[serde(rename = "doubled")]
@@ -41,7 +41,7 @@
     pub in_time: u64,
     /// Delivered messages that missed their latency objective.
     pub late: u64,
-    /// Calls that endpoints received completely.
+    /// Calls of which an endpoint received the last byte.
     pub calls: u64,
     /// Calls answered with 429 or 503.
     #[serde(rename = "calls_refused")]
--- a/crates/testkit/src/checker/duplication.rs
+++ b/crates/testkit/src/checker/duplication.rs
@@ -1,4 +1,4 @@
-//! Rule: no message is executed more often than its class allows or has two attempts in flight.
+//! Rule: no message is executed more often than its class allows or has two attempts in flight at once.
 
 use super::messages::{Call, CallState, Message, MessageTable, ReceivedCall};
 use super::ms_to_us;
@@ -6,8 +6,8 @@
 use super::topology::Topology;
 use crate::event_log::{Effect, KeyGroup};
 
-/// Two calls of a message, of which the second arrived while the first was in flight: a violation unless the first
-/// connection ends within the tolerance.
+/// Two calls of a message, of which the second arrived while the first was in flight: a violation unless the
+/// connection of the first call ends within [`Rules::slack_ms`](crate::event_log::Rules::slack_ms).
 #[derive(Debug)]
 struct Overlap {
     /// When the second call arrived, in microseconds.
--- a/crates/testkit/src/checker/events.rs
+++ b/crates/testkit/src/checker/events.rs
@@ -6,7 +6,7 @@
 };
 use crate::event_log::{Event, ProcessState};
 
-/// Status of a notification that rejects a message.
+/// Status of a notification that reports a rejected message.
 const DEFERRED: &str = "deferred";
 
 impl Checker {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Records that a link begins or ceases to lose responses.
+    /// Records whether the link between a sender and an endpoint loses responses from now on.
     pub(super) fn link_changed(&mut self, sender: &str, endpoint: &str, loses_responses: bool) {
         let link = SenderEndpoint::new(sender, endpoint);
         if loses_responses {
--- a/crates/testkit/src/checker/loss.rs
+++ b/crates/testkit/src/checker/loss.rs
@@ -24,7 +24,8 @@
     Some(violation(what, vec![at.line, call.at.line]))
 }
 
-/// Records a final outcome. Two different outcomes contradict each other unless one of them is a delivery.
+/// Records the first final outcome of a message. A later, different outcome is a violation unless one of the two is a
+/// delivery.
 pub(super) fn record_outcome(
     message_id: &str,
     message: &mut Message,
@@ -44,7 +45,8 @@
     })
 }
 
-/// Whether a message has no outcome although it was due before the log ended.
+/// Whether a message has no final outcome although the outcome was due before the log ended. `due_us` is `None` while
+/// no outcome is due.
 pub(super) fn is_lost(message: &Message, due_us: Option<u64>, log_end_us: u64) -> bool {
     message.outcome.is_none() && due_us.is_some_and(|due| log_end_us > due)
 }
--- a/crates/testkit/src/checker/messages.rs
+++ b/crates/testkit/src/checker/messages.rs
@@ -47,7 +47,7 @@
     /// Deadline of the delivery, in microseconds on the log's clock.
     pub(super) deadline_us: u64,
     pub(super) ordering_key: Option<String>,
-    /// Line in which the client received the acceptance; `None` if it did not.
+    /// Number of the line in which the client received the acceptance; `None` if the client received none.
     pub(super) accepted_line: Option<usize>,
     pub(super) outcome: Option<RecordedOutcome>,
     /// Ids of the message's calls, in the order of the log.
@@ -76,7 +76,7 @@
     pub(super) endpoint: String,
     /// When the first byte of the call arrived, in microseconds.
     pub(super) first_us: u64,
-    /// Line in which the call was received.
+    /// Number of the line in which the call was received.
     pub(super) line: usize,
     pub(super) state: CallState,
     /// Whether the link loses responses, so that the endpoint may not notice that the sender cancelled the call.
--- a/crates/testkit/src/checker/ordering.rs
+++ b/crates/testkit/src/checker/ordering.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct QueueKey {
     sender: String,
-    /// How often the sender had become ready.
+    /// How often the sender had become ready at the time of the submission.
     start_count: u64,
     ordering_key: String,
 }
@@ -60,11 +60,11 @@
     }
 }
 
-/// Why an earlier message of the same queue forbids a call.
+/// The reason why an earlier message of the same queue forbids a call.
 struct Obstacle {
     /// Text of the violation.
     what: String,
-    /// Line that shows the state of the earlier message.
+    /// Number of the log line that shows the state of the earlier message.
     line: usize,
 }
 
--- a/crates/testkit/src/checker/processes.rs
+++ b/crates/testkit/src/checker/processes.rs
@@ -1,5 +1,5 @@
-//! Records when the senders' processes were down or their notifications were not acknowledged, because that postpones the
-//! time at which outcomes are due.
+//! Records when the senders' processes were down and when the platform did not acknowledge their notifications, because
+//! both postpone the time at which outcomes are due.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 use super::ms_to_us;
 use crate::event_log::{ProcessState, Rules};
 
-/// A time span of unavailability, in microseconds on the log's clock.
+/// A time span in which a process was down or notifications were not acknowledged, in microseconds on the log's clock.
 #[derive(Clone, Copy, Debug)]
 struct Downtime {
     from_us: u64,
@@ -15,7 +15,8 @@
 }
 
 impl Downtime {
-    /// The end of the grace period after the downtime, if `due_us` is in one of them: the outcome is then due at that end.
+    /// The end of the grace period after the downtime, if `due_us` is in the downtime or in the grace
+    /// period: the outcome is then due at that end.
     fn postponed_due(&self, due_us: u64, grace_us: u64) -> Option<u64> {
         let until = self.until_us + grace_us;
         (self.from_us <= due_us && due_us < until).then_some(until)
@@ -40,7 +41,7 @@
 pub(super) struct Processes(HashMap<String, Process>);
 
 impl Processes {
-    /// How often a sender has become ready.
+    /// How often a sender's process has become ready.
     pub(super) fn start_count(&self, sender: &str) -> u64 {
         self.0.get(sender).map_or(0, |process| process.start_count)
     }
@@ -82,10 +83,13 @@
             return None;
         }
         // An unacknowledged notification is repeated after the platform acknowledges notifications again.
-        let due_us =
-            postpone(&process.notification_outages, due_us, ms_to_us(rules.notification_ms + rules.slack_ms));
+        let due_us = postpone(
+            &process.notification_outages,
+            due_us,
+            ms_to_us(rules.notification_grace_ms + rules.slack_ms),
+        );
         // An outcome that is due during a restart is postponed to the end of the grace period after it.
-        Some(postpone(&process.restarts, due_us, ms_to_us(rules.restart_ms + rules.slack_ms)))
+        Some(postpone(&process.restarts, due_us, ms_to_us(rules.restart_grace_ms + rules.slack_ms)))
     }
 }
 
--- a/crates/testkit/src/checker/recovery.rs
+++ b/crates/testkit/src/checker/recovery.rs
@@ -9,7 +9,8 @@
 use super::verdict::Recovery;
 use crate::event_log::Rules;
 
-/// Calls in the overload window beyond the limit that are tolerated, because arrivals are random.
+/// Number of calls in the overload window that are tolerated in addition to [`Rules::overload_multiple`] times the
+/// capacity, because arrivals are random.
 const OVERLOAD_SLACK: f64 = 3.0;
 /// An overload is a violation only if at least this share of the calls in the window came from senders that saw the outage.
 const OBSERVER_SHARE: f64 = 2.0 / 3.0;
@@ -21,23 +22,23 @@
     sender: String,
 }
 
-/// A recovery that has begun.
+/// The current recovery of the endpoints that share a rate limit.
 #[derive(Clone, Copy, Debug)]
-struct BegunRecovery {
-    /// When the outage ended, in microseconds.
-    at_us: u64,
+struct CurrentRecovery {
+    /// When the outage ended, in microseconds on the log's clock.
+    started_us: u64,
     /// Index in [`RecoveryRule::recoveries`].
     index: usize,
 }
 
-/// The latest outage of a limit, and the recovery from it.
+/// The latest outage of the endpoints that share a rate limit, and the recovery from that outage.
 #[derive(Debug, Default)]
 struct LatestOutage {
     /// Endpoints that are in an outage now.
     affected_endpoints: BTreeSet<String>,
-    /// Whether all endpoints of the limit were in an outage at the same time.
+    /// Whether all endpoints that share the limit were in an outage at the same time.
     affected_all_endpoints: bool,
-    recovery: Option<BegunRecovery>,
+    recovery: Option<CurrentRecovery>,
     /// Senders that saw a failure during the outage and have not exited since.
     observers: BTreeSet<String>,
     /// Arrivals within the overload window.
@@ -46,7 +47,7 @@
     overloaded: bool,
 }
 
-/// State of the rule: the latest outage of each limit, and all recoveries.
+/// State of the rule: the latest outage for each rate limit, and all recoveries.
 #[derive(Debug, Default)]
 pub(super) struct RecoveryRule {
     outages: HashMap<LimitScope, LatestOutage>,
@@ -71,9 +72,9 @@
         outage.affected_all_endpoints |= outage.affected_endpoints.len() == endpoint_count;
     }
 
-    /// Records that an outage of an endpoint ends. The recovery begins with the last end, if all endpoints of the
-    /// limit were in an outage at the same time.
-    pub(super) fn end_outage(&mut self, topology: &Topology, endpoint: &str, kind: &str, at_us: u64) {
+    /// Records that an outage of an endpoint ends. If all endpoints that share the rate limit were in an outage at the same
+    /// time, their recovery begins when the last of these outages ends.
+    pub(super) fn end_outage(&mut self, topology: &Topology, endpoint: &str, outage_kind: &str, at_us: u64) {
         let Some(scope) = topology.limit_scope(endpoint) else { return };
         let (limit, shared) = match &scope {
             LimitScope::Endpoint(id) => (id.clone(), false),
@@ -84,12 +85,13 @@
         if !outage.affected_endpoints.is_empty() || !outage.affected_all_endpoints {
             return;
         }
-        outage.recovery = Some(BegunRecovery { at_us, index: self.recoveries.len() });
-        let kind = kind.to_owned();
+        outage.recovery = Some(CurrentRecovery { started_us: at_us, index: self.recoveries.len() });
+        let kind = outage_kind.to_owned();
         self.recoveries.push(Recovery { limit, shared, kind, at_us, peak_ratio: 0.0, peak_calls: 0 });
     }
 
-    /// Records that a sender saw a failure of an endpoint; ignored if the limit is in no outage.
+    /// Records that a sender saw a failure of an endpoint; ignored unless an endpoint that shares its rate limit is
+    /// in an outage.
     pub(super) fn record_failure(&mut self, topology: &Topology, sender: &str, endpoint: &str) {
         let scope = topology.limit_scope(endpoint);
         let outage = scope.and_then(|scope| self.outages.get_mut(&scope));
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Removes a sender whose process has exited from the observers.
+    /// Removes a sender from the observers, because its process has exited.
     pub(super) fn forget_sender(&mut self, sender: &str) {
         for outage in self.outages.values_mut() {
             outage.observers.remove(sender);
@@ -117,13 +119,13 @@
         let per_s = topology.endpoint(endpoint)?.per_s;
         let rules = &topology.rules;
         let outage = self.outages.get_mut(&scope)?;
-        let BegunRecovery { at_us, index } = outage.recovery?;
-        if at.time_us > at_us + ms_to_us(rules.warm_up_ms) {
+        let CurrentRecovery { started_us, index } = outage.recovery?;
+        if at.time_us > started_us + ms_to_us(rules.warm_up_ms) {
             return None;
         }
         outage.arrivals.push_back(Arrival { at, sender: sender.to_owned() });
-        outage.drop_arrivals_before(at.time_us, ms_to_us(rules.overload_window_ms));
-        let capacity = window_capacity(rules, per_s, at_us, at.time_us);
+        outage.drop_expired_arrivals(at.time_us, ms_to_us(rules.overload_window_ms));
+        let capacity = window_capacity(rules, per_s, started_us, at.time_us);
         let ratio = outage.arrivals.len() as f64 / capacity;
         if let Some(recovery) = self.recoveries.get_mut(index).filter(|recovery| ratio > recovery.peak_ratio)
         {
@@ -135,8 +137,8 @@
 }
 
 impl LatestOutage {
-    /// Removes the arrivals before the window that ends now.
-    fn drop_arrivals_before(&mut self, now_us: u64, window_us: u64) {
+    /// Removes the arrivals that are older than the window, which ends at `now_us`.
+    fn drop_expired_arrivals(&mut self, now_us: u64, window_us: u64) {
         while self.arrivals.front().is_some_and(|arrival| arrival.at.time_us + window_us < now_us) {
             self.arrivals.pop_front();
         }
@@ -162,8 +164,9 @@
     }
 }
 
-/// Calls that a warming endpoint can accept in the overload window that ends now. The part of the window before the
-/// recovery counts with the capacity at the start of the recovery.
+/// Number of calls that a warming endpoint can accept in the overload window that ends at `now_us`: the mean of its
+/// capacities at the start of the window and at its end, over the length of the whole window. If the window starts before
+/// the recovery, the capacity at the start of the recovery takes the place of the first of the two.
 fn window_capacity(rules: &Rules, per_s: f64, recovery_us: u64, now_us: u64) -> f64 {
     let window_us = ms_to_us(rules.overload_window_ms);
     let window_start_us = recovery_us.max(now_us.saturating_sub(window_us));
--- a/crates/testkit/src/checker/retry_after.rs
+++ b/crates/testkit/src/checker/retry_after.rs
@@ -1,4 +1,4 @@
-//! Rule: no call is sent before a Retry-After has passed.
+//! Rule: no call is sent before the Retry-After that its sender received has passed.
 
 use std::collections::HashMap;
 
@@ -16,7 +16,7 @@
     until_us: u64,
 }
 
-/// State of the rule: the backoffs by sender and limit.
+/// State of the rule: the backoffs of each sender for each rate limit.
 #[derive(Debug, Default)]
 pub(super) struct RetryAfterRule {
     backoffs: HashMap<String, HashMap<LimitScope, Vec<Backoff>>>,
--- a/crates/testkit/src/checker/rule.rs
+++ b/crates/testkit/src/checker/rule.rs
@@ -11,7 +11,7 @@
     /// Every accepted message has exactly one final outcome, and has it in time.
     #[serde(rename = "lost")]
     Loss,
-    /// No message is executed more often than its class allows or has two attempts in flight.
+    /// No message is executed more often than its class allows or has two attempts in flight at once.
     #[serde(rename = "doubled")]
     Duplication,
     /// No new call is sent to an endpoint that is draining or was deleted from the endpoint list.
@@ -23,7 +23,7 @@
     /// Messages of one ordering key are sent one at a time, in the order of their submission.
     #[serde(rename = "order")]
     Ordering,
-    /// No call is sent before a Retry-After has passed.
+    /// No call is sent before the Retry-After that its sender received has passed.
     #[serde(rename = "waits")]
     RetryAfter,
 }
--- a/crates/testkit/src/checker/topology.rs
+++ b/crates/testkit/src/checker/topology.rs
@@ -1,10 +1,11 @@
-//! The classes, endpoints and rule limits of the log's header, indexed for the rules.
+//! The classes, endpoints and limits of the log's header, indexed for the rules of the checker.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::event_log::{Class, Endpoint, KeyGroup, Rules};
 
-/// The scope of a rate limit, a Retry-After and an outage: one independent endpoint, or all endpoints of a receiver.
+/// The endpoints that share a rate limit, and with it each Retry-After and the recovery from outages: one independent
+/// endpoint, or all other endpoints of a receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum LimitScope {
     /// Id of the independent endpoint.
@@ -58,12 +59,12 @@
         self.endpoints.get(id)
     }
 
-    /// The scope of an endpoint's limit; `None` if the endpoint is unknown.
+    /// The scope of an endpoint's rate limit; `None` if the endpoint is unknown.
     pub(super) fn limit_scope(&self, endpoint: &str) -> Option<LimitScope> {
         self.endpoint(endpoint).map(LimitScope::of)
     }
 
-    /// Number of endpoints that share a limit.
+    /// Number of endpoints that share a rate limit.
     pub(super) fn endpoint_count(&self, scope: &LimitScope) -> usize {
         self.endpoint_ids.get(scope).map_or(0, BTreeSet::len)
     }
--- a/crates/testkit/src/checker/verdict.rs
+++ b/crates/testkit/src/checker/verdict.rs
@@ -19,10 +19,11 @@
 /// Width of a rule's description, in columns.
 const RULE_WIDTH: usize = 40;
 
-/// The load on a rate limit after an outage of all its endpoints.
+/// The load on the endpoints that share a rate limit, after an outage of all of them.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Recovery {
-    /// `receiver` and its number, or the id of an independent endpoint.
+    /// Name of the rate limit: the word `receiver` and the number of the receiver whose endpoints share it, or the id of an
+    /// independent endpoint.
     #[serde(rename = "gate")]
     pub limit: String,
     /// Whether several endpoints share the limit and recover together.
@@ -31,7 +32,7 @@
     pub kind: String,
     /// When the outage ended, in microseconds on the log's clock.
     pub at_us: u64,
-    /// The highest ratio of calls to capacity in an overload window during the warm-up. Calls of all senders count,
+    /// The highest ratio of calls to capacity in any overload window during the warm-up. Calls of all senders count,
     /// whether or not they saw the outage.
     #[serde(rename = "worst_ratio")]
     pub peak_ratio: f64,
--- a/crates/testkit/src/event_log.rs
+++ b/crates/testkit/src/event_log.rs
@@ -2,8 +2,8 @@
 //!
 //! The first line is the header and carries the version of the format. Every line has `t`, microseconds since the
 //! log began. Stored logs are checked again by later releases: within a version of the format, fields may be added, but
-//! no field changes its meaning. The names of fields and events in JSON are fixed; attributes map them to the names in the
-//! code. `docs/operate/checker.md` lists the events.
+//! no field changes its meaning. The names of fields and events in JSON are fixed; where the code uses other names, serde
+//! attributes map them. `docs/operate/checker.md` lists the events.
 
 mod codec;
 mod event;
--- a/crates/testkit/src/event_log/event.rs
+++ b/crates/testkit/src/event_log/event.rs
@@ -18,7 +18,7 @@
     Exited,
 }
 
-/// An event. Senders, endpoints and messages are identified as on the wire.
+/// An event of a log. Names of senders and ids of endpoints and messages are those on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ev", rename_all = "snake_case")]
 pub enum Event {
@@ -31,7 +31,7 @@
         classes: Vec<Class>,
         /// The receivers' endpoints.
         endpoints: Vec<Endpoint>,
-        /// The limits of the rules.
+        /// The limits that the checker's rules apply.
         rules: Rules,
     },
     /// A client has written the last byte of a submission.
@@ -52,7 +52,7 @@
         /// Number of the message's receiver.
         #[serde(rename = "partner")]
         receiver: u16,
-        /// Time left to deliver it, in milliseconds.
+        /// Time from the submission to the deadline of the delivery, in milliseconds.
         #[serde(rename = "left_ms")]
         time_left_ms: u64,
         /// Ordering key of the message, if it has one.
@@ -125,7 +125,7 @@
         /// Whether the response reported a healthy endpoint.
         ok: bool,
     },
-    /// An endpoint has reset a connection before it read a byte.
+    /// An endpoint has reset a connection before the endpoint read a byte.
     #[serde(rename = "turned")]
     ConnectionRefused {
         /// Name of the sender that connected.
@@ -146,7 +146,7 @@
     /// A notification has arrived at the platform.
     #[serde(rename = "noticed")]
     Notified {
-        /// Name of the sender of the notification.
+        /// Name of the sender that sent the notification.
         sender: String,
         /// Id of the message.
         #[serde(rename = "txn")]
@@ -157,7 +157,7 @@
         #[serde(rename = "taken")]
         acknowledged: bool,
     },
-    /// An outage of an endpoint begins or ends. The endpoint warms up after the end.
+    /// An outage of an endpoint begins or ends. The endpoint warms up after the outage.
     Outage {
         /// Id of the endpoint.
         endpoint: String,
@@ -166,7 +166,7 @@
         /// Whether the outage begins.
         on: bool,
     },
-    /// A fault of the discovery service beside a sender begins or ends.
+    /// A fault of a sender's discovery service begins or ends.
     #[serde(rename = "agent")]
     DiscoveryFault {
         /// Name of the sender.
@@ -200,12 +200,12 @@
         #[serde(rename = "life")]
         state: ProcessState,
     },
-    /// A fake acted late, so that a violation may not be the sender's fault.
+    /// A fake acted late, so that a later violation may be caused by the test and not by the sender.
     #[serde(rename = "late")]
     Lagged {
         /// Name of the fake.
         who: String,
-        /// The delay in microseconds.
+        /// How late the fake acted, in microseconds.
         #[serde(rename = "by_us")]
         lag_us: u64,
     },
--- a/crates/testkit/src/event_log/header.rs
+++ b/crates/testkit/src/event_log/header.rs
@@ -1,4 +1,4 @@
-//! The parts of an event log's header: message classes, endpoints and the limits of the rules.
+//! The parts of an event log's header: message classes, endpoints, and the limits that the checker's rules apply.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// The message is idempotent: it may be sent again and rejected at any time.
+    /// The message is idempotent: the sender may send it again and may reject it even after a possible execution.
     #[serde(rename = "safe")]
     Idempotent,
     /// The message carries an idempotency key: endpoints of a [`KeyGroup`] drop repeats of it while they remember the key.
     #[serde(rename = "keyed")]
     IdempotencyKey,
-    /// The message is not sent again after a possible execution.
+    /// The sender must not send the message again after an attempt that the receiver may have executed.
     #[serde(rename = "unsafe")]
     AtMostOnce,
 }
@@ -38,10 +38,10 @@
     pub name: String,
     /// How often a message of the class may be executed.
     pub effect: Effect,
-    /// Endpoints that drop one another's repeats; used with [`Effect::IdempotencyKey`] alone.
+    /// Which endpoints share their memory of idempotency keys; used with [`Effect::IdempotencyKey`] alone.
     #[serde(default)]
     pub group: KeyGroup,
-    /// How long a key is remembered, in milliseconds; used with [`Effect::IdempotencyKey`] alone.
+    /// How long an endpoint remembers an idempotency key, in milliseconds; used with [`Effect::IdempotencyKey`] alone.
     #[serde(default)]
     pub window_ms: u64,
     /// Latency objective: time from submission to delivery, in milliseconds.
@@ -74,13 +74,13 @@
     pub per_s: f64,
 }
 
-/// The limits of the rules. Times are in milliseconds.
+/// The limits that the checker's rules apply. Fields that end in `_ms` are times in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
     /// How long calls may still begin after a sender was notified that an endpoint is draining.
     pub drain_grace_ms: u64,
-    /// Multiple of its current capacity that a warming endpoint may receive in [`Rules::overload_window_ms`]; above it, the
-    /// endpoint is overloaded.
+    /// Highest permitted ratio of the calls that an endpoint receives in [`Rules::overload_window_ms`] while it warms up to
+    /// the calls that it can accept in that time.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// Length of the window in which the calls to a warming endpoint are counted.
@@ -97,24 +97,27 @@
     pub retry_after_grace_ms: u64,
     /// Tolerance added to every time limit for delays of sockets and scheduling.
     pub slack_ms: u64,
-    /// Time after a message's deadline within which it must have its final outcome.
+    /// Grace period after a message's deadline: the final outcome is overdue only after it.
     #[serde(rename = "end_ms")]
     pub outcome_grace_ms: u64,
-    /// Time after a restarted process is ready again within which no outcome is overdue.
-    pub restart_ms: u64,
+    /// Grace period after a restarted process is ready again: an outcome that was due during the restart or this period is
+    /// overdue only after it.
+    #[serde(rename = "restart_ms")]
+    pub restart_grace_ms: u64,
     /// How long an ordering key is blocked after an attempt that may still be executing.
     #[serde(rename = "order_rest_ms")]
     pub ordering_pause_ms: u64,
-    /// Time within which notifications are repeated after the platform acknowledges notifications again.
-    #[serde(default = "default_notification_ms", rename = "notice_ms")]
-    pub notification_ms: u64,
+    /// Grace period after the platform acknowledges notifications again, in which the sender repeats the notifications
+    /// that were not acknowledged: outcomes that were due before its end are overdue only after it.
+    #[serde(default = "default_notification_grace_ms", rename = "notice_ms")]
+    pub notification_grace_ms: u64,
 }
 
-/// Value of [`Rules::notification_ms`] for logs of earlier releases, which lack the field.
-const DEFAULT_NOTIFICATION_MS: u64 = 3_000;
+/// Value of [`Rules::notification_grace_ms`] for logs of earlier releases, which lack the field.
+const DEFAULT_NOTIFICATION_GRACE_MS: u64 = 3_000;
 
-fn default_notification_ms() -> u64 {
-    DEFAULT_NOTIFICATION_MS
+fn default_notification_grace_ms() -> u64 {
+    DEFAULT_NOTIFICATION_GRACE_MS
 }
 
 impl Default for Rules {
@@ -128,9 +131,9 @@
             retry_after_grace_ms: 100,
             slack_ms: 50,
             outcome_grace_ms: 300,
-            restart_ms: 1_500,
+            restart_grace_ms: 1_500,
             ordering_pause_ms: 1_000,
-            notification_ms: DEFAULT_NOTIFICATION_MS,
+            notification_grace_ms: DEFAULT_NOTIFICATION_GRACE_MS,
         }
     }
 }
--- a/crates/testkit/src/event_log/recorder.rs
+++ b/crates/testkit/src/event_log/recorder.rs
@@ -24,7 +24,7 @@
 }
 
 impl EventLog {
-    /// Starts a log with its header. Its clock starts now.
+    /// Starts a log, whose first line is its header. The clock of the log starts at 0 with this call.
     pub fn start(classes: Vec<Class>, endpoints: Vec<Endpoint>, rules: Rules) -> Self {
         let header = Event::Header { v: VERSION, classes, endpoints, rules };
         let content = Content { lines: vec![Line { t: 0, event: header }], last_call_id: 0 };
@@ -35,7 +35,7 @@
         self.0.content.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Microseconds since the log began.
+    /// The current time in microseconds since the log began.
     pub fn now(&self) -> u64 {
         self.time_of(Instant::now())
     }
@@ -50,7 +50,7 @@
         self.0.started_at + Duration::from_micros(time_us)
     }
 
-    /// Appends an event with the current time.
+    /// Appends a line with an event and the current time.
     pub fn record(&self, event: Event) {
         let mut content = self.content();
         // The clock is read under the lock, so that lines are in the order of their times.
--- a/crates/testkit/src/fault_schedule.rs
+++ b/crates/testkit/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Draws the faults of datagram links from a seed. Uses neither sockets nor a clock.
+//! Selects the faults of datagram links at random from a seed. The module uses neither sockets nor a clock.
 //!
 //! Invariant: the number of random draws per datagram is the same whichever faults are set, and every link has its own
 //! generator. The faults of the n-th datagram of a link therefore depend only on the seed, the link and the faults set at
@@ -28,7 +28,8 @@
     pub reorder: f64,
     /// Share of datagrams with one corrupted byte, which is the same in all copies.
     pub damage: f64,
-    /// Time after which each datagram that is not lost is replayed; `None` for no replays.
+    /// Time between the delivery of the first copy of a datagram and its single replay; `None` for no replays. Lost
+    /// datagrams are not replayed.
     pub replay_after: Option<Duration>,
 }
 
@@ -41,7 +42,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Draws the faults of the datagrams from one sender to another.
+/// Selects at random the faults of the datagrams from one sender to another.
 ///
 /// ```
 /// # use rudderspindle_testkit::fault_schedule::{DatagramCopy, LinkFaultSampler, LinkFaults};
@@ -65,8 +66,8 @@
     pub fn sample(&mut self, datagram: &[u8], faults: &LinkFaults) -> Vec<DatagramCopy> {
         let rng = &mut self.0;
         let is_lost = rng.chance(faults.drop);
-        let delay_range = faults.delay.end.saturating_sub(faults.delay.start);
-        let mut delay = || faults.delay.start + delay_range.mul_f64(rng.unit());
+        let delay_width = faults.delay.end.saturating_sub(faults.delay.start);
+        let mut delay = || faults.delay.start + delay_width.mul_f64(rng.unit());
         let first_delay = delay();
         let second_delay = delay();
         let is_duplicated = rng.chance(faults.duplicate);
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -1,4 +1,5 @@
-//! Scenarios: receivers, traffic and scheduled faults of a test, read from TOML or drawn from a seed.
+//! Scenarios: receivers, traffic and scheduled faults of a test, read from TOML or generated at random
+//! from a seed.
 //!
 //! Values are checked while the TOML is parsed, so that an error names the file, the line and the field. The keys of the
 //! TOML are the names of the fields; the aliases are the keys of earlier releases.
@@ -20,7 +21,7 @@
 pub use receiver_plan::{EndpointPlan, Limit, ReceiverPlan, RetryAfterPolicy};
 pub use rng::SeededRng;
 pub use units::{Ms, OutOfRange, PerSecond, Share};
-pub use validation::{Inconsistency, Target};
+pub use validation::{Target, ValidationError};
 
 /// Traffic that the clients generate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -34,13 +35,13 @@
     /// Share of messages that belong to a burst for one receiver.
     #[serde(alias = "clumps")]
     pub burst_share: Share,
-    /// Messages in a burst.
+    /// Number of messages in a burst.
     #[serde(alias = "clump")]
     pub burst_len: u16,
     /// Share of messages that the client submits once more after a rejection.
     #[serde(alias = "retries")]
     pub retry_share: Share,
-    /// Share of messages whose client disconnects before the response.
+    /// Share of messages whose client disconnects before it receives the response.
     #[serde(alias = "leave")]
     pub abandon_share: Share,
     /// Malformed requests per second.
@@ -58,7 +59,7 @@
     pub seconds: u16,
     /// Number of senders, from 1 to 16.
     pub senders: usize,
-    /// Delay after which changes of the endpoint list reach the senders.
+    /// Time between a change of the endpoint list and its announcement to the first sender.
     #[serde(alias = "list_late_ms")]
     pub list_delay_ms: Ms,
     /// Traffic that the clients generate.
@@ -72,7 +73,8 @@
 }
 
 impl Scenario {
-    /// Draws a scenario of `seconds` with two senders and faults. A seed draws the same scenario on every machine.
+    /// Generates a scenario with two senders and faults at random, in which clients submit messages for `seconds`. The same
+    /// arguments generate the same scenario on every machine.
     pub fn random(seed: u64, seconds: u16) -> Self {
         generator::scenario(seed, seconds)
     }
--- a/crates/testkit/src/scenario/events.rs
+++ b/crates/testkit/src/scenario/events.rs
@@ -29,7 +29,7 @@
     /// Calls are read but never answered.
     #[serde(alias = "silent")]
     Unresponsive,
-    /// As [`Outage::Unresponsive`], but calls that were executed before the outage are not answered either, and open
+    /// The same as [`Outage::Unresponsive`], but calls that were executed before the outage are not answered either, and open
     /// connections are reset at the end of the outage.
     #[serde(alias = "vanish")]
     Unreachable,
@@ -91,14 +91,14 @@
         /// Bytes that are forwarded before the reset.
         bytes: u32,
     },
-    /// The direction to the receiver is closed after a number of bytes.
+    /// The direction of a connection to the receiver is closed after a number of bytes.
     HalfCloseAfter {
         /// Bytes that are forwarded before the close.
         bytes: u32,
     },
     /// Bytes are forwarded one at a time in both directions.
     Trickle {
-        /// Pause after each byte.
+        /// Time between a byte and the next.
         pause_ms: Ms,
     },
     /// Open connections are reset once, when the fault begins.
@@ -128,7 +128,7 @@
     }
 }
 
-/// An event. Its time is relative to the start of the scenario.
+/// An event of a scenario. Times of events are relative to the start of the scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case", deny_unknown_fields)]
 pub enum ScheduledEvent {
@@ -148,8 +148,9 @@
         /// Kind of the fault.
         outage: Outage,
     },
-    /// The phase of an endpoint on the endpoint list changes.
-    List {
+    /// A change of the phase of an endpoint on the endpoint list.
+    #[serde(rename = "list")]
+    PhaseChange {
         /// Time of the event.
         at_ms: Ms,
         /// Id of the endpoint.
@@ -157,8 +158,9 @@
         /// The new phase.
         phase: Phase,
     },
-    /// Changes of the endpoint list reach the senders later than usual.
-    Stale {
+    /// A time in which changes of the endpoint list are announced to the senders later than usual.
+    #[serde(rename = "stale")]
+    ListDelay {
         /// Start of the fault.
         at_ms: Ms,
         /// Duration of the fault.
@@ -179,8 +181,8 @@
         restart_after_ms: Ms,
     },
     /// A fault of a sender's discovery service.
-    #[serde(alias = "agent")]
-    Discovery {
+    #[serde(rename = "discovery", alias = "agent")]
+    DiscoveryFault {
         /// Start of the fault.
         at_ms: Ms,
         /// Duration of the fault.
@@ -202,7 +204,8 @@
         sender: usize,
     },
     /// A fault of the links between a sender and a receiver.
-    Link {
+    #[serde(rename = "link")]
+    LinkFault {
         /// Start of the fault.
         at_ms: Ms,
         /// Duration of the fault.
--- a/crates/testkit/src/scenario/generator.rs
+++ b/crates/testkit/src/scenario/generator.rs
@@ -1,6 +1,6 @@
-//! Draws scenarios from a seed.
+//! Generates scenarios at random from a seed.
 //!
-//! The order of the draws must not change, so that a seed draws the same scenario in all versions.
+//! The order in which random numbers are drawn must not change, so that a seed generates the same scenario in all versions.
 
 use super::rng::SeededRng;
 use super::units::{Ms, PerSecond};
@@ -9,12 +9,12 @@
     ScheduledEvent, Traffic,
 };
 
-/// Number of senders in a drawn scenario.
+/// Number of senders in a generated scenario.
 const SENDERS: usize = 2;
 /// Names of the zones in scenarios and in the senders' configurations.
 const ZONES: [&str; 2] = ["hall-a", "hall-b"];
 
-/// Draws a scenario of `seconds` with faults.
+/// Generates a scenario with faults, in which clients submit messages for `seconds`.
 pub(super) fn scenario(seed: u64, seconds: u16) -> Scenario {
     Generator { rng: SeededRng::new(seed), end_ms: u64::from(seconds) * 1_000 }.scenario(seed, seconds)
 }
@@ -45,7 +45,8 @@
             receivers,
             events,
         };
-        // These faults were added in later versions. They are drawn last, so that all other draws of a seed stay the same.
+        // These faults were added in later versions. They are generated last, so that a seed generates the same values as
+        // before for everything else.
         self.discovery_faults(&mut scenario.events);
         self.link_faults(&scenario.receivers, &mut scenario.events);
         self.upgrade(&mut scenario.events);
@@ -114,7 +115,7 @@
             _ => Outage::Unreachable,
         };
         let at_ms = self.rng.ms(self.end_ms / 10, self.end_ms / 2);
-        // The typical length of outages in production, for which the senders' health checks are configured.
+        // Typical durations of outages in production, for which the senders' health checks are configured.
         let duration_ms = self.rng.ms(7_600, 14_000);
         let is_partial = receiver.endpoints.len() > 1 && self.rng.chance(0.2);
         let endpoints = if is_partial { vec![receiver.endpoints[0].id.clone()] } else { Vec::new() };
@@ -144,7 +145,7 @@
             let at_ms = self.rng.ms(self.end_ms / 6, self.end_ms / 2);
             let duration_ms = self.rng.ms(self.end_ms / 5, self.end_ms / 2);
             let delay_ms = self.rng.ms(500, 3_000);
-            events.push(ScheduledEvent::Stale { at_ms, duration_ms, delay_ms });
+            events.push(ScheduledEvent::ListDelay { at_ms, duration_ms, delay_ms });
         }
     }
 
@@ -152,7 +153,7 @@
         let drained_at = self.rng.ms(self.end_ms / 5, self.end_ms / 2);
         let deleted_at = Ms(drained_at.0 + self.rng.integer(3_000, 6_000));
         let phases = [(drained_at, Phase::Draining), (deleted_at, Phase::Deleted)];
-        events.extend(phases.map(|(at_ms, phase)| ScheduledEvent::List {
+        events.extend(phases.map(|(at_ms, phase)| ScheduledEvent::PhaseChange {
             at_ms,
             endpoint: endpoint.clone(),
             phase,
@@ -169,7 +170,7 @@
             let at_ms = self.any_time();
             let duration_ms = self.rng.ms(1_000, 5_000);
             let sender = self.any_sender();
-            events.push(ScheduledEvent::Discovery { at_ms, duration_ms, sender, fault });
+            events.push(ScheduledEvent::DiscoveryFault { at_ms, duration_ms, sender, fault });
         }
         if self.rng.chance(0.3) {
             let at_ms = self.any_time();
@@ -195,7 +196,7 @@
         let duration_ms = self.rng.ms(1_000, 8_000);
         let sender = self.any_sender();
         let receiver = receivers[self.rng.integer(0, receivers.len() as u64) as usize].number;
-        events.push(ScheduledEvent::Link { at_ms, duration_ms, sender, receiver, fault });
+        events.push(ScheduledEvent::LinkFault { at_ms, duration_ms, sender, receiver, fault });
     }
 
     fn upgrade(&mut self, events: &mut Vec<ScheduledEvent>) {
@@ -206,7 +207,7 @@
         }
     }
 
-    /// A time between one sixth and three quarters of the scenario.
+    /// A random time between one sixth and three quarters of the scenario.
     fn any_time(&mut self) -> Ms {
         self.rng.ms(self.end_ms / 6, self.end_ms * 3 / 4)
     }
--- a/crates/testkit/src/scenario/parse.rs
+++ b/crates/testkit/src/scenario/parse.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use super::Scenario;
-use super::validation::Inconsistency;
+use super::validation::ValidationError;
 
 /// Error of reading a scenario.
 #[derive(Debug, thiserror::Error)]
@@ -30,7 +30,7 @@
         /// Path of the file.
         path: PathBuf,
         /// The field and the cause.
-        error: Inconsistency,
+        error: ValidationError,
     },
 }
 
--- a/crates/testkit/src/scenario/receiver_plan.rs
+++ b/crates/testkit/src/scenario/receiver_plan.rs
@@ -4,11 +4,11 @@
 
 use super::units::{Ms, PerSecond, Share};
 
-/// How a receiver limits the rate of its calls.
+/// How a receiver limits the rate of the calls that it accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Limit {
-    /// A token bucket whose capacity is the rate of half a second.
+    /// A token bucket whose capacity is the number of calls that the rate permits in half a second.
     Rate,
     /// A maximum number of calls in each fixed window.
     #[serde(alias = "span")]
@@ -25,8 +25,8 @@
 pub struct RetryAfterPolicy {
     /// Share of the rejections that carry a Retry-After.
     pub share: Share,
-    /// Lower bound of the Retry-After. If the time until a call would be accepted is longer, or there is no lower bound, that
-    /// time is sent.
+    /// Lower bound of the Retry-After; `None` for no lower bound. Above the bound, the value is the time until the receiver
+    /// would accept a call.
     #[serde(default)]
     pub wait_ms: Option<Ms>,
 }
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReceiverPlan {
-    /// Number that messages give as their receiver.
+    /// Number by which messages name the receiver.
     pub number: u16,
     /// Name for display.
     pub name: String,
@@ -68,12 +68,12 @@
     /// Mean service time of a call.
     #[serde(alias = "work_ms")]
     pub service_time_ms: Ms,
-    /// Most calls that wait for a free worker of an endpoint; further calls are rejected.
+    /// Maximum number of calls that wait for a free worker of an endpoint; further calls are rejected.
     #[serde(alias = "queue")]
     pub max_queued: u16,
-    /// Most connections that an endpoint has open at the same time.
+    /// Maximum number of connections that an endpoint has open at the same time.
     #[serde(alias = "connections")]
     pub max_connections: u16,
-    /// Relative share of the messages for this receiver, above 0.
+    /// Weight of the receiver in the random choice of a message's receiver, relative to the weights of the others; above 0.
     pub weight: f64,
 }
--- a/crates/testkit/src/scenario/rng.rs
+++ b/crates/testkit/src/scenario/rng.rs
@@ -1,16 +1,16 @@
-//! A seeded generator of random numbers, which draws the same numbers on every machine.
+//! A seeded generator of random numbers, which returns the same numbers on every machine.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
 use super::units::{Ms, Share};
 
-/// Draws random numbers from a seed.
+/// A generator of random numbers from a seed.
 #[derive(Clone, Debug)]
 pub struct SeededRng(ChaCha8Rng);
 
 impl SeededRng {
-    /// Creates a generator. Generators with the same seed draw the same numbers.
+    /// Creates a generator. Generators with the same seed return the same numbers.
     pub fn new(seed: u64) -> Self {
         Self(ChaCha8Rng::seed_from_u64(seed))
     }
--- a/crates/testkit/src/scenario/tests.rs
+++ b/crates/testkit/src/scenario/tests.rs
@@ -1,14 +1,16 @@
-//! Tests of reading, validating and drawing scenarios.
+//! Tests of reading, validating and generating scenarios.
+//!
+//! The arguments of `Scenario::random` are the seed and the time in which clients submit messages, in seconds.
 
 use std::path::Path;
 
 use super::{Ms, Scenario, ScheduledEvent};
 
 #[test]
-fn a_seed_always_draws_the_same_scenario_which_can_be_stored() {
-    let drawn = Scenario::random(7, 40);
-    assert_eq!(drawn, Scenario::random(7, 40));
-    assert_ne!(drawn, Scenario::random(8, 40));
+fn a_seed_always_generates_the_same_scenario_and_it_can_be_stored() {
+    let generated = Scenario::random(7, 40);
+    assert_eq!(generated, Scenario::random(7, 40));
+    assert_ne!(generated, Scenario::random(8, 40));
     for seed in 0..200 {
         let scenario = Scenario::random(seed, 40);
         let text = toml::to_string(&scenario).expect("the scenario can be serialized");
@@ -40,8 +42,9 @@
         let error =
             Scenario::parse(&text.join("\n"), Path::new("bad.toml")).expect_err(invalid_line).to_string();
         assert!(error.contains("bad.toml") && error.contains(expected), "{error}");
-        let names_line = error.contains(&format!("line {}", index + 1)) || field == "senders";
-        assert!(names_line, "the error does not name the line: {error}");
+        // Errors of `Scenario::validate`, such as that for `senders`, name the field but no line.
+        let names_line_or_needs_none = error.contains(&format!("line {}", index + 1)) || field == "senders";
+        assert!(names_line_or_needs_none, "the error does not name the line: {error}");
     }
 }
 
--- a/crates/testkit/src/scenario/validation.rs
+++ b/crates/testkit/src/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! Checks that the fields of a scenario are consistent with each other.
+//! Checks the ranges of a scenario's fields, and that its events name senders, receivers and endpoints that exist.
 
 use std::collections::BTreeSet;
 
@@ -7,9 +7,10 @@
 /// Maximum number of senders.
 const MAX_SENDERS: usize = 16;
 
-/// A field that is outside its range or contradicts another field. The text begins with its key.
+/// A field of a scenario that is outside its range or contradicts another field. The error text begins with the field's
+/// key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Inconsistency {
+pub enum ValidationError {
     /// The number of senders is out of range.
     #[error("senders is {0}: must be from 1 to 16")]
     Senders(usize),
@@ -31,7 +32,9 @@
         weight: f64,
     },
     /// Two endpoints have the same id.
-    #[error("receivers[{receiver}].endpoints has the id {id} a second time: must be unique in the scenario")]
+    #[error(
+        "receivers[{receiver}].endpoints has the id {id}, which another endpoint has: ids must be unique in the scenario"
+    )]
     DuplicateEndpoint {
         /// Index of the receiver that has the second endpoint.
         receiver: usize,
@@ -43,7 +46,7 @@
     UnknownTarget {
         /// Index of the event.
         event: usize,
-        /// What the event names.
+        /// The target that the event names and the scenario lacks.
         missing: Target,
     },
 }
@@ -51,13 +54,13 @@
 /// The sender, receiver or endpoint that an event affects.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Target {
-    /// A receiver, by its number.
+    /// The number of a receiver, as in [`ReceiverPlan::number`]; not its index.
     #[error("receiver {0}")]
     Receiver(u16),
-    /// An endpoint, by its id.
+    /// The id of an endpoint.
     #[error("endpoint {0}")]
     Endpoint(String),
-    /// A sender, by its index.
+    /// The index of a sender, from 0.
     #[error("sender {0}")]
     Sender(usize),
 }
@@ -67,13 +70,13 @@
     ///
     /// # Errors
     ///
-    /// The first [`Inconsistency`] found.
-    pub(super) fn validate(&self) -> Result<(), Inconsistency> {
+    /// The first [`ValidationError`] found.
+    pub(super) fn validate(&self) -> Result<(), ValidationError> {
         if self.senders == 0 || self.senders > MAX_SENDERS {
-            return Err(Inconsistency::Senders(self.senders));
+            return Err(ValidationError::Senders(self.senders));
         }
         if self.receivers.is_empty() {
-            return Err(Inconsistency::NoReceivers);
+            return Err(ValidationError::NoReceivers);
         }
         let mut endpoint_ids = BTreeSet::new();
         for (index, receiver) in self.receivers.iter().enumerate() {
@@ -81,7 +84,7 @@
         }
         for (index, event) in self.events.iter().enumerate() {
             if let Some(missing) = self.missing_target(event, &endpoint_ids) {
-                return Err(Inconsistency::UnknownTarget { event: index, missing });
+                return Err(ValidationError::UnknownTarget { event: index, missing });
             }
         }
         Ok(())
@@ -89,28 +92,28 @@
 
     /// The first target of an event that does not exist in the scenario; `None` if all of them exist.
     fn missing_target(&self, event: &ScheduledEvent, endpoint_ids: &BTreeSet<&str>) -> Option<Target> {
-        let receiver_target = |number: u16| {
+        let missing_receiver = |number: u16| {
             let exists = self.receivers.iter().any(|receiver| receiver.number == number);
             (!exists).then_some(Target::Receiver(number))
         };
-        let endpoint_target = |id: &String| {
+        let missing_endpoint = |id: &String| {
             let exists = endpoint_ids.contains(id.as_str());
             (!exists).then(|| Target::Endpoint(id.clone()))
         };
-        let sender_target = |index: usize| (index >= self.senders).then_some(Target::Sender(index));
+        let missing_sender = |index: usize| (index >= self.senders).then_some(Target::Sender(index));
         match event {
             ScheduledEvent::Outage { receiver, endpoints, .. } => {
-                receiver_target(*receiver).or_else(|| endpoints.iter().find_map(endpoint_target))
+                missing_receiver(*receiver).or_else(|| endpoints.iter().find_map(missing_endpoint))
             }
-            ScheduledEvent::List { endpoint, .. } => endpoint_target(endpoint),
-            ScheduledEvent::Stale { .. } => None,
+            ScheduledEvent::PhaseChange { endpoint, .. } => missing_endpoint(endpoint),
+            ScheduledEvent::ListDelay { .. } => None,
             ScheduledEvent::Kill { sender, .. }
             | ScheduledEvent::Restart { sender, .. }
             | ScheduledEvent::Upgrade { sender, .. }
-            | ScheduledEvent::Discovery { sender, .. }
-            | ScheduledEvent::MoveDiscovery { sender, .. } => sender_target(*sender),
-            ScheduledEvent::Link { sender, receiver, .. } => {
-                sender_target(*sender).or_else(|| receiver_target(*receiver))
+            | ScheduledEvent::DiscoveryFault { sender, .. }
+            | ScheduledEvent::MoveDiscovery { sender, .. } => missing_sender(*sender),
+            ScheduledEvent::LinkFault { sender, receiver, .. } => {
+                missing_sender(*sender).or_else(|| missing_receiver(*receiver))
             }
         }
     }
@@ -121,17 +124,17 @@
     index: usize,
     receiver: &'a ReceiverPlan,
     endpoint_ids: &mut BTreeSet<&'a str>,
-) -> Result<(), Inconsistency> {
+) -> Result<(), ValidationError> {
     if receiver.endpoints.is_empty() {
-        return Err(Inconsistency::NoEndpoints { receiver: index });
+        return Err(ValidationError::NoEndpoints { receiver: index });
     }
     let weight = receiver.weight;
     if !weight.is_finite() || weight <= 0.0 {
-        return Err(Inconsistency::Weight { receiver: index, weight });
+        return Err(ValidationError::Weight { receiver: index, weight });
     }
     for endpoint in &receiver.endpoints {
         if !endpoint_ids.insert(&endpoint.id) {
-            return Err(Inconsistency::DuplicateEndpoint { receiver: index, id: endpoint.id.clone() });
+            return Err(ValidationError::DuplicateEndpoint { receiver: index, id: endpoint.id.clone() });
         }
     }
     Ok(())
--- a/crates/testkit/src/test_environment.rs
+++ b/crates/testkit/src/test_environment.rs
@@ -31,11 +31,11 @@
 use crate::program::{Launch, Program, ProgramError};
 use crate::scenario::{Scenario, ScheduledEvent};
 
-/// How long outcomes are awaited after the lifetime of the last message.
+/// How long a test waits for outcomes after the lifetime of the last message has passed.
 pub(crate) const OUTCOME_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Interval of the checks whether all messages have their outcomes.
 const OUTCOME_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Changes the scenario's seed (by XOR) to draw the malformed requests from a seed of their own.
+/// Value that is combined with the scenario's seed by XOR, so that the malformed requests have a seed of their own.
 const MALFORMED_SEED: u64 = 0xbad;
 
 /// Configuration of a test environment.
@@ -45,7 +45,7 @@
     pub launch: Launch,
     /// An empty folder for the senders' configurations, journals and logs.
     pub folder: PathBuf,
-    /// Upper bound of a message's lifetime, which bounds the length of a test.
+    /// Upper bound of the messages' lifetimes (time from submission to deadline), which limits the duration of a test.
     pub max_lifetime: Duration,
 }
 
@@ -67,9 +67,10 @@
     pub lines: Vec<Line>,
     /// Failures of senders to start, to stop or to be taken over.
     pub failures: Vec<RunFailure>,
-    /// Total processor time of the sender processes that ran at the end of the test, in microseconds.
+    /// Total processor time of the sender processes that were running at the end of the test, in microseconds; earlier
+    /// processes of restarted senders do not count.
     pub cpu_us: u64,
-    /// The highest memory use of one of these processes, in KiB.
+    /// The highest peak memory use among these processes, in KiB.
     pub peak_kib: u64,
 }
 
@@ -140,7 +141,7 @@
         Ok(Self { scenario, config, event_log, receivers, discoveries, programs, clients, links })
     }
 
-    /// A handle to the event log, which is written until [`TestEnvironment::run`] returns.
+    /// A handle to the event log, to which events are appended until [`TestEnvironment::run`] returns.
     pub fn event_log(&self) -> EventLog {
         self.event_log.clone()
     }
--- a/crates/testkit/src/test_environment/configuration.rs
+++ b/crates/testkit/src/test_environment/configuration.rs
@@ -14,7 +14,7 @@
 const KEYED_TARGET_MS: u64 = 4_000;
 /// Latency objective of idempotent messages, in milliseconds.
 const IDEMPOTENT_TARGET_MS: u64 = 2_000;
-/// Seed of the first sender; each further sender has the next number.
+/// Seed of the first sender; the seed of every other sender is this value plus its index.
 const SEED_BASE: u64 = 0x9e37_79b9;
 
 /// Name of the sender with this index.
@@ -22,7 +22,7 @@
     format!("n{index}")
 }
 
-/// The message classes of a test. Deadlines are at most `max_lifetime`.
+/// The message classes of a test. The deadline of a class is at most `max_lifetime` after the submission.
 pub fn classes(max_lifetime: Duration) -> Vec<Class> {
     let class = |class: MessageClass, effect, group, window: Duration, target_ms| Class {
         name: class.name.to_owned(),
--- a/crates/testkit/src/test_environment/failures.rs
+++ b/crates/testkit/src/test_environment/failures.rs
@@ -4,7 +4,7 @@
 
 use crate::program::ProgramError;
 
-/// A failure of a sender's process, which is not in the event log.
+/// A failure of a sender's process. The event log does not contain these failures.
 #[derive(Debug, thiserror::Error)]
 pub enum RunFailure {
     /// The process did not exit successfully and in time after SIGTERM.
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Records the error of a result, if it is one.
+    /// Records the error, if the result is an error.
     pub(super) fn check(&self, result: Result<(), ProgramError>) {
         if let Err(error) = result {
             self.push(error.into());
--- a/crates/testkit/src/test_environment/links.rs
+++ b/crates/testkit/src/test_environment/links.rs
@@ -9,7 +9,7 @@
 use crate::fault_proxy::{Fault, FaultProxy};
 use crate::scenario::{LinkFault, Phase, Scenario, ScheduledEvent};
 
-/// Longest delay of a link that the tolerance of the rules covers, in milliseconds.
+/// Longest delay of a link that the tolerance of the checker's rules covers, in milliseconds.
 const MAX_TOLERATED_DELAY_MS: u64 = 20;
 
 /// A proxy between a sender and an endpoint of a receiver.
@@ -30,7 +30,7 @@
         event_log.record(Event::LinkFault {
             sender: sender_name(self.sender),
             endpoint: self.endpoint.clone(),
-            kind: kind(fault).to_owned(),
+            kind: fault_kind(fault).to_owned(),
             hides_responses: hides_responses(fault),
             on,
         });
@@ -42,7 +42,7 @@
 }
 
 /// The kind of the fault, as the event log names it.
-fn kind(fault: LinkFault) -> &'static str {
+fn fault_kind(fault: LinkFault) -> &'static str {
     match fault {
         LinkFault::Delay { .. } => "delay",
         LinkFault::LoseResponses => "lose_back",
@@ -75,7 +75,7 @@
 ) -> std::io::Result<Vec<Arc<ProxiedLink>>> {
     let mut links: Vec<Arc<ProxiedLink>> = Vec::new();
     for event in &scenario.events {
-        let &ScheduledEvent::Link { sender, receiver: number, .. } = event else { continue };
+        let &ScheduledEvent::LinkFault { sender, receiver: number, .. } = event else { continue };
         let Some(receiver) = receivers.iter().find(|receiver| receiver.plan().number == number) else {
             continue;
         };
--- a/crates/testkit/src/test_environment/monitor.rs
+++ b/crates/testkit/src/test_environment/monitor.rs
@@ -12,8 +12,8 @@
 /// Lag above which a measurement is recorded, in microseconds.
 const RECORDED_LAG_US: u64 = MAX_LAG_US / 2;
 
-/// Records the lag of this process in the event log until the task is cancelled. A lag of the fakes may cause violations
-/// that are not a sender's fault.
+/// Records in the event log when this process lags, until the task is cancelled. The fakes run in this process, and
+/// their lag may cause violations that are not a sender's fault.
 pub async fn record_lag(event_log: EventLog) {
     let mut next_check = Instant::now();
     loop {
--- a/crates/testkit/src/test_environment/player.rs
+++ b/crates/testkit/src/test_environment/player.rs
@@ -54,16 +54,16 @@
             ScheduledEvent::Outage { at_ms, duration_ms, receiver, endpoints, outage } => {
                 self.schedule_outage(self.window(at_ms, duration_ms), receiver, endpoints, outage);
             }
-            ScheduledEvent::List { at_ms, endpoint, phase } => {
+            ScheduledEvent::PhaseChange { at_ms, endpoint, phase } => {
                 self.schedule_list_change(at_ms, &endpoint, phase);
             }
-            // Needs no task: `list_delay_ms` adds the delay to each list change.
-            ScheduledEvent::Stale { .. } => {}
-            ScheduledEvent::Discovery { at_ms, duration_ms, sender, fault } => {
+            // This event needs no task, because `list_delay_ms` adds the delay to each list change.
+            ScheduledEvent::ListDelay { .. } => {}
+            ScheduledEvent::DiscoveryFault { at_ms, duration_ms, sender, fault } => {
                 self.schedule_discovery_fault(self.window(at_ms, duration_ms), sender, fault);
             }
             ScheduledEvent::MoveDiscovery { at_ms, sender } => self.schedule_discovery_move(at_ms, sender),
-            ScheduledEvent::Link { at_ms, duration_ms, sender, receiver, fault } => {
+            ScheduledEvent::LinkFault { at_ms, duration_ms, sender, receiver, fault } => {
                 self.schedule_link_fault(self.window(at_ms, duration_ms), sender, receiver, fault);
             }
             ScheduledEvent::Kill { at_ms, sender, restart_after_ms } => {
@@ -110,9 +110,9 @@
     /// Delay after which a change of the endpoint list at this time reaches the first sender.
     fn list_delay_ms(&self, at_ms: u64) -> u64 {
         let additional_delays = self.scenario.events.iter().filter_map(|event| match event {
-            ScheduledEvent::Stale { at_ms: begin, duration_ms, delay_ms } => {
-                let is_stale = (begin.get()..begin.get() + duration_ms.get()).contains(&at_ms);
-                is_stale.then(|| delay_ms.get())
+            ScheduledEvent::ListDelay { at_ms: begin, duration_ms, delay_ms } => {
+                let is_delayed = (begin.get()..begin.get() + duration_ms.get()).contains(&at_ms);
+                is_delayed.then(|| delay_ms.get())
             }
             _ => None,
         });
@@ -192,7 +192,7 @@
     }
 }
 
-/// Starts a sender again after a delay. Its configuration gets the current endpoint list as the known endpoints.
+/// Starts a sender again after a delay, with the current endpoint list as the known endpoints in its configuration.
 async fn restart(program: &mut Program, discovery: &FakeDiscovery, delay_ms: Ms) -> Result<(), ProgramError> {
     sleep(delay_ms.duration()).await;
     let reconfigured = program.reconfigure(&[("known", discovery.list())]).await;
--- a/crates/testkit/src/usage/tests.rs
+++ b/crates/testkit/src/usage/tests.rs
@@ -3,7 +3,7 @@
 use super::Usage;
 use crate::event_log::{Event, Line};
 
-/// The first second of the time span counts in the mean and in `first` alone.
+/// The first second of the time span counts only in `mean` and in `first`.
 #[test]
 fn shares_are_measured_in_fixed_and_sliding_seconds() {
     let called = |ms: u64| Line {
