--- a/crates/testkit/src/checker/duplication.rs
+++ b/crates/testkit/src/checker/duplication.rs
@@ -93,7 +93,7 @@
         Effect::Idempotent => None,
         Effect::AtMostOnce => Some(format!("{id} is sent again after a possible execution")),
         Effect::IdempotencyKey
-            if !topology.share_keys(class.group, &possible_execution.endpoint, endpoint) =>
+            if !topology.share_keys(class.key_group, &possible_execution.endpoint, endpoint) =>
         {
             Some(format!(
                 "{id} was possibly executed at {} and is sent to {endpoint}",
@@ -102,7 +102,7 @@
         }
         Effect::IdempotencyKey => {
             let key_expiry_us =
-                possible_execution.first_us + ms_to_us(class.window_ms + topology.rules.slack_ms);
+                possible_execution.first_us + ms_to_us(class.key_window_ms + topology.rules.slack_ms);
             let late_us = call.first_us.checked_sub(key_expiry_us).filter(|late| *late > 0)?;
             Some(format!("{id} is sent again {} ms after its key has expired", late_us / 1_000))
         }
@@ -120,7 +120,7 @@
     let class = topology.class(message.class_index);
     let is_repeatable = match class.effect {
         Effect::Idempotent => true,
-        Effect::IdempotencyKey => class.group == KeyGroup::All,
+        Effect::IdempotencyKey => class.key_group == KeyGroup::All,
         Effect::AtMostOnce => false,
     };
     if is_repeatable {
--- a/crates/testkit/src/checker/topology.rs
+++ b/crates/testkit/src/checker/topology.rs
@@ -70,9 +70,9 @@
     }
 
     /// Whether two endpoints, given by their ids, share their memory of idempotency keys.
-    pub(super) fn share_keys(&self, group: KeyGroup, one: &str, other: &str) -> bool {
+    pub(super) fn share_keys(&self, key_group: KeyGroup, one: &str, other: &str) -> bool {
         let zone = |id: &str| self.endpoint(id).map(|endpoint| &endpoint.zone);
-        match group {
+        match key_group {
             KeyGroup::All => true,
             KeyGroup::Zone => zone(one) == zone(other),
             KeyGroup::Endpoint => one == other,
--- a/crates/testkit/src/event_log/header.rs
+++ b/crates/testkit/src/event_log/header.rs
@@ -39,11 +39,11 @@
     /// How often a message of the class may be executed.
     pub effect: Effect,
     /// Which endpoints share their memory of idempotency keys; used with [`Effect::IdempotencyKey`] alone.
-    #[serde(default)]
-    pub group: KeyGroup,
+    #[serde(default, rename = "group")]
+    pub key_group: KeyGroup,
     /// How long an endpoint remembers an idempotency key, in milliseconds; used with [`Effect::IdempotencyKey`] alone.
-    #[serde(default)]
-    pub window_ms: u64,
+    #[serde(default, rename = "window_ms")]
+    pub key_window_ms: u64,
     /// Latency objective: time from submission to delivery, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub target_ms: u64,
--- a/crates/testkit/src/test_environment/configuration.rs
+++ b/crates/testkit/src/test_environment/configuration.rs
@@ -24,11 +24,11 @@
 
 /// The message classes of a test. The deadline of a class is at most `max_lifetime` after the submission.
 pub fn classes(max_lifetime: Duration) -> Vec<Class> {
-    let class = |class: MessageClass, effect, group, window: Duration, target_ms| Class {
+    let class = |class: MessageClass, effect, key_group, key_window: Duration, target_ms| Class {
         name: class.name.to_owned(),
         effect,
-        group,
-        window_ms: window.as_millis() as u64,
+        key_group,
+        key_window_ms: key_window.as_millis() as u64,
         target_ms,
         deadline_ms: class.lifetime.min(max_lifetime).as_millis() as u64,
         ordered: false,
@@ -84,12 +84,12 @@
 fn class_settings(class: &Class) -> Value {
     let (effect, group) = match class.effect {
         Effect::Idempotent => ("free", "all"),
-        Effect::IdempotencyKey if class.group == KeyGroup::All => ("guarded", "all"),
+        Effect::IdempotencyKey if class.key_group == KeyGroup::All => ("guarded", "all"),
         Effect::IdempotencyKey => ("guarded", "zone"),
         Effect::AtMostOnce => ("single_shot", "all"),
     };
     let credit = if class.effect == Effect::Idempotent { 3.0 } else { 1.0 };
-    json!({"name": class.name, "effect": effect, "group": group, "window": class.window_ms,
+    json!({"name": class.name, "effect": effect, "group": group, "window": class.key_window_ms,
            "target": class.target_ms, "credit": credit, "deadline": class.deadline_ms, "late_worth": 0.3})
 }
 
--- a/crates/testkit/tests/checker/log_builder.rs
+++ b/crates/testkit/tests/checker/log_builder.rs
@@ -12,11 +12,11 @@
 
 impl Log {
     pub fn new() -> Self {
-        let class = |name: &str, effect, group, ordered| Class {
+        let class = |name: &str, effect, key_group, ordered| Class {
             name: name.to_owned(),
             effect,
-            group,
-            window_ms: 15_000,
+            key_group,
+            key_window_ms: 15_000,
             target_ms: 2_000,
             deadline_ms: 10_000,
             ordered,
--- a/crates/testkit/tests/wrong_senders/test_run.rs
+++ b/crates/testkit/tests/wrong_senders/test_run.rs
@@ -32,8 +32,8 @@
     let class = |name: &str, effect, ordered| Class {
         name: name.to_owned(),
         effect,
-        group: KeyGroup::Zone,
-        window_ms: 15_000,
+        key_group: KeyGroup::Zone,
+        key_window_ms: 15_000,
         target_ms: 1_000,
         deadline_ms: 5_000,
         ordered,
