--- a/crates/testkit/src/checker/recovery.rs
+++ b/crates/testkit/src/checker/recovery.rs
@@ -72,8 +72,8 @@
         outage.affected_all_endpoints |= outage.affected_endpoints.len() == endpoint_count;
     }
 
-    /// Records that an outage of an endpoint ends. If all endpoints that share the rate limit were in an outage at the same
-    /// time, their recovery begins when the last of these outages ends.
+    /// Records that an outage of an endpoint ends. If all endpoints that share the rate limit were in an outage at the
+    /// same time, their recovery begins when the last of these outages ends.
     pub(super) fn end_outage(&mut self, topology: &Topology, endpoint: &str, outage_kind: &str, at_us: u64) {
         let Some(scope) = topology.limit_scope(endpoint) else { return };
         let (limit, shared) = match &scope {
@@ -165,8 +165,8 @@
 }
 
 /// Number of calls that a warming endpoint can accept in the overload window that ends at `now_us`: the mean of its
-/// capacities at the start of the window and at its end, over the length of the whole window. If the window starts before
-/// the recovery, the capacity at the start of the recovery takes the place of the first of the two.
+/// capacities at the start of the window and at its end, over the length of the whole window. If the window starts
+/// before the recovery, the capacity at the start of the recovery takes the place of the first of the two.
 fn window_capacity(rules: &Rules, per_s: f64, recovery_us: u64, now_us: u64) -> f64 {
     let window_us = ms_to_us(rules.overload_window_ms);
     let window_start_us = recovery_us.max(now_us.saturating_sub(window_us));
--- a/crates/testkit/src/checker/verdict.rs
+++ b/crates/testkit/src/checker/verdict.rs
@@ -22,8 +22,8 @@
 /// The load on the endpoints that share a rate limit, after an outage of all of them.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Recovery {
-    /// Name of the rate limit: the word `receiver` and the number of the receiver whose endpoints share it, or the id of an
-    /// independent endpoint.
+    /// Name of the rate limit: the word `receiver` and the number of the receiver whose endpoints share it, or the id
+    /// of an independent endpoint.
     #[serde(rename = "gate")]
     pub limit: String,
     /// Whether several endpoints share the limit and recover together.
--- a/crates/testkit/src/event_log.rs
+++ b/crates/testkit/src/event_log.rs
@@ -1,8 +1,8 @@
 //! The event log that fakes and clients write and the checker reads: JSON lines whose times are on one monotonic clock.
 //!
-//! The first line is the header and carries the version of the format. Every line has `t`, microseconds since the
-//! log began. Stored logs are checked again by later releases: within a version of the format, fields may be added, but
-//! no field changes its meaning. The names of fields and events in JSON are fixed; where the code uses other names, serde
+//! The first line is the header and carries the version of the format. Every line has `t`, microseconds since the log
+//! began. Stored logs are checked again by later releases: within a version of the format, fields may be added, but no
+//! field changes its meaning. The names of fields and events in JSON are fixed; where the code uses other names, serde
 //! attributes map them. `docs/operate/checker.md` lists the events.
 
 mod codec;
--- a/crates/testkit/src/event_log/header.rs
+++ b/crates/testkit/src/event_log/header.rs
@@ -79,8 +79,8 @@
 pub struct Rules {
     /// How long calls may still begin after a sender was notified that an endpoint is draining.
     pub drain_grace_ms: u64,
-    /// Highest permitted ratio of the calls that an endpoint receives in [`Rules::overload_window_ms`] while it warms up to
-    /// the calls that it can accept in that time.
+    /// Highest permitted ratio of received calls to acceptable calls in [`Rules::overload_window_ms`], for an endpoint
+    /// that is warming up.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// Length of the window in which the calls to a warming endpoint are counted.
@@ -97,18 +97,18 @@
     pub retry_after_grace_ms: u64,
     /// Tolerance added to every time limit for delays of sockets and scheduling.
     pub slack_ms: u64,
-    /// Grace period after a message's deadline: the final outcome is overdue only after it.
+    /// Grace period after a message's deadline: the final outcome is overdue only when the period has ended.
     #[serde(rename = "end_ms")]
     pub outcome_grace_ms: u64,
-    /// Grace period after a restarted process is ready again: an outcome that was due during the restart or this period is
-    /// overdue only after it.
+    /// Grace period after a restarted process is ready again: an outcome that was due during the restart or this period
+    /// is overdue only when the period has ended.
     #[serde(rename = "restart_ms")]
     pub restart_grace_ms: u64,
     /// How long an ordering key is blocked after an attempt that may still be executing.
     #[serde(rename = "order_rest_ms")]
     pub ordering_pause_ms: u64,
     /// Grace period after the platform acknowledges notifications again, in which the sender repeats the notifications
-    /// that were not acknowledged: outcomes that were due before its end are overdue only after it.
+    /// that were not acknowledged: outcomes that were due before its end are overdue only when the period has ended.
     #[serde(default = "default_notification_grace_ms", rename = "notice_ms")]
     pub notification_grace_ms: u64,
 }
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -73,8 +73,8 @@
 }
 
 impl Scenario {
-    /// Generates a scenario with two senders and faults at random, in which clients submit messages for `seconds`. The same
-    /// arguments generate the same scenario on every machine.
+    /// Generates a scenario with two senders and faults at random, in which clients submit messages for `seconds`. The
+    /// same arguments generate the same scenario on every machine.
     pub fn random(seed: u64, seconds: u16) -> Self {
         generator::scenario(seed, seconds)
     }
--- a/crates/testkit/src/scenario/events.rs
+++ b/crates/testkit/src/scenario/events.rs
@@ -29,8 +29,8 @@
     /// Calls are read but never answered.
     #[serde(alias = "silent")]
     Unresponsive,
-    /// The same as [`Outage::Unresponsive`], but calls that were executed before the outage are not answered either, and open
-    /// connections are reset at the end of the outage.
+    /// The same as [`Outage::Unresponsive`], but calls that were executed before the outage are not answered either,
+    /// and open connections are reset at the end of the outage.
     #[serde(alias = "vanish")]
     Unreachable,
 }
--- a/crates/testkit/src/scenario/generator.rs
+++ b/crates/testkit/src/scenario/generator.rs
@@ -1,6 +1,7 @@
 //! Generates scenarios at random from a seed.
 //!
-//! The order in which random numbers are drawn must not change, so that a seed generates the same scenario in all versions.
+//! The order in which random numbers are drawn must not change, so that a seed generates the same scenario in all
+//! versions.
 
 use super::rng::SeededRng;
 use super::units::{Ms, PerSecond};
@@ -45,8 +46,8 @@
             receivers,
             events,
         };
-        // These faults were added in later versions. They are generated last, so that a seed generates the same values as
-        // before for everything else.
+        // These faults were added in later versions. They are generated last, so that a seed generates the same values
+        // as before for everything else.
         self.discovery_faults(&mut scenario.events);
         self.link_faults(&scenario.receivers, &mut scenario.events);
         self.upgrade(&mut scenario.events);
--- a/crates/testkit/src/scenario/parse.rs
+++ b/crates/testkit/src/scenario/parse.rs
@@ -24,9 +24,9 @@
         /// The cause.
         error: Box<toml::de::Error>,
     },
-    /// A field contradicts another one, or is outside its range.
+    /// A field is outside its range or contradicts another field.
     #[error("{path}: {error}")]
-    Inconsistent {
+    Invalid {
         /// Path of the file.
         path: PathBuf,
         /// The field and the cause.
@@ -54,7 +54,7 @@
     pub fn parse(text: &str, path: &Path) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text)
             .map_err(|error| ScenarioError::Toml { path: path.to_owned(), error: Box::new(error) })?;
-        scenario.validate().map_err(|error| ScenarioError::Inconsistent { path: path.to_owned(), error })?;
+        scenario.validate().map_err(|error| ScenarioError::Invalid { path: path.to_owned(), error })?;
         Ok(scenario)
     }
 }
--- a/crates/testkit/src/scenario/receiver_plan.rs
+++ b/crates/testkit/src/scenario/receiver_plan.rs
@@ -25,8 +25,8 @@
 pub struct RetryAfterPolicy {
     /// Share of the rejections that carry a Retry-After.
     pub share: Share,
-    /// Lower bound of the Retry-After; `None` for no lower bound. Above the bound, the value is the time until the receiver
-    /// would accept a call.
+    /// Lower bound of the Retry-After; `None` for no lower bound. Above the bound, the value is the time until the
+    /// receiver would accept a call.
     #[serde(default)]
     pub wait_ms: Option<Ms>,
 }
@@ -74,6 +74,7 @@
     /// Maximum number of connections that an endpoint has open at the same time.
     #[serde(alias = "connections")]
     pub max_connections: u16,
-    /// Weight of the receiver in the random choice of a message's receiver, relative to the weights of the others; above 0.
+    /// Weight of the receiver in the random choice of a message's receiver, relative to the weights of the others;
+    /// above 0.
     pub weight: f64,
 }
