--- a/crates/testkit/src/checker/topology.rs
+++ b/crates/testkit/src/checker/topology.rs
@@ -1,10 +1,11 @@
-//! The classes, endpoints and rule limits of the log's header, indexed for the rules.
+//! The classes, endpoints and limits of the log's header, indexed for the rules of the checker.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::event_log::{Class, Endpoint, KeyGroup, Rules};
 
-/// The scope of a rate limit, a Retry-After and an outage: one independent endpoint, or all endpoints of a receiver.
+/// The endpoints that share a rate limit, and with it each Retry-After and the recovery from outages: one independent
+/// endpoint, or all other endpoints of a receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum LimitScope {
     /// Id of the independent endpoint.
@@ -58,20 +59,20 @@
         self.endpoints.get(id)
     }
 
-    /// The scope of an endpoint's limit; `None` if the endpoint is unknown.
+    /// The scope of an endpoint's rate limit; `None` if the endpoint is unknown.
     pub(super) fn limit_scope(&self, endpoint: &str) -> Option<LimitScope> {
         self.endpoint(endpoint).map(LimitScope::of)
     }
 
-    /// Number of endpoints that share a limit.
+    /// Number of endpoints that share a rate limit.
     pub(super) fn endpoint_count(&self, scope: &LimitScope) -> usize {
         self.endpoint_ids.get(scope).map_or(0, BTreeSet::len)
     }
 
     /// Whether two endpoints, given by their ids, share their memory of idempotency keys.
-    pub(super) fn share_keys(&self, group: KeyGroup, one: &str, other: &str) -> bool {
+    pub(super) fn share_keys(&self, key_group: KeyGroup, one: &str, other: &str) -> bool {
         let zone = |id: &str| self.endpoint(id).map(|endpoint| &endpoint.zone);
-        match group {
+        match key_group {
             KeyGroup::All => true,
             KeyGroup::Zone => zone(one) == zone(other),
             KeyGroup::Endpoint => one == other,
--- a/crates/testkit/tests/wrong_senders/test_run.rs
+++ b/crates/testkit/tests/wrong_senders/test_run.rs
@@ -22,7 +22,7 @@
         drain_grace_ms: 200,
         overload_window_ms: 1_000,
         warm_up_ms: 3_000,
-        outcome_ms: 100,
+        outcome_grace_ms: 100,
         ordering_pause_ms: 300,
         ..Rules::default()
     }
@@ -32,8 +32,8 @@
     let class = |name: &str, effect, ordered| Class {
         name: name.to_owned(),
         effect,
-        group: KeyGroup::Zone,
-        window_ms: 15_000,
+        key_group: KeyGroup::Zone,
+        key_window_ms: 15_000,
         target_ms: 1_000,
         deadline_ms: 5_000,
         ordered,
